--- a/src/main/java/calicostream/Hangup.java
+++ b/src/main/java/calicostream/Hangup.java
@@ -4,9 +4,10 @@
 import java.lang.reflect.Proxy;
 
 /**
- * SIGHUP, on which a virtual machine ends unless somebody else takes it. It is taken from the program's first
- * moment; one that comes before there is anything to tell is told later. The handler of signals is no part of
- * Java's standard, and the compiler warns of its mere name, so it is looked up.
+ * SIGHUP, on which a virtual machine ends unless somebody else takes it. It is taken from the
+ * program's first moment; one that comes before there is anything to tell is told later. The
+ * handler of signals is no part of Java's standard, and the compiler warns of its mere name, so it
+ * is looked up.
  */
 final class Hangup {
     private static final String IGNORED = "SIG_IGN";
@@ -14,22 +15,29 @@
     private boolean missed;
     private boolean deaf;
 
-    private Hangup() { }
+    private Hangup() {}
 
     static Hangup taken() {
         Hangup hangup = new Hangup();
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object told = Proxy.newProxyInstance(Hangup.class.getClassLoader(), new Class<?>[] {handler},
-                    (proxy, method, args) -> {
-                        if (method.getName().equals("handle")) {
-                            hangup.came();
-                        }
-                        return null;
-                    });
-            Object before = signal.getMethod("handle", signal, handler).invoke(null,
-                    signal.getConstructor(String.class).newInstance("HUP"), told);
+            Object told =
+                    Proxy.newProxyInstance(
+                            Hangup.class.getClassLoader(),
+                            new Class<?>[] {handler},
+                            (proxy, method, args) -> {
+                                if (method.getName().equals("handle")) {
+                                    hangup.came();
+                                }
+                                return null;
+                            });
+            Object before =
+                    signal.getMethod("handle", signal, handler)
+                            .invoke(
+                                    null,
+                                    signal.getConstructor(String.class).newInstance("HUP"),
+                                    told);
             hangup.deaf = handler.getField(IGNORED).get(null).equals(before);
         } catch (ReflectiveOperationException e) {
             throw new SettingsException("this Java can't take SIGHUP: " + e);
@@ -38,8 +46,8 @@
     }
 
     /**
-     * Whether whoever started the program had the signal ignored (nohup does). A virtual machine leaves it so, whatever it
-     * is asked, and the program never hears of it.
+     * Whether whoever started the program had the signal ignored (nohup does). A virtual machine
+     * leaves it so, whatever it is asked, and the program never hears of it.
      */
     boolean isDeaf() {
         return deaf;
--- a/src/main/java/calicostream/Logic.java
+++ b/src/main/java/calicostream/Logic.java
@@ -18,68 +18,105 @@
 
 /**
  * Every decision of the gateway. The interface - events, actions, records - is in QueryRouter.java.
- * Sections follow a query's life: start and roster, arrival, guards, choice (P-DACA), sending, news,
- * results, endings, health, reports, the tick. Times are microseconds; work is core-microseconds.
+ * Sections follow a query's life: start and roster, arrival, guards, choice (P-DACA), sending,
+ * news, results, endings, health, reports, the tick. Times are microseconds; work is
+ * core-microseconds.
  */
 public final class Logic implements QueryRouter {
-    // ---- Tuned values -------------------------------------------------------------------------------
-    static final int W1 = 6; // rank under which a set engine is chosen: warm tables are worth a wait
+    // ---- Tuned values
+    // -------------------------------------------------------------------------------
+    static final int W1 =
+            6; // rank under which a set engine is chosen: warm tables are worth a wait
     static final int W2 = 3; // the same for an outsider, which has to read the tables first
     static final long SET_IDLE = 20_000_000; // us until an unused set member leaves (design page)
-    static final long GROUP_IDLE = 60_000_000; // us until an unused group is forgotten: past any deadline
-    static final double ROOM = 1.9; // threads per told core at most: work done falls beyond one to two
-    static final double BLIND_ROOM = 2.7; // the same where no report tells of cores: a third waits for disks
+    static final long GROUP_IDLE =
+            60_000_000; // us until an unused group is forgotten: past any deadline
+    static final double ROOM =
+            1.9; // threads per told core at most: work done falls beyond one to two
+    static final double BLIND_ROOM =
+            2.7; // the same where no report tells of cores: a third waits for disks
     static final long TICK = 50_000; // us between ticks: short against the aims
     static final long STANDSTILL = 400_000; // us without a tick after which silence is our own
     static final double SMOOTH = 1_000_000; // us over which loads are smoothed: a few queries' time
-    static final double REPORT_FADE = 2_500_000; // us in which trust in a report falls to a third: run times
-    static final double USUAL_WEIGHT = 0.08; // of one report in what is usual in the fleet: some ten count
-    static final double LONG = 20_000_000; // us over which a gateway with few queries learns what is usual
-    static final double LOAD_STEP = 0.25; // threads a core that tell loads apart where most of it is others'
-    static final double BUSY_FULL = 0.85; // busy share at which an engine's room is used up: its capacity
-    static final double REPORT_WEIGHT = 0.4; // at most, of one report against earlier ones: they are noisy
-    static final int SHORTLIST = 12; // outsiders weighed for a query: more would cost warm tables and probes
-    static final int LOOKS = 2; // engines asked for their load before a query goes: two find most of the best
+    static final double REPORT_FADE =
+            2_500_000; // us in which trust in a report falls to a third: run times
+    static final double USUAL_WEIGHT =
+            0.08; // of one report in what is usual in the fleet: some ten count
+    static final double LONG =
+            20_000_000; // us over which a gateway with few queries learns what is usual
+    static final double LOAD_STEP =
+            0.25; // threads a core that tell loads apart where most of it is others'
+    static final double BUSY_FULL =
+            0.85; // busy share at which an engine's room is used up: its capacity
+    static final double REPORT_WEIGHT =
+            0.4; // at most, of one report against earlier ones: they are noisy
+    static final int SHORTLIST =
+            12; // outsiders weighed for a query: more would cost warm tables and probes
+    static final int LOOKS =
+            2; // engines asked for their load before a query goes: two find most of the best
     static final double LOOK_SHARE = 0.2; // of queries look at least: a quiet fleet may fill unseen
-    static final long LOOK_FRESH = 150_000; // us for which a report is as good as a new one: they are as late
-    static final double PROBES = 3; // a core and second from all gateways: engines answer some four at least
-    static final long LOOK_WAIT = 30_000; // us that a query waits for the answers: short against the aims
-    static final long LOOK_GAP = 250_000; // us between looks for one query: reports change no faster
+    static final long LOOK_FRESH =
+            150_000; // us for which a report is as good as a new one: they are as late
+    static final double PROBES =
+            3; // a core and second from all gateways: engines answer some four at least
+    static final long LOOK_WAIT =
+            30_000; // us that a query waits for the answers: short against the aims
+    static final long LOOK_GAP =
+            250_000; // us between looks for one query: reports change no faster
     static final double LEARN = 0.03; // weight of one query in what is learned: some thirty count
     static final int DOUBT = 2; // answers that the assumption before the first one counts for
     static final double LEARN_CLIP = 1.5; // largest log step: one bad plan must not set the scale
-    static final double GRANT_SIGMAS = 1.4; // deviations over mean need in a grant: spills cost more
-    static final double FIRST_WORK = 1_000_000; // us of work of a class that nothing has told of yet
-    static final double MOVE_GAIN = 2.0; // an attempt moves when it has this many fresh runs before it
-    static final double HOPELESS = 0.7; // part of the projected rest that must miss the deadline to give up
-    static final double SILENCE_RUNS = 10; // expected runs without an answer, where there are no notes
+    static final double GRANT_SIGMAS =
+            1.4; // deviations over mean need in a grant: spills cost more
+    static final double FIRST_WORK =
+            1_000_000; // us of work of a class that nothing has told of yet
+    static final double MOVE_GAIN =
+            2.0; // an attempt moves when it has this many fresh runs before it
+    static final double HOPELESS =
+            0.7; // part of the projected rest that must miss the deadline to give up
+    static final double SILENCE_RUNS =
+            10; // expected runs without an answer, where there are no notes
     static final double SILENCE_NOTES = 1.4; // periods of progress notes without one
-    static final long BENCH_FIRST = 1_000_000; // us on the bench before a trial, doubled at each failed one
-    static final long BENCH_LONGEST = 8_000_000; // us: shorter than most troubles, so recovery is seen
+    static final long BENCH_FIRST =
+            1_000_000; // us on the bench before a trial, doubled at each failed one
+    static final long BENCH_LONGEST =
+            8_000_000; // us: shorter than most troubles, so recovery is seen
     static final long TRIAL_GAP = 500_000; // us between trials: what errs at once would draw all
     static final int STRIKES = 3; // errors in a row that bench; a broken connection does so at once
-    static final double BROKEN_STRIKE = 0.4; // strikes for a broken connection: the network breaks them, too
-    static final double SUSPECTS = 0.34; // of the fleet benched on suspicion at most: beyond that it is load
+    static final double BROKEN_STRIKE =
+            0.4; // strikes for a broken connection: the network breaks them, too
+    static final double SUSPECTS =
+            0.34; // of the fleet benched on suspicion at most: beyond that it is load
     static final double SLOWEST = 6; // slowdown that one answer may suggest: a stray one is no rule
 
-    static final double COLD_PART = 0.8; // part of the cold allowance used at most: usual work is an estimate
-    static final int TURNS = 4; // to a window of the rule on cold engines: shorter ones waste less of it
-    static final int KNOWN_RUNS = 10; // answers after which a class's run time tells more than the guess
-    static final double LEAST_RISES = 1.002; // an answer: the least run time of a class is forgotten
+    static final double COLD_PART =
+            0.8; // part of the cold allowance used at most: usual work is an estimate
+    static final int TURNS =
+            4; // to a window of the rule on cold engines: shorter ones waste less of it
+    static final int KNOWN_RUNS =
+            10; // answers after which a class's run time tells more than the guess
+    static final double LEAST_RISES =
+            1.002; // an answer: the least run time of a class is forgotten
     static final double CORE_YIELD = 0.75; // work of a told core at capacity: 85% busy, some slower
-    static final long ANSWER_TICKS = 2; // ticks before the client's deadline at which we end a query
-    static final double QUOTA_CHANCE = 4; // queries that a tenant may save up besides a second of its quota
+    static final long ANSWER_TICKS =
+            2; // ticks before the client's deadline at which we end a query
+    static final double QUOTA_CHANCE =
+            4; // queries that a tenant may save up besides a second of its quota
     static final double VALUABLE = 2.0; // worth for work, against the mean, for top priority
-    static final long STAY_AWAY = 300_000; // us a client turned away is asked to wait: a few look-ups' time
+    static final long STAY_AWAY =
+            300_000; // us a client turned away is asked to wait: a few look-ups' time
     static final int PUMP_MISSES = 6; // held queries that may find no room before the rest wait
     static final double PRICE_PULL = 100; // at a price of 1% of worth an engine leads half as often
     static final double EASY = 1.0; // threads a core, under the knee, up to which price leads
     static final int HOMES = 10; // engines that a gateway keeps to where connections cost
-    static final long HASH_SPREAD = 0x9E3779B97F4A7C15L; // odd and irregular: neighbours in, strangers out
-    static final long ROSTER_RETRY = 1_000_000; // us before a failed request for the roster is made again
+    static final long HASH_SPREAD =
+            0x9E3779B97F4A7C15L; // odd and irregular: neighbours in, strangers out
+    static final long ROSTER_RETRY =
+            1_000_000; // us before a failed request for the roster is made again
     static final long TICK_TOKEN = 0; // timer token of the tick; queries use their id plus one
 
-    // ---- State --------------------------------------------------------------------------------------
+    // ---- State
+    // --------------------------------------------------------------------------------------
     private static final long LONG_AGO = Long.MIN_VALUE / 2;
 
     /** An engine as this gateway knows it. */
@@ -92,7 +129,12 @@
         double cores, ownThreads, others, price;
         double strikes;
         boolean probing, benched, owed;
-        long askAt, reportAt = LONG_AGO, coldFrom = LONG_AGO, benchedUntil, nextTrial, bench = BENCH_FIRST;
+        long askAt,
+                reportAt = LONG_AGO,
+                coldFrom = LONG_AGO,
+                benchedUntil,
+                nextTrial,
+                bench = BENCH_FIRST;
 
         Node(long id) {
             this.id = id;
@@ -114,7 +156,9 @@
         }
     }
 
-    /** How far true figures lie from estimates: mean and variance of the natural log of their ratio. */
+    /**
+     * How far true figures lie from estimates: mean and variance of the natural log of their ratio.
+     */
     private static final class Bias {
         double mean, spread = 0.25;
         int seen;
@@ -123,7 +167,8 @@
             if (truth <= 0 || estimate <= 0) {
                 return;
             }
-            double step = Math.min(LEARN_CLIP, Math.max(-LEARN_CLIP, Math.log(truth / estimate) - mean));
+            double step =
+                    Math.min(LEARN_CLIP, Math.max(-LEARN_CLIP, Math.log(truth / estimate) - mean));
             double weight = Math.max(LEARN, 1.0 / (++seen + DOUBT));
             spread += (step * step - spread) * weight;
             mean += step * weight;
@@ -165,7 +210,14 @@
         long sentAt, newsAt, riskUntil, lookedAt = LONG_AGO;
         boolean cancelled, mayHaveRun, streaming, done, late, unusable, moved;
 
-        Job(long now, Query query, QueryClass spec, Learned learned, Group group, Key key, boolean beyond) {
+        Job(
+                long now,
+                Query query,
+                QueryClass spec,
+                Learned learned,
+                Group group,
+                Key key,
+                boolean beyond) {
             this.query = query;
             this.spec = spec;
             this.learned = learned;
@@ -175,7 +227,12 @@
             cost = cost(query, learned);
             dither = new SplittableRandom(query.id()).nextDouble();
             deadline = now + query.timeLeftUs();
-            due = Math.min(deadline, now + spec.aimUs() + (long) (spec.aimStretch() * cost / spec.threads()));
+            due =
+                    Math.min(
+                            deadline,
+                            now
+                                    + spec.aimUs()
+                                    + (long) (spec.aimStretch() * cost / spec.threads()));
         }
     }
 
@@ -185,11 +242,14 @@
     private final TreeMap<Integer, Group> groups = new TreeMap<>();
     private final Map<Long, Job> jobs = new LinkedHashMap<>();
     private final Map<Long, Key> keys = new HashMap<>();
-    private final TreeSet<Job> held = new TreeSet<>(
-            Comparator.comparingDouble((Job job) -> -job.value).thenComparingLong(job -> job.query.id()));
+    private final TreeSet<Job> held =
+            new TreeSet<>(
+                    Comparator.comparingDouble((Job job) -> -job.value)
+                            .thenComparingLong(job -> job.query.id()));
     private final Learned[] learned;
     private final double[] tokens;
-    private final double[] work = new double[2], asked = new double[2]; // sums and times, as in each group
+    private final double[] work = new double[2],
+            asked = new double[2]; // sums and times, as in each group
     private final ArrayDeque<Long> takenAt = new ArrayDeque<>(), extraAt = new ArrayDeque<>();
     private double ownThreads, smoothThreads, smoothQueries, fleetCores, usual;
     private double room = BLIND_ROOM, slowdown = 1.3, meanWorth, meanCost;
@@ -205,11 +265,15 @@
         tokens = new double[settings.tenants().size()];
     }
 
-    // ---- Start and roster ---------------------------------------------------------------------------
+    // ---- Start and roster
+    // ---------------------------------------------------------------------------
     @Override
     public void start(long now) {
         lastTick = now;
-        keysRest = now + settings.rules().keyRestUs(); // What was here before may have left one running.
+        keysRest =
+                now
+                        + settings.rules()
+                                .keyRestUs(); // What was here before may have left one running.
         if (settings.rosterOnRequest()) {
             actions.subscribeRoster();
         }
@@ -225,7 +289,8 @@
         if (kind != RosterKind.CHANGES) {
             Set<Long> named = new HashSet<>();
             engines.forEach(e -> named.add(e.id()));
-            nodes.values().stream().filter(n -> !named.contains(n.id))
+            nodes.values().stream()
+                    .filter(n -> !named.contains(n.id))
                     .forEach(n -> n.entry = n.entry.in(EngineState.GONE));
         }
         engines.forEach(e -> list(now, e, kind == RosterKind.CACHED));
@@ -240,14 +305,28 @@
         pump(now);
     }
 
-    /** Another zone costs, and so do engines beyond the few of this gateway's own, whose connections stay. */
+    /**
+     * Another zone costs, and so do engines beyond the few of this gateway's own, whose connections
+     * stay.
+     */
     private void price() {
         boolean few = settings.fees().handshake() <= 0;
-        Comparator<Node> order = Comparator.comparing((Node n) -> n.entry.zone() != settings.zone());
-        List<Node> homes = nodes.values().stream().filter(Logic::ready)
-                .sorted(order.thenComparingDouble(n -> hash(n, settings.index()))).limit(HOMES).toList();
-        nodes.values().forEach(n -> n.price = (few || homes.contains(n) ? 0 : settings.fees().handshake())
-                + (n.entry.zone() == settings.zone() ? 0 : settings.fees().crossZone()));
+        Comparator<Node> order =
+                Comparator.comparing((Node n) -> n.entry.zone() != settings.zone());
+        List<Node> homes =
+                nodes.values().stream()
+                        .filter(Logic::ready)
+                        .sorted(order.thenComparingDouble(n -> hash(n, settings.index())))
+                        .limit(HOMES)
+                        .toList();
+        nodes.values()
+                .forEach(
+                        n ->
+                                n.price =
+                                        (few || homes.contains(n) ? 0 : settings.fees().handshake())
+                                                + (n.entry.zone() == settings.zone()
+                                                        ? 0
+                                                        : settings.fees().crossZone()));
     }
 
     private static double hash(Node n, long with) {
@@ -275,7 +354,8 @@
         return n.entry.state() == EngineState.READY;
     }
 
-    // ---- Arrival ------------------------------------------------------------------------------------
+    // ---- Arrival
+    // ------------------------------------------------------------------------------------
     @Override
     public void query(long now, Query q) {
         takenAt.add(now);
@@ -290,7 +370,10 @@
         if (q.costUs() > 0) {
             known.usual += (cost - known.usual) * Math.max(LEARN, 1.0 / ++known.seen);
         }
-        Key key = spec.inOrder() && q.key() != 0 ? keys.computeIfAbsent(q.key(), k -> new Key()) : null;
+        Key key =
+                spec.inOrder() && q.key() != 0
+                        ? keys.computeIfAbsent(q.key(), k -> new Key())
+                        : null;
         Group group = groups.computeIfAbsent(q.tableGroup(), Group::new);
         group.usedAt = now;
         Job job = new Job(now, q, spec, known, group, key, overShare(now, q.tenant()));
@@ -299,7 +382,9 @@
         meanWorth += (spec.worth() - meanWorth) * LEARN;
         meanCost += (cost - meanCost) * LEARN;
         jobs.put(q.id(), job);
-        double run = known.run * spec.threads(); // Holds waits; bounds estimates that no answer sets right.
+        double run =
+                known.run * spec.threads(); // Holds waits; bounds estimates that no answer sets
+        // right.
         double most = known.cost.seen == 0 && known.runs >= KNOWN_RUNS ? run : known.usual;
         boolean guess = known.usual <= 0 || known.least > 0;
         known.weight = guess ? Math.max(cost, run) : Math.min(most, known.usual);
@@ -316,13 +401,18 @@
         }
     }
 
-    /** The estimate set right by what answers taught; the usual work of the class where there is none. */
+    /**
+     * The estimate set right by what answers taught; the usual work of the class where there is
+     * none.
+     */
     private static double cost(Query q, Learned known) {
         double usual = known.usual > 0 ? known.usual : FIRST_WORK;
         return q.costUs() <= 0 ? usual : q.costUs() * known.cost.upper(0);
     }
 
-    /** Whether the tenant is beyond its share, as far as this gateway's part of the traffic tells. */
+    /**
+     * Whether the tenant is beyond its share, as far as this gateway's part of the traffic tells.
+     */
     private boolean overShare(long now, int tenant) {
         double seconds = (now - lastQuery) / 1e6;
         double own = smoothThreads / Math.max(1, fleetCores);
@@ -332,8 +422,10 @@
             double quota = settings.tenants().get(i).quotaPerS() * part;
             tokens[i] = Math.min(quota + QUOTA_CHANCE, tokens[i] + quota * seconds);
         }
-        boolean beyond = tenant < tokens.length && settings.tenants().get(tenant).quotaPerS() > 0
-                && tokens[tenant] < 1;
+        boolean beyond =
+                tenant < tokens.length
+                        && settings.tenants().get(tenant).quotaPerS() > 0
+                        && tokens[tenant] < 1;
         if (!beyond && tenant < tokens.length) {
             tokens[tenant]--;
         }
@@ -345,13 +437,18 @@
         return groups.size();
     }
 
-    // ---- Guards: which engines a query may go to ----------------------------------------------------
-    /** Set engines and the next outsiders that may take the query; doubtful ones only if no sound one may. */
+    // ---- Guards: which engines a query may go to
+    // ----------------------------------------------------
+    /**
+     * Set engines and the next outsiders that may take the query; doubtful ones only if no sound
+     * one may.
+     */
     private List<Node> eligible(long now, Job job) {
         List<Node> out = new ArrayList<>();
         List<Node> shy = new ArrayList<>();
         List<Node> despite = new ArrayList<>();
-        // An error at once costs little, but not a query that may not go again, nor one that has been tried.
+        // An error at once costs little, but not a query that may not go again, nor one that has
+        // been tried.
         boolean mayErr = job.attempts == 0 && job.spec.effect() == Effect.REPEATABLE;
         boolean anySound = false;
         int outsiders = 0;
@@ -360,7 +457,9 @@
             if ((member || outsiders < SHORTLIST) && lawful(now, job, n)) {
                 boolean sound = !n.benched && n != job.avoid;
                 boolean due = n.benched && now >= Math.max(n.benchedUntil, n.nextTrial);
-                boolean trial = n != job.avoid && (due && n.running.isEmpty() || n.owed && room(now, job, n));
+                boolean trial =
+                        n != job.avoid
+                                && (due && n.running.isEmpty() || n.owed && room(now, job, n));
                 if (trial && job.spec.effect() == Effect.REPEATABLE) {
                     return List.of(n);
                 }
@@ -374,7 +473,10 @@
         return !anySound ? despite : out.isEmpty() ? shy : out;
     }
 
-    /** All engines by a hash of group and engine: gateways lean the same way unasked, so tables stay warm. */
+    /**
+     * All engines by a hash of group and engine: gateways lean the same way unasked, so tables stay
+     * warm.
+     */
     private List<Node> order(Group g) {
         if (g.orderOf != rosterChanges) {
             g.orderOf = rosterChanges;
@@ -385,13 +487,21 @@
         return g.order;
     }
 
-    /** What the rules allow: state, placement, repeats by key, cold starts, budgets. None ever yields. */
+    /**
+     * What the rules allow: state, placement, repeats by key, cold starts, budgets. None ever
+     * yields.
+     */
     private boolean lawful(long now, Job job, Node n) {
         QueryClass spec = job.spec;
-        boolean placed = (spec.zones().isEmpty() || spec.zones().contains(n.entry.zone()))
-                && (spec.kinds().isEmpty() || spec.kinds().contains(n.entry.kind()));
+        boolean placed =
+                (spec.zones().isEmpty() || spec.zones().contains(n.entry.zone()))
+                        && (spec.kinds().isEmpty() || spec.kinds().contains(n.entry.kind()));
         boolean here = job.query.pinned() == 0 || job.query.pinned() == n.id;
-        return here && ready(n) && placed && repeatable(now, job, n.entry) && warmEnough(now, job, n)
+        return here
+                && ready(n)
+                && placed
+                && repeatable(now, job, n.entry)
+                && warmEnough(now, job, n)
                 && actions.mayUse(job.query.id(), n.id);
     }
 
@@ -412,9 +522,10 @@
     }
 
     /**
-     * What this gateway may send a cold engine in the rule's window: an equal part of the work. A class whose
-     * queries are more than that has its share of it apart, and gateways take turns by number: one query a
-     * turn, so often that all turns which touch a window stay within it. Rare ones have longer turns.
+     * What this gateway may send a cold engine in the rule's window: an equal part of the work. A
+     * class whose queries are more than that has its share of it apart, and gateways take turns by
+     * number: one query a turn, so often that all turns which touch a window stay within it. Rare
+     * ones have longer turns.
      */
     private boolean warmEnough(long now, Job job, Node n) {
         Rules r = settings.rules();
@@ -425,26 +536,36 @@
         }
         Learned known = job.learned;
         int all = Math.max(settings.gateways(), settings.index() + 1) * processes;
-        double most = COLD_PART * r.coldMultiple() * r.coldShare() * n.cores * CORE_YIELD * window / all;
+        double most =
+                COLD_PART * r.coldMultiple() * r.coldShare() * n.cores * CORE_YIELD * window / all;
         boolean apart = most < known.weight;
         Predicate<Learned> along = other -> apart ? other == known : other.weight <= most;
-        double sent = n.coldSent.stream()
-                .mapToDouble(e -> e[2] < 0 || along.test(learned[(int) e[2]]) ? e[1] : 0).sum();
-        double share = Arrays.stream(learned).filter(along).mapToDouble(o -> faded(o.asked, now, 0)).sum();
+        double sent =
+                n.coldSent.stream()
+                        .mapToDouble(e -> e[2] < 0 || along.test(learned[(int) e[2]]) ? e[1] : 0)
+                        .sum();
+        double share =
+                Arrays.stream(learned).filter(along).mapToDouble(o -> faded(o.asked, now, 0)).sum();
         double part = most * share / Math.max(1, faded(asked, now, 0));
         double rare = Math.sqrt(2 * window * LONG * known.weight / share);
         double turn = Math.min(2 * window, Math.max(window / TURNS, rare));
         double cycle = (window + turn) * known.weight / part;
-        long number = Math.floorMod(settings.index() * processes + place + (n.id * HASH_SPREAD >>> 33), all);
-        boolean inTurn = apart && sent <= 0 && (now - n.coldFrom + cycle * number / all) % cycle < turn;
+        long number =
+                Math.floorMod(
+                        settings.index() * processes + place + (n.id * HASH_SPREAD >>> 33), all);
+        boolean inTurn =
+                apart && sent <= 0 && (now - n.coldFrom + cycle * number / all) % cycle < turn;
         return inTurn || sent + known.weight <= part;
     }
 
     /** Sessions: threads in hand, own and others', stay under what the cores do well. */
     private boolean room(long now, Job job, Node n) {
-        // A load stops other loads and waiting classes of its group on its engine: keep these apart.
-        boolean blocked = (job.spec.load() || job.spec.waitsForLoads()) && job.group.loads.containsKey(n.id);
-        return !blocked && n.ownThreads + others(n, now, job.dither) + job.spec.threads() <= room * n.cores;
+        // A load stops other loads and waiting classes of its group on its engine: keep these
+        // apart.
+        boolean blocked =
+                (job.spec.load() || job.spec.waitsForLoads()) && job.group.loads.containsKey(n.id);
+        return !blocked
+                && n.ownThreads + others(n, now, job.dither) + job.spec.threads() <= room * n.cores;
     }
 
     /** Trust in an engine's last report, from 1 down to 0 as it ages. */
@@ -453,19 +574,24 @@
     }
 
     /**
-     * Threads of other gateways on an engine: its report, fading into what is usual in the fleet. What is not
-     * known is taken higher for some queries than for others, so that many gateways in doubt send a part.
+     * Threads of other gateways on an engine: its report, fading into what is usual in the fleet.
+     * What is not known is taken higher for some queries than for others, so that many gateways in
+     * doubt send a part.
      */
     private double others(Node n, long now, double dither) {
         double trust = trust(n, now);
-        double unseen = cold(n, now) ? 0 : 1 - trust; // What a cold engine holds is kept low by its guard.
+        double unseen =
+                cold(n, now) ? 0 : 1 - trust; // What a cold engine holds is kept low by its guard.
         return trust * n.others + unseen * usual * (0.5 + dither) * n.cores;
     }
 
     private boolean mayStart(long now, Job job) {
         Key key = job.key;
-        boolean inTurn = key == null
-                || key.line.peek() == job && key.unsettled == 0 && now >= Math.max(keysRest, key.restUntil);
+        boolean inTurn =
+                key == null
+                        || key.line.peek() == job
+                                && key.unsettled == 0
+                                && now >= Math.max(keysRest, key.restUntil);
         return job.attempts == 0 ? inTurn : ration(now);
     }
 
@@ -475,7 +601,8 @@
         forget(takenAt, now - r.rationWindowUs() + 1);
         forget(extraAt, now - r.rationWindowUs());
         return r.rationWindowUs() <= 0
-                || extraAt.size() + 1 <= r.rationFree() / processes + r.rationShare() * takenAt.size();
+                || extraAt.size() + 1
+                        <= r.rationFree() / processes + r.rationShare() * takenAt.size();
     }
 
     private static void forget(ArrayDeque<Long> times, long until) {
@@ -484,7 +611,8 @@
         }
     }
 
-    // ---- Choice: P-DACA -----------------------------------------------------------------------------
+    // ---- Choice: P-DACA
+    // -----------------------------------------------------------------------------
     private Node choose(long now, Job job, List<Node> from) {
         Group g = job.group;
         g.set.values().removeIf(used -> now - used > SET_IDLE);
@@ -493,7 +621,8 @@
         }
         Predicate<Node> inSet = n -> g.set.containsKey(n.id);
         Comparator<Node> told = leastLoaded(now);
-        Comparator<Node> order = Comparator.comparingInt((Node n) -> rank(job, n)).thenComparing(told);
+        Comparator<Node> order =
+                Comparator.comparingInt((Node n) -> rank(job, n)).thenComparing(told);
         Node inside = first(from, inSet, order);
         if (inside != null && rank(job, inside) < W1) {
             return inside;
@@ -522,16 +651,23 @@
         return from.stream().filter(fit).min(order).orElse(null);
     }
 
-    /** Least load in steps, the lowest price first where it is easy; equal ones go by the group's order. */
+    /**
+     * Least load in steps, the lowest price first where it is easy; equal ones go by the group's
+     * order.
+     */
     private Comparator<Node> leastLoaded(long now) {
         double unseen = usual / Math.max(1e-9, mean());
         double step = Math.max(1e-6, LOAD_STEP * unseen * unseen);
         double easy = settings.fees().handshake() > 0 ? EASY : 0;
         return Comparator.comparingLong((Node n) -> (long) (Math.max(easy, load(n, now)) / step))
-                .thenComparingDouble(n -> n.price).thenComparingLong(n -> (long) (load(n, now) / step));
+                .thenComparingDouble(n -> n.price)
+                .thenComparingLong(n -> (long) (load(n, now) / step));
     }
 
-    /** Place of an engine in a group's order, by hash; where crossing zones costs, the own zone leads. */
+    /**
+     * Place of an engine in a group's order, by hash; where crossing zones costs, the own zone
+     * leads.
+     */
     private double lean(Group g, Node n) {
         return (1 + PRICE_PULL * n.price) * -Math.log(Math.max(1e-12, hash(n, g.number)));
     }
@@ -543,7 +679,10 @@
         }
     }
 
-    /** Overload: the group's part of our work tops its set's part of the cores, by what that reports. */
+    /**
+     * Overload: the group's part of our work tops its set's part of the cores, by what that
+     * reports.
+     */
     private boolean overloaded(long now, Group g) {
         double load = 0;
         double cores = 0;
@@ -563,7 +702,8 @@
         return sum[0];
     }
 
-    // ---- Sending ------------------------------------------------------------------------------------
+    // ---- Sending
+    // ------------------------------------------------------------------------------------
     /** Sends the query if something may take it now. */
     private boolean place(long now, Job job) {
         if (job.at != null || job.done || !mayStart(now, job)) {
@@ -577,10 +717,15 @@
         return true;
     }
 
-    /** Asks the first engines in question for their load, unless it is known; whether to wait for that. */
+    /**
+     * Asks the first engines in question for their load, unless it is known; whether to wait for
+     * that.
+     */
     private boolean look(long now, Job job, List<Node> from) {
         boolean told = settings.limits().probes() && settings.reporting() != Reporting.NONE;
-        if (!told || job.dither > LOOK_SHARE + mean() / ROOM) { // A quiet fleet is looked at now and then.
+        if (!told
+                || job.dither
+                        > LOOK_SHARE + mean() / ROOM) { // A quiet fleet is looked at now and then.
             return false;
         }
         if (now - job.lookedAt >= LOOK_GAP) {
@@ -591,7 +736,13 @@
                 boolean stale = now - n.reportAt > LOOK_FRESH;
                 if (stale && !n.probing && now >= n.askAt) {
                     n.probing = true;
-                    n.askAt = now + (long) (1e6 * settings.gateways() * processes / (PROBES * n.cores));
+                    n.askAt =
+                            now
+                                    + (long)
+                                            (1e6
+                                                    * settings.gateways()
+                                                    * processes
+                                                    / (PROBES * n.cores));
                     actions.probe(n.id);
                 }
                 if (stale && n.probing) {
@@ -638,7 +789,9 @@
         }
     }
 
-    /** Grant: the need that answers taught for the class, with its spread. Priority: worth for work. */
+    /**
+     * Grant: the need that answers taught for the class, with its spread. Priority: worth for work.
+     */
     private void terms(long now, Job job) {
         Bias memory = job.learned.memory;
         double grant = memory.seen > 0 ? job.query.memoryMb() * memory.upper(GRANT_SIGMAS) : 0;
@@ -652,7 +805,8 @@
         return job.cost / job.spec.threads() * slowdown;
     }
 
-    // ---- News of running attempts -------------------------------------------------------------------
+    // ---- News of running attempts
+    // -------------------------------------------------------------------
     @Override
     public void started(long now, long query, int attempt) {
         Job job = jobs.get(query);
@@ -668,11 +822,16 @@
             return;
         }
         job.newsAt = now;
-        if (p.notice() == Notice.WAITS_FOR_MEMORY) { // The engine is full, whatever its cores report.
+        if (p.notice()
+                == Notice.WAITS_FOR_MEMORY) { // The engine is full, whatever its cores report.
             view(now, job.at, room * job.at.cores, REPORT_WEIGHT);
         }
         boolean shows = settings.reporting() != Reporting.NONE; // Whether cancels free engines.
-        if (shows && p.notice() == Notice.SHARE_DONE && !job.done && !job.cancelled && !job.streaming) {
+        if (shows
+                && p.notice() == Notice.SHARE_DONE
+                && !job.done
+                && !job.cancelled
+                && !job.streaming) {
             judge(now, job, Math.min(1, Math.max(0.005, p.amount())));
         }
     }
@@ -682,7 +841,9 @@
         double left = (now - job.sentAt) * (1 - share) / share;
         double gain = settings.fees().handshake() > 0 ? 2 * MOVE_GAIN : MOVE_GAIN; // May need one.
         double doubt = gain * Math.exp(Math.sqrt(job.learned.cost.spread));
-        if (left > doubt * Math.max(freshRun(job), job.learned.run) && !job.moved && mayMove(now, job)) {
+        if (left > doubt * Math.max(freshRun(job), job.learned.run)
+                && !job.moved
+                && mayMove(now, job)) {
             job.moved = true; // As slow on another engine, it is the query that is long.
             stop(job);
         } else if (now + left * HOPELESS > job.deadline && settings.limits().cancel()) {
@@ -691,12 +852,15 @@
     }
 
     private boolean mayMove(long now, Job job) {
-        return settings.limits().cancel() && job.spec.effect() == Effect.REPEATABLE
-                && job.attempts < settings.limits().maxAttempts() && ration(now)
+        return settings.limits().cancel()
+                && job.spec.effect() == Effect.REPEATABLE
+                && job.attempts < settings.limits().maxAttempts()
+                && ration(now)
                 && now + freshRun(job) < job.deadline;
     }
 
-    // ---- Results ------------------------------------------------------------------------------------
+    // ---- Results
+    // ------------------------------------------------------------------------------------
     @Override
     public void ended(long now, AttemptEnd end) {
         Node told = nodes.get(end.engine());
@@ -725,7 +889,9 @@
         if (job.key == null) {
             return;
         }
-        if (outcome == Outcome.TIMEOUT || outcome == Outcome.RESET || outcome == Outcome.SPOILT
+        if (outcome == Outcome.TIMEOUT
+                || outcome == Outcome.RESET
+                || outcome == Outcome.SPOILT
                 || outcome == Outcome.CANCELLED) {
             job.key.restUntil = Math.max(job.key.restUntil, now + settings.rules().keyRestUs());
         }
@@ -733,8 +899,8 @@
     }
 
     /**
-     * What the outcome tells of the engine and of the class. An error may be the query's own: an engine is
-     * struck for it once another one has served the same query.
+     * What the outcome tells of the engine and of the class. An error may be the query's own: an
+     * engine is struck for it once another one has served the same query.
      */
     private void note(long now, Job job, Node at, AttemptEnd end) {
         Outcome outcome = end.outcome();
@@ -744,7 +910,10 @@
         } else if (outcome == Outcome.SPOILT || outcome == Outcome.TIMEOUT && at.benched) {
             strike(now, at, outcome, outcome == Outcome.SPOILT ? BROKEN_STRIKE : 1);
         } else if (outcome == Outcome.ERROR) {
-            job.unusable = job.erredAt != null && job.erredAt != at && job.erredAt.strikes + at.strikes == 0;
+            job.unusable =
+                    job.erredAt != null
+                            && job.erredAt != at
+                            && job.erredAt.strikes + at.strikes == 0;
             job.erredAt = at;
         } else if (outcome == Outcome.FULL) {
             view(now, at, 2 * room * at.cores, 1);
@@ -773,13 +942,16 @@
         }
         if (work <= 0 && job.query.costUs() <= 0 && known.runs >= KNOWN_RUNS) {
             // Nothing tells what it took: at most what its threads need where little else runs.
-            known.least = Math.min(known.run, known.least > 0 ? known.least * LEAST_RISES : known.run);
+            known.least =
+                    Math.min(known.run, known.least > 0 ? known.least * LEAST_RISES : known.run);
             known.usual = known.least * job.spec.threads();
         }
         known.memory.learn(end.memoryMb(), job.query.memoryMb());
     }
 
-    /** The attempt failed: another one where class, number and time allow, else the final answer. */
+    /**
+     * The attempt failed: another one where class, number and time allow, else the final answer.
+     */
     private void again(long now, Job job, Node at, Outcome outcome) {
         if (outcome.mayHaveRun && !job.mayHaveRun) {
             job.riskUntil = job.sentAt + job.spec.windowUs();
@@ -789,8 +961,10 @@
         job.avoid = at;
         boolean most = job.attempts >= settings.limits().maxAttempts();
         boolean spent = most || outcome == Outcome.MOOT || job.unusable;
-        boolean allowed = !job.mayHaveRun || job.spec.effect() == Effect.REPEATABLE
-                || job.spec.effect() == Effect.BY_KEY && now < job.riskUntil;
+        boolean allowed =
+                !job.mayHaveRun
+                        || job.spec.effect() == Effect.REPEATABLE
+                        || job.spec.effect() == Effect.BY_KEY && now < job.riskUntil;
         if (spent || !allowed || now >= job.deadline) {
             finish(now, job, now < job.due && !job.unusable);
         } else if (!place(now, job)) {
@@ -798,11 +972,16 @@
         }
     }
 
-    // ---- Endings ------------------------------------------------------------------------------------
+    // ---- Endings
+    // ------------------------------------------------------------------------------------
     /** The final answer that is ours to give; a refusal only where it promises nothing false. */
     private void finish(long now, Job job, boolean refuse) {
-        boolean harmless = job.spec.effect() == Effect.REPEATABLE || job.at == null && !job.mayHaveRun
-                || job.spec.effect() == Effect.BY_KEY && job.spec.scope() == Scope.ALL && job.at == null;
+        boolean harmless =
+                job.spec.effect() == Effect.REPEATABLE
+                        || job.at == null && !job.mayHaveRun
+                        || job.spec.effect() == Effect.BY_KEY
+                                && job.spec.scope() == Scope.ALL
+                                && job.at == null;
         if (refuse && harmless) {
             actions.refuse(job.query.id(), STAY_AWAY);
         } else {
@@ -866,7 +1045,10 @@
         }
     }
 
-    /** A held query that can no longer make its aim gives way; turned away when it would earn nothing. */
+    /**
+     * A held query that can no longer make its aim gives way; turned away when it would earn
+     * nothing.
+     */
     private void expire(long now) {
         for (Job job : new ArrayList<>(held)) {
             if (now + Math.max(freshRun(job), job.learned.run) > job.due && !job.late) {
@@ -882,7 +1064,8 @@
         }
     }
 
-    // ---- Health -------------------------------------------------------------------------------------
+    // ---- Health
+    // -------------------------------------------------------------------------------------
     private void strike(long now, Node n, Object why, double weight) {
         n.strikes += weight;
         if (n.strikes >= STRIKES) {
@@ -913,8 +1096,9 @@
     }
 
     /**
-     * A query whose note is overdue, or without notes its answer by far, is lost: move it, strike the engine.
-     * Meant for hangs, lost messages, crashes and cut links that nothing reports. A late note costs the work.
+     * A query whose note is overdue, or without notes its answer by far, is lost: move it, strike
+     * the engine. Meant for hangs, lost messages, crashes and cut links that nothing reports. A
+     * late note costs the work.
      */
     private void checkSilence(long now, Job job) {
         long notes = settings.engines().noteUs();
@@ -951,7 +1135,10 @@
         place = number;
     }
 
-    /** No group may have a reason to go there: one query that may be repeated does, as soon as one comes. */
+    /**
+     * No group may have a reason to go there: one query that may be repeated does, as soon as one
+     * comes.
+     */
     @Override
     public void restored(long now, long engine) {
         Node n = nodes.get(engine);
@@ -968,7 +1155,8 @@
         return n != null && n.benched;
     }
 
-    // ---- Reports ------------------------------------------------------------------------------------
+    // ---- Reports
+    // ------------------------------------------------------------------------------------
     @Override
     public void probed(long now, long engine, Outcome outcome, Report report) {
         Node n = nodes.get(engine);
@@ -980,21 +1168,32 @@
             if (outcome == Outcome.CONNECT_FAILED || outcome == Outcome.CANCELLED) {
                 bench(now, n, outcome);
             }
-            n.askAt = n.reportAt == now ? n.askAt : now + BENCH_FIRST; // Nothing to tell, or too many ask.
+            n.askAt =
+                    n.reportAt == now
+                            ? n.askAt
+                            : now + BENCH_FIRST; // Nothing to tell, or too many ask.
             n.lookers.forEach(job -> job.looking--);
             n.lookers.clear();
             pump(now);
         }
     }
 
-    /** Others' threads: those of the queries that are not ours, or less where the cores are not all busy. */
+    /**
+     * Others' threads: those of the queries that are not ours, or less where the cores are not all
+     * busy.
+     */
     private void report(long now, Node n, Report report) {
         room = Double.isNaN(report.utilization()) ? BLIND_ROOM : ROOM;
         double each = Math.max(1, smoothThreads / Math.max(1e-9, smoothQueries));
         double counted = (report.running() - n.running.size()) * each;
-        double busy = report.fullest() / BUSY_FULL * room * n.cores - n.ownThreads; // Cores idle in a jam.
-        boolean idle = Math.max(report.utilization(), report.fullest()) < BUSY_FULL; // What is over waits.
-        double others = Math.max(0, Double.isNaN(counted) ? busy : idle ? Math.min(counted, busy) : counted);
+        double busy =
+                report.fullest() / BUSY_FULL * room * n.cores
+                        - n.ownThreads; // Cores idle in a jam.
+        boolean idle =
+                Math.max(report.utilization(), report.fullest()) < BUSY_FULL; // What is over waits.
+        double others =
+                Math.max(
+                        0, Double.isNaN(counted) ? busy : idle ? Math.min(counted, busy) : counted);
         if (!Double.isNaN(others)) {
             view(now, n, others, Math.min(REPORT_WEIGHT, (now - n.reportAt) / SMOOTH));
             usual += (others / n.cores - usual) * Math.max(USUAL_WEIGHT, 1.0 / (++reports + DOUBT));
@@ -1007,7 +1206,8 @@
         n.reportAt = now;
     }
 
-    // ---- The tick -----------------------------------------------------------------------------------
+    // ---- The tick
+    // -----------------------------------------------------------------------------------
     private void tick(long now) {
         actions.timer(TICK, TICK_TOKEN);
         double slowly = 1 - Math.exp((lastTick - now) / LONG);
--- a/src/main/java/calicostream/Main.java
+++ b/src/main/java/calicostream/Main.java
@@ -14,7 +14,7 @@
     private static final int FAILED = 1;
     private static final int UNUSABLE = 2;
 
-    private Main() { }
+    private Main() {}
 
     public static void main(String[] args) throws IOException {
         String mode = args.length == 1 ? args[0] : "";
@@ -48,10 +48,16 @@
                 throw new SettingsException("bad configuration: NODE_CONFIG is not set");
             }
             Path file = Path.of(path);
-            ConfigWatch watch = hangup.isDeaf() ? new ConfigWatch(file) : null; // Before the file is read.
+            ConfigWatch watch =
+                    hangup.isDeaf() ? new ConfigWatch(file) : null; // Before the file is read.
             Path deploy = Path.of(System.getProperty("calicostream.deploy", "deploy"));
-            Node node = Composition.node(NodeConfig.read(file), deploy,
-                    named("TMPDIR"), named("NODE_CLUSTER")); // TMPDIR: where processes of this front end find each other
+            Node node =
+                    Composition.node(
+                            NodeConfig.read(file),
+                            deploy,
+                            named("TMPDIR"),
+                            named("NODE_CLUSTER")); // TMPDIR: where processes of this front end
+            // find each other
             hangup.tell(() -> node.reload(file));
             if (watch != null) {
                 node.follow(watch);
--- a/src/main/java/calicostream/SettingsParser.java
+++ b/src/main/java/calicostream/SettingsParser.java
@@ -22,8 +22,9 @@
 import java.util.Map;
 
 /**
- * Reads the start-up settings, {@code path=value} a line on the simulator's wire and nested JSON in a
- * front end's configuration, into the one {@link Settings} type; keys it does not know are skipped.
+ * Reads the start-up settings, {@code path=value} a line on the simulator's wire and nested JSON in
+ * a front end's configuration, into the one {@link Settings} type; keys it does not know are
+ * skipped.
  */
 public final class SettingsParser {
     private static final int MOST_ITEMS = 65536;
@@ -54,14 +55,19 @@
         return new SettingsParser(values);
     }
 
-    /** Nested JSON under the names of the flat form: {@code a.b}, {@code a.count}, {@code a.0.b}, lists by commas. */
+    /**
+     * Nested JSON under the names of the flat form: {@code a.b}, {@code a.count}, {@code a.0.b},
+     * lists by commas.
+     */
     private static void flatten(String path, JsonValue value, Map<String, String> into) {
         if (value.isObject()) {
             String prefix = path.isEmpty() ? "" : path + ".";
-            value.asObject().forEach(member -> flatten(prefix + member.getName(), member.getValue(), into));
+            value.asObject()
+                    .forEach(member -> flatten(prefix + member.getName(), member.getValue(), into));
         } else if (value.isArray()) {
             JsonArray items = value.asArray();
-            boolean nested = !items.isEmpty() && (items.get(0).isObject() || items.get(0).isArray());
+            boolean nested =
+                    !items.isEmpty() && (items.get(0).isObject() || items.get(0).isArray());
             if (nested) {
                 into.put(path + ".count", Integer.toString(items.size()));
                 for (int i = 0; i < items.size(); i++) {
@@ -91,27 +97,54 @@
     }
 
     public Settings settings() {
-        Limits limits = new Limits(flag("ceilings.may_probe", false), flag("ceilings.cancel", false),
-                (int) whole("ceilings.max_attempts", 1));
-        Rules rules = new Rules(number("rules.cold_share", 1), number("rules.overload_factor", 1),
-                whole("rules.fall_us", 0), whole("rules.warm_up_us", 0), whole("rules.turn_gap_us", 0),
-                number("rules.budget_free", 0), number("rules.extra_ratio", 0),
-                whole("rules.counted_over_us", 0));
-        EngineTraits traits = new EngineTraits(flag("family_info.takes_grants", false),
-                flag("family_info.priorities", false), number("family_info.most_grant", 1),
-                whole("family_info.note_period_us", 0));
-        return new Settings((int) Math.max(1, whole("balancers", 1)), (int) whole("self_index", 0),
-                (int) whole("az", 0), new Fees(number("fees.cross_zone", 0), number("fees.handshake", 0)), kinds(), classes(), tenants(),
-                number("over_share_worth", 1), limits, rules, traits, reporting(), word("membership_mode", "automatic").equals("subscribe"),
+        Limits limits =
+                new Limits(
+                        flag("ceilings.may_probe", false),
+                        flag("ceilings.cancel", false),
+                        (int) whole("ceilings.max_attempts", 1));
+        Rules rules =
+                new Rules(
+                        number("rules.cold_share", 1),
+                        number("rules.overload_factor", 1),
+                        whole("rules.fall_us", 0),
+                        whole("rules.warm_up_us", 0),
+                        whole("rules.turn_gap_us", 0),
+                        number("rules.budget_free", 0),
+                        number("rules.extra_ratio", 0),
+                        whole("rules.counted_over_us", 0));
+        EngineTraits traits =
+                new EngineTraits(
+                        flag("family_info.takes_grants", false),
+                        flag("family_info.priorities", false),
+                        number("family_info.most_grant", 1),
+                        whole("family_info.note_period_us", 0));
+        return new Settings(
+                (int) Math.max(1, whole("balancers", 1)),
+                (int) whole("self_index", 0),
+                (int) whole("az", 0),
+                new Fees(number("fees.cross_zone", 0), number("fees.handshake", 0)),
+                kinds(),
+                classes(),
+                tenants(),
+                number("over_share_worth", 1),
+                limits,
+                rules,
+                traits,
+                reporting(),
+                word("membership_mode", "automatic").equals("subscribe"),
                 whole("tick_us", 1000));
     }
 
     private Reporting reporting() {
         switch (word("stats.how", "off")) {
-            case "inline": return Reporting.WITH_ANSWERS;
-            case "on_probe": return Reporting.ON_PROBE;
-            case "off": return Reporting.NONE;
-            default: throw bad("stats.how");
+            case "inline":
+                return Reporting.WITH_ANSWERS;
+            case "on_probe":
+                return Reporting.ON_PROBE;
+            case "off":
+                return Reporting.NONE;
+            default:
+                throw bad("stats.how");
         }
     }
 
@@ -120,7 +153,8 @@
         List<String> memory = list("family_info.kind_memory_mb");
         List<Kind> out = new ArrayList<>();
         for (int i = 0; i < cores.size(); i++) {
-            double megabytes = i < memory.size() ? parse("family_info.kind_memory_mb", memory.get(i)) : 0;
+            double megabytes =
+                    i < memory.size() ? parse("family_info.kind_memory_mb", memory.get(i)) : 0;
             out.add(new Kind(parse("family_info.kind_cores", cores.get(i)), megabytes));
         }
         return out;
@@ -133,14 +167,27 @@
         List<QueryClass> out = new ArrayList<>();
         for (int i = 0; i < count("lanes.count"); i++) {
             String at = "lanes." + i + ".";
-            int wide = i < threads.size() ? (int) parse("family_info.width_by_class", threads.get(i)) : 1;
-            out.add(new QueryClass(whole(at + "aim_us", 0), number(at + "aim_stretch", 0),
-                    whole(at + "deadline_us", 0), number(at + "points", 1), number(at + "late_worth", 0),
-                    effect(at + "effect"), scope(at + "key_scope"), whole(at + "window_us", 0),
-                    flag(at + "one_at_a_time", false), flag(at + "stream", false), Math.max(1, wide),
-                    i < loads.size() && loads.get(i).equals("true"),
-                    i < waits.size() && waits.get(i).equals("true"),
-                    numbers(at + "allowed_in"), numbers(at + "runs_on")));
+            int wide =
+                    i < threads.size()
+                            ? (int) parse("family_info.width_by_class", threads.get(i))
+                            : 1;
+            out.add(
+                    new QueryClass(
+                            whole(at + "aim_us", 0),
+                            number(at + "aim_stretch", 0),
+                            whole(at + "deadline_us", 0),
+                            number(at + "points", 1),
+                            number(at + "late_worth", 0),
+                            effect(at + "effect"),
+                            scope(at + "key_scope"),
+                            whole(at + "window_us", 0),
+                            flag(at + "one_at_a_time", false),
+                            flag(at + "stream", false),
+                            Math.max(1, wide),
+                            i < loads.size() && loads.get(i).equals("true"),
+                            i < waits.size() && waits.get(i).equals("true"),
+                            numbers(at + "allowed_in"),
+                            numbers(at + "runs_on")));
         }
         return out;
     }
@@ -155,19 +202,27 @@
 
     private Effect effect(String key) {
         switch (word(key, "once")) {
-            case "repeatable": return Effect.REPEATABLE;
-            case "by_key": return Effect.BY_KEY;
-            case "once": return Effect.ONCE;
-            default: throw bad(key);
+            case "repeatable":
+                return Effect.REPEATABLE;
+            case "by_key":
+                return Effect.BY_KEY;
+            case "once":
+                return Effect.ONCE;
+            default:
+                throw bad(key);
         }
     }
 
     private Scope scope(String key) {
         switch (word(key, "cell")) {
-            case "all": return Scope.ALL;
-            case "zone": return Scope.ZONE;
-            case "cell": return Scope.CELL;
-            default: throw bad(key);
+            case "all":
+                return Scope.ALL;
+            case "zone":
+                return Scope.ZONE;
+            case "cell":
+                return Scope.CELL;
+            default:
+                throw bad(key);
         }
     }
 
@@ -190,14 +245,26 @@
 
     /** What the sockets are held to; no part of the decisions. */
     public Wiring wiring() {
-        return new Wiring(whole("ceilings.dial_timeout_us", 250_000), whole("ceilings.conn_idle_us", 30_000_000),
-                (int) whole("ceilings.streams_per_conn", 32), whole("ceilings.max_retry_after_us", 2_000_000),
-                whole("family_info.note_period_us", 0), number("fees.handshake", 0) > 0);
+        return new Wiring(
+                whole("ceilings.dial_timeout_us", 250_000),
+                whole("ceilings.conn_idle_us", 30_000_000),
+                (int) whole("ceilings.streams_per_conn", 32),
+                whole("ceilings.max_retry_after_us", 2_000_000),
+                whole("family_info.note_period_us", 0),
+                number("fees.handshake", 0) > 0);
     }
 
-    /** Limits of the connections to engines and of what clients heed, and whether opening one is paid for. */
-    public record Wiring(long dialTimeoutUs, long idleUs, int streams, long longestRetryUs, long noteUs,
-            boolean dear) { }
+    /**
+     * Limits of the connections to engines and of what clients heed, and whether opening one is
+     * paid for.
+     */
+    public record Wiring(
+            long dialTimeoutUs,
+            long idleUs,
+            int streams,
+            long longestRetryUs,
+            long noteUs,
+            boolean dear) {}
 
     private String word(String key, String without) {
         return values.getOrDefault(key, without);
--- a/src/main/java/calicostream/adapter/Adapter.java
+++ b/src/main/java/calicostream/adapter/Adapter.java
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.adapter;
 
-import calicostream.QueryRouter.Report;
 import calicostream.QueryRouter.Engine;
 import calicostream.QueryRouter.EngineState;
 import calicostream.QueryRouter.Notice;
 import calicostream.QueryRouter.Outcome;
+import calicostream.QueryRouter.Report;
 import calicostream.QueryRouter.RosterKind;
 import calicostream.SettingsException;
 import calicostream.SettingsParser;
@@ -31,7 +31,8 @@
     private final Frame.Reply reply = new Frame.Reply();
 
     /** Serves until the input ends; the exit code. */
-    public static int run(InputStream input, OutputStream output, PrintStream errors) throws IOException {
+    public static int run(InputStream input, OutputStream output, PrintStream errors)
+            throws IOException {
         DataInputStream in = new DataInputStream(new BufferedInputStream(input, BUFFER));
         OutputStream out = new BufferedOutputStream(output, BUFFER);
         Adapter adapter = new Adapter();
@@ -74,7 +75,8 @@
             return;
         }
         if (to == null) {
-            throw new WireException("event " + code + " for instance " + number + ", which is not up");
+            throw new WireException(
+                    "event " + code + " for instance " + number + ", which is not up");
         }
         Runnable call = decode(code, in, to);
         to.guard(call);
@@ -83,47 +85,59 @@
     private Runnable decode(int code, Frame.Batch in, Instance to) {
         long now = in.clock;
         switch (code) {
-            case Codes.BACKENDS_CHANGED: return roster(in, to);
-            case Codes.QUERY: return query(in, to);
-            case Codes.ESTABLISHED: {
-                long id = in.u32();
-                in.engine();
-                in.u32();
-                int attempt = in.u16();
-                return () -> to.router.started(now, id, attempt);
-            }
-            case Codes.NOTICE: {
-                long id = in.u32();
-                Notice notice = notice(in.u8());
-                double amount = in.f32();
-                int attempt = in.u16();
-                in.engine();
-                boolean onLoad = notice == Notice.WAITS_FOR_MEMORY && amount >= 2;
-                Notice kind = onLoad ? Notice.WAITS_FOR_LOAD : notice;
-                return () -> to.router.progress(now,
-                        new calicostream.QueryRouter.Progress(id, attempt, kind, amount));
-            }
-            case Codes.RESULT: return result(in, to);
-            case Codes.DROPPED: {
-                long id = in.u32();
-                return () -> to.router.abandoned(now, id);
-            }
-            case Codes.ALARM: {
-                long token = in.u64();
-                return () -> to.router.timer(now, token);
-            }
-            case Codes.CHECKED: {
-                long engine = in.engine();
-                Outcome outcome = outcome(in.u16());
-                in.u32();
-                Report report = report(in, to);
-                return () -> to.router.probed(now, engine, outcome, report);
-            }
-            default: {
-                in.u16();
-                in.bytes(in.u16());
-                return () -> { };
-            }
+            case Codes.BACKENDS_CHANGED:
+                return roster(in, to);
+            case Codes.QUERY:
+                return query(in, to);
+            case Codes.ESTABLISHED:
+                {
+                    long id = in.u32();
+                    in.engine();
+                    in.u32();
+                    int attempt = in.u16();
+                    return () -> to.router.started(now, id, attempt);
+                }
+            case Codes.NOTICE:
+                {
+                    long id = in.u32();
+                    Notice notice = notice(in.u8());
+                    double amount = in.f32();
+                    int attempt = in.u16();
+                    in.engine();
+                    boolean onLoad = notice == Notice.WAITS_FOR_MEMORY && amount >= 2;
+                    Notice kind = onLoad ? Notice.WAITS_FOR_LOAD : notice;
+                    return () ->
+                            to.router.progress(
+                                    now,
+                                    new calicostream.QueryRouter.Progress(
+                                            id, attempt, kind, amount));
+                }
+            case Codes.RESULT:
+                return result(in, to);
+            case Codes.DROPPED:
+                {
+                    long id = in.u32();
+                    return () -> to.router.abandoned(now, id);
+                }
+            case Codes.ALARM:
+                {
+                    long token = in.u64();
+                    return () -> to.router.timer(now, token);
+                }
+            case Codes.CHECKED:
+                {
+                    long engine = in.engine();
+                    Outcome outcome = outcome(in.u16());
+                    in.u32();
+                    Report report = report(in, to);
+                    return () -> to.router.probed(now, engine, outcome, report);
+                }
+            default:
+                {
+                    in.u16();
+                    in.bytes(in.u16());
+                    return () -> {};
+                }
         }
     }
 
@@ -169,8 +183,19 @@
         int group = (int) in.f32();
         int bits = in.u16();
         double valid = (bits & 1) != 0 ? cost : 0;
-        return () -> to.router.query(in.clock, new calicostream.QueryRouter.Query(id, queryClass, tenant, key,
-                left, valid, memory, group, (bits & 2) != 0));
+        return () ->
+                to.router.query(
+                        in.clock,
+                        new calicostream.QueryRouter.Query(
+                                id,
+                                queryClass,
+                                tenant,
+                                key,
+                                left,
+                                valid,
+                                memory,
+                                group,
+                                (bits & 2) != 0));
     }
 
     private static Runnable result(Frame.Batch in, Instance to) {
@@ -185,8 +210,11 @@
         boolean told = to.tellsCost && outcome == Outcome.OK;
         double work = told ? Math.floor(note / MS_SHIFT) : 0;
         double memory = told ? note % MS_SHIFT * MEMORY_UNIT_MB : 0;
-        return () -> to.router.ended(in.clock, new calicostream.QueryRouter.AttemptEnd(id, attempt, engine,
-                outcome, over, elapsed, work, memory, report));
+        return () ->
+                to.router.ended(
+                        in.clock,
+                        new calicostream.QueryRouter.AttemptEnd(
+                                id, attempt, engine, outcome, over, elapsed, work, memory, report));
     }
 
     private static Report report(Frame.Batch in, Instance to) {
@@ -208,10 +236,14 @@
 
     private static Notice notice(int code) {
         switch (code) {
-            case 1: return Notice.SHARE_DONE;
-            case 2: return Notice.SPILLS;
-            case 3: return Notice.WAITS_FOR_MEMORY;
-            default: return Notice.OTHER;
+            case 1:
+                return Notice.SHARE_DONE;
+            case 2:
+                return Notice.SPILLS;
+            case 3:
+                return Notice.WAITS_FOR_MEMORY;
+            default:
+                return Notice.OTHER;
         }
     }
 
--- a/src/main/java/calicostream/adapter/Codes.java
+++ b/src/main/java/calicostream/adapter/Codes.java
@@ -19,8 +19,19 @@
     static final int DOWN = 1090;
     static final int NOTICE = 1100;
     static final int MANIFEST = 1110;
-    static final Set<Integer> EVENTS = Set.of(UP, BACKENDS_CHANGED, QUERY, ESTABLISHED, RESULT, DROPPED, ALARM,
-            CHECKED, INBOX, DOWN, NOTICE);
+    static final Set<Integer> EVENTS =
+            Set.of(
+                    UP,
+                    BACKENDS_CHANGED,
+                    QUERY,
+                    ESTABLISHED,
+                    RESULT,
+                    DROPPED,
+                    ALARM,
+                    CHECKED,
+                    INBOX,
+                    DOWN,
+                    NOTICE);
 
     static final int DELIVER = 1000;
     static final int DECLINE = 1010;
@@ -33,9 +44,24 @@
     static final int OBSERVE = 1100;
     static final int ALLOT = 1120;
 
-    static final Map<Integer, Outcome> OUTCOMES = Map.of(10, Outcome.OK, 20, Outcome.ERROR, 30, Outcome.FULL,
-            40, Outcome.TIMEOUT, 50, Outcome.CONNECT_FAILED, 60, Outcome.RESET, 70, Outcome.CANCELLED,
-            80, Outcome.MOOT);
+    static final Map<Integer, Outcome> OUTCOMES =
+            Map.of(
+                    10,
+                    Outcome.OK,
+                    20,
+                    Outcome.ERROR,
+                    30,
+                    Outcome.FULL,
+                    40,
+                    Outcome.TIMEOUT,
+                    50,
+                    Outcome.CONNECT_FAILED,
+                    60,
+                    Outcome.RESET,
+                    70,
+                    Outcome.CANCELLED,
+                    80,
+                    Outcome.MOOT);
 
-    private Codes() { }
+    private Codes() {}
 }
--- a/src/main/java/calicostream/adapter/Frame.java
+++ b/src/main/java/calicostream/adapter/Frame.java
@@ -89,7 +89,8 @@
 
         void end() {
             if (body.hasRemaining()) {
-                throw new WireException("bad frame: " + body.remaining() + " bytes follow the last record");
+                throw new WireException(
+                        "bad frame: " + body.remaining() + " bytes follow the last record");
             }
         }
 
@@ -98,7 +99,7 @@
         }
     }
 
-    private Frame() { }
+    private Frame() {}
 
     /** The next batch, or null at the end of input. */
     static Batch read(DataInputStream in) throws IOException {
@@ -107,7 +108,8 @@
             return null;
         }
         try {
-            long records = (long) first << 24 | in.readUnsignedByte() << 16 | in.readUnsignedShort();
+            long records =
+                    (long) first << 24 | in.readUnsignedByte() << 16 | in.readUnsignedShort();
             long length = in.readInt() & 0xffffffffL;
             long clock = in.readLong();
             if (length < BATCH_HEADER || length > LONGEST) {
--- a/src/main/java/calicostream/admin/AdminFront.java
+++ b/src/main/java/calicostream/admin/AdminFront.java
@@ -16,15 +16,17 @@
 import java.util.regex.Pattern;
 
 /**
- * The operators' address: HTTP/1.1, one call a connection. The loop serves it before all else, so that a call is
- * answered in time however busy the front end is.
+ * The operators' address: HTTP/1.1, one call a connection. The loop serves it before all else, so
+ * that a call is answered in time however busy the front end is.
  */
 public final class AdminFront implements Listener.Taker {
     /** Descriptors kept for callers. */
     public static final int MOST = 16;
+
     private static final int LONGEST_HEAD = 4096;
     private static final int BOUND_OUT = 64 * 1024;
-    private static final long PATIENCE = 2_000_000; // us to send a whole call: callers wait for half of it
+    private static final long PATIENCE =
+            2_000_000; // us to send a whole call: callers wait for half of it
     private static final long SPEAKS = 100_000; // us in which a caller surely has begun to
     private static final Pattern LINE = Pattern.compile("([A-Z]+) (/\\S*) HTTP/1\\.\\d");
     private static final Pattern ENGINE = Pattern.compile("/-/engines/([^/]+)/(disable|enable)");
@@ -56,8 +58,16 @@
     @Override
     public boolean spareOne() {
         long now = loop.clock().now();
-        Caller spared = callers.stream().filter(c -> c.answered).findFirst().orElseGet(() -> callers.stream()
-                .filter(c -> now - c.since > SPEAKS).findFirst().orElse(null));
+        Caller spared =
+                callers.stream()
+                        .filter(c -> c.answered)
+                        .findFirst()
+                        .orElseGet(
+                                () ->
+                                        callers.stream()
+                                                .filter(c -> now - c.since > SPEAKS)
+                                                .findFirst()
+                                                .orElse(null));
         if (spared != null) {
             spared.connection.close();
         }
@@ -71,8 +81,18 @@
 
         byte[] bytes() {
             byte[] content = body.getBytes(StandardCharsets.UTF_8);
-            return ("HTTP/1.1 " + status + " " + reason + "\r\nContent-Type: " + type + "\r\nContent-Length: "
-                    + content.length + "\r\nCache-Control: no-store\r\n" + more + "Connection: close\r\n\r\n" + body)
+            return ("HTTP/1.1 "
+                            + status
+                            + " "
+                            + reason
+                            + "\r\nContent-Type: "
+                            + type
+                            + "\r\nContent-Length: "
+                            + content.length
+                            + "\r\nCache-Control: no-store\r\n"
+                            + more
+                            + "Connection: close\r\n\r\n"
+                            + body)
                     .getBytes(StandardCharsets.UTF_8);
         }
     }
@@ -86,7 +106,9 @@
         String path = call.group(2).replaceFirst("\\?.*", "");
         Matcher engine = ENGINE.matcher(path);
         if (engine.matches()) {
-            return method.equals("POST") ? setAside(engine.group(1), engine.group(2)) : notAllowed("POST");
+            return method.equals("POST")
+                    ? setAside(engine.group(1), engine.group(2))
+                    : notAllowed("POST");
         }
         if (!path.equals("/-/ready") && !path.equals("/-/metrics")) {
             return part(method, path);
@@ -108,18 +130,28 @@
             return Reply.text(404, "Not Found");
         }
         if (part.group(2) == null) {
-            return method.equals("GET") ? new Reply(200, "OK", "application/json", signs + "\n", "") : notAllowed("GET");
+            return method.equals("GET")
+                    ? new Reply(200, "OK", "application/json", signs + "\n", "")
+                    : notAllowed("GET");
         }
         if (!method.equals("POST")) {
             return notAllowed("POST");
         }
         String refusal = operator.tell(part.group(1), part.group(2));
-        return refusal == null ? Reply.text(404, "Not Found") : refusal.isEmpty() ? Reply.text(202, "Accepted")
-                : new Reply(409, "Conflict", "text/plain", refusal + "\n", "");
+        return refusal == null
+                ? Reply.text(404, "Not Found")
+                : refusal.isEmpty()
+                        ? Reply.text(202, "Accepted")
+                        : new Reply(409, "Conflict", "text/plain", refusal + "\n", "");
     }
 
     private static Reply notAllowed(String allowed) {
-        return new Reply(405, "Method Not Allowed", "text/plain", "Method Not Allowed\n", "Allow: " + allowed + "\r\n");
+        return new Reply(
+                405,
+                "Method Not Allowed",
+                "text/plain",
+                "Method Not Allowed\n",
+                "Allow: " + allowed + "\r\n");
     }
 
     private Reply setAside(String encoded, String how) {
@@ -142,11 +174,15 @@
         Caller(SocketChannel channel) throws IOException {
             connection = Connection.urgent(loop, channel, this, LONGEST_HEAD, BOUND_OUT);
             callers.add(this);
-            loop.deadlines().add(since + PATIENCE, (now, ref) -> {
-                if (!answered && !connection.isClosed()) {
-                    late();
-                }
-            }, 0);
+            loop.deadlines()
+                    .add(
+                            since + PATIENCE,
+                            (now, ref) -> {
+                                if (!answered && !connection.isClosed()) {
+                                    late();
+                                }
+                            },
+                            0);
         }
 
         private void late() {
@@ -165,7 +201,10 @@
                 return;
             }
             if (lineEnd >= 0 && hasEnded(in)) {
-                answer(reply(new String(in.copy(0, lineEnd), StandardCharsets.ISO_8859_1).stripTrailing()));
+                answer(
+                        reply(
+                                new String(in.copy(0, lineEnd), StandardCharsets.ISO_8859_1)
+                                        .stripTrailing()));
             } else if (in.room() == 0) {
                 answer(Reply.text(431, "Request Header Fields Too Large"));
             }
@@ -173,7 +212,9 @@
 
         /** Whether an empty line has come. */
         private boolean hasEnded(Ring in) {
-            for (int at = in.indexOf((byte) '\n', 0); at >= 0; at = in.indexOf((byte) '\n', at + 1)) {
+            for (int at = in.indexOf((byte) '\n', 0);
+                    at >= 0;
+                    at = in.indexOf((byte) '\n', at + 1)) {
                 int next = at + 1 < in.size() && in.at(at + 1) == '\r' ? at + 2 : at + 1;
                 if (next < in.size() && in.at(next) == '\n') {
                     return true;
--- a/src/main/java/calicostream/admin/FiguresJson.java
+++ b/src/main/java/calicostream/admin/FiguresJson.java
@@ -11,7 +11,7 @@
 
 /** The figures under the names that the operators know them by. */
 public final class FiguresJson {
-    private FiguresJson() { }
+    private FiguresJson() {}
 
     public static String of(Gateway gateway, List<String> classNames) {
         Figures figures = gateway.figures();
@@ -22,7 +22,8 @@
                 .add("tries", figures.tries())
                 .add("active", gateway.open())
                 .add("pool_size", gateway.listed())
-                .add("pool_ejected", gateway.avoided()).toString();
+                .add("pool_ejected", gateway.avoided())
+                .toString();
     }
 
     private static JsonObject byClass(List<String> classNames, IntToLongFunction count) {
--- a/src/main/java/calicostream/admin/Operator.java
+++ b/src/main/java/calicostream/admin/Operator.java
@@ -9,14 +9,22 @@
     /** The figures as a JSON object. */
     String figures();
 
-    /** Leaves an engine out, or puts it back, before this returns; false where no engine has the id. */
+    /**
+     * Leaves an engine out, or puts it back, before this returns; false where no engine has the id.
+     */
     boolean disable(String engine);
 
     boolean enable(String engine);
 
-    /** What a part that is on tells of itself, as a JSON object; null where none that is on has this name, or it tells nothing. */
+    /**
+     * What a part that is on tells of itself, as a JSON object; null where none that is on has this
+     * name, or it tells nothing.
+     */
     String signs(String part);
 
-    /** Words to a part that is on: null where there is none that knows them, empty where it took them, else why not. */
+    /**
+     * Words to a part that is on: null where there is none that knows them, empty where it took
+     * them, else why not.
+     */
     String tell(String part, String words);
 }
--- a/src/main/java/calicostream/budget/Arbiter.java
+++ b/src/main/java/calicostream/budget/Arbiter.java
@@ -12,9 +12,10 @@
 import java.util.Map;
 
 /**
- * What the holder of the arbiter's lease proposes: the fair division of all engines, as far as room is free for it now. Lowered shares go out at
- * once, raised ones as the room comes back, which the machine checks again. It keeps only the last division, to move little; a new arbiter
- * begins with what the machine says is granted.
+ * What the holder of the arbiter's lease proposes: the fair division of all engines, as far as room
+ * is free for it now. Lowered shares go out at once, raised ones as the room comes back, which the
+ * machine checks again. It keeps only the last division, to move little; a new arbiter begins with
+ * what the machine says is granted.
  */
 public final class Arbiter {
     private static final int SHARES = 300; // a command, so that it stays far under the log's bound
@@ -65,15 +66,39 @@
         int[][] ceilings = new int[tenants][tiers];
         for (int t = 0; t < tenants; t++) {
             for (int k = 0; k < tiers; k++) {
-                BudgetSettings.Share share = settings.tenants().get(t).share(settings.pools().get(k).name());
+                BudgetSettings.Share share =
+                        settings.tenants().get(t).share(settings.pools().get(k).name());
                 guarantees[t][k] = share.guarantee();
                 ceilings[t][k] = share.ceiling();
             }
         }
-        int[][] fair = Divider.divide(new Divider.Problem(caps, tierOf, settings.pools().stream().mapToInt(BudgetSettings.Pool::cap).toArray(),
-                settings.tenants().stream().mapToInt(BudgetSettings.Tenant::weight).toArray(), wanted, guarantees, ceilings,
-                settings.tenants().stream().mapToInt(tenant -> tenant.share(BudgetSettings.FLEET).guarantee()).toArray(),
-                settings.tenants().stream().mapToInt(tenant -> tenant.share(BudgetSettings.FLEET).ceiling()).toArray()), previous);
+        int[][] fair =
+                Divider.divide(
+                        new Divider.Problem(
+                                caps,
+                                tierOf,
+                                settings.pools().stream()
+                                        .mapToInt(BudgetSettings.Pool::cap)
+                                        .toArray(),
+                                settings.tenants().stream()
+                                        .mapToInt(BudgetSettings.Tenant::weight)
+                                        .toArray(),
+                                wanted,
+                                guarantees,
+                                ceilings,
+                                settings.tenants().stream()
+                                        .mapToInt(
+                                                tenant ->
+                                                        tenant.share(BudgetSettings.FLEET)
+                                                                .guarantee())
+                                        .toArray(),
+                                settings.tenants().stream()
+                                        .mapToInt(
+                                                tenant ->
+                                                        tenant.share(BudgetSettings.FLEET)
+                                                                .ceiling())
+                                        .toArray()),
+                        previous);
         last.clear();
         for (int e = 0; e < engines.length; e++) {
             last.put(engines[e], column(fair, e));
@@ -81,7 +106,10 @@
         return fair;
     }
 
-    /** What of the cap can be granted at all: the rest is floors that nobody asks for, and what silent processes may have in use. */
+    /**
+     * What of the cap can be granted at all: the rest is floors that nobody asks for, and what
+     * silent processes may have in use.
+     */
     private int grantable(Books books, String name, EngineBook engine, int[][] wanted, int e) {
         int rest = Math.min(engine.cap, engine.target);
         for (Map.Entry<String, ProcessBook> each : books.processes.entrySet()) {
@@ -130,8 +158,14 @@
             this.name = name;
             this.engine = books.engines.get(name);
             this.fair = fair.clone();
-            processes = books.processes.entrySet().stream().filter(each -> takes(each.getValue()) && each.getValue().held.containsKey(name))
-                    .map(Map.Entry::getKey).toArray(String[]::new);
+            processes =
+                    books.processes.entrySet().stream()
+                            .filter(
+                                    each ->
+                                            takes(each.getValue())
+                                                    && each.getValue().held.containsKey(name))
+                            .map(Map.Entry::getKey)
+                            .toArray(String[]::new);
             wanted = new int[processes.length][fair.length];
             given = new int[processes.length][fair.length];
             sums = new int[processes.length];
@@ -143,7 +177,8 @@
                 held[p] = books.processes.get(processes[p]).held.get(name);
                 floor[p] = books.floor(processes[p], name);
                 granted[p] = held[p].granted();
-                held[p].lines.forEach((tenant, line) -> wanted[row][settings.tenant(tenant)] = line.wanted);
+                held[p].lines.forEach(
+                        (tenant, line) -> wanted[row][settings.tenant(tenant)] = line.wanted);
             }
         }
 
@@ -152,7 +187,10 @@
             return towards();
         }
 
-        /** Session by session, tenants in step: first to processes below their floors, which are set aside anyway, then by demand. */
+        /**
+         * Session by session, tenants in step: first to processes below their floors, which are set
+         * aside anyway, then by demand.
+         */
         private void spread() {
             int[] taken = new int[fair.length];
             for (int t = least(taken); t >= 0; t = least(taken)) {
@@ -176,7 +214,9 @@
         private int least(int[] taken) {
             int least = -1;
             for (int t = 0; t < fair.length; t++) {
-                if (taken[t] < fair[t] && (least < 0 || (long) taken[t] * fair[least] < (long) taken[least] * fair[t])) {
+                if (taken[t] < fair[t]
+                        && (least < 0
+                                || (long) taken[t] * fair[least] < (long) taken[least] * fair[t])) {
                     least = t;
                 }
             }
@@ -191,7 +231,10 @@
             return (2L * given[p][t] + 1) * wanted[q][t] < (2L * given[q][t] + 1) * wanted[p][t];
         }
 
-        /** Lowered shares as they shall be, raised ones as far as room is free; least for its weight first. */
+        /**
+         * Lowered shares as they shall be, raised ones as far as room is free; least for its weight
+         * first.
+         */
         private List<BudgetCommand.Share> towards() {
             int[][] now = new int[processes.length][fair.length];
             int[][] then = new int[processes.length][fair.length];
@@ -209,7 +252,9 @@
                 }
             }
             int free = engine.target < engine.cap ? 0 : engine.cap - books.committed(name);
-            for (int[] next = next(then, have, sum, most, free); next != null; next = next(then, have, sum, most, free)) {
+            for (int[] next = next(then, have, sum, most, free);
+                    next != null;
+                    next = next(then, have, sum, most, free)) {
                 int p = next[0];
                 free -= cost(p, sum[p], most[p]);
                 sum[p]++;
@@ -220,8 +265,14 @@
             for (int p = 0; p < processes.length; p++) {
                 for (int t = 0; t < fair.length; t++) {
                     if (then[p][t] != now[p][t]) {
-                        changes.add(new BudgetCommand.Share(processes[p], books.processes.get(processes[p]).session, name, engine.incarnation,
-                                settings.tenants().get(t).name(), then[p][t]));
+                        changes.add(
+                                new BudgetCommand.Share(
+                                        processes[p],
+                                        books.processes.get(processes[p]).session,
+                                        name,
+                                        engine.incarnation,
+                                        settings.tenants().get(t).name(),
+                                        then[p][t]));
                     }
                 }
             }
@@ -237,8 +288,11 @@
                     continue;
                 }
                 for (int t = 0; t < fair.length; t++) {
-                    if (then[p][t] < given[p][t] && (best == null || (long) have[t] * settings.tenants().get(best[1]).weight()
-                            < (long) have[best[1]] * settings.tenants().get(t).weight())) {
+                    if (then[p][t] < given[p][t]
+                            && (best == null
+                                    || (long) have[t] * settings.tenants().get(best[1]).weight()
+                                            < (long) have[best[1]]
+                                                    * settings.tenants().get(t).weight())) {
                         best = new int[] {p, t};
                     }
                 }
@@ -246,10 +300,14 @@
             return best;
         }
 
-        /** What one session more than the sum takes of the cap: nothing below a floor or below what may be in use anyway. */
+        /**
+         * What one session more than the sum takes of the cap: nothing below a floor or below what
+         * may be in use anyway.
+         */
         private int cost(int p, int sum, int most) {
             int left = held[p].left;
-            return Math.max(floor[p], left + Math.max(most, sum + 1)) - Math.max(floor[p], left + Math.max(most, sum));
+            return Math.max(floor[p], left + Math.max(most, sum + 1))
+                    - Math.max(floor[p], left + Math.max(most, sum));
         }
     }
 }
--- a/src/main/java/calicostream/budget/Books.java
+++ b/src/main/java/calicostream/budget/Books.java
@@ -10,19 +10,24 @@
 import java.util.TreeMap;
 
 /**
- * What the grant machine knows: engines with their caps, processes with what they may have in use. It answers how many sessions may be in use at
- * an engine and decides nothing; ordered maps make equal states equal bytes. Owned by one machine, which alone changes it.
+ * What the grant machine knows: engines with their caps, processes with what they may have in use.
+ * It answers how many sessions may be in use at an engine and decides nothing; ordered maps make
+ * equal states equal bytes. Owned by one machine, which alone changes it.
  */
 final class Books {
     private static final int FORMAT = 1;
     private static final int VERSIONS = 16;
 
-    /** An engine in its present incarnation; a target under the cap is a lowered cap that is not yet in force. */
+    /**
+     * An engine in its present incarnation; a target under the cap is a lowered cap that is not yet
+     * in force.
+     */
     static final class EngineBook {
         long incarnation;
         String pool;
         int cap;
         int target;
+
         /** Of each named process; follows from the pool. */
         int floor;
     }
@@ -32,10 +37,15 @@
         long session;
         long number;
         long version;
-        /** Index at which the leader had counted this start's grants out; 0 while they may be used. */
+
+        /**
+         * Index at which the leader had counted this start's grants out; 0 while they may be used.
+         */
         long expiredAt;
+
         /** The same for its earlier starts together. */
         long formerExpiredAt;
+
         boolean hasFormer;
         final SortedMap<String, Held> held = new TreeMap<>();
 
@@ -48,9 +58,12 @@
     static final class Held {
         /** Sessions that earlier starts may have left running. */
         int left;
+
         /** Sessions at the last report, or the bound on them where the process fell silent. */
         int used;
+
         final SortedMap<String, Line> lines = new TreeMap<>();
+
         /** Sums granted, by version: those that the process may still go by. */
         private final List<long[]> sums = new ArrayList<>();
 
@@ -87,7 +100,9 @@
             lines.values().forEach(line -> line.granted = 0);
         }
 
-        /** What may be in use by this start and those before, given what the process may always use. */
+        /**
+         * What may be in use by this start and those before, given what the process may always use.
+         */
         int committed(int floor) {
             return Math.max(floor, left + Math.max(most(), used));
         }
@@ -102,8 +117,10 @@
     private final Set<String> named;
     final SortedMap<String, EngineBook> engines = new TreeMap<>();
     final SortedMap<String, ProcessBook> processes = new TreeMap<>();
+
     /** Last incarnations of engines that are no more: none of them may come back. */
     final SortedMap<String, Long> past = new TreeMap<>();
+
     long token;
     long index;
 
@@ -116,7 +133,9 @@
         return named.contains(process) ? engines.get(engine).floor : 0;
     }
 
-    /** The most sessions that may be in use at the engine now or later, if nothing else is granted. */
+    /**
+     * The most sessions that may be in use at the engine now or later, if nothing else is granted.
+     */
     int committed(String engine) {
         return committed(engine, Map.of());
     }
@@ -128,27 +147,51 @@
             int floor = floor(each.getKey(), engine);
             Held held = each.getValue().held.get(engine);
             int sum = sums.getOrDefault(each.getKey(), 0);
-            total += held == null ? Math.max(floor, sum) : Math.max(held.committed(floor), held.left + Math.max(sum, held.used));
+            total +=
+                    held == null
+                            ? Math.max(floor, sum)
+                            : Math.max(held.committed(floor), held.left + Math.max(sum, held.used));
         }
         return (int) Math.min(total, Integer.MAX_VALUE);
     }
 
     byte[] snapshot() {
         Bytes.Writer out = new Bytes.Writer().u8(FORMAT).i64(token).i64(index).i32(engines.size());
-        engines.forEach((name, engine) -> out.text(name).i64(engine.incarnation).text(engine.pool).i32(engine.cap).i32(engine.target));
+        engines.forEach(
+                (name, engine) ->
+                        out.text(name)
+                                .i64(engine.incarnation)
+                                .text(engine.pool)
+                                .i32(engine.cap)
+                                .i32(engine.target));
         out.i32(past.size());
         past.forEach((name, incarnation) -> out.text(name).i64(incarnation));
         out.i32(processes.size());
-        processes.forEach((name, process) -> {
-            out.text(name).i64(process.session).i64(process.number).i64(process.version).i64(process.expiredAt).i64(process.formerExpiredAt)
-                    .u8(process.hasFormer ? 1 : 0).i32(process.held.size());
-            process.held.forEach((engine, held) -> {
-                out.text(engine).i32(held.left).i32(held.used).i32(held.lines.size());
-                held.lines.forEach((tenant, line) -> out.text(tenant).i32(line.granted).i32(line.wanted));
-                out.i32(held.sums.size());
-                held.sums.forEach(sum -> out.i64(sum[0]).i64(sum[1]));
-            });
-        });
+        processes.forEach(
+                (name, process) -> {
+                    out.text(name)
+                            .i64(process.session)
+                            .i64(process.number)
+                            .i64(process.version)
+                            .i64(process.expiredAt)
+                            .i64(process.formerExpiredAt)
+                            .u8(process.hasFormer ? 1 : 0)
+                            .i32(process.held.size());
+                    process.held.forEach(
+                            (engine, held) -> {
+                                out.text(engine)
+                                        .i32(held.left)
+                                        .i32(held.used)
+                                        .i32(held.lines.size());
+                                held.lines.forEach(
+                                        (tenant, line) ->
+                                                out.text(tenant)
+                                                        .i32(line.granted)
+                                                        .i32(line.wanted));
+                                out.i32(held.sums.size());
+                                held.sums.forEach(sum -> out.i64(sum[0]).i64(sum[1]));
+                            });
+                });
         return out.done();
     }
 
--- a/src/main/java/calicostream/budget/BudgetCommand.java
+++ b/src/main/java/calicostream/budget/BudgetCommand.java
@@ -7,20 +7,24 @@
 import java.util.function.Supplier;
 
 /**
- * What the grant machine is told; immutable. Who sent a command is the cluster's to say: a process is the session it joined under, and only
- * the leader may expire. Encoded with a version, a kind and {@link Bytes}; a list is bounded by the bytes that are there.
+ * What the grant machine is told; immutable. Who sent a command is the cluster's to say: a process
+ * is the session it joined under, and only the leader may expire. Encoded with a version, a kind
+ * and {@link Bytes}; a list is bounded by the bytes that are there.
  */
 public sealed interface BudgetCommand {
     /** The longest name of a process, tenant, engine or pool, in bytes. */
     int NAME = 256;
+
     /** More than any engine has, and the most sessions that any number here says. */
     int UNKNOWN = 1_000_000;
 
     /** A process starts: whatever an earlier start of it holds is no longer its own. */
-    record Join(String process) implements BudgetCommand { }
+    record Join(String process) implements BudgetCommand {}
 
-    /** A process stops as planned: nothing of it runs at any engine, nor will before it joins again. */
-    record Leave() implements BudgetCommand { }
+    /**
+     * A process stops as planned: nothing of it runs at any engine, nor will before it joins again.
+     */
+    record Leave() implements BudgetCommand {}
 
     /**
      * A process's report, which asks for its grants anew.
@@ -28,7 +32,8 @@
      * @param number grows with each report of a session
      * @param version of the grants that it goes by; 0 if it goes by none
      */
-    record Renew(long number, long version, List<Use> uses, List<Want> wants) implements BudgetCommand {
+    record Renew(long number, long version, List<Use> uses, List<Want> wants)
+            implements BudgetCommand {
         public Renew {
             uses = List.copyOf(uses);
             wants = List.copyOf(wants);
@@ -39,14 +44,18 @@
      * What a process has at an engine.
      *
      * @param sessions its own, those on their way included
-     * @param left the most that its earlier starts may have left running; {@link #UNKNOWN} if it does not know
+     * @param left the most that its earlier starts may have left running; {@link #UNKNOWN} if it
+     *     does not know
      */
-    record Use(String engine, long incarnation, int sessions, int left) { }
+    record Use(String engine, long incarnation, int sessions, int left) {}
 
     /** Demand of a tenant for an engine, as estimated at the process. */
-    record Want(String engine, String tenant, int sessions) { }
+    record Want(String engine, String tenant, int sessions) {}
 
-    /** The arbiter's division, or a part of it: shares that are not named stay. Taken whole or refused whole. */
+    /**
+     * The arbiter's division, or a part of it: shares that are not named stay. Taken whole or
+     * refused whole.
+     */
     record Divide(long token, List<Share> shares) implements BudgetCommand {
         public Divide {
             shares = List.copyOf(shares);
@@ -54,13 +63,19 @@
     }
 
     /** Sessions of a tenant at an engine for the process that joined under that session. */
-    record Share(String process, long session, String engine, long incarnation, String tenant, int sessions) { }
+    record Share(
+            String process,
+            long session,
+            String engine,
+            long incarnation,
+            String tenant,
+            int sessions) {}
 
     /** An engine is there, was replaced (a larger incarnation), or its cap has changed. */
-    record Engine(String engine, long incarnation, String pool, int cap) implements BudgetCommand { }
+    record Engine(String engine, long incarnation, String pool, int cap) implements BudgetCommand {}
 
     /** An engine is no more. */
-    record Gone(String engine, long incarnation) implements BudgetCommand { }
+    record Gone(String engine, long incarnation) implements BudgetCommand {}
 
     /**
      * An engine's own count of a process's sessions.
@@ -68,15 +83,31 @@
      * @param session that the process has joined under
      * @param former the count is of all earlier starts of the process, not of this one
      * @param seen index up to which the asker knew this machine before it asked the engine
-     * @param closed the engine had no connection left from those starts, so nothing can be on its way
+     * @param closed the engine had no connection left from those starts, so nothing can be on its
+     *     way
      */
-    record Count(String engine, long incarnation, String process, long session, boolean former, long seen, int running, boolean closed)
-            implements BudgetCommand { }
+    record Count(
+            String engine,
+            long incarnation,
+            String process,
+            long session,
+            boolean former,
+            long seen,
+            int running,
+            boolean closed)
+            implements BudgetCommand {}
 
-    /** The leader has counted a whole lease since that report, or, for former starts, since the process joined. */
-    record Expire(String process, long session, boolean former, long number) implements BudgetCommand { }
+    /**
+     * The leader has counted a whole lease since that report, or, for former starts, since the
+     * process joined.
+     */
+    record Expire(String process, long session, boolean former, long number)
+            implements BudgetCommand {}
 
-    /** Answer to {@link Renew}: all that is granted to the process, and what its former starts may have left running. */
+    /**
+     * Answer to {@link Renew}: all that is granted to the process, and what its former starts may
+     * have left running.
+     */
     record Grants(long number, long version, List<Share> shares, List<Use> left) {
         public Grants {
             shares = List.copyOf(shares);
@@ -118,10 +149,21 @@
         } else if (this instanceof Gone gone) {
             out.u8(6).text(gone.engine).i64(gone.incarnation);
         } else if (this instanceof Count count) {
-            out.u8(7).text(count.engine).i64(count.incarnation).text(count.process).i64(count.session).u8(count.former ? 1 : 0)
-                    .i64(count.seen).i32(count.running).u8(count.closed ? 1 : 0);
+            out.u8(7)
+                    .text(count.engine)
+                    .i64(count.incarnation)
+                    .text(count.process)
+                    .i64(count.session)
+                    .u8(count.former ? 1 : 0)
+                    .i64(count.seen)
+                    .i32(count.running)
+                    .u8(count.closed ? 1 : 0);
         } else if (this instanceof Expire expire) {
-            out.u8(8).text(expire.process).i64(expire.session).u8(expire.former ? 1 : 0).i64(expire.number);
+            out.u8(8)
+                    .text(expire.process)
+                    .i64(expire.session)
+                    .u8(expire.former ? 1 : 0)
+                    .i64(expire.number);
         }
         return out.done();
     }
@@ -130,35 +172,73 @@
         Bytes.Reader in = new Bytes.Reader("budget command", bytes);
         in.version(1);
         int kind = in.u8();
-        BudgetCommand command = switch (kind) {
-            case 1 -> new Join(in.text(NAME));
-            case 2 -> new Leave();
-            case 3 -> new Renew(in.i64(), in.i64(), usesOf(in),
-                    list(in, 12, () -> new Want(in.text(NAME), in.text(NAME), sessions(in))));
-            case 4 -> new Divide(in.i64(), sharesOf(in));
-            case 5 -> new Engine(in.text(NAME), in.i64(), in.text(NAME), sessions(in));
-            case 6 -> new Gone(in.text(NAME), in.i64());
-            case 7 -> new Count(in.text(NAME), in.i64(), in.text(NAME), in.i64(), in.u8() == 1, in.i64(), sessions(in), in.u8() == 1);
-            case 8 -> new Expire(in.text(NAME), in.i64(), in.u8() == 1, in.i64());
-            default -> throw in.malformed("kind " + kind);
-        };
+        BudgetCommand command =
+                switch (kind) {
+                    case 1 -> new Join(in.text(NAME));
+                    case 2 -> new Leave();
+                    case 3 ->
+                            new Renew(
+                                    in.i64(),
+                                    in.i64(),
+                                    usesOf(in),
+                                    list(
+                                            in,
+                                            12,
+                                            () ->
+                                                    new Want(
+                                                            in.text(NAME),
+                                                            in.text(NAME),
+                                                            sessions(in))));
+                    case 4 -> new Divide(in.i64(), sharesOf(in));
+                    case 5 -> new Engine(in.text(NAME), in.i64(), in.text(NAME), sessions(in));
+                    case 6 -> new Gone(in.text(NAME), in.i64());
+                    case 7 ->
+                            new Count(
+                                    in.text(NAME),
+                                    in.i64(),
+                                    in.text(NAME),
+                                    in.i64(),
+                                    in.u8() == 1,
+                                    in.i64(),
+                                    sessions(in),
+                                    in.u8() == 1);
+                    case 8 -> new Expire(in.text(NAME), in.i64(), in.u8() == 1, in.i64());
+                    default -> throw in.malformed("kind " + kind);
+                };
         in.end();
         return command;
     }
 
     private static void put(Bytes.Writer out, List<Share> shares) {
         out.i32(shares.size());
-        shares.forEach(share -> out.text(share.process).i64(share.session).text(share.engine).i64(share.incarnation).text(share.tenant)
-                .i32(share.sessions));
+        shares.forEach(
+                share ->
+                        out.text(share.process)
+                                .i64(share.session)
+                                .text(share.engine)
+                                .i64(share.incarnation)
+                                .text(share.tenant)
+                                .i32(share.sessions));
     }
 
     private static List<Share> sharesOf(Bytes.Reader in) {
-        return list(in, 32, () -> new Share(in.text(NAME), in.i64(), in.text(NAME), in.i64(), in.text(NAME), sessions(in)));
+        return list(
+                in,
+                32,
+                () ->
+                        new Share(
+                                in.text(NAME),
+                                in.i64(),
+                                in.text(NAME),
+                                in.i64(),
+                                in.text(NAME),
+                                sessions(in)));
     }
 
     private static void putUses(Bytes.Writer out, List<Use> uses) {
         out.i32(uses.size());
-        uses.forEach(use -> out.text(use.engine).i64(use.incarnation).i32(use.sessions).i32(use.left));
+        uses.forEach(
+                use -> out.text(use.engine).i64(use.incarnation).i32(use.sessions).i32(use.left));
     }
 
     private static List<Use> usesOf(Bytes.Reader in) {
--- a/src/main/java/calicostream/budget/BudgetException.java
+++ b/src/main/java/calicostream/budget/BudgetException.java
@@ -5,9 +5,10 @@
 import calicostream.errors.Page;
 
 /**
- * What can go wrong with budgets, as one sealed family: each type has a stable code, the facts in its message, and what an operator can do.
- * The grant machine answers with code and facts where a command is refused; only {@link NoRoom} concerns a request, and its front end words it.
- * Instances are immutable and carry no stack trace.
+ * What can go wrong with budgets, as one sealed family: each type has a stable code, the facts in
+ * its message, and what an operator can do. The grant machine answers with code and facts where a
+ * command is refused; only {@link NoRoom} concerns a request, and its front end words it. Instances
+ * are immutable and carry no stack trace.
  */
 @Page(value = "budget.md", prefixes = "budget-")
 public abstract sealed class BudgetException extends RuntimeException implements FleetError {
@@ -46,7 +47,10 @@
         private final String why;
 
         public BadSetting(String key, String why) {
-            super(CODE, key + ": " + why, "Correct the key that is named; the fleet goes on with the settings it has.");
+            super(
+                    CODE,
+                    key + ": " + why,
+                    "Correct the key that is named; the fleet goes on with the settings it has.");
             this.key = key;
             this.why = why;
         }
@@ -68,19 +72,45 @@
         public static final String CODE = "budget-over-cap";
 
         public OverCap(String engine, long incarnation, long cap, long committed, long asked) {
-            super(CODE, "engine " + engine + " incarnation " + incarnation + " has cap " + cap + ", " + committed
-                    + " may be in use, " + asked + " were asked", "Nothing if rare: the arbiter divides again; else report it.");
+            super(
+                    CODE,
+                    "engine "
+                            + engine
+                            + " incarnation "
+                            + incarnation
+                            + " has cap "
+                            + cap
+                            + ", "
+                            + committed
+                            + " may be in use, "
+                            + asked
+                            + " were asked",
+                    "Nothing if rare: the arbiter divides again; else report it.");
         }
     }
 
-    /** A cap was lowered and is not in force yet: more than the new one may still be in use, so nothing new is granted there. */
+    /**
+     * A cap was lowered and is not in force yet: more than the new one may still be in use, so
+     * nothing new is granted there.
+     */
     public static final class CapLowered extends BudgetException {
         private static final long serialVersionUID = 1L;
         public static final String CODE = "budget-cap-lowered";
 
         public CapLowered(String engine, long cap, long target, long committed) {
-            super(CODE, "engine " + engine + " goes from cap " + cap + " to " + target + ", " + committed
-                    + " may still be in use", "Wait until what runs has ended; see which process does not answer the call-back.");
+            super(
+                    CODE,
+                    "engine "
+                            + engine
+                            + " goes from cap "
+                            + cap
+                            + " to "
+                            + target
+                            + ", "
+                            + committed
+                            + " may still be in use",
+                    "Wait until what runs has ended; see which process does not answer the"
+                            + " call-back.");
         }
     }
 
@@ -90,7 +120,9 @@
         public static final String CODE = "budget-floors-over-cap";
 
         public FloorsOverCap(String engine, long cap, long floors) {
-            super(CODE, "engine " + engine + " has cap " + cap + ", the floors take " + floors,
+            super(
+                    CODE,
+                    "engine " + engine + " has cap " + cap + ", the floors take " + floors,
                     "Raise the cap, lower the pool's floor, or take the engine out of the pool.");
         }
     }
@@ -101,7 +133,10 @@
         public static final String CODE = "budget-old-token";
 
         public OldToken(long token, long present) {
-            super(CODE, "token " + token + " where " + present + " was seen", "Nothing: the present arbiter divides.");
+            super(
+                    CODE,
+                    "token " + token + " where " + present + " was seen",
+                    "Nothing: the present arbiter divides.");
         }
     }
 
@@ -111,9 +146,17 @@
         public static final String CODE = "budget-other-incarnation";
 
         public OtherIncarnation(String engine, long incarnation, long present) {
-            super(CODE, "engine " + engine + " incarnation " + incarnation + " where "
-                    + (present == 0 ? "none" : String.valueOf(present)) + " is known", "Nothing if an engine was replaced; else see who"
-                    + " still has the older one.");
+            super(
+                    CODE,
+                    "engine "
+                            + engine
+                            + " incarnation "
+                            + incarnation
+                            + " where "
+                            + (present == 0 ? "none" : String.valueOf(present))
+                            + " is known",
+                    "Nothing if an engine was replaced; else see who"
+                            + " still has the older one.");
         }
     }
 
@@ -123,7 +166,10 @@
         public static final String CODE = "budget-unknown";
 
         public Unknown(String kind, String name) {
-            super(CODE, kind + " " + name + " is not known", "Give all processes the same settings; a process joins anew by itself.");
+            super(
+                    CODE,
+                    kind + " " + name + " is not known",
+                    "Give all processes the same settings; a process joins anew by itself.");
         }
     }
 
@@ -133,8 +179,11 @@
         public static final String CODE = "budget-grant-over";
 
         public GrantOver(String process, long session) {
-            super(CODE, "grants of " + process + " under session " + session + " are over",
-                    "See why the process was not heard for a lease: stopped, cut off, or no quorum.");
+            super(
+                    CODE,
+                    "grants of " + process + " under session " + session + " are over",
+                    "See why the process was not heard for a lease: stopped, cut off, or no"
+                            + " quorum.");
         }
     }
 
@@ -144,7 +193,10 @@
         public static final String CODE = "budget-old-report";
 
         public OldReport(String process, long number, long present) {
-            super(CODE, process + " report " + number + " after " + present, "Nothing: the newer report counts.");
+            super(
+                    CODE,
+                    process + " report " + number + " after " + present,
+                    "Nothing: the newer report counts.");
         }
     }
 
@@ -154,17 +206,25 @@
         public static final String CODE = "budget-not-due";
 
         public NotDue(long session, long number, String why) {
-            super(CODE, "session " + session + " report " + number + ": " + why, "Nothing: the process has renewed in time.");
+            super(
+                    CODE,
+                    "session " + session + " report " + number + ": " + why,
+                    "Nothing: the process has renewed in time.");
         }
     }
 
-    /** An engine's count of sessions that proves nothing, since it may be older than the end of the grants. */
+    /**
+     * An engine's count of sessions that proves nothing, since it may be older than the end of the
+     * grants.
+     */
     public static final class NoProof extends BudgetException {
         private static final long serialVersionUID = 1L;
         public static final String CODE = "budget-no-proof";
 
         public NoProof(String engine, long session, String why) {
-            super(CODE, "count at engine " + engine + " for session " + session + ": " + why,
+            super(
+                    CODE,
+                    "count at engine " + engine + " for session " + session + ": " + why,
                     "Nothing: the engine is asked again after the end of the lease.");
         }
     }
@@ -176,8 +236,17 @@
         private final long returnAfterNanos;
 
         public NoRoom(String tenant, int waiting, long returnAfterNanos) {
-            super(CODE, "tenant " + tenant + " has " + waiting + " waiting, return after " + returnAfterNanos / 1_000_000 + " ms",
-                    "Raise the tenant's guarantee or weight if this lasts, or add engines to the pool.");
+            super(
+                    CODE,
+                    "tenant "
+                            + tenant
+                            + " has "
+                            + waiting
+                            + " waiting, return after "
+                            + returnAfterNanos / 1_000_000
+                            + " ms",
+                    "Raise the tenant's guarantee or weight if this lasts, or add engines to the"
+                            + " pool.");
             this.returnAfterNanos = returnAfterNanos;
         }
 
--- a/src/main/java/calicostream/budget/BudgetSettings.java
+++ b/src/main/java/calicostream/budget/BudgetSettings.java
@@ -7,28 +7,38 @@
 import java.util.Set;
 
 /**
- * What operators set; immutable, the same at every process, checked when it is made. Sessions are whole numbers.
+ * What operators set; immutable, the same at every process, checked when it is made. Sessions are
+ * whole numbers.
  *
  * @param pools the kinds or tiers of engines; each engine belongs to one
  * @param tenants who shares the engines
  * @param processes by name: those that have a floor at every engine, whether they run or not
  * @param ttlNanos for how long the leader counts a grant that is not renewed
  * @param driftPpm bound on how much any two clocks differ in a second, in millionths
- * @param inHand most sessions a process may have sent to one engine without the engine's word that it has them
+ * @param inHand most sessions a process may have sent to one engine without the engine's word that
+ *     it has them
  */
-public record BudgetSettings(List<Pool> pools, List<Tenant> tenants, List<String> processes, long ttlNanos, int driftPpm, int inHand) {
+public record BudgetSettings(
+        List<Pool> pools,
+        List<Tenant> tenants,
+        List<String> processes,
+        long ttlNanos,
+        int driftPpm,
+        int inHand) {
     /** In place of a pool's name: all pools together. */
     public static final String FLEET = "*";
+
     private static final int MOST = 1_000_000;
 
     /**
      * @param floor sessions that each named process may always use at each engine of the pool
      * @param cap of the pool's sessions together; what the engines' caps sum up to if that is less
      */
-    public record Pool(String name, int floor, int cap) {
-    }
+    public record Pool(String name, int floor, int cap) {}
 
-    /** @param shares by the pool's name or {@link #FLEET}; none is no guarantee and no ceiling */
+    /**
+     * @param shares by the pool's name or {@link #FLEET}; none is no guarantee and no ceiling
+     */
     public record Tenant(String name, int weight, Map<String, Share> shares) {
         public Tenant {
             shares = Map.copyOf(shares);
@@ -40,7 +50,9 @@
         }
     }
 
-    /** @param ceiling sessions at most */
+    /**
+     * @param ceiling sessions at most
+     */
     public record Share(int guarantee, int ceiling) {
         static final Share NONE = new Share(0, MOST);
     }
@@ -51,26 +63,58 @@
         processes = List.copyOf(processes);
         Set<String> names = new HashSet<>();
         for (Pool pool : pools) {
-            need(names.add(pool.name()) && !pool.name().equals(FLEET), "pools." + pool.name(), "the name is taken");
-            need(pool.floor() >= 0 && pool.floor() <= MOST, "pools." + pool.name() + ".floor", "not in 0.." + MOST);
-            need(pool.cap() >= 0 && pool.cap() <= MOST, "pools." + pool.name() + ".cap", "not in 0.." + MOST);
-            long guaranteed = tenants.stream().mapToLong(each -> each.share(pool.name()).guarantee()).sum();
-            need(guaranteed <= pool.cap(), "pools." + pool.name() + ".cap", "tenants are guaranteed " + guaranteed);
+            need(
+                    names.add(pool.name()) && !pool.name().equals(FLEET),
+                    "pools." + pool.name(),
+                    "the name is taken");
+            need(
+                    pool.floor() >= 0 && pool.floor() <= MOST,
+                    "pools." + pool.name() + ".floor",
+                    "not in 0.." + MOST);
+            need(
+                    pool.cap() >= 0 && pool.cap() <= MOST,
+                    "pools." + pool.name() + ".cap",
+                    "not in 0.." + MOST);
+            long guaranteed =
+                    tenants.stream().mapToLong(each -> each.share(pool.name()).guarantee()).sum();
+            need(
+                    guaranteed <= pool.cap(),
+                    "pools." + pool.name() + ".cap",
+                    "tenants are guaranteed " + guaranteed);
         }
         names.add(FLEET);
         Set<String> seen = new HashSet<>();
         for (Tenant tenant : tenants) {
             String key = "tenants." + tenant.name();
             need(seen.add(tenant.name()), key, "the name is taken");
-            need(tenant.weight() > 0 && tenant.weight() <= MOST, key + ".weight", "not in 1.." + MOST);
-            tenant.shares().forEach((pool, share) -> {
-                need(names.contains(pool), key + "." + pool, "no such pool");
-                need(share.guarantee() >= 0 && share.guarantee() <= share.ceiling() && share.ceiling() <= MOST, key + "." + pool,
-                        "guarantee " + share.guarantee() + " and ceiling " + share.ceiling() + " are not in order");
-                need(share.guarantee() <= tenant.share(FLEET).ceiling(), key + "." + pool + ".guarantee", "over the ceiling of all pools");
-            });
+            need(
+                    tenant.weight() > 0 && tenant.weight() <= MOST,
+                    key + ".weight",
+                    "not in 1.." + MOST);
+            tenant.shares()
+                    .forEach(
+                            (pool, share) -> {
+                                need(names.contains(pool), key + "." + pool, "no such pool");
+                                need(
+                                        share.guarantee() >= 0
+                                                && share.guarantee() <= share.ceiling()
+                                                && share.ceiling() <= MOST,
+                                        key + "." + pool,
+                                        "guarantee "
+                                                + share.guarantee()
+                                                + " and ceiling "
+                                                + share.ceiling()
+                                                + " are not in order");
+                                need(
+                                        share.guarantee() <= tenant.share(FLEET).ceiling(),
+                                        key + "." + pool + ".guarantee",
+                                        "over the ceiling of all pools");
+                            });
         }
-        need(new HashSet<>(processes).size() == processes.size(), "processes", "a name comes twice");
+        need(
+                new HashSet<>(processes).size() == processes.size(),
+                "processes",
+                "a name comes twice");
         need(ttlNanos >= 1_000_000, "ttl", "under 1 ms");
         need(driftPpm >= 0 && driftPpm < 100_000, "drift_ppm", "not in 0..100000");
         need(inHand > 0, "in_hand", "not over 0");
@@ -82,7 +126,10 @@
         }
     }
 
-    /** For how long a process may use what it was granted, counted on its own clock from before it asked. */
+    /**
+     * For how long a process may use what it was granted, counted on its own clock from before it
+     * asked.
+     */
     public long usableNanos() {
         return ttlNanos - ttlNanos / 1_000_000 * (2L * driftPpm + 1) - 2L * driftPpm - 2;
     }
@@ -93,7 +140,10 @@
     }
 
     Pool pool(String name) {
-        return pools.stream().filter(each -> each.name().equals(name)).findFirst().orElseThrow(() -> new BudgetException.Unknown("pool", name));
+        return pools.stream()
+                .filter(each -> each.name().equals(name))
+                .findFirst()
+                .orElseThrow(() -> new BudgetException.Unknown("pool", name));
     }
 
     int tenant(String name) {
--- a/src/main/java/calicostream/budget/Demand.java
+++ b/src/main/java/calicostream/budget/Demand.java
@@ -4,8 +4,9 @@
 import java.util.Arrays;
 
 /**
- * What the tenants of this process want at each engine, estimated from what they use and what waits. It rises at once and falls only after the
- * need has been lower by more than a band for a whole hold, so that small changes move no grant. Owned by one thread; nanoseconds, sessions.
+ * What the tenants of this process want at each engine, estimated from what they use and what
+ * waits. It rises at once and falls only after the need has been lower by more than a band for a
+ * whole hold, so that small changes move no grant. Owned by one thread; nanoseconds, sessions.
  */
 public final class Demand {
     private final int tenants;
@@ -15,13 +16,18 @@
     private int[] former = new int[0];
     private long[] since = new long[0];
 
-    /** @param holdNanos for how long a lower need must last */
+    /**
+     * @param holdNanos for how long a lower need must last
+     */
     public Demand(int tenants, long holdNanos) {
         this.tenants = tenants;
         this.holdNanos = holdNanos;
     }
 
-    /** What is used and what waits of a tenant at an engine now; told at least as often as reports are sent. */
+    /**
+     * What is used and what waits of a tenant at an engine now; told at least as often as reports
+     * are sent.
+     */
     public void observe(int tenant, int engine, int used, int waiting, long now) {
         int slot = engine * tenants + tenant;
         if (slot >= estimate.length) {
@@ -39,8 +45,15 @@
         }
         peak[slot] = Math.max(peak[slot], need);
         int lately = Math.max(peak[slot], former[slot]);
-        int wanted = lately == 0 ? 0 : lately + Math.max(1, lately / 8); // a little more than was needed, or none could ever be lent ahead
-        if (wanted > estimate[slot] || wanted < estimate[slot] - Math.max(1, estimate[slot] / 4) || wanted == 0) {
+        int wanted =
+                lately == 0
+                        ? 0
+                        : lately
+                                + Math.max(1, lately / 8); // a little more than was needed, or none
+        // could ever be lent ahead
+        if (wanted > estimate[slot]
+                || wanted < estimate[slot] - Math.max(1, estimate[slot] / 4)
+                || wanted == 0) {
             estimate[slot] = wanted;
         }
     }
--- a/src/main/java/calicostream/budget/Divider.java
+++ b/src/main/java/calicostream/budget/Divider.java
@@ -5,10 +5,12 @@
 import java.util.function.IntPredicate;
 
 /**
- * Weighted max-min fairness with guarantees and ceilings, over engines, tiers and the fleet together: first every guarantee that can be met,
- * then the tenant with the least sessions for its weight gets the next one, as long as any way of placing all sessions leaves it room. What can
- * be granted to sets of tenants is a polymatroid, so a tenant that can't have one more now never can later, and the greedy order is exact up to
- * single sessions. A pure function: the same problem and previous division give the same division.
+ * Weighted max-min fairness with guarantees and ceilings, over engines, tiers and the fleet
+ * together: first every guarantee that can be met, then the tenant with the least sessions for its
+ * weight gets the next one, as long as any way of placing all sessions leaves it room. What can be
+ * granted to sets of tenants is a polymatroid, so a tenant that can't have one more now never can
+ * later, and the greedy order is exact up to single sessions. A pure function: the same problem and
+ * previous division give the same division.
  */
 public final class Divider {
     /**
@@ -18,8 +20,16 @@
      * @param weights by tenant
      * @param wanted by tenant and engine
      */
-    public record Problem(int[] caps, int[] tierOf, int[] tierCaps, int[] weights, int[][] wanted, int[][] tierGuarantees, int[][] tierCeilings,
-            int[] guarantees, int[] ceilings) {
+    public record Problem(
+            int[] caps,
+            int[] tierOf,
+            int[] tierCaps,
+            int[] weights,
+            int[][] wanted,
+            int[][] tierGuarantees,
+            int[][] tierCeilings,
+            int[] guarantees,
+            int[] ceilings) {
         int tenants() {
             return weights.length;
         }
@@ -59,11 +69,19 @@
                 toTier[t][k] = flow.edge(t, tierNode(t, k), problem.tierCeilings[t][k]);
             }
             for (int e = 0; e < engines; e++) {
-                toEngine[t][e] = flow.edge(tierNode(t, problem.tierOf[e]), engineNode(e), problem.wanted[t][e]);
+                toEngine[t][e] =
+                        flow.edge(
+                                tierNode(t, problem.tierOf[e]),
+                                engineNode(e),
+                                problem.wanted[t][e]);
             }
         }
         for (int e = 0; e < engines; e++) {
-            fromEngine[e] = flow.edge(engineNode(e), engineNode(engines) + problem.tierOf[e], problem.caps[e]);
+            fromEngine[e] =
+                    flow.edge(
+                            engineNode(e),
+                            engineNode(engines) + problem.tierOf[e],
+                            problem.caps[e]);
         }
         for (int k = 0; k < tiers; k++) {
             fromTier[k] = flow.edge(engineNode(engines) + k, sink, problem.tierCaps[k]);
@@ -79,7 +97,8 @@
     }
 
     /**
-     * @param previous the last division, from which as little as possible is moved; null if there was none
+     * @param previous the last division, from which as little as possible is moved; null if there
+     *     was none
      * @return sessions by tenant and engine
      */
     public static int[][] divide(Problem problem, int[][] previous) {
@@ -104,23 +123,30 @@
         return placed;
     }
 
-    /** In each tier first, which is kept there and told, then over all; where not all can be met, in proportion to what is guaranteed. */
+    /**
+     * In each tier first, which is kept there and told, then over all; where not all can be met, in
+     * proportion to what is guaranteed.
+     */
     private int[][] guarantee() {
         int tiers = problem.tiers();
         int[] promised = new int[problem.tenants() * tiers];
         for (int i = 0; i < promised.length; i++) {
             promised[i] = problem.tierGuarantees[i / tiers][i % tiers];
         }
-        raise(promised, promised, new int[promised.length], i -> {
-            int tenant = i / tiers;
-            int edge = toTier[tenant][i % tiers];
-            if (totals[tenant] >= problem.ceilings[tenant] || !one(tenant, i % tiers)) {
-                return false;
-            }
-            totals[tenant]++;
-            flow.keep(edge, flow.carried(edge));
-            return true;
-        });
+        raise(
+                promised,
+                promised,
+                new int[promised.length],
+                i -> {
+                    int tenant = i / tiers;
+                    int edge = toTier[tenant][i % tiers];
+                    if (totals[tenant] >= problem.ceilings[tenant] || !one(tenant, i % tiers)) {
+                        return false;
+                    }
+                    totals[tenant]++;
+                    flow.keep(edge, flow.carried(edge));
+                    return true;
+                });
         int[][] kept = new int[problem.tenants()][tiers];
         int[] most = new int[problem.tenants()];
         for (int t = 0; t < most.length; t++) {
@@ -152,15 +178,24 @@
         return true;
     }
 
-    /** One session, if that moves nobody, at the engine where the tenant has least of what it wants, in the tier or in any. */
+    /**
+     * One session, if that moves nobody, at the engine where the tenant has least of what it wants,
+     * in the tier or in any.
+     */
     private boolean direct(int tenant, int tier) {
         int best = -1;
         for (int e = 0; e < problem.engines(); e++) {
             int k = problem.tierOf[e];
             int edge = toEngine[tenant][e];
-            if ((tier < 0 || tier == k) && flow.free(edge) > 0 && flow.free(fromEngine[e]) > 0 && flow.free(fromTier[k]) > 0
-                    && flow.free(toTier[tenant][k]) > 0 && (best < 0 || (long) flow.carried(edge) * problem.wanted[tenant][best]
-                            < (long) flow.carried(toEngine[tenant][best]) * problem.wanted[tenant][e])) {
+            if ((tier < 0 || tier == k)
+                    && flow.free(edge) > 0
+                    && flow.free(fromEngine[e]) > 0
+                    && flow.free(fromTier[k]) > 0
+                    && flow.free(toTier[tenant][k]) > 0
+                    && (best < 0
+                            || (long) flow.carried(edge) * problem.wanted[tenant][best]
+                                    < (long) flow.carried(toEngine[tenant][best])
+                                            * problem.wanted[tenant][e])) {
                 best = e;
             }
         }
@@ -177,12 +212,19 @@
         flow.push(fromTier[problem.tierOf[engine]], sessions);
     }
 
-    /** Again and again the one with least for its weight takes one more; who can't is out for good. */
+    /**
+     * Again and again the one with least for its weight takes one more; who can't is out for good.
+     */
     private static void raise(int[] weights, int[] most, int[] given, IntPredicate takesOne) {
-        PriorityQueue<Integer> order = new PriorityQueue<>((a, b) -> {
-            int by = Long.compare((2L * given[a] + 1) * weights[b], (2L * given[b] + 1) * weights[a]);
-            return by != 0 ? by : Integer.compare(a, b);
-        });
+        PriorityQueue<Integer> order =
+                new PriorityQueue<>(
+                        (a, b) -> {
+                            int by =
+                                    Long.compare(
+                                            (2L * given[a] + 1) * weights[b],
+                                            (2L * given[b] + 1) * weights[a]);
+                            return by != 0 ? by : Integer.compare(a, b);
+                        });
         for (int i = 0; i < weights.length; i++) {
             if (weights[i] > 0 && given[i] < most[i]) {
                 order.add(i);
@@ -204,8 +246,14 @@
         for (int t = 0; t < problem.tenants(); t++) {
             for (int e = 0; e < problem.engines(); e++) {
                 int tier = problem.tierOf[e];
-                int sessions = Math.min(Math.min(Math.min(previous[t][e], flow.free(toEngine[t][e])), Math.min(flow.free(fromEngine[e]),
-                        flow.free(fromTier[tier]))), Math.min(flow.free(toTier[t][tier]), wanted[t] - totals[t]));
+                int sessions =
+                        Math.min(
+                                Math.min(
+                                        Math.min(previous[t][e], flow.free(toEngine[t][e])),
+                                        Math.min(
+                                                flow.free(fromEngine[e]),
+                                                flow.free(fromTier[tier]))),
+                                Math.min(flow.free(toTier[t][tier]), wanted[t] - totals[t]));
                 if (sessions > 0) {
                     place(t, e, sessions);
                     totals[t] += sessions;
@@ -221,7 +269,8 @@
                 while (flow.carried(edge) < kept[t][k]) {
                     if (totals[t] < wanted[t] && one(t, k)) {
                         totals[t]++;
-                    } else if (flow.lead(tierNode(t, k), t)) { // from another tier of the same tenant
+                    } else if (flow.lead(
+                            tierNode(t, k), t)) { // from another tier of the same tenant
                         flow.push(edge, 1);
                     } else {
                         break;
--- a/src/main/java/calicostream/budget/Doubts.java
+++ b/src/main/java/calicostream/budget/Doubts.java
@@ -8,17 +8,23 @@
 import java.util.Map;
 
 /**
- * Sessions given up without their engine's word that they have ended: they count until it tells. Engines that can't tell sessions by process
- * tell how many run in all, which is more than any process's own. Owned by one thread; nanoseconds of the process's clock.
+ * Sessions given up without their engine's word that they have ended: they count until it tells.
+ * Engines that can't tell sessions by process tell how many run in all, which is more than any
+ * process's own. Owned by one thread; nanoseconds of the process's clock.
  */
 public final class Doubts {
-    /** @param start under which of this process's sessions at the cluster it was begun, by number */
-    public record Doubt(int start, int tenant, int engine, long incarnation, long since) { }
+    /**
+     * @param start under which of this process's sessions at the cluster it was begun, by number
+     */
+    public record Doubt(int start, int tenant, int engine, long incarnation, long since) {}
 
     private final long travelNanos;
     private final Map<Integer, ArrayDeque<Doubt>> byEngine = new HashMap<>();
 
-    /** @param travelNanos after which what was given up is no longer on its way: its connection is closed or carried the word before then */
+    /**
+     * @param travelNanos after which what was given up is no longer on its way: its connection is
+     *     closed or carried the word before then
+     */
     public Doubts(long travelNanos) {
         this.travelNanos = travelNanos;
     }
@@ -36,7 +42,10 @@
         ArrayDeque<Doubt> doubts = byEngine.getOrDefault(engine, new ArrayDeque<>());
         List<Doubt> ended = new ArrayList<>();
         long old = doubts.stream().filter(doubt -> askedAt - doubt.since >= travelNanos).count();
-        for (; old > running; old--) { // Which of them runs on is not known, and does not matter: the oldest are taken first.
+        for (;
+                old > running;
+                old--) { // Which of them runs on is not known, and does not matter: the oldest are
+            // taken first.
             ended.add(doubts.poll());
         }
         return ended;
--- a/src/main/java/calicostream/budget/Flow.java
+++ b/src/main/java/calicostream/budget/Flow.java
@@ -4,7 +4,10 @@
 import java.util.ArrayDeque;
 import java.util.Arrays;
 
-/** A small network of whole numbers with bounds from both sides, into which single units are led; not shared between threads. */
+/**
+ * A small network of whole numbers with bounds from both sides, into which single units are led;
+ * not shared between threads.
+ */
 final class Flow {
     private final int[] first;
     private final int[] by;
@@ -23,7 +26,9 @@
         by = new int[nodes];
     }
 
-    /** @return the edge's number, always even */
+    /**
+     * @return the edge's number, always even
+     */
     int edge(int from, int toNode, int capacity) {
         if (edges == to.length) {
             next = Arrays.copyOf(next, edges * 2);
@@ -63,7 +68,10 @@
         carried[half & ~1] += (half & 1) == 0 ? amount : -amount;
     }
 
-    /** Leads one unit from one node to another, over any edges that take it, by taking back elsewhere where needed; false if none does. */
+    /**
+     * Leads one unit from one node to another, over any edges that take it, by taking back
+     * elsewhere where needed; false if none does.
+     */
     boolean lead(int from, int target) {
         Arrays.fill(by, -1);
         ArrayDeque<Integer> reached = new ArrayDeque<>();
--- a/src/main/java/calicostream/budget/GrantMachine.java
+++ b/src/main/java/calicostream/budget/GrantMachine.java
@@ -19,14 +19,17 @@
 import java.util.TreeMap;
 
 /**
- * Who may use how many sessions where. Every copy applies the same commands; a command after which more sessions could be in use at an engine than
- * its cap is refused here, whoever sent it. What may be in use at an engine is, for each process, the largest of: its floor; what it said is in use;
- * the largest sum granted to it that it may still go by; each with what its earlier starts may have left running. That falls only by the
- * process's own word, by the engine's own count taken after the leader has counted the grants out, or with the engine's incarnation.
+ * Who may use how many sessions where. Every copy applies the same commands; a command after which
+ * more sessions could be in use at an engine than its cap is refused here, whoever sent it. What
+ * may be in use at an engine is, for each process, the largest of: its floor; what it said is in
+ * use; the largest sum granted to it that it may still go by; each with what its earlier starts may
+ * have left running. That falls only by the process's own word, by the engine's own count taken
+ * after the leader has counted the grants out, or with the engine's incarnation.
  */
 public final class GrantMachine implements Machine {
     /** The name under which it is composed. */
     public static final String NAME = "budget";
+
     private final BudgetSettings settings;
     private final Set<Safeguard> out;
     private Books books;
@@ -62,9 +65,11 @@
         try {
             return apply(index, command, BudgetCommand.decode(command.body()));
         } catch (BudgetException refused) { // every check comes before the first change
-            return Effects.refused(refused.code(), new Bytes.Writer().text(refused.getMessage()).done());
+            return Effects.refused(
+                    refused.code(), new Bytes.Writer().text(refused.getMessage()).done());
         } catch (ClusterException.Malformed malformed) {
-            return Effects.refused(malformed.code(), new Bytes.Writer().text(malformed.getMessage()).done());
+            return Effects.refused(
+                    malformed.code(), new Bytes.Writer().text(malformed.getMessage()).done());
         }
     }
 
@@ -98,24 +103,34 @@
         ProcessBook known = bySession(session);
         if (known != null) {
             if (known != books.processes.get(join.process())) {
-                throw new BudgetException.Unknown("process", join.process() + " under another's session " + session);
+                throw new BudgetException.Unknown(
+                        "process", join.process() + " under another's session " + session);
             }
             return Effects.NONE;
         }
-        ProcessBook process = books.processes.computeIfAbsent(join.process(), name -> new ProcessBook());
+        ProcessBook process =
+                books.processes.computeIfAbsent(join.process(), name -> new ProcessBook());
         if (session < process.session) {
             throw new BudgetException.GrantOver(join.process(), session);
         }
         if (process.session != 0) {
-            process.held.forEach((engine, held) -> {
-                held.left = out.contains(Safeguard.LEFT_RUNNING_COUNTS) ? 0 : held.committed(books.floor(join.process(), engine));
-                held.used = 0;
-                held.forgetGrants();
-                held.lines.clear();
-            });
+            process.held.forEach(
+                    (engine, held) -> {
+                        held.left =
+                                out.contains(Safeguard.LEFT_RUNNING_COUNTS)
+                                        ? 0
+                                        : held.committed(books.floor(join.process(), engine));
+                        held.used = 0;
+                        held.forgetGrants();
+                        held.lines.clear();
+                    });
             // at engines that it never said anything of, it may have used its floor
-            books.engines.keySet().stream().filter(engine -> !process.held.containsKey(engine))
-                    .forEach(engine -> process.held(engine).left = books.floor(join.process(), engine));
+            books.engines.keySet().stream()
+                    .filter(engine -> !process.held.containsKey(engine))
+                    .forEach(
+                            engine ->
+                                    process.held(engine).left =
+                                            books.floor(join.process(), engine));
             process.hasFormer = true;
             process.formerExpiredAt = 0;
         }
@@ -128,11 +143,14 @@
 
     private Effects leave(long session) {
         ProcessBook process = mine(session);
-        process.held.values().forEach(held -> {
-            held.used = 0;
-            held.forgetGrants();
-            held.lines.clear();
-        });
+        process.held
+                .values()
+                .forEach(
+                        held -> {
+                            held.used = 0;
+                            held.forgetGrants();
+                            held.lines.clear();
+                        });
         if (!process.hasFormer) {
             process.held.clear();
         }
@@ -146,7 +164,9 @@
             throw new BudgetException.OldReport(nameOf(process), renew.number(), process.number);
         }
         if (renew.version() > process.version || process.expiredAt != 0 && renew.version() != 0) {
-            throw new BudgetException.GrantOver(nameOf(process), session); // sent before its grants were over: it must say that it knows
+            throw new BudgetException.GrantOver(
+                    nameOf(process),
+                    session); // sent before its grants were over: it must say that it knows
         }
         for (BudgetCommand.Want want : renew.wants()) {
             settings.tenant(want.tenant());
@@ -155,23 +175,37 @@
         Map<String, Integer> bounds = new TreeMap<>();
         process.number = renew.number();
         process.expiredAt = 0;
-        process.held.forEach((engine, held) -> {
-            bounds.put(engine, Math.max(Math.max(books.floor(sender, engine) - held.left, held.most()), held.used));
-            held.used = 0;
-            held.adopted(renew.version() == 0 ? process.version : renew.version());
-            held.lines.values().forEach(line -> line.wanted = 0);
-        });
+        process.held.forEach(
+                (engine, held) -> {
+                    bounds.put(
+                            engine,
+                            Math.max(
+                                    Math.max(books.floor(sender, engine) - held.left, held.most()),
+                                    held.used));
+                    held.used = 0;
+                    held.adopted(renew.version() == 0 ? process.version : renew.version());
+                    held.lines.values().forEach(line -> line.wanted = 0);
+                });
         for (BudgetCommand.Use use : renew.uses()) {
             if (isPresent(use.engine(), use.incarnation())) {
                 Held held = process.held(use.engine());
                 // a report that was long on its way may be older than what has been learned since
-                held.used = Math.min(use.sessions(), bounds.getOrDefault(use.engine(), Integer.MAX_VALUE));
-                held.left = Math.min(held.left, use.left()); // the engine told it: no connection of its earlier starts is left there
+                held.used =
+                        Math.min(
+                                use.sessions(),
+                                bounds.getOrDefault(use.engine(), Integer.MAX_VALUE));
+                held.left =
+                        Math.min(held.left, use.left()); // the engine told it: no connection of its
+                // earlier starts is left there
             }
         }
         for (BudgetCommand.Want want : renew.wants()) {
             if (books.engines.containsKey(want.engine())) {
-                process.held(want.engine()).lines.computeIfAbsent(want.tenant(), name -> new Line()).wanted = want.sessions();
+                process.held(want.engine())
+                                .lines
+                                .computeIfAbsent(want.tenant(), name -> new Line())
+                                .wanted =
+                        want.sessions();
             }
         }
         return Effects.answer(grants(process).encode(), settle());
@@ -180,18 +214,31 @@
     private BudgetCommand.Grants grants(ProcessBook process) {
         List<BudgetCommand.Share> shares = new ArrayList<>();
         List<BudgetCommand.Use> left = new ArrayList<>();
-        books.engines.forEach((name, engine) -> {
-            Held held = process.held.get(name);
-            left.add(new BudgetCommand.Use(name, engine.incarnation, held == null ? 0 : held.used,
-                    held == null ? 0 : held.left));
-            if (held != null) {
-                held.lines.forEach((tenant, line) -> {
-                    if (line.granted > 0) {
-                        shares.add(new BudgetCommand.Share("", process.session, name, engine.incarnation, tenant, line.granted));
+        books.engines.forEach(
+                (name, engine) -> {
+                    Held held = process.held.get(name);
+                    left.add(
+                            new BudgetCommand.Use(
+                                    name,
+                                    engine.incarnation,
+                                    held == null ? 0 : held.used,
+                                    held == null ? 0 : held.left));
+                    if (held != null) {
+                        held.lines.forEach(
+                                (tenant, line) -> {
+                                    if (line.granted > 0) {
+                                        shares.add(
+                                                new BudgetCommand.Share(
+                                                        "",
+                                                        process.session,
+                                                        name,
+                                                        engine.incarnation,
+                                                        tenant,
+                                                        line.granted));
+                                    }
+                                });
                     }
                 });
-            }
-        });
         return new BudgetCommand.Grants(process.number, process.version, shares, left);
     }
 
@@ -199,34 +246,47 @@
         if (divide.token() < books.token) {
             throw new BudgetException.OldToken(divide.token(), books.token);
         }
-        Map<String, Map<String, Map<String, Integer>>> asked = new TreeMap<>(); // engine, process, tenant
+        Map<String, Map<String, Map<String, Integer>>> asked =
+                new TreeMap<>(); // engine, process, tenant
         for (BudgetCommand.Share share : divide.shares()) {
             present(share.engine(), share.incarnation());
             settings.tenant(share.tenant());
             ProcessBook process = books.processes.get(share.process());
-            if (process == null || process.session != share.session() || process.session == 0
+            if (process == null
+                    || process.session != share.session()
+                    || process.session == 0
                     || process.expiredAt != 0 && share.sessions() > 0) {
                 throw new BudgetException.GrantOver(share.process(), share.session());
             }
-            asked.computeIfAbsent(share.engine(), name -> new TreeMap<>()).computeIfAbsent(share.process(), name -> new TreeMap<>())
+            asked.computeIfAbsent(share.engine(), name -> new TreeMap<>())
+                    .computeIfAbsent(share.process(), name -> new TreeMap<>())
                     .put(share.tenant(), share.sessions());
         }
         Map<String, Map<String, Integer>> sums = new TreeMap<>();
         asked.forEach((engine, processes) -> sums.put(engine, check(engine, processes)));
         books.token = divide.token();
         Set<ProcessBook> changed = new LinkedHashSet<>();
-        asked.forEach((engine, processes) -> processes.forEach((name, tenants) -> {
-            ProcessBook process = books.processes.get(name);
-            if (changed.add(process)) {
-                process.version++;
-            }
-            Held held = process.held(engine);
-            tenants.forEach((tenant, sessions) -> held.lines.computeIfAbsent(tenant, key -> new Line()).granted = sessions);
-            held.granted(process.version, sums.get(engine).get(name));
-            if (out.contains(Safeguard.LOWERED_COUNTS_UNTIL_KNOWN)) {
-                held.adopted(process.version);
-            }
-        }));
+        asked.forEach(
+                (engine, processes) ->
+                        processes.forEach(
+                                (name, tenants) -> {
+                                    ProcessBook process = books.processes.get(name);
+                                    if (changed.add(process)) {
+                                        process.version++;
+                                    }
+                                    Held held = process.held(engine);
+                                    tenants.forEach(
+                                            (tenant, sessions) ->
+                                                    held.lines.computeIfAbsent(
+                                                                            tenant,
+                                                                            key -> new Line())
+                                                                    .granted =
+                                                            sessions);
+                                    held.granted(process.version, sums.get(engine).get(name));
+                                    if (out.contains(Safeguard.LOWERED_COUNTS_UNTIL_KNOWN)) {
+                                        held.adopted(process.version);
+                                    }
+                                }));
         return Effects.NONE;
     }
 
@@ -262,9 +322,13 @@
     private Effects engine(BudgetCommand.Engine command) {
         BudgetSettings.Pool pool = settings.pool(command.pool());
         EngineBook known = books.engines.get(command.engine());
-        long least = known != null ? known.incarnation : books.past.getOrDefault(command.engine(), 0L) + 1;
+        long least =
+                known != null
+                        ? known.incarnation
+                        : books.past.getOrDefault(command.engine(), 0L) + 1;
         if (command.incarnation() < least) {
-            throw new BudgetException.OtherIncarnation(command.engine(), command.incarnation(), least);
+            throw new BudgetException.OtherIncarnation(
+                    command.engine(), command.incarnation(), least);
         }
         long floors = (long) pool.floor() * settings.processes().size();
         if (floors > command.cap()) {
@@ -281,7 +345,10 @@
         known.pool = command.pool();
         known.floor = pool.floor();
         known.target = command.cap();
-        known.cap = out.contains(Safeguard.LOWERED_CAP_WAITS) ? command.cap() : Math.max(known.cap, command.cap());
+        known.cap =
+                out.contains(Safeguard.LOWERED_CAP_WAITS)
+                        ? command.cap()
+                        : Math.max(known.cap, command.cap());
         return Effects.answer(new byte[0], settle());
     }
 
@@ -298,10 +365,14 @@
         }
         long over = count.former() ? process.formerExpiredAt : process.expiredAt;
         if (over == 0 && !out.contains(Safeguard.GRANT_HELD_TO_EXPIRY)) {
-            throw new BudgetException.NoProof(count.engine(), count.session(), "its grants are not counted out");
+            throw new BudgetException.NoProof(
+                    count.engine(), count.session(), "its grants are not counted out");
         }
         if (count.seen() < over && !out.contains(Safeguard.PROOF_AFTER_EXPIRY)) {
-            throw new BudgetException.NoProof(count.engine(), count.session(), "asked at index " + count.seen() + ", over since " + over);
+            throw new BudgetException.NoProof(
+                    count.engine(),
+                    count.session(),
+                    "asked at index " + count.seen() + ", over since " + over);
         }
         Held held = process.held(count.engine());
         boolean none = count.former() && count.closed() || out.contains(Safeguard.IN_HAND_COUNTS);
@@ -318,10 +389,18 @@
 
     private Effects expire(long index, Command sender, BudgetCommand.Expire expire) {
         ProcessBook process = books.processes.get(expire.process());
-        String why = !sender.byLeader() && !out.contains(Safeguard.GRANT_HELD_TO_EXPIRY) ? "not counted by the leader"
-                : process == null || process.session != expire.session() ? "another start of the process has joined"
-                : expire.former() ? process.formerExpiredAt != 0 ? "already over" : null
-                : process.expiredAt != 0 ? "already over" : process.number != expire.number() ? "renewed since" : null;
+        String why =
+                !sender.byLeader() && !out.contains(Safeguard.GRANT_HELD_TO_EXPIRY)
+                        ? "not counted by the leader"
+                        : process == null || process.session != expire.session()
+                                ? "another start of the process has joined"
+                                : expire.former()
+                                        ? process.formerExpiredAt != 0 ? "already over" : null
+                                        : process.expiredAt != 0
+                                                ? "already over"
+                                                : process.number != expire.number()
+                                                        ? "renewed since"
+                                                        : null;
         if (why != null) {
             throw new BudgetException.NotDue(expire.session(), expire.number(), why);
         }
@@ -331,23 +410,36 @@
         }
         process.expiredAt = index;
         process.version++; // no answer given before counts as the present one
-        process.held.values().forEach(held -> {
-            held.used = out.contains(Safeguard.LEFT_RUNNING_COUNTS) ? 0 : Math.max(held.used, held.most());
-            held.forgetGrants();
-        });
+        process.held
+                .values()
+                .forEach(
+                        held -> {
+                            held.used =
+                                    out.contains(Safeguard.LEFT_RUNNING_COUNTS)
+                                            ? 0
+                                            : Math.max(held.used, held.most());
+                            held.forgetGrants();
+                        });
         return Effects.NONE;
     }
 
     /** Lowered caps come in force once no more than they may be in use. */
     private Effects.Event[] settle() {
         List<Effects.Event> events = new ArrayList<>();
-        books.engines.forEach((name, engine) -> {
-            if (engine.target < engine.cap && books.committed(name) <= engine.target) {
-                engine.cap = engine.target;
-                events.add(new Effects.Event("budget-cap-in-force",
-                        new Bytes.Writer().text(name).i64(engine.incarnation).i32(engine.cap).done()));
-            }
-        });
+        books.engines.forEach(
+                (name, engine) -> {
+                    if (engine.target < engine.cap && books.committed(name) <= engine.target) {
+                        engine.cap = engine.target;
+                        events.add(
+                                new Effects.Event(
+                                        "budget-cap-in-force",
+                                        new Bytes.Writer()
+                                                .text(name)
+                                                .i64(engine.incarnation)
+                                                .i32(engine.cap)
+                                                .done()));
+                    }
+                });
         return events.toArray(Effects.Event[]::new);
     }
 
@@ -359,12 +451,18 @@
     private void present(String engine, long incarnation) {
         if (!isPresent(engine, incarnation)) {
             EngineBook book = books.engines.get(engine);
-            throw new BudgetException.OtherIncarnation(engine, incarnation, book == null ? 0 : book.incarnation);
+            throw new BudgetException.OtherIncarnation(
+                    engine, incarnation, book == null ? 0 : book.incarnation);
         }
     }
 
     private ProcessBook bySession(long session) {
-        return session == 0 ? null : books.processes.values().stream().filter(each -> each.session == session).findFirst().orElse(null);
+        return session == 0
+                ? null
+                : books.processes.values().stream()
+                        .filter(each -> each.session == session)
+                        .findFirst()
+                        .orElse(null);
     }
 
     private ProcessBook mine(long session) {
@@ -376,7 +474,11 @@
     }
 
     private String nameOf(ProcessBook process) {
-        return books.processes.entrySet().stream().filter(each -> each.getValue() == process).findFirst().orElseThrow().getKey();
+        return books.processes.entrySet().stream()
+                .filter(each -> each.getValue() == process)
+                .findFirst()
+                .orElseThrow()
+                .getKey();
     }
 
     @Override
--- a/src/main/java/calicostream/budget/GrantTimes.java
+++ b/src/main/java/calicostream/budget/GrantTimes.java
@@ -8,15 +8,18 @@
 import java.util.Map;
 
 /**
- * The leader's count of leases: a report that has not been followed by another for the whole time is over, and so are the grants of a process's
- * earlier starts once it has joined for as long. It counts from when it sees a report applied, which is after the process asked.
+ * The leader's count of leases: a report that has not been followed by another for the whole time
+ * is over, and so are the grants of a process's earlier starts once it has joined for as long. It
+ * counts from when it sees a report applied, which is after the process asked.
  */
 public final class GrantTimes implements Timekeeper {
     private final BudgetSettings settings;
     private final GrantMachine machine;
     private final Map<String, Long> since = new HashMap<>();
 
-    /** @param machine the copy beside it */
+    /**
+     * @param machine the copy beside it
+     */
     public GrantTimes(BudgetSettings settings, GrantMachine machine) {
         this.settings = settings;
         this.machine = machine;
@@ -31,20 +34,33 @@
     public List<byte[]> due(long nowNanos) {
         List<byte[]> due = new ArrayList<>();
         Map<String, Long> present = new HashMap<>();
-        machine.books().processes.forEach((name, process) -> {
-            if (process.session != 0 && process.expiredAt == 0) {
-                look(new BudgetCommand.Expire(name, process.session, false, process.number), nowNanos, present, due);
-            }
-            if (process.hasFormer && process.formerExpiredAt == 0) {
-                look(new BudgetCommand.Expire(name, process.session, true, 0), nowNanos, present, due);
-            }
-        });
+        machine.books()
+                .processes
+                .forEach(
+                        (name, process) -> {
+                            if (process.session != 0 && process.expiredAt == 0) {
+                                look(
+                                        new BudgetCommand.Expire(
+                                                name, process.session, false, process.number),
+                                        nowNanos,
+                                        present,
+                                        due);
+                            }
+                            if (process.hasFormer && process.formerExpiredAt == 0) {
+                                look(
+                                        new BudgetCommand.Expire(name, process.session, true, 0),
+                                        nowNanos,
+                                        present,
+                                        due);
+                            }
+                        });
         since.clear();
         since.putAll(present);
         return due;
     }
 
-    private void look(BudgetCommand.Expire expire, long now, Map<String, Long> present, List<byte[]> due) {
+    private void look(
+            BudgetCommand.Expire expire, long now, Map<String, Long> present, List<byte[]> due) {
         String key = expire.toString();
         long from = since.getOrDefault(key, now);
         present.put(key, from);
--- a/src/main/java/calicostream/budget/Holdings.java
+++ b/src/main/java/calicostream/budget/Holdings.java
@@ -11,9 +11,11 @@
 import java.util.TreeMap;
 
 /**
- * What this process may use now, in memory: the request path asks {@link #mayUse} and never the cluster. Owned by one thread; times are
- * nanoseconds of a monotonic clock of this process, which goes on while the process is stopped. Grants end by themselves, counted from before
- * they were asked for; what remains then, and with no quorum, are the floors. Sessions are whole numbers, tenants and engines are slots.
+ * What this process may use now, in memory: the request path asks {@link #mayUse} and never the
+ * cluster. Owned by one thread; times are nanoseconds of a monotonic clock of this process, which
+ * goes on while the process is stopped. Grants end by themselves, counted from before they were
+ * asked for; what remains then, and with no quorum, are the floors. Sessions are whole numbers,
+ * tenants and engines are slots.
  */
 public final class Holdings {
     private final BudgetSettings settings;
@@ -80,14 +82,19 @@
         return slot;
     }
 
-    /** Whether this tenant has room at this engine now. Sessions that are on their way to the engine are bounded too. */
+    /**
+     * Whether this tenant has room at this engine now. Sessions that are on their way to the engine
+     * are bounded too.
+     */
     public boolean mayUse(int tenant, int engine, long now) {
         if (live && now >= ends) {
             lapse();
         }
         int in = total[engine];
         int slot = engine * tenants + tenant;
-        return in < room[engine] && inHand[engine] < settings.inHand() && (use[slot] < limit[slot] || in + left[engine] < floor[engine]);
+        return in < room[engine]
+                && inHand[engine] < settings.inHand()
+                && (use[slot] < limit[slot] || in + left[engine] < floor[engine]);
     }
 
     /** How many sessions the tenant may begin now, at all engines together. */
@@ -98,8 +105,16 @@
         int free = 0;
         for (int engine = 0; engine < names.size(); engine++) {
             int slot = engine * tenants + tenant;
-            int own = Math.max(limit[slot] - use[slot], floor[engine] - left[engine] - total[engine]);
-            free += Math.max(0, Math.min(Math.min(room[engine] - total[engine], settings.inHand() - inHand[engine]), own));
+            int own =
+                    Math.max(limit[slot] - use[slot], floor[engine] - left[engine] - total[engine]);
+            free +=
+                    Math.max(
+                            0,
+                            Math.min(
+                                    Math.min(
+                                            room[engine] - total[engine],
+                                            settings.inHand() - inHand[engine]),
+                                    own));
         }
         return free;
     }
@@ -118,7 +133,10 @@
         }
     }
 
-    /** A session is known to have ended at that incarnation, or never to have begun; a broken connection alone does not tell that. */
+    /**
+     * A session is known to have ended at that incarnation, or never to have begun; a broken
+     * connection alone does not tell that.
+     */
     public void ended(int tenant, int engine, long atIncarnation) {
         if (incarnation[engine] == atIncarnation) {
             total[engine]--;
@@ -126,12 +144,18 @@
         }
     }
 
-    /** The incarnation of the engine that new sessions go to, as its connection tells: what was known here before has ended. */
+    /**
+     * The incarnation of the engine that new sessions go to, as its connection tells: what was
+     * known here before has ended.
+     */
     public void connected(int engine, long at) {
         connected(engine, at, true);
     }
 
-    /** @param latest whether the incarnation known until now was the latest that an earlier process of this name can have met */
+    /**
+     * @param latest whether the incarnation known until now was the latest that an earlier process
+     *     of this name can have met
+     */
     void connected(int engine, long at, boolean latest) {
         if (at > incarnation[engine]) {
             boolean replaced = incarnation[engine] != 0;
@@ -142,13 +166,21 @@
             inHand[engine] = 0;
             sum[engine] = 0;
             if (replaced) {
-                left[engine] = latest ? 0 : BudgetCommand.UNKNOWN; // what earlier starts had there ended with the older incarnation
+                left[engine] =
+                        latest
+                                ? 0
+                                : BudgetCommand
+                                        .UNKNOWN; // what earlier starts had there ended with the
+                // older incarnation
             }
             refresh(engine);
         }
     }
 
-    /** The engine itself says how many sessions earlier starts of this process have at most, with nothing of theirs on its way: floors without a quorum. */
+    /**
+     * The engine itself says how many sessions earlier starts of this process have at most, with
+     * nothing of theirs on its way: floors without a quorum.
+     */
     public void leftRunning(int engine, long at, int sessions) {
         if (at == incarnation[engine] && at != 0) {
             left[engine] = Math.min(left[engine], sessions);
@@ -157,8 +189,9 @@
     }
 
     /**
-     * What this process goes by under a new session: nothing granted, and what it began under the old one counts as left running, which it
-     * knows to the last. The old object hears of those ends, and this one by {@link #leftBy}; of what arrives only this one need hear.
+     * What this process goes by under a new session: nothing granted, and what it began under the
+     * old one counts as left running, which it knows to the last. The old object hears of those
+     * ends, and this one by {@link #leftBy}; of what arrives only this one need hear.
      */
     public Holdings anew() {
         Holdings next = new Holdings(settings, process, out);
@@ -174,11 +207,17 @@
     /** Fewer of this process's own earlier sessions run at the engine. */
     public void leftBy(Holdings before, int engine) {
         if (before.incarnation[engine] == incarnation[engine]) {
-            leftRunning(engine, incarnation[engine], Math.min(BudgetCommand.UNKNOWN, before.total[engine] + before.left[engine]));
+            leftRunning(
+                    engine,
+                    incarnation[engine],
+                    Math.min(BudgetCommand.UNKNOWN, before.total[engine] + before.left[engine]));
         }
     }
 
-    /** Whether what earlier starts have left running at the engine, or may have for all that is known, takes of its floor. */
+    /**
+     * Whether what earlier starts have left running at the engine, or may have for all that is
+     * known, takes of its floor.
+     */
     public boolean isFloorNarrowed(int engine) {
         return left[engine] > 0 && floor[engine] > 0 && incarnation[engine] != 0;
     }
@@ -194,18 +233,28 @@
             asked.pollFirstEntry();
         }
         if (!live && !out.contains(Safeguard.NO_ANSWER_BEFORE_LAPSE)) {
-            oldest = number; // this report says that nothing is granted: no earlier answer may make that untrue
+            oldest = number; // this report says that nothing is granted: no earlier answer may make
+            // that untrue
         }
         List<BudgetCommand.Use> uses = new ArrayList<>();
         List<BudgetCommand.Want> wants = new ArrayList<>();
         for (int engine = 0; engine < names.size(); engine++) {
             if (incarnation[engine] != 0) {
-                uses.add(new BudgetCommand.Use(names.get(engine), incarnation[engine], total[engine], left[engine]));
+                uses.add(
+                        new BudgetCommand.Use(
+                                names.get(engine),
+                                incarnation[engine],
+                                total[engine],
+                                left[engine]));
             }
             for (int tenant = 0; tenant < tenants; tenant++) {
                 int wanted = demand.estimate(tenant, engine);
                 if (wanted > 0) {
-                    wants.add(new BudgetCommand.Want(names.get(engine), settings.tenants().get(tenant).name(), wanted));
+                    wants.add(
+                            new BudgetCommand.Want(
+                                    names.get(engine),
+                                    settings.tenants().get(tenant).name(),
+                                    wanted));
                 }
             }
         }
@@ -221,7 +270,8 @@
         if (from == null || grants.number() < oldest || grants.number() <= adopted) {
             return;
         }
-        long until = (out.contains(Safeguard.TIME_FROM_ASKING) ? now : from) + settings.usableNanos();
+        long until =
+                (out.contains(Safeguard.TIME_FROM_ASKING) ? now : from) + settings.usableNanos();
         if (now >= until) {
             return;
         }
@@ -236,7 +286,10 @@
         for (BudgetCommand.Use use : grants.left()) {
             Integer slot = slots.get(use.engine());
             if (slot != null) {
-                connected(slot, use.incarnation(), false); // the machine may have known it before this process began
+                connected(
+                        slot,
+                        use.incarnation(),
+                        false); // the machine may have known it before this process began
                 if (incarnation[slot] == use.incarnation()) {
                     left[slot] = Math.min(left[slot], use.left());
                 }
@@ -255,12 +308,18 @@
         }
     }
 
-    /** Something was called back: the sooner the next report says that this is known, the sooner another may use it. */
+    /**
+     * Something was called back: the sooner the next report says that this is known, the sooner
+     * another may use it.
+     */
     public boolean isCalledBack() {
         return calledBack;
     }
 
-    /** Refused, or known otherwise to be over: only floors from here on, and the next report says so. */
+    /**
+     * Refused, or known otherwise to be over: only floors from here on, and the next report says
+     * so.
+     */
     public void lapse() {
         live = false;
         oldest = out.contains(Safeguard.NO_ANSWER_BEFORE_LAPSE) ? oldest : number + 1;
--- a/src/main/java/calicostream/budget/Ledger.java
+++ b/src/main/java/calicostream/budget/Ledger.java
@@ -7,12 +7,15 @@
 import java.util.Map;
 
 /**
- * What this process has begun, what of it has ended, is on its way or in doubt, and what its engines' counts say of that and of what an earlier
- * process of its name may have left running. Owned by one thread; reads no clock: times are nanoseconds of this process's monotonic one.
+ * What this process has begun, what of it has ended, is on its way or in doubt, and what its
+ * engines' counts say of that and of what an earlier process of its name may have left running.
+ * Owned by one thread; reads no clock: times are nanoseconds of this process's monotonic one.
  *
- * <p>An engine counts all that it runs, whoever sent it. Earlier processes of the name are dead, so nothing of them begins any more; what they
- * had sent is at the engine, or its connection closed, once the travel time is over. A count asked for then bounds what they left. One asked for
- * before bounds nothing: each of those that died within that time may have had as many on the way as one may have.
+ * <p>An engine counts all that it runs, whoever sent it. Earlier processes of the name are dead, so
+ * nothing of them begins any more; what they had sent is at the engine, or its connection closed,
+ * once the travel time is over. A count asked for then bounds what they left. One asked for before
+ * bounds nothing: each of those that died within that time may have had as many on the way as one
+ * may have.
  */
 public final class Ledger {
     private static final int LOOKS = 5; // in a travel time
@@ -42,7 +45,8 @@
     private long startedAt;
 
     /**
-     * @param travelNanos after which nothing that was sent, by a process that is dead or by a connection that is closed, is on its way
+     * @param travelNanos after which nothing that was sent, by a process that is dead or by a
+     *     connection that is closed, is on its way
      * @param now since when no other process of this name runs, or later
      */
     public Ledger(BudgetSettings settings, String process, long travelNanos, long now) {
@@ -66,7 +70,9 @@
         return holdings;
     }
 
-    /** Under a new session at the cluster: what runs counts as left running, and nothing is granted. */
+    /**
+     * Under a new session at the cluster: what runs counts as left running, and nothing is granted.
+     */
     public void joined() {
         if (start++ > 0) {
             former = holdings;
@@ -79,8 +85,9 @@
     }
 
     /**
-     * The engine's incarnation by the list; an older one is no news. A list that was read at the start may have been behind, so that the earlier
-     * process has met this incarnation too: for a travel time nothing is known of what it left there.
+     * The engine's incarnation by the list; an older one is no news. A list that was read at the
+     * start may have been behind, so that the earlier process has met this incarnation too: for a
+     * travel time nothing is known of what it left there.
      */
     public void connected(int engine, long incarnation, long now) {
         if (incarnation > holdings.incarnation(engine)) {
@@ -99,7 +106,10 @@
     public void arrived(Session session) {
         if (!session.arrived) {
             session.arrived = true;
-            holdings.arrived(session.engine, session.incarnation); // which has taken over what was on its way before the last join
+            holdings.arrived(
+                    session.engine,
+                    session.incarnation); // which has taken over what was on its way before the
+            // last join
         }
     }
 
@@ -114,7 +124,13 @@
         if (known) {
             ended(session.start, session.tenant, session.engine, session.incarnation);
         } else {
-            doubts.add(new Doubts.Doubt(session.start, session.tenant, session.engine, session.incarnation, now));
+            doubts.add(
+                    new Doubts.Doubt(
+                            session.start,
+                            session.tenant,
+                            session.engine,
+                            session.incarnation,
+                            now));
         }
         return known;
     }
@@ -130,7 +146,8 @@
             ended(each.start(), each.tenant(), engine, each.incarnation());
             tenants.add(each.tenant());
         }
-        // Under a later join what counts as left is this living process's own too, which is on its way as well.
+        // Under a later join what counts as left is this living process's own too, which is on its
+        // way as well.
         if (former == null && askedAt - startedAt >= travelNanos) {
             holdings.leftRunning(engine, holdings.incarnation(engine), running);
         }
@@ -138,11 +155,14 @@
     }
 
     /**
-     * Whether to ask the engine for its count now, since its floor is not whole and no grant says more. Yes is said once for each time that it is
-     * due: in the moment from which a count is proof, and then five times in a travel time.
+     * Whether to ask the engine for its count now, since its floor is not whole and no grant says
+     * more. Yes is said once for each time that it is due: in the moment from which a count is
+     * proof, and then five times in a travel time.
      */
     public boolean isDue(int engine, long now) {
-        if (former != null || holdings.isLive() || !holdings.isFloorNarrowed(engine)
+        if (former != null
+                || holdings.isLive()
+                || !holdings.isFloorNarrowed(engine)
                 || now < looks.getOrDefault(engine, startedAt + travelNanos)) {
             return false;
         }
@@ -155,7 +175,10 @@
         return doubts.size();
     }
 
-    /** Of this join, or of the one before, which counts as left running; older ones count until the engines tell. */
+    /**
+     * Of this join, or of the one before, which counts as left running; older ones count until the
+     * engines tell.
+     */
     private Holdings by(int number) {
         return number == start ? holdings : number == start - 1 ? former : null;
     }
--- a/src/main/java/calicostream/budget/Safeguard.java
+++ b/src/main/java/calicostream/budget/Safeguard.java
@@ -2,15 +2,23 @@
 package calicostream.budget;
 
 /**
- * Rules that keep engines under their caps, by name, so that runs can take one out and show that the checker finds what it guards against.
- * The program itself never takes one out: only this package's constructors for tests do.
+ * Rules that keep engines under their caps, by name, so that runs can take one out and show that
+ * the checker finds what it guards against. The program itself never takes one out: only this
+ * package's constructors for tests do.
  */
 enum Safeguard {
-    /** Nothing that may be in use is counted as free before the leader has counted the grant's whole time. */
+    /**
+     * Nothing that may be in use is counted as free before the leader has counted the grant's whole
+     * time.
+     */
     GRANT_HELD_TO_EXPIRY,
-    /** A lowered grant counts at its old size until its process has said that it knows the new one. */
+    /**
+     * A lowered grant counts at its old size until its process has said that it knows the new one.
+     */
     LOWERED_COUNTS_UNTIL_KNOWN,
-    /** What a process that fell silent may have left running counts until it is known to have ended. */
+    /**
+     * What a process that fell silent may have left running counts until it is known to have ended.
+     */
     LEFT_RUNNING_COUNTS,
     /** An engine's count is proof only if it was asked for after the expiry was seen. */
     PROOF_AFTER_EXPIRY,
@@ -24,6 +32,8 @@
     TIME_FROM_ASKING,
     /** A process that has said that its grants are over takes no answer to an older report. */
     NO_ANSWER_BEFORE_LAPSE,
-    /** A started process uses no floor before it knows what its former start may have left running. */
+    /**
+     * A started process uses no floor before it knows what its former start may have left running.
+     */
     FLOOR_AFTER_LEFT_KNOWN
 }
--- a/src/main/java/calicostream/budget/TenantQueues.java
+++ b/src/main/java/calicostream/budget/TenantQueues.java
@@ -9,11 +9,12 @@
 import java.util.function.IntUnaryOperator;
 
 /**
- * Requests that wait for room, by tenant. Owned by one thread; nanoseconds of the process's clock. Who waits longer than its patience is refused, and
- * who would have to is refused at once, each with a time to return that rests on the rate at which the tenant's sessions end here.
+ * Requests that wait for room, by tenant. Owned by one thread; nanoseconds of the process's clock.
+ * Who waits longer than its patience is refused, and who would have to is refused at once, each
+ * with a time to return that rests on the rate at which the tenant's sessions end here.
  */
 public final class TenantQueues {
-    private record Waiting(long request, int engine, long until) { }
+    private record Waiting(long request, int engine, long until) {}
 
     private final BudgetSettings settings;
     private final int most;
@@ -63,17 +64,27 @@
         waiting[tenant][engine]++;
     }
 
-    /** Of the tenants that may use the engine now and wait for it, the one with least in use for its weight: its longest waiting request, or -1. */
+    /**
+     * Of the tenants that may use the engine now and wait for it, the one with least in use for its
+     * weight: its longest waiting request, or -1.
+     */
     public long next(int engine, long now, Holdings holdings) {
-        return next(engine, t -> holdings.mayUse(t, engine, now), t -> holdings.sessions(t, engine));
+        return next(
+                engine, t -> holdings.mayUse(t, engine, now), t -> holdings.sessions(t, engine));
     }
 
-    /** The same where the slot stands for several engines together: who may be admitted there, and with how many sessions. */
+    /**
+     * The same where the slot stands for several engines together: who may be admitted there, and
+     * with how many sessions.
+     */
     public long next(int engine, IntPredicate may, IntUnaryOperator sessions) {
         int best = -1;
         for (int t = 0; t < waiting.length; t++) {
-            if (waiting[t][engine] > 0 && may.test(t) && (best < 0 || (long) sessions.applyAsInt(t) * weight(best)
-                    < (long) sessions.applyAsInt(best) * weight(t))) {
+            if (waiting[t][engine] > 0
+                    && may.test(t)
+                    && (best < 0
+                            || (long) sessions.applyAsInt(t) * weight(best)
+                                    < (long) sessions.applyAsInt(best) * weight(t))) {
                 best = t;
             }
         }
@@ -81,7 +92,7 @@
             return -1;
         }
         lastTenant = best;
-        for (Iterator<Waiting> each = queues.get(best).iterator(); each.hasNext();) {
+        for (Iterator<Waiting> each = queues.get(best).iterator(); each.hasNext(); ) {
             Waiting first = each.next();
             if (first.engine == engine) {
                 each.remove();
@@ -104,7 +115,7 @@
     /** Whoever's patience is over, of one tenant. */
     public List<Long> impatient(int tenant, long now) {
         List<Long> over = new ArrayList<>();
-        for (Iterator<Waiting> each = queues.get(tenant).iterator(); each.hasNext();) {
+        for (Iterator<Waiting> each = queues.get(tenant).iterator(); each.hasNext(); ) {
             Waiting waits = each.next();
             if (waits.until <= now) {
                 each.remove();
@@ -118,16 +129,25 @@
     /** What to tell a request whose patience is over. */
     public BudgetException.NoRoom refusal(int tenant, long now) {
         int ahead = queues.get(tenant).size();
-        return noRoom(tenant, ahead, Math.max(expected(tenant, ahead + 1, now), pause(tenant, now)));
+        return noRoom(
+                tenant, ahead, Math.max(expected(tenant, ahead + 1, now), pause(tenant, now)));
     }
 
     public int waiting(int tenant, int engine) {
         return waiting[tenant][engine];
     }
 
-    /** Until so many places have come free; where none has yet, the time in which grants are divided anew for sure. */
+    /**
+     * Until so many places have come free; where none has yet, the time in which grants are divided
+     * anew for sure.
+     */
     private long expected(int tenant, int places, long now) {
-        return gap[tenant] == 0 ? settings.ttlNanos() : places * Math.max(gap[tenant], Math.min(now - lastEnd[tenant], settings.ttlNanos()) / 4);
+        return gap[tenant] == 0
+                ? settings.ttlNanos()
+                : places
+                        * Math.max(
+                                gap[tenant],
+                                Math.min(now - lastEnd[tenant], settings.ttlNanos()) / 4);
     }
 
     private long pause(int tenant, long now) {
--- a/src/main/java/calicostream/budget/TenantRules.java
+++ b/src/main/java/calicostream/budget/TenantRules.java
@@ -12,18 +12,28 @@
 import java.util.regex.Pattern;
 
 /**
- * Which tenant a request is of, from what its wire tells. Immutable, so any thread may ask; answers are the tenants' places in the settings. What
- * is told closest to the request counts first: the call's own word, the login, the session's catalog, the address it came in at, the range of
- * the client's address, the default.
+ * Which tenant a request is of, from what its wire tells. Immutable, so any thread may ask; answers
+ * are the tenants' places in the settings. What is told closest to the request counts first: the
+ * call's own word, the login, the session's catalog, the address it came in at, the range of the
+ * client's address, the default.
  */
 public final class TenantRules {
     /** What is known of a request; null where its wire has no such word. */
-    public record Told(String option, String login, String catalog, InetSocketAddress listening, InetAddress client) {
+    public record Told(
+            String option,
+            String login,
+            String catalog,
+            InetSocketAddress listening,
+            InetAddress client) {
         public static final Told NOTHING = new Told(null, null, null, null, null);
     }
 
     /** By what a tenant is known; each may be empty. */
-    public record Known(List<String> logins, List<String> catalogs, List<InetSocketAddress> listening, List<Range> clients) {
+    public record Known(
+            List<String> logins,
+            List<String> catalogs,
+            List<InetSocketAddress> listening,
+            List<Range> clients) {
         public Known {
             logins = List.copyOf(logins);
             catalogs = List.copyOf(catalogs);
@@ -34,7 +44,8 @@
 
     /** Addresses that begin with the same bits; a single one has all of them. */
     public static final class Range {
-        private static final Pattern FORM = Pattern.compile("([0-9.]+|[0-9A-Fa-f:.]*:[0-9A-Fa-f:.]*)(/([0-9]{1,3}))?");
+        private static final Pattern FORM =
+                Pattern.compile("([0-9.]+|[0-9A-Fa-f:.]*:[0-9A-Fa-f:.]*)(/([0-9]{1,3}))?");
         private final byte[] address;
         private final int bits;
 
@@ -43,15 +54,25 @@
             this.bits = bits;
         }
 
-        /** Such as 10.1.0.0/16 or fd00::/8; null where the text is none, or has bits beyond its length. */
+        /**
+         * Such as 10.1.0.0/16 or fd00::/8; null where the text is none, or has bits beyond its
+         * length.
+         */
         public static Range parse(String text) {
             Matcher form = FORM.matcher(text);
-            if (!form.matches() || text.indexOf(':') < 0 && form.group(1).chars().filter(c -> c == '.').count() != 3) {
+            if (!form.matches()
+                    || text.indexOf(':') < 0
+                            && form.group(1).chars().filter(c -> c == '.').count() != 3) {
                 return null;
             }
             try {
-                byte[] address = InetAddress.getByName(form.group(1)).getAddress(); // Digits only: no name is asked for.
-                int bits = form.group(3) == null ? address.length * 8 : Integer.parseInt(form.group(3));
+                byte[] address =
+                        InetAddress.getByName(form.group(1))
+                                .getAddress(); // Digits only: no name is asked for.
+                int bits =
+                        form.group(3) == null
+                                ? address.length * 8
+                                : Integer.parseInt(form.group(3));
                 Range range = new Range(address, bits);
                 return bits > address.length * 8 || !range.isAligned() ? null : range;
             } catch (UnknownHostException none) {
@@ -70,7 +91,8 @@
 
         /** Whether some address is in both. */
         public boolean meets(Range other) {
-            return address.length == other.address.length && same(address, other.address, Math.min(bits, other.bits));
+            return address.length == other.address.length
+                    && same(address, other.address, Math.min(bits, other.bits));
         }
 
         boolean has(byte[] client) {
@@ -123,7 +145,11 @@
                 for (Range range : by.clients) {
                     for (int i = 0; i < ranges.size(); i++) {
                         if (ranges.get(i).meets(range) && rangeOf.get(i) != t) {
-                            throw shared(name, "clients", range, settings.tenants().get(rangeOf.get(i)).name());
+                            throw shared(
+                                    name,
+                                    "clients",
+                                    range,
+                                    settings.tenants().get(rangeOf.get(i)).name());
                         }
                     }
                     ranges.add(range);
@@ -138,22 +164,36 @@
             Integer other = of.putIfAbsent(word, t);
             if (other != null && other != t) {
                 int at = other;
-                throw shared(tenant, key, word, names.entrySet().stream().filter(each -> each.getValue() == at).findFirst().orElseThrow().getKey());
+                throw shared(
+                        tenant,
+                        key,
+                        word,
+                        names.entrySet().stream()
+                                .filter(each -> each.getValue() == at)
+                                .findFirst()
+                                .orElseThrow()
+                                .getKey());
             }
         }
     }
 
     private static BudgetException shared(String tenant, String key, Object what, String other) {
-        return new BudgetException.BadSetting("tenants." + tenant + "." + key, "'" + what + "' is tenant " + other + "'s");
+        return new BudgetException.BadSetting(
+                "tenants." + tenant + "." + key, "'" + what + "' is tenant " + other + "'s");
     }
 
-    /** An option that names no tenant is passed over: it decides nothing that the client's operators have not set. */
+    /**
+     * An option that names no tenant is passed over: it decides nothing that the client's operators
+     * have not set.
+     */
     public int tenant(Told told) {
         Integer out = look(names, told.option);
         out = out != null ? out : look(logins, told.login);
         out = out != null ? out : look(catalogs, told.catalog);
         out = out != null ? out : look(listening, told.listening);
-        return out != null ? out : told.client == null ? fallback : byRange(told.client.getAddress());
+        return out != null
+                ? out
+                : told.client == null ? fallback : byRange(told.client.getAddress());
     }
 
     private static <T> Integer look(Map<T, Integer> in, T word) {
