--- a/src/main/java/calicostream/budget/Waits.java
+++ b/src/main/java/calicostream/budget/Waits.java
@@ -3,9 +3,12 @@
 
 /** What waits for no engine in particular, as demand at each of them. Stateless. */
 public final class Waits {
-    private Waits() { }
+    private Waits() {}
 
-    /** In parts by the engines' caps, whole, and together just what waits; engines without a cap have none. */
+    /**
+     * In parts by the engines' caps, whole, and together just what waits; engines without a cap
+     * have none.
+     */
     public static int[] spread(int waiting, int[] caps) {
         long sum = 0;
         for (int cap : caps) {
@@ -13,7 +16,9 @@
         }
         int[] out = new int[caps.length];
         long before = 0;
-        for (int e = 0; e < caps.length && sum > 0; e++) { // Differences of rounded running sums: no remainder to place.
+        for (int e = 0;
+                e < caps.length && sum > 0;
+                e++) { // Differences of rounded running sums: no remainder to place.
             long until = before + caps[e];
             out[e] = (int) (waiting * until / sum - waiting * before / sum);
             before = until;
--- a/src/main/java/calicostream/budget/process/ArbiterTask.java
+++ b/src/main/java/calicostream/budget/process/ArbiterTask.java
@@ -14,9 +14,10 @@
 import java.util.List;
 
 /**
- * The arbiter, at whichever process holds its lease: a few times a lease of grants it tells the machine of the engines that its list names,
- * divides, and has engines counted where something waits for proof. It goes by the copy at hand, or by one that it asks a voter for. The
- * machine checks all that it says. On the member's thread.
+ * The arbiter, at whichever process holds its lease: a few times a lease of grants it tells the
+ * machine of the engines that its list names, divides, and has engines counted where something
+ * waits for proof. It goes by the copy at hand, or by one that it asks a voter for. The machine
+ * checks all that it says. On the member's thread.
  */
 final class ArbiterTask implements Task {
     private static final int ROUNDS = 10; // a lease of grants
@@ -65,13 +66,20 @@
             view.restore(machine.snapshot());
             round(acts, view);
         } else {
-            session.read(Frame.Ask.LOCAL, GrantMachine.NAME, new byte[0], nowNanos, reply -> {
-                if (reply.outcome().accepted() && reply.outcome().answer().length > 0 && acts.isHeld()) {
-                    GrantMachine view = new GrantMachine(config.settings());
-                    view.restore(reply.outcome().answer());
-                    round(acts, view);
-                }
-            });
+            session.read(
+                    Frame.Ask.LOCAL,
+                    GrantMachine.NAME,
+                    new byte[0],
+                    nowNanos,
+                    reply -> {
+                        if (reply.outcome().accepted()
+                                && reply.outcome().answer().length > 0
+                                && acts.isHeld()) {
+                            GrantMachine view = new GrantMachine(config.settings());
+                            view.restore(reply.outcome().answer());
+                            round(acts, view);
+                        }
+                    });
         }
     }
 
@@ -81,10 +89,20 @@
         List<Wire.Listed> listed = wire.listed();
         List<GrantView.Engine> known = view.engines();
         for (Wire.Listed each : listed) {
-            boolean same = known.stream().anyMatch(engine -> engine.name().equals(each.name()) && engine.incarnation() >= each.incarnation()
-                    && (engine.incarnation() > each.incarnation() || engine.target() == each.cap() && engine.pool().equals(each.pool())));
+            boolean same =
+                    known.stream()
+                            .anyMatch(
+                                    engine ->
+                                            engine.name().equals(each.name())
+                                                    && engine.incarnation() >= each.incarnation()
+                                                    && (engine.incarnation() > each.incarnation()
+                                                            || engine.target() == each.cap()
+                                                                    && engine.pool()
+                                                                            .equals(each.pool())));
             if (!same) {
-                run(new BudgetCommand.Engine(each.name(), each.incarnation(), each.pool(), each.cap()));
+                run(
+                        new BudgetCommand.Engine(
+                                each.name(), each.incarnation(), each.pool(), each.cap()));
             }
         }
         for (GrantView.Engine each : known) {
@@ -95,24 +113,50 @@
         count(view);
         for (BudgetCommand.Divide each : arbiter.divide(copy, 0)) {
             divisions++;
-            acts.command(GrantMachine.NAME, token -> new BudgetCommand.Divide(token, each.shares()).encode(), this::heard);
+            acts.command(
+                    GrantMachine.NAME,
+                    token -> new BudgetCommand.Divide(token, each.shares()).encode(),
+                    this::heard);
         }
     }
 
-    /** Engines that tell their sessions by no process tell how many there are in all, which bounds each one's. */
+    /**
+     * Engines that tell their sessions by no process tell how many there are in all, which bounds
+     * each one's.
+     */
     private void count(GrantView view) {
         List<GrantView.Unproven> unproven = view.unproven();
         for (GrantView.Engine each : view.engines()) {
             Wire.Counted counted = wire.takeCount(each.name());
             if (counted != null && counted.incarnation() == each.incarnation()) {
-                unproven.stream().filter(open -> open.engine().equals(each.name()) && open.over() <= counted.seen())
-                        .filter(open -> open.sessions() > counted.running() + config.settings().inHand())
-                        .forEach(open -> run(new BudgetCommand.Count(each.name(), each.incarnation(), open.process(), open.session(),
-                                open.former(), counted.seen(), counted.running(), false)));
+                unproven.stream()
+                        .filter(
+                                open ->
+                                        open.engine().equals(each.name())
+                                                && open.over() <= counted.seen())
+                        .filter(
+                                open ->
+                                        open.sessions()
+                                                > counted.running() + config.settings().inHand())
+                        .forEach(
+                                open ->
+                                        run(
+                                                new BudgetCommand.Count(
+                                                        each.name(),
+                                                        each.incarnation(),
+                                                        open.process(),
+                                                        open.session(),
+                                                        open.former(),
+                                                        counted.seen(),
+                                                        counted.running(),
+                                                        false)));
             }
         }
         if (!unproven.isEmpty()) {
-            wire.ask(new Wire.Ask(unproven.stream().map(GrantView.Unproven::engine).distinct().toList(), view.index()));
+            wire.ask(
+                    new Wire.Ask(
+                            unproven.stream().map(GrantView.Unproven::engine).distinct().toList(),
+                            view.index()));
         }
     }
 
@@ -129,6 +173,11 @@
 
     @Override
     public String figures() {
-        return Json.object().add("rounds", rounds).add("divisions", divisions).add("refused", refused).add("last_refusal", lastRefusal).toString();
+        return Json.object()
+                .add("rounds", rounds)
+                .add("divisions", divisions)
+                .add("refused", refused)
+                .add("last_refusal", lastRefusal)
+                .toString();
     }
 }
--- a/src/main/java/calicostream/budget/process/BudgetGate.java
+++ b/src/main/java/calicostream/budget/process/BudgetGate.java
@@ -28,15 +28,16 @@
 import java.util.Set;
 
 /**
- * Stands before the engine side: keeps requests back whose tenant has no room, says yes or no for an engine, counts what begins and ends, and
- * makes the reports. All calls are the loop's; it answers from memory and asks nobody. Engines of no pool are let through uncounted.
+ * Stands before the engine side: keeps requests back whose tenant has no room, says yes or no for
+ * an engine, counts what begins and ends, and makes the reports. All calls are the loop's; it
+ * answers from memory and asks nobody. Engines of no pool are let through uncounted.
  */
 public final class BudgetGate implements Engines {
     private static final long MICRO = 1_000; // ns
     private static final int REPORTS = 5; // a lease
     private static final long TICK = 20_000; // us: no longer than what a request may notice
 
-    private record Asked(Wire.Ask ask, long at) { }
+    private record Asked(Wire.Ask ask, long at) {}
 
     private final Loop loop;
     private final Engines engines;
@@ -64,7 +65,9 @@
     private long refused;
     private boolean serving;
 
-    /** @param process the member's name; @param engines what it stands before */
+    /**
+     * @param process the member's name; @param engines what it stands before
+     */
     BudgetGate(Loop loop, Engines engines, BudgetConfig config, String process, Wire wire) {
         this.loop = loop;
         this.engines = engines;
@@ -79,14 +82,18 @@
         queues = new TenantQueues(settings, config.queue(), 1);
         demand = new Demand(tenants, settings.ttlNanos() / 2);
         reportMicros = Math.max(10_000, settings.ttlNanos() / MICRO / REPORTS);
-        wire.gate(() -> loop.post(this::joined), answer -> loop.post(() -> answered(answer)), ask -> loop.post(() -> ask(ask)));
+        wire.gate(
+                () -> loop.post(this::joined),
+                answer -> loop.post(() -> answered(answer)),
+                ask -> loop.post(() -> ask(ask)));
     }
 
     private long now() {
         return loop.clock().now() * MICRO;
     }
 
-    // ---- The list ------------------------------------------------------------------------------------------
+    // ---- The list
+    // ------------------------------------------------------------------------------------------
     /** Hears of the list before the engine side does. */
     public Watcher watcher() {
         return new Watcher() {
@@ -114,16 +121,33 @@
         Optional<String> pool = config.pool(engine.kind());
         if (pool.isPresent() && engine.state() != EngineState.GONE) {
             Integer known = slots.get(engine.id());
-            int slot = known != null ? known : ledger.holdings().engine(name(engine.id()), pool.get());
+            int slot =
+                    known != null ? known : ledger.holdings().engine(name(engine.id()), pool.get());
             if (known == null) {
                 slots.put(engine.id(), slot);
                 ids.add(engine.id());
             }
             ledger.connected(slot, incarnation(engine.id()), now());
         }
-        uncounted = (int) listed.values().stream().filter(each -> config.pool(each.kind()).isEmpty()).count();
-        wire.list(listed.values().stream().filter(each -> config.pool(each.kind()).isPresent()).map(each -> new Wire.Listed(name(each.id()),
-                incarnation(each.id()), config.pool(each.kind()).get(), config.engines().get(config.pool(each.kind()).get()).cap())).toList(), gone);
+        uncounted =
+                (int)
+                        listed.values().stream()
+                                .filter(each -> config.pool(each.kind()).isEmpty())
+                                .count();
+        wire.list(
+                listed.values().stream()
+                        .filter(each -> config.pool(each.kind()).isPresent())
+                        .map(
+                                each ->
+                                        new Wire.Listed(
+                                                name(each.id()),
+                                                incarnation(each.id()),
+                                                config.pool(each.kind()).get(),
+                                                config.engines()
+                                                        .get(config.pool(each.kind()).get())
+                                                        .cap()))
+                        .toList(),
+                gone);
     }
 
     /** Its process's start by the list's word, which all processes read alike. */
@@ -135,11 +159,19 @@
         return Long.toHexString(engine);
     }
 
-    // ---- Requests ------------------------------------------------------------------------------------------
+    // ---- Requests
+    // ------------------------------------------------------------------------------------------
     @Override
     public boolean admits(Gateway.Request request) {
-        request.tenant = config.tenants().tenant(new TenantRules.Told(null, request.front().login(request.tag()),
-                request.front().catalog(request.tag()), request.front().listening(request.tag()), request.front().client(request.tag())));
+        request.tenant =
+                config.tenants()
+                        .tenant(
+                                new TenantRules.Told(
+                                        null,
+                                        request.front().login(request.tag()),
+                                        request.front().catalog(request.tag()),
+                                        request.front().listening(request.tag()),
+                                        request.front().client(request.tag())));
         if (queues.waiting(request.tenant, 0) == 0 && mayAdmit(request.tenant)) {
             admitted.get(request.tenant).add(request);
             return true;
@@ -155,7 +187,10 @@
         return false;
     }
 
-    /** No more of a tenant's requests are with the module than could be sent: they can't crowd out another's. */
+    /**
+     * No more of a tenant's requests are with the module than could be sent: they can't crowd out
+     * another's.
+     */
     private boolean mayAdmit(int tenant) {
         Set<Gateway.Request> with = admitted.get(tenant);
         int free = uncounted > 0 ? Integer.MAX_VALUE : ledger.holdings().free(tenant, now());
@@ -176,7 +211,8 @@
         Integer slot = slots.get(attempt.engine);
         admitted.get(attempt.request.tenant).remove(attempt.request);
         if (slot != null) {
-            if (!ledger.holdings().mayUse(attempt.request.tenant, slot, now())) { // whatever the module asks
+            if (!ledger.holdings()
+                    .mayUse(attempt.request.tenant, slot, now())) { // whatever the module asks
                 gateway.ended(attempt, Outcome.FULL, null, null);
                 return;
             }
@@ -199,7 +235,10 @@
         if (session == null) {
             return;
         }
-        boolean known = outcome != Outcome.TIMEOUT && outcome != Outcome.CANCELLED && outcome != Outcome.SPOILT;
+        boolean known =
+                outcome != Outcome.TIMEOUT
+                        && outcome != Outcome.CANCELLED
+                        && outcome != Outcome.SPOILT;
         if (ledger.over(session, known, now())) {
             queues.ended(attempt.request.tenant, now());
         }
@@ -229,21 +268,31 @@
         int running = (int) Math.ceil(report.running());
         ledger.counted(slot, askedAt, running).forEach(tenant -> queues.ended(tenant, now()));
         Asked asked = asks.get(engine);
-        if (asked != null && askedAt >= asked.at) { // A question from before proves nothing of what began since.
+        if (asked != null
+                && askedAt
+                        >= asked.at) { // A question from before proves nothing of what began since.
             asks.remove(engine);
-            wire.count(name(engine), new Wire.Counted(ledger.holdings().incarnation(slot), running, asked.ask.seen()));
+            wire.count(
+                    name(engine),
+                    new Wire.Counted(
+                            ledger.holdings().incarnation(slot), running, asked.ask.seen()));
         }
     }
 
-    // ---- Waiting -------------------------------------------------------------------------------------------
-    /** Once what runs now has returned: the module must not hear of a request in the middle of an end. */
+    // ---- Waiting
+    // -------------------------------------------------------------------------------------------
+    /**
+     * Once what runs now has returned: the module must not hear of a request in the middle of an
+     * end.
+     */
     private void soon() {
         if (!serving && !kept.isEmpty()) {
             serving = true;
-            loop.soon(() -> {
-                serving = false;
-                serve();
-            });
+            loop.soon(
+                    () -> {
+                        serving = false;
+                        serve();
+                    });
         }
     }
 
@@ -265,12 +314,14 @@
         for (int t = 0; t < settings.tenants().size(); t++) {
             for (long number : queues.impatient(t, now())) {
                 refused++;
-                gateway.turnAway(kept.remove(number), queues.refusal(t, now()).returnAfterNanos() / MICRO);
+                gateway.turnAway(
+                        kept.remove(number), queues.refusal(t, now()).returnAfterNanos() / MICRO);
             }
         }
     }
 
-    // ---- Reports -------------------------------------------------------------------------------------------
+    // ---- Reports
+    // -------------------------------------------------------------------------------------------
     @Override
     public void attach(Gateway to) {
         gateway = to;
@@ -290,14 +341,31 @@
             if (ledger.hasJoined()) {
                 wire.report(ledger.holdings().report(now(), demand));
             }
-            wire.figures(Figures.of(settings, ledger.holdings(), queues, ids.stream().map(BudgetGate::name).toList(), ledger.inDoubt(), refused),
+            wire.figures(
+                    Figures.of(
+                            settings,
+                            ledger.holdings(),
+                            queues,
+                            ids.stream().map(BudgetGate::name).toList(),
+                            ledger.inDoubt(),
+                            refused),
                     begun.isEmpty() && ledger.inDoubt() == 0);
         }
     }
 
     private void observe() {
-        int[] caps = ids.stream().mapToInt(id -> listed.containsKey(id) ? config.engines().get(config.pool(listed.get(id).kind())
-                .orElseThrow()).cap() : 0).toArray();
+        int[] caps =
+                ids.stream()
+                        .mapToInt(
+                                id ->
+                                        listed.containsKey(id)
+                                                ? config.engines()
+                                                        .get(
+                                                                config.pool(listed.get(id).kind())
+                                                                        .orElseThrow())
+                                                        .cap()
+                                                : 0)
+                        .toArray();
         for (int t = 0; t < settings.tenants().size(); t++) {
             admitted.get(t).removeIf(Gateway.Request::isOver);
             int[] waiting = Waits.spread(queues.waiting(t, 0) + admitted.get(t).size(), caps);
@@ -325,14 +393,20 @@
     private void answered(Wire.Answer answer) {
         if (answer.grants() != null) {
             ledger.holdings().granted(answer.grants(), now());
-            reportAt = ledger.holdings().isCalledBack() ? 0 : reportAt; // the sooner that is known, the sooner another may use it
+            reportAt =
+                    ledger.holdings().isCalledBack()
+                            ? 0
+                            : reportAt; // the sooner that is known, the sooner another may use it
         } else if (answer.over()) {
             ledger.holdings().lapse();
         }
         serve();
     }
 
-    /** The arbiter wants the engines' own counts: those that can be asked are, the others tell with an answer that goes out from now on. */
+    /**
+     * The arbiter wants the engines' own counts: those that can be asked are, the others tell with
+     * an answer that goes out from now on.
+     */
     private void ask(Wire.Ask ask) {
         for (Map.Entry<Long, Integer> each : slots.entrySet()) {
             if (ask.engines().contains(name(each.getKey()))) {
@@ -342,7 +416,8 @@
         }
     }
 
-    // ---- Passed on -----------------------------------------------------------------------------------------
+    // ---- Passed on
+    // -----------------------------------------------------------------------------------------
     @Override
     public void locate(long engine, InetSocketAddress address) {
         engines.locate(engine, address);
--- a/src/main/java/calicostream/budget/process/BudgetLayer.java
+++ b/src/main/java/calicostream/budget/process/BudgetLayer.java
@@ -20,8 +20,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * Session budgets as a layer of a member: joins under each session, sends the gate's reports one at a time and hands it the answers. On the
- * member's thread, but for {@link #gate}.
+ * Session budgets as a layer of a member: joins under each session, sends the gate's reports one at
+ * a time and hands it the answers. On the member's thread, but for {@link #gate}.
  */
 public final class BudgetLayer implements Layer {
     private final BudgetConfig config;
@@ -37,7 +37,9 @@
     private boolean leaving;
     private long failed;
 
-    /** @param process this member's name, by which the settings may give it floors */
+    /**
+     * @param process this member's name, by which the settings may give it floors
+     */
     public BudgetLayer(BudgetConfig config, String process) {
         this.config = config;
         this.process = process;
@@ -86,7 +88,10 @@
         if (present != joined && present != joining) {
             joining = present;
             reporting = false;
-            session.run(name(), new BudgetCommand.Join(process).encode(), outcome -> joined(present, outcome));
+            session.run(
+                    name(),
+                    new BudgetCommand.Join(process).encode(),
+                    outcome -> joined(present, outcome));
         }
         BudgetCommand.Renew report = present == joined && !reporting ? wire.takeReport() : null;
         if (report != null) {
@@ -113,7 +118,8 @@
             wire.answer(new Wire.Answer(BudgetCommand.Grants.decode(outcome.answer()), false));
         } else {
             failed++;
-            wire.answer(new Wire.Answer(null, outcome.code().equals(BudgetException.GrantOver.CODE)));
+            wire.answer(
+                    new Wire.Answer(null, outcome.code().equals(BudgetException.GrantOver.CODE)));
         }
     }
 
@@ -122,14 +128,20 @@
     public void stopping() {
         if (joined != 0 && joined == session.session() && wire.isIdle()) {
             leaving = true;
-            session.run(name(), new BudgetCommand.Leave().encode(), outcome -> { });
+            session.run(name(), new BudgetCommand.Leave().encode(), outcome -> {});
         }
     }
 
     @Override
     public String figures() {
-        JsonObject out = Json.object().add("process", process).add("joined", joined != 0 && session != null && joined == session.session())
-                .add("reports_failed", failed).add("here", Json.parse(wire.figures()));
+        JsonObject out =
+                Json.object()
+                        .add("process", process)
+                        .add(
+                                "joined",
+                                joined != 0 && session != null && joined == session.session())
+                        .add("reports_failed", failed)
+                        .add("here", Json.parse(wire.figures()));
         return out.add("fleet", Figures.fleet(config.settings(), machine.view())).toString();
     }
 }
--- a/src/main/java/calicostream/budget/process/Figures.java
+++ b/src/main/java/calicostream/budget/process/Figures.java
@@ -11,14 +11,24 @@
 
 /** The figures under the names that {@code docs/operate/budget.md} has. Stateless. */
 final class Figures {
-    private Figures() { }
+    private Figures() {}
 
     /** What this process may use and uses. */
-    static String of(BudgetSettings settings, Holdings holdings, TenantQueues queues, List<String> names, int doubts, long refused) {
+    static String of(
+            BudgetSettings settings,
+            Holdings holdings,
+            TenantQueues queues,
+            List<String> names,
+            int doubts,
+            long refused) {
         JsonObject engines = Json.object();
         for (int slot = 0; slot < names.size(); slot++) {
-            engines.add(names.get(slot), Json.object().add("in_use", holdings.total(slot)).add("room", Math.max(0, holdings.room(slot)))
-                    .add("incarnation", holdings.incarnation(slot)));
+            engines.add(
+                    names.get(slot),
+                    Json.object()
+                            .add("in_use", holdings.total(slot))
+                            .add("room", Math.max(0, holdings.room(slot)))
+                            .add("incarnation", holdings.incarnation(slot)));
         }
         JsonObject tenants = Json.object();
         for (int t = 0; t < settings.tenants().size(); t++) {
@@ -26,26 +36,49 @@
             for (int slot = 0; slot < names.size(); slot++) {
                 granted += holdings.limit(t, slot);
             }
-            tenants.add(settings.tenants().get(t).name(), Json.object().add("in_use", holdings.sessions(t)).add("granted", granted)
-                    .add("waiting", queues.waiting(t, 0)));
+            tenants.add(
+                    settings.tenants().get(t).name(),
+                    Json.object()
+                            .add("in_use", holdings.sessions(t))
+                            .add("granted", granted)
+                            .add("waiting", queues.waiting(t, 0)));
         }
-        return Json.object().add("live", holdings.isLive()).add("in_doubt", doubts).add("refused", refused).add("engines", engines)
-                .add("tenants", tenants).toString();
+        return Json.object()
+                .add("live", holdings.isLive())
+                .add("in_doubt", doubts)
+                .add("refused", refused)
+                .add("engines", engines)
+                .add("tenants", tenants)
+                .toString();
     }
 
-    /** What may be in use in the fleet by the copy at hand, against the caps, and how fairly it is granted. */
+    /**
+     * What may be in use in the fleet by the copy at hand, against the caps, and how fairly it is
+     * granted.
+     */
     static JsonObject fleet(BudgetSettings settings, GrantView view) {
         JsonObject engines = Json.object();
         for (GrantView.Engine each : view.engines()) {
-            engines.add(each.name(), Json.object().add("pool", each.pool()).add("cap", each.cap()).add("cap_wanted", each.target())
-                    .add("may_be_in_use", each.committed()).add("granted", each.granted()).add("incarnation", each.incarnation()));
+            engines.add(
+                    each.name(),
+                    Json.object()
+                            .add("pool", each.pool())
+                            .add("cap", each.cap())
+                            .add("cap_wanted", each.target())
+                            .add("may_be_in_use", each.committed())
+                            .add("granted", each.granted())
+                            .add("incarnation", each.incarnation()));
         }
         JsonObject tenants = Json.object();
         for (int t = 0; t < settings.tenants().size(); t++) {
             String name = settings.tenants().get(t).name();
             GrantView.Sum sum = view.sum(name);
-            tenants.add(name, Json.object().add("weight", settings.tenants().get(t).weight()).add("granted", sum.granted())
-                    .add("wanted", sum.wanted()));
+            tenants.add(
+                    name,
+                    Json.object()
+                            .add("weight", settings.tenants().get(t).weight())
+                            .add("granted", sum.granted())
+                            .add("wanted", sum.wanted()));
         }
         return Json.object().add("engines", engines).add("tenants", tenants);
     }
--- a/src/main/java/calicostream/budget/process/Wire.java
+++ b/src/main/java/calicostream/budget/process/Wire.java
@@ -9,21 +9,30 @@
 import java.util.function.Consumer;
 
 /**
- * Between a process's gate, on the front end's loop, and its layer, on the member's thread: the newest word each way, and nobody waits. Any
- * thread; all that passes is immutable.
+ * Between a process's gate, on the front end's loop, and its layer, on the member's thread: the
+ * newest word each way, and nobody waits. Any thread; all that passes is immutable.
  */
 final class Wire {
     /** An engine as the list names it here. */
-    record Listed(String name, long incarnation, String pool, int cap) { }
-
-    /** An engine's own count of all its sessions, asked for when the machine was known up to that index. */
-    record Counted(long incarnation, int running, long seen) { }
-
-    /** Engines that the arbiter wants a count of, and the index up to which it knew the machine when it asked. */
-    record Ask(List<String> engines, long seen) { }
-
-    /** What happened to a report: {@code grants} is null where none came, {@code over} where grants are known to be over. */
-    record Answer(BudgetCommand.Grants grants, boolean over) { }
+    record Listed(String name, long incarnation, String pool, int cap) {}
+
+    /**
+     * An engine's own count of all its sessions, asked for when the machine was known up to that
+     * index.
+     */
+    record Counted(long incarnation, int running, long seen) {}
+
+    /**
+     * Engines that the arbiter wants a count of, and the index up to which it knew the machine when
+     * it asked.
+     */
+    record Ask(List<String> engines, long seen) {}
+
+    /**
+     * What happened to a report: {@code grants} is null where none came, {@code over} where grants
+     * are known to be over.
+     */
+    record Answer(BudgetCommand.Grants grants, boolean over) {}
 
     private final AtomicReference<BudgetCommand.Renew> report = new AtomicReference<>();
     private final Map<String, Counted> counts = new ConcurrentHashMap<>();
@@ -32,9 +41,9 @@
     private volatile String figures = "{}";
     private volatile boolean idle;
     // What the gate does on its own thread; set before the member starts.
-    private volatile Consumer<Answer> answered = answer -> { };
-    private volatile Runnable joined = () -> { };
-    private volatile Consumer<Ask> asked = ask -> { };
+    private volatile Consumer<Answer> answered = answer -> {};
+    private volatile Runnable joined = () -> {};
+    private volatile Consumer<Ask> asked = ask -> {};
 
     void gate(Runnable onJoined, Consumer<Answer> onAnswer, Consumer<Ask> onAsk) {
         joined = onJoined;
@@ -48,7 +57,9 @@
         report.set(next);
     }
 
-    /** @param over engines that the list has told to be gone, with the incarnation that is over */
+    /**
+     * @param over engines that the list has told to be gone, with the incarnation that is over
+     */
     void list(List<Listed> now, Map<String, Long> over) {
         listed = List.copyOf(now);
         gone = Map.copyOf(over);
--- a/src/main/java/calicostream/cluster/Bytes.java
+++ b/src/main/java/calicostream/cluster/Bytes.java
@@ -2,18 +2,18 @@
 package calicostream.cluster;
 
 import java.io.ByteArrayOutputStream;
-import java.nio.charset.CharacterCodingException;
 import java.nio.ByteBuffer;
+import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
 
 /**
- * The encoding of commands, answers and snapshots: big-endian numbers, blobs and texts with their length before them.
- * Every read is bounded by what is there and by the caller's limit; whatever does not fit is
- * {@link ClusterException.Malformed}, never another exception and never an allocation of a length that was only claimed.
+ * The encoding of commands, answers and snapshots: big-endian numbers, blobs and texts with their
+ * length before them. Every read is bounded by what is there and by the caller's limit; whatever
+ * does not fit is {@link ClusterException.Malformed}, never another exception and never an
+ * allocation of a length that was only claimed.
  */
 public final class Bytes {
-    private Bytes() {
-    }
+    private Bytes() {}
 
     /** Writes into a growing array; not shared between threads. */
     public static final class Writer {
@@ -52,7 +52,9 @@
         private final String what;
         private final ByteBuffer in;
 
-        /** @param what is read, as the error is to call it */
+        /**
+         * @param what is read, as the error is to call it
+         */
         public Reader(String what, byte[] bytes) {
             this.what = what;
             this.in = ByteBuffer.wrap(bytes);
@@ -87,17 +89,24 @@
         public String text(int limit) {
             byte[] bytes = blob(limit);
             try {
-                return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString();
+                return StandardCharsets.UTF_8
+                        .newDecoder()
+                        .decode(ByteBuffer.wrap(bytes))
+                        .toString();
             } catch (CharacterCodingException e) {
                 throw malformed("text is no UTF-8");
             }
         }
 
-        /** A count of things that take at least {@code each} bytes; more than could be there is malformed. */
+        /**
+         * A count of things that take at least {@code each} bytes; more than could be there is
+         * malformed.
+         */
         public int count(int each) {
             int count = i32();
             if (count < 0 || count > in.remaining() / Math.max(1, each)) {
-                throw malformed("count " + count + " is more than " + in.remaining() + " bytes hold");
+                throw malformed(
+                        "count " + count + " is more than " + in.remaining() + " bytes hold");
             }
             return count;
         }
--- a/src/main/java/calicostream/cluster/ClusterException.java
+++ b/src/main/java/calicostream/cluster/ClusterException.java
@@ -5,9 +5,10 @@
 import calicostream.errors.Page;
 
 /**
- * What can go wrong in the cluster, as one sealed family: each type has a stable code, the facts in its message, and
- * what an operator can do. None of them reaches a client of a front end; the request path never waits for the cluster.
- * Instances are immutable and carry no stack trace unless one helps to find a fault of the program.
+ * What can go wrong in the cluster, as one sealed family: each type has a stable code, the facts in
+ * its message, and what an operator can do. None of them reaches a client of a front end; the
+ * request path never waits for the cluster. Instances are immutable and carry no stack trace unless
+ * one helps to find a fault of the program.
  */
 @Page(value = "cluster.md", prefixes = "cluster-")
 public abstract sealed class ClusterException extends RuntimeException implements FleetError {
@@ -44,8 +45,11 @@
         public static final String CODE = "cluster-malformed";
 
         public Malformed(String what, int position, String why) {
-            super(CODE, what + " at byte " + position + ": " + why,
-                    "Look whether two versions of the program, or another program, share this address or folder.");
+            super(
+                    CODE,
+                    what + " at byte " + position + ": " + why,
+                    "Look whether two versions of the program, or another program, share this"
+                            + " address or folder.");
         }
     }
 
@@ -55,11 +59,20 @@
         public static final String CODE = "cluster-not-leader";
         private final int leader;
 
-        /** @param leader as far as is known here; 0 if not */
+        /**
+         * @param leader as far as is known here; 0 if not
+         */
         public NotLeader(int member, int leader, long era) {
-            super(CODE, "member " + member + " does not lead"
-                    + (leader == 0 ? ", nor is a leader known" : ", member " + leader + " does, era " + era),
-                    "Nothing, if it lasts under some election time-outs; else see which voters miss each other.");
+            super(
+                    CODE,
+                    "member "
+                            + member
+                            + " does not lead"
+                            + (leader == 0
+                                    ? ", nor is a leader known"
+                                    : ", member " + leader + " does, era " + era),
+                    "Nothing, if it lasts under some election time-outs; else see which voters miss"
+                            + " each other.");
             this.leader = leader;
         }
 
@@ -68,24 +81,42 @@
         }
     }
 
-    /** The bounded queue of commands is full; nothing was proposed, a retry with the same number is safe. */
+    /**
+     * The bounded queue of commands is full; nothing was proposed, a retry with the same number is
+     * safe.
+     */
     public static final class QueueFull extends ClusterException {
         private static final long serialVersionUID = 1L;
         public static final String CODE = "cluster-queue-full";
 
         public QueueFull(int member, int waiting, int limit) {
-            super(CODE, "member " + member + " has " + waiting + " commands waiting of " + limit,
-                    "See whether a quorum answers slowly (disk, link); the sender retries by itself.");
+            super(
+                    CODE,
+                    "member " + member + " has " + waiting + " commands waiting of " + limit,
+                    "See whether a quorum answers slowly (disk, link); the sender retries by"
+                            + " itself.");
         }
     }
 
-    /** The outcome is not known: it may have been applied or still be. Retry with the same session and number. */
+    /**
+     * The outcome is not known: it may have been applied or still be. Retry with the same session
+     * and number.
+     */
     public static final class Unsure extends ClusterException {
         private static final long serialVersionUID = 1L;
         public static final String CODE = "cluster-unsure";
 
         public Unsure(int member, long session, long sequence, String why) {
-            super(CODE, "member " + member + ", session " + session + ", command " + sequence + ": " + why,
+            super(
+                    CODE,
+                    "member "
+                            + member
+                            + ", session "
+                            + session
+                            + ", command "
+                            + sequence
+                            + ": "
+                            + why,
                     "Nothing: the sender retries with the same number, which counts once.");
         }
     }
@@ -96,19 +127,27 @@
         public static final String CODE = "cluster-session-over";
 
         public SessionOver(long session, long index) {
-            super(CODE, "session " + session + " is not alive at index " + index,
-                    "See why the member was not heard for a session's time: stopped, cut off, or its clock ran fast.");
+            super(
+                    CODE,
+                    "session " + session + " is not alive at index " + index,
+                    "See why the member was not heard for a session's time: stopped, cut off, or"
+                            + " its clock ran fast.");
         }
     }
 
-    /** The command's number was already used and its answer acknowledged, or numbers were skipped. */
+    /**
+     * The command's number was already used and its answer acknowledged, or numbers were skipped.
+     */
     public static final class OutOfOrder extends ClusterException {
         private static final long serialVersionUID = 1L;
         public static final String CODE = "cluster-out-of-order";
 
         public OutOfOrder(long session, long sequence, long expected) {
-            super(CODE, "session " + session + " sent command " + sequence + ", expected " + expected,
-                    "Report it: a member numbers its commands wrongly, or two processes use one member's name.");
+            super(
+                    CODE,
+                    "session " + session + " sent command " + sequence + ", expected " + expected,
+                    "Report it: a member numbers its commands wrongly, or two processes use one"
+                            + " member's name.");
         }
     }
 
@@ -118,7 +157,9 @@
         public static final String CODE = "cluster-too-many-open";
 
         public TooManyOpen(long session, long open, int limit) {
-            super(CODE, "session " + session + " has " + open + " unacknowledged, limit " + limit,
+            super(
+                    CODE,
+                    "session " + session + " has " + open + " unacknowledged, limit " + limit,
                     "Nothing: the sender waits for answers before it sends more.");
         }
     }
@@ -129,8 +170,11 @@
         public static final String CODE = "cluster-too-large";
 
         public TooLarge(String what, long bytes, long limit) {
-            super(CODE, what + " of " + bytes + " bytes, limit " + limit,
-                    "Report it: a machine of the program makes commands that are larger than the log takes.");
+            super(
+                    CODE,
+                    what + " of " + bytes + " bytes, limit " + limit,
+                    "Report it: a machine of the program makes commands that are larger than the"
+                            + " log takes.");
         }
     }
 
@@ -140,8 +184,11 @@
         public static final String CODE = "cluster-unknown-machine";
 
         public UnknownMachine(String machine) {
-            super(CODE, "no machine is named " + machine,
-                    "Bring all voters to one version of the program before its new parts are configured.");
+            super(
+                    CODE,
+                    "no machine is named " + machine,
+                    "Bring all voters to one version of the program before its new parts are"
+                            + " configured.");
         }
     }
 
@@ -151,7 +198,9 @@
         public static final String CODE = "cluster-bad-ttl";
 
         public BadTtl(long millis, long least, long most) {
-            super(CODE, "a session of " + millis + " ms, allowed " + least + ".." + most,
+            super(
+                    CODE,
+                    "a session of " + millis + " ms, allowed " + least + ".." + most,
                     "Set the session's time in the cluster's settings within these bounds.");
         }
     }
@@ -162,8 +211,11 @@
         public static final String CODE = "cluster-too-many-sessions";
 
         public TooManySessions(long member, long ofMember, long all) {
-            super(CODE, "member " + member + " has " + ofMember + " sessions, the fleet " + all,
-                    "Look whether the member restarts in a circle; its old sessions end by themselves.");
+            super(
+                    CODE,
+                    "member " + member + " has " + ofMember + " sessions, the fleet " + all,
+                    "Look whether the member restarts in a circle; its old sessions end by"
+                            + " themselves.");
         }
     }
 
@@ -173,7 +225,10 @@
         public static final String CODE = "cluster-old-era";
 
         public OldEra(long era, long now) {
-            super(CODE, "counted in era " + era + ", now is era " + now, "Nothing: the new leader counts by itself.");
+            super(
+                    CODE,
+                    "counted in era " + era + ", now is era " + now,
+                    "Nothing: the new leader counts by itself.");
         }
     }
 
@@ -183,30 +238,49 @@
         public static final String CODE = "cluster-no-quorum";
 
         public NoQuorum(long member, long sinceMillis) {
-            super(CODE, "member " + member + " has had no answer of a quorum for " + sinceMillis + " ms",
-                    "See which voters are down or cut off; if most are gone for good, follow the page on a lost quorum.");
+            super(
+                    CODE,
+                    "member "
+                            + member
+                            + " has had no answer of a quorum for "
+                            + sinceMillis
+                            + " ms",
+                    "See which voters are down or cut off; if most are gone for good, follow the"
+                            + " page on a lost quorum.");
         }
     }
 
-    /** This voter has stopped by itself, since going on could make its copy differ or break its word. */
+    /**
+     * This voter has stopped by itself, since going on could make its copy differ or break its
+     * word.
+     */
     public static final class VoterStopped extends ClusterException {
         private static final long serialVersionUID = 1L;
         public static final String CODE = "cluster-voter-stopped";
 
         public VoterStopped(int member, String why) {
-            super(CODE, "voter " + member + " stopped: " + why,
-                    "See the reason; once it is mended restart the process, or replace this voter by another.");
+            super(
+                    CODE,
+                    "voter " + member + " stopped: " + why,
+                    "See the reason; once it is mended restart the process, or replace this voter"
+                            + " by another.");
         }
     }
 
-    /** This voter's disk, or a peer, shows that it has forgotten what it promised; it neither votes nor acknowledges any more. */
+    /**
+     * This voter's disk, or a peer, shows that it has forgotten what it promised; it neither votes
+     * nor acknowledges any more.
+     */
     public static final class VoterForgot extends ClusterException {
         private static final long serialVersionUID = 1L;
         public static final String CODE = "cluster-voter-forgot";
 
         public VoterForgot(int member, int generation, String why) {
-            super(CODE, "voter " + member + " of generation " + generation + " is barred: " + why,
-                    "Raise this member's generation, which gives it empty folders, and have the voters changed to that one.");
+            super(
+                    CODE,
+                    "voter " + member + " of generation " + generation + " is barred: " + why,
+                    "Raise this member's generation, which gives it empty folders, and have the"
+                            + " voters changed to that one.");
         }
     }
 
@@ -216,22 +290,38 @@
         public static final String CODE = "cluster-bad-change";
 
         public BadChange(String change, String why) {
-            super(CODE, change + ": " + why, "Wait for the change that runs, or name another voter; nothing was changed.");
+            super(
+                    CODE,
+                    change + ": " + why,
+                    "Wait for the change that runs, or name another voter; nothing was changed.");
         }
     }
 
-    /** A generation of a voter that was removed, or is older than one that was added, must not come back. */
+    /**
+     * A generation of a voter that was removed, or is older than one that was added, must not come
+     * back.
+     */
     public static final class GenerationOver extends ClusterException {
         private static final long serialVersionUID = 1L;
         public static final String CODE = "cluster-generation-over";
 
         public GenerationOver(int member, int generation, int next) {
-            super(CODE, "generation " + generation + " of member " + member + " is over, the next is " + next,
-                    "Start this member's voter with empty folders under the generation that is named, and add that one.");
+            super(
+                    CODE,
+                    "generation "
+                            + generation
+                            + " of member "
+                            + member
+                            + " is over, the next is "
+                            + next,
+                    "Start this member's voter with empty folders under the generation that is"
+                            + " named, and add that one.");
         }
     }
 
-    /** The error that was sent as a code and its facts; an unknown code becomes {@link Malformed}. */
+    /**
+     * The error that was sent as a code and its facts; an unknown code becomes {@link Malformed}.
+     */
     static ClusterException of(String code, Bytes.Reader in) {
         return switch (code) {
             case NotLeader.CODE -> new NotLeader((int) in.i64(), (int) in.i64(), in.i64());
@@ -243,11 +333,13 @@
             case TooManySessions.CODE -> new TooManySessions(in.i64(), in.i64(), in.i64());
             case OldEra.CODE -> new OldEra(in.i64(), in.i64());
             case NoQuorum.CODE -> new NoQuorum(in.i64(), in.i64());
-            case GenerationOver.CODE -> new GenerationOver((int) in.i64(), (int) in.i64(), (int) in.i64());
+            case GenerationOver.CODE ->
+                    new GenerationOver((int) in.i64(), (int) in.i64(), (int) in.i64());
             case TooLarge.CODE -> new TooLarge("request", in.i64(), in.i64());
             case UnknownMachine.CODE -> new UnknownMachine("(of a request)");
             case Malformed.CODE -> in.malformed("so said the peer of what was sent to it");
-            case Unsure.CODE -> new Unsure((int) in.i64(), in.i64(), in.i64(), "the leader changed");
+            case Unsure.CODE ->
+                    new Unsure((int) in.i64(), in.i64(), in.i64(), "the leader changed");
             default -> in.malformed("no error has this code");
         };
     }
--- a/src/main/java/calicostream/cluster/CountedTime.java
+++ b/src/main/java/calicostream/cluster/CountedTime.java
@@ -2,9 +2,10 @@
 package calicostream.cluster;
 
 /**
- * Time as a leader may count it against others: of each span between two looks no more than the looks' own period counts.
- * Whatever a clock does between them, a jump ahead or a stop of this process, nothing is taken for over that may not be; a
- * look that comes late makes things last longer. Pure, one thread; nanoseconds.
+ * Time as a leader may count it against others: of each span between two looks no more than the
+ * looks' own period counts. Whatever a clock does between them, a jump ahead or a stop of this
+ * process, nothing is taken for over that may not be; a look that comes late makes things last
+ * longer. Pure, one thread; nanoseconds.
  */
 public final class CountedTime {
     private final long periodNanos;
@@ -12,12 +13,16 @@
     private long lastNanos;
     private boolean started;
 
-    /** @param periodNanos that passes between two looks at least */
+    /**
+     * @param periodNanos that passes between two looks at least
+     */
     public CountedTime(long periodNanos) {
         this.periodNanos = periodNanos;
     }
 
-    /** The time that is counted at a look; differences alone mean something, and it never goes back. */
+    /**
+     * The time that is counted at a look; differences alone mean something, and it never goes back.
+     */
     public long look(long nowNanos) {
         counted += started ? Math.max(0, Math.min(periodNanos, nowNanos - lastNanos)) : 0;
         started = true;
--- a/src/main/java/calicostream/cluster/Effects.java
+++ b/src/main/java/calicostream/cluster/Effects.java
@@ -4,17 +4,20 @@
 import java.util.List;
 
 /**
- * What a command led to: an answer for its sender, and events for whoever watches the machine at the copy that applied
- * it. Events are told at each copy, possibly again after a restart, so they are news, never orders.
+ * What a command led to: an answer for its sender, and events for whoever watches the machine at
+ * the copy that applied it. Events are told at each copy, possibly again after a restart, so they
+ * are news, never orders.
  *
  * @param refusal stable code of why the machine did not accept the command; null if it did
  * @param answer in the machine's own encoding; the facts of a refusal if there is one
  */
 public record Effects(String refusal, byte[] answer, List<Event> events) {
     /**
-     * Something that happened in a machine, for watchers; {@code body} is in the machine's own encoding.
+     * Something that happened in a machine, for watchers; {@code body} is in the machine's own
+     * encoding.
      *
-     * @param to whom the leader tells it beside the watchers at the copies: a session, {@link #ALL} or {@link #NOBODY}
+     * @param to whom the leader tells it beside the watchers at the copies: a session, {@link #ALL}
+     *     or {@link #NOBODY}
      */
     public record Event(String kind, byte[] body, long to) {
         public static final long ALL = 0;
--- a/src/main/java/calicostream/cluster/Entry.java
+++ b/src/main/java/calicostream/cluster/Entry.java
@@ -2,54 +2,62 @@
 package calicostream.cluster;
 
 /**
- * One entry of the replicated log as {@link Replicated} applies it. The encoding starts with its version and a kind; an
- * entry of another version in the log stops a voter, since guessing would make copies differ. Immutable.
+ * One entry of the replicated log as {@link Replicated} applies it. The encoding starts with its
+ * version and a kind; an entry of another version in the log stops a voter, since guessing would
+ * make copies differ. Immutable.
  */
 public sealed interface Entry {
     /** Of the encoding. */
     int VERSION = 1;
+
     /** The longest name of a machine, in bytes. */
     int MAX_NAME = 64;
 
     /** A leader starts; {@code nonce} lets it know its own. The entry's index becomes the era. */
-    record Era(int member, long nonce) implements Entry {
-    }
+    record Era(int member, long nonce) implements Entry {}
 
-    /** A member asks for a session; the same {@code nonce} again gets the same session while that one is alive. */
-    record Open(int member, long nonce, int ttlMillis) implements Entry {
-    }
+    /**
+     * A member asks for a session; the same {@code nonce} again gets the same session while that
+     * one is alive.
+     */
+    record Open(int member, long nonce, int ttlMillis) implements Entry {}
 
-    /** A command for a machine; answers up to and including {@code acked} are no longer needed by the sender. */
-    record Run(long session, long sequence, long acked, String machine, byte[] body) implements Entry {
-    }
+    /**
+     * A command for a machine; answers up to and including {@code acked} are no longer needed by
+     * the sender.
+     */
+    record Run(long session, long sequence, long acked, String machine, byte[] body)
+            implements Entry {}
 
     /** The member is there. */
-    record Keep(long session) implements Entry {
-    }
+    record Keep(long session) implements Entry {}
 
     /** The member is done. */
-    record Close(long session) implements Entry {
-    }
+    record Close(long session) implements Entry {}
 
-    /** The leader of {@code era} counted the session's time since the entry {@code renewed}, and it is over. */
-    record Expire(long era, long session, long renewed) implements Entry {
-    }
+    /**
+     * The leader of {@code era} counted the session's time since the entry {@code renewed}, and it
+     * is over.
+     */
+    record Expire(long era, long session, long renewed) implements Entry {}
 
     /** What a {@link Timekeeper} of the leader of {@code era} found. */
-    record Timed(long era, String machine, byte[] body) implements Entry {
-    }
+    record Timed(long era, String machine, byte[] body) implements Entry {}
 
-    /** The leader is about to add this voter, or to promote it; refused if it must not come back. */
-    record AddVoter(int member, int generation) implements Entry {
-    }
+    /**
+     * The leader is about to add this voter, or to promote it; refused if it must not come back.
+     */
+    record AddVoter(int member, int generation) implements Entry {}
 
     /** The leader is about to remove this voter: it is never added again. */
-    record RemoveVoter(int member, int generation) implements Entry {
-    }
+    record RemoveVoter(int member, int generation) implements Entry {}
 
     /** Only a leader makes it, from its own state; refused if a member sends it. */
     default boolean ofLeader() {
-        return this instanceof Era || this instanceof Expire || this instanceof Timed || this instanceof AddVoter
+        return this instanceof Era
+                || this instanceof Expire
+                || this instanceof Timed
+                || this instanceof AddVoter
                 || this instanceof RemoveVoter;
     }
 
@@ -77,23 +85,32 @@
         return out.done();
     }
 
-    /** @throws ClusterException.Malformed if the bytes are no entry of this version */
+    /**
+     * @throws ClusterException.Malformed if the bytes are no entry of this version
+     */
     static Entry decode(byte[] bytes) {
         Bytes.Reader in = new Bytes.Reader("entry", bytes);
         in.version(VERSION);
         int kind = in.u8();
-        Entry entry = switch (kind) {
-            case 1 -> new Era(in.i32(), in.i64());
-            case 2 -> new Open(in.i32(), in.i64(), in.i32());
-            case 3 -> new Run(in.i64(), in.i64(), in.i64(), in.text(MAX_NAME), in.blob(Command.MAX_BODY));
-            case 4 -> new Keep(in.i64());
-            case 5 -> new Close(in.i64());
-            case 6 -> new Expire(in.i64(), in.i64(), in.i64());
-            case 7 -> new Timed(in.i64(), in.text(MAX_NAME), in.blob(Command.MAX_BODY));
-            case 8 -> new AddVoter(in.i32(), in.i32());
-            case 9 -> new RemoveVoter(in.i32(), in.i32());
-            default -> throw in.malformed("no entry is of kind " + kind);
-        };
+        Entry entry =
+                switch (kind) {
+                    case 1 -> new Era(in.i32(), in.i64());
+                    case 2 -> new Open(in.i32(), in.i64(), in.i32());
+                    case 3 ->
+                            new Run(
+                                    in.i64(),
+                                    in.i64(),
+                                    in.i64(),
+                                    in.text(MAX_NAME),
+                                    in.blob(Command.MAX_BODY));
+                    case 4 -> new Keep(in.i64());
+                    case 5 -> new Close(in.i64());
+                    case 6 -> new Expire(in.i64(), in.i64(), in.i64());
+                    case 7 -> new Timed(in.i64(), in.text(MAX_NAME), in.blob(Command.MAX_BODY));
+                    case 8 -> new AddVoter(in.i32(), in.i32());
+                    case 9 -> new RemoveVoter(in.i32(), in.i32());
+                    default -> throw in.malformed("no entry is of kind " + kind);
+                };
         in.end();
         return entry;
     }
--- a/src/main/java/calicostream/cluster/Frame.java
+++ b/src/main/java/calicostream/cluster/Frame.java
@@ -1,7 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.cluster;
 
-/** What goes over {@link Links}: messages among voters, members' requests with their replies, and news. Immutable. */
+/**
+ * What goes over {@link Links}: messages among voters, members' requests with their replies, and
+ * news. Immutable.
+ */
 public sealed interface Frame {
     int VERSION = 1;
 
@@ -17,84 +20,135 @@
 
     /**
      * Of the consensus, in its own encoding.
-     * @param generation of the voter that it is for: a member's present voter must not answer for one that it was
+     *
+     * @param generation of the voter that it is for: a member's present voter must not answer for
+     *     one that it was
      */
-    record Raft(int generation, byte[] message) implements Frame {
-    }
+    record Raft(int generation, byte[] message) implements Frame {}
 
     /** {@code id} is chosen by the sender, another one for each attempt. */
-    record Request(long id, Ask ask, String machine, byte[] body) implements Frame {
-    }
+    record Request(long id, Ask ask, String machine, byte[] body) implements Frame {}
 
-    /** @param ageNanos with {@link Ask#LOCAL}, how old the state is at most that was asked; else 0 */
-    record Reply(long id, long ageNanos, Outcome outcome) implements Frame {
-    }
+    /**
+     * @param ageNanos with {@link Ask#LOCAL}, how old the state is at most that was asked; else 0
+     */
+    record Reply(long id, long ageNanos, Outcome outcome) implements Frame {}
 
-    /** Something happened at {@code index}, told to a member unasked; may be lost, late, or there twice. */
-    record News(String machine, long index, Effects.Event event) implements Frame {
-    }
+    /**
+     * Something happened at {@code index}, told to a member unasked; may be lost, late, or there
+     * twice.
+     */
+    record News(String machine, long index, Effects.Event event) implements Frame {}
 
-    /** A voter asks what is remembered of it; {@code nonce} is this process's, and comes back with the answer. */
-    record Recall(int generation, long incarnation, long nonce) implements Frame {
-    }
+    /**
+     * A voter asks what is remembered of it; {@code nonce} is this process's, and comes back with
+     * the answer.
+     */
+    record Recall(int generation, long incarnation, long nonce) implements Frame {}
 
     /**
-     * What the answerer, by its own generation, incarnation and nonce, remembers of the asker from before it met its present
-     * incarnation: one that it had seen, the latest term in which that answered it, the highest index it acknowledged in it, the
-     * latest term in which it voted for the answerer; and whether the answerer's group had committed something.
+     * What the answerer, by its own generation, incarnation and nonce, remembers of the asker from
+     * before it met its present incarnation: one that it had seen, the latest term in which that
+     * answered it, the highest index it acknowledged in it, the latest term in which it voted for
+     * the answerer; and whether the answerer's group had committed something.
      *
      * @param to the asker's nonce
      */
-    record Recalled(long to, int generation, long incarnation, long nonce, long seenIncarnation, long term, long acknowledged,
-            long voteTerm, boolean grouped) implements Frame {
-    }
+    record Recalled(
+            long to,
+            int generation,
+            long incarnation,
+            long nonce,
+            long seenIncarnation,
+            long term,
+            long acknowledged,
+            long voteTerm,
+            boolean grouped)
+            implements Frame {}
 
     default byte[] encode() {
         Bytes.Writer out = new Bytes.Writer().u8(VERSION);
         if (this instanceof Raft raft) {
             out.u8(1).i32(raft.generation).blob(raft.message);
         } else if (this instanceof Request request) {
-            out.u8(2).i64(request.id).u8(request.ask.ordinal()).text(request.machine).blob(request.body);
+            out.u8(2)
+                    .i64(request.id)
+                    .u8(request.ask.ordinal())
+                    .text(request.machine)
+                    .blob(request.body);
         } else if (this instanceof Reply reply) {
             reply.outcome.encode(out.u8(3).i64(reply.id).i64(reply.ageNanos));
         } else if (this instanceof News news) {
-            out.u8(4).text(news.machine).i64(news.index).text(news.event.kind()).i64(news.event.to()).blob(news.event.body());
+            out.u8(4)
+                    .text(news.machine)
+                    .i64(news.index)
+                    .text(news.event.kind())
+                    .i64(news.event.to())
+                    .blob(news.event.body());
         } else if (this instanceof Recall ask) {
             out.u8(5).i32(ask.generation).i64(ask.incarnation).i64(ask.nonce);
         } else if (this instanceof Recalled told) {
-            out.u8(6).i64(told.to).i32(told.generation).i64(told.incarnation).i64(told.nonce).i64(told.seenIncarnation).i64(told.term)
-                    .i64(told.acknowledged).i64(told.voteTerm).u8(told.grouped ? 1 : 0);
+            out.u8(6)
+                    .i64(told.to)
+                    .i32(told.generation)
+                    .i64(told.incarnation)
+                    .i64(told.nonce)
+                    .i64(told.seenIncarnation)
+                    .i64(told.term)
+                    .i64(told.acknowledged)
+                    .i64(told.voteTerm)
+                    .u8(told.grouped ? 1 : 0);
         }
         return out.done();
     }
 
-    /** @throws ClusterException.Malformed if the bytes are no frame of this version */
+    /**
+     * @throws ClusterException.Malformed if the bytes are no frame of this version
+     */
     static Frame decode(byte[] bytes) {
         Bytes.Reader in = new Bytes.Reader("frame", bytes);
         in.version(VERSION);
         int kind = in.u8();
-        Frame frame = switch (kind) {
-            case 1 -> new Raft(in.i32(), in.blob(Links.MAX_FRAME));
-            case 2 -> {
-                long id = in.i64();
-                int ask = in.u8();
-                if (ask >= Ask.values().length) {
-                    throw in.malformed("no request asks for " + ask);
-                }
-                yield new Request(id, Ask.values()[ask], in.text(Entry.MAX_NAME), in.blob(2 * Command.MAX_BODY));
-            }
-            case 3 -> new Reply(in.i64(), in.i64(), Outcome.decode(in));
-            case 4 -> {
-                String machine = in.text(Entry.MAX_NAME);
-                long index = in.i64();
-                String what = in.text(Entry.MAX_NAME);
-                long to = in.i64();
-                yield new News(machine, index, new Effects.Event(what, in.blob(Command.MAX_BODY), to));
-            }
-            case 5 -> new Recall(in.i32(), in.i64(), in.i64());
-            case 6 -> new Recalled(in.i64(), in.i32(), in.i64(), in.i64(), in.i64(), in.i64(), in.i64(), in.i64(), in.u8() != 0);
-            default -> throw in.malformed("no frame is of kind " + kind);
-        };
+        Frame frame =
+                switch (kind) {
+                    case 1 -> new Raft(in.i32(), in.blob(Links.MAX_FRAME));
+                    case 2 -> {
+                        long id = in.i64();
+                        int ask = in.u8();
+                        if (ask >= Ask.values().length) {
+                            throw in.malformed("no request asks for " + ask);
+                        }
+                        yield new Request(
+                                id,
+                                Ask.values()[ask],
+                                in.text(Entry.MAX_NAME),
+                                in.blob(2 * Command.MAX_BODY));
+                    }
+                    case 3 -> new Reply(in.i64(), in.i64(), Outcome.decode(in));
+                    case 4 -> {
+                        String machine = in.text(Entry.MAX_NAME);
+                        long index = in.i64();
+                        String what = in.text(Entry.MAX_NAME);
+                        long to = in.i64();
+                        yield new News(
+                                machine,
+                                index,
+                                new Effects.Event(what, in.blob(Command.MAX_BODY), to));
+                    }
+                    case 5 -> new Recall(in.i32(), in.i64(), in.i64());
+                    case 6 ->
+                            new Recalled(
+                                    in.i64(),
+                                    in.i32(),
+                                    in.i64(),
+                                    in.i64(),
+                                    in.i64(),
+                                    in.i64(),
+                                    in.i64(),
+                                    in.i64(),
+                                    in.u8() != 0);
+                    default -> throw in.malformed("no frame is of kind " + kind);
+                };
         in.end();
         return frame;
     }
--- a/src/main/java/calicostream/cluster/MemberSession.java
+++ b/src/main/java/calicostream/cluster/MemberSession.java
@@ -9,33 +9,34 @@
 import java.util.function.Consumer;
 
 /**
- * A member's side of its session: decides what to send to which voter and when to send it again; pure, one thread, no
- * clock, no randomness but what is handed in. Commands go out one after the other under their number, so a retry counts
- * once; a lost session takes its unanswered commands with it, told as {@link ClusterException.Unsure} for the one that
- * was out and {@link ClusterException.SessionOver} for those that were not. The time of a session counts from before
+ * A member's side of its session: decides what to send to which voter and when to send it again;
+ * pure, one thread, no clock, no randomness but what is handed in. Commands go out one after the
+ * other under their number, so a retry counts once; a lost session takes its unanswered commands
+ * with it, told as {@link ClusterException.Unsure} for the one that was out and {@link
+ * ClusterException.SessionOver} for those that were not. The time of a session counts from before
  * the sending of what was answered, so {@link #isAlive} ends before the leader can expire it.
  */
 public final class MemberSession {
     /** What to send. */
-    public record Send(int voter, byte[] frame) {
-    }
+    public record Send(int voter, byte[] frame) {}
 
     /**
      * @param ttlMillis of the session
      * @param retryMillis until another voter is tried
      * @param queue of commands that wait; more are refused
      */
-    public record Settings(int member, int ttlMillis, int retryMillis, int queue) {
-    }
+    public record Settings(int member, int ttlMillis, int retryMillis, int queue) {}
 
-    private record Waiting(String machine, byte[] body, Consumer<Outcome> done) {
-    }
+    private record Waiting(String machine, byte[] body, Consumer<Outcome> done) {}
 
-    private record Attempt(long id, Entry entry, long sentNanos) {
-    }
+    private record Attempt(long id, Entry entry, long sentNanos) {}
 
-    private record Read(Frame.Ask ask, String machine, byte[] question, long sinceNanos, Consumer<Frame.Reply> done) {
-    }
+    private record Read(
+            Frame.Ask ask,
+            String machine,
+            byte[] question,
+            long sinceNanos,
+            Consumer<Frame.Reply> done) {}
 
     private final Settings settings;
     private final ArrayDeque<Waiting> queue = new ArrayDeque<>();
@@ -55,7 +56,10 @@
     private long lastHeard;
     private boolean closed;
 
-    /** @param mark unlike that of any other process of this member, ever; request ids and nonces start at it */
+    /**
+     * @param mark unlike that of any other process of this member, ever; request ids and nonces
+     *     start at it
+     */
     public MemberSession(Settings settings, List<Integer> voters, long mark) {
         this.settings = settings;
         this.voters = List.copyOf(voters);
@@ -85,19 +89,43 @@
     /** Runs a command once; {@code done} hears how it went, exactly once. */
     public void run(String machine, byte[] body, Consumer<Outcome> done) {
         if (queue.size() >= settings.queue) {
-            done.accept(Outcome.failed(0, ClusterException.QueueFull.CODE, settings.member, queue.size(), settings.queue));
+            done.accept(
+                    Outcome.failed(
+                            0,
+                            ClusterException.QueueFull.CODE,
+                            settings.member,
+                            queue.size(),
+                            settings.queue));
         } else if (body.length > Command.MAX_BODY) {
-            done.accept(Outcome.failed(0, ClusterException.TooLarge.CODE, body.length, Command.MAX_BODY));
+            done.accept(
+                    Outcome.failed(
+                            0, ClusterException.TooLarge.CODE, body.length, Command.MAX_BODY));
         } else {
             queue.add(new Waiting(machine, body, done));
         }
     }
 
-    /** Reads once, without retry; {@code done} hears of it exactly once, of {@link ClusterException.NoQuorum} in time. */
-    public void read(Frame.Ask ask, String machine, byte[] question, long nowNanos, Consumer<Frame.Reply> done) {
+    /**
+     * Reads once, without retry; {@code done} hears of it exactly once, of {@link
+     * ClusterException.NoQuorum} in time.
+     */
+    public void read(
+            Frame.Ask ask,
+            String machine,
+            byte[] question,
+            long nowNanos,
+            Consumer<Frame.Reply> done) {
         if (reads.size() >= settings.queue) {
-            done.accept(new Frame.Reply(0, 0, Outcome.failed(0, ClusterException.QueueFull.CODE, settings.member,
-                    reads.size(), settings.queue)));
+            done.accept(
+                    new Frame.Reply(
+                            0,
+                            0,
+                            Outcome.failed(
+                                    0,
+                                    ClusterException.QueueFull.CODE,
+                                    settings.member,
+                                    reads.size(),
+                                    settings.queue)));
             return;
         }
         long id = nextId++;
@@ -109,13 +137,23 @@
     public void close() {
         closed = true;
         if (session != 0) {
-            out.add(new Send(voter(), new Frame.Request(nextId++, Frame.Ask.ENTRY, "",
-                    new Entry.Close(session).encode()).encode()));
+            out.add(
+                    new Send(
+                            voter(),
+                            new Frame.Request(
+                                            nextId++,
+                                            Frame.Ask.ENTRY,
+                                            "",
+                                            new Entry.Close(session).encode())
+                                    .encode()));
             lose();
         }
     }
 
-    /** Called at least every tenth of {@code retryMillis}, and after what may have made something to send. */
+    /**
+     * Called at least every tenth of {@code retryMillis}, and after what may have made something to
+     * send.
+     */
     public List<Send> tick(long nowNanos) {
         if (!started) {
             started = true;
@@ -132,8 +170,15 @@
         List<Read> late = new ArrayList<>();
         reads.values().removeIf(read -> nowNanos - read.sinceNanos > 2 * retry && late.add(read));
         for (Read read : late) {
-            read.done.accept(new Frame.Reply(0, 0, Outcome.failed(0, ClusterException.NoQuorum.CODE, settings.member,
-                    (nowNanos - lastHeard) / 1_000_000)));
+            read.done.accept(
+                    new Frame.Reply(
+                            0,
+                            0,
+                            Outcome.failed(
+                                    0,
+                                    ClusterException.NoQuorum.CODE,
+                                    settings.member,
+                                    (nowNanos - lastHeard) / 1_000_000)));
         }
         List<Send> taken = List.copyOf(out);
         out.clear();
@@ -148,7 +193,9 @@
                 running = queue.poll();
                 sequence++;
             }
-            send(new Entry.Run(session, sequence, sequence - 1, running.machine, running.body), nowNanos);
+            send(
+                    new Entry.Run(session, sequence, sequence - 1, running.machine, running.body),
+                    nowNanos);
         } else if (nowNanos - (aliveUntil - SessionKeeper.surelyAliveNanos(settings.ttlMillis))
                 > settings.ttlMillis * 1_000_000L / 4) {
             send(new Entry.Keep(session), nowNanos);
@@ -158,7 +205,11 @@
     private void send(Entry entry, long nowNanos) {
         attempt = new Attempt(nextId++, entry, nowNanos);
         redirected = false;
-        out.add(new Send(voter(), new Frame.Request(attempt.id, Frame.Ask.ENTRY, "", entry.encode()).encode()));
+        out.add(
+                new Send(
+                        voter(),
+                        new Frame.Request(attempt.id, Frame.Ask.ENTRY, "", entry.encode())
+                                .encode()));
     }
 
     private int voter() {
@@ -170,8 +221,12 @@
         lastHeard = nowNanos;
         Read read = reads.remove(reply.id());
         if (read != null) {
-            // The answer is as old as the copy was, and then some: it may have been asked as soon as it was sent.
-            long age = read.ask == Frame.Ask.LOCAL ? reply.ageNanos() + (nowNanos - read.sinceNanos) : 0;
+            // The answer is as old as the copy was, and then some: it may have been asked as soon
+            // as it was sent.
+            long age =
+                    read.ask == Frame.Ask.LOCAL
+                            ? reply.ageNanos() + (nowNanos - read.sinceNanos)
+                            : 0;
             follow(from, reply.outcome());
             read.done.accept(new Frame.Reply(reply.id(), age, reply.outcome()));
         }
@@ -182,16 +237,21 @@
         String code = outcome.kind() == Outcome.Kind.FAILED ? outcome.code() : "";
         switch (code) {
             case ClusterException.NotLeader.CODE -> {
-                // Soon, not at once: two voters that each take the other for the leader would be flooded.
+                // Soon, not at once: two voters that each take the other for the leader would be
+                // flooded.
                 follow(from, outcome);
                 redirected = true;
             }
-            case ClusterException.QueueFull.CODE, ClusterException.Unsure.CODE, ClusterException.NoQuorum.CODE,
+            case ClusterException.QueueFull.CODE,
+                    ClusterException.Unsure.CODE,
+                    ClusterException.NoQuorum.CODE,
                     ClusterException.VoterStopped.CODE -> {
                 // Told by time: the retry goes out with the same number.
             }
             case ClusterException.SessionOver.CODE, ClusterException.OutOfOrder.CODE -> lose();
-            case ClusterException.UnknownMachine.CODE, ClusterException.Malformed.CODE, ClusterException.TooLarge.CODE -> {
+            case ClusterException.UnknownMachine.CODE,
+                    ClusterException.Malformed.CODE,
+                    ClusterException.TooLarge.CODE -> {
                 // Refused before it got into the log: its number is free.
                 sequence -= attempt.entry instanceof Entry.Run ? 1 : 0;
                 answered(attempt, outcome);
@@ -219,7 +279,8 @@
     }
 
     private void follow(int from, Outcome outcome) {
-        if (outcome.kind() == Outcome.Kind.FAILED && outcome.code().equals(ClusterException.NotLeader.CODE)) {
+        if (outcome.kind() == Outcome.Kind.FAILED
+                && outcome.code().equals(ClusterException.NotLeader.CODE)) {
             int leader = ((ClusterException.NotLeader) outcome.error()).leader();
             int at = voters.indexOf(leader);
             turn = at >= 0 && leader != from ? at : turn + 1;
@@ -236,7 +297,9 @@
         Waiting unsure = running;
         running = null;
         if (unsure != null) {
-            unsure.done.accept(Outcome.failed(0, ClusterException.Unsure.CODE, settings.member, lost, sequence));
+            unsure.done.accept(
+                    Outcome.failed(
+                            0, ClusterException.Unsure.CODE, settings.member, lost, sequence));
         }
         for (Waiting waiting : unsent) {
             waiting.done.accept(Outcome.failed(0, ClusterException.SessionOver.CODE, lost, 0));
@@ -245,7 +308,16 @@
 
     @Override
     public String toString() {
-        return "member " + settings.member + " session " + session + " command " + sequence + " waiting " + waiting()
-                + " at voter " + voter() + (attempt == null ? "" : " for " + attempt.entry);
+        return "member "
+                + settings.member
+                + " session "
+                + session
+                + " command "
+                + sequence
+                + " waiting "
+                + waiting()
+                + " at voter "
+                + voter()
+                + (attempt == null ? "" : " for " + attempt.entry);
     }
 }
--- a/src/main/java/calicostream/cluster/Newsroom.java
+++ b/src/main/java/calicostream/cluster/Newsroom.java
@@ -5,20 +5,21 @@
 import java.util.List;
 
 /**
- * What the leader tells members that hold no copy of the state: whom, and how much of it. Pure, one thread, beside a {@link Replicated}.
- * It is best effort and bounded: what finds no room is dropped and counted, never kept, since news that wait are no news and whoever
- * needs to be sure asks. Only the leader tells, so that a member hears a thing once as a rule; a leader that was stopped may tell what
- * is long over, so news must be worth nothing but a reason to ask or to hurry.
+ * What the leader tells members that hold no copy of the state: whom, and how much of it. Pure, one
+ * thread, beside a {@link Replicated}. It is best effort and bounded: what finds no room is dropped
+ * and counted, never kept, since news that wait are no news and whoever needs to be sure asks. Only
+ * the leader tells, so that a member hears a thing once as a rule; a leader that was stopped may
+ * tell what is long over, so news must be worth nothing but a reason to ask or to hurry.
  */
 public final class Newsroom {
     /** Bytes that may go out at once, and bytes a second after that. */
     static final long ROOM = 256 * 1024;
+
     static final long PER_SECOND = 1 << 20;
     private static final long SECOND = 1_000_000_000L;
 
     /** What to send. */
-    public record Telling(int member, byte[] frame) {
-    }
+    public record Telling(int member, byte[] frame) {}
 
     private final Replicated state;
     private final int self;
@@ -29,7 +30,9 @@
     private long told;
     private long dropped;
 
-    /** @param self the member that this process is, which hears of its own copy */
+    /**
+     * @param self the member that this process is, which hears of its own copy
+     */
     public Newsroom(Replicated state, int self) {
         this.state = state;
         this.self = self;
@@ -72,8 +75,13 @@
                 state.sessions().find(to).ifPresent(session -> add(out, session.member, frame));
                 continue;
             }
-            List<Integer> members = state.sessions().alive().stream().map(session -> session.member).distinct().toList();
-            // Another first each time, so that it is not always the same who hear nothing when there is no room for all.
+            List<Integer> members =
+                    state.sessions().alive().stream()
+                            .map(session -> session.member)
+                            .distinct()
+                            .toList();
+            // Another first each time, so that it is not always the same who hear nothing when
+            // there is no room for all.
             turn++;
             for (int i = 0; i < members.size(); i++) {
                 add(out, members.get(Math.floorMod(turn + i, members.size())), frame);
--- a/src/main/java/calicostream/cluster/Outcome.java
+++ b/src/main/java/calicostream/cluster/Outcome.java
@@ -2,20 +2,26 @@
 package calicostream.cluster;
 
 /**
- * How an entry or a read went, as its sender hears it: accepted by the machine, refused by the machine under its own
- * code, or failed in this layer with one of {@link ClusterException}. Immutable by convention.
+ * How an entry or a read went, as its sender hears it: accepted by the machine, refused by the
+ * machine under its own code, or failed in this layer with one of {@link ClusterException}.
+ * Immutable by convention.
  *
  * @param index of the log at which this holds; a retry hears the index of the first time
  */
 public record Outcome(Kind kind, long index, String code, byte[] answer) {
     /** Who spoke. */
-    public enum Kind { ACCEPTED, REFUSED, FAILED }
+    public enum Kind {
+        ACCEPTED,
+        REFUSED,
+        FAILED
+    }
 
     /** Larger answers stop the voter that made them: a machine has to keep within it. */
     public static final int MAX_ANSWER = 1 << 20;
 
     static Outcome of(long index, Effects effects) {
-        return effects.accepted() ? new Outcome(Kind.ACCEPTED, index, "", effects.answer())
+        return effects.accepted()
+                ? new Outcome(Kind.ACCEPTED, index, "", effects.answer())
                 : new Outcome(Kind.REFUSED, index, effects.refusal(), effects.answer());
     }
 
@@ -41,7 +47,9 @@
         out.u8(kind.ordinal()).i64(index).text(code).blob(answer);
     }
 
-    /** @throws ClusterException.Malformed if there is no outcome next */
+    /**
+     * @throws ClusterException.Malformed if there is no outcome next
+     */
     public static Outcome decode(Bytes.Reader in) {
         int kind = in.u8();
         if (kind >= Kind.values().length) {
--- a/src/main/java/calicostream/cluster/Replicated.java
+++ b/src/main/java/calicostream/cluster/Replicated.java
@@ -8,19 +8,20 @@
 import java.util.TreeMap;
 
 /**
- * The one machine that all voters apply alike: sessions, eras, and the named {@link Machine}s composed into it. Pure,
- * one thread; it reads no clock, and a leader's entry counts only in the era in which the leader counted. What throws
- * here ({@link ClusterException.Malformed}, {@link ClusterException.UnknownMachine}, a machine's fault) has to stop the
- * voter, since its copy would differ from then on.
+ * The one machine that all voters apply alike: sessions, eras, and the named {@link Machine}s
+ * composed into it. Pure, one thread; it reads no clock, and a leader's entry counts only in the
+ * era in which the leader counted. What throws here ({@link ClusterException.Malformed}, {@link
+ * ClusterException.UnknownMachine}, a machine's fault) has to stop the voter, since its copy would
+ * differ from then on.
  */
 public final class Replicated {
     /** Of a snapshot; the first had no generations of voters, and is still read. */
     private static final int VERSION = 2;
+
     private static final int MAX_PART = 1 << 28;
 
     /** An event and the machine it is of; "" for this layer's own. */
-    public record News(String machine, long index, Effects.Event event) {
-    }
+    public record News(String machine, long index, Effects.Event event) {}
 
     private final SortedMap<String, Machine> machines;
     private Sessions sessions = new Sessions();
@@ -30,7 +31,10 @@
     private Entry.Era leader = new Entry.Era(0, 0);
     private List<News> news = new ArrayList<>();
 
-    /** @param machines by name; the same at all voters, names of at most {@link Entry#MAX_NAME} bytes */
+    /**
+     * @param machines by name; the same at all voters, names of at most {@link Entry#MAX_NAME}
+     *     bytes
+     */
     public Replicated(Map<String, Machine> machines) {
         this.machines = new TreeMap<>(machines);
     }
@@ -88,8 +92,20 @@
         applied = index;
         if (entry instanceof Entry.Run run) {
             Machine machine = machine(run.machine());
-            return sessions.run(index, run, () -> told(run.machine(), index,
-                    machine.apply(index, new Command(run.session(), run.sequence(), 0, run.body()))));
+            return sessions.run(
+                    index,
+                    run,
+                    () ->
+                            told(
+                                    run.machine(),
+                                    index,
+                                    machine.apply(
+                                            index,
+                                            new Command(
+                                                    run.session(),
+                                                    run.sequence(),
+                                                    0,
+                                                    run.body()))));
         } else if (entry instanceof Entry.Keep keep) {
             return sessions.keep(index, keep.session());
         } else if (entry instanceof Entry.Open open) {
@@ -114,7 +130,10 @@
                 return Outcome.failed(index, ClusterException.OldEra.CODE, timed.era(), era);
             }
             Machine machine = machine(timed.machine());
-            return told(timed.machine(), index, machine.apply(index, new Command(0, 0, era, timed.body())));
+            return told(
+                    timed.machine(),
+                    index,
+                    machine.apply(index, new Command(0, 0, era, timed.body())));
         }
         if (entry instanceof Entry.AddVoter add) {
             return voters.add(index, add);
@@ -138,13 +157,19 @@
     }
 
     private void ended(long index, long session, String kind) {
-        news.add(new News("", index, new Effects.Event(kind, new Bytes.Writer().i64(session).done())));
-        machines.forEach((name, machine) -> told(name, index, machine.sessionEnded(index, session)));
+        news.add(
+                new News(
+                        "",
+                        index,
+                        new Effects.Event(kind, new Bytes.Writer().i64(session).done())));
+        machines.forEach(
+                (name, machine) -> told(name, index, machine.sessionEnded(index, session)));
     }
 
     private Outcome told(String name, long index, Effects effects) {
         if (effects.answer().length > Outcome.MAX_ANSWER) {
-            throw new ClusterException.TooLarge("answer of " + name, effects.answer().length, Outcome.MAX_ANSWER);
+            throw new ClusterException.TooLarge(
+                    "answer of " + name, effects.answer().length, Outcome.MAX_ANSWER);
         }
         for (Effects.Event event : effects.events()) {
             news.add(new News(name, index, event));
@@ -158,7 +183,13 @@
 
     /** Equal states give equal bytes. */
     public byte[] snapshot() {
-        Bytes.Writer out = new Bytes.Writer().u8(VERSION).i64(applied).i64(era).i32(leader.member()).i64(leader.nonce());
+        Bytes.Writer out =
+                new Bytes.Writer()
+                        .u8(VERSION)
+                        .i64(applied)
+                        .i64(era)
+                        .i32(leader.member())
+                        .i64(leader.nonce());
         sessions.write(out);
         voters.write(out);
         out.i32(machines.size());
@@ -167,10 +198,11 @@
     }
 
     /**
-     * Replaces the whole state. A machine that the snapshot does not know was new since then and stays as it is, for
-     * there was no command for it.
+     * Replaces the whole state. A machine that the snapshot does not know was new since then and
+     * stays as it is, for there was no command for it.
      *
-     * @throws ClusterException.Malformed if the bytes are no snapshot; this voter has to stop, its state may be mixed
+     * @throws ClusterException.Malformed if the bytes are no snapshot; this voter has to stop, its
+     *     state may be mixed
      * @throws ClusterException.UnknownMachine if it has a machine that this build has not
      */
     public void restore(byte[] snapshot) {
@@ -183,7 +215,8 @@
         long eraThen = in.i64();
         Entry.Era leaderThen = new Entry.Era(in.i32(), in.i64());
         Sessions sessionsThen = Sessions.read(in);
-        VoterGenerations votersThen = version < 2 ? new VoterGenerations() : VoterGenerations.read(in);
+        VoterGenerations votersThen =
+                version < 2 ? new VoterGenerations() : VoterGenerations.read(in);
         Map<String, byte[]> parts = new TreeMap<>();
         for (int left = in.count(8); left > 0; left--) {
             String name = in.text(Entry.MAX_NAME);
--- a/src/main/java/calicostream/cluster/SessionKeeper.java
+++ b/src/main/java/calicostream/cluster/SessionKeeper.java
@@ -7,16 +7,16 @@
 import java.util.Map;
 
 /**
- * The leader's count of the members' silence; pure, one thread, beside a {@link Replicated}. It starts each count when
- * it sees that a member was heard, which is never before the member spoke, and adds a bound on drift: so it comes to an
- * end after the member's own count ({@link #surelyAliveNanos}) did. A new era forgets all counts.
+ * The leader's count of the members' silence; pure, one thread, beside a {@link Replicated}. It
+ * starts each count when it sees that a member was heard, which is never before the member spoke,
+ * and adds a bound on drift: so it comes to an end after the member's own count ({@link
+ * #surelyAliveNanos}) did. A new era forgets all counts.
  */
 public final class SessionKeeper {
     /** Clocks differ by at most 500 ppm; both sides set aside twice that. */
     private static final long DRIFT = 1000;
 
-    private record Count(long renewed, long sinceNanos) {
-    }
+    private record Count(long renewed, long sinceNanos) {}
 
     private final Replicated state;
     private final long periodNanos;
@@ -24,26 +24,34 @@
     private long era;
     private long lastNanos;
 
-    /** @param periodNanos at which {@link #due} is called when this process is not stopped */
+    /**
+     * @param periodNanos at which {@link #due} is called when this process is not stopped
+     */
     public SessionKeeper(Replicated state, long periodNanos) {
         this.state = state;
         this.periodNanos = periodNanos;
     }
 
-    /** For how long after it sent what was then answered a member may take its session for alive. */
+    /**
+     * For how long after it sent what was then answered a member may take its session for alive.
+     */
     public static long surelyAliveNanos(int ttlMillis) {
         long ttl = ttlMillis * 1_000_000L;
         return ttl - ttl / DRIFT;
     }
 
-    /** What to propose now: sessions whose members were silent for all of their time. May repeat itself. */
+    /**
+     * What to propose now: sessions whose members were silent for all of their time. May repeat
+     * itself.
+     */
     public List<Entry.Expire> due(long nowNanos) {
         if (era != state.era()) {
             era = state.era();
             counts.clear();
             lastNanos = nowNanos;
         }
-        // While this process was stopped nobody could be heard by it; its own silence is not theirs.
+        // While this process was stopped nobody could be heard by it; its own silence is not
+        // theirs.
         long stopped = Math.max(0, nowNanos - lastNanos - 2 * periodNanos);
         lastNanos = nowNanos;
         List<Entry.Expire> due = new ArrayList<>();
--- a/src/main/java/calicostream/cluster/Sessions.java
+++ b/src/main/java/calicostream/cluster/Sessions.java
@@ -9,15 +9,18 @@
 import java.util.function.Supplier;
 
 /**
- * The members' sessions: pure, a part of {@link Replicated}, one thread. A session's number is the index of the entry
- * that opened it; its commands count once each, by number, and their outcomes are kept until the member no longer needs
- * them. It has a time to live but no clock: that the time ran out is told by {@link #expire}.
+ * The members' sessions: pure, a part of {@link Replicated}, one thread. A session's number is the
+ * index of the entry that opened it; its commands count once each, by number, and their outcomes
+ * are kept until the member no longer needs them. It has a time to live but no clock: that the time
+ * ran out is told by {@link #expire}.
  */
 final class Sessions {
     /** Commands of one session whose outcomes are kept. */
     static final int WINDOW = 64;
+
     /** Of one fleet; a member that opens without end must not fill the voters' memory. */
     static final int MAX_SESSIONS = 4096;
+
     static final int MAX_OF_MEMBER = 16;
     static final int MIN_TTL_MILLIS = 10;
     static final int MAX_TTL_MILLIS = 3_600_000;
@@ -63,7 +66,12 @@
 
     Outcome open(long index, Entry.Open open) {
         if (open.ttlMillis() < MIN_TTL_MILLIS || open.ttlMillis() > MAX_TTL_MILLIS) {
-            return Outcome.failed(index, ClusterException.BadTtl.CODE, open.ttlMillis(), MIN_TTL_MILLIS, MAX_TTL_MILLIS);
+            return Outcome.failed(
+                    index,
+                    ClusterException.BadTtl.CODE,
+                    open.ttlMillis(),
+                    MIN_TTL_MILLIS,
+                    MAX_TTL_MILLIS);
         }
         int ofMember = 0;
         for (Session session : alive.values()) {
@@ -76,7 +84,12 @@
             }
         }
         if (ofMember >= MAX_OF_MEMBER || alive.size() >= MAX_SESSIONS) {
-            return Outcome.failed(index, ClusterException.TooManySessions.CODE, open.member(), ofMember, alive.size());
+            return Outcome.failed(
+                    index,
+                    ClusterException.TooManySessions.CODE,
+                    open.member(),
+                    ofMember,
+                    alive.size());
         }
         Session session = new Session(index, open.member(), open.nonce(), open.ttlMillis());
         alive.put(index, session);
@@ -84,7 +97,8 @@
     }
 
     private static Outcome opened(long index, Session session) {
-        return new Outcome(Outcome.Kind.ACCEPTED, index, "", new Bytes.Writer().i64(session.id).done());
+        return new Outcome(
+                Outcome.Kind.ACCEPTED, index, "", new Bytes.Writer().i64(session.id).done());
     }
 
     Outcome keep(long index, long id) {
@@ -96,7 +110,9 @@
         return new Outcome(Outcome.Kind.ACCEPTED, index, "", new byte[0]);
     }
 
-    /** Runs {@code apply} if this command's turn is now; else answers what was answered, or why not. */
+    /**
+     * Runs {@code apply} if this command's turn is now; else answers what was answered, or why not.
+     */
     Outcome run(long index, Entry.Run run, Supplier<Outcome> apply) {
         Session session = alive.get(run.session());
         if (session == null) {
@@ -105,9 +121,15 @@
         session.renewed = index;
         long sequence = run.sequence();
         if (sequence <= session.acked || sequence > session.last + 1 || run.acked() >= sequence) {
-            return Outcome.failed(index, ClusterException.OutOfOrder.CODE, session.id, sequence, session.last + 1);
+            return Outcome.failed(
+                    index,
+                    ClusterException.OutOfOrder.CODE,
+                    session.id,
+                    sequence,
+                    session.last + 1);
         }
-        // A late copy of an older packet acknowledges less than is known: the larger of the two holds.
+        // A late copy of an older packet acknowledges less than is known: the larger of the two
+        // holds.
         if (run.acked() > session.acked) {
             session.acked = run.acked();
             session.outcomes.headMap(session.acked, true).clear();
@@ -117,7 +139,12 @@
             return known;
         }
         if (session.outcomes.size() >= WINDOW) {
-            return Outcome.failed(index, ClusterException.TooManyOpen.CODE, session.id, session.outcomes.size(), WINDOW);
+            return Outcome.failed(
+                    index,
+                    ClusterException.TooManyOpen.CODE,
+                    session.id,
+                    session.outcomes.size(),
+                    WINDOW);
         }
         Outcome outcome = apply.get();
         session.last = sequence;
@@ -125,12 +152,17 @@
         return outcome;
     }
 
-    /** @return whether it was alive */
+    /**
+     * @return whether it was alive
+     */
     boolean close(long id) {
         return alive.remove(id) != null;
     }
 
-    /** @return whether it is over by this; not if the member was heard after what the leader had counted from */
+    /**
+     * @return whether it is over by this; not if the member was heard after what the leader had
+     *     counted from
+     */
     boolean expire(Entry.Expire expire) {
         Session session = alive.get(expire.session());
         if (session == null || session.renewed != expire.renewed()) {
@@ -147,7 +179,13 @@
     void write(Bytes.Writer out) {
         out.i32(alive.size());
         for (Session s : alive.values()) {
-            out.i64(s.id).i32(s.member).i64(s.nonce).i32(s.ttlMillis).i64(s.renewed).i64(s.last).i64(s.acked);
+            out.i64(s.id)
+                    .i32(s.member)
+                    .i64(s.nonce)
+                    .i32(s.ttlMillis)
+                    .i64(s.renewed)
+                    .i64(s.last)
+                    .i64(s.acked);
             out.i32(s.outcomes.size());
             for (Map.Entry<Long, Outcome> outcome : s.outcomes.entrySet()) {
                 out.i64(outcome.getKey());
--- a/src/main/java/calicostream/cluster/VoterGenerations.java
+++ b/src/main/java/calicostream/cluster/VoterGenerations.java
@@ -5,18 +5,20 @@
 import java.util.TreeMap;
 
 /**
- * Which generation of a member may be added to the voters: never one that was removed, nor one older than another that
- * was added. A part of the replicated state, so every leader refuses alike, now and after any snapshot. A removal is
- * noted before the voter is removed and an addition before it is added, so a leader that stops in between leaves the
- * stricter word. Pure, one thread.
+ * Which generation of a member may be added to the voters: never one that was removed, nor one
+ * older than another that was added. A part of the replicated state, so every leader refuses alike,
+ * now and after any snapshot. A removal is noted before the voter is removed and an addition before
+ * it is added, so a leader that stops in between leaves the stricter word. Pure, one thread.
  */
 final class VoterGenerations {
     /** By member: the greatest that was added, and the greatest that was removed. */
     private final SortedMap<Integer, Integer> added = new TreeMap<>();
+
     private final SortedMap<Integer, Integer> removed = new TreeMap<>();
 
     boolean mayAdd(int member, int generation) {
-        return generation > removed.getOrDefault(member, -1) && generation >= added.getOrDefault(member, 0);
+        return generation > removed.getOrDefault(member, -1)
+                && generation >= added.getOrDefault(member, 0);
     }
 
     /** The least that may be added as somebody new. */
@@ -27,7 +29,12 @@
     /** The same again is accepted, as its sender may not have heard. */
     Outcome add(long index, Entry.AddVoter entry) {
         if (!mayAdd(entry.member(), entry.generation())) {
-            return Outcome.failed(index, ClusterException.GenerationOver.CODE, entry.member(), entry.generation(), next(entry.member()));
+            return Outcome.failed(
+                    index,
+                    ClusterException.GenerationOver.CODE,
+                    entry.member(),
+                    entry.generation(),
+                    next(entry.member()));
         }
         added.put(entry.member(), entry.generation());
         return new Outcome(Outcome.Kind.ACCEPTED, index, "", new byte[0]);
--- a/src/main/java/calicostream/cluster/config/BudgetConfig.java
+++ b/src/main/java/calicostream/cluster/config/BudgetConfig.java
@@ -20,7 +20,8 @@
 import java.util.Set;
 
 /**
- * Session budgets as the file has them; {@code docs/operate/cluster-settings.md} has every key. Immutable, and possible as a whole.
+ * Session budgets as the file has them; {@code docs/operate/cluster-settings.md} has every key.
+ * Immutable, and possible as a whole.
  *
  * @param settings what the fleet decides by, the same at all members
  * @param tenants how a request's tenant is known
@@ -28,7 +29,12 @@
  * @param queue requests of one tenant that wait at most
  * @param patience for which a request waits for room before it is refused
  */
-public record BudgetConfig(BudgetSettings settings, TenantRules tenants, Map<String, EnginesOf> engines, int queue, Duration patience) {
+public record BudgetConfig(
+        BudgetSettings settings,
+        TenantRules tenants,
+        Map<String, EnginesOf> engines,
+        int queue,
+        Duration patience) {
     private static final int MOST = 1_000_000;
     private static final int NO_CAP = MOST;
 
@@ -46,10 +52,21 @@
         engines = Map.copyOf(engines);
     }
 
-    /** The pool of an engine of this kind; empty where no pool has it, and its sessions are not counted. */
+    /**
+     * The pool of an engine of this kind; empty where no pool has it, and its sessions are not
+     * counted.
+     */
     public Optional<String> pool(int kind) {
-        return settings.pools().stream().map(Pool::name).filter(name -> engines.get(name).kinds.contains(kind)).findFirst()
-                .or(() -> settings.pools().stream().map(Pool::name).filter(name -> engines.get(name).kinds.isEmpty()).findFirst());
+        return settings.pools().stream()
+                .map(Pool::name)
+                .filter(name -> engines.get(name).kinds.contains(kind))
+                .findFirst()
+                .or(
+                        () ->
+                                settings.pools().stream()
+                                        .map(Pool::name)
+                                        .filter(name -> engines.get(name).kinds.isEmpty())
+                                        .findFirst());
     }
 
     /** Empty where the file has no {@code [budget]}. */
@@ -60,45 +77,94 @@
         Section budget = file.section("budget");
         Duration ttl = budget.span("ttl", "5s", "100ms", "1h");
         if (ttl.compareTo(changeOfLeader) <= 0) {
-            throw budget.wrong(Code.IMPOSSIBLE, "ttl", "grants must outlast a change of leader, which takes "
-                    + Units.SPAN.text(changeOfLeader.toNanos()) + " by raft.heartbeat, raft.missed and raft.election");
+            throw budget.wrong(
+                    Code.IMPOSSIBLE,
+                    "ttl",
+                    "grants must outlast a change of leader, which takes "
+                            + Units.SPAN.text(changeOfLeader.toNanos())
+                            + " by raft.heartbeat, raft.missed and raft.election");
         }
         List<String> processes = budget.texts("processes");
         processes.forEach(name -> ClusterConfig.name(budget, "processes", name));
         Map<String, EnginesOf> engines = new HashMap<>();
         List<Pool> pools = pools(file.section("pools"), processes.size(), engines);
         if (pools.isEmpty()) {
-            throw file.top().wrong(Code.MISSING_KEY, "pools", "a budget needs one pool at least, such as [pools.all]");
+            throw file.top()
+                    .wrong(
+                            Code.MISSING_KEY,
+                            "pools",
+                            "a budget needs one pool at least, such as [pools.all]");
         }
         Section section = file.section("tenants");
         Map<String, Known> known = new HashMap<>();
         List<Tenant> tenants = tenants(section, pools, known);
         String without = budget.text("default");
         if (!known.containsKey(without)) {
-            throw budget.wrong(Code.IMPOSSIBLE, "default", "'" + without + "' is none of the tenants " + String.join(", ", section.names()));
+            throw budget.wrong(
+                    Code.IMPOSSIBLE,
+                    "default",
+                    "'"
+                            + without
+                            + "' is none of the tenants "
+                            + String.join(", ", section.names()));
         }
         guaranteesFit(file.section("pools"), pools, tenants);
-        BudgetSettings settings = new BudgetSettings(pools, tenants, processes, ttl.toNanos(), driftPpm, budget.count("in_hand", 8, 1, 10_000));
-        return Optional.of(new BudgetConfig(settings, rules(section, settings, known, without), engines, budget.count("queue", 1000, 1, MOST),
-                budget.span("patience", "300ms", "1ms", "1h")));
+        BudgetSettings settings =
+                new BudgetSettings(
+                        pools,
+                        tenants,
+                        processes,
+                        ttl.toNanos(),
+                        driftPpm,
+                        budget.count("in_hand", 8, 1, 10_000));
+        return Optional.of(
+                new BudgetConfig(
+                        settings,
+                        rules(section, settings, known, without),
+                        engines,
+                        budget.count("queue", 1000, 1, MOST),
+                        budget.span("patience", "300ms", "1ms", "1h")));
     }
 
-    private static List<Pool> pools(Section section, int processes, Map<String, EnginesOf> engines) {
+    private static List<Pool> pools(
+            Section section, int processes, Map<String, EnginesOf> engines) {
         List<Pool> out = new ArrayList<>();
         Map<Integer, String> kinds = new HashMap<>();
         for (String name : section.names()) {
             Section each = section.section(ClusterConfig.name(section, name, name));
-            Pool pool = new Pool(name, each.count("floor", 0, 0, MOST), each.count("cap", NO_CAP, 0, MOST));
-            EnginesOf of = new EnginesOf(Set.copyOf(each.counts("kinds", 1 << 16)), each.count("engine_cap", null, 1, MOST));
+            Pool pool =
+                    new Pool(
+                            name,
+                            each.count("floor", 0, 0, MOST),
+                            each.count("cap", NO_CAP, 0, MOST));
+            EnginesOf of =
+                    new EnginesOf(
+                            Set.copyOf(each.counts("kinds", 1 << 16)),
+                            each.count("engine_cap", null, 1, MOST));
             long floors = (long) pool.floor() * processes;
             if (floors > of.cap) {
-                throw each.wrong(Code.IMPOSSIBLE, "engine_cap", of.cap + " is less than the floors of " + processes + " processes, "
-                        + floors + " by pools." + name + ".floor and budget.processes");
+                throw each.wrong(
+                        Code.IMPOSSIBLE,
+                        "engine_cap",
+                        of.cap
+                                + " is less than the floors of "
+                                + processes
+                                + " processes, "
+                                + floors
+                                + " by pools."
+                                + name
+                                + ".floor and budget.processes");
             }
             for (int kind : of.kinds.isEmpty() ? Set.of(-1) : of.kinds) {
                 String other = kinds.putIfAbsent(kind, name);
                 if (other != null) {
-                    throw each.wrong(Code.OVERLAP, "kinds", (kind < 0 ? "all the other kinds" : "kind " + kind) + " is pool " + other + "'s");
+                    throw each.wrong(
+                            Code.OVERLAP,
+                            "kinds",
+                            (kind < 0 ? "all the other kinds" : "kind " + kind)
+                                    + " is pool "
+                                    + other
+                                    + "'s");
                 }
             }
             engines.put(name, of);
@@ -107,7 +173,8 @@
         return out;
     }
 
-    private static List<Tenant> tenants(Section section, List<Pool> pools, Map<String, Known> known) {
+    private static List<Tenant> tenants(
+            Section section, List<Pool> pools, Map<String, Known> known) {
         List<Tenant> out = new ArrayList<>();
         for (String name : section.names()) {
             Section each = section.section(ClusterConfig.name(section, name, name));
@@ -118,14 +185,26 @@
             long guarantees = 0;
             for (String pool : byPool.names()) {
                 if (pools.stream().noneMatch(has -> has.name().equals(pool))) {
-                    throw byPool.wrong(Code.IMPOSSIBLE, pool, "'" + pool + "' is none of the pools "
-                            + String.join(", ", pools.stream().map(Pool::name).toList()));
+                    throw byPool.wrong(
+                            Code.IMPOSSIBLE,
+                            pool,
+                            "'"
+                                    + pool
+                                    + "' is none of the pools "
+                                    + String.join(", ", pools.stream().map(Pool::name).toList()));
                 }
                 Section one = byPool.section(pool);
                 Share share = share(one);
                 guarantees += share.guarantee();
                 if (guarantees > all.ceiling()) {
-                    throw one.wrong(Code.IMPOSSIBLE, "guarantee", "with the other pools' " + guarantees + ", over tenants." + name + ".ceiling");
+                    throw one.wrong(
+                            Code.IMPOSSIBLE,
+                            "guarantee",
+                            "with the other pools' "
+                                    + guarantees
+                                    + ", over tenants."
+                                    + name
+                                    + ".ceiling");
                 }
                 shares.put(pool, share);
             }
@@ -136,9 +215,15 @@
     }
 
     private static Share share(Section section) {
-        Share out = new Share(section.count("guarantee", 0, 0, MOST), section.count("ceiling", NO_CAP, 0, MOST));
+        Share out =
+                new Share(
+                        section.count("guarantee", 0, 0, MOST),
+                        section.count("ceiling", NO_CAP, 0, MOST));
         if (out.guarantee() > out.ceiling()) {
-            throw section.wrong(Code.IMPOSSIBLE, "ceiling", out.ceiling() + " is less than the guarantee of " + out.guarantee());
+            throw section.wrong(
+                    Code.IMPOSSIBLE,
+                    "ceiling",
+                    out.ceiling() + " is less than the guarantee of " + out.guarantee());
         }
         return out;
     }
@@ -148,37 +233,69 @@
         for (String each : section.texts("clients")) {
             Range range = Range.parse(each);
             if (range == null) {
-                throw section.wrong(Code.WRONG_TYPE, "clients", "'" + each + "' is no range such as 10.1.0.0/16 with no bits beyond its length");
+                throw section.wrong(
+                        Code.WRONG_TYPE,
+                        "clients",
+                        "'"
+                                + each
+                                + "' is no range such as 10.1.0.0/16 with no bits beyond its"
+                                + " length");
             }
             clients.add(range);
         }
-        return new Known(section.texts("logins"), section.texts("catalogs"), section.addresses("listen"), clients);
+        return new Known(
+                section.texts("logins"),
+                section.texts("catalogs"),
+                section.addresses("listen"),
+                clients);
     }
 
-    /** What all tenants are guaranteed must fit, in each pool and over all, or none of it is a promise. */
+    /**
+     * What all tenants are guaranteed must fit, in each pool and over all, or none of it is a
+     * promise.
+     */
     private static void guaranteesFit(Section section, List<Pool> pools, List<Tenant> tenants) {
         for (Pool pool : pools) {
-            long sum = tenants.stream().mapToLong(each -> each.share(pool.name()).guarantee()).sum();
+            long sum =
+                    tenants.stream().mapToLong(each -> each.share(pool.name()).guarantee()).sum();
             if (sum > pool.cap()) {
-                throw section.section(pool.name()).wrong(Code.IMPOSSIBLE, "cap", pool.cap() + " is less than the " + sum
-                        + " that tenants are guaranteed");
+                throw section.section(pool.name())
+                        .wrong(
+                                Code.IMPOSSIBLE,
+                                "cap",
+                                pool.cap()
+                                        + " is less than the "
+                                        + sum
+                                        + " that tenants are guaranteed");
             }
         }
         long caps = pools.stream().mapToLong(Pool::cap).sum();
-        long sum = tenants.stream().mapToLong(each -> each.share(BudgetSettings.FLEET).guarantee()).sum();
+        long sum =
+                tenants.stream()
+                        .mapToLong(each -> each.share(BudgetSettings.FLEET).guarantee())
+                        .sum();
         if (sum > caps) {
-            throw section.section(pools.get(0).name()).wrong(Code.IMPOSSIBLE, "cap", "all pools together have " + caps
-                    + ", less than the " + sum + " that tenants are guaranteed over all");
+            throw section.section(pools.get(0).name())
+                    .wrong(
+                            Code.IMPOSSIBLE,
+                            "cap",
+                            "all pools together have "
+                                    + caps
+                                    + ", less than the "
+                                    + sum
+                                    + " that tenants are guaranteed over all");
         }
     }
 
-    private static TenantRules rules(Section section, BudgetSettings settings, Map<String, Known> known, String without) {
+    private static TenantRules rules(
+            Section section, BudgetSettings settings, Map<String, Known> known, String without) {
         try {
             return new TenantRules(settings, known, without);
         } catch (BudgetException.BadSetting shared) {
             int dot = shared.key().lastIndexOf('.'); // a tenant's name may have some
             String tenant = shared.key().substring("tenants.".length(), dot);
-            throw section.section(tenant).wrong(Code.OVERLAP, shared.key().substring(dot + 1), shared.why());
+            throw section.section(tenant)
+                    .wrong(Code.OVERLAP, shared.key().substring(dot + 1), shared.why());
         }
     }
 }
--- a/src/main/java/calicostream/cluster/config/ClusterConfig.java
+++ b/src/main/java/calicostream/cluster/config/ClusterConfig.java
@@ -14,37 +14,63 @@
 import java.util.stream.Stream;
 
 /**
- * The cluster as one of its members is told it; {@code docs/operate/cluster-settings.md} has every key. Immutable, and
- * possible as a whole: what contradicts itself never becomes one.
+ * The cluster as one of its members is told it; {@code docs/operate/cluster-settings.md} has every
+ * key. Immutable, and possible as a whole: what contradicts itself never becomes one.
  *
  * @param cluster name of the cluster, the same at all members
  * @param self this member, also where it is none of the first voters
- * @param generation of this member as a voter: raised by one when its folder is lost or has forgotten
+ * @param generation of this member as a voter: raised by one when its folder is lost or has
+ *     forgotten
  * @param data the folder that is this member's alone
  * @param marks where its marks are: the same folder, or better one on another device
  * @param voters those that the cluster begins with
  * @param members others that this one is to reach, none of the first voters
- * @param links where this member reaches another one, by its number, if not at that one's own address
+ * @param links where this member reaches another one, by its number, if not at that one's own
+ *     address
  * @param driftPpm how far any clock may run from real time
  * @param budget session budgets of tenants, where the file turns them on
  */
-public record ClusterConfig(String cluster, Member self, int generation, Path data, Path marks, List<Member> voters,
-        List<Member> members, Map<Integer, InetSocketAddress> links, Raft raft, Session session, Duration leaseTtl, int driftPpm,
-        Disk disk, Optional<BudgetConfig> budget) {
-    private static final long SYNC_WARNING = 500_000_000; // ns, unless a leader is doubted sooner than after twice that
+public record ClusterConfig(
+        String cluster,
+        Member self,
+        int generation,
+        Path data,
+        Path marks,
+        List<Member> voters,
+        List<Member> members,
+        Map<Integer, InetSocketAddress> links,
+        Raft raft,
+        Session session,
+        Duration leaseTtl,
+        int driftPpm,
+        Disk disk,
+        Optional<BudgetConfig> budget) {
+    private static final long SYNC_WARNING =
+            500_000_000; // ns, unless a leader is doubted sooner than after twice that
     private static final String NAME = "[A-Za-z0-9][A-Za-z0-9._-]{0,62}";
 
-    /** {@code number} is what the protocol knows it by: never given to another member of this cluster. */
-    public record Member(String name, int number, InetSocketAddress address) { }
+    /**
+     * {@code number} is what the protocol knows it by: never given to another member of this
+     * cluster.
+     */
+    public record Member(String name, int number, InetSocketAddress address) {}
 
-    /** @param missed heartbeats until a leader is doubted; @param queue proposals that wait to be decided */
-    public record Raft(Duration heartbeat, int missed, Duration election, int queue, int snapshotEvery) { }
+    /**
+     * @param missed heartbeats until a leader is doubted; @param queue proposals that wait to be
+     *     decided
+     */
+    public record Raft(
+            Duration heartbeat, int missed, Duration election, int queue, int snapshotEvery) {}
 
-    /** @param retry until another voter is tried; @param queue commands of this member that wait */
-    public record Session(Duration ttl, Duration retry, int queue) { }
+    /**
+     * @param retry until another voter is tried; @param queue commands of this member that wait
+     */
+    public record Session(Duration ttl, Duration retry, int queue) {}
 
-    /** @param syncWarning a sync that takes longer is told to operators */
-    public record Disk(long segmentBytes, Duration syncWarning) { }
+    /**
+     * @param syncWarning a sync that takes longer is told to operators
+     */
+    public record Disk(long segmentBytes, Duration syncWarning) {}
 
     /** Whether a voter of the beginning. */
     public boolean isVoter() {
@@ -54,12 +80,20 @@
     /** Where this member finds each other one that it knows, by number. */
     public Map<Integer, InetSocketAddress> peers() {
         Map<Integer, InetSocketAddress> out = new HashMap<>();
-        Stream.concat(voters.stream(), members.stream()).filter(each -> each.number != self.number)
-                .forEach(each -> out.put(each.number, links.getOrDefault(each.number, each.address)));
+        Stream.concat(voters.stream(), members.stream())
+                .filter(each -> each.number != self.number)
+                .forEach(
+                        each ->
+                                out.put(
+                                        each.number,
+                                        links.getOrDefault(each.number, each.address)));
         return Map.copyOf(out);
     }
 
-    /** The whole file, where it has nothing but these sections; empty where it leaves the cluster off. */
+    /**
+     * The whole file, where it has nothing but these sections; empty where it leaves the cluster
+     * off.
+     */
     public static Optional<ClusterConfig> read(Path path) {
         SettingsFile file = SettingsFile.read(path);
         Optional<ClusterConfig> out = of(file);
@@ -69,7 +103,10 @@
         return out;
     }
 
-    /** Empty where the file leaves the cluster off; the caller reads what else it knows and calls {@code done}. */
+    /**
+     * Empty where the file leaves the cluster off; the caller reads what else it knows and calls
+     * {@code done}.
+     */
     public static Optional<ClusterConfig> of(SettingsFile file) {
         if (!file.top().flag("enabled", false)) {
             return Optional.empty();
@@ -77,8 +114,11 @@
         Map<Object, String> known = new HashMap<>();
         List<Member> voters = members(file, "voters", known);
         if (voters.size() != 3 && voters.size() != 5) {
-            throw file.top().wrong(voters.isEmpty() ? Code.MISSING_KEY : Code.IMPOSSIBLE, "voters",
-                    voters.size() + " voters, 3 or 5 needed");
+            throw file.top()
+                    .wrong(
+                            voters.isEmpty() ? Code.MISSING_KEY : Code.IMPOSSIBLE,
+                            "voters",
+                            voters.size() + " voters, 3 or 5 needed");
         }
         List<Member> members = members(file, "members", known);
         Section member = file.section("member");
@@ -88,10 +128,22 @@
         int drift = clock.ppm("drift", "500ppm", "500ppm", "100000ppm");
         Member self = self(member, voters, members);
         Path data = member.path("data");
-        return Optional.of(new ClusterConfig(name(file.section("cluster"), "name"), self,
-                member.count("generation", 0, 0, 1 << 20), data, member.has("marks") ? member.path("marks") : data, voters, members,
-                links(file, self, voters, members), raft, session(file.section("session"), raft), lease.span("ttl", "5s", "1s", "1h"),
-                drift, disk(file.section("disk"), raft), BudgetConfig.of(file, drift, doubted(raft).plus(raft.election))));
+        return Optional.of(
+                new ClusterConfig(
+                        name(file.section("cluster"), "name"),
+                        self,
+                        member.count("generation", 0, 0, 1 << 20),
+                        data,
+                        member.has("marks") ? member.path("marks") : data,
+                        voters,
+                        members,
+                        links(file, self, voters, members),
+                        raft,
+                        session(file.section("session"), raft),
+                        lease.span("ttl", "5s", "1s", "1h"),
+                        drift,
+                        disk(file.section("disk"), raft),
+                        BudgetConfig.of(file, drift, doubted(raft).plus(raft.election))));
     }
 
     private static String name(Section section, String key) {
@@ -100,17 +152,28 @@
 
     static String name(Section section, String key, String name) {
         if (!name.matches(NAME)) {
-            throw section.wrong(Code.OUT_OF_RANGE, key, "'" + name
-                    + "', 1 to 63 letters, digits, dots, dashes and underscores allowed");
+            throw section.wrong(
+                    Code.OUT_OF_RANGE,
+                    key,
+                    "'"
+                            + name
+                            + "', 1 to 63 letters, digits, dots, dashes and underscores allowed");
         }
         return name;
     }
 
-    /** @param known what is taken, by whom, so far */
-    private static List<Member> members(SettingsFile file, String array, Map<Object, String> known) {
+    /**
+     * @param known what is taken, by whom, so far
+     */
+    private static List<Member> members(
+            SettingsFile file, String array, Map<Object, String> known) {
         List<Member> out = new ArrayList<>();
         for (Section each : file.sections(array)) {
-            Member member = new Member(name(each, "name"), each.count("number", null, 1, 1 << 20), each.address("address", null));
+            Member member =
+                    new Member(
+                            name(each, "name"),
+                            each.count("number", null, 1, 1 << 20),
+                            each.address("address", null));
             if (member.address == null) {
                 throw each.wrong(Code.MISSING_KEY, "address", "it is needed");
             }
@@ -123,8 +186,8 @@
         return List.copyOf(out);
     }
 
-    private static Map<Integer, InetSocketAddress> links(SettingsFile file, Member self, List<Member> voters,
-            List<Member> members) {
+    private static Map<Integer, InetSocketAddress> links(
+            SettingsFile file, Member self, List<Member> voters, List<Member> members) {
         Map<Integer, InetSocketAddress> out = new HashMap<>();
         for (Section each : file.sections("links")) {
             String name = name(each, "to");
@@ -132,10 +195,24 @@
             if (via == null) {
                 throw each.wrong(Code.MISSING_KEY, "via", "it is needed");
             }
-            Member to = Stream.concat(voters.stream(), members.stream()).filter(m -> m.name.equals(name)).findFirst()
-                    .orElseThrow(() -> each.wrong(Code.OUT_OF_RANGE, "to", "'" + name + "' is none of the voters and members"));
+            Member to =
+                    Stream.concat(voters.stream(), members.stream())
+                            .filter(m -> m.name.equals(name))
+                            .findFirst()
+                            .orElseThrow(
+                                    () ->
+                                            each.wrong(
+                                                    Code.OUT_OF_RANGE,
+                                                    "to",
+                                                    "'"
+                                                            + name
+                                                            + "' is none of the voters and"
+                                                            + " members"));
             if (to.number == self.number) {
-                throw each.wrong(Code.IMPOSSIBLE, "to", "'" + name + "' is this member itself, member.name says");
+                throw each.wrong(
+                        Code.IMPOSSIBLE,
+                        "to",
+                        "'" + name + "' is this member itself, member.name says");
             }
             if (out.put(to.number, via) != null) {
                 throw each.wrong(Code.OVERLAP, "to", "'" + name + "' has a link already");
@@ -144,7 +221,8 @@
         return Map.copyOf(out);
     }
 
-    private static void unlike(Section section, String key, Object value, String name, Map<Object, String> known) {
+    private static void unlike(
+            Section section, String key, Object value, String name, Map<Object, String> known) {
         String other = known.putIfAbsent(value, name);
         if (other != null) {
             throw section.wrong(Code.OVERLAP, key, text(value) + " is " + other + "'s");
@@ -152,46 +230,76 @@
     }
 
     private static String text(Object value) {
-        return value instanceof InetSocketAddress at ? at.getAddress().getHostAddress() + ":" + at.getPort() : "'" + value + "'";
+        return value instanceof InetSocketAddress at
+                ? at.getAddress().getHostAddress() + ":" + at.getPort()
+                : "'" + value + "'";
     }
 
-    /** The number and address of a voter, or of another member that is listed, are in its entry; who is not has its own. */
+    /**
+     * The number and address of a voter, or of another member that is listed, are in its entry; who
+     * is not has its own.
+     */
     private static Member self(Section section, List<Member> voters, List<Member> members) {
         String name = name(section, "name");
         List<Member> all = Stream.concat(voters.stream(), members.stream()).toList();
         Optional<Member> entry = all.stream().filter(v -> v.name.equals(name)).findFirst();
         if (entry.isEmpty() && !section.has("number") && !section.has("listen")) {
-            throw section.wrong(Code.MISSING_KEY, "name", "'" + name + "' is none of the voters "
-                    + String.join(", ", voters.stream().map(Member::name).toList())
-                    + "; a member that is none has member.number and member.listen");
+            throw section.wrong(
+                    Code.MISSING_KEY,
+                    "name",
+                    "'"
+                            + name
+                            + "' is none of the voters "
+                            + String.join(", ", voters.stream().map(Member::name).toList())
+                            + "; a member that is none has member.number and member.listen");
         }
         Integer number = entry.map(Member::number).orElse(null);
-        InetSocketAddress address = section.address("listen", entry.map(Member::address).orElse(null));
+        InetSocketAddress address =
+                section.address("listen", entry.map(Member::address).orElse(null));
         if (address == null) {
-            throw section.wrong(Code.MISSING_KEY, "listen", "it is needed for a member that is no voter");
+            throw section.wrong(
+                    Code.MISSING_KEY, "listen", "it is needed for a member that is no voter");
         }
         Member out = new Member(name, section.count("number", number, 1, 1 << 20), address);
         if (entry.isPresent() && !entry.get().equals(out)) {
             String key = out.number != number ? "number" : "listen";
-            throw section.wrong(Code.OVERLAP, key, (voters.contains(entry.get()) ? "voter " : "member ") + name
-                    + " has another one in its own entry");
+            throw section.wrong(
+                    Code.OVERLAP,
+                    key,
+                    (voters.contains(entry.get()) ? "voter " : "member ")
+                            + name
+                            + " has another one in its own entry");
         }
         for (Member each : all) {
-            if (entry.isEmpty() && (each.number == out.number || each.address.equals(out.address))) {
+            if (entry.isEmpty()
+                    && (each.number == out.number || each.address.equals(out.address))) {
                 Object same = each.number == out.number ? out.number : out.address;
-                throw section.wrong(Code.OVERLAP, each.number == out.number ? "number" : "listen", text(same) + " is "
-                        + (voters.contains(each) ? "voter " : "member ") + each.name + "'s");
+                throw section.wrong(
+                        Code.OVERLAP,
+                        each.number == out.number ? "number" : "listen",
+                        text(same)
+                                + " is "
+                                + (voters.contains(each) ? "voter " : "member ")
+                                + each.name
+                                + "'s");
             }
         }
         return out;
     }
 
     private static Raft raft(Section section) {
-        Raft out = new Raft(section.span("heartbeat", "250ms", "10ms", "10s"), section.count("missed", 4, 2, 100),
-                section.span("election", "1s", "50ms", "1min"), section.count("queue", 1024, 16, 1 << 20),
-                section.count("snapshot_every", 10_000, 100, 10_000_000));
+        Raft out =
+                new Raft(
+                        section.span("heartbeat", "250ms", "10ms", "10s"),
+                        section.count("missed", 4, 2, 100),
+                        section.span("election", "1s", "50ms", "1min"),
+                        section.count("queue", 1024, 16, 1 << 20),
+                        section.count("snapshot_every", 10_000, 100, 10_000_000));
         if (out.election.compareTo(out.heartbeat) <= 0) {
-            throw section.wrong(Code.IMPOSSIBLE, "election", "no longer than raft.heartbeat: no election would end");
+            throw section.wrong(
+                    Code.IMPOSSIBLE,
+                    "election",
+                    "no longer than raft.heartbeat: no election would end");
         }
         return out;
     }
@@ -201,27 +309,43 @@
     }
 
     private static Session session(Section section, Raft raft) {
-        Session out = new Session(section.span("ttl", "10s", "100ms", "1h"), section.span("retry", "1s", "10ms", "1min"),
-                section.count("queue", 256, 1, 1 << 16));
+        Session out =
+                new Session(
+                        section.span("ttl", "10s", "100ms", "1h"),
+                        section.span("retry", "1s", "10ms", "1min"),
+                        section.count("queue", 256, 1, 1 << 16));
         Duration change = doubted(raft).plus(raft.election);
         if (out.ttl.compareTo(change) <= 0) {
-            throw section.wrong(Code.IMPOSSIBLE, "ttl", "a session must outlast a change of leader, which takes "
-                    + Units.SPAN.text(change.toNanos()) + " by raft.heartbeat, raft.missed and raft.election");
+            throw section.wrong(
+                    Code.IMPOSSIBLE,
+                    "ttl",
+                    "a session must outlast a change of leader, which takes "
+                            + Units.SPAN.text(change.toNanos())
+                            + " by raft.heartbeat, raft.missed and raft.election");
         }
         if (out.retry.compareTo(out.ttl) >= 0) {
-            throw section.wrong(Code.IMPOSSIBLE, "retry",
+            throw section.wrong(
+                    Code.IMPOSSIBLE,
+                    "retry",
                     "no shorter than session.ttl: a session would end before its second try");
         }
         return out;
     }
 
     private static Disk disk(Section section, Raft raft) {
-        String without = Units.SPAN.text(Math.min(SYNC_WARNING, doubted(raft).toNanos() / 2) / 1000 * 1000);
-        Disk out = new Disk(section.bytes("segment", "4MB", "64KB", "1GB"),
-                section.span("sync_warning", without, "1ms", "1min"));
+        String without =
+                Units.SPAN.text(Math.min(SYNC_WARNING, doubted(raft).toNanos() / 2) / 1000 * 1000);
+        Disk out =
+                new Disk(
+                        section.bytes("segment", "4MB", "64KB", "1GB"),
+                        section.span("sync_warning", without, "1ms", "1min"));
         if (out.syncWarning.compareTo(doubted(raft)) >= 0) {
-            throw section.wrong(Code.IMPOSSIBLE, "sync_warning", "a leader whose disk is that slow is doubted sooner, after "
-                    + Units.SPAN.text(doubted(raft).toNanos()) + " by raft.heartbeat and raft.missed");
+            throw section.wrong(
+                    Code.IMPOSSIBLE,
+                    "sync_warning",
+                    "a leader whose disk is that slow is doubted sooner, after "
+                            + Units.SPAN.text(doubted(raft).toNanos())
+                            + " by raft.heartbeat and raft.missed");
         }
         return out;
     }
--- a/src/main/java/calicostream/cluster/config/ClusterConfigException.java
+++ b/src/main/java/calicostream/cluster/config/ClusterConfigException.java
@@ -4,23 +4,37 @@
 import calicostream.SettingsException;
 
 /**
- * What can't be used in the cluster's settings. The message is one line: file, line, key, the fact and the code; the
- * program ends with it and the exit code 2 before it serves anybody.
+ * What can't be used in the cluster's settings. The message is one line: file, line, key, the fact
+ * and the code; the program ends with it and the exit code 2 before it serves anybody.
  */
 public final class ClusterConfigException extends SettingsException {
     private static final long serialVersionUID = 1L;
 
-    /** Kinds of mistakes, by codes that never change; each has a row in {@code docs/operate/cluster-settings.md}. */
+    /**
+     * Kinds of mistakes, by codes that never change; each has a row in {@code
+     * docs/operate/cluster-settings.md}.
+     */
     public enum Code {
-        UNREADABLE("cluster-config-unreadable", "Name a file that the process may read, or unset NODE_CLUSTER."),
+        UNREADABLE(
+                "cluster-config-unreadable",
+                "Name a file that the process may read, or unset NODE_CLUSTER."),
         SYNTAX("cluster-config-syntax", "Write the line as TOML 1.0 has it."),
         UNKNOWN_KEY("cluster-config-unknown-key", "Mend the spelling, or take the line out."),
         MISSING_KEY("cluster-config-missing-key", "Add the key; it has no default."),
-        WRONG_TYPE("cluster-config-wrong-type", "Write a value of the type that the line asks for."),
-        WRONG_UNIT("cluster-config-wrong-unit", "Write a whole number and one of the units that the line names."),
-        OUT_OF_RANGE("cluster-config-out-of-range", "Choose a value within the bounds that the line names."),
-        OVERLAP("cluster-config-overlap", "Give each one its own: a member its name, number and address, a tenant what it is known by."),
-        IMPOSSIBLE("cluster-config-impossible", "Change one of the two settings that the line names.");
+        WRONG_TYPE(
+                "cluster-config-wrong-type", "Write a value of the type that the line asks for."),
+        WRONG_UNIT(
+                "cluster-config-wrong-unit",
+                "Write a whole number and one of the units that the line names."),
+        OUT_OF_RANGE(
+                "cluster-config-out-of-range",
+                "Choose a value within the bounds that the line names."),
+        OVERLAP(
+                "cluster-config-overlap",
+                "Give each one its own: a member its name, number and address, a tenant what it is"
+                        + " known by."),
+        IMPOSSIBLE(
+                "cluster-config-impossible", "Change one of the two settings that the line names.");
 
         private final String text;
         private final String remedy;
@@ -46,10 +60,21 @@
     private final int line;
     private final String key;
 
-    /** @param line counted from 1, or 0 where the file as a whole is meant; @param key dotted, or empty */
+    /**
+     * @param line counted from 1, or 0 where the file as a whole is meant; @param key dotted, or
+     *     empty
+     */
     ClusterConfigException(Code code, String file, int line, String key, String fact) {
-        super("bad configuration: " + file + (line > 0 ? ":" + line : "") + ": " + (key.isEmpty() ? "" : key + ": ")
-                + fact.replaceAll("\\s*\\R\\s*", " ") + " [" + code.text + "]");
+        super(
+                "bad configuration: "
+                        + file
+                        + (line > 0 ? ":" + line : "")
+                        + ": "
+                        + (key.isEmpty() ? "" : key + ": ")
+                        + fact.replaceAll("\\s*\\R\\s*", " ")
+                        + " ["
+                        + code.text
+                        + "]");
         this.code = code;
         this.file = file;
         this.line = line;
--- a/src/main/java/calicostream/cluster/config/SettingsFile.java
+++ b/src/main/java/calicostream/cluster/config/SettingsFile.java
@@ -26,34 +26,40 @@
 import org.tomlj.TomlTable;
 
 /**
- * A file of settings in TOML. Each part of the program takes the keys it knows out of a {@link Section}; when all have,
- * {@link #done} knows that what is left over is a mistake. Each mistake is thrown where it is found, with its line. One
- * thread uses an object, at the start of the program.
+ * A file of settings in TOML. Each part of the program takes the keys it knows out of a {@link
+ * Section}; when all have, {@link #done} knows that what is left over is a mistake. Each mistake is
+ * thrown where it is found, with its line. One thread uses an object, at the start of the program.
  */
 public final class SettingsFile {
     private final String name;
     private final Path path;
-    private final Map<TomlTable, Set<String>> taken = new IdentityHashMap<>(); // tables of an array may be equal
+    private final Map<TomlTable, Set<String>> taken =
+            new IdentityHashMap<>(); // tables of an array may be equal
     private final TomlParseResult root;
 
     private SettingsFile(Path path, String text) {
         this.path = path;
         name = path.toString();
         root = Toml.parse(text);
-        root.errors().stream().min(Comparator.comparingInt(e -> e.position().line())).ifPresent(this::refuse);
+        root.errors().stream()
+                .min(Comparator.comparingInt(e -> e.position().line()))
+                .ifPresent(this::refuse);
     }
 
     private void refuse(TomlParseError first) {
-        throw new ClusterConfigException(Code.SYNTAX, name, first.position().line(), "", first.getMessage());
+        throw new ClusterConfigException(
+                Code.SYNTAX, name, first.position().line(), "", first.getMessage());
     }
 
     public static SettingsFile read(Path path) {
         try {
             return new SettingsFile(path, Files.readString(path, StandardCharsets.UTF_8));
         } catch (CharacterCodingException e) {
-            throw new ClusterConfigException(Code.SYNTAX, path.toString(), 0, "", "the file is not UTF-8");
+            throw new ClusterConfigException(
+                    Code.SYNTAX, path.toString(), 0, "", "the file is not UTF-8");
         } catch (IOException e) {
-            throw new ClusterConfigException(Code.UNREADABLE, path.toString(), 0, "", "can't be read: " + e);
+            throw new ClusterConfigException(
+                    Code.UNREADABLE, path.toString(), 0, "", "can't be read: " + e);
         }
     }
 
@@ -78,18 +84,31 @@
     }
 
     private void leftOver(TomlTable table, String prefix) {
-        table.keySet().stream().sorted(Comparator.comparingInt(key -> lineOf(table, key))).forEach(key -> {
-            if (!taken.getOrDefault(table, Set.of()).contains(key)) {
-                throw new ClusterConfigException(Code.UNKNOWN_KEY, name, lineOf(table, key), prefix + key, "no such key");
-            }
-            Object value = table.get(List.of(key));
-            if (value instanceof TomlTable inner) {
-                leftOver(inner, prefix + key + ".");
-            } else if (value instanceof TomlArray array) {
-                array.toList().stream().filter(TomlTable.class::isInstance)
-                        .forEach(each -> leftOver((TomlTable) each, prefix + key + "."));
-            }
-        });
+        table.keySet().stream()
+                .sorted(Comparator.comparingInt(key -> lineOf(table, key)))
+                .forEach(
+                        key -> {
+                            if (!taken.getOrDefault(table, Set.of()).contains(key)) {
+                                throw new ClusterConfigException(
+                                        Code.UNKNOWN_KEY,
+                                        name,
+                                        lineOf(table, key),
+                                        prefix + key,
+                                        "no such key");
+                            }
+                            Object value = table.get(List.of(key));
+                            if (value instanceof TomlTable inner) {
+                                leftOver(inner, prefix + key + ".");
+                            } else if (value instanceof TomlArray array) {
+                                array.toList().stream()
+                                        .filter(TomlTable.class::isInstance)
+                                        .forEach(
+                                                each ->
+                                                        leftOver(
+                                                                (TomlTable) each,
+                                                                prefix + key + "."));
+                            }
+                        });
     }
 
     private static int lineOf(TomlTable table, String key) {
@@ -109,7 +128,10 @@
             this.line = line;
         }
 
-        /** What is wrong with a key of this table, told at its line, or at the table's where it has no such key. */
+        /**
+         * What is wrong with a key of this table, told at its line, or at the table's where it has
+         * no such key.
+         */
         public ClusterConfigException wrong(Code code, String key, String fact) {
             int at = lineOf(table, key);
             return new ClusterConfigException(code, name, at > 0 ? at : line, prefix + key, fact);
@@ -134,12 +156,17 @@
 
         /** The names of this table's keys in the file's order, where operators choose them. */
         public List<String> names() {
-            return table.keySet().stream().sorted(Comparator.comparingInt(key -> lineOf(table, key))).toList();
+            return table.keySet().stream()
+                    .sorted(Comparator.comparingInt(key -> lineOf(table, key)))
+                    .toList();
         }
 
         public Section section(String key) {
             TomlTable inner = take(key, TomlTable.class, "a table");
-            return new Section(inner == null ? Toml.parse("") : inner, prefix + key + ".", Math.max(1, lineOf(table, key)));
+            return new Section(
+                    inner == null ? Toml.parse("") : inner,
+                    prefix + key + ".",
+                    Math.max(1, lineOf(table, key)));
         }
 
         public List<Section> sections(String key) {
@@ -179,24 +206,36 @@
             return value;
         }
 
-        /** Texts in the file's order, none where the key is not there; one that comes twice is a mistake. */
+        /**
+         * Texts in the file's order, none where the key is not there; one that comes twice is a
+         * mistake.
+         */
         public List<String> texts(String key) {
-            return list(key, String.class, "an array of texts in quotes").stream().map(text -> {
-                if (text.isBlank()) {
-                    throw wrong(Code.OUT_OF_RANGE, key, "one is empty");
-                }
-                return text;
-            }).toList();
+            return list(key, String.class, "an array of texts in quotes").stream()
+                    .map(
+                            text -> {
+                                if (text.isBlank()) {
+                                    throw wrong(Code.OUT_OF_RANGE, key, "one is empty");
+                                }
+                                return text;
+                            })
+                    .toList();
         }
 
         /** Whole numbers from 0 on, in the file's order. */
         public List<Integer> counts(String key, int most) {
-            return list(key, Long.class, "an array of whole numbers").stream().map(value -> {
-                if (value < 0 || value > most) {
-                    throw wrong(Code.OUT_OF_RANGE, key, value + ", 0 to " + most + " allowed");
-                }
-                return value.intValue();
-            }).toList();
+            return list(key, Long.class, "an array of whole numbers").stream()
+                    .map(
+                            value -> {
+                                if (value < 0 || value > most) {
+                                    throw wrong(
+                                            Code.OUT_OF_RANGE,
+                                            key,
+                                            value + ", 0 to " + most + " allowed");
+                                }
+                                return value.intValue();
+                            })
+                    .toList();
         }
 
         private <T> List<T> list(String key, Class<T> type, String called) {
@@ -214,14 +253,18 @@
             return out;
         }
 
-        /** A whole number within bounds; {@code without} is taken as it is, and null stands for a key that is needed. */
+        /**
+         * A whole number within bounds; {@code without} is taken as it is, and null stands for a
+         * key that is needed.
+         */
         public int count(String key, Integer without, int least, int most) {
             Long value = take(key, Long.class, "a whole number");
             if (value == null) {
                 return need(key, without);
             }
             if (value < least || value > most) {
-                throw wrong(Code.OUT_OF_RANGE, key, value + ", " + least + " to " + most + " allowed");
+                throw wrong(
+                        Code.OUT_OF_RANGE, key, value + ", " + least + " to " + most + " allowed");
             }
             return value.intValue();
         }
@@ -234,16 +277,28 @@
                 throw wrong(Code.WRONG_TYPE, key, "a number with its unit, in quotes, is needed");
             }
             if (measure < 0 || given instanceof Number) {
-                throw wrong(Code.WRONG_UNIT, key, "'" + value + "', a whole number with one of the units " + units.names()
-                        + " is needed, in quotes");
+                throw wrong(
+                        Code.WRONG_UNIT,
+                        key,
+                        "'"
+                                + value
+                                + "', a whole number with one of the units "
+                                + units.names()
+                                + " is needed, in quotes");
             }
             if (measure < units.parse(least) || measure > units.parse(most)) {
-                throw wrong(Code.OUT_OF_RANGE, key, "'" + value + "', " + least + " to " + most + " allowed");
+                throw wrong(
+                        Code.OUT_OF_RANGE,
+                        key,
+                        "'" + value + "', " + least + " to " + most + " allowed");
             }
             return measure;
         }
 
-        /** A span of time; all bounds are written as in the file, {@code without} is null where the key is needed. */
+        /**
+         * A span of time; all bounds are written as in the file, {@code without} is null where the
+         * key is needed.
+         */
         public Duration span(String key, String without, String least, String most) {
             return Duration.ofNanos(measure(key, Units.SPAN, without, least, most));
         }
@@ -270,8 +325,13 @@
         private InetSocketAddress reachable(String key, String value) {
             try {
                 InetSocketAddress out = Address.of(value);
-                if (out.isUnresolved() || out.getPort() == 0 || out.getAddress().isAnyLocalAddress()) {
-                    throw wrong(Code.OUT_OF_RANGE, key, "'" + value + "', others can't reach a member there");
+                if (out.isUnresolved()
+                        || out.getPort() == 0
+                        || out.getAddress().isAnyLocalAddress()) {
+                    throw wrong(
+                            Code.OUT_OF_RANGE,
+                            key,
+                            "'" + value + "', others can't reach a member there");
                 }
                 return out;
             } catch (BadInput e) {
--- a/src/main/java/calicostream/cluster/config/Units.java
+++ b/src/main/java/calicostream/cluster/config/Units.java
@@ -7,10 +7,24 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Values with a unit, as in "1500ms", "64MB" or "500ppm": a whole number and its unit, with nothing between them. */
+/**
+ * Values with a unit, as in "1500ms", "64MB" or "500ppm": a whole number and its unit, with nothing
+ * between them.
+ */
 enum Units {
     /** In nanoseconds. */
-    SPAN(Map.of("us", 1_000L, "ms", 1_000_000L, "s", 1_000_000_000L, "min", 60_000_000_000L, "h", 3_600_000_000_000L)),
+    SPAN(
+            Map.of(
+                    "us",
+                    1_000L,
+                    "ms",
+                    1_000_000L,
+                    "s",
+                    1_000_000_000L,
+                    "min",
+                    60_000_000_000L,
+                    "h",
+                    3_600_000_000_000L)),
     /** In bytes; a KB has 1024 of them. */
     BYTES(Map.of("B", 1L, "KB", 1L << 10, "MB", 1L << 20, "GB", 1L << 30)),
     /** In parts of a million. */
@@ -21,7 +35,9 @@
 
     Units(Map<String, Long> sizes) {
         this.sizes = new LinkedHashMap<>();
-        sizes.entrySet().stream().sorted(Map.Entry.comparingByValue()).forEach(e -> this.sizes.put(e.getKey(), e.getValue()));
+        sizes.entrySet().stream()
+                .sorted(Map.Entry.comparingByValue())
+                .forEach(e -> this.sizes.put(e.getKey(), e.getValue()));
     }
 
     /** The units there are, the smallest first, for the line that tells of a wrong one. */
@@ -29,13 +45,18 @@
         return String.join(", ", sizes.keySet());
     }
 
-    /** The value in the smallest measure, at most {@code Long.MAX_VALUE}; -1 where it is no number with such a unit. */
+    /**
+     * The value in the smallest measure, at most {@code Long.MAX_VALUE}; -1 where it is no number
+     * with such a unit.
+     */
     long parse(String text) {
         Matcher form = FORM.matcher(text);
         if (!form.matches() || !sizes.containsKey(form.group(2))) {
             return -1;
         }
-        BigInteger value = new BigInteger(form.group(1)).multiply(BigInteger.valueOf(sizes.get(form.group(2))));
+        BigInteger value =
+                new BigInteger(form.group(1))
+                        .multiply(BigInteger.valueOf(sizes.get(form.group(2))));
         return value.bitLength() > 63 ? Long.MAX_VALUE : value.longValue();
     }
 
--- a/src/main/java/calicostream/cluster/process/Disks.java
+++ b/src/main/java/calicostream/cluster/process/Disks.java
@@ -8,8 +8,9 @@
 import java.util.ServiceLoader;
 
 /**
- * Makes the disks of a member. Folders of the file system, unless the system property {@link #PROPERTY} names a class that the
- * class path brings as a service of this type: so a test gives a real process a disk that fails or lies. Any thread.
+ * Makes the disks of a member. Folders of the file system, unless the system property {@link
+ * #PROPERTY} names a class that the class path brings as a service of this type: so a test gives a
+ * real process a disk that fails or lies. Any thread.
  */
 public interface Disks {
     /** The full name of the class whose disks are used. */
@@ -24,8 +25,19 @@
         if (name == null) {
             return FileDisk::new;
         }
-        return ServiceLoader.load(Disks.class).stream().filter(each -> each.type().getName().equals(name)).findFirst()
-                .orElseThrow(() -> new MemberException("member-disks-missing", "the property " + PROPERTY + " names " + name
-                        + ", which the class path has not as a service", "start without the property, but for a test")).get();
+        return ServiceLoader.load(Disks.class).stream()
+                .filter(each -> each.type().getName().equals(name))
+                .findFirst()
+                .orElseThrow(
+                        () ->
+                                new MemberException(
+                                        "member-disks-missing",
+                                        "the property "
+                                                + PROPERTY
+                                                + " names "
+                                                + name
+                                                + ", which the class path has not as a service",
+                                        "start without the property, but for a test"))
+                .get();
     }
 }
--- a/src/main/java/calicostream/cluster/process/Group.java
+++ b/src/main/java/calicostream/cluster/process/Group.java
@@ -8,14 +8,22 @@
 
 /** Voters and learners as a copy has them, by number; immutable. */
 record Group(List<Voter> voters, List<Voter> learners) {
-    /** @param voter null where none runs */
+    /**
+     * @param voter null where none runs
+     */
     static Group of(VoterNode voter) {
         if (voter == null) {
             return new Group(List.of(), List.of());
         }
-        List<Voter> all = voter.votersAndLearners().stream().map(Voter.class::cast)
-                .sorted(Comparator.comparingInt(Voter::member).thenComparingInt(Voter::generation)).toList();
-        return new Group(all.stream().filter(voter.voters()::contains).toList(),
+        List<Voter> all =
+                voter.votersAndLearners().stream()
+                        .map(Voter.class::cast)
+                        .sorted(
+                                Comparator.comparingInt(Voter::member)
+                                        .thenComparingInt(Voter::generation))
+                        .toList();
+        return new Group(
+                all.stream().filter(voter.voters()::contains).toList(),
                 all.stream().filter(each -> !voter.voters().contains(each)).toList());
     }
 }
--- a/src/main/java/calicostream/cluster/process/KnownVoters.java
+++ b/src/main/java/calicostream/cluster/process/KnownVoters.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * Whom a member's session may ask, by number; pure, one thread. It begins with the first voters. A copy at hand knows the
- * present ones; without one, a leader that another voter named is added, so that a member finds a group whose first voters
- * are all gone but one.
+ * Whom a member's session may ask, by number; pure, one thread. It begins with the first voters. A
+ * copy at hand knows the present ones; without one, a leader that another voter named is added, so
+ * that a member finds a group whose first voters are all gone but one.
  */
 final class KnownVoters {
     private List<Integer> numbers;
--- a/src/main/java/calicostream/cluster/process/Layer.java
+++ b/src/main/java/calicostream/cluster/process/Layer.java
@@ -9,12 +9,16 @@
 import java.util.function.LongSupplier;
 
 /**
- * What stands on the replicated state, such as leases: its machine, and what this member does with it. All calls are the
- * member's thread's; what the request path needs of it a layer publishes itself. A layer is one member's, for one life. What
- * it throws is logged and changes nothing for the others, but for {@link #machine}'s, which stops the voter.
+ * What stands on the replicated state, such as leases: its machine, and what this member does with
+ * it. All calls are the member's thread's; what the request path needs of it a layer publishes
+ * itself. A layer is one member's, for one life. What it throws is logged and changes nothing for
+ * the others, but for {@link #machine}'s, which stops the voter.
  */
 public interface Layer {
-    /** Under which its machine is composed and its figures are told; the same at all members, for ever. */
+    /**
+     * Under which its machine is composed and its figures are told; the same at all members, for
+     * ever.
+     */
     String name();
 
     /** The same object at each call. */
@@ -28,23 +32,30 @@
     /**
      * Called once, before anything else.
      *
-     * @param session of this member, on which commands are run and questions asked on this thread; it is lost and opened
-     *     anew by itself
+     * @param session of this member, on which commands are run and questions asked on this thread;
+     *     it is lost and opened anew by itself
      * @param clock monotonic, nanoseconds, the one that the session is told
      */
-    default void joins(MemberSession session, LongSupplier clock) { }
+    default void joins(MemberSession session, LongSupplier clock) {}
 
-    /** Called some ten times in {@code session.retry} and as often as there may be news; what it gives to the session goes out. */
-    default void tick() { }
+    /**
+     * Called some ten times in {@code session.retry} and as often as there may be news; what it
+     * gives to the session goes out.
+     */
+    default void tick() {}
 
     /**
-     * The copy at hand applied something, or the leader told of what concerns this member; the first not for what a restart finds. Perhaps
-     * late, lost, or told twice: a reason to ask or to hurry, never an order.
+     * The copy at hand applied something, or the leader told of what concerns this member; the
+     * first not for what a restart finds. Perhaps late, lost, or told twice: a reason to ask or to
+     * hurry, never an order.
      */
-    default void news(long index, Effects.Event event) { }
+    default void news(long index, Effects.Event event) {}
 
-    /** The process ends as planned: gives back what it holds, by the session, which is closed once nothing waits in it. */
-    default void stopping() { }
+    /**
+     * The process ends as planned: gives back what it holds, by the session, which is closed once
+     * nothing waits in it.
+     */
+    default void stopping() {}
 
     /** What operators see of it: a JSON object. */
     default String figures() {
--- a/src/main/java/calicostream/cluster/process/Member.java
+++ b/src/main/java/calicostream/cluster/process/Member.java
@@ -35,16 +35,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A member of the cluster on a thread of its own, which owns all its state. {@link #start} opens the folder and the address
- * and throws what must end the program; nothing that fails later does: the member says so in its signs, and the process
- * around it goes on. {@link #signs}, {@link #tell}, {@link #stop} and {@link #awaitEnd} may be called by any thread, the
- * first three never wait.
+ * A member of the cluster on a thread of its own, which owns all its state. {@link #start} opens
+ * the folder and the address and throws what must end the program; nothing that fails later does:
+ * the member says so in its signs, and the process around it goes on. {@link #signs}, {@link
+ * #tell}, {@link #stop} and {@link #awaitEnd} may be called by any thread, the first three never
+ * wait.
  */
 public final class Member {
     private static final Logger LOG = LoggerFactory.getLogger(Member.class);
     private static final long MILLI = 1_000_000L;
     private static final long GRACE = 1_500 * MILLI; // of a planned stop
-    private static final long LAST_WORDS = 50 * MILLI; // for what was sent last to leave the process
+    private static final long LAST_WORDS =
+            50 * MILLI; // for what was sent last to leave the process
     private static final long SIGNS = 100 * MILLI; // between two looks at what operators are told
     private static final long WISH_STEP = 200 * MILLI;
     private static final long WISH_LONGEST = 60_000 * MILLI;
@@ -88,29 +90,64 @@
         loop = new Loop(new Clock(), new Deadlines());
         reactor = new LoopReactor(loop);
         quorum = new QuorumWatch(reactor.nanos());
-        tickNanos = Math.max(5 * MILLI, Math.min(50 * MILLI, config.session().retry().toNanos() / 10));
+        tickNanos =
+                Math.max(5 * MILLI, Math.min(50 * MILLI, config.session().retry().toNanos() / 10));
         SecureRandom random = new SecureRandom();
         log = Folder.open(config, disks);
         boolean open = false;
         try {
             store = new StoreOnLog(log);
             var restored = StoreOnLog.restored(log.recovered());
-            start = Start.of(config.isVoter(), self,
-                    restored.map(found -> (Voter) found.getLocalEndpointPersistentState().getLocalEndpoint()), log.recovered().own());
-            links = new TcpLinks(loop, config.cluster(), self.member(), config.self().address(), config.peers(), this::received);
+            start =
+                    Start.of(
+                            config.isVoter(),
+                            self,
+                            restored.map(
+                                    found ->
+                                            (Voter)
+                                                    found.getLocalEndpointPersistentState()
+                                                            .getLocalEndpoint()),
+                            log.recovered().own());
+            links =
+                    new TcpLinks(
+                            loop,
+                            config.cluster(),
+                            self.member(),
+                            config.self().address(),
+                            config.peers(),
+                            this::received);
             Map<String, Machine> machines = new TreeMap<>();
             Map<String, Timekeeper> timekeepers = new TreeMap<>();
-            layersByName.forEach((name, layer) -> {
-                machines.put(name, layer.machine());
-                layer.timekeeper().ifPresent(timekeeper -> timekeepers.put(name, timekeeper));
-            });
+            layersByName.forEach(
+                    (name, layer) -> {
+                        machines.put(name, layer.machine());
+                        layer.timekeeper()
+                                .ifPresent(timekeeper -> timekeepers.put(name, timekeeper));
+                    });
             state = new Replicated(machines);
             newsroom = new Newsroom(state, self.member());
             first = config.voters().stream().map(each -> new Voter(each.number(), 0)).toList();
             ClusterConfig.Raft raft = config.raft();
-            voter = !start.runsVoter() ? null : new VoterNode(new VoterNode.Settings(self, first, (int) raft.heartbeat().toMillis(),
-                    raft.missed(), (int) raft.election().toMillis(), raft.queue(), raft.snapshotEvery()), reactor, links,
-                    store, restored, state, timekeepers, new Random(random.nextLong()), this::failed);
+            voter =
+                    !start.runsVoter()
+                            ? null
+                            : new VoterNode(
+                                    new VoterNode.Settings(
+                                            self,
+                                            first,
+                                            (int) raft.heartbeat().toMillis(),
+                                            raft.missed(),
+                                            (int) raft.election().toMillis(),
+                                            raft.queue(),
+                                            raft.snapshotEvery()),
+                                    reactor,
+                                    links,
+                                    store,
+                                    restored,
+                                    state,
+                                    timekeepers,
+                                    new Random(random.nextLong()),
+                                    this::failed);
             open = true;
         } finally {
             if (!open) {
@@ -118,10 +155,21 @@
             }
         }
         barred = start.runsVoter() ? "" : start.why();
-        known = new KnownVoters(config.voters().stream().map(ClusterConfig.Member::number)
-                .filter(each -> start.runsVoter() || each != self.member()).toList());
-        session = new MemberSession(new MemberSession.Settings(self.member(), (int) config.session().ttl().toMillis(),
-                (int) config.session().retry().toMillis(), config.session().queue()), known.numbers(), random.nextLong());
+        known =
+                new KnownVoters(
+                        config.voters().stream()
+                                .map(ClusterConfig.Member::number)
+                                .filter(each -> start.runsVoter() || each != self.member())
+                                .toList());
+        session =
+                new MemberSession(
+                        new MemberSession.Settings(
+                                self.member(),
+                                (int) config.session().ttl().toMillis(),
+                                (int) config.session().retry().toMillis(),
+                                config.session().queue()),
+                        known.numbers(),
+                        random.nextLong());
         signs = look(reactor.nanos());
         thread = new Thread(this::run, "cluster-" + config.self().name());
         thread.setDaemon(true);
@@ -139,14 +187,20 @@
         } catch (DurableException e) {
             throw MemberException.of(e);
         } catch (java.net.BindException e) {
-            throw new MemberException("member-address-taken", config.self().address() + ": " + e.getMessage(),
-                    "see which process listens there, or give the member another address, at all members");
+            throw new MemberException(
+                    "member-address-taken",
+                    config.self().address() + ": " + e.getMessage(),
+                    "see which process listens there, or give the member another address, at all"
+                            + " members");
         }
         member.thread.start();
         return member;
     }
 
-    /** How many descriptors it takes at most: files of both folders, its address, and links each way, also to be replaced. */
+    /**
+     * How many descriptors it takes at most: files of both folders, its address, and links each
+     * way, also to be replaced.
+     */
     public static int descriptors(ClusterConfig config) {
         return 24 + 3 * config.peers().size();
     }
@@ -162,8 +216,8 @@
     }
 
     /**
-     * Operators' words: null where they are none that a member knows, empty where they were taken, and how they fare is
-     * in the signs; else why not.
+     * Operators' words: null where they are none that a member knows, empty where they were taken,
+     * and how they fare is in the signs; else why not.
      */
     public String tell(String words) {
         try {
@@ -172,7 +226,8 @@
                 return null;
             }
             if (!signs.wish().isEmpty() && signs.wish().contains(": under way")) {
-                throw new ClusterException.BadChange(words, "another wish is under way: " + signs.wish());
+                throw new ClusterException.BadChange(
+                        words, "another wish is under way: " + signs.wish());
             }
             LOG.info("{}: operators ask for {}", self, words);
             loop.post(() -> wish = new WishRun(wanted, reactor.nanos(), WISH_STEP, WISH_LONGEST));
@@ -184,12 +239,13 @@
 
     /** Begins the planned stop; a second call changes nothing. */
     public void stop() {
-        loop.post(() -> {
-            if (stop == null) {
-                stop = new PlannedStop(reactor.nanos(), GRACE, LAST_WORDS);
-                layers.forEach(layer -> guarded(layer, Layer::stopping));
-            }
-        });
+        loop.post(
+                () -> {
+                    if (stop == null) {
+                        stop = new PlannedStop(reactor.nanos(), GRACE, LAST_WORDS);
+                        layers.forEach(layer -> guarded(layer, Layer::stopping));
+                    }
+                });
     }
 
     /** Waits until the planned stop is over, for a bounded time. */
@@ -198,15 +254,24 @@
     }
 
     private void run() {
-        loop.post(() -> {
-            log.recovered().findings().forEach(finding -> LOG.warn("{}: {}", self, finding));
-            tell(null, signs);
-            layers.forEach(layer -> guarded(layer, each -> each.joins(session, reactor::nanos)));
-            if (voter != null) {
-                voter.start(store.recall(self, first, new SecureRandom().nextLong(), 2 * config.raft().missed()));
-            }
-            tick();
-        });
+        loop.post(
+                () -> {
+                    log.recovered()
+                            .findings()
+                            .forEach(finding -> LOG.warn("{}: {}", self, finding));
+                    tell(null, signs);
+                    layers.forEach(
+                            layer -> guarded(layer, each -> each.joins(session, reactor::nanos)));
+                    if (voter != null) {
+                        voter.start(
+                                store.recall(
+                                        self,
+                                        first,
+                                        new SecureRandom().nextLong(),
+                                        2 * config.raft().missed()));
+                    }
+                    tick();
+                });
         try {
             loop.run();
         } catch (IOException | RuntimeException | Error e) {
@@ -229,7 +294,8 @@
                 quorum.heard(now);
                 heardLeader = from;
             } else if (reply.outcome().kind() == Outcome.Kind.FAILED
-                    && reply.outcome().error() instanceof ClusterException.NotLeader other && known.named(other.leader())) {
+                    && reply.outcome().error() instanceof ClusterException.NotLeader other
+                    && known.named(other.leader())) {
                 session.voters(known.numbers());
             }
             session.received(from, reply, now);
@@ -266,7 +332,8 @@
         reactor.schedule(this::tick, stop == null ? tickNanos : 5 * MILLI);
         List<Replicated.News> taken = state.takeNews();
         taken.forEach(this::heard);
-        newsroom.tell(taken, voter != null && voter.leads(), now).forEach(each -> links.send(each.member(), each.frame()));
+        newsroom.tell(taken, voter != null && voter.leads(), now)
+                .forEach(each -> links.send(each.member(), each.frame()));
         if (!closed) {
             layers.forEach(layer -> guarded(layer, Layer::tick));
             flush(now);
@@ -289,7 +356,8 @@
         Signs next = look(now);
         tell(signs, next);
         signs = next;
-        if ((next.state() == Signs.State.VOTER || next.state() == Signs.State.LEARNER) && next.applied() > 0
+        if ((next.state() == Signs.State.VOTER || next.state() == Signs.State.LEARNER)
+                && next.applied() > 0
                 && known.are(next.voters().stream().map(Voter::member).sorted().toList())) {
             session.voters(known.numbers());
         }
@@ -312,7 +380,9 @@
         }
         WishRun run = wish;
         if (run.wish() instanceof Wish.Voters change) {
-            voter.towards(change.wanted(), error -> run.stepEnded(error == null ? "" : error.getMessage()));
+            voter.towards(
+                    change.wanted(),
+                    error -> run.stepEnded(error == null ? "" : error.getMessage()));
         } else if (run.wish() instanceof Wish.Lead lead) {
             voter.handOver(lead.to());
         }
@@ -323,20 +393,25 @@
         boolean leads = voter != null && voter.leads();
         List<Integer> others = new ArrayList<>(known.numbers());
         others.remove((Integer) self.member());
-        others.sort(Comparator.comparingLong((Integer each) -> now - heardAt.getOrDefault(each, now - GRACE)));
+        others.sort(
+                Comparator.comparingLong(
+                        (Integer each) -> now - heardAt.getOrDefault(each, now - GRACE)));
         switch (stop.next(now, session.waiting(), leads, others)) {
             case CLOSE_SESSION -> {
                 session.close();
                 flush(now);
                 closed = true;
             }
-            case HAND_OVER -> Group.of(voter).voters().stream().filter(each -> each.member() == stop.to()).findFirst()
-                    .ifPresent(voter::handOver);
+            case HAND_OVER ->
+                    Group.of(voter).voters().stream()
+                            .filter(each -> each.member() == stop.to())
+                            .findFirst()
+                            .ifPresent(voter::handOver);
             case END -> {
                 end();
                 return true;
             }
-            case WAIT -> { }
+            case WAIT -> {}
         }
         return false;
     }
@@ -356,7 +431,11 @@
             return;
         }
         boolean named = why instanceof DurableException || why instanceof ClusterException;
-        failure = named ? why.getMessage() : new ClusterException.VoterStopped(self.member(), why.toString()).getMessage();
+        failure =
+                named
+                        ? why.getMessage()
+                        : new ClusterException.VoterStopped(self.member(), why.toString())
+                                .getMessage();
         signsAt = reactor.nanos();
         if (!named) {
             LOG.error("{}: its voter stopped", self, why);
@@ -364,25 +443,54 @@
     }
 
     private boolean isAsking() {
-        return voter != null && voter.recall().map(recall -> recall.state() == Recall.State.ASKING).orElse(true);
+        return voter != null
+                && voter.recall().map(recall -> recall.state() == Recall.State.ASKING).orElse(true);
     }
 
     private Signs look(long now) {
         var disk = log.status();
         Group group = Group.of(voter);
-        Standing standing = Standing.of(stop != null, failure, barred, voter != null && voter.isStopped(), isAsking(), self, group,
-                voter == null ? 0 : voter.leader(), session.isAlive(now), voter == null ? 0 : voter.ageNanos().orElse(0L),
-                Standing.silenceNanos(config));
-        long limit = standing.follows() ? Standing.doubtNanos(config) : Standing.silenceNanos(config);
+        Standing standing =
+                Standing.of(
+                        stop != null,
+                        failure,
+                        barred,
+                        voter != null && voter.isStopped(),
+                        isAsking(),
+                        self,
+                        group,
+                        voter == null ? 0 : voter.leader(),
+                        session.isAlive(now),
+                        voter == null ? 0 : voter.ageNanos().orElse(0L),
+                        Standing.silenceNanos(config));
+        long limit =
+                standing.follows() ? Standing.doubtNanos(config) : Standing.silenceNanos(config);
         int leader = standing.follows() ? voter.leader() : session.isAlive(now) ? heardLeader : 0;
         Map<String, String> figures = new TreeMap<>();
         layers.forEach(layer -> guarded(layer, each -> figures.put(each.name(), each.figures())));
-        return new Signs(standing.state(), standing.why(), self, leader, voter != null && voter.leads(), voter == null ? 0 : voter.term(), state.era(),
-                state.applied(), group.voters(), group.learners(), quorum.missingMillis(now, limit),
-                voter == null ? -1 : voter.ageNanos().map(age -> age / MILLI).orElse(-1L), voter == null ? 0 : voter.proposed(),
-                session.waiting(), session.session(), session.isAlive(now),
-                session.session() == 0 ? 0 : (now - sessionSince) / MILLI, disk, (now - disk.sinceNanos()) / MILLI,
-                links.figures(), wish == null ? "" : wish.words(), Map.copyOf(figures));
+        return new Signs(
+                standing.state(),
+                standing.why(),
+                self,
+                leader,
+                voter != null && voter.leads(),
+                voter == null ? 0 : voter.term(),
+                state.era(),
+                state.applied(),
+                group.voters(),
+                group.learners(),
+                quorum.missingMillis(now, limit),
+                voter == null ? -1 : voter.ageNanos().map(age -> age / MILLI).orElse(-1L),
+                voter == null ? 0 : voter.proposed(),
+                session.waiting(),
+                session.session(),
+                session.isAlive(now),
+                session.session() == 0 ? 0 : (now - sessionSince) / MILLI,
+                disk,
+                (now - disk.sinceNanos()) / MILLI,
+                links.figures(),
+                wish == null ? "" : wish.words(),
+                Map.copyOf(figures));
     }
 
     private void guarded(Layer layer, Consumer<Layer> call) {
--- a/src/main/java/calicostream/cluster/process/PlannedStop.java
+++ b/src/main/java/calicostream/cluster/process/PlannedStop.java
@@ -4,15 +4,25 @@
 import java.util.List;
 
 /**
- * The order of a planned stop: what waits is answered, the session is closed while this member may still lead, the lead is
- * handed over, and then it ends. Each step has its share of the time, so that a member without a quorum ends as well. Pure,
- * one thread, monotonic nanoseconds.
+ * The order of a planned stop: what waits is answered, the session is closed while this member may
+ * still lead, the lead is handed over, and then it ends. Each step has its share of the time, so
+ * that a member without a quorum ends as well. Pure, one thread, monotonic nanoseconds.
  */
 final class PlannedStop {
     /** What to do now. */
-    enum Step { WAIT, CLOSE_SESSION, HAND_OVER, END }
+    enum Step {
+        WAIT,
+        CLOSE_SESSION,
+        HAND_OVER,
+        END
+    }
 
-    private enum Phase { ANSWERS, SESSION, LEAD, LAST_WORDS }
+    private enum Phase {
+        ANSWERS,
+        SESSION,
+        LEAD,
+        LAST_WORDS
+    }
 
     private static final int TRIES = 4; // of a hand-over in half of the time, each to another voter
 
@@ -24,7 +34,9 @@
     private int tries;
     private int to;
 
-    /** @param lastWordsNanos for what was said last to go out */
+    /**
+     * @param lastWordsNanos for what was said last to go out
+     */
     PlannedStop(long nowNanos, long graceNanos, long lastWordsNanos) {
         sinceNanos = nowNanos;
         phaseSince = nowNanos;
@@ -32,7 +44,10 @@
         this.lastWordsNanos = lastWordsNanos;
     }
 
-    /** @param waiting commands of the session without an answer; @param others who may lead, whom to ask first at the front */
+    /**
+     * @param waiting commands of the session without an answer; @param others who may lead, whom to
+     *     ask first at the front
+     */
     Step next(long nowNanos, int waiting, boolean leads, List<Integer> others) {
         long spent = nowNanos - sinceNanos;
         if (spent >= graceNanos) {
--- a/src/main/java/calicostream/cluster/process/QuorumWatch.java
+++ b/src/main/java/calicostream/cluster/process/QuorumWatch.java
@@ -1,7 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.cluster.process;
 
-/** For how long nothing was heard that only a quorum can bring about; pure, one thread, monotonic nanoseconds. */
+/**
+ * For how long nothing was heard that only a quorum can bring about; pure, one thread, monotonic
+ * nanoseconds.
+ */
 final class QuorumWatch {
     private long lastNanos;
 
--- a/src/main/java/calicostream/cluster/process/Signs.java
+++ b/src/main/java/calicostream/cluster/process/Signs.java
@@ -13,7 +13,8 @@
  * @param why of a state that is none to be in; else empty
  * @param leader its member's number as far as is known here; 0 if not
  * @param noQuorumMillis for how long no quorum was heard of; 0 while that is no longer than normal
- * @param readAgeMillis how old the copy at hand is at most; -1 if there is none, or nobody vouched for it yet
+ * @param readAgeMillis how old the copy at hand is at most; -1 if there is none, or nobody vouched
+ *     for it yet
  * @param proposed proposals here that wait for their decision
  * @param waiting commands of this member that have no answer yet
  * @param session 0 if there is none
@@ -23,22 +24,49 @@
  * @param wish how operators' last words fare; empty without any
  * @param layers figures of the layers, JSON objects by their names
  */
-record Signs(State state, String why, Voter self, int leader, boolean leads, int term, long era, long applied,
-        List<Voter> voters, List<Voter> learners, long noQuorumMillis, long readAgeMillis, int proposed, int waiting, long session,
-        boolean sessionAlive, long sessionAgeMillis, Status disk, long diskSinceMillis, TcpLinks.Figures links, String wish,
+record Signs(
+        State state,
+        String why,
+        Voter self,
+        int leader,
+        boolean leads,
+        int term,
+        long era,
+        long applied,
+        List<Voter> voters,
+        List<Voter> learners,
+        long noQuorumMillis,
+        long readAgeMillis,
+        int proposed,
+        int waiting,
+        long session,
+        boolean sessionAlive,
+        long sessionAgeMillis,
+        Status disk,
+        long diskSinceMillis,
+        TcpLinks.Figures links,
+        String wish,
         Map<String, String> layers) {
     /** Where a member stands in its group. */
     enum State {
-        /** It asks the others what they remember of it, and neither votes nor follows before it knows. */
+        /**
+         * It asks the others what they remember of it, and neither votes nor follows before it
+         * knows.
+         */
         ASKING,
         /** In no group's list of voters and learners: it has its session and may be added. */
         SPARE,
         /** Follows, and does not vote yet. */
         LEARNER,
         VOTER,
-        /** Its copy knows it as a voter or learner and hears of no leader, while its session does: removed, or cut off. */
+        /**
+         * Its copy knows it as a voter or learner and hears of no leader, while its session does:
+         * removed, or cut off.
+         */
         BEHIND,
-        /** Its folder forgot, or may have: it has its session, and its next generation may be added. */
+        /**
+         * Its folder forgot, or may have: it has its session, and its next generation may be added.
+         */
         BARRED,
         /** The group does without it: it has its session, and its next generation may be added. */
         REMOVED,
@@ -51,7 +79,28 @@
     }
 
     Signs as(State other, String because) {
-        return new Signs(other, because, self, 0, false, term, era, applied, voters, learners, noQuorumMillis, readAgeMillis, 0,
-                waiting, 0, false, 0, disk, diskSinceMillis, links, wish, layers);
+        return new Signs(
+                other,
+                because,
+                self,
+                0,
+                false,
+                term,
+                era,
+                applied,
+                voters,
+                learners,
+                noQuorumMillis,
+                readAgeMillis,
+                0,
+                waiting,
+                0,
+                false,
+                0,
+                disk,
+                diskSinceMillis,
+                links,
+                wish,
+                layers);
     }
 }
--- a/src/main/java/calicostream/cluster/process/SignsJson.java
+++ b/src/main/java/calicostream/cluster/process/SignsJson.java
@@ -12,33 +12,59 @@
 
 /** The signs under the names that {@code docs/operate/cluster.md} has. Stateless. */
 final class SignsJson {
-    private SignsJson() { }
+    private SignsJson() {}
 
     static String of(ClusterConfig config, Signs signs) {
         JsonObject layers = Json.object();
         signs.layers().forEach((name, figures) -> layers.add(name, parsed(figures)));
-        return Json.object().add("cluster", config.cluster()).add("member", config.self().name())
-                .add("number", config.self().number()).add("generation", config.generation())
-                .add("state", word(signs.state())).add("why", signs.why())
-                .add("leader", signs.leader()).add("leads", signs.leads()).add("term", signs.term()).add("era", signs.era())
-                .add("applied", signs.applied()).add("voters", names(signs.voters())).add("learners", names(signs.learners()))
-                .add("no_quorum_ms", signs.noQuorumMillis()).add("read_age_ms", signs.readAgeMillis())
-                .add("proposed", signs.proposed()).add("waiting", signs.waiting())
-                .add("session", signs.session()).add("session_alive", signs.sessionAlive())
+        return Json.object()
+                .add("cluster", config.cluster())
+                .add("member", config.self().name())
+                .add("number", config.self().number())
+                .add("generation", config.generation())
+                .add("state", word(signs.state()))
+                .add("why", signs.why())
+                .add("leader", signs.leader())
+                .add("leads", signs.leads())
+                .add("term", signs.term())
+                .add("era", signs.era())
+                .add("applied", signs.applied())
+                .add("voters", names(signs.voters()))
+                .add("learners", names(signs.learners()))
+                .add("no_quorum_ms", signs.noQuorumMillis())
+                .add("read_age_ms", signs.readAgeMillis())
+                .add("proposed", signs.proposed())
+                .add("waiting", signs.waiting())
+                .add("session", signs.session())
+                .add("session_alive", signs.sessionAlive())
                 .add("session_age_ms", signs.sessionAgeMillis())
-                .add("disk", disk(signs)).add("links", Json.object().add("sent", signs.links().sent())
-                        .add("dropped", signs.links().dropped()).add("received", signs.links().received())
-                        .add("refused", signs.links().refused()).add("open", signs.links().open()))
-                .add("wish", signs.wish()).add("layers", layers).toString();
+                .add("disk", disk(signs))
+                .add(
+                        "links",
+                        Json.object()
+                                .add("sent", signs.links().sent())
+                                .add("dropped", signs.links().dropped())
+                                .add("received", signs.links().received())
+                                .add("refused", signs.links().refused())
+                                .add("open", signs.links().open()))
+                .add("wish", signs.wish())
+                .add("layers", layers)
+                .toString();
     }
 
     private static JsonObject disk(Signs signs) {
         var disk = signs.disk();
-        return Json.object().add("state", word(disk.state())).add("since_ms", signs.diskSinceMillis())
+        return Json.object()
+                .add("state", word(disk.state()))
+                .add("since_ms", signs.diskSinceMillis())
                 .add("trouble", disk.trouble() == null ? "" : disk.trouble().getMessage())
-                .add("incarnation", disk.incarnation()).add("barred", disk.barred()).add("syncs", disk.syncs())
-                .add("slow_syncs", disk.slowSyncs()).add("longest_sync_ms", disk.longestSyncNanos() / 1_000_000)
-                .add("last_index", disk.lastIndex()).add("bytes", disk.bytes());
+                .add("incarnation", disk.incarnation())
+                .add("barred", disk.barred())
+                .add("syncs", disk.syncs())
+                .add("slow_syncs", disk.slowSyncs())
+                .add("longest_sync_ms", disk.longestSyncNanos() / 1_000_000)
+                .add("last_index", disk.lastIndex())
+                .add("bytes", disk.bytes());
     }
 
     private static JsonValue parsed(String figures) {
