--- a/src/main/java/calicostream/cluster/process/Standing.java
+++ b/src/main/java/calicostream/cluster/process/Standing.java
@@ -14,8 +14,18 @@
      * @param group as its own copy has it
      * @param copyAgeNanos how old that copy is at most; 0 where nobody vouched for it yet
      */
-    static Standing of(boolean stopping, String failure, String barred, boolean voterEnded, boolean asking, Voter self, Group group,
-            int leader, boolean sessionAlive, long copyAgeNanos, long silenceNanos) {
+    static Standing of(
+            boolean stopping,
+            String failure,
+            String barred,
+            boolean voterEnded,
+            boolean asking,
+            Voter self,
+            Group group,
+            int leader,
+            boolean sessionAlive,
+            long copyAgeNanos,
+            long silenceNanos) {
         if (stopping) {
             return new Standing(Signs.State.STOPPING, "");
         } else if (!failure.isEmpty()) {
@@ -29,10 +39,13 @@
         } else if (!group.voters().contains(self) && !group.learners().contains(self)) {
             return new Standing(Signs.State.SPARE, "");
         } else if (leader == 0 && sessionAlive && copyAgeNanos > 2 * silenceNanos) {
-            return new Standing(Signs.State.BEHIND,
-                    "its copy hears of no leader, its session does: removed, or its link from the leader is cut");
+            return new Standing(
+                    Signs.State.BEHIND,
+                    "its copy hears of no leader, its session does: removed, or its link from the"
+                            + " leader is cut");
         }
-        return new Standing(group.voters().contains(self) ? Signs.State.VOTER : Signs.State.LEARNER, "");
+        return new Standing(
+                group.voters().contains(self) ? Signs.State.VOTER : Signs.State.LEARNER, "");
     }
 
     /** Whether there is a copy that follows the leader. */
@@ -40,13 +53,19 @@
         return state == Signs.State.VOTER || state == Signs.State.LEARNER;
     }
 
-    /** After which a leader is doubted and another one is to be there: a copy hears of a quorum more often. */
+    /**
+     * After which a leader is doubted and another one is to be there: a copy hears of a quorum more
+     * often.
+     */
     static long doubtNanos(ClusterConfig config) {
-        return config.raft().heartbeat().toNanos() * config.raft().missed() + config.raft().election().toNanos();
+        return config.raft().heartbeat().toNanos() * config.raft().missed()
+                + config.raft().election().toNanos();
     }
 
     /** The same for a session without a copy, which asks less often. */
     static long silenceNanos(ClusterConfig config) {
-        return Math.max(doubtNanos(config), config.session().ttl().toNanos() / 4 + 2 * config.session().retry().toNanos());
+        return Math.max(
+                doubtNanos(config),
+                config.session().ttl().toNanos() / 4 + 2 * config.session().retry().toNanos());
     }
 }
--- a/src/main/java/calicostream/cluster/process/Start.java
+++ b/src/main/java/calicostream/cluster/process/Start.java
@@ -6,8 +6,9 @@
 import java.util.Optional;
 
 /**
- * As what a member starts, by its settings and by what its folder says; pure. A folder is one generation's, so that a member
- * whose folder forgot is somebody new with an empty one once its generation is raised.
+ * As what a member starts, by its settings and by what its folder says; pure. A folder is one
+ * generation's, so that a member whose folder forgot is somebody new with an empty one once its
+ * generation is raised.
  */
 record Start(As as, String why) {
     /** The ways to start. */
@@ -29,8 +30,11 @@
      */
     static Start of(boolean founder, Voter self, Optional<Voter> stored, Amnesia.Own own) {
         if (stored.isPresent() && !stored.get().equals(self)) {
-            throw new MemberException("member-folder-of-another", "the folder is voter " + stored.get() + "'s, this is " + self,
-                    "give the member its own number and folder back, or an empty folder and the next generation");
+            throw new MemberException(
+                    "member-folder-of-another",
+                    "the folder is voter " + stored.get() + "'s, this is " + self,
+                    "give the member its own number and folder back, or an empty folder and the"
+                            + " next generation");
         }
         if (own.doubt() != Amnesia.Doubt.NONE || own.standing() == Amnesia.Standing.BARRED) {
             return new Start(As.BARRED, own.facts());
@@ -39,10 +43,17 @@
             return new Start(As.RETURNING, "");
         }
         if (own.term() > 0 || own.lastIndex() > 0 || own.standing() != Amnesia.Standing.FRESH) {
-            return new Start(As.BARRED, "the folder has a log, term " + own.term() + " up to " + own.lastIndex()
-                    + ", and does not say whose");
+            return new Start(
+                    As.BARRED,
+                    "the folder has a log, term "
+                            + own.term()
+                            + " up to "
+                            + own.lastIndex()
+                            + ", and does not say whose");
         }
-        return founder && self.generation() == 0 ? new Start(As.FOUNDER, "") : new Start(As.JOINER, "");
+        return founder && self.generation() == 0
+                ? new Start(As.FOUNDER, "")
+                : new Start(As.JOINER, "");
     }
 
     boolean runsVoter() {
--- a/src/main/java/calicostream/cluster/process/Telling.java
+++ b/src/main/java/calicostream/cluster/process/Telling.java
@@ -7,46 +7,75 @@
 
 /** Which lines of the log a change of the signs is worth; pure. */
 final class Telling {
-    /** @param warn whether somebody may have to do something */
-    record Line(boolean warn, String text) { }
+    /**
+     * @param warn whether somebody may have to do something
+     */
+    record Line(boolean warn, String text) {}
 
-    private Telling() { }
+    private Telling() {}
 
-    /** @param before null at the start */
+    /**
+     * @param before null at the start
+     */
     static List<Line> of(Signs before, Signs now) {
         List<Line> out = new ArrayList<>();
         if (before == null || before.state() != now.state()) {
-            boolean bad = switch (now.state()) {
-                case BARRED, BEHIND, REMOVED, FAILED -> true;
-                case DOWN -> !now.why().isEmpty();
-                case ASKING, SPARE, LEARNER, VOTER, STOPPING -> false;
-            };
-            out.add(new Line(bad, now.self() + " is " + now.state().name().toLowerCase(Locale.ROOT)
-                    + (now.why().isEmpty() ? "" : ": " + now.why())));
+            boolean bad =
+                    switch (now.state()) {
+                        case BARRED, BEHIND, REMOVED, FAILED -> true;
+                        case DOWN -> !now.why().isEmpty();
+                        case ASKING, SPARE, LEARNER, VOTER, STOPPING -> false;
+                    };
+            out.add(
+                    new Line(
+                            bad,
+                            now.self()
+                                    + " is "
+                                    + now.state().name().toLowerCase(Locale.ROOT)
+                                    + (now.why().isEmpty() ? "" : ": " + now.why())));
         }
         if (before == null || now.state() == Signs.State.DOWN) {
             return out;
         }
         if (before.leader() != now.leader() || before.term() != now.term() && now.leader() != 0) {
-            out.add(new Line(false, now.leader() == 0 ? "no leader is known, term " + now.term()
-                    : "member " + now.leader() + " leads, term " + now.term()));
+            out.add(
+                    new Line(
+                            false,
+                            now.leader() == 0
+                                    ? "no leader is known, term " + now.term()
+                                    : "member " + now.leader() + " leads, term " + now.term()));
         }
         if (before.noQuorumMillis() == 0 && now.noQuorumMillis() > 0) {
-            out.add(new Line(true, "no quorum was heard for " + now.noQuorumMillis() + " ms: changes wait, the front end serves on"));
+            out.add(
+                    new Line(
+                            true,
+                            "no quorum was heard for "
+                                    + now.noQuorumMillis()
+                                    + " ms: changes wait, the front end serves on"));
         } else if (before.noQuorumMillis() > 0 && now.noQuorumMillis() == 0) {
             out.add(new Line(false, "a quorum is heard again"));
         }
         if (before.session() != now.session()) {
             boolean lost = now.session() == 0 && now.state() != Signs.State.STOPPING;
-            out.add(new Line(lost, now.session() == 0 ? "session " + before.session() + " is over" : "session " + now.session()
-                    + " is open"));
+            out.add(
+                    new Line(
+                            lost,
+                            now.session() == 0
+                                    ? "session " + before.session() + " is over"
+                                    : "session " + now.session() + " is open"));
         }
         if (!before.voters().equals(now.voters()) || !before.learners().equals(now.learners())) {
             out.add(new Line(false, "voters " + now.voters() + ", learners " + now.learners()));
         }
         if (before.disk().state() != now.disk().state()) {
-            out.add(new Line(now.disk().trouble() != null, "disk is " + now.disk().state().name().toLowerCase(Locale.ROOT)
-                    + (now.disk().trouble() == null ? "" : ": " + now.disk().trouble().getMessage())));
+            out.add(
+                    new Line(
+                            now.disk().trouble() != null,
+                            "disk is "
+                                    + now.disk().state().name().toLowerCase(Locale.ROOT)
+                                    + (now.disk().trouble() == null
+                                            ? ""
+                                            : ": " + now.disk().trouble().getMessage())));
         }
         if (!before.wish().equals(now.wish()) && !now.wish().isEmpty()) {
             out.add(new Line(false, "operators: " + now.wish()));
--- a/src/main/java/calicostream/cluster/process/Wish.java
+++ b/src/main/java/calicostream/cluster/process/Wish.java
@@ -11,48 +11,62 @@
 import java.util.regex.Pattern;
 
 /**
- * What operators may ask the leader for: one more voter, one less, one in another's place, or that another one leads. Pure
- * and immutable.
+ * What operators may ask the leader for: one more voter, one less, one in another's place, or that
+ * another one leads. Pure and immutable.
  */
 sealed interface Wish {
-    Pattern WORDS = Pattern.compile("voters/(VOTER)/(add|remove)|voters/(VOTER)/replace/(VOTER)|lead/(VOTER)"
-            .replace("VOTER", "\\d{1,7}\\.\\d{1,7}"));
+    Pattern WORDS =
+            Pattern.compile(
+                    "voters/(VOTER)/(add|remove)|voters/(VOTER)/replace/(VOTER)|lead/(VOTER)"
+                            .replace("VOTER", "\\d{1,7}\\.\\d{1,7}"));
 
     /** These are to be the voters. */
-    record Voters(String words, List<Voter> wanted) implements Wish { }
+    record Voters(String words, List<Voter> wanted) implements Wish {}
 
     /** That one is to lead. */
-    record Lead(String words, Voter to) implements Wish { }
+    record Lead(String words, Voter to) implements Wish {}
 
     String words();
 
-    /** Empty where the words are none of ours; otherwise the wish or why it can't be begun, by a member with these signs. */
+    /**
+     * Empty where the words are none of ours; otherwise the wish or why it can't be begun, by a
+     * member with these signs.
+     */
     static Optional<Wish> of(String words, Signs signs) {
         Matcher said = WORDS.matcher(words);
         if (!said.matches()) {
             return Optional.empty();
         }
         if (signs.state() != Signs.State.VOTER || !signs.leads()) {
-            throw new ClusterException.NotLeader(signs.self().member(), signs.leader(), signs.era());
+            throw new ClusterException.NotLeader(
+                    signs.self().member(), signs.leader(), signs.era());
         }
         if (said.group(5) != null) {
             return Optional.of(lead(words, voter(said.group(5)), signs));
         }
         List<Voter> wanted = new ArrayList<>(signs.voters());
         Voter one = voter(said.group(1) == null ? said.group(3) : said.group(1));
-        Voter more = said.group(4) != null ? voter(said.group(4)) : "add".equals(said.group(2)) ? one : null;
+        Voter more =
+                said.group(4) != null
+                        ? voter(said.group(4))
+                        : "add".equals(said.group(2)) ? one : null;
         if (said.group(4) != null && one.equals(more)) {
             throw new ClusterException.BadChange(words, "a voter is replaced by another one");
         }
         if (one != more && !wanted.remove(one)) {
-            throw new ClusterException.BadChange(words, one + " is no voter; voters are " + signs.voters());
+            throw new ClusterException.BadChange(
+                    words, one + " is no voter; voters are " + signs.voters());
         }
         if (more != null && wanted.contains(more)) {
             throw new ClusterException.BadChange(words, more + " is a voter already");
         }
         if (more != null && wanted.stream().anyMatch(each -> each.member() == more.member())) {
-            throw new ClusterException.BadChange(words, "member " + more.member() + " is a voter under another generation; "
-                    + "replace that one");
+            throw new ClusterException.BadChange(
+                    words,
+                    "member "
+                            + more.member()
+                            + " is a voter under another generation; "
+                            + "replace that one");
         }
         if (more != null) {
             wanted.add(more);
@@ -66,7 +80,8 @@
 
     private static Wish lead(String words, Voter to, Signs signs) {
         if (!signs.voters().contains(to)) {
-            throw new ClusterException.BadChange(words, to + " is no voter; voters are " + signs.voters());
+            throw new ClusterException.BadChange(
+                    words, to + " is no voter; voters are " + signs.voters());
         }
         if (to.equals(signs.self())) {
             throw new ClusterException.BadChange(words, "it leads already");
@@ -76,6 +91,8 @@
 
     private static Voter voter(String text) {
         int dot = text.indexOf('.');
-        return new Voter(Integer.parseInt(text.substring(0, dot)), Integer.parseInt(text.substring(dot + 1)));
+        return new Voter(
+                Integer.parseInt(text.substring(0, dot)),
+                Integer.parseInt(text.substring(dot + 1)));
     }
 }
--- a/src/main/java/calicostream/cluster/process/WishRun.java
+++ b/src/main/java/calicostream/cluster/process/WishRun.java
@@ -2,8 +2,9 @@
 package calicostream.cluster.process;
 
 /**
- * A wish of operators on its way: when the next step is due, and when it is over. It is one leader's; who leads next knows
- * nothing of it, and what is reached by then stays. Pure, one thread, monotonic nanoseconds.
+ * A wish of operators on its way: when the next step is due, and when it is over. It is one
+ * leader's; who leads next knows nothing of it, and what is reached by then stays. Pure, one
+ * thread, monotonic nanoseconds.
  */
 final class WishRun {
     private final Wish wish;
@@ -15,7 +16,9 @@
     private String last = "";
     private String end = "";
 
-    /** @param stepNanos between two steps; @param longestNanos after which it is given up */
+    /**
+     * @param stepNanos between two steps; @param longestNanos after which it is given up
+     */
     WishRun(Wish wish, long nowNanos, long stepNanos, long longestNanos) {
         this.wish = wish;
         sinceNanos = nowNanos;
@@ -32,19 +35,27 @@
         return !end.isEmpty();
     }
 
-    /** Whether a step is to be taken now; its end is to be told, unless it is a hand-over, which has none. */
+    /**
+     * Whether a step is to be taken now; its end is to be told, unless it is a hand-over, which has
+     * none.
+     */
     boolean isDue(long nowNanos, boolean leads, int leader, Group group) {
         if (isOver()) {
             return false;
         }
-        if (wish instanceof Wish.Voters change && group.voters().size() == change.wanted().size()
-                && group.voters().containsAll(change.wanted()) && group.learners().isEmpty() || wish instanceof Wish.Lead lead && leader == lead.to().member()) {
+        if (wish instanceof Wish.Voters change
+                        && group.voters().size() == change.wanted().size()
+                        && group.voters().containsAll(change.wanted())
+                        && group.learners().isEmpty()
+                || wish instanceof Wish.Lead lead && leader == lead.to().member()) {
             end = "done";
         } else if (!leads && leader != 0) {
             end = "member " + leader + " leads now: see what holds there, and say it there again";
         } else if (nowNanos - sinceNanos > longestNanos) {
             end = "given up" + (last.isEmpty() ? "" : ", last: " + last);
-        } else if (leads && (!out || nowNanos - stepAt > 10 * stepNanos) && nowNanos - stepAt >= 0) {
+        } else if (leads
+                && (!out || nowNanos - stepAt > 10 * stepNanos)
+                && nowNanos - stepAt >= 0) {
             out = wish instanceof Wish.Voters;
             stepAt = nowNanos + stepNanos;
             return true;
@@ -60,6 +71,8 @@
 
     /** For operators, one line. */
     String words() {
-        return wish.words() + ": " + (isOver() ? end : "under way" + (last.isEmpty() ? "" : ", last: " + last));
+        return wish.words()
+                + ": "
+                + (isOver() ? end : "under way" + (last.isEmpty() ? "" : ", last: " + last));
     }
 }
--- a/src/main/java/calicostream/cluster/raft/Codec.java
+++ b/src/main/java/calicostream/cluster/raft/Codec.java
@@ -29,32 +29,43 @@
 import java.util.List;
 
 /**
- * The library's messages and log records as bytes. Stateless; whatever is not what an encoder here made is
- * {@link ClusterException.Malformed}. Every message starts with a version, its kind, the sender and the term.
+ * The library's messages and log records as bytes. Stateless; whatever is not what an encoder here
+ * made is {@link ClusterException.Malformed}. Every message starts with a version, its kind, the
+ * sender and the term.
  */
 public final class Codec {
     static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
     static final Object GROUP = "calicostream";
     private static final int VERSION = 1;
 
-    private Codec() {
-    }
+    private Codec() {}
 
     public static byte[] message(RaftMessage message) {
         Bytes.Writer out = new Bytes.Writer().u8(VERSION).u8(kind(message));
         voter(out, message.getSender());
         out.i32(message.getTerm());
         if (message instanceof AppendEntriesRequest m) {
-            out.i32(m.getPreviousLogTerm()).i64(m.getPreviousLogIndex()).i64(m.getCommitIndex())
-                    .i64(m.getQuerySequenceNumber()).i64(m.getFlowControlSequenceNumber()).i32(m.getLogEntries().size());
+            out.i32(m.getPreviousLogTerm())
+                    .i64(m.getPreviousLogIndex())
+                    .i64(m.getCommitIndex())
+                    .i64(m.getQuerySequenceNumber())
+                    .i64(m.getFlowControlSequenceNumber())
+                    .i32(m.getLogEntries().size());
             m.getLogEntries().forEach(entry -> out.blob(entry(entry)));
         } else if (message instanceof AppendEntriesSuccessResponse m) {
-            out.i64(m.getLastLogIndex()).i64(m.getQuerySequenceNumber()).i64(m.getFlowControlSequenceNumber());
+            out.i64(m.getLastLogIndex())
+                    .i64(m.getQuerySequenceNumber())
+                    .i64(m.getFlowControlSequenceNumber());
         } else if (message instanceof AppendEntriesFailureResponse m) {
-            out.i64(m.getExpectedNextIndex()).i64(m.getQuerySequenceNumber()).i64(m.getFlowControlSequenceNumber());
+            out.i64(m.getExpectedNextIndex())
+                    .i64(m.getQuerySequenceNumber())
+                    .i64(m.getFlowControlSequenceNumber());
         } else if (message instanceof InstallSnapshotRequest m) {
-            out.u8(m.isSenderLeader() ? 1 : 0).i32(m.getSnapshotTerm()).i64(m.getSnapshotIndex())
-                    .i32(m.getTotalSnapshotChunkCount()).u8(m.getSnapshotChunk() == null ? 0 : 1);
+            out.u8(m.isSenderLeader() ? 1 : 0)
+                    .i32(m.getSnapshotTerm())
+                    .i64(m.getSnapshotIndex())
+                    .i32(m.getTotalSnapshotChunkCount())
+                    .u8(m.getSnapshotChunk() == null ? 0 : 1);
             if (m.getSnapshotChunk() != null) {
                 out.blob(chunk(m.getSnapshotChunk()));
             }
@@ -65,7 +76,9 @@
             }
             out.i64(m.getQuerySequenceNumber()).i64(m.getFlowControlSequenceNumber());
         } else if (message instanceof InstallSnapshotResponse m) {
-            out.i64(m.getSnapshotIndex()).i32(m.getRequestedSnapshotChunkIndex()).i64(m.getQuerySequenceNumber())
+            out.i64(m.getSnapshotIndex())
+                    .i32(m.getRequestedSnapshotChunkIndex())
+                    .i64(m.getQuerySequenceNumber())
                     .i64(m.getFlowControlSequenceNumber());
         } else if (message instanceof PreVoteRequest m) {
             out.i32(m.getLastLogTerm()).i64(m.getLastLogIndex());
@@ -82,10 +95,18 @@
     }
 
     private static int kind(RaftMessage message) {
-        List<Class<? extends RaftMessage>> kinds = List.of(AppendEntriesRequest.class, AppendEntriesSuccessResponse.class,
-                AppendEntriesFailureResponse.class, InstallSnapshotRequest.class, InstallSnapshotResponse.class,
-                PreVoteRequest.class, PreVoteResponse.class, VoteRequest.class, VoteResponse.class,
-                TriggerLeaderElectionRequest.class);
+        List<Class<? extends RaftMessage>> kinds =
+                List.of(
+                        AppendEntriesRequest.class,
+                        AppendEntriesSuccessResponse.class,
+                        AppendEntriesFailureResponse.class,
+                        InstallSnapshotRequest.class,
+                        InstallSnapshotResponse.class,
+                        PreVoteRequest.class,
+                        PreVoteResponse.class,
+                        VoteRequest.class,
+                        VoteResponse.class,
+                        TriggerLeaderElectionRequest.class);
         for (int i = 0; i < kinds.size(); i++) {
             if (kinds.get(i).isInstance(message)) {
                 return i + 1;
@@ -100,52 +121,118 @@
         int kind = in.u8();
         RaftEndpoint sender = voter(in);
         int term = in.i32();
-        RaftMessage message = switch (kind) {
-            case 1 -> {
-                var m = MODEL.createAppendEntriesRequestBuilder().setGroupId(GROUP).setSender(sender).setTerm(term)
-                        .setPreviousLogTerm(in.i32()).setPreviousLogIndex(in.i64()).setCommitIndex(in.i64())
-                        .setQuerySequenceNumber(in.i64()).setFlowControlSequenceNumber(in.i64());
-                List<LogEntry> entries = new ArrayList<>();
-                for (int left = in.count(17); left > 0; left--) {
-                    entries.add(entry(in.blob(Links.MAX_FRAME)));
-                }
-                yield m.setLogEntries(entries).build();
-            }
-            case 2 -> MODEL.createAppendEntriesSuccessResponseBuilder().setGroupId(GROUP).setSender(sender).setTerm(term)
-                    .setLastLogIndex(in.i64()).setQuerySequenceNumber(in.i64()).setFlowControlSequenceNumber(in.i64()).build();
-            case 3 -> MODEL.createAppendEntriesFailureResponseBuilder().setGroupId(GROUP).setSender(sender).setTerm(term)
-                    .setExpectedNextIndex(in.i64()).setQuerySequenceNumber(in.i64()).setFlowControlSequenceNumber(in.i64())
-                    .build();
-            case 4 -> {
-                var m = MODEL.createInstallSnapshotRequestBuilder().setGroupId(GROUP).setSender(sender).setTerm(term)
-                        .setSenderLeader(in.u8() != 0).setSnapshotTerm(in.i32()).setSnapshotIndex(in.i64())
-                        .setTotalSnapshotChunkCount(in.i32());
-                m.setSnapshotChunk(in.u8() == 0 ? null : chunk(in.blob(Links.MAX_FRAME)));
-                m.setSnapshottedMembers(voters(in));
-                m.setGroupMembersView(in.u8() == 0 ? null : view(in.blob(1 << 16)));
-                yield m.setQuerySequenceNumber(in.i64()).setFlowControlSequenceNumber(in.i64()).build();
-            }
-            case 5 -> MODEL.createInstallSnapshotResponseBuilder().setGroupId(GROUP).setSender(sender).setTerm(term)
-                    .setSnapshotIndex(in.i64()).setRequestedSnapshotChunkIndex(in.i32()).setQuerySequenceNumber(in.i64())
-                    .setFlowControlSequenceNumber(in.i64()).build();
-            case 6 -> MODEL.createPreVoteRequestBuilder().setGroupId(GROUP).setSender(sender).setTerm(term)
-                    .setLastLogTerm(in.i32()).setLastLogIndex(in.i64()).build();
-            case 7 -> MODEL.createPreVoteResponseBuilder().setGroupId(GROUP).setSender(sender).setTerm(term)
-                    .setGranted(in.u8() != 0).build();
-            case 8 -> MODEL.createVoteRequestBuilder().setGroupId(GROUP).setSender(sender).setTerm(term)
-                    .setLastLogTerm(in.i32()).setLastLogIndex(in.i64()).setSticky(in.u8() != 0).build();
-            case 9 -> MODEL.createVoteResponseBuilder().setGroupId(GROUP).setSender(sender).setTerm(term)
-                    .setGranted(in.u8() != 0).build();
-            case 10 -> MODEL.createTriggerLeaderElectionRequestBuilder().setGroupId(GROUP).setSender(sender).setTerm(term)
-                    .setLastLogTerm(in.i32()).setLastLogIndex(in.i64()).build();
-            default -> throw in.malformed("no message is of kind " + kind);
-        };
+        RaftMessage message =
+                switch (kind) {
+                    case 1 -> {
+                        var m =
+                                MODEL.createAppendEntriesRequestBuilder()
+                                        .setGroupId(GROUP)
+                                        .setSender(sender)
+                                        .setTerm(term)
+                                        .setPreviousLogTerm(in.i32())
+                                        .setPreviousLogIndex(in.i64())
+                                        .setCommitIndex(in.i64())
+                                        .setQuerySequenceNumber(in.i64())
+                                        .setFlowControlSequenceNumber(in.i64());
+                        List<LogEntry> entries = new ArrayList<>();
+                        for (int left = in.count(17); left > 0; left--) {
+                            entries.add(entry(in.blob(Links.MAX_FRAME)));
+                        }
+                        yield m.setLogEntries(entries).build();
+                    }
+                    case 2 ->
+                            MODEL.createAppendEntriesSuccessResponseBuilder()
+                                    .setGroupId(GROUP)
+                                    .setSender(sender)
+                                    .setTerm(term)
+                                    .setLastLogIndex(in.i64())
+                                    .setQuerySequenceNumber(in.i64())
+                                    .setFlowControlSequenceNumber(in.i64())
+                                    .build();
+                    case 3 ->
+                            MODEL.createAppendEntriesFailureResponseBuilder()
+                                    .setGroupId(GROUP)
+                                    .setSender(sender)
+                                    .setTerm(term)
+                                    .setExpectedNextIndex(in.i64())
+                                    .setQuerySequenceNumber(in.i64())
+                                    .setFlowControlSequenceNumber(in.i64())
+                                    .build();
+                    case 4 -> {
+                        var m =
+                                MODEL.createInstallSnapshotRequestBuilder()
+                                        .setGroupId(GROUP)
+                                        .setSender(sender)
+                                        .setTerm(term)
+                                        .setSenderLeader(in.u8() != 0)
+                                        .setSnapshotTerm(in.i32())
+                                        .setSnapshotIndex(in.i64())
+                                        .setTotalSnapshotChunkCount(in.i32());
+                        m.setSnapshotChunk(in.u8() == 0 ? null : chunk(in.blob(Links.MAX_FRAME)));
+                        m.setSnapshottedMembers(voters(in));
+                        m.setGroupMembersView(in.u8() == 0 ? null : view(in.blob(1 << 16)));
+                        yield m.setQuerySequenceNumber(in.i64())
+                                .setFlowControlSequenceNumber(in.i64())
+                                .build();
+                    }
+                    case 5 ->
+                            MODEL.createInstallSnapshotResponseBuilder()
+                                    .setGroupId(GROUP)
+                                    .setSender(sender)
+                                    .setTerm(term)
+                                    .setSnapshotIndex(in.i64())
+                                    .setRequestedSnapshotChunkIndex(in.i32())
+                                    .setQuerySequenceNumber(in.i64())
+                                    .setFlowControlSequenceNumber(in.i64())
+                                    .build();
+                    case 6 ->
+                            MODEL.createPreVoteRequestBuilder()
+                                    .setGroupId(GROUP)
+                                    .setSender(sender)
+                                    .setTerm(term)
+                                    .setLastLogTerm(in.i32())
+                                    .setLastLogIndex(in.i64())
+                                    .build();
+                    case 7 ->
+                            MODEL.createPreVoteResponseBuilder()
+                                    .setGroupId(GROUP)
+                                    .setSender(sender)
+                                    .setTerm(term)
+                                    .setGranted(in.u8() != 0)
+                                    .build();
+                    case 8 ->
+                            MODEL.createVoteRequestBuilder()
+                                    .setGroupId(GROUP)
+                                    .setSender(sender)
+                                    .setTerm(term)
+                                    .setLastLogTerm(in.i32())
+                                    .setLastLogIndex(in.i64())
+                                    .setSticky(in.u8() != 0)
+                                    .build();
+                    case 9 ->
+                            MODEL.createVoteResponseBuilder()
+                                    .setGroupId(GROUP)
+                                    .setSender(sender)
+                                    .setTerm(term)
+                                    .setGranted(in.u8() != 0)
+                                    .build();
+                    case 10 ->
+                            MODEL.createTriggerLeaderElectionRequestBuilder()
+                                    .setGroupId(GROUP)
+                                    .setSender(sender)
+                                    .setTerm(term)
+                                    .setLastLogTerm(in.i32())
+                                    .setLastLogIndex(in.i64())
+                                    .build();
+                    default -> throw in.malformed("no message is of kind " + kind);
+                };
         in.end();
         return message;
     }
 
     static byte[] entry(LogEntry entry) {
-        Bytes.Writer out = new Bytes.Writer().u8(VERSION).i64(entry.getIndex()).i32(entry.getTerm());
+        Bytes.Writer out =
+                new Bytes.Writer().u8(VERSION).i64(entry.getIndex()).i32(entry.getTerm());
         Object operation = entry.getOperation();
         if (operation instanceof byte[] bytes) {
             out.u8(1).blob(bytes);
@@ -169,8 +256,11 @@
         if (kind == 1) {
             entry.setOperation(in.blob(Links.MAX_FRAME));
         } else if (kind == 2) {
-            var op = MODEL.createUpdateRaftGroupMembersOpBuilder().setMembers(voters(in)).setVotingMembers(voters(in))
-                    .setEndpoint(voter(in));
+            var op =
+                    MODEL.createUpdateRaftGroupMembersOpBuilder()
+                            .setMembers(voters(in))
+                            .setVotingMembers(voters(in))
+                            .setEndpoint(voter(in));
             String mode = in.text(64);
             for (MembershipChangeMode known : MembershipChangeMode.values()) {
                 if (known.name().equals(mode)) {
@@ -191,17 +281,29 @@
     }
 
     static byte[] chunk(SnapshotChunk chunk) {
-        return new Bytes.Writer().u8(VERSION).i64(chunk.getIndex()).i32(chunk.getTerm()).i32(chunk.getSnapshotChunkIndex())
-                .i32(chunk.getSnapshotChunkCount()).blob(view(chunk.getGroupMembersView()))
-                .blob((byte[]) chunk.getOperation()).done();
+        return new Bytes.Writer()
+                .u8(VERSION)
+                .i64(chunk.getIndex())
+                .i32(chunk.getTerm())
+                .i32(chunk.getSnapshotChunkIndex())
+                .i32(chunk.getSnapshotChunkCount())
+                .blob(view(chunk.getGroupMembersView()))
+                .blob((byte[]) chunk.getOperation())
+                .done();
     }
 
     static SnapshotChunk chunk(byte[] bytes) {
         Bytes.Reader in = new Bytes.Reader("snapshot chunk", bytes);
         in.version(VERSION);
-        SnapshotChunk chunk = MODEL.createSnapshotChunkBuilder().setIndex(in.i64()).setTerm(in.i32())
-                .setSnapshotChunkIndex(in.i32()).setSnapshotChunkCount(in.i32()).setGroupMembersView(view(in.blob(1 << 16)))
-                .setOperation(in.blob(Links.MAX_FRAME)).build();
+        SnapshotChunk chunk =
+                MODEL.createSnapshotChunkBuilder()
+                        .setIndex(in.i64())
+                        .setTerm(in.i32())
+                        .setSnapshotChunkIndex(in.i32())
+                        .setSnapshotChunkCount(in.i32())
+                        .setGroupMembersView(view(in.blob(1 << 16)))
+                        .setOperation(in.blob(Links.MAX_FRAME))
+                        .build();
         in.end();
         return chunk;
     }
@@ -216,8 +318,12 @@
     static RaftGroupMembersView view(byte[] bytes) {
         Bytes.Reader in = new Bytes.Reader("list of voters", bytes);
         in.version(VERSION);
-        RaftGroupMembersView view = MODEL.createRaftGroupMembersViewBuilder().setLogIndex(in.i64()).setMembers(voters(in))
-                .setVotingMembers(voters(in)).build();
+        RaftGroupMembersView view =
+                MODEL.createRaftGroupMembersViewBuilder()
+                        .setLogIndex(in.i64())
+                        .setMembers(voters(in))
+                        .setVotingMembers(voters(in))
+                        .build();
         in.end();
         return view;
     }
--- a/src/main/java/calicostream/cluster/raft/FailingStore.java
+++ b/src/main/java/calicostream/cluster/raft/FailingStore.java
@@ -12,8 +12,8 @@
 import java.util.function.Consumer;
 
 /**
- * A store whose first failure stops the voter: what a failed sync left on a disk is not known, so nothing that was to
- * be kept may be acknowledged after it, not even if a later call would succeed.
+ * A store whose first failure stops the voter: what a failed sync left on a disk is not known, so
+ * nothing that was to be kept may be acknowledged after it, not even if a later call would succeed.
  */
 final class FailingStore implements RaftStore {
     private interface Call {
@@ -25,7 +25,9 @@
     private final LogTerms terms;
     private IOException failure;
 
-    /** @param terms follows what is in the log */
+    /**
+     * @param terms follows what is in the log
+     */
     FailingStore(RaftStore store, LogTerms terms, Consumer<Throwable> failed) {
         this.store = store;
         this.terms = terms;
--- a/src/main/java/calicostream/cluster/raft/FirstWord.java
+++ b/src/main/java/calicostream/cluster/raft/FirstWord.java
@@ -11,11 +11,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The shell of a {@link Recall}: its frames and beats, on the voter's thread, for as long as the voter lives; no choice is made here. */
+/**
+ * The shell of a {@link Recall}: its frames and beats, on the voter's thread, for as long as the
+ * voter lives; no choice is made here.
+ */
 final class FirstWord {
     /** What it asks of, and tells, the voter. */
-    record Hooks(BooleanSupplier isStopped, BooleanSupplier isGrouped, BooleanSupplier isVoter, Runnable begin, Consumer<Throwable> fail) {
-    }
+    record Hooks(
+            BooleanSupplier isStopped,
+            BooleanSupplier isGrouped,
+            BooleanSupplier isVoter,
+            Runnable begin,
+            Consumer<Throwable> fail) {}
 
     private interface Step {
         List<Recall.Send> run() throws IOException;
@@ -23,6 +30,7 @@
 
     /** A line of the log so many beats. */
     private static final int LINE = 200;
+
     private static final Logger LOG = LoggerFactory.getLogger(VoterNode.class);
 
     private final Voter self;
@@ -34,7 +42,8 @@
     private boolean begun;
     private int beats;
 
-    FirstWord(Voter self, Recall recall, Reactor reactor, Links links, long beatNanos, Hooks hooks) {
+    FirstWord(
+            Voter self, Recall recall, Reactor reactor, Links links, long beatNanos, Hooks hooks) {
         this.self = self;
         this.recall = recall;
         this.reactor = reactor;
@@ -62,10 +71,11 @@
         if (frame instanceof Frame.Recall asks) {
             step(() -> recall.received(from, asks, grouped));
         } else if (frame instanceof Frame.Recalled told) {
-            step(() -> {
-                recall.received(from, told, grouped);
-                return List.of();
-            });
+            step(
+                    () -> {
+                        recall.received(from, told, grouped);
+                        return List.of();
+                    });
         }
     }
 
--- a/src/main/java/calicostream/cluster/raft/LogTerms.java
+++ b/src/main/java/calicostream/cluster/raft/LogTerms.java
@@ -8,9 +8,10 @@
 import java.util.TreeMap;
 
 /**
- * The terms of the entries in this voter's log, and appends without what the log has; pure, one thread. The library compares
- * the entry before an append's first one, and refuses if its log begins right after that one, as it does behind a snapshot
- * that a leader sent: if the leader then misses the answers to what it sent next, it sends the same again for ever.
+ * The terms of the entries in this voter's log, and appends without what the log has; pure, one
+ * thread. The library compares the entry before an append's first one, and refuses if its log
+ * begins right after that one, as it does behind a snapshot that a leader sent: if the leader then
+ * misses the answers to what it sent next, it sends the same again for ever.
  */
 final class LogTerms {
     private final TreeMap<Long, Integer> terms = new TreeMap<>();
@@ -28,28 +29,38 @@
     }
 
     /**
-     * An append whose first entries are in the log begins after them: entries of one index and term are the same, and so is
-     * all before them; so are those that were applied. Any other message, and an append whose entry before the first is
-     * known, is as it was.
+     * An append whose first entries are in the log begins after them: entries of one index and term
+     * are the same, and so is all before them; so are those that were applied. Any other message,
+     * and an append whose entry before the first is known, is as it was.
      */
     RaftMessage trim(RaftMessage message, long applied) {
-        if (!(message instanceof AppendEntriesRequest append) || terms.containsKey(append.getPreviousLogIndex())) {
+        if (!(message instanceof AppendEntriesRequest append)
+                || terms.containsKey(append.getPreviousLogIndex())) {
             return message;
         }
         List<LogEntry> entries = append.getLogEntries();
         int known = 0;
-        while (known < entries.size() && (entries.get(known).getIndex() <= applied
-                || Integer.valueOf(entries.get(known).getTerm()).equals(terms.get(entries.get(known).getIndex())))) {
+        while (known < entries.size()
+                && (entries.get(known).getIndex() <= applied
+                        || Integer.valueOf(entries.get(known).getTerm())
+                                .equals(terms.get(entries.get(known).getIndex())))) {
             known++;
         }
         if (known == 0) {
             return message;
         }
         LogEntry before = entries.get(known - 1);
-        return Codec.MODEL.createAppendEntriesRequestBuilder().setGroupId(append.getGroupId()).setSender(append.getSender())
-                .setTerm(append.getTerm()).setPreviousLogTerm(before.getTerm()).setPreviousLogIndex(before.getIndex())
-                .setCommitIndex(append.getCommitIndex()).setLogEntries(List.copyOf(entries.subList(known, entries.size())))
+        return Codec.MODEL
+                .createAppendEntriesRequestBuilder()
+                .setGroupId(append.getGroupId())
+                .setSender(append.getSender())
+                .setTerm(append.getTerm())
+                .setPreviousLogTerm(before.getTerm())
+                .setPreviousLogIndex(before.getIndex())
+                .setCommitIndex(append.getCommitIndex())
+                .setLogEntries(List.copyOf(entries.subList(known, entries.size())))
                 .setQuerySequenceNumber(append.getQuerySequenceNumber())
-                .setFlowControlSequenceNumber(append.getFlowControlSequenceNumber()).build();
+                .setFlowControlSequenceNumber(append.getFlowControlSequenceNumber())
+                .build();
     }
 }
--- a/src/main/java/calicostream/cluster/raft/Pace.java
+++ b/src/main/java/calicostream/cluster/raft/Pace.java
@@ -10,9 +10,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The reactor as the library's executor and clock. The library counts heartbeats in whole seconds; here one of its
- * seconds is one heartbeat of ours, for its clock and its timers alike. Its clock is our monotonic one, so that a step
- * of the wall clock makes no leader doubted.
+ * The reactor as the library's executor and clock. The library counts heartbeats in whole seconds;
+ * here one of its seconds is one heartbeat of ours, for its clock and its timers alike. Its clock
+ * is our monotonic one, so that a step of the wall clock makes no leader doubted.
  */
 final class Pace extends Clock implements RaftNodeExecutor {
     private final Reactor reactor;
--- a/src/main/java/calicostream/cluster/raft/PeerMemory.java
+++ b/src/main/java/calicostream/cluster/raft/PeerMemory.java
@@ -11,9 +11,10 @@
 import java.util.TreeMap;
 
 /**
- * What this voter remembers of each other one: which incarnation it has met, and what that one acknowledged and voted here.
- * Pure, one thread. Incarnations are to be kept on the disk before they are answered for ({@link #write}); terms, indexes
- * and votes are in memory alone, as a sync for each acknowledgement would cost more than it tells.
+ * What this voter remembers of each other one: which incarnation it has met, and what that one
+ * acknowledged and voted here. Pure, one thread. Incarnations are to be kept on the disk before
+ * they are answered for ({@link #write}); terms, indexes and votes are in memory alone, as a sync
+ * for each acknowledgement would cost more than it tells.
  */
 final class PeerMemory {
     private static final int VERSION = 1;
@@ -29,18 +30,29 @@
 
         private Seen now(boolean grouped) {
             boolean later = term > before.term();
-            long index = term == before.term() ? Math.max(acknowledged, before.acknowledged()) : later ? acknowledged : before.acknowledged();
-            return new Seen(incarnation, Math.max(term, before.term()), index, Math.max(voteTerm, before.voteTerm()), false, grouped);
+            long index =
+                    term == before.term()
+                            ? Math.max(acknowledged, before.acknowledged())
+                            : later ? acknowledged : before.acknowledged();
+            return new Seen(
+                    incarnation,
+                    Math.max(term, before.term()),
+                    index,
+                    Math.max(voteTerm, before.voteTerm()),
+                    false,
+                    grouped);
         }
     }
 
     private final SortedMap<Voter, Known> known =
-            new TreeMap<>(Comparator.comparingInt(Voter::member).thenComparingInt(Voter::generation));
+            new TreeMap<>(
+                    Comparator.comparingInt(Voter::member).thenComparingInt(Voter::generation));
     private boolean changed;
 
     /**
-     * A voter says that it is this incarnation; {@code nonce} tells two processes of one incarnation apart. The same again
-     * hears the same, whatever it did since; an older one, or another process, hears of all that was seen.
+     * A voter says that it is this incarnation; {@code nonce} tells two processes of one
+     * incarnation apart. The same again hears the same, whatever it did since; an older one, or
+     * another process, hears of all that was seen.
      *
      * @param grouped whether this voter's group had committed something before
      */
@@ -69,7 +81,8 @@
         }
         if (vote) {
             one.voteTerm = Math.max(one.voteTerm, message.getTerm());
-        } else if (message instanceof AppendEntriesSuccessResponse ack && message.getTerm() == one.term) {
+        } else if (message instanceof AppendEntriesSuccessResponse ack
+                && message.getTerm() == one.term) {
             one.acknowledged = Math.max(one.acknowledged, ack.getLastLogIndex());
         }
     }
@@ -83,10 +96,14 @@
 
     byte[] write() {
         Bytes.Writer out = new Bytes.Writer().u8(VERSION).i32(known.size());
-        known.forEach((who, one) -> {
-            Codec.voter(out, who);
-            out.i64(one.incarnation).i64(one.nonce).i64(one.before.incarnation()).u8(one.before.grouped() ? 1 : 0);
-        });
+        known.forEach(
+                (who, one) -> {
+                    Codec.voter(out, who);
+                    out.i64(one.incarnation)
+                            .i64(one.nonce)
+                            .i64(one.before.incarnation())
+                            .u8(one.before.grouped() ? 1 : 0);
+                });
         return out.done();
     }
 
--- a/src/main/java/calicostream/cluster/raft/Recall.java
+++ b/src/main/java/calicostream/cluster/raft/Recall.java
@@ -20,10 +20,11 @@
 import java.util.stream.Collectors;
 
 /**
- * Whether a voter may say its first word: it asks its peers what they remember of it, and answers when they ask. No I/O but
- * through its {@link Keeper}, no clock, one thread. It waits for all other voters for some beats and for a majority of them
- * without end, as it could not be elected by fewer; {@link Amnesia} is the judge. What has forgotten is barred for good under
- * its generation and says why; it comes back as a learner under the next.
+ * Whether a voter may say its first word: it asks its peers what they remember of it, and answers
+ * when they ask. No I/O but through its {@link Keeper}, no clock, one thread. It waits for all
+ * other voters for some beats and for a majority of them without end, as it could not be elected by
+ * fewer; {@link Amnesia} is the judge. What has forgotten is barred for good under its generation
+ * and says why; it comes back as a learner under the next.
  */
 public final class Recall {
     /** Where it stands. */
@@ -50,8 +51,7 @@
     }
 
     /** A frame for a member. */
-    record Send(int member, byte[] frame) {
-    }
+    record Send(int member, byte[] frame) {}
 
     private final Voter self;
     private final boolean founder;
@@ -76,7 +76,15 @@
      * @param nonce of this process, drawn at random
      * @param patience in beats, for voters that don't answer
      */
-    Recall(Voter self, Collection<Voter> first, Collection<Voter> voters, Own own, byte[] memory, long nonce, int patience, Keeper keeper) {
+    Recall(
+            Voter self,
+            Collection<Voter> first,
+            Collection<Voter> voters,
+            Own own,
+            byte[] memory,
+            long nonce,
+            int patience,
+            Keeper keeper) {
         this.self = self;
         this.founder = first.contains(self);
         this.others = members(voters);
@@ -111,8 +119,11 @@
 
     /** Of a state that is the end of this process's voter; else null. */
     ClusterException error() {
-        return state == State.FORGOT ? new ClusterException.VoterForgot(self.member(), self.generation(), reason)
-                : state == State.REFUSED ? new ClusterException.VoterStopped(self.member(), reason) : null;
+        return state == State.FORGOT
+                ? new ClusterException.VoterForgot(self.member(), self.generation(), reason)
+                : state == State.REFUSED
+                        ? new ClusterException.VoterStopped(self.member(), reason)
+                        : null;
     }
 
     /** At each beat: whom to ask (again). Peers that are silent for long are asked seldom. */
@@ -122,16 +133,32 @@
         List<Send> sends = new ArrayList<>();
         if (error() == null && (beats <= patience || beats % patience == 0)) {
             byte[] frame = new Frame.Recall(self.generation(), own.incarnation(), nonce).encode();
-            asked.stream().filter(member -> !names.containsKey(member)).forEach(member -> sends.add(new Send(member, frame)));
+            asked.stream()
+                    .filter(member -> !names.containsKey(member))
+                    .forEach(member -> sends.add(new Send(member, frame)));
         }
         return sends;
     }
 
-    /** @param grouped whether this voter's group has committed something */
+    /**
+     * @param grouped whether this voter's group has committed something
+     */
     List<Send> received(int from, Frame.Recall ask, boolean grouped) throws IOException {
         Seen seen = met(new Voter(from, ask.generation()), ask.incarnation(), ask.nonce(), grouped);
-        return List.of(new Send(from, new Frame.Recalled(ask.nonce(), self.generation(), own.incarnation(), nonce, seen.incarnation(),
-                seen.term(), seen.acknowledged(), seen.voteTerm(), seen.grouped()).encode()));
+        return List.of(
+                new Send(
+                        from,
+                        new Frame.Recalled(
+                                        ask.nonce(),
+                                        self.generation(),
+                                        own.incarnation(),
+                                        nonce,
+                                        seen.incarnation(),
+                                        seen.term(),
+                                        seen.acknowledged(),
+                                        seen.voteTerm(),
+                                        seen.grouped())
+                                .encode()));
     }
 
     void received(int from, Frame.Recalled answer, boolean grouped) throws IOException {
@@ -140,7 +167,14 @@
         }
         Voter peer = new Voter(from, answer.generation());
         met(peer, answer.incarnation(), answer.nonce(), grouped);
-        Seen seen = new Seen(answer.seenIncarnation(), answer.term(), answer.acknowledged(), answer.voteTerm(), false, answer.grouped());
+        Seen seen =
+                new Seen(
+                        answer.seenIncarnation(),
+                        answer.term(),
+                        answer.acknowledged(),
+                        answer.voteTerm(),
+                        false,
+                        answer.grouped());
         if (mayBegin()) {
             // It has spoken since, so of what a late one tells only the incarnation is from before.
             seen = new Seen(seen.incarnation(), 0, 0, 0, false, false);
@@ -151,7 +185,8 @@
     }
 
     /** The peer is remembered on the disk before anything rests on its word. */
-    private Seen met(Voter peer, long incarnation, long itsNonce, boolean grouped) throws IOException {
+    private Seen met(Voter peer, long incarnation, long itsNonce, boolean grouped)
+            throws IOException {
         Seen seen = memory.met(peer, incarnation, itsNonce, grouped);
         if (memory.takeChanged()) {
             keeper.memory(memory.write());
@@ -194,13 +229,17 @@
                 keeper.admit();
             }
             state = State.VOTES;
-        } else if (answer.verdict() == Verdict.LEARNER && waited && heard >= (others.size() + 1) / 2) {
+        } else if (answer.verdict() == Verdict.LEARNER
+                && waited
+                && heard >= (others.size() + 1) / 2) {
             state = State.LEARNS;
         }
     }
 
     /** The other voters, by the name under which each answered. */
     private Set<String> named() {
-        return others.stream().map(member -> names.getOrDefault(member, member + ".?")).collect(Collectors.toCollection(TreeSet::new));
+        return others.stream()
+                .map(member -> names.getOrDefault(member, member + ".?"))
+                .collect(Collectors.toCollection(TreeSet::new));
     }
 }
--- a/src/main/java/calicostream/cluster/raft/Stepper.java
+++ b/src/main/java/calicostream/cluster/raft/Stepper.java
@@ -12,15 +12,14 @@
 import java.util.function.Consumer;
 
 /**
- * Steps {@link Replicated} as the library commits entries. The first exception out of it ends this copy: nothing more
- * is applied, and the voter is told to stop before the copies differ.
+ * Steps {@link Replicated} as the library commits entries. The first exception out of it ends this
+ * copy: nothing more is applied, and the voter is told to stop before the copies differ.
  */
 final class Stepper implements StateMachine {
     private static final int CHUNK = 256 * 1024;
 
     /** A read; {@code machine} is "" to hear just how far the log was. */
-    record Question(String machine, byte[] question) {
-    }
+    record Question(String machine, byte[] question) {}
 
     private final int member;
     private final Replicated state;
@@ -48,7 +47,10 @@
         }
         try {
             if (operation instanceof Question question) {
-                byte[] answer = question.machine.isEmpty() ? new byte[0] : state.query(question.machine, question.question);
+                byte[] answer =
+                        question.machine.isEmpty()
+                                ? new byte[0]
+                                : state.query(question.machine, question.question);
                 return new Outcome(Outcome.Kind.ACCEPTED, state.applied(), "", answer);
             }
             return state.apply(index, (byte[]) operation);
--- a/src/main/java/calicostream/cluster/raft/StoreOnLog.java
+++ b/src/main/java/calicostream/cluster/raft/StoreOnLog.java
@@ -20,8 +20,8 @@
 import java.util.Optional;
 
 /**
- * The library's store over a {@link DurableLog}; one thread, no state of its own. Every call that the library says is to
- * be flushed syncs before it returns.
+ * The library's store over a {@link DurableLog}; one thread, no state of its own. Every call that
+ * the library says is to be flushed syncs before it returns.
  */
 public final class StoreOnLog implements RaftStore, Recall.Keeper {
     private static final String SELF = "self";
@@ -42,24 +42,40 @@
             return Optional.empty();
         }
         Bytes.Reader in = new Bytes.Reader("own name", self);
-        RaftEndpointPersistentState me = Codec.MODEL.createRaftEndpointPersistentStateBuilder()
-                .setLocalEndpoint(Codec.voter(in)).setVoting(in.u8() != 0).build();
-        RaftTermPersistentState term = Codec.MODEL.createRaftTermPersistentStateBuilder().setTerm((int) found.term())
-                .setVotedFor(voted(found.votedFor())).build();
+        RaftEndpointPersistentState me =
+                Codec.MODEL
+                        .createRaftEndpointPersistentStateBuilder()
+                        .setLocalEndpoint(Codec.voter(in))
+                        .setVoting(in.u8() != 0)
+                        .build();
+        RaftTermPersistentState term =
+                Codec.MODEL
+                        .createRaftTermPersistentStateBuilder()
+                        .setTerm((int) found.term())
+                        .setVotedFor(voted(found.votedFor()))
+                        .build();
         List<SnapshotChunk> chunks = new ArrayList<>();
         if (found.snapshot() != null) {
             found.snapshot().chunks().forEach(bytes -> chunks.add(Codec.chunk(bytes)));
         }
-        var snapshot = chunks.isEmpty() ? null : Codec.MODEL.createSnapshotEntryBuilder().setIndex(chunks.get(0).getIndex())
-                .setTerm(chunks.get(0).getTerm()).setSnapshotChunks(chunks)
-                .setGroupMembersView(chunks.get(0).getGroupMembersView()).build();
+        var snapshot =
+                chunks.isEmpty()
+                        ? null
+                        : Codec.MODEL
+                                .createSnapshotEntryBuilder()
+                                .setIndex(chunks.get(0).getIndex())
+                                .setTerm(chunks.get(0).getTerm())
+                                .setSnapshotChunks(chunks)
+                                .setGroupMembersView(chunks.get(0).getGroupMembersView())
+                                .build();
         List<LogEntry> entries = new ArrayList<>();
         found.entries().forEach(entry -> entries.add(Codec.entry(entry.bytes())));
         return Optional.of(new RestoredRaftState(me, Codec.view(first), term, snapshot, entries));
     }
 
     /**
-     * Asks the peers of the voter that this log is of before it says its first word; for {@link VoterNode#start(Recall)}.
+     * Asks the peers of the voter that this log is of before it says its first word; for {@link
+     * VoterNode#start(Recall)}.
      *
      * @param nonce drawn at random for this process
      * @param patience in heartbeats, for voters that don't answer
@@ -70,14 +86,27 @@
         Optional<RestoredRaftState> restored = restored(found);
         if (restored.isPresent()) {
             RestoredRaftState state = restored.get();
-            voters = state.getSnapshotEntry() != null && state.getSnapshotEntry().getGroupMembersView() != null
-                    ? state.getSnapshotEntry().getGroupMembersView().getVotingMembers() : state.getInitialGroupMembers().getVotingMembers();
+            voters =
+                    state.getSnapshotEntry() != null
+                                    && state.getSnapshotEntry().getGroupMembersView() != null
+                            ? state.getSnapshotEntry().getGroupMembersView().getVotingMembers()
+                            : state.getInitialGroupMembers().getVotingMembers();
             for (LogEntry entry : state.getLogEntries()) {
-                voters = entry.getOperation() instanceof UpdateRaftGroupMembersOp op ? op.getVotingMembers() : voters;
+                voters =
+                        entry.getOperation() instanceof UpdateRaftGroupMembersOp op
+                                ? op.getVotingMembers()
+                                : voters;
             }
         }
-        return new Recall(self, first, voters.stream().map(Voter.class::cast).toList(), found.own(), found.notes().get(PEERS), nonce,
-                patience, this);
+        return new Recall(
+                self,
+                first,
+                voters.stream().map(Voter.class::cast).toList(),
+                found.own(),
+                found.notes().get(PEERS),
+                nonce,
+                patience,
+                this);
     }
 
     @Override
@@ -120,7 +149,8 @@
 
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState term) throws IOException {
-        log.saveTerm(term.getTerm(), term.getVotedFor() == null ? "" : term.getVotedFor().toString());
+        log.saveTerm(
+                term.getTerm(), term.getVotedFor() == null ? "" : term.getVotedFor().toString());
         log.sync();
     }
 
@@ -133,7 +163,11 @@
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
-        log.snapshotChunk(chunk.getIndex(), chunk.getTerm(), chunk.getSnapshotChunkIndex(), chunk.getSnapshotChunkCount(),
+        log.snapshotChunk(
+                chunk.getIndex(),
+                chunk.getTerm(),
+                chunk.getSnapshotChunkIndex(),
+                chunk.getSnapshotChunkCount(),
                 Codec.chunk(chunk));
     }
 
--- a/src/main/java/calicostream/cluster/raft/VoterChanges.java
+++ b/src/main/java/calicostream/cluster/raft/VoterChanges.java
@@ -14,20 +14,27 @@
 import java.util.function.Supplier;
 
 /**
- * Changes of voters as a leader carries them out, one at a time, each in two entries: the replicated memory of generations
- * first, which refuses who was removed before, then the library's change. While one runs no other starts here, and what a
- * former leader noted is applied before this one leads, so the second entry never overtakes a removal of the same voter.
+ * Changes of voters as a leader carries them out, one at a time, each in two entries: the
+ * replicated memory of generations first, which refuses who was removed before, then the library's
+ * change. While one runs no other starts here, and what a former leader noted is applied before
+ * this one leads, so the second entry never overtakes a removal of the same voter.
  */
 final class VoterChanges {
     private final RaftNode raft;
     private final Voter self;
     private final Replicated state;
     private final BiConsumer<Entry, Consumer<Outcome>> propose;
+
     /** Why this voter can't; null if it leads. */
     private final Supplier<ClusterException> notLeading;
+
     private boolean running;
 
-    VoterChanges(RaftNode raft, Voter self, Replicated state, BiConsumer<Entry, Consumer<Outcome>> propose,
+    VoterChanges(
+            RaftNode raft,
+            Voter self,
+            Replicated state,
+            BiConsumer<Entry, Consumer<Outcome>> propose,
             Supplier<ClusterException> notLeading) {
         this.raft = raft;
         this.self = self;
@@ -43,24 +50,36 @@
             return;
         }
         running = true;
-        Consumer<ClusterException> end = error -> {
-            running = false;
-            done.accept(error);
-        };
+        Consumer<ClusterException> end =
+                error -> {
+                    running = false;
+                    done.accept(error);
+                };
         long since = raft.getCommittedMembers().getLogIndex();
         if (change != Change.PROMOTE) {
             note(change, who, since, end);
             return;
         }
-        raft.getReport().whenComplete((report, error) -> {
-            if (error != null) {
-                end.accept(bad(change, who, String.valueOf(error.getMessage())));
-            } else if (report.getResult().getLog().getFollowerMatchIndices().getOrDefault(who, 0L) < since) {
-                end.accept(bad(change, who, "it has not acknowledged that it learns, ask again once it did"));
-            } else {
-                note(change, who, since, end);
-            }
-        });
+        raft.getReport()
+                .whenComplete(
+                        (report, error) -> {
+                            if (error != null) {
+                                end.accept(bad(change, who, String.valueOf(error.getMessage())));
+                            } else if (report.getResult()
+                                            .getLog()
+                                            .getFollowerMatchIndices()
+                                            .getOrDefault(who, 0L)
+                                    < since) {
+                                end.accept(
+                                        bad(
+                                                change,
+                                                who,
+                                                "it has not acknowledged that it learns, ask again"
+                                                        + " once it did"));
+                            } else {
+                                note(change, who, since, end);
+                            }
+                        });
     }
 
     private ClusterException refused(Change change, Voter who) {
@@ -78,20 +97,39 @@
     }
 
     private void note(Change change, Voter who, long since, Consumer<ClusterException> end) {
-        Entry entry = change == Change.REMOVE ? new Entry.RemoveVoter(who.member(), who.generation())
-                : new Entry.AddVoter(who.member(), who.generation());
-        propose.accept(entry, outcome -> {
-            if (!outcome.accepted()) {
-                end.accept(outcome.error());
-            } else if (notLeading.get() != null) {
-                end.accept(notLeading.get());
-            } else if (change != Change.REMOVE && !state.mayAdd(who.member(), who.generation())) {
-                end.accept(new ClusterException.GenerationOver(who.member(), who.generation(), state.nextGeneration(who.member())));
-            } else {
-                raft.changeMembership(who, change.mode, since).whenComplete((ok, error) ->
-                        end.accept(error == null ? null : bad(change, who, String.valueOf(error.getMessage()))));
-            }
-        });
+        Entry entry =
+                change == Change.REMOVE
+                        ? new Entry.RemoveVoter(who.member(), who.generation())
+                        : new Entry.AddVoter(who.member(), who.generation());
+        propose.accept(
+                entry,
+                outcome -> {
+                    if (!outcome.accepted()) {
+                        end.accept(outcome.error());
+                    } else if (notLeading.get() != null) {
+                        end.accept(notLeading.get());
+                    } else if (change != Change.REMOVE
+                            && !state.mayAdd(who.member(), who.generation())) {
+                        end.accept(
+                                new ClusterException.GenerationOver(
+                                        who.member(),
+                                        who.generation(),
+                                        state.nextGeneration(who.member())));
+                    } else {
+                        raft.changeMembership(who, change.mode, since)
+                                .whenComplete(
+                                        (ok, error) ->
+                                                end.accept(
+                                                        error == null
+                                                                ? null
+                                                                : bad(
+                                                                        change,
+                                                                        who,
+                                                                        String.valueOf(
+                                                                                error
+                                                                                        .getMessage()))));
+                    }
+                });
     }
 
     private static ClusterException bad(Change change, Voter who, String why) {
@@ -105,14 +143,26 @@
             done.accept(refused);
             return;
         }
-        List<Voter> voters = raft.getCommittedMembers().getVotingMembers().stream().map(Voter.class::cast).toList();
-        List<Voter> learners = raft.getCommittedMembers().getMembers().stream().map(Voter.class::cast)
-                .filter(who -> !voters.contains(who)).toList();
-        VoterPlan.next(wanted, voters, learners, self).ifPresent(step -> {
-            switch (step.kind()) {
-                case LEARN, PROMOTE, REMOVE -> change(Change.valueOf(step.kind().name()), step.who(), done);
-                case HAND_OVER -> raft.transferLeadership(step.who());
-            }
-        });
+        List<Voter> voters =
+                raft.getCommittedMembers().getVotingMembers().stream()
+                        .map(Voter.class::cast)
+                        .toList();
+        List<Voter> learners =
+                raft.getCommittedMembers().getMembers().stream()
+                        .map(Voter.class::cast)
+                        .filter(who -> !voters.contains(who))
+                        .toList();
+        VoterPlan.next(wanted, voters, learners, self)
+                .ifPresent(
+                        step -> {
+                            switch (step.kind()) {
+                                case LEARN, PROMOTE, REMOVE ->
+                                        change(
+                                                Change.valueOf(step.kind().name()),
+                                                step.who(),
+                                                done);
+                                case HAND_OVER -> raft.transferLeadership(step.who());
+                            }
+                        });
     }
 }
--- a/src/main/java/calicostream/cluster/raft/VoterNode.java
+++ b/src/main/java/calicostream/cluster/raft/VoterNode.java
@@ -2,8 +2,8 @@
 package calicostream.cluster.raft;
 
 import calicostream.cluster.ClusterException;
-import calicostream.cluster.CountedTime;
 import calicostream.cluster.Command;
+import calicostream.cluster.CountedTime;
 import calicostream.cluster.Entry;
 import calicostream.cluster.Frame;
 import calicostream.cluster.Links;
@@ -36,22 +36,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A voter: the consensus library, the replicated machine, and the requests of members. Owned by its reactor's thread, on
- * which everything here is called. It has no thread, clock, socket, file or randomness of its own, so that a test may
- * run a whole cluster in virtual time. Once it failed or was stopped it says nothing more; the way back is a new one.
+ * A voter: the consensus library, the replicated machine, and the requests of members. Owned by its
+ * reactor's thread, on which everything here is called. It has no thread, clock, socket, file or
+ * randomness of its own, so that a test may run a whole cluster in virtual time. Once it failed or
+ * was stopped it says nothing more; the way back is a new one.
  */
 public final class VoterNode implements Links.Receiver {
     /**
-     * @param first the voters that the cluster began with, the same everywhere; a joiner is none of them
+     * @param first the voters that the cluster began with, the same everywhere; a joiner is none of
+     *     them
      * @param heartbeatMillis of a leader; of everything else the beat as well
      * @param missed heartbeats until a leader is doubted
      * @param electionMillis after which an undecided election begins anew, with a random part
      * @param queue of proposals that are not yet decided; more are refused
      * @param snapshotEvery so many entries
      */
-    public record Settings(Voter self, List<Voter> first, int heartbeatMillis, int missed, int electionMillis, int queue,
-            int snapshotEvery) {
-    }
+    public record Settings(
+            Voter self,
+            List<Voter> first,
+            int heartbeatMillis,
+            int missed,
+            int electionMillis,
+            int queue,
+            int snapshotEvery) {}
 
     /** Entries of one append: of the largest ones, half a frame. */
     private static final int BATCH = Links.MAX_FRAME / (2 * Command.MAX_BODY) / 2;
@@ -88,8 +95,16 @@
      * @param timekeepers of the machines, by name
      * @param failed hears once why this voter stopped by itself
      */
-    public VoterNode(Settings settings, Reactor reactor, Links links, RaftStore store, Optional<RestoredRaftState> restored,
-            Replicated state, Map<String, Timekeeper> timekeepers, Random random, Consumer<Throwable> failed) {
+    public VoterNode(
+            Settings settings,
+            Reactor reactor,
+            Links links,
+            RaftStore store,
+            Optional<RestoredRaftState> restored,
+            Replicated state,
+            Map<String, Timekeeper> timekeepers,
+            Random random,
+            Consumer<Throwable> failed) {
         this.settings = settings;
         this.reactor = reactor;
         this.links = links;
@@ -102,34 +117,58 @@
         this.silence = new LeaderSilence(settings.self, 3 * settings.missed);
         this.nextId = random.nextLong();
         Pace pace = new Pace(reactor, settings.heartbeatMillis);
-        RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder().setGroupId(Codec.GROUP)
-                .setConfig(RaftConfig.newBuilder().setLeaderHeartbeatPeriodSecs(1)
-                        .setLeaderHeartbeatTimeoutSecs(settings.missed)
-                        .setAppendEntriesRequestBatchSize(BATCH)
-                        .setLeaderElectionTimeoutMillis(Math.max(100, pace.raftMillis(settings.electionMillis)))
-                        .setCommitCountToTakeSnapshot(settings.snapshotEvery)
-                        .setMaxPendingLogEntryCount(Math.max(2 * settings.queue, 128))
-                        .setTransferSnapshotsFromFollowersEnabled(false).build())
-                .setExecutor(pace).setClock(pace).setRandom(random).setStore(new FailingStore(store, terms, this::fail))
-                .setStateMachine(stepper).setTransport(new Sender()).setModelFactory(Codec.MODEL);
+        RaftNode.RaftNodeBuilder builder =
+                RaftNode.newBuilder()
+                        .setGroupId(Codec.GROUP)
+                        .setConfig(
+                                RaftConfig.newBuilder()
+                                        .setLeaderHeartbeatPeriodSecs(1)
+                                        .setLeaderHeartbeatTimeoutSecs(settings.missed)
+                                        .setAppendEntriesRequestBatchSize(BATCH)
+                                        .setLeaderElectionTimeoutMillis(
+                                                Math.max(
+                                                        100,
+                                                        pace.raftMillis(settings.electionMillis)))
+                                        .setCommitCountToTakeSnapshot(settings.snapshotEvery)
+                                        .setMaxPendingLogEntryCount(
+                                                Math.max(2 * settings.queue, 128))
+                                        .setTransferSnapshotsFromFollowersEnabled(false)
+                                        .build())
+                        .setExecutor(pace)
+                        .setClock(pace)
+                        .setRandom(random)
+                        .setStore(new FailingStore(store, terms, this::fail))
+                        .setStateMachine(stepper)
+                        .setTransport(new Sender())
+                        .setModelFactory(Codec.MODEL);
         wasRestored = restored.isPresent() && !restored.get().getLogEntries().isEmpty();
         restored.ifPresent(found -> terms.append(found.getLogEntries()));
         if (restored.isPresent()) {
             builder.setRestoredState(restored.get());
         } else {
-            builder.setLocalEndpoint(settings.self).setInitialGroupMembers(new ArrayList<RaftEndpoint>(settings.first));
+            builder.setLocalEndpoint(settings.self)
+                    .setInitialGroupMembers(new ArrayList<RaftEndpoint>(settings.first));
         }
         this.raft = builder.build();
-        this.changes = new VoterChanges(raft, settings.self, state, (entry, reply) -> propose(entry.encode(), reply), this::notLeading);
+        this.changes =
+                new VoterChanges(
+                        raft,
+                        settings.self,
+                        state,
+                        (entry, reply) -> propose(entry.encode(), reply),
+                        this::notLeading);
     }
 
     private final class Sender implements Transport {
         @Override
         public void send(RaftEndpoint target, RaftMessage message) {
-            boolean asksForVotes = message instanceof VoteRequest || message instanceof PreVoteRequest;
+            boolean asksForVotes =
+                    message instanceof VoteRequest || message instanceof PreVoteRequest;
             if (!stopped && (!asksForVotes || mayLead())) {
                 Voter to = (Voter) target;
-                links.send(to.member(), new Frame.Raft(to.generation(), Codec.message(message)).encode());
+                links.send(
+                        to.member(),
+                        new Frame.Raft(to.generation(), Codec.message(message)).encode());
             }
         }
 
@@ -140,8 +179,9 @@
     }
 
     /**
-     * The library lets a voter stand whose own log says that it was removed, and counts its own vote into a majority of
-     * the others: two leaders of one term. So who is not among the voters asks nobody.
+     * The library lets a voter stand whose own log says that it was removed, and counts its own
+     * vote into a majority of the others: two leaders of one term. So who is not among the voters
+     * asks nobody.
      */
     private boolean mayLead() {
         return raft.getEffectiveMembers().getVotingMembers().contains(settings.self);
@@ -155,12 +195,23 @@
     }
 
     /**
-     * Asks peers first what they remember of this voter: silent until {@code first} lets it speak, or stops it for good.
+     * Asks peers first what they remember of this voter: silent until {@code first} lets it speak,
+     * or stops it for good.
      */
     public void start(Recall first) {
-        firstWord = new FirstWord(settings.self, first, reactor, links, settings.heartbeatMillis * 1_000_000L, new FirstWord.Hooks(
-                this::isStopped, () -> wasRestored || state.applied() > 0,
-                () -> state.applied() > 0 && voters().contains(settings.self), this::start, this::fail));
+        firstWord =
+                new FirstWord(
+                        settings.self,
+                        first,
+                        reactor,
+                        links,
+                        settings.heartbeatMillis * 1_000_000L,
+                        new FirstWord.Hooks(
+                                this::isStopped,
+                                () -> wasRestored || state.applied() > 0,
+                                () -> state.applied() > 0 && voters().contains(settings.self),
+                                this::start,
+                                this::fail));
         firstWord.beat();
     }
 
@@ -184,7 +235,10 @@
         }
     }
 
-    /** This voter is as it was before the failure, and silent: it neither votes nor acknowledges any more. */
+    /**
+     * This voter is as it was before the failure, and silent: it neither votes nor acknowledges any
+     * more.
+     */
     private void fail(Throwable why) {
         if (!stopped) {
             stopped = true;
@@ -199,7 +253,9 @@
 
     /** This voter leads as far as it knows, and its copy has all that its predecessors left. */
     public boolean leads() {
-        return !stopped && settings.self.equals(raft.getTerm().getLeaderEndpoint()) && stepper.ownEra();
+        return !stopped
+                && settings.self.equals(raft.getTerm().getLeaderEndpoint())
+                && stepper.ownEra();
     }
 
     /** The leader's member as far as is known here; 0 if not. */
@@ -242,36 +298,48 @@
     }
 
     /**
-     * Changes one voter; only the leader can, one change at a time. {@code done} hears the error, or null once the change
-     * holds. Who was removed is never added again ({@link ClusterException.GenerationOver} names the generation to come
-     * back under). Who has not acknowledged the present voters and learners is not promoted: one that is gone for good
-     * would count into a quorum that then may never be.
+     * Changes one voter; only the leader can, one change at a time. {@code done} hears the error,
+     * or null once the change holds. Who was removed is never added again ({@link
+     * ClusterException.GenerationOver} names the generation to come back under). Who has not
+     * acknowledged the present voters and learners is not promoted: one that is gone for good would
+     * count into a quorum that then may never be.
      */
     public void change(Change change, Voter who, Consumer<ClusterException> done) {
         changes.change(change, who, done);
     }
 
     /**
-     * Takes the next step towards these voters, if this voter leads and there is one; called again until
-     * {@link #voters()} are the wanted ones. {@code done} hears of a step as with {@link #change}.
+     * Takes the next step towards these voters, if this voter leads and there is one; called again
+     * until {@link #voters()} are the wanted ones. {@code done} hears of a step as with {@link
+     * #change}.
      */
     public void towards(Collection<Voter> wanted, Consumer<ClusterException> done) {
         changes.towards(wanted, done);
     }
 
     private ClusterException notLeading() {
-        return leads() ? null : new ClusterException.NotLeader(settings.self.member(), leader(), state.era());
+        return leads()
+                ? null
+                : new ClusterException.NotLeader(settings.self.member(), leader(), state.era());
     }
 
     private void beat() {
         if (isStopped()) {
             return;
         }
-        silence.beat(raft.getTerm()).filter(message -> mayLead()).ifPresent(message -> {
-            LOG.warn("voter {} forgets leader {} of term {}, silent for {} heartbeats", settings.self, leader(), term(),
-                    3 * settings.missed);
-            raft.handle(message);
-        });
+        silence.beat(raft.getTerm())
+                .filter(message -> mayLead())
+                .ifPresent(
+                        message -> {
+                            LOG.warn(
+                                    "voter {} forgets leader {} of term {}, silent for {}"
+                                            + " heartbeats",
+                                    settings.self,
+                                    leader(),
+                                    term(),
+                                    3 * settings.missed);
+                            raft.handle(message);
+                        });
         long now = reactor.nanos();
         long span = counted.look(now);
         if (leads()) {
@@ -280,25 +348,34 @@
                 timekeepers.values().forEach(timekeeper -> timekeeper.eraBegan(toldEra, span));
             }
             for (Entry.Expire expire : keeper.due(now)) {
-                propose(expire.encode(), outcome -> { });
+                propose(expire.encode(), outcome -> {});
             }
-            timekeepers.forEach((name, timekeeper) -> {
-                for (byte[] body : timekeeper.due(span)) {
-                    propose(new Entry.Timed(state.era(), name, body).encode(), outcome -> { });
-                }
-            });
+            timekeepers.forEach(
+                    (name, timekeeper) -> {
+                        for (byte[] body : timekeeper.due(span)) {
+                            propose(
+                                    new Entry.Timed(state.era(), name, body).encode(),
+                                    outcome -> {});
+                        }
+                    });
             read(new Stepper.Question("", new byte[0]), outcome -> fresh(outcome, now));
         } else if (leader() != 0 && leader() != settings.self.member()) {
             askAt = now;
             askId = nextId++;
-            links.send(leader(), new Frame.Request(askId, Frame.Ask.READ, "", new byte[0]).encode());
+            links.send(
+                    leader(), new Frame.Request(askId, Frame.Ask.READ, "", new byte[0]).encode());
         }
         reactor.schedule(this::beat, settings.heartbeatMillis * 1_000_000L);
     }
 
-    /** The leader had all up to an index at some moment after {@code sinceNanos}; so has this copy once it got there. */
+    /**
+     * The leader had all up to an index at some moment after {@code sinceNanos}; so has this copy
+     * once it got there.
+     */
     private void fresh(Outcome outcome, long sinceNanos) {
-        if (outcome.accepted() && state.applied() >= outcome.index() && (!fresh || sinceNanos - freshSince > 0)) {
+        if (outcome.accepted()
+                && state.applied() >= outcome.index()
+                && (!fresh || sinceNanos - freshSince > 0)) {
             fresh = true;
             freshSince = sinceNanos;
         }
@@ -319,17 +396,19 @@
     private void received(int from, Frame frame) {
         if (frame instanceof Frame.Raft message) {
             RaftMessage decoded = Codec.message(message.message());
-            if (((Voter) decoded.getSender()).member() == from && message.generation() == settings.self.generation()) {
+            if (((Voter) decoded.getSender()).member() == from
+                    && message.generation() == settings.self.generation()) {
                 silence.heard(decoded);
                 recall().ifPresent(recall -> recall.heard(decoded));
                 raft.handle(terms.trim(decoded, state.applied()));
             }
         } else if (frame instanceof Frame.Request request) {
-            Consumer<Outcome> reply = outcome -> {
-                if (!stopped) {
-                    links.send(from, new Frame.Reply(request.id(), 0, outcome).encode());
-                }
-            };
+            Consumer<Outcome> reply =
+                    outcome -> {
+                        if (!stopped) {
+                            links.send(from, new Frame.Reply(request.id(), 0, outcome).encode());
+                        }
+                    };
             switch (request.ask()) {
                 case ENTRY -> proposeOf(request.body(), reply);
                 case READ -> read(new Stepper.Question(request.machine(), request.body()), reply);
@@ -342,9 +421,20 @@
 
     private void local(int from, Frame.Request request) {
         Optional<Long> age = ageNanos();
-        Outcome outcome = !state.knows(request.machine()) ? Outcome.failed(0, ClusterException.UnknownMachine.CODE)
-                : age.isEmpty() ? Outcome.failed(0, ClusterException.NoQuorum.CODE, settings.self.member(), 0)
-                : new Outcome(Outcome.Kind.ACCEPTED, state.applied(), "", state.query(request.machine(), request.body()));
+        Outcome outcome =
+                !state.knows(request.machine())
+                        ? Outcome.failed(0, ClusterException.UnknownMachine.CODE)
+                        : age.isEmpty()
+                                ? Outcome.failed(
+                                        0,
+                                        ClusterException.NoQuorum.CODE,
+                                        settings.self.member(),
+                                        0)
+                                : new Outcome(
+                                        Outcome.Kind.ACCEPTED,
+                                        state.applied(),
+                                        "",
+                                        state.query(request.machine(), request.body()));
         links.send(from, new Frame.Reply(request.id(), age.orElse(0L), outcome).encode());
     }
 
@@ -367,14 +457,22 @@
 
     private void propose(byte[] entry, Consumer<Outcome> reply) {
         if (proposed >= settings.queue) {
-            reply.accept(Outcome.failed(0, ClusterException.QueueFull.CODE, settings.self.member(), proposed, settings.queue));
+            reply.accept(
+                    Outcome.failed(
+                            0,
+                            ClusterException.QueueFull.CODE,
+                            settings.self.member(),
+                            proposed,
+                            settings.queue));
             return;
         }
         proposed++;
-        raft.<Outcome>replicate(entry).whenComplete((ok, error) -> {
-            proposed--;
-            reply.accept(error == null ? ok.getResult() : failure(error));
-        });
+        raft.<Outcome>replicate(entry)
+                .whenComplete(
+                        (ok, error) -> {
+                            proposed--;
+                            reply.accept(error == null ? ok.getResult() : failure(error));
+                        });
     }
 
     private void read(Stepper.Question question, Consumer<Outcome> reply) {
@@ -382,21 +480,47 @@
             reply.accept(Outcome.failed(0, ClusterException.UnknownMachine.CODE));
             return;
         }
-        raft.<Outcome>query(question, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty()).whenComplete((ok, error) -> reply.accept(error == null ? ok.getResult() : failure(error)));
+        raft.<Outcome>query(question, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
+                .whenComplete(
+                        (ok, error) ->
+                                reply.accept(error == null ? ok.getResult() : failure(error)));
     }
 
     private Outcome failure(Throwable error) {
         if (error instanceof NotLeaderException) {
-            return Outcome.failed(0, ClusterException.NotLeader.CODE, settings.self.member(), leader(), state.era());
+            return Outcome.failed(
+                    0,
+                    ClusterException.NotLeader.CODE,
+                    settings.self.member(),
+                    leader(),
+                    state.era());
         } else if (error instanceof CannotReplicateException) {
-            return Outcome.failed(0, ClusterException.QueueFull.CODE, settings.self.member(), proposed, settings.queue);
+            return Outcome.failed(
+                    0,
+                    ClusterException.QueueFull.CODE,
+                    settings.self.member(),
+                    proposed,
+                    settings.queue);
         }
         return Outcome.failed(0, ClusterException.Unsure.CODE, settings.self.member(), 0, 0);
     }
 
     @Override
     public String toString() {
-        return "voter " + settings.self + " " + raft.getStatus() + (stopped ? " stopped" : "") + " " + raft.getTerm() + " applied "
-                + state.applied() + " era " + state.era() + " voters " + voters() + " of " + votersAndLearners();
+        return "voter "
+                + settings.self
+                + " "
+                + raft.getStatus()
+                + (stopped ? " stopped" : "")
+                + " "
+                + raft.getTerm()
+                + " applied "
+                + state.applied()
+                + " era "
+                + state.era()
+                + " voters "
+                + voters()
+                + " of "
+                + votersAndLearners();
     }
 }
--- a/src/main/java/calicostream/cluster/raft/VoterPlan.java
+++ b/src/main/java/calicostream/cluster/raft/VoterPlan.java
@@ -8,33 +8,42 @@
 import java.util.TreeSet;
 
 /**
- * The next of the single steps that lead from the present voters to the wanted ones; pure. Who is wanted learns first, is
- * promoted next, and only then does an unwanted one go, so that a lost voter is replaced while a quorum still stands; a
- * leader that is to go hands over first. Asked again after each step, by whoever leads then, it needs no memory.
+ * The next of the single steps that lead from the present voters to the wanted ones; pure. Who is
+ * wanted learns first, is promoted next, and only then does an unwanted one go, so that a lost
+ * voter is replaced while a quorum still stands; a leader that is to go hands over first. Asked
+ * again after each step, by whoever leads then, it needs no memory.
  */
 public final class VoterPlan {
     /** A step and whom it is about; a hand-over names who is to lead. */
-    public record Step(Kind kind, Voter who) {
-    }
+    public record Step(Kind kind, Voter who) {}
 
     /** What a step does. */
-    public enum Kind { LEARN, PROMOTE, HAND_OVER, REMOVE }
+    public enum Kind {
+        LEARN,
+        PROMOTE,
+        HAND_OVER,
+        REMOVE
+    }
 
-    private static final Comparator<Voter> ORDER = Comparator.comparingInt(Voter::member).thenComparingInt(Voter::generation);
+    private static final Comparator<Voter> ORDER =
+            Comparator.comparingInt(Voter::member).thenComparingInt(Voter::generation);
 
-    private VoterPlan() {
-    }
+    private VoterPlan() {}
 
     /**
      * @param voters and learners as they are committed
      * @param leader who would carry the step out
      * @return empty if the wanted are the voters and nobody else is left
      */
-    public static Optional<Step> next(Collection<Voter> wanted, Collection<Voter> voters, Collection<Voter> learners,
+    public static Optional<Step> next(
+            Collection<Voter> wanted,
+            Collection<Voter> voters,
+            Collection<Voter> learners,
             Voter leader) {
         for (Voter who : sorted(wanted)) {
             if (!voters.contains(who)) {
-                return Optional.of(new Step(learners.contains(who) ? Kind.PROMOTE : Kind.LEARN, who));
+                return Optional.of(
+                        new Step(learners.contains(who) ? Kind.PROMOTE : Kind.LEARN, who));
             }
         }
         SortedSet<Voter> unwanted = sorted(voters);
--- a/src/main/java/calicostream/cluster/tcp/LoopReactor.java
+++ b/src/main/java/calicostream/cluster/tcp/LoopReactor.java
@@ -4,7 +4,10 @@
 import calicostream.cluster.Reactor;
 import calicostream.net.Loop;
 
-/** A loop as the thread and clock of a voter or member. {@link #execute} may be called by any thread. */
+/**
+ * A loop as the thread and clock of a voter or member. {@link #execute} may be called by any
+ * thread.
+ */
 public final class LoopReactor implements Reactor {
     private final Loop loop;
 
@@ -22,7 +25,9 @@
         loop.post(task);
     }
 
-    /** A task may ask for itself again with no delay; the loop's other work has its turn in between. */
+    /**
+     * A task may ask for itself again with no delay; the loop's other work has its turn in between.
+     */
     @Override
     public void schedule(Runnable task, long delayNanos) {
         long at = loop.clock().now() + Math.max(1, (delayNanos + 999) / 1000);
--- a/src/main/java/calicostream/cluster/tcp/TcpFrame.java
+++ b/src/main/java/calicostream/cluster/tcp/TcpFrame.java
@@ -8,8 +8,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * Frames on a connection: length, CRC32C of the bytes, the bytes; numbers are big-endian. A connection begins with a
- * greeting: magic with version, CRC32C of the cluster's name, who sends, and to whom. Stateless.
+ * Frames on a connection: length, CRC32C of the bytes, the bytes; numbers are big-endian. A
+ * connection begins with a greeting: magic with version, CRC32C of the cluster's name, who sends,
+ * and to whom. Stateless.
  */
 final class TcpFrame {
     static final int HEAD = 8;
@@ -17,11 +18,9 @@
     private static final int MAGIC = 0x43534c01;
 
     /** Who greets. */
-    record Greeting(int from, int to) {
-    }
+    record Greeting(int from, int to) {}
 
-    private TcpFrame() {
-    }
+    private TcpFrame() {}
 
     private static int crc(byte[] bytes) {
         CRC32C crc = new CRC32C();
@@ -30,7 +29,12 @@
     }
 
     static byte[] greeting(byte[] cluster, int from, int to) {
-        return ByteBuffer.allocate(GREETING).putInt(MAGIC).putInt(crc(cluster)).putInt(from).putInt(to).array();
+        return ByteBuffer.allocate(GREETING)
+                .putInt(MAGIC)
+                .putInt(crc(cluster))
+                .putInt(from)
+                .putInt(to)
+                .array();
     }
 
     /** Null if it is not whole yet. */
@@ -50,7 +54,11 @@
     }
 
     static byte[] frame(byte[] bytes) {
-        return ByteBuffer.allocate(HEAD + bytes.length).putInt(bytes.length).putInt(crc(bytes)).put(bytes).array();
+        return ByteBuffer.allocate(HEAD + bytes.length)
+                .putInt(bytes.length)
+                .putInt(crc(bytes))
+                .put(bytes)
+                .array();
     }
 
     /** Null if it is not whole yet. */
--- a/src/main/java/calicostream/cluster/tcp/TcpLinks.java
+++ b/src/main/java/calicostream/cluster/tcp/TcpLinks.java
@@ -19,22 +19,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Links over TCP, owned by a loop's thread, on which all of it is called. What this member sends goes over a connection
- * that it opens; what it hears comes over those that the others opened, so each direction may fail by itself. A frame
- * that finds no room, or no connection, is dropped; a connection that takes nothing for {@link #STUCK_NANOS} is closed
- * and opened anew, so that a peer which goes on after a stop is not given what was meant for a minute ago.
- * {@link #close} ends all connections and says nothing more.
+ * Links over TCP, owned by a loop's thread, on which all of it is called. What this member sends
+ * goes over a connection that it opens; what it hears comes over those that the others opened, so
+ * each direction may fail by itself. A frame that finds no room, or no connection, is dropped; a
+ * connection that takes nothing for {@link #STUCK_NANOS} is closed and opened anew, so that a peer
+ * which goes on after a stop is not given what was meant for a minute ago. {@link #close} ends all
+ * connections and says nothing more.
  */
 public final class TcpLinks implements Links {
     private static final Logger LOG = LoggerFactory.getLogger(TcpLinks.class);
     private static final int ROOM = MAX_FRAME + (1 << 20);
-    private static final int LEAST_OPEN = 64; // that may connect; where there are more peers, each and one in its place
+    private static final int LEAST_OPEN =
+            64; // that may connect; where there are more peers, each and one in its place
     private static final long STUCK_NANOS = 2_000_000_000L;
     private static final long AGAIN_NANOS = 100_000_000L;
 
     /** What the links have done, for figures. */
-    public record Figures(long sent, long dropped, long received, long refused, int open) {
-    }
+    public record Figures(long sent, long dropped, long received, long refused, int open) {}
 
     private final Loop loop;
     private final byte[] cluster;
@@ -54,26 +55,38 @@
      * @param cluster its name; peers of another name are refused
      * @param at where the others find this member; port 0 for any
      */
-    public TcpLinks(Loop loop, String cluster, int self, InetSocketAddress at, Map<Integer, InetSocketAddress> peers,
-            Receiver receiver) throws IOException {
+    public TcpLinks(
+            Loop loop,
+            String cluster,
+            int self,
+            InetSocketAddress at,
+            Map<Integer, InetSocketAddress> peers,
+            Receiver receiver)
+            throws IOException {
         this.loop = loop;
         this.cluster = cluster.getBytes(StandardCharsets.UTF_8);
         this.self = self;
         this.peers = new HashMap<>(peers);
         this.receiver = receiver;
-        this.listener = Listener.urgent(loop, at, Math.max(LEAST_OPEN, 2 * peers.size()), new Listener.Taker() {
-            @Override
-            public void accepted(SocketChannel channel) throws IOException {
-                In in = new In();
-                in.connection = Connection.accepted(loop, channel, in, ROOM, TcpFrame.HEAD);
-                ins.add(in);
-            }
+        this.listener =
+                Listener.urgent(
+                        loop,
+                        at,
+                        Math.max(LEAST_OPEN, 2 * peers.size()),
+                        new Listener.Taker() {
+                            @Override
+                            public void accepted(SocketChannel channel) throws IOException {
+                                In in = new In();
+                                in.connection =
+                                        Connection.accepted(loop, channel, in, ROOM, TcpFrame.HEAD);
+                                ins.add(in);
+                            }
 
-            @Override
-            public boolean spareOne() {
-                return false;
-            }
-        });
+                            @Override
+                            public boolean spareOne() {
+                                return false;
+                            }
+                        });
     }
 
     public int port() throws IOException {
@@ -179,7 +192,8 @@
             if (ended) {
                 return false;
             }
-            if (connection.written() != written || connection.unsent() == 0 && connection.isConnected()) {
+            if (connection.written() != written
+                    || connection.unsent() == 0 && connection.isConnected()) {
                 written = connection.written();
                 movedAt = now;
             }
@@ -193,13 +207,18 @@
 
         @Override
         public void closed(Connection of) {
-            // Kept for a while although it is closed: a peer that refuses is not asked for each frame.
+            // Kept for a while although it is closed: a peer that refuses is not asked for each
+            // frame.
             ended = true;
             long rest = AGAIN_NANOS - (System.nanoTime() - opened);
             if (rest <= 0) {
                 outs.remove(member, this);
             } else {
-                loop.deadlines().add(loop.clock().now() + rest / 1000, (now, ref) -> outs.remove(member, this), 0);
+                loop.deadlines()
+                        .add(
+                                loop.clock().now() + rest / 1000,
+                                (now, ref) -> outs.remove(member, this),
+                                0);
             }
         }
     }
@@ -218,16 +237,27 @@
                         return;
                     }
                     if (greeting.to() != self || greeting.from() <= 0 || greeting.from() == self) {
-                        throw new BadInput("member " + greeting.from() + " greets member " + greeting.to() + ", this is " + self);
+                        throw new BadInput(
+                                "member "
+                                        + greeting.from()
+                                        + " greets member "
+                                        + greeting.to()
+                                        + ", this is "
+                                        + self);
                     }
                     from = greeting.from();
                 }
-                for (byte[] frame = TcpFrame.frame(of.in()); frame != null; frame = TcpFrame.frame(of.in())) {
+                for (byte[] frame = TcpFrame.frame(of.in());
+                        frame != null;
+                        frame = TcpFrame.frame(of.in())) {
                     deliver(from, frame);
                 }
             } catch (BadInput e) {
                 refused++;
-                LOG.warn("connection of member {} ended: {}", from == 0 ? "?" : from, e.getMessage());
+                LOG.warn(
+                        "connection of member {} ended: {}",
+                        from == 0 ? "?" : from,
+                        e.getMessage());
                 of.close();
             }
         }
--- a/src/main/java/calicostream/config/ConfigFile.java
+++ b/src/main/java/calicostream/config/ConfigFile.java
@@ -10,9 +10,11 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** A file of the deploy folder that enables something; what can't be used in it is told in one line. */
+/**
+ * A file of the deploy folder that enables something; what can't be used in it is told in one line.
+ */
 public final class ConfigFile {
-    private ConfigFile() { }
+    private ConfigFile() {}
 
     /** Reads a configuration out of the file's object. */
     public interface Reader<T> {
@@ -32,7 +34,11 @@
         try {
             JsonObject root = Json.parse(Files.readString(path)).asObject();
             return root.getBoolean("enabled", false) ? reader.read(root) : null;
-        } catch (IOException | BadInput | ParseException | UnsupportedOperationException | NumberFormatException e) {
+        } catch (IOException
+                | BadInput
+                | ParseException
+                | UnsupportedOperationException
+                | NumberFormatException e) {
             throw new SettingsException("bad configuration: " + path + ": " + e.getMessage());
         }
     }
--- a/src/main/java/calicostream/core/Clock.java
+++ b/src/main/java/calicostream/core/Clock.java
@@ -3,7 +3,8 @@
 
 /**
  * The module's time in microseconds. It runs on the monotonic clock, so that a step of the system's
- * wall clock, in either direction, never reaches the module; only starts told in Unix time are converted.
+ * wall clock, in either direction, never reaches the module; only starts told in Unix time are
+ * converted.
  */
 public class Clock {
     private final long wallAtStart = System.currentTimeMillis() * 1000;
@@ -16,6 +17,8 @@
     /** The module's time of a Unix time in milliseconds; never in the future, 0 stays 0. */
     public long ofUnixMillis(long millis) {
         long now = now();
-        return millis <= 0 ? 0 : Math.max(1, Math.min(now, now - (System.currentTimeMillis() - millis) * 1000));
+        return millis <= 0
+                ? 0
+                : Math.max(1, Math.min(now, now - (System.currentTimeMillis() - millis) * 1000));
     }
 }
--- a/src/main/java/calicostream/core/Engines.java
+++ b/src/main/java/calicostream/core/Engines.java
@@ -17,29 +17,39 @@
     void locate(long engine, InetSocketAddress address);
 
     /**
-     * Whether the module may hear of a request now. If not, it is kept here until {@link Gateway#admitted} or
-     * {@link Gateway#turnAway}, or until it {@link Gateway.Request#isOver is over}.
+     * Whether the module may hear of a request now. If not, it is kept here until {@link
+     * Gateway#admitted} or {@link Gateway#turnAway}, or until it {@link Gateway.Request#isOver is
+     * over}.
      */
     default boolean admits(Gateway.Request request) {
         return true;
     }
 
-    /** Whether the tenant of a request has room at an engine now; answered from memory, many times a request. */
+    /**
+     * Whether the tenant of a request has room at an engine now; answered from memory, many times a
+     * request.
+     */
     default boolean mayUse(Gateway.Request request, long engine) {
         return true;
     }
 
-    /** An attempt is over, whoever ended it; told before the module hears of it. The report is null where none came. */
-    default void over(Gateway.Attempt attempt, Outcome outcome, Report report) { }
+    /**
+     * An attempt is over, whoever ended it; told before the module hears of it. The report is null
+     * where none came.
+     */
+    default void over(Gateway.Attempt attempt, Outcome outcome, Report report) {}
 
-    /** When the engine's process began by the list's own word, the same for all that read it; told with each word on the engine. */
-    default void began(long engine, long unixMillis) { }
+    /**
+     * When the engine's process began by the list's own word, the same for all that read it; told
+     * with each word on the engine.
+     */
+    default void began(long engine, long unixMillis) {}
 
     /** News of an attempt: its engine has it. */
-    default void heard(Gateway.Attempt attempt) { }
+    default void heard(Gateway.Attempt attempt) {}
 
     /** An engine's answer how it fares; the report is null where none came. */
-    default void reported(long engine, Report report) { }
+    default void reported(long engine, Report report) {}
 
     /** Starts an attempt; nothing of it may go out after a {@link #withdrawn} for its engine. */
     void send(Gateway.Attempt attempt);
@@ -47,13 +57,19 @@
     /** Gives the attempt up; nothing more need be told of it. */
     void stop(Gateway.Attempt attempt);
 
-    /** Asks an engine how it fares, which ends in one {@link Gateway#probed}, later; false: it can't be asked. */
+    /**
+     * Asks an engine how it fares, which ends in one {@link Gateway#probed}, later; false: it can't
+     * be asked.
+     */
     default boolean probe(long engine) {
         return false;
     }
 
-    /** At most so many connections to all engines together from now on, where a bound on them is kept. */
-    default void most(int connections) { }
+    /**
+     * At most so many connections to all engines together from now on, where a bound on them is
+     * kept.
+     */
+    default void most(int connections) {}
 
     /** A new priority for an attempt that is out. */
     void priority(Gateway.Attempt attempt);
@@ -61,9 +77,13 @@
     /** The engine drains: what has not gone out to it must not. */
     void withdrawn(long engine);
 
-    /** The engine is put back after operators had it: nothing new may use a connection from before. */
+    /**
+     * The engine is put back after operators had it: nothing new may use a connection from before.
+     */
     void renewed(long engine);
 
-    /** The engine's process has ended: attempts there end, and all that is kept for it is forgotten. */
+    /**
+     * The engine's process has ended: attempts there end, and all that is kept for it is forgotten.
+     */
     void gone(long engine);
 }
--- a/src/main/java/calicostream/core/Figures.java
+++ b/src/main/java/calicostream/core/Figures.java
@@ -3,7 +3,10 @@
 
 import calicostream.core.Watcher.Ending;
 
-/** What became of requests and attempts from the start of the process on. The one place where it is counted. */
+/**
+ * What became of requests and attempts from the start of the process on. The one place where it is
+ * counted.
+ */
 public final class Figures {
     private final long[][] ends = new long[Ending.values().length][];
     private long tries;
--- a/src/main/java/calicostream/core/Front.java
+++ b/src/main/java/calicostream/core/Front.java
@@ -4,12 +4,21 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 
-/** Where requests come from. Each request that {@link Gateway#accept} took gets exactly one of these calls. */
+/**
+ * Where requests come from. Each request that {@link Gateway#accept} took gets exactly one of these
+ * calls.
+ */
 public interface Front {
-    /** All of the result in the engine side's form, text unless the front asked for work; after {@link #begun} its end. */
+    /**
+     * All of the result in the engine side's form, text unless the front asked for work; after
+     * {@link #begun} its end.
+     */
     void served(long tag, Object result);
 
-    /** The result begins and goes on as the client takes it; its end is told by one of the other calls. */
+    /**
+     * The result begins and goes on as the client takes it; its end is told by one of the other
+     * calls.
+     */
     default void begun(long tag, Object stream) {
         throw new IllegalStateException("this front takes whole results only");
     }
@@ -26,14 +35,16 @@
     void failed(long tag, Failure why);
 
     /**
-     * Whether the client has cancelled this request or gone, also by what it sent that was not handled yet. Asked right before
-     * something goes to an engine, maybe while this front hands a request over; it calls nothing back.
+     * Whether the client has cancelled this request or gone, also by what it sent that was not
+     * handled yet. Asked right before something goes to an engine, maybe while this front hands a
+     * request over; it calls nothing back.
      */
     default boolean hasLeft(long tag) {
         return false;
     }
 
-    // What its wire tells of who sent a request that is not over, where anybody asks; null where it has no such word.
+    // What its wire tells of who sent a request that is not over, where anybody asks; null where it
+    // has no such word.
     default String login(long tag) {
         return null;
     }
@@ -51,5 +62,9 @@
     }
 
     /** Why a request failed; {@code CUT}: after its result had begun. */
-    enum Failure { DEADLINE, ENGINE, CUT }
+    enum Failure {
+        DEADLINE,
+        ENGINE,
+        CUT
+    }
 }
--- a/src/main/java/calicostream/core/Gateway.java
+++ b/src/main/java/calicostream/core/Gateway.java
@@ -17,16 +17,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Requests, attempts and outcomes between fronts and engines, whatever wires these speak. One thread calls
- * it. It carries out what the decision module asks and holds the promises that no front or engine side may
- * break: one final answer a request, one end an attempt, never two attempts at once, and no second send or
- * refusal of a query that must not run twice once it may have run.
+ * Requests, attempts and outcomes between fronts and engines, whatever wires these speak. One
+ * thread calls it. It carries out what the decision module asks and holds the promises that no
+ * front or engine side may break: one final answer a request, one end an attempt, never two
+ * attempts at once, and no second send or refusal of a query that must not run twice once it may
+ * have run.
  */
 public final class Gateway implements QueryRouter.Actions {
     private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
+
     /**
-     * us after word of it to an engine that an attempt called off still counts as out there. The next attempt goes by
-     * another connection, whose bytes may overtake that word. No final answer waits for this.
+     * us after word of it to an engine that an attempt called off still counts as out there. The
+     * next attempt goes by another connection, whose bytes may overtake that word. No final answer
+     * waits for this.
      */
     public static final long STOP_TRAVELS = 10_000;
 
@@ -39,13 +42,21 @@
         public final String id;
         public final int queryClass;
         public final byte[] body;
-        /** What to do where the body's text does not say it all; it belongs to the front and the engine side. */
+
+        /**
+         * What to do where the body's text does not say it all; it belongs to the front and the
+         * engine side.
+         */
         public final Object work;
+
         /** The one engine that may run it, or 0. */
         public final long pinned;
+
         public final long deadline;
+
         /** Belongs to the engine side, which may tell tenants apart. */
         public int tenant;
+
         long handle;
         int attempts;
         long riskSince; // when the first attempt that may have run was sent
@@ -55,8 +66,17 @@
         private Attempt before;
         int priority = 1;
 
-        private Request(Front front, long tag, String id, int queryClass, QueryRouter.QueryClass spec, byte[] body,
-                Object work, long pinned, long takenAt, long deadline) {
+        private Request(
+                Front front,
+                long tag,
+                String id,
+                int queryClass,
+                QueryRouter.QueryClass spec,
+                byte[] body,
+                Object work,
+                long pinned,
+                long takenAt,
+                long deadline) {
             this.front = front;
             this.tag = tag;
             this.id = id;
@@ -79,9 +99,13 @@
             return pinned != 0 || spec.effect() == QueryRouter.Effect.ONCE;
         }
 
-        /** Whether its client may ask for it once more, at any front end, though it may have run. */
+        /**
+         * Whether its client may ask for it once more, at any front end, though it may have run.
+         */
         private boolean isHarmlessAgain() {
-            return !isOnce() && (spec.effect() == QueryRouter.Effect.REPEATABLE || spec.scope() == QueryRouter.Scope.ALL);
+            return !isOnce()
+                    && (spec.effect() == QueryRouter.Effect.REPEATABLE
+                            || spec.scope() == QueryRouter.Scope.ALL);
         }
 
         /** Until when a further attempt may go out, as far as what may have run bounds that. */
@@ -113,7 +137,10 @@
             return priority;
         }
 
-        /** The attempt that ended last, or null: the engine side makes sure that its word goes before the next one. */
+        /**
+         * The attempt that ended last, or null: the engine side makes sure that its word goes
+         * before the next one.
+         */
         public Attempt before() {
             return before;
         }
@@ -146,8 +173,12 @@
     }
 
     /** {@code word}: the result is no result but a final word on the request. */
-    private record End(Attempt attempt, QueryRouter.Outcome outcome, QueryRouter.Report report, Object result,
-            boolean word) { }
+    private record End(
+            Attempt attempt,
+            QueryRouter.Outcome outcome,
+            QueryRouter.Report report,
+            Object result,
+            boolean word) {}
 
     private final Clock clock;
     private final Deadlines deadlines;
@@ -158,7 +189,8 @@
     private final Slots<Attempt> attempts = new Slots<>();
     private final Map<Long, QueryRouter.Engine> roster = new HashMap<>();
     private final Set<Long> disabled = new HashSet<>(); // by hand, whatever the list says
-    private final Map<Long, Long> restored = new HashMap<>(); // engines put back, and when, until they are warm
+    private final Map<Long, Long> restored =
+            new HashMap<>(); // engines put back, and when, until they are warm
     private final ArrayDeque<End> ends = new ArrayDeque<>();
     private final Figures figures;
     private final Deadlines.Target moduleTimer = (now, token) -> tell(r -> r.timer(now, token));
@@ -170,7 +202,8 @@
     private boolean inModule, settling;
     private long faults;
 
-    public Gateway(Clock clock, Deadlines deadlines, QueryRouter.Settings settings, Watcher watcher) {
+    public Gateway(
+            Clock clock, Deadlines deadlines, QueryRouter.Settings settings, Watcher watcher) {
         this.clock = clock;
         this.deadlines = deadlines;
         this.settings = settings;
@@ -193,24 +226,57 @@
         roster(QueryRouter.RosterKind.CACHED, known);
     }
 
-    // ---- From the fronts ------------------------------------------------------------------------------
+    // ---- From the fronts
+    // ------------------------------------------------------------------------------
     /** Takes a request; its answer goes to the front under this tag, maybe before this returns. */
-    public long accept(Front front, long tag, String id, int queryClass, int tableGroup, long budgetUs, byte[] body) {
+    public long accept(
+            Front front,
+            long tag,
+            String id,
+            int queryClass,
+            int tableGroup,
+            long budgetUs,
+            byte[] body) {
         return accept(front, tag, id, queryClass, tableGroup, budgetUs, body, null, 0);
     }
 
     /** The same with work that the text does not say, and the one engine that may run it, or 0. */
-    public long accept(Front front, long tag, String id, int queryClass, int tableGroup, long budgetUs, byte[] body,
-            Object work, long pinned) {
-        return accept(front, tag, id, new QueryRouter.Query(0, queryClass, 0, 0, budgetUs, 0, 0, tableGroup, false, pinned),
-                body, work);
+    public long accept(
+            Front front,
+            long tag,
+            String id,
+            int queryClass,
+            int tableGroup,
+            long budgetUs,
+            byte[] body,
+            Object work,
+            long pinned) {
+        return accept(
+                front,
+                tag,
+                id,
+                new QueryRouter.Query(
+                        0, queryClass, 0, 0, budgetUs, 0, 0, tableGroup, false, pinned),
+                body,
+                work);
     }
 
     /** The same with all that the client says of it; its id as a query is given here. */
-    public long accept(Front front, long tag, String id, QueryRouter.Query asked, byte[] body, Object work) {
+    public long accept(
+            Front front, long tag, String id, QueryRouter.Query asked, byte[] body, Object work) {
         long now = clock.now();
-        Request request = new Request(front, tag, id, asked.queryClass(), settings.classes().get(asked.queryClass()), body,
-                work, asked.pinned(), now, now + asked.timeLeftUs());
+        Request request =
+                new Request(
+                        front,
+                        tag,
+                        id,
+                        asked.queryClass(),
+                        settings.classes().get(asked.queryClass()),
+                        body,
+                        work,
+                        asked.pinned(),
+                        now,
+                        now + asked.timeLeftUs());
         request.handle = requests.add(request);
         deadlines.add(request.deadline, requestDue, request.handle);
         request.asked = asked.as(request.handle);
@@ -222,7 +288,10 @@
         return request.handle;
     }
 
-    /** The module hears of it. It may have waited until another process of this front end was done with its key. */
+    /**
+     * The module hears of it. It may have waited until another process of this front end was done
+     * with its key.
+     */
     private void arrive(Request request) {
         if (engines.admits(request)) {
             admitted(request);
@@ -252,32 +321,45 @@
         }
     }
 
-    /** The client has left or takes no answer any more: nothing is owed, and what is out is called off. */
+    /**
+     * The client has left or takes no answer any more: nothing is owed, and what is out is called
+     * off.
+     */
     public void abandon(long handle) {
         Request request = requests.get(handle);
         if (request != null) {
-            tell(r -> {
-                close(request, Ending.ABANDONED);
-                r.abandoned(clock.now(), handle);
-            });
+            tell(
+                    r -> {
+                        close(request, Ending.ABANDONED);
+                        r.abandoned(clock.now(), handle);
+                    });
         }
     }
 
-    /** The process ends: what it has in hand is turned away where trying again is harmless, else it has failed. */
+    /**
+     * The process ends: what it has in hand is turned away where trying again is harmless, else it
+     * has failed.
+     */
     public void giveUpAll() {
         List<Request> open = new ArrayList<>();
         requests.forEach(open::add);
-        open.sort(Comparator.comparing(request -> request.out != null)); // Or what waits would take the room of what ends.
+        open.sort(
+                Comparator.comparing(
+                        request ->
+                                request.out != null)); // Or what waits would take the room of what
+        // ends.
         for (Request request : open) {
-            tell(r -> {
-                if (request.streaming) { // A part of its result has gone out: its client can tell that no more comes.
-                    close(request, Ending.FAILED);
-                    request.front.failed(request.tag, Failure.CUT);
-                } else {
-                    refuse(request.handle, 0);
-                }
-                r.abandoned(clock.now(), request.handle);
-            });
+            tell(
+                    r -> {
+                        if (request.streaming) { // A part of its result has gone out: its client
+                            // can tell that no more comes.
+                            close(request, Ending.FAILED);
+                            request.front.failed(request.tag, Failure.CUT);
+                        } else {
+                            refuse(request.handle, 0);
+                        }
+                        r.abandoned(clock.now(), request.handle);
+                    });
         }
     }
 
@@ -286,12 +368,15 @@
         return requests.size();
     }
 
-    /** A request turned away before it could be taken, for what it asks of this front end at once. */
+    /**
+     * A request turned away before it could be taken, for what it asks of this front end at once.
+     */
     public void turnedAway(int queryClass) {
         figures.ended(queryClass, Ending.REFUSED);
     }
 
-    // ---- For the operators ----------------------------------------------------------------------------
+    // ---- For the operators
+    // ----------------------------------------------------------------------------
     public Figures figures() {
         return figures;
     }
@@ -303,18 +388,29 @@
 
     /** Of these, the ones left out now, by hand or by the module, each counted once. */
     public int avoided() {
-        return (int) roster.keySet().stream().filter(id -> disabled.contains(id) || router.avoids(id)).count();
+        return (int)
+                roster.keySet().stream()
+                        .filter(id -> disabled.contains(id) || router.avoids(id))
+                        .count();
     }
 
-    /** Engines that may be used: those that the module leaves out by its own choice, but for trials, or all others. */
+    /**
+     * Engines that may be used: those that the module leaves out by its own choice, but for trials,
+     * or all others.
+     */
     public long[] ready(boolean leftOut) {
-        return roster.values().stream().filter(each -> usable(each).state() == QueryRouter.EngineState.READY)
-                .mapToLong(QueryRouter.Engine::id).filter(id -> router.avoids(id) == leftOut).sorted().toArray();
+        return roster.values().stream()
+                .filter(each -> usable(each).state() == QueryRouter.EngineState.READY)
+                .mapToLong(QueryRouter.Engine::id)
+                .filter(id -> router.avoids(id) == leftOut)
+                .sorted()
+                .toArray();
     }
 
     /**
-     * Another front end tries an engine, and was served or not: a hint about when to try it here. It is nothing where the
-     * module uses the engine, and stops nothing from going there that would go there without it.
+     * Another front end tries an engine, and was served or not: a hint about when to try it here.
+     * It is nothing where the module uses the engine, and stops nothing from going there that would
+     * go there without it.
      */
     public void hinted(long engine, boolean served) {
         if (router.avoids(engine) && served) {
@@ -353,7 +449,10 @@
         tell(r -> r.restored(clock.now(), engine));
     }
 
-    /** So many processes serve this front end's clients together; this one is number {@code place}, from 0. */
+    /**
+     * So many processes serve this front end's clients together; this one is number {@code place},
+     * from 0.
+     */
     public void sharedBy(int processes, int place) {
         keyLines.countOthers(clock.now());
         tell(r -> r.sharedBy(clock.now(), processes, place));
@@ -374,7 +473,10 @@
         }
     }
 
-    /** An engine as module and engine side may use it: only where neither the list nor an operator forbids it. */
+    /**
+     * An engine as module and engine side may use it: only where neither the list nor an operator
+     * forbids it.
+     */
     private QueryRouter.Engine usable(QueryRouter.Engine listed) {
         boolean ready = listed.state() == QueryRouter.EngineState.READY;
         if (ready && disabled.contains(listed.id())) {
@@ -384,9 +486,17 @@
         return ready && backAt > listed.bornUs() ? listed.bornAt(backAt) : listed;
     }
 
-    // ---- From the engine side -------------------------------------------------------------------------
-    /** An attempt ended. Late word on one that had ended already is ignored, and the answer is false. */
-    public boolean ended(Attempt attempt, QueryRouter.Outcome outcome, QueryRouter.Report report, Object result) {
+    // ---- From the engine side
+    // -------------------------------------------------------------------------
+    /**
+     * An attempt ended. Late word on one that had ended already is ignored, and the answer is
+     * false.
+     */
+    public boolean ended(
+            Attempt attempt,
+            QueryRouter.Outcome outcome,
+            QueryRouter.Report report,
+            Object result) {
         return isOut(attempt) && end(attempt, outcome, report, result);
     }
 
@@ -395,7 +505,11 @@
         return !attempt.calledOff && attempts.get(attempt.handle) != null;
     }
 
-    private boolean end(Attempt attempt, QueryRouter.Outcome outcome, QueryRouter.Report report, Object result) {
+    private boolean end(
+            Attempt attempt,
+            QueryRouter.Outcome outcome,
+            QueryRouter.Report report,
+            Object result) {
         if (attempts.remove(attempt.handle) == null) {
             return false;
         }
@@ -405,8 +519,8 @@
     }
 
     /**
-     * An attempt ended with a word that is final for its request and says nothing of its engine: the statement can't be
-     * run by any, or what it brings is more than the front end passes on.
+     * An attempt ended with a word that is final for its request and says nothing of its engine:
+     * the statement can't be run by any, or what it brings is more than the front end passes on.
      */
     public void concluded(Attempt attempt, QueryRouter.Report report, Object word) {
         if (isOut(attempt)) {
@@ -417,8 +531,8 @@
     }
 
     /**
-     * The first of an attempt's result goes to the client before its end is known: no deadline of ours ends it from
-     * now on, and its end is the request's, whole or not.
+     * The first of an attempt's result goes to the client before its end is known: no deadline of
+     * ours ends it from now on, and its end is the request's, whole or not.
      */
     public void begun(Attempt attempt, Object stream) {
         Request request = attempt.request;
@@ -439,14 +553,16 @@
         }
     }
 
-    /** The last byte of an attempt has been written to its engine, whatever has become of it since. */
+    /**
+     * The last byte of an attempt has been written to its engine, whatever has become of it since.
+     */
     public void written(Attempt attempt) {
         figures.tried();
     }
 
     /**
-     * Whether an attempt that has waited on the engine side may go out now. If not, it has ended or is to be ended there as
-     * one that never ran. Not to be asked while the module acts.
+     * Whether an attempt that has waited on the engine side may go out now. If not, it has ended or
+     * is to be ended there as one that never ran. Not to be asked while the module acts.
      */
     public boolean mayGoOut(Attempt attempt) {
         Request request = attempt.request;
@@ -460,14 +576,22 @@
     public void progress(Attempt attempt, QueryRouter.Notice notice, double amount) {
         if (isOut(attempt)) {
             engines.heard(attempt);
-            tell(r -> r.progress(clock.now(),
-                    new QueryRouter.Progress(attempt.request.handle, attempt.number, notice, amount)));
+            tell(
+                    r ->
+                            r.progress(
+                                    clock.now(),
+                                    new QueryRouter.Progress(
+                                            attempt.request.handle,
+                                            attempt.number,
+                                            notice,
+                                            amount)));
         }
     }
 
     /**
-     * News of the list of engines. What has not yet gone out to an engine that drains is taken back first; the
-     * module hears of such ends after it has heard the list, so that it does not choose the same engine again.
+     * News of the list of engines. What has not yet gone out to an engine that drains is taken back
+     * first; the module hears of such ends after it has heard the list, so that it does not choose
+     * the same engine again.
      */
     public void roster(QueryRouter.RosterKind kind, List<QueryRouter.Engine> list) {
         inModule = true;
@@ -486,8 +610,10 @@
     }
 
     private void list(QueryRouter.Engine engine) {
-        QueryRouter.Engine old = engine.state() == QueryRouter.EngineState.GONE ? roster.remove(engine.id())
-                : roster.put(engine.id(), engine);
+        QueryRouter.Engine old =
+                engine.state() == QueryRouter.EngineState.GONE
+                        ? roster.remove(engine.id())
+                        : roster.put(engine.id(), engine);
         if (!engine.equals(old)) {
             watcher.engine(engine);
         }
@@ -498,7 +624,8 @@
         }
     }
 
-    // ---- The module's actions -------------------------------------------------------------------------
+    // ---- The module's actions
+    // -------------------------------------------------------------------------
     @Override
     public void send(long query, long engine, long giveUpAt) {
         long now = clock.now();
@@ -514,13 +641,19 @@
         boolean again = (request.isOnce() || request.streaming) && request.mayHaveRun;
         attempt.handle = attempts.add(attempt);
         request.attempts++;
-        // Neither a second attempt beside one that is out, nor a second run, whatever the module asks.
-        if (request.answered || request.out != null || again || now >= attempt.goesOutBefore
+        // Neither a second attempt beside one that is out, nor a second run, whatever the module
+        // asks.
+        if (request.answered
+                || request.out != null
+                || again
+                || now >= attempt.goesOutBefore
                 || request.attempts > settings.limits().maxAttempts()) {
             ended(attempt, QueryRouter.Outcome.MOOT, null, null);
             return;
         }
-        if (request.front.hasLeft(request.tag)) { // What the client said last is still unread: the module hears it by this end.
+        if (request.front.hasLeft(
+                request.tag)) { // What the client said last is still unread: the module hears it by
+            // this end.
             close(request, Ending.ABANDONED);
             ended(attempt, QueryRouter.Outcome.MOOT, null, null);
             return;
@@ -543,7 +676,10 @@
     @Override
     public void cancel(long query, int number) {
         Request request = requests.get(query);
-        if (request != null && request.out != null && request.out.number == number && isOut(request.out)) {
+        if (request != null
+                && request.out != null
+                && request.out.number == number
+                && isOut(request.out)) {
             Attempt out = request.out;
             engines.stop(out);
             out.calledOff = true;
@@ -570,7 +706,8 @@
     public void fail(long query) {
         Request request = requests.get(query);
         if (request != null && !request.answered) {
-            long slack = 4 * settings.tickUs(); // The module ends a query a little before its deadline.
+            long slack =
+                    4 * settings.tickUs(); // The module ends a query a little before its deadline.
             boolean late = clock.now() + slack >= request.deadline;
             close(request, Ending.FAILED);
             request.front.failed(request.tag, late ? Failure.DEADLINE : Failure.ENGINE);
@@ -598,7 +735,8 @@
         QueryRouter.Engine listed = roster.get(engine);
         boolean ready = listed != null && usable(listed).state() == QueryRouter.EngineState.READY;
         if (!ready || !engines.probe(engine)) { // Told later: the module must not be re-entered.
-            deadlines.add(clock.now(), (now, id) -> probed(id, QueryRouter.Outcome.MOOT, null), engine);
+            deadlines.add(
+                    clock.now(), (now, id) -> probed(id, QueryRouter.Outcome.MOOT, null), engine);
         }
     }
 
@@ -612,12 +750,21 @@
         LOG.info("{}", text);
     }
 
-    // ---- Endings ---------------------------------------------------------------------------------------
-    /** Marks the one final answer; the slot lives on while an attempt is out, so that its end finds it. */
+    // ---- Endings
+    // ---------------------------------------------------------------------------------------
+    /**
+     * Marks the one final answer; the slot lives on while an attempt is out, so that its end finds
+     * it.
+     */
     private void close(Request request, Ending ending) {
         request.answered = true;
         figures.ended(request.queryClass, ending);
-        watcher.answered(request.id, request.queryClass, ending, request.attempts, clock.now() - request.takenAt);
+        watcher.answered(
+                request.id,
+                request.queryClass,
+                ending,
+                request.attempts,
+                clock.now() - request.takenAt);
         requests.remove(request.handle);
         if (request.out != null) {
             giveUp(request.out, QueryRouter.Outcome.CANCELLED);
@@ -652,18 +799,22 @@
     private void requestDue(long now, long handle) {
         Request request = requests.get(handle);
         if (request != null && !request.streaming) {
-            tell(r -> {
-                if (request.told) {
-                    fail(handle);
-                } else { // It has waited for its key or for room all the time.
-                    refuse(handle, 0);
-                }
-                r.abandoned(now, handle);
-            });
+            tell(
+                    r -> {
+                        if (request.told) {
+                            fail(handle);
+                        } else { // It has waited for its key or for room all the time.
+                            refuse(handle, 0);
+                        }
+                        r.abandoned(now, handle);
+                    });
         }
     }
 
-    /** Tells the module of ends in order; those that come while it acts wait, as it must not be re-entered. */
+    /**
+     * Tells the module of ends in order; those that come while it acts wait, as it must not be
+     * re-entered.
+     */
     private void settle() {
         if (inModule || settling) {
             return;
@@ -688,7 +839,8 @@
         if (request.answered) { // It ended before its attempt did.
             left(request);
         }
-        request.riskSince = request.mayHaveRun || !end.outcome.mayHaveRun ? request.riskSince : attempt.sentAt;
+        request.riskSince =
+                request.mayHaveRun || !end.outcome.mayHaveRun ? request.riskSince : attempt.sentAt;
         request.mayHaveRun |= end.outcome.mayHaveRun;
         engines.over(attempt, end.outcome, end.report);
         boolean serves = end.outcome == QueryRouter.Outcome.OK && !request.answered;
@@ -696,22 +848,39 @@
         if (end.word && !request.answered) {
             close(request, Ending.FAILED);
             request.front.concluded(request.tag, end.result);
-        } else if (request.streaming && !serves && !request.answered) { // The client has seen a part: no other attempt.
+        } else if (request.streaming
+                && !serves
+                && !request.answered) { // The client has seen a part: no other attempt.
             close(request, Ending.FAILED);
             request.front.failed(request.tag, Failure.CUT);
         } else if (serves) {
             close(request, Ending.SERVED);
             request.front.served(request.tag, end.result);
         }
-        tell(r -> r.ended(now, new QueryRouter.AttemptEnd(request.handle, attempt.number, attempt.engine,
-                end.outcome, request.answered, now - attempt.sentAt, 0, 0, end.report)));
+        tell(
+                r ->
+                        r.ended(
+                                now,
+                                new QueryRouter.AttemptEnd(
+                                        request.handle,
+                                        attempt.number,
+                                        attempt.engine,
+                                        end.outcome,
+                                        request.answered,
+                                        now - attempt.sentAt,
+                                        0,
+                                        0,
+                                        end.report)));
     }
 
     private interface Event {
         void to(QueryRouter router);
     }
 
-    /** One event to the module. A fault in it costs that event; the deadline still answers the request. */
+    /**
+     * One event to the module. A fault in it costs that event; the deadline still answers the
+     * request.
+     */
     private void tell(Event event) {
         inModule = true;
         try {
--- a/src/main/java/calicostream/core/KeyLines.java
+++ b/src/main/java/calicostream/core/KeyLines.java
@@ -7,8 +7,9 @@
 import java.util.function.Consumer;
 
 /**
- * Requests of keys that another process of this front end has in hand, in the order taken. What is let through here is kept
- * in order by the decision module; a key goes back once nothing of it is left and it has rested.
+ * Requests of keys that another process of this front end has in hand, in the order taken. What is
+ * let through here is kept in order by the decision module; a key goes back once nothing of it is
+ * left and it has rested.
  */
 final class KeyLines<R> {
     static final long LOOK = 5_000; // us between looks at a key that another process has
@@ -68,7 +69,10 @@
         return (heldHere || now - lostAt >= restUs) && turns.take(key);
     }
 
-    /** A process that ends gives its keys back at once, also one that ought to rest: none is taken over until it has. */
+    /**
+     * A process that ends gives its keys back at once, also one that ought to rest: none is taken
+     * over until it has.
+     */
     void countOthers(long now) {
         int living = turns.others();
         lostAt = living < others ? now : lostAt;
--- a/src/main/java/calicostream/core/Slots.java
+++ b/src/main/java/calicostream/core/Slots.java
@@ -5,8 +5,9 @@
 import java.util.function.Consumer;
 
 /**
- * A table of numbered slots. A handle names a slot and its generation, so a handle kept past its entry's
- * end, by a timer or a late answer, finds nothing rather than the slot's next tenant. Handles are above 0.
+ * A table of numbered slots. A handle names a slot and its generation, so a handle kept past its
+ * entry's end, by a timer or a late answer, finds nothing rather than the slot's next tenant.
+ * Handles are above 0.
  */
 public final class Slots<T> {
     private static final int INDEX_BITS = 20;
--- a/src/main/java/calicostream/core/Turns.java
+++ b/src/main/java/calicostream/core/Turns.java
@@ -2,35 +2,39 @@
 package calicostream.core;
 
 /**
- * Which process of this front end runs the requests of a key, where two serve side by side. One thread calls it, and no
- * call waits.
+ * Which process of this front end runs the requests of a key, where two serve side by side. One
+ * thread calls it, and no call waits.
  */
 public interface Turns {
     /** One process alone: every turn is its own. */
-    Turns ALONE = new Turns() {
-        @Override
-        public boolean take(long key) {
-            return true;
-        }
+    Turns ALONE =
+            new Turns() {
+                @Override
+                public boolean take(long key) {
+                    return true;
+                }
 
-        @Override
-        public void release(long key) { }
+                @Override
+                public void release(long key) {}
 
-        @Override
-        public int others() {
-            return 0;
-        }
-    };
+                @Override
+                public int others() {
+                    return 0;
+                }
+            };
 
     /**
-     * Whether a further request of the key may run here now. False: another process has the key, or waits for it, and it is
-     * to be asked again soon; who asks first is next.
+     * Whether a further request of the key may run here now. False: another process has the key, or
+     * waits for it, and it is to be asked again soon; who asks first is next.
      */
     boolean take(long key);
 
     /** Nothing of the key is left here, neither running nor resting. */
     void release(long key);
 
-    /** How many other processes of this front end live now. The keys of one that has ended are free at once. */
+    /**
+     * How many other processes of this front end live now. The keys of one that has ended are free
+     * at once.
+     */
     int others();
 }
--- a/src/main/java/calicostream/daemon/ClusterPart.java
+++ b/src/main/java/calicostream/daemon/ClusterPart.java
@@ -22,8 +22,8 @@
 import java.util.List;
 
 /**
- * The cluster as a part of the program: its settings, the layers on it, and its member, which runs from the start of the
- * program until the front end has served out.
+ * The cluster as a part of the program: its settings, the layers on it, and its member, which runs
+ * from the start of the program until the front end has served out.
  */
 final class ClusterPart implements Service {
     private static final String LIBRARY = "org/tomlj/Toml.class";
@@ -35,7 +35,10 @@
 
     private ClusterPart(ClusterConfig config, long tokensAbove) {
         this.config = config;
-        budget = config.budget().map(settings -> new BudgetLayer(settings, config.self().name())).orElse(null);
+        budget =
+                config.budget()
+                        .map(settings -> new BudgetLayer(settings, config.self().name()))
+                        .orElse(null);
         leases = new LeaseLayer(config.leaseTtl(), config.raft().heartbeat(), tokensAbove);
         TaskSource.chosen().forEach(leases::add);
         layers.add(leases);
@@ -48,8 +51,11 @@
     /** Null where the file leaves the cluster off. */
     static ClusterPart read(Path path) {
         if (ClusterPart.class.getClassLoader().getResource(LIBRARY) == null) {
-            throw new SettingsException("bad configuration: NODE_CLUSTER names " + path + ", but the class path has not the "
-                    + "libraries of target/lib-cluster; README.md has the command [cluster-libraries-missing]");
+            throw new SettingsException(
+                    "bad configuration: NODE_CLUSTER names "
+                            + path
+                            + ", but the class path has not the libraries of target/lib-cluster;"
+                            + " README.md has the command [cluster-libraries-missing]");
         }
         SettingsFile file = SettingsFile.read(path);
         ClusterConfig config = ClusterConfig.of(file).orElse(null);
@@ -74,8 +80,11 @@
     /** Before anybody is served: what ends the program must do so now. */
     void join(Loop loop, Gateway gateway) throws IOException {
         leases.add(new Trials(new TrialsPort(loop, gateway)));
-        // The library tells each vote and heartbeat that it misses; what matters of it the member says itself.
-        System.setProperty("org.slf4j.simpleLogger.log.io.microraft", System.getProperty("org.slf4j.simpleLogger.log.io.microraft", "off"));
+        // The library tells each vote and heartbeat that it misses; what matters of it the member
+        // says itself.
+        System.setProperty(
+                "org.slf4j.simpleLogger.log.io.microraft",
+                System.getProperty("org.slf4j.simpleLogger.log.io.microraft", "off"));
         member = Member.start(config, layers);
     }
 
@@ -91,7 +100,7 @@
 
     /** The member has run since {@link #join}. */
     @Override
-    public void start() { }
+    public void start() {}
 
     @Override
     public int port() {
--- a/src/main/java/calicostream/daemon/Composition.java
+++ b/src/main/java/calicostream/daemon/Composition.java
@@ -26,35 +26,48 @@
 import java.util.function.Function;
 
 /**
- * Who puts the parts of a front end together. A part that is off costs a look for its file and nothing more: its classes
- * are named in here only behind that look, so the virtual machine never loads them.
+ * Who puts the parts of a front end together. A part that is off costs a look for its file and
+ * nothing more: its classes are named in here only behind that look, so the virtual machine never
+ * loads them.
  */
 public final class Composition {
-    private Composition() { }
+    private Composition() {}
 
     /**
-     * A front end as its configuration and the files of the {@code deploy} folder say. {@code shared} is the folder that
-     * this front end's processes have in common, or null. {@code clusterFile} has the cluster's settings, or is null.
+     * A front end as its configuration and the files of the {@code deploy} folder say. {@code
+     * shared} is the folder that this front end's processes have in common, or null. {@code
+     * clusterFile} has the cluster's settings, or is null.
      */
-    public static Node node(NodeConfig config, Path deploy, Path shared, Path clusterFile) throws IOException {
+    public static Node node(NodeConfig config, Path deploy, Path shared, Path clusterFile)
+            throws IOException {
         FlightConfig flightConfig = flight(deploy.resolve("flight.json"));
         SyslogConfig syslogConfig = syslog(deploy.resolve("syslog.json"));
         ClusterPart cluster = clusterFile == null ? null : ClusterPart.read(clusterFile);
-        Descriptors descriptors = Descriptors.of(config.sockets()); // Counts what is open: before anything else is.
+        Descriptors descriptors =
+                Descriptors.of(config.sockets()); // Counts what is open: before anything else is.
         if (cluster != null) {
             descriptors = descriptors.beside(config.sockets(), cluster.descriptors());
         }
         Loop loop = new Loop(new Clock(), new Deadlines());
         SettingsParser settings = config.settings();
-        FlightPart flight = flightConfig == null ? null : new FlightPart(loop, settings, flightConfig);
+        FlightPart flight =
+                flightConfig == null ? null : new FlightPart(loop, settings, flightConfig);
 
         Engines engines = flight == null ? null : flight.engines();
         boolean wide = engines != null;
-        engines = wide ? engines : new RespEngines(loop, settings.classNames(), settings.wiring(), descriptors.engines());
+        engines =
+                wide
+                        ? engines
+                        : new RespEngines(
+                                loop,
+                                settings.classNames(),
+                                settings.wiring(),
+                                descriptors.engines());
         Settings decided = wide ? settings.settings().withoutNotes() : settings.settings();
         List<Watcher> watchers = watchers(loop, config, flight, syslogConfig);
         engines = cluster == null ? engines : cluster.gated(loop, engines, watchers);
-        Gateway gateway = new Gateway(loop.clock(), loop.deadlines(), decided, Watchers.of(watchers));
+        Gateway gateway =
+                new Gateway(loop.clock(), loop.deadlines(), decided, Watchers.of(watchers));
 
         List<Service> services = new ArrayList<>();
         if (flight != null) {
@@ -65,7 +78,8 @@
             cluster.join(loop, gateway);
             services.add(cluster);
         }
-        return new Node(config, new Parts(descriptors, loop, gateway, engines, text, services), shared);
+        return new Node(
+                config, new Parts(descriptors, loop, gateway, engines, text, services), shared);
     }
 
     private static FlightConfig flight(Path file) {
@@ -76,7 +90,8 @@
         return ConfigFile.isOn(file) ? SyslogConfig.read(file) : null;
     }
 
-    private static List<Watcher> watchers(Loop loop, NodeConfig config, FlightPart flight, SyslogConfig syslog)
+    private static List<Watcher> watchers(
+            Loop loop, NodeConfig config, FlightPart flight, SyslogConfig syslog)
             throws IOException {
         List<Watcher> out = new ArrayList<>();
         if (flight != null) {
--- a/src/main/java/calicostream/daemon/FlightPart.java
+++ b/src/main/java/calicostream/daemon/FlightPart.java
@@ -27,8 +27,16 @@
         this.loop = loop;
         this.settings = settings;
         this.config = config;
-        admission = new Admission(config.calls(), config.callsPerClient(), config.bytesInFlight(), config.mostStreams());
-        engines = config.flightEngines() ? new FlightEngines(loop, settings, config, admission) : null;
+        admission =
+                new Admission(
+                        config.calls(),
+                        config.callsPerClient(),
+                        config.bytesInFlight(),
+                        config.mostStreams());
+        engines =
+                config.flightEngines()
+                        ? new FlightEngines(loop, settings, config, admission)
+                        : null;
     }
 
     /** Null where engines are reached by the platform's protocol. */
@@ -38,12 +46,14 @@
 
     /** The engine side hears the list, too: transactions end with the process that holds them. */
     Watcher watcher() {
-        return engines == null ? Watcher.NONE : new Watcher() {
-            @Override
-            public void engine(QueryRouter.Engine engine) {
-                engines.listed(engine);
-            }
-        };
+        return engines == null
+                ? Watcher.NONE
+                : new Watcher() {
+                    @Override
+                    public void engine(QueryRouter.Engine engine) {
+                        engines.listed(engine);
+                    }
+                };
     }
 
     Function<Object, byte[]> text() {
--- a/src/main/java/calicostream/daemon/TrialsPort.java
+++ b/src/main/java/calicostream/daemon/TrialsPort.java
@@ -7,8 +7,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Between the front end's thread and the member's: what the module leaves out, looked at now and then, and hints for it. Neither waits
- * for the other; hints that come faster than the front end takes them are dropped.
+ * Between the front end's thread and the member's: what the module leaves out, looked at now and
+ * then, and hints for it. Neither waits for the other; hints that come faster than the front end
+ * takes them are dropped.
  */
 final class TrialsPort implements Trials.FrontEnd {
     private static final long LOOK = 100_000; // us between two looks
@@ -40,9 +41,10 @@
             waiting.decrementAndGet();
             return;
         }
-        loop.post(() -> {
-            waiting.decrementAndGet();
-            gateway.hinted(engine, served);
-        });
+        loop.post(
+                () -> {
+                    waiting.decrementAndGet();
+                    gateway.hinted(engine, served);
+                });
     }
 }
--- a/src/main/java/calicostream/durable/Amnesia.java
+++ b/src/main/java/calicostream/durable/Amnesia.java
@@ -5,9 +5,11 @@
 import java.util.Set;
 
 /**
- * Whether a member still knows all that it promised. Pure: what it found in its own marks and what peers remember of it goes in, the
- * verdict and its reason come out. A member asks before its first vote and before its first acknowledgement, and again whenever a peer
- * tells more, until the answer is not {@link Verdict#WAIT}. Waiting costs nothing: without word from a majority no vote can win anyhow.
+ * Whether a member still knows all that it promised. Pure: what it found in its own marks and what
+ * peers remember of it goes in, the verdict and its reason come out. A member asks before its first
+ * vote and before its first acknowledgement, and again whenever a peer tells more, until the answer
+ * is not {@link Verdict#WAIT}. Waiting costs nothing: without word from a majority no vote can win
+ * anyhow.
  */
 public final class Amnesia {
 
@@ -26,7 +28,10 @@
     /** What its log and its marks, written apart, say of each other. */
     public enum Doubt {
         NONE,
-        /** The log ends before what the marks say was synced: an older copy, a lost sync, an empty folder. */
+        /**
+         * The log ends before what the marks say was synced: an older copy, a lost sync, an empty
+         * folder.
+         */
         LOG_FORGOT,
         /** The marks are older than the log, or gone: then nothing vouches for the log's end. */
         MARKS_FORGOT,
@@ -34,60 +39,122 @@
         HISTORIES_DIFFER
     }
 
-    /** What a member finds at its opening. {@code incarnation} is this opening's, which no peer can have seen before. */
-    public record Own(long incarnation, long term, String votedFor, long lastIndex, Standing standing, Doubt doubt, String facts) {}
+    /**
+     * What a member finds at its opening. {@code incarnation} is this opening's, which no peer can
+     * have seen before.
+     */
+    public record Own(
+            long incarnation,
+            long term,
+            String votedFor,
+            long lastIndex,
+            Standing standing,
+            Doubt doubt,
+            String facts) {}
 
     /**
-     * What a peer remembers of this member from before this contact. {@code term} is the latest in which this member answered it,
-     * {@code acknowledged} the highest index that it acknowledged to it in that term, or 0, {@code voteTerm} the latest term in which it
-     * voted for that peer, or 0. {@code alive}: another process of this member's name is connected to the peer right now.
-     * {@code grouped}: the peer is a voter of a group that has committed something. All zero and false: it remembers nothing.
+     * What a peer remembers of this member from before this contact. {@code term} is the latest in
+     * which this member answered it, {@code acknowledged} the highest index that it acknowledged to
+     * it in that term, or 0, {@code voteTerm} the latest term in which it voted for that peer, or
+     * 0. {@code alive}: another process of this member's name is connected to the peer right now.
+     * {@code grouped}: the peer is a voter of a group that has committed something. All zero and
+     * false: it remembers nothing.
      */
-    public record Seen(long incarnation, long term, long acknowledged, long voteTerm, boolean alive, boolean grouped) {
+    public record Seen(
+            long incarnation,
+            long term,
+            long acknowledged,
+            long voteTerm,
+            boolean alive,
+            boolean grouped) {
         public static final Seen NOTHING = new Seen(0, 0, 0, 0, false, false);
     }
 
     public record Answer(Verdict verdict, String reason) {}
 
-    /** {@code others} are the voters beside it that it knows of, {@code founder} whether its settings name it among the first voters. */
-    public static Answer judge(Own own, boolean founder, Set<String> others, Map<String, Seen> told) {
+    /**
+     * {@code others} are the voters beside it that it knows of, {@code founder} whether its
+     * settings name it among the first voters.
+     */
+    public static Answer judge(
+            Own own, boolean founder, Set<String> others, Map<String, Seen> told) {
         for (Map.Entry<String, Seen> peer : told.entrySet()) {
             if (peer.getValue().alive())
-                return new Answer(Verdict.REFUSE, peer.getKey() + " is connected to another process of this member");
+                return new Answer(
+                        Verdict.REFUSE,
+                        peer.getKey() + " is connected to another process of this member");
         }
         if (own.doubt() != Doubt.NONE) return new Answer(Verdict.LEARNER, own.facts());
-        if (own.standing() == Standing.BARRED) return new Answer(Verdict.LEARNER, "forgot before and was not admitted anew: " + own.facts());
+        if (own.standing() == Standing.BARRED)
+            return new Answer(
+                    Verdict.LEARNER, "forgot before and was not admitted anew: " + own.facts());
         for (Map.Entry<String, Seen> peer : told.entrySet()) {
             String forgotten = forgotten(own, peer.getKey(), peer.getValue());
             if (forgotten != null) return new Answer(Verdict.LEARNER, forgotten);
         }
         long heard = others.stream().filter(told::containsKey).count();
         if (own.standing() == Standing.ADMITTED) {
-            return heard >= (others.size() + 1) / 2 ? new Answer(Verdict.VOTER, "marks and " + heard + " peers agree")
-                    : new Answer(Verdict.WAIT, "heard " + heard + " of " + others.size() + " peers");
+            return heard >= (others.size() + 1) / 2
+                    ? new Answer(Verdict.VOTER, "marks and " + heard + " peers agree")
+                    : new Answer(
+                            Verdict.WAIT, "heard " + heard + " of " + others.size() + " peers");
         }
-        if (told.values().stream().anyMatch(Seen::grouped)) return new Answer(Verdict.LEARNER, "the group is founded and has not admitted it");
-        if (!founder || own.term() > 0 || own.lastIndex() > 0) return new Answer(Verdict.LEARNER, "not admitted by a group yet");
-        // A new group begins only once in its life; a majority of blank voters could found a second one beside a voter that is cut off.
-        return heard == others.size() ? new Answer(Verdict.VOTER, "all first voters are new")
-                : new Answer(Verdict.WAIT, "a new group needs all its first voters: heard " + heard + " of " + others.size());
+        if (told.values().stream().anyMatch(Seen::grouped))
+            return new Answer(Verdict.LEARNER, "the group is founded and has not admitted it");
+        if (!founder || own.term() > 0 || own.lastIndex() > 0)
+            return new Answer(Verdict.LEARNER, "not admitted by a group yet");
+        // A new group begins only once in its life; a majority of blank voters could found a second
+        // one beside a voter that is cut off.
+        return heard == others.size()
+                ? new Answer(Verdict.VOTER, "all first voters are new")
+                : new Answer(
+                        Verdict.WAIT,
+                        "a new group needs all its first voters: heard "
+                                + heard
+                                + " of "
+                                + others.size());
     }
 
-    /** Whether own marks or a peer say so; a member that merely was not admitted yet has forgotten nothing. */
+    /**
+     * Whether own marks or a peer say so; a member that merely was not admitted yet has forgotten
+     * nothing.
+     */
     public static boolean hasForgotten(Own own, Map<String, Seen> told) {
-        return own.doubt() != Doubt.NONE || own.standing() == Standing.BARRED
-                || told.entrySet().stream().anyMatch(peer -> forgotten(own, peer.getKey(), peer.getValue()) != null);
+        return own.doubt() != Doubt.NONE
+                || own.standing() == Standing.BARRED
+                || told.entrySet().stream()
+                        .anyMatch(peer -> forgotten(own, peer.getKey(), peer.getValue()) != null);
     }
 
     private static String forgotten(Own own, String peer, Seen seen) {
         if (seen.incarnation() >= own.incarnation())
-            return peer + " has seen incarnation " + seen.incarnation() + ", this is " + own.incarnation();
-        if (seen.term() > own.term()) return peer + " has seen term " + seen.term() + ", the log knows " + own.term();
-        // Later leaders may cut what an earlier one was acknowledged; within one term an acknowledged entry stays.
+            return peer
+                    + " has seen incarnation "
+                    + seen.incarnation()
+                    + ", this is "
+                    + own.incarnation();
+        if (seen.term() > own.term())
+            return peer + " has seen term " + seen.term() + ", the log knows " + own.term();
+        // Later leaders may cut what an earlier one was acknowledged; within one term an
+        // acknowledged entry stays.
         if (seen.term() == own.term() && seen.acknowledged() > own.lastIndex())
-            return peer + " was acknowledged " + seen.acknowledged() + " in term " + seen.term() + ", the log ends at " + own.lastIndex();
-        if (seen.voteTerm() > own.term() || seen.voteTerm() == own.term() && seen.voteTerm() > 0 && !own.votedFor().equals(peer))
-            return peer + " was given the vote of term " + seen.voteTerm() + ", the log knows term " + own.term() + " and a vote for "
+            return peer
+                    + " was acknowledged "
+                    + seen.acknowledged()
+                    + " in term "
+                    + seen.term()
+                    + ", the log ends at "
+                    + own.lastIndex();
+        if (seen.voteTerm() > own.term()
+                || seen.voteTerm() == own.term()
+                        && seen.voteTerm() > 0
+                        && !own.votedFor().equals(peer))
+            return peer
+                    + " was given the vote of term "
+                    + seen.voteTerm()
+                    + ", the log knows term "
+                    + own.term()
+                    + " and a vote for "
                     + (own.votedFor().isEmpty() ? "nobody" : own.votedFor());
         return null;
     }
--- a/src/main/java/calicostream/durable/Bytes.java
+++ b/src/main/java/calicostream/durable/Bytes.java
@@ -39,7 +39,8 @@
 
     private int grow(int more) {
         int at = size;
-        if (at + more > array.length) array = Arrays.copyOf(array, Math.max(at + more, array.length * 2));
+        if (at + more > array.length)
+            array = Arrays.copyOf(array, Math.max(at + more, array.length * 2));
         size = at + more;
         return at;
     }
--- a/src/main/java/calicostream/durable/Contents.java
+++ b/src/main/java/calicostream/durable/Contents.java
@@ -9,8 +9,9 @@
 import java.util.TreeMap;
 
 /**
- * What a log says, as a machine that takes its records one by one. Pure. The same rules hold for records that a caller wants to write
- * ({@link #check}) and for those that are read back. Entries are kept until {@link #forgetEntries}: a running log needs bounds only.
+ * What a log says, as a machine that takes its records one by one. Pure. The same rules hold for
+ * records that a caller wants to write ({@link #check}) and for those that are read back. Entries
+ * are kept until {@link #forgetEntries}: a running log needs bounds only.
  */
 final class Contents {
 
@@ -20,10 +21,13 @@
     private String votedFor = "";
     private Standing standing = Standing.FRESH;
     private final TreeMap<String, byte[]> notes = new TreeMap<>();
+
     /** Oldest first, two at most. */
     private final List<Ref> snapshots = new ArrayList<>();
+
     /** Entries are held from the one after {@code base} to {@code last}. */
     private long base;
+
     private long last;
     private List<Record.Entry> entries = new ArrayList<>();
 
@@ -47,13 +51,26 @@
     }
 
     Record.Head head(Identity who, long segment, long incarnation, long afterSeq, int afterCrc) {
-        return new Record.Head(who, segment, incarnation, afterSeq, afterCrc, standing, term, votedFor, last, List.copyOf(snapshots),
+        return new Record.Head(
+                who,
+                segment,
+                incarnation,
+                afterSeq,
+                afterCrc,
+                standing,
+                term,
+                votedFor,
+                last,
+                List.copyOf(snapshots),
                 new TreeMap<>(notes));
     }
 
     /** Whether a head tells the same as the records before it did. */
     boolean agrees(Record.Head head) {
-        return head.term() == term && head.votedFor().equals(votedFor) && head.lastIndex() == last && head.notes().keySet().equals(notes.keySet());
+        return head.term() == term
+                && head.votedFor().equals(votedFor)
+                && head.lastIndex() == last
+                && head.notes().keySet().equals(notes.keySet());
     }
 
     /** Why the record breaks the rules of a log here; null when it does not. */
@@ -62,18 +79,31 @@
             if (entry.index() != last + 1) return "entry " + entry.index() + " after " + last;
         } else if (record instanceof Record.CutFrom cut) {
             if (cut.index() <= snapshotIndex() || cut.index() > last + 1)
-                return "cut from " + cut.index() + " with a snapshot of " + snapshotIndex() + " and a last entry " + last;
+                return "cut from "
+                        + cut.index()
+                        + " with a snapshot of "
+                        + snapshotIndex()
+                        + " and a last entry "
+                        + last;
         } else if (record instanceof Record.Term vote) {
             if (vote.term() < term) return "term " + vote.term() + " after " + term;
             if (vote.term() == term && !votedFor.isEmpty() && !votedFor.equals(vote.votedFor()))
-                return "a vote for '" + vote.votedFor() + "' in term " + term + " after one for " + votedFor;
+                return "a vote for '"
+                        + vote.votedFor()
+                        + "' in term "
+                        + term
+                        + " after one for "
+                        + votedFor;
         } else if (record instanceof Record.Note note) {
             int size = note.value() == null ? 0 : note.name().length() + note.value().length;
             for (Map.Entry<String, byte[]> other : notes.entrySet())
-                if (!other.getKey().equals(note.name())) size += other.getKey().length() + other.getValue().length;
-            if (size > NOTES_LIMIT) return "notes of " + size + " bytes, " + NOTES_LIMIT + " at most";
+                if (!other.getKey().equals(note.name()))
+                    size += other.getKey().length() + other.getValue().length;
+            if (size > NOTES_LIMIT)
+                return "notes of " + size + " bytes, " + NOTES_LIMIT + " at most";
         } else if (record instanceof Record.Snapshot snapshot) {
-            if (snapshot.ref().index() <= snapshotIndex()) return "snapshot of " + snapshot.ref().index() + " after " + snapshotIndex();
+            if (snapshot.ref().index() <= snapshotIndex())
+                return "snapshot of " + snapshot.ref().index() + " after " + snapshotIndex();
         } else if (!(record instanceof Record.Stands)) {
             return "no record of a log: " + record.getClass().getSimpleName();
         }
@@ -98,7 +128,8 @@
             snapshots.add(snapshot.ref());
             if (snapshots.size() > 2) snapshots.remove(0);
             if (snapshot.ref().index() > last) {
-                // Sent by a leader far ahead: what is held ends before it, so nothing older can stand in for it.
+                // Sent by a leader far ahead: what is held ends before it, so nothing older can
+                // stand in for it.
                 base = last = snapshot.ref().index();
                 if (entries != null) entries.clear();
             }
@@ -107,7 +138,10 @@
         }
     }
 
-    /** What a head says beyond the records before it: a standing that was changed and generations that were passed over at an opening. */
+    /**
+     * What a head says beyond the records before it: a standing that was changed and generations
+     * that were passed over at an opening.
+     */
     void adopt(Record.Head head) {
         standing = head.standing();
         snapshots.clear();
@@ -131,7 +165,8 @@
     List<Recovered.Entry> entriesAbove(long index) {
         List<Recovered.Entry> above = new ArrayList<>();
         for (Record.Entry entry : entries) {
-            if (entry.index() > index) above.add(new Recovered.Entry(entry.index(), entry.term(), entry.bytes()));
+            if (entry.index() > index)
+                above.add(new Recovered.Entry(entry.index(), entry.term(), entry.bytes()));
         }
         return above;
     }
--- a/src/main/java/calicostream/durable/Disk.java
+++ b/src/main/java/calicostream/durable/Disk.java
@@ -2,16 +2,21 @@
 package calicostream.durable;
 
 /**
- * One flat folder of files, the only way from this package to a disk. One thread at a time. Lengths and offsets are in bytes; a name has
- * no separators. Each call either does what it says or throws the {@link DurableException} that names why, and then may have done a part
- * of it. Nothing is durable before {@link #sync} (a file's bytes) and {@link #syncFolder} (names that came, went or changed) returned.
+ * One flat folder of files, the only way from this package to a disk. One thread at a time. Lengths
+ * and offsets are in bytes; a name has no separators. Each call either does what it says or throws
+ * the {@link DurableException} that names why, and then may have done a part of it. Nothing is
+ * durable before {@link #sync} (a file's bytes) and {@link #syncFolder} (names that came, went or
+ * changed) returned.
  */
 public interface Disk extends AutoCloseable {
 
     /** Where it is, as operators know it; for messages only. */
     String place();
 
-    /** Takes the folder for this process until {@link #close()}, or throws {@link DurableException.InUse}. */
+    /**
+     * Takes the folder for this process until {@link #close()}, or throws {@link
+     * DurableException.InUse}.
+     */
     void lock() throws DurableException;
 
     /** The names of all files, sorted. */
--- a/src/main/java/calicostream/durable/DurableException.java
+++ b/src/main/java/calicostream/durable/DurableException.java
@@ -6,11 +6,14 @@
 import java.io.IOException;
 
 /**
- * Every way in which a disk fails, lies or belongs to somebody else. Each has a code that never changes, the facts as they were found,
- * and what an operator can do; {@code docs/operate/durable.md} has a row for each code. It is an {@link IOException}, so that it passes
+ * Every way in which a disk fails, lies or belongs to somebody else. Each has a code that never
+ * changes, the facts as they were found, and what an operator can do; {@code
+ * docs/operate/durable.md} has a row for each code. It is an {@link IOException}, so that it passes
  * through stores that know only that.
  */
-@Page(value = "durable.md", prefixes = {"disk-", "file-", "folder-", "format-", "log-", "snapshot-"})
+@Page(
+        value = "durable.md",
+        prefixes = {"disk-", "file-", "folder-", "format-", "log-", "snapshot-"})
 public abstract sealed class DurableException extends IOException implements FleetError {
 
     private static final long serialVersionUID = 1;
@@ -52,7 +55,12 @@
         public static final String CODE = "disk-full";
 
         public Full(String facts, Throwable cause) {
-            super(CODE, facts, "free room on this device, then reopen the log (a restart does); delete aside- files first", cause);
+            super(
+                    CODE,
+                    facts,
+                    "free room on this device, then reopen the log (a restart does); delete aside-"
+                            + " files first",
+                    cause);
         }
 
         @Override
@@ -67,8 +75,12 @@
         public static final String CODE = "disk-read-only";
 
         public ReadOnly(String facts, Throwable cause) {
-            super(CODE, facts, "see why the system mounted it so (its log tells), check the device, mount it for writing, "
-                    + "then reopen the log", cause);
+            super(
+                    CODE,
+                    facts,
+                    "see why the system mounted it so (its log tells), check the device, mount it"
+                            + " for writing, then reopen the log",
+                    cause);
         }
 
         @Override
@@ -77,23 +89,38 @@
         }
     }
 
-    /** A sync failed: what was written since the one before may be gone although it can still be read. */
+    /**
+     * A sync failed: what was written since the one before may be gone although it can still be
+     * read.
+     */
     public static final class SyncFailed extends DurableException {
         private static final long serialVersionUID = 1;
         public static final String CODE = "disk-sync-failed";
 
         public SyncFailed(String facts, Throwable cause) {
-            super(CODE, facts, "check the device; reopen the log: what was not promised yet is written anew", cause);
+            super(
+                    CODE,
+                    facts,
+                    "check the device; reopen the log: what was not promised yet is written anew",
+                    cause);
         }
     }
 
-    /** A sync takes or took longer than the bound. Not thrown: it is the trouble of a {@link Status} in SLOW. */
+    /**
+     * A sync takes or took longer than the bound. Not thrown: it is the trouble of a {@link Status}
+     * in SLOW.
+     */
     public static final class Slow extends DurableException {
         private static final long serialVersionUID = 1;
         public static final String CODE = "disk-slow";
 
         public Slow(String facts) {
-            super(CODE, facts, "look for what else uses the device; move the folder to another one if it stays", null);
+            super(
+                    CODE,
+                    facts,
+                    "look for what else uses the device; move the folder to another one if it"
+                            + " stays",
+                    null);
         }
     }
 
@@ -103,7 +130,11 @@
         public static final String CODE = "disk-failed";
 
         public Failed(String facts, Throwable cause) {
-            super(CODE, facts, "check the device and the folder's owner and rights, then reopen the log", cause);
+            super(
+                    CODE,
+                    facts,
+                    "check the device and the folder's owner and rights, then reopen the log",
+                    cause);
         }
     }
 
@@ -113,7 +144,12 @@
         public static final String CODE = "file-missing";
 
         public Missing(String facts) {
-            super(CODE, facts, "see who deletes files in this folder; put the file back, or start over as a learner", null);
+            super(
+                    CODE,
+                    facts,
+                    "see who deletes files in this folder; put the file back, or start over as a"
+                            + " learner",
+                    null);
         }
     }
 
@@ -123,7 +159,12 @@
         public static final String CODE = "folder-in-use";
 
         public InUse(String facts) {
-            super(CODE, facts, "two processes were given one folder: end the one that is not wanted, or give it its own", null);
+            super(
+                    CODE,
+                    facts,
+                    "two processes were given one folder: end the one that is not wanted, or give"
+                            + " it its own",
+                    null);
         }
     }
 
@@ -133,7 +174,12 @@
         public static final String CODE = "folder-foreign";
 
         public Foreign(String facts) {
-            super(CODE, facts, "put the folders back in their places, or start this member with an empty one as a learner", null);
+            super(
+                    CODE,
+                    facts,
+                    "put the folders back in their places, or start this member with an empty one"
+                            + " as a learner",
+                    null);
         }
     }
 
@@ -143,7 +189,11 @@
         public static final String CODE = "format-unknown";
 
         public UnknownFormat(String facts) {
-            super(CODE, facts, "start the version of the program that wrote it, or a later one", null);
+            super(
+                    CODE,
+                    facts,
+                    "start the version of the program that wrote it, or a later one",
+                    null);
         }
     }
 
@@ -153,7 +203,12 @@
         public static final String CODE = "log-rotten";
 
         public Rotten(String facts) {
-            super(CODE, facts, "the device loses bits: replace it; then start over, and have the group admit this member anew", null);
+            super(
+                    CODE,
+                    facts,
+                    "the device loses bits: replace it; then start over, and have the group admit"
+                            + " this member anew",
+                    null);
         }
     }
 
@@ -163,8 +218,12 @@
         public static final String CODE = "log-hole";
 
         public Hole(String facts) {
-            super(CODE, facts, "put the missing file back if it was moved; otherwise start over, and have the group admit this "
-                    + "member anew", null);
+            super(
+                    CODE,
+                    facts,
+                    "put the missing file back if it was moved; otherwise start over, and have the"
+                            + " group admit this member anew",
+                    null);
         }
     }
 
@@ -174,7 +233,11 @@
         public static final String CODE = "snapshot-rotten";
 
         public RottenSnapshot(String facts) {
-            super(CODE, facts, "start over, and have the group admit this member anew: it is sent a snapshot", null);
+            super(
+                    CODE,
+                    facts,
+                    "start over, and have the group admit this member anew: it is sent a snapshot",
+                    null);
         }
     }
 
--- a/src/main/java/calicostream/durable/FileDisk.java
+++ b/src/main/java/calicostream/durable/FileDisk.java
@@ -22,15 +22,21 @@
 import java.util.stream.Stream;
 
 /**
- * A folder of the file system as a {@link Disk}. The thread that calls it is not to be interrupted: an interrupt closes the channel, which
- * counts as a failed write. A folder that is not there is made.
+ * A folder of the file system as a {@link Disk}. The thread that calls it is not to be interrupted:
+ * an interrupt closes the channel, which counts as a failed write. A folder that is not there is
+ * made.
  */
 public final class FileDisk implements Disk {
 
     private static final String LOCK = "lock";
+
     /** More than are ever written at once: segment, mark, and a new file of each kind. */
     private static final int OPEN = 6;
-    /** The kernel's lock is the process's, and lost when any channel to the file closes: folders of this process are told apart here. */
+
+    /**
+     * The kernel's lock is the process's, and lost when any channel to the file closes: folders of
+     * this process are told apart here.
+     */
     private static final Set<Path> TAKEN = new HashSet<>();
 
     private final Path folder;
@@ -57,17 +63,26 @@
         try {
             Path real = folder.toRealPath();
             synchronized (TAKEN) {
-                if (!TAKEN.add(real)) throw new DurableException.InUse(folder + " is in use by this process already");
+                if (!TAKEN.add(real))
+                    throw new DurableException.InUse(folder + " is in use by this process already");
             }
             taken = real;
-            lockFile = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
+            lockFile =
+                    FileChannel.open(
+                            folder.resolve(LOCK),
+                            StandardOpenOption.CREATE,
+                            StandardOpenOption.READ,
+                            StandardOpenOption.WRITE);
             FileLock lock = lockFile.tryLock();
             if (lock == null) {
                 String owner = owner();
                 close();
                 throw new DurableException.InUse(folder + " is in use by " + owner);
             }
-            ByteBuffer words = ByteBuffer.wrap(("process " + ProcessHandle.current().pid()).getBytes(StandardCharsets.UTF_8));
+            ByteBuffer words =
+                    ByteBuffer.wrap(
+                            ("process " + ProcessHandle.current().pid())
+                                    .getBytes(StandardCharsets.UTF_8));
             lockFile.truncate(0);
             while (words.hasRemaining()) lockFile.write(words, words.position());
         } catch (IOException | OverlappingFileLockException e) {
@@ -80,13 +95,19 @@
     private String owner() throws IOException {
         ByteBuffer words = ByteBuffer.allocate(64);
         lockFile.read(words, 0);
-        return words.position() == 0 ? "another process" : new String(words.array(), 0, words.position(), StandardCharsets.UTF_8);
+        return words.position() == 0
+                ? "another process"
+                : new String(words.array(), 0, words.position(), StandardCharsets.UTF_8);
     }
 
     @Override
     public List<String> list() throws DurableException {
         try (Stream<Path> files = Files.list(folder)) {
-            return files.filter(Files::isRegularFile).map(file -> file.getFileName().toString()).filter(name -> !name.equals(LOCK)).sorted().toList();
+            return files.filter(Files::isRegularFile)
+                    .map(file -> file.getFileName().toString())
+                    .filter(name -> !name.equals(LOCK))
+                    .sorted()
+                    .toList();
         } catch (IOException | java.io.UncheckedIOException e) {
             throw named(e instanceof IOException io ? io : (IOException) e.getCause(), "list");
         }
@@ -119,7 +140,9 @@
             eldest.next().getValue().close();
             eldest.remove();
         }
-        channel = FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+        channel =
+                FileChannel.open(
+                        folder.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.APPEND);
         channels.put(name, channel);
         return channel;
     }
@@ -129,7 +152,8 @@
         try {
             channel(name).force(false);
         } catch (IOException e) {
-            throw new DurableException.SyncFailed("sync of " + folder.resolve(name) + ": " + e.getMessage(), e);
+            throw new DurableException.SyncFailed(
+                    "sync of " + folder.resolve(name) + ": " + e.getMessage(), e);
         }
     }
 
@@ -169,13 +193,22 @@
         if (channel != null) channel.close();
     }
 
-    /** The system's words differ between platforms and languages, so the state of the file system is asked too. */
+    /**
+     * The system's words differ between platforms and languages, so the state of the file system is
+     * asked too.
+     */
     private DurableException named(IOException e, String what) {
         String facts = "could not " + what + " in " + folder + ": " + e;
         if (e instanceof NoSuchFileException) return new DurableException.Missing(facts);
         String words = String.valueOf(e.getMessage());
-        boolean full = words.contains("No space left") || words.contains("quota exceeded") || words.contains("not enough space");
-        boolean readOnly = e instanceof AccessDeniedException || words.contains("Read-only file system") || words.contains("Permission denied");
+        boolean full =
+                words.contains("No space left")
+                        || words.contains("quota exceeded")
+                        || words.contains("not enough space");
+        boolean readOnly =
+                e instanceof AccessDeniedException
+                        || words.contains("Read-only file system")
+                        || words.contains("Permission denied");
         try {
             full |= Files.getFileStore(folder).getUsableSpace() == 0;
             readOnly |= Files.getFileStore(folder).isReadOnly();
--- a/src/main/java/calicostream/durable/Frames.java
+++ b/src/main/java/calicostream/durable/Frames.java
@@ -5,8 +5,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * The frame round every record of every file: length, CRC32C, version, kind, number, up to which number all was synced when it was
- * written, CRC of the frame before. Pure; {@code docs/operate/durable-format.md} has the bytes.
+ * The frame round every record of every file: length, CRC32C, version, kind, number, up to which
+ * number all was synced when it was written, CRC of the frame before. Pure; {@code
+ * docs/operate/durable-format.md} has the bytes.
  */
 final class Frames {
 
@@ -53,7 +54,9 @@
         in.limit(end).position(offset + BODY);
         int version = in.get();
         int kind = in.get();
-        if (version != VERSION) throw new DurableException.UnknownFormat(name + " at byte " + offset + " has version " + version);
+        if (version != VERSION)
+            throw new DurableException.UnknownFormat(
+                    name + " at byte " + offset + " has version " + version);
         long seq = in.getLong();
         long synced = in.getLong();
         int prev = in.getInt();
@@ -62,13 +65,24 @@
             record = Record.read(kind, in);
         } catch (RuntimeException e) {
             // Its CRC is right, so it was written so: by a program whose fields differ.
-            throw new DurableException.UnknownFormat(name + " at byte " + offset + " has a record of kind " + kind + " with other fields");
+            throw new DurableException.UnknownFormat(
+                    name
+                            + " at byte "
+                            + offset
+                            + " has a record of kind "
+                            + kind
+                            + " with other fields");
         }
-        if (record == null) throw new DurableException.UnknownFormat(name + " at byte " + offset + " has a record of kind " + kind);
+        if (record == null)
+            throw new DurableException.UnknownFormat(
+                    name + " at byte " + offset + " has a record of kind " + kind);
         return new Frame(end, crc, seq, synced, prev, record);
     }
 
-    /** The first sound frame at or after {@code offset}, whatever lies between; null when there is none. */
+    /**
+     * The first sound frame at or after {@code offset}, whatever lies between; null when there is
+     * none.
+     */
     static Frame find(byte[] file, int offset, String name) throws DurableException.UnknownFormat {
         for (int at = Math.max(0, offset); at + OVERHEAD <= file.length; at++) {
             if (file[at + BODY] != VERSION) continue;
--- a/src/main/java/calicostream/durable/Generations.java
+++ b/src/main/java/calicostream/durable/Generations.java
@@ -25,33 +25,46 @@
         this.who = who;
     }
 
-    /** The chunks in order, or null when the file is not whole. A sound file of another member is an error. */
-    static List<byte[]> decode(Identity who, Ref ref, byte[] file, String name) throws DurableException {
+    /**
+     * The chunks in order, or null when the file is not whole. A sound file of another member is an
+     * error.
+     */
+    static List<byte[]> decode(Identity who, Ref ref, byte[] file, String name)
+            throws DurableException {
         Frame frame = Frames.read(file, 0, name);
         if (frame == null || !(frame.record() instanceof Record.SnapshotHead head)) return null;
-        if (!head.who().equals(who)) throw new DurableException.Foreign(name + " belongs to " + head.who() + ", this is " + who);
+        if (!head.who().equals(who))
+            throw new DurableException.Foreign(
+                    name + " belongs to " + head.who() + ", this is " + who);
         if (!head.ref().equals(ref)) return null;
         byte[][] chunks = new byte[head.chunks()][];
         for (int left = head.chunks(); left > 0; left--) {
             Frame next = next(file, frame, name);
             if (next == null || !(next.record() instanceof Record.Chunk chunk)) return null;
-            if (chunk.number() < 0 || chunk.number() >= chunks.length || chunks[chunk.number()] != null) return null;
+            if (chunk.number() < 0
+                    || chunk.number() >= chunks.length
+                    || chunks[chunk.number()] != null) return null;
             chunks[chunk.number()] = chunk.bytes();
             frame = next;
         }
         Frame end = next(file, frame, name);
-        if (end == null || !(end.record() instanceof Record.SnapshotEnd) || end.end() != file.length) return null;
+        if (end == null
+                || !(end.record() instanceof Record.SnapshotEnd)
+                || end.end() != file.length) return null;
         return List.of(chunks);
     }
 
     private static Frame next(byte[] file, Frame before, String name) throws DurableException {
         Frame frame = Frames.read(file, before.end(), name);
-        return frame != null && frame.seq() == before.seq() + 1 && frame.prev() == before.crc() ? frame : null;
+        return frame != null && frame.seq() == before.seq() + 1 && frame.prev() == before.crc()
+                ? frame
+                : null;
     }
 
     /**
-     * The newest generation that can be read and from which the log goes on without a gap; null where there is none and the log goes back
-     * to its first entry. Those that can't be read are dropped from {@code contents}.
+     * The newest generation that can be read and from which the log goes on without a gap; null
+     * where there is none and the log goes back to its first entry. Those that can't be read are
+     * dropped from {@code contents}.
      */
     Recovered.Snapshot newest(Contents contents, List<String> findings) throws DurableException {
         List<Ref> refs = new ArrayList<>(contents.snapshots());
@@ -61,7 +74,12 @@
             List<byte[]> chunks = load(ref);
             if (chunks != null && contents.base() <= ref.index()) {
                 if (!unreadable.isEmpty())
-                    findings.add("snapshots that can't be read: " + unreadable + "; " + Names.snapshot(ref) + " and the log stand in");
+                    findings.add(
+                            "snapshots that can't be read: "
+                                    + unreadable
+                                    + "; "
+                                    + Names.snapshot(ref)
+                                    + " and the log stand in");
                 return new Recovered.Snapshot(ref.index(), ref.term(), chunks);
             }
             if (chunks == null) {
@@ -69,9 +87,17 @@
                 contents.drop(ref);
             }
         }
-        if (contents.base() > 0) throw new DurableException.RottenSnapshot("no readable generation joins the log, which begins after entry "
-                + contents.base() + "; not readable: " + unreadable);
-        if (!unreadable.isEmpty()) findings.add("snapshots that can't be read: " + unreadable + "; the log from its first entry stands in");
+        if (contents.base() > 0)
+            throw new DurableException.RottenSnapshot(
+                    "no readable generation joins the log, which begins after entry "
+                            + contents.base()
+                            + "; not readable: "
+                            + unreadable);
+        if (!unreadable.isEmpty())
+            findings.add(
+                    "snapshots that can't be read: "
+                            + unreadable
+                            + "; the log from its first entry stands in");
         return null;
     }
 
@@ -121,7 +147,9 @@
         return pending != null && got.cardinality() == of;
     }
 
-    /** Makes the collected snapshot a whole file and names it; null as long as chunks are missing. */
+    /**
+     * Makes the collected snapshot a whole file and names it; null as long as chunks are missing.
+     */
     Ref finish() throws DurableException {
         if (!isWhole()) return null;
         Ref done = pending;
@@ -137,6 +165,7 @@
     /** Deletes whole files that the log does not name. */
     void deleteBut(List<Ref> named) throws DurableException {
         List<String> kept = named.stream().map(Names::snapshot).toList();
-        for (String name : Names.of(Names.SNAPSHOT, disk.list())) if (!kept.contains(name)) disk.delete(name);
+        for (String name : Names.of(Names.SNAPSHOT, disk.list()))
+            if (!kept.contains(name)) disk.delete(name);
     }
 }
