--- a/src/main/java/calicostream/durable/Health.java
+++ b/src/main/java/calicostream/durable/Health.java
@@ -4,8 +4,8 @@
 import calicostream.durable.Status.State;
 
 /**
- * The state of a log as operators see it: a machine that takes what happened and when. It reads no clock. Its caller holds the lock that
- * makes it safe to be asked by any thread.
+ * The state of a log as operators see it: a machine that takes what happened and when. It reads no
+ * clock. Its caller holds the lock that makes it safe to be asked by any thread.
  */
 final class Health {
 
@@ -66,7 +66,12 @@
     }
 
     private DurableException slow(long took) {
-        return new DurableException.Slow("a sync took " + took / 1_000_000 + " ms, " + slowNanos / 1_000_000 + " are the bound");
+        return new DurableException.Slow(
+                "a sync took "
+                        + took / 1_000_000
+                        + " ms, "
+                        + slowNanos / 1_000_000
+                        + " are the bound");
     }
 
     State state() {
@@ -80,7 +85,18 @@
     /** A sync that still runs past the bound is seen as slow before it ends. */
     Status status(long now, long incarnation, boolean barred, long lastIndex, long bytes) {
         if (syncing && state == State.READY && now - began > slowNanos)
-            return new Status(State.SLOW, began, slow(now - began), incarnation, barred, syncs, slow, Math.max(longest, now - began), lastIndex, bytes);
-        return new Status(state, since, trouble, incarnation, barred, syncs, slow, longest, lastIndex, bytes);
+            return new Status(
+                    State.SLOW,
+                    began,
+                    slow(now - began),
+                    incarnation,
+                    barred,
+                    syncs,
+                    slow,
+                    Math.max(longest, now - began),
+                    lastIndex,
+                    bytes);
+        return new Status(
+                state, since, trouble, incarnation, barred, syncs, slow, longest, lastIndex, bytes);
     }
 }
--- a/src/main/java/calicostream/durable/Identity.java
+++ b/src/main/java/calicostream/durable/Identity.java
@@ -1,12 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.durable;
 
-/** Whose folder it is: both names are written into every file, so that a folder put in another's place is known as such. */
+/**
+ * Whose folder it is: both names are written into every file, so that a folder put in another's
+ * place is known as such.
+ */
 public record Identity(String cluster, String member) {
 
     public Identity {
-        if (cluster.isBlank() || member.isBlank()) throw new IllegalArgumentException("cluster and member need a name each");
-        if (cluster.length() > 200 || member.length() > 200) throw new IllegalArgumentException("names of 200 characters at most");
+        if (cluster.isBlank() || member.isBlank())
+            throw new IllegalArgumentException("cluster and member need a name each");
+        if (cluster.length() > 200 || member.length() > 200)
+            throw new IllegalArgumentException("names of 200 characters at most");
     }
 
     @Override
--- a/src/main/java/calicostream/durable/Marks.java
+++ b/src/main/java/calicostream/durable/Marks.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * The marks of a member, in files of their own, best on another device than the log. Each file begins with a whole mark and grows by one
- * at each sync; the last sound one holds. One thread.
+ * The marks of a member, in files of their own, best on another device than the log. Each file
+ * begins with a whole mark and grows by one at each sync; the last sound one holds. One thread.
  */
 final class Marks {
 
@@ -36,16 +36,20 @@
             marks.number = Math.max(marks.number, Names.number(name));
             byte[] bytes = disk.read(name);
             int end = 0;
-            for (Frame frame = Frames.find(bytes, 0, name); frame != null; frame = Frames.find(bytes, frame.end(), name)) {
+            for (Frame frame = Frames.find(bytes, 0, name);
+                    frame != null;
+                    frame = Frames.find(bytes, frame.end(), name)) {
                 if (frame.record() instanceof Record.Mark mark) marks.last = mark;
                 end = frame.end();
             }
-            if (end < bytes.length) findings.add(name + ": its last " + (bytes.length - end) + " bytes are no mark");
+            if (end < bytes.length)
+                findings.add(name + ": its last " + (bytes.length - end) + " bytes are no mark");
         }
         Record.Mark mark = marks.last;
         marks.unreadable = mark == null && !files.isEmpty();
         if (mark != null && !mark.who().equals(who))
-            throw new DurableException.Foreign(disk.place() + " has the marks of " + mark.who() + ", this is " + who);
+            throw new DurableException.Foreign(
+                    disk.place() + " has the marks of " + mark.who() + ", this is " + who);
         return marks;
     }
 
@@ -73,7 +77,8 @@
         size = out.size();
         file = name;
         last = mark;
-        for (String old : Names.of(Names.MARK, disk.list())) if (!old.equals(name)) disk.delete(old);
+        for (String old : Names.of(Names.MARK, disk.list()))
+            if (!old.equals(name)) disk.delete(old);
     }
 
     /** On the disk on return. */
--- a/src/main/java/calicostream/durable/Names.java
+++ b/src/main/java/calicostream/durable/Names.java
@@ -7,7 +7,10 @@
 import java.util.List;
 import java.util.regex.Pattern;
 
-/** The names of files: {@code log-}, {@code mark-} and {@code snap-} with numbers of 16 hexadecimal digits, so that names sort as numbers do. */
+/**
+ * The names of files: {@code log-}, {@code mark-} and {@code snap-} with numbers of 16 hexadecimal
+ * digits, so that names sort as numbers do.
+ */
 final class Names {
 
     static final String LOG = "log-";
@@ -46,12 +49,15 @@
     static List<String> of(String kind, List<String> names) {
         Pattern numbers = kind.equals(SNAPSHOT) ? TWO : ONE;
         List<String> found = new ArrayList<>();
-        for (String name : names) if (name.startsWith(kind) && numbers.matcher(name.substring(kind.length())).matches()) found.add(name);
+        for (String name : names)
+            if (name.startsWith(kind) && numbers.matcher(name.substring(kind.length())).matches())
+                found.add(name);
         found.sort(null);
         return found;
     }
 
     static boolean isPart(String name) {
-        return name.endsWith(PART) && (name.startsWith(LOG) || name.startsWith(MARK) || name.startsWith(SNAPSHOT));
+        return name.endsWith(PART)
+                && (name.startsWith(LOG) || name.startsWith(MARK) || name.startsWith(SNAPSHOT));
     }
 }
--- a/src/main/java/calicostream/durable/Opening.java
+++ b/src/main/java/calicostream/durable/Opening.java
@@ -7,8 +7,9 @@
 import java.util.List;
 
 /**
- * One opening of a log. The order of its writes is what keeps a doubt from being lost by a crash: the mark of the new incarnation, with
- * the doubt if there is one, comes before anything else is changed.
+ * One opening of a log. The order of its writes is what keeps a doubt from being lost by a crash:
+ * the mark of the new incarnation, with the doubt if there is one, comes before anything else is
+ * changed.
  */
 final class Opening {
 
@@ -41,7 +42,8 @@
     private void resume() throws DurableException {
         Record.Mark mark = marks.last();
         List<Scan.Segment> files = new ArrayList<>();
-        for (String name : Names.of(Names.LOG, disk.list())) files.add(new Scan.Segment(name, disk.read(name)));
+        for (String name : Names.of(Names.LOG, disk.list()))
+            files.add(new Scan.Segment(name, disk.read(name)));
         Scan.Result scan = Scan.run(who, files, mark);
         files.clear();
         findings.addAll(scan.findings());
@@ -49,9 +51,13 @@
         List<Record> tail = tail(scan);
         Contents whole = contents.copy();
         for (Record record : tail) whole.apply(record);
-        Standing standing = worse(mark == null ? whole.standing() : mark.standing(), whole.standing());
+        Standing standing =
+                worse(mark == null ? whole.standing() : mark.standing(), whole.standing());
         String why = mark == null ? "" : mark.why();
-        Doubt doubt = scan.doubt() == Doubt.NONE && mark == null && marks.isUnreadable() ? Doubt.MARKS_FORGOT : scan.doubt();
+        Doubt doubt =
+                scan.doubt() == Doubt.NONE && mark == null && marks.isUnreadable()
+                        ? Doubt.MARKS_FORGOT
+                        : scan.doubt();
         if (doubt != Doubt.NONE) {
             standing = Standing.BARRED;
             why = scan.facts().isEmpty() ? "no mark can be read" : scan.facts();
@@ -79,9 +85,12 @@
     private List<Record> tail(Scan.Result scan) throws DurableException {
         List<Record> tail = new ArrayList<>();
         for (Record record : scan.tail()) {
-            if (record instanceof Record.Snapshot snapshot && generations.load(snapshot.ref()) == null) break;
-            // The worse of log and mark holds: a bar past the mark may have been answered for, an admission was not.
-            if (!(record instanceof Record.Stands stands) || stands.standing() == Standing.BARRED) tail.add(record);
+            if (record instanceof Record.Snapshot snapshot
+                    && generations.load(snapshot.ref()) == null) break;
+            // The worse of log and mark holds: a bar past the mark may have been answered for, an
+            // admission was not.
+            if (!(record instanceof Record.Stands stands) || stands.standing() == Standing.BARRED)
+                tail.add(record);
         }
         return tail;
     }
@@ -100,7 +109,9 @@
             number = Names.number(name);
             Frames.Frame frame = Frames.read(disk.read(name), 0, name);
             if (frame == null || !(frame.record() instanceof Record.Head head)) continue;
-            if (!head.who().equals(who)) throw new DurableException.Foreign(name + " belongs to " + head.who() + ", this is " + who);
+            if (!head.who().equals(who))
+                throw new DurableException.Foreign(
+                        name + " belongs to " + head.who() + ", this is " + who);
             before = Math.max(before, head.incarnation());
         }
         incarnation = before + 1;
@@ -120,7 +131,9 @@
         segments = new Segments(disk, who, incarnation, number + 1, java.util.Map.of());
         segments.vouched(seq);
         segments.begin(contents, seq, crc, List.of());
-        marks.put(new Record.Mark(who, incarnation, segments.seq(), segments.crc(), Standing.BARRED, why));
+        marks.put(
+                new Record.Mark(
+                        who, incarnation, segments.seq(), segments.crc(), Standing.BARRED, why));
         segments.marked();
         finish(Doubt.NONE, why, null);
     }
@@ -133,9 +146,22 @@
 
     private void finish(Doubt doubt, String facts, Recovered.Snapshot snapshot) {
         long from = snapshot == null ? 0 : snapshot.index();
-        recovered = new Recovered(contents.term(), contents.votedFor(), contents.notes(), snapshot, contents.entriesAbove(from),
-                new Amnesia.Own(incarnation, contents.term(), contents.votedFor(), contents.last(), contents.standing(), doubt, facts),
-                List.copyOf(findings));
+        recovered =
+                new Recovered(
+                        contents.term(),
+                        contents.votedFor(),
+                        contents.notes(),
+                        snapshot,
+                        contents.entriesAbove(from),
+                        new Amnesia.Own(
+                                incarnation,
+                                contents.term(),
+                                contents.votedFor(),
+                                contents.last(),
+                                contents.standing(),
+                                doubt,
+                                facts),
+                        List.copyOf(findings));
         contents.forgetEntries();
     }
 }
--- a/src/main/java/calicostream/durable/Options.java
+++ b/src/main/java/calicostream/durable/Options.java
@@ -4,16 +4,19 @@
 import java.util.function.LongSupplier;
 
 /**
- * How a log is opened. {@code startOver} sets a damaged or forgetful log aside (files renamed to {@code aside-}, the last such set is kept)
- * and begins an empty one that is barred from voting until {@link DurableLog#admit()}. {@code clock} tells monotonic nanoseconds; it is
- * asked for signs only, no byte on the disk depends on it.
+ * How a log is opened. {@code startOver} sets a damaged or forgetful log aside (files renamed to
+ * {@code aside-}, the last such set is kept) and begins an empty one that is barred from voting
+ * until {@link DurableLog#admit()}. {@code clock} tells monotonic nanoseconds; it is asked for
+ * signs only, no byte on the disk depends on it.
  */
 public record Options(int segmentBytes, long slowSyncNanos, boolean startOver, LongSupplier clock) {
 
-    public static final Options DEFAULT = new Options(4 << 20, 1_000_000_000L, false, System::nanoTime);
+    public static final Options DEFAULT =
+            new Options(4 << 20, 1_000_000_000L, false, System::nanoTime);
 
     public Options {
-        if (segmentBytes < 256) throw new IllegalArgumentException("a segment has 256 bytes at least");
+        if (segmentBytes < 256)
+            throw new IllegalArgumentException("a segment has 256 bytes at least");
         if (slowSyncNanos <= 0) throw new IllegalArgumentException("a sync takes time");
     }
 
--- a/src/main/java/calicostream/durable/Record.java
+++ b/src/main/java/calicostream/durable/Record.java
@@ -8,7 +8,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What a frame holds, in each of the three kinds of files. The numbers of kinds and the order of fields never change. */
+/**
+ * What a frame holds, in each of the three kinds of files. The numbers of kinds and the order of
+ * fields never change.
+ */
 sealed interface Record {
 
     int kind();
@@ -19,11 +22,23 @@
     record Ref(long index, long term) {}
 
     /**
-     * The first record of a segment: whose it is, after which record of the segment before it goes on, and all small state, so that the
-     * segments before it may go. {@code first} is the place of the log's first entry less one, if all before it are gone.
+     * The first record of a segment: whose it is, after which record of the segment before it goes
+     * on, and all small state, so that the segments before it may go. {@code first} is the place of
+     * the log's first entry less one, if all before it are gone.
      */
-    record Head(Identity who, long segment, long incarnation, long afterSeq, int afterCrc, Standing standing, long term, String votedFor,
-            long lastIndex, List<Ref> snapshots, Map<String, byte[]> notes) implements Record {
+    record Head(
+            Identity who,
+            long segment,
+            long incarnation,
+            long afterSeq,
+            int afterCrc,
+            Standing standing,
+            long term,
+            String votedFor,
+            long lastIndex,
+            List<Ref> snapshots,
+            Map<String, byte[]> notes)
+            implements Record {
         @Override
         public int kind() {
             return 1;
@@ -47,10 +62,11 @@
                 out.u64(ref.term());
             }
             out.u32(notes.size());
-            notes.forEach((name, value) -> {
-                out.text(name);
-                out.bytes(value);
-            });
+            notes.forEach(
+                    (name, value) -> {
+                        out.text(name);
+                        out.bytes(value);
+                    });
         }
 
         private static Head read(ByteBuffer in) {
@@ -64,10 +80,23 @@
             String votedFor = Bytes.text(in);
             long lastIndex = in.getLong();
             List<Ref> snapshots = new ArrayList<>();
-            for (int left = in.get(); left > 0; left--) snapshots.add(new Ref(in.getLong(), in.getLong()));
+            for (int left = in.get(); left > 0; left--)
+                snapshots.add(new Ref(in.getLong(), in.getLong()));
             Map<String, byte[]> notes = new TreeMap<>();
-            for (int left = in.getInt(); left > 0; left--) notes.put(Bytes.text(in), Bytes.bytes(in));
-            return new Head(who, segment, incarnation, afterSeq, afterCrc, standing, term, votedFor, lastIndex, snapshots, notes);
+            for (int left = in.getInt(); left > 0; left--)
+                notes.put(Bytes.text(in), Bytes.bytes(in));
+            return new Head(
+                    who,
+                    segment,
+                    incarnation,
+                    afterSeq,
+                    afterCrc,
+                    standing,
+                    term,
+                    votedFor,
+                    lastIndex,
+                    snapshots,
+                    notes);
         }
     }
 
@@ -151,8 +180,12 @@
         }
     }
 
-    /** The mark: {@code seq} and {@code crc} are of the last record of the log that was synced; {@code why} is of a member that is barred. */
-    record Mark(Identity who, long incarnation, long seq, int crc, Standing standing, String why) implements Record {
+    /**
+     * The mark: {@code seq} and {@code crc} are of the last record of the log that was synced;
+     * {@code why} is of a member that is barred.
+     */
+    record Mark(Identity who, long incarnation, long seq, int crc, Standing standing, String why)
+            implements Record {
         @Override
         public int kind() {
             return 8;
@@ -211,7 +244,9 @@
         }
     }
 
-    /** Null for a kind that this version does not know; runtime exceptions for fields that can't be. */
+    /**
+     * Null for a kind that this version does not know; runtime exceptions for fields that can't be.
+     */
     static Record read(int kind, ByteBuffer in) {
         return switch (kind) {
             case 1 -> Head.read(in);
@@ -221,9 +256,19 @@
             case 5 -> new Note(Bytes.text(in), in.get() == 0 ? null : Bytes.bytes(in));
             case 6 -> new Snapshot(new Ref(in.getLong(), in.getLong()));
             case 7 -> new Stands(Standing.values()[in.get()]);
-            case 8 -> new Mark(new Identity(Bytes.text(in), Bytes.text(in)), in.getLong(), in.getLong(), in.getInt(),
-                    Standing.values()[in.get()], Bytes.text(in));
-            case 9 -> new SnapshotHead(new Identity(Bytes.text(in), Bytes.text(in)), new Ref(in.getLong(), in.getLong()), in.getInt());
+            case 8 ->
+                    new Mark(
+                            new Identity(Bytes.text(in), Bytes.text(in)),
+                            in.getLong(),
+                            in.getLong(),
+                            in.getInt(),
+                            Standing.values()[in.get()],
+                            Bytes.text(in));
+            case 9 ->
+                    new SnapshotHead(
+                            new Identity(Bytes.text(in), Bytes.text(in)),
+                            new Ref(in.getLong(), in.getLong()),
+                            in.getInt());
             case 10 -> new Chunk(in.getInt(), Bytes.bytes(in));
             case 11 -> new SnapshotEnd(in.getInt());
             default -> null;
--- a/src/main/java/calicostream/durable/Recovered.java
+++ b/src/main/java/calicostream/durable/Recovered.java
@@ -5,12 +5,20 @@
 import java.util.Map;
 
 /**
- * What an opening found. {@code snapshot} is null without one; {@code entries} are those above it, without a gap. {@code votedFor} is
- * empty for no vote in {@code term}. {@code own} is what the member's own marks say: {@link Amnesia} makes the verdict of it and of what
- * peers remember. {@code findings} are remarks for operators: a tail that was cut, a generation that was passed over.
+ * What an opening found. {@code snapshot} is null without one; {@code entries} are those above it,
+ * without a gap. {@code votedFor} is empty for no vote in {@code term}. {@code own} is what the
+ * member's own marks say: {@link Amnesia} makes the verdict of it and of what peers remember.
+ * {@code findings} are remarks for operators: a tail that was cut, a generation that was passed
+ * over.
  */
-public record Recovered(long term, String votedFor, Map<String, byte[]> notes, Snapshot snapshot, List<Entry> entries,
-        Amnesia.Own own, List<String> findings) {
+public record Recovered(
+        long term,
+        String votedFor,
+        Map<String, byte[]> notes,
+        Snapshot snapshot,
+        List<Entry> entries,
+        Amnesia.Own own,
+        List<String> findings) {
 
     public record Entry(long index, long term, byte[] bytes) {}
 
--- a/src/main/java/calicostream/durable/Scan.java
+++ b/src/main/java/calicostream/durable/Scan.java
@@ -9,20 +9,32 @@
 import java.util.TreeMap;
 
 /**
- * What the segments of a log and the last mark say together: all that was promised, a doubt, or a typed error. Pure. A segment's end is
- * where the head of a later one goes on from; a bad record before that had been promised, and so had one at the log's end that the mark
- * or a later record vouches for. What nobody vouches for is a torn tail and is cut.
+ * What the segments of a log and the last mark say together: all that was promised, a doubt, or a
+ * typed error. Pure. A segment's end is where the head of a later one goes on from; a bad record
+ * before that had been promised, and so had one at the log's end that the mark or a later record
+ * vouches for. What nobody vouches for is a torn tail and is cut.
  */
 final class Scan {
 
     record Segment(String name, byte[] bytes) {}
 
     /**
-     * {@code vouched} is what the log said at {@code seq}, {@code tail} the sound records after it. {@code reach} tells for each segment
-     * the highest entry in it; {@code stale} are files that came back after they were deleted.
+     * {@code vouched} is what the log said at {@code seq}, {@code tail} the sound records after it.
+     * {@code reach} tells for each segment the highest entry in it; {@code stale} are files that
+     * came back after they were deleted.
      */
-    record Result(Contents vouched, long seq, int crc, List<Record> tail, long incarnation, long nextSegment, Doubt doubt, String facts,
-            Map<String, Long> reach, List<String> stale, List<String> findings) {}
+    record Result(
+            Contents vouched,
+            long seq,
+            int crc,
+            List<Record> tail,
+            long incarnation,
+            long nextSegment,
+            Doubt doubt,
+            String facts,
+            Map<String, Long> reach,
+            List<String> stale,
+            List<String> findings) {}
 
     private final Identity who;
     private final Record.Mark mark;
@@ -31,8 +43,10 @@
     private final List<String> stale = new ArrayList<>();
     private long maxSynced;
     private long incarnation;
+
     /** Where the reading stands. */
     private long seq;
+
     private int crc;
     private Contents contents;
     private Contents vouched;
@@ -47,20 +61,25 @@
     }
 
     /** {@code segments} by number; {@code mark} is null without one. */
-    static Result run(Identity who, List<Segment> segments, Record.Mark mark) throws DurableException {
+    static Result run(Identity who, List<Segment> segments, Record.Mark mark)
+            throws DurableException {
         return new Scan(who, mark).run(segments);
     }
 
     private Result run(List<Segment> all) throws DurableException {
         List<Segment> segments = new ArrayList<>(all);
         List<Frame> heads = heads(segments);
-        long next = segments.isEmpty() ? 1 : Names.number(segments.get(segments.size() - 1).name()) + 1;
-        // From the last one back: what a later head goes on before is superseded, whole segments too.
+        long next =
+                segments.isEmpty() ? 1 : Names.number(segments.get(segments.size() - 1).name()) + 1;
+        // From the last one back: what a later head goes on before is superseded, whole segments
+        // too.
         List<Segment> chain = new ArrayList<>();
         List<Frame> chainHeads = new ArrayList<>();
         long limit = Long.MAX_VALUE;
         for (int i = segments.size() - 1; i >= 0; i--) {
-            if (i + 1 < segments.size() && Names.number(segments.get(i).name()) + 1 != Names.number(segments.get(i + 1).name())) {
+            if (i + 1 < segments.size()
+                    && Names.number(segments.get(i).name()) + 1
+                            != Names.number(segments.get(i + 1).name())) {
                 for (int old = 0; old <= i; old++) stale.add(segments.get(old).name());
                 break;
             }
@@ -73,22 +92,60 @@
             limit = ((Record.Head) head.record()).afterSeq();
         }
         for (int i = 0; i < chain.size(); i++)
-            segment(chain.get(i), chainHeads.get(i), i + 1 < chain.size() ? (Record.Head) chainHeads.get(i + 1).record() : null);
+            segment(
+                    chain.get(i),
+                    chainHeads.get(i),
+                    i + 1 < chain.size() ? (Record.Head) chainHeads.get(i + 1).record() : null);
         if (contents == null) contents = new Contents();
         if (contents.base() > contents.snapshotIndex())
-            throw new DurableException.Hole("the log begins after entry " + contents.base() + ", the newest snapshot ends at "
-                    + contents.snapshotIndex() + (stale.isEmpty() ? "" : ", and a segment between " + stale.get(stale.size() - 1) + " and "
-                    + chain.get(0).name() + " is not there"));
+            throw new DurableException.Hole(
+                    "the log begins after entry "
+                            + contents.base()
+                            + ", the newest snapshot ends at "
+                            + contents.snapshotIndex()
+                            + (stale.isEmpty()
+                                    ? ""
+                                    : ", and a segment between "
+                                            + stale.get(stale.size() - 1)
+                                            + " and "
+                                            + chain.get(0).name()
+                                            + " is not there"));
         if (!stale.isEmpty()) findings.add("deleted segments were there again: " + stale);
         String facts = doubt(chain);
         if (doubt != Doubt.NONE || vouched == null) {
-            // Nothing is vouched for beyond what could be read, and nothing of it may be taken for a tail.
-            return new Result(contents, seq, crc, List.of(), incarnation, next, doubt, facts, reach, stale, findings);
+            // Nothing is vouched for beyond what could be read, and nothing of it may be taken for
+            // a tail.
+            return new Result(
+                    contents,
+                    seq,
+                    crc,
+                    List.of(),
+                    incarnation,
+                    next,
+                    doubt,
+                    facts,
+                    reach,
+                    stale,
+                    findings);
         }
-        return new Result(vouched, mark.seq(), mark.crc(), tail, incarnation, next, doubt, facts, reach, stale, findings);
+        return new Result(
+                vouched,
+                mark.seq(),
+                mark.crc(),
+                tail,
+                incarnation,
+                next,
+                doubt,
+                facts,
+                reach,
+                stale,
+                findings);
     }
 
-    /** The head of each segment; a last file in which nothing can be read is left out, as it may never have been written. */
+    /**
+     * The head of each segment; a last file in which nothing can be read is left out, as it may
+     * never have been written.
+     */
     private List<Frame> heads(List<Segment> segments) throws DurableException {
         List<Frame> heads = new ArrayList<>();
         for (int i = 0; i < segments.size(); i++) {
@@ -97,12 +154,15 @@
             if (head == null || !(head.record() instanceof Record.Head)) {
                 Frame later = Frames.find(segment.bytes(), 0, segment.name());
                 if (i + 1 < segments.size() || later != null) throw rotten(segment, 0, "its head");
-                findings.add(segment.name() + " holds nothing that can be read and is written anew");
+                findings.add(
+                        segment.name() + " holds nothing that can be read and is written anew");
                 segments.remove(i);
                 break;
             }
             Identity found = ((Record.Head) head.record()).who();
-            if (!found.equals(who)) throw new DurableException.Foreign(segment.name() + " belongs to " + found + ", this is " + who);
+            if (!found.equals(who))
+                throw new DurableException.Foreign(
+                        segment.name() + " belongs to " + found + ", this is " + who);
             heads.add(head);
         }
         return heads;
@@ -111,12 +171,19 @@
     private void segment(Segment segment, Frame first, Record.Head next) throws DurableException {
         Record.Head head = (Record.Head) first.record();
         if (contents == null) {
-            contents = head.afterSeq() == 0 && head.lastIndex() == 0 ? new Contents() : Contents.of(head);
+            contents =
+                    head.afterSeq() == 0 && head.lastIndex() == 0
+                            ? new Contents()
+                            : Contents.of(head);
             seq = head.afterSeq();
             crc = head.afterCrc();
             meet();
         } else if (head.afterSeq() != seq || head.afterCrc() != crc || !contents.agrees(head)) {
-            throw new DurableException.Hole(segment.name() + " goes on after record " + head.afterSeq() + " of another history");
+            throw new DurableException.Hole(
+                    segment.name()
+                            + " goes on after record "
+                            + head.afterSeq()
+                            + " of another history");
         }
         if (first.seq() != seq + 1) throw rotten(segment, 0, "its head's number");
         contents.adopt(head);
@@ -130,9 +197,11 @@
                 return;
             }
             String wrong = contents.check(frame.record());
-            if (wrong != null) throw new DurableException.Hole(segment.name() + " at byte " + at + ": " + wrong);
+            if (wrong != null)
+                throw new DurableException.Hole(segment.name() + " at byte " + at + ": " + wrong);
             contents.apply(frame.record());
-            if (frame.record() instanceof Record.Entry entry) reach.merge(segment.name(), entry.index(), Math::max);
+            if (frame.record() instanceof Record.Entry entry)
+                reach.merge(segment.name(), entry.index(), Math::max);
             if (vouched != null && metMark) tail.add(frame.record());
             step(frame);
             at = frame.end();
@@ -155,25 +224,45 @@
         tail.clear();
     }
 
-    /** No sound record follows in this segment: its honest end, a torn tail, forgotten records, rot or a hole. */
+    /**
+     * No sound record follows in this segment: its honest end, a torn tail, forgotten records, rot
+     * or a hole.
+     */
     private void ended(Segment segment, int at, Record.Head next) throws DurableException {
         byte[] bytes = segment.bytes();
         if (next == null && at == bytes.length) return;
         boolean blank = Frames.isBlank(bytes, at);
         if (next != null) {
-            if (blank) throw new DurableException.Hole(segment.name() + " ends at record " + seq + ", the next segment goes on after "
-                    + next.afterSeq());
+            if (blank)
+                throw new DurableException.Hole(
+                        segment.name()
+                                + " ends at record "
+                                + seq
+                                + ", the next segment goes on after "
+                                + next.afterSeq());
             throw rotten(segment, at, "record " + (seq + 1));
         }
         Frame later = blank ? null : Frames.find(bytes, at, segment.name());
-        for (Frame found = later; found != null; found = Frames.find(bytes, found.end(), segment.name()))
+        for (Frame found = later;
+                found != null;
+                found = Frames.find(bytes, found.end(), segment.name()))
             maxSynced = Math.max(maxSynced, found.synced());
         boolean promised = maxSynced > seq || mark != null && mark.seq() > seq;
-        if (promised && (later != null || !blank && !cutShort(bytes, at))) throw rotten(segment, at, "record " + (seq + 1));
-        findings.add(segment.name() + ": " + (bytes.length - at) + " bytes after record " + seq + (promised ? " are no record" : " were a torn tail"));
+        if (promised && (later != null || !blank && !cutShort(bytes, at)))
+            throw rotten(segment, at, "record " + (seq + 1));
+        findings.add(
+                segment.name()
+                        + ": "
+                        + (bytes.length - at)
+                        + " bytes after record "
+                        + seq
+                        + (promised ? " are no record" : " were a torn tail"));
     }
 
-    /** Whether the record there says that it goes on past the file's end, as one does that did not get to the disk whole. */
+    /**
+     * Whether the record there says that it goes on past the file's end, as one does that did not
+     * get to the disk whole.
+     */
     private static boolean cutShort(byte[] bytes, int at) {
         if (bytes.length - at < Frames.OVERHEAD) return true;
         int length = java.nio.ByteBuffer.wrap(bytes).getInt(at);
@@ -181,7 +270,13 @@
     }
 
     private static DurableException rotten(Segment segment, int at, String what) {
-        return new DurableException.Rotten(segment.name() + " at byte " + at + ": " + what + " was promised and can't be read");
+        return new DurableException.Rotten(
+                segment.name()
+                        + " at byte "
+                        + at
+                        + ": "
+                        + what
+                        + " was promised and can't be read");
     }
 
     /** What log and mark say of each other. */
@@ -198,8 +293,14 @@
         }
         if (maxSynced > mark.seq() || incarnation > mark.incarnation() || !metMark) {
             doubt = Doubt.MARKS_FORGOT;
-            return "the marks end at record " + mark.seq() + " of incarnation " + mark.incarnation() + ", the log knows of syncs up to "
-                    + maxSynced + " and of incarnation " + incarnation;
+            return "the marks end at record "
+                    + mark.seq()
+                    + " of incarnation "
+                    + mark.incarnation()
+                    + ", the log knows of syncs up to "
+                    + maxSynced
+                    + " and of incarnation "
+                    + incarnation;
         }
         if (crcAtMark != mark.crc()) {
             doubt = Doubt.HISTORIES_DIFFER;
--- a/src/main/java/calicostream/durable/Segments.java
+++ b/src/main/java/calicostream/durable/Segments.java
@@ -5,7 +5,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The segment that is written, and which older ones may go. Records wait in memory until they are many or the log is synced. One thread. */
+/**
+ * The segment that is written, and which older ones may go. Records wait in memory until they are
+ * many or the log is synced. One thread.
+ */
 final class Segments {
 
     private static final int FLUSH = 64 << 10;
@@ -14,8 +17,10 @@
     private final Identity who;
     private final long incarnation;
     private final Bytes out = new Bytes(FLUSH * 2);
+
     /** The highest entry in each segment, by name, the oldest first. */
     private final TreeMap<String, Long> reach = new TreeMap<>();
+
     private String file;
     private long next;
     private long size;
@@ -31,13 +36,23 @@
         this.reach.putAll(reach);
     }
 
-    /** Begins a segment that goes on after record {@code afterSeq}; it is there, with {@code first} in it, on return. */
-    void begin(Contents state, long afterSeq, int afterCrc, List<Record> first) throws DurableException {
+    /**
+     * Begins a segment that goes on after record {@code afterSeq}; it is there, with {@code first}
+     * in it, on return.
+     */
+    void begin(Contents state, long afterSeq, int afterCrc, List<Record> first)
+            throws DurableException {
         out.clear();
         String name = Names.log(next);
         reach.put(name, 0L);
         seq = afterSeq + 1;
-        crc = Frames.write(out, state.head(who, next, incarnation, afterSeq, afterCrc), seq, synced, afterCrc);
+        crc =
+                Frames.write(
+                        out,
+                        state.head(who, next, incarnation, afterSeq, afterCrc),
+                        seq,
+                        synced,
+                        afterCrc);
         file = name;
         for (Record record : first) add(record);
         Marks.place(disk, name, out.view());
--- a/src/main/java/calicostream/durable/Status.java
+++ b/src/main/java/calicostream/durable/Status.java
@@ -2,16 +2,28 @@
 package calicostream.durable;
 
 /**
- * What operators see of a log. {@code trouble} is null in READY; {@code sinceNanos} is on the clock of {@link Options}; {@code bytes} are in
- * the files that are written now.
+ * What operators see of a log. {@code trouble} is null in READY; {@code sinceNanos} is on the clock
+ * of {@link Options}; {@code bytes} are in the files that are written now.
  */
-public record Status(State state, long sinceNanos, DurableException trouble, long incarnation, boolean barred, long syncs, long slowSyncs,
-        long longestSyncNanos, long lastIndex, long bytes) {
+public record Status(
+        State state,
+        long sinceNanos,
+        DurableException trouble,
+        long incarnation,
+        boolean barred,
+        long syncs,
+        long slowSyncs,
+        long longestSyncNanos,
+        long lastIndex,
+        long bytes) {
 
     public enum State {
         /** It takes entries. */
         READY,
-        /** It takes entries, but a sync takes or took longer than the bound; ends after eight syncs in a row within it. */
+        /**
+         * It takes entries, but a sync takes or took longer than the bound; ends after eight syncs
+         * in a row within it.
+         */
         SLOW,
         /** An append found no room; to be opened anew once there is. */
         FULL,
--- a/src/main/java/calicostream/durable/Store.java
+++ b/src/main/java/calicostream/durable/Store.java
@@ -5,7 +5,10 @@
 import calicostream.durable.Record.Ref;
 import java.util.List;
 
-/** The log of {@link DurableLog} on two {@link Disk}s. It makes no judgement: {@link Opening} reads, {@link Contents} has the rules. */
+/**
+ * The log of {@link DurableLog} on two {@link Disk}s. It makes no judgement: {@link Opening} reads,
+ * {@link Contents} has the rules.
+ */
 final class Store implements DurableLog {
 
     private static final int LARGEST = 64 << 20;
@@ -20,8 +23,10 @@
     private final Segments segments;
     private final long incarnation;
     private final Recovered recovered;
+
     /** Guarded by itself, as operators ask from any thread. */
     private final Health health;
+
     private String why;
     private long wantedAfter;
     private volatile long lastIndex;
@@ -44,7 +49,8 @@
         signs();
     }
 
-    static DurableLog open(Disk disk, Disk marks, Identity who, Options options) throws DurableException {
+    static DurableLog open(Disk disk, Disk marks, Identity who, Options options)
+            throws DurableException {
         disk.lock();
         boolean open = false;
         try {
@@ -69,7 +75,9 @@
 
     @Override
     public void appendEntry(long index, long term, byte[] bytes) throws DurableException {
-        if (bytes.length > LARGEST) throw new IllegalArgumentException("an entry of " + bytes.length + " bytes, " + LARGEST + " at most");
+        if (bytes.length > LARGEST)
+            throw new IllegalArgumentException(
+                    "an entry of " + bytes.length + " bytes, " + LARGEST + " at most");
         if (generations.isWhole()) sync();
         write(new Record.Entry(index, term, bytes));
     }
@@ -85,7 +93,11 @@
         usable();
         if (generations.isWhole()) sync();
         if (index > contents.snapshotIndex())
-            throw new IllegalArgumentException("entries up to " + index + " are wanted: the newest snapshot ends at " + contents.snapshotIndex());
+            throw new IllegalArgumentException(
+                    "entries up to "
+                            + index
+                            + " are wanted: the newest snapshot ends at "
+                            + contents.snapshotIndex());
         wantedAfter = Math.max(wantedAfter, index);
     }
 
@@ -110,10 +122,14 @@
     }
 
     @Override
-    public void snapshotChunk(long index, long term, int chunk, int of, byte[] bytes) throws DurableException {
+    public void snapshotChunk(long index, long term, int chunk, int of, byte[] bytes)
+            throws DurableException {
         usable();
-        if (of < 1 || chunk < 0 || chunk >= of) throw new IllegalArgumentException("chunk " + chunk + " of " + of);
-        if (bytes.length > LARGEST) throw new IllegalArgumentException("a chunk of " + bytes.length + " bytes, " + LARGEST + " at most");
+        if (of < 1 || chunk < 0 || chunk >= of)
+            throw new IllegalArgumentException("chunk " + chunk + " of " + of);
+        if (bytes.length > LARGEST)
+            throw new IllegalArgumentException(
+                    "a chunk of " + bytes.length + " bytes, " + LARGEST + " at most");
         if (index <= contents.snapshotIndex()) return;
         guarded(() -> generations.chunk(new Ref(index, term), chunk, of, bytes));
     }
@@ -135,7 +151,8 @@
         Ref whole = generations.finish();
         if (whole != null) {
             Record.Snapshot record = new Record.Snapshot(whole);
-            // Chunks may have waited while an entry was cut that they stand for, or a later snapshot was taken.
+            // Chunks may have waited while an entry was cut that they stand for, or a later
+            // snapshot was taken.
             if (contents.check(record) == null) {
                 segments.write(record);
                 contents.apply(record);
@@ -148,7 +165,8 @@
         // Only now, as the files named until here might have been needed again.
         if (whole != null) generations.deleteBut(contents.snapshots());
         if (wantedAfter > 0) segments.deleteUpTo(Math.min(wantedAfter, contents.floor()));
-        if (segments.size() > options.segmentBytes()) segments.begin(contents, segments.seq(), segments.crc(), List.of());
+        if (segments.size() > options.segmentBytes())
+            segments.begin(contents, segments.seq(), segments.crc(), List.of());
     }
 
     private void timed() throws DurableException {
@@ -166,7 +184,14 @@
     }
 
     private void mark() throws DurableException {
-        marks.put(new Record.Mark(who, incarnation, segments.seq(), segments.crc(), contents.standing(), why));
+        marks.put(
+                new Record.Mark(
+                        who,
+                        incarnation,
+                        segments.seq(),
+                        segments.crc(),
+                        contents.standing(),
+                        why));
     }
 
     @Override
@@ -211,9 +236,10 @@
     private void usable() throws DurableException {
         synchronized (health) {
             switch (health.state()) {
-                case READY, SLOW -> { }
+                case READY, SLOW -> {}
                 case CLOSED -> throw new DurableException.LogClosed(who + " at " + disk.place());
-                case FULL, READ_ONLY, FAILED -> throw new DurableException.LogFailed(health.trouble());
+                case FULL, READ_ONLY, FAILED ->
+                        throw new DurableException.LogFailed(health.trouble());
             }
         }
     }
@@ -227,7 +253,8 @@
     @Override
     public Status status() {
         synchronized (health) {
-            return health.status(options.clock().getAsLong(), incarnation, barred, lastIndex, bytes);
+            return health.status(
+                    options.clock().getAsLong(), incarnation, barred, lastIndex, bytes);
         }
     }
 
--- a/src/main/java/calicostream/durable/Verdict.java
+++ b/src/main/java/calicostream/durable/Verdict.java
@@ -5,9 +5,15 @@
 public enum Verdict {
     /** It remembers all that it promised: it may vote, and its acknowledgements count. */
     VOTER,
-    /** Too few peers have told what they remember of it: it neither votes nor acknowledges until they have. */
+    /**
+     * Too few peers have told what they remember of it: it neither votes nor acknowledges until
+     * they have.
+     */
     WAIT,
-    /** It has forgotten, or may have: it neither votes nor counts until the group has admitted it anew. */
+    /**
+     * It has forgotten, or may have: it neither votes nor counts until the group has admitted it
+     * anew.
+     */
     LEARNER,
     /** This folder must not be used at all: an operator decides. */
     REFUSE
--- a/src/main/java/calicostream/errors/Page.java
+++ b/src/main/java/calicostream/errors/Page.java
@@ -6,7 +6,10 @@
 import java.lang.annotation.RetentionPolicy;
 import java.lang.annotation.Target;
 
-/** Of a root of {@link FleetError}s: the operators' page that has a row for each of its codes, within {@code docs/operate}. */
+/**
+ * Of a root of {@link FleetError}s: the operators' page that has a row for each of its codes,
+ * within {@code docs/operate}.
+ */
 @Retention(RetentionPolicy.RUNTIME)
 @Target(ElementType.TYPE)
 public @interface Page {
--- a/src/main/java/calicostream/flight/ArrowRows.java
+++ b/src/main/java/calicostream/flight/ArrowRows.java
@@ -27,14 +27,14 @@
 import org.apache.arrow.vector.ipc.message.MessageSerializer;
 
 /**
- * The two forms a result has: frames of Arrow's stream, as Flight SQL engines send it, and rows of text, as the
- * platform's do.
+ * The two forms a result has: frames of Arrow's stream, as Flight SQL engines send it, and rows of
+ * text, as the platform's do.
  */
 public final class ArrowRows {
     /** Bounds what results take while they change their form. */
     public static final BufferAllocator ALLOCATOR = new RootAllocator(64 << 20);
 
-    private ArrowRows() { }
+    private ArrowRows() {}
 
     /** Rows of text as frames of a stream of text columns. */
     public static List<Frame> frames(byte[] rows) {
@@ -52,12 +52,18 @@
             for (int row = 0; row < count; row++) {
                 String[] cells = lines[row].split("\t", -1);
                 for (int i = 0; i < Math.min(columns, cells.length); i++) {
-                    ((VarCharVector) vectors.get(i)).setSafe(row, cells[i].getBytes(StandardCharsets.UTF_8));
+                    ((VarCharVector) vectors.get(i))
+                            .setSafe(row, cells[i].getBytes(StandardCharsets.UTF_8));
                 }
             }
             root.setRowCount(count);
-            return List.of(Frame.of(ByteString.EMPTY, FlightWire.schemaHeader(root.getSchema()), ByteString.EMPTY,
-                    ByteString.EMPTY), batch(root));
+            return List.of(
+                    Frame.of(
+                            ByteString.EMPTY,
+                            FlightWire.schemaHeader(root.getSchema()),
+                            ByteString.EMPTY,
+                            ByteString.EMPTY),
+                    batch(root));
         }
     }
 
@@ -70,7 +76,10 @@
             ByteBuffer lead = ByteBuffer.wrap(ipc).order(ByteOrder.LITTLE_ENDIAN);
             int header = lead.getInt(Integer.BYTES);
             int body = 2 * Integer.BYTES + header;
-            return Frame.of(ByteString.EMPTY, ByteString.copyFrom(ipc, 2 * Integer.BYTES, header), ByteString.EMPTY,
+            return Frame.of(
+                    ByteString.EMPTY,
+                    ByteString.copyFrom(ipc, 2 * Integer.BYTES, header),
+                    ByteString.EMPTY,
                     ByteString.copyFrom(ipc, body, ipc.length - body));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -95,7 +104,9 @@
         return value == null ? "" : value.toString();
     }
 
-    /** An engine's result, or the count of an update, as rows of text; what it holds is given back. */
+    /**
+     * An engine's result, or the count of an update, as rows of text; what it holds is given back.
+     */
     public static byte[] text(Object result) {
         if (result instanceof Answers.Counted counted) {
             return (counted.rows() + "\n").getBytes(StandardCharsets.UTF_8);
@@ -112,12 +123,14 @@
 
     private static byte[] text(byte[] stream) {
         StringBuilder out = new StringBuilder();
-        try (ArrowStreamReader reader = new ArrowStreamReader(new ByteArrayInputStream(stream), ALLOCATOR)) {
+        try (ArrowStreamReader reader =
+                new ArrowStreamReader(new ByteArrayInputStream(stream), ALLOCATOR)) {
             VectorSchemaRoot root = reader.getVectorSchemaRoot();
             while (reader.loadNextBatch()) {
                 for (int row = 0; row < root.getRowCount(); row++) {
                     for (int i = 0; i < root.getFieldVectors().size(); i++) {
-                        out.append(i > 0 ? "\t" : "").append(cell(root.getVector(i).getObject(row)));
+                        out.append(i > 0 ? "\t" : "")
+                                .append(cell(root.getVector(i).getObject(row)));
                     }
                     out.append('\n');
                 }
--- a/src/main/java/calicostream/flight/FrameListener.java
+++ b/src/main/java/calicostream/flight/FrameListener.java
@@ -22,8 +22,12 @@
     @Override
     public void start(VectorSchemaRoot from, DictionaryProvider dictionaries, IpcOption option) {
         root = from;
-        out.add(Frame.of(ByteString.EMPTY, FlightWire.schemaHeader(from.getSchema()), ByteString.EMPTY,
-                ByteString.EMPTY));
+        out.add(
+                Frame.of(
+                        ByteString.EMPTY,
+                        FlightWire.schemaHeader(from.getSchema()),
+                        ByteString.EMPTY,
+                        ByteString.EMPTY));
     }
 
     @Override
@@ -37,7 +41,7 @@
     }
 
     @Override
-    public void putMetadata(org.apache.arrow.memory.ArrowBuf metadata) { }
+    public void putMetadata(org.apache.arrow.memory.ArrowBuf metadata) {}
 
     @Override
     public void error(Throwable error) {
@@ -45,7 +49,7 @@
     }
 
     @Override
-    public void completed() { }
+    public void completed() {}
 
     @Override
     public boolean isCancelled() {
@@ -53,7 +57,7 @@
     }
 
     @Override
-    public void setOnCancelHandler(Runnable handler) { }
+    public void setOnCancelHandler(Runnable handler) {}
 
     @Override
     public boolean isReady() {
@@ -61,8 +65,8 @@
     }
 
     @Override
-    public void setOnReadyHandler(Runnable handler) { }
+    public void setOnReadyHandler(Runnable handler) {}
 
     @Override
-    public void setUseZeroCopy(boolean enabled) { }
+    public void setUseZeroCopy(boolean enabled) {}
 }
--- a/src/main/java/calicostream/flight/engine/Call.java
+++ b/src/main/java/calicostream/flight/engine/Call.java
@@ -24,13 +24,25 @@
 import org.apache.arrow.flight.impl.Flight;
 import org.apache.arrow.flight.impl.FlightServiceGrpc;
 
-/** One attempt at an engine. It begins on the loop; gRPC's threads use it one after another; its end is told on the loop. */
+/**
+ * One attempt at an engine. It begins on the loop; gRPC's threads use it one after another; its end
+ * is told on the loop.
+ */
 abstract class Call {
     /** Words that engines have for a statement that none of them can run. */
-    private static final Set<Status.Code> OWN_WORDS = Set.of(Status.Code.INVALID_ARGUMENT, Status.Code.NOT_FOUND,
-            Status.Code.ALREADY_EXISTS, Status.Code.UNIMPLEMENTED, Status.Code.PERMISSION_DENIED,
-            Status.Code.FAILED_PRECONDITION, Status.Code.OUT_OF_RANGE, Status.Code.ABORTED);
-    private static final String LOCAL_BOUND = "gRPC message exceeds maximum size"; // how gRPC says it of what it reads
+    private static final Set<Status.Code> OWN_WORDS =
+            Set.of(
+                    Status.Code.INVALID_ARGUMENT,
+                    Status.Code.NOT_FOUND,
+                    Status.Code.ALREADY_EXISTS,
+                    Status.Code.UNIMPLEMENTED,
+                    Status.Code.PERMISSION_DENIED,
+                    Status.Code.FAILED_PRECONDITION,
+                    Status.Code.OUT_OF_RANGE,
+                    Status.Code.ABORTED);
+
+    private static final String LOCAL_BOUND =
+            "gRPC message exceeds maximum size"; // how gRPC says it of what it reads
     final FlightEngines engines;
     final Gateway.Attempt attempt;
     final Context.CancellableContext context = Context.ROOT.withCancellation();
@@ -50,8 +62,11 @@
     }
 
     final void begin(ManagedChannel up) {
-        channel = ClientInterceptors.intercept(up, MetadataUtils.newAttachHeadersInterceptor(sent),
-                MetadataUtils.newCaptureMetadataInterceptor(headers, trailers));
+        channel =
+                ClientInterceptors.intercept(
+                        up,
+                        MetadataUtils.newAttachHeadersInterceptor(sent),
+                        MetadataUtils.newCaptureMetadataInterceptor(headers, trailers));
         run(this::begin);
     }
 
@@ -78,7 +93,14 @@
     }
 
     final void act(String type, ByteString body, StreamObserver<Flight.Result> answer) {
-        run(() -> stub().doAction(Flight.Action.newBuilder().setType(type).setBody(body).build(), answer));
+        run(
+                () ->
+                        stub().doAction(
+                                        Flight.Action.newBuilder()
+                                                .setType(type)
+                                                .setBody(body)
+                                                .build(),
+                                        answer));
     }
 
     final void plan(ByteString command, StreamObserver<Flight.FlightInfo> answer) {
@@ -89,15 +111,17 @@
     final void finish(Outcome outcome, Object result) {
         if (over.compareAndSet(false, true)) {
             Report report = Calls.report(headers.get(), trailers.get());
-            engines.loop.post(() -> {
-                ended(outcome);
-                if (outcome == Outcome.RESET || outcome == Outcome.CONNECT_FAILED) {
-                    engines.lost(attempt.engine);
-                }
-                if (!engines.gateway().ended(attempt, outcome, report, result) && result instanceof Answers.Held held) {
-                    held.drop();
-                }
-            });
+            engines.loop.post(
+                    () -> {
+                        ended(outcome);
+                        if (outcome == Outcome.RESET || outcome == Outcome.CONNECT_FAILED) {
+                            engines.lost(attempt.engine);
+                        }
+                        if (!engines.gateway().ended(attempt, outcome, report, result)
+                                && result instanceof Answers.Held held) {
+                            held.drop();
+                        }
+                    });
         }
     }
 
@@ -105,15 +129,16 @@
     final void conclude(Status word) {
         if (over.compareAndSet(false, true)) {
             Report report = Calls.report(headers.get(), trailers.get());
-            engines.loop.post(() -> {
-                ended(Outcome.CANCELLED);
-                engines.gateway().concluded(attempt, report, new Answers.Word(word));
-            });
+            engines.loop.post(
+                    () -> {
+                        ended(Outcome.CANCELLED);
+                        engines.gateway().concluded(attempt, report, new Answers.Word(word));
+                    });
         }
     }
 
     /** On the loop, before the core hears of the end. */
-    void ended(Outcome outcome) { }
+    void ended(Outcome outcome) {}
 
     final boolean isOver() {
         return over.get();
@@ -136,18 +161,25 @@
     }
 
     final boolean isOwnWord(Status status) {
-        boolean passed = engines.config.passTokens() && status.getCode() == Status.Code.UNAUTHENTICATED;
+        boolean passed =
+                engines.config.passTokens() && status.getCode() == Status.Code.UNAUTHENTICATED;
         return OWN_WORDS.contains(status.getCode()) || passed;
     }
 
     static boolean isOverBound(Status status) {
         String text = status.getDescription();
-        return status.getCode() == Status.Code.RESOURCE_EXHAUSTED && text != null && text.contains(LOCAL_BOUND);
+        return status.getCode() == Status.Code.RESOURCE_EXHAUSTED
+                && text != null
+                && text.contains(LOCAL_BOUND);
     }
 
     final void tooLong(long bound, String what) {
-        conclude(Status.RESOURCE_EXHAUSTED.withDescription(what + " of the result is over the bound of " + bound
-                + " bytes; it would be again"));
+        conclude(
+                Status.RESOURCE_EXHAUSTED.withDescription(
+                        what
+                                + " of the result is over the bound of "
+                                + bound
+                                + " bytes; it would be again"));
         context.cancel(null);
     }
 
--- a/src/main/java/calicostream/flight/engine/FlightEngines.java
+++ b/src/main/java/calicostream/flight/engine/FlightEngines.java
@@ -31,8 +31,9 @@
 import org.apache.arrow.flight.sql.impl.FlightSql;
 
 /**
- * Engines that speak Flight SQL. A request brings its work, or the text of a statement from a front that knows no work.
- * Calls are asynchronous; gRPC's threads hand what they learn to the loop, which owns this object.
+ * Engines that speak Flight SQL. A request brings its work, or the text of a statement from a front
+ * that knows no work. Calls are asynchronous; gRPC's threads hand what they learn to the loop,
+ * which owns this object.
  */
 public final class FlightEngines extends ChannelEngines {
     /** Told on the loop of what happens to engines, as far as it ends what they hold. */
@@ -54,13 +55,27 @@
     private final NioEventLoopGroup threads;
     private Listener listener;
 
-    public FlightEngines(Loop loop, SettingsParser settings, FlightConfig config, Admission admission) {
-        this(loop, settings, config, admission, new NioEventLoopGroup(config.threads(), (ThreadFactory) FlightEngines::daemon));
+    public FlightEngines(
+            Loop loop, SettingsParser settings, FlightConfig config, Admission admission) {
+        this(
+                loop,
+                settings,
+                config,
+                admission,
+                new NioEventLoopGroup(config.threads(), (ThreadFactory) FlightEngines::daemon));
     }
 
-    private FlightEngines(Loop loop, SettingsParser settings, FlightConfig config, Admission admission,
+    private FlightEngines(
+            Loop loop,
+            SettingsParser settings,
+            FlightConfig config,
+            Admission admission,
             NioEventLoopGroup threads) {
-        super(new Channels(loop, settings.wiring(), address -> dial(address, settings.wiring(), config, threads)));
+        super(
+                new Channels(
+                        loop,
+                        settings.wiring(),
+                        address -> dial(address, settings.wiring(), config, threads)));
         this.loop = loop;
         this.settings = settings;
         this.config = config;
@@ -83,15 +98,25 @@
     }
 
     /**
-     * Without gRPC's own retries: whether a statement goes out again is the module's to decide. What a stream holds while
-     * its client takes nothing counts against its connection, too, so the connection's window is as wide as it can be.
+     * Without gRPC's own retries: whether a statement goes out again is the module's to decide.
+     * What a stream holds while its client takes nothing counts against its connection, too, so the
+     * connection's window is as wide as it can be.
      */
-    private static ManagedChannel dial(InetSocketAddress address, SettingsParser.Wiring wiring, FlightConfig config,
+    private static ManagedChannel dial(
+            InetSocketAddress address,
+            SettingsParser.Wiring wiring,
+            FlightConfig config,
             NioEventLoopGroup threads) {
-        return NettyChannelBuilder.forAddress(address).usePlaintext().disableRetry().directExecutor()
-                .maxInboundMessageSize(config.maxMessageBytes()).flowControlWindow(config.windowBytes())
-                .eventLoopGroup(threads).channelFactory(WideConnection::new)
-                .idleTimeout(Math.max(1, wiring.idleUs() * 7 / 10), TimeUnit.MICROSECONDS).build();
+        return NettyChannelBuilder.forAddress(address)
+                .usePlaintext()
+                .disableRetry()
+                .directExecutor()
+                .maxInboundMessageSize(config.maxMessageBytes())
+                .flowControlWindow(config.windowBytes())
+                .eventLoopGroup(threads)
+                .channelFactory(WideConnection::new)
+                .idleTimeout(Math.max(1, wiring.idleUs() * 7 / 10), TimeUnit.MICROSECONDS)
+                .build();
     }
 
     @Override
@@ -122,11 +147,21 @@
     /** The work of a request that is just text: a query that must be whole, or an update. */
     private static Work.Job plain(Gateway.Attempt attempt) {
         ByteString sql = ByteString.copyFrom(attempt.request.body);
-        Work work = attempt.request.isLoad()
-                ? new Work.Update(FlightWire.packed(FlightSql.CommandStatementUpdate.newBuilder().setQueryBytes(sql)
-                        .build()), null)
-                : new Work.Query(FlightWire.packed(FlightSql.CommandStatementQuery.newBuilder().setQueryBytes(sql)
-                        .build()), null, false);
+        Work work =
+                attempt.request.isLoad()
+                        ? new Work.Update(
+                                FlightWire.packed(
+                                        FlightSql.CommandStatementUpdate.newBuilder()
+                                                .setQueryBytes(sql)
+                                                .build()),
+                                null)
+                        : new Work.Query(
+                                FlightWire.packed(
+                                        FlightSql.CommandStatementQuery.newBuilder()
+                                                .setQueryBytes(sql)
+                                                .build()),
+                                null,
+                                false);
         return new Work.Job(work, new Metadata());
     }
 
@@ -188,12 +223,17 @@
     }
 
     /**
-     * Ends something that an engine holds for us and nobody waits for: no query, so the module is not asked. Nothing goes
-     * to an engine that drains, unless {@code urgent}, which is for what its drain still allows.
+     * Ends something that an engine holds for us and nobody waits for: no query, so the module is
+     * not asked. Nothing goes to an engine that drains, unless {@code urgent}, which is for what
+     * its drain still allows.
      */
     public void tidy(long engine, String action, ByteString body, boolean urgent) {
         if (urgent || !withdrawn.contains(engine)) {
-            act(engine, action, body, status -> { }); // Where it fails the engine's own lease ends it.
+            act(
+                    engine,
+                    action,
+                    body,
+                    status -> {}); // Where it fails the engine's own lease ends it.
         }
     }
 
@@ -210,20 +250,23 @@
             loop.soon(() -> then.accept(Status.UNAVAILABLE));
             return;
         }
-        FlightServiceGrpc.newStub(channel).withDeadlineAfter(HOUSEKEEPING_MS, TimeUnit.MILLISECONDS).doAction(
-                Flight.Action.newBuilder().setType(action).setBody(body).build(), new StreamObserver<>() {
-                    @Override
-                    public void onNext(Flight.Result result) { }
-
-                    @Override
-                    public void onError(Throwable error) {
-                        loop.post(() -> then.accept(Status.fromThrowable(error)));
-                    }
-
-                    @Override
-                    public void onCompleted() {
-                        loop.post(() -> then.accept(Status.OK));
-                    }
-                });
+        FlightServiceGrpc.newStub(channel)
+                .withDeadlineAfter(HOUSEKEEPING_MS, TimeUnit.MILLISECONDS)
+                .doAction(
+                        Flight.Action.newBuilder().setType(action).setBody(body).build(),
+                        new StreamObserver<>() {
+                            @Override
+                            public void onNext(Flight.Result result) {}
+
+                            @Override
+                            public void onError(Throwable error) {
+                                loop.post(() -> then.accept(Status.fromThrowable(error)));
+                            }
+
+                            @Override
+                            public void onCompleted() {
+                                loop.post(() -> then.accept(Status.OK));
+                            }
+                        });
     }
 }
--- a/src/main/java/calicostream/flight/engine/IngestCall.java
+++ b/src/main/java/calicostream/flight/engine/IngestCall.java
@@ -18,8 +18,9 @@
 import org.apache.arrow.flight.sql.impl.FlightSql;
 
 /**
- * Rows from a client to an engine, one frame at a time and no faster than the engine takes them. Until the first rows
- * have gone out nothing is stored, so the attempt counts as never run; from then on its outcome is the engine's to tell.
+ * Rows from a client to an engine, one frame at a time and no faster than the engine takes them.
+ * Until the first rows have gone out nothing is stored, so the attempt counts as never run; from
+ * then on its outcome is the engine's to tell.
  */
 final class IngestCall extends Call implements Upload.Receiver {
     private static final long NOTE_EVERY = 200_000;
@@ -43,30 +44,35 @@
             return;
         }
         put = channel().newCall(FlightWire.DO_PUT, timed());
-        put.start(new ClientCall.Listener<>() {
-            @Override
-            public void onMessage(Flight.PutResult message) {
-                told = message;
-                put.request(1);
-            }
+        put.start(
+                new ClientCall.Listener<>() {
+                    @Override
+                    public void onMessage(Flight.PutResult message) {
+                        told = message;
+                        put.request(1);
+                    }
 
-            @Override
-            public void onReady() {
-                draw();
-            }
+                    @Override
+                    public void onReady() {
+                        draw();
+                    }
 
-            @Override
-            public void onClose(Status status, Metadata trailers) {
-                closed(status);
-            }
-        }, new Metadata());
+                    @Override
+                    public void onClose(Status status, Metadata trailers) {
+                        closed(status);
+                    }
+                },
+                new Metadata());
         put.request(1);
         put.sendMessage(work.upload().schema().describedBy(FlightWire.descriptor(work.command())));
         schemaSent = true;
         draw();
     }
 
-    /** One frame is asked for at a time, and none before the schema is out, which the loop's thread sends. */
+    /**
+     * One frame is asked for at a time, and none before the schema is out, which the loop's thread
+     * sends.
+     */
     private void draw() {
         if (schemaSent && put.isReady() && drawing.compareAndSet(false, true)) {
             work.upload().draw(this);
@@ -90,7 +96,8 @@
         long now = engines.loop.clock().now();
         if (now - notedAt > NOTE_EVERY) {
             notedAt = now;
-            engines.loop.post(() -> engines.gateway().progress(attempt, QueryRouter.Notice.OTHER, 0));
+            engines.loop.post(
+                    () -> engines.gateway().progress(attempt, QueryRouter.Notice.OTHER, 0));
         }
     }
 
@@ -102,23 +109,37 @@
     }
 
     private void closed(Status status) {
-        boolean stored = work.upload().leave(this); // Asked once: rows on their way here must not be lost with this call.
+        boolean stored =
+                work.upload()
+                        .leave(this); // Asked once: rows on their way here must not be lost with
+        // this call.
         if (status.isOk()) {
             try {
-                finish(told == null ? Outcome.ERROR : Outcome.OK, told == null ? null : new Answers.Counted(
-                        FlightSql.DoPutUpdateResult.parseFrom(told.getAppMetadata()).getRecordCount()));
+                finish(
+                        told == null ? Outcome.ERROR : Outcome.OK,
+                        told == null
+                                ? null
+                                : new Answers.Counted(
+                                        FlightSql.DoPutUpdateResult.parseFrom(told.getAppMetadata())
+                                                .getRecordCount()));
             } catch (InvalidProtocolBufferException e) {
                 finish(Outcome.ERROR, null);
             }
         } else if (isOwnWord(status)) {
             conclude(status);
-        } else if (stored && outcome(status) == Outcome.FULL) { // Proven: not a row was stored, though some are gone.
+        } else if (stored
+                && outcome(status)
+                        == Outcome.FULL) { // Proven: not a row was stored, though some are gone.
             conclude(Status.UNAVAILABLE.withDescription("refused by the engine"));
         } else if (stored) {
             Outcome outcome = outcome(status);
             finish(outcome.mayHaveRun ? outcome : Outcome.ERROR, null);
         } else { // Not a row has gone out.
-            finish(status.getCode() == Status.Code.UNAVAILABLE ? Outcome.CONNECT_FAILED : Outcome.FULL, null);
+            finish(
+                    status.getCode() == Status.Code.UNAVAILABLE
+                            ? Outcome.CONNECT_FAILED
+                            : Outcome.FULL,
+                    null);
         }
     }
 }
--- a/src/main/java/calicostream/flight/engine/PollCall.java
+++ b/src/main/java/calicostream/flight/engine/PollCall.java
@@ -12,8 +12,8 @@
 import org.apache.arrow.flight.impl.Flight;
 
 /**
- * A long query that the engine tells the progress of: asked again until it is done, its news handed to the module as
- * notes. An engine that knows no polling is asked for the plan at once.
+ * A long query that the engine tells the progress of: asked again until it is done, its news handed
+ * to the module as notes. An engine that knows no polling is asked for the plan at once.
  */
 final class PollCall extends Call {
     private static final long AT_ONCE = 10_000;
@@ -36,31 +36,40 @@
 
     private void ask() {
         askedAt = engines.loop.clock().now();
-        run(() -> stub().pollFlightInfo(next, new Step<Flight.PollInfo>() {
-            @Override
-            public void onCompleted() {
-                answered(last);
-            }
+        run(
+                () ->
+                        stub().pollFlightInfo(
+                                        next,
+                                        new Step<Flight.PollInfo>() {
+                                            @Override
+                                            public void onCompleted() {
+                                                answered(last);
+                                            }
 
-            @Override
-            public void onError(Throwable error) {
-                if (Status.fromThrowable(error).getCode() == Status.Code.UNIMPLEMENTED && share < 0) {
-                    plan();
-                } else {
-                    failed(error);
-                }
-            }
-        }));
+                                            @Override
+                                            public void onError(Throwable error) {
+                                                if (Status.fromThrowable(error).getCode()
+                                                                == Status.Code.UNIMPLEMENTED
+                                                        && share < 0) {
+                                                    plan();
+                                                } else {
+                                                    failed(error);
+                                                }
+                                            }
+                                        }));
     }
 
     private void plan() {
-        plan(work.command(), new Step<>() {
-            @Override
-            public void onCompleted() {
-                finish(last == null ? Outcome.SPOILT : Outcome.OK,
-                        last == null ? null : new Answers.Planned(attempt.engine, last));
-            }
-        });
+        plan(
+                work.command(),
+                new Step<>() {
+                    @Override
+                    public void onCompleted() {
+                        finish(
+                                last == null ? Outcome.SPOILT : Outcome.OK,
+                                last == null ? null : new Answers.Planned(attempt.engine, last));
+                    }
+                });
     }
 
     private void answered(Flight.PollInfo told) {
@@ -73,23 +82,29 @@
             double to = told.hasProgress() ? told.getProgress() : 0;
             boolean news = to > share;
             share = Math.max(share, to);
-            engines.loop.post(() -> {
-                if (news && to > 0 && to <= 1) {
-                    engines.gateway().progress(attempt, Notice.SHARE_DONE, to);
-                    work.progress().accept(to);
-                } else { // It says that it is there, if no more.
-                    engines.gateway().progress(attempt, Notice.OTHER, 0);
-                }
-                boolean early = engines.loop.clock().now() - askedAt < AT_ONCE;
-                if (isOver()) {
-                    return;
-                }
-                if (early) { // The engine should have waited for news itself.
-                    engines.loop.deadlines().add(engines.loop.clock().now() + PAUSE, (now, ref) -> ask(), 0);
-                } else {
-                    ask();
-                }
-            });
+            engines.loop.post(
+                    () -> {
+                        if (news && to > 0 && to <= 1) {
+                            engines.gateway().progress(attempt, Notice.SHARE_DONE, to);
+                            work.progress().accept(to);
+                        } else { // It says that it is there, if no more.
+                            engines.gateway().progress(attempt, Notice.OTHER, 0);
+                        }
+                        boolean early = engines.loop.clock().now() - askedAt < AT_ONCE;
+                        if (isOver()) {
+                            return;
+                        }
+                        if (early) { // The engine should have waited for news itself.
+                            engines.loop
+                                    .deadlines()
+                                    .add(
+                                            engines.loop.clock().now() + PAUSE,
+                                            (now, ref) -> ask(),
+                                            0);
+                        } else {
+                            ask();
+                        }
+                    });
         }
     }
 }
--- a/src/main/java/calicostream/flight/engine/QueryCall.java
+++ b/src/main/java/calicostream/flight/engine/QueryCall.java
@@ -20,8 +20,9 @@
 import org.apache.arrow.flight.sql.impl.FlightSql;
 
 /**
- * A query and its result: the endpoints are read in order, as one stream. What the gate holds is kept until the engine has
- * ended without error; once it lets the stream begin, one frame at a time is drawn, when the sink takes it.
+ * A query and its result: the endpoints are read in order, as one stream. What the gate holds is
+ * kept until the engine has ended without error; once it lets the stream begin, one frame at a time
+ * is drawn, when the sink takes it.
  */
 final class QueryCall extends Call implements Answers.Stream {
     private final ByteString command;
@@ -47,17 +48,26 @@
         tickets = work.tickets();
     }
 
-    private QueryCall(FlightEngines engines, Gateway.Attempt attempt, Metadata with, ByteString command,
-            Work.Bound bound, boolean streams) {
+    private QueryCall(
+            FlightEngines engines,
+            Gateway.Attempt attempt,
+            Metadata with,
+            ByteString command,
+            Work.Bound bound,
+            boolean streams) {
         super(engines, attempt, with);
         this.command = command;
         this.streams = streams;
         lease = bound == null ? null : new Lease(this, bound);
-        gate = new ResultGate(streams ? engines.config.holdBytes() : engines.config.mostHeldBytes(),
-                engines.config.mostResultBytes(), streams);
+        gate =
+                new ResultGate(
+                        streams ? engines.config.holdBytes() : engines.config.mostHeldBytes(),
+                        engines.config.mostResultBytes(),
+                        streams);
     }
 
-    // ---- What to fetch ----------------------------------------------------------------------------------
+    // ---- What to fetch
+    // ----------------------------------------------------------------------------------
     @Override
     void begin() {
         if (lease != null) {
@@ -70,33 +80,46 @@
     }
 
     private void bindAndPlan(ByteString handle) {
-        lease.bind(bound -> planFor(FlightWire.packed(FlightSql.CommandPreparedStatementQuery.newBuilder()
-                .setPreparedStatementHandle(bound).build())));
+        lease.bind(
+                bound ->
+                        planFor(
+                                FlightWire.packed(
+                                        FlightSql.CommandPreparedStatementQuery.newBuilder()
+                                                .setPreparedStatementHandle(bound)
+                                                .build())));
     }
 
     private void planFor(ByteString what) {
-        plan(what, new Step<>() {
-            @Override
-            public void onCompleted() {
-                if (last == null) {
-                    finish(Outcome.SPOILT, null);
-                } else {
-                    tickets = last.getEndpointList().stream().map(each -> each.getTicket().getTicket()).toList();
-                    fetch();
-                }
-            }
-        });
+        plan(
+                what,
+                new Step<>() {
+                    @Override
+                    public void onCompleted() {
+                        if (last == null) {
+                            finish(Outcome.SPOILT, null);
+                        } else {
+                            tickets =
+                                    last.getEndpointList().stream()
+                                            .map(each -> each.getTicket().getTicket())
+                                            .toList();
+                            fetch();
+                        }
+                    }
+                });
     }
 
     @Override
     void failed(Throwable error) {
         boolean whole = held.isEmpty() && !gate.hasBegun();
-        if (lease == null || !whole || !lease.again(Status.fromThrowable(error), this::bindAndPlan)) {
+        if (lease == null
+                || !whole
+                || !lease.again(Status.fromThrowable(error), this::bindAndPlan)) {
             super.failed(error);
         }
     }
 
-    // ---- Fetching ---------------------------------------------------------------------------------------
+    // ---- Fetching
+    // ---------------------------------------------------------------------------------------
     /** Fetches the next part of the result; the result is whole once there is no further one. */
     private void fetch() {
         if (nextTicket == tickets.size()) {
@@ -104,31 +127,38 @@
             return;
         }
         Flight.Ticket ticket = FlightWire.ticket(tickets.get(nextTicket++));
-        run(() -> {
-            // A stream that has begun belongs to its client, and ends by the client's deadline only.
-            ClientCall<Flight.Ticket, Frame> call = channel().newCall(FlightWire.DO_GET,
-                    streams ? CallOptions.DEFAULT : timed());
-            get = call;
-            call.start(new ClientCall.Listener<>() {
-                @Override
-                public void onMessage(Frame frame) {
-                    arrived(frame);
-                }
+        run(
+                () -> {
+                    // A stream that has begun belongs to its client, and ends by the client's
+                    // deadline only.
+                    ClientCall<Flight.Ticket, Frame> call =
+                            channel()
+                                    .newCall(
+                                            FlightWire.DO_GET,
+                                            streams ? CallOptions.DEFAULT : timed());
+                    get = call;
+                    call.start(
+                            new ClientCall.Listener<>() {
+                                @Override
+                                public void onMessage(Frame frame) {
+                                    arrived(frame);
+                                }
 
-                @Override
-                public void onClose(Status status, Metadata trailers) {
-                    if (!status.isOk()) {
-                        failed(status.asRuntimeException(trailers));
-                    } else if (!isOver()) {
-                        fetch();
-                    }
-                }
-            }, new Metadata());
-            call.sendMessage(ticket);
-            call.halfClose();
-            drawn.set(false);
-            pull();
-        });
+                                @Override
+                                public void onClose(Status status, Metadata trailers) {
+                                    if (!status.isOk()) {
+                                        failed(status.asRuntimeException(trailers));
+                                    } else if (!isOver()) {
+                                        fetch();
+                                    }
+                                }
+                            },
+                            new Metadata());
+                    call.sendMessage(ticket);
+                    call.halfClose();
+                    drawn.set(false);
+                    pull();
+                });
     }
 
     private void arrived(Frame frame) {
@@ -138,8 +168,11 @@
             return;
         }
         Frame.Kind kind = frame.kind();
-        boolean again = kind == Frame.Kind.SCHEMA && hasSchema; // Of several parts only the first brings a schema.
-        if (kind == Frame.Kind.BAD || !hasSchema && (kind == Frame.Kind.BATCH || kind == Frame.Kind.DICTIONARY)) {
+        boolean again =
+                kind == Frame.Kind.SCHEMA
+                        && hasSchema; // Of several parts only the first brings a schema.
+        if (kind == Frame.Kind.BAD
+                || !hasSchema && (kind == Frame.Kind.BATCH || kind == Frame.Kind.DICTIONARY)) {
             frame.release();
             finish(Outcome.SPOILT, null);
             context.cancel(null);
@@ -162,7 +195,8 @@
                 reserved += room ? frame.bytes() : 0;
                 held.add(frame);
                 flows = engines.admission.beginStream();
-                if (!flows) { // Nothing has gone to the client, so this is a refusal like any other.
+                if (!flows) { // Nothing has gone to the client, so this is a refusal like any
+                    // other.
                     conclude(Status.UNAVAILABLE.withDescription("too many streams"));
                     context.cancel(null);
                     break;
@@ -196,7 +230,8 @@
         }
     }
 
-    // ---- Flow -------------------------------------------------------------------------------------------
+    // ---- Flow
+    // -------------------------------------------------------------------------------------------
     @Override
     public void flow(Answers.Sink to) {
         List<Frame> first = held;
@@ -209,7 +244,9 @@
         pull();
     }
 
-    /** Asks for one frame more, if the sink takes one; else the sink calls this again once it does. */
+    /**
+     * Asks for one frame more, if the sink takes one; else the sink calls this again once it does.
+     */
     private void pull() {
         Answers.Sink to = sink;
         if (to != null && !to.isReady()) {
--- a/src/main/java/calicostream/flight/engine/UnaryCall.java
+++ b/src/main/java/calicostream/flight/engine/UnaryCall.java
@@ -28,39 +28,57 @@
     void begin() {
         if (work instanceof Work.Act act) {
             List<ByteString> results = new ArrayList<>();
-            act(act.type(), act.body(), new Step<>() {
-                @Override
-                public void onNext(Flight.Result result) {
-                    if (results.size() < MOST_RESULTS) {
-                        results.add(result.getBody());
-                    }
-                }
+            act(
+                    act.type(),
+                    act.body(),
+                    new Step<>() {
+                        @Override
+                        public void onNext(Flight.Result result) {
+                            if (results.size() < MOST_RESULTS) {
+                                results.add(result.getBody());
+                            }
+                        }
 
-                @Override
-                public void onCompleted() {
-                    if (results.stream().allMatch(UnaryCall::isPacked)) {
-                        finish(Outcome.OK, new Answers.Acted(attempt.engine, results));
-                    } else {
-                        finish(Outcome.SPOILT, null);
-                    }
-                }
-            });
+                        @Override
+                        public void onCompleted() {
+                            if (results.stream().allMatch(UnaryCall::isPacked)) {
+                                finish(Outcome.OK, new Answers.Acted(attempt.engine, results));
+                            } else {
+                                finish(Outcome.SPOILT, null);
+                            }
+                        }
+                    });
         } else if (work instanceof Work.Describe describe) {
-            run(() -> stub().getSchema(FlightWire.descriptor(describe.command()), new Step<Flight.SchemaResult>() {
-                @Override
-                public void onCompleted() {
-                    finish(last == null ? Outcome.SPOILT : Outcome.OK,
-                            last == null ? null : new Answers.Described(last.getSchema()));
-                }
-            }));
+            run(
+                    () ->
+                            stub().getSchema(
+                                            FlightWire.descriptor(describe.command()),
+                                            new Step<Flight.SchemaResult>() {
+                                                @Override
+                                                public void onCompleted() {
+                                                    finish(
+                                                            last == null
+                                                                    ? Outcome.SPOILT
+                                                                    : Outcome.OK,
+                                                            last == null
+                                                                    ? null
+                                                                    : new Answers.Described(
+                                                                            last.getSchema()));
+                                                }
+                                            }));
         } else {
-            plan(((Work.Plan) work).command(), new Step<>() {
-                @Override
-                public void onCompleted() {
-                    finish(last == null ? Outcome.SPOILT : Outcome.OK,
-                            last == null ? null : new Answers.Planned(attempt.engine, last));
-                }
-            });
+            plan(
+                    ((Work.Plan) work).command(),
+                    new Step<>() {
+                        @Override
+                        public void onCompleted() {
+                            finish(
+                                    last == null ? Outcome.SPOILT : Outcome.OK,
+                                    last == null
+                                            ? null
+                                            : new Answers.Planned(attempt.engine, last));
+                        }
+                    });
         }
     }
 
--- a/src/main/java/calicostream/flight/engine/UpdateCall.java
+++ b/src/main/java/calicostream/flight/engine/UpdateCall.java
@@ -16,7 +16,10 @@
 import org.apache.arrow.flight.sql.impl.FlightSql;
 import org.apache.arrow.vector.types.pojo.Schema;
 
-/** An update: a DoPut that brings the statement, and the rows bound to it where it is a prepared one. */
+/**
+ * An update: a DoPut that brings the statement, and the rows bound to it where it is a prepared
+ * one.
+ */
 final class UpdateCall extends Call {
     private final Work.Update work;
     private final Lease lease;
@@ -28,7 +31,10 @@
     }
 
     static Frame noRows() {
-        return Frame.of(ByteString.EMPTY, FlightWire.schemaHeader(new Schema(List.of())), ByteString.EMPTY,
+        return Frame.of(
+                ByteString.EMPTY,
+                FlightWire.schemaHeader(new Schema(List.of())),
+                ByteString.EMPTY,
                 ByteString.EMPTY);
     }
 
@@ -43,33 +49,47 @@
 
     private void put(ByteString handle) {
         List<Frame> rows = work.bound().rows();
-        put(FlightWire.packed(FlightSql.CommandPreparedStatementUpdate.newBuilder().setPreparedStatementHandle(handle)
-                .build()), rows.isEmpty() ? List.of(noRows()) : rows);
+        put(
+                FlightWire.packed(
+                        FlightSql.CommandPreparedStatementUpdate.newBuilder()
+                                .setPreparedStatementHandle(handle)
+                                .build()),
+                rows.isEmpty() ? List.of(noRows()) : rows);
     }
 
     private void put(ByteString command, List<Frame> frames) {
-        Lease.put(this, command, frames, new Step<>() {
-            @Override
-            public void onCompleted() {
-                finish(last);
-            }
+        Lease.put(
+                this,
+                command,
+                frames,
+                new Step<>() {
+                    @Override
+                    public void onCompleted() {
+                        finish(last);
+                    }
 
-            @Override
-            public void onError(Throwable error) {
-                Status status = Status.fromThrowable(error);
-                if (lease == null || status.getCode() != Status.Code.NOT_FOUND
-                        || !lease.again(status, UpdateCall.this::put)) {
-                    failed(error);
-                }
-            }
-        });
+                    @Override
+                    public void onError(Throwable error) {
+                        Status status = Status.fromThrowable(error);
+                        if (lease == null
+                                || status.getCode() != Status.Code.NOT_FOUND
+                                || !lease.again(status, UpdateCall.this::put)) {
+                            failed(error);
+                        }
+                    }
+                });
     }
 
     /** An engine that says nothing of the outcome has not said that it ran. */
     private void finish(Flight.PutResult told) {
         try {
-            finish(told == null ? Outcome.ERROR : Outcome.OK, told == null ? null
-                    : new Answers.Counted(FlightSql.DoPutUpdateResult.parseFrom(told.getAppMetadata()).getRecordCount()));
+            finish(
+                    told == null ? Outcome.ERROR : Outcome.OK,
+                    told == null
+                            ? null
+                            : new Answers.Counted(
+                                    FlightSql.DoPutUpdateResult.parseFrom(told.getAppMetadata())
+                                            .getRecordCount()));
         } catch (InvalidProtocolBufferException e) {
             finish(Outcome.ERROR, null);
         }
--- a/src/main/java/calicostream/flight/engine/WideConnection.java
+++ b/src/main/java/calicostream/flight/engine/WideConnection.java
@@ -11,8 +11,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A connection to an engine whose window for all streams together is never what stops one of them. gRPC makes it as wide
- * as one stream's: then a single client that reads nothing would hold up every other stream of its engine's connection.
+ * A connection to an engine whose window for all streams together is never what stops one of them.
+ * gRPC makes it as wide as one stream's: then a single client that reads nothing would hold up
+ * every other stream of its engine's connection.
  */
 final class WideConnection extends NioSocketChannel {
     WideConnection() {
--- a/src/main/java/calicostream/flight/front/Actions.java
+++ b/src/main/java/calicostream/flight/front/Actions.java
@@ -14,7 +14,10 @@
 import org.apache.arrow.flight.impl.Flight;
 import org.apache.arrow.flight.sql.impl.FlightSql;
 
-/** DoAction: each action's name and what takes it. Flight's own actions are plain messages, Flight SQL's are packed. */
+/**
+ * DoAction: each action's name and what takes it. Flight's own actions are plain messages, Flight
+ * SQL's are packed.
+ */
 final class Actions {
     private interface Taker {
         void take(Exchange<Flight.Result> call, ByteString body);
@@ -26,35 +29,85 @@
     private final Map<String, Taker> takers = new LinkedHashMap<>();
     private final Map<String, String> described = new LinkedHashMap<>();
 
-    Actions(Desk desk, Queries queries, Polls polls, Logins logins, Statements statements, TransactionDesk transactions) {
+    Actions(
+            Desk desk,
+            Queries queries,
+            Polls polls,
+            Logins logins,
+            Statements statements,
+            TransactionDesk transactions) {
         this.queries = queries;
         this.polls = polls;
         this.logins = logins;
         add(FlightWire.CANCEL_INFO, "Ends a query and frees its engine.", this::cancelInfo);
         add(FlightWire.CANCEL_QUERY, "The older form of CancelFlightInfo.", this::cancelQuery);
         add(FlightWire.RENEW_ENDPOINT, "Begins an endpoint's time anew.", this::renew);
-        add(FlightWire.SET_OPTIONS, "Sets options of the session: catalog, schema, class, priority.", this::setOptions);
+        add(
+                FlightWire.SET_OPTIONS,
+                "Sets options of the session: catalog, schema, class, priority.",
+                this::setOptions);
         add(FlightWire.GET_OPTIONS, "Tells the session's options.", this::getOptions);
         add(FlightWire.CLOSE_SESSION, "Ends the session.", this::closeSession);
         if (desk.engines == null) {
             return; // What is left needs engines that speak Flight SQL.
         }
-        add(FlightWire.CREATE_PREPARED, "Prepares a statement.", (call, body) -> statements.create(call,
-                Commands.unpack(body, FlightSql.ActionCreatePreparedStatementRequest.class)));
-        add(FlightWire.CREATE_PREPARED_PLAN, "Prepares a Substrait plan.", (call, body) -> statements.createPlan(call,
-                Commands.unpack(body, FlightSql.ActionCreatePreparedSubstraitPlanRequest.class)));
-        add(FlightWire.CLOSE_PREPARED, "Closes a prepared statement, at its engines too.", (call, body) ->
-                statements.close(call, Commands.unpack(body, FlightSql.ActionClosePreparedStatementRequest.class)));
-        add(FlightWire.BEGIN_TRANSACTION, "Begins a transaction on one engine.", (call, body) -> {
-            Commands.unpack(body, FlightSql.ActionBeginTransactionRequest.class);
-            transactions.begin(call);
-        });
-        add(FlightWire.END_TRANSACTION, "Commits or rolls back.", (call, body) -> transactions.end(call,
-                Commands.unpack(body, FlightSql.ActionEndTransactionRequest.class)));
-        add(FlightWire.BEGIN_SAVEPOINT, "Sets a savepoint in a transaction.", (call, body) -> transactions.savepoint(call,
-                Commands.unpack(body, FlightSql.ActionBeginSavepointRequest.class)));
-        add(FlightWire.END_SAVEPOINT, "Releases a savepoint, or rolls back to it.", (call, body) ->
-                transactions.endSavepoint(call, Commands.unpack(body, FlightSql.ActionEndSavepointRequest.class)));
+        add(
+                FlightWire.CREATE_PREPARED,
+                "Prepares a statement.",
+                (call, body) ->
+                        statements.create(
+                                call,
+                                Commands.unpack(
+                                        body,
+                                        FlightSql.ActionCreatePreparedStatementRequest.class)));
+        add(
+                FlightWire.CREATE_PREPARED_PLAN,
+                "Prepares a Substrait plan.",
+                (call, body) ->
+                        statements.createPlan(
+                                call,
+                                Commands.unpack(
+                                        body,
+                                        FlightSql.ActionCreatePreparedSubstraitPlanRequest.class)));
+        add(
+                FlightWire.CLOSE_PREPARED,
+                "Closes a prepared statement, at its engines too.",
+                (call, body) ->
+                        statements.close(
+                                call,
+                                Commands.unpack(
+                                        body,
+                                        FlightSql.ActionClosePreparedStatementRequest.class)));
+        add(
+                FlightWire.BEGIN_TRANSACTION,
+                "Begins a transaction on one engine.",
+                (call, body) -> {
+                    Commands.unpack(body, FlightSql.ActionBeginTransactionRequest.class);
+                    transactions.begin(call);
+                });
+        add(
+                FlightWire.END_TRANSACTION,
+                "Commits or rolls back.",
+                (call, body) ->
+                        transactions.end(
+                                call,
+                                Commands.unpack(
+                                        body, FlightSql.ActionEndTransactionRequest.class)));
+        add(
+                FlightWire.BEGIN_SAVEPOINT,
+                "Sets a savepoint in a transaction.",
+                (call, body) ->
+                        transactions.savepoint(
+                                call,
+                                Commands.unpack(
+                                        body, FlightSql.ActionBeginSavepointRequest.class)));
+        add(
+                FlightWire.END_SAVEPOINT,
+                "Releases a savepoint, or rolls back to it.",
+                (call, body) ->
+                        transactions.endSavepoint(
+                                call,
+                                Commands.unpack(body, FlightSql.ActionEndSavepointRequest.class)));
     }
 
     private void add(String name, String what, Taker taker) {
@@ -72,8 +125,14 @@
     }
 
     List<Flight.ActionType> list() {
-        return described.entrySet().stream().map(each -> Flight.ActionType.newBuilder().setType(each.getKey())
-                .setDescription(each.getValue()).build()).toList();
+        return described.entrySet().stream()
+                .map(
+                        each ->
+                                Flight.ActionType.newBuilder()
+                                        .setType(each.getKey())
+                                        .setDescription(each.getValue())
+                                        .build())
+                .toList();
     }
 
     private static <M extends Message> M plain(ByteString body, Parser<M> parser) {
@@ -88,7 +147,8 @@
         return Flight.Result.newBuilder().setBody(message.toByteString()).build();
     }
 
-    // ---- Queries ----------------------------------------------------------------------------------------
+    // ---- Queries
+    // ----------------------------------------------------------------------------------------
     private boolean cancel(Exchange<?> call, Flight.FlightInfo info) {
         boolean any = polls.cancel(call.owner, info.getFlightDescriptor());
         for (Flight.FlightEndpoint endpoint : info.getEndpointList()) {
@@ -98,29 +158,41 @@
     }
 
     private void cancelInfo(Exchange<Flight.Result> call, ByteString body) {
-        Flight.CancelFlightInfoRequest request = plain(body, Flight.CancelFlightInfoRequest.parser());
+        Flight.CancelFlightInfoRequest request =
+                plain(body, Flight.CancelFlightInfoRequest.parser());
         if (!cancel(call, request.getInfo())) {
             call.fail(Words.UNKNOWN_HANDLE);
             return;
         }
-        call.reply(plain(Flight.CancelFlightInfoResult.newBuilder()
-                .setStatus(Flight.CancelStatus.CANCEL_STATUS_CANCELLED).build()));
+        call.reply(
+                plain(
+                        Flight.CancelFlightInfoResult.newBuilder()
+                                .setStatus(Flight.CancelStatus.CANCEL_STATUS_CANCELLED)
+                                .build()));
     }
 
     @SuppressWarnings("deprecation") // Older clients have no other word for it.
     private void cancelQuery(Exchange<Flight.Result> call, ByteString body) {
-        FlightSql.ActionCancelQueryRequest request = Commands.unpack(body, FlightSql.ActionCancelQueryRequest.class);
+        FlightSql.ActionCancelQueryRequest request =
+                Commands.unpack(body, FlightSql.ActionCancelQueryRequest.class);
         if (!cancel(call, plain(request.getInfo(), Flight.FlightInfo.parser()))) {
             call.fail(Words.UNKNOWN_HANDLE);
             return;
         }
-        call.reply(TransactionDesk.result(FlightSql.ActionCancelQueryResult.newBuilder()
-                .setResult(FlightSql.ActionCancelQueryResult.CancelResult.CANCEL_RESULT_CANCELLED).build()));
+        call.reply(
+                TransactionDesk.result(
+                        FlightSql.ActionCancelQueryResult.newBuilder()
+                                .setResult(
+                                        FlightSql.ActionCancelQueryResult.CancelResult
+                                                .CANCEL_RESULT_CANCELLED)
+                                .build()));
     }
 
     private void renew(Exchange<Flight.Result> call, ByteString body) {
-        Flight.FlightEndpoint renewed = queries.renew(call.owner,
-                plain(body, Flight.RenewFlightEndpointRequest.parser()).getEndpoint());
+        Flight.FlightEndpoint renewed =
+                queries.renew(
+                        call.owner,
+                        plain(body, Flight.RenewFlightEndpointRequest.parser()).getEndpoint());
         if (renewed == null) {
             call.fail(Words.UNKNOWN_HANDLE, 0);
         } else {
@@ -128,31 +200,49 @@
         }
     }
 
-    // ---- Sessions ---------------------------------------------------------------------------------------
+    // ---- Sessions
+    // ---------------------------------------------------------------------------------------
     private void setOptions(Exchange<Flight.Result> call, ByteString body) {
-        Flight.SetSessionOptionsRequest request = plain(body, Flight.SetSessionOptionsRequest.parser());
+        Flight.SetSessionOptionsRequest request =
+                plain(body, Flight.SetSessionOptionsRequest.parser());
         Sessions.Session session = logins.opened(call);
         Flight.SetSessionOptionsResult.Builder out = Flight.SetSessionOptionsResult.newBuilder();
-        request.getSessionOptionsMap().forEach((name, value) -> {
-            Sessions.Setting done = logins.sessions().set(session, name, value(value));
-            if (done != Sessions.Setting.DONE) {
-                out.putErrors(name, Flight.SetSessionOptionsResult.Error.newBuilder().setValue(
-                        done == Sessions.Setting.BAD_NAME ? Flight.SetSessionOptionsResult.ErrorValue.INVALID_NAME
-                                : Flight.SetSessionOptionsResult.ErrorValue.INVALID_VALUE).build());
-            }
-        });
+        request.getSessionOptionsMap()
+                .forEach(
+                        (name, value) -> {
+                            Sessions.Setting done =
+                                    logins.sessions().set(session, name, value(value));
+                            if (done != Sessions.Setting.DONE) {
+                                out.putErrors(
+                                        name,
+                                        Flight.SetSessionOptionsResult.Error.newBuilder()
+                                                .setValue(
+                                                        done == Sessions.Setting.BAD_NAME
+                                                                ? Flight.SetSessionOptionsResult
+                                                                        .ErrorValue.INVALID_NAME
+                                                                : Flight.SetSessionOptionsResult
+                                                                        .ErrorValue.INVALID_VALUE)
+                                                .build());
+                            }
+                        });
         call.reply(plain(out.build()));
     }
 
     /** Null: the option is to be cleared. */
     private static Object value(Flight.SessionOptionValue value) {
         switch (value.getOptionValueCase()) {
-            case STRING_VALUE: return value.getStringValue();
-            case BOOL_VALUE: return value.getBoolValue();
-            case INT64_VALUE: return value.getInt64Value();
-            case DOUBLE_VALUE: return value.getDoubleValue();
-            case STRING_LIST_VALUE: return List.copyOf(value.getStringListValue().getValuesList());
-            default: return null;
+            case STRING_VALUE:
+                return value.getStringValue();
+            case BOOL_VALUE:
+                return value.getBoolValue();
+            case INT64_VALUE:
+                return value.getInt64Value();
+            case DOUBLE_VALUE:
+                return value.getDoubleValue();
+            case STRING_LIST_VALUE:
+                return List.copyOf(value.getStringListValue().getValuesList());
+            default:
+                return null;
         }
     }
 
@@ -160,9 +250,19 @@
         plain(body, Flight.GetSessionOptionsRequest.parser());
         Flight.GetSessionOptionsResult.Builder out = Flight.GetSessionOptionsResult.newBuilder();
         if (call.session != null) {
-            call.session.options().forEach((name, value) -> out.putSessionOptions(name, value instanceof Long number
-                    ? Flight.SessionOptionValue.newBuilder().setInt64Value(number).build()
-                    : Flight.SessionOptionValue.newBuilder().setStringValue(value.toString()).build()));
+            call.session
+                    .options()
+                    .forEach(
+                            (name, value) ->
+                                    out.putSessionOptions(
+                                            name,
+                                            value instanceof Long number
+                                                    ? Flight.SessionOptionValue.newBuilder()
+                                                            .setInt64Value(number)
+                                                            .build()
+                                                    : Flight.SessionOptionValue.newBuilder()
+                                                            .setStringValue(value.toString())
+                                                            .build()));
         }
         call.reply(plain(out.build()));
     }
@@ -173,6 +273,10 @@
             call.fail(Status.NOT_FOUND.withDescription("no session"));
             return;
         }
-        call.reply(plain(Flight.CloseSessionResult.newBuilder().setStatus(Flight.CloseSessionResult.Status.CLOSED).build()));
+        call.reply(
+                plain(
+                        Flight.CloseSessionResult.newBuilder()
+                                .setStatus(Flight.CloseSessionResult.Status.CLOSED)
+                                .build()));
     }
 }
--- a/src/main/java/calicostream/flight/front/Caller.java
+++ b/src/main/java/calicostream/flight/front/Caller.java
@@ -14,12 +14,17 @@
 import io.grpc.Status;
 import java.util.concurrent.TimeUnit;
 
-/** What a call brings beside its message, and what its answer carries beside it. Made on gRPC's threads, then the loop's. */
+/**
+ * What a call brings beside its message, and what its answer carries beside it. Made on gRPC's
+ * threads, then the loop's.
+ */
 final class Caller {
-    static final Metadata.Key<String> AUTHORIZATION = Metadata.Key.of("authorization", Metadata.ASCII_STRING_MARSHALLER);
-    private static final Metadata.Key<String> COOKIE = Metadata.Key.of("cookie", Metadata.ASCII_STRING_MARSHALLER);
-    private static final Metadata.Key<String> SET_COOKIE = Metadata.Key.of("set-cookie",
-            Metadata.ASCII_STRING_MARSHALLER);
+    static final Metadata.Key<String> AUTHORIZATION =
+            Metadata.Key.of("authorization", Metadata.ASCII_STRING_MARSHALLER);
+    private static final Metadata.Key<String> COOKIE =
+            Metadata.Key.of("cookie", Metadata.ASCII_STRING_MARSHALLER);
+    private static final Metadata.Key<String> SET_COOKIE =
+            Metadata.Key.of("set-cookie", Metadata.ASCII_STRING_MARSHALLER);
     private static final String SESSION = "arrow_flight_session_id";
     private static final Context.Key<Caller> KEY = Context.key("calicostream-caller");
     final String queryClass;
@@ -61,11 +66,18 @@
     static ServerInterceptor interceptor() {
         return new ServerInterceptor() {
             @Override
-            public <Q, R> ServerCall.Listener<Q> interceptCall(ServerCall<Q, R> call, Metadata headers,
-                    ServerCallHandler<Q, R> next) {
-                Caller caller = new Caller(headers,
-                        String.valueOf(call.getAttributes().get(Grpc.TRANSPORT_ATTR_REMOTE_ADDR)));
-                return Contexts.interceptCall(Context.current().withValue(KEY, caller), caller.adding(call), headers, next);
+            public <Q, R> ServerCall.Listener<Q> interceptCall(
+                    ServerCall<Q, R> call, Metadata headers, ServerCallHandler<Q, R> next) {
+                Caller caller =
+                        new Caller(
+                                headers,
+                                String.valueOf(
+                                        call.getAttributes().get(Grpc.TRANSPORT_ATTR_REMOTE_ADDR)));
+                return Contexts.interceptCall(
+                        Context.current().withValue(KEY, caller),
+                        caller.adding(call),
+                        headers,
+                        next);
             }
         };
     }
@@ -91,7 +103,9 @@
 
     /** Microseconds left of this deadline, at most these. */
     static long left(Deadline deadline, long most) {
-        return deadline == null ? most : Math.min(most, deadline.timeRemaining(TimeUnit.MICROSECONDS));
+        return deadline == null
+                ? most
+                : Math.min(most, deadline.timeRemaining(TimeUnit.MICROSECONDS));
     }
 
     /** On the loop, before the answer: the token to use from now on. */
--- a/src/main/java/calicostream/flight/front/Catalogs.java
+++ b/src/main/java/calicostream/flight/front/Catalogs.java
@@ -14,12 +14,16 @@
 import java.util.function.Consumer;
 
 /**
- * What engines tell of their catalogs and of statements' schemas: equal questions share an attempt, and answers live for a
- * while. The attempt belongs to no call; it is given up when nobody waits for it any more.
+ * What engines tell of their catalogs and of statements' schemas: equal questions share an attempt,
+ * and answers live for a while. The attempt belongs to no call; it is given up when nobody waits
+ * for it any more.
  */
 final class Catalogs {
-    /** What came of a question: an answer, or the status to tell; {@code stayAwayMs} below 0: nothing of coming back. */
-    record Told(Object answer, Status status, long stayAwayMs) { }
+    /**
+     * What came of a question: an answer, or the status to tell; {@code stayAwayMs} below 0:
+     * nothing of coming back.
+     */
+    record Told(Object answer, Status status, long stayAwayMs) {}
 
     private static final class Asked {
         Desk.Submitted attempt;
@@ -57,15 +61,26 @@
         ask(call, "schema", command, new Work.Describe(command), then);
     }
 
-    private void ask(Exchange<?> call, String kind, ByteString command, Work work, Consumer<Told> then) {
+    private void ask(
+            Exchange<?> call, String kind, ByteString command, Work work, Consumer<Told> then) {
         String session = desk.headers(call).toString(); // Engines may answer by session and user.
-        String question = kind + ' ' + session + ' ' + java.util.Base64.getEncoder().encodeToString(command.toByteArray());
-        String catalog = call.session == null ? "" : String.valueOf(call.session.options().getOrDefault("catalog", ""));
-        Waiter waiter = new Waiter(told -> {
-            if (!call.isOver()) {
-                then.accept(told);
-            }
-        });
+        String question =
+                kind
+                        + ' '
+                        + session
+                        + ' '
+                        + java.util.Base64.getEncoder().encodeToString(command.toByteArray());
+        String catalog =
+                call.session == null
+                        ? ""
+                        : String.valueOf(call.session.options().getOrDefault("catalog", ""));
+        Waiter waiter =
+                new Waiter(
+                        told -> {
+                            if (!call.isOver()) {
+                                then.accept(told);
+                            }
+                        });
         switch (shared.ask(desk.now(), question, waiter)) {
             case ANSWER:
                 then.accept(new Told(shared.find(desk.now(), question), null, -1));
@@ -76,14 +91,15 @@
             default:
                 break;
         }
-        call.atEnd(() -> {
-            if (shared.left(question, waiter)) {
-                Asked nobody = under.remove(question);
-                if (nobody != null && nobody.attempt != null) {
-                    nobody.attempt.abandon();
-                }
-            }
-        });
+        call.atEnd(
+                () -> {
+                    if (shared.left(question, waiter)) {
+                        Asked nobody = under.remove(question);
+                        if (nobody != null && nobody.attempt != null) {
+                            nobody.attempt.abandon();
+                        }
+                    }
+                });
     }
 
     private void attempt(Exchange<?> call, String question, String catalog, Work work) {
@@ -91,51 +107,71 @@
         int queryClass = desk.metadataClass();
         Asked asked = new Asked();
         under.put(question, asked);
-        asked.attempt = desk.submit(desk.headers(call), queryClass, desk.spec(queryClass).deadlineUs(), "", work, 0,
-                new Reply() {
-            @Override
-            public void served(Object result) {
-                Object answer = result;
-                long size = 0;
-                if (result instanceof Answers.Held held) {
-                    List<Frame> solid = held.frames().stream().map(Frame::solid).toList();
-                    size = solid.stream().mapToLong(Frame::bytes).sum();
-                    answer = solid;
-                    held.room().run();
-                } else if (result instanceof Answers.Described described) {
-                    size = described.schema().size();
-                    answer = described.schema();
-                }
-                under.remove(question, asked);
-                Told told = new Told(answer, null, -1);
-                shared.answered(desk.now(), question, epoch, catalog, answer, size + question.length() + 64L)
-                        .forEach(each -> each.then.accept(told));
-            }
-
-            @Override
-            public void refused(long stayAwayMs) {
-                over(new Told(null, Words.refusal(stayAwayMs), stayAwayMs));
-            }
-
-            @Override
-            public void failed(Front.Failure why) {
-                over(new Told(null, Words.failure(why), -1));
-            }
-
-            @Override
-            public void word(Status status) {
-                if (work instanceof Work.Describe && status.getCode() == Status.Code.UNIMPLEMENTED) {
-                    served(new Answers.Described(ByteString.EMPTY)); // Kept, so as not to be asked each time.
-                } else {
-                    over(new Told(null, status, -1));
-                }
-            }
-
-            private void over(Told told) {
-                under.remove(question, asked);
-                shared.failed(question, epoch).forEach(each -> each.then.accept(told));
-            }
-        });
+        asked.attempt =
+                desk.submit(
+                        desk.headers(call),
+                        queryClass,
+                        desk.spec(queryClass).deadlineUs(),
+                        "",
+                        work,
+                        0,
+                        new Reply() {
+                            @Override
+                            public void served(Object result) {
+                                Object answer = result;
+                                long size = 0;
+                                if (result instanceof Answers.Held held) {
+                                    List<Frame> solid =
+                                            held.frames().stream().map(Frame::solid).toList();
+                                    size = solid.stream().mapToLong(Frame::bytes).sum();
+                                    answer = solid;
+                                    held.room().run();
+                                } else if (result instanceof Answers.Described described) {
+                                    size = described.schema().size();
+                                    answer = described.schema();
+                                }
+                                under.remove(question, asked);
+                                Told told = new Told(answer, null, -1);
+                                shared.answered(
+                                                desk.now(),
+                                                question,
+                                                epoch,
+                                                catalog,
+                                                answer,
+                                                size + question.length() + 64L)
+                                        .forEach(each -> each.then.accept(told));
+                            }
+
+                            @Override
+                            public void refused(long stayAwayMs) {
+                                over(new Told(null, Words.refusal(stayAwayMs), stayAwayMs));
+                            }
+
+                            @Override
+                            public void failed(Front.Failure why) {
+                                over(new Told(null, Words.failure(why), -1));
+                            }
+
+                            @Override
+                            public void word(Status status) {
+                                if (work instanceof Work.Describe
+                                        && status.getCode() == Status.Code.UNIMPLEMENTED) {
+                                    served(
+                                            new Answers.Described(
+                                                    ByteString
+                                                            .EMPTY)); // Kept, so as not to be asked
+                                    // each time.
+                                } else {
+                                    over(new Told(null, status, -1));
+                                }
+                            }
+
+                            private void over(Told told) {
+                                under.remove(question, asked);
+                                shared.failed(question, epoch)
+                                        .forEach(each -> each.then.accept(told));
+                            }
+                        });
     }
 
     /** A statement or an upload may have changed what engines tell; an empty name: any catalog. */
--- a/src/main/java/calicostream/flight/front/Commands.java
+++ b/src/main/java/calicostream/flight/front/Commands.java
@@ -16,19 +16,20 @@
 /** Reading and writing the protocol's packed messages. */
 final class Commands {
     /** Commands that read catalogs, and the schema of what they bring; tables have two. */
-    static final Map<String, Schema> METADATA = Map.ofEntries(
-            Map.entry("CommandGetCatalogs", Schemas.GET_CATALOGS_SCHEMA),
-            Map.entry("CommandGetDbSchemas", Schemas.GET_SCHEMAS_SCHEMA),
-            Map.entry("CommandGetTables", Schemas.GET_TABLES_SCHEMA),
-            Map.entry("CommandGetTableTypes", Schemas.GET_TABLE_TYPES_SCHEMA),
-            Map.entry("CommandGetPrimaryKeys", Schemas.GET_PRIMARY_KEYS_SCHEMA),
-            Map.entry("CommandGetExportedKeys", Schemas.GET_EXPORTED_KEYS_SCHEMA),
-            Map.entry("CommandGetImportedKeys", Schemas.GET_IMPORTED_KEYS_SCHEMA),
-            Map.entry("CommandGetCrossReference", Schemas.GET_CROSS_REFERENCE_SCHEMA),
-            Map.entry("CommandGetXdbcTypeInfo", Schemas.GET_TYPE_INFO_SCHEMA),
-            Map.entry("CommandGetSqlInfo", Schemas.GET_SQL_INFO_SCHEMA));
+    static final Map<String, Schema> METADATA =
+            Map.ofEntries(
+                    Map.entry("CommandGetCatalogs", Schemas.GET_CATALOGS_SCHEMA),
+                    Map.entry("CommandGetDbSchemas", Schemas.GET_SCHEMAS_SCHEMA),
+                    Map.entry("CommandGetTables", Schemas.GET_TABLES_SCHEMA),
+                    Map.entry("CommandGetTableTypes", Schemas.GET_TABLE_TYPES_SCHEMA),
+                    Map.entry("CommandGetPrimaryKeys", Schemas.GET_PRIMARY_KEYS_SCHEMA),
+                    Map.entry("CommandGetExportedKeys", Schemas.GET_EXPORTED_KEYS_SCHEMA),
+                    Map.entry("CommandGetImportedKeys", Schemas.GET_IMPORTED_KEYS_SCHEMA),
+                    Map.entry("CommandGetCrossReference", Schemas.GET_CROSS_REFERENCE_SCHEMA),
+                    Map.entry("CommandGetXdbcTypeInfo", Schemas.GET_TYPE_INFO_SCHEMA),
+                    Map.entry("CommandGetSqlInfo", Schemas.GET_SQL_INFO_SCHEMA));
 
-    private Commands() { }
+    private Commands() {}
 
     /** A packed message; INVALID_ARGUMENT where these bytes are none. */
     static Any parse(ByteString bytes) {
@@ -73,18 +74,26 @@
     }
 
     static Flight.FlightInfo.Builder info(Flight.FlightDescriptor descriptor, ByteString schema) {
-        return Flight.FlightInfo.newBuilder().setFlightDescriptor(descriptor).setSchema(schema).setTotalRecords(-1)
+        return Flight.FlightInfo.newBuilder()
+                .setFlightDescriptor(descriptor)
+                .setSchema(schema)
+                .setTotalRecords(-1)
                 .setTotalBytes(-1);
     }
 
     static Flight.FlightEndpoint.Builder endpoint(ByteString ticket) {
-        return Flight.FlightEndpoint.newBuilder().setTicket(Flight.Ticket.newBuilder().setTicket(ticket))
-                .addLocation(Flight.Location.newBuilder().setUri("arrow-flight-reuse-connection://?"));
+        return Flight.FlightEndpoint.newBuilder()
+                .setTicket(Flight.Ticket.newBuilder().setTicket(ticket))
+                .addLocation(
+                        Flight.Location.newBuilder().setUri("arrow-flight-reuse-connection://?"));
     }
 
     /** A wall-clock time so many microseconds from now, as the protocol tells expiry. */
     static Timestamp in(long us) {
         long at = System.currentTimeMillis() + us / 1000;
-        return Timestamp.newBuilder().setSeconds(at / 1000).setNanos((int) (at % 1000) * 1_000_000).build();
+        return Timestamp.newBuilder()
+                .setSeconds(at / 1000)
+                .setNanos((int) (at % 1000) * 1_000_000)
+                .build();
     }
 }
--- a/src/main/java/calicostream/flight/front/Desk.java
+++ b/src/main/java/calicostream/flight/front/Desk.java
@@ -39,7 +39,12 @@
     private final SecureRandom random = new SecureRandom();
     private final ByteBuffer unused = ByteBuffer.allocate(256 * NAME_BYTES).limit(0);
 
-    Desk(Loop loop, Gateway gateway, FlightConfig config, SettingsParser settings, Admission admission,
+    Desk(
+            Loop loop,
+            Gateway gateway,
+            FlightConfig config,
+            SettingsParser settings,
+            Admission admission,
             FlightEngines engines) {
         this.loop = loop;
         this.gateway = gateway;
@@ -65,7 +70,8 @@
 
     /** A name beyond guessing. */
     String name() {
-        if (!unused.hasRemaining()) { // Each draw from the system costs as much as the call it is for.
+        if (!unused
+                .hasRemaining()) { // Each draw from the system costs as much as the call it is for.
             random.nextBytes(unused.array());
             unused.clear();
         }
@@ -74,11 +80,16 @@
         return Base64.getUrlEncoder().withoutPadding().encodeToString(bytes);
     }
 
-    /** The index of a class by the call's header, the session's option, or this name; below 0: there is none. */
+    /**
+     * The index of a class by the call's header, the session's option, or this name; below 0: there
+     * is none.
+     */
     int classOf(Exchange<?> call, String noted, String without) {
         String session = call.session == null ? null : call.session.text(Sessions.CLASS);
-        String name = call.caller.queryClass != null ? call.caller.queryClass : noted != null ? noted
-                : session != null ? session : without;
+        String name =
+                call.caller.queryClass != null
+                        ? call.caller.queryClass
+                        : noted != null ? noted : session != null ? session : without;
         return classNames.indexOf(name);
     }
 
@@ -97,14 +108,24 @@
             out.put(FlightWire.AUTHORIZATION, call.caller.authorization);
         }
         if (call != null && call.session != null) {
-            call.session.options().forEach((option, value) -> {
-                switch (option) {
-                    case Sessions.CATALOG: out.put(FlightWire.CATALOG, ascii(value)); break;
-                    case Sessions.SCHEMA: out.put(FlightWire.SCHEMA, ascii(value)); break;
-                    case Sessions.PRIORITY: out.put(FlightWire.PRIORITY, ascii(value)); break;
-                    default: break;
-                }
-            });
+            call.session
+                    .options()
+                    .forEach(
+                            (option, value) -> {
+                                switch (option) {
+                                    case Sessions.CATALOG:
+                                        out.put(FlightWire.CATALOG, ascii(value));
+                                        break;
+                                    case Sessions.SCHEMA:
+                                        out.put(FlightWire.SCHEMA, ascii(value));
+                                        break;
+                                    case Sessions.PRIORITY:
+                                        out.put(FlightWire.PRIORITY, ascii(value));
+                                        break;
+                                    default:
+                                        break;
+                                }
+                            });
         }
         return out;
     }
@@ -113,34 +134,80 @@
         return java.net.URLEncoder.encode(value.toString(), StandardCharsets.UTF_8);
     }
 
-    /** A request of a call: it goes with the call's time, and is given up when the client leaves. */
-    Submitted submit(Exchange<?> call, int queryClass, String sql, Work work, long pinned, Reply reply) {
+    /**
+     * A request of a call: it goes with the call's time, and is given up when the client leaves.
+     */
+    Submitted submit(
+            Exchange<?> call, int queryClass, String sql, Work work, long pinned, Reply reply) {
         return submit(call, queryClass, spec(queryClass).deadlineUs(), sql, work, pinned, reply);
     }
 
-    Submitted submit(Exchange<?> call, int queryClass, long mostUs, String sql, Work work, long pinned, Reply reply) {
+    Submitted submit(
+            Exchange<?> call,
+            int queryClass,
+            long mostUs,
+            String sql,
+            Work work,
+            long pinned,
+            Reply reply) {
         long budget = Caller.left(call.deadline, mostUs);
         if (budget <= 0) {
             reply.failed(Failure.DEADLINE);
             return new Submitted(0, 0);
         }
-        Submitted out = submit(headers(call), call.caller.requestId, queryClass, budget, sql, work, pinned, reply);
+        Submitted out =
+                submit(
+                        headers(call),
+                        call.caller.requestId,
+                        queryClass,
+                        budget,
+                        sql,
+                        work,
+                        pinned,
+                        reply);
         call.atEnd(out::abandon);
         return out;
     }
 
     /** A request that outlives the call it came from. */
-    Submitted submit(Metadata headers, int queryClass, long budgetUs, String sql, Work work, long pinned, Reply reply) {
+    Submitted submit(
+            Metadata headers,
+            int queryClass,
+            long budgetUs,
+            String sql,
+            Work work,
+            long pinned,
+            Reply reply) {
         return submit(headers, null, queryClass, budgetUs, sql, work, pinned, reply);
     }
 
-    private Submitted submit(Metadata headers, String named, int queryClass, long budgetUs, String sql, Work work,
-            long pinned, Reply reply) {
+    private Submitted submit(
+            Metadata headers,
+            String named,
+            int queryClass,
+            long budgetUs,
+            String sql,
+            Work work,
+            long pinned,
+            Reply reply) {
         byte[] text = sql.getBytes(StandardCharsets.UTF_8);
         int group = Math.max(0, Statement.tableGroup(text));
-        String id = named != null ? named : String.format("%016x", ThreadLocalRandom.current().nextLong());
+        String id =
+                named != null
+                        ? named
+                        : String.format("%016x", ThreadLocalRandom.current().nextLong());
         long tag = replies.add(reply);
-        long handle = gateway.accept(this, tag, id, queryClass, group, budgetUs, text, new Work.Job(work, headers), pinned);
+        long handle =
+                gateway.accept(
+                        this,
+                        tag,
+                        id,
+                        queryClass,
+                        group,
+                        budgetUs,
+                        text,
+                        new Work.Job(work, headers),
+                        pinned);
         return new Submitted(tag, handle);
     }
 
@@ -168,19 +235,24 @@
         return replies.size();
     }
 
-    // ---- Whose a request is ----------------------------------------------------------------------------
+    // ---- Whose a request is
+    // ----------------------------------------------------------------------------
     @Override
     public String login(long tag) {
-        return replies.get(tag) instanceof Reply.To<?> reply && !reply.to.owner.isEmpty() ? reply.to.owner : null;
+        return replies.get(tag) instanceof Reply.To<?> reply && !reply.to.owner.isEmpty()
+                ? reply.to.owner
+                : null;
     }
 
     @Override
     public String catalog(long tag) {
         return replies.get(tag) instanceof Reply.To<?> reply && reply.to.session != null
-                ? reply.to.session.text(Sessions.CATALOG) : null;
+                ? reply.to.session.text(Sessions.CATALOG)
+                : null;
     }
 
-    // ---- Answers from the core -------------------------------------------------------------------------
+    // ---- Answers from the core
+    // -------------------------------------------------------------------------
     private void answer(long tag, Consumer<Reply> with) {
         Reply reply = replies.remove(tag);
         if (reply != null) {
--- a/src/main/java/calicostream/flight/front/Exchange.java
+++ b/src/main/java/calicostream/flight/front/Exchange.java
@@ -10,7 +10,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One call of a client, from its start to its one end. The loop's, but for the observer's own calls. */
+/**
+ * One call of a client, from its start to its one end. The loop's, but for the observer's own
+ * calls.
+ */
 class Exchange<R> {
     final Caller caller;
     final Deadline deadline;
@@ -27,7 +30,10 @@
         this.out = out;
     }
 
-    /** Runs when the call is over on the client's side: answered, cancelled, broken off or past its time. */
+    /**
+     * Runs when the call is over on the client's side: answered, cancelled, broken off or past its
+     * time.
+     */
     void atEnd(Runnable then) {
         if (over) {
             then.run();
--- a/src/main/java/calicostream/flight/front/FlightFront.java
+++ b/src/main/java/calicostream/flight/front/FlightFront.java
@@ -37,8 +37,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The Flight SQL service: every call is let in or turned away, its caller found out, and handed to the part that serves it.
- * All of that is the loop's; gRPC's threads only bring messages and take answers, and none of them ever waits.
+ * The Flight SQL service: every call is let in or turned away, its caller found out, and handed to
+ * the part that serves it. All of that is the loop's; gRPC's threads only bring messages and take
+ * answers, and none of them ever waits.
  */
 public final class FlightFront implements FlightEngines.Listener, Service {
     private static final Logger LOG = LoggerFactory.getLogger(FlightFront.class);
@@ -63,13 +64,20 @@
     private long tellAt, tidyAt;
 
     /** {@code engines} is null where engines are reached by another protocol. */
-    public FlightFront(Loop loop, Gateway gateway, FlightConfig config, SettingsParser settings, Admission admission,
+    public FlightFront(
+            Loop loop,
+            Gateway gateway,
+            FlightConfig config,
+            SettingsParser settings,
+            Admission admission,
             FlightEngines engines) {
         this.config = config;
         desk = new Desk(loop, gateway, config, settings, admission, engines);
-        for (String name : new String[] {config.queryClass(), config.metadataClass(), config.updateClass()}) {
+        for (String name :
+                new String[] {config.queryClass(), config.metadataClass(), config.updateClass()}) {
             if (!settings.classNames().contains(name)) {
-                throw new SettingsException("bad configuration: flight.json: no class '" + name + "'");
+                throw new SettingsException(
+                        "bad configuration: flight.json: no class '" + name + "'");
             }
         }
         logins = new Logins(desk, workers);
@@ -80,13 +88,16 @@
         queries = new Queries(desk, transactions, statements, catalogs, info);
         polls = new Polls(desk, queries);
         actions = new Actions(desk, queries, polls, logins, statements, transactions);
-        logins.onLast(user -> {
-            transactions.all().left(desk.now(), user);
-            statements.left(user);
-            queries.left(user);
-            polls.left(user);
-        });
-        threads = new NioEventLoopGroup(config.threads(), (ThreadFactory) work -> daemon(work, "flight"));
+        logins.onLast(
+                user -> {
+                    transactions.all().left(desk.now(), user);
+                    statements.left(user);
+                    queries.left(user);
+                    polls.left(user);
+                });
+        threads =
+                new NioEventLoopGroup(
+                        config.threads(), (ThreadFactory) work -> daemon(work, "flight"));
         if (engines != null) {
             engines.listener(this);
         }
@@ -94,8 +105,14 @@
     }
 
     private static ExecutorService workers() {
-        ThreadPoolExecutor out = new ThreadPoolExecutor(WORKERS, WORKERS, 5, TimeUnit.SECONDS, new LinkedBlockingQueue<>(),
-                work -> daemon(work, "flight-work"));
+        ThreadPoolExecutor out =
+                new ThreadPoolExecutor(
+                        WORKERS,
+                        WORKERS,
+                        5,
+                        TimeUnit.SECONDS,
+                        new LinkedBlockingQueue<>(),
+                        work -> daemon(work, "flight-work"));
         out.allowCoreThreadTimeOut(true);
         return out;
     }
@@ -106,7 +123,8 @@
         return thread;
     }
 
-    // ---- Life -------------------------------------------------------------------------------------------
+    // ---- Life
+    // -------------------------------------------------------------------------------------------
     @Override
     public String name() {
         return "Flight SQL";
@@ -114,15 +132,25 @@
 
     @Override
     public void start() throws IOException {
-        server = NettyServerBuilder.forAddress(config.listen()).directExecutor()
-                .bossEventLoopGroup(threads).workerEventLoopGroup(threads).channelType(NioServerSocketChannel.class)
-                .maxInboundMessageSize(config.maxMessageBytes()).flowControlWindow(config.windowBytes())
-                // At an upgrade another process of this front end listens here, too.
-                .withOption(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true)
-                .addService(ServerInterceptors.intercept(FlightWire.service(new Calls().bindService(),
-                        ServerCalls.asyncServerStreamingCall(this::doGet), ServerCalls.asyncBidiStreamingCall(this::doPut)),
-                        Caller.interceptor()))
-                .build().start();
+        server =
+                NettyServerBuilder.forAddress(config.listen())
+                        .directExecutor()
+                        .bossEventLoopGroup(threads)
+                        .workerEventLoopGroup(threads)
+                        .channelType(NioServerSocketChannel.class)
+                        .maxInboundMessageSize(config.maxMessageBytes())
+                        .flowControlWindow(config.windowBytes())
+                        // At an upgrade another process of this front end listens here, too.
+                        .withOption(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true)
+                        .addService(
+                                ServerInterceptors.intercept(
+                                        FlightWire.service(
+                                                new Calls().bindService(),
+                                                ServerCalls.asyncServerStreamingCall(this::doGet),
+                                                ServerCalls.asyncBidiStreamingCall(this::doPut)),
+                                        Caller.interceptor()))
+                        .build()
+                        .start();
     }
 
     @Override
@@ -182,13 +210,32 @@
     /** One line of figures for the operators. */
     public String figures() {
         long[] shared = catalogs.shared().counts();
-        return "calls=" + desk.admission.open() + " clients=" + desk.admission.clients() + " bytes=" + desk.admission.bytes()
-                + " streams=" + queries.open() + " statements=" + statements.size() + " transactions="
-                + transactions.all().live() + " polls=" + polls.size() + " sessions=" + logins.sessions().size()
-                + " metadata_hits=" + shared[0] + " metadata_shared=" + shared[1] + " metadata_asked=" + shared[2];
+        return "calls="
+                + desk.admission.open()
+                + " clients="
+                + desk.admission.clients()
+                + " bytes="
+                + desk.admission.bytes()
+                + " streams="
+                + queries.open()
+                + " statements="
+                + statements.size()
+                + " transactions="
+                + transactions.all().live()
+                + " polls="
+                + polls.size()
+                + " sessions="
+                + logins.sessions().size()
+                + " metadata_hits="
+                + shared[0]
+                + " metadata_shared="
+                + shared[1]
+                + " metadata_asked="
+                + shared[2];
     }
 
-    // ---- Engines ----------------------------------------------------------------------------------------
+    // ---- Engines
+    // ----------------------------------------------------------------------------------------
     @Override
     public void drains(long engine) {
         transactions.all().engineDrains(desk.now(), engine);
@@ -206,7 +253,8 @@
         transactions.all().engineReady(desk.now(), engine);
     }
 
-    // ---- Calls ------------------------------------------------------------------------------------------
+    // ---- Calls
+    // ------------------------------------------------------------------------------------------
     /** On gRPC's thread: lets the call in and hands it on, on the loop. */
     private <R> void take(StreamObserver<R> out, Consumer<Exchange<R>> serve) {
         Exchange<R> call = exchange(out);
@@ -218,7 +266,7 @@
         ServerCallStreamObserver<R> observer = (ServerCallStreamObserver<R>) out;
         Context context = Context.current();
         Exchange<R> call = new Exchange<>(Caller.current(), context.getDeadline(), observer);
-        observer.setOnCancelHandler(() -> { }); // Late answers are then dropped, not faults.
+        observer.setOnCancelHandler(() -> {}); // Late answers are then dropped, not faults.
         context.addListener(ended -> desk.loop.post(call::end), Runnable::run);
         return call;
     }
@@ -227,16 +275,27 @@
         if (call.isOver()) {
             return;
         }
-        guarded(call, () -> logins.identify(call, () -> {
-            Admission.Answer answer = desk.admission.enter(call.client);
-            if (answer != Admission.Answer.TAKEN) {
-                desk.gateway.turnedAway(Math.max(0, desk.classOf(call, null, config.queryClass())));
-                call.fail(Words.refusal(desk.mostWaitMs()), desk.mostWaitMs());
-                return;
-            }
-            call.atEnd(() -> desk.admission.leave(call.client));
-            guarded(call, serve);
-        }));
+        guarded(
+                call,
+                () ->
+                        logins.identify(
+                                call,
+                                () -> {
+                                    Admission.Answer answer = desk.admission.enter(call.client);
+                                    if (answer != Admission.Answer.TAKEN) {
+                                        desk.gateway.turnedAway(
+                                                Math.max(
+                                                        0,
+                                                        desk.classOf(
+                                                                call, null, config.queryClass())));
+                                        call.fail(
+                                                Words.refusal(desk.mostWaitMs()),
+                                                desk.mostWaitMs());
+                                        return;
+                                    }
+                                    call.atEnd(() -> desk.admission.leave(call.client));
+                                    guarded(call, serve);
+                                }));
     }
 
     private static void guarded(Exchange<?> call, Runnable work) {
@@ -268,7 +327,7 @@
             }
 
             @Override
-            public void onError(Throwable error) { } // The call's end tells.
+            public void onError(Throwable error) {} // The call's end tells.
 
             @Override
             public void onCompleted() {
@@ -277,20 +336,26 @@
         };
     }
 
-    /** The calls that are one message each way; they are all of the generated service but DoGet and DoPut. */
+    /**
+     * The calls that are one message each way; they are all of the generated service but DoGet and
+     * DoPut.
+     */
     private final class Calls extends FlightServiceGrpc.FlightServiceImplBase {
         @Override
-        public void getFlightInfo(Flight.FlightDescriptor request, StreamObserver<Flight.FlightInfo> out) {
+        public void getFlightInfo(
+                Flight.FlightDescriptor request, StreamObserver<Flight.FlightInfo> out) {
             take(out, call -> queries.info(call, request));
         }
 
         @Override
-        public void pollFlightInfo(Flight.FlightDescriptor request, StreamObserver<Flight.PollInfo> out) {
+        public void pollFlightInfo(
+                Flight.FlightDescriptor request, StreamObserver<Flight.PollInfo> out) {
             take(out, call -> polls.poll(call, request));
         }
 
         @Override
-        public void getSchema(Flight.FlightDescriptor request, StreamObserver<Flight.SchemaResult> out) {
+        public void getSchema(
+                Flight.FlightDescriptor request, StreamObserver<Flight.SchemaResult> out) {
             take(out, call -> queries.schema(call, request));
         }
 
@@ -301,25 +366,31 @@
 
         @Override
         public void listActions(Flight.Empty request, StreamObserver<Flight.ActionType> out) {
-            take(out, call -> {
-                actions.list().forEach(call.out::onNext);
-                call.complete();
-            });
+            take(
+                    out,
+                    call -> {
+                        actions.list().forEach(call.out::onNext);
+                        call.complete();
+                    });
         }
 
-        /** A login: the name and password are in the call's headers, the token goes into the answer's. */
+        /**
+         * A login: the name and password are in the call's headers, the token goes into the
+         * answer's.
+         */
         @Override
-        public StreamObserver<Flight.HandshakeRequest> handshake(StreamObserver<Flight.HandshakeResponse> out) {
+        public StreamObserver<Flight.HandshakeRequest> handshake(
+                StreamObserver<Flight.HandshakeResponse> out) {
             take(out, call -> call.reply(Flight.HandshakeResponse.getDefaultInstance()));
             return new StreamObserver<>() {
                 @Override
-                public void onNext(Flight.HandshakeRequest request) { }
+                public void onNext(Flight.HandshakeRequest request) {}
 
                 @Override
-                public void onError(Throwable error) { }
+                public void onError(Throwable error) {}
 
                 @Override
-                public void onCompleted() { }
+                public void onCompleted() {}
             };
         }
     }
--- a/src/main/java/calicostream/flight/front/Inlet.java
+++ b/src/main/java/calicostream/flight/front/Inlet.java
@@ -21,8 +21,9 @@
 import org.apache.arrow.flight.sql.impl.FlightSql;
 
 /**
- * One DoPut of a client. The first frame says what it is: an update, parameters of a prepared statement, or rows to store.
- * Frames are drawn one at a time; those of an upload pass to the engine on gRPC's threads, all else is the loop's.
+ * One DoPut of a client. The first frame says what it is: an update, parameters of a prepared
+ * statement, or rows to store. Frames are drawn one at a time; those of an upload pass to the
+ * engine on gRPC's threads, all else is the loop's.
  */
 final class Inlet {
     private final Desk desk;
@@ -39,7 +40,12 @@
     private final AtomicLong here = new AtomicLong();
     private boolean ended;
 
-    Inlet(Desk desk, TransactionDesk transactions, Statements statements, Catalogs catalogs, SqlInfo info,
+    Inlet(
+            Desk desk,
+            TransactionDesk transactions,
+            Statements statements,
+            Catalogs catalogs,
+            SqlInfo info,
             Exchange<Flight.PutResult> call) {
         this.desk = desk;
         this.transactions = transactions;
@@ -65,7 +71,8 @@
         desk.admission.release(here.getAndSet(0));
     }
 
-    // ---- From the client, on gRPC's threads -----------------------------------------------------------
+    // ---- From the client, on gRPC's threads
+    // -----------------------------------------------------------
     void arrived(Frame frame) {
         charge(frame);
         Upload to = upload;
@@ -79,12 +86,16 @@
     private void pass(Upload to, Frame frame) {
         if (frame.kind() == Frame.Kind.BAD) {
             frame.release();
-            desk.loop.post(() -> {
-                if (!call.isAnswered()) {
-                    call.fail(to.isDrawn() ? Upload.unknown("a frame can't be read") : Words.invalid("a frame can't be read"));
-                    call.end();
-                }
-            });
+            desk.loop.post(
+                    () -> {
+                        if (!call.isAnswered()) {
+                            call.fail(
+                                    to.isDrawn()
+                                            ? Upload.unknown("a frame can't be read")
+                                            : Words.invalid("a frame can't be read"));
+                            call.end();
+                        }
+                    });
         } else {
             to.frame(frame);
         }
@@ -107,7 +118,8 @@
         }
     }
 
-    // ---- On the loop ----------------------------------------------------------------------------------
+    // ---- On the loop
+    // ----------------------------------------------------------------------------------
     private void take(Frame frame) {
         if (call.isAnswered()) {
             frame.release();
@@ -123,8 +135,12 @@
         bytes += frame.bytes();
         if (bytes > desk.config.parameterBytes()) {
             frame.release();
-            throw Status.RESOURCE_EXHAUSTED.withDescription("parameters are over the bound of "
-                    + desk.config.parameterBytes() + " bytes").asRuntimeException();
+            throw Status.RESOURCE_EXHAUSTED
+                    .withDescription(
+                            "parameters are over the bound of "
+                                    + desk.config.parameterBytes()
+                                    + " bytes")
+                    .asRuntimeException();
         }
         frames.add(frame.solid());
         call.out.request(1);
@@ -143,29 +159,59 @@
         command = Commands.parse(Commands.command(descriptor));
         name = Commands.name(command);
         if (desk.engines == null && !name.equals("CommandStatementUpdate")) {
-            throw Words.unsupported(name + ": these engines take plain updates only").asRuntimeException();
+            throw Words.unsupported(name + ": these engines take plain updates only")
+                    .asRuntimeException();
         }
         switch (name) {
             case "CommandStatementUpdate":
-                FlightSql.CommandStatementUpdate update = Commands.unpack(command, FlightSql.CommandStatementUpdate.class);
+                FlightSql.CommandStatementUpdate update =
+                        Commands.unpack(command, FlightSql.CommandStatementUpdate.class);
                 if (update.getQuery().isBlank()) {
                     throw Commands.invalid("an empty statement");
                 }
-                run(update.getQuery(), update.getTransactionId(), txn -> new Work.Update(txn == null
-                        ? command.toByteString() : FlightWire.packed(update.toBuilder().setTransactionId(txn.handle).build()),
-                        null));
+                run(
+                        update.getQuery(),
+                        update.getTransactionId(),
+                        txn ->
+                                new Work.Update(
+                                        txn == null
+                                                ? command.toByteString()
+                                                : FlightWire.packed(
+                                                        update.toBuilder()
+                                                                .setTransactionId(txn.handle)
+                                                                .build()),
+                                        null));
                 call.out.request(1);
                 break;
             case "CommandStatementSubstraitPlan":
-                FlightSql.CommandStatementSubstraitPlan plan = Commands.unpack(command,
-                        FlightSql.CommandStatementSubstraitPlan.class);
-                info.ifSubstrait(call, () -> guarded(() -> run("", plan.getTransactionId(), txn -> new Work.Update(
-                        txn == null ? command.toByteString() : FlightWire.packed(plan.toBuilder()
-                                .setTransactionId(txn.handle).build()), null))));
+                FlightSql.CommandStatementSubstraitPlan plan =
+                        Commands.unpack(command, FlightSql.CommandStatementSubstraitPlan.class);
+                info.ifSubstrait(
+                        call,
+                        () ->
+                                guarded(
+                                        () ->
+                                                run(
+                                                        "",
+                                                        plan.getTransactionId(),
+                                                        txn ->
+                                                                new Work.Update(
+                                                                        txn == null
+                                                                                ? command
+                                                                                        .toByteString()
+                                                                                : FlightWire.packed(
+                                                                                        plan
+                                                                                                .toBuilder()
+                                                                                                .setTransactionId(
+                                                                                                        txn.handle)
+                                                                                                .build()),
+                                                                        null))));
                 call.out.request(1);
                 break;
             case "CommandStatementIngest":
-                ingest(frame.solid(), Commands.unpack(command, FlightSql.CommandStatementIngest.class));
+                ingest(
+                        frame.solid(),
+                        Commands.unpack(command, FlightSql.CommandStatementIngest.class));
                 break;
             case "CommandPreparedStatementUpdate":
             case "CommandPreparedStatementQuery":
@@ -189,21 +235,26 @@
             throw Commands.invalid("nothing was put");
         }
         if (name.equals("CommandPreparedStatementQuery")) {
-            bind(Commands.unpack(command, FlightSql.CommandPreparedStatementQuery.class).getPreparedStatementHandle());
+            bind(
+                    Commands.unpack(command, FlightSql.CommandPreparedStatementQuery.class)
+                            .getPreparedStatementHandle());
         } else if (name.equals("CommandPreparedStatementUpdate")) {
-            prepared(Commands.unpack(command, FlightSql.CommandPreparedStatementUpdate.class)
-                    .getPreparedStatementHandle());
+            prepared(
+                    Commands.unpack(command, FlightSql.CommandPreparedStatementUpdate.class)
+                            .getPreparedStatementHandle());
         }
     }
 
-    // ---- Updates --------------------------------------------------------------------------------------
+    // ---- Updates
+    // --------------------------------------------------------------------------------------
     private interface InTransaction {
         Work work(Txn<ByteString> txn);
     }
 
     private int updateClass() {
         int queryClass = desk.classOf(call, null, desk.config.updateClass());
-        if (queryClass < 0 || !desk.spec(queryClass).load()
+        if (queryClass < 0
+                || !desk.spec(queryClass).load()
                 || desk.spec(queryClass).effect() != calicostream.QueryRouter.Effect.ONCE) {
             // As a class that may be repeated it could be run twice.
             throw Commands.invalid("an update needs a class of loads");
@@ -213,12 +264,20 @@
 
     private void run(String sql, ByteString transaction, InTransaction what) {
         int queryClass = updateClass();
-        Txn<ByteString> txn = transaction.isEmpty() ? null : transactions.use(call, transaction, Purpose.STATEMENT);
+        Txn<ByteString> txn =
+                transaction.isEmpty()
+                        ? null
+                        : transactions.use(call, transaction, Purpose.STATEMENT);
         if (txn == null && !transaction.isEmpty()) {
             return;
         }
         Reply answer = new Counting();
-        desk.submit(call, queryClass, sql, what.work(txn), txn == null ? 0 : txn.engine,
+        desk.submit(
+                call,
+                queryClass,
+                sql,
+                what.work(txn),
+                txn == null ? 0 : txn.engine,
                 txn == null ? answer : transactions.within(txn, false, answer));
         if (Effects.changesCatalog(sql)) {
             catalogs.changed("");
@@ -229,15 +288,20 @@
         Statements.Entry statement = statements.find(call, handle);
         if (statement != null) {
             List<Frame> rows = given(statement);
-            run(statement.sql, statement.transaction, txn -> new Work.Update(ByteString.EMPTY, statement.bound(rows)));
+            run(
+                    statement.sql,
+                    statement.transaction,
+                    txn -> new Work.Update(ByteString.EMPTY, statement.bound(rows)));
         }
     }
 
     /** The rows sent, checked against the statement; none where the schema names no parameter. */
     private List<Frame> given(Statements.Entry statement) {
         boolean rows = frames.stream().anyMatch(frame -> frame.kind() == Frame.Kind.BATCH);
-        List<Frame> given = rows || !frames.isEmpty() && statement.parameterSchema.isEmpty() ? List.copyOf(frames)
-                : List.of();
+        List<Frame> given =
+                rows || !frames.isEmpty() && statement.parameterSchema.isEmpty()
+                        ? List.copyOf(frames)
+                        : List.of();
         String fault = Statements.fault(statement, given);
         if (fault != null) {
             throw Commands.invalid(fault);
@@ -249,8 +313,14 @@
         Statements.Entry statement = statements.find(call, handle);
         if (statement != null) {
             statement.core.bind(given(statement));
-            call.reply(Flight.PutResult.newBuilder().setAppMetadata(FlightSql.DoPutPreparedStatementResult.newBuilder()
-                    .setPreparedStatementHandle(handle).build().toByteString()).build());
+            call.reply(
+                    Flight.PutResult.newBuilder()
+                            .setAppMetadata(
+                                    FlightSql.DoPutPreparedStatementResult.newBuilder()
+                                            .setPreparedStatementHandle(handle)
+                                            .build()
+                                            .toByteString())
+                            .build());
         }
     }
 
@@ -262,13 +332,23 @@
 
         @Override
         public void served(Object result) {
-            long rows = result instanceof Answers.Counted counted ? counted.rows() : -1; // -1: not known
-            call.reply(Flight.PutResult.newBuilder().setAppMetadata(FlightSql.DoPutUpdateResult.newBuilder()
-                    .setRecordCount(rows).build().toByteString()).build());
+            long rows =
+                    result instanceof Answers.Counted counted
+                            ? counted.rows()
+                            : -1; // -1: not known
+            call.reply(
+                    Flight.PutResult.newBuilder()
+                            .setAppMetadata(
+                                    FlightSql.DoPutUpdateResult.newBuilder()
+                                            .setRecordCount(rows)
+                                            .build()
+                                            .toByteString())
+                            .build());
         }
     }
 
-    // ---- Ingest ---------------------------------------------------------------------------------------
+    // ---- Ingest
+    // ---------------------------------------------------------------------------------------
     private void ingest(Frame schema, FlightSql.CommandStatementIngest request) {
         if (request.getTable().isBlank()) {
             throw Commands.invalid("no table to store rows in");
@@ -278,49 +358,75 @@
         }
         int queryClass = updateClass();
         ByteString transaction = request.getTransactionId();
-        Txn<ByteString> txn = transaction.isEmpty() ? null : transactions.use(call, transaction, Purpose.STATEMENT);
+        Txn<ByteString> txn =
+                transaction.isEmpty()
+                        ? null
+                        : transactions.use(call, transaction, Purpose.STATEMENT);
         if (txn == null && !transaction.isEmpty()) {
             return;
         }
-        Upload rows = new Upload(schema, () -> {
-            release(); // What came before has gone on.
-            call.out.request(1);
-        });
+        Upload rows =
+                new Upload(
+                        schema,
+                        () -> {
+                            release(); // What came before has gone on.
+                            call.out.request(1);
+                        });
         upload = rows;
-        ByteString sent = FlightWire.packed(txn == null ? request : request.toBuilder().setTransactionId(txn.handle).build());
-        Reply answer = new Counting() {
-            @Override
-            public void failed(calicostream.core.Front.Failure why) {
-                call.fail(rows.isDrawn() ? Upload.unknown("the upload broke off") : Words.failure(why));
-                rows.drop();
-            }
+        ByteString sent =
+                FlightWire.packed(
+                        txn == null
+                                ? request
+                                : request.toBuilder().setTransactionId(txn.handle).build());
+        Reply answer =
+                new Counting() {
+                    @Override
+                    public void failed(calicostream.core.Front.Failure why) {
+                        call.fail(
+                                rows.isDrawn()
+                                        ? Upload.unknown("the upload broke off")
+                                        : Words.failure(why));
+                        rows.drop();
+                    }
 
-            @Override
-            public void refused(long stayAwayMs) {
-                super.refused(stayAwayMs);
-                rows.drop();
-            }
+                    @Override
+                    public void refused(long stayAwayMs) {
+                        super.refused(stayAwayMs);
+                        rows.drop();
+                    }
 
-            @Override
-            public void word(Status status) {
-                if (status.getCode() == Status.Code.UNAVAILABLE) { // Nothing was stored; the rows must come again.
-                    super.refused(desk.mostWaitMs());
-                } else {
-                    super.word(status);
-                }
-                rows.drop();
-            }
+                    @Override
+                    public void word(Status status) {
+                        if (status.getCode()
+                                == Status.Code
+                                        .UNAVAILABLE) { // Nothing was stored; the rows must come
+                            // again.
+                            super.refused(desk.mostWaitMs());
+                        } else {
+                            super.word(status);
+                        }
+                        rows.drop();
+                    }
 
-            @Override
-            public void served(Object result) {
-                super.served(result);
-                rows.drop();
-                catalogs.changed(request.getCatalog());
-            }
-        };
-        String about = "insert into " + (request.getSchema().isEmpty() ? "" : request.getSchema() + ".") + request.getTable();
-        desk.submit(call, queryClass, desk.config.ingestUs(), about, new Work.Ingest(sent, rows),
-                txn == null ? 0 : txn.engine, txn == null ? answer : transactions.within(txn, false, answer));
+                    @Override
+                    public void served(Object result) {
+                        super.served(result);
+                        rows.drop();
+                        catalogs.changed(request.getCatalog());
+                    }
+                };
+        String about =
+                "insert into "
+                        + (request.getSchema().isEmpty() ? "" : request.getSchema() + ".")
+                        + request.getTable();
+        desk.submit(
+                call,
+                queryClass,
+                desk.config.ingestUs(),
+                about,
+                new Work.Ingest(sent, rows),
+                txn == null ? 0 : txn.engine,
+                txn == null ? answer : transactions.within(txn, false, answer));
         call.atEnd(rows::drop);
         if (ended) {
             rows.end();
--- a/src/main/java/calicostream/flight/front/Logins.java
+++ b/src/main/java/calicostream/flight/front/Logins.java
@@ -17,8 +17,9 @@
 import org.apache.commons.codec.digest.Crypt;
 
 /**
- * Who calls. With a table of users each call needs a token, or a name and password that it is given one for; without, a
- * cookie names the session of a client that asked for one. Passwords are checked off the loop, as that takes a while.
+ * Who calls. With a table of users each call needs a token, or a name and password that it is given
+ * one for; without, a cookie names the session of a client that asked for one. Passwords are
+ * checked off the loop, as that takes a while.
  */
 final class Logins {
     private static final int MOST_CHECKS = 64;
@@ -27,18 +28,25 @@
     private final Sessions sessions;
     private final Map<String, String> users; // null: nobody needs to log in
     private final ExecutorService workers;
-    private Consumer<String> onLast = user -> { };
+    private Consumer<String> onLast = user -> {};
     private int checks;
 
     Logins(Desk desk, ExecutorService workers) {
         this.desk = desk;
         this.workers = workers;
-        sessions = new Sessions(desk::name, new LinkedHashSet<>(desk.classNames()), desk.config.sessions(),
-                desk.config.tokenLifeUs());
+        sessions =
+                new Sessions(
+                        desk::name,
+                        new LinkedHashSet<>(desk.classNames()),
+                        desk.config.sessions(),
+                        desk.config.tokenLifeUs());
         users = desk.config.users() == null ? null : read(desk.config.users());
     }
 
-    /** Lines {@code name:hash} in crypt(3)'s form for SHA-256 or SHA-512; blank ones and those with # are skipped. */
+    /**
+     * Lines {@code name:hash} in crypt(3)'s form for SHA-256 or SHA-512; blank ones and those with
+     * # are skipped.
+     */
     static Map<String, String> read(Path path) {
         Map<String, String> out = new HashMap<>();
         try {
@@ -52,8 +60,13 @@
                 }
                 String hash = text.substring(at + 1);
                 if (at <= 0 || !(hash.startsWith("$6$") || hash.startsWith("$5$"))) {
-                    throw new SettingsException("bad configuration: " + path + ": line " + number
-                            + " is not NAME:HASH with a hash of crypt(3)'s kind $5$ or $6$");
+                    throw new SettingsException(
+                            "bad configuration: "
+                                    + path
+                                    + ": line "
+                                    + number
+                                    + " is not NAME:HASH with a hash of crypt(3)'s kind $5$ or"
+                                    + " $6$");
                 }
                 out.put(text.substring(0, at), hash);
             }
@@ -88,11 +101,14 @@
                 known(call, then);
             }
         } else if (header != null && header.startsWith("Basic ")) {
-            login(call, header.substring("Basic ".length()), user -> {
-                call.session = sessions.open(desk.now(), user);
-                call.caller.grant(call.session.name);
-                known(call, then);
-            });
+            login(
+                    call,
+                    header.substring("Basic ".length()),
+                    user -> {
+                        call.session = sessions.open(desk.now(), user);
+                        call.caller.grant(call.session.name);
+                        known(call, then);
+                    });
         } else {
             call.fail(Words.NO_TOKEN);
         }
@@ -124,32 +140,38 @@
         String user = text.substring(0, at);
         String password = text.substring(at + 1);
         String hash = users.getOrDefault(user, UNKNOWN); // As long for a name that there is not.
-        workers.execute(() -> {
-            boolean right = matches(password, hash);
-            desk.loop.post(() -> {
-                checks--;
-                if (call.isOver()) {
-                    return;
-                }
-                if (right) {
-                    then.accept(user);
-                } else {
-                    call.fail(Words.NO_TOKEN);
-                }
-            });
-        });
+        workers.execute(
+                () -> {
+                    boolean right = matches(password, hash);
+                    desk.loop.post(
+                            () -> {
+                                checks--;
+                                if (call.isOver()) {
+                                    return;
+                                }
+                                if (right) {
+                                    then.accept(user);
+                                } else {
+                                    call.fail(Words.NO_TOKEN);
+                                }
+                            });
+                });
     }
 
     static boolean matches(String password, String hash) {
         try {
-            return MessageDigest.isEqual(Crypt.crypt(password, hash).getBytes(StandardCharsets.UTF_8),
+            return MessageDigest.isEqual(
+                    Crypt.crypt(password, hash).getBytes(StandardCharsets.UTF_8),
                     hash.getBytes(StandardCharsets.UTF_8));
         } catch (IllegalArgumentException e) {
             return false;
         }
     }
 
-    /** The session that an option is set in: a new one, named by a cookie, where nobody needs to log in. */
+    /**
+     * The session that an option is set in: a new one, named by a cookie, where nobody needs to log
+     * in.
+     */
     Sessions.Session opened(Exchange<?> call) {
         if (call.session == null) {
             call.session = sessions.open(desk.now(), "");
--- a/src/main/java/calicostream/flight/front/Outlet.java
+++ b/src/main/java/calicostream/flight/front/Outlet.java
@@ -8,14 +8,14 @@
 import java.util.List;
 
 /**
- * A DoGet's answer. What is held goes out as its client takes it; what flows comes from the engine's threads, so each
- * frame and each end passes under this object's lock.
+ * A DoGet's answer. What is held goes out as its client takes it; what flows comes from the
+ * engine's threads, so each frame and each end passes under this object's lock.
  */
 final class Outlet implements Answers.Sink {
     final Exchange<Frame> call;
     private final Desk desk;
     private final ArrayDeque<Frame> left = new ArrayDeque<>();
-    private volatile Runnable onReady = () -> { };
+    private volatile Runnable onReady = () -> {};
     private Answers.Stream stream;
     private boolean closed, held;
     private long heldSince; // when its client last took nothing of what is held, or 0
@@ -26,7 +26,8 @@
         call.out.setOnReadyHandler(() -> onReady.run());
     }
 
-    // ---- What flows ---------------------------------------------------------------------------------------
+    // ---- What flows
+    // ---------------------------------------------------------------------------------------
     /** On the loop. */
     void begin(Answers.Stream flowing) {
         stream = flowing;
@@ -52,16 +53,18 @@
         onReady = then;
     }
 
-    // ---- What is held -------------------------------------------------------------------------------------
+    // ---- What is held
+    // -------------------------------------------------------------------------------------
     /** Sends these, then ends the call; {@code room} is given back when the call is over. */
     void send(List<Frame> frames, Runnable room) {
         left.addAll(frames);
         held = true;
-        call.atEnd(() -> {
-            left.forEach(Frame::release);
-            left.clear();
-            room.run();
-        });
+        call.atEnd(
+                () -> {
+                    left.forEach(Frame::release);
+                    left.clear();
+                    room.run();
+                });
         onReady = () -> desk.loop.post(this::pump);
         pump();
     }
@@ -70,7 +73,8 @@
         if (call.isOver() || closed) {
             return;
         }
-        while (!left.isEmpty() && (call.out.isReady() || left.size() == 1 && left.peek().bytes() < 1024)) {
+        while (!left.isEmpty()
+                && (call.out.isReady() || left.size() == 1 && left.peek().bytes() < 1024)) {
             frame(left.poll());
             heldSince = 0;
         }
@@ -81,7 +85,8 @@
         }
     }
 
-    // ---- Ends ---------------------------------------------------------------------------------------------
+    // ---- Ends
+    // ---------------------------------------------------------------------------------------------
     /** On the loop. */
     synchronized void complete() {
         if (!closed) {
--- a/src/main/java/calicostream/flight/front/Polls.java
+++ b/src/main/java/calicostream/flight/front/Polls.java
@@ -15,12 +15,13 @@
 import org.apache.arrow.flight.sql.impl.FlightSql;
 
 /**
- * PollFlightInfo: a long query lives apart from the calls that ask how far it is. A call waits without a thread until there
- * is news or its patience ends; a query that nobody asks for any more is given up.
+ * PollFlightInfo: a long query lives apart from the calls that ask how far it is. A call waits
+ * without a thread until there is news or its patience ends; a query that nobody asks for any more
+ * is given up.
  */
 final class Polls {
     /** How a query ended: where its result is, or a status. */
-    private record End(Flight.FlightInfo info, Status status, long stayAwayMs) { }
+    private record End(Flight.FlightInfo info, Status status, long stayAwayMs) {}
 
     private static final class Query {
         final Progress<Exchange<Flight.PollInfo>, End> progress;
@@ -43,8 +44,12 @@
     Polls(Desk desk, Queries queries) {
         this.desk = desk;
         this.queries = queries;
-        all = new Handles<>(desk::name, desk.config.statements(), desk.config.statementsPerClient(),
-                Math.max(desk.config.ticketKeptUs(), 4 * desk.config.pollWaitUs()));
+        all =
+                new Handles<>(
+                        desk::name,
+                        desk.config.statements(),
+                        desk.config.statementsPerClient(),
+                        Math.max(desk.config.ticketKeptUs(), 4 * desk.config.pollWaitUs()));
     }
 
     void poll(Exchange<Flight.PollInfo> call, Flight.FlightDescriptor descriptor) {
@@ -55,18 +60,26 @@
         String name = Commands.name(command);
         if (name.equals("TicketStatementQuery")) {
             again(call, command);
-        } else if (Commands.METADATA.containsKey(name) || name.equals("CommandPreparedStatementQuery")) {
-            Exchange<Flight.FlightInfo> info = new Exchange<>(call.caller, call.deadline, null) {
-                @Override
-                void reply(Flight.FlightInfo whole) { // Nothing of it runs before it is fetched.
-                    call.reply(Flight.PollInfo.newBuilder().setInfo(whole).setProgress(1).build());
-                }
-
-                @Override
-                void fail(Status status, long stayAwayMs) {
-                    call.fail(status, stayAwayMs);
-                }
-            };
+        } else if (Commands.METADATA.containsKey(name)
+                || name.equals("CommandPreparedStatementQuery")) {
+            Exchange<Flight.FlightInfo> info =
+                    new Exchange<>(call.caller, call.deadline, null) {
+                        @Override
+                        void reply(
+                                Flight.FlightInfo
+                                        whole) { // Nothing of it runs before it is fetched.
+                            call.reply(
+                                    Flight.PollInfo.newBuilder()
+                                            .setInfo(whole)
+                                            .setProgress(1)
+                                            .build());
+                        }
+
+                        @Override
+                        void fail(Status status, long stayAwayMs) {
+                            call.fail(status, stayAwayMs);
+                        }
+                    };
             info.owner = call.owner;
             info.session = call.session;
             queries.info(info, descriptor);
@@ -87,46 +100,72 @@
         StringBuilder name = new StringBuilder();
         all.put(desk.now(), call.owner, query, name).forEach(this::giveUp);
         query.name = name.toString();
-        Work work = new Work.Poll(noted.command(), share -> wake(query, query.progress.advanced(share)));
-        query.attempt = desk.submit(desk.headers(call), queryClass, desk.spec(queryClass).deadlineUs(), noted.sql(), work,
-                0, new Reply() {
-            @Override
-            public void served(Object result) {
-                Answers.Planned planned = (Answers.Planned) result;
-                query.engine = planned.engine();
-                query.engineInfo = planned.info();
-                List<ByteString> tickets = planned.info().getEndpointList().stream()
-                        .map(each -> each.getTicket().getTicket()).toList();
-                Flight.FlightInfo info = planned.info().toBuilder().setFlightDescriptor(descriptor(query)).clearEndpoint()
-                        .addEndpoint(queries.ticket(query.owner, noted.command(), noted, planned.engine(), tickets)).build();
-                wake(query, query.progress.ended(new End(info, null, -1)));
-            }
-
-            @Override
-            public void refused(long stayAwayMs) {
-                end(Words.refusal(stayAwayMs), stayAwayMs);
-            }
-
-            @Override
-            public void failed(Front.Failure why) {
-                end(Words.failure(why), -1);
-            }
-
-            @Override
-            public void word(Status status) {
-                end(status, -1);
-            }
-
-            private void end(Status status, long stayAwayMs) {
-                wake(query, query.progress.ended(new End(null, status, stayAwayMs)));
-            }
-        });
+        Work work =
+                new Work.Poll(
+                        noted.command(), share -> wake(query, query.progress.advanced(share)));
+        query.attempt =
+                desk.submit(
+                        desk.headers(call),
+                        queryClass,
+                        desk.spec(queryClass).deadlineUs(),
+                        noted.sql(),
+                        work,
+                        0,
+                        new Reply() {
+                            @Override
+                            public void served(Object result) {
+                                Answers.Planned planned = (Answers.Planned) result;
+                                query.engine = planned.engine();
+                                query.engineInfo = planned.info();
+                                List<ByteString> tickets =
+                                        planned.info().getEndpointList().stream()
+                                                .map(each -> each.getTicket().getTicket())
+                                                .toList();
+                                Flight.FlightInfo info =
+                                        planned.info().toBuilder()
+                                                .setFlightDescriptor(descriptor(query))
+                                                .clearEndpoint()
+                                                .addEndpoint(
+                                                        queries.ticket(
+                                                                query.owner,
+                                                                noted.command(),
+                                                                noted,
+                                                                planned.engine(),
+                                                                tickets))
+                                                .build();
+                                wake(query, query.progress.ended(new End(info, null, -1)));
+                            }
+
+                            @Override
+                            public void refused(long stayAwayMs) {
+                                end(Words.refusal(stayAwayMs), stayAwayMs);
+                            }
+
+                            @Override
+                            public void failed(Front.Failure why) {
+                                end(Words.failure(why), -1);
+                            }
+
+                            @Override
+                            public void word(Status status) {
+                                end(status, -1);
+                            }
+
+                            private void end(Status status, long stayAwayMs) {
+                                wake(
+                                        query,
+                                        query.progress.ended(new End(null, status, stayAwayMs)));
+                            }
+                        });
         tell(call, query);
     }
 
     private void again(Exchange<Flight.PollInfo> call, Any command) {
-        String[] parts = Commands.unpack(command, FlightSql.TicketStatementQuery.class).getStatementHandle().toStringUtf8()
-                .split(" ", 2);
+        String[] parts =
+                Commands.unpack(command, FlightSql.TicketStatementQuery.class)
+                        .getStatementHandle()
+                        .toStringUtf8()
+                        .split(" ", 2);
         Query query = all.get(desk.now(), call.owner, parts[0]);
         if (query == null) {
             call.fail(Words.UNKNOWN_HANDLE, 0);
@@ -143,12 +182,17 @@
             return;
         }
         call.atEnd(() -> query.progress.left(call));
-        desk.loop.deadlines().add(desk.now() + desk.config.pollWaitUs(), (now, ref) -> {
-            if (!call.isAnswered()) {
-                query.progress.left(call);
-                tell(call, query);
-            }
-        }, 0);
+        desk.loop
+                .deadlines()
+                .add(
+                        desk.now() + desk.config.pollWaitUs(),
+                        (now, ref) -> {
+                            if (!call.isAnswered()) {
+                                query.progress.left(call);
+                                tell(call, query);
+                            }
+                        },
+                        0);
     }
 
     private void wake(Query query, List<Exchange<Flight.PollInfo>> who) {
@@ -156,8 +200,13 @@
     }
 
     private Flight.FlightDescriptor descriptor(Query query) {
-        return FlightWire.descriptor(FlightWire.packed(FlightSql.TicketStatementQuery.newBuilder()
-                .setStatementHandle(ByteString.copyFromUtf8(query.name + " " + query.progress.news())).build()));
+        return FlightWire.descriptor(
+                FlightWire.packed(
+                        FlightSql.TicketStatementQuery.newBuilder()
+                                .setStatementHandle(
+                                        ByteString.copyFromUtf8(
+                                                query.name + " " + query.progress.news()))
+                                .build()));
     }
 
     private void tell(Exchange<Flight.PollInfo> call, Query query) {
@@ -165,12 +214,20 @@
         if (end != null && end.status != null) {
             call.fail(end.status, end.stayAwayMs);
         } else if (end != null) {
-            call.reply(Flight.PollInfo.newBuilder().setInfo(end.info).setProgress(1)
-                    .setExpirationTime(Commands.in(desk.config.ticketKeptUs())).build());
+            call.reply(
+                    Flight.PollInfo.newBuilder()
+                            .setInfo(end.info)
+                            .setProgress(1)
+                            .setExpirationTime(Commands.in(desk.config.ticketKeptUs()))
+                            .build());
         } else {
-            call.reply(Flight.PollInfo.newBuilder().setInfo(Commands.info(descriptor(query), ByteString.EMPTY))
-                    .setFlightDescriptor(descriptor(query)).setProgress(query.progress.share())
-                    .setExpirationTime(Commands.in(desk.config.ticketKeptUs())).build());
+            call.reply(
+                    Flight.PollInfo.newBuilder()
+                            .setInfo(Commands.info(descriptor(query), ByteString.EMPTY))
+                            .setFlightDescriptor(descriptor(query))
+                            .setProgress(query.progress.share())
+                            .setExpirationTime(Commands.in(desk.config.ticketKeptUs()))
+                            .build());
         }
     }
 
@@ -178,8 +235,13 @@
     boolean cancel(String owner, Flight.FlightDescriptor descriptor) {
         String name;
         try {
-            name = Commands.unpack(Commands.command(descriptor), FlightSql.TicketStatementQuery.class).getStatementHandle()
-                    .toStringUtf8().split(" ", 2)[0];
+            name =
+                    Commands.unpack(
+                                    Commands.command(descriptor),
+                                    FlightSql.TicketStatementQuery.class)
+                            .getStatementHandle()
+                            .toStringUtf8()
+                            .split(" ", 2)[0];
         } catch (io.grpc.StatusRuntimeException e) {
             return false;
         }
@@ -195,10 +257,22 @@
             query.attempt.abandon();
         }
         if (query.engineInfo != null) {
-            desk.engines.tidy(query.engine, FlightWire.CANCEL_INFO, Flight.CancelFlightInfoRequest.newBuilder()
-                    .setInfo(query.engineInfo).build().toByteString(), false);
+            desk.engines.tidy(
+                    query.engine,
+                    FlightWire.CANCEL_INFO,
+                    Flight.CancelFlightInfoRequest.newBuilder()
+                            .setInfo(query.engineInfo)
+                            .build()
+                            .toByteString(),
+                    false);
         }
-        wake(query, query.progress.ended(new End(null, Status.CANCELLED.withDescription("cancelled by its client"), -1)));
+        wake(
+                query,
+                query.progress.ended(
+                        new End(
+                                null,
+                                Status.CANCELLED.withDescription("cancelled by its client"),
+                                -1)));
     }
 
     void left(String owner) {
@@ -206,11 +280,13 @@
     }
 
     void look(long now) {
-        all.expire(now).forEach(query -> {
-            if (query.progress.end() == null) {
-                giveUp(query);
-            }
-        });
+        all.expire(now)
+                .forEach(
+                        query -> {
+                            if (query.progress.end() == null) {
+                                giveUp(query);
+                            }
+                        });
     }
 
     int size() {
--- a/src/main/java/calicostream/flight/front/Reply.java
+++ b/src/main/java/calicostream/flight/front/Reply.java
@@ -21,7 +21,7 @@
     }
 
     /** The client left before there was an answer. */
-    default void left() { }
+    default void left() {}
 
     /** Answers a call with what the engine brought, or with why it did not. */
     abstract class To<R> implements Reply {
