--- a/src/main/java/calicostream/flight/front/SqlInfo.java
+++ b/src/main/java/calicostream/flight/front/SqlInfo.java
@@ -21,20 +21,24 @@
 import org.apache.arrow.vector.ipc.ArrowStreamReader;
 
 /**
- * What the front end tells of itself: what it decides it answers itself, all the rest (the SQL that engines speak, their
- * limits) is theirs. What needs an engine's word is read from there.
+ * What the front end tells of itself: what it decides it answers itself, all the rest (the SQL that
+ * engines speak, their limits) is theirs. What needs an engine's word is read from there.
  */
 final class SqlInfo {
     private static final int SUBSTRAIT = FlightSql.SqlInfo.FLIGHT_SQL_SERVER_SUBSTRAIT_VALUE;
-    private static final Set<Integer> THEIRS = Set.of(FlightSql.SqlInfo.FLIGHT_SQL_SERVER_READ_ONLY_VALUE,
-            FlightSql.SqlInfo.FLIGHT_SQL_SERVER_SQL_VALUE, SUBSTRAIT,
-            FlightSql.SqlInfo.FLIGHT_SQL_SERVER_SUBSTRAIT_MIN_VERSION_VALUE,
-            FlightSql.SqlInfo.FLIGHT_SQL_SERVER_SUBSTRAIT_MAX_VERSION_VALUE,
-            FlightSql.SqlInfo.FLIGHT_SQL_SERVER_TRANSACTION_VALUE,
-            FlightSql.SqlInfo.FLIGHT_SQL_SERVER_BULK_INGESTION_VALUE,
-            FlightSql.SqlInfo.FLIGHT_SQL_SERVER_INGEST_TRANSACTIONS_SUPPORTED_VALUE);
+    private static final Set<Integer> THEIRS =
+            Set.of(
+                    FlightSql.SqlInfo.FLIGHT_SQL_SERVER_READ_ONLY_VALUE,
+                    FlightSql.SqlInfo.FLIGHT_SQL_SERVER_SQL_VALUE,
+                    SUBSTRAIT,
+                    FlightSql.SqlInfo.FLIGHT_SQL_SERVER_SUBSTRAIT_MIN_VERSION_VALUE,
+                    FlightSql.SqlInfo.FLIGHT_SQL_SERVER_SUBSTRAIT_MAX_VERSION_VALUE,
+                    FlightSql.SqlInfo.FLIGHT_SQL_SERVER_TRANSACTION_VALUE,
+                    FlightSql.SqlInfo.FLIGHT_SQL_SERVER_BULK_INGESTION_VALUE,
+                    FlightSql.SqlInfo.FLIGHT_SQL_SERVER_INGEST_TRANSACTIONS_SUPPORTED_VALUE);
     private static final int OWN_BELOW = 500; // From there on it is the SQL that engines speak.
-    private static final ByteString ALL = FlightWire.packed(FlightSql.CommandGetSqlInfo.getDefaultInstance());
+    private static final ByteString ALL =
+            FlightWire.packed(FlightSql.CommandGetSqlInfo.getDefaultInstance());
     private final Desk desk;
     private final Catalogs catalogs;
     private final ExecutorService workers;
@@ -46,36 +50,54 @@
     }
 
     private SqlInfoBuilder own() {
-        SqlInfoBuilder out = new SqlInfoBuilder().withFlightSqlServerName("calicostream")
-                .withFlightSqlServerVersion("0.2.0").withFlightSqlServerArrowVersion("18.3.0")
-                .withFlightSqlServerCancel(true)
-                .withFlightSqlServerStatementTimeout(0)
-                .withFlightSqlServerTransactionTimeout((int) (desk.config.transactionIdleUs() / 1000));
-        return desk.engines != null ? out : out.withFlightSqlServerReadOnly(false).withFlightSqlServerSql(true)
-                .withFlightSqlServerSubstrait(false).withFlightSqlServerBulkIngestion(false)
-                .withFlightSqlServerTransaction(FlightSql.SqlSupportedTransaction.SQL_SUPPORTED_TRANSACTION_NONE);
+        SqlInfoBuilder out =
+                new SqlInfoBuilder()
+                        .withFlightSqlServerName("calicostream")
+                        .withFlightSqlServerVersion("0.2.0")
+                        .withFlightSqlServerArrowVersion("18.3.0")
+                        .withFlightSqlServerCancel(true)
+                        .withFlightSqlServerStatementTimeout(0)
+                        .withFlightSqlServerTransactionTimeout(
+                                (int) (desk.config.transactionIdleUs() / 1000));
+        return desk.engines != null
+                ? out
+                : out.withFlightSqlServerReadOnly(false)
+                        .withFlightSqlServerSql(true)
+                        .withFlightSqlServerSubstrait(false)
+                        .withFlightSqlServerBulkIngestion(false)
+                        .withFlightSqlServerTransaction(
+                                FlightSql.SqlSupportedTransaction.SQL_SUPPORTED_TRANSACTION_NONE);
     }
 
-    private static final Set<Integer> OWN = Set.of(FlightSql.SqlInfo.FLIGHT_SQL_SERVER_NAME_VALUE,
-            FlightSql.SqlInfo.FLIGHT_SQL_SERVER_VERSION_VALUE, FlightSql.SqlInfo.FLIGHT_SQL_SERVER_ARROW_VERSION_VALUE,
-            FlightSql.SqlInfo.FLIGHT_SQL_SERVER_CANCEL_VALUE,
-            FlightSql.SqlInfo.FLIGHT_SQL_SERVER_STATEMENT_TIMEOUT_VALUE,
-            FlightSql.SqlInfo.FLIGHT_SQL_SERVER_TRANSACTION_TIMEOUT_VALUE);
+    private static final Set<Integer> OWN =
+            Set.of(
+                    FlightSql.SqlInfo.FLIGHT_SQL_SERVER_NAME_VALUE,
+                    FlightSql.SqlInfo.FLIGHT_SQL_SERVER_VERSION_VALUE,
+                    FlightSql.SqlInfo.FLIGHT_SQL_SERVER_ARROW_VERSION_VALUE,
+                    FlightSql.SqlInfo.FLIGHT_SQL_SERVER_CANCEL_VALUE,
+                    FlightSql.SqlInfo.FLIGHT_SQL_SERVER_STATEMENT_TIMEOUT_VALUE,
+                    FlightSql.SqlInfo.FLIGHT_SQL_SERVER_TRANSACTION_TIMEOUT_VALUE);
 
-    void frames(Exchange<?> call, FlightSql.CommandGetSqlInfo command, Consumer<Catalogs.Told> then) {
+    void frames(
+            Exchange<?> call, FlightSql.CommandGetSqlInfo command, Consumer<Catalogs.Told> then) {
         Set<Integer> wanted = new HashSet<>(command.getInfoList());
         if (desk.engines == null) {
             work(call, wanted, null, then);
             return;
         }
-        catalogs.frames(call, ALL, told -> {
-            boolean none = told.status() != null && told.status().getCode() == io.grpc.Status.Code.UNIMPLEMENTED;
-            if (told.status() != null && !none) {
-                then.accept(told);
-            } else {
-                work(call, wanted, none ? null : framesOf(told), then);
-            }
-        });
+        catalogs.frames(
+                call,
+                ALL,
+                told -> {
+                    boolean none =
+                            told.status() != null
+                                    && told.status().getCode() == io.grpc.Status.Code.UNIMPLEMENTED;
+                    if (told.status() != null && !none) {
+                        then.accept(told);
+                    } else {
+                        work(call, wanted, none ? null : framesOf(told), then);
+                    }
+                });
     }
 
     @SuppressWarnings("unchecked")
@@ -84,22 +106,32 @@
     }
 
     /** Rows are put together off the loop. */
-    private void work(Exchange<?> call, Set<Integer> wanted, List<Frame> theirs, Consumer<Catalogs.Told> then) {
-        workers.execute(() -> {
-            Catalogs.Told told;
-            try {
-                told = new Catalogs.Told(together(wanted, theirs), null, -1);
-            } catch (IOException | RuntimeException e) {
-                told = new Catalogs.Told(null, io.grpc.Status.INTERNAL.withDescription("the engine's information can't be read"),
-                        -1);
-            }
-            Catalogs.Told result = told;
-            desk.loop.post(() -> {
-                if (!call.isOver()) {
-                    then.accept(result);
-                }
-            });
-        });
+    private void work(
+            Exchange<?> call,
+            Set<Integer> wanted,
+            List<Frame> theirs,
+            Consumer<Catalogs.Told> then) {
+        workers.execute(
+                () -> {
+                    Catalogs.Told told;
+                    try {
+                        told = new Catalogs.Told(together(wanted, theirs), null, -1);
+                    } catch (IOException | RuntimeException e) {
+                        told =
+                                new Catalogs.Told(
+                                        null,
+                                        io.grpc.Status.INTERNAL.withDescription(
+                                                "the engine's information can't be read"),
+                                        -1);
+                    }
+                    Catalogs.Told result = told;
+                    desk.loop.post(
+                            () -> {
+                                if (!call.isOver()) {
+                                    then.accept(result);
+                                }
+                            });
+                });
     }
 
     private List<Frame> together(Set<Integer> wanted, List<Frame> theirs) throws IOException {
@@ -108,8 +140,9 @@
         ids.removeIf(id -> !wanted.isEmpty() && !wanted.contains(id));
         own().send(ids, new FrameListener(out));
         if (theirs != null) {
-            try (ArrowStreamReader reader = new ArrowStreamReader(new ByteArrayInputStream(ArrowRows.ipc(theirs)),
-                    ArrowRows.ALLOCATOR)) {
+            try (ArrowStreamReader reader =
+                    new ArrowStreamReader(
+                            new ByteArrayInputStream(ArrowRows.ipc(theirs)), ArrowRows.ALLOCATOR)) {
                 VectorSchemaRoot from = reader.getVectorSchemaRoot();
                 while (reader.loadNextBatch()) {
                     add(from, wanted, out);
@@ -141,35 +174,44 @@
         }
     }
 
-    /** Goes on where an engine says that it takes Substrait plans; else the call is told that none does. */
+    /**
+     * Goes on where an engine says that it takes Substrait plans; else the call is told that none
+     * does.
+     */
     void ifSubstrait(Exchange<?> call, Runnable then) {
         if (desk.engines == null) {
             call.fail(Words.unsupported("these engines take no Substrait plans"));
             return;
         }
-        catalogs.frames(call, ALL, told -> {
-            if (told.status() != null) {
-                call.fail(told.status(), told.stayAwayMs());
-                return;
-            }
-            boolean yes = false;
-            try (ArrowStreamReader reader = new ArrowStreamReader(new ByteArrayInputStream(ArrowRows.ipc(framesOf(told))),
-                    ArrowRows.ALLOCATOR)) {
-                VectorSchemaRoot root = reader.getVectorSchemaRoot();
-                while (reader.loadNextBatch()) {
-                    for (int i = 0; i < root.getRowCount(); i++) {
-                        boolean here = ((UInt4Vector) root.getVector(0)).get(i) == SUBSTRAIT;
-                        yes |= here && Boolean.TRUE.equals(root.getVector(1).getObject(i));
+        catalogs.frames(
+                call,
+                ALL,
+                told -> {
+                    if (told.status() != null) {
+                        call.fail(told.status(), told.stayAwayMs());
+                        return;
                     }
-                }
-            } catch (IOException | RuntimeException e) {
-                yes = false;
-            }
-            if (yes) {
-                then.run();
-            } else {
-                call.fail(Words.unsupported("these engines take no Substrait plans"));
-            }
-        });
+                    boolean yes = false;
+                    try (ArrowStreamReader reader =
+                            new ArrowStreamReader(
+                                    new ByteArrayInputStream(ArrowRows.ipc(framesOf(told))),
+                                    ArrowRows.ALLOCATOR)) {
+                        VectorSchemaRoot root = reader.getVectorSchemaRoot();
+                        while (reader.loadNextBatch()) {
+                            for (int i = 0; i < root.getRowCount(); i++) {
+                                boolean here =
+                                        ((UInt4Vector) root.getVector(0)).get(i) == SUBSTRAIT;
+                                yes |= here && Boolean.TRUE.equals(root.getVector(1).getObject(i));
+                            }
+                        }
+                    } catch (IOException | RuntimeException e) {
+                        yes = false;
+                    }
+                    if (yes) {
+                        then.run();
+                    } else {
+                        call.fail(Words.unsupported("these engines take no Substrait plans"));
+                    }
+                });
     }
 }
--- a/src/main/java/calicostream/flight/front/Statements.java
+++ b/src/main/java/calicostream/flight/front/Statements.java
@@ -26,9 +26,15 @@
 import org.apache.arrow.vector.ipc.message.MessageSerializer;
 import org.apache.arrow.vector.types.pojo.Schema;
 
-/** Prepared statements: made at an engine once, so that their schemas are known, and from then on wherever they run. */
+/**
+ * Prepared statements: made at an engine once, so that their schemas are known, and from then on
+ * wherever they run.
+ */
 final class Statements {
-    /** A statement with the client's handle; {@code transaction} is empty, or the name of the one it belongs to. */
+    /**
+     * A statement with the client's handle; {@code transaction} is empty, or the name of the one it
+     * belongs to.
+     */
     static final class Entry {
         final Prepared<List<Frame>, ByteString> core;
         final String action;
@@ -38,8 +44,14 @@
         final ByteString parameterSchema;
         final ByteString transaction;
 
-        private Entry(Prepared<List<Frame>, ByteString> core, String action, ByteString request, String sql,
-                ByteString resultSchema, ByteString parameterSchema, ByteString transaction) {
+        private Entry(
+                Prepared<List<Frame>, ByteString> core,
+                String action,
+                ByteString request,
+                String sql,
+                ByteString resultSchema,
+                ByteString parameterSchema,
+                ByteString transaction) {
             this.core = core;
             this.action = action;
             this.request = request;
@@ -61,8 +73,12 @@
     Statements(Desk desk, TransactionDesk transactions) {
         this.desk = desk;
         this.transactions = transactions;
-        all = new Handles<>(desk::name, desk.config.statements(), desk.config.statementsPerClient(),
-                desk.config.statementKeptUs());
+        all =
+                new Handles<>(
+                        desk::name,
+                        desk.config.statements(),
+                        desk.config.statementsPerClient(),
+                        desk.config.statementKeptUs());
     }
 
     /** The statement, or null and the call told that there is none. */
@@ -78,49 +94,97 @@
         return all.size();
     }
 
-    // ---- Making and closing ---------------------------------------------------------------------------
-    void create(Exchange<Flight.Result> call, FlightSql.ActionCreatePreparedStatementRequest request) {
+    // ---- Making and closing
+    // ---------------------------------------------------------------------------
+    void create(
+            Exchange<Flight.Result> call, FlightSql.ActionCreatePreparedStatementRequest request) {
         if (request.getQuery().isBlank()) {
             throw Commands.invalid("an empty statement");
         }
-        Txn<ByteString> txn = request.getTransactionId().isEmpty() ? null
-                : transactions.use(call, request.getTransactionId(), Purpose.STATEMENT);
+        Txn<ByteString> txn =
+                request.getTransactionId().isEmpty()
+                        ? null
+                        : transactions.use(call, request.getTransactionId(), Purpose.STATEMENT);
         if (txn != null || request.getTransactionId().isEmpty()) {
-            Message sent = txn == null ? request : request.toBuilder().setTransactionId(txn.handle).build();
-            create(call, FlightWire.CREATE_PREPARED, sent, request.getQuery(), request.getTransactionId(), txn);
+            Message sent =
+                    txn == null
+                            ? request
+                            : request.toBuilder().setTransactionId(txn.handle).build();
+            create(
+                    call,
+                    FlightWire.CREATE_PREPARED,
+                    sent,
+                    request.getQuery(),
+                    request.getTransactionId(),
+                    txn);
         }
     }
 
-    void createPlan(Exchange<Flight.Result> call, FlightSql.ActionCreatePreparedSubstraitPlanRequest request) {
-        Txn<ByteString> txn = request.getTransactionId().isEmpty() ? null
-                : transactions.use(call, request.getTransactionId(), Purpose.STATEMENT);
+    void createPlan(
+            Exchange<Flight.Result> call,
+            FlightSql.ActionCreatePreparedSubstraitPlanRequest request) {
+        Txn<ByteString> txn =
+                request.getTransactionId().isEmpty()
+                        ? null
+                        : transactions.use(call, request.getTransactionId(), Purpose.STATEMENT);
         if (txn != null || request.getTransactionId().isEmpty()) {
-            Message sent = txn == null ? request : request.toBuilder().setTransactionId(txn.handle).build();
-            create(call, FlightWire.CREATE_PREPARED_PLAN, sent, "", request.getTransactionId(), txn);
+            Message sent =
+                    txn == null
+                            ? request
+                            : request.toBuilder().setTransactionId(txn.handle).build();
+            create(
+                    call,
+                    FlightWire.CREATE_PREPARED_PLAN,
+                    sent,
+                    "",
+                    request.getTransactionId(),
+                    txn);
         }
     }
 
-    private void create(Exchange<Flight.Result> call, String action, Message request, String sql, ByteString transaction,
+    private void create(
+            Exchange<Flight.Result> call,
+            String action,
+            Message request,
+            String sql,
+            ByteString transaction,
             Txn<ByteString> txn) {
         ByteString packed = FlightWire.packed(request);
-        Reply answer = new Reply.To<>(call) {
-            @Override
-            public void served(Object result) {
-                made(call, (Answers.Acted) result, action, packed, sql, transaction);
-            }
-        };
-        desk.submit(call, desk.metadataClass(), sql, new Work.Act(action, packed), txn == null ? 0 : txn.engine,
+        Reply answer =
+                new Reply.To<>(call) {
+                    @Override
+                    public void served(Object result) {
+                        made(call, (Answers.Acted) result, action, packed, sql, transaction);
+                    }
+                };
+        desk.submit(
+                call,
+                desk.metadataClass(),
+                sql,
+                new Work.Act(action, packed),
+                txn == null ? 0 : txn.engine,
                 txn == null ? answer : transactions.within(txn, true, answer));
     }
 
-    private void made(Exchange<Flight.Result> call, Answers.Acted acted, String action, ByteString request, String sql,
+    private void made(
+            Exchange<Flight.Result> call,
+            Answers.Acted acted,
+            String action,
+            ByteString request,
+            String sql,
             ByteString transaction) {
         FlightSql.ActionCreatePreparedStatementResult told;
         List<Prepared.Parameter> parameters;
         try {
-            told = acted.results().isEmpty() ? FlightSql.ActionCreatePreparedStatementResult.getDefaultInstance()
-                    : Any.parseFrom(acted.results().get(0)).unpack(FlightSql.ActionCreatePreparedStatementResult.class);
-            parameters = told.getParameterSchema().isEmpty() ? null : parameters(told.getParameterSchema());
+            told =
+                    acted.results().isEmpty()
+                            ? FlightSql.ActionCreatePreparedStatementResult.getDefaultInstance()
+                            : Any.parseFrom(acted.results().get(0))
+                                    .unpack(FlightSql.ActionCreatePreparedStatementResult.class);
+            parameters =
+                    told.getParameterSchema().isEmpty()
+                            ? null
+                            : parameters(told.getParameterSchema());
         } catch (IOException | RuntimeException e) {
             call.fail(Status.INTERNAL.withDescription("the engine's statement can't be read"));
             return;
@@ -132,15 +196,32 @@
         Prepared<List<Frame>, ByteString> core = new Prepared<>(parameters);
         core.bind(List.of());
         core.giveBack(acted.engine(), told.getPreparedStatementHandle());
-        Entry entry = new Entry(core, action, request, sql, told.getDatasetSchema(), told.getParameterSchema(), transaction);
+        Entry entry =
+                new Entry(
+                        core,
+                        action,
+                        request,
+                        sql,
+                        told.getDatasetSchema(),
+                        told.getParameterSchema(),
+                        transaction);
         StringBuilder name = new StringBuilder();
         all.put(desk.now(), call.owner, entry, name).forEach(this::close);
-        call.reply(TransactionDesk.result(told.toBuilder()
-                .setPreparedStatementHandle(ByteString.copyFromUtf8(name.toString())).build()));
+        call.reply(
+                TransactionDesk.result(
+                        told.toBuilder()
+                                .setPreparedStatementHandle(
+                                        ByteString.copyFromUtf8(name.toString()))
+                                .build()));
     }
 
-    void close(Exchange<Flight.Result> call, FlightSql.ActionClosePreparedStatementRequest request) {
-        Entry gone = all.remove(desk.now(), call.owner, request.getPreparedStatementHandle().toStringUtf8());
+    void close(
+            Exchange<Flight.Result> call, FlightSql.ActionClosePreparedStatementRequest request) {
+        Entry gone =
+                all.remove(
+                        desk.now(),
+                        call.owner,
+                        request.getPreparedStatementHandle().toStringUtf8());
         if (gone != null) {
             close(gone);
         }
@@ -148,8 +229,15 @@
     }
 
     private void close(Entry gone) {
-        gone.core.close().forEach(each -> desk.engines.tidy(each.engine(), FlightWire.CLOSE_PREPARED,
-                Lease.closing(each.handle()), false));
+        gone.core
+                .close()
+                .forEach(
+                        each ->
+                                desk.engines.tidy(
+                                        each.engine(),
+                                        FlightWire.CLOSE_PREPARED,
+                                        Lease.closing(each.handle()),
+                                        false));
     }
 
     void left(String owner) {
@@ -164,9 +252,11 @@
         all.forEach(each -> each.core.lost(engine));
     }
 
-    // ---- Parameters -----------------------------------------------------------------------------------
+    // ---- Parameters
+    // -----------------------------------------------------------------------------------
     static Schema schema(byte[] bytes) throws IOException {
-        return MessageSerializer.deserializeSchema(new ReadChannel(Channels.newChannel(new ByteArrayInputStream(bytes))));
+        return MessageSerializer.deserializeSchema(
+                new ReadChannel(Channels.newChannel(new ByteArrayInputStream(bytes))));
     }
 
     private static List<Prepared.Parameter> parameters(ByteString schema) throws IOException {
@@ -174,8 +264,16 @@
     }
 
     private static List<Prepared.Parameter> parameters(Schema schema) {
-        return schema.getFields().stream().map(field -> new Prepared.Parameter(field.getName(),
-                field.getType() + (field.getChildren().isEmpty() ? "" : field.getChildren().toString()))).toList();
+        return schema.getFields().stream()
+                .map(
+                        field ->
+                                new Prepared.Parameter(
+                                        field.getName(),
+                                        field.getType()
+                                                + (field.getChildren().isEmpty()
+                                                        ? ""
+                                                        : field.getChildren().toString())))
+                .toList();
     }
 
     /** Why these frames, schema first, can't be bound to the statement, or null. */
--- a/src/main/java/calicostream/flight/front/TransactionDesk.java
+++ b/src/main/java/calicostream/flight/front/TransactionDesk.java
@@ -22,23 +22,34 @@
 
 /** Transactions and savepoints: the calls that make and end them, and what runs in them. */
 final class TransactionDesk {
-    private static final long DRAIN_LEFT = 350_000; // of the 500 ms, so that a last rollback is out in time
+    private static final long DRAIN_LEFT =
+            350_000; // of the 500 ms, so that a last rollback is out in time
     private static final long REMEMBERED = 120_000_000;
     private final Desk desk;
     private final Transactions<ByteString> all;
 
     TransactionDesk(Desk desk) {
         this.desk = desk;
-        all = new Transactions<>(desk::name, new Transactions.Bounds(desk.config.transactionsPerClient(),
-                desk.config.transactionsPerEngine(), desk.config.transactionIdleUs(), DRAIN_LEFT, REMEMBERED));
+        all =
+                new Transactions<>(
+                        desk::name,
+                        new Transactions.Bounds(
+                                desk.config.transactionsPerClient(),
+                                desk.config.transactionsPerEngine(),
+                                desk.config.transactionIdleUs(),
+                                DRAIN_LEFT,
+                                REMEMBERED));
     }
 
     Transactions<ByteString> all() {
         return all;
     }
 
-    // ---- Use ------------------------------------------------------------------------------------------
-    /** The transaction that a statement names, taken for it; null: the call has been told why not. */
+    // ---- Use
+    // ------------------------------------------------------------------------------------------
+    /**
+     * The transaction that a statement names, taken for it; null: the call has been told why not.
+     */
     Txn<ByteString> use(Exchange<?> call, ByteString name, Purpose purpose) {
         Txn<ByteString> txn = all.find(call.owner, name.toStringUtf8());
         Status why = Words.transaction(all.use(desk.now(), txn, purpose), txn);
@@ -49,7 +60,10 @@
         return txn;
     }
 
-    /** A reply that also tells the transaction how it went. {@code reads}: leaving it half-way changes nothing. */
+    /**
+     * A reply that also tells the transaction how it went. {@code reads}: leaving it half-way
+     * changes nothing.
+     */
     Reply within(Txn<ByteString> txn, boolean reads, Reply reply) {
         return new Reply() {
             @Override
@@ -76,7 +90,9 @@
             }
 
             @Override
-            public void word(Status status) { // The engine judged the statement; the transaction is its to keep.
+            public void word(
+                    Status status) { // The engine judged the statement; the transaction is its to
+                // keep.
                 done(txn, Result.DONE);
                 reply.word(status);
             }
@@ -96,80 +112,111 @@
     }
 
     /** An action in a transaction, on its engine. */
-    private void act(Exchange<Flight.Result> call, Txn<ByteString> txn, Purpose purpose, String type, Message body,
+    private void act(
+            Exchange<Flight.Result> call,
+            Txn<ByteString> txn,
+            Purpose purpose,
+            String type,
+            Message body,
             Consumer<Answers.Acted> then) {
-        int queryClass = purpose == Purpose.COMMIT ? desk.classOf(call, null, desk.config.updateClass())
-                : desk.metadataClass();
-        Reply answer = new Reply.To<>(call) {
-            @Override
-            public void served(Object result) {
-                then.accept((Answers.Acted) result);
-            }
+        int queryClass =
+                purpose == Purpose.COMMIT
+                        ? desk.classOf(call, null, desk.config.updateClass())
+                        : desk.metadataClass();
+        Reply answer =
+                new Reply.To<>(call) {
+                    @Override
+                    public void served(Object result) {
+                        then.accept((Answers.Acted) result);
+                    }
 
-            @Override
-            public void failed(Front.Failure why) {
-                Status told = Words.transaction(all.standing(txn), txn);
-                call.fail(told == null ? Words.failure(why) : told);
-            }
-        };
-        desk.submit(call, queryClass, "", new Work.Act(type, FlightWire.packed(body)), txn.engine,
+                    @Override
+                    public void failed(Front.Failure why) {
+                        Status told = Words.transaction(all.standing(txn), txn);
+                        call.fail(told == null ? Words.failure(why) : told);
+                    }
+                };
+        desk.submit(
+                call,
+                queryClass,
+                "",
+                new Work.Act(type, FlightWire.packed(body)),
+                txn.engine,
                 within(txn, false, answer));
     }
 
-    // ---- Actions --------------------------------------------------------------------------------------
+    // ---- Actions
+    // --------------------------------------------------------------------------------------
     void begin(Exchange<Flight.Result> call) {
         if (!all.mayBegin(call.owner)) {
-            call.fail(Status.RESOURCE_EXHAUSTED.withDescription("too many transactions of one client: "
-                    + desk.config.transactionsPerClient() + " allowed"));
+            call.fail(
+                    Status.RESOURCE_EXHAUSTED.withDescription(
+                            "too many transactions of one client: "
+                                    + desk.config.transactionsPerClient()
+                                    + " allowed"));
             return;
         }
         String owner = call.owner;
-        ByteString body = FlightWire.packed(FlightSql.ActionBeginTransactionRequest.getDefaultInstance());
-        desk.submit(call, desk.metadataClass(), "", new Work.Act(FlightWire.BEGIN_TRANSACTION, body), 0,
+        ByteString body =
+                FlightWire.packed(FlightSql.ActionBeginTransactionRequest.getDefaultInstance());
+        desk.submit(
+                call,
+                desk.metadataClass(),
+                "",
+                new Work.Act(FlightWire.BEGIN_TRANSACTION, body),
+                0,
                 new Reply.To<>(call) {
-            @Override
-            public void served(Object result) {
-                Answers.Acted acted = (Answers.Acted) result;
-                ByteString handle = first(acted, FlightSql.ActionBeginTransactionResult.class,
-                        FlightSql.ActionBeginTransactionResult::getTransactionId);
-                if (handle.isEmpty()) {
-                    all.notBegun(owner);
-                    call.fail(Status.INTERNAL.withDescription("the engine named no transaction"));
-                    return;
-                }
-                Txn<ByteString> txn = all.begun(desk.now(), owner, acted.engine(), handle);
-                if (txn == null) {
-                    rollBack(acted.engine(), handle);
-                    call.fail(Words.refusal(desk.mostWaitMs()), desk.mostWaitMs());
-                    return;
-                }
-                call.reply(result(FlightSql.ActionBeginTransactionResult.newBuilder()
-                        .setTransactionId(ByteString.copyFromUtf8(txn.name)).build()));
-            }
+                    @Override
+                    public void served(Object result) {
+                        Answers.Acted acted = (Answers.Acted) result;
+                        ByteString handle =
+                                first(
+                                        acted,
+                                        FlightSql.ActionBeginTransactionResult.class,
+                                        FlightSql.ActionBeginTransactionResult::getTransactionId);
+                        if (handle.isEmpty()) {
+                            all.notBegun(owner);
+                            call.fail(
+                                    Status.INTERNAL.withDescription(
+                                            "the engine named no transaction"));
+                            return;
+                        }
+                        Txn<ByteString> txn = all.begun(desk.now(), owner, acted.engine(), handle);
+                        if (txn == null) {
+                            rollBack(acted.engine(), handle);
+                            call.fail(Words.refusal(desk.mostWaitMs()), desk.mostWaitMs());
+                            return;
+                        }
+                        call.reply(
+                                result(
+                                        FlightSql.ActionBeginTransactionResult.newBuilder()
+                                                .setTransactionId(ByteString.copyFromUtf8(txn.name))
+                                                .build()));
+                    }
 
-            @Override
-            public void refused(long stayAwayMs) {
-                all.notBegun(owner);
-                super.refused(stayAwayMs);
-            }
+                    @Override
+                    public void refused(long stayAwayMs) {
+                        all.notBegun(owner);
+                        super.refused(stayAwayMs);
+                    }
 
-            @Override
-            public void failed(Front.Failure why) {
-                all.notBegun(owner);
-                super.failed(why);
-            }
+                    @Override
+                    public void failed(Front.Failure why) {
+                        all.notBegun(owner);
+                        super.failed(why);
+                    }
 
-            @Override
-            public void word(Status status) {
-                all.notBegun(owner);
-                super.word(status);
-            }
+                    @Override
+                    public void word(Status status) {
+                        all.notBegun(owner);
+                        super.word(status);
+                    }
 
-            @Override
-            public void left() { // The engine's own lease ends what it may have begun.
-                all.notBegun(owner);
-            }
-        });
+                    @Override
+                    public void left() { // The engine's own lease ends what it may have begun.
+                        all.notBegun(owner);
+                    }
+                });
     }
 
     void end(Exchange<Flight.Result> call, FlightSql.ActionEndTransactionRequest request) {
@@ -187,16 +234,25 @@
             act(call, txn, purpose, FlightWire.END_TRANSACTION, body, acted -> call.complete());
             return;
         }
-        // The module sends a drained engine nothing; what is left of the 500 ms is for this, once, and for no other.
-        desk.engines.act(txn.engine, FlightWire.END_TRANSACTION, FlightWire.packed(body), status -> {
-            done(txn, status.isOk() || status.getCode() == Status.Code.ABORTED ? Result.DONE : Result.LOST);
-            if (status.isOk()) {
-                call.complete();
-            } else {
-                Status told = Words.transaction(all.standing(txn), txn);
-                call.fail(told == null ? status : told);
-            }
-        });
+        // The module sends a drained engine nothing; what is left of the 500 ms is for this, once,
+        // and for no other.
+        desk.engines.act(
+                txn.engine,
+                FlightWire.END_TRANSACTION,
+                FlightWire.packed(body),
+                status -> {
+                    done(
+                            txn,
+                            status.isOk() || status.getCode() == Status.Code.ABORTED
+                                    ? Result.DONE
+                                    : Result.LOST);
+                    if (status.isOk()) {
+                        call.complete();
+                    } else {
+                        Status told = Words.transaction(all.standing(txn), txn);
+                        call.fail(told == null ? status : told);
+                    }
+                });
     }
 
     void savepoint(Exchange<Flight.Result> call, FlightSql.ActionBeginSavepointRequest request) {
@@ -205,16 +261,31 @@
         }
         Txn<ByteString> txn = use(call, request.getTransactionId(), Purpose.STATEMENT);
         if (txn != null) {
-            act(call, txn, Purpose.STATEMENT, FlightWire.BEGIN_SAVEPOINT,
-                    request.toBuilder().setTransactionId(txn.handle).build(), acted -> {
-                        ByteString handle = first(acted, FlightSql.ActionBeginSavepointResult.class,
-                                FlightSql.ActionBeginSavepointResult::getSavepointId);
+            act(
+                    call,
+                    txn,
+                    Purpose.STATEMENT,
+                    FlightWire.BEGIN_SAVEPOINT,
+                    request.toBuilder().setTransactionId(txn.handle).build(),
+                    acted -> {
+                        ByteString handle =
+                                first(
+                                        acted,
+                                        FlightSql.ActionBeginSavepointResult.class,
+                                        FlightSql.ActionBeginSavepointResult::getSavepointId);
                         if (handle.isEmpty()) {
-                            call.fail(Status.INTERNAL.withDescription("the engine named no savepoint"));
+                            call.fail(
+                                    Status.INTERNAL.withDescription(
+                                            "the engine named no savepoint"));
                             return;
                         }
-                        call.reply(result(FlightSql.ActionBeginSavepointResult.newBuilder().setSavepointId(
-                                ByteString.copyFromUtf8(all.mark(txn, handle))).build()));
+                        call.reply(
+                                result(
+                                        FlightSql.ActionBeginSavepointResult.newBuilder()
+                                                .setSavepointId(
+                                                        ByteString.copyFromUtf8(
+                                                                all.mark(txn, handle)))
+                                                .build()));
                     });
         }
     }
@@ -232,7 +303,12 @@
         }
         ByteString handle = all.savepoint(of, name);
         if (use(call, ByteString.copyFromUtf8(of.name), Purpose.STATEMENT) != null) {
-            act(call, of, Purpose.STATEMENT, FlightWire.END_SAVEPOINT, request.toBuilder().setSavepointId(handle).build(),
+            act(
+                    call,
+                    of,
+                    Purpose.STATEMENT,
+                    FlightWire.END_SAVEPOINT,
+                    request.toBuilder().setSavepointId(handle).build(),
                     acted -> {
                         all.savepointEnded(of, name, release);
                         call.complete();
@@ -240,14 +316,22 @@
         }
     }
 
-    // ---- Time -----------------------------------------------------------------------------------------
+    // ---- Time
+    // -----------------------------------------------------------------------------------------
     void look(long now) {
         all.due(now).forEach(txn -> rollBack(txn.engine, txn.handle));
     }
 
     private void rollBack(long engine, ByteString handle) {
-        desk.engines.tidy(engine, FlightWire.END_TRANSACTION, FlightWire.packed(FlightSql.ActionEndTransactionRequest
-                .newBuilder().setTransactionId(handle).setAction(EndTransaction.END_TRANSACTION_ROLLBACK).build()), true);
+        desk.engines.tidy(
+                engine,
+                FlightWire.END_TRANSACTION,
+                FlightWire.packed(
+                        FlightSql.ActionEndTransactionRequest.newBuilder()
+                                .setTransactionId(handle)
+                                .setAction(EndTransaction.END_TRANSACTION_ROLLBACK)
+                                .build()),
+                true);
     }
 
     static Flight.Result result(Message message) {
@@ -255,10 +339,11 @@
     }
 
     /** A handle out of an action's first result; empty where there is none. */
-    static <M extends Message> ByteString first(Answers.Acted acted, Class<M> as,
-            java.util.function.Function<M, ByteString> handle) {
+    static <M extends Message> ByteString first(
+            Answers.Acted acted, Class<M> as, java.util.function.Function<M, ByteString> handle) {
         try {
-            return acted.results().isEmpty() ? ByteString.EMPTY
+            return acted.results().isEmpty()
+                    ? ByteString.EMPTY
                     : handle.apply(Any.parseFrom(acted.results().get(0)).unpack(as));
         } catch (InvalidProtocolBufferException e) {
             return ByteString.EMPTY;
--- a/src/main/java/calicostream/flight/front/Words.java
+++ b/src/main/java/calicostream/flight/front/Words.java
@@ -7,12 +7,15 @@
 
 /** The statuses that clients hear. What they mean is in {@code docs/operate/flight-sql.md}. */
 final class Words {
-    static final Status UNKNOWN_HANDLE = Status.NOT_FOUND.withDescription(
-            "no such handle: closed, used, too old, or of another process; ask for a new one");
+    static final Status UNKNOWN_HANDLE =
+            Status.NOT_FOUND.withDescription(
+                    "no such handle: closed, used, too old, or of another process; ask for a new"
+                            + " one");
     static final Status NO_TOKEN = Status.UNAUTHENTICATED.withDescription("log in for a token");
-    static final Status TIMED_OUT = Status.DEADLINE_EXCEEDED.withDescription("not answered in time");
+    static final Status TIMED_OUT =
+            Status.DEADLINE_EXCEEDED.withDescription("not answered in time");
 
-    private Words() { }
+    private Words() {}
 
     static Status refusal(long stayAwayMs) {
         return Status.UNAVAILABLE.withDescription("refused; stay away for " + stayAwayMs + " ms");
@@ -20,9 +23,13 @@
 
     static Status failure(Front.Failure why) {
         switch (why) {
-            case DEADLINE: return TIMED_OUT;
-            case CUT: return Status.INTERNAL.withDescription("the result broke off; what came of it is not whole");
-            default: return Status.INTERNAL.withDescription("failed; it may have run");
+            case DEADLINE:
+                return TIMED_OUT;
+            case CUT:
+                return Status.INTERNAL.withDescription(
+                        "the result broke off; what came of it is not whole");
+            default:
+                return Status.INTERNAL.withDescription("failed; it may have run");
         }
     }
 
@@ -37,15 +44,25 @@
     /** Why something can't be done in a transaction; null: it can. */
     static Status transaction(Transactions.Answer answer, Transactions.Txn<?> txn) {
         switch (answer) {
-            case GRANTED: return null;
-            case UNKNOWN: return Status.NOT_FOUND.withDescription("no such transaction: it is dead or ended; begin anew");
-            case IN_USE: return Status.FAILED_PRECONDITION.withDescription("the transaction is in use by another call");
-            case DRAINING: return Status.FAILED_PRECONDITION.withDescription(
-                    "the transaction's engine drains: commit or roll back at once");
-            case OUTCOME_UNKNOWN: return Status.UNKNOWN.withDescription("outcome unknown: " + txn.why()
-                    + "; it is committed or not, and is not sent again");
-            default: return Status.ABORTED.withDescription("the transaction is dead: " + txn.why()
-                    + "; begin anew");
+            case GRANTED:
+                return null;
+            case UNKNOWN:
+                return Status.NOT_FOUND.withDescription(
+                        "no such transaction: it is dead or ended; begin anew");
+            case IN_USE:
+                return Status.FAILED_PRECONDITION.withDescription(
+                        "the transaction is in use by another call");
+            case DRAINING:
+                return Status.FAILED_PRECONDITION.withDescription(
+                        "the transaction's engine drains: commit or roll back at once");
+            case OUTCOME_UNKNOWN:
+                return Status.UNKNOWN.withDescription(
+                        "outcome unknown: "
+                                + txn.why()
+                                + "; it is committed or not, and is not sent again");
+            default:
+                return Status.ABORTED.withDescription(
+                        "the transaction is dead: " + txn.why() + "; begin anew");
         }
     }
 }
--- a/src/main/java/calicostream/flight/state/Admission.java
+++ b/src/main/java/calicostream/flight/state/Admission.java
@@ -7,12 +7,17 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Bounds on what clients have open at once: calls of one client, calls in all, streams, and bytes that results hold. Calls
- * are counted on one thread; streams and bytes from any.
+ * Bounds on what clients have open at once: calls of one client, calls in all, streams, and bytes
+ * that results hold. Calls are counted on one thread; streams and bytes from any.
  */
 public final class Admission {
     /** Why a call is turned away, or that it is not. */
-    public enum Answer { TAKEN, CLIENT_FULL, ALL_FULL, BYTES_FULL }
+    public enum Answer {
+        TAKEN,
+        CLIENT_FULL,
+        ALL_FULL,
+        BYTES_FULL
+    }
 
     private final int mostCalls;
     private final int mostOfClient;
@@ -56,8 +61,9 @@
     }
 
     /**
-     * Sets room aside for a held part of a result; false where there is none. Held results take three quarters at most:
-     * clients that don't read theirs must not shut out the calls of others. From any thread.
+     * Sets room aside for a held part of a result; false where there is none. Held results take
+     * three quarters at most: clients that don't read theirs must not shut out the calls of others.
+     * From any thread.
      */
     public boolean reserve(long amount) {
         long most = mostBytes / 4 * 3;
@@ -65,7 +71,10 @@
         return before + amount <= most;
     }
 
-    /** Counts what a client has sent and is here now, whatever the bound: past it new calls are turned away. */
+    /**
+     * Counts what a client has sent and is here now, whatever the bound: past it new calls are
+     * turned away.
+     */
     public void charge(long amount) {
         bytes.addAndGet(amount);
     }
@@ -75,7 +84,10 @@
         bytes.addAndGet(-amount);
     }
 
-    /** Lets a stream begin, which may take a window of memory for as long as its client reads nothing. From any thread. */
+    /**
+     * Lets a stream begin, which may take a window of memory for as long as its client reads
+     * nothing. From any thread.
+     */
     public boolean beginStream() {
         int before = streams.getAndUpdate(n -> n < mostStreams ? n + 1 : n);
         return before < mostStreams;
--- a/src/main/java/calicostream/flight/state/Effects.java
+++ b/src/main/java/calicostream/flight/state/Effects.java
@@ -4,12 +4,25 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** What a statement's first word says of its effect on catalogs. Only a hint: what it forgets comes back when asked for. */
+/**
+ * What a statement's first word says of its effect on catalogs. Only a hint: what it forgets comes
+ * back when asked for.
+ */
 public final class Effects {
-    private static final Set<String> CHANGES = Set.of("CREATE", "DROP", "ALTER", "TRUNCATE", "RENAME", "COMMENT", "GRANT",
-            "REVOKE", "ATTACH", "DETACH");
+    private static final Set<String> CHANGES =
+            Set.of(
+                    "CREATE",
+                    "DROP",
+                    "ALTER",
+                    "TRUNCATE",
+                    "RENAME",
+                    "COMMENT",
+                    "GRANT",
+                    "REVOKE",
+                    "ATTACH",
+                    "DETACH");
 
-    private Effects() { }
+    private Effects() {}
 
     /** Whether tables, schemas or catalogs may be others after it. */
     public static boolean changesCatalog(String sql) {
--- a/src/main/java/calicostream/flight/state/Handles.java
+++ b/src/main/java/calicostream/flight/state/Handles.java
@@ -9,11 +9,12 @@
 import java.util.function.Supplier;
 
 /**
- * Things that clients have been given a name for. Each belongs to one owner; to all others it does not exist. A thing is
- * forgotten when its time is over, and the least recently used of an owner, then of all, when there are too many.
+ * Things that clients have been given a name for. Each belongs to one owner; to all others it does
+ * not exist. A thing is forgotten when its time is over, and the least recently used of an owner,
+ * then of all, when there are too many.
  */
 public final class Handles<T> {
-    private record Kept<T>(String owner, T thing, long until) { }
+    private record Kept<T>(String owner, T thing, long until) {}
 
     private final Supplier<String> names;
     private final int most;
@@ -62,7 +63,9 @@
         return gone;
     }
 
-    /** The thing, if it is this owner's; its time begins anew. Null otherwise, whatever the reason. */
+    /**
+     * The thing, if it is this owner's; its time begins anew. Null otherwise, whatever the reason.
+     */
     public T get(long now, String owner, String name) {
         Kept<T> found = kept.get(name);
         if (found == null || !found.owner.equals(owner) || found.until <= now) {
@@ -94,7 +97,8 @@
     private List<T> removeIf(java.util.function.Predicate<Kept<T>> which) {
         List<T> out = new ArrayList<>();
         List<String> gone = new ArrayList<>();
-        for (Iterator<Map.Entry<String, Kept<T>>> each = kept.entrySet().iterator(); each.hasNext();) {
+        for (Iterator<Map.Entry<String, Kept<T>>> each = kept.entrySet().iterator();
+                each.hasNext(); ) {
             Map.Entry<String, Kept<T>> entry = each.next();
             if (which.test(entry.getValue())) {
                 gone.add(entry.getKey());
--- a/src/main/java/calicostream/flight/state/Prepared.java
+++ b/src/main/java/calicostream/flight/state/Prepared.java
@@ -8,16 +8,17 @@
 import java.util.Map;
 
 /**
- * A statement that a client prepared, and the handles that engines gave for it. An engine's handle serves one execution
- * at a time, since parameters are bound to it: it is lent out and given back, made where none rests, and forgotten with
- * its engine. {@code B} is what is bound, {@code H} an engine's handle.
+ * A statement that a client prepared, and the handles that engines gave for it. An engine's handle
+ * serves one execution at a time, since parameters are bound to it: it is lent out and given back,
+ * made where none rests, and forgotten with its engine. {@code B} is what is bound, {@code H} an
+ * engine's handle.
  */
 public final class Prepared<B, H> {
     /** A handle at an engine. */
-    public record At<H>(long engine, H handle) { }
+    public record At<H>(long engine, H handle) {}
 
     /** A parameter's type in words, the same for equal types; its name is for messages only. */
-    public record Parameter(String name, String type) { }
+    public record Parameter(String name, String type) {}
 
     private static final int MOST_RESTING = 4; // of one engine
     private final Map<Long, ArrayDeque<H>> resting = new HashMap<>();
@@ -53,7 +54,8 @@
     /** The statement is over; these have to be closed at their engines. */
     public List<At<H>> close() {
         List<At<H>> out = new ArrayList<>();
-        resting.forEach((engine, some) -> some.forEach(handle -> out.add(new At<>(engine, handle))));
+        resting.forEach(
+                (engine, some) -> some.forEach(handle -> out.add(new At<>(engine, handle))));
         resting.clear();
         closed = true;
         return out;
@@ -87,7 +89,13 @@
         }
         for (int i = 0; i < wanted; i++) {
             if (!parameters.get(i).type.equals(got.get(i).type)) {
-                return "parameter " + (i + 1) + " is " + got.get(i).type + ", " + parameters.get(i).type + " wanted";
+                return "parameter "
+                        + (i + 1)
+                        + " is "
+                        + got.get(i).type
+                        + ", "
+                        + parameters.get(i).type
+                        + " wanted";
             }
         }
         return wanted > 0 && rows == 0 ? "no row of parameters" : null;
--- a/src/main/java/calicostream/flight/state/Progress.java
+++ b/src/main/java/calicostream/flight/state/Progress.java
@@ -5,11 +5,12 @@
 import java.util.List;
 
 /**
- * A long query that its client asks for again and again: how far it is, and who waits to hear more. A call waits until
- * there is news that it has not heard. {@code W} is who waits, {@code V} what the query ended with.
+ * A long query that its client asks for again and again: how far it is, and who waits to hear more.
+ * A call waits until there is news that it has not heard. {@code W} is who waits, {@code V} what
+ * the query ended with.
  */
 public final class Progress<W, V> {
-    private record Waits<W>(W who, long heard) { }
+    private record Waits<W>(W who, long heard) {}
 
     private final List<Waits<W>> waiting = new ArrayList<>();
     private final int most;
@@ -30,7 +31,10 @@
         return true;
     }
 
-    /** The engine tells a share done, from 0 to 1; who waits is to be told. What goes back, or is no share, is no news. */
+    /**
+     * The engine tells a share done, from 0 to 1; who waits is to be told. What goes back, or is no
+     * share, is no news.
+     */
     public List<W> advanced(double to) {
         if (end != null || !(to > share) || to > 1) {
             return List.of();
--- a/src/main/java/calicostream/flight/state/ResultGate.java
+++ b/src/main/java/calicostream/flight/state/ResultGate.java
@@ -2,12 +2,21 @@
 package calicostream.flight.state;
 
 /**
- * What becomes of one attempt's result as its parts arrive. Up to {@code holdBytes} it is held, so that a break costs no
- * more than another attempt; past that, or where there is no room to hold it, the stream begins. Owned by the attempt.
+ * What becomes of one attempt's result as its parts arrive. Up to {@code holdBytes} it is held, so
+ * that a break costs no more than another attempt; past that, or where there is no room to hold it,
+ * the stream begins. Owned by the attempt.
  */
 public final class ResultGate {
-    /** What to do with a part: keep it, begin the stream with all that is kept and this, pass it on, or give up. */
-    public enum Verdict { HOLD, BEGIN, PASS, TOO_LONG }
+    /**
+     * What to do with a part: keep it, begin the stream with all that is kept and this, pass it on,
+     * or give up.
+     */
+    public enum Verdict {
+        HOLD,
+        BEGIN,
+        PASS,
+        TOO_LONG
+    }
 
     private final long holdBytes;
     private final long mostBytes;
@@ -15,7 +24,10 @@
     private long seen;
     private boolean begun;
 
-    /** {@code mostBytes} 0: no bound. Where the result {@code mayBegin} not, what can't be held is too long. */
+    /**
+     * {@code mostBytes} 0: no bound. Where the result {@code mayBegin} not, what can't be held is
+     * too long.
+     */
     public ResultGate(long holdBytes, long mostBytes, boolean mayBegin) {
         this.holdBytes = holdBytes;
         this.mostBytes = mostBytes;
--- a/src/main/java/calicostream/flight/state/Sessions.java
+++ b/src/main/java/calicostream/flight/state/Sessions.java
@@ -10,12 +10,17 @@
 import java.util.function.Supplier;
 
 /**
- * Sessions of clients, by the token or cookie that names them. A token ends a set time after its login, a session
- * without login when nobody has used it for that long. Options of a session hold for its calls.
+ * Sessions of clients, by the token or cookie that names them. A token ends a set time after its
+ * login, a session without login when nobody has used it for that long. Options of a session hold
+ * for its calls.
  */
 public final class Sessions {
     /** What became of one option that a client set. */
-    public enum Setting { DONE, BAD_NAME, BAD_VALUE }
+    public enum Setting {
+        DONE,
+        BAD_NAME,
+        BAD_VALUE
+    }
 
     /** One session. */
     public static final class Session {
@@ -40,7 +45,10 @@
         }
     }
 
-    public static final String CATALOG = "catalog", SCHEMA = "schema", CLASS = "class", PRIORITY = "priority";
+    public static final String CATALOG = "catalog",
+            SCHEMA = "schema",
+            CLASS = "class",
+            PRIORITY = "priority";
     private static final int MOST_TEXT = 256;
     private final Supplier<String> names;
     private final Set<String> classes;
@@ -101,11 +109,15 @@
             session.options.remove(option);
             return Setting.DONE;
         }
-        boolean fits = switch (option) {
-            case CLASS -> value instanceof String name && classes.contains(name);
-            case PRIORITY -> value instanceof Long level && level >= 0 && level <= 3;
-            default -> value instanceof String text && !text.isEmpty() && text.length() <= MOST_TEXT;
-        };
+        boolean fits =
+                switch (option) {
+                    case CLASS -> value instanceof String name && classes.contains(name);
+                    case PRIORITY -> value instanceof Long level && level >= 0 && level <= 3;
+                    default ->
+                            value instanceof String text
+                                    && !text.isEmpty()
+                                    && text.length() <= MOST_TEXT;
+                };
         if (fits) {
             session.options.put(option, value);
         }
--- a/src/main/java/calicostream/flight/state/SharedAnswers.java
+++ b/src/main/java/calicostream/flight/state/SharedAnswers.java
@@ -8,13 +8,17 @@
 import java.util.Map;
 
 /**
- * Answers that many clients ask for: equal questions at the same time share one attempt, and an answer lives for a while,
- * unless its catalog changes. An attempt that began before a change is not kept, as it may not have seen it.
- * {@code W} is who waits, {@code V} the answer.
+ * Answers that many clients ask for: equal questions at the same time share one attempt, and an
+ * answer lives for a while, unless its catalog changes. An attempt that began before a change is
+ * not kept, as it may not have seen it. {@code W} is who waits, {@code V} the answer.
  */
 public final class SharedAnswers<W, V> {
     /** What to do with a question: answer it now, wait for an attempt under way, or make one. */
-    public enum Step { ANSWER, WAIT, ASK }
+    public enum Step {
+        ANSWER,
+        WAIT,
+        ASK
+    }
 
     private static final class Asked<W> {
         final List<W> waiting = new ArrayList<>();
@@ -25,7 +29,7 @@
         }
     }
 
-    private record Kept<V>(String catalog, V answer, long bytes, long until) { }
+    private record Kept<V>(String catalog, V answer, long bytes, long until) {}
 
     private final long lifeUs;
     private final long mostBytes;
@@ -47,7 +51,8 @@
             return Step.ANSWER;
         }
         Asked<W> under = asked.get(question);
-        if (under != null && under.epoch == epoch) { // One that began before a change is not waited for.
+        if (under != null
+                && under.epoch == epoch) { // One that began before a change is not waited for.
             under.waiting.add(who);
             joins++;
             return Step.WAIT;
@@ -74,7 +79,8 @@
     }
 
     /** The attempt made in this epoch brought an answer; those who waited for it are returned. */
-    public List<W> answered(long now, String question, long askedIn, String catalog, V answer, long size) {
+    public List<W> answered(
+            long now, String question, long askedIn, String catalog, V answer, long size) {
         if (askedIn == epoch && size <= mostBytes / 4 && lifeUs > 0) {
             forget(question);
             kept.put(question, new Kept<>(catalog, answer, size, now + lifeUs));
@@ -117,11 +123,14 @@
     public void changed(String catalog) {
         epoch++;
         List<String> stale = new ArrayList<>();
-        kept.forEach((question, each) -> {
-            if (catalog.isEmpty() || each.catalog.isEmpty() || each.catalog.equals(catalog)) {
-                stale.add(question);
-            }
-        });
+        kept.forEach(
+                (question, each) -> {
+                    if (catalog.isEmpty()
+                            || each.catalog.isEmpty()
+                            || each.catalog.equals(catalog)) {
+                        stale.add(question);
+                    }
+                });
         stale.forEach(this::forget);
     }
 
--- a/src/main/java/calicostream/flight/state/Transactions.java
+++ b/src/main/java/calicostream/flight/state/Transactions.java
@@ -9,26 +9,54 @@
 import java.util.function.Supplier;
 
 /**
- * Transactions of clients, each pinned to the engine that holds it. One thing happens in a transaction at a time, and
- * nothing of it is ever tried elsewhere. It ends by its client's word, by idling past its lease, or with its engine;
- * for a while after that each further use is told how it ended. {@code H} is an engine's handle.
+ * Transactions of clients, each pinned to the engine that holds it. One thing happens in a
+ * transaction at a time, and nothing of it is ever tried elsewhere. It ends by its client's word,
+ * by idling past its lease, or with its engine; for a while after that each further use is told how
+ * it ended. {@code H} is an engine's handle.
  *
- * <p>States: OPEN, BUSY (a statement runs), ENDING (commit or rollback is out), DEAD and ENDED (remembered).
+ * <p>States: OPEN, BUSY (a statement runs), ENDING (commit or rollback is out), DEAD and ENDED
+ * (remembered).
  */
 public final class Transactions<H> {
     /** What a client wants to do in a transaction. */
-    public enum Purpose { STATEMENT, COMMIT, ROLLBACK }
+    public enum Purpose {
+        STATEMENT,
+        COMMIT,
+        ROLLBACK
+    }
 
     /** Whether it may, or why not. */
-    public enum Answer { GRANTED, UNKNOWN, IN_USE, DRAINING, DEAD, OUTCOME_UNKNOWN }
+    public enum Answer {
+        GRANTED,
+        UNKNOWN,
+        IN_USE,
+        DRAINING,
+        DEAD,
+        OUTCOME_UNKNOWN
+    }
 
-    /** How a statement or an end in a transaction went; {@code LOST}: it may have run, nobody knows. */
-    public enum Result { DONE, NEVER_SENT, LOST }
+    /**
+     * How a statement or an end in a transaction went; {@code LOST}: it may have run, nobody knows.
+     */
+    public enum Result {
+        DONE,
+        NEVER_SENT,
+        LOST
+    }
 
-    private enum State { OPEN, BUSY, ENDING, DEAD, ENDED }
+    private enum State {
+        OPEN,
+        BUSY,
+        ENDING,
+        DEAD,
+        ENDED
+    }
 
-    /** Bounds: transactions of a client and on an engine, idle time, time to end on a drain, memory of ended ones. */
-    public record Bounds(int ofClient, int onEngine, long leaseUs, long drainUs, long rememberUs) { }
+    /**
+     * Bounds: transactions of a client and on an engine, idle time, time to end on a drain, memory
+     * of ended ones.
+     */
+    public record Bounds(int ofClient, int onEngine, long leaseUs, long drainUs, long rememberUs) {}
 
     /** One transaction. */
     public static final class Txn<H> {
@@ -72,8 +100,12 @@
         this.bounds = bounds;
     }
 
-    // ---- Beginning ------------------------------------------------------------------------------------
-    /** Counts a transaction that is being begun; false: the client has its share. Ends with begun or notBegun. */
+    // ---- Beginning
+    // ------------------------------------------------------------------------------------
+    /**
+     * Counts a transaction that is being begun; false: the client has its share. Ends with begun or
+     * notBegun.
+     */
     public boolean mayBegin(String owner) {
         if (ofClient.getOrDefault(owner, 0) >= bounds.ofClient) {
             return false;
@@ -87,7 +119,10 @@
         ofClient.compute(owner, (name, n) -> n == 1 ? null : n - 1);
     }
 
-    /** The engine began it. Null: the engine has its share, and the engine's transaction is to be rolled back. */
+    /**
+     * The engine began it. Null: the engine has its share, and the engine's transaction is to be
+     * rolled back.
+     */
     public Txn<H> begun(long now, String owner, long engine, H handle) {
         if (onEngine.getOrDefault(engine, 0) >= bounds.onEngine) {
             notBegun(owner);
@@ -99,7 +134,8 @@
         return made;
     }
 
-    // ---- Use ------------------------------------------------------------------------------------------
+    // ---- Use
+    // ------------------------------------------------------------------------------------------
     /** The transaction under this name, if it is this owner's. */
     public Txn<H> find(String owner, String name) {
         Txn<H> found = all.get(name);
@@ -130,8 +166,8 @@
     }
 
     /**
-     * What was granted is over. A commit that was lost leaves its outcome unknown, a lost statement the transaction dead.
-     * True: the engine is to be told to roll it back, as nobody else will.
+     * What was granted is over. A commit that was lost leaves its outcome unknown, a lost statement
+     * the transaction dead. True: the engine is to be told to roll it back, as nobody else will.
      */
     public boolean done(long now, Txn<H> txn, Result result) {
         if (!txn.isLive()) {
@@ -172,8 +208,11 @@
 
     /** How it stands, with nothing done about it; GRANTED: it lives. */
     public Answer standing(Txn<H> txn) {
-        return txn.isLive() ? Answer.GRANTED : txn.outcomeUnknown ? Answer.OUTCOME_UNKNOWN
-                : txn.state == State.DEAD ? Answer.DEAD : Answer.UNKNOWN;
+        return txn.isLive()
+                ? Answer.GRANTED
+                : txn.outcomeUnknown
+                        ? Answer.OUTCOME_UNKNOWN
+                        : txn.state == State.DEAD ? Answer.DEAD : Answer.UNKNOWN;
     }
 
     /** Whether its engine drains, so that it can only be ended. */
@@ -181,7 +220,8 @@
         return txn.isLive() && txn.drainUntil > 0;
     }
 
-    // ---- Savepoints -----------------------------------------------------------------------------------
+    // ---- Savepoints
+    // -----------------------------------------------------------------------------------
     /** A savepoint that the engine made. */
     public String mark(Txn<H> txn, H handle) {
         String name = names.get();
@@ -194,7 +234,10 @@
         return txn.savepoints.get(name);
     }
 
-    /** The transaction and name of a savepoint of this owner, which may be in any of its transactions. */
+    /**
+     * The transaction and name of a savepoint of this owner, which may be in any of its
+     * transactions.
+     */
     public Txn<H> withSavepoint(String owner, String name) {
         for (Txn<H> txn : all.values()) {
             if (txn.owner.equals(owner) && txn.savepoints.containsKey(name)) {
@@ -213,7 +256,8 @@
         }
     }
 
-    // ---- Time and engines -----------------------------------------------------------------------------
+    // ---- Time and engines
+    // -----------------------------------------------------------------------------
     /** The engine's process has ended. */
     public void engineLost(long now, long engine) {
         for (Txn<H> txn : all.values()) {
@@ -254,16 +298,24 @@
     }
 
     /**
-     * What has to be rolled back at its engine now, and counts as dead from here on: idle past its lease, left by its
-     * client, or on an engine whose drain leaves no more time. Ended ones are forgotten in time.
+     * What has to be rolled back at its engine now, and counts as dead from here on: idle past its
+     * lease, left by its client, or on an engine whose drain leaves no more time. Ended ones are
+     * forgotten in time.
      */
     public List<Txn<H>> due(long now) {
         List<Txn<H>> out = new ArrayList<>();
         for (Txn<H> txn : all.values()) {
             boolean drained = txn.drainUntil > 0 && now >= txn.drainUntil;
-            if (txn.state == State.OPEN && (drained || txn.rollback || now - txn.usedAt >= bounds.leaseUs)) {
-                kill(now, txn, drained ? "its engine drained" : txn.rollback ? "it was left by its client"
-                        : "it idled past its lease");
+            if (txn.state == State.OPEN
+                    && (drained || txn.rollback || now - txn.usedAt >= bounds.leaseUs)) {
+                kill(
+                        now,
+                        txn,
+                        drained
+                                ? "its engine drained"
+                                : txn.rollback
+                                        ? "it was left by its client"
+                                        : "it idled past its lease");
                 out.add(txn);
             } else if (txn.isLive() && drained) {
                 boolean commit = txn.state == State.ENDING && txn.ending == Purpose.COMMIT;
--- a/src/main/java/calicostream/flight/wire/Answers.java
+++ b/src/main/java/calicostream/flight/wire/Answers.java
@@ -8,9 +8,12 @@
 
 /** What the engine side gives a front for {@link Work}. */
 public final class Answers {
-    private Answers() { }
+    private Answers() {}
 
-    /** A whole result; {@code room} gives back what it holds, once, when its frames have gone out or been dropped. */
+    /**
+     * A whole result; {@code room} gives back what it holds, once, when its frames have gone out or
+     * been dropped.
+     */
     public record Held(List<Frame> frames, Runnable room) {
         /** Nobody takes it. */
         public void drop() {
@@ -20,18 +23,18 @@
     }
 
     /** The rows that an update changed, -1 where the engine does not know. */
-    public record Counted(long rows) { }
+    public record Counted(long rows) {}
 
     /** What an action brought, and where. */
-    public record Acted(long engine, List<ByteString> results) { }
+    public record Acted(long engine, List<ByteString> results) {}
 
-    public record Described(ByteString schema) { }
+    public record Described(ByteString schema) {}
 
     /** Where the parts of a result are. */
-    public record Planned(long engine, Flight.FlightInfo info) { }
+    public record Planned(long engine, Flight.FlightInfo info) {}
 
     /** A final word on the request, which says nothing of its engine. */
-    public record Word(Status status) { }
+    public record Word(Status status) {}
 
     /** A result that flows: from engine to sink, no faster than the sink takes it. */
     public interface Stream {
--- a/src/main/java/calicostream/flight/wire/FlightWire.java
+++ b/src/main/java/calicostream/flight/wire/FlightWire.java
@@ -14,14 +14,24 @@
 import org.apache.arrow.vector.ipc.message.MessageSerializer;
 import org.apache.arrow.vector.types.pojo.Schema;
 
-/** Flight's generated service with DoGet and DoPut in frames, and the words that both sides share. */
+/**
+ * Flight's generated service with DoGet and DoPut in frames, and the words that both sides share.
+ */
 public final class FlightWire {
-    public static final MethodDescriptor<Flight.Ticket, Frame> DO_GET = FlightServiceGrpc.getDoGetMethod()
-            .toBuilder(FlightServiceGrpc.getDoGetMethod().getRequestMarshaller(), Frame.MARSHALLER).build();
-    public static final MethodDescriptor<Frame, Flight.PutResult> DO_PUT = FlightServiceGrpc.getDoPutMethod()
-            .toBuilder(Frame.MARSHALLER, FlightServiceGrpc.getDoPutMethod().getResponseMarshaller()).build();
+    public static final MethodDescriptor<Flight.Ticket, Frame> DO_GET =
+            FlightServiceGrpc.getDoGetMethod().toBuilder(
+                            FlightServiceGrpc.getDoGetMethod().getRequestMarshaller(),
+                            Frame.MARSHALLER)
+                    .build();
+    public static final MethodDescriptor<Frame, Flight.PutResult> DO_PUT =
+            FlightServiceGrpc.getDoPutMethod().toBuilder(
+                            Frame.MARSHALLER,
+                            FlightServiceGrpc.getDoPutMethod().getResponseMarshaller())
+                    .build();
+
     /** From front end to engine: what the client's session has set. */
     public static final Metadata.Key<String> CATALOG = key("calicostream-catalog");
+
     public static final Metadata.Key<String> SCHEMA = key("calicostream-schema");
     public static final Metadata.Key<String> PRIORITY = key("calicostream-priority");
     public static final Metadata.Key<String> AUTHORIZATION = key("authorization");
@@ -41,28 +51,37 @@
     public static final String GET_OPTIONS = "GetSessionOptions";
     public static final String CLOSE_SESSION = "CloseSession";
 
-    private FlightWire() { }
+    private FlightWire() {}
 
     private static Metadata.Key<String> key(String name) {
         return Metadata.Key.of(name, Metadata.ASCII_STRING_MARSHALLER);
     }
 
     /** The generated service, where these two take and give frames. */
-    public static ServerServiceDefinition service(ServerServiceDefinition generated,
-            ServerCallHandler<Flight.Ticket, Frame> get, ServerCallHandler<Frame, Flight.PutResult> put) {
-        ServerServiceDefinition.Builder out = ServerServiceDefinition.builder(FlightServiceGrpc.SERVICE_NAME);
-        generated.getMethods().forEach(method -> {
-            String name = method.getMethodDescriptor().getFullMethodName();
-            if (!name.equals(DO_GET.getFullMethodName()) && !name.equals(DO_PUT.getFullMethodName())) {
-                out.addMethod(method);
-            }
-        });
+    public static ServerServiceDefinition service(
+            ServerServiceDefinition generated,
+            ServerCallHandler<Flight.Ticket, Frame> get,
+            ServerCallHandler<Frame, Flight.PutResult> put) {
+        ServerServiceDefinition.Builder out =
+                ServerServiceDefinition.builder(FlightServiceGrpc.SERVICE_NAME);
+        generated
+                .getMethods()
+                .forEach(
+                        method -> {
+                            String name = method.getMethodDescriptor().getFullMethodName();
+                            if (!name.equals(DO_GET.getFullMethodName())
+                                    && !name.equals(DO_PUT.getFullMethodName())) {
+                                out.addMethod(method);
+                            }
+                        });
         return out.addMethod(DO_GET, get).addMethod(DO_PUT, put).build();
     }
 
     public static Flight.FlightDescriptor descriptor(ByteString command) {
-        return Flight.FlightDescriptor.newBuilder().setType(Flight.FlightDescriptor.DescriptorType.CMD)
-                .setCmd(command).build();
+        return Flight.FlightDescriptor.newBuilder()
+                .setType(Flight.FlightDescriptor.DescriptorType.CMD)
+                .setCmd(command)
+                .build();
     }
 
     public static ByteString packed(Message command) {
--- a/src/main/java/calicostream/flight/wire/Frame.java
+++ b/src/main/java/calicostream/flight/wire/Frame.java
@@ -26,32 +26,41 @@
 import org.apache.arrow.flight.impl.Flight;
 
 /**
- * One FlightData message, passed on as it came. Its body, where long, stays in the transport's own buffers, off the heap,
- * and can be written once; whoever drops a frame unwritten must {@link #release} it. Only the small fields before the body
- * are looked at. A message that can't be read is a frame of kind BAD, so that each side can say so in its own words.
+ * One FlightData message, passed on as it came. Its body, where long, stays in the transport's own
+ * buffers, off the heap, and can be written once; whoever drops a frame unwritten must {@link
+ * #release} it. Only the small fields before the body are looked at. A message that can't be read
+ * is a frame of kind BAD, so that each side can say so in its own words.
  */
 public final class Frame {
     /** What a frame carries, by Arrow's message header. */
-    public enum Kind { SCHEMA, BATCH, DICTIONARY, NO_ARROW, BAD }
+    public enum Kind {
+        SCHEMA,
+        BATCH,
+        DICTIONARY,
+        NO_ARROW,
+        BAD
+    }
 
     /** Frames as gRPC messages. */
-    public static final MethodDescriptor.Marshaller<Frame> MARSHALLER = new MethodDescriptor.Marshaller<>() {
-        @Override
-        public InputStream stream(Frame frame) {
-            return frame.open();
-        }
+    public static final MethodDescriptor.Marshaller<Frame> MARSHALLER =
+            new MethodDescriptor.Marshaller<>() {
+                @Override
+                public InputStream stream(Frame frame) {
+                    return frame.open();
+                }
 
-        @Override
-        public Frame parse(InputStream stream) {
-            try {
-                return read(stream);
-            } catch (IOException e) {
-                return new Frame(new byte[0], null, 0).bad();
-            }
-        }
-    };
+                @Override
+                public Frame parse(InputStream stream) {
+                    try {
+                        return read(stream);
+                    } catch (IOException e) {
+                        return new Frame(new byte[0], null, 0).bad();
+                    }
+                }
+            };
 
-    private static final int SMALL = 64 << 10; // Shorter ones are not worth keeping the transport's buffers.
+    private static final int SMALL =
+            64 << 10; // Shorter ones are not worth keeping the transport's buffers.
     private static final int MOST_LEAD = 16 << 20;
     private static final int DESCRIPTOR = 1, HEADER = 2, METADATA = 3, BODY = 1000;
     private static final int BODY_TAG = BODY << 3 | WireFormat.WIRETYPE_LENGTH_DELIMITED;
@@ -80,12 +89,21 @@
     }
 
     /** A message of its parts; descriptor and metadata may be empty. */
-    public static Frame of(ByteString descriptor, ByteString header, ByteString metadata, ByteString body) {
-        Flight.FlightData.Builder out = Flight.FlightData.newBuilder().setDataHeader(header).setAppMetadata(metadata)
-                .setDataBody(body);
+    public static Frame of(
+            ByteString descriptor, ByteString header, ByteString metadata, ByteString body) {
+        Flight.FlightData.Builder out =
+                Flight.FlightData.newBuilder()
+                        .setDataHeader(header)
+                        .setAppMetadata(metadata)
+                        .setDataBody(body);
         try {
-            return of((descriptor.isEmpty() ? out : out.setFlightDescriptor(Flight.FlightDescriptor.parseFrom(descriptor)))
-                    .build().toByteArray());
+            return of(
+                    (descriptor.isEmpty()
+                                    ? out
+                                    : out.setFlightDescriptor(
+                                            Flight.FlightDescriptor.parseFrom(descriptor)))
+                            .build()
+                            .toByteArray());
         } catch (InvalidProtocolBufferException e) {
             throw new UncheckedIOException(e);
         }
@@ -99,7 +117,10 @@
         ByteArrayOutputStream lead = new ByteArrayOutputStream(1024);
         while (lead.size() < MOST_LEAD) {
             int tag = varint(in, lead);
-            int length = WireFormat.getTagWireType(tag) == WireFormat.WIRETYPE_LENGTH_DELIMITED ? varint(in, lead) : -1;
+            int length =
+                    WireFormat.getTagWireType(tag) == WireFormat.WIRETYPE_LENGTH_DELIMITED
+                            ? varint(in, lead)
+                            : -1;
             if (tag == BODY_TAG && length == in.available()) {
                 return new Frame(lead.toByteArray(), detachable.detach(), length).parsed();
             }
@@ -154,7 +175,8 @@
                 }
             }
             kind = headerLength == 0 ? Kind.NO_ARROW : kindOf(message());
-        } catch (IOException | RuntimeException e) { // Arrow's headers are read without checks of their own.
+        } catch (IOException
+                | RuntimeException e) { // Arrow's headers are read without checks of their own.
             kind = Kind.BAD;
         }
         return this;
@@ -165,16 +187,22 @@
             return Kind.BAD;
         }
         switch (message.headerType()) {
-            case MessageHeader.Schema: return Kind.SCHEMA;
-            case MessageHeader.RecordBatch: return message.header(new RecordBatch()) == null ? Kind.BAD : Kind.BATCH;
-            case MessageHeader.DictionaryBatch: return Kind.DICTIONARY;
-            default: return Kind.BAD;
+            case MessageHeader.Schema:
+                return Kind.SCHEMA;
+            case MessageHeader.RecordBatch:
+                return message.header(new RecordBatch()) == null ? Kind.BAD : Kind.BATCH;
+            case MessageHeader.DictionaryBatch:
+                return Kind.DICTIONARY;
+            default:
+                return Kind.BAD;
         }
     }
 
     private Message message() {
-        return Message.getRootAsMessage(ByteBuffer.wrap(lead, headerAt, headerLength).slice()
-                .order(ByteOrder.LITTLE_ENDIAN));
+        return Message.getRootAsMessage(
+                ByteBuffer.wrap(lead, headerAt, headerLength)
+                        .slice()
+                        .order(ByteOrder.LITTLE_ENDIAN));
     }
 
     public Kind kind() {
@@ -183,7 +211,9 @@
 
     /** Rows of a batch, 0 of anything else. */
     public long rows() {
-        return kind == Kind.BATCH ? ((RecordBatch) message().header(new RecordBatch())).length() : 0;
+        return kind == Kind.BATCH
+                ? ((RecordBatch) message().header(new RecordBatch())).length()
+                : 0;
     }
 
     /** Bytes of the whole message. */
@@ -214,7 +244,9 @@
             }
             CodedInputStream in = CodedInputStream.newInstance(lead);
             int from = 0;
-            for (int tag = in.readTag(); tag != 0; from = in.getTotalBytesRead(), tag = in.readTag()) {
+            for (int tag = in.readTag();
+                    tag != 0;
+                    from = in.getTotalBytesRead(), tag = in.readTag()) {
                 int field = WireFormat.getTagFieldNumber(tag);
                 if (field == BODY && body != null) {
                     coded.writeRawBytes(lead, from, lead.length - from);
@@ -249,8 +281,12 @@
     /** Writes it in the form that it has in Arrow's IPC stream; a body off the heap is used up. */
     public void writeIpc(OutputStream out) throws IOException {
         int padding = -headerLength & 7;
-        out.write(ByteBuffer.allocate(2 * Integer.BYTES).order(ByteOrder.LITTLE_ENDIAN).putInt(CONTINUES)
-                .putInt(headerLength + padding).array());
+        out.write(
+                ByteBuffer.allocate(2 * Integer.BYTES)
+                        .order(ByteOrder.LITTLE_ENDIAN)
+                        .putInt(CONTINUES)
+                        .putInt(headerLength + padding)
+                        .array());
         out.write(lead, headerAt, headerLength);
         out.write(new byte[padding]);
         if (body != null) {
@@ -295,7 +331,8 @@
     /** A lead and a body as one stream of known length. */
     private static final class Whole extends SequenceInputStream implements KnownLength, Drainable {
         private static final int CHUNK = 64 << 10;
-        private static final ThreadLocal<byte[]> CHUNKS = ThreadLocal.withInitial(() -> new byte[CHUNK]);
+        private static final ThreadLocal<byte[]> CHUNKS =
+                ThreadLocal.withInitial(() -> new byte[CHUNK]);
         private final byte[] lead;
         private final InputStream body;
         private final int length;
--- a/src/main/java/calicostream/flight/wire/Upload.java
+++ b/src/main/java/calicostream/flight/wire/Upload.java
@@ -4,8 +4,9 @@
 import io.grpc.Status;
 
 /**
- * Rows that a client sends, drawn by the engine side as fast as its engine takes them. The first frame, the schema, can be
- * sent again; from the first further frame on, no other engine may have them. Calls into it may come from any thread.
+ * Rows that a client sends, drawn by the engine side as fast as its engine takes them. The first
+ * frame, the schema, can be sent again; from the first further frame on, no other engine may have
+ * them. Calls into it may come from any thread.
  */
 public final class Upload {
     /** Where the frames go. */
@@ -48,8 +49,8 @@
     }
 
     /**
-     * The receiver's engine has ended; whether rows may have gone to it. If not, none goes there any more: a frame that comes
-     * now waits for the next receiver.
+     * The receiver's engine has ended; whether rows may have gone to it. If not, none goes there
+     * any more: a frame that comes now waits for the next receiver.
      */
     public synchronized boolean leave(Receiver who) {
         if (who == receiver) {
@@ -139,6 +140,7 @@
 
     /** What a client hears whose rows may be stored in part. */
     public static Status unknown(String why) {
-        return Status.UNKNOWN.withDescription(why + "; the outcome is unknown: rows may be stored, in part or all");
+        return Status.UNKNOWN.withDescription(
+                why + "; the outcome is unknown: rows may be stored, in part or all");
     }
 }
--- a/src/main/java/calicostream/grpc/BalancingChannel.java
+++ b/src/main/java/calicostream/grpc/BalancingChannel.java
@@ -33,14 +33,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The client-side plug-in: a gRPC channel whose every call goes through a {@link Gateway} in this process to
- * one of several engines. A call's messages are kept until its client has half-closed, so that a further
- * attempt can send them again, and an answer is passed on once it is whole. Calls name their class and table
- * group by {@link #QUERY_CLASS} and {@link #TABLE_GROUP}; bidirectional streams are not taken.
+ * The client-side plug-in: a gRPC channel whose every call goes through a {@link Gateway} in this
+ * process to one of several engines. A call's messages are kept until its client has half-closed,
+ * so that a further attempt can send them again, and an answer is passed on once it is whole. Calls
+ * name their class and table group by {@link #QUERY_CLASS} and {@link #TABLE_GROUP}; bidirectional
+ * streams are not taken.
  */
 public final class BalancingChannel extends Channel implements AutoCloseable {
-    public static final CallOptions.Key<String> QUERY_CLASS = CallOptions.Key.create("calicostream-class");
-    public static final CallOptions.Key<Integer> TABLE_GROUP = CallOptions.Key.createWithDefault("table-group", 0);
+    public static final CallOptions.Key<String> QUERY_CLASS =
+            CallOptions.Key.create("calicostream-class");
+    public static final CallOptions.Key<Integer> TABLE_GROUP =
+            CallOptions.Key.createWithDefault("table-group", 0);
     private static final Logger LOG = LoggerFactory.getLogger(BalancingChannel.class);
     private static final byte[] NO_BODY = {};
     private final Loop loop;
@@ -51,8 +54,14 @@
     private final Map<String, Call<?, ?>> calls = new HashMap<>();
     private final Thread thread;
 
-    /** Starts with no engines; {@code dial} makes the channel to one, with gRPC's own retries disabled. */
-    public BalancingChannel(SettingsParser settings, Function<InetSocketAddress, ManagedChannel> dial, Watcher watcher)
+    /**
+     * Starts with no engines; {@code dial} makes the channel to one, with gRPC's own retries
+     * disabled.
+     */
+    public BalancingChannel(
+            SettingsParser settings,
+            Function<InetSocketAddress, ManagedChannel> dial,
+            Watcher watcher)
             throws IOException {
         Clock clock = new Clock();
         loop = new Loop(clock, new Deadlines());
@@ -76,21 +85,30 @@
     }
 
     /** News of the engines; addresses of those that are new or have moved. */
-    public void roster(RosterKind kind, List<QueryRouter.Engine> engines, Map<Long, InetSocketAddress> addresses) {
-        loop.post(() -> {
-            addresses.forEach(channels::locate);
-            gateway.roster(kind, engines);
-        });
+    public void roster(
+            RosterKind kind,
+            List<QueryRouter.Engine> engines,
+            Map<Long, InetSocketAddress> addresses) {
+        loop.post(
+                () -> {
+                    addresses.forEach(channels::locate);
+                    gateway.roster(kind, engines);
+                });
     }
 
     @Override
     public void close() {
-        loop.post(() -> {
-            List.copyOf(calls.values()).forEach(call -> call.end(Status.UNAVAILABLE.withDescription("closed"),
-                    new Metadata()));
-            channels.close();
-            loop.stop();
-        });
+        loop.post(
+                () -> {
+                    List.copyOf(calls.values())
+                            .forEach(
+                                    call ->
+                                            call.end(
+                                                    Status.UNAVAILABLE.withDescription("closed"),
+                                                    new Metadata()));
+                    channels.close();
+                    loop.stop();
+                });
     }
 
     @Override
@@ -169,26 +187,44 @@
             int queryClass = classNames.indexOf(options.getOption(QUERY_CLASS));
             boolean both = method.getType() == MethodDescriptor.MethodType.BIDI_STREAMING;
             if (over || both || queryClass < 0) {
-                end(both ? Status.UNIMPLEMENTED.withDescription("no bidirectional streams")
-                        : Status.INVALID_ARGUMENT.withDescription("the call names no class"), new Metadata());
+                end(
+                        both
+                                ? Status.UNIMPLEMENTED.withDescription("no bidirectional streams")
+                                : Status.INVALID_ARGUMENT.withDescription(
+                                        "the call names no class"),
+                        new Metadata());
                 return;
             }
             long budget = classes.get(queryClass).deadlineUs() - (loop.clock().now() - arrived);
-            budget = deadline == null ? budget : Math.min(budget, deadline.timeRemaining(TimeUnit.MICROSECONDS));
+            budget =
+                    deadline == null
+                            ? budget
+                            : Math.min(budget, deadline.timeRemaining(TimeUnit.MICROSECONDS));
             if (budget <= 0) {
                 end(Status.DEADLINE_EXCEEDED, new Metadata());
                 return;
             }
             calls.put(id, this);
-            handle = gateway.accept(this, 0, id, queryClass, options.getOption(TABLE_GROUP), budget, NO_BODY);
+            handle =
+                    gateway.accept(
+                            this,
+                            0,
+                            id,
+                            queryClass,
+                            options.getOption(TABLE_GROUP),
+                            budget,
+                            NO_BODY);
         }
 
         @Override
         public void cancel(String message, Throwable cause) {
-            loop.post(() -> {
-                gateway.abandon(handle);
-                end(Status.CANCELLED.withDescription(message).withCause(cause), new Metadata());
-            });
+            loop.post(
+                    () -> {
+                        gateway.abandon(handle);
+                        end(
+                                Status.CANCELLED.withDescription(message).withCause(cause),
+                                new Metadata());
+                    });
         }
 
         private void end(Status status, Metadata trailers) {
@@ -207,8 +243,12 @@
             sent.put(Calls.REQUEST, id);
             sent.put(Calls.URGENCY, Integer.toString(attempt.request.priority()));
             long left = Math.max(1, attempt.giveUpAt - loop.clock().now());
-            ClientCall<Q, R> out = channel.newCall(method, options.withDeadlineAfter(left, TimeUnit.MICROSECONDS)
-                    .withoutWaitForReady().withExecutor(Runnable::run));
+            ClientCall<Q, R> out =
+                    channel.newCall(
+                            method,
+                            options.withDeadlineAfter(left, TimeUnit.MICROSECONDS)
+                                    .withoutWaitForReady()
+                                    .withExecutor(Runnable::run));
             attempt.link = out;
             received = into;
             out.start(into, sent);
@@ -222,25 +262,33 @@
             Received<R> whole = received;
             calls.remove(id);
             over = true;
-            executor.execute(() -> {
-                listener.onHeaders(whole.headers);
-                whole.messages.forEach(listener::onMessage);
-                listener.onClose(Status.OK, whole.trailers);
-            });
+            executor.execute(
+                    () -> {
+                        listener.onHeaders(whole.headers);
+                        whole.messages.forEach(listener::onMessage);
+                        listener.onClose(Status.OK, whole.trailers);
+                    });
         }
 
         @Override
         public void refused(long tag, long retryAfterMs) {
             Metadata trailers = new Metadata();
             trailers.put(Calls.STAY_AWAY, Long.toString(retryAfterMs));
-            end(Status.UNAVAILABLE.withDescription("refused; stay away for " + retryAfterMs + " ms"), trailers);
+            end(
+                    Status.UNAVAILABLE.withDescription(
+                            "refused; stay away for " + retryAfterMs + " ms"),
+                    trailers);
         }
 
         @Override
         public void failed(long tag, Failure why) {
             boolean told = why == Failure.ENGINE && received != null && received.status != null;
-            end(why == Failure.DEADLINE ? Status.DEADLINE_EXCEEDED.withDescription("not answered in time")
-                    : told ? received.status : Status.INTERNAL.withDescription("failed; it may have run"),
+            end(
+                    why == Failure.DEADLINE
+                            ? Status.DEADLINE_EXCEEDED.withDescription("not answered in time")
+                            : told
+                                    ? received.status
+                                    : Status.INTERNAL.withDescription("failed; it may have run"),
                     told ? received.trailers : new Metadata());
         }
     }
@@ -269,12 +317,16 @@
 
         @Override
         public void onClose(Status ended, Metadata told) {
-            loop.post(() -> {
-                trailers = told;
-                status = ended;
-                Outcome outcome = ended.isOk() ? Outcome.OK : Calls.outcome(ended, told, attempt.request.isOnce());
-                gateway.ended(attempt, outcome, Calls.report(headers, told), null);
-            });
+            loop.post(
+                    () -> {
+                        trailers = told;
+                        status = ended;
+                        Outcome outcome =
+                                ended.isOk()
+                                        ? Outcome.OK
+                                        : Calls.outcome(ended, told, attempt.request.isOnce());
+                        gateway.ended(attempt, outcome, Calls.report(headers, told), null);
+                    });
         }
     }
 }
--- a/src/main/java/calicostream/grpc/Calls.java
+++ b/src/main/java/calicostream/grpc/Calls.java
@@ -10,44 +10,59 @@
 public final class Calls {
     /** On a call: its class of query, by name. */
     public static final String CLASS_NAME = "calicostream-class";
+
     public static final Metadata.Key<String> CLASS = key(CLASS_NAME);
+
     /** On an attempt: the request's id, the same on each of its attempts. */
     public static final Metadata.Key<String> REQUEST = key("x-request-id");
+
     /** On an attempt: its priority, 0 to 3. */
     public static final Metadata.Key<String> URGENCY = key("calicostream-urgency");
+
     /** On an engine's RESOURCE_EXHAUSTED: "true" proves that the statement never ran. */
     public static final Metadata.Key<String> NEVER_RAN = key("calicostream-never-ran");
+
     /** On an engine's answer: its load report, in ORCA's text form. */
     public static final Metadata.Key<String> LOAD = key("endpoint-load-metrics");
+
     /** On a refusal: for how many milliseconds to stay away; gRPC's own name for that. */
     public static final String STAY_AWAY_NAME = "grpc-retry-pushback-ms";
+
     public static final Metadata.Key<String> STAY_AWAY = key(STAY_AWAY_NAME);
     private static final String REPORT_FORM = "TEXT ";
     private static final String NAMED = "named_metrics.";
 
-    private Calls() { }
+    private Calls() {}
 
     private static Metadata.Key<String> key(String name) {
         return Metadata.Key.of(name, Metadata.ASCII_STRING_MARSHALLER);
     }
 
     /**
-     * The outcome that a failed call proves. RESOURCE_EXHAUSTED is also what an engine says that ran out of
-     * memory half-way, so for a query that must not run twice it counts as "full" only with the trailer.
+     * The outcome that a failed call proves. RESOURCE_EXHAUSTED is also what an engine says that
+     * ran out of memory half-way, so for a query that must not run twice it counts as "full" only
+     * with the trailer.
      */
     public static Outcome outcome(Status status, Metadata trailers, boolean once) {
         switch (status.getCode()) {
             case RESOURCE_EXHAUSTED:
                 boolean proven = trailers != null && "true".equals(trailers.get(NEVER_RAN));
                 return proven || !once ? Outcome.FULL : Outcome.ERROR;
-            case DEADLINE_EXCEEDED: return Outcome.TIMEOUT;
-            case CANCELLED: return Outcome.CANCELLED;
-            case UNAVAILABLE: return Outcome.RESET;
-            default: return Outcome.ERROR;
+            case DEADLINE_EXCEEDED:
+                return Outcome.TIMEOUT;
+            case CANCELLED:
+                return Outcome.CANCELLED;
+            case UNAVAILABLE:
+                return Outcome.RESET;
+            default:
+                return Outcome.ERROR;
         }
     }
 
-    /** The load report in ORCA's text form, {@code TEXT cpu_utilization=0.6,named_metrics.inflight=7}, or null. */
+    /**
+     * The load report in ORCA's text form, {@code TEXT
+     * cpu_utilization=0.6,named_metrics.inflight=7}, or null.
+     */
     public static Report report(Metadata headers, Metadata trailers) {
         String late = trailers == null ? null : trailers.get(LOAD);
         String text = late != null || headers == null ? late : headers.get(LOAD);
@@ -60,8 +75,12 @@
             String name = at < 0 ? "" : pair.substring(0, at).trim();
             try {
                 double value = Double.parseDouble(pair.substring(at + 1).trim());
-                out = name.equals("cpu_utilization") ? out.with("util", value)
-                        : name.startsWith(NAMED) ? out.with(name.substring(NAMED.length()), value) : out;
+                out =
+                        name.equals("cpu_utilization")
+                                ? out.with("util", value)
+                                : name.startsWith(NAMED)
+                                        ? out.with(name.substring(NAMED.length()), value)
+                                        : out;
             } catch (NumberFormatException e) {
                 return null;
             }
--- a/src/main/java/calicostream/grpc/Channels.java
+++ b/src/main/java/calicostream/grpc/Channels.java
@@ -16,8 +16,9 @@
 import java.util.function.Function;
 
 /**
- * A gRPC channel to each engine. An attempt starts only on a channel that is up: until then nothing of it
- * has gone out, so a failure to connect proves that it never ran, and a drain can still take it back.
+ * A gRPC channel to each engine. An attempt starts only on a channel that is up: until then nothing
+ * of it has gone out, so a failure to connect proves that it never ran, and a drain can still take
+ * it back.
  */
 public final class Channels {
     private final Loop loop;
@@ -26,7 +27,7 @@
     private final Map<Long, Peer> peers = new HashMap<>();
     private Gateway gateway;
 
-    private record Waiting(Gateway.Attempt attempt, Consumer<ManagedChannel> begin) { }
+    private record Waiting(Gateway.Attempt attempt, Consumer<ManagedChannel> begin) {}
 
     private static final class Peer {
         final InetSocketAddress address;
@@ -94,7 +95,9 @@
     /** The engine's channel if it is up now, else null. */
     public ManagedChannel ready(long engine) {
         Peer peer = peers.get(engine);
-        return peer != null && peer.channel.getState(false) == ConnectivityState.READY ? peer.channel : null;
+        return peer != null && peer.channel.getState(false) == ConnectivityState.READY
+                ? peer.channel
+                : null;
     }
 
     /** Whether the attempt had not gone out, and now will not. */
@@ -110,7 +113,10 @@
         }
     }
 
-    /** The channel ends with its engine, and so do its calls: a machine cut off would never end them. */
+    /**
+     * The channel ends with its engine, and so do its calls: a machine cut off would never end
+     * them.
+     */
     public void gone(long engine) {
         Peer peer = peers.remove(engine);
         if (peer != null) {
@@ -125,7 +131,8 @@
 
     private void begin(Peer peer, Gateway.Attempt attempt, Consumer<ManagedChannel> begin) {
         begin.accept(peer.channel);
-        gateway.written(attempt); // gRPC tells no more than that the call went to a channel which is up.
+        gateway.written(
+                attempt); // gRPC tells no more than that the call went to a channel which is up.
     }
 
     private void takeBack(Peer peer) {
@@ -144,7 +151,8 @@
             List<Waiting> ready = List.copyOf(peer.waiting);
             peer.waiting.clear();
             ready.forEach(each -> begin(peer, each.attempt, each.begin));
-        } else if (state == ConnectivityState.TRANSIENT_FAILURE && peer.seen == ConnectivityState.CONNECTING) {
+        } else if (state == ConnectivityState.TRANSIENT_FAILURE
+                && peer.seen == ConnectivityState.CONNECTING) {
             takeBack(peer);
         }
         peer.seen = state;
--- a/src/main/java/calicostream/handover/Handover.java
+++ b/src/main/java/calicostream/handover/Handover.java
@@ -20,23 +20,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What the processes of one front end tell each other through the folder that they share: who is the younger, who
- * listens, and what the operators said of engines. Each writes its own slot of one file and reads the others'. One
- * thread uses an object; nothing that fails in here ends more than the hand-over.
+ * What the processes of one front end tell each other through the folder that they share: who is
+ * the younger, who listens, and what the operators said of engines. Each writes its own slot of one
+ * file and reads the others'. One thread uses an object; nothing that fails in here ends more than
+ * the hand-over.
  */
 public final class Handover {
     /** What the operators said last of an engine, and when, in Unix milliseconds. */
-    public record Word(long at, boolean out) { }
+    public record Word(long at, boolean out) {}
 
-    private record Peer(long generation, boolean listening, long seq, double[] learned) { }
+    private record Peer(long generation, boolean listening, long seq, double[] learned) {}
 
     private static final Logger LOG = LoggerFactory.getLogger(Handover.class);
     private static final int VERSION = 1;
     private static final int MOST_WORDS = 1024;
     private static final long LONGEST_NAME = 256;
-    private static final long REMEMBERED = 60_000; // ms for which a call back is of use: longer than any warm-up
+    private static final long REMEMBERED =
+            60_000; // ms for which a call back is of use: longer than any warm-up
     private static final long AHEAD = 5_000; // ms that a word may seem to come from the future
-    private static final double LONGEST_RUN = 600e6; // us: what a query is said to run for longer is no run time
+    private static final double LONGEST_RUN =
+            600e6; // us: what a query is said to run for longer is no run time
     private final Path path;
     private final BiConsumer<String, Word> heard;
     private final Map<String, Word> words = new HashMap<>();
@@ -49,11 +52,19 @@
     private boolean listening;
     private double[] learned = {};
 
-    /** Without a folder there is nobody to tell. {@code heard} is told of words that came later than all before. */
+    /**
+     * Without a folder there is nobody to tell. {@code heard} is told of words that came later than
+     * all before.
+     */
     public Handover(Path folder, String name, BiConsumer<String, Word> heard) {
         this.heard = heard;
-        path = folder == null ? null
-                : folder.resolve("calicostream-" + name.replaceAll("[^A-Za-z0-9.-]", "_") + ".handover");
+        path =
+                folder == null
+                        ? null
+                        : folder.resolve(
+                                "calicostream-"
+                                        + name.replaceAll("[^A-Za-z0-9.-]", "_")
+                                        + ".handover");
     }
 
     /** Makes this process known as the youngest, and hears what the living ones know. */
@@ -84,8 +95,9 @@
     /** Two that started in the same moment take each other for as old as their slots say. */
     private boolean isElder(int slot) {
         Peer peer = peers[slot];
-        return peer != null && (peer.generation < generation
-                || peer.generation == generation && slot < file.own());
+        return peer != null
+                && (peer.generation < generation
+                        || peer.generation == generation && slot < file.own());
     }
 
     private Stream<Peer> elders() {
@@ -136,7 +148,10 @@
 
     /** What the elder's module had learned, empty where there is none. */
     public double[] before() {
-        return elders().map(Peer::learned).filter(values -> values.length > 0).findFirst().orElse(new double[0]);
+        return elders().map(Peer::learned)
+                .filter(values -> values.length > 0)
+                .findFirst()
+                .orElse(new double[0]);
     }
 
     /** An operator has said something new of an engine to this process. */
@@ -187,16 +202,25 @@
             if (root.getInt("version", 0) != VERSION) {
                 return null;
             }
-            Peer peer = new Peer(root.getLong("generation", 0), root.getBoolean("listening", false),
-                    root.getLong("seq", 0), learned(root.get("learned")));
+            Peer peer =
+                    new Peer(
+                            root.getLong("generation", 0),
+                            root.getBoolean("listening", false),
+                            root.getLong("seq", 0),
+                            learned(root.get("learned")));
             Map<String, Word> told = new HashMap<>();
             for (JsonObject.Member member : root.get("engines").asObject()) {
                 JsonObject word = member.getValue().asObject();
-                told.put(member.getName(), new Word(word.getLong("at", 0), word.getBoolean("out", false)));
+                told.put(
+                        member.getName(),
+                        new Word(word.getLong("at", 0), word.getBoolean("out", false)));
             }
             told.forEach(this::hear);
             return peer;
-        } catch (ParseException | UnsupportedOperationException | NumberFormatException | NullPointerException e) {
+        } catch (ParseException
+                | UnsupportedOperationException
+                | NumberFormatException
+                | NullPointerException e) {
             LOG.warn("hand-over: a state that can't be read: {}", e.toString());
             return null;
         }
@@ -215,7 +239,10 @@
         Word last = words.get(engine);
         long now = System.currentTimeMillis();
         boolean useful = word.out || now - word.at <= REMEMBERED;
-        boolean credible = engine.length() <= LONGEST_NAME && word.at <= now + AHEAD && words.size() < MOST_WORDS;
+        boolean credible =
+                engine.length() <= LONGEST_NAME
+                        && word.at <= now + AHEAD
+                        && words.size() < MOST_WORDS;
         if (useful && credible && (last == null || word.at > last.at)) {
             words.put(engine, word);
             heard.accept(engine, word);
@@ -227,9 +254,18 @@
             return;
         }
         JsonObject engines = Json.object();
-        words.forEach((name, word) -> engines.add(name, Json.object().add("at", word.at).add("out", word.out)));
-        String text = Json.object().add("version", VERSION).add("generation", generation).add("listening", listening)
-                .add("seq", seq).add("learned", Json.array(learned)).add("engines", engines).toString();
+        words.forEach(
+                (name, word) ->
+                        engines.add(name, Json.object().add("at", word.at).add("out", word.out)));
+        String text =
+                Json.object()
+                        .add("version", VERSION)
+                        .add("generation", generation)
+                        .add("listening", listening)
+                        .add("seq", seq)
+                        .add("learned", Json.array(learned))
+                        .add("engines", engines)
+                        .toString();
         try {
             file.write(text.getBytes(StandardCharsets.UTF_8));
         } catch (IOException e) { // No room, most likely: the other process keeps what it knew.
--- a/src/main/java/calicostream/handover/KeyLocks.java
+++ b/src/main/java/calicostream/handover/KeyLocks.java
@@ -10,17 +10,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keys shared out by locks on bytes past the end of the file of slots: the kernel gives a dead process's away. A key has two
- * of them. Who has the first one runs the key; who waits for it holds the second meanwhile, and as long as somebody does,
- * the one that runs the key lets no further request of its own through. So requests that two processes took keep their order.
- * Where locks fail, keys are kept in order by each process for itself.
+ * Keys shared out by locks on bytes past the end of the file of slots: the kernel gives a dead
+ * process's away. A key has two of them. Who has the first one runs the key; who waits for it holds
+ * the second meanwhile, and as long as somebody does, the one that runs the key lets no further
+ * request of its own through. So requests that two processes took keep their order. Where locks
+ * fail, keys are kept in order by each process for itself.
  */
 final class KeyLocks implements Turns {
     private static final Logger LOG = LoggerFactory.getLogger(KeyLocks.class);
     private static final long FIRST = 1L << 40; // far beyond the slots
-    private static final long KEYS = 1L << 40; // keys that fall together wait for each other, and no more
+    private static final long KEYS =
+            1L << 40; // keys that fall together wait for each other, and no more
 
-    private record Locks(FileLock run, FileLock next) { }
+    private record Locks(FileLock run, FileLock next) {}
 
     private final SlotFile file;
     private final Map<Long, Locks> held = new HashMap<>();
@@ -52,7 +54,9 @@
         } catch (IOException e) {
             if (!troubled) {
                 troubled = true;
-                LOG.warn("keys are not shared with another process of this front end: {}", e.toString());
+                LOG.warn(
+                        "keys are not shared with another process of this front end: {}",
+                        e.toString());
             }
             return true;
         }
--- a/src/main/java/calicostream/handover/SlotFile.java
+++ b/src/main/java/calicostream/handover/SlotFile.java
@@ -14,17 +14,19 @@
 import java.util.zip.CRC32C;
 
 /**
- * A file with a slot for each of a few processes, opened once and kept open: no folder is listed, no file opened or
- * renamed while the process serves. A process holds a lock on one byte of its slot for as long as it lives, which tells
- * it from one that was killed and left its slot as it was. What it writes goes to the half of its slot that nobody
- * reads, and counts once the slot's head names it; a half that does not match its head's checksum is not read.
+ * A file with a slot for each of a few processes, opened once and kept open: no folder is listed,
+ * no file opened or renamed while the process serves. A process holds a lock on one byte of its
+ * slot for as long as it lives, which tells it from one that was killed and left its slot as it
+ * was. What it writes goes to the half of its slot that nobody reads, and counts once the slot's
+ * head names it; a half that does not match its head's checksum is not read.
  *
- * <p>The file: heads of 64 bytes, one a slot, then two halves a slot. A head is a mark, the number of the write, the
- * length and the CRC32C of the half that holds it, and the CRC32C of the head itself. One thread uses an object.
+ * <p>The file: heads of 64 bytes, one a slot, then two halves a slot. A head is a mark, the number
+ * of the write, the length and the CRC32C of the half that holds it, and the CRC32C of the head
+ * itself. One thread uses an object.
  */
 final class SlotFile implements AutoCloseable {
     /** A slot of another living process; {@code content} is null where it could not be read. */
-    record Slot(int number, long write, byte[] content) { }
+    record Slot(int number, long write, byte[] content) {}
 
     private record Head(long write, int length, int sum) {
         static final Head NONE = new Head(0, 0, 0);
@@ -39,12 +41,18 @@
     private final FileChannel file;
     private final int own;
     private final ByteBuffer heads = ByteBuffer.allocate(HEAD * SLOTS);
-    private long writes = System.currentTimeMillis() << 12; // so that no two processes of one slot count alike
+    private long writes =
+            System.currentTimeMillis() << 12; // so that no two processes of one slot count alike
 
     /** Takes the first slot that no living process holds. */
     SlotFile(Path path) throws IOException {
-        file = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE,
-                LinkOption.NOFOLLOW_LINKS);
+        file =
+                FileChannel.open(
+                        path,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.READ,
+                        StandardOpenOption.WRITE,
+                        LinkOption.NOFOLLOW_LINKS);
         int taken = -1;
         try {
             for (int slot = 0; slot < SLOTS && taken < 0; slot++) {
@@ -75,21 +83,33 @@
         }
         long next = writes + 1;
         put(ByteBuffer.wrap(content), half(own, next));
-        ByteBuffer head = ByteBuffer.allocate(HEAD).putInt(MARK).putLong(next).putInt(content.length)
-                .putInt(sum(content, content.length)).putInt(0);
+        ByteBuffer head =
+                ByteBuffer.allocate(HEAD)
+                        .putInt(MARK)
+                        .putLong(next)
+                        .putInt(content.length)
+                        .putInt(sum(content, content.length))
+                        .putInt(0);
         head.putInt(sum(head.array(), SUMMED));
         put(head.clear(), (long) own * HEAD);
         writes = next;
     }
 
-    /** The slots of other living processes; {@code known[slot]} is the write last read, whose content is not read again. */
+    /**
+     * The slots of other living processes; {@code known[slot]} is the write last read, whose
+     * content is not read again.
+     */
     List<Slot> others(long[] known) throws IOException {
         readHeads();
         List<Slot> living = new ArrayList<>();
         for (int slot = 0; slot < SLOTS; slot++) {
             Head head = slot == own ? Head.NONE : head(slot);
             if (head != Head.NONE && isHeld(slot)) {
-                living.add(new Slot(slot, head.write, head.write == known[slot] ? null : read(slot, head)));
+                living.add(
+                        new Slot(
+                                slot,
+                                head.write,
+                                head.write == known[slot] ? null : read(slot, head)));
             }
         }
         return living;
@@ -105,7 +125,10 @@
         return living;
     }
 
-    /** The lock is all that tells a living process; what a dead one left is cleared away, so that it costs this once. */
+    /**
+     * The lock is all that tells a living process; what a dead one left is cleared away, so that it
+     * costs this once.
+     */
     private boolean isHeld(int slot) throws IOException {
         FileLock lock = lock(slot);
         if (lock != null) {
@@ -148,10 +171,12 @@
         int at = slot * HEAD;
         byte[] summed = new byte[SUMMED];
         heads.get(at, summed);
-        boolean whole = heads.getInt(at) == MARK && heads.getInt(at + SUMMED) == sum(summed, SUMMED);
+        boolean whole =
+                heads.getInt(at) == MARK && heads.getInt(at + SUMMED) == sum(summed, SUMMED);
         int length = heads.getInt(at + 12);
         return whole && length >= 0 && length <= LONGEST
-                ? new Head(heads.getLong(at + 4), length, heads.getInt(at + 16)) : Head.NONE;
+                ? new Head(heads.getLong(at + 4), length, heads.getInt(at + 16))
+                : Head.NONE;
     }
 
     /** Null where it has been written over meanwhile, or is damaged. */
--- a/src/main/java/calicostream/lease/Acts.java
+++ b/src/main/java/calicostream/lease/Acts.java
@@ -8,9 +8,10 @@
 import java.util.function.LongSupplier;
 
 /**
- * What a task may do under its lease, in two ways and no third: a command of the log, which is refused where it is applied if the token
- * is over, or an act at a resource that checks the token. The token itself is not handed out, so that nothing can be done "while it
- * holds". Same thread as its {@link Holder}; the clock is monotonic, in nanoseconds, and read anew at each act.
+ * What a task may do under its lease, in two ways and no third: a command of the log, which is
+ * refused where it is applied if the token is over, or an act at a resource that checks the token.
+ * The token itself is not handed out, so that nothing can be done "while it holds". Same thread as
+ * its {@link Holder}; the clock is monotonic, in nanoseconds, and read anew at each act.
  */
 public final class Acts {
     /** Sends a command to a machine of the log and hears how it went. */
@@ -23,7 +24,9 @@
     private final String machine;
     private final Sender sender;
 
-    /** @param machine the leases' name in the log */
+    /**
+     * @param machine the leases' name in the log
+     */
     Acts(Holder holder, LongSupplier clock, String machine, Sender sender) {
         this.holder = holder;
         this.clock = clock;
@@ -33,11 +36,17 @@
 
     /** The command to send for it, or why not. Whether it was done, its answer tells. */
     public Outcome<LeaseCommand.Act> inLog(byte[] payload) {
-        return isHeld() ? Outcome.done(new LeaseCommand.Act(holder.name(), holder.token(), payload)) : Outcome.refused(notHeld());
+        return isHeld()
+                ? Outcome.done(new LeaseCommand.Act(holder.name(), holder.token(), payload))
+                : Outcome.refused(notHeld());
     }
 
-    /** Does it in the log, where all hear of it; empty if it was sent, else why not. {@code done} hears how it went. */
-    public Optional<LeaseRejection> tell(byte[] payload, Consumer<calicostream.cluster.Outcome> done) {
+    /**
+     * Does it in the log, where all hear of it; empty if it was sent, else why not. {@code done}
+     * hears how it went.
+     */
+    public Optional<LeaseRejection> tell(
+            byte[] payload, Consumer<calicostream.cluster.Outcome> done) {
         Outcome<LeaseCommand.Act> act = inLog(payload);
         if (act.isDone()) {
             sender.send(machine, act.result().encode(), done);
@@ -46,12 +55,13 @@
     }
 
     /**
-     * Sends a command of another machine of the same log, which carries the token and is refused there once a later one was seen; empty
-     * if it was sent, else why not.
+     * Sends a command of another machine of the same log, which carries the token and is refused
+     * there once a later one was seen; empty if it was sent, else why not.
      *
      * @param command made with the token, which is good for this command alone
      */
-    public Optional<LeaseRejection> command(String of, LongFunction<byte[]> command, Consumer<calicostream.cluster.Outcome> done) {
+    public Optional<LeaseRejection> command(
+            String of, LongFunction<byte[]> command, Consumer<calicostream.cluster.Outcome> done) {
         if (!isHeld()) {
             return Optional.of(notHeld());
         }
@@ -61,15 +71,23 @@
 
     /** Does it at the resource, or says why not. */
     public <A, R> Outcome<R> at(Fenced<A, R> resource, A act) {
-        return isHeld() ? resource.act(holder.name(), holder.token(), act) : Outcome.refused(notHeld());
+        return isHeld()
+                ? resource.act(holder.name(), holder.token(), act)
+                : Outcome.refused(notHeld());
     }
 
-    /** A hint alone: it may be over before the caller reads it. Good for not beginning what can't be acted upon. */
+    /**
+     * A hint alone: it may be over before the caller reads it. Good for not beginning what can't be
+     * acted upon.
+     */
     public boolean isHeld() {
         return holder.mayAct(clock.getAsLong());
     }
 
     private LeaseRejection notHeld() {
-        return new LeaseRejection.NotHeldHere(holder.name(), holder.token(), holder.token() == 0 ? 0 : holder.sinceEnd(clock.getAsLong()));
+        return new LeaseRejection.NotHeldHere(
+                holder.name(),
+                holder.token(),
+                holder.token() == 0 ? 0 : holder.sinceEnd(clock.getAsLong()));
     }
 }
--- a/src/main/java/calicostream/lease/Drift.java
+++ b/src/main/java/calicostream/lease/Drift.java
@@ -2,8 +2,9 @@
 package calicostream.lease;
 
 /**
- * How far a process's monotonic clock may run from real time, either way. Immutable. Both ends of a lease apply it, each to its own
- * clock, so that the holder's span has ended in real time before the leader's has.
+ * How far a process's monotonic clock may run from real time, either way. Immutable. Both ends of a
+ * lease apply it, each to its own clock, so that the holder's span has ended in real time before
+ * the leader's has.
  *
  * @param ppm parts of a million; 500 is the bound that clock discipline itself keeps to
  */
@@ -19,12 +20,18 @@
         }
     }
 
-    /** The span of one's own clock that is over in real time before {@code nanos} are, however slow that clock runs. */
+    /**
+     * The span of one's own clock that is over in real time before {@code nanos} are, however slow
+     * that clock runs.
+     */
     public long within(long nanos) {
         return nanos - part(nanos);
     }
 
-    /** The span of one's own clock after which {@code nanos} of real time are over, however fast that clock runs. */
+    /**
+     * The span of one's own clock after which {@code nanos} of real time are over, however fast
+     * that clock runs.
+     */
     public long beyond(long nanos) {
         return nanos + part(nanos);
     }
--- a/src/main/java/calicostream/lease/Fence.java
+++ b/src/main/java/calicostream/lease/Fence.java
@@ -6,9 +6,10 @@
 import java.util.Optional;
 
 /**
- * What a resource keeps of each lease: the highest token that it has seen, under which and above which alone it is acted upon. Pure;
- * one thread. It is only as good as its owner: the check, what is kept and the act must be one step for whoever looks, and a resource
- * whose acts survive a restart must keep its tokens as well.
+ * What a resource keeps of each lease: the highest token that it has seen, under which and above
+ * which alone it is acted upon. Pure; one thread. It is only as good as its owner: the check, what
+ * is kept and the act must be one step for whoever looks, and a resource whose acts survive a
+ * restart must keep its tokens as well.
  */
 public class Fence {
     private final Map<String, Long> highest = new HashMap<>();
--- a/src/main/java/calicostream/lease/Fenced.java
+++ b/src/main/java/calicostream/lease/Fenced.java
@@ -2,9 +2,10 @@
 package calicostream.lease;
 
 /**
- * A resource that checks tokens: the one way, beside a command of the log, to act under a lease. An implementation refuses a token that
- * is lower than the highest it has seen for that lease, and keeps the token in the same step as the act: no other act of that lease is
- * let between. {@link Fence} has the rule; an implementation adds its lock, its transaction or its one thread.
+ * A resource that checks tokens: the one way, beside a command of the log, to act under a lease. An
+ * implementation refuses a token that is lower than the highest it has seen for that lease, and
+ * keeps the token in the same step as the act: no other act of that lease is let between. {@link
+ * Fence} has the rule; an implementation adds its lock, its transaction or its one thread.
  *
  * @param <A> what is done
  * @param <R> what comes of it
--- a/src/main/java/calicostream/lease/Holder.java
+++ b/src/main/java/calicostream/lease/Holder.java
@@ -2,19 +2,32 @@
 package calicostream.lease;
 
 /**
- * One process's side of one lease. Pure, one thread, its own monotonic time in nanoseconds, of which differences alone mean something.
- * It has one command out at a time: {@link #next} says what to send, and exactly one of {@link #answered}, {@link #refused} and
- * {@link #unsure} ends it. What it holds counts from before it asked, less the bound on drift, and {@link #mayAct} says so at each act,
- * so a process that was stopped finds out before it acts on; what reaches a resource too late all the same, its token stops.
+ * One process's side of one lease. Pure, one thread, its own monotonic time in nanoseconds, of
+ * which differences alone mean something. It has one command out at a time: {@link #next} says what
+ * to send, and exactly one of {@link #answered}, {@link #refused} and {@link #unsure} ends it. What
+ * it holds counts from before it asked, less the bound on drift, and {@link #mayAct} says so at
+ * each act, so a process that was stopped finds out before it acts on; what reaches a resource too
+ * late all the same, its token stops.
  *
- * <p>A grant from the queue came at a moment that this process can't know: it renews first and counts from there.
+ * <p>A grant from the queue came at a moment that this process can't know: it renews first and
+ * counts from there.
  */
 public class Holder {
-    /** {@code CONFIRMING}: granted while it waited, not usable before a renewal; {@code ENDING}: it has stopped and says so. */
-    public enum Phase { IDLE, ASKING, WAITING, CONFIRMING, HELD, ENDING }
+    /**
+     * {@code CONFIRMING}: granted while it waited, not usable before a renewal; {@code ENDING}: it
+     * has stopped and says so.
+     */
+    public enum Phase {
+        IDLE,
+        ASKING,
+        WAITING,
+        CONFIRMING,
+        HELD,
+        ENDING
+    }
 
     /** A command to send, and the number under which its end is told. */
-    public record Ask(long number, LeaseCommand command) { }
+    public record Ask(long number, LeaseCommand command) {}
 
     /**
      * All that it knows.
@@ -29,8 +42,17 @@
      * @param renewAt when it asks again
      * @param to who is to follow at a planned stop; 0 the next, -1 nobody
      */
-    record State(Phase phase, boolean wanted, long token, long done, long number, boolean out, long askedAt, long until, long renewAt,
-            long to) { }
+    record State(
+            Phase phase,
+            boolean wanted,
+            long token,
+            long done,
+            long number,
+            boolean out,
+            long askedAt,
+            long until,
+            long renewAt,
+            long to) {}
 
     private static final int RENEWALS = 3; // in a time to live: two may be lost
     private static final int PLACES = 8; // times to live between two polls at most
@@ -50,7 +72,11 @@
     private long to;
 
     public Holder(String name, long ttlNanos, long now) {
-        this(name, ttlNanos, Drift.BOUND, new State(Phase.IDLE, false, 0, 0, 0, false, now, now, now, -1));
+        this(
+                name,
+                ttlNanos,
+                Drift.BOUND,
+                new State(Phase.IDLE, false, 0, 0, 0, false, now, now, now, -1));
     }
 
     Holder(String name, long ttlNanos, Drift drift, State state) {
@@ -81,7 +107,8 @@
         return phase;
     }
 
-    // ---- What the process wants -----------------------------------------------------------------------
+    // ---- What the process wants
+    // -----------------------------------------------------------------------
     /** It wants to hold, and waits its turn. */
     public void want() {
         wanted = true;
@@ -92,7 +119,10 @@
         stop(-1);
     }
 
-    /** A planned stop: as {@link #stop}, and session {@code successor} follows, or the first that waits if it is 0. */
+    /**
+     * A planned stop: as {@link #stop}, and session {@code successor} follows, or the first that
+     * waits if it is 0.
+     */
     public void transfer(long successor) {
         stop(successor);
     }
@@ -105,11 +135,16 @@
         }
     }
 
-    // ---- Acts -----------------------------------------------------------------------------------------
-    /** Whether it holds now. To be asked right before each act; false once is false for that token for ever. */
+    // ---- Acts
+    // -----------------------------------------------------------------------------------------
+    /**
+     * Whether it holds now. To be asked right before each act; false once is false for that token
+     * for ever.
+     */
     public boolean mayAct(long now) {
         if (phase == Phase.HELD && now - until >= 0) {
-            phase = Phase.ENDING; // Also when a renewal is out: whoever was told that it stopped must not find it go on.
+            phase = Phase.ENDING; // Also when a renewal is out: whoever was told that it stopped
+            // must not find it go on.
         }
         return phase == Phase.HELD;
     }
@@ -124,30 +159,60 @@
         return now - until;
     }
 
-    // ---- Commands and their ends ----------------------------------------------------------------------
-    /** What is to be sent now; null: nothing. A retry keeps its number and time and is the sender's business, not asked for here. */
+    // ---- Commands and their ends
+    // ----------------------------------------------------------------------
+    /**
+     * What is to be sent now; null: nothing. A retry keeps its number and time and is the sender's
+     * business, not asked for here.
+     */
     public Ask next(long now) {
         mayAct(now);
         if (out) {
             return null;
         }
         return switch (phase) {
-            case IDLE -> wanted && now - until >= 0 ? ask(now, Phase.ASKING, new LeaseCommand.Acquire(name, ttl, true)) : null;
-            case WAITING -> !wanted ? ask(now, Phase.WAITING, new LeaseCommand.Withdraw(name))
-                    : now - renewAt >= 0 ? ask(now, Phase.ASKING, new LeaseCommand.Acquire(name, ttl, true)) : null;
+            case IDLE ->
+                    wanted && now - until >= 0
+                            ? ask(now, Phase.ASKING, new LeaseCommand.Acquire(name, ttl, true))
+                            : null;
+            case WAITING ->
+                    !wanted
+                            ? ask(now, Phase.WAITING, new LeaseCommand.Withdraw(name))
+                            : now - renewAt >= 0
+                                    ? ask(
+                                            now,
+                                            Phase.ASKING,
+                                            new LeaseCommand.Acquire(name, ttl, true))
+                                    : null;
             case CONFIRMING -> ask(now, Phase.CONFIRMING, new LeaseCommand.Renew(name, token));
-            case HELD -> now - renewAt >= 0 ? ask(now, Phase.HELD, new LeaseCommand.Renew(name, token)) : null;
-            case ENDING -> ask(now, Phase.ENDING, to < 0 ? new LeaseCommand.Release(name, token) : new LeaseCommand.Transfer(name, token, to));
-            case ASKING -> throw new IllegalStateException("lease " + name + " is asked for and no command is out");
+            case HELD ->
+                    now - renewAt >= 0
+                            ? ask(now, Phase.HELD, new LeaseCommand.Renew(name, token))
+                            : null;
+            case ENDING ->
+                    ask(
+                            now,
+                            Phase.ENDING,
+                            to < 0
+                                    ? new LeaseCommand.Release(name, token)
+                                    : new LeaseCommand.Transfer(name, token, to));
+            case ASKING ->
+                    throw new IllegalStateException(
+                            "lease " + name + " is asked for and no command is out");
         };
     }
 
-    /** When {@link #next} may have something to say though nothing happened; a duration from now, 0 at least. */
+    /**
+     * When {@link #next} may have something to say though nothing happened; a duration from now, 0
+     * at least.
+     */
     public long quietFor(long now) {
         if (phase == Phase.HELD) {
             return Math.max(0, out ? until - now : Math.min(renewAt - now, until - now));
         }
-        return out || phase == Phase.IDLE && !wanted ? ttl : Math.max(0, (phase == Phase.WAITING ? renewAt : until) - now);
+        return out || phase == Phase.IDLE && !wanted
+                ? ttl
+                : Math.max(0, (phase == Phase.WAITING ? renewAt : until) - now);
     }
 
     private Ask ask(long now, Phase then, LeaseCommand command) {
@@ -216,7 +281,9 @@
         }
     }
 
-    /** The member's session is over: nothing is out any more, and what it holds can't be renewed. */
+    /**
+     * The member's session is over: nothing is out any more, and what it holds can't be renewed.
+     */
     public void sessionEnded(long now) {
         over(now, 0);
         out = false;
@@ -229,15 +296,19 @@
         }
     }
 
-    /** An answer that is still out is to the question that this news answers; it must not be taken for the confirmation. */
+    /**
+     * An answer that is still out is to the question that this news answers; it must not be taken
+     * for the confirmation.
+     */
     void grantedFromQueue(long now, long of) {
         out = false;
         confirm(of);
     }
 
     /**
-     * News may be lost, and a grant that was not taken up is gone: it asks again, and hears its place or what it missed. Whoever has others
-     * before it asks less often, or a fleet that waits would fill the log.
+     * News may be lost, and a grant that was not taken up is gone: it asks again, and hears its
+     * place or what it missed. Whoever has others before it asks less often, or a fleet that waits
+     * would fill the log.
      */
     private void waits(long now, long place) {
         phase = Phase.WAITING;
--- a/src/main/java/calicostream/lease/LeaderWatch.java
+++ b/src/main/java/calicostream/lease/LeaderWatch.java
@@ -8,16 +8,18 @@
 import java.util.Map;
 
 /**
- * The leader's count of what has run out. Pure, one thread, its own monotonic time alone. A grant or renewal counts from when this
- * leader first saw it in its own copy, which is after its holder asked; what was there when its era began counts from then, as the
- * former leader may have granted it a moment before. Both spans are the whole time to live and the bound on drift beyond it.
+ * The leader's count of what has run out. Pure, one thread, its own monotonic time alone. A grant
+ * or renewal counts from when this leader first saw it in its own copy, which is after its holder
+ * asked; what was there when its era began counts from then, as the former leader may have granted
+ * it a moment before. Both spans are the whole time to live and the bound on drift beyond it.
  *
- * <p>A clock that jumps ahead must end nothing early: between two looks no more counts than two of their periods, and as much is waited
- * beyond each span. A leader that was stopped thereby expires late, never early.
+ * <p>A clock that jumps ahead must end nothing early: between two looks no more counts than two of
+ * their periods, and as much is waited beyond each span. A leader that was stopped thereby expires
+ * late, never early.
  */
 public class LeaderWatch implements Timekeeper {
     /** A grant as renewed so many times, first seen then. */
-    record Seen(long token, long renewals, long since) { }
+    record Seen(long token, long renewals, long since) {}
 
     private final LeaseMachine machine;
     private final Drift drift;
@@ -26,12 +28,16 @@
     private boolean looked;
     private long lookedAt;
 
-    /** @param periodNanos at which {@link #due} is called when this process is not stopped */
+    /**
+     * @param periodNanos at which {@link #due} is called when this process is not stopped
+     */
     public LeaderWatch(LeaseMachine machine, long periodNanos) {
         this(machine, Drift.BOUND, Map.of(), periodNanos);
     }
 
-    /** @param periodNanos 0: it looks whenever it likes, and all that its clock says counts */
+    /**
+     * @param periodNanos 0: it looks whenever it likes, and all that its clock says counts
+     */
     LeaderWatch(LeaseMachine machine, Drift drift, Map<String, Seen> seen, long periodNanos) {
         this.machine = machine;
         this.drift = drift;
@@ -49,7 +55,9 @@
         seen.clear();
         looked = false;
         for (LeaseMachine.View each : machine.held()) {
-            seen.put(each.name(), new Seen(each.token(), each.renewals(), inherited(nowNanos, each.ttl())));
+            seen.put(
+                    each.name(),
+                    new Seen(each.token(), each.renewals(), inherited(nowNanos, each.ttl())));
         }
     }
 
@@ -75,7 +83,9 @@
             }
             seen.put(each.name(), known);
             if (nowNanos - known.since >= drift.beyond(each.ttl()) + longest) {
-                due.add(new LeaseCommand.Expire(each.name(), each.token(), each.renewals()).encode());
+                due.add(
+                        new LeaseCommand.Expire(each.name(), each.token(), each.renewals())
+                                .encode());
             }
         }
         return due;
--- a/src/main/java/calicostream/lease/LeaseAnswer.java
+++ b/src/main/java/calicostream/lease/LeaseAnswer.java
@@ -3,34 +3,45 @@
 
 import calicostream.cluster.Bytes;
 
-/** What the sender of a command that was accepted is told. Immutable. A refusal is a {@link LeaseRejection} instead. */
+/**
+ * What the sender of a command that was accepted is told. Immutable. A refusal is a {@link
+ * LeaseRejection} instead.
+ */
 public sealed interface LeaseAnswer {
     /** It holds, under this token, for a time to live that counts from before it asked. */
-    record Holds(long token) implements LeaseAnswer { }
+    record Holds(long token) implements LeaseAnswer {}
 
-    /** It waits; {@code place} is 1 for the next. A grant comes as an event and must be renewed before it is used. */
-    record Waits(int place) implements LeaseAnswer { }
+    /**
+     * It waits; {@code place} is 1 for the next. A grant comes as an event and must be renewed
+     * before it is used.
+     */
+    record Waits(int place) implements LeaseAnswer {}
 
     /** Done, nothing more to say. */
-    record Done() implements LeaseAnswer { }
+    record Done() implements LeaseAnswer {}
 
     default byte[] encode() {
         if (this instanceof Holds h) {
             return new Bytes.Writer().u8(1).i64(h.token).done();
         }
-        return this instanceof Waits w ? new Bytes.Writer().u8(2).i32(w.place).done() : new Bytes.Writer().u8(3).done();
+        return this instanceof Waits w
+                ? new Bytes.Writer().u8(2).i32(w.place).done()
+                : new Bytes.Writer().u8(3).done();
     }
 
-    /** @throws calicostream.cluster.ClusterException.Malformed if the bytes are no answer */
+    /**
+     * @throws calicostream.cluster.ClusterException.Malformed if the bytes are no answer
+     */
     static LeaseAnswer decode(byte[] body) {
         Bytes.Reader in = new Bytes.Reader("lease answer", body);
         int kind = in.u8();
-        LeaseAnswer answer = switch (kind) {
-            case 1 -> new Holds(in.i64());
-            case 2 -> new Waits(in.i32());
-            case 3 -> new Done();
-            default -> throw in.malformed("no answer has the kind " + kind);
-        };
+        LeaseAnswer answer =
+                switch (kind) {
+                    case 1 -> new Holds(in.i64());
+                    case 2 -> new Waits(in.i32());
+                    case 3 -> new Done();
+                    default -> throw in.malformed("no answer has the kind " + kind);
+                };
         in.end();
         return answer;
     }
--- a/src/main/java/calicostream/lease/LeaseClient.java
+++ b/src/main/java/calicostream/lease/LeaseClient.java
@@ -8,8 +8,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * The leases of one process: brings its holders' commands to its session and their ends back. One thread, the session's; no I/O of its
- * own. {@link #tick} is to be called as often as the session's. A session that was lost ends all that was held under it.
+ * The leases of one process: brings its holders' commands to its session and their ends back. One
+ * thread, the session's; no I/O of its own. {@link #tick} is to be called as often as the
+ * session's. A session that was lost ends all that was held under it.
  */
 public final class LeaseClient {
     private final MemberSession member;
@@ -18,7 +19,9 @@
     private final List<Holder> holders = new ArrayList<>();
     private long session;
 
-    /** @param clock monotonic, nanoseconds, the same that the session is told */
+    /**
+     * @param clock monotonic, nanoseconds, the same that the session is told
+     */
     public LeaseClient(MemberSession member, String machine, LongSupplier clock) {
         this.member = member;
         this.machine = machine;
@@ -66,18 +69,28 @@
     private void ended(Holder holder, Holder.Ask ask, Outcome outcome) {
         long now = clock.getAsLong();
         switch (outcome.kind()) {
-            case ACCEPTED -> holder.answered(now, ask.number(), LeaseAnswer.decode(outcome.answer()));
-            case REFUSED -> holder.refused(now, ask.number(), LeaseRejection.decode(outcome.code(), outcome.answer()));
+            case ACCEPTED ->
+                    holder.answered(now, ask.number(), LeaseAnswer.decode(outcome.answer()));
+            case REFUSED ->
+                    holder.refused(
+                            now,
+                            ask.number(),
+                            LeaseRejection.decode(outcome.code(), outcome.answer()));
             case FAILED -> holder.unsure(now, ask.number());
         }
         if (outcome.kind() != Outcome.Kind.FAILED) {
-            send(holder, now); // What follows at once must not wait for a tick: a planned stop may not come to another one.
+            send(
+                    holder,
+                    now); // What follows at once must not wait for a tick: a planned stop may not
+            // come to another one.
         }
     }
 
     /** Something happened to a lease, as a copy of the machine told it or a query found it. */
     public void news(LeaseEvent event) {
-        if (event instanceof LeaseEvent.Granted granted && granted.session() == session && session == member.session()) {
+        if (event instanceof LeaseEvent.Granted granted
+                && granted.session() == session
+                && session == member.session()) {
             for (Holder holder : holders) {
                 if (holder.name().equals(granted.name())) {
                     holder.granted(clock.getAsLong(), granted.token());
--- a/src/main/java/calicostream/lease/LeaseEvent.java
+++ b/src/main/java/calicostream/lease/LeaseEvent.java
@@ -5,26 +5,37 @@
 import calicostream.cluster.Effects;
 
 /**
- * What happened to a lease, told at every copy of the machine, perhaps more than once and late: news, never an order. Immutable.
+ * What happened to a lease, told at every copy of the machine, perhaps more than once and late:
+ * news, never an order. Immutable.
  */
 public sealed interface LeaseEvent {
     String name();
 
     long token();
 
-    /** That session holds from now on. It is told so that one who waited confirms by {@link LeaseCommand.Renew}. */
-    record Granted(String name, long token, long session) implements LeaseEvent { }
+    /**
+     * That session holds from now on. It is told so that one who waited confirms by {@link
+     * LeaseCommand.Renew}.
+     */
+    record Granted(String name, long token, long session) implements LeaseEvent {}
 
     /** Nobody holds under that token any longer. */
-    record Freed(String name, long token, Why why) implements LeaseEvent { }
+    record Freed(String name, long token, Why why) implements LeaseEvent {}
 
     /** The holder did this in the log. */
-    record Acted(String name, long token, byte[] payload) implements LeaseEvent { }
+    record Acted(String name, long token, byte[] payload) implements LeaseEvent {}
 
     /** Why a lease ended. */
-    enum Why { RELEASED, TRANSFERRED, EXPIRED }
+    enum Why {
+        RELEASED,
+        TRANSFERRED,
+        EXPIRED
+    }
 
-    /** A grant concerns its holder, an act everybody; that something ended is for whoever watches a copy. */
+    /**
+     * A grant concerns its holder, an act everybody; that something ended is for whoever watches a
+     * copy.
+     */
     default Effects.Event encode() {
         Bytes.Writer out = new Bytes.Writer().text(name()).i64(token());
         if (this instanceof Granted g) {
@@ -33,26 +44,30 @@
         if (this instanceof Freed f) {
             return new Effects.Event("lease-freed", out.u8(f.why.ordinal()).done());
         }
-        return new Effects.Event("lease-acted", out.blob(((Acted) this).payload).done(), Effects.Event.ALL);
+        return new Effects.Event(
+                "lease-acted", out.blob(((Acted) this).payload).done(), Effects.Event.ALL);
     }
 
-    /** @throws calicostream.cluster.ClusterException.Malformed if it is no event of a lease */
+    /**
+     * @throws calicostream.cluster.ClusterException.Malformed if it is no event of a lease
+     */
     static LeaseEvent decode(Effects.Event event) {
         Bytes.Reader in = new Bytes.Reader(event.kind(), event.body());
         String name = in.text(Limits.NAME);
         long token = in.i64();
-        LeaseEvent read = switch (event.kind()) {
-            case "lease-granted" -> new Granted(name, token, in.i64());
-            case "lease-freed" -> {
-                int why = in.u8();
-                if (why >= Why.values().length) {
-                    throw in.malformed("no reason has the number " + why);
-                }
-                yield new Freed(name, token, Why.values()[why]);
-            }
-            case "lease-acted" -> new Acted(name, token, in.blob(Limits.PAYLOAD));
-            default -> throw in.malformed("no event of a lease");
-        };
+        LeaseEvent read =
+                switch (event.kind()) {
+                    case "lease-granted" -> new Granted(name, token, in.i64());
+                    case "lease-freed" -> {
+                        int why = in.u8();
+                        if (why >= Why.values().length) {
+                            throw in.malformed("no reason has the number " + why);
+                        }
+                        yield new Freed(name, token, Why.values()[why]);
+                    }
+                    case "lease-acted" -> new Acted(name, token, in.blob(Limits.PAYLOAD));
+                    default -> throw in.malformed("no event of a lease");
+                };
         in.end();
         return read;
     }
--- a/src/main/java/calicostream/lease/LeaseMachine.java
+++ b/src/main/java/calicostream/lease/LeaseMachine.java
@@ -11,11 +11,14 @@
 import java.util.TreeMap;
 
 /**
- * All leases of the fleet, as every copy applies them: one holder a name, those who wait in the order they came, and one token for the
- * whole machine that grows with each grant and is never given twice, also over snapshots and leases that were forgotten meanwhile.
- * A function of its calls; one thread. It reads no clock: a lease ends by its holder's word or by {@link LeaseCommand.Expire}.
+ * All leases of the fleet, as every copy applies them: one holder a name, those who wait in the
+ * order they came, and one token for the whole machine that grows with each grant and is never
+ * given twice, also over snapshots and leases that were forgotten meanwhile. A function of its
+ * calls; one thread. It reads no clock: a lease ends by its holder's word or by {@link
+ * LeaseCommand.Expire}.
  *
- * <p>The end of a session ends its waiting at once, but not what it holds: the member may not have heard and may count on.
+ * <p>The end of a session ends its waiting at once, but not what it holds: the member may not have
+ * heard and may count on.
  */
 public class LeaseMachine implements Machine {
     private static final int VERSION = 1;
@@ -23,9 +26,16 @@
     private static final int LEASE_BYTES = 41;
 
     /** One lease as it is held now. {@code ended}: the holder's session is over. */
-    public record View(String name, long session, long token, long renewals, long ttl, boolean ended, int waiting) { }
+    public record View(
+            String name,
+            long session,
+            long token,
+            long renewals,
+            long ttl,
+            boolean ended,
+            int waiting) {}
 
-    private record Waiter(long session, long ttl) { }
+    private record Waiter(long session, long ttl) {}
 
     private static final class Lease {
         final List<Waiter> waiting = new ArrayList<>();
@@ -54,7 +64,10 @@
         this(0);
     }
 
-    /** @param tokensAbove what an earlier log may have given: all tokens of this one are above; the same at every copy, for ever */
+    /**
+     * @param tokensAbove what an earlier log may have given: all tokens of this one are above; the
+     *     same at every copy, for ever
+     */
     public LeaseMachine(long tokensAbove) {
         this(Limits.STANDARD);
         lastToken = tokensAbove;
@@ -64,7 +77,8 @@
         this.limits = limits;
     }
 
-    // ---- Commands -------------------------------------------------------------------------------------
+    // ---- Commands
+    // -------------------------------------------------------------------------------------
     @Override
     public Effects apply(long index, Command command) {
         LeaseCommand said;
@@ -73,7 +87,8 @@
         } catch (ClusterException.Malformed e) {
             return Effects.refused(e.code(), new Bytes.Writer().text(e.getMessage()).done());
         }
-        boolean leaders = said instanceof LeaseCommand.Expire || said instanceof LeaseCommand.RaiseTokens;
+        boolean leaders =
+                said instanceof LeaseCommand.Expire || said instanceof LeaseCommand.RaiseTokens;
         if (leaders != command.byLeader()) {
             return new LeaseRejection.NotItsToSay(said.name(), command.session()).refusal();
         }
@@ -91,7 +106,9 @@
     private Effects acquire(long session, LeaseCommand.Acquire said) {
         String name = said.name();
         if (name.isEmpty() || said.ttl() < limits.leastTtl() || said.ttl() > limits.mostTtl()) {
-            return new LeaseRejection.BadTerms(name, said.ttl(), limits.leastTtl(), limits.mostTtl()).refusal();
+            return new LeaseRejection.BadTerms(
+                            name, said.ttl(), limits.leastTtl(), limits.mostTtl())
+                    .refusal();
         }
         Lease lease = leases.get(name);
         if (lease == null) {
@@ -100,7 +117,9 @@
             }
             lease = new Lease();
             leases.put(name, lease);
-            return Effects.answer(new LeaseAnswer.Holds(lastToken + 1).encode(), grant(name, lease, new Waiter(session, said.ttl())));
+            return Effects.answer(
+                    new LeaseAnswer.Holds(lastToken + 1).encode(),
+                    grant(name, lease, new Waiter(session, said.ttl())));
         }
         if (lease.session == session) {
             return new LeaseRejection.AlreadyHolds(name, lease.token).refusal();
@@ -121,7 +140,8 @@
     private Effects withdraw(long session, String name) {
         Lease lease = leases.get(name);
         if (lease != null && lease.session == session) {
-            return new LeaseRejection.AlreadyHolds(name, lease.token).refusal(); // The grant overtook the withdrawal.
+            return new LeaseRejection.AlreadyHolds(name, lease.token)
+                    .refusal(); // The grant overtook the withdrawal.
         }
         if (lease != null) {
             lease.waiting.removeIf(each -> each.session == session);
@@ -134,15 +154,21 @@
         String name = said.name();
         Lease lease = leases.get(name);
         if (said instanceof LeaseCommand.Act a) {
-            return isHolder(name, a.token()) ? Effects.answer(new LeaseAnswer.Done().encode(),
-                    new LeaseEvent.Acted(name, a.token(), a.payload()).encode()) : notHolder(name, a.token());
+            return isHolder(name, a.token())
+                    ? Effects.answer(
+                            new LeaseAnswer.Done().encode(),
+                            new LeaseEvent.Acted(name, a.token(), a.payload()).encode())
+                    : notHolder(name, a.token());
         }
         if (said instanceof LeaseCommand.Expire e) {
             if (!holds(lease, e.token())) {
                 return notHolder(name, e.token());
             }
-            return renewedSince(lease.renewals, e.renewals()) ? new LeaseRejection.RenewedMeanwhile(name, e.token(), lease.renewals).refusal()
-                    : Effects.answer(new LeaseAnswer.Done().encode(), free(name, lease, LeaseEvent.Why.EXPIRED));
+            return renewedSince(lease.renewals, e.renewals())
+                    ? new LeaseRejection.RenewedMeanwhile(name, e.token(), lease.renewals).refusal()
+                    : Effects.answer(
+                            new LeaseAnswer.Done().encode(),
+                            free(name, lease, LeaseEvent.Why.EXPIRED));
         }
         if (said instanceof LeaseCommand.Renew r) {
             if (!holds(lease, r.token()) || lease.session != session) {
@@ -155,11 +181,15 @@
             return Effects.answer(new LeaseAnswer.Holds(r.token()).encode());
         }
         if (said instanceof LeaseCommand.Transfer t) {
-            return holds(lease, t.token()) && lease.session == session ? transfer(lease, t) : notHolder(name, t.token());
+            return holds(lease, t.token()) && lease.session == session
+                    ? transfer(lease, t)
+                    : notHolder(name, t.token());
         }
         LeaseCommand.Release r = (LeaseCommand.Release) said;
         return holds(lease, r.token()) && lease.session == session
-                ? Effects.answer(new LeaseAnswer.Done().encode(), free(name, lease, LeaseEvent.Why.RELEASED)) : notHolder(name, r.token());
+                ? Effects.answer(
+                        new LeaseAnswer.Done().encode(), free(name, lease, LeaseEvent.Why.RELEASED))
+                : notHolder(name, r.token());
     }
 
     private Effects transfer(Lease lease, LeaseCommand.Transfer said) {
@@ -168,7 +198,9 @@
             return new LeaseRejection.NoSuccessor(said.name(), said.to()).refusal();
         }
         lease.waiting.add(0, lease.waiting.remove(place - 1));
-        return Effects.answer(new LeaseAnswer.Done().encode(), free(said.name(), lease, LeaseEvent.Why.TRANSFERRED));
+        return Effects.answer(
+                new LeaseAnswer.Done().encode(),
+                free(said.name(), lease, LeaseEvent.Why.TRANSFERRED));
     }
 
     private static boolean holds(Lease lease, long token) {
@@ -180,12 +212,16 @@
         return renewals != seen;
     }
 
-    /** Whether a session that ends ends its leases too: never, as its member may count on until they run out. */
+    /**
+     * Whether a session that ends ends its leases too: never, as its member may count on until they
+     * run out.
+     */
     boolean endsWithSession() {
         return false;
     }
 
-    // ---- Grants ---------------------------------------------------------------------------------------
+    // ---- Grants
+    // ---------------------------------------------------------------------------------------
     private Effects.Event grant(String name, Lease lease, Waiter next) {
         lease.session = next.session;
         lease.ttl = next.ttl;
@@ -220,8 +256,12 @@
         return new Effects(null, new byte[0], events);
     }
 
-    // ---- Questions ------------------------------------------------------------------------------------
-    /** Whether that token is the holder's now. A machine beside this one, in the same log, asks it where it applies a leased command. */
+    // ---- Questions
+    // ------------------------------------------------------------------------------------
+    /**
+     * Whether that token is the holder's now. A machine beside this one, in the same log, asks it
+     * where it applies a leased command.
+     */
     public boolean isHolder(String name, long token) {
         return holds(leases.get(name), token);
     }
@@ -229,7 +269,17 @@
     /** All leases that are held, by name. */
     public List<View> held() {
         List<View> views = new ArrayList<>();
-        leases.forEach((name, l) -> views.add(new View(name, l.session, l.token, l.renewals, l.ttl, l.ended, l.waiting.size())));
+        leases.forEach(
+                (name, l) ->
+                        views.add(
+                                new View(
+                                        name,
+                                        l.session,
+                                        l.token,
+                                        l.renewals,
+                                        l.ttl,
+                                        l.ended,
+                                        l.waiting.size())));
         return views;
     }
 
@@ -243,8 +293,13 @@
     public byte[] query(byte[] question) {
         Lease lease = leases.get(new Bytes.Reader("lease question", question).text(Limits.NAME));
         Bytes.Writer out = new Bytes.Writer();
-        return lease == null ? out.i64(0).i64(0).i64(0).i32(0).done()
-                : out.i64(lease.token).i64(lease.session).i64(lease.renewals).i32(lease.waiting.size()).done();
+        return lease == null
+                ? out.i64(0).i64(0).i64(0).i32(0).done()
+                : out.i64(lease.token)
+                        .i64(lease.session)
+                        .i64(lease.renewals)
+                        .i32(lease.waiting.size())
+                        .done();
     }
 
     private Effects notHolder(String name, long token) {
@@ -256,15 +311,22 @@
         return Effects.answer(new LeaseAnswer.Done().encode());
     }
 
-    // ---- Snapshots ------------------------------------------------------------------------------------
+    // ---- Snapshots
+    // ------------------------------------------------------------------------------------
     @Override
     public byte[] snapshot() {
         Bytes.Writer out = new Bytes.Writer().u8(VERSION).i64(lastToken).i32(leases.size());
-        leases.forEach((name, lease) -> {
-            out.text(name).i64(lease.session).i64(lease.token).i64(lease.renewals).i64(lease.ttl).u8(lease.ended ? 1 : 0);
-            out.i32(lease.waiting.size());
-            lease.waiting.forEach(each -> out.i64(each.session).i64(each.ttl));
-        });
+        leases.forEach(
+                (name, lease) -> {
+                    out.text(name)
+                            .i64(lease.session)
+                            .i64(lease.token)
+                            .i64(lease.renewals)
+                            .i64(lease.ttl)
+                            .u8(lease.ended ? 1 : 0);
+                    out.i32(lease.waiting.size());
+                    lease.waiting.forEach(each -> out.i64(each.session).i64(each.ttl));
+                });
         return out.done();
     }
 
--- a/src/main/java/calicostream/lease/LeaseRejection.java
+++ b/src/main/java/calicostream/lease/LeaseRejection.java
@@ -7,8 +7,8 @@
 import calicostream.errors.Page;
 
 /**
- * Why a lease's machine, a holder or a fenced resource did not do what was asked. Immutable. It is an
- * answer, and thrown nowhere.
+ * Why a lease's machine, a holder or a fenced resource did not do what was asked. Immutable. It is
+ * an answer, and thrown nowhere.
  */
 @Page(value = "lease.md", prefixes = "lease-")
 public sealed interface LeaseRejection extends FleetError {
@@ -25,13 +25,21 @@
         return Kind.of(this).remedy;
     }
 
-    /** The token is not the holder's: the lease ended, or never was the sender's. {@code holder} is 0 if nobody holds. */
+    /**
+     * The token is not the holder's: the lease ended, or never was the sender's. {@code holder} is
+     * 0 if nobody holds.
+     */
     record NotHolder(String name, long token, long holder) implements LeaseRejection {
         public static final String CODE = "lease-not-holder";
 
         @Override
         public String facts() {
-            return "token " + token + " of lease " + name + " is over, " + (holder == 0 ? "nobody holds it" : "token " + holder + " holds it");
+            return "token "
+                    + token
+                    + " of lease "
+                    + name
+                    + " is over, "
+                    + (holder == 0 ? "nobody holds it" : "token " + holder + " holds it");
         }
     }
 
@@ -91,7 +99,15 @@
 
         @Override
         public String facts() {
-            return "lease '" + name + "' with a time to live of " + ttl + " ns, which must be " + least + " to " + most + ", and a name";
+            return "lease '"
+                    + name
+                    + "' with a time to live of "
+                    + ttl
+                    + " ns, which must be "
+                    + least
+                    + " to "
+                    + most
+                    + ", and a name";
         }
     }
 
@@ -101,7 +117,13 @@
 
         @Override
         public String facts() {
-            return "lease " + name + ", token " + token + ", was renewed meanwhile, " + renewals + " times in all";
+            return "lease "
+                    + name
+                    + ", token "
+                    + token
+                    + ", was renewed meanwhile, "
+                    + renewals
+                    + " times in all";
         }
     }
 
@@ -111,7 +133,9 @@
 
         @Override
         public String facts() {
-            return to == 0 ? "nobody waits for lease " + name : "session " + to + " does not wait for lease " + name;
+            return to == 0
+                    ? "nobody waits for lease " + name
+                    : "session " + to + " does not wait for lease " + name;
         }
     }
 
@@ -141,41 +165,88 @@
 
         @Override
         public String facts() {
-            return "an act under token " + token + " of lease " + name + " came after one under token " + highest;
+            return "an act under token "
+                    + token
+                    + " of lease "
+                    + name
+                    + " came after one under token "
+                    + highest;
         }
     }
 
-    /** By its own clock, or by what it was told, this process does not hold it, and it did nothing. */
+    /**
+     * By its own clock, or by what it was told, this process does not hold it, and it did nothing.
+     */
     record NotHeldHere(String name, long token, long sinceNanos) implements LeaseRejection {
         public static final String CODE = "lease-not-held-here";
 
         @Override
         public String facts() {
-            return token == 0 ? "lease " + name + " is not held here"
-                    : "lease " + name + ", token " + token + ", ended here " + sinceNanos + " ns ago";
+            return token == 0
+                    ? "lease " + name + " is not held here"
+                    : "lease "
+                            + name
+                            + ", token "
+                            + token
+                            + ", ended here "
+                            + sinceNanos
+                            + " ns ago";
         }
     }
 
     /** Codes and remedies, one for each type. */
     enum Kind {
-        NOT_HOLDER(NotHolder.CODE, "Nothing, if it is rare: the fence held. Often: the holder stops or is cut off; see its pauses and links.",
+        NOT_HOLDER(
+                NotHolder.CODE,
+                "Nothing, if it is rare: the fence held. Often: the holder stops or is cut off; see"
+                        + " its pauses and links.",
                 NotHolder.class),
-        ALREADY_HOLDS(AlreadyHolds.CODE, "Nothing: the process renews under that token.", AlreadyHolds.class),
-        ALREADY_WAITS(AlreadyWaits.CODE, "Nothing: the process keeps its place.", AlreadyWaits.class),
+        ALREADY_HOLDS(
+                AlreadyHolds.CODE,
+                "Nothing: the process renews under that token.",
+                AlreadyHolds.class),
+        ALREADY_WAITS(
+                AlreadyWaits.CODE, "Nothing: the process keeps its place.", AlreadyWaits.class),
         IS_HELD(IsHeld.CODE, "Nothing: another process does the task.", IsHeld.class),
-        QUEUE_FULL(QueueFull.CODE, "See whether processes start again and again: each takes a new session and a new place.",
+        QUEUE_FULL(
+                QueueFull.CODE,
+                "See whether processes start again and again: each takes a new session and a new"
+                        + " place.",
                 QueueFull.class),
-        TOO_MANY_LEASES(TooManyLeases.CODE, "See the names in the figures; a task makes a lease for each of something that is unbounded.",
+        TOO_MANY_LEASES(
+                TooManyLeases.CODE,
+                "See the names in the figures; a task makes a lease for each of something that is"
+                        + " unbounded.",
                 TooManyLeases.class),
-        BAD_TERMS(BadTerms.CODE, "Correct the lease's name or time to live in the settings.", BadTerms.class),
-        RENEWED_MEANWHILE(RenewedMeanwhile.CODE, "Nothing: the renewal came before the end, as it should.", RenewedMeanwhile.class),
-        NO_SUCCESSOR(NoSuccessor.CODE, "Nothing: the holder releases instead, and the next to ask gets it.", NoSuccessor.class),
-        SESSION_ENDED(SessionEnded.CODE, "See why the holder was not heard for a session's time: stopped, cut off, or its clock ran fast.",
+        BAD_TERMS(
+                BadTerms.CODE,
+                "Correct the lease's name or time to live in the settings.",
+                BadTerms.class),
+        RENEWED_MEANWHILE(
+                RenewedMeanwhile.CODE,
+                "Nothing: the renewal came before the end, as it should.",
+                RenewedMeanwhile.class),
+        NO_SUCCESSOR(
+                NoSuccessor.CODE,
+                "Nothing: the holder releases instead, and the next to ask gets it.",
+                NoSuccessor.class),
+        SESSION_ENDED(
+                SessionEnded.CODE,
+                "See why the holder was not heard for a session's time: stopped, cut off, or its"
+                        + " clock ran fast.",
                 SessionEnded.class),
-        NOT_ITS_TO_SAY(NotItsToSay.CODE, "Report it: a process sends what only a leader or only a member may.", NotItsToSay.class),
-        TOKEN_OUTDATED(TokenOutdated.CODE, "Nothing: the fence held. Find out why the former holder stopped between its check and its act.",
+        NOT_ITS_TO_SAY(
+                NotItsToSay.CODE,
+                "Report it: a process sends what only a leader or only a member may.",
+                NotItsToSay.class),
+        TOKEN_OUTDATED(
+                TokenOutdated.CODE,
+                "Nothing: the fence held. Find out why the former holder stopped between its check"
+                        + " and its act.",
                 TokenOutdated.class),
-        NOT_HELD_HERE(NotHeldHere.CODE, "See why it could not renew: no quorum, a cut link, or a pause of this process.",
+        NOT_HELD_HERE(
+                NotHeldHere.CODE,
+                "See why it could not renew: no quorum, a cut link, or a pause of this process.",
                 NotHeldHere.class);
 
         final String code;
@@ -237,26 +308,29 @@
         return new long[] {here.token, here.sinceNanos};
     }
 
-    /** @throws calicostream.cluster.ClusterException.Malformed if it is no refusal of a lease */
+    /**
+     * @throws calicostream.cluster.ClusterException.Malformed if it is no refusal of a lease
+     */
     static LeaseRejection decode(String code, byte[] facts) {
         Bytes.Reader in = new Bytes.Reader("refusal " + code, facts);
         String name = in.text(Limits.NAME);
-        LeaseRejection read = switch (code) {
-            case NotHolder.CODE -> new NotHolder(name, in.i64(), in.i64());
-            case AlreadyHolds.CODE -> new AlreadyHolds(name, in.i64());
-            case AlreadyWaits.CODE -> new AlreadyWaits(name, in.i64());
-            case IsHeld.CODE -> new IsHeld(name, in.i64());
-            case QueueFull.CODE -> new QueueFull(name, in.i64());
-            case TooManyLeases.CODE -> new TooManyLeases(name, in.i64());
-            case BadTerms.CODE -> new BadTerms(name, in.i64(), in.i64(), in.i64());
-            case RenewedMeanwhile.CODE -> new RenewedMeanwhile(name, in.i64(), in.i64());
-            case NoSuccessor.CODE -> new NoSuccessor(name, in.i64());
-            case SessionEnded.CODE -> new SessionEnded(name, in.i64());
-            case NotItsToSay.CODE -> new NotItsToSay(name, in.i64());
-            case TokenOutdated.CODE -> new TokenOutdated(name, in.i64(), in.i64());
-            case NotHeldHere.CODE -> new NotHeldHere(name, in.i64(), in.i64());
-            default -> throw in.malformed("no refusal of a lease");
-        };
+        LeaseRejection read =
+                switch (code) {
+                    case NotHolder.CODE -> new NotHolder(name, in.i64(), in.i64());
+                    case AlreadyHolds.CODE -> new AlreadyHolds(name, in.i64());
+                    case AlreadyWaits.CODE -> new AlreadyWaits(name, in.i64());
+                    case IsHeld.CODE -> new IsHeld(name, in.i64());
+                    case QueueFull.CODE -> new QueueFull(name, in.i64());
+                    case TooManyLeases.CODE -> new TooManyLeases(name, in.i64());
+                    case BadTerms.CODE -> new BadTerms(name, in.i64(), in.i64(), in.i64());
+                    case RenewedMeanwhile.CODE -> new RenewedMeanwhile(name, in.i64(), in.i64());
+                    case NoSuccessor.CODE -> new NoSuccessor(name, in.i64());
+                    case SessionEnded.CODE -> new SessionEnded(name, in.i64());
+                    case NotItsToSay.CODE -> new NotItsToSay(name, in.i64());
+                    case TokenOutdated.CODE -> new TokenOutdated(name, in.i64(), in.i64());
+                    case NotHeldHere.CODE -> new NotHeldHere(name, in.i64(), in.i64());
+                    default -> throw in.malformed("no refusal of a lease");
+                };
         in.end();
         return read;
     }
--- a/src/main/java/calicostream/lease/Tasks.java
+++ b/src/main/java/calicostream/lease/Tasks.java
@@ -9,21 +9,33 @@
 import java.util.function.LongSupplier;
 
 /**
- * Runs a process's {@link Task}s, each while its lease is held here. Decisions alone; one thread, the session's. A task is told that it
- * started before its first step and that it stopped before it can start again, once each, however the lease came and went in between.
+ * Runs a process's {@link Task}s, each while its lease is held here. Decisions alone; one thread,
+ * the session's. A task is told that it started before its first step and that it stopped before it
+ * can start again, once each, however the lease came and went in between.
  */
 public final class Tasks {
-    /** What happened, for the log: {@code lease-held}, {@code lease-lost}, {@code lease-given-back}, {@code lease-task-failed}. */
-    public record Event(String code, String lease, long token, RuntimeException failure) { }
+    /**
+     * What happened, for the log: {@code lease-held}, {@code lease-lost}, {@code lease-given-back},
+     * {@code lease-task-failed}.
+     */
+    public record Event(String code, String lease, long token, RuntimeException failure) {}
 
     /**
      * A task at this process, as of now.
      *
      * @param token held here; 0 if none
      * @param leftNanos until it ends by itself, unless it is renewed; 0 if it is not held
-     * @param held how often it was, @param lost how often it ended unwanted, @param failed how often the task threw
+     * @param held how often it was, @param lost how often it ended unwanted, @param failed how
+     *     often the task threw
      */
-    public record Figures(Task task, Holder.Phase phase, long token, long leftNanos, long held, long lost, long failed) { }
+    public record Figures(
+            Task task,
+            Holder.Phase phase,
+            long token,
+            long leftNanos,
+            long held,
+            long lost,
+            long failed) {}
 
     private static final class Run {
         final Task task;
@@ -137,13 +149,20 @@
         if (read instanceof LeaseEvent.Acted acted) {
             for (Run run : runs) {
                 if (run.task.lease().equals(acted.name())) {
-                    guarded(run, () -> run.task.heard(acted.token(), acted.payload(), clock.getAsLong()));
+                    guarded(
+                            run,
+                            () ->
+                                    run.task.heard(
+                                            acted.token(), acted.payload(), clock.getAsLong()));
                 }
             }
         }
     }
 
-    /** A planned stop: the tasks stop, and what is held goes to who waits longest, at once. {@link #tick} sends it. */
+    /**
+     * A planned stop: the tasks stop, and what is held goes to who waits longest, at once. {@link
+     * #tick} sends it.
+     */
     public void stop() {
         stopping = true;
         runs.forEach(this::giveBack);
@@ -151,7 +170,19 @@
 
     public List<Figures> figures() {
         long now = clock.getAsLong();
-        return runs.stream().map(run -> new Figures(run.task, run.holder.phase(), run.holder.token(),
-                run.acts.isHeld() ? Math.max(0, -run.holder.sinceEnd(now)) : 0, run.held, run.lost, run.failed)).toList();
+        return runs.stream()
+                .map(
+                        run ->
+                                new Figures(
+                                        run.task,
+                                        run.holder.phase(),
+                                        run.holder.token(),
+                                        run.acts.isHeld()
+                                                ? Math.max(0, -run.holder.sinceEnd(now))
+                                                : 0,
+                                        run.held,
+                                        run.lost,
+                                        run.failed))
+                .toList();
     }
 }
--- a/src/main/java/calicostream/lease/Trials.java
+++ b/src/main/java/calicostream/lease/Trials.java
@@ -10,19 +10,21 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import java.util.function.BiConsumer;
 
 /**
- * Trials of benched engines, so that one process of the fleet tries an engine and the others hear how it went. The holder says which
- * engines its front end leaves out and tries, and which of them have served since; the others take it as a hint with an age, which moves
- * their own next trial. It never makes a process use or leave an engine: a process that hears nothing tries for itself, as without the
- * cluster. Decisions alone; one thread, the session's.
+ * Trials of benched engines, so that one process of the fleet tries an engine and the others hear
+ * how it went. The holder says which engines its front end leaves out and tries, and which of them
+ * have served since; the others take it as a hint with an age, which moves their own next trial. It
+ * never makes a process use or leave an engine: a process that hears nothing tries for itself, as
+ * without the cluster. Decisions alone; one thread, the session's.
  *
- * <p>What the holder says is its present view and not what changed, so a word that is lost costs a period.
+ * <p>What the holder says is its present view and not what changed, so a word that is lost costs a
+ * period.
  */
 public final class Trials implements Task {
     /** The lease under which one process tries. */
     public static final String LEASE = "trials";
+
     static final long CHANGE = 250_000_000; // ns at least between two words
     static final long REPEAT = 1_000_000_000; // ns between two that say the same
     static final int SAYINGS = 3; // of an engine that has served
@@ -31,20 +33,29 @@
     private static final int ENTRY = 13;
 
     /** How it went with an engine elsewhere, and how long ago that is at least. */
-    public record Hint(boolean served, long ageNanos) { }
+    public record Hint(boolean served, long ageNanos) {}
 
-    /** What a word says of an engine: since when it is out, or when it had served, both as an age at the sender, in milliseconds. */
-    private record Said(long engine, boolean served, int ageMillis) { }
+    /**
+     * What a word says of an engine: since when it is out, or when it had served, both as an age at
+     * the sender, in milliseconds.
+     */
+    private record Said(long engine, boolean served, int ageMillis) {}
 
-    /** Engines that may be used, in rising order: those that are left out by choice, but for trials, and all others. */
-    public record View(long[] leftOut, long[] used) { }
+    /**
+     * Engines that may be used, in rising order: those that are left out by choice, but for trials,
+     * and all others.
+     */
+    public record View(long[] leftOut, long[] used) {}
 
     /** The front end's side; both are to return at once, from state in memory. */
     public interface FrontEnd {
         /** Its engines as of some moments ago. */
         View view();
 
-        /** Another one tries it, or has had an answer from it; nothing comes of it where the engine is not left out. */
+        /**
+         * Another one tries it, or has had an answer from it; nothing comes of it where the engine
+         * is not left out.
+         */
         void hinted(long engine, boolean served);
     }
 
@@ -56,7 +67,8 @@
     private final FrontEnd front;
     private final Map<Long, Long> outSince = new TreeMap<>(); // at this process while it holds
     private final Map<Long, Back> back = new TreeMap<>();
-    private final Map<Long, Long> known = new TreeMap<>(); // engine, and the word's number with which it had served
+    private final Map<Long, Long> known =
+            new TreeMap<>(); // engine, and the word's number with which it had served
     private final Map<Long, Hint> hints = new LinkedHashMap<>();
     private final Map<Long, Long> hintedAt = new TreeMap<>();
     private Set<Long> saidOut = Set.of();
@@ -77,7 +89,8 @@
         return LEASE;
     }
 
-    // ---- The holder -----------------------------------------------------------------------------------
+    // ---- The holder
+    // -----------------------------------------------------------------------------------
     @Override
     public void started(Acts acts) {
         holds = true;
@@ -100,12 +113,14 @@
         }
         lastNow = now;
         look(now);
-        boolean changed = !outSince.keySet().equals(saidOut) || back.values().stream().anyMatch(each -> each.said == 0);
+        boolean changed =
+                !outSince.keySet().equals(saidOut)
+                        || back.values().stream().anyMatch(each -> each.said == 0);
         if ((!outSince.isEmpty() || !back.isEmpty()) && (changed || now - saidAt >= REPEAT)) {
             started = true;
             saidAt = now;
             saidOut = Set.copyOf(outSince.keySet());
-            acts.tell(word(now), outcome -> { });
+            acts.tell(word(now), outcome -> {});
         }
     }
 
@@ -131,12 +146,16 @@
     private byte[] word(long now) {
         List<Said> all = new ArrayList<>();
         outSince.forEach((engine, since) -> all.add(new Said(engine, false, millis(now - since))));
-        back.forEach((engine, each) -> {
-            each.said++;
-            all.add(new Said(engine, true, millis(now - each.since)));
-        });
-        Bytes.Writer out = new Bytes.Writer().u8(VERSION).i64(++number).i32(Math.min(MOST, all.size()));
-        all.stream().limit(MOST).forEach(each -> out.i64(each.engine).u8(each.served ? 1 : 0).i32(each.ageMillis));
+        back.forEach(
+                (engine, each) -> {
+                    each.said++;
+                    all.add(new Said(engine, true, millis(now - each.since)));
+                });
+        Bytes.Writer out =
+                new Bytes.Writer().u8(VERSION).i64(++number).i32(Math.min(MOST, all.size()));
+        all.stream()
+                .limit(MOST)
+                .forEach(each -> out.i64(each.engine).u8(each.served ? 1 : 0).i32(each.ageMillis));
         return out.done();
     }
 
@@ -144,8 +163,12 @@
         return (int) Math.max(0, Math.min(Integer.MAX_VALUE, nanos / 1_000_000));
     }
 
-    // ---- The others -----------------------------------------------------------------------------------
-    /** @throws calicostream.cluster.ClusterException.Malformed if it is no word of a trial; nothing is done then */
+    // ---- The others
+    // -----------------------------------------------------------------------------------
+    /**
+     * @throws calicostream.cluster.ClusterException.Malformed if it is no word of a trial; nothing
+     *     is done then
+     */
     @Override
     public void heard(long of, byte[] payload, long now) {
         Bytes.Reader in = new Bytes.Reader("trials", payload);
@@ -170,7 +193,10 @@
         }
     }
 
-    /** That an engine has served is a hint once, however often it is said: it may have failed here since. */
+    /**
+     * That an engine has served is a hint once, however often it is said: it may have failed here
+     * since.
+     */
     private void take(Said said, long word, long now) {
         if (said.served && known.putIfAbsent(said.engine, word) != null) {
             return;
@@ -192,7 +218,11 @@
     /** What was last heard of each engine, newest last. */
     public Map<Long, Hint> hints(long now) {
         Map<Long, Hint> out = new LinkedHashMap<>();
-        hints.forEach((engine, hint) -> out.put(engine, new Hint(hint.served, hint.ageNanos + now - hintedAt.get(engine))));
+        hints.forEach(
+                (engine, hint) ->
+                        out.put(
+                                engine,
+                                new Hint(hint.served, hint.ageNanos + now - hintedAt.get(engine))));
         return out;
     }
 
@@ -201,8 +231,14 @@
         StringBuilder out = new StringBuilder("{\"words\":").append(number).append(",\"hints\":{");
         String between = "";
         for (Map.Entry<Long, Hint> each : hints(lastNow).entrySet()) {
-            out.append(between).append('"').append(Long.toHexString(each.getKey())).append("\":{\"served\":").append(each.getValue().served())
-                    .append(",\"age_ms\":").append(each.getValue().ageNanos() / 1_000_000).append('}');
+            out.append(between)
+                    .append('"')
+                    .append(Long.toHexString(each.getKey()))
+                    .append("\":{\"served\":")
+                    .append(each.getValue().served())
+                    .append(",\"age_ms\":")
+                    .append(each.getValue().ageNanos() / 1_000_000)
+                    .append('}');
             between = ",";
         }
         return out.append("}}").toString();
--- a/src/main/java/calicostream/lease/process/LeaseLayer.java
+++ b/src/main/java/calicostream/lease/process/LeaseLayer.java
@@ -20,7 +20,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Leases as a layer of a member, with the tasks that this process does under them. On the member's thread, but for {@link #add}. */
+/**
+ * Leases as a layer of a member, with the tasks that this process does under them. On the member's
+ * thread, but for {@link #add}.
+ */
 public final class LeaseLayer implements Layer {
     private static final Logger LOG = LoggerFactory.getLogger(LeaseLayer.class);
     private static final long MILLI = 1_000_000L;
@@ -33,7 +36,8 @@
     /**
      * @param ttl of all leases
      * @param heartbeat at which a leader counts them
-     * @param tokensAbove all tokens are above it: what an earlier group may have given whose log is lost
+     * @param tokensAbove all tokens are above it: what an earlier group may have given whose log is
+     *     lost
      */
     public LeaseLayer(Duration ttl, Duration heartbeat, long tokensAbove) {
         this.ttl = ttl;
@@ -46,7 +50,9 @@
         added.add(task);
     }
 
-    /** For a machine beside this one in the same log, which asks whether a token is the holder's. */
+    /**
+     * For a machine beside this one in the same log, which asks whether a token is the holder's.
+     */
     @Override
     public LeaseMachine machine() {
         return machine;
@@ -70,7 +76,12 @@
 
     private static void tell(Tasks.Event event) {
         if (event.failure() != null) {
-            LOG.warn("{} lease={} token={}", event.code(), event.lease(), event.token(), event.failure());
+            LOG.warn(
+                    "{} lease={} token={}",
+                    event.code(),
+                    event.lease(),
+                    event.token(),
+                    event.failure());
         } else {
             LOG.info("{} lease={} token={}", event.code(), event.lease(), event.token());
         }
@@ -92,7 +103,10 @@
         tasks.tick();
     }
 
-    /** This process's tasks, and all leases as the copy at hand has them; a member without a copy has none of these. */
+    /**
+     * This process's tasks, and all leases as the copy at hand has them; a member without a copy
+     * has none of these.
+     */
     @Override
     public String figures() {
         if (tasks == null) {
@@ -100,15 +114,32 @@
         }
         JsonObject own = Json.object();
         for (Tasks.Figures each : tasks.figures()) {
-            own.add(each.task().lease(), Json.object().add("state", each.phase().name().toLowerCase(Locale.ROOT)).add("token", each.token())
-                    .add("left_ms", each.leftNanos() / MILLI).add("held", each.held()).add("lost", each.lost()).add("failed", each.failed())
-                    .add("task", Json.parse(each.task().figures())));
+            own.add(
+                    each.task().lease(),
+                    Json.object()
+                            .add("state", each.phase().name().toLowerCase(Locale.ROOT))
+                            .add("token", each.token())
+                            .add("left_ms", each.leftNanos() / MILLI)
+                            .add("held", each.held())
+                            .add("lost", each.lost())
+                            .add("failed", each.failed())
+                            .add("task", Json.parse(each.task().figures())));
         }
         JsonObject all = Json.object();
         for (LeaseMachine.View each : machine.held()) {
-            all.add(each.name(), Json.object().add("session", each.session()).add("token", each.token()).add("renewals", each.renewals())
-                    .add("waiting", each.waiting()).add("session_over", each.ended()));
+            all.add(
+                    each.name(),
+                    Json.object()
+                            .add("session", each.session())
+                            .add("token", each.token())
+                            .add("renewals", each.renewals())
+                            .add("waiting", each.waiting())
+                            .add("session_over", each.ended()));
         }
-        return Json.object().add("tasks", own).add("leases", all).add("last_token", machine.lastToken()).toString();
+        return Json.object()
+                .add("tasks", own)
+                .add("leases", all)
+                .add("last_token", machine.lastToken())
+                .toString();
     }
 }
--- a/src/main/java/calicostream/lease/process/TaskSource.java
+++ b/src/main/java/calicostream/lease/process/TaskSource.java
@@ -6,8 +6,9 @@
 import java.util.ServiceLoader;
 
 /**
- * Brings further tasks into a process. None, unless the system property {@link #PROPERTY} names a class that the class path brings as a
- * service of this type: so a test has a real process act where the test can see it. Any thread.
+ * Brings further tasks into a process. None, unless the system property {@link #PROPERTY} names a
+ * class that the class path brings as a service of this type: so a test has a real process act
+ * where the test can see it. Any thread.
  */
 public interface TaskSource {
     /** The full name of the class whose tasks are run. */
@@ -25,8 +26,18 @@
         if (name == null) {
             return List.of();
         }
-        return ServiceLoader.load(TaskSource.class).stream().filter(each -> each.type().getName().equals(name)).findFirst()
-                .orElseThrow(() -> new IllegalStateException("the property " + PROPERTY + " names " + name
-                        + ", which the class path has not as a service")).get().tasks();
+        return ServiceLoader.load(TaskSource.class).stream()
+                .filter(each -> each.type().getName().equals(name))
+                .findFirst()
+                .orElseThrow(
+                        () ->
+                                new IllegalStateException(
+                                        "the property "
+                                                + PROPERTY
+                                                + " names "
+                                                + name
+                                                + ", which the class path has not as a service"))
+                .get()
+                .tasks();
     }
 }
--- a/src/main/java/calicostream/listing/Asking.java
+++ b/src/main/java/calicostream/listing/Asking.java
@@ -4,15 +4,20 @@
 import java.util.SplittableRandom;
 
 /**
- * When one front end asks the source of the list again. All front ends of a tier lose the same source in the same moment, so each
- * waits for a time of its own. Times are microseconds of the caller's clock, which never goes back; one thread calls it; the seed
- * decides every wait.
+ * When one front end asks the source of the list again. All front ends of a tier lose the same
+ * source in the same moment, so each waits for a time of its own. Times are microseconds of the
+ * caller's clock, which never goes back; one thread calls it; the seed decides every wait.
  */
 public final class Asking {
-    private static final long SPREAD = 100_000; // us in which a tier asks a source that ended: short against the grace of drains
-    private static final long LONGEST_PAUSE = 640_000; // us: what the source holds counts as told after 7 s
-    private static final long APART = 50_000; // us from one call to the next at least: a source may hang up each time
-    private static final long SILENT = 2_100_000; // us: a comment comes each second, and one may be late
+    private static final long SPREAD =
+            100_000; // us in which a tier asks a source that ended: short against the grace of
+    // drains
+    private static final long LONGEST_PAUSE =
+            640_000; // us: what the source holds counts as told after 7 s
+    private static final long APART =
+            50_000; // us from one call to the next at least: a source may hang up each time
+    private static final long SILENT =
+            2_100_000; // us: a comment comes each second, and one may be late
     private static final long UNBEGUN = 700_000; // us to connect and have the head of the answer
     private final SplittableRandom random;
     private long askedAt;
@@ -32,14 +37,17 @@
         pause = 0;
     }
 
-    /** Whether a source last heard at that time, whose answer has begun or not, is to be given up. */
+    /**
+     * Whether a source last heard at that time, whose answer has begun or not, is to be given up.
+     */
     public boolean isSilent(long now, long heardAt, boolean begun) {
         return now - heardAt > (begun ? SILENT : UNBEGUN);
     }
 
     /**
-     * The call has ended or could not be made: when to make the next. Somewhere within the spread where the source had answered; else
-     * within the second half of a pause that doubles, so that it neither meets the whole tier at once nor waits long when it is back.
+     * The call has ended or could not be made: when to make the next. Somewhere within the spread
+     * where the source had answered; else within the second half of a pause that doubles, so that
+     * it neither meets the whole tier at once nor waits long when it is back.
      */
     public long next(long now) {
         long wait = pause == 0 ? random.nextLong(SPREAD) : pause / 2 + random.nextLong(pause / 2);
--- a/src/main/java/calicostream/net/Address.java
+++ b/src/main/java/calicostream/net/Address.java
@@ -5,7 +5,7 @@
 
 /** Addresses as every configuration and the change log write them. */
 public final class Address {
-    private Address() { }
+    private Address() {}
 
     /** A numeric address and port; names are not looked up, as there is no DNS. */
     public static InetSocketAddress of(String text) throws BadInput {
