--- a/src/main/java/calicostream/net/Connection.java
+++ b/src/main/java/calicostream/net/Connection.java
@@ -11,17 +11,21 @@
 
 /** One TCP connection with a bounded ring a direction; its handler is told what happens on it. */
 public final class Connection implements Loop.Ready {
-    private static final long LINGER = 1_000_000; // us for the other side to read on, or to close once it has all
+    private static final long LINGER =
+            1_000_000; // us for the other side to read on, or to close once it has all
 
-    /** What a connection's owner is told. {@link #closed} comes once, also after {@link Connection#close}. */
+    /**
+     * What a connection's owner is told. {@link #closed} comes once, also after {@link
+     * Connection#close}.
+     */
     public interface Handler {
-        default void connected(Connection connection) { }
+        default void connected(Connection connection) {}
 
         /** New bytes are in the ring; take what is whole. */
         void received(Connection connection);
 
         /** Bytes went out, so the ring out has room again. */
-        default void drained(Connection connection) { }
+        default void drained(Connection connection) {}
 
         void closed(Connection connection);
     }
@@ -37,7 +41,8 @@
     private boolean ended, readAhead; // by the other side; bytes wait to be handled
     private long queued, written; // bytes since it was opened
 
-    private Connection(Loop loop, SocketChannel channel, Handler handler, int boundIn, int boundOut) {
+    private Connection(
+            Loop loop, SocketChannel channel, Handler handler, int boundIn, int boundOut) {
         this.loop = loop;
         this.channel = channel;
         this.handler = handler;
@@ -46,7 +51,8 @@
     }
 
     /** Takes over an accepted channel. */
-    public static Connection accepted(Loop loop, SocketChannel channel, Handler handler, int boundIn, int boundOut)
+    public static Connection accepted(
+            Loop loop, SocketChannel channel, Handler handler, int boundIn, int boundOut)
             throws IOException {
         Connection c = new Connection(loop, channel, handler, boundIn, boundOut);
         c.key = loop.register(channel, SelectionKey.OP_READ, c);
@@ -54,15 +60,20 @@
     }
 
     /** The same, served before all that is not urgent. */
-    public static Connection urgent(Loop loop, SocketChannel channel, Handler handler, int boundIn, int boundOut)
+    public static Connection urgent(
+            Loop loop, SocketChannel channel, Handler handler, int boundIn, int boundOut)
             throws IOException {
         Connection c = accepted(loop, channel, handler, boundIn, boundOut);
         c.urgent = true;
         return c;
     }
 
-    /** Starts to connect; a failure, also one at once, is told as {@link Handler#closed}, never from in here. */
-    public static Connection to(Loop loop, InetSocketAddress address, Handler handler, int boundIn, int boundOut)
+    /**
+     * Starts to connect; a failure, also one at once, is told as {@link Handler#closed}, never from
+     * in here.
+     */
+    public static Connection to(
+            Loop loop, InetSocketAddress address, Handler handler, int boundIn, int boundOut)
             throws IOException {
         Connection c = new Connection(loop, SocketChannel.open(), handler, boundIn, boundOut);
         c.connecting = true;
@@ -78,7 +89,8 @@
     }
 
     /** The same, served before all that is not urgent. */
-    public static Connection urgentTo(Loop loop, InetSocketAddress address, Handler handler, int boundIn, int boundOut)
+    public static Connection urgentTo(
+            Loop loop, InetSocketAddress address, Handler handler, int boundIn, int boundOut)
             throws IOException {
         Connection c = to(loop, address, handler, boundIn, boundOut);
         c.urgent = true;
@@ -135,14 +147,17 @@
             return false;
         }
         queued += bytes.length;
-        if (!connecting && !flushing) { // One write for all that is queued in this turn of the loop.
+        if (!connecting
+                && !flushing) { // One write for all that is queued in this turn of the loop.
             flushing = true;
             loop.soon(this::flush);
         }
         return true;
     }
 
-    /** Writes what is queued now, as something else that goes out in this turn must come after it. */
+    /**
+     * Writes what is queued now, as something else that goes out in this turn must come after it.
+     */
     public void flushNow() {
         if (!connecting) {
             flush();
@@ -166,8 +181,8 @@
     }
 
     /**
-     * Sends what is queued, then closes; takes no more input. What still comes is read and dropped for a
-     * while: closing on unread bytes would reset the connection, and the last answer with it.
+     * Sends what is queued, then closes; takes no more input. What still comes is read and dropped
+     * for a while: closing on unread bytes would reset the connection, and the last answer with it.
      */
     public void finish() {
         if (connecting) {
@@ -180,27 +195,35 @@
         }
     }
 
-    /** Who reads slowly has all of it in the end; who has read nothing for a while is not waited for. */
+    /**
+     * Who reads slowly has all of it in the end; who has read nothing for a while is not waited
+     * for.
+     */
     private void awaitFlushed(long writtenBefore) {
-        loop.deadlines().add(loop.clock().now() + LINGER, (now, ref) -> {
-            if (!lingering && written > writtenBefore) {
-                awaitFlushed(written);
-            } else if (!lingering) {
-                close();
-            }
-        }, 0);
+        loop.deadlines()
+                .add(
+                        loop.clock().now() + LINGER,
+                        (now, ref) -> {
+                            if (!lingering && written > writtenBefore) {
+                                awaitFlushed(written);
+                            } else if (!lingering) {
+                                close();
+                            }
+                        },
+                        0);
     }
 
     /**
-     * Whether the other side has ended it, as far as its bytes have come: these are read now, also where reading is
-     * paused, and handled in the loop's next turn. Safe to call while this connection's bytes are being handled.
+     * Whether the other side has ended it, as far as its bytes have come: these are read now, also
+     * where reading is paused, and handled in the loop's next turn. Safe to call while this
+     * connection's bytes are being handled.
      */
     public boolean hasEnded() {
         if (closed || ended || connecting || lingering) {
             return closed || ended;
         }
         try {
-            for (int count = 1; count > 0 && in.room() > 0;) {
+            for (int count = 1; count > 0 && in.room() > 0; ) {
                 count = in.fill(channel, loop.through());
                 ended = count < 0;
                 readAhead(count != 0);
@@ -216,14 +239,15 @@
     private void readAhead(boolean any) {
         if (any && !readAhead) {
             readAhead = true;
-            loop.nextTurn(() -> {
-                readAhead = false;
-                if (ended) { // What it asked for last is of no use to anybody.
-                    close();
-                } else {
-                    handle(in.size() > 0);
-                }
-            });
+            loop.nextTurn(
+                    () -> {
+                        readAhead = false;
+                        if (ended) { // What it asked for last is of no use to anybody.
+                            close();
+                        } else {
+                            handle(in.size() > 0);
+                        }
+                    });
         }
     }
 
@@ -360,8 +384,9 @@
 
     private void interest() {
         if (!closed && !connecting && key != null && key.isValid()) {
-            int wanted = (paused && !lingering || in.room() == 0 ? 0 : SelectionKey.OP_READ)
-                    | (out.size() > 0 ? SelectionKey.OP_WRITE : 0);
+            int wanted =
+                    (paused && !lingering || in.room() == 0 ? 0 : SelectionKey.OP_READ)
+                            | (out.size() > 0 ? SelectionKey.OP_WRITE : 0);
             if (key.interestOps() != wanted) {
                 key.interestOps(wanted);
             }
--- a/src/main/java/calicostream/net/Listener.java
+++ b/src/main/java/calicostream/net/Listener.java
@@ -42,8 +42,9 @@
     }
 
     /**
-     * Takes all that have connected so far, as closing would reset them, and takes no more: who comes later is refused. The
-     * system listens on for as long as the selector knows the channel, so it is let go before the last look.
+     * Takes all that have connected so far, as closing would reset them, and takes no more: who
+     * comes later is refused. The system listens on for as long as the selector knows the channel,
+     * so it is let go before the last look.
      */
     public void takeAllAndClose() throws IOException {
         try {
@@ -63,11 +64,13 @@
     }
 
     /** One whose connections are taken before all that is not urgent. */
-    public static Listener urgent(Loop loop, InetSocketAddress at, int most, Taker taker) throws IOException {
+    public static Listener urgent(Loop loop, InetSocketAddress at, int most, Taker taker)
+            throws IOException {
         return new Listener(loop, at, most, taker, true);
     }
 
-    private Listener(Loop loop, InetSocketAddress at, int most, Taker taker, boolean urgent) throws IOException {
+    private Listener(Loop loop, InetSocketAddress at, int most, Taker taker, boolean urgent)
+            throws IOException {
         this.loop = loop;
         this.urgent = urgent;
         this.most = most;
@@ -126,7 +129,8 @@
                 open++;
                 take(next);
             }
-        } catch (IOException e) { // Out of descriptors, most likely: a spinning acceptor would help nobody.
+        } catch (IOException e) { // Out of descriptors, most likely: a spinning acceptor would help
+            // nobody.
             LOG.warn("accept: {}", e.toString());
             broken();
         }
--- a/src/main/java/calicostream/net/Loop.java
+++ b/src/main/java/calicostream/net/Loop.java
@@ -21,11 +21,14 @@
 /** The one thread that owns all state: sockets, deadlines, and what other threads hand over. */
 public final class Loop {
     private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
-    private static final int THROUGH = 32 * 1024; // bytes that pass in one go: also the most read in one turn
+    private static final int THROUGH =
+            32 * 1024; // bytes that pass in one go: also the most read in one turn
 
-    private static final int MOST_FAILURES = 10; // of the selector in a row, after which the system itself fails
+    private static final int MOST_FAILURES =
+            10; // of the selector in a row, after which the system itself fails
     private static final long NOT_AT_ALL = -1;
-    private static final long LOOK_AGAIN = 5_000_000; // ns of work after which urgent channels are served again
+    private static final long LOOK_AGAIN =
+            5_000_000; // ns of work after which urgent channels are served again
 
     /** What a selection key's attachment does when its channel is ready. */
     interface Ready {
@@ -43,7 +46,10 @@
         void moved(SelectionKey to);
     }
 
-    /** How a selector is waited on: for at most so many milliseconds, or 0 for as long as it takes, or not at all where negative. */
+    /**
+     * How a selector is waited on: for at most so many milliseconds, or 0 for as long as it takes,
+     * or not at all where negative.
+     */
     interface Wait {
         void on(Selector selector, Consumer<SelectionKey> ready, long ms) throws IOException;
     }
@@ -56,7 +62,8 @@
     private final Ring.Held held = new Ring.Held();
     private final ByteBuffer through = ByteBuffer.allocateDirect(THROUGH);
     private final ConcurrentLinkedQueue<Runnable> posted = new ConcurrentLinkedQueue<>();
-    private final Set<SelectionKey> ready = new LinkedHashSet<>(); // in the system's order: who has waited longest first
+    private final Set<SelectionKey> ready =
+            new LinkedHashSet<>(); // in the system's order: who has waited longest first
     private final ArrayDeque<Runnable> soon = new ArrayDeque<>();
     private List<Runnable> nextTurn = new ArrayList<>();
     private boolean stopped;
@@ -64,13 +71,16 @@
     private long lookedAt; // ns: when urgent channels were last looked for
 
     public Loop(Clock clock, Deadlines deadlines) throws IOException {
-        this(clock, deadlines, (on, ready, ms) -> {
-            if (ms < 0) {
-                on.selectNow(ready);
-            } else {
-                on.select(ready, ms);
-            }
-        });
+        this(
+                clock,
+                deadlines,
+                (on, ready, ms) -> {
+                    if (ms < 0) {
+                        on.selectNow(ready);
+                    } else {
+                        on.select(ready, ms);
+                    }
+                });
     }
 
     Loop(Clock clock, Deadlines deadlines, Wait waiting) throws IOException {
@@ -88,7 +98,10 @@
         return deadlines;
     }
 
-    /** The buffer through which bytes pass between rings and channels; empty outside of one such call. */
+    /**
+     * The buffer through which bytes pass between rings and channels; empty outside of one such
+     * call.
+     */
     ByteBuffer through() {
         return through;
     }
@@ -109,7 +122,9 @@
         selector.wakeup();
     }
 
-    /** From the loop's thread: runs before the loop next waits, after what runs now has returned. */
+    /**
+     * From the loop's thread: runs before the loop next waits, after what runs now has returned.
+     */
     public void soon(Runnable work) {
         soon.add(work);
     }
@@ -128,13 +143,18 @@
         return channel.register(selector, interest, ready);
     }
 
-    /** From the loop's thread: the selector lets go of a channel now, so that closing it takes hold at once and not with its next turn. */
+    /**
+     * From the loop's thread: the selector lets go of a channel now, so that closing it takes hold
+     * at once and not with its next turn.
+     */
     void release(SelectionKey key) throws IOException {
         key.cancel();
         select(NOT_AT_ALL);
     }
 
-    /** A selector may fail by itself; the channels have no part in that and go on with another one. */
+    /**
+     * A selector may fail by itself; the channels have no part in that and go on with another one.
+     */
     private void select(long ms) throws IOException {
         try {
             waiting.on(selector, ready::add, ms);
@@ -143,7 +163,10 @@
             if (++failures > MOST_FAILURES) {
                 throw e;
             }
-            LOG.error("the selector failed, its {} channels move to another: {}", selector.keys().size(), e.toString());
+            LOG.error(
+                    "the selector failed, its {} channels move to another: {}",
+                    selector.keys().size(),
+                    e.toString());
             Selector failed = selector;
             selector = Selector.open();
             for (SelectionKey key : failed.keys()) {
--- a/src/main/java/calicostream/net/Ring.java
+++ b/src/main/java/calicostream/net/Ring.java
@@ -7,9 +7,10 @@
 import java.nio.channels.WritableByteChannel;
 
 /**
- * The bytes of one direction of a connection: a ring that grows by doubling up to a bound, past which it
- * takes no more. It has memory only while it holds bytes, since hundreds of connections are open and most of
- * them rest. Bytes pass between it and a channel through the loop's one direct buffer.
+ * The bytes of one direction of a connection: a ring that grows by doubling up to a bound, past
+ * which it takes no more. It has memory only while it holds bytes, since hundreds of connections
+ * are open and most of them rest. Bytes pass between it and a channel through the loop's one direct
+ * buffer.
  */
 public final class Ring {
     private static final int FIRST = 512;
--- a/src/main/java/calicostream/platform/Cancels.java
+++ b/src/main/java/calicostream/platform/Cancels.java
@@ -7,8 +7,9 @@
 import java.util.Set;
 
 /**
- * Which requests a client has cancelled by words that lie in its ring and were not handled yet: they may wait behind many
- * requests, and what they cancel must not be sent meanwhile. No I/O; each byte is looked through once.
+ * Which requests a client has cancelled by words that lie in its ring and were not handled yet:
+ * they may wait behind many requests, and what they cancel must not be sent meanwhile. No I/O; each
+ * byte is looked through once.
  */
 final class Cancels {
     private final Ring in;
@@ -36,7 +37,9 @@
     }
 
     boolean name(long number, String requestId) {
-        for (int end = in.indexOf((byte) '\n', searched); end >= 0; end = in.indexOf((byte) '\n', searched)) {
+        for (int end = in.indexOf((byte) '\n', searched);
+                end >= 0;
+                end = in.indexOf((byte) '\n', searched)) {
             look(in.copy(searched, end - searched));
             searched = end + 1;
         }
@@ -45,7 +48,8 @@
 
     private void look(byte[] line) {
         String text = new String(line, StandardCharsets.ISO_8859_1);
-        if (!text.contains("interrupt") && text.indexOf('\\') < 0) { // Escaped, the word reads otherwise.
+        if (!text.contains("interrupt")
+                && text.indexOf('\\') < 0) { // Escaped, the word reads otherwise.
             return;
         }
         try {
--- a/src/main/java/calicostream/platform/ChangeLog.java
+++ b/src/main/java/calicostream/platform/ChangeLog.java
@@ -13,13 +13,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the change log's server-sent events, and asks again from the last one seen as soon as they stop:
- * what the log holds counts as told some seconds later, whether it has arrived or not.
+ * Follows the change log's server-sent events, and asks again from the last one seen as soon as
+ * they stop: what the log holds counts as told some seconds later, whether it has arrived or not.
  */
 final class ChangeLog {
     private static final Logger LOG = LoggerFactory.getLogger(ChangeLog.class);
     private static final int BOUND = 64 * 1024;
-    private static final long SETTLED = 25_000; // us without a byte after which what it held has come
+    private static final long SETTLED =
+            25_000; // us without a byte after which what it held has come
     private static final long LOOK = 100_000; // us between looks for silence
     private final Loop loop;
     private final Roster roster;
@@ -29,7 +30,13 @@
     private Follower follower;
     private long seq;
 
-    ChangeLog(Loop loop, InetSocketAddress address, Roster roster, long seq, long seed, Consumer<Roster.Change> changed) {
+    ChangeLog(
+            Loop loop,
+            InetSocketAddress address,
+            Roster roster,
+            long seq,
+            long seed,
+            Consumer<Roster.Change> changed) {
         this.loop = loop;
         this.address = address;
         this.roster = roster;
@@ -43,10 +50,16 @@
         return seq;
     }
 
-    /** Whether all that the log held when it was asked has been read: it writes that behind its answer's head, in one go. */
+    /**
+     * Whether all that the log held when it was asked has been read: it writes that behind its
+     * answer's head, in one go.
+     */
     boolean hasToldAll(long now) {
-        return follower != null && follower.events.hasBegun() && follower.events.isBetweenEvents()
-                && follower.connection.in().size() == 0 && now - follower.heardAt >= SETTLED;
+        return follower != null
+                && follower.events.hasBegun()
+                && follower.events.isBetweenEvents()
+                && follower.connection.in().size() == 0
+                && now - follower.heardAt >= SETTLED;
     }
 
     void start() {
@@ -85,9 +98,12 @@
         }
     }
 
-    /** A log that falls silent without closing would leave this front end with an old list for good. */
+    /**
+     * A log that falls silent without closing would leave this front end with an old list for good.
+     */
     private void watch(long now, long ref) {
-        if (follower != null && asking.isSilent(now, follower.heardAt, follower.events.hasBegun())) {
+        if (follower != null
+                && asking.isSilent(now, follower.heardAt, follower.events.hasBegun())) {
             LOG.info("change log: silent");
             follower.connection.close();
         }
@@ -97,7 +113,9 @@
     private void event(String text) {
         try {
             Roster.Change change = roster.parse(text);
-            if (change.seq() > seq) { // One seen already, told twice or after a reconnect, may be out of date.
+            if (change.seq()
+                    > seq) { // One seen already, told twice or after a reconnect, may be out of
+                // date.
                 seq = change.seq();
                 changed.accept(change);
             }
@@ -115,9 +133,15 @@
 
         Follower() throws IOException {
             connection = Connection.urgentTo(loop, address, this, BOUND, 4096);
-            connection.write(("GET /changes HTTP/1.1\r\nHost: " + address.getHostString() + ":" + address.getPort()
-                    + "\r\nAccept: text/event-stream\r\nLast-Event-ID: " + seq + "\r\n\r\n")
-                    .getBytes(StandardCharsets.US_ASCII));
+            connection.write(
+                    ("GET /changes HTTP/1.1\r\nHost: "
+                                    + address.getHostString()
+                                    + ":"
+                                    + address.getPort()
+                                    + "\r\nAccept: text/event-stream\r\nLast-Event-ID: "
+                                    + seq
+                                    + "\r\n\r\n")
+                            .getBytes(StandardCharsets.US_ASCII));
         }
 
         private void event(String text) {
@@ -149,7 +173,8 @@
         public void closed(Connection c) {
             if (follower == this) {
                 follower = null;
-                loop.deadlines().add(asking.next(loop.clock().now()), ChangeLog.this::connectAgain, 0);
+                loop.deadlines()
+                        .add(asking.next(loop.clock().now()), ChangeLog.this::connectAgain, 0);
             }
         }
     }
--- a/src/main/java/calicostream/platform/ConfigWatch.java
+++ b/src/main/java/calicostream/platform/ConfigWatch.java
@@ -7,8 +7,9 @@
 import java.nio.file.attribute.BasicFileAttributes;
 
 /**
- * Whether the configuration file is still the one that was read, for processes that can't hear SIGHUP. One look is one
- * question to the file system; nothing is opened. Not thread-safe: it is made by one thread and asked by one.
+ * Whether the configuration file is still the one that was read, for processes that can't hear
+ * SIGHUP. One look is one question to the file system; nothing is opened. Not thread-safe: it is
+ * made by one thread and asked by one.
  */
 public final class ConfigWatch {
     private static final String ABSENT = "";
@@ -25,7 +26,10 @@
         return file;
     }
 
-    /** Whether it has changed since the last look. One that is absent has not: it is about to be moved into place. */
+    /**
+     * Whether it has changed since the last look. One that is absent has not: it is about to be
+     * moved into place.
+     */
     public boolean hasChanged() {
         String now = look();
         boolean changed = !now.equals(ABSENT) && !now.equals(seen);
@@ -33,7 +37,9 @@
         return changed;
     }
 
-    /** Two files written in one tick of the file system's clock are told apart by size or by file. */
+    /**
+     * Two files written in one tick of the file system's clock are told apart by size or by file.
+     */
     private String look() {
         try {
             BasicFileAttributes is = Files.readAttributes(file, BasicFileAttributes.class);
--- a/src/main/java/calicostream/platform/EventStream.java
+++ b/src/main/java/calicostream/platform/EventStream.java
@@ -8,8 +8,8 @@
 import java.util.function.Consumer;
 
 /**
- * One HTTP answer that holds server-sent events, chunked or not, as its bytes come. An event is passed on with
- * the empty line that ends it; half an event goes with the stream that was cut.
+ * One HTTP answer that holds server-sent events, chunked or not, as its bytes come. An event is
+ * passed on with the empty line that ends it; half an event goes with the stream that was cut.
  */
 final class EventStream {
     private static final int LONGEST = 1024 * 1024; // a whole list of thousands of engines
@@ -46,7 +46,9 @@
         }
     }
 
-    /** Takes what it can use next, one line or one chunk's edge; false where more bytes are needed. */
+    /**
+     * Takes what it can use next, one line or one chunk's edge; false where more bytes are needed.
+     */
     private boolean step(Ring in) throws BadInput {
         if (inBody && chunked && chunkLeft == 0) {
             return chunkHead(in);
@@ -57,7 +59,8 @@
         if (take == 0) {
             return false;
         }
-        // Any byte is a letter here, so that no letter is cut in two; what is read out is ASCII but for names.
+        // Any byte is a letter here, so that no letter is cut in two; what is read out is ASCII but
+        // for names.
         String text = new String(in.copy(0, take), StandardCharsets.ISO_8859_1);
         in.skip(take);
         if (inBody && chunked) {
@@ -69,7 +72,10 @@
             String whole = line.toString().stripTrailing();
             line.setLength(0);
             if (inBody) {
-                field(new String(whole.getBytes(StandardCharsets.ISO_8859_1), StandardCharsets.UTF_8));
+                field(
+                        new String(
+                                whole.getBytes(StandardCharsets.ISO_8859_1),
+                                StandardCharsets.UTF_8));
             } else {
                 head(whole);
             }
@@ -115,7 +121,8 @@
 
     private void field(String text) {
         if (text.startsWith("data:")) {
-            data.append(data.length() > 0 ? "\n" : "").append(text.substring(text.startsWith("data: ") ? 6 : 5));
+            data.append(data.length() > 0 ? "\n" : "")
+                    .append(text.substring(text.startsWith("data: ") ? 6 : 5));
         } else if (text.isEmpty() && data.length() > 0) {
             String whole = data.toString();
             data.setLength(0);
--- a/src/main/java/calicostream/platform/Fields.java
+++ b/src/main/java/calicostream/platform/Fields.java
@@ -10,7 +10,7 @@
 final class Fields {
     private static final double MOST = 1e6; // queries, or times full: no engine tells more
 
-    private Fields() { }
+    private Fields() {}
 
     static Map<String, String> parse(String text) throws BadInput {
         if (text.equals("-") || text.isEmpty()) {
@@ -27,7 +27,10 @@
         return out;
     }
 
-    /** A load report, {@code name:value;name:value}; null where there is none. A value that can't be is passed over. */
+    /**
+     * A load report, {@code name:value;name:value}; null where there is none. A value that can't be
+     * is passed over.
+     */
     static Report report(String text) {
         if (text == null) {
             return null;
@@ -50,7 +53,8 @@
         }
     }
 
-    static int whole(Map<String, String> fields, String name, int without, int most) throws BadInput {
+    static int whole(Map<String, String> fields, String name, int without, int most)
+            throws BadInput {
         String text = fields.get(name);
         double value = text == null ? without : number(text);
         if (!(value <= most) || value != Math.rint(value)) {
--- a/src/main/java/calicostream/platform/JsonRpc.java
+++ b/src/main/java/calicostream/platform/JsonRpc.java
@@ -6,8 +6,8 @@
 import java.util.regex.Pattern;
 
 /**
- * One JSON-RPC line: a reader of JSON that keeps the few members the platform's protocol has, so that the
- * common request costs no tree of objects.
+ * One JSON-RPC line: a reader of JSON that keeps the few members the platform's protocol has, so
+ * that the common request costs no tree of objects.
  */
 final class JsonRpc {
     static final int PARSE_ERROR = -32700;
@@ -17,7 +17,8 @@
     static final int REFUSED = -32000;
     static final int FAILED = -32001;
     private static final int DEEPEST = 32;
-    private static final String ELSEWHERE = "elsewhere"; // path of what is of no interest, as in a batch
+    private static final String ELSEWHERE =
+            "elsewhere"; // path of what is of no interest, as in a batch
 
     /** Text that is not JSON. */
     static final class NotJson extends Exception {
@@ -28,16 +29,20 @@
         }
     }
 
-    private static final Set<String> MARKS = Set.of("/params/o", "/params/h", "/params/ram", "/params/r", "/params/k");
+    private static final Set<String> MARKS =
+            Set.of("/params/o", "/params/h", "/params/ram", "/params/r", "/params/k");
     private static final long FNV_START = 0xcbf29ce484222325L; // FNV-1a, 64 bits
     private static final long FNV_PRIME = 0x100000001b3L;
     private static final int LONGEST_KEY = 64;
-    private static final Pattern REPEAT_KEY = Pattern.compile("[!-~&&[^,=]]{1,64}"); // fits into engines' lists of fields
+    private static final Pattern REPEAT_KEY =
+            Pattern.compile("[!-~&&[^,=]]{1,64}"); // fits into engines' lists of fields
     private static final double MOST = 1e12; // of an estimate: beyond any work or memory there is
 
     String version, method, requestId, content, paramsId, order;
+
     /** By which engines know a repeat, or null; it passes on unchanged. */
     String repeatKey;
+
     double id = Double.NaN;
     double wait = Double.NaN;
     double paramsNumber = Double.NaN;
@@ -134,38 +139,80 @@
 
     private void keep(String path, String value) {
         switch (path) {
-            case "/jsonrpc": version = value; break;
-            case "/method": method = value; break;
-            case "/params/i": requestId = value; break;
-            case "/params/content": content = value; break;
-            case "/params/id": paramsId = value; break;
-            case "/params/o": order = value; break;
-            case "/params/k": repeatKey = value; break;
-            default: mistyped |= MARKS.contains(path); break;
+            case "/jsonrpc":
+                version = value;
+                break;
+            case "/method":
+                method = value;
+                break;
+            case "/params/i":
+                requestId = value;
+                break;
+            case "/params/content":
+                content = value;
+                break;
+            case "/params/id":
+                paramsId = value;
+                break;
+            case "/params/o":
+                order = value;
+                break;
+            case "/params/k":
+                repeatKey = value;
+                break;
+            default:
+                mistyped |= MARKS.contains(path);
+                break;
         }
     }
 
     private void keep(String path, double value) {
         switch (path) {
-            case "/id": id = value; break;
-            case "/params/d": wait = value; break;
-            case "/params/id": paramsNumber = value; break;
-            case "/params/h": work = value; break;
-            case "/params/ram": memory = value; break;
-            case "/params/r": retry = value; break;
-            default: mistyped |= MARKS.contains(path); break;
+            case "/id":
+                id = value;
+                break;
+            case "/params/d":
+                wait = value;
+                break;
+            case "/params/id":
+                paramsNumber = value;
+                break;
+            case "/params/h":
+                work = value;
+                break;
+            case "/params/ram":
+                memory = value;
+                break;
+            case "/params/r":
+                retry = value;
+                break;
+            default:
+                mistyped |= MARKS.contains(path);
+                break;
         }
     }
 
-    /** Whether the marks that a request may carry, keys, estimates and retry, are of their type and range. */
+    /**
+     * Whether the marks that a request may carry, keys, estimates and retry, are of their type and
+     * range.
+     */
     boolean hasUsableMarks() {
         boolean named = order == null || !order.isEmpty() && order.length() <= LONGEST_KEY;
         boolean repeats = repeatKey == null || REPEAT_KEY.matcher(repeatKey).matches();
-        return !mistyped && named && repeats && work >= 0 && work <= MOST && memory >= 0 && memory <= MOST
+        return !mistyped
+                && named
+                && repeats
+                && work >= 0
+                && work <= MOST
+                && memory >= 0
+                && memory <= MOST
                 && (retry == 0 || retry == 1);
     }
 
-    /** The key as a number, 0 where there is none: two keys that fall together would only wait for each other. */
+    /**
+     * The key as a number, 0 where there is none: two keys that fall together would only wait for
+     * each other.
+     */
     long key() {
         long hash = FNV_START;
         for (int i = 0; order != null && i < order.length(); i++) {
@@ -182,12 +229,16 @@
 
     private double number() throws NotJson {
         int start = at;
-        while (peek() == '-' || peek() == '+' || peek() == '.' || (peek() | 0x20) == 'e'
+        while (peek() == '-'
+                || peek() == '+'
+                || peek() == '.'
+                || (peek() | 0x20) == 'e'
                 || peek() >= '0' && peek() <= '9') {
             at++;
         }
         try {
-            return Double.parseDouble(new String(text, start, at - start, StandardCharsets.US_ASCII));
+            return Double.parseDouble(
+                    new String(text, start, at - start, StandardCharsets.US_ASCII));
         } catch (NumberFormatException e) {
             throw new NotJson();
         }
@@ -232,7 +283,11 @@
                 at++;
             } else if (c == 'u' && at + 4 < text.length) {
                 try {
-                    out.append((char) Integer.parseInt(new String(text, at + 1, 4, StandardCharsets.US_ASCII), 16));
+                    out.append(
+                            (char)
+                                    Integer.parseInt(
+                                            new String(text, at + 1, 4, StandardCharsets.US_ASCII),
+                                            16));
                 } catch (NumberFormatException e) {
                     throw new NotJson();
                 }
@@ -244,7 +299,8 @@
         return ended(out.toString());
     }
 
-    // ---- Answers ---------------------------------------------------------------------------------------
+    // ---- Answers
+    // ---------------------------------------------------------------------------------------
     private static final byte[] RESULT_HEAD = Resp.ascii("{\"jsonrpc\":\"2.0\",\"id\":");
     private static final byte[] RESULT_MIDDLE = Resp.ascii(",\"result\":{\"content\":\"");
     private static final byte[] RESULT_END = Resp.ascii("\"}}\n");
@@ -252,8 +308,13 @@
     static byte[] result(long id, byte[] rows) {
         byte[] number = Resp.ascii(Long.toString(id));
         byte[] body = java.util.Base64.getEncoder().encode(rows);
-        byte[] out = new byte[RESULT_HEAD.length + number.length + RESULT_MIDDLE.length + body.length
-                + RESULT_END.length];
+        byte[] out =
+                new byte
+                        [RESULT_HEAD.length
+                                + number.length
+                                + RESULT_MIDDLE.length
+                                + body.length
+                                + RESULT_END.length];
         int to = 0;
         for (byte[] part : new byte[][] {RESULT_HEAD, number, RESULT_MIDDLE, body, RESULT_END}) {
             System.arraycopy(part, 0, out, to, part.length);
@@ -267,12 +328,24 @@
     }
 
     static byte[] error(String id, int code, String message) {
-        return Resp.ascii("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"error\":{\"code\":" + code + ",\"message\":\""
-                + message + "\"}}\n");
+        return Resp.ascii(
+                "{\"jsonrpc\":\"2.0\",\"id\":"
+                        + id
+                        + ",\"error\":{\"code\":"
+                        + code
+                        + ",\"message\":\""
+                        + message
+                        + "\"}}\n");
     }
 
     static byte[] refused(long id, long waitMs) {
-        return Resp.ascii("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"error\":{\"code\":" + REFUSED
-                + ",\"message\":\"refused\",\"data\":{\"w\":" + waitMs + "}}}\n");
+        return Resp.ascii(
+                "{\"jsonrpc\":\"2.0\",\"id\":"
+                        + id
+                        + ",\"error\":{\"code\":"
+                        + REFUSED
+                        + ",\"message\":\"refused\",\"data\":{\"w\":"
+                        + waitMs
+                        + "}}}\n");
     }
 }
--- a/src/main/java/calicostream/platform/JsonRpcFront.java
+++ b/src/main/java/calicostream/platform/JsonRpcFront.java
@@ -33,16 +33,22 @@
     private static final int LINES_A_TURN = 8; // of one client, before the others have their turn
     private static final long SPEAKS = 2_000_000; // us for a client never served to begin to ask
     private static final long HALF_LINE = 2_600_000; // us to end a line: some write theirs in 2 s
-    private static final long PIECES = 1_100_000; // us between pieces of a line that is still being written
-    private static final long REST = 8_000_000; // us without a request: usual clients close after half of it
-    private static final long SAYS_SOON = 250_000; // us after which a client that connects has its reason to
+    private static final long PIECES =
+            1_100_000; // us between pieces of a line that is still being written
+    private static final long REST =
+            8_000_000; // us without a request: usual clients close after half of it
+    private static final long SAYS_SOON =
+            250_000; // us after which a client that connects has its reason to
     private static final long HEARD = 20_000; // us in which what a client sent has surely been read
     private static final long LET_GO = 20_000; // us between its looks for those
     private static final long LOOK = 200_000; // us between looks for clients that stalled or rest
-    private static final int LITTLE = 8 * 1024; // bytes that one client may hold where memory is short
-    private static final long ON_THE_WAY = 50_000; // us of a client's time that pass outside of us: the rules' slack on sockets
+    private static final int LITTLE =
+            8 * 1024; // bytes that one client may hold where memory is short
+    private static final long ON_THE_WAY =
+            50_000; // us of a client's time that pass outside of us: the rules' slack on sockets
     private static final long MOST_PART = 10; // at most so little of a short time
-    private static final long WAIT_FOLD = 10; // of the longest deadline: no client waits for that long
+    private static final long WAIT_FOLD =
+            10; // of the longest deadline: no client waits for that long
     private final Loop loop;
     private final Gateway gateway;
     private final List<String> classNames;
@@ -70,7 +76,11 @@
     }
 
     /** {@code text} turns a result, as the engine side gives it, into rows of text. */
-    JsonRpcFront(Loop loop, Gateway gateway, List<String> classNames, long longestDeadlineUs,
+    JsonRpcFront(
+            Loop loop,
+            Gateway gateway,
+            List<String> classNames,
+            long longestDeadlineUs,
             Function<Object, byte[]> text) {
         this.text = text;
         longestWaitMs = WAIT_FOLD * Math.max(1000, longestDeadlineUs / 1000);
@@ -93,12 +103,16 @@
     }
 
     /**
-     * No new clients from now on. Those here are served on and closed with their last answer; who rests is closed from
-     * {@code restsUntil} on. What is asked must be answered by {@code last}.
+     * No new clients from now on. Those here are served on and closed with their last answer; who
+     * rests is closed from {@code restsUntil} on. What is asked must be answered by {@code last}.
      */
     void retire(long restsUntil, long last) throws IOException {
         lastMoment = last;
-        loop.deadlines().add(restsUntil, this::letGo, 0); // Also where no descriptor is left to take the rest with.
+        loop.deadlines()
+                .add(
+                        restsUntil,
+                        this::letGo,
+                        0); // Also where no descriptor is left to take the rest with.
         listener.takeAllAndClose();
     }
 
@@ -109,9 +123,22 @@
 
     /** Those that have not gone, for the log. */
     String left() {
-        return clients.stream().map(c -> (c.connection.isFinishing() ? "ended" : "open") + " " + c.open.size() + "+"
-                + c.waiting.size() + "," + c.connection.in().size() + "," + c.connection.unsent() + ","
-                + (loop.clock().now() - c.restsSince) / 1000).toList().toString();
+        return clients.stream()
+                .map(
+                        c ->
+                                (c.connection.isFinishing() ? "ended" : "open")
+                                        + " "
+                                        + c.open.size()
+                                        + "+"
+                                        + c.waiting.size()
+                                        + ","
+                                        + c.connection.in().size()
+                                        + ","
+                                        + c.connection.unsent()
+                                        + ","
+                                        + (loop.clock().now() - c.restsSince) / 1000)
+                .toList()
+                .toString();
     }
 
     /** Whether all clients have gone. */
@@ -129,13 +156,16 @@
     }
 
     /**
-     * Some clients ask once and stay, others connect and say nothing: neither may keep the rest out. What has come from one
-     * and was not read is a reason to keep it: closed over that, its connection would be reset.
+     * Some clients ask once and stay, others connect and say nothing: neither may keep the rest
+     * out. What has come from one and was not read is a reason to keep it: closed over that, its
+     * connection would be reset.
      */
     @Override
     public boolean spareOne() {
         long now = loop.clock().now();
-        Comparator<Client> order = Comparator.comparingInt((Client c) -> c.need(now)).thenComparingLong(c -> c.restsSince);
+        Comparator<Client> order =
+                Comparator.comparingInt((Client c) -> c.need(now))
+                        .thenComparingLong(c -> c.restsSince);
         PriorityQueue<Client> spared = new PriorityQueue<>(order);
         clients.stream().filter(c -> c.need(now) < Client.NEEDED).forEach(spared::add);
         for (Client least = spared.poll(); least != null; least = spared.poll()) {
@@ -154,7 +184,8 @@
         loop.deadlines().add(now + LOOK, this::look, 0);
     }
 
-    // ---- Answers from the core ---------------------------------------------------------------------------
+    // ---- Answers from the core
+    // ---------------------------------------------------------------------------
     @Override
     public void served(long tag, Object result) {
         Pending p = pending.get(tag);
@@ -171,8 +202,15 @@
 
     @Override
     public void failed(long tag, Failure why) {
-        answer(tag, p -> JsonRpc.error(Long.toString(p.id), JsonRpc.FAILED,
-                why == Failure.DEADLINE ? "not answered in time" : "failed; it may have run"));
+        answer(
+                tag,
+                p ->
+                        JsonRpc.error(
+                                Long.toString(p.id),
+                                JsonRpc.FAILED,
+                                why == Failure.DEADLINE
+                                        ? "not answered in time"
+                                        : "failed; it may have run"));
     }
 
     @Override
@@ -206,7 +244,8 @@
             p.client.write(wording.of(p));
             p.client.rests();
             p.client.endIfServed();
-            if (lastMoment < Long.MAX_VALUE) { // Best closed with an answer: no request crosses that.
+            if (lastMoment
+                    < Long.MAX_VALUE) { // Best closed with an answer: no request crosses that.
                 loop.soon(p.client::letGo);
             }
         }
@@ -232,12 +271,17 @@
             clients.add(this);
         }
 
-        /** How much it would be missed: least one that keeps silent, then one that rests, then a new one. */
+        /**
+         * How much it would be missed: least one that keeps silent, then one that rests, then a new
+         * one.
+         */
         int need(long now) {
             boolean busy = !open.isEmpty() || !waiting.isEmpty() || connection.unsent() > 0;
             long rested = now - restsSince;
             boolean writes = connection.in().size() > 0 && now - heardAt < PIECES;
-            return busy || rested < HEARD ? NEEDED : writes ? 2 : served ? 1 : rested > SAYS_SOON ? 0 : 2;
+            return busy || rested < HEARD
+                    ? NEEDED
+                    : writes ? 2 : served ? 1 : rested > SAYS_SOON ? 0 : 2;
         }
 
         /** A client that does not read gets no more read from it until its answers have gone. */
@@ -246,7 +290,8 @@
                 waiting.add(answer);
                 loop.held().add(answer.length);
                 connection.pause(true);
-                if (loop.isCrowded()) { // It will not read what it is owed, and others need the room.
+                if (loop.isCrowded()) { // It will not read what it is owed, and others need the
+                    // room.
                     loop.soon(connection::close);
                 }
             }
@@ -262,7 +307,9 @@
             }
         }
 
-        /** Takes a few whole lines; the rest waits until the other connections have had their turn. */
+        /**
+         * Takes a few whole lines; the rest waits until the other connections have had their turn.
+         */
         @Override
         public void received(Connection c) {
             Ring in = c.in();
@@ -272,7 +319,9 @@
             }
             heardAt = loop.clock().now();
             lineSince = scanned == 0 ? loop.clock().now() : lineSince;
-            for (int i = 0; i < LINES_A_TURN && waiting.isEmpty() && !c.isClosed() && !c.isFinishing(); i++) {
+            for (int i = 0;
+                    i < LINES_A_TURN && waiting.isEmpty() && !c.isClosed() && !c.isFinishing();
+                    i++) {
                 int end = in.indexOf((byte) '\n', scanned);
                 scanned = end < 0 ? in.size() : 0;
                 if (end < 0) {
@@ -313,18 +362,27 @@
             }
         }
 
-        /** Whether it has gone or cancelled the request, also by what was not handled yet: it may wait behind other requests. */
+        /**
+         * Whether it has gone or cancelled the request, also by what was not handled yet: it may
+         * wait behind other requests.
+         */
         boolean hasLeft(Pending p) {
             return connection.hasEnded() || cancels.name(p.id, p.requestId);
         }
 
-        /** Whether nothing has come from it that was not handled, or nothing of use for so long that this is no more likely to be. */
+        /**
+         * Whether nothing has come from it that was not handled, or nothing of use for so long that
+         * this is no more likely to be.
+         */
         boolean saysNothing(long now) {
             int known = connection.in().size();
             return connection.hasEnded() || connection.in().size() == known || isUseless(now);
         }
 
-        /** Some only ever send what is no request: a client that has said nothing else for this long need not be heard out. */
+        /**
+         * Some only ever send what is no request: a client that has said nothing else for this long
+         * need not be heard out.
+         */
         private boolean isUseless(long now) {
             return !served && open.isEmpty() && now - restsSince > 2 * SPEAKS;
         }
@@ -338,13 +396,20 @@
 
         /** Ends it unless something is open, unsaid or unread. */
         void letGo() {
-            if (open.isEmpty() && waiting.isEmpty() && !connection.isFinishing() && connection.in().size() == 0
-                    && connection.isQuiet() && open.isEmpty()) {
+            if (open.isEmpty()
+                    && waiting.isEmpty()
+                    && !connection.isFinishing()
+                    && connection.in().size() == 0
+                    && connection.isQuiet()
+                    && open.isEmpty()) {
                 connection.finish();
             }
         }
 
-        /** Who stops half-way or says nothing is told so in time; who has had its answer need not stay. */
+        /**
+         * Who stops half-way or says nothing is told so in time; who has had its answer need not
+         * stay.
+         */
         void look(long now) {
             boolean half = connection.in().size() > 0 && scanned == connection.in().size();
             if (connection.isFinishing() || !open.isEmpty() || !waiting.isEmpty()) {
@@ -384,14 +449,19 @@
                 write(JsonRpc.error("null", JsonRpc.PARSE_ERROR, "not JSON"));
                 return;
             }
-            boolean hasId = message.id >= 1 && message.id <= 1L << 53 && message.id == Math.rint(message.id);
+            boolean hasId =
+                    message.id >= 1
+                            && message.id <= 1L << 53
+                            && message.id == Math.rint(message.id);
             String id = hasId ? Long.toString((long) message.id) : "null";
             if (!message.isObject || !"2.0".equals(message.version) || message.method == null) {
                 write(JsonRpc.error(id, JsonRpc.INVALID_REQUEST, "not a request of JSON-RPC 2.0"));
             } else if (message.method.equals("interrupt")) {
                 interrupt(message);
             } else if (!hasId) {
-                write(JsonRpc.error(id, JsonRpc.INVALID_REQUEST, "the id is not a number from 1 up"));
+                write(
+                        JsonRpc.error(
+                                id, JsonRpc.INVALID_REQUEST, "the id is not a number from 1 up"));
             } else if (message.method.equals("check")) {
                 served = true;
                 write(JsonRpc.pass(id));
@@ -404,8 +474,13 @@
 
         private void request(JsonRpc message, long id) {
             byte[] body = body(message.content);
-            boolean usable = message.requestId != null && message.requestId.matches("[0-9a-fA-F]{16}")
-                    && message.wait > 0 && message.wait <= longestWaitMs && body != null && message.hasUsableMarks();
+            boolean usable =
+                    message.requestId != null
+                            && message.requestId.matches("[0-9a-fA-F]{16}")
+                            && message.wait > 0
+                            && message.wait <= longestWaitMs
+                            && body != null
+                            && message.hasUsableMarks();
             if (open.containsKey(id) || id <= lastId && lastId - id > 4 * MOST_OPEN) {
                 // Under its number the answer would be taken for that of the request which is open.
                 write(JsonRpc.error("null", JsonRpc.INVALID_REQUEST, "the id was used before"));
@@ -413,11 +488,16 @@
             }
             lastId = Math.max(lastId, id);
             if (!usable || !openIds.add(message.requestId)) {
-                write(JsonRpc.error(Long.toString(id), JsonRpc.INVALID_PARAMS, "the params can't be used"));
+                write(
+                        JsonRpc.error(
+                                Long.toString(id),
+                                JsonRpc.INVALID_PARAMS,
+                                "the params can't be used"));
                 return;
             }
             long untilLast = lastMoment - loop.clock().now();
-            if (open.size() >= MOST_OPEN || untilLast < ON_THE_WAY) { // No engine would answer before this process ends.
+            if (open.size() >= MOST_OPEN
+                    || untilLast < ON_THE_WAY) { // No engine would answer before this process ends.
                 openIds.remove(message.requestId);
                 gateway.turnedAway(classNames.indexOf(message.method));
                 write(JsonRpc.refused(id, 100));
@@ -428,12 +508,31 @@
             open.put(id, tag);
             long left = Math.min(timeLeft(message), untilLast);
             int group = Math.max(0, Statement.tableGroup(body));
-            QueryRouter.Query asked = new QueryRouter.Query(0, classNames.indexOf(message.method), 0, message.key(), left,
-                    message.work * 1000, message.memory, group, message.retry == 1);
-            p.handle = gateway.accept(JsonRpcFront.this, tag, message.requestId, asked, body, message.repeatKey);
+            QueryRouter.Query asked =
+                    new QueryRouter.Query(
+                            0,
+                            classNames.indexOf(message.method),
+                            0,
+                            message.key(),
+                            left,
+                            message.work * 1000,
+                            message.memory,
+                            group,
+                            message.retry == 1);
+            p.handle =
+                    gateway.accept(
+                            JsonRpcFront.this,
+                            tag,
+                            message.requestId,
+                            asked,
+                            body,
+                            message.repeatKey);
         }
 
-        /** The client's time began when it wrote, and our answer has to be there and read by its end. */
+        /**
+         * The client's time began when it wrote, and our answer has to be there and read by its
+         * end.
+         */
         private long timeLeft(JsonRpc message) {
             long wait = (long) (message.wait * 1000);
             return Math.max(1, wait - Math.min(ON_THE_WAY, wait / MOST_PART));
@@ -447,7 +546,10 @@
             }
         }
 
-        /** The client no longer waits; it names the request by its id on the connection, or by its own id. */
+        /**
+         * The client no longer waits; it names the request by its id on the connection, or by its
+         * own id.
+         */
         private void interrupt(JsonRpc message) {
             cancels.handled(message);
             Long tag = open.get(Cancels.number(message));
--- a/src/main/java/calicostream/platform/Node.java
+++ b/src/main/java/calicostream/platform/Node.java
@@ -25,18 +25,26 @@
 /** One front end on the platform: its parts, its start and its end. */
 public final class Node implements Operator {
     private static final Logger LOG = LoggerFactory.getLogger(Node.class);
-    private static final long SERVE_ON = 800_000; // us after SIGTERM in which clients may still come: 0.7 s at most
-    private static final long MARGIN = 500_000; // us before SIGKILL, which may come 0.1 s before SERVE_ON's end
+    private static final long SERVE_ON =
+            800_000; // us after SIGTERM in which clients may still come: 0.7 s at most
+    private static final long MARGIN =
+            500_000; // us before SIGKILL, which may come 0.1 s before SERVE_ON's end
     private static final long LAST_WORDS = 150_000; // us for the last answers to go out
     private static final long LOOK_AGAIN = 20_000;
-    private static final long LOOK_AT_FILE = 250_000; // us between looks at the configuration where SIGHUP is not heard
+    private static final long LOOK_AT_FILE =
+            250_000; // us between looks at the configuration where SIGHUP is not heard
     private static final long LOOK = 100_000; // us between looks at the other process's word
-    private static final long CATCH_UP = 1_500_000; // us at most to hear of the engines what the other process knows
-    private static final long LIST_AWAITED = 7_000_000; // us from the start at most: after that its word counts anyway
+    private static final long CATCH_UP =
+            1_500_000; // us at most to hear of the engines what the other process knows
+    private static final long LIST_AWAITED =
+            7_000_000; // us from the start at most: after that its word counts anyway
     private static final long CATCH_UP_LOOK = 5_000;
-    private static final long LONGEST_STAY = 3_000_000; // us after SIGTERM that a request may be waited for
-    private static final long LONGEST_HAND_OVER = 5_000_000; // us, the same where another process takes the clients
-    private static final long REST_ON = 700_000; // us in which most who rest ask once more, the other process beside
+    private static final long LONGEST_STAY =
+            3_000_000; // us after SIGTERM that a request may be waited for
+    private static final long LONGEST_HAND_OVER =
+            5_000_000; // us, the same where another process takes the clients
+    private static final long REST_ON =
+            700_000; // us in which most who rest ask once more, the other process beside
     private static final long LONGEST_END_S = 30;
     private final Loop loop;
     private final JsonRpcFront front;
@@ -63,61 +71,81 @@
         gateway = parts.gateway();
         services = parts.services();
         SettingsParser settings = config.settings();
-        front = new JsonRpcFront(loop, gateway, settings.classNames(), longestDeadline(), parts.text());
+        front =
+                new JsonRpcFront(
+                        loop, gateway, settings.classNames(), longestDeadline(), parts.text());
         Roster roster = new Roster(loop.clock(), settings.zoneNames(), settings.kindNames());
         Roster.Change known = roster.known(config.known());
         known.addresses().forEach(engines::locate);
         known.began().forEach(engines::began);
         List<Runnable> early = new ArrayList<>();
-        handover = new Handover(shared, config.name(), (engine, word) -> {
-            if (started) {
-                heard(engine, word);
-            } else {
-                early.add(() -> heard(engine, word));
-            }
-        });
+        handover =
+                new Handover(
+                        shared,
+                        config.name(),
+                        (engine, word) -> {
+                            if (started) {
+                                heard(engine, word);
+                            } else {
+                                early.add(() -> heard(engine, word));
+                            }
+                        });
         handover.join();
         gateway.turns(handover.turns());
         share();
         gateway.start(engines, known.engines());
         started = true;
         early.forEach(Runnable::run);
-        log = new ChangeLog(loop, config.changelog(), roster, known.seq(), config.seed(), change -> {
-            change.addresses().forEach(engines::locate);
-            change.began().forEach(engines::began);
-            gateway.roster(change.kind(), change.engines());
-        });
+        log =
+                new ChangeLog(
+                        loop,
+                        config.changelog(),
+                        roster,
+                        known.seq(),
+                        config.seed(),
+                        change -> {
+                            change.addresses().forEach(engines::locate);
+                            change.began().forEach(engines::began);
+                            gateway.roster(change.kind(), change.engines());
+                        });
         log.start();
         admin = config.admin() == null ? null : new AdminFront(loop, this);
     }
 
     private long longestDeadline() {
-        return config.settings().settings().classes().stream().mapToLong(QueryRouter.QueryClass::deadlineUs).max().orElse(0);
+        return config.settings().settings().classes().stream()
+                .mapToLong(QueryRouter.QueryClass::deadlineUs)
+                .max()
+                .orElse(0);
     }
 
     /**
-     * On SIGHUP, off the loop's thread: reads the file anew and follows the change log at its new address, from
-     * the last event seen on. Requests, connections and all else stay as they are, and so does everything where
-     * the new file can't be used.
+     * On SIGHUP, off the loop's thread: reads the file anew and follows the change log at its new
+     * address, from the last event seen on. Requests, connections and all else stay as they are,
+     * and so does everything where the new file can't be used.
      */
     public void reload(Path path) {
-        loop.post(() -> {
-            try {
-                InetSocketAddress to = NodeConfig.read(path).changelog();
-                LOG.info("configuration read anew, change log at {}", to);
-                log.move(to);
-            } catch (SettingsException e) {
-                LOG.warn("the configuration stays as it was: {}", e.getMessage());
-            }
-        });
+        loop.post(
+                () -> {
+                    try {
+                        InetSocketAddress to = NodeConfig.read(path).changelog();
+                        LOG.info("configuration read anew, change log at {}", to);
+                        log.move(to);
+                    } catch (SettingsException e) {
+                        LOG.warn("the configuration stays as it was: {}", e.getMessage());
+                    }
+                });
     }
 
     /**
-     * Off the loop's thread, where SIGHUP can't be heard: reads the configuration anew whenever its file has changed. One
-     * that is read half written can't be used, and is read again once it has changed further.
+     * Off the loop's thread, where SIGHUP can't be heard: reads the configuration anew whenever its
+     * file has changed. One that is read half written can't be used, and is read again once it has
+     * changed further.
      */
     public void follow(ConfigWatch watch) {
-        LOG.info("SIGHUP is ignored, as this process was started: a new configuration is taken once its file changes");
+        LOG.info(
+                "SIGHUP is ignored, as this process was started: a new configuration is taken once"
+                        + " its file changes");
         loop.post(() -> look(watch));
     }
 
@@ -167,8 +195,8 @@
     }
 
     /**
-     * The configuration may be older than this process, and what the change log holds counts as told whether it was
-     * read or not: clients come once the log has told it all.
+     * The configuration may be older than this process, and what the change log holds counts as
+     * told whether it was read or not: clients come once the log has told it all.
      */
     private void catchUp(long now, long until) {
         if (ending) {
@@ -204,22 +232,27 @@
 
     /** On SIGTERM, off the loop's thread: the process ends when this returns. */
     private void terminate() {
-        loop.post(() -> {
-            ending = true;
-            LOG.info("SIGTERM: {} requests are open", gateway.open());
-            if (!listening) {
-                loop.stop();
-                return;
-            }
-            handover.look();
-            long now = loop.clock().now();
-            if (handover.hasSuccessor()) {
-                LOG.info("another process of this front end listens: no more clients here");
-                retire(now + REST_ON, lastMoment(now, LONGEST_HAND_OVER));
-            } else {
-                loop.deadlines().add(now + SERVE_ON, (at, last) -> retire(at, last), lastMoment(now, LONGEST_STAY));
-            }
-        });
+        loop.post(
+                () -> {
+                    ending = true;
+                    LOG.info("SIGTERM: {} requests are open", gateway.open());
+                    if (!listening) {
+                        loop.stop();
+                        return;
+                    }
+                    handover.look();
+                    long now = loop.clock().now();
+                    if (handover.hasSuccessor()) {
+                        LOG.info("another process of this front end listens: no more clients here");
+                        retire(now + REST_ON, lastMoment(now, LONGEST_HAND_OVER));
+                    } else {
+                        loop.deadlines()
+                                .add(
+                                        now + SERVE_ON,
+                                        (at, last) -> retire(at, last),
+                                        lastMoment(now, LONGEST_STAY));
+                    }
+                });
         try {
             done.await(LONGEST_END_S, TimeUnit.SECONDS);
             for (Service each : services) {
@@ -279,11 +312,14 @@
         loop.deadlines().add(now + LOOK, this::look, 0);
     }
 
-    /** Of all that the limits and the rules allow this front end, its processes have equal parts. */
+    /**
+     * Of all that the limits and the rules allow this front end, its processes have equal parts.
+     */
     private void share() {
         LOG.info("processes of this front end: {}", handover.processes());
         gateway.sharedBy(handover.processes(), handover.place());
-        Descriptors part = Descriptors.of(config.sockets() / handover.processes(), descriptors.own());
+        Descriptors part =
+                Descriptors.of(config.sockets() / handover.processes(), descriptors.own());
         front.most(part.clients());
         engines.most(part.engines());
     }
@@ -324,7 +360,8 @@
             LOG.warn("listener: {}", e.toString());
         }
         loop.deadlines().add(loop.clock().now() + LOOK_AGAIN, this::retired, last + LAST_WORDS);
-        // Deadlines may lie beyond SIGKILL, and a request that this process ends without an answer is lost.
+        // Deadlines may lie beyond SIGKILL, and a request that this process ends without an answer
+        // is lost.
         loop.deadlines().add(last, (at, ref) -> gateway.giveUpAll(), 0);
     }
 
--- a/src/main/java/calicostream/platform/NodeConfig.java
+++ b/src/main/java/calicostream/platform/NodeConfig.java
@@ -14,9 +14,19 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** What the platform tells a front end in its configuration file; {@code seed} differs between front ends and starts. */
-public record NodeConfig(String name, InetSocketAddress listen, InetSocketAddress admin, InetSocketAddress changelog,
-        int sockets, long seed, JsonObject known, SettingsParser settings) {
+/**
+ * What the platform tells a front end in its configuration file; {@code seed} differs between front
+ * ends and starts.
+ */
+public record NodeConfig(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress admin,
+        InetSocketAddress changelog,
+        int sockets,
+        long seed,
+        JsonObject known,
+        SettingsParser settings) {
     private static final int FEWEST_SOCKETS = 64;
 
     public static NodeConfig read(Path path) {
@@ -33,14 +43,20 @@
             JsonValue limits = root.get("limits");
             int sockets = limits == null ? 1024 : limits.asObject().getInt("sockets", 1024);
             String name = root.getString("name", "front");
-            return new NodeConfig(name, address(root, "listen"), admin(root),
-                    address(root, "changelog"), Math.max(FEWEST_SOCKETS, sockets),
-                    Roster.id(name + root.getString("seed", "")), member(root, "known"),
+            return new NodeConfig(
+                    name,
+                    address(root, "listen"),
+                    admin(root),
+                    address(root, "changelog"),
+                    Math.max(FEWEST_SOCKETS, sockets),
+                    Roster.id(name + root.getString("seed", "")),
+                    member(root, "known"),
                     SettingsParser.ofJson(member(root, "settings")));
         } catch (ParseException e) {
             throw new SettingsException("bad configuration: not JSON: " + e.getMessage());
         } catch (UnsupportedOperationException | NumberFormatException e) {
-            throw new SettingsException("bad configuration: a value is of the wrong kind: " + e.getMessage());
+            throw new SettingsException(
+                    "bad configuration: a value is of the wrong kind: " + e.getMessage());
         }
     }
 
@@ -56,7 +72,9 @@
     private static InetSocketAddress admin(JsonObject root) {
         String named = System.getenv("NODE_ADMIN");
         if (named == null || named.isEmpty()) {
-            return root.get("admin") == null || root.get("admin").isNull() ? null : address(root, "admin");
+            return root.get("admin") == null || root.get("admin").isNull()
+                    ? null
+                    : address(root, "admin");
         }
         return address(new JsonObject().add("admin", named), "admin");
     }
--- a/src/main/java/calicostream/platform/Parts.java
+++ b/src/main/java/calicostream/platform/Parts.java
@@ -9,12 +9,17 @@
 import java.util.function.Function;
 
 /**
- * What a {@link Node} is put together from. Whoever composes the program makes these parts on one thread and hands
- * them over; from then on they are the loop's, and end with it. {@code text} turns a result, as {@code engines} give
- * it, into rows of text.
+ * What a {@link Node} is put together from. Whoever composes the program makes these parts on one
+ * thread and hands them over; from then on they are the loop's, and end with it. {@code text} turns
+ * a result, as {@code engines} give it, into rows of text.
  */
-public record Parts(Descriptors descriptors, Loop loop, Gateway gateway, Engines engines,
-        Function<Object, byte[]> text, List<Service> services) {
+public record Parts(
+        Descriptors descriptors,
+        Loop loop,
+        Gateway gateway,
+        Engines engines,
+        Function<Object, byte[]> text,
+        List<Service> services) {
     public Parts {
         services = List.copyOf(services);
     }
--- a/src/main/java/calicostream/platform/RespEngines.java
+++ b/src/main/java/calicostream/platform/RespEngines.java
@@ -28,16 +28,22 @@
 public final class RespEngines implements Engines {
     private static final Logger LOG = LoggerFactory.getLogger(RespEngines.class);
     private static final int BOUND = 128 * 1024;
-    private static final int MOST_CONNECTIONS = 32; // to one engine: more than the attempts that it gets
-    private static final int SHARE = 4; // attempts on a connection before another is opened, where that is paid for
+    private static final int MOST_CONNECTIONS =
+            32; // to one engine: more than the attempts that it gets
+    private static final int SHARE =
+            4; // attempts on a connection before another is opened, where that is paid for
     private static final int MOST_PAGES = 64;
     private static final int LONGEST_RESULT = 48_000;
     private static final int LONGEST_PAGE = 6_000;
-    private static final long HALF_ANSWER = 500_000; // us: an answer comes in one piece, but for the network's hops
-    private static final long UNSENT = 250_000; // us after word of a drain in which what is queued may go out
-    private static final long PAGE = 1_000_000; // us: a page waits on its engine, and nothing is left to be run
+    private static final long HALF_ANSWER =
+            500_000; // us: an answer comes in one piece, but for the network's hops
+    private static final long UNSENT =
+            250_000; // us after word of a drain in which what is queued may go out
+    private static final long PAGE =
+            1_000_000; // us: a page waits on its engine, and nothing is left to be run
     private static final int MOST_STALE = 256;
-    private static final double SILENT_NOTES = 1.25; // note periods without a byte after which a link is in doubt
+    private static final double SILENT_NOTES =
+            1.25; // note periods without a byte after which a link is in doubt
 
     /** What a listed engine is reached at, and the connections there. */
     private static final class Engine {
@@ -61,9 +67,14 @@
             this.attempt = attempt;
         }
 
-        /** Whether nothing of it is out that its engine was not told to give up, by a word or by the connection's end. */
+        /**
+         * Whether nothing of it is out that its engine was not told to give up, by a word or by the
+         * connection's end.
+         */
         boolean isOver() {
-            return stopEnd == 0 || link.connection.isClosed() || link.connection.written() >= stopEnd;
+            return stopEnd == 0
+                    || link.connection.isClosed()
+                    || link.connection.written() >= stopEnd;
         }
     }
 
@@ -86,7 +97,7 @@
     }
 
     /** An attempt in a connection's ring, and the count of bytes at which it has gone out whole. */
-    private record GoingOut(long end, Gateway.Attempt attempt) { }
+    private record GoingOut(long end, Gateway.Attempt attempt) {}
 
     private final Loop loop;
     private final List<String> classNames;
@@ -101,13 +112,15 @@
     private Gateway gateway;
 
     /** At most so many connections to all engines together. */
-    public RespEngines(Loop loop, List<String> classNames, SettingsParser.Wiring wiring, int mostLinks) {
+    public RespEngines(
+            Loop loop, List<String> classNames, SettingsParser.Wiring wiring, int mostLinks) {
         this.loop = loop;
         this.mostLinks = mostLinks;
         this.classNames = classNames;
         this.wiring = wiring;
         share = wiring.dear() ? SHARE : 1;
-        // The engine closes an idle connection too; closing well before it keeps a request from crossing that.
+        // The engine closes an idle connection too; closing well before it keeps a request from
+        // crossing that.
         reportIdleUs = wiring.idleUs() * 7 / 10;
     }
 
@@ -128,12 +141,16 @@
         if (!address.equals(e.address)) {
             e.address = address;
             closeIdle(e);
-            // What waits for a connection to the old address must not reach whoever listens there now.
-            List.copyOf(e.links).stream().filter(link -> !link.connection.isConnected()).forEach(Link::leave);
+            // What waits for a connection to the old address must not reach whoever listens there
+            // now.
+            List.copyOf(e.links).stream()
+                    .filter(link -> !link.connection.isConnected())
+                    .forEach(Link::leave);
         }
     }
 
-    // ---- From the core ---------------------------------------------------------------------------------
+    // ---- From the core
+    // ---------------------------------------------------------------------------------
     @Override
     public void send(Gateway.Attempt attempt) {
         Engine e = engines.get(attempt.engine);
@@ -156,12 +173,19 @@
         }
     }
 
-    /** A connection that has not been heard since the attempt went out may be dead: it takes no other. */
+    /**
+     * A connection that has not been heard since the attempt went out may be dead: it takes no
+     * other.
+     */
     @Override
     public void stop(Gateway.Attempt attempt) {
         if (attempt.link instanceof Call call && call.link.calls.remove(attempt.request.id, call)) {
             Link link = call.link;
-            LOG.debug("{} attempt {} given up on connection {}", attempt.request.id, attempt.number, link.number);
+            LOG.debug(
+                    "{} attempt {} given up on connection {}",
+                    attempt.request.id,
+                    attempt.number,
+                    link.number);
             if (!link.unsent.remove(call)) {
                 link.doubtful |= link.heardAt < call.writtenAt;
                 link.callOff(call);
@@ -186,7 +210,11 @@
         try {
             Probe probe = new Probe(id);
             (link == null ? new Link(e) : link).ask(probe);
-            loop.deadlines().add(now + wiring.dialTimeoutUs(), (at, ref) -> probe.end(Outcome.TIMEOUT, null), 0);
+            loop.deadlines()
+                    .add(
+                            now + wiring.dialTimeoutUs(),
+                            (at, ref) -> probe.end(Outcome.TIMEOUT, null),
+                            0);
             return true;
         } catch (IOException x) {
             LOG.warn("no connection to {}: {}", e.address, x.toString());
@@ -195,31 +223,41 @@
     }
 
     private static Link toAsk(Engine e, long now) {
-        return e.links.stream().filter(l -> !l.connection.isFinishing() && !l.doubtful && !l.silent(now))
-                .min(Comparator.comparing((Link l) -> !l.connection.isConnected()).thenComparingInt(l -> l.calls.size()))
+        return e.links.stream()
+                .filter(l -> !l.connection.isFinishing() && !l.doubtful && !l.silent(now))
+                .min(
+                        Comparator.comparing((Link l) -> !l.connection.isConnected())
+                                .thenComparingInt(l -> l.calls.size()))
                 .orElse(null);
     }
 
     @Override
     public void priority(Gateway.Attempt attempt) {
         if (attempt.link instanceof Call call && !call.link.unsent.contains(call)) {
-            call.link.tell("NICE", attempt.request.id, Integer.toString(attempt.request.priority()));
+            call.link.tell(
+                    "NICE", attempt.request.id, Integer.toString(attempt.request.priority()));
         }
     }
 
     /**
-     * Nothing new may go out to an engine that drains, and that includes what still waits for its connection
-     * to come up: a slow connect must not carry a send past the grace.
+     * Nothing new may go out to an engine that drains, and that includes what still waits for its
+     * connection to come up: a slow connect must not carry a send past the grace.
      */
     @Override
     public void withdrawn(long engine) {
         Engine e = engines.get(engine);
         if (e != null) {
             e.draining = true;
-            List.copyOf(e.links).forEach(link -> List.copyOf(link.unsent).forEach(call -> {
-                link.unsent.remove(call);
-                link.end(call, Outcome.CONNECT_FAILED, null);
-            }));
+            List.copyOf(e.links)
+                    .forEach(
+                            link ->
+                                    List.copyOf(link.unsent)
+                                            .forEach(
+                                                    call -> {
+                                                        link.unsent.remove(call);
+                                                        link.end(
+                                                                call, Outcome.CONNECT_FAILED, null);
+                                                    }));
             closeIdle(e);
             loop.deadlines().add(loop.clock().now() + UNSENT, (now, ref) -> closeBlocked(e), 0);
         }
@@ -228,7 +266,9 @@
     /** What still waits for room in a socket would go out after the grace. */
     private static void closeBlocked(Engine e) {
         if (e.draining) {
-            List.copyOf(e.links).stream().filter(l -> l.connection.unsent() > 0).forEach(l -> l.connection.close());
+            List.copyOf(e.links).stream()
+                    .filter(l -> l.connection.unsent() > 0)
+                    .forEach(l -> l.connection.close());
         }
     }
 
@@ -241,7 +281,10 @@
         }
     }
 
-    /** Its process has ended, so what is open to it gets no answer; a machine cut off would never say so. */
+    /**
+     * Its process has ended, so what is open to it gets no answer; a machine cut off would never
+     * say so.
+     */
     @Override
     public void gone(long engine) {
         Engine e = engines.remove(engine);
@@ -256,9 +299,9 @@
     }
 
     /**
-     * A resting connection, the last used first, else a new one, as whatever spoils a connection spoils all that
-     * is on it; where opening one is paid for, a few attempts share one. The one with most room where no more may be
-     * opened, and null where all are full.
+     * A resting connection, the last used first, else a new one, as whatever spoils a connection
+     * spoils all that is on it; where opening one is paid for, a few attempts share one. The one
+     * with most room where no more may be opened, and null where all are full.
      */
     private Link choose(Engine e, String id) {
         Link best = best(e, id);
@@ -282,10 +325,18 @@
         long now = loop.clock().now();
         Link best = null;
         for (Link link : e.links) {
-            boolean usable = !link.connection.isFinishing() && link.calls.size() < wiring.streams() && !link.doubtful
-                    && !link.silent(now) && !link.stale.contains(id) && !link.calls.containsKey(id);
-            boolean better = best == null || link.calls.size() < best.calls.size()
-                    || link.calls.size() == best.calls.size() && link.restedAt > best.restedAt;
+            boolean usable =
+                    !link.connection.isFinishing()
+                            && link.calls.size() < wiring.streams()
+                            && !link.doubtful
+                            && !link.silent(now)
+                            && !link.stale.contains(id)
+                            && !link.calls.containsKey(id);
+            boolean better =
+                    best == null
+                            || link.calls.size() < best.calls.size()
+                            || link.calls.size() == best.calls.size()
+                                    && link.restedAt > best.restedAt;
             if (usable && better) {
                 best = link;
             }
@@ -301,7 +352,8 @@
         final List<Call> unsent = new ArrayList<>();
         final Map<String, Probe> probes = new HashMap<>();
         final Set<String> stale = new HashSet<>();
-        final List<Link> inDoubt = new ArrayList<>(); // broken ones whose engine may have died with them
+        final List<Link> inDoubt =
+                new ArrayList<>(); // broken ones whose engine may have died with them
         final ArrayDeque<GoingOut> goingOut = new ArrayDeque<>();
         final Connection connection;
         long heardAt;
@@ -315,11 +367,15 @@
             connection = Connection.to(loop, engine.address, this, BOUND, BOUND);
             engine.links.add(this);
             links++;
-            loop.deadlines().add(loop.clock().now() + wiring.dialTimeoutUs(), (now, ref) -> {
-                if (!connection.isConnected()) {
-                    connection.close();
-                }
-            }, 0);
+            loop.deadlines()
+                    .add(
+                            loop.clock().now() + wiring.dialTimeoutUs(),
+                            (now, ref) -> {
+                                if (!connection.isConnected()) {
+                                    connection.close();
+                                }
+                            },
+                            0);
         }
 
         void add(Call call) {
@@ -345,7 +401,10 @@
             }
         }
 
-        /** An engine closes what rests, maybe just now: written there, nobody could tell whether a request ran. */
+        /**
+         * An engine closes what rests, maybe just now: written there, nobody could tell whether a
+         * request ran.
+         */
         boolean restsEnded() {
             return calls.isEmpty() && connection.hasEnded();
         }
@@ -359,20 +418,46 @@
         private void write(Call call) {
             Gateway.Attempt a = call.attempt;
             Gateway.Attempt before = a.request.before();
-            if (before != null && before.link instanceof Call last && !last.isOver()) { // Would be a second copy.
-                LOG.error("{}: attempt {} by connection {} before the word that ends attempt {} ({} us old) was out on {}",
-                        a.request.id, a.number, number, before.number, loop.clock().now() - before.sentAt, last.link.number);
+            if (before != null
+                    && before.link instanceof Call last
+                    && !last.isOver()) { // Would be a second copy.
+                LOG.error(
+                        "{}: attempt {} by connection {} before the word that ends attempt {} ({}"
+                                + " us old) was out on {}",
+                        a.request.id,
+                        a.number,
+                        number,
+                        before.number,
+                        loop.clock().now() - before.sentAt,
+                        last.link.number);
                 end(call, Outcome.FULL, null);
                 return;
             }
             call.writtenAt = loop.clock().now();
             long waitMs = Math.max(1, (a.giveUpAt - loop.clock().now()) / 1000);
-            String fields = "class=" + classNames.get(a.request.queryClass) + ",wait=" + waitMs
-                    + ",urgency=" + a.request.priority()
-                    + (a.request.work instanceof String repeatKey ? ",once=" + repeatKey : "");
-            boolean sent = connection.write(Resp.array(Resp.ascii("REQ"), Resp.ascii(a.request.id),
-                    Resp.ascii(fields), a.request.body));
-            LOG.debug("{} attempt {} to {} by connection {}", a.request.id, a.number, engine.address, number);
+            String fields =
+                    "class="
+                            + classNames.get(a.request.queryClass)
+                            + ",wait="
+                            + waitMs
+                            + ",urgency="
+                            + a.request.priority()
+                            + (a.request.work instanceof String repeatKey
+                                    ? ",once=" + repeatKey
+                                    : "");
+            boolean sent =
+                    connection.write(
+                            Resp.array(
+                                    Resp.ascii("REQ"),
+                                    Resp.ascii(a.request.id),
+                                    Resp.ascii(fields),
+                                    a.request.body));
+            LOG.debug(
+                    "{} attempt {} to {} by connection {}",
+                    a.request.id,
+                    a.number,
+                    engine.address,
+                    number);
             if (sent) {
                 goingOut.add(new GoingOut(connection.queued(), a));
             } else { // The ring is full: not a byte of it went out.
@@ -391,7 +476,10 @@
             return connection.write(Resp.command(words));
         }
 
-        /** The word goes out before the next attempt. Where the engine reads so little that it can't, the end of the connection says it. */
+        /**
+         * The word goes out before the next attempt. Where the engine reads so little that it
+         * can't, the end of the connection says it.
+         */
         void callOff(Call call) {
             boolean told = tell("STOP", call.attempt.request.id);
             call.stopEnd = connection.queued();
@@ -399,16 +487,26 @@
             if (!told) {
                 connection.close();
             } else if (!call.isOver()) {
-                loop.deadlines().add(loop.clock().now() + Gateway.STOP_TRAVELS / 2, (now, ref) -> {
-                    if (!call.isOver()) {
-                        LOG.warn("engine at {} reads nothing: connection {} closed", engine.address, number);
-                        connection.close();
-                    }
-                }, 0);
+                loop.deadlines()
+                        .add(
+                                loop.clock().now() + Gateway.STOP_TRAVELS / 2,
+                                (now, ref) -> {
+                                    if (!call.isOver()) {
+                                        LOG.warn(
+                                                "engine at {} reads nothing: connection {} closed",
+                                                engine.address,
+                                                number);
+                                        connection.close();
+                                    }
+                                },
+                                0);
             }
         }
 
-        /** A late answer under this id must not be taken for one to another attempt of the same request. */
+        /**
+         * A late answer under this id must not be taken for one to another attempt of the same
+         * request.
+         */
         void stale(String id) {
             if (stale.size() >= MOST_STALE) {
                 stale.clear();
@@ -416,19 +514,30 @@
             stale.add(id);
         }
 
-        /** A machine cut off says nothing: new attempts go on another connection, whose fate tells more. */
+        /**
+         * A machine cut off says nothing: new attempts go on another connection, whose fate tells
+         * more.
+         */
         boolean silent(long now) {
-            return wiring.noteUs() > 0 && !calls.isEmpty()
+            return wiring.noteUs() > 0
+                    && !calls.isEmpty()
                     && now - Math.max(heardAt, busySince) > SILENT_NOTES * wiring.noteUs();
         }
 
         void end(Call call, Outcome outcome, byte[] result) {
             if (calls.remove(call.attempt.request.id, call)) {
-                if (outcome != Outcome.OK) { // Another attempt of it must not take a second copy for its own answer.
+                if (outcome
+                        != Outcome
+                                .OK) { // Another attempt of it must not take a second copy for its
+                    // own answer.
                     stale(call.attempt.request.id);
                 }
                 call.pages = null;
-                LOG.debug("{} attempt {} ends {} on connection {}", call.attempt.request.id, call.attempt.number, outcome,
+                LOG.debug(
+                        "{} attempt {} ends {} on connection {}",
+                        call.attempt.request.id,
+                        call.attempt.number,
+                        outcome,
                         number);
                 rested();
                 gateway.ended(call.attempt, outcome, call.report, result);
@@ -476,7 +585,9 @@
         public void received(Connection c) {
             heardAt = loop.clock().now();
             try {
-                for (byte[][] answer = Resp.take(c.in()); answer != null; answer = Resp.take(c.in())) {
+                for (byte[][] answer = Resp.take(c.in());
+                        answer != null;
+                        answer = Resp.take(c.in())) {
                     partSince = heardAt;
                     answer(answer);
                 }
@@ -524,21 +635,36 @@
                 return;
             }
             Call call = calls.get(id);
-            if (call == null) { // Late, a second copy, or nobody's: good as it may be, it is of no use.
+            if (call == null) { // Late, a second copy, or nobody's: good as it may be, it is of no
+                // use.
                 return;
             }
             String word = new String(answer[1], StandardCharsets.ISO_8859_1);
-            Map<String, String> fields = Fields.parse(new String(answer[2], StandardCharsets.ISO_8859_1));
+            Map<String, String> fields =
+                    Fields.parse(new String(answer[2], StandardCharsets.ISO_8859_1));
             Report report = Fields.report(fields.get("stats"));
             call.report = report != null ? report : call.report;
             switch (word) {
-                case "DONE": done(call, Fields.whole(fields, "sheets", 1, MOST_PAGES), answer[3]); break;
-                case "MORE": more(call, Fields.whole(fields, "sheet", -1, MOST_PAGES), answer[3]); break;
-                case "WAIT": end(call, Outcome.FULL, null); break;
-                case "BROKE": end(call, Outcome.ERROR, null); break;
-                case "PAST": end(call, Outcome.MOOT, null); break;
-                case "TELL": note(call, fields); break;
-                default: throw new BadInput("an answer of an unknown kind");
+                case "DONE":
+                    done(call, Fields.whole(fields, "sheets", 1, MOST_PAGES), answer[3]);
+                    break;
+                case "MORE":
+                    more(call, Fields.whole(fields, "sheet", -1, MOST_PAGES), answer[3]);
+                    break;
+                case "WAIT":
+                    end(call, Outcome.FULL, null);
+                    break;
+                case "BROKE":
+                    end(call, Outcome.ERROR, null);
+                    break;
+                case "PAST":
+                    end(call, Outcome.MOOT, null);
+                    break;
+                case "TELL":
+                    note(call, fields);
+                    break;
+                default:
+                    throw new BadInput("an answer of an unknown kind");
             }
         }
 
@@ -548,11 +674,17 @@
             if (!word.equals("FIT") && !word.equals("UNFIT")) {
                 throw new BadInput("an answer to a probe of an unknown kind");
             }
-            Map<String, String> fields = Fields.parse(new String(answer[2], StandardCharsets.ISO_8859_1));
-            probe.end(word.equals("FIT") ? Outcome.OK : Outcome.ERROR, Fields.report(fields.get("stats")));
+            Map<String, String> fields =
+                    Fields.parse(new String(answer[2], StandardCharsets.ISO_8859_1));
+            probe.end(
+                    word.equals("FIT") ? Outcome.OK : Outcome.ERROR,
+                    Fields.report(fields.get("stats")));
         }
 
-        /** The first page. The rest is fetched before anything goes out: a result is passed on whole or not. */
+        /**
+         * The first page. The rest is fetched before anything goes out: a result is passed on whole
+         * or not.
+         */
         private void done(Call call, int pages, byte[] first) throws BadInput {
             if (call.pages != null) { // A second copy, while the other pages are on their way.
                 return;
@@ -575,15 +707,19 @@
 
         /** Pages come one after another; where none does, the connection is of no more use. */
         private void awaitPage(Call call, int left) {
-            loop.deadlines().add(loop.clock().now() + PAGE, (now, ref) -> {
-                if (calls.get(call.attempt.request.id) == call) {
-                    if (call.pagesLeft < left) {
-                        awaitPage(call, call.pagesLeft);
-                    } else {
-                        spoilt("a page did not come");
-                    }
-                }
-            }, 0);
+            loop.deadlines()
+                    .add(
+                            loop.clock().now() + PAGE,
+                            (now, ref) -> {
+                                if (calls.get(call.attempt.request.id) == call) {
+                                    if (call.pagesLeft < left) {
+                                        awaitPage(call, call.pagesLeft);
+                                    } else {
+                                        spoilt("a page did not come");
+                                    }
+                                }
+                            },
+                            0);
         }
 
         private void more(Call call, int page, byte[] rows) throws BadInput {
@@ -624,25 +760,41 @@
         private void note(Call call, Map<String, String> fields) {
             double value = Fields.number(fields.get("val"));
             switch (fields.getOrDefault("how", "")) {
-                case "pct": gateway.progress(call.attempt, Notice.SHARE_DONE, value); break;
-                case "overflow": gateway.progress(call.attempt, Notice.SPILLS, value); break;
+                case "pct":
+                    gateway.progress(call.attempt, Notice.SHARE_DONE, value);
+                    break;
+                case "overflow":
+                    gateway.progress(call.attempt, Notice.SPILLS, value);
+                    break;
                 case "queued":
-                    gateway.progress(call.attempt, value >= 2 ? Notice.WAITS_FOR_LOAD : Notice.WAITS_FOR_MEMORY, value);
+                    gateway.progress(
+                            call.attempt,
+                            value >= 2 ? Notice.WAITS_FOR_LOAD : Notice.WAITS_FOR_MEMORY,
+                            value);
+                    break;
+                default:
+                    gateway.progress(call.attempt, Notice.OTHER, 0);
                     break;
-                default: gateway.progress(call.attempt, Notice.OTHER, 0); break;
             }
         }
 
         /**
-         * What had not gone out never ran, and may try one more connection: new ones are reset at times. What had
-         * gone out may have run; whether the engine's process has ended or only this connection shows in another.
+         * What had not gone out never ran, and may try one more connection: new ones are reset at
+         * times. What had gone out may have run; whether the engine's process has ended or only
+         * this connection shows in another.
          */
         @Override
         public void closed(Connection c) {
-            LOG.debug("connection {} to {} closed under {}", number, engine.address, calls.keySet());
+            LOG.debug(
+                    "connection {} to {} closed under {}", number, engine.address, calls.keySet());
             engine.links.remove(this);
             links--;
-            List.copyOf(probes.values()).forEach(probe -> probe.end(heardAt > 0 ? Outcome.SPOILT : Outcome.CONNECT_FAILED, null));
+            List.copyOf(probes.values())
+                    .forEach(
+                            probe ->
+                                    probe.end(
+                                            heardAt > 0 ? Outcome.SPOILT : Outcome.CONNECT_FAILED,
+                                            null));
             List<Call> never = List.copyOf(unsent);
             unsent.clear();
             for (Call call : never) {
@@ -654,17 +806,31 @@
                     end(call, again ? Outcome.MOOT : Outcome.CONNECT_FAILED, null);
                 }
             }
-            inDoubt.forEach(link -> link.endAll(c.wasReset() ? Outcome.SPOILT : Outcome.RESET)); // Somebody was there.
+            inDoubt.forEach(
+                    link ->
+                            link.endAll(
+                                    c.wasReset()
+                                            ? Outcome.SPOILT
+                                            : Outcome.RESET)); // Somebody was there.
             inDoubt.clear();
-            if (spoilt) { // The close is our word that all on it is given up, and has to travel, too.
-                loop.deadlines().add(loop.clock().now() + Gateway.STOP_TRAVELS, (now, ref) -> endAll(Outcome.SPOILT), 0);
+            if (spoilt) { // The close is our word that all on it is given up, and has to travel,
+                // too.
+                loop.deadlines()
+                        .add(
+                                loop.clock().now() + Gateway.STOP_TRAVELS,
+                                (now, ref) -> endAll(Outcome.SPOILT),
+                                0);
             } else if (!calls.isEmpty()) {
                 doubt();
             }
         }
 
         private void doubt() {
-            Link other = engine.links.stream().filter(l -> !l.connection.isConnected()).findFirst().orElse(null);
+            Link other =
+                    engine.links.stream()
+                            .filter(l -> !l.connection.isConnected())
+                            .findFirst()
+                            .orElse(null);
             try {
                 other = other == null && !engine.draining ? new Link(engine) : other;
             } catch (IOException e) {
--- a/src/main/java/calicostream/platform/Roster.java
+++ b/src/main/java/calicostream/platform/Roster.java
@@ -19,11 +19,18 @@
 
 /** Reads the change log's events into what the core knows of engines. */
 public final class Roster {
-    /** An event: the engines it names, where each listens, and when each process began by the list's own word, in Unix milliseconds. */
-    public record Change(long seq, RosterKind kind, List<QueryRouter.Engine> engines,
-            Map<Long, InetSocketAddress> addresses, Map<Long, Long> began) { }
+    /**
+     * An event: the engines it names, where each listens, and when each process began by the list's
+     * own word, in Unix milliseconds.
+     */
+    public record Change(
+            long seq,
+            RosterKind kind,
+            List<QueryRouter.Engine> engines,
+            Map<Long, InetSocketAddress> addresses,
+            Map<Long, Long> began) {}
 
-    private record Start(long millis, long born) { }
+    private record Start(long millis, long born) {}
 
     private final Clock clock;
     private final List<String> zones;
@@ -54,21 +61,29 @@
                 last = Math.max(last, change.seq);
             }
             engines.values().removeIf(e -> e.state() == EngineState.GONE);
-            return new Change(last, RosterKind.CACHED, List.copyOf(engines.values()), addresses, began);
+            return new Change(
+                    last, RosterKind.CACHED, List.copyOf(engines.values()), addresses, began);
         } catch (BadInput | RuntimeException e) {
-            throw new SettingsException("bad configuration: 'known' can't be read: " + e.getMessage());
+            throw new SettingsException(
+                    "bad configuration: 'known' can't be read: " + e.getMessage());
         }
     }
 
-    /** An event that can't be read changes nothing of what is known: its stream is asked for anew. */
+    /**
+     * An event that can't be read changes nothing of what is known: its stream is asked for anew.
+     */
     public Change parse(String event) throws BadInput {
         Map<Long, Start> before = Map.copyOf(starts);
         try {
             return change(Json.parse(event).asObject());
-        } catch (BadInput | RuntimeException e) { // RuntimeException: no JSON, or a member missing or of another kind
+        } catch (BadInput
+                | RuntimeException
+                        e) { // RuntimeException: no JSON, or a member missing or of another kind
             starts.clear();
             starts.putAll(before);
-            throw e instanceof BadInput known ? known : new BadInput("an event of the change log can't be read: " + e);
+            throw e instanceof BadInput known
+                    ? known
+                    : new BadInput("an event of the change log can't be read: " + e);
         }
     }
 
@@ -87,8 +102,14 @@
             String name = entry.getString("name", "");
             long id = id(name);
             EngineState state = state(entry.getString("status", ""));
-            engines.add(new QueryRouter.Engine(id, index(kinds, entry.getString("type", "")), entry.getInt("group", 0),
-                    index(zones, entry.getString("zone", "")), born(before.get(id), id, entry.getLong("since_ms", 0)), state));
+            engines.add(
+                    new QueryRouter.Engine(
+                            id,
+                            index(kinds, entry.getString("type", "")),
+                            entry.getInt("group", 0),
+                            index(zones, entry.getString("zone", "")),
+                            born(before.get(id), id, entry.getLong("since_ms", 0)),
+                            state));
             began.put(id, entry.getLong("since_ms", 0));
             if (state == EngineState.GONE) {
                 starts.remove(id);
@@ -100,11 +121,18 @@
                 throw new BadInput("an engine without an address");
             }
         }
-        return new Change(event.getLong("seq", 0), whole ? RosterKind.COMPLETE : RosterKind.CHANGES, engines,
-                addresses, began);
+        return new Change(
+                event.getLong("seq", 0),
+                whole ? RosterKind.COMPLETE : RosterKind.CHANGES,
+                engines,
+                addresses,
+                began);
     }
 
-    /** A start keeps the module's time it was first given: converted anew it would look like a restart. */
+    /**
+     * A start keeps the module's time it was first given: converted anew it would look like a
+     * restart.
+     */
     private long born(Start before, long id, long millis) {
         boolean same = before != null && before.millis == millis;
         Start start = same ? before : new Start(millis, clock.ofUnixMillis(millis));
@@ -128,10 +156,14 @@
 
     private static EngineState state(String status) throws BadInput {
         switch (status) {
-            case "Ready": return EngineState.READY;
-            case "Terminating": return EngineState.DRAINING;
-            case "Gone": return EngineState.GONE;
-            default: throw new BadInput("an unknown state of an engine");
+            case "Ready":
+                return EngineState.READY;
+            case "Terminating":
+                return EngineState.DRAINING;
+            case "Gone":
+                return EngineState.GONE;
+            default:
+                throw new BadInput("an unknown state of an engine");
         }
     }
 }
--- a/src/main/java/calicostream/platform/WarmUp.java
+++ b/src/main/java/calicostream/platform/WarmUp.java
@@ -21,16 +21,17 @@
 import java.util.List;
 
 /**
- * Takes requests through parsers, core and module before the program listens, so that a front end which
- * starts again in the middle of a day does not load its classes at its first clients' cost. It works on a
- * core of its own, whose engine answers at once, and touches no socket.
+ * Takes requests through parsers, core and module before the program listens, so that a front end
+ * which starts again in the middle of a day does not load its classes at its first clients' cost.
+ * It works on a core of its own, whose engine answers at once, and touches no socket.
  */
 final class WarmUp implements Engines, Front {
     private static final long LONGEST = 400_000; // us: a front end that is not up yet serves nobody
     private static final long PIECE = 10_000; // us of work in one go
     private static final int REQUESTS = 1500;
     private static final long ENGINE = 1;
-    private static final String STATEMENT = "select a.name, count(*) from sales_17.orders a where a.note = 'x_1.y'";
+    private static final String STATEMENT =
+            "select a.name, count(*) from sales_17.orders a where a.note = 'x_1.y'";
     private final Ring ring = new Ring(1 << 16);
     private final Deadlines deadlines = new Deadlines();
     private final Clock clock = new Clock();
@@ -55,9 +56,15 @@
         try {
             do {
                 made++;
-                byte[] line = ("{\"jsonrpc\":\"2.0\",\"id\":" + made + ",\"method\":\"m\",\"params\":{\"i\":\""
-                        + String.format("%016x", made) + "\",\"d\":1500,\"content\":\"" + content + "\"}}")
-                        .getBytes(StandardCharsets.UTF_8);
+                byte[] line =
+                        ("{\"jsonrpc\":\"2.0\",\"id\":"
+                                        + made
+                                        + ",\"method\":\"m\",\"params\":{\"i\":\""
+                                        + String.format("%016x", made)
+                                        + "\",\"d\":1500,\"content\":\""
+                                        + content
+                                        + "\"}}")
+                                .getBytes(StandardCharsets.UTF_8);
                 request(JsonRpc.read(line), made % classNames.size());
                 deadlines.run(clock.now());
             } while (made < REQUESTS && clock.now() < Math.min(end, now + PIECE));
@@ -74,22 +81,37 @@
 
     private void request(JsonRpc message, int queryClass) throws BadInput {
         byte[] body = Base64.getDecoder().decode(message.content);
-        gateway.accept(this, (long) message.id, message.requestId, queryClass, Statement.tableGroup(body),
-                (long) (message.wait * 1000), body);
+        gateway.accept(
+                this,
+                (long) message.id,
+                message.requestId,
+                queryClass,
+                Statement.tableGroup(body),
+                (long) (message.wait * 1000),
+                body);
         for (Gateway.Attempt attempt = out.poll(); attempt != null; attempt = out.poll()) {
-            ring.put(Resp.array(Resp.ascii(attempt.request.id), Resp.ascii("DONE"),
-                    Resp.ascii("sheets=1,stats=util:0.2;inflight:1"), attempt.request.body));
+            ring.put(
+                    Resp.array(
+                            Resp.ascii(attempt.request.id),
+                            Resp.ascii("DONE"),
+                            Resp.ascii("sheets=1,stats=util:0.2;inflight:1"),
+                            attempt.request.body));
             byte[][] answer = Resp.take(ring);
-            gateway.ended(attempt, Outcome.OK, Fields.report(Fields.parse(new String(answer[2],
-                    StandardCharsets.ISO_8859_1)).get("stats")), answer[3]);
+            gateway.ended(
+                    attempt,
+                    Outcome.OK,
+                    Fields.report(
+                            Fields.parse(new String(answer[2], StandardCharsets.ISO_8859_1))
+                                    .get("stats")),
+                    answer[3]);
         }
     }
 
     @Override
-    public void attach(Gateway to) { }
+    public void attach(Gateway to) {}
 
     @Override
-    public void locate(long engine, InetSocketAddress address) { }
+    public void locate(long engine, InetSocketAddress address) {}
 
     @Override
     public void send(Gateway.Attempt attempt) {
@@ -97,19 +119,19 @@
     }
 
     @Override
-    public void stop(Gateway.Attempt attempt) { }
+    public void stop(Gateway.Attempt attempt) {}
 
     @Override
-    public void priority(Gateway.Attempt attempt) { }
+    public void priority(Gateway.Attempt attempt) {}
 
     @Override
-    public void withdrawn(long engine) { }
+    public void withdrawn(long engine) {}
 
     @Override
-    public void renewed(long engine) { }
+    public void renewed(long engine) {}
 
     @Override
-    public void gone(long engine) { }
+    public void gone(long engine) {}
 
     @Override
     public void served(long tag, Object result) {
--- a/src/main/java/calicostream/sql/Statement.java
+++ b/src/main/java/calicostream/sql/Statement.java
@@ -7,19 +7,49 @@
 import java.util.Set;
 
 /**
- * Finds the group of tables in a statement: the number behind the underscore in the name of the schema
- * that it reads or writes. Strings and comments are passed over, and so is the schema {@code staging}.
+ * Finds the group of tables in a statement: the number behind the underscore in the name of the
+ * schema that it reads or writes. Strings and comments are passed over, and so is the schema {@code
+ * staging}.
  */
 public final class Statement {
-    private static final Set<String> BEFORE_TABLE = Set.of("from", "join", "into", "update", "table", "using", "copy",
-            "only", "view", "truncate", "analyze", "exists", "merge", "overwrite");
-    private static final Set<String> AFTER_LIST = Set.of("select", "where", "set", "on", "group", "order", "having",
-            "values", "limit", "union", "except", "intersect", "returning", "window");
+    private static final Set<String> BEFORE_TABLE =
+            Set.of(
+                    "from",
+                    "join",
+                    "into",
+                    "update",
+                    "table",
+                    "using",
+                    "copy",
+                    "only",
+                    "view",
+                    "truncate",
+                    "analyze",
+                    "exists",
+                    "merge",
+                    "overwrite");
+    private static final Set<String> AFTER_LIST =
+            Set.of(
+                    "select",
+                    "where",
+                    "set",
+                    "on",
+                    "group",
+                    "order",
+                    "having",
+                    "values",
+                    "limit",
+                    "union",
+                    "except",
+                    "intersect",
+                    "returning",
+                    "window");
     private final byte[] sql;
     private int at;
     private boolean tablePlace, inList;
     private String lastWord = "";
-    private long selects = 1; // a bit for each open parenthesis, innermost lowest: whether it holds a SELECT
+    private long selects =
+            1; // a bit for each open parenthesis, innermost lowest: whether it holds a SELECT
     private int quotesToSeek = 64; // each may be sought through all that follows
     private int inTable = -1;
     private int elsewhere = -1;
@@ -153,9 +183,12 @@
         tablePlace = false;
     }
 
-    /** 'from' opens a list of tables, but not in 'extract(year from x)' nor in 'is distinct from x'. */
+    /**
+     * 'from' opens a list of tables, but not in 'extract(year from x)' nor in 'is distinct from x'.
+     */
     private void word(String word) {
-        boolean expression = word.equals("from") && ((selects & 1) == 0 || lastWord.equals("distinct"));
+        boolean expression =
+                word.equals("from") && ((selects & 1) == 0 || lastWord.equals("distinct"));
         tablePlace = BEFORE_TABLE.contains(word) && !expression;
         if (tablePlace || AFTER_LIST.contains(word)) {
             inList = tablePlace;
@@ -180,8 +213,11 @@
         int end = quoteEnd(peek(0));
         StringBuilder out = new StringBuilder();
         if (end == 0) {
-            while (at < sql.length && (Character.isLetterOrDigit(peek(0)) || peek(0) == '_' || peek(0) >= 0x80
-                    || peek(0) == '$')) {
+            while (at < sql.length
+                    && (Character.isLetterOrDigit(peek(0))
+                            || peek(0) == '_'
+                            || peek(0) >= 0x80
+                            || peek(0) == '$')) {
                 out.append((char) peek(0));
                 at++;
             }
--- a/src/main/java/calicostream/syslog/Record.java
+++ b/src/main/java/calicostream/syslog/Record.java
@@ -12,13 +12,32 @@
     static final int INFO = 6;
     private final StringBuilder text = new StringBuilder(256);
 
-    Record(int facility, int severity, Instant at, String host, String process, String messageId, String element) {
-        text.append('<').append(facility * 8 + severity).append(">1 ").append(at.truncatedTo(ChronoUnit.MICROS))
-                .append(' ').append(name(host, 255)).append(" calicostream ").append(name(process, 128)).append(' ')
-                .append(messageId).append(" [").append(element);
+    Record(
+            int facility,
+            int severity,
+            Instant at,
+            String host,
+            String process,
+            String messageId,
+            String element) {
+        text.append('<')
+                .append(facility * 8 + severity)
+                .append(">1 ")
+                .append(at.truncatedTo(ChronoUnit.MICROS))
+                .append(' ')
+                .append(name(host, 255))
+                .append(" calicostream ")
+                .append(name(process, 128))
+                .append(' ')
+                .append(messageId)
+                .append(" [")
+                .append(element);
     }
 
-    /** A parameter; quotes, backslashes and closing brackets in its value are escaped, as the RFC demands. */
+    /**
+     * A parameter; quotes, backslashes and closing brackets in its value are escaped, as the RFC
+     * demands.
+     */
     Record with(String name, Object value) {
         text.append(' ').append(name).append("=\"");
         String raw = value.toString();
@@ -40,6 +59,8 @@
     /** A header field: printable ASCII without spaces, "-" where there is none. */
     private static String name(String text, int most) {
         String printable = text.replaceAll("[^!-~]", "_");
-        return printable.isEmpty() ? "-" : printable.substring(0, Math.min(most, printable.length()));
+        return printable.isEmpty()
+                ? "-"
+                : printable.substring(0, Math.min(most, printable.length()));
     }
 }
--- a/src/main/java/calicostream/syslog/Syslog.java
+++ b/src/main/java/calicostream/syslog/Syslog.java
@@ -16,9 +16,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends a record of each final answer and each change of an engine to a collector, over UDP (RFC 5426) or
- * TCP with octet counting (RFC 6587). Records never hold a request up: what the collector does not take is
- * dropped and counted.
+ * Sends a record of each final answer and each change of an engine to a collector, over UDP (RFC
+ * 5426) or TCP with octet counting (RFC 6587). Records never hold a request up: what the collector
+ * does not take is dropped and counted.
  */
 public final class Syslog implements Watcher {
     private static final Logger LOG = LoggerFactory.getLogger(Syslog.class);
@@ -33,7 +33,8 @@
     private Connection stream;
     private long dropped;
 
-    public Syslog(Loop loop, SyslogConfig config, String host, List<String> classNames) throws IOException {
+    public Syslog(Loop loop, SyslogConfig config, String host, List<String> classNames)
+            throws IOException {
         this.loop = loop;
         this.config = config;
         this.host = host;
@@ -48,17 +49,27 @@
 
     @Override
     public void answered(String id, int queryClass, Ending ending, int attempts, long elapsedUs) {
-        int severity = ending == Ending.FAILED ? Record.WARNING : ending == Ending.REFUSED ? Record.NOTICE : Record.INFO;
-        send(record(severity, "ANSWER", "answer").with("id", id).with("class", classNames.get(queryClass))
-                .with("ending", ending.name().toLowerCase(Locale.ROOT)).with("attempts", attempts)
-                .with("us", elapsedUs));
+        int severity =
+                ending == Ending.FAILED
+                        ? Record.WARNING
+                        : ending == Ending.REFUSED ? Record.NOTICE : Record.INFO;
+        send(
+                record(severity, "ANSWER", "answer")
+                        .with("id", id)
+                        .with("class", classNames.get(queryClass))
+                        .with("ending", ending.name().toLowerCase(Locale.ROOT))
+                        .with("attempts", attempts)
+                        .with("us", elapsedUs));
     }
 
     @Override
     public void engine(Engine engine) {
-        send(record(Record.NOTICE, "ENGINE", "engine").with("id", Long.toHexString(engine.id()))
-                .with("state", engine.state().name().toLowerCase(Locale.ROOT)).with("zone", engine.zone())
-                .with("kind", engine.kind()));
+        send(
+                record(Record.NOTICE, "ENGINE", "engine")
+                        .with("id", Long.toHexString(engine.id()))
+                        .with("state", engine.state().name().toLowerCase(Locale.ROOT))
+                        .with("zone", engine.zone())
+                        .with("kind", engine.kind()));
     }
 
     /** Records that were not sent. */
@@ -67,7 +78,13 @@
     }
 
     private Record record(int severity, String messageId, String element) {
-        return new Record(config.facility(), severity, Instant.now(), host, process, messageId,
+        return new Record(
+                config.facility(),
+                severity,
+                Instant.now(),
+                host,
+                process,
+                messageId,
                 element + "@" + config.enterprise());
     }
 
@@ -86,25 +103,37 @@
                 sent = false;
             }
         }
-        if (!sent && Long.bitCount(++dropped) == 1) { // At 1, 2, 4, 8 ...: a collector that is away is no flood.
+        if (!sent
+                && Long.bitCount(++dropped)
+                        == 1) { // At 1, 2, 4, 8 ...: a collector that is away is no flood.
             LOG.warn("{} records not sent to the collector", dropped);
         }
     }
 
     private void connect(long now, long ref) {
         try {
-            stream = Connection.to(loop, config.collector(), new Connection.Handler() {
-                @Override
-                public void received(Connection c) {
-                    c.in().skip(c.in().size());
-                }
+            stream =
+                    Connection.to(
+                            loop,
+                            config.collector(),
+                            new Connection.Handler() {
+                                @Override
+                                public void received(Connection c) {
+                                    c.in().skip(c.in().size());
+                                }
 
-                @Override
-                public void closed(Connection c) {
-                    stream = null;
-                    loop.deadlines().add(loop.clock().now() + PAUSE, Syslog.this::connect, 0);
-                }
-            }, BOUND, BOUND);
+                                @Override
+                                public void closed(Connection c) {
+                                    stream = null;
+                                    loop.deadlines()
+                                            .add(
+                                                    loop.clock().now() + PAUSE,
+                                                    Syslog.this::connect,
+                                                    0);
+                                }
+                            },
+                            BOUND,
+                            BOUND);
         } catch (IOException e) {
             loop.deadlines().add(loop.clock().now() + PAUSE, this::connect, 0);
         }
--- a/src/measure/java/calicostream/budget/BudgetRuns.java
+++ b/src/measure/java/calicostream/budget/BudgetRuns.java
@@ -11,19 +11,30 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 
-/** Runs of the fleet in virtual time: with faults, whose only question is the caps; and steady ones, whose question is fairness and use. */
+/**
+ * Runs of the fleet in virtual time: with faults, whose only question is the caps; and steady ones,
+ * whose question is fairness and use.
+ */
 public final class BudgetRuns {
     private static final long MS = BudgetSim.MS;
     private static final long SECOND = 1_000 * MS;
 
-    private BudgetRuns() { }
+    private BudgetRuns() {}
 
     /** What a number of runs with faults came to. */
-    public record Faulty(int runs, long steps, long commands, int faults, int overCap, String first, List<Long> reclaims, List<Long> freed,
-            Map<String, Integer> refusals) { }
+    public record Faulty(
+            int runs,
+            long steps,
+            long commands,
+            int faults,
+            int overCap,
+            String first,
+            List<Long> reclaims,
+            List<Long> freed,
+            Map<String, Integer> refusals) {}
 
     /** What a steady run came to. */
-    public record Steady(double distance, double use) { }
+    public record Steady(double distance, double use) {}
 
     private static BudgetSettings settings(int floor, int inHand) {
         return settings(7, floor, inHand);
@@ -34,12 +45,26 @@
         for (int i = 1; i <= count; i++) {
             processes.add("p" + i);
         }
-        return new BudgetSettings(List.of(new BudgetSettings.Pool("core", floor, 500), new BudgetSettings.Pool("scatter", 1, 500)),
-                List.of(new BudgetSettings.Tenant("north", 1, Map.of()),
-                        new BudgetSettings.Tenant("south", 2, Map.of("core", new BudgetSettings.Share(4, 200))),
-                        new BudgetSettings.Tenant("east", 3, Map.of(BudgetSettings.FLEET, new BudgetSettings.Share(0, 40))),
-                        new BudgetSettings.Tenant("west", 1, Map.of(BudgetSettings.FLEET, new BudgetSettings.Share(30, 300)))),
-                processes, SECOND, 500, inHand);
+        return new BudgetSettings(
+                List.of(
+                        new BudgetSettings.Pool("core", floor, 500),
+                        new BudgetSettings.Pool("scatter", 1, 500)),
+                List.of(
+                        new BudgetSettings.Tenant("north", 1, Map.of()),
+                        new BudgetSettings.Tenant(
+                                "south", 2, Map.of("core", new BudgetSettings.Share(4, 200))),
+                        new BudgetSettings.Tenant(
+                                "east",
+                                3,
+                                Map.of(BudgetSettings.FLEET, new BudgetSettings.Share(0, 40))),
+                        new BudgetSettings.Tenant(
+                                "west",
+                                1,
+                                Map.of(BudgetSettings.FLEET, new BudgetSettings.Share(30, 300)))),
+                processes,
+                SECOND,
+                500,
+                inHand);
     }
 
     /** One run of ten seconds; null or what broke. */
@@ -54,15 +79,22 @@
         SplittableRandom random = new SplittableRandom(seed * 31 + 7);
         int[] caps = random.ints(3, 21, random.nextBoolean() ? 30 : 60).toArray();
         int[] clients = random.ints(4, 1, 8).toArray();
-        BudgetSim sim = new BudgetSim(settings(random.nextInt(1, 4), random.nextInt(1, 4)), caps, faults, out, seed,
-                new SimProcess.Load(clients, random.nextInt(20, 200)));
+        BudgetSim sim =
+                new BudgetSim(
+                        settings(random.nextInt(1, 4), random.nextInt(1, 4)),
+                        caps,
+                        faults,
+                        out,
+                        seed,
+                        new SimProcess.Load(clients, random.nextInt(20, 200)));
         sim.run(10 * SECOND);
         return sim;
     }
 
     /**
-     * One or two engines, two or three processes, little room and much demand: each fault meets whoever is just using what it concerns. Which
-     * faults there are, and how much is late, differs from run to run, as one that is rare among many hides what two of a kind would show.
+     * One or two engines, two or three processes, little room and much demand: each fault meets
+     * whoever is just using what it concerns. Which faults there are, and how much is late, differs
+     * from run to run, as one that is rare among many hides what two of a kind would show.
      */
     private static BudgetSim small(long seed, BudgetSim.Faults faults, Set<Safeguard> out) {
         SplittableRandom random = new SplittableRandom(seed * 31 + 11);
@@ -70,15 +102,31 @@
         int floor = random.nextInt(0, 2);
         int[] caps = random.ints(random.nextInt(1, 3), count + 1, count + 9).toArray();
         int[] clients = {random.nextInt(3, 12), random.nextInt(0, 6), 0, 0};
-        BudgetSim.Faults drawn = new BudgetSim.Faults(faults.on(), faults.quorumLost(), random.nextDouble() * 0.2, random.nextDouble() * 0.2,
-                random.nextDouble() * 0.2, random.nextInt(1, 1 << BudgetSim.MISHAPS), random.nextInt(20, 150));
-        BudgetSim sim = new BudgetSim(settings(count, floor, random.nextInt(1, 4)), caps, drawn, out, seed,
-                new SimProcess.Load(clients, random.nextInt(20, 600)));
+        BudgetSim.Faults drawn =
+                new BudgetSim.Faults(
+                        faults.on(),
+                        faults.quorumLost(),
+                        random.nextDouble() * 0.2,
+                        random.nextDouble() * 0.2,
+                        random.nextDouble() * 0.2,
+                        random.nextInt(1, 1 << BudgetSim.MISHAPS),
+                        random.nextInt(20, 150));
+        BudgetSim sim =
+                new BudgetSim(
+                        settings(count, floor, random.nextInt(1, 4)),
+                        caps,
+                        drawn,
+                        out,
+                        seed,
+                        new SimProcess.Load(clients, random.nextInt(20, 600)));
         sim.run(20 * SECOND);
         return sim;
     }
 
-    /** Runs with all faults, from that seed on; fewer if the time is over, which {@link System#nanoTime} tells. */
+    /**
+     * Runs with all faults, from that seed on; fewer if the time is over, which {@link
+     * System#nanoTime} tells.
+     */
     public static Faulty faulty(long seed, boolean quorumLost, int most, long until) {
         int runs = 0;
         long steps = 0;
@@ -91,8 +139,11 @@
         Map<String, Integer> refusals = new TreeMap<>();
         for (int i = 0; i < most && System.nanoTime() < until; i++) {
             runs++;
-            BudgetSim sim = faulty(seed + i, quorumLost ? BudgetSim.Faults.ALL : BudgetSim.Faults.WITH_QUORUM,
-                    EnumSet.noneOf(Safeguard.class));
+            BudgetSim sim =
+                    faulty(
+                            seed + i,
+                            quorumLost ? BudgetSim.Faults.ALL : BudgetSim.Faults.WITH_QUORUM,
+                            EnumSet.noneOf(Safeguard.class));
             steps += sim.steps;
             commands += sim.commands;
             faults += sim.injected.values().stream().mapToInt(Integer::intValue).sum();
@@ -109,7 +160,10 @@
         return new Faulty(runs, steps, commands, faults, over, first, reclaims, freed, refusals);
     }
 
-    /** The first seed of a small fleet at which the checker finds a break with this safeguard taken out, or -1. */
+    /**
+     * The first seed of a small fleet at which the checker finds a break with this safeguard taken
+     * out, or -1.
+     */
     static long found(Safeguard safeguard, long seed, int runs) {
         for (int i = 0; i < runs; i++) {
             if (small(seed + i, BudgetSim.Faults.ALL, EnumSet.of(safeguard)).violation != null) {
@@ -129,14 +183,25 @@
         return found(Safeguard.valueOf(safeguard), seed, runs);
     }
 
-    /** Ten seconds without faults and with enough demand, judged from the fourth on against the all-seeing division of the whole caps. */
+    /**
+     * Ten seconds without faults and with enough demand, judged from the fourth on against the
+     * all-seeing division of the whole caps.
+     */
     public static Steady steady(long seed) {
         SplittableRandom random = new SplittableRandom(seed * 17 + 3);
         int[] caps = random.ints(4, 24, 49).toArray();
-        int[] clients = {random.nextInt(1, 4), random.nextInt(4, 9), random.nextInt(4, 9), random.nextInt(2, 9)};
+        int[] clients = {
+            random.nextInt(1, 4), random.nextInt(4, 9), random.nextInt(4, 9), random.nextInt(2, 9)
+        };
         BudgetSettings settings = settings(1, 8);
-        BudgetSim sim = new BudgetSim(settings, caps, BudgetSim.Faults.NONE, EnumSet.noneOf(Safeguard.class), seed,
-                new SimProcess.Load(clients, 100));
+        BudgetSim sim =
+                new BudgetSim(
+                        settings,
+                        caps,
+                        BudgetSim.Faults.NONE,
+                        EnumSet.noneOf(Safeguard.class),
+                        seed,
+                        new SimProcess.Load(clients, 100));
         sim.run(4 * SECOND);
         long[] before = areas(sim, clients.length);
         long[] ran = ran(sim);
@@ -188,14 +253,25 @@
         for (int t = 0; t < tenants; t++) {
             Arrays.fill(wanted[t], clients[t] * settings.processes().size());
             for (int k = 0; k < tiers; k++) {
-                BudgetSettings.Share share = settings.tenants().get(t).share(settings.pools().get(k).name());
+                BudgetSettings.Share share =
+                        settings.tenants().get(t).share(settings.pools().get(k).name());
                 guarantees[t][k] = share.guarantee();
                 ceilings[t][k] = share.ceiling();
             }
         }
-        return new Divider.Problem(caps, tierOf, settings.pools().stream().mapToInt(BudgetSettings.Pool::cap).toArray(),
-                settings.tenants().stream().mapToInt(BudgetSettings.Tenant::weight).toArray(), wanted, guarantees, ceilings,
-                settings.tenants().stream().mapToInt(each -> each.share(BudgetSettings.FLEET).guarantee()).toArray(),
-                settings.tenants().stream().mapToInt(each -> each.share(BudgetSettings.FLEET).ceiling()).toArray());
+        return new Divider.Problem(
+                caps,
+                tierOf,
+                settings.pools().stream().mapToInt(BudgetSettings.Pool::cap).toArray(),
+                settings.tenants().stream().mapToInt(BudgetSettings.Tenant::weight).toArray(),
+                wanted,
+                guarantees,
+                ceilings,
+                settings.tenants().stream()
+                        .mapToInt(each -> each.share(BudgetSettings.FLEET).guarantee())
+                        .toArray(),
+                settings.tenants().stream()
+                        .mapToInt(each -> each.share(BudgetSettings.FLEET).ceiling())
+                        .toArray());
     }
 }
--- a/src/measure/java/calicostream/budget/BudgetSim.java
+++ b/src/measure/java/calicostream/budget/BudgetSim.java
@@ -12,12 +12,14 @@
 import java.util.function.Consumer;
 
 /**
- * A fleet in virtual time from one seed: processes, engines, links, the log, its leader's clock and the arbiter. The checker looks at the
- * engines' own counts after each event and knows nothing of grants but which cap is in force.
+ * A fleet in virtual time from one seed: processes, engines, links, the log, its leader's clock and
+ * the arbiter. The checker looks at the engines' own counts after each event and knows nothing of
+ * grants but which cap is in force.
  */
 final class BudgetSim {
     static final long MS = 1_000_000;
-    private record Event(long at, long order, Runnable run) { }
+
+    private record Event(long at, long order, Runnable run) {}
 
     static final int MISHAPS = 11;
 
@@ -27,11 +29,20 @@
      * @param kinds a bit for each kind of mishap that there is
      * @param everyMillis between two mishaps
      */
-    record Faults(boolean on, boolean quorumLost, double lost, double doubled, double stalled, int kinds, int everyMillis) {
+    record Faults(
+            boolean on,
+            boolean quorumLost,
+            double lost,
+            double doubled,
+            double stalled,
+            int kinds,
+            int everyMillis) {
         static final Faults NONE = new Faults(false, false, 0, 0, 0, 0, 0);
         static final Faults ALL = new Faults(true, true, 0.05, 0.05, 0.01, (1 << MISHAPS) - 1, 150);
+
         /** All but the log's: a bound on time holds only while there is one. */
-        static final Faults WITH_QUORUM = new Faults(true, false, 0.05, 0.05, 0.01, (1 << MISHAPS) - 1, 150);
+        static final Faults WITH_QUORUM =
+                new Faults(true, false, 0.05, 0.05, 0.01, (1 << MISHAPS) - 1, 150);
     }
 
     final BudgetSettings settings;
@@ -43,14 +54,21 @@
     final GrantMachine machine;
     final TreeMap<String, Integer> refusals = new TreeMap<>();
     final TreeMap<String, Integer> injected = new TreeMap<>();
+
     /** From a call-back until the process can begin nothing more by it. */
     final List<Long> reclaims = new ArrayList<>();
+
     /** From a call-back until the engine's room is free, with what ran on ended. */
     final List<Long> freed = new ArrayList<>();
+
     private final TreeMap<String, Long> seenNumber = new TreeMap<>();
     private final TreeMap<String, Long> calledBack = new TreeMap<>();
-    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
-            : Long.compare(a.order, b.order));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at != b.at
+                                    ? Long.compare(a.at, b.at)
+                                    : Long.compare(a.order, b.order));
     private long order;
     long now;
     long index;
@@ -66,14 +84,25 @@
     long steps;
     String violation;
 
-    BudgetSim(BudgetSettings settings, int[] caps, Faults faults, Set<Safeguard> out, long seed, SimProcess.Load load) {
+    BudgetSim(
+            BudgetSettings settings,
+            int[] caps,
+            Faults faults,
+            Set<Safeguard> out,
+            long seed,
+            SimProcess.Load load) {
         this.settings = settings;
         this.faults = faults;
         this.out = out;
         this.random = new SplittableRandom(seed);
         this.machine = new GrantMachine(settings, out);
         for (int i = 0; i < caps.length; i++) {
-            engines.add(new SimEngine("e" + i, settings.pools().get(i % settings.pools().size()).name(), caps[i], (seed / 2 + i) % 2 == 0));
+            engines.add(
+                    new SimEngine(
+                            "e" + i,
+                            settings.pools().get(i % settings.pools().size()).name(),
+                            caps[i],
+                            (seed / 2 + i) % 2 == 0));
         }
         for (String name : settings.processes()) {
             processes.add(new SimProcess(this, name, load));
@@ -106,7 +135,15 @@
             engine.inForce = book.cap;
         }
         if (engine.running > engine.inForce && violation == null) {
-            violation = engine.name + " runs " + engine.running + " with cap " + engine.inForce + " in force at " + now / MS + " ms";
+            violation =
+                    engine.name
+                            + " runs "
+                            + engine.running
+                            + " with cap "
+                            + engine.inForce
+                            + " in force at "
+                            + now / MS
+                            + " ms";
         }
     }
 
@@ -115,30 +152,40 @@
     }
 
     private void every(long period, Runnable run) {
-        at(now + period, () -> {
-            run.run();
-            every(period, run);
-        });
+        at(
+                now + period,
+                () -> {
+                    run.run();
+                    every(period, run);
+                });
     }
 
     long delay() {
         if (!faults.on) {
             return random.nextLong(100_000, MS);
         }
-        return random.nextDouble() < faults.stalled ? random.nextLong(4_000 * MS) : random.nextLong(100_000, 20 * MS);
+        return random.nextDouble() < faults.stalled
+                ? random.nextLong(4_000 * MS)
+                : random.nextLong(100_000, 20 * MS);
     }
 
     void injected(String kind) {
         injected.merge(kind, 1, Integer::sum);
     }
 
-    /** A command on its way to the log, and its answer on the way back; either may be lost, late or doubled. */
+    /**
+     * A command on its way to the log, and its answer on the way back; either may be lost, late or
+     * doubled.
+     */
     void submit(long session, byte[] body, Consumer<Effects> answer) {
         submit(session, body, answer, 0, 0);
     }
 
-    /** @param deafUntil until when the sender hears nothing, or only later, though it is heard */
-    void submit(long session, byte[] body, Consumer<Effects> answer, long dumbUntil, long deafUntil) {
+    /**
+     * @param deafUntil until when the sender hears nothing, or only later, though it is heard
+     */
+    void submit(
+            long session, byte[] body, Consumer<Effects> answer, long dumbUntil, long deafUntil) {
         if (now < dumbUntil) {
             return;
         }
@@ -146,18 +193,29 @@
         int copies = random.nextDouble() < faults.doubled ? 2 : 1;
         for (int i = 0; i < copies; i++) {
             if (random.nextDouble() >= faults.lost) {
-                at(now + delay(), () -> {
-                    // the layer below applies what is numbered once
-                    if (quorum && !applied[0]) {
-                        applied[0] = true;
-                        Effects effects = apply(new Command(session, 1, 0, body));
-                        for (int j = random.nextDouble() < faults.doubled ? 2 : 1; j > 0; j--) {
-                            if (random.nextDouble() >= faults.lost && (now >= deafUntil || random.nextBoolean())) {
-                                at((now >= deafUntil ? now : deafUntil + random.nextLong(500 * MS)) + delay(), () -> answer.accept(effects));
+                at(
+                        now + delay(),
+                        () -> {
+                            // the layer below applies what is numbered once
+                            if (quorum && !applied[0]) {
+                                applied[0] = true;
+                                Effects effects = apply(new Command(session, 1, 0, body));
+                                for (int j = random.nextDouble() < faults.doubled ? 2 : 1;
+                                        j > 0;
+                                        j--) {
+                                    if (random.nextDouble() >= faults.lost
+                                            && (now >= deafUntil || random.nextBoolean())) {
+                                        at(
+                                                (now >= deafUntil
+                                                                ? now
+                                                                : deafUntil
+                                                                        + random.nextLong(500 * MS))
+                                                        + delay(),
+                                                () -> answer.accept(effects));
+                                    }
+                                }
                             }
-                        }
-                    }
-                });
+                        });
             }
         }
     }
@@ -172,7 +230,14 @@
             int committed = machine.books().committed(name);
             Books.EngineBook book = machine.books().engines.get(name);
             if (out.isEmpty() && committed > book.cap) {
-                violation = name + " has " + committed + " committed of " + book.cap + " at index " + index;
+                violation =
+                        name
+                                + " has "
+                                + committed
+                                + " committed of "
+                                + book.cap
+                                + " at index "
+                                + index;
             }
         }
         lookAtReclaims();
@@ -180,12 +245,33 @@
     }
 
     private void lookAtReclaims() {
-        machine.books().processes.forEach((name, process) -> process.held.forEach((engine, held) -> {
-            int granted = held.granted();
-            look(name + "@" + engine, held.most() > granted, reclaims);
-            look(name + "@" + engine + " room", held.most() > granted || calledBack.containsKey(name + "@" + engine + " room")
-                    && held.used > Math.max(granted, machine.books().floor(name, engine) - held.left), freed);
-        }));
+        machine.books()
+                .processes
+                .forEach(
+                        (name, process) ->
+                                process.held.forEach(
+                                        (engine, held) -> {
+                                            int granted = held.granted();
+                                            look(
+                                                    name + "@" + engine,
+                                                    held.most() > granted,
+                                                    reclaims);
+                                            look(
+                                                    name + "@" + engine + " room",
+                                                    held.most() > granted
+                                                            || calledBack.containsKey(
+                                                                            name + "@" + engine
+                                                                                    + " room")
+                                                                    && held.used
+                                                                            > Math.max(
+                                                                                    granted,
+                                                                                    machine.books()
+                                                                                                    .floor(
+                                                                                                            name,
+                                                                                                            engine)
+                                                                                            - held.left),
+                                                    freed);
+                                        }));
     }
 
     private void look(String key, boolean owes, List<Long> into) {
@@ -198,10 +284,12 @@
 
     private void without(long nanos) {
         quorum = false;
-        at(now + nanos, () -> {
-            quorum = true;
-            elect();
-        });
+        at(
+                now + nanos,
+                () -> {
+                    quorum = true;
+                    elect();
+                });
     }
 
     private void elect() {
@@ -212,7 +300,8 @@
 
     private void count() {
         if (quorum) {
-            leader.due((long) (now * leaderRate)).forEach(body -> apply(new Command(0, 0, era, body)));
+            leader.due((long) (now * leaderRate))
+                    .forEach(body -> apply(new Command(0, 0, era, body)));
         }
     }
 
@@ -231,16 +320,19 @@
         GrantMachine view = new GrantMachine(settings, out);
         view.restore(machine.snapshot());
         for (BudgetCommand.Divide divide : arbiter.divide(view, sent)) {
-            submit(seat.session(), divide.encode(), effects -> { });
+            submit(seat.session(), divide.encode(), effects -> {});
         }
         if (faults.on) {
             if (random.nextInt(20) == 0) {
                 mad(view, sent, seat.session());
             }
-            view.books().processes.forEach((name, process) -> {
-                engines.forEach(engine -> ask(view, seat, name, process, engine));
-                seenNumber.put(name, process.number);
-            });
+            view.books()
+                    .processes
+                    .forEach(
+                            (name, process) -> {
+                                engines.forEach(engine -> ask(view, seat, name, process, engine));
+                                seenNumber.put(name, process.number);
+                            });
         }
     }
 
@@ -248,16 +340,35 @@
     private void mad(GrantMachine view, long sent, long session) {
         injected("mad division");
         List<BudgetCommand.Share> shares = new ArrayList<>();
-        view.books().processes.forEach((name, process) -> {
-            SimEngine engine = engines.get(random.nextInt(engines.size()));
-            shares.add(new BudgetCommand.Share(name, process.session, engine.name, engine.incarnation,
-                    settings.tenants().get(random.nextInt(settings.tenants().size())).name(), random.nextInt(engine.cap + 1)));
-        });
-        submit(session, new BudgetCommand.Divide(sent, shares).encode(), effects -> { });
+        view.books()
+                .processes
+                .forEach(
+                        (name, process) -> {
+                            SimEngine engine = engines.get(random.nextInt(engines.size()));
+                            shares.add(
+                                    new BudgetCommand.Share(
+                                            name,
+                                            process.session,
+                                            engine.name,
+                                            engine.incarnation,
+                                            settings.tenants()
+                                                    .get(random.nextInt(settings.tenants().size()))
+                                                    .name(),
+                                            random.nextInt(engine.cap + 1)));
+                        });
+        submit(session, new BudgetCommand.Divide(sent, shares).encode(), effects -> {});
     }
 
-    /** The engine is asked what it runs of a process that is silent or was started anew, now and then of one that is neither. */
-    private void ask(GrantMachine view, SimProcess seat, String name, Books.ProcessBook process, SimEngine engine) {
+    /**
+     * The engine is asked what it runs of a process that is silent or was started anew, now and
+     * then of one that is neither.
+     */
+    private void ask(
+            GrantMachine view,
+            SimProcess seat,
+            String name,
+            Books.ProcessBook process,
+            SimEngine engine) {
         boolean former = process.hasFormer && random.nextBoolean();
         long over = former ? process.formerExpiredAt : process.expiredAt;
         boolean silent = seenNumber.getOrDefault(name, -1L) == process.number;
@@ -266,36 +377,66 @@
         }
         long seen = view.books().index;
         if (random.nextInt(silent ? 3 : 60) == 0) { // a member without the right to
-            submit(seat.session(), new BudgetCommand.Expire(name, process.session, former, process.number).encode(), effects -> { });
+            submit(
+                    seat.session(),
+                    new BudgetCommand.Expire(name, process.session, former, process.number)
+                            .encode(),
+                    effects -> {});
         }
-        at(now + delay(), () -> {
-            BudgetCommand.Count count = new BudgetCommand.Count(engine.name, engine.incarnation, name, process.session, former, seen,
-                    engine.count(name, process.session, former), former && engine.closed(name, process.session));
-            long kept = random.nextInt(4) == 0 ? random.nextLong(2_000 * MS) : 0; // the asker may be stopped meanwhile
-            at(now + kept, () -> submit(seat.session(), count.encode(), effects -> { }));
-        });
+        at(
+                now + delay(),
+                () -> {
+                    BudgetCommand.Count count =
+                            new BudgetCommand.Count(
+                                    engine.name,
+                                    engine.incarnation,
+                                    name,
+                                    process.session,
+                                    former,
+                                    seen,
+                                    engine.count(name, process.session, former),
+                                    former && engine.closed(name, process.session));
+                    long kept =
+                            random.nextInt(4) == 0
+                                    ? random.nextLong(2_000 * MS)
+                                    : 0; // the asker may be stopped meanwhile
+                    at(now + kept, () -> submit(seat.session(), count.encode(), effects -> {}));
+                });
     }
 
     private void tell(SimEngine engine) {
         long incarnation = engine.incarnation;
         int cap = engine.cap;
-        submit(1_000_000, new BudgetCommand.Engine(engine.name, incarnation, engine.pool, cap).encode(), effects -> { });
-        at(now + 500 * MS, () -> { // until the machine has it
-            Books.EngineBook book = machine.books().engines.get(engine.name);
-            if (engine.incarnation == incarnation && engine.cap == cap && (book == null || book.incarnation != incarnation || book.target != cap)) {
-                tell(engine);
-            }
-        });
+        submit(
+                1_000_000,
+                new BudgetCommand.Engine(engine.name, incarnation, engine.pool, cap).encode(),
+                effects -> {});
+        at(
+                now + 500 * MS,
+                () -> { // until the machine has it
+                    Books.EngineBook book = machine.books().engines.get(engine.name);
+                    if (engine.incarnation == incarnation
+                            && engine.cap == cap
+                            && (book == null
+                                    || book.incarnation != incarnation
+                                    || book.target != cap)) {
+                        tell(engine);
+                    }
+                });
     }
 
     private void mishap() {
         int kind = random.nextInt(MISHAPS);
         switch ((faults.kinds >> kind & 1) == 0 ? MISHAPS : kind) {
-            case MISHAPS -> { }
+            case MISHAPS -> {}
             case 0, 9 -> {
                 injected("process stopped");
-                processes.get(random.nextInt(processes.size())).stop(random.nextLong(50 * MS, random.nextBoolean() ? 4_000 * MS : 900 * MS),
-                        random.nextBoolean());
+                processes
+                        .get(random.nextInt(processes.size()))
+                        .stop(
+                                random.nextLong(
+                                        50 * MS, random.nextBoolean() ? 4_000 * MS : 900 * MS),
+                                random.nextBoolean());
             }
             case 1 -> {
                 if (random.nextInt(3) == 0) {
@@ -315,7 +456,9 @@
             case 3 -> {
                 SimEngine engine = engines.get(random.nextInt(engines.size()));
                 injected("cap changed");
-                engine.cap = settings.processes().size() * settings.pool(engine.pool).floor() + random.nextInt(30);
+                engine.cap =
+                        settings.processes().size() * settings.pool(engine.pool).floor()
+                                + random.nextInt(30);
                 tell(engine);
             }
             case 4 -> {
@@ -343,10 +486,13 @@
             case 8 -> {
                 int ways = random.nextInt(1, 4);
                 injected(ways == 3 ? "link cut" : "link cut one way");
-                processes.get(random.nextInt(processes.size())).cut((ways & 1) != 0, (ways & 2) != 0, random.nextLong(3_000 * MS));
+                processes
+                        .get(random.nextInt(processes.size()))
+                        .cut((ways & 1) != 0, (ways & 2) != 0, random.nextLong(3_000 * MS));
             }
             default -> {
-                byte[] snapshot = machine.snapshot(); // a copy that starts from a snapshot goes on alike
+                byte[] snapshot =
+                        machine.snapshot(); // a copy that starts from a snapshot goes on alike
                 machine.restore(snapshot);
                 injected("snapshot restored");
             }
--- a/src/measure/java/calicostream/budget/MaxMinOracle.java
+++ b/src/measure/java/calicostream/budget/MaxMinOracle.java
@@ -5,12 +5,14 @@
 import java.util.function.IntToDoubleFunction;
 
 /**
- * The fair division as real numbers, by another way than {@link Divider}: what any set of tenants can have together is the least cut round it, over
- * all sets; the level is raised by bisection until a set is full, whose tenants then stay. Slow: for up to some eight tenants.
+ * The fair division as real numbers, by another way than {@link Divider}: what any set of tenants
+ * can have together is the least cut round it, over all sets; the level is raised by bisection
+ * until a set is full, whose tenants then stay. Slow: for up to some eight tenants.
  */
 final class MaxMinOracle {
     /** What is given too much in one phase must be nothing to the next. */
     private static final double[] EXACT = {1e-9, 1e-7, 1e-5};
+
     private final Divider.Problem problem;
     private final int tenants;
 
@@ -29,17 +31,31 @@
         double[] lower = new double[tenants];
         for (int k = 0; k < problem.tiers(); k++) {
             int tier = k;
-            double[] promised = fill(i -> problem.tierGuarantees()[i][tier], new double[tenants],
-                    i -> Math.min(problem.tierGuarantees()[i][tier], problem.tierCeilings()[i][tier]), ranks(set -> within(tier, set)), EXACT[0]);
+            double[] promised =
+                    fill(
+                            i -> problem.tierGuarantees()[i][tier],
+                            new double[tenants],
+                            i ->
+                                    Math.min(
+                                            problem.tierGuarantees()[i][tier],
+                                            problem.tierCeilings()[i][tier]),
+                            ranks(set -> within(tier, set)),
+                            EXACT[0]);
             for (int t = 0; t < tenants; t++) {
                 kept[t][k] = promised[t];
                 lower[t] += promised[t];
             }
         }
         double[] ranks = ranks(set -> rank(set, kept));
-        double[] guaranteed = fill(t -> problem.guarantees()[t], lower, t -> Math.min(problem.guarantees()[t], problem.ceilings()[t]), ranks,
-                EXACT[1]);
-        return fill(t -> problem.weights()[t], guaranteed, t -> problem.ceilings()[t], ranks, EXACT[2]);
+        double[] guaranteed =
+                fill(
+                        t -> problem.guarantees()[t],
+                        lower,
+                        t -> Math.min(problem.guarantees()[t], problem.ceilings()[t]),
+                        ranks,
+                        EXACT[1]);
+        return fill(
+                t -> problem.weights()[t], guaranteed, t -> problem.ceilings()[t], ranks, EXACT[2]);
     }
 
     private double[] ranks(IntToDoubleFunction rank) {
@@ -65,7 +81,10 @@
         return Math.min(engines, problem.tierCaps()[tier]);
     }
 
-    /** The most that these tenants can have together while each tenant keeps what it was guaranteed in each tier. */
+    /**
+     * The most that these tenants can have together while each tenant keeps what it was guaranteed
+     * in each tier.
+     */
     private double rank(int set, double[][] kept) {
         double rank = 0;
         for (int k = 0; k < problem.tiers(); k++) {
@@ -75,7 +94,10 @@
                 for (int t = 0; t < tenants; t++) {
                     boolean in = (set >> t & 1) == 1;
                     boolean reaches = (reached >> t & 1) == 1;
-                    cut += in && !reaches ? problem.tierCeilings()[t][k] : !in && reaches ? -kept[t][k] : 0;
+                    cut +=
+                            in && !reaches
+                                    ? problem.tierCeilings()[t][k]
+                                    : !in && reaches ? -kept[t][k] : 0;
                 }
                 least = Math.min(least, cut);
             }
@@ -84,7 +106,12 @@
         return rank;
     }
 
-    private double[] fill(IntToDoubleFunction weight, double[] lower, IntToDoubleFunction upper, double[] ranks, double exact) {
+    private double[] fill(
+            IntToDoubleFunction weight,
+            double[] lower,
+            IntToDoubleFunction upper,
+            double[] ranks,
+            double exact) {
         double[] given = lower.clone();
         boolean[] still = new boolean[tenants];
         for (int t = 0; t < tenants; t++) {
@@ -108,7 +135,9 @@
             for (int t = 0; t < tenants; t++) {
                 double[] more = given.clone();
                 more[t] += 100 * exact;
-                if (still[t] && (given[t] >= upper.applyAsDouble(t) - exact || !fits(more, ranks, exact))) {
+                if (still[t]
+                        && (given[t] >= upper.applyAsDouble(t) - exact
+                                || !fits(more, ranks, exact))) {
                     next[t] = false;
                 }
             }
@@ -120,11 +149,19 @@
         return given;
     }
 
-    private double[] at(double level, IntToDoubleFunction weight, double[] given, IntToDoubleFunction upper, boolean[] still) {
+    private double[] at(
+            double level,
+            IntToDoubleFunction weight,
+            double[] given,
+            IntToDoubleFunction upper,
+            boolean[] still) {
         double[] then = given.clone();
         for (int t = 0; t < tenants; t++) {
             if (still[t]) {
-                then[t] = Math.max(given[t], Math.min(upper.applyAsDouble(t), level * weight.applyAsDouble(t)));
+                then[t] =
+                        Math.max(
+                                given[t],
+                                Math.min(upper.applyAsDouble(t), level * weight.applyAsDouble(t)));
             }
         }
         return then;
--- a/src/measure/java/calicostream/budget/SimEngine.java
+++ b/src/measure/java/calicostream/budget/SimEngine.java
@@ -4,24 +4,38 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A stand-in engine, which runs what it is sent and counts it; it knows no grant and refuses nothing. */
+/**
+ * A stand-in engine, which runs what it is sent and counts it; it knows no grant and refuses
+ * nothing.
+ */
 final class SimEngine {
     /** One start of a process, as the engine tells them apart. */
-    record Owner(String process, long session) { }
+    record Owner(String process, long session) {}
 
     final String name;
     final String pool;
-    /** Whether it tells a process what that process's earlier starts have there, or only how many sessions it has in all. */
+
+    /**
+     * Whether it tells a process what that process's earlier starts have there, or only how many
+     * sessions it has in all.
+     */
     final boolean tellsByProcess;
+
     long incarnation = 1;
     int cap;
     int running;
+
     /** What the checker last saw to be in force. */
     int inForce;
+
     long area;
     long areaSince;
     final Map<Owner, Integer> by = new HashMap<>();
-    /** Links that processes have to this incarnation: until when each is busy; gone once the engine saw it closed. */
+
+    /**
+     * Links that processes have to this incarnation: until when each is busy; gone once the engine
+     * saw it closed.
+     */
     final Map<Owner, Long> links = new HashMap<>();
 
     SimEngine(String name, String pool, int cap, boolean tellsByProcess) {
@@ -49,11 +63,19 @@
     }
 
     int count(String process, long session, boolean former) {
-        return by.entrySet().stream().filter(each -> each.getKey().process.equals(process)
-                && (former ? each.getKey().session < session : each.getKey().session == session)).mapToInt(Map.Entry::getValue).sum();
+        return by.entrySet().stream()
+                .filter(
+                        each ->
+                                each.getKey().process.equals(process)
+                                        && (former
+                                                ? each.getKey().session < session
+                                                : each.getKey().session == session))
+                .mapToInt(Map.Entry::getValue)
+                .sum();
     }
 
     boolean closed(String process, long session) {
-        return links.keySet().stream().noneMatch(owner -> owner.process.equals(process) && owner.session < session);
+        return links.keySet().stream()
+                .noneMatch(owner -> owner.process.equals(process) && owner.session < session);
     }
 }
--- a/src/measure/java/calicostream/budget/SimProcess.java
+++ b/src/measure/java/calicostream/budget/SimProcess.java
@@ -8,15 +8,16 @@
 import java.util.Map;
 
 /**
- * A process with its clients: decides each request from its holdings alone, reports, and may be stopped between a decision and its act, killed,
- * or cut off. Its links to engines keep their order; a stopped process reads nothing until it goes on.
+ * A process with its clients: decides each request from its holdings alone, reports, and may be
+ * stopped between a decision and its act, killed, or cut off. Its links to engines keep their
+ * order; a stopped process reads nothing until it goes on.
  */
 final class SimProcess {
     /**
      * @param clients by tenant: requests that are always there at each engine, or wait
      * @param millis a session's length, about
      */
-    record Load(int[] clients, int millis) { }
+    record Load(int[] clients, int millis) {}
 
     /** Longer than any link delays, on the fastest clock. */
     private static final long TRAVEL = 4_020 * BudgetSim.MS;
@@ -105,17 +106,28 @@
 
     private void join(long mine) {
         boolean[] joined = new boolean[1];
-        sim.submit(mine, new BudgetCommand.Join(name).encode(), effects -> here(mine, () -> {
-            if (effects.accepted() && !joined[0]) {
-                joined[0] = true;
-                report(mine);
-            }
-        }));
-        sim.at(sim.now + 300 * BudgetSim.MS, () -> here(mine, () -> {
-            if (!joined[0]) {
-                join(mine);
-            }
-        }));
+        sim.submit(
+                mine,
+                new BudgetCommand.Join(name).encode(),
+                effects ->
+                        here(
+                                mine,
+                                () -> {
+                                    if (effects.accepted() && !joined[0]) {
+                                        joined[0] = true;
+                                        report(mine);
+                                    }
+                                }));
+        sim.at(
+                sim.now + 300 * BudgetSim.MS,
+                () ->
+                        here(
+                                mine,
+                                () -> {
+                                    if (!joined[0]) {
+                                        join(mine);
+                                    }
+                                }));
     }
 
     private void report(long mine) {
@@ -123,21 +135,32 @@
             return;
         }
         look();
-        sim.engines.stream().filter(engine -> !engine.tellsByProcess).forEach(engine -> askForAll(engine, mine));
+        sim.engines.stream()
+                .filter(engine -> !engine.tellsByProcess)
+                .forEach(engine -> askForAll(engine, mine));
         long number = ++reports; // one report leads to one next, however late its answer
         boolean[] answered = new boolean[1];
-        sim.submit(mine, holdings.report(clock(), demand).encode(), effects -> here(mine, () -> answered(mine, effects, answered, number)),
-                dumbUntil, deafUntil);
+        sim.submit(
+                mine,
+                holdings.report(clock(), demand).encode(),
+                effects -> here(mine, () -> answered(mine, effects, answered, number)),
+                dumbUntil,
+                deafUntil);
         if (stopWhenAsked > 0) {
             long nanos = stopWhenAsked;
             stopWhenAsked = 0;
             stop(nanos, false);
         }
-        sim.at(sim.now + 200 * BudgetSim.MS, () -> here(mine, () -> {
-            if (!answered[0] && number == reports) {
-                report(mine);
-            }
-        }));
+        sim.at(
+                sim.now + 200 * BudgetSim.MS,
+                () ->
+                        here(
+                                mine,
+                                () -> {
+                                    if (!answered[0] && number == reports) {
+                                        report(mine);
+                                    }
+                                }));
     }
 
     private void answered(long mine, Effects effects, boolean[] answered, long number) {
@@ -151,11 +174,16 @@
         }
         if (!answered[0]) {
             answered[0] = true;
-            sim.at(sim.now + (holdings.isCalledBack() ? 1 : 200) * BudgetSim.MS, () -> here(mine, () -> {
-                if (number == reports) {
-                    report(mine);
-                }
-            }));
+            sim.at(
+                    sim.now + (holdings.isCalledBack() ? 1 : 200) * BudgetSim.MS,
+                    () ->
+                            here(
+                                    mine,
+                                    () -> {
+                                        if (number == reports) {
+                                            report(mine);
+                                        }
+                                    }));
         }
     }
 
@@ -166,12 +194,16 @@
                 refused(t, waiting.remove(request), queues.refusal(t, clock()).returnAfterNanos());
             }
             for (int e = 0; e < sim.engines.size(); e++) {
-                demand.observe(t, e, holdings.sessions(t, e), queues.waiting(t, e) + idle[e][t], clock());
+                demand.observe(
+                        t, e, holdings.sessions(t, e), queues.waiting(t, e) + idle[e][t], clock());
             }
         }
     }
 
-    /** The link's first word: the engine's incarnation, and what earlier starts of this process have there. */
+    /**
+     * The link's first word: the engine's incarnation, and what earlier starts of this process have
+     * there.
+     */
     private void connect(SimEngine engine, long mine) {
         if (!up || session != mine) {
             return;
@@ -181,30 +213,50 @@
         int slot = sim.engines.indexOf(engine);
         boolean first = !engine.links.containsKey(owner);
         engine.links.putIfAbsent(owner, sim.now);
-        sim.at(sim.now + sim.delay(), () -> {
-            if (engine.incarnation == incarnation) {
-                int left = engine.count(name, mine, true);
-                boolean closed = engine.closed(name, mine);
-                sim.at(sim.now + sim.delay(), () -> here(mine, () -> {
-                    holdings.connected(slot, incarnation);
-                    if (closed && engine.tellsByProcess) {
-                        holdings.leftRunning(slot, incarnation, left);
-                    }
-                    if (first) {
-                        for (int t = 0; t < load.clients.length; t++) {
-                            for (int i = 0; i < load.clients[t]; i++) {
-                                arrive(t, slot, mine);
-                            }
-                        }
-                    } else {
-                        serve(slot);
-                    }
-                    if (!closed || left > 0) {
-                        sim.at(sim.now + 200 * BudgetSim.MS, () -> here(mine, () -> connect(engine, mine)));
+        sim.at(
+                sim.now + sim.delay(),
+                () -> {
+                    if (engine.incarnation == incarnation) {
+                        int left = engine.count(name, mine, true);
+                        boolean closed = engine.closed(name, mine);
+                        sim.at(
+                                sim.now + sim.delay(),
+                                () ->
+                                        here(
+                                                mine,
+                                                () -> {
+                                                    holdings.connected(slot, incarnation);
+                                                    if (closed && engine.tellsByProcess) {
+                                                        holdings.leftRunning(
+                                                                slot, incarnation, left);
+                                                    }
+                                                    if (first) {
+                                                        for (int t = 0;
+                                                                t < load.clients.length;
+                                                                t++) {
+                                                            for (int i = 0;
+                                                                    i < load.clients[t];
+                                                                    i++) {
+                                                                arrive(t, slot, mine);
+                                                            }
+                                                        }
+                                                    } else {
+                                                        serve(slot);
+                                                    }
+                                                    if (!closed || left > 0) {
+                                                        sim.at(
+                                                                sim.now + 200 * BudgetSim.MS,
+                                                                () ->
+                                                                        here(
+                                                                                mine,
+                                                                                () ->
+                                                                                        connect(
+                                                                                                engine,
+                                                                                                mine)));
+                                                    }
+                                                }));
                     }
-                }));
-            }
-        });
+                });
     }
 
     /** Its count of all sessions, whoever's. */
@@ -213,15 +265,22 @@
         long incarnation = holdings.incarnation(slot);
         long asked = clock();
         if (incarnation != 0 && ledger.isDue(slot, asked)) {
-            sim.at(sim.now + sim.delay(), () -> {
-                int running = engine.running;
-                sim.at(sim.now + sim.delay(), () -> here(mine, () -> {
-                    if (holdings.incarnation(slot) == incarnation) {
-                        ledger.counted(slot, asked, running);
-                        serve(slot);
-                    }
-                }));
-            });
+            sim.at(
+                    sim.now + sim.delay(),
+                    () -> {
+                        int running = engine.running;
+                        sim.at(
+                                sim.now + sim.delay(),
+                                () ->
+                                        here(
+                                                mine,
+                                                () -> {
+                                                    if (holdings.incarnation(slot) == incarnation) {
+                                                        ledger.counted(slot, asked, running);
+                                                        serve(slot);
+                                                    }
+                                                }));
+                    });
         }
     }
 
@@ -237,7 +296,8 @@
         if (!up || session != mine) {
             return;
         }
-        if (sim.faults.on() && sim.random.nextInt(200) == 0) { // a tenant's clients come and go together
+        if (sim.faults.on()
+                && sim.random.nextInt(200) == 0) { // a tenant's clients come and go together
             quietUntil[tenant] = sim.now + sim.random.nextLong(1_000 * BudgetSim.MS);
         }
         if (sim.now < quietUntil[tenant]) {
@@ -260,10 +320,15 @@
         refused++;
         long mine = session;
         idle[slot][tenant]++;
-        sim.at(sim.now + after, () -> here(mine, () -> {
-            idle[slot][tenant]--;
-            arrive(tenant, slot, mine);
-        }));
+        sim.at(
+                sim.now + after,
+                () ->
+                        here(
+                                mine,
+                                () -> {
+                                    idle[slot][tenant]--;
+                                    arrive(tenant, slot, mine);
+                                }));
     }
 
     private void serve(int slot) {
@@ -297,7 +362,9 @@
         long incarnation = holdings.incarnation(slot);
         long mine = session;
         later.add(() -> send(engine, tenant, slot, incarnation, mine));
-        sim.at(sim.now, () -> here(mine, this::flush)); // a stop may come between the decision and this
+        sim.at(
+                sim.now,
+                () -> here(mine, this::flush)); // a stop may come between the decision and this
     }
 
     private void flush() {
@@ -313,33 +380,50 @@
         }
         long arrives = Math.max(engine.links.getOrDefault(owner, sim.now), sim.now + sim.delay());
         engine.links.put(owner, arrives);
-        sim.at(arrives, () -> {
-            if (engine.incarnation != incarnation) {
-                return;
-            }
-            engine.add(sim.now, owner, 1);
-            long lasts = load.millis * BudgetSim.MS / 2 + sim.random.nextLong(load.millis * BudgetSim.MS);
-            if (sim.faults.on() && sim.random.nextInt(12) == 0) {
-                lasts *= 20;
-            }
-            sim.at(sim.now + sim.delay(), () -> here(mine, () -> {
-                holdings.arrived(slot, incarnation);
-                serve(slot);
-            }));
-            long ends = sim.now + Math.max(lasts, 1);
-            sim.at(ends, () -> {
-                if (engine.incarnation == incarnation) {
-                    engine.add(sim.now, owner, -1);
-                    sim.at(sim.now + sim.delay(), () -> here(mine, () -> {
-                        area();
-                        holdings.ended(tenant, slot, incarnation);
-                        queues.ended(tenant, clock());
-                        serve(slot);
-                        arrive(tenant, slot, mine);
-                    }));
-                }
-            });
-        });
+        sim.at(
+                arrives,
+                () -> {
+                    if (engine.incarnation != incarnation) {
+                        return;
+                    }
+                    engine.add(sim.now, owner, 1);
+                    long lasts =
+                            load.millis * BudgetSim.MS / 2
+                                    + sim.random.nextLong(load.millis * BudgetSim.MS);
+                    if (sim.faults.on() && sim.random.nextInt(12) == 0) {
+                        lasts *= 20;
+                    }
+                    sim.at(
+                            sim.now + sim.delay(),
+                            () ->
+                                    here(
+                                            mine,
+                                            () -> {
+                                                holdings.arrived(slot, incarnation);
+                                                serve(slot);
+                                            }));
+                    long ends = sim.now + Math.max(lasts, 1);
+                    sim.at(
+                            ends,
+                            () -> {
+                                if (engine.incarnation == incarnation) {
+                                    engine.add(sim.now, owner, -1);
+                                    sim.at(
+                                            sim.now + sim.delay(),
+                                            () ->
+                                                    here(
+                                                            mine,
+                                                            () -> {
+                                                                area();
+                                                                holdings.ended(
+                                                                        tenant, slot, incarnation);
+                                                                queues.ended(tenant, clock());
+                                                                serve(slot);
+                                                                arrive(tenant, slot, mine);
+                                                            }));
+                                }
+                            });
+                });
     }
 
     /** As by SIGSTOP; its clock goes on. Whatever it decided last may not have been acted on. */
@@ -358,13 +442,19 @@
         }
     }
 
-    /** What it sends to the log is lost for a while; what comes back is lost, or comes after the cut. */
+    /**
+     * What it sends to the log is lost for a while; what comes back is lost, or comes after the
+     * cut.
+     */
     void cut(boolean out, boolean back, long nanos) {
         dumbUntil = out ? sim.now + nanos : dumbUntil;
         deafUntil = back ? sim.now + nanos : deafUntil;
     }
 
-    /** As by SIGKILL: links close behind what is on them, what it began runs on; a while later it is started anew. */
+    /**
+     * As by SIGKILL: links close behind what is on them, what it began runs on; a while later it is
+     * started anew.
+     */
     void crash() {
         if (up) {
             up = false;
@@ -373,12 +463,15 @@
             for (SimEngine engine : sim.engines) {
                 long incarnation = engine.incarnation;
                 SimEngine.Owner owner = new SimEngine.Owner(name, mine);
-                long closes = Math.max(engine.links.getOrDefault(owner, sim.now), sim.now + sim.delay());
-                sim.at(closes, () -> {
-                    if (engine.incarnation == incarnation) {
-                        engine.links.remove(owner);
-                    }
-                });
+                long closes =
+                        Math.max(engine.links.getOrDefault(owner, sim.now), sim.now + sim.delay());
+                sim.at(
+                        closes,
+                        () -> {
+                            if (engine.incarnation == incarnation) {
+                                engine.links.remove(owner);
+                            }
+                        });
             }
             sim.at(sim.now + sim.random.nextLong(1, 2_000 * BudgetSim.MS), this::start);
         }
@@ -389,7 +482,7 @@
         if (up && !isStopped() && holdings.isIdle()) {
             long mine = session;
             up = false;
-            sim.submit(mine, new BudgetCommand.Leave().encode(), effects -> { });
+            sim.submit(mine, new BudgetCommand.Leave().encode(), effects -> {});
             sim.engines.forEach(engine -> engine.links.remove(new SimEngine.Owner(name, mine)));
             sim.at(sim.now + sim.random.nextLong(1, 1_000 * BudgetSim.MS), this::start);
         }
--- a/src/measure/java/calicostream/cluster/process/Count.java
+++ b/src/measure/java/calicostream/cluster/process/Count.java
@@ -35,8 +35,14 @@
     @Override
     public void tick() {
         if (adds && session.waiting() == 0) {
-            session.run("count", new byte[0], outcome ->
-                    answered = outcome.accepted() ? new Bytes.Reader("sum", outcome.answer()).i64() : answered);
+            session.run(
+                    "count",
+                    new byte[0],
+                    outcome ->
+                            answered =
+                                    outcome.accepted()
+                                            ? new Bytes.Reader("sum", outcome.answer()).i64()
+                                            : answered);
         }
     }
 
@@ -53,7 +59,13 @@
 
     @Override
     public String figures() {
-        return "{\"answered\":" + answered + ",\"heard\":" + heard + ",\"stopped_at\":" + stoppedAt + "}";
+        return "{\"answered\":"
+                + answered
+                + ",\"heard\":"
+                + heard
+                + ",\"stopped_at\":"
+                + stoppedAt
+                + "}";
     }
 
     @Override
--- a/src/measure/java/calicostream/cluster/process/Folders.java
+++ b/src/measure/java/calicostream/cluster/process/Folders.java
@@ -9,18 +9,19 @@
 
 /** Members' folders as somebody may bring them back from elsewhere, or lose them. */
 public final class Folders {
-    private Folders() { }
+    private Folders() {}
 
     /** All that is in it, to a place that is not there yet. */
     public static void copy(Path from, Path to) throws IOException {
         try (Stream<Path> all = Files.walk(from)) {
-            all.forEach(each -> {
-                try {
-                    Files.copy(each, to.resolve(from.relativize(each).toString()));
-                } catch (IOException e) {
-                    throw new UncheckedIOException(e);
-                }
-            });
+            all.forEach(
+                    each -> {
+                        try {
+                            Files.copy(each, to.resolve(from.relativize(each).toString()));
+                        } catch (IOException e) {
+                            throw new UncheckedIOException(e);
+                        }
+                    });
         }
     }
 
--- a/src/measure/java/calicostream/cluster/process/MemberProcess.java
+++ b/src/measure/java/calicostream/cluster/process/MemberProcess.java
@@ -19,12 +19,21 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Predicate;
 
-/** The program as a process with a member of a cluster in it; its lines are read by a thread of this one. */
+/**
+ * The program as a process with a member of a cluster in it; its lines are read by a thread of this
+ * one.
+ */
 final class MemberProcess implements AutoCloseable {
     static final long PATIENCE_S = 60;
-    /** Heartbeats that a machine with two busy cores keeps up with, and a session that outlasts a change of leader. */
-    private static final String PACE = "[raft]\nheartbeat = \"50ms\"\nmissed = 8\nelection = \"300ms\"\nsnapshot_every = 200\n"
-            + "[session]\nttl = \"1500ms\"\nretry = \"200ms\"\n";
+
+    /**
+     * Heartbeats that a machine with two busy cores keeps up with, and a session that outlasts a
+     * change of leader.
+     */
+    private static final String PACE =
+            "[raft]\nheartbeat = \"50ms\"\nmissed = 8\nelection = \"300ms\"\nsnapshot_every = 200\n"
+                    + "[session]\nttl = \"1500ms\"\nretry = \"200ms\"\n";
+
     final Process process;
     private final StringBuffer lines = new StringBuffer();
     private final CompletableFuture<Integer> admin = new CompletableFuture<>();
@@ -35,16 +44,34 @@
      *
      * @param options of the virtual machine
      */
-    MemberProcess(Path folder, int changelogPort, String cluster, String... options) throws IOException {
+    MemberProcess(Path folder, int changelogPort, String cluster, String... options)
+            throws IOException {
         Files.createDirectories(folder);
-        List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m", "-Dcalicostream.deploy=" + folder));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-XX:+UseSerialGC",
+                                "-XX:TieredStopAtLevel=1",
+                                "-Xmx96m",
+                                "-Dcalicostream.deploy=" + folder));
         command.addAll(List.of(options));
-        command.addAll(List.of("-cp", System.getProperty("java.class.path"), "calicostream.Main", "serve"));
+        command.addAll(
+                List.of(
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "calicostream.Main",
+                        "serve"));
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
-        builder.environment().put("NODE_CONFIG", Program.configure(folder, 0, changelogPort, List.of(), 1024).toString());
+        builder.environment()
+                .put(
+                        "NODE_CONFIG",
+                        Program.configure(folder, 0, changelogPort, List.of(), 1024).toString());
         builder.environment().put("TMPDIR", folder.toString());
-        builder.environment().put("NODE_CLUSTER", Files.writeString(folder.resolve("cluster.toml"), cluster).toString());
+        builder.environment()
+                .put(
+                        "NODE_CLUSTER",
+                        Files.writeString(folder.resolve("cluster.toml"), cluster).toString());
         process = builder.start();
         reader = new Thread(this::read, "lines of " + folder.getFileName());
         reader.setDaemon(true);
@@ -64,13 +91,27 @@
         return ports;
     }
 
-    /** Settings of member {@code number}; the first three are voters. {@code own} has more lines of its table {@code [member]}. */
+    /**
+     * Settings of member {@code number}; the first three are voters. {@code own} has more lines of
+     * its table {@code [member]}.
+     */
     static String settings(int number, List<Integer> ports, String own) {
-        StringBuilder out = new StringBuilder("enabled = true\n[cluster]\nname = \"test\"\n[member]\nname = \"m" + number
-                + "\"\ndata = \"data\"\n" + own + "\n");
+        StringBuilder out =
+                new StringBuilder(
+                        "enabled = true\n[cluster]\nname = \"test\"\n[member]\nname = \"m"
+                                + number
+                                + "\"\ndata = \"data\"\n"
+                                + own
+                                + "\n");
         for (int i = 1; i <= ports.size(); i++) {
-            out.append(i <= 3 ? "[[voters]]\n" : "[[members]]\n").append("name = \"m").append(i).append("\"\nnumber = ").append(i)
-                    .append("\naddress = \"127.0.0.1:").append(ports.get(i - 1)).append("\"\n");
+            out.append(i <= 3 ? "[[voters]]\n" : "[[members]]\n")
+                    .append("name = \"m")
+                    .append(i)
+                    .append("\"\nnumber = ")
+                    .append(i)
+                    .append("\naddress = \"127.0.0.1:")
+                    .append(ports.get(i - 1))
+                    .append("\"\n");
         }
         return out + PACE;
     }
@@ -108,7 +149,9 @@
     /** What the member says once the condition holds. */
     JsonObject await(String what, Predicate<JsonObject> condition) throws Exception {
         JsonObject last = null;
-        for (long end = System.nanoTime() + PATIENCE_S * 1_000_000_000L; System.nanoTime() < end; LockSupport.parkNanos(20_000_000)) {
+        for (long end = System.nanoTime() + PATIENCE_S * 1_000_000_000L;
+                System.nanoTime() < end;
+                LockSupport.parkNanos(20_000_000)) {
             last = signs();
             if (condition.test(last)) {
                 return last;
--- a/src/measure/java/calicostream/cluster/process/MembersHere.java
+++ b/src/measure/java/calicostream/cluster/process/MembersHere.java
@@ -14,8 +14,8 @@
 import java.util.function.Predicate;
 
 /**
- * Three voters with threads, sockets and folders in this process, each with a {@link Count} and without a front end. One thread uses
- * it; {@link #close} stops all of them, whatever they do.
+ * Three voters with threads, sockets and folders in this process, each with a {@link Count} and
+ * without a front end. One thread uses it; {@link #close} stops all of them, whatever they do.
  */
 final class MembersHere implements AutoCloseable {
     final Map<Integer, Count> counts = new HashMap<>();
@@ -36,10 +36,14 @@
 
     /** Starts a member, or starts it again, on its folder. */
     void start(int number) throws IOException {
-        Path settings = Files.createDirectories(folder.resolve("m" + number)).resolve("cluster.toml");
+        Path settings =
+                Files.createDirectories(folder.resolve("m" + number)).resolve("cluster.toml");
         Files.writeString(settings, MemberProcess.settings(number, ports, ""));
         counts.put(number, new Count());
-        members.put(number, Member.start(ClusterConfig.read(settings).orElseThrow(), List.of(counts.get(number))));
+        members.put(
+                number,
+                Member.start(
+                        ClusterConfig.read(settings).orElseThrow(), List.of(counts.get(number))));
     }
 
     /** Returns when each of the three votes. */
@@ -64,7 +68,8 @@
 
     /** What the member says once the condition holds. */
     JsonObject await(int number, Predicate<JsonObject> condition) {
-        for (long end = System.nanoTime() + MemberProcess.PATIENCE_S * 1_000_000_000L; System.nanoTime() < end; ) {
+        for (long end = System.nanoTime() + MemberProcess.PATIENCE_S * 1_000_000_000L;
+                System.nanoTime() < end; ) {
             JsonObject signs = signs(number);
             if (condition.test(signs)) {
                 return signs;
@@ -75,8 +80,10 @@
     }
 
     static boolean votes(JsonObject signs) {
-        return signs.get("state").asString().equals("voter") && signs.get("session_alive").asBoolean()
-                && signs.get("no_quorum_ms").asLong() == 0 && signs.get("leader").asInt() != 0;
+        return signs.get("state").asString().equals("voter")
+                && signs.get("session_alive").asBoolean()
+                && signs.get("no_quorum_ms").asLong() == 0
+                && signs.get("leader").asInt() != 0;
     }
 
     /** One of its count's figures. */
--- a/src/measure/java/calicostream/cluster/raft/RecallGroup.java
+++ b/src/measure/java/calicostream/cluster/raft/RecallGroup.java
@@ -9,10 +9,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Voters that ask each other before their first word; frames are handed over by hand. One thread. */
+/**
+ * Voters that ask each other before their first word; frames are handed over by hand. One thread.
+ */
 final class RecallGroup {
     static final int PATIENCE = 4;
-    private static final List<Voter> FIRST = List.of(new Voter(1, 0), new Voter(2, 0), new Voter(3, 0));
+    private static final List<Voter> FIRST =
+            List.of(new Voter(1, 0), new Voter(2, 0), new Voter(3, 0));
 
     /** A voter's process and what it kept. */
     final class Side implements Recall.Keeper {
@@ -50,11 +53,19 @@
     /** Again, with what it remembers of its peers, if it has run here before. */
     Side start(int member, Own own) {
         Side before = sides.get(member);
-        sides.put(member, new Side(new Voter(member, 0), own, before == null ? null : before.memory, own.lastIndex() > 0));
+        sides.put(
+                member,
+                new Side(
+                        new Voter(member, 0),
+                        own,
+                        before == null ? null : before.memory,
+                        own.lastIndex() > 0));
         return sides.get(member);
     }
 
-    /** Beats at all, with all answers, for some rounds; who is not among {@code up} hears nothing. */
+    /**
+     * Beats at all, with all answers, for some rounds; who is not among {@code up} hears nothing.
+     */
     void rounds(int rounds, Integer... up) throws IOException {
         List<Integer> there = List.of(up);
         for (int i = 0; i < rounds; i++) {
@@ -63,8 +74,17 @@
                 for (Recall.Send ask : asks) {
                     if (there.contains(ask.member())) {
                         Side peer = sides.get(ask.member());
-                        for (Recall.Send told : peer.recall.received(member, (Frame.Recall) Frame.decode(ask.frame()), peer.grouped)) {
-                            sides.get(member).recall.received(ask.member(), (Frame.Recalled) Frame.decode(told.frame()), sides.get(member).grouped);
+                        for (Recall.Send told :
+                                peer.recall.received(
+                                        member,
+                                        (Frame.Recall) Frame.decode(ask.frame()),
+                                        peer.grouped)) {
+                            sides.get(member)
+                                    .recall
+                                    .received(
+                                            ask.member(),
+                                            (Frame.Recalled) Frame.decode(told.frame()),
+                                            sides.get(member).grouped);
                         }
                     }
                 }
