--- a/src/measure/java/calicostream/cluster/sim/LeaseSimMain.java
+++ b/src/measure/java/calicostream/cluster/sim/LeaseSimMain.java
@@ -7,18 +7,20 @@
 import java.util.stream.IntStream;
 import java.util.stream.LongStream;
 
-/** Leases on simulated clusters: {@code LeaseSimMain FIRST COUNT [ALL|KILLS|KILLS_OUTSIDE [told|untold [MUTANT]]]}. */
+/**
+ * Leases on simulated clusters: {@code LeaseSimMain FIRST COUNT [ALL|KILLS|KILLS_OUTSIDE
+ * [told|untold [MUTANT]]]}.
+ */
 public final class LeaseSimMain {
     /** A run and what its leases saw. */
-    record Run(SimCluster.Result result, SimLeases leases) {
-    }
+    record Run(SimCluster.Result result, SimLeases leases) {}
 
-    private LeaseSimMain() {
-    }
+    private LeaseSimMain() {}
 
     static Run run(long seed, SimLeases.Plan plan, Mutant without, boolean told) {
         SimLeases leases = new SimLeases(plan, without, told);
-        List<Faults.Fault> faults = plan == SimLeases.Plan.ALL ? Faults.draw(seed, SimCluster.FAULT_MILLIS) : List.of();
+        List<Faults.Fault> faults =
+                plan == SimLeases.Plan.ALL ? Faults.draw(seed, SimCluster.FAULT_MILLIS) : List.of();
         return new Run(SimCluster.run(seed, SimCluster.none(), faults, leases), leases);
     }
 
@@ -26,17 +28,53 @@
         System.setProperty("org.slf4j.simpleLogger.log.io.microraft", "off");
         long first = Long.parseLong(args[0]);
         long count = Long.parseLong(args[1]);
-        SimLeases.Plan plan = args.length > 2 ? SimLeases.Plan.valueOf(args[2]) : SimLeases.Plan.ALL;
+        SimLeases.Plan plan =
+                args.length > 2 ? SimLeases.Plan.valueOf(args[2]) : SimLeases.Plan.ALL;
         boolean told = args.length < 4 || args[3].equals("told");
         Mutant without = args.length > 4 ? Mutant.valueOf(args[4]) : null;
-        List<Run> runs = LongStream.range(first, first + count).parallel().mapToObj(seed -> run(seed, plan, without, told)).toList();
+        List<Run> runs =
+                LongStream.range(first, first + count)
+                        .parallel()
+                        .mapToObj(seed -> run(seed, plan, without, told))
+                        .toList();
         List<Run> bad = runs.stream().filter(run -> !run.result.fault().isEmpty()).toList();
-        bad.stream().limit(8).forEach(run -> System.out.println("seed " + run.result.seed() + " " + run.result.fault()));
-        List<Double> handOvers = runs.stream().flatMap(run -> run.leases.handOvers().stream()).sorted().toList();
-        System.out.println("runs " + count + " bad " + bad.size() + " steps " + runs.stream().mapToLong(run -> run.result.steps()).sum()
-                + " taken,refused,granted,queued " + IntStream.range(0, 4).mapToObj(i ->
-                        "" + runs.stream().mapToInt(run -> run.leases.counts().get(i)).sum()).toList()
-                + " hand-overs " + handOvers.size() + (handOvers.isEmpty() ? "" : " p50 " + handOvers.get(handOvers.size() / 2)
-                + " p99 " + handOvers.get(handOvers.size() * 99 / 100) + " most " + handOvers.get(handOvers.size() - 1)));
+        bad.stream()
+                .limit(8)
+                .forEach(
+                        run ->
+                                System.out.println(
+                                        "seed " + run.result.seed() + " " + run.result.fault()));
+        List<Double> handOvers =
+                runs.stream().flatMap(run -> run.leases.handOvers().stream()).sorted().toList();
+        System.out.println(
+                "runs "
+                        + count
+                        + " bad "
+                        + bad.size()
+                        + " steps "
+                        + runs.stream().mapToLong(run -> run.result.steps()).sum()
+                        + " taken,refused,granted,queued "
+                        + IntStream.range(0, 4)
+                                .mapToObj(
+                                        i ->
+                                                ""
+                                                        + runs.stream()
+                                                                .mapToInt(
+                                                                        run ->
+                                                                                run.leases
+                                                                                        .counts()
+                                                                                        .get(i))
+                                                                .sum())
+                                .toList()
+                        + " hand-overs "
+                        + handOvers.size()
+                        + (handOvers.isEmpty()
+                                ? ""
+                                : " p50 "
+                                        + handOvers.get(handOvers.size() / 2)
+                                        + " p99 "
+                                        + handOvers.get(handOvers.size() * 99 / 100)
+                                        + " most "
+                                        + handOvers.get(handOvers.size() - 1)));
     }
 }
--- a/src/measure/java/calicostream/cluster/sim/Lists.java
+++ b/src/measure/java/calicostream/cluster/sim/Lists.java
@@ -10,7 +10,10 @@
 import java.util.List;
 import java.util.function.BiConsumer;
 
-/** Lists to append to, since their histories can be judged in linear time; tells each call to a listener. */
+/**
+ * Lists to append to, since their histories can be judged in linear time; tells each call to a
+ * listener.
+ */
 final class Lists implements Machine {
     static final int KEYS = 3;
     private final BiConsumer<Long, String> heard;
@@ -48,7 +51,13 @@
 
     @Override
     public Effects apply(long index, Command command) {
-        heard.accept(index, command.session() + "/" + command.sequence() + "/" + Arrays.hashCode(command.body()));
+        heard.accept(
+                index,
+                command.session()
+                        + "/"
+                        + command.sequence()
+                        + "/"
+                        + Arrays.hashCode(command.body()));
         Bytes.Reader in = new Bytes.Reader("append", command.body());
         List<Long> list = lists.get(in.i32());
         list.add(in.i64());
--- a/src/measure/java/calicostream/cluster/sim/SimCluster.java
+++ b/src/measure/java/calicostream/cluster/sim/SimCluster.java
@@ -1,15 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.cluster.sim;
 
-import calicostream.cluster.ClusterException;
 import calicostream.cluster.Bytes;
+import calicostream.cluster.ClusterException;
 import calicostream.cluster.Entry;
 import calicostream.cluster.Frame;
 import calicostream.cluster.Links;
 import calicostream.cluster.Machine;
 import calicostream.cluster.MemberSession;
 import calicostream.cluster.Newsroom;
-import calicostream.cluster.Outcome;
 import calicostream.cluster.Replicated;
 import calicostream.cluster.Timekeeper;
 import calicostream.cluster.raft.Change;
@@ -35,24 +34,47 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** A whole cluster in one process: voters, spare processes, members, links, disks and clocks, from one seed. */
+/**
+ * A whole cluster in one process: voters, spare processes, members, links, disks and clocks, from
+ * one seed.
+ */
 final class SimCluster {
     private static final long MILLI = 1_000_000L;
     private static final int QUEUE = 16;
     private static final int MEMBER_QUEUE = 4;
     private static final int TTL = 1500;
     private static final int PATIENCE = 8;
-    /** For so long nothing else goes wrong after a lie: two lies at once, or a lie and a dead peer, may pass unnoticed. */
+
+    /**
+     * For so long nothing else goes wrong after a lie: two lies at once, or a lie and a dead peer,
+     * may pass unnoticed.
+     */
     private static final int QUIET_MILLIS = 800;
+
     static final int FAULT_MILLIS = 6_000;
 
     /** Safeguards that can be taken out, to show that the checks find it. */
-    enum Mutant { RETRY_WITHOUT_NUMBER, VOTE_AFTER_AMNESIA, SYNC_LIES, LATE_COUNT }
+    enum Mutant {
+        RETRY_WITHOUT_NUMBER,
+        VOTE_AFTER_AMNESIA,
+        SYNC_LIES,
+        LATE_COUNT
+    }
 
     /** What a run came to; {@code fault} is empty if every check held. */
-    record Result(long seed, String fault, long hash, long steps, long acknowledged, int eras, Map<Faults.Kind, Integer> faults,
-            int changes, int refused, int noticed, int expired, int restored) {
-    }
+    record Result(
+            long seed,
+            String fault,
+            long hash,
+            long steps,
+            long acknowledged,
+            int eras,
+            Map<Faults.Kind, Integer> faults,
+            int changes,
+            int refused,
+            int noticed,
+            int expired,
+            int restored) {}
 
     private static final class Broken extends RuntimeException {
         private static final long serialVersionUID = 1L;
@@ -74,8 +96,10 @@
         MemberSession member;
         Newsroom newsroom;
         int lives;
+
         /** Its disks were lied to since it last opened them. */
         boolean lied;
+
         /** Further crashes on the way of its opening. */
         int crashesLeft;
 
@@ -95,11 +119,18 @@
         }
 
         void startVoter() {
-            lists = new Lists((index, what) -> applied(process.member, index, what), () -> restored++);
+            lists =
+                    new Lists(
+                            (index, what) -> applied(process.member, index, what),
+                            () -> restored++);
             DurableLog log;
             try {
-                log = DurableLog.open(disk, marks, new Identity("sim", name().toString()),
-                        new Options(1 << 14, 1_000_000_000L, false, process::nanos));
+                log =
+                        DurableLog.open(
+                                disk,
+                                marks,
+                                new Identity("sim", name().toString()),
+                                new Options(1 << 14, 1_000_000_000L, false, process::nanos));
             } catch (DurableException e) {
                 failed(e);
                 return;
@@ -110,14 +141,24 @@
             StoreOnLog store = new StoreOnLog(log);
             Map<String, Machine> machines = new TreeMap<>(Map.of("lists", lists));
             Map<String, Timekeeper> timekeepers = new TreeMap<>();
-            guest.parts(process.member).forEach((name, part) -> {
-                machines.put(name, part.machine());
-                timekeepers.put(name, part.timekeeper());
-            });
+            guest.parts(process.member)
+                    .forEach(
+                            (name, part) -> {
+                                machines.put(name, part.machine());
+                                timekeepers.put(name, part.timekeeper());
+                            });
             Optional<RestoredRaftState> restored = StoreOnLog.restored(log.recovered());
-            voter = new VoterNode(new VoterNode.Settings(name(), first, 50, 5, 200, QUEUE, 40), process,
-                    (to, frame) -> send(process.member, to, frame), store, restored,
-                    new Replicated(machines), timekeepers, new Random(world.random.nextLong()), this::failed);
+            voter =
+                    new VoterNode(
+                            new VoterNode.Settings(name(), first, 50, 5, 200, QUEUE, 40),
+                            process,
+                            (to, frame) -> send(process.member, to, frame),
+                            store,
+                            restored,
+                            new Replicated(machines),
+                            timekeepers,
+                            new Random(world.random.nextLong()),
+                            this::failed);
             newsroom = new Newsroom(voter.state(), process.member);
             if (mutants.contains(Mutant.VOTE_AFTER_AMNESIA) || mutants.contains(Mutant.SYNC_LIES)) {
                 voter.start();
@@ -128,14 +169,18 @@
 
         void failed(Throwable why) {
             if (disk.crashed || marks.crashed) {
-                world.at(world.now(), () -> {
-                    if (!down) {
-                        crash();
-                        disk.crashIn = crashesLeft > 0 ? crashesLeft-- * 5 : 0;
-                        restart(this, 30);
-                    }
-                });
-            } else if (lied && (why instanceof ClusterException.VoterForgot || why instanceof DurableException)) {
+                world.at(
+                        world.now(),
+                        () -> {
+                            if (!down) {
+                                crash();
+                                disk.crashIn = crashesLeft > 0 ? crashesLeft-- * 5 : 0;
+                                restart(this, 30);
+                            }
+                        });
+            } else if (lied
+                    && (why instanceof ClusterException.VoterForgot
+                            || why instanceof DurableException)) {
                 noticed++;
                 world.at(world.now(), () -> rebirth(this));
             } else if (!disk.fails && broken == null) {
@@ -145,7 +190,11 @@
 
         void startMember() {
             long mark = ((long) process.member << 40) + ((long) ++lives << 32);
-            member = new MemberSession(new MemberSession.Settings(process.member, TTL, 150, MEMBER_QUEUE), voterIds, mark);
+            member =
+                    new MemberSession(
+                            new MemberSession.Settings(process.member, TTL, 150, MEMBER_QUEUE),
+                            voterIds,
+                            mark);
             guest.memberStarts(process.member, process, member);
             tick();
             load();
@@ -196,10 +245,16 @@
             if (frame instanceof Frame.Reply reply && member != null) {
                 member.received(from, reply, process.nanos());
             } else if (frame instanceof Frame.News news && member != null) {
-                guest.news(process.member, new Replicated.News(news.machine(), news.index(), news.event()));
+                guest.news(
+                        process.member,
+                        new Replicated.News(news.machine(), news.index(), news.event()));
             }
             if (voter != null) {
-                voter.received(from, mutants.contains(Mutant.RETRY_WITHOUT_NUMBER) && voter.leads() ? renumber(bytes) : bytes);
+                voter.received(
+                        from,
+                        mutants.contains(Mutant.RETRY_WITHOUT_NUMBER) && voter.leads()
+                                ? renumber(bytes)
+                                : bytes);
             }
         }
     }
@@ -260,7 +315,9 @@
         return run(seed, mutants, faults, Guest.NONE);
     }
 
-    /** With a guest, whose plan of faults may be its own; a run without one is not changed by this. */
+    /**
+     * With a guest, whose plan of faults may be its own; a run without one is not changed by this.
+     */
     static Result run(long seed, Set<Mutant> mutants, List<Faults.Fault> faults, Guest guest) {
         return new SimCluster(seed, mutants, guest).run(faults);
     }
@@ -299,14 +356,30 @@
                 world.run(until * MILLI, this::check);
             }
             end();
-        } catch (Broken | IllegalArgumentException | IllegalStateException | ClusterException | AssertionError e) {
+        } catch (Broken
+                | IllegalArgumentException
+                | IllegalStateException
+                | ClusterException
+                | AssertionError e) {
             fault = "at " + world.now() / MILLI + " ms: " + e;
             if (System.getProperty("sim.stack") != null) {
                 e.printStackTrace();
                 hosts.forEach(host -> System.out.println(host.name() + " " + host.voter));
             }
         }
-        return new Result(seed, fault, world.hash(), world.steps, acknowledged, leaders.size(), done, changes, refused, noticed, expired.size(), restored);
+        return new Result(
+                seed,
+                fault,
+                world.hash(),
+                world.steps,
+                acknowledged,
+                leaders.size(),
+                done,
+                changes,
+                refused,
+                noticed,
+                expired.size(),
+                restored);
     }
 
     private Host host(int member) {
@@ -317,25 +390,42 @@
         if (to < 1 || to > hosts.size()) {
             return;
         }
-        int copies = from == to ? 1 : cut[from][to] || world.random.nextDouble() < loss ? 0
-                : world.random.nextDouble() < doubling ? 2 : 1;
+        int copies =
+                from == to
+                        ? 1
+                        : cut[from][to] || world.random.nextDouble() < loss
+                                ? 0
+                                : world.random.nextDouble() < doubling ? 2 : 1;
         for (int i = 0; i < copies; i++) {
             long delay = from == to ? 1000 : 100_000 + world.random.nextInt(slowest * 1_000_000);
             if (from != to && world.random.nextDouble() < delays) {
                 delay += world.random.nextInt(1000) * MILLI;
             }
             Host target = host(to);
-            world.at(world.now() + delay, () -> target.process.execute(() -> target.received(from, frame)));
+            world.at(
+                    world.now() + delay,
+                    () -> target.process.execute(() -> target.received(from, frame)));
         }
     }
 
     /** The mutant: each attempt of a command that gets to a leader has a number of its own. */
     private byte[] renumber(byte[] frame) {
-        if (Frame.decode(frame) instanceof Frame.Request request && request.ask() == Frame.Ask.ENTRY
+        if (Frame.decode(frame) instanceof Frame.Request request
+                && request.ask() == Frame.Ask.ENTRY
                 && Entry.decode(request.body()) instanceof Entry.Run run) {
             long number = renumbered.merge(run.session(), 1L, Long::sum);
-            return new Frame.Request(request.id(), request.ask(), "",
-                    new Entry.Run(run.session(), number, number - 1, run.machine(), run.body()).encode()).encode();
+            return new Frame.Request(
+                            request.id(),
+                            request.ask(),
+                            "",
+                            new Entry.Run(
+                                            run.session(),
+                                            number,
+                                            number - 1,
+                                            run.machine(),
+                                            run.body())
+                                    .encode())
+                    .encode();
         }
         return frame;
     }
@@ -346,29 +436,43 @@
         Judge.Op op = new Judge.Op(key, what < 5 ? ++values : 0, what < 5, world.now());
         judge.ops.add(op);
         if (op.append) {
-            host.member.run("lists", Lists.append(key, op.value), outcome -> {
-                op.ended = world.now();
-                if (outcome.accepted()) {
-                    op.end = Judge.End.OK;
-                    op.length = new Bytes.Reader("length", outcome.answer()).i32();
-                    acknowledged++;
-                } else {
-                    op.end = outcome.code().equals(ClusterException.Unsure.CODE) ? Judge.End.UNKNOWN : Judge.End.NEVER;
-                }
-            });
+            host.member.run(
+                    "lists",
+                    Lists.append(key, op.value),
+                    outcome -> {
+                        op.ended = world.now();
+                        if (outcome.accepted()) {
+                            op.end = Judge.End.OK;
+                            op.length = new Bytes.Reader("length", outcome.answer()).i32();
+                            acknowledged++;
+                        } else {
+                            op.end =
+                                    outcome.code().equals(ClusterException.Unsure.CODE)
+                                            ? Judge.End.UNKNOWN
+                                            : Judge.End.NEVER;
+                        }
+                    });
             return;
         }
         Frame.Ask ask = what < 8 ? Frame.Ask.READ : Frame.Ask.LOCAL;
-        host.member.read(ask, "lists", Lists.which(key), host.process.nanos(), reply -> {
-            op.ended = world.now();
-            if (reply.outcome().accepted()) {
-                op.end = Judge.End.OK;
-                op.seen = Lists.list(reply.outcome().answer());
-                op.length = op.seen.size();
-                // The age was counted by clocks that drift.
-                op.age = ask == Frame.Ask.LOCAL ? reply.ageNanos() + reply.ageNanos() / 500 + 1 : -1;
-            }
-        });
+        host.member.read(
+                ask,
+                "lists",
+                Lists.which(key),
+                host.process.nanos(),
+                reply -> {
+                    op.ended = world.now();
+                    if (reply.outcome().accepted()) {
+                        op.end = Judge.End.OK;
+                        op.seen = Lists.list(reply.outcome().answer());
+                        op.length = op.seen.size();
+                        // The age was counted by clocks that drift.
+                        op.age =
+                                ask == Frame.Ask.LOCAL
+                                        ? reply.ageNanos() + reply.ageNanos() / 500 + 1
+                                        : -1;
+                    }
+                });
     }
 
     /** The same call at the same index at every copy. */
@@ -376,7 +480,16 @@
         String before = log.putIfAbsent(index, what);
         if (before != null && !before.equals(what)) {
             // Not thrown here: the library and the voter catch what comes out of a machine.
-            broken = new Broken("member " + member + " applied " + what + " at " + index + ", another " + before);
+            broken =
+                    new Broken(
+                            "member "
+                                    + member
+                                    + " applied "
+                                    + what
+                                    + " at "
+                                    + index
+                                    + ", another "
+                                    + before);
         }
         world.trace(what, member, index);
     }
@@ -400,12 +513,15 @@
         if (voter.leader() == process.member && !voter.isStopped()) {
             Voter other = leaders.putIfAbsent(voter.term(), host.name());
             if (other != null && !other.equals(host.name())) {
-                throw new Broken("term " + voter.term() + " is led by " + other + " and " + host.name());
+                throw new Broken(
+                        "term " + voter.term() + " is led by " + other + " and " + host.name());
             }
         }
         List<Replicated.News> taken = voter.state().takeNews();
         if (guest.isTold()) {
-            host.newsroom.tell(taken, voter.leads(), process.nanos()).forEach(each -> send(process.member, each.member(), each.frame()));
+            host.newsroom
+                    .tell(taken, voter.leads(), process.nanos())
+                    .forEach(each -> send(process.member, each.member(), each.frame()));
         }
         for (Replicated.News news : taken) {
             guest.news(process.member, news);
@@ -476,20 +592,33 @@
 
     private void expired(long session) {
         for (Host host : hosts) {
-            boolean alive = host.member != null && host.member.session() == session
-                    && host.member.isAlive(host.process.nanos() - (mutants.contains(Mutant.LATE_COUNT) ? 200 * MILLI : 0));
+            boolean alive =
+                    host.member != null
+                            && host.member.session() == session
+                            && host.member.isAlive(
+                                    host.process.nanos()
+                                            - (mutants.contains(Mutant.LATE_COUNT)
+                                                    ? 200 * MILLI
+                                                    : 0));
             if (alive) {
-                throw new Broken("session " + session + " expired while member " + host.process.member + " relied on it");
+                throw new Broken(
+                        "session "
+                                + session
+                                + " expired while member "
+                                + host.process.member
+                                + " relied on it");
             }
         }
     }
 
     private void restart(Host host, long afterMillis) {
-        world.at(world.now() + afterMillis * MILLI, () -> {
-            if (host.down) {
-                host.start();
-            }
-        });
+        world.at(
+                world.now() + afterMillis * MILLI,
+                () -> {
+                    if (host.down) {
+                        host.start();
+                    }
+                });
     }
 
     private void cause(Faults.Fault fault) {
@@ -563,26 +692,35 @@
             case DISK_FAILS -> {
                 if (voter.runsVoter && !voter.down) {
                     voter.disk.fails = true;
-                    world.at(until, () -> {
-                        if (!voter.down) {
-                            voter.crash();
-                            restart(voter, 50);
-                        }
-                    });
+                    world.at(
+                            until,
+                            () -> {
+                                if (!voter.down) {
+                                    voter.crash();
+                                    restart(voter, 50);
+                                }
+                            });
                 }
             }
             case DRIFT -> a.process.drift(fault.b() % 1001 - 500);
-            case HAND_OVER -> leading().ifPresent(host -> {
-                if (!host.name().equals(voter.name())) {
-                    host.voter.handOver(voter.name());
-                }
-            });
+            case HAND_OVER ->
+                    leading()
+                            .ifPresent(
+                                    host -> {
+                                        if (!host.name().equals(voter.name())) {
+                                            host.voter.handOver(voter.name());
+                                        }
+                                    });
             case ADD_VOTER -> addVoter(voter);
-            case REMOVE_VOTER -> leading().ifPresent(host -> {
-                if (host.voter.voters().size() > 3 && host.voter.voters().contains(voter.name())) {
-                    change(host, Change.REMOVE, voter.name(), () -> { });
-                }
-            });
+            case REMOVE_VOTER ->
+                    leading()
+                            .ifPresent(
+                                    host -> {
+                                        if (host.voter.voters().size() > 3
+                                                && host.voter.voters().contains(voter.name())) {
+                                            change(host, Change.REMOVE, voter.name(), () -> {});
+                                        }
+                                    });
             case AMNESIA -> {
                 if (mutants.contains(Mutant.VOTE_AFTER_AMNESIA)) {
                     if (voter.runsVoter && !voter.down) {
@@ -591,21 +729,29 @@
                         restart(voter, 5);
                     }
                 } else {
-                    lie(voter, fault.kind(), () -> {
-                        voter.disk.restore(new SimDisk(""));
-                        voter.marks.restore(new SimDisk(""));
-                    });
+                    lie(
+                            voter,
+                            fault.kind(),
+                            () -> {
+                                voter.disk.restore(new SimDisk(""));
+                                voter.marks.restore(new SimDisk(""));
+                            });
                 }
             }
             case LOG_EMPTY -> lie(voter, fault.kind(), () -> voter.disk.restore(new SimDisk("")));
-            case MARKS_EMPTY -> lie(voter, fault.kind(), () -> voter.marks.restore(new SimDisk("")));
-            case FOREIGN -> lie(voter, fault.kind(), () -> voter.disk.restore(leading().orElseThrow().disk));
+            case MARKS_EMPTY ->
+                    lie(voter, fault.kind(), () -> voter.marks.restore(new SimDisk("")));
+            case FOREIGN ->
+                    lie(
+                            voter,
+                            fault.kind(),
+                            () -> voter.disk.restore(leading().orElseThrow().disk));
             case ROT -> lie(voter, fault.kind(), () -> voter.disk.rot(world.random));
             case BOTH_OLDER, LOG_OLDER, MARKS_OLDER -> older(fault, voter, until + 500 * MILLI);
             case LOST_SYNC -> {
                 if (maySpare(voter)) {
                     voter.disk.lies = true;
-                    world.at(world.now() + 200 * MILLI, () -> lie(voter, fault.kind(), () -> { }));
+                    world.at(world.now() + 200 * MILLI, () -> lie(voter, fault.kind(), () -> {}));
                     world.at(world.now() + 201 * MILLI, () -> voter.disk.lies = voter.marks.lies);
                 }
             }
@@ -638,30 +784,39 @@
     }
 
     private void change(Host leader, Change change, Voter who, Runnable then) {
-        leader.voter.change(change, who, error -> {
-            if (error == null) {
-                changes++;
-                then.run();
-            }
-        });
+        leader.voter.change(
+                change,
+                who,
+                error -> {
+                    if (error == null) {
+                        changes++;
+                        then.run();
+                    }
+                });
     }
 
     /** A process that is no voter yet becomes a learner, then a voter. */
     private void addVoter(Host host) {
-        leading().ifPresent(leader -> {
-            if (host.down || leader.voter.voters().size() >= 5 || leader.voter.voters().contains(host.name())) {
-                return;
-            }
-            if (!leader.voter.state().mayAdd(host.process.member, host.generation)) {
-                comeBack(leader, host);
-                return;
-            }
-            if (!host.runsVoter) {
-                host.runsVoter = true;
-                host.startVoter();
-            }
-            learn(leader, host);
-        });
+        leading()
+                .ifPresent(
+                        leader -> {
+                            if (host.down
+                                    || leader.voter.voters().size() >= 5
+                                    || leader.voter.voters().contains(host.name())) {
+                                return;
+                            }
+                            if (!leader.voter
+                                    .state()
+                                    .mayAdd(host.process.member, host.generation)) {
+                                comeBack(leader, host);
+                                return;
+                            }
+                            if (!host.runsVoter) {
+                                host.runsVoter = true;
+                                host.startVoter();
+                            }
+                            learn(leader, host);
+                        });
     }
 
     private void learn(Host leader, Host host) {
@@ -673,48 +828,80 @@
         }
     }
 
-    /** It was removed: the leader refuses its old generation, and it comes back with empty disks under the next. */
+    /**
+     * It was removed: the leader refuses its old generation, and it comes back with empty disks
+     * under the next.
+     */
     private void comeBack(Host leader, Host host) {
         Voter old = host.name();
-        leader.voter.change(Change.LEARN, old, error -> {
-            if (error == null) {
-                broken = new Broken(old + " was removed and added again");
-            } else if (error instanceof ClusterException.GenerationOver && !host.down && host.name().equals(old)) {
-                refused++;
-                host.crash();
-                host.generation = leader.voter.state().nextGeneration(host.process.member);
-                host.newDisks();
-                host.runsVoter = true;
-                host.start();
-                learn(leader, host);
-            }
-        });
+        leader.voter.change(
+                Change.LEARN,
+                old,
+                error -> {
+                    if (error == null) {
+                        broken = new Broken(old + " was removed and added again");
+                    } else if (error instanceof ClusterException.GenerationOver
+                            && !host.down
+                            && host.name().equals(old)) {
+                        refused++;
+                        host.crash();
+                        host.generation = leader.voter.state().nextGeneration(host.process.member);
+                        host.newDisks();
+                        host.runsVoter = true;
+                        host.start();
+                        learn(leader, host);
+                    }
+                });
     }
 
     /** A learner is promoted once it follows, so this may need some tries. */
     private void promote(Voter who, int times) {
-        leading().ifPresent(leader -> leader.voter.change(Change.PROMOTE, who, error -> {
-            changes += error == null ? 1 : 0;
-            if (error != null && times > 0) {
-                world.at(world.now() + 50 * MILLI, () -> promote(who, times - 1));
-            }
-        }));
+        leading()
+                .ifPresent(
+                        leader ->
+                                leader.voter.change(
+                                        Change.PROMOTE,
+                                        who,
+                                        error -> {
+                                            changes += error == null ? 1 : 0;
+                                            if (error != null && times > 0) {
+                                                world.at(
+                                                        world.now() + 50 * MILLI,
+                                                        () -> promote(who, times - 1));
+                                            }
+                                        }));
     }
 
     /**
-     * Whether this voter may be lost, and whoever remembers it be heard: with no more than a bare majority left for sure, a
-     * run would only show that a quorum lost is lost.
+     * Whether this voter may be lost, and whoever remembers it be heard: with no more than a bare
+     * majority left for sure, a run would only show that a quorum lost is lost.
      */
     private boolean maySpare(Host host) {
         Optional<Host> leader = leading();
-        return leader.isPresent() && leader.get() != host && host.runsVoter && !host.down && leader.get().voter.voters().size() >= 3
+        return leader.isPresent()
+                && leader.get() != host
+                && host.runsVoter
+                && !host.down
+                && leader.get().voter.voters().size() >= 3
                 && leader.get().voter.voters().contains(host.name())
-                && leader.get().voter.voters().stream().allMatch(name -> host(((Voter) name).member()).name().equals(name))
-                && leader.get().voter.voters().stream().map(name -> host(((Voter) name).member())).allMatch(each -> !each.down && !each.disk.fails && !each.lied
-                                && each.voter != null && !each.voter.isStopped() && (each == host || !each.disk.lies));
+                && leader.get().voter.voters().stream()
+                        .allMatch(name -> host(((Voter) name).member()).name().equals(name))
+                && leader.get().voter.voters().stream()
+                        .map(name -> host(((Voter) name).member()))
+                        .allMatch(
+                                each ->
+                                        !each.down
+                                                && !each.disk.fails
+                                                && !each.lied
+                                                && each.voter != null
+                                                && !each.voter.isStopped()
+                                                && (each == host || !each.disk.lies));
     }
 
-    /** The machine goes down, its disks are changed, it comes back; for a while nothing else goes wrong. */
+    /**
+     * The machine goes down, its disks are changed, it comes back; for a while nothing else goes
+     * wrong.
+     */
     private void lie(Host host, Faults.Kind kind, Runnable change) {
         if (!maySpare(host)) {
             return;
@@ -733,8 +920,8 @@
     }
 
     /**
-     * A copy is put back later. Peers have to remember what was promised since: either they met a later incarnation, or
-     * none of them was started anew.
+     * A copy is put back later. Peers have to remember what was promised since: either they met a
+     * later incarnation, or none of them was started anew.
      */
     private void older(Faults.Fault fault, Host host, long when) {
         if (!maySpare(host)) {
@@ -744,23 +931,36 @@
         SimDisk marks = host.marks.copy();
         Voter name = host.name();
         int[] lives = hosts.stream().mapToInt(each -> each.lives).toArray();
-        world.at(when, () -> {
-            boolean remembered = host.lives > lives[hosts.indexOf(host)]
-                    || hosts.stream().allMatch(each -> each.lives == lives[hosts.indexOf(each)]);
-            if (host.name().equals(name) && remembered) {
-                lie(host, fault.kind(), () -> {
-                    if (fault.kind() != Faults.Kind.MARKS_OLDER) {
-                        host.disk.restore(disk);
-                    }
-                    if (fault.kind() != Faults.Kind.LOG_OLDER) {
-                        host.marks.restore(marks);
+        world.at(
+                when,
+                () -> {
+                    boolean remembered =
+                            host.lives > lives[hosts.indexOf(host)]
+                                    || hosts.stream()
+                                            .allMatch(
+                                                    each ->
+                                                            each.lives
+                                                                    == lives[hosts.indexOf(each)]);
+                    if (host.name().equals(name) && remembered) {
+                        lie(
+                                host,
+                                fault.kind(),
+                                () -> {
+                                    if (fault.kind() != Faults.Kind.MARKS_OLDER) {
+                                        host.disk.restore(disk);
+                                    }
+                                    if (fault.kind() != Faults.Kind.LOG_OLDER) {
+                                        host.marks.restore(marks);
+                                    }
+                                });
                     }
                 });
-            }
-        });
     }
 
-    /** What an operator does with a member that forgot: empty disks, the next generation, a change of voters. */
+    /**
+     * What an operator does with a member that forgot: empty disks, the next generation, a change
+     * of voters.
+     */
     private void rebirth(Host host) {
         if (!host.down) {
             host.crash();
@@ -774,15 +974,18 @@
 
     /** Whoever leads takes the next step, a few times; other changes may come between. */
     private void replace(Voter by, int times) {
-        leading().ifPresent(leader -> {
-            List<Voter> wanted = new ArrayList<>();
-            leader.voter.voters().forEach(voter -> wanted.add((Voter) voter));
-            // An earlier one of its generations may still be there.
-            if (wanted.removeIf(each -> each.member() == by.member())) {
-                wanted.add(by);
-                leader.voter.towards(wanted, error -> changes += error == null ? 1 : 0);
-            }
-        });
+        leading()
+                .ifPresent(
+                        leader -> {
+                            List<Voter> wanted = new ArrayList<>();
+                            leader.voter.voters().forEach(voter -> wanted.add((Voter) voter));
+                            // An earlier one of its generations may still be there.
+                            if (wanted.removeIf(each -> each.member() == by.member())) {
+                                wanted.add(by);
+                                leader.voter.towards(
+                                        wanted, error -> changes += error == null ? 1 : 0);
+                            }
+                        });
         if (times > 0) {
             world.at(world.now() + 100 * MILLI, () -> replace(by, times - 1));
         }
@@ -814,14 +1017,22 @@
     }
 
     private boolean settled() {
-        return leading().isPresent() && hosts.stream().allMatch(host ->
-                host.member != null && host.member.waiting() == 0 && host.member.session() != 0);
+        return leading().isPresent()
+                && hosts.stream()
+                        .allMatch(
+                                host ->
+                                        host.member != null
+                                                && host.member.waiting() == 0
+                                                && host.member.session() != 0);
     }
 
     private void end() {
         hold(guest.end());
         List<Host> voters = new ArrayList<>();
-        Host leader = leading().orElseThrow(() -> new Broken("no leader after " + world.now() / MILLI + " ms"));
+        Host leader =
+                leading()
+                        .orElseThrow(
+                                () -> new Broken("no leader after " + world.now() / MILLI + " ms"));
         for (Host host : hosts) {
             if (host.voter != null && leader.voter.voters().contains(host.name())) {
                 voters.add(host);
@@ -832,7 +1043,8 @@
         }
         for (Host host : voters) {
             if (host.voter.state().applied() == leader.voter.state().applied()
-                    && !Arrays.equals(host.voter.state().snapshot(), leader.voter.state().snapshot())) {
+                    && !Arrays.equals(
+                            host.voter.state().snapshot(), leader.voter.state().snapshot())) {
                 throw new Broken("copies at " + host.name() + " and " + leader.name() + " differ");
             }
         }
--- a/src/measure/java/calicostream/cluster/sim/SimDisk.java
+++ b/src/measure/java/calicostream/cluster/sim/SimDisk.java
@@ -10,7 +10,10 @@
 import java.util.Random;
 import java.util.TreeMap;
 
-/** A folder in memory; a crash keeps what was synced, and of each file a random part of what was appended since. */
+/**
+ * A folder in memory; a crash keeps what was synced, and of each file a random part of what was
+ * appended since.
+ */
 final class SimDisk implements Disk {
     private static final class File {
         byte[] bytes = new byte[0];
@@ -22,13 +25,21 @@
     private TreeMap<String, File> now = new TreeMap<>();
     private TreeMap<String, File> kept = new TreeMap<>();
     private boolean locked;
+
     /** Syncs are acknowledged and nothing is kept. */
     boolean lies;
+
     boolean fails;
-    /** The machine dies in the call of this number from now, before, amid or after what it does; 0 for never. */
+
+    /**
+     * The machine dies in the call of this number from now, before, amid or after what it does; 0
+     * for never.
+     */
     int crashIn;
+
     /** It died so: every call fails until {@link #crash}. */
     boolean crashed;
+
     private final Random amid = new Random(17);
 
     SimDisk(String place) {
@@ -63,7 +74,9 @@
     }
 
     private interface Call {
-        /** @param part of what it does, 0 to 1 */
+        /**
+         * @param part of what it does, 0 to 1
+         */
         void run(double part) throws DurableException;
     }
 
@@ -91,12 +104,13 @@
     /** Puts a copy of the other's files in place of these. */
     void restore(SimDisk other) {
         now = new TreeMap<>();
-        other.now.forEach((name, file) -> {
-            File same = new File();
-            same.bytes = Arrays.copyOf(file.bytes, file.length);
-            same.length = same.kept = file.length;
-            now.put(name, same);
-        });
+        other.now.forEach(
+                (name, file) -> {
+                    File same = new File();
+                    same.bytes = Arrays.copyOf(file.bytes, file.length);
+                    same.length = same.kept = file.length;
+                    now.put(name, same);
+                });
         kept = new TreeMap<>(now);
     }
 
@@ -138,26 +152,29 @@
 
     @Override
     public void append(String name, ByteBuffer bytes) throws DurableException {
-        call(part -> {
-            File file = now.computeIfAbsent(name, any -> new File());
-            int length = file.length + (int) (bytes.remaining() * part);
-            if (length > file.bytes.length) {
-                file.bytes = Arrays.copyOf(file.bytes, 2 * length);
-            }
-            bytes.get(file.bytes, file.length, length - file.length);
-            file.length = length;
-        });
+        call(
+                part -> {
+                    File file = now.computeIfAbsent(name, any -> new File());
+                    int length = file.length + (int) (bytes.remaining() * part);
+                    if (length > file.bytes.length) {
+                        file.bytes = Arrays.copyOf(file.bytes, 2 * length);
+                    }
+                    bytes.get(file.bytes, file.length, length - file.length);
+                    file.length = length;
+                });
     }
 
     @Override
     public void sync(String name) throws DurableException {
-        call(part -> {
-            File file = now.get(name);
-            if (file == null) {
-                throw new DurableException.Missing(place + "/" + name);
-            }
-            file.kept = lies ? file.kept : file.kept + (int) ((file.length - file.kept) * part);
-        });
+        call(
+                part -> {
+                    File file = now.get(name);
+                    if (file == null) {
+                        throw new DurableException.Missing(place + "/" + name);
+                    }
+                    file.kept =
+                            lies ? file.kept : file.kept + (int) ((file.length - file.kept) * part);
+                });
     }
 
     @Override
@@ -167,20 +184,22 @@
 
     @Override
     public void rename(String from, String to) throws DurableException {
-        call(part -> {
-            if (part > 0.5) {
-                now.put(to, now.remove(from));
-            }
-        });
+        call(
+                part -> {
+                    if (part > 0.5) {
+                        now.put(to, now.remove(from));
+                    }
+                });
     }
 
     @Override
     public void delete(String name) throws DurableException {
-        call(part -> {
-            if (part > 0.5) {
-                now.remove(name);
-            }
-        });
+        call(
+                part -> {
+                    if (part > 0.5) {
+                        now.remove(name);
+                    }
+                });
     }
 
     @Override
--- a/src/measure/java/calicostream/cluster/sim/World.java
+++ b/src/measure/java/calicostream/cluster/sim/World.java
@@ -6,9 +6,13 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 
-/** Virtual time for processes that stop and go on, with clocks that drift; one thread, one seed, a hash of all that happened. */
+/**
+ * Virtual time for processes that stop and go on, with clocks that drift; one thread, one seed, a
+ * hash of all that happened.
+ */
 final class World {
-    private record Event(long at, long order, Process process, int life, Runnable task) implements Comparable<Event> {
+    private record Event(long at, long order, Process process, int life, Runnable task)
+            implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
             return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
@@ -59,7 +63,13 @@
             }
             if (process != null && process.stoppedUntil > event.at) {
                 // Kept in its order: what waited runs first when the process goes on.
-                events.add(new Event(process.stoppedUntil, event.order, process, event.life, event.task));
+                events.add(
+                        new Event(
+                                process.stoppedUntil,
+                                event.order,
+                                process,
+                                event.life,
+                                event.task));
                 continue;
             }
             now = event.at;
@@ -91,7 +101,10 @@
             ppm = partsPerMillion;
         }
 
-        /** Its clock jumps ahead, as if it had been stopped; back is what a monotonic clock promises not to go. */
+        /**
+         * Its clock jumps ahead, as if it had been stopped; back is what a monotonic clock promises
+         * not to go.
+         */
         void step(long nanos) {
             base += nanos;
         }
--- a/src/measure/java/calicostream/core/Sides.java
+++ b/src/measure/java/calicostream/core/Sides.java
@@ -14,46 +14,75 @@
 import java.util.stream.LongStream;
 
 /**
- * Both sides of a {@link Gateway}, which record what it tells them and do what they are told to, on a clock that who uses it turns
- * (microseconds). One thread.
+ * Both sides of a {@link Gateway}, which record what it tells them and do what they are told to, on
+ * a clock that who uses it turns (microseconds). One thread.
  */
 public class Sides implements Engines, Front {
     /** A lane of lookups and one of loads. */
-    public static final String TWO_LANES = "lanes.count=2\nlanes.0.name=look\nlanes.0.effect=repeatable\n"
-            + "lanes.0.aim_us=800000\nlanes.0.deadline_us=4000000\nlanes.1.name=load\nlanes.1.effect=once\n"
-            + "lanes.1.aim_us=4000000\nlanes.1.deadline_us=20000000\nfamily_info.kind_cores=12\n"
-            + "family_info.kind_memory_mb=24576\nceilings.max_attempts=3\nceilings.cancel=true\ntick_us=5000\n"
-            + "family_info.holds_tables=false,true\nfamily_info.waits_for_loads=true,false\n"
-            + "family_info.width_by_class=1,2\nrules.cold_share=0.3\nrules.overload_factor=4\n"
-            + "rules.fall_us=2000000\nrules.warm_up_us=14000000\n";
+    public static final String TWO_LANES =
+            "lanes.count=2\n"
+                    + "lanes.0.name=look\n"
+                    + "lanes.0.effect=repeatable\n"
+                    + "lanes.0.aim_us=800000\n"
+                    + "lanes.0.deadline_us=4000000\n"
+                    + "lanes.1.name=load\n"
+                    + "lanes.1.effect=once\n"
+                    + "lanes.1.aim_us=4000000\n"
+                    + "lanes.1.deadline_us=20000000\n"
+                    + "family_info.kind_cores=12\n"
+                    + "family_info.kind_memory_mb=24576\n"
+                    + "ceilings.max_attempts=3\n"
+                    + "ceilings.cancel=true\n"
+                    + "tick_us=5000\n"
+                    + "family_info.holds_tables=false,true\n"
+                    + "family_info.waits_for_loads=true,false\n"
+                    + "family_info.width_by_class=1,2\n"
+                    + "rules.cold_share=0.3\n"
+                    + "rules.overload_factor=4\n"
+                    + "rules.fall_us=2000000\n"
+                    + "rules.warm_up_us=14000000\n";
 
     public final Deadlines deadlines = new Deadlines();
     public final Gateway gateway;
+
     /** In the order in which they were sent. */
     public final List<Gateway.Attempt> sent = new ArrayList<>();
+
     /** What either side was told, a line each. */
     public final List<String> told = new ArrayList<>();
+
     /** Ends of attempts, each with its engine. */
     public final List<String> overs = new ArrayList<>();
+
     /** What was not admitted, while {@link #keeps}. */
     public final List<Gateway.Request> kept = new ArrayList<>();
+
     /** Engines where no request has room. */
     public final Set<Long> full = new HashSet<>();
+
     /** Tags of requests whose clients have gone, which nothing but a question tells. */
     public final Set<Long> left = new HashSet<>();
+
     /** Requests are kept before the module. */
     public boolean keeps;
+
     /** How attempts end while they are being sent; null: not before somebody says so. */
     public Outcome atOnce;
+
     public long time = 1_000_000;
 
     public Sides(String settings) {
-        gateway = new Gateway(new Clock() {
-            @Override
-            public long now() {
-                return time;
-            }
-        }, deadlines, SettingsParser.ofLines(settings).settings(), Watcher.NONE);
+        gateway =
+                new Gateway(
+                        new Clock() {
+                            @Override
+                            public long now() {
+                                return time;
+                            }
+                        },
+                        deadlines,
+                        SettingsParser.ofLines(settings).settings(),
+                        Watcher.NONE);
     }
 
     public static Engine engine(long id, EngineState state) {
@@ -62,22 +91,24 @@
 
     /** All of these engines are ready. */
     public void start(long... engines) {
-        gateway.start(this, LongStream.of(engines).mapToObj(id -> engine(id, EngineState.READY)).toList());
+        gateway.start(
+                this,
+                LongStream.of(engines).mapToObj(id -> engine(id, EngineState.READY)).toList());
     }
 
     /** Turns the clock to each deadline on the way. */
     public void pass(long us) {
-        for (long end = time + us; time < end;) {
+        for (long end = time + us; time < end; ) {
             time = Math.max(time, Math.min(end, deadlines.next()));
             deadlines.run(time);
         }
     }
 
     @Override
-    public void attach(Gateway to) { }
+    public void attach(Gateway to) {}
 
     @Override
-    public void locate(long engine, InetSocketAddress address) { }
+    public void locate(long engine, InetSocketAddress address) {}
 
     @Override
     public void send(Gateway.Attempt attempt) {
@@ -111,7 +142,7 @@
     }
 
     @Override
-    public void priority(Gateway.Attempt attempt) { }
+    public void priority(Gateway.Attempt attempt) {}
 
     @Override
     public void withdrawn(long engine) {
@@ -135,7 +166,10 @@
 
     @Override
     public void served(long tag, Object result) {
-        told.add(result == null ? "whole " + tag : "served " + tag + " " + new String((byte[]) result));
+        told.add(
+                result == null
+                        ? "whole " + tag
+                        : "served " + tag + " " + new String((byte[]) result));
     }
 
     @Override
--- a/src/measure/java/calicostream/deployments/Arrivals.java
+++ b/src/measure/java/calicostream/deployments/Arrivals.java
@@ -12,7 +12,8 @@
 /** What clients ask for in a draw, the same whichever policy plays it. */
 final class Arrivals {
     private static final long KEY_GAP = 60_000; // us between requests of one key, at least
-    private static final double KEY_BUSY = 0.3; // part of the time that a key's requests run, at most
+    private static final double KEY_BUSY =
+            0.3; // part of the time that a key's requests run, at most
     private static final double ROUGH = 0.6; // deviation of the log of an estimate
     private static final double GOOD = 0.1;
     private final Draw draw;
@@ -34,7 +35,18 @@
         tokens = new double[draw.figures().quotas().size()];
         double shares = draw.lanes().stream().mapToDouble(Lane::share).sum();
         double perSecond = perSecond(draw.size(), draw.kinds(), draw.lanes());
-        draw.lanes().forEach(l -> keys.add((int) Math.ceil(perSecond * l.share() / shares * l.workUs() / 1e6 / KEY_BUSY)));
+        draw.lanes()
+                .forEach(
+                        l ->
+                                keys.add(
+                                        (int)
+                                                Math.ceil(
+                                                        perSecond
+                                                                * l.share()
+                                                                / shares
+                                                                * l.workUs()
+                                                                / 1e6
+                                                                / KEY_BUSY)));
     }
 
     /** Queries a second over all front ends that make the load drawn. */
@@ -85,7 +97,8 @@
         double toldWork = told == Estimates.NONE ? 0 : work * bias * logNormal(off);
         double toldMemory = told == Estimates.NONE ? 0 : memory * bias * logNormal(off);
         long key = 0;
-        boolean named = random.nextDouble() < 0.95; // A few name none, and some where there is no order.
+        boolean named =
+                random.nextDouble() < 0.95; // A few name none, and some where there is no order.
         if (lane.inOrder() == named) {
             long drawn = 1 + number * 100_000L + random.nextInt(Math.max(1, keys.get(number)));
             boolean free = at - keyAt.getOrDefault(drawn, 0L) >= KEY_GAP;
@@ -93,10 +106,25 @@
             keyAt.put(drawn, at);
             frontEnd = lane.inOrder() ? (int) (drawn % draw.size().frontEnds()) : frontEnd;
         }
-        int tenant = tokens.length == 0 ? 0 : one(draw.figures().traffic().stream().mapToDouble(d -> d).toArray());
+        int tenant =
+                tokens.length == 0
+                        ? 0
+                        : one(draw.figures().traffic().stream().mapToDouble(d -> d).toArray());
         double worth = lane.worth() * (within(at, tenant) ? 1 : draw.figures().overShareWorth());
         long wait = (long) (lane.deadlineUs() * (0.8 + 0.2 * random.nextDouble()));
-        return new Ask(at, frontEnd, number, tenant, key, one(groups), work, memory, toldWork, toldMemory, at + wait, worth,
+        return new Ask(
+                at,
+                frontEnd,
+                number,
+                tenant,
+                key,
+                one(groups),
+                work,
+                memory,
+                toldWork,
+                toldMemory,
+                at + wait,
+                worth,
                 lane.aimUs() + (long) (lane.stretch() * work / lane.threads()));
     }
 
--- a/src/measure/java/calicostream/deployments/Ask.java
+++ b/src/measure/java/calicostream/deployments/Ask.java
@@ -6,7 +6,8 @@
 /** What a client wants, over all its tries: one is at one front end at a time. */
 final class Ask {
     private static final double OVER_ESTIMATE = 1.25; // what an engine grants by itself
-    private static final double OVER_USUAL = 1.5; // the same of what the class usually needs, where there is no estimate
+    private static final double OVER_USUAL =
+            1.5; // the same of what the class usually needs, where there is no estimate
     final long at;
     final int frontEnd;
     final int lane;
@@ -23,8 +24,20 @@
     int tries;
     double served;
 
-    Ask(long at, int frontEnd, int lane, int tenant, long key, int group, double workUs, double memoryMb, double toldWorkUs,
-            double toldMemoryMb, long deadline, double worth, long aimUs) {
+    Ask(
+            long at,
+            int frontEnd,
+            int lane,
+            int tenant,
+            long key,
+            int group,
+            double workUs,
+            double memoryMb,
+            double toldWorkUs,
+            double toldMemoryMb,
+            long deadline,
+            double worth,
+            long aimUs) {
         this.at = at;
         this.frontEnd = frontEnd;
         this.lane = lane;
@@ -40,12 +53,24 @@
         this.aimUs = aimUs;
     }
 
-    /** What an engine grants by itself; it knows no more of what the query needs than the client tells. */
+    /**
+     * What an engine grants by itself; it knows no more of what the query needs than the client
+     * tells.
+     */
     double guessedMb(double usualMb) {
         return toldMemoryMb > 0 ? OVER_ESTIMATE * toldMemoryMb : OVER_USUAL * usualMb;
     }
 
     Query query(long id, long now, boolean marked) {
-        return new Query(id, lane, tenant, key, deadline - now, toldWorkUs, toldMemoryMb, group, marked && tries > 1);
+        return new Query(
+                id,
+                lane,
+                tenant,
+                key,
+                deadline - now,
+                toldWorkUs,
+                toldMemoryMb,
+                group,
+                marked && tries > 1);
     }
 }
--- a/src/measure/java/calicostream/deployments/Breaks.java
+++ b/src/measure/java/calicostream/deployments/Breaks.java
@@ -25,7 +25,14 @@
     @Override
     public String toString() {
         StringBuilder out = new StringBuilder();
-        counts.forEach((rule, times) -> out.append(rule).append(" x").append(times).append(" (").append(first.get(rule)).append(") "));
+        counts.forEach(
+                (rule, times) ->
+                        out.append(rule)
+                                .append(" x")
+                                .append(times)
+                                .append(" (")
+                                .append(first.get(rule))
+                                .append(") "));
         return out.toString().trim();
     }
 }
--- a/src/measure/java/calicostream/deployments/Checker.java
+++ b/src/measure/java/calicostream/deployments/Checker.java
@@ -16,12 +16,12 @@
 import java.util.Set;
 
 /**
- * Holds one life of a front end to the rules, by what it was told and what it did, and by the draw alone: it shares no line with the
- * decision module, nor the settings as that one read them.
+ * Holds one life of a front end to the rules, by what it was told and what it did, and by the draw
+ * alone: it shares no line with the decision module, nor the settings as that one read them.
  */
 final class Checker {
     /** An attempt that may have run, or one that is out: where and when it was sent. */
-    private record Sent(int number, Engine to, long at) { }
+    private record Sent(int number, Engine to, long at) {}
 
     private static final class Taken {
         final long id;
@@ -66,7 +66,8 @@
         breaks.add(rule, name + " at " + now + ": " + what);
     }
 
-    // ---- What it is told --------------------------------------------------------------------------------
+    // ---- What it is told
+    // --------------------------------------------------------------------------------
     void roster(long now, RosterKind kind, List<Engine> engines) {
         if (kind == RosterKind.FAILED) {
             return;
@@ -74,7 +75,9 @@
         Set<Long> named = new HashSet<>();
         engines.forEach(e -> named.add(e.id()));
         if (kind != RosterKind.CHANGES) {
-            told.keySet().stream().filter(id -> !named.contains(id)).forEach(id -> withdrawn.putIfAbsent(id, now));
+            told.keySet().stream()
+                    .filter(id -> !named.contains(id))
+                    .forEach(id -> withdrawn.putIfAbsent(id, now));
         }
         for (Engine e : engines) {
             told.put(e.id(), e);
@@ -113,8 +116,11 @@
             }
             t.out = null;
         }
-        boolean mayRunOn = outcome == Outcome.TIMEOUT || outcome == Outcome.RESET || outcome == Outcome.CANCELLED
-                || outcome == Outcome.SPOILT;
+        boolean mayRunOn =
+                outcome == Outcome.TIMEOUT
+                        || outcome == Outcome.RESET
+                        || outcome == Outcome.CANCELLED
+                        || outcome == Outcome.SPOILT;
         if (mayRunOn && t.key != 0) {
             keyRests.merge(t.key, now + draw.figures().restUs(), Math::max);
         }
@@ -146,7 +152,8 @@
         }
     }
 
-    // ---- What it does -----------------------------------------------------------------------------------
+    // ---- What it does
+    // -----------------------------------------------------------------------------------
     void send(long now, long id, long engine) {
         Taken t = taken.get(id);
         Engine to = told.get(engine);
@@ -159,7 +166,10 @@
             broken("over", now, "query " + id + " sent after its end");
         }
         if (t.out != null) {
-            broken("two at once", now, "query " + id + " to " + engine + " while at " + t.out.to.id());
+            broken(
+                    "two at once",
+                    now,
+                    "query " + id + " to " + engine + " while at " + t.out.to.id());
         }
         if (++t.attempts > draw.allowed().maxAttempts()) {
             broken("attempts", now, "query " + id + " sent " + t.attempts + " times");
@@ -169,8 +179,9 @@
         if (since != null && now > since + draw.figures().drainUs()) {
             broken("drain", now, "query " + id + " to " + engine + ", withdrawn at " + since);
         }
-        boolean placed = (lane.zones().isEmpty() || lane.zones().contains(to.zone()))
-                && (lane.kinds().isEmpty() || lane.kinds().contains(to.kind()));
+        boolean placed =
+                (lane.zones().isEmpty() || lane.zones().contains(to.zone()))
+                        && (lane.kinds().isEmpty() || lane.kinds().contains(to.kind()));
         if (!placed) {
             broken("placement", now, lane.name() + " to " + to);
         }
@@ -184,11 +195,23 @@
 
     private void repeats(long now, Taken t, Draw.Lane lane, Engine to) {
         for (Sent risk : t.risks) {
-            boolean sameGroup = lane.scope() == Scope.ALL || lane.scope() == Scope.ZONE && risk.to.zone() == to.zone()
-                    || lane.scope() == Scope.CELL && risk.to.cell() == to.cell();
-            boolean byKey = lane.effect() == Effect.BY_KEY && sameGroup && now - risk.at <= lane.windowUs();
+            boolean sameGroup =
+                    lane.scope() == Scope.ALL
+                            || lane.scope() == Scope.ZONE && risk.to.zone() == to.zone()
+                            || lane.scope() == Scope.CELL && risk.to.cell() == to.cell();
+            boolean byKey =
+                    lane.effect() == Effect.BY_KEY && sameGroup && now - risk.at <= lane.windowUs();
             if (lane.effect() != Effect.REPEATABLE && !byKey) {
-                broken("repeat", now, lane.name() + " " + t.id + " to " + to.id() + ", may have run on " + risk.to.id());
+                broken(
+                        "repeat",
+                        now,
+                        lane.name()
+                                + " "
+                                + t.id
+                                + " to "
+                                + to.id()
+                                + ", may have run on "
+                                + risk.to.id());
                 return;
             }
         }
@@ -211,12 +234,18 @@
                 break;
             }
             if (!earlier.settled()) {
-                broken("order", now, "query " + t.id + " of key " + t.key + " before " + earlier.id);
+                broken(
+                        "order",
+                        now,
+                        "query " + t.id + " of key " + t.key + " before " + earlier.id);
                 return;
             }
         }
         if (now < keyRests.getOrDefault(t.key, now)) {
-            broken("order", now, "query " + t.id + " of key " + t.key + " rests until " + keyRests.get(t.key));
+            broken(
+                    "order",
+                    now,
+                    "query " + t.id + " of key " + t.key + " rests until " + keyRests.get(t.key));
         }
     }
 
@@ -225,8 +254,10 @@
         if (t != null && t.open) {
             Draw.Lane lane = draw.lanes().get(t.lane);
             boolean mayRun = t.out != null || !t.risks.isEmpty();
-            boolean harmless = !mayRun || lane.effect() == Effect.REPEATABLE
-                    || lane.effect() == Effect.BY_KEY && lane.scope() == Scope.ALL;
+            boolean harmless =
+                    !mayRun
+                            || lane.effect() == Effect.REPEATABLE
+                            || lane.effect() == Effect.BY_KEY && lane.scope() == Scope.ALL;
             if (!harmless) {
                 broken("untrue refusal", now, lane.name() + " " + id + " may have run");
             }
@@ -252,7 +283,11 @@
     }
 
     void terms(long now, long id, double memoryMb, int priority) {
-        if (!taken.containsKey(id) || !(memoryMb >= 0) || memoryMb > 1e9 || priority < 0 || priority > 3) {
+        if (!taken.containsKey(id)
+                || !(memoryMb >= 0)
+                || memoryMb > 1e9
+                || priority < 0
+                || priority > 3) {
             broken("terms", now, "query " + id + ": " + memoryMb + ", " + priority);
         }
     }
--- a/src/measure/java/calicostream/deployments/ColdAccount.java
+++ b/src/measure/java/calicostream/deployments/ColdAccount.java
@@ -4,11 +4,12 @@
 import java.util.ArrayDeque;
 
 /**
- * What all front ends together send an engine that has just started, in the rule's window. It would fall at more than N + 2 root N + 2
- * requests of mean work, where N is the multiple allowed of what it can do now; front ends not told of the start count to a third.
+ * What all front ends together send an engine that has just started, in the rule's window. It would
+ * fall at more than N + 2 root N + 2 requests of mean work, where N is the multiple allowed of what
+ * it can do now; front ends not told of the start count to a third.
  */
 final class ColdAccount {
-    private record Sent(long at, double work, boolean told) { }
+    private record Sent(long at, double work, boolean told) {}
 
     private final Draw draw;
     private final ArrayDeque<Sent> sent = new ArrayDeque<>();
@@ -29,7 +30,8 @@
             sent.poll();
         }
         double mean = draw.meanWork();
-        double capacity = m.cores * m.speed * Draw.CAPACITY * m.warmth() * draw.figures().windowUs();
+        double capacity =
+                m.cores * m.speed * Draw.CAPACITY * m.warmth() * draw.figures().windowUs();
         double n = draw.figures().multiple() * capacity / mean;
         double all = sent.stream().mapToDouble(Sent::work).sum() / mean;
         double informed = sent.stream().filter(Sent::told).mapToDouble(Sent::work).sum() / mean;
@@ -39,7 +41,9 @@
             sent.clear();
         }
         if (share > 1 && informed >= all * 2 / 3) {
-            breaks.add("cold", "engine " + m.id + " at " + now + ": " + all + " of " + n + " requests");
+            breaks.add(
+                    "cold",
+                    "engine " + m.id + " at " + now + ": " + all + " of " + n + " requests");
         }
         return share > 1;
     }
--- a/src/measure/java/calicostream/deployments/FrontEnd.java
+++ b/src/measure/java/calicostream/deployments/FrontEnd.java
@@ -17,9 +17,13 @@
 import java.util.Map;
 import java.util.Set;
 
-/** One life of a front end: its policy, what it has out, and the ways to engines; a {@link Checker} hears all of it. */
+/**
+ * One life of a front end: its policy, what it has out, and the ways to engines; a {@link Checker}
+ * hears all of it.
+ */
 final class FrontEnd implements QueryRouter.Actions {
-    private static final long DIAL = 250_000; // us until a connection that does not come up is given up
+    private static final long DIAL =
+            250_000; // us until a connection that does not come up is given up
     private static final long PROBE_WAIT = 250_000;
     private static final long NEAR = 200;
     private static final long CALL = 5_000; // us for a call to the list's source
@@ -90,14 +94,17 @@
     }
 
     private void later(long us, Runnable work) {
-        play.time.after(us, () -> {
-            if (alive) {
-                work.run();
-            }
-        });
+        play.time.after(
+                us,
+                () -> {
+                    if (alive) {
+                        work.run();
+                    }
+                });
     }
 
-    // ---- The list -----------------------------------------------------------------------------------------
+    // ---- The list
+    // -----------------------------------------------------------------------------------------
     /** A change has reached this front end, or would have. */
     void change(Engine entry) {
         if (subscribed) {
@@ -116,16 +123,22 @@
     @Override
     public void subscribeRoster() {
         askedAt = now();
-        later(CALL, () -> {
-            if (play.random.nextDouble() < CALL_FAILS) {
-                told(RosterKind.FAILED, List.of());
-                return;
-            }
-            subscribed = true;
-            missed.forEach(e -> view.put(e.id(), e));
-            missed.clear();
-            told(RosterKind.COMPLETE, view.values().stream().filter(e -> e.state() != EngineState.GONE).toList());
-        });
+        later(
+                CALL,
+                () -> {
+                    if (play.random.nextDouble() < CALL_FAILS) {
+                        told(RosterKind.FAILED, List.of());
+                        return;
+                    }
+                    subscribed = true;
+                    missed.forEach(e -> view.put(e.id(), e));
+                    missed.clear();
+                    told(
+                            RosterKind.COMPLETE,
+                            view.values().stream()
+                                    .filter(e -> e.state() != EngineState.GONE)
+                                    .toList());
+                });
     }
 
     /** The subscription breaks off. */
@@ -149,22 +162,27 @@
         return queries.values().stream().allMatch(o -> !o.open && o.out == null);
     }
 
-    // ---- Queries ------------------------------------------------------------------------------------------
+    // ---- Queries
+    // ------------------------------------------------------------------------------------------
     void query(Ask ask, long id) {
         Open o = new Open(ask, id);
         queries.put(id, o);
         checker.query(now(), id, ask.lane, ask.key, ask.deadline);
-        later(ask.deadline - now(), () -> {
-            if (o.out != null) {
-                end(o.out, Outcome.TIMEOUT, 0);
-            }
-        });
-        later(ask.deadline - now() + draw.figures().graceUs(), () -> {
-            checker.overdue(now(), id);
-            if (o.open) {
-                leave(o);
-            }
-        });
+        later(
+                ask.deadline - now(),
+                () -> {
+                    if (o.out != null) {
+                        end(o.out, Outcome.TIMEOUT, 0);
+                    }
+                });
+        later(
+                ask.deadline - now() + draw.figures().graceUs(),
+                () -> {
+                    checker.overdue(now(), id);
+                    if (o.open) {
+                        leave(o);
+                    }
+                });
         router.query(now(), ask.query(id, now(), draw.allowed().clientRetries()));
     }
 
@@ -228,7 +246,9 @@
         }
         if (m.warmth() < 1) {
             double work = draw.lanes().get(a.of.ask.lane).workUs();
-            if (play.colds.get(m.id).add(now(), m, work, checker.knows(m.id, m.bornUs), play.breaks)) {
+            if (play.colds
+                    .get(m.id)
+                    .add(now(), m, work, checker.knows(m.id, m.bornUs), play.breaks)) {
                 play.fall(m);
                 end(a, Outcome.RESET, way(m));
                 return;
@@ -244,8 +264,14 @@
         double most = draw.allowed().mostGrant() * draw.kinds().get(m.kind).memoryMb();
         boolean granted = draw.allowed().grants() && a.of.memoryMb > 0;
         Draw.Lane lane = draw.lanes().get(ask.lane);
-        a.run = new Machine.Run(ask, lane, Math.min(most, granted ? a.of.memoryMb : ask.guessedMb(lane.memoryMb())),
-                a.of.priority, ask.deadline, outcome -> ran(a, outcome));
+        a.run =
+                new Machine.Run(
+                        ask,
+                        lane,
+                        Math.min(most, granted ? a.of.memoryMb : ask.guessedMb(lane.memoryMb())),
+                        a.of.priority,
+                        ask.deadline,
+                        outcome -> ran(a, outcome));
         if (a.of.out != a) {
             return; // Called off before it came.
         }
@@ -272,24 +298,35 @@
         }
         Machine.Run run = a.run;
         if (!a.to.hangs && !play.cutOff(zone, a.to.zone)) {
-            Notice what = run.waitsForMemory() ? Notice.WAITS_FOR_MEMORY : run.waitsForLoad() ? Notice.WAITS_FOR_LOAD
-                    : Notice.SHARE_DONE;
-            double amount = what == Notice.SHARE_DONE ? run.share() * (0.9 + 0.2 * play.random.nextDouble()) : 0;
+            Notice what =
+                    run.waitsForMemory()
+                            ? Notice.WAITS_FOR_MEMORY
+                            : run.waitsForLoad() ? Notice.WAITS_FOR_LOAD : Notice.SHARE_DONE;
+            double amount =
+                    what == Notice.SHARE_DONE
+                            ? run.share() * (0.9 + 0.2 * play.random.nextDouble())
+                            : 0;
             router.progress(now(), new Progress(a.of.id, a.number, what, amount));
             if (run.missingMb() > 0 && a.of.out == a) {
-                router.progress(now(), new Progress(a.of.id, a.number, Notice.SPILLS, run.missingMb()));
+                router.progress(
+                        now(), new Progress(a.of.id, a.number, Notice.SPILLS, run.missingMb()));
             }
         }
         later(draw.telling().noteUs(), () -> note(a));
     }
 
     private void end(Attempt a, Outcome outcome, long after) {
-        Report told = outcome == Outcome.OK && draw.telling().how() == QueryRouter.Reporting.WITH_ANSWERS ? a.to.report() : null;
-        later(after, () -> {
-            if (a.of.out == a) {
-                report(a, outcome, told);
-            }
-        });
+        Report told =
+                outcome == Outcome.OK && draw.telling().how() == QueryRouter.Reporting.WITH_ANSWERS
+                        ? a.to.report()
+                        : null;
+        later(
+                after,
+                () -> {
+                    if (a.of.out == a) {
+                        report(a, outcome, told);
+                    }
+                });
     }
 
     private void report(Attempt a, Outcome outcome, Report told) {
@@ -305,8 +342,18 @@
         }
         boolean tells = outcome == Outcome.OK && draw.telling().tellsCost();
         checker.ended(now(), o.id, a.number, outcome, !o.open);
-        router.ended(now(), new AttemptEnd(o.id, a.number, a.to.id, outcome, !o.open, now() - a.sentAt,
-                tells ? o.ask.workUs / 1000 : 0, tells ? o.ask.memoryMb : 0, told));
+        router.ended(
+                now(),
+                new AttemptEnd(
+                        o.id,
+                        a.number,
+                        a.to.id,
+                        outcome,
+                        !o.open,
+                        now() - a.sentAt,
+                        tells ? o.ask.workUs / 1000 : 0,
+                        tells ? o.ask.memoryMb : 0,
+                        told));
     }
 
     /** Killed: its connections end, and what they carried is given up. */
@@ -322,7 +369,8 @@
         }
     }
 
-    // ---- What the policy asks ----------------------------------------------------------------------------
+    // ---- What the policy asks
+    // ----------------------------------------------------------------------------
     @Override
     public void cancel(long id, int attempt) {
         checker.cancel(now(), id, attempt);
@@ -385,10 +433,12 @@
             later(2 * way(m), () -> router.probed(now(), engine, Outcome.FULL, null));
         } else {
             boolean tells = draw.telling().how() != QueryRouter.Reporting.NONE;
-            later(2 * way(m), () -> router.probed(now(), engine, Outcome.OK, tells ? m.report() : null));
+            later(
+                    2 * way(m),
+                    () -> router.probed(now(), engine, Outcome.OK, tells ? m.report() : null));
         }
     }
 
     @Override
-    public void log(String text) { }
+    public void log(String text) {}
 }
--- a/src/measure/java/calicostream/deployments/LeastLoaded.java
+++ b/src/measure/java/calicostream/deployments/LeastLoaded.java
@@ -1,7 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.deployments;
 
-import calicostream.QueryRouter;
 import calicostream.mass.PlainRouter;
 import java.util.ArrayDeque;
 import java.util.Comparator;
@@ -10,8 +9,9 @@
 import java.util.SplittableRandom;
 
 /**
- * The plainest policy of least load: each query goes once, at once, to the engine with the least own queries a core plus what its last
- * report told. It keeps to placement and to order by key, and asks for reports where they only come so.
+ * The plainest policy of least load: each query goes once, at once, to the engine with the least
+ * own queries a core plus what its last report told. It keeps to placement and to order by key, and
+ * asks for reports where they only come so.
  */
 final class LeastLoaded extends PlainRouter {
     private static final long ASKS = 500_000; // us between reports of an engine that are asked for
@@ -69,10 +69,14 @@
 
     private void send(Query query) {
         QueryClass spec = settings.classes().get(query.queryClass());
-        Engine to = ready.values().stream()
-                .filter(e -> spec.zones().isEmpty() || spec.zones().contains(e.zone()))
-                .filter(e -> spec.kinds().isEmpty() || spec.kinds().contains(e.kind()))
-                .min(Comparator.comparingDouble(this::load).thenComparingLong(e -> byChance(e, query))).orElse(null);
+        Engine to =
+                ready.values().stream()
+                        .filter(e -> spec.zones().isEmpty() || spec.zones().contains(e.zone()))
+                        .filter(e -> spec.kinds().isEmpty() || spec.kinds().contains(e.kind()))
+                        .min(
+                                Comparator.comparingDouble(this::load)
+                                        .thenComparingLong(e -> byChance(e, query)))
+                        .orElse(null);
         if (to == null) {
             actions.fail(query.id());
             over(query, 0);
@@ -84,7 +88,8 @@
     }
 
     private double load(Engine e) {
-        return own.getOrDefault(e.id(), 0) / settings.kinds().get(e.kind()).cores() + told.getOrDefault(e.id(), 0.0);
+        return own.getOrDefault(e.id(), 0) / settings.kinds().get(e.kind()).cores()
+                + told.getOrDefault(e.id(), 0.0);
     }
 
     private long byChance(Engine e, Query query) {
@@ -97,7 +102,10 @@
         own.merge(end.engine(), -1, Integer::sum);
         heed(end.engine(), end.report());
         super.ended(now, end);
-        boolean settled = end.outcome() == Outcome.OK || end.outcome() == Outcome.ERROR || !end.outcome().mayHaveRun;
+        boolean settled =
+                end.outcome() == Outcome.OK
+                        || end.outcome() == Outcome.ERROR
+                        || !end.outcome().mayHaveRun;
         over(query, settled ? 0 : settings.rules().keyRestUs());
     }
 
@@ -129,7 +137,8 @@
     private void heed(long engine, Report report) {
         if (report != null && ready.containsKey(engine)) {
             double cores = settings.kinds().get(ready.get(engine).kind()).cores();
-            double full = Double.isNaN(report.utilization()) ? report.saturation() : report.utilization();
+            double full =
+                    Double.isNaN(report.utilization()) ? report.saturation() : report.utilization();
             told.put(engine, Double.isNaN(report.running()) ? full : report.running() / cores);
         }
     }
--- a/src/measure/java/calicostream/deployments/Machine.java
+++ b/src/measure/java/calicostream/deployments/Machine.java
@@ -30,8 +30,17 @@
         private double left, whole, io, granted, rate;
         private boolean waits, blocked, spills;
 
-        /** {@code wanted}: memory granted where there is enough; {@code expires}: not begun after that. */
-        Run(Ask ask, Draw.Lane lane, double wanted, int priority, long expires, Consumer<Outcome> ended) {
+        /**
+         * {@code wanted}: memory granted where there is enough; {@code expires}: not begun after
+         * that.
+         */
+        Run(
+                Ask ask,
+                Draw.Lane lane,
+                double wanted,
+                int priority,
+                long expires,
+                Consumer<Outcome> ended) {
             this.ask = ask;
             this.lane = lane;
             this.wanted = wanted;
@@ -60,9 +69,12 @@
         }
     }
 
-    private record Seen(long at, int inflight, int queue, double util, double granted, double disks) { }
+    private record Seen(
+            long at, int inflight, int queue, double util, double granted, double disks) {}
 
-    private static final int[] WEIGHTS = {1, 4, 8, 16}; // of the priorities where cores or disks are short
+    private static final int[] WEIGHTS = {
+        1, 4, 8, 16
+    }; // of the priorities where cores or disks are short
     private static final double SLOW = 0.3; // speed of an engine in trouble
     private static final long SECOND = 1_000_000;
     final long id;
@@ -111,15 +123,26 @@
     /** Its share of its speed: a cold engine gains evenly until it is warm. */
     double warmth() {
         double from = draw.figures().coldShare();
-        double age = bornUs == 0 ? 1 : Math.min(1, (time.now() - bornUs) / (double) draw.figures().warmUpUs());
+        double age =
+                bornUs == 0
+                        ? 1
+                        : Math.min(1, (time.now() - bornUs) / (double) draw.figures().warmUpUs());
         return from + (1 - from) * age;
     }
 
-    // ---- What it tells ------------------------------------------------------------------------------------
+    // ---- What it tells
+    // ------------------------------------------------------------------------------------
     private void look() {
         advance();
         plan(); // A cold one is faster now.
-        seen.add(new Seen(time.now(), running.size() + line.size(), line.size(), coresBusy, granted / memoryMb, disksBusy));
+        seen.add(
+                new Seen(
+                        time.now(),
+                        running.size() + line.size(),
+                        line.size(),
+                        coresBusy,
+                        granted / memoryMb,
+                        disksBusy));
         while (seen.size() > 1 && seen.peek().at < time.now() - 8 * SECOND) {
             seen.poll();
         }
@@ -134,9 +157,20 @@
         }
         Report out = Report.NOTHING;
         for (String field : draw.telling().fields()) {
-            double value = field.equals("inflight") ? told.inflight : field.equals("queue") ? told.queue
-                    : field.equals("util") ? told.util : field.equals("x0") ? told.granted : told.disks;
-            out = out.with(field, Math.max(0, value * (1 + draw.telling().noise() * random.nextGaussian())));
+            double value =
+                    field.equals("inflight")
+                            ? told.inflight
+                            : field.equals("queue")
+                                    ? told.queue
+                                    : field.equals("util")
+                                            ? told.util
+                                            : field.equals("x0") ? told.granted : told.disks;
+            out =
+                    out.with(
+                            field,
+                            Math.max(
+                                    0,
+                                    value * (1 + draw.telling().noise() * random.nextGaussian())));
         }
         return out;
     }
@@ -150,14 +184,16 @@
         return probedAt.size() <= Math.max(1, draw.allowed().probesPerCore() * cores);
     }
 
-    // ---- What it runs -------------------------------------------------------------------------------------
+    // ---- What it runs
+    // -------------------------------------------------------------------------------------
     /** Takes a query, unless it holds too many. */
     boolean take(Run run) {
         if (running.size() + line.size() >= traits.sessionsPerCore() * cores) {
             return false;
         }
         advance();
-        if (traits.whenShort() == Draw.Short.WAIT && (!line.isEmpty() || granted + run.wanted > memoryMb)) {
+        if (traits.whenShort() == Draw.Short.WAIT
+                && (!line.isEmpty() || granted + run.wanted > memoryMb)) {
             run.waits = true;
             line.add(run);
         } else {
@@ -169,7 +205,8 @@
 
     private void begin(Run run) {
         double free = Math.max(0, memoryMb - granted);
-        run.granted = traits.whenShort() == Draw.Short.CUT ? Math.min(free, run.wanted) : run.wanted;
+        run.granted =
+                traits.whenShort() == Draw.Short.CUT ? Math.min(free, run.wanted) : run.wanted;
         granted += run.granted;
         run.waits = false;
         if (run.granted < run.ask.memoryMb) {
@@ -205,8 +242,12 @@
     /** Queries that wait for memory begin by priority, then in turn. */
     private void admit() {
         while (!line.isEmpty()) {
-            Run next = draw.allowed().priorities()
-                    ? line.stream().max(Comparator.comparingInt((Run r) -> r.priority)).get() : line.get(0);
+            Run next =
+                    draw.allowed().priorities()
+                            ? line.stream()
+                                    .max(Comparator.comparingInt((Run r) -> r.priority))
+                                    .get()
+                            : line.get(0);
             if (time.now() > next.expires) {
                 line.remove(next);
                 time.after(1, () -> next.ended.accept(Outcome.FULL));
@@ -246,10 +287,15 @@
         advancedAt = time.now();
     }
 
-    /** The cores and the disks together are one bottleneck: all that runs is as much slower as the shorter one asks for. */
+    /**
+     * The cores and the disks together are one bottleneck: all that runs is as much slower as the
+     * shorter one asks for.
+     */
     private void rates() {
         Map<Integer, Run> holders = new HashMap<>();
-        running.stream().filter(run -> run.lane.load()).forEach(run -> holders.putIfAbsent(run.ask.group, run));
+        running.stream()
+                .filter(run -> run.lane.load())
+                .forEach(run -> holders.putIfAbsent(run.ask.group, run));
         double[] threads = new double[WEIGHTS.length];
         double reading = 0;
         for (Run run : running) {
@@ -265,8 +311,10 @@
         double done = cores * (crowd > 1 ? Math.pow(crowd, -traits.thrash() / 2) : 1);
         double seeks = reading / (2 * disks);
         double read = disks * (seeks > 1 ? Math.pow(seeks, -traits.seek()) : 1);
-        double used = running.stream().mapToDouble(run -> Math.min(run.granted, run.ask.memoryMb)).sum();
-        double jam = Math.max(1, Math.max(all / done, reading / read)) * Math.max(1, used / memoryMb);
+        double used =
+                running.stream().mapToDouble(run -> Math.min(run.granted, run.ask.memoryMb)).sum();
+        double jam =
+                Math.max(1, Math.max(all / done, reading / read)) * Math.max(1, used / memoryMb);
         double[] parts = shared(threads, all / jam);
         double pace = speed * warmth() * (isSlow ? SLOW : 1);
         for (Run run : running) {
@@ -280,10 +328,15 @@
         return draw.allowed().priorities() ? run.priority : 1;
     }
 
-    /** The part of its full speed at which each priority's threads run, where so many threads' work is done in all. */
+    /**
+     * The part of its full speed at which each priority's threads run, where so many threads' work
+     * is done in all.
+     */
     private static double[] shared(double[] threads, double done) {
         double[] parts = new double[threads.length];
-        for (int highest = threads.length - 1; highest >= 0; highest--) { // What a higher one can't use goes to the others.
+        for (int highest = threads.length - 1;
+                highest >= 0;
+                highest--) { // What a higher one can't use goes to the others.
             double weights = 0;
             for (int i = 0; i <= highest; i++) {
                 weights += threads[i] * WEIGHTS[i];
@@ -303,11 +356,13 @@
             soonest = run.rate > 0 ? Math.min(soonest, Math.max(0, run.left) / run.rate) : soonest;
         }
         if (soonest < Double.MAX_VALUE) {
-            time.after((long) Math.ceil(soonest) + 1, () -> {
-                if (planned == version) {
-                    finish();
-                }
-            });
+            time.after(
+                    (long) Math.ceil(soonest) + 1,
+                    () -> {
+                        if (planned == version) {
+                            finish();
+                        }
+                    });
         }
     }
 
--- a/src/measure/java/calicostream/deployments/Play.java
+++ b/src/measure/java/calicostream/deployments/Play.java
@@ -24,12 +24,25 @@
         QueryRouter router(Settings settings, QueryRouter.Actions actions);
     }
 
-    /** What came of it; {@code served}: worth served within its time, and less after it, of the worth asked for. */
-    record Result(Breaks breaks, double served, double probesPerQuery, double overProbed, double refused, double failed,
-            double coldPeak, long queries, String byLane) { }
+    /**
+     * What came of it; {@code served}: worth served within its time, and less after it, of the
+     * worth asked for.
+     */
+    record Result(
+            Breaks breaks,
+            double served,
+            double probesPerQuery,
+            double overProbed,
+            double refused,
+            double failed,
+            double coldPeak,
+            long queries,
+            String byLane) {}
 
-    static final long ASK_WITHIN = 10_000_000; // us within which a front end without a subscription asks for the list
-    private static final long DIED = 2_000_000; // us until the list's source knows that a process has died
+    static final long ASK_WITHIN =
+            10_000_000; // us within which a front end without a subscription asks for the list
+    private static final long DIED =
+            2_000_000; // us until the list's source knows that a process has died
     private static final long STEP = 500_000;
     private static final long LEAVING = 7_000_000; // us from draining to gone
     private static final double IMPATIENT = 0.005; // of clients leave early
@@ -77,7 +90,8 @@
         long start = play.time.now();
         play.time.run(start + draw.size().lengthUs());
         long longest = draw.lanes().stream().mapToLong(Draw.Lane::deadlineUs).max().orElse(0);
-        while (play.time.now() < start + draw.size().lengthUs() + 2 * longest && !play.isSettled()) {
+        while (play.time.now() < start + draw.size().lengthUs() + 2 * longest
+                && !play.isSettled()) {
             play.time.run(play.time.now() + STEP);
         }
         return play.result();
@@ -94,27 +108,53 @@
         double queries = Math.max(1, lives.stream().mapToLong(f -> f.checker.queries).sum());
         double probes = lives.stream().mapToLong(f -> f.probes).sum();
         double over = lives.stream().mapToLong(f -> f.overProbed).sum() / Math.max(1, probes);
-        return new Result(breaks, served / asked, probes / queries, over, lives.stream().mapToLong(f -> f.refused).sum() / queries,
+        return new Result(
+                breaks,
+                served / asked,
+                probes / queries,
+                over,
+                lives.stream().mapToLong(f -> f.refused).sum() / queries,
                 lives.stream().mapToLong(f -> f.failed).sum() / queries,
-                colds.values().stream().mapToDouble(c -> c.peak).max().orElse(0), (long) queries, byLane());
+                colds.values().stream().mapToDouble(c -> c.peak).max().orElse(0),
+                (long) queries,
+                byLane());
     }
 
     /** Of each class, the part of its worth that was served. */
     private String byLane() {
-        return IntStream.range(0, draw.lanes().size()).mapToObj(lane -> {
-            double worth = asks.stream().filter(a -> a.lane == lane).mapToDouble(a -> a.worth).sum();
-            double got = asks.stream().filter(a -> a.lane == lane).mapToDouble(a -> a.served * a.worth).sum();
-            return String.format(Locale.ROOT, "%s %.2f of %.0f", draw.lanes().get(lane).name(), got / Math.max(1e-9, worth), worth);
-        }).collect(Collectors.joining(", "));
+        return IntStream.range(0, draw.lanes().size())
+                .mapToObj(
+                        lane -> {
+                            double worth =
+                                    asks.stream()
+                                            .filter(a -> a.lane == lane)
+                                            .mapToDouble(a -> a.worth)
+                                            .sum();
+                            double got =
+                                    asks.stream()
+                                            .filter(a -> a.lane == lane)
+                                            .mapToDouble(a -> a.served * a.worth)
+                                            .sum();
+                            return String.format(
+                                    Locale.ROOT,
+                                    "%s %.2f of %.0f",
+                                    draw.lanes().get(lane).name(),
+                                    got / Math.max(1e-9, worth),
+                                    worth);
+                        })
+                .collect(Collectors.joining(", "));
     }
 
-    // ---- Clients ------------------------------------------------------------------------------------------
+    // ---- Clients
+    // ------------------------------------------------------------------------------------------
     private void arrive(int number) {
         if (number < asks.size()) {
-            time.after(asks.get(number).at - time.now(), () -> {
-                ask(asks.get(number));
-                arrive(number + 1);
-            });
+            time.after(
+                    asks.get(number).at - time.now(),
+                    () -> {
+                        ask(asks.get(number));
+                        arrive(number + 1);
+                    });
         }
     }
 
@@ -128,11 +168,13 @@
             long id = ++nextQuery;
             FrontEnd to = front;
             if (new SplittableRandom(ask.at + ask.group).nextDouble() < IMPATIENT) {
-                time.after((ask.deadline - time.now()) / 3, () -> {
-                    if (to.alive) {
-                        to.leave(id);
-                    }
-                });
+                time.after(
+                        (ask.deadline - time.now()) / 3,
+                        () -> {
+                            if (to.alive) {
+                                to.leave(id);
+                            }
+                        });
             }
             to.query(ask, id);
         }
@@ -140,22 +182,29 @@
 
     void served(Ask ask) {
         boolean late = time.now() > ask.at + ask.aimUs;
-        ask.served = time.now() > ask.deadline ? 0 : late ? draw.lanes().get(ask.lane).lateWorth() : 1;
+        ask.served =
+                time.now() > ask.deadline ? 0 : late ? draw.lanes().get(ask.lane).lateWorth() : 1;
     }
 
-    /** A client tries once more where that is harmless; what a killed front end held it tries, too. */
+    /**
+     * A client tries once more where that is harmless; what a killed front end held it tries, too.
+     */
     void unserved(Ask ask, long away, boolean refused) {
-        boolean harmless = refused || draw.lanes().get(ask.lane).effect() == QueryRouter.Effect.REPEATABLE;
+        boolean harmless =
+                refused || draw.lanes().get(ask.lane).effect() == QueryRouter.Effect.REPEATABLE;
         if (draw.allowed().clientRetries() && ask.tries < 2 && harmless) {
             triesToCome++;
-            time.after(Math.max(BACKOFF, Math.min(away, LONGEST_AWAY)), () -> {
-                triesToCome--;
-                ask(ask);
-            });
+            time.after(
+                    Math.max(BACKOFF, Math.min(away, LONGEST_AWAY)),
+                    () -> {
+                        triesToCome--;
+                        ask(ask);
+                    });
         }
     }
 
-    // ---- Engines and their list ---------------------------------------------------------------------------
+    // ---- Engines and their list
+    // ---------------------------------------------------------------------------
     private Machine add(int zone, int kind, long bornUs) {
         Machine m = new Machine(time, draw, nextEngine++, kind, zone, bornUs);
         machines.put(m.id, m);
@@ -168,15 +217,20 @@
     private void tell(Engine entry) {
         for (int i = 0; i < fronts.size(); i++) {
             int index = i;
-            long at = Math.max(listAt.getOrDefault(i, 0L), time.now() + (long) (listLateUs * (0.3 + 0.7 * random.nextDouble())));
+            long at =
+                    Math.max(
+                            listAt.getOrDefault(i, 0L),
+                            time.now() + (long) (listLateUs * (0.3 + 0.7 * random.nextDouble())));
             listAt.put(i, at);
-            time.after(at - time.now(), () -> {
-                if (fronts.get(index).alive) {
-                    fronts.get(index).change(entry);
-                } else {
-                    fronts.get(index).view.put(entry.id(), entry);
-                }
-            });
+            time.after(
+                    at - time.now(),
+                    () -> {
+                        if (fronts.get(index).alive) {
+                            fronts.get(index).change(entry);
+                        } else {
+                            fronts.get(index).view.put(entry.id(), entry);
+                        }
+                    });
         }
     }
 
@@ -189,11 +243,18 @@
         return a != b && (a == cutZone || b == cutZone);
     }
 
-    // ---- Troubles -----------------------------------------------------------------------------------------
+    // ---- Troubles
+    // -----------------------------------------------------------------------------------------
     private List<Machine> some(double part) {
-        List<Machine> ready = new ArrayList<>(machines.values().stream().filter(m -> m.state == EngineState.READY).toList());
+        List<Machine> ready =
+                new ArrayList<>(
+                        machines.values().stream()
+                                .filter(m -> m.state == EngineState.READY)
+                                .toList());
         List<Machine> out = new ArrayList<>();
-        for (int i = (int) Math.max(1, Math.round(part * ready.size())); i > 0 && !ready.isEmpty(); i--) {
+        for (int i = (int) Math.max(1, Math.round(part * ready.size()));
+                i > 0 && !ready.isEmpty();
+                i--) {
             out.add(ready.remove(random.nextInt(ready.size())));
         }
         return out;
@@ -202,37 +263,47 @@
     private void begin(Trouble trouble) {
         long us = trouble.lengthUs();
         switch (trouble.what()) {
-            case ROLL: roll(some(trouble.part()), us); break;
-            case HANG: {
-                List<Machine> hung = some(trouble.part());
-                hung.forEach(m -> m.hangs = true);
-                time.after(us, () -> hung.forEach(m -> m.hangs = false));
+            case ROLL:
+                roll(some(trouble.part()), us);
                 break;
-            }
-            case CRASH: some(trouble.part()).forEach(m -> crash(m, us)); break;
-            case SLOW: {
-                List<Machine> slow = some(trouble.part());
-                slow.forEach(m -> m.slow(true));
-                time.after(us, () -> slow.forEach(m -> m.slow(false)));
-                break;
-            }
-            case CUT: {
-                cutZone = draw.size().zones() - 1;
-                time.after(us, () -> cutZone = -1);
-                break;
-            }
-            case REPORTS_LATE: {
-                machines.values().forEach(m -> m.reportsLateUs = (long) (trouble.part() * 1e6));
-                time.after(us, () -> machines.values().forEach(m -> m.reportsLateUs = 0));
-                break;
-            }
-            case LIST_LATE: {
-                listLateUs += (long) (trouble.part() * 1e6);
-                fronts.stream().filter(f -> f.alive).forEach(FrontEnd::unsubscribe);
-                time.after(us, () -> listLateUs = draw.telling().listLateUs());
+            case HANG:
+                {
+                    List<Machine> hung = some(trouble.part());
+                    hung.forEach(m -> m.hangs = true);
+                    time.after(us, () -> hung.forEach(m -> m.hangs = false));
+                    break;
+                }
+            case CRASH:
+                some(trouble.part()).forEach(m -> crash(m, us));
                 break;
-            }
-            default: restart(us, trouble.part());
+            case SLOW:
+                {
+                    List<Machine> slow = some(trouble.part());
+                    slow.forEach(m -> m.slow(true));
+                    time.after(us, () -> slow.forEach(m -> m.slow(false)));
+                    break;
+                }
+            case CUT:
+                {
+                    cutZone = draw.size().zones() - 1;
+                    time.after(us, () -> cutZone = -1);
+                    break;
+                }
+            case REPORTS_LATE:
+                {
+                    machines.values().forEach(m -> m.reportsLateUs = (long) (trouble.part() * 1e6));
+                    time.after(us, () -> machines.values().forEach(m -> m.reportsLateUs = 0));
+                    break;
+                }
+            case LIST_LATE:
+                {
+                    listLateUs += (long) (trouble.part() * 1e6);
+                    fronts.stream().filter(f -> f.alive).forEach(FrontEnd::unsubscribe);
+                    time.after(us, () -> listLateUs = draw.telling().listLateUs());
+                    break;
+                }
+            default:
+                restart(us, trouble.part());
         }
     }
 
@@ -240,10 +311,12 @@
     private void roll(List<Machine> old, long us) {
         for (int i = 0; i < old.size(); i++) {
             Machine m = old.get(i);
-            time.after(i * us / old.size(), () -> {
-                add(m.zone, m.kind, time.now());
-                time.after(1_000_000, () -> drain(m));
-            });
+            time.after(
+                    i * us / old.size(),
+                    () -> {
+                        add(m.zone, m.kind, time.now());
+                        time.after(1_000_000, () -> drain(m));
+                    });
         }
     }
 
@@ -251,10 +324,12 @@
         if (m.state == EngineState.READY) {
             m.state = EngineState.DRAINING;
             tell(m.entry());
-            time.after(LEAVING, () -> {
-                m.die();
-                tell(m.entry());
-            });
+            time.after(
+                    LEAVING,
+                    () -> {
+                        m.die();
+                        tell(m.entry());
+                    });
         }
     }
 
@@ -262,13 +337,15 @@
     private void crash(Machine m, long backAfter) {
         m.die();
         time.after(DIED, () -> tell(m.entry()));
-        time.after(backAfter, () -> {
-            m.bornUs = time.now();
-            m.state = EngineState.READY;
-            m.hangs = false;
-            colds.get(m.id).forget();
-            tell(m.entry());
-        });
+        time.after(
+                backAfter,
+                () -> {
+                    m.bornUs = time.now();
+                    m.state = EngineState.READY;
+                    m.hangs = false;
+                    colds.get(m.id).forget();
+                    tell(m.entry());
+                });
     }
 
     /** It stays down. */
@@ -277,7 +354,9 @@
         time.after(DIED, () -> tell(m.entry()));
     }
 
-    /** Some front ends are killed, never all, and start again knowing the list as they last had it. */
+    /**
+     * Some front ends are killed, never all, and start again knowing the list as they last had it.
+     */
     private void restart(long us, double part) {
         int killed = (int) Math.min(fronts.size() - 1, Math.round(part * fronts.size()));
         for (int i = 0; i < killed; i++) {
@@ -285,11 +364,14 @@
             FrontEnd front = fronts.get(i);
             if (front.alive) {
                 front.kill();
-                time.after(us, () -> {
-                    FrontEnd next = new FrontEnd(this, index, new TreeMap<>(front.view), maker);
-                    fronts.set(index, next);
-                    lives.add(next);
-                });
+                time.after(
+                        us,
+                        () -> {
+                            FrontEnd next =
+                                    new FrontEnd(this, index, new TreeMap<>(front.view), maker);
+                            fronts.set(index, next);
+                            lives.add(next);
+                        });
             }
         }
     }
--- a/src/measure/java/calicostream/deployments/Wording.java
+++ b/src/measure/java/calicostream/deployments/Wording.java
@@ -14,7 +14,10 @@
 import java.util.TreeMap;
 import java.util.function.Function;
 
-/** A draw in the words of the platform's settings: as lines for every other draw, as nested JSON for the rest. */
+/**
+ * A draw in the words of the platform's settings: as lines for every other draw, as nested JSON for
+ * the rest.
+ */
 final class Wording {
     private final TreeMap<String, Object> values = new TreeMap<>();
 
@@ -52,12 +55,15 @@
             return SettingsParser.ofJson(out);
         }
         StringBuilder lines = new StringBuilder();
-        values.forEach((path, value) -> lines.append(path).append('=').append(plain(value)).append('\n'));
+        values.forEach(
+                (path, value) -> lines.append(path).append('=').append(plain(value)).append('\n'));
         return SettingsParser.ofLines(lines.toString());
     }
 
     private static String plain(Object value) {
-        return value instanceof List<?> list ? String.join(",", list.stream().map(Wording::plain).toList()) : value.toString();
+        return value instanceof List<?> list
+                ? String.join(",", list.stream().map(Wording::plain).toList())
+                : value.toString();
     }
 
     private static JsonValue json(Object value) {
@@ -66,10 +72,15 @@
             list.forEach(each -> out.add(json(each)));
             return out;
         }
-        return value instanceof Boolean || value instanceof Number ? Json.parse(value.toString()) : Json.value(value.toString());
+        return value instanceof Boolean || value instanceof Number
+                ? Json.parse(value.toString())
+                : Json.value(value.toString());
     }
 
-    /** Sets a value under its path; lists of objects carry no count, as in a front end's configuration. */
+    /**
+     * Sets a value under its path; lists of objects carry no count, as in a front end's
+     * configuration.
+     */
     private static void nest(JsonObject into, String[] path, int at, JsonValue value) {
         if (path[path.length - 1].equals("count")) {
             return;
@@ -105,7 +116,11 @@
         values.put("ceilings.second_copies", false);
         values.put("client_habits.marks_retry", allowed.clientRetries());
         Reporting how = telling.how();
-        values.put("stats.how", how == Reporting.WITH_ANSWERS ? "inline" : how == Reporting.ON_PROBE ? "on_probe" : "off");
+        values.put(
+                "stats.how",
+                how == Reporting.WITH_ANSWERS
+                        ? "inline"
+                        : how == Reporting.ON_PROBE ? "on_probe" : "off");
         values.put("stats.columns", telling.fields());
     }
 
@@ -117,10 +132,15 @@
         values.put("family_info.note_period_us", draw.telling().noteUs());
         values.put("family_info.tells_cost", draw.telling().tellsCost());
         Draw.Short when = draw.machines().whenShort();
-        values.put("family_info.memory_short",
-                when == Draw.Short.WAIT ? "line_up" : when == Draw.Short.CUT ? "cut" : "overcommit");
+        values.put(
+                "family_info.memory_short",
+                when == Draw.Short.WAIT
+                        ? "line_up"
+                        : when == Draw.Short.CUT ? "cut" : "overcommit");
         values.put("family_info.kind_cores", draw.kinds().stream().map(Draw.Kind::cores).toList());
-        values.put("family_info.kind_memory_mb", draw.kinds().stream().map(Draw.Kind::memoryMb).toList());
+        values.put(
+                "family_info.kind_memory_mb",
+                draw.kinds().stream().map(Draw.Kind::memoryMb).toList());
         values.put("family_info.width_by_class", byLane(draw, Draw.Lane::threads));
         values.put("family_info.holds_tables", byLane(draw, Draw.Lane::load));
         values.put("family_info.waits_for_loads", byLane(draw, Draw.Lane::waits));
@@ -156,7 +176,11 @@
         values.put(at + "points", lane.worth());
         values.put(at + "late_worth", lane.lateWorth());
         Effect effect = lane.effect();
-        values.put(at + "effect", effect == Effect.REPEATABLE ? "repeatable" : effect == Effect.ONCE ? "once" : "by_key");
+        values.put(
+                at + "effect",
+                effect == Effect.REPEATABLE
+                        ? "repeatable"
+                        : effect == Effect.ONCE ? "once" : "by_key");
         values.put(at + "key_scope", lane.scope().toString().toLowerCase(Locale.ROOT));
         values.put(at + "window_us", lane.windowUs());
         values.put(at + "stream", false);
--- a/src/measure/java/calicostream/durable/DurableMeasure.java
+++ b/src/measure/java/calicostream/durable/DurableMeasure.java
@@ -15,8 +15,9 @@
 import java.util.stream.Stream;
 
 /**
- * Crashes and lies for as long as the time allows, then costs against a plain file in the same run, in turn; the last line holds the
- * figures. SEED (1) and FOLDER (the system's for temporary files; where that is in memory, a sync costs nothing) may be given.
+ * Crashes and lies for as long as the time allows, then costs against a plain file in the same run,
+ * in turn; the last line holds the figures. SEED (1) and FOLDER (the system's for temporary files;
+ * where that is in memory, a sync costs nothing) may be given.
  */
 public final class DurableMeasure {
 
@@ -42,7 +43,10 @@
 
     public static void main(String[] args) throws IOException {
         long seed = args.length > 0 ? Long.parseLong(args[0]) : 1;
-        Path folder = args.length > 1 ? Files.createTempDirectory(Path.of(args[1]), "durable") : Files.createTempDirectory("durable");
+        Path folder =
+                args.length > 1
+                        ? Files.createTempDirectory(Path.of(args[1]), "durable")
+                        : Files.createTempDirectory("durable");
         try {
             new DurableMeasure(folder).run(seed);
         } finally {
@@ -61,17 +65,27 @@
         long at = seed;
         for (; System.nanoTime() - began < 14_000_000_000L; at++) {
             int calls = Trials.calls(at);
-            for (int call = 1; call <= calls; call++, crashPoints++) count(Trials.crash(at, call, call % 4));
+            for (int call = 1; call <= calls; call++, crashPoints++)
+                count(Trials.crash(at, call, call % 4));
         }
         long lies = seed;
-        for (; System.nanoTime() - began < 24_000_000_000L; lies++) for (Trials.Lie lie : Trials.Lie.values()) {
-            Outcome outcome = Trials.lie(lies, lie);
-            if (outcome.end() == End.INTACT) harmless++;
-            else told++;
-            if (outcome.end() == End.NOTICED) noticed++;
-            count(outcome);
-        }
-        System.out.println("crashes of seeds " + seed + " to " + (at - 1) + ", lies of seeds " + seed + " to " + (lies - 1));
+        for (; System.nanoTime() - began < 24_000_000_000L; lies++)
+            for (Trials.Lie lie : Trials.Lie.values()) {
+                Outcome outcome = Trials.lie(lies, lie);
+                if (outcome.end() == End.INTACT) harmless++;
+                else told++;
+                if (outcome.end() == End.NOTICED) noticed++;
+                count(outcome);
+            }
+        System.out.println(
+                "crashes of seeds "
+                        + seed
+                        + " to "
+                        + (at - 1)
+                        + ", lies of seeds "
+                        + seed
+                        + " to "
+                        + (lies - 1));
         double[] sync = new double[ROUNDS];
         double[] append = new double[ROUNDS];
         double plainSync = 0;
@@ -84,12 +98,27 @@
         }
         Arrays.sort(sync);
         Arrays.sort(append);
-        System.out.printf("a plain sync took %.3f ms; against it sync %.2f to %.2f, append %.2f to %.2f%n", plainSync / 1e6, sync[0],
-                sync[ROUNDS - 1], append[0], append[ROUNDS - 1]);
+        System.out.printf(
+                "a plain sync took %.3f ms; against it sync %.2f to %.2f, append %.2f to %.2f%n",
+                plainSync / 1e6, sync[0], sync[ROUNDS - 1], append[0], append[ROUNDS - 1]);
         double[] recovery = recovery();
-        System.out.printf("durable crash_points=%d lies_told=%d lies_noticed=%d lies_harmless=%d lost=%d invented=%d false_alarms=%d "
-                + "sync_ratio=%.2f append_ratio=%.2f recovery_ratio=%.2f recovery_ms=%.0f log_mb=%d seed=%d%n", crashPoints, told, noticed, harmless,
-                lost, invented, falseAlarms, sync[ROUNDS / 2], append[ROUNDS / 2], recovery[1], recovery[0], LOG_MB, seed);
+        System.out.printf(
+                "durable crash_points=%d lies_told=%d lies_noticed=%d lies_harmless=%d lost=%d"
+                        + " invented=%d false_alarms=%d sync_ratio=%.2f append_ratio=%.2f"
+                        + " recovery_ratio=%.2f recovery_ms=%.0f log_mb=%d seed=%d%n",
+                crashPoints,
+                told,
+                noticed,
+                harmless,
+                lost,
+                invented,
+                falseAlarms,
+                sync[ROUNDS / 2],
+                append[ROUNDS / 2],
+                recovery[1],
+                recovery[0],
+                LOG_MB,
+                seed);
     }
 
     private void count(Outcome outcome) {
@@ -104,12 +133,19 @@
         System.out.println(outcome.end() + " " + outcome.what());
     }
 
-    /** The same bytes, each batch in one write and one sync, without records or marks: the least that any log costs. */
+    /**
+     * The same bytes, each batch in one write and one sync, without records or marks: the least
+     * that any log costs.
+     */
     private double plain(String name, int syncs, int batch) throws IOException {
         ByteBuffer entry = ByteBuffer.allocate(ENTRY);
         ByteBuffer out = ByteBuffer.allocateDirect(ENTRY * 128);
         long began = System.nanoTime();
-        try (FileChannel file = FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.APPEND)) {
+        try (FileChannel file =
+                FileChannel.open(
+                        folder.resolve(name),
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.APPEND)) {
             for (int i = 0; i < syncs; i++) {
                 for (int j = 0; j < batch; j++) {
                     out.put(entry.clear());
@@ -124,7 +160,11 @@
     }
 
     private DurableLog log(String name) throws DurableException {
-        return DurableLog.open(new FileDisk(folder.resolve(name)), new FileDisk(folder.resolve(name + "-marks")), Play.WHO, Options.DEFAULT);
+        return DurableLog.open(
+                new FileDisk(folder.resolve(name)),
+                new FileDisk(folder.resolve(name + "-marks")),
+                Play.WHO,
+                Options.DEFAULT);
     }
 
     private double batches(String name) throws IOException {
@@ -151,7 +191,8 @@
         try (DurableLog log = log("long")) {
             int index = 1;
             for (int mb = 0; mb < LOG_MB; mb++) {
-                for (int j = 0; j < (1 << 20) / ENTRY; j++) log.appendEntry(index++, 1, new byte[ENTRY]);
+                for (int j = 0; j < (1 << 20) / ENTRY; j++)
+                    log.appendEntry(index++, 1, new byte[ENTRY]);
                 log.sync();
             }
         }
@@ -168,13 +209,17 @@
             try (DurableLog log = log("long")) {
                 took[i] = System.nanoTime() - began;
                 List<Recovered.Entry> entries = log.recovered().entries();
-                if (entries.size() != LOG_MB * ((1 << 20) / ENTRY)) throw new IllegalStateException("entries " + entries.size() + " of " + bytes + " bytes");
+                if (entries.size() != LOG_MB * ((1 << 20) / ENTRY))
+                    throw new IllegalStateException(
+                            "entries " + entries.size() + " of " + bytes + " bytes");
             }
             ratio[i] = took[i] / reading;
         }
         Arrays.sort(took);
         Arrays.sort(ratio);
-        System.out.printf("recovery %.0f to %.0f ms, %.2f to %.2f of reading the files%n", took[0] / 1e6, took[ROUNDS - 1] / 1e6, ratio[0], ratio[ROUNDS - 1]);
+        System.out.printf(
+                "recovery %.0f to %.0f ms, %.2f to %.2f of reading the files%n",
+                took[0] / 1e6, took[ROUNDS - 1] / 1e6, ratio[0], ratio[ROUNDS - 1]);
         return new double[] {took[ROUNDS / 2] / 1e6, ratio[ROUNDS / 2]};
     }
 }
--- a/src/measure/java/calicostream/durable/FaultyDisk.java
+++ b/src/measure/java/calicostream/durable/FaultyDisk.java
@@ -11,8 +11,9 @@
 import java.util.function.Consumer;
 
 /**
- * A disk in memory that does what real ones do. What was not synced reaches it at a power cut in any order, sector by sector and name by
- * name; a failed sync leaves pages that can be read and are never written; a lying one says yes and does nothing.
+ * A disk in memory that does what real ones do. What was not synced reaches it at a power cut in
+ * any order, sector by sector and name by name; a failed sync leaves pages that can be read and are
+ * never written; a lying one says yes and does nothing.
  */
 final class FaultyDisk implements Disk {
 
@@ -27,9 +28,18 @@
         }
     }
 
-    enum Fault { FULL, READ_ONLY, SYNC_FAILS, WRITE_FAILS, SLOW }
+    enum Fault {
+        FULL,
+        READ_ONLY,
+        SYNC_FAILS,
+        WRITE_FAILS,
+        SLOW
+    }
 
-    /** What all disks of one machine share: the count of calls, where they break, the seed and the clock. */
+    /**
+     * What all disks of one machine share: the count of calls, where they break, the seed and the
+     * clock.
+     */
     static final class Power {
         final Random random;
         int calls;
@@ -83,8 +93,10 @@
     private TreeMap<String, File> keptNames = new TreeMap<>();
     private final List<Consumer<TreeMap<String, File>>> changes = new ArrayList<>();
     private boolean locked;
+
     /** Says yes to every sync and keeps nothing. */
     boolean losing;
+
     boolean readOnly;
     boolean full;
 
@@ -125,7 +137,8 @@
     private void writable(String what) throws DurableException {
         if (power.is(Fault.READ_ONLY)) readOnly = true;
         if (readOnly) throw new DurableException.ReadOnly(place + ": " + what, null);
-        if (power.is(Fault.WRITE_FAILS)) throw new DurableException.Failed(place + ": " + what, null);
+        if (power.is(Fault.WRITE_FAILS))
+            throw new DurableException.Failed(place + ": " + what, null);
     }
 
     @Override
@@ -133,7 +146,8 @@
         boolean crash = power.isCrash();
         writable("append to " + name);
         if (power.is(Fault.FULL)) full = true;
-        int length = crash || full ? power.random.nextInt(bytes.remaining() + 1) : bytes.remaining();
+        int length =
+                crash || full ? power.random.nextInt(bytes.remaining() + 1) : bytes.remaining();
         File file = names.get(name);
         if (file == null) {
             file = new File();
@@ -164,7 +178,9 @@
             throw new DurableException.SyncFailed(place + ": sync of " + name, null);
         }
         if (losing) return;
-        for (int sector = file.dirty.nextSetBit(0); sector >= 0; sector = file.dirty.nextSetBit(sector + 1)) file.keep(sector, Integer.MAX_VALUE);
+        for (int sector = file.dirty.nextSetBit(0);
+                sector >= 0;
+                sector = file.dirty.nextSetBit(sector + 1)) file.keep(sector, Integer.MAX_VALUE);
         file.dirty.clear();
     }
 
@@ -182,10 +198,11 @@
         writable("rename " + from);
         File file = names.get(from);
         if (file == null) throw new DurableException.Missing(place + "/" + from);
-        change(folder -> {
-            folder.remove(from);
-            folder.put(to, file);
-        });
+        change(
+                folder -> {
+                    folder.remove(from);
+                    folder.put(to, file);
+                });
     }
 
     @Override
@@ -200,15 +217,26 @@
         locked = false;
     }
 
-    /** The power was cut: of what was not synced, a part drawn at random is there. {@code kind} 0 keeps nothing, 1 all, else some. */
+    /**
+     * The power was cut: of what was not synced, a part drawn at random is there. {@code kind} 0
+     * keeps nothing, 1 all, else some.
+     */
     void cut(int kind) {
-        for (Consumer<TreeMap<String, File>> change : changes) if (isKept(kind)) change.accept(keptNames);
+        for (Consumer<TreeMap<String, File>> change : changes)
+            if (isKept(kind)) change.accept(keptNames);
         changes.clear();
         names = keptNames;
         keptNames = new TreeMap<>(names);
         for (File file : names.values()) {
-            int upTo = kind == 1 ? file.now.length : file.kept.length + power.random.nextInt(Math.max(1, file.now.length - file.kept.length + 1));
-            for (int sector = file.dirty.nextSetBit(0); sector >= 0; sector = file.dirty.nextSetBit(sector + 1))
+            int upTo =
+                    kind == 1
+                            ? file.now.length
+                            : file.kept.length
+                                    + power.random.nextInt(
+                                            Math.max(1, file.now.length - file.kept.length + 1));
+            for (int sector = file.dirty.nextSetBit(0);
+                    sector >= 0;
+                    sector = file.dirty.nextSetBit(sector + 1))
                 if (isKept(kind)) file.keep(sector, upTo);
             file.now = file.kept.clone();
             file.dirty.clear();
@@ -245,7 +273,10 @@
 
     /** Flips one bit. */
     boolean rot(String prefix, Random random) {
-        List<String> files = names.keySet().stream().filter(name -> name.startsWith(prefix) && names.get(name).now.length > 0).toList();
+        List<String> files =
+                names.keySet().stream()
+                        .filter(name -> name.startsWith(prefix) && names.get(name).now.length > 0)
+                        .toList();
         if (files.isEmpty()) return false;
         File file = names.get(files.get(random.nextInt(files.size())));
         int at = random.nextInt(file.now.length);
--- a/src/measure/java/calicostream/durable/Play.java
+++ b/src/measure/java/calicostream/durable/Play.java
@@ -11,15 +11,22 @@
 import java.util.TreeMap;
 
 /**
- * A member that writes at random from one seed on two faulty disks, and a plain account of what it wrote. After an opening the account
- * says whether all that was promised is there and nothing that was never written.
+ * A member that writes at random from one seed on two faulty disks, and a plain account of what it
+ * wrote. After an opening the account says whether all that was promised is there and nothing that
+ * was never written.
  */
 final class Play {
 
     static final Identity WHO = new Identity("site", "a");
 
     /** What a log says; {@code entries} are all since the last jump. */
-    record State(long term, String vote, String note, List<Long> snapshots, TreeMap<Long, String> entries, long last) {
+    record State(
+            long term,
+            String vote,
+            String note,
+            List<Long> snapshots,
+            TreeMap<Long, String> entries,
+            long last) {
         static final State EMPTY = new State(0, "", "", List.of(), new TreeMap<>(), 0);
 
         State with(long newTerm, String newVote) {
@@ -37,14 +44,16 @@
         }
 
         State cut(long index) {
-            return new State(term, vote, note, snapshots, new TreeMap<>(entries.headMap(index)), index - 1);
+            return new State(
+                    term, vote, note, snapshots, new TreeMap<>(entries.headMap(index)), index - 1);
         }
 
         State snapshot(long index) {
             List<Long> more = new ArrayList<>(snapshots);
             more.add(index);
             boolean jump = index > last;
-            return new State(term, vote, note, more, jump ? new TreeMap<>() : entries, jump ? index : last);
+            return new State(
+                    term, vote, note, more, jump ? new TreeMap<>() : entries, jump ? index : last);
         }
 
         long newest() {
@@ -57,13 +66,18 @@
     final FaultyDisk marks;
     final Random random;
     DurableLog durable;
+
     /** The first was promised, each further one is a call later. */
     final List<State> since = new ArrayList<>(List.of(State.EMPTY));
+
     /** Every state that ever was promised. */
     final List<State> promised = new ArrayList<>(List.of(State.EMPTY));
+
     private long pending;
+
     /** What two peers remember of it. */
     Seen seen = Seen.NOTHING;
+
     int admitted;
 
     Play(long seed) {
@@ -86,7 +100,11 @@
     }
 
     Amnesia.Answer judge() {
-        return Amnesia.judge(durable.recovered().own(), true, Set.of("b", "c"), Map.of("b", seen, "c", Seen.NOTHING));
+        return Amnesia.judge(
+                durable.recovered().own(),
+                true,
+                Set.of("b", "c"),
+                Map.of("b", seen, "c", Seen.NOTHING));
     }
 
     private State now() {
@@ -99,7 +117,14 @@
         since.add(now);
         promised.add(now);
         long voteTerm = now.vote().equals("b") ? now.term() : seen.voteTerm();
-        seen = new Seen(durable.recovered().own().incarnation(), now.term(), now.last(), voteTerm, false, true);
+        seen =
+                new Seen(
+                        durable.recovered().own().incarnation(),
+                        now.term(),
+                        now.last(),
+                        voteTerm,
+                        false,
+                        true);
     }
 
     /** After a sync of the caller's own. */
@@ -136,7 +161,10 @@
             since.add(next);
             durable.appendEntry(next.last(), now.term(), text.getBytes());
         } else if (draw < 57) {
-            State next = now.with(now.term() + 1, random.nextInt(3) == 0 ? "" : random.nextBoolean() ? "b" : "c");
+            State next =
+                    now.with(
+                            now.term() + 1,
+                            random.nextInt(3) == 0 ? "" : random.nextBoolean() ? "b" : "c");
             since.add(next);
             durable.saveTerm(next.term(), next.vote());
         } else if (draw < 62) {
@@ -148,7 +176,8 @@
             State later = now.with(now.term() + 1, "");
             since.add(later);
             durable.saveTerm(later.term(), "");
-            State next = later.cut(now.newest() + 1 + random.nextInt((int) (now.last() - now.newest())));
+            State next =
+                    later.cut(now.newest() + 1 + random.nextInt((int) (now.last() - now.newest())));
             since.add(next);
             durable.truncateFrom(next.last() + 1);
         } else if (draw < 76 && pending == 0) {
@@ -168,7 +197,8 @@
         if (index > now.last()) index = now.last() + 1 + random.nextInt(5);
         int of = 1 + random.nextInt(3);
         boolean whole = random.nextInt(5) > 0;
-        for (int chunk = of - 1; chunk >= (whole ? 0 : 1); chunk--) durable.snapshotChunk(index, 1, chunk, of, chunk(index, chunk));
+        for (int chunk = of - 1; chunk >= (whole ? 0 : 1); chunk--)
+            durable.snapshotChunk(index, 1, chunk, of, chunk(index, chunk));
         if (whole) pending = index;
     }
 
@@ -185,7 +215,10 @@
         return ("snapshot " + index + " chunk " + chunk).getBytes();
     }
 
-    /** The state among those that may be there which was found, or null; {@code passed}: a snapshot may have been passed over. */
+    /**
+     * The state among those that may be there which was found, or null; {@code passed}: a snapshot
+     * may have been passed over.
+     */
     State found(boolean passed) {
         Recovered recovered = durable.recovered();
         long newest = recovered.snapshot() == null ? 0 : recovered.snapshot().index();
@@ -202,9 +235,13 @@
         return promised.stream().anyMatch(state -> is(state, recovered));
     }
 
-    /** A generation that is not the newest does, as long as the entries lead from it to the same end. */
+    /**
+     * A generation that is not the newest does, as long as the entries lead from it to the same
+     * end.
+     */
     private static boolean is(State state, Recovered recovered) {
-        if (recovered.term() != state.term() || !recovered.votedFor().equals(state.vote())) return false;
+        if (recovered.term() != state.term() || !recovered.votedFor().equals(state.vote()))
+            return false;
         byte[] note = recovered.notes().get("note");
         if (!state.note().equals(note == null ? "" : new String(note))) return false;
         long from = 0;
@@ -212,11 +249,14 @@
             from = recovered.snapshot().index();
             if (!state.snapshots().contains(from)) return false;
             for (int i = 0; i < recovered.snapshot().chunks().size(); i++)
-                if (!Arrays.equals(recovered.snapshot().chunks().get(i), chunk(from, i))) return false;
+                if (!Arrays.equals(recovered.snapshot().chunks().get(i), chunk(from, i)))
+                    return false;
         }
-        if (recovered.lastIndex() != state.last() || recovered.entries().size() != state.last() - from) return false;
+        if (recovered.lastIndex() != state.last()
+                || recovered.entries().size() != state.last() - from) return false;
         for (Recovered.Entry entry : recovered.entries())
-            if (entry.index() != ++from || !new String(entry.bytes()).equals(state.entries().get(from))) return false;
+            if (entry.index() != ++from
+                    || !new String(entry.bytes()).equals(state.entries().get(from))) return false;
         return true;
     }
 
--- a/src/measure/java/calicostream/durable/Trials.java
+++ b/src/measure/java/calicostream/durable/Trials.java
@@ -4,19 +4,45 @@
 import java.util.List;
 import java.util.Random;
 
-/** One trial each: a crash at a disk call, a lie, a fault. A seed, a place and a kind give the same trial each time. */
+/**
+ * One trial each: a crash at a disk call, a lie, a fault. A seed, a place and a kind give the same
+ * trial each time.
+ */
 final class Trials {
 
     private static final int STEPS = 120;
 
-    enum End { INTACT, NOTICED, FALSE_ALARM, LOST, INVENTED }
+    enum End {
+        INTACT,
+        NOTICED,
+        FALSE_ALARM,
+        LOST,
+        INVENTED
+    }
 
     record Outcome(End end, String what) {}
 
     enum Lie {
-        LOG_SYNC_LOST, MARKS_SYNC_LOST, BOTH_SYNC_LOST, LOG_OLDER, MARKS_OLDER, BOTH_OLDER, LOG_EMPTY, MARKS_EMPTY, BOTH_EMPTY, LOG_FOREIGN,
-        MARKS_FOREIGN, LOG_ROT, MARKS_ROT, SNAPSHOT_ROT, SEGMENT_GONE, SEGMENT_OLDER, SNAPSHOT_GONE,
-        LOG_BRANCHED, SEGMENT_BRANCHED, BOTH_OLDER_APART
+        LOG_SYNC_LOST,
+        MARKS_SYNC_LOST,
+        BOTH_SYNC_LOST,
+        LOG_OLDER,
+        MARKS_OLDER,
+        BOTH_OLDER,
+        LOG_EMPTY,
+        MARKS_EMPTY,
+        BOTH_EMPTY,
+        LOG_FOREIGN,
+        MARKS_FOREIGN,
+        LOG_ROT,
+        MARKS_ROT,
+        SNAPSHOT_ROT,
+        SEGMENT_GONE,
+        SEGMENT_OLDER,
+        SNAPSHOT_GONE,
+        LOG_BRANCHED,
+        SEGMENT_BRANCHED,
+        BOTH_OLDER_APART
     }
 
     private Trials() {}
@@ -29,7 +55,10 @@
         return play.power.calls;
     }
 
-    /** Kinds 0 to 2 are power cuts ({@link FaultyDisk#cut}), 3 is a killed process on a system that lives. */
+    /**
+     * Kinds 0 to 2 are power cuts ({@link FaultyDisk#cut}), 3 is a killed process on a system that
+     * lives.
+     */
     static Outcome crash(long seed, int at, int kind) throws DurableException {
         String what = "seed " + seed + " call " + at + " kind " + kind + ": ";
         Play play = new Play(seed);
@@ -44,7 +73,8 @@
         for (int again = 1; ; again++) {
             if (kind == 3) play.killed();
             else play.cut(kind);
-            play.power.crashAt = again <= 3 ? play.power.calls + 1 + play.power.random.nextInt(14) : -1;
+            play.power.crashAt =
+                    again <= 3 ? play.power.calls + 1 + play.power.random.nextInt(14) : -1;
             try {
                 play.open();
                 break;
@@ -80,7 +110,9 @@
     }
 
     private static Outcome wrong(Play play, String what) {
-        return new Outcome(play.wasPromised() ? End.LOST : End.INVENTED, what + play.durable.recovered() + " is none of " + play.since);
+        return new Outcome(
+                play.wasPromised() ? End.LOST : End.INVENTED,
+                what + play.durable.recovered() + " is none of " + play.since);
     }
 
     /** Tells the lie to a member in the middle of its work and opens it again. */
@@ -123,7 +155,8 @@
             play.promisedAll();
         }
         // Where one place alone lies, the other has to tell: peers say nothing.
-        if (lie != Lie.BOTH_SYNC_LOST && lie != Lie.BOTH_OLDER && lie != Lie.BOTH_EMPTY) play.seen = Amnesia.Seen.NOTHING;
+        if (lie != Lie.BOTH_SYNC_LOST && lie != Lie.BOTH_OLDER && lie != Lie.BOTH_EMPTY)
+            play.seen = Amnesia.Seen.NOTHING;
         if (log0 || marks0) play.cut(0);
         else play.killed();
         tell(play, lie, log, marks, branch, random);
@@ -132,7 +165,8 @@
         } catch (DurableException e) {
             return back(play, lie, new Outcome(End.NOTICED, what + e.code()));
         }
-        if (play.judge().verdict() != Verdict.VOTER) return back(play, lie, new Outcome(End.NOTICED, what + play.judge().reason()));
+        if (play.judge().verdict() != Verdict.VOTER)
+            return back(play, lie, new Outcome(End.NOTICED, what + play.judge().reason()));
         return play.found(true) != null ? new Outcome(End.INTACT, what) : wrong(play, what);
     }
 
@@ -148,10 +182,12 @@
         return branch;
     }
 
-    private static void tell(Play play, Lie lie, FaultyDisk log, FaultyDisk marks, Play branch, Random random) throws DurableException {
+    private static void tell(
+            Play play, Lie lie, FaultyDisk log, FaultyDisk marks, Play branch, Random random)
+            throws DurableException {
         FaultyDisk empty = new FaultyDisk("empty", play.power);
         switch (lie) {
-            case LOG_SYNC_LOST, MARKS_SYNC_LOST, BOTH_SYNC_LOST -> { }
+            case LOG_SYNC_LOST, MARKS_SYNC_LOST, BOTH_SYNC_LOST -> {}
             case LOG_OLDER -> play.log.restore(log);
             case MARKS_OLDER -> play.marks.restore(marks);
             case BOTH_OLDER, BOTH_OLDER_APART -> {
@@ -167,7 +203,8 @@
             case LOG_FOREIGN, MARKS_FOREIGN -> {
                 FaultyDisk theirs = new FaultyDisk("z", play.power);
                 FaultyDisk theirMarks = new FaultyDisk("z", play.power);
-                DurableLog.open(theirs, theirMarks, new Identity("site", "z"), Options.DEFAULT).close();
+                DurableLog.open(theirs, theirMarks, new Identity("site", "z"), Options.DEFAULT)
+                        .close();
                 if (lie == Lie.LOG_FOREIGN) play.log.restore(theirs);
                 else play.marks.restore(theirMarks);
             }
@@ -186,8 +223,14 @@
             }
             case LOG_BRANCHED -> play.log.restore(branch.log);
             case SEGMENT_BRANCHED -> {
-                List<String> files = Names.of(Names.LOG, play.log.files()).stream().filter(branch.log.files()::contains).toList();
-                String name = files.isEmpty() ? null : files.get(Math.max(0, files.size() - 1 - random.nextInt(3)));
+                List<String> files =
+                        Names.of(Names.LOG, play.log.files()).stream()
+                                .filter(branch.log.files()::contains)
+                                .toList();
+                String name =
+                        files.isEmpty()
+                                ? null
+                                : files.get(Math.max(0, files.size() - 1 - random.nextInt(3)));
                 if (name != null) play.log.put(name, branch.log.bytes(name));
             }
             case SNAPSHOT_GONE -> {
@@ -197,30 +240,42 @@
         }
     }
 
-    /** What was noticed stays so over starts, and the way back leads to a voter, but for a folder that is not ours. */
+    /**
+     * What was noticed stays so over starts, and the way back leads to a voter, but for a folder
+     * that is not ours.
+     */
     private static Outcome back(Play play, Lie lie, Outcome noticed) throws DurableException {
         boolean foreign = lie == Lie.LOG_FOREIGN || lie == Lie.MARKS_FOREIGN;
         play.killed();
         boolean opened = true;
         try {
-            play.durable = DurableLog.open(play.log, play.marks, Play.WHO, Play.options(play.power));
-            if (play.judge().verdict() == Verdict.VOTER) return new Outcome(End.LOST, noticed.what() + ", and forgotten at the next start");
-            if (play.durable.recovered().own().standing() != Amnesia.Standing.FRESH && play.judge().verdict() == Verdict.LEARNER)
-                play.durable.bar("peers say so");
+            play.durable =
+                    DurableLog.open(play.log, play.marks, Play.WHO, Play.options(play.power));
+            if (play.judge().verdict() == Verdict.VOTER)
+                return new Outcome(End.LOST, noticed.what() + ", and forgotten at the next start");
+            if (play.durable.recovered().own().standing() != Amnesia.Standing.FRESH
+                    && play.judge().verdict() == Verdict.LEARNER) play.durable.bar("peers say so");
         } catch (DurableException e) {
             opened = false;
         }
-        if (foreign) return opened ? new Outcome(End.LOST, noticed.what() + ", and opened at the next start") : noticed;
+        if (foreign)
+            return opened
+                    ? new Outcome(End.LOST, noticed.what() + ", and opened at the next start")
+                    : noticed;
         play.killed();
-        play.durable = DurableLog.open(play.log, play.marks, Play.WHO, Play.options(play.power).startingOver());
-        if (play.judge().verdict() != Verdict.LEARNER) return new Outcome(End.LOST, noticed.what() + ", and a voter once started over");
+        play.durable =
+                DurableLog.open(
+                        play.log, play.marks, Play.WHO, Play.options(play.power).startingOver());
+        if (play.judge().verdict() != Verdict.LEARNER)
+            return new Outcome(End.LOST, noticed.what() + ", and a voter once started over");
         play.durable.appendEntry(1, 1, new byte[3]);
         play.durable.admit();
         play.durable.close();
         play.seen = Amnesia.Seen.NOTHING;
         play.durable = DurableLog.open(play.log, play.marks, Play.WHO, Play.options(play.power));
         if (play.judge().verdict() != Verdict.VOTER || play.durable.recovered().lastIndex() != 1)
-            return new Outcome(End.FALSE_ALARM, noticed.what() + ", admitted anew and then " + play.judge());
+            return new Outcome(
+                    End.FALSE_ALARM, noticed.what() + ", admitted anew and then " + play.judge());
         return noticed;
     }
 }
--- a/src/measure/java/calicostream/flight/suite/FlightRuns.java
+++ b/src/measure/java/calicostream/flight/suite/FlightRuns.java
@@ -22,10 +22,16 @@
 import org.apache.arrow.flight.impl.FlightServiceGrpc;
 import org.apache.arrow.flight.sql.FlightSqlClient;
 
-/** Runs for the measurement: engines that are killed under loads and commits, and clients that cancel. */
+/**
+ * Runs for the measurement: engines that are killed under loads and commits, and clients that
+ * cancel.
+ */
 public final class FlightRuns {
-    /** Kills made; loads and commits that an engine did twice; the longest from a cancel to the engine, in ms. */
-    public record Result(int kills, int doubles, long slowestCancelMs) { }
+    /**
+     * Kills made; loads and commits that an engine did twice; the longest from a cancel to the
+     * engine, in ms.
+     */
+    public record Result(int kills, int doubles, long slowestCancelMs) {}
 
     private static final int KILLS = 20;
     private static final int LOADS = 24;
@@ -66,24 +72,33 @@
             List<EngineStand> ever = new ArrayList<>(rig.engines);
             int killAfter = random.nextInt(LOADS);
             Act[] acts = {Act.SLOW, Act.ANSWERS, Act.DIES_DURING, Act.DIES_BEFORE, Act.DIES_AFTER};
-            script.next(number % 2 == 0 ? "put" : FlightWire.END_TRANSACTION, acts[random.nextInt(acts.length)]);
+            script.next(
+                    number % 2 == 0 ? "put" : FlightWire.END_TRANSACTION,
+                    acts[random.nextInt(acts.length)]);
             for (int i = 0; i < LOADS; i++) {
                 String sql = "insert into t values (" + i + ")";
                 boolean transaction = i % 4 == 0;
-                all.add(threads.submit(() -> {
-                    try {
-                        if (transaction) {
-                            FlightSqlClient.Transaction txn = client.beginTransaction(Rig.options("lookup", 1500));
-                            client.executeUpdate(sql, txn, Rig.options("stat-load", 1500));
-                            client.commit(txn, Rig.options("stat-load", 1500));
-                        } else {
-                            client.executeUpdate(sql, Rig.options("stat-load", 1500));
-                        }
-                    } catch (FlightRuntimeException e) {
-                        // Told to its client; whether it ran is counted at the engines.
-                    }
-                    done.incrementAndGet();
-                }));
+                all.add(
+                        threads.submit(
+                                () -> {
+                                    try {
+                                        if (transaction) {
+                                            FlightSqlClient.Transaction txn =
+                                                    client.beginTransaction(
+                                                            Rig.options("lookup", 1500));
+                                            client.executeUpdate(
+                                                    sql, txn, Rig.options("stat-load", 1500));
+                                            client.commit(txn, Rig.options("stat-load", 1500));
+                                        } else {
+                                            client.executeUpdate(
+                                                    sql, Rig.options("stat-load", 1500));
+                                        }
+                                    } catch (FlightRuntimeException e) {
+                                        // Told to its client; whether it ran is counted at the
+                                        // engines.
+                                    }
+                                    done.incrementAndGet();
+                                }));
             }
             Rig.await("some are done", () -> done.get() >= killAfter / 2);
             rig.engines.get(random.nextInt(3)).die();
@@ -108,21 +123,34 @@
         Script script = new Script();
         script.always("get", Act.HANGS);
         try (Rig rig = new Rig(script, 1, 256, Files.createTempDirectory(folder, "cancels"))) {
-            ManagedChannel channel = NettyChannelBuilder.forAddress("127.0.0.1", rig.port()).usePlaintext().build();
-            FlightServiceGrpc.FlightServiceBlockingStub stub = FlightServiceGrpc.newBlockingStub(channel);
+            ManagedChannel channel =
+                    NettyChannelBuilder.forAddress("127.0.0.1", rig.port()).usePlaintext().build();
+            FlightServiceGrpc.FlightServiceBlockingStub stub =
+                    FlightServiceGrpc.newBlockingStub(channel);
             EngineStand engine = rig.engines.get(0);
             for (int i = 0; i < CANCELS; i++) {
                 Flight.FlightInfo info = stub.getFlightInfo(Raw.query("select rows=1"));
-                ClientCallStreamObserver<Flight.Ticket> call = Raw.unread(channel, info.getEndpoint(0).getTicket(),
-                        new CompletableFuture<>());
+                ClientCallStreamObserver<Flight.Ticket> call =
+                        Raw.unread(
+                                channel,
+                                info.getEndpoint(0).getTicket(),
+                                new CompletableFuture<>());
                 int wanted = i + 1;
                 Rig.await("at the engine", () -> rig.count("get") == wanted);
                 long at = System.nanoTime();
                 if (i % 2 == 0) {
                     call.cancel("no longer wanted", null);
                 } else {
-                    stub.doAction(Flight.Action.newBuilder().setType(FlightWire.CANCEL_INFO).setBody(
-                            Flight.CancelFlightInfoRequest.newBuilder().setInfo(info).build().toByteString()).build()).next();
+                    stub.doAction(
+                                    Flight.Action.newBuilder()
+                                            .setType(FlightWire.CANCEL_INFO)
+                                            .setBody(
+                                                    Flight.CancelFlightInfoRequest.newBuilder()
+                                                            .setInfo(info)
+                                                            .build()
+                                                            .toByteString())
+                                            .build())
+                            .next();
                 }
                 Rig.await("freed", () -> engine.cancelledAt().size() == wanted);
                 slowest = Math.max(slowest, engine.cancelledAt().get(i) - at);
--- a/src/measure/java/calicostream/lease/LeaseBook.java
+++ b/src/measure/java/calicostream/lease/LeaseBook.java
@@ -11,8 +11,9 @@
 import java.util.Set;
 
 /**
- * Judges what the log did to the leases, entry by entry as any copy is the first to apply it: who was due to be granted what, from a queue
- * of its own. It takes the machine's answers for what they say and the rules from the page.
+ * Judges what the log did to the leases, entry by entry as any copy is the first to apply it: who
+ * was due to be granted what, from a queue of its own. It takes the machine's answers for what they
+ * say and the rules from the page.
  */
 final class LeaseBook {
     private final Map<String, List<Long>> queues = new HashMap<>();
@@ -43,7 +44,9 @@
         return lastToken;
     }
 
-    /** @return whether this copy is the first that applied it */
+    /**
+     * @return whether this copy is the first that applied it
+     */
     boolean applied(long index, Command command, Effects effects) {
         if (index <= lastIndex) {
             return false;
@@ -61,7 +64,8 @@
         }
         if (said instanceof LeaseCommand.Withdraw) {
             queues.getOrDefault(said.name(), List.of()).remove(command.session());
-        } else if (said instanceof LeaseCommand.Acquire && LeaseAnswer.decode(effects.answer()) instanceof LeaseAnswer.Waits waits) {
+        } else if (said instanceof LeaseCommand.Acquire
+                && LeaseAnswer.decode(effects.answer()) instanceof LeaseAnswer.Waits waits) {
             List<Long> queue = queues.computeIfAbsent(said.name(), any -> new ArrayList<>());
             queue.add(command.session());
             judge(waits.place() == queue.size(), "place " + waits.place() + " of " + queue);
@@ -86,22 +90,46 @@
             if (event instanceof LeaseEvent.Granted g) {
                 granted++;
                 judge(g.token() > lastToken, "token " + g.token() + " is given after " + lastToken);
-                judge(!tokens.containsKey(name), "lease " + name + " is granted under " + g.token() + " and was not free");
+                judge(
+                        !tokens.containsKey(name),
+                        "lease " + name + " is granted under " + g.token() + " and was not free");
                 List<Long> queue = queues.getOrDefault(name, List.of());
                 if (queue.isEmpty()) {
-                    judge(g.session() == by, "lease " + name + " is granted to " + g.session() + ", which did not ask");
+                    judge(
+                            g.session() == by,
+                            "lease "
+                                    + name
+                                    + " is granted to "
+                                    + g.session()
+                                    + ", which did not ask");
                 } else {
                     fromQueue++;
-                    judge(queue.remove(0) == g.session(), "lease " + name + " is granted to " + g.session() + " before its turn");
+                    judge(
+                            queue.remove(0) == g.session(),
+                            "lease " + name + " is granted to " + g.session() + " before its turn");
                 }
                 lastToken = g.token();
                 tokens.put(name, g.token());
             } else if (event instanceof LeaseEvent.Freed f) {
-                judge(tokens.remove(name, f.token()), "lease " + name + " is freed of token " + f.token() + ", which does not hold it");
+                judge(
+                        tokens.remove(name, f.token()),
+                        "lease "
+                                + name
+                                + " is freed of token "
+                                + f.token()
+                                + ", which does not hold it");
             } else if (event instanceof LeaseEvent.Acted a) {
-                judge(acts.add(new calicostream.cluster.Bytes.Reader("act", a.payload()).i64()), "an act counts twice");
-                judge(a.token() >= acted.getOrDefault(name, 0L), "the log takes an act of " + name + " under token " + a.token()
-                        + " after one under " + acted.get(name));
+                judge(
+                        acts.add(new calicostream.cluster.Bytes.Reader("act", a.payload()).i64()),
+                        "an act counts twice");
+                judge(
+                        a.token() >= acted.getOrDefault(name, 0L),
+                        "the log takes an act of "
+                                + name
+                                + " under token "
+                                + a.token()
+                                + " after one under "
+                                + acted.get(name));
                 acted.put(name, a.token());
             }
         }
--- a/src/measure/java/calicostream/lease/LeaseModel.java
+++ b/src/measure/java/calicostream/lease/LeaseModel.java
@@ -10,19 +10,25 @@
 import java.util.Map;
 
 /**
- * Members that want one lease, a log that two leaders take turns at, and a resource, with every order of what is under way: commands,
- * answers and news are late, doubled or repeated, and lost if they never arrive or a later one takes their place; a member stops between its check and its act, clocks run slow or fast, leaders
- * change, sessions end. {@link LeaseMachine}, {@link Holder}, {@link LeaderWatch} and {@link Fence} are the product's own.
+ * Members that want one lease, a log that two leaders take turns at, and a resource, with every
+ * order of what is under way: commands, answers and news are late, doubled or repeated, and lost if
+ * they never arrive or a later one takes their place; a member stops between its check and its act,
+ * clocks run slow or fast, leaders change, sessions end. {@link LeaseMachine}, {@link Holder},
+ * {@link LeaderWatch} and {@link Fence} are the product's own.
  *
- * <p>Promises: the resource and the log take no act out of the order of tokens and none twice; tokens grow; no two members that ask
- * their own clocks are told that they hold, as long as clocks keep to their bound.
+ * <p>Promises: the resource and the log take no act out of the order of tokens and none twice;
+ * tokens grow; no two members that ask their own clocks are told that they hold, as long as clocks
+ * keep to their bound.
  */
 public final class LeaseModel implements Model {
     private static final Drift DRIFT = new Drift(250_000);
-    private static final String WORDS = "tick|asks|repeats its command|'s command is applied|'s command is doubled|hears the answer"
-            + "|hears that it was granted|checks its lease and begins an act|'s act reaches the resource|sends an act by the log|stops"
-            + "|stops and hands over|wants again|the leader looks at its clock|the leader's end of the lease is applied"
-            + "|the leader's end of the lease is lost|the leader changes|'s session ends|hears that its session is over";
+    private static final String WORDS =
+            "tick|asks|repeats its command|'s command is applied|'s command is doubled|hears the"
+                + " answer|hears that it was granted|checks its lease and begins an act|'s act"
+                + " reaches the resource|sends an act by the log|stops|stops and hands over|wants"
+                + " again|the leader looks at its clock|the leader's end of the lease is"
+                + " applied|the leader's end of the lease is lost|the leader changes|'s session"
+                + " ends|hears that its session is over";
     private static final int TICK = 0;
     private static final int ASK = 1;
     private static final int REPEAT = 2;
@@ -49,7 +55,9 @@
     private byte[] from;
     private Steps steps;
 
-    /** @param without the safeguard taken out; null: none */
+    /**
+     * @param without the safeguard taken out; null: none
+     */
     public LeaseModel(LeaseScope scope, Mutant without) {
         this.scope = scope;
         parts = new Parts(without, new Limits(1, 100, 4, 8), DRIFT);
@@ -86,11 +94,13 @@
     @Override
     public String describe(int action) {
         String words = WORDS.split("\\|")[action >> 6];
-        return action >> 6 == TICK || action >> 6 >= LOOK && action >> 6 <= CHANGE ? words
+        return action >> 6 == TICK || action >> 6 >= LOOK && action >> 6 <= CHANGE
+                ? words
                 : "member " + (1 + (action >> 2 & 15)) + (words.startsWith("'") ? "" : " ") + words;
     }
 
-    // ---- Steps ----------------------------------------------------------------------------------------
+    // ---- Steps
+    // ----------------------------------------------------------------------------------------
     @Override
     public void steps(byte[] state, Steps to) {
         from = state;
@@ -109,7 +119,11 @@
             pass(s, place(m), units(clocks.charAt(m + 1)), scope.ttl());
         }
         if (s[SEEN_TOKEN] != 0) {
-            s[SEEN_AGO] = (byte) Math.min(parts.drift().beyond(scope.ttl()), s[SEEN_AGO] + units(clocks.charAt(0)));
+            s[SEEN_AGO] =
+                    (byte)
+                            Math.min(
+                                    parts.drift().beyond(scope.ttl()),
+                                    s[SEEN_AGO] + units(clocks.charAt(0)));
         }
         to(TICK, 0, 0, s);
     }
@@ -135,7 +149,17 @@
             s[EXPIRE_RENEWALS] = 0;
             to(LOSE_EXPIRE, 0, 0, s);
             s = s.clone();
-            if (apply(EXPIRE, 0, 0, s, log.step(machine(s), 0, LeaseSteps.EXPIRE, from[EXPIRE_TOKEN], from[EXPIRE_RENEWALS]))) {
+            if (apply(
+                    EXPIRE,
+                    0,
+                    0,
+                    s,
+                    log.step(
+                            machine(s),
+                            0,
+                            LeaseSteps.EXPIRE,
+                            from[EXPIRE_TOKEN],
+                            from[EXPIRE_RENEWALS]))) {
                 to(EXPIRE, 0, 0, s);
             }
         }
@@ -151,15 +175,25 @@
     }
 
     private LeaderWatch watch(byte[] s) {
-        return parts.watch(log.machine(machine(s)), s[SEEN_TOKEN] == 0 ? Map.of()
-                : Map.of(LeaseSteps.NAME, new LeaderWatch.Seen(s[SEEN_TOKEN], s[SEEN_RENEWALS], NOW - s[SEEN_AGO])), 0);
+        return parts.watch(
+                log.machine(machine(s)),
+                s[SEEN_TOKEN] == 0
+                        ? Map.of()
+                        : Map.of(
+                                LeaseSteps.NAME,
+                                new LeaderWatch.Seen(
+                                        s[SEEN_TOKEN], s[SEEN_RENEWALS], NOW - s[SEEN_AGO])),
+                0);
     }
 
     private void keepWatch(byte[] s, LeaderWatch watch) {
         LeaderWatch.Seen seen = watch.seen().get(LeaseSteps.NAME);
         s[SEEN_TOKEN] = seen == null ? 0 : (byte) seen.token();
         s[SEEN_RENEWALS] = seen == null ? 0 : (byte) seen.renewals();
-        s[SEEN_AGO] = seen == null ? 0 : (byte) Math.min(parts.drift().beyond(scope.ttl()), NOW - seen.since());
+        s[SEEN_AGO] =
+                seen == null
+                        ? 0
+                        : (byte) Math.min(parts.drift().beyond(scope.ttl()), NOW - seen.since());
     }
 
     private void member(int m, byte[] s, int at) {
@@ -192,7 +226,12 @@
             byte[] n = s.clone();
             n[ENDS_LEFT]--;
             n[at + ENDED] = 1;
-            if (apply(END, m, 0, n, log.step(machine(n), m + 1, LeaseSteps.END_OF_SESSION, (byte) 0, (byte) 0))) {
+            if (apply(
+                    END,
+                    m,
+                    0,
+                    n,
+                    log.step(machine(n), m + 1, LeaseSteps.END_OF_SESSION, (byte) 0, (byte) 0))) {
                 to(END, m, 0, n);
             }
         } else if (s[at + ENDED] == 1) {
@@ -252,7 +291,10 @@
         }
     }
 
-    /** A new command under a new number: copies of earlier ones are refused by the session, and only matter if it does not count. */
+    /**
+     * A new command under a new number: copies of earlier ones are refused by the session, and only
+     * matter if it does not count.
+     */
     private void send(byte[] n, int at, byte kind, byte token) {
         boolean kept = false;
         for (int copy = at + ASKS; copy < at + ASKS + COPIES * COPY; copy += COPY) {
@@ -293,11 +335,18 @@
         }
         if (step.acted() != 0) {
             if ((n[LOG_ACTS] & act) != 0) {
-                steps.broken(action(APPLY, m, i), "an act of member " + (m + 1) + " is done twice by the log");
+                steps.broken(
+                        action(APPLY, m, i),
+                        "an act of member " + (m + 1) + " is done twice by the log");
                 return;
             }
             if (token < n[LOG_TOKEN]) {
-                steps.broken(action(APPLY, m, i), "the log takes an act under token " + token + " after one under " + n[LOG_TOKEN]);
+                steps.broken(
+                        action(APPLY, m, i),
+                        "the log takes an act under token "
+                                + token
+                                + " after one under "
+                                + n[LOG_TOKEN]);
                 return;
             }
             n[LOG_ACTS] |= act;
@@ -315,7 +364,9 @@
         machine(n, step.next());
         if (step.granted() != 0) {
             if (step.granted() <= n[GIVEN]) {
-                steps.broken(action(kind, m, i), "token " + step.granted() + " is given after token " + n[GIVEN]);
+                steps.broken(
+                        action(kind, m, i),
+                        "token " + step.granted() + " is given after token " + n[GIVEN]);
                 return false;
             }
             n[GIVEN] = step.granted();
@@ -329,8 +380,14 @@
             byte[] n = s.clone();
             n[at + CHECKED] = 0;
             Fence fence = parts.fence(LeaseSteps.NAME, s[FENCE]);
-            if (fence.admit(LeaseSteps.NAME, s[at + CHECKED]).isEmpty() && s[at + CHECKED] < s[FENCE]) {
-                steps.broken(action(ACT, m, 0), "the resource takes an act under token " + s[at + CHECKED] + " after one under " + s[FENCE]);
+            if (fence.admit(LeaseSteps.NAME, s[at + CHECKED]).isEmpty()
+                    && s[at + CHECKED] < s[FENCE]) {
+                steps.broken(
+                        action(ACT, m, 0),
+                        "the resource takes an act under token "
+                                + s[at + CHECKED]
+                                + " after one under "
+                                + s[FENCE]);
             }
             n[FENCE] = (byte) fence.highest(LeaseSteps.NAME);
             to(ACT, m, 0, n);
@@ -352,7 +409,9 @@
     }
 
     private void wishes(int m, byte[] s, int at) {
-        if (s[at + WANTED] != 0 && s[at + STOPS_LEFT] > 0 && s[at + PHASE] >= Holder.Phase.WAITING.ordinal()) {
+        if (s[at + WANTED] != 0
+                && s[at + STOPS_LEFT] > 0
+                && s[at + PHASE] >= Holder.Phase.WAITING.ordinal()) {
             for (int kind : new int[] {STOP, HAND_OVER}) {
                 byte[] n = s.clone();
                 n[at + STOPS_LEFT]--;
@@ -372,7 +431,8 @@
         }
     }
 
-    // ---- Judgement ------------------------------------------------------------------------------------
+    // ---- Judgement
+    // ------------------------------------------------------------------------------------
     private static int action(int kind, int m, int i) {
         return kind << 6 | m << 2 | i;
     }
@@ -381,12 +441,15 @@
         steps.to(action(kind, m, i), s);
         int holding = 0;
         for (int each = 0; each < scope.members(); each++) {
-            if (s[place(each) + PHASE] == Holder.Phase.HELD.ordinal() && holder(s, each).mayAct(NOW)) {
+            if (s[place(each) + PHASE] == Holder.Phase.HELD.ordinal()
+                    && holder(s, each).mayAct(NOW)) {
                 holding++;
             }
         }
         if (holding > 1 && scope.clocksKeepTheirBound()) {
-            steps.broken(action(kind, m, i), holding + " members are told by their clocks that they hold");
+            steps.broken(
+                    action(kind, m, i),
+                    holding + " members are told by their clocks that they hold");
         }
     }
 }
--- a/src/measure/java/calicostream/lease/LeaseProofs.java
+++ b/src/measure/java/calicostream/lease/LeaseProofs.java
@@ -12,29 +12,57 @@
 /** Which bounded models prove the leases, and in which of them the lack of each safeguard shows. */
 public final class LeaseProofs {
     /** Leaders that change while a lease runs out and is renewed. */
-    private static final LeaseScope LEADERS = LeaseScope.of("leaders", 2).changes(2).renewals(1).clocks("fss", "sff", "eee");
+    private static final LeaseScope LEADERS =
+            LeaseScope.of("leaders", 2).changes(2).renewals(1).clocks("fss", "sff", "eee");
+
     /** Renewals that race with the leader's word. */
-    private static final LeaseScope RENEWALS = LeaseScope.of("renewals", 2).renewals(2).clocks("fss");
+    private static final LeaseScope RENEWALS =
+            LeaseScope.of("renewals", 2).renewals(2).clocks("fss");
+
     /** A member that stops between its check and its act. */
-    private static final LeaseScope RESOURCE = LeaseScope.of("resource", 2).acts(2).renewals(1).clocks("fss");
+    private static final LeaseScope RESOURCE =
+            LeaseScope.of("resource", 2).acts(2).renewals(1).clocks("fss");
+
     /** Commands that are doubled and repeated, acts by the log. */
-    private static final LeaseScope LOG = LeaseScope.of("log", 2).copies(1).logActs(1).clocks("fss");
+    private static final LeaseScope LOG =
+            LeaseScope.of("log", 2).copies(1).logActs(1).clocks("fss");
+
     /** The two again, as small as the lack of a check shows. */
     private static final LeaseScope FEW_ACTS = LeaseScope.of("few acts", 2).acts(1).clocks("eee");
-    private static final LeaseScope FEW_LOG_ACTS = LeaseScope.of("few acts by the log", 2).logActs(1).clocks("eee");
+
+    private static final LeaseScope FEW_LOG_ACTS =
+            LeaseScope.of("few acts by the log", 2).logActs(1).clocks("eee");
+
     /** Planned stops, hand-overs, sessions that end. */
-    private static final LeaseScope STOPS = LeaseScope.of("stops", 2).stops(1).ends(1).clocks("fss");
+    private static final LeaseScope STOPS =
+            LeaseScope.of("stops", 2).stops(1).ends(1).clocks("fss");
+
     /** Three members in the queue. */
     private static final LeaseScope QUEUE = LeaseScope.of("queue", 3).clocks("fsss");
-    /** A member's clock stands still and the leader's runs ahead: only the resource and the log are left to refuse. */
-    private static final LeaseScope CLOCKS = LeaseScope.of("clocks out of bound", 2).acts(2).logActs(1).clocks("f0s");
+
+    /**
+     * A member's clock stands still and the leader's runs ahead: only the resource and the log are
+     * left to refuse.
+     */
+    private static final LeaseScope CLOCKS =
+            LeaseScope.of("clocks out of bound", 2).acts(2).logActs(1).clocks("f0s");
+
     private static final VoterModel.Scope VOTERS = new VoterModel.Scope(3, 2, 2, 2);
     private static final VoterModel.Scope FEW_VOTERS = new VoterModel.Scope(2, 2, 1, 2);
 
-    /** Runs in virtual time; hand-overs in times to live, where holders are killed alone and where all goes wrong at once. */
-    public record Runs(List<String> broken, long faults, long acts, long tokens, double handOverP99, double handOverInFaultsP99) { }
+    /**
+     * Runs in virtual time; hand-overs in times to live, where holders are killed alone and where
+     * all goes wrong at once.
+     */
+    public record Runs(
+            List<String> broken,
+            long faults,
+            long acts,
+            long tokens,
+            double handOverP99,
+            double handOverInFaultsP99) {}
 
-    private LeaseProofs() { }
+    private LeaseProofs() {}
 
     /** So many runs with all faults, and a tenth as many in which holders are killed alone. */
     public static Runs run(long firstSeed, int runs) {
@@ -61,13 +89,23 @@
     }
 
     private static double p99(List<Double> of) {
-        return of.isEmpty() ? Double.NaN : of.stream().sorted().skip(of.size() * 99L / 100).findFirst().orElseThrow();
+        return of.isEmpty()
+                ? Double.NaN
+                : of.stream().sorted().skip(of.size() * 99L / 100).findFirst().orElseThrow();
     }
 
     /** All models with everything in place, made one at a time as each remembers a lot. */
     public static List<Supplier<Model>> whole() {
-        return List.of(() -> new LeaseModel(LEADERS, null), () -> new LeaseModel(RENEWALS, null), () -> new LeaseModel(RESOURCE, null), () -> new LeaseModel(LOG, null), () -> new LeaseModel(STOPS, null), () -> new LeaseModel(QUEUE, null),
-                () -> new LeaseModel(CLOCKS, null), () -> new VoterModel(FEW_VOTERS, null), () -> new VoterModel(VOTERS, null));
+        return List.of(
+                () -> new LeaseModel(LEADERS, null),
+                () -> new LeaseModel(RENEWALS, null),
+                () -> new LeaseModel(RESOURCE, null),
+                () -> new LeaseModel(LOG, null),
+                () -> new LeaseModel(STOPS, null),
+                () -> new LeaseModel(QUEUE, null),
+                () -> new LeaseModel(CLOCKS, null),
+                () -> new VoterModel(FEW_VOTERS, null),
+                () -> new VoterModel(VOTERS, null));
     }
 
     /** For each safeguard that leases rest on, a model without it, which must break. */
@@ -78,12 +116,17 @@
                 case NEW_LEADER_DOES_NOT_WAIT -> all.put(each, new LeaseModel(LEADERS, each));
                 case TOKEN_NOT_CHECKED -> all.put(each, new LeaseModel(FEW_ACTS, each));
                 case LOG_TOKEN_NOT_CHECKED -> all.put(each, new LeaseModel(FEW_LOG_ACTS, each));
-                case EXPIRY_FROM_ANSWER_TIME, DRIFT_NOT_COUNTED -> all.put(each, new LeaseModel(RESOURCE, each));
-                case SESSION_RETRIED_WITHOUT_NUMBER, TOKEN_LOST_IN_SNAPSHOT -> all.put(each, new LeaseModel(LOG, each));
-                case QUEUE_GRANT_NOT_CONFIRMED, LEASE_FREED_WITH_SESSION -> all.put(each, new LeaseModel(STOPS, each));
+                case EXPIRY_FROM_ANSWER_TIME, DRIFT_NOT_COUNTED ->
+                        all.put(each, new LeaseModel(RESOURCE, each));
+                case SESSION_RETRIED_WITHOUT_NUMBER, TOKEN_LOST_IN_SNAPSHOT ->
+                        all.put(each, new LeaseModel(LOG, each));
+                case QUEUE_GRANT_NOT_CONFIRMED, LEASE_FREED_WITH_SESSION ->
+                        all.put(each, new LeaseModel(STOPS, each));
                 case EXPIRY_WITHOUT_RENEWALS -> all.put(each, new LeaseModel(RENEWALS, each));
-                case VOTE_AFTER_AMNESIA -> all.put(each, new VoterModel(new VoterModel.Scope(2, 2, 1, 1), each));
-                case GRANT_FREED_BEFORE_EXPIRY, CLOCK_STEP_COUNTED -> { } // The budgets' own, and the clusters'.
+                case VOTE_AFTER_AMNESIA ->
+                        all.put(each, new VoterModel(new VoterModel.Scope(2, 2, 1, 1), each));
+                case GRANT_FREED_BEFORE_EXPIRY,
+                        CLOCK_STEP_COUNTED -> {} // The budgets' own, and the clusters'.
             }
         }
         return all;
--- a/src/measure/java/calicostream/lease/LeaseRuns.java
+++ b/src/measure/java/calicostream/lease/LeaseRuns.java
@@ -15,21 +15,26 @@
 import java.util.stream.IntStream;
 
 /**
- * Members with their sessions, holders and acts, a {@link VirtualLog} and a resource in virtual time, from one seed. Links lose, double
- * and delay; processes stop for up to three times to live and go on, or start anew; clocks drift by 500 ppm; leaders change; quorums are
- * lost. What is done is judged where it is done.
+ * Members with their sessions, holders and acts, a {@link VirtualLog} and a resource in virtual
+ * time, from one seed. Links lose, double and delay; processes stop for up to three times to live
+ * and go on, or start anew; clocks drift by 500 ppm; leaders change; quorums are lost. What is done
+ * is judged where it is done.
  */
 final class LeaseRuns {
     private static final long MS = 1_000_000;
     private static final long TTL = 1000 * MS;
-        private static final long FAULTS_END = 20_000 * MS;
+    private static final long FAULTS_END = 20_000 * MS;
     private static final long END = 30_000 * MS;
     private static final String TASK = "task";
 
-    /** {@code broken} is empty if all held; {@code handOvers} in times to live, from a holder's stop to the next one's first act. */
-    record Result(String broken, int faults, int acts, int tokens, List<Double> handOvers) { }
+    /**
+     * {@code broken} is empty if all held; {@code handOvers} in times to live, from a holder's stop
+     * to the next one's first act.
+     */
+    record Result(String broken, int faults, int acts, int tokens, List<Double> handOvers) {}
 
-    private record Event(long at, long order, Process process, int life, Runnable task) implements Comparable<Event> {
+    private record Event(long at, long order, Process process, int life, Runnable task)
+            implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
             return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
@@ -74,9 +79,16 @@
 
         void start() {
             process.life++;
-            session = new MemberSession(new MemberSession.Settings(id, sessionMillis, 150, 8), List.of(1, 2, 3), (long) id << 40 | (long) process.life << 32);
+            session =
+                    new MemberSession(
+                            new MemberSession.Settings(id, sessionMillis, 150, 8),
+                            List.of(1, 2, 3),
+                            (long) id << 40 | (long) process.life << 32);
             client = new LeaseClient(session, "lease", process::nanos);
-            holder = client.add(parts.holder(TASK, TTL, new Holder(TASK, TTL, process.nanos()).state()));
+            holder =
+                    client.add(
+                            parts.holder(
+                                    TASK, TTL, new Holder(TASK, TTL, process.nanos()).state()));
             acts = client.acts(holder);
             holder.want();
             tick();
@@ -87,28 +99,55 @@
             client.tick();
             for (MemberSession.Send send : session.tick(process.nanos())) {
                 int life = process.life;
-                link(id, () -> log.received(send.voter(), send.frame(), reply -> link(id, () -> process.after(1, () -> {
-                    if (process.life == life) {
-                        session.received(send.voter(), (Frame.Reply) Frame.decode(reply), process.nanos());
-                    }
-                }))));
+                link(
+                        id,
+                        () ->
+                                log.received(
+                                        send.voter(),
+                                        send.frame(),
+                                        reply ->
+                                                link(
+                                                        id,
+                                                        () ->
+                                                                process.after(
+                                                                        1,
+                                                                        () -> {
+                                                                            if (process.life
+                                                                                    == life) {
+                                                                                session.received(
+                                                                                        send
+                                                                                                .voter(),
+                                                                                        (Frame
+                                                                                                        .Reply)
+                                                                                                Frame
+                                                                                                        .decode(
+                                                                                                                reply),
+                                                                                        process
+                                                                                                .nanos());
+                                                                            }
+                                                                        }))));
             }
             process.after(15 * MS, this::tick);
         }
 
-        /** Checks and acts; the act itself may leave much later, when the process goes on or the link lets it. */
+        /**
+         * Checks and acts; the act itself may leave much later, when the process goes on or the
+         * link lets it.
+         */
         void act() {
             if (random.nextInt(3) == 0) {
                 byte[] number = new Bytes.Writer().i64(++acted).done();
                 Fenced.Outcome<LeaseCommand.Act> command = acts.inLog(number);
                 if (command.isDone()) {
-                    session.run("lease", command.result().encode(), outcome -> { });
+                    session.run("lease", command.result().encode(), outcome -> {});
                 }
             } else {
-                acts.at((lease, token, payload) -> {
-                    link(0, () -> resource(this, token));
-                    return Fenced.Outcome.done(null);
-                }, null);
+                acts.at(
+                        (lease, token, payload) -> {
+                            link(0, () -> resource(this, token));
+                            return Fenced.Outcome.done(null);
+                        },
+                        null);
             }
             process.after((10 + random.nextInt(50)) * MS, this::act);
         }
@@ -151,7 +190,9 @@
         IntStream.rangeClosed(1, 4).forEach(id -> members.add(new Member(id + VirtualLog.VOTERS)));
     }
 
-    /** @param without the safeguard taken out; null: none */
+    /**
+     * @param without the safeguard taken out; null: none
+     */
     static Result run(long seed, Mutant without) {
         return new LeaseRuns(seed, without, false).run();
     }
@@ -179,7 +220,13 @@
                 continue;
             }
             if (process != null && process.stoppedUntil > event.at) {
-                events.add(new Event(process.stoppedUntil, event.order, process, event.life, event.task));
+                events.add(
+                        new Event(
+                                process.stoppedUntil,
+                                event.order,
+                                process,
+                                event.life,
+                                event.task));
                 continue;
             }
             now = event.at;
@@ -190,12 +237,21 @@
         if (broken.isEmpty() && accepted == settled) {
             broken = "nobody acts three times to live after the last fault";
         }
-        return new Result(broken.isEmpty() ? "" : "at " + now / MS + " ms: " + broken, faults, accepted, (int) given, handOvers);
+        return new Result(
+                broken.isEmpty() ? "" : "at " + now / MS + " ms: " + broken,
+                faults,
+                accepted,
+                (int) given,
+                handOvers);
     }
 
-    // ---- Links and faults -----------------------------------------------------------------------------
+    // ---- Links and faults
+    // -----------------------------------------------------------------------------
     private void link(int member, Runnable arrives) {
-        int copies = member != 0 && member == cut || random.nextDouble() < loss ? 0 : random.nextInt(20) == 0 ? 2 : 1;
+        int copies =
+                member != 0 && member == cut || random.nextDouble() < loss
+                        ? 0
+                        : random.nextInt(20) == 0 ? 2 : 1;
         for (int i = 0; i < copies; i++) {
             after(100_000 + random.nextInt(slowest) * MS + random.nextInt(1_000_000), arrives);
         }
@@ -244,10 +300,12 @@
             case 8 -> {
                 loss = random.nextDouble() / 2;
                 slowest = 1 + random.nextInt(600);
-                after(lasts, () -> {
-                    loss = 0;
-                    slowest = 5;
-                });
+                after(
+                        lasts,
+                        () -> {
+                            loss = 0;
+                            slowest = 5;
+                        });
             }
             case 9 -> {
                 log.quorum(false);
@@ -275,10 +333,12 @@
         }
     }
 
-    // ---- Judgement ------------------------------------------------------------------------------------
+    // ---- Judgement
+    // ------------------------------------------------------------------------------------
     private boolean mayAct(Member member) {
         return member.holder.phase() == Holder.Phase.HELD
-                && new Holder(TASK, TTL, Drift.BOUND, member.holder.state()).mayAct(member.process.nanos()); // A copy: asking must not tell it.
+                && new Holder(TASK, TTL, Drift.BOUND, member.holder.state())
+                        .mayAct(member.process.nanos()); // A copy: asking must not tell it.
     }
 
     private void judge() {
@@ -286,7 +346,12 @@
         for (Member each : members) {
             if (mayAct(each)) {
                 if (holding != null) {
-                    broken = "members " + holding.id + " and " + each.id + " are both told that they hold";
+                    broken =
+                            "members "
+                                    + holding.id
+                                    + " and "
+                                    + each.id
+                                    + " are both told that they hold";
                 }
                 holding = each;
             }
@@ -298,7 +363,13 @@
             return;
         }
         if (token < atResource) {
-            broken = "the resource takes an act of member " + by.id + " under token " + token + " after one under " + atResource;
+            broken =
+                    "the resource takes an act of member "
+                            + by.id
+                            + " under token "
+                            + token
+                            + " after one under "
+                            + atResource;
         }
         atResource = token;
         did(token);
@@ -314,14 +385,22 @@
                 broken = "token " + granted.token() + " is given after " + given;
             }
             given = granted.token();
-            members.forEach(each -> link(each.id, () -> each.process.after(1, () -> each.client.news(event))));
+            members.forEach(
+                    each ->
+                            link(
+                                    each.id,
+                                    () -> each.process.after(1, () -> each.client.news(event))));
         } else if (event instanceof LeaseEvent.Acted act) {
             long number = new Bytes.Reader("act", act.payload()).i64();
             if (!done.add(number)) {
                 broken = "act " + number + " is done twice by the log";
             }
             if (act.token() < inLog) {
-                broken = "the log takes an act under token " + act.token() + " after one under " + inLog;
+                broken =
+                        "the log takes an act under token "
+                                + act.token()
+                                + " after one under "
+                                + inLog;
             }
             inLog = act.token();
             did(act.token());
--- a/src/measure/java/calicostream/lease/LeaseScope.java
+++ b/src/measure/java/calicostream/lease/LeaseScope.java
@@ -4,51 +4,95 @@
 import java.util.List;
 
 /**
- * Bounds of a run of {@link LeaseModel}. Four units of time are a tick; a slow clock shows three of them and a fast one five.
+ * Bounds of a run of {@link LeaseModel}. Four units of time are a tick; a slow clock shows three of
+ * them and a fast one five.
  *
- * @param clocks for each start, the leaders' clock and then each member's: s slow, f fast, e exact, 0 stands still
+ * @param clocks for each start, the leaders' clock and then each member's: s slow, f fast, e exact,
+ *     0 stands still
  */
-public record LeaseScope(String name, int members, int ttl, int tokens, int renewals, int copies, int changes, int ends, int acts, int logActs,
-        int stops, List<String> clocks) {
-    /** A time to live of two ticks, two grants and one more for each that waits, no renewal, no fault but time. */
+public record LeaseScope(
+        String name,
+        int members,
+        int ttl,
+        int tokens,
+        int renewals,
+        int copies,
+        int changes,
+        int ends,
+        int acts,
+        int logActs,
+        int stops,
+        List<String> clocks) {
+    /**
+     * A time to live of two ticks, two grants and one more for each that waits, no renewal, no
+     * fault but time.
+     */
     public static LeaseScope of(String name, int members) {
         return new LeaseScope(name, members, 8, 2, 0, 0, 0, 0, 0, 0, 0, List.of());
     }
 
     public LeaseScope tokens(int most) {
-        return new LeaseScope(name, members, ttl, most, renewals, copies, changes, ends, acts, logActs, stops, clocks);
+        return new LeaseScope(
+                name, members, ttl, most, renewals, copies, changes, ends, acts, logActs, stops,
+                clocks);
     }
 
     public LeaseScope renewals(int ofGrant) {
-        return new LeaseScope(name, members, ttl, tokens, ofGrant, copies, changes, ends, acts, logActs, stops, clocks);
+        return new LeaseScope(
+                name, members, ttl, tokens, ofGrant, copies, changes, ends, acts, logActs, stops,
+                clocks);
     }
 
     public LeaseScope copies(int most) {
-        return new LeaseScope(name, members, ttl, tokens, renewals, most, changes, ends, acts, logActs, stops, clocks);
+        return new LeaseScope(
+                name, members, ttl, tokens, renewals, most, changes, ends, acts, logActs, stops,
+                clocks);
     }
 
     public LeaseScope changes(int most) {
-        return new LeaseScope(name, members, ttl, tokens, renewals, copies, most, ends, acts, logActs, stops, clocks);
+        return new LeaseScope(
+                name, members, ttl, tokens, renewals, copies, most, ends, acts, logActs, stops,
+                clocks);
     }
 
     public LeaseScope ends(int most) {
-        return new LeaseScope(name, members, ttl, tokens, renewals, copies, changes, most, acts, logActs, stops, clocks);
+        return new LeaseScope(
+                name, members, ttl, tokens, renewals, copies, changes, most, acts, logActs, stops,
+                clocks);
     }
 
     public LeaseScope acts(int ofMember) {
-        return new LeaseScope(name, members, ttl, tokens, renewals, copies, changes, ends, ofMember, logActs, stops, clocks);
+        return new LeaseScope(
+                name, members, ttl, tokens, renewals, copies, changes, ends, ofMember, logActs,
+                stops, clocks);
     }
 
     public LeaseScope logActs(int ofMember) {
-        return new LeaseScope(name, members, ttl, tokens, renewals, copies, changes, ends, acts, ofMember, stops, clocks);
+        return new LeaseScope(
+                name, members, ttl, tokens, renewals, copies, changes, ends, acts, ofMember, stops,
+                clocks);
     }
 
     public LeaseScope stops(int ofMember) {
-        return new LeaseScope(name, members, ttl, tokens, renewals, copies, changes, ends, acts, logActs, ofMember, clocks);
+        return new LeaseScope(
+                name, members, ttl, tokens, renewals, copies, changes, ends, acts, logActs,
+                ofMember, clocks);
     }
 
     public LeaseScope clocks(String... each) {
-        return new LeaseScope(name, members, ttl, tokens, renewals, copies, changes, ends, acts, logActs, stops, List.of(each));
+        return new LeaseScope(
+                name,
+                members,
+                ttl,
+                tokens,
+                renewals,
+                copies,
+                changes,
+                ends,
+                acts,
+                logActs,
+                stops,
+                List.of(each));
     }
 
     boolean clocksKeepTheirBound() {
