--- a/src/measure/java/calicostream/lease/LeaseSteps.java
+++ b/src/measure/java/calicostream/lease/LeaseSteps.java
@@ -10,14 +10,16 @@
 import java.util.Map;
 
 /**
- * The replicated machine as the model sees it: each state it was ever in has a number, and what a command does to it is asked of the
- * product's own class once and remembered. Every step goes through a snapshot and a restore.
+ * The replicated machine as the model sees it: each state it was ever in has a number, and what a
+ * command does to it is asked of the product's own class once and remembered. Every step goes
+ * through a snapshot and a restore.
  */
 final class LeaseSteps {
     static final String NAME = "task";
 
     /** Kinds of commands under way. */
     static final byte ACQUIRE = 1;
+
     static final byte RENEW = 2;
     static final byte RELEASE = 3;
     static final byte WITHDRAW = 4;
@@ -28,6 +30,7 @@
 
     /** Kinds of answers under way. */
     static final byte HOLDS = 1;
+
     static final byte WAITS = 2;
     static final byte DONE = 3;
     static final byte REFUSED = 4;
@@ -35,8 +38,11 @@
     static final byte ALREADY_WAITS = 6;
     static final byte NO_SUCCESSOR = 7;
 
-    /** What a command led to; {@code granted} and {@code acted} are tokens, 0 if there was no such event. */
-    record Step(int next, byte answer, byte answerToken, byte granted, byte to, byte acted) { }
+    /**
+     * What a command led to; {@code granted} and {@code acted} are tokens, 0 if there was no such
+     * event.
+     */
+    record Step(int next, byte answer, byte answerToken, byte granted, byte to, byte acted) {}
 
     private final Parts parts;
     private final long ttl;
@@ -73,8 +79,16 @@
 
     private Step take(int id, int session, byte kind, byte token, byte more) {
         LeaseMachine machine = parts.machine(snapshots.get(id));
-        Effects effects = kind == END_OF_SESSION ? machine.sessionEnded(1, session)
-                : machine.apply(1, new Command(kind == EXPIRE ? 0 : session, 0, 0, command(kind, token, more).encode()));
+        Effects effects =
+                kind == END_OF_SESSION
+                        ? machine.sessionEnded(1, session)
+                        : machine.apply(
+                                1,
+                                new Command(
+                                        kind == EXPIRE ? 0 : session,
+                                        0,
+                                        0,
+                                        command(kind, token, more).encode()));
         byte granted = 0;
         byte to = 0;
         byte acted = 0;
@@ -91,12 +105,21 @@
         byte answerToken = 0;
         if (!effects.accepted()) {
             LeaseRejection why = LeaseRejection.decode(effects.refusal(), effects.answer());
-            answer = why instanceof LeaseRejection.AlreadyHolds ? ALREADY_HOLDS : why instanceof LeaseRejection.AlreadyWaits ? ALREADY_WAITS
-                    : why instanceof LeaseRejection.NoSuccessor ? NO_SUCCESSOR : REFUSED;
+            answer =
+                    why instanceof LeaseRejection.AlreadyHolds
+                            ? ALREADY_HOLDS
+                            : why instanceof LeaseRejection.AlreadyWaits
+                                    ? ALREADY_WAITS
+                                    : why instanceof LeaseRejection.NoSuccessor
+                                            ? NO_SUCCESSOR
+                                            : REFUSED;
             answerToken = why instanceof LeaseRejection.AlreadyHolds held ? (byte) held.token() : 0;
         } else if (kind != END_OF_SESSION) {
             LeaseAnswer said = LeaseAnswer.decode(effects.answer());
-            answer = said instanceof LeaseAnswer.Holds ? HOLDS : said instanceof LeaseAnswer.Waits ? WAITS : DONE;
+            answer =
+                    said instanceof LeaseAnswer.Holds
+                            ? HOLDS
+                            : said instanceof LeaseAnswer.Waits ? WAITS : DONE;
             answerToken = said instanceof LeaseAnswer.Holds held ? (byte) held.token() : 0;
         }
         return new Step(number(machine), answer, answerToken, granted, to, acted);
@@ -116,13 +139,22 @@
     }
 
     static byte kind(LeaseCommand command) {
-        return command instanceof LeaseCommand.Acquire ? ACQUIRE : command instanceof LeaseCommand.Renew ? RENEW
-                : command instanceof LeaseCommand.Release ? RELEASE : command instanceof LeaseCommand.Withdraw ? WITHDRAW : TRANSFER;
+        return command instanceof LeaseCommand.Acquire
+                ? ACQUIRE
+                : command instanceof LeaseCommand.Renew
+                        ? RENEW
+                        : command instanceof LeaseCommand.Release
+                                ? RELEASE
+                                : command instanceof LeaseCommand.Withdraw ? WITHDRAW : TRANSFER;
     }
 
     static byte token(LeaseCommand command) {
-        return (byte) (command instanceof LeaseCommand.Renew r ? r.token() : command instanceof LeaseCommand.Release r ? r.token()
-                : command instanceof LeaseCommand.Transfer t ? t.token() : 0);
+        return (byte)
+                (command instanceof LeaseCommand.Renew r
+                        ? r.token()
+                        : command instanceof LeaseCommand.Release r
+                                ? r.token()
+                                : command instanceof LeaseCommand.Transfer t ? t.token() : 0);
     }
 
     /** Tells a holder an answer as its class takes it. */
@@ -133,19 +165,24 @@
             case HOLDS -> holder.answered(now, number, new LeaseAnswer.Holds(token));
             case WAITS -> holder.answered(now, number, new LeaseAnswer.Waits(1));
             case DONE -> holder.answered(now, number, new LeaseAnswer.Done());
-            case ALREADY_HOLDS -> holder.refused(now, number, new LeaseRejection.AlreadyHolds(NAME, token));
-            case ALREADY_WAITS -> holder.refused(now, number, new LeaseRejection.AlreadyWaits(NAME, 1));
-            case NO_SUCCESSOR -> holder.refused(now, number, new LeaseRejection.NoSuccessor(NAME, 0));
+            case ALREADY_HOLDS ->
+                    holder.refused(now, number, new LeaseRejection.AlreadyHolds(NAME, token));
+            case ALREADY_WAITS ->
+                    holder.refused(now, number, new LeaseRejection.AlreadyWaits(NAME, 1));
+            case NO_SUCCESSOR ->
+                    holder.refused(now, number, new LeaseRejection.NoSuccessor(NAME, 0));
             default -> holder.refused(now, number, new LeaseRejection.NotHolder(NAME, token, 0));
         }
     }
 
     private int number(LeaseMachine machine) {
         byte[] snapshot = machine.snapshot();
-        return numbers.computeIfAbsent(Arrays.toString(snapshot), key -> {
-            snapshots.add(snapshot);
-            machines.add(parts.machine(snapshot));
-            return snapshots.size() - 1;
-        });
+        return numbers.computeIfAbsent(
+                Arrays.toString(snapshot),
+                key -> {
+                    snapshots.add(snapshot);
+                    machines.add(parts.machine(snapshot));
+                    return snapshots.size() - 1;
+                });
     }
 }
--- a/src/measure/java/calicostream/lease/LeaseWorld.java
+++ b/src/measure/java/calicostream/lease/LeaseWorld.java
@@ -4,12 +4,13 @@
 import calicostream.lease.Holder.Phase;
 
 /**
- * The layout of a state of {@link LeaseModel}: members, what is under way between them and the log, the leader's watch, the resource,
- * and what the judge remembers. Every time is kept as a distance from now by its owner's clock, so that states recur and there are
- * finitely many of them.
+ * The layout of a state of {@link LeaseModel}: members, what is under way between them and the log,
+ * the leader's watch, the resource, and what the judge remembers. Every time is kept as a distance
+ * from now by its owner's clock, so that states recur and there are finitely many of them.
  */
 final class LeaseWorld {
-    static final long NOW = 1_000_000; // What every clock shows when a class of the product is asked.
+    static final long NOW =
+            1_000_000; // What every clock shows when a class of the product is asked.
     static final int NUMBER = 10; // The number of a member's last command.
 
     // What there is once.
@@ -40,12 +41,16 @@
     static final int RENEW_IN = 6;
     static final int TO = 7;
     static final int OUT = 8; // The command whose end is not known: kind, token.
-    static final int ASKS = 10; // Copies of commands under way: kind, token, whether of an earlier number; twice.
-    static final int APPLIED = 16; // Whether the command that is out was applied; the answer that is remembered for it: kind, token.
+    static final int ASKS =
+            10; // Copies of commands under way: kind, token, whether of an earlier number; twice.
+    static final int APPLIED =
+            16; // Whether the command that is out was applied; the answer that is remembered for
+    // it: kind, token.
     static final int REPLY = 19; // An answer under way: kind, token.
     static final int NEWS = 21; // A grant under way: token.
     static final int ENDED = 22; // Its session: 1 over, 2 and it knows.
-    static final int CHECKED = 23; // An act that was checked and has not reached the resource: token.
+    static final int CHECKED =
+            23; // An act that was checked and has not reached the resource: token.
     static final int ACTS_LEFT = 24;
     static final int LOG_ACTS_LEFT = 25;
     static final int STOPS_LEFT = 26;
@@ -54,7 +59,7 @@
     static final int COPIES = 2;
     static final int COPY = 3;
 
-    private LeaseWorld() { }
+    private LeaseWorld() {}
 
     static int place(int m) {
         return ONCE + m * EACH;
@@ -81,8 +86,20 @@
 
     static Holder holder(byte[] s, int m, Parts parts, String name, long ttl) {
         int at = place(m);
-        return parts.holder(name, ttl, new Holder.State(Phase.values()[s[at + PHASE]], s[at + WANTED] != 0, s[at + TOKEN], s[at + DONE], NUMBER,
-                holderAsks(s, at), NOW - s[at + ASKED_AGO], NOW + s[at + UNTIL_IN], NOW + s[at + RENEW_IN], s[at + TO]));
+        return parts.holder(
+                name,
+                ttl,
+                new Holder.State(
+                        Phase.values()[s[at + PHASE]],
+                        s[at + WANTED] != 0,
+                        s[at + TOKEN],
+                        s[at + DONE],
+                        NUMBER,
+                        holderAsks(s, at),
+                        NOW - s[at + ASKED_AGO],
+                        NOW + s[at + UNTIL_IN],
+                        NOW + s[at + RENEW_IN],
+                        s[at + TO]));
     }
 
     /** Keeps what the holder knows, and of its times only what can still matter. */
@@ -94,8 +111,16 @@
         s[at + TOKEN] = (byte) h.token();
         s[at + DONE] = (byte) h.done();
         s[at + ASKED_AGO] = (byte) (h.out() ? Math.min(ttl, NOW - h.askedAt()) : 0);
-        s[at + UNTIL_IN] = (byte) (h.phase() == Phase.HELD || h.phase() == Phase.IDLE ? Math.max(0, h.until() - NOW) : 0);
-        s[at + RENEW_IN] = (byte) ((h.phase() == Phase.HELD || h.phase() == Phase.WAITING) && !h.out() ? Math.max(0, h.renewAt() - NOW) : 0);
+        s[at + UNTIL_IN] =
+                (byte)
+                        (h.phase() == Phase.HELD || h.phase() == Phase.IDLE
+                                ? Math.max(0, h.until() - NOW)
+                                : 0);
+        s[at + RENEW_IN] =
+                (byte)
+                        ((h.phase() == Phase.HELD || h.phase() == Phase.WAITING) && !h.out()
+                                ? Math.max(0, h.renewAt() - NOW)
+                                : 0);
         s[at + TO] = (byte) h.to();
         if (!h.out() && holderAsks(s, at)) {
             s[at + OUT] = 0;
--- a/src/measure/java/calicostream/lease/Parts.java
+++ b/src/measure/java/calicostream/lease/Parts.java
@@ -4,13 +4,18 @@
 import calicostream.prove.Mutant;
 import java.util.Map;
 
-/** Makes the product's own classes for the proofs, whole or with one safeguard taken out; a safeguard of the log is the model's. */
+/**
+ * Makes the product's own classes for the proofs, whole or with one safeguard taken out; a
+ * safeguard of the log is the model's.
+ */
 final class Parts {
     private final Mutant without;
     private final Limits limits;
     private final Drift drift;
 
-    /** @param without the safeguard taken out; null: none */
+    /**
+     * @param without the safeguard taken out; null: none
+     */
     Parts(Mutant without, Limits limits, Drift drift) {
         this.without = without;
         this.limits = limits;
@@ -26,27 +31,31 @@
     }
 
     LeaseMachine machine(byte[] snapshot) {
-        LeaseMachine machine = new LeaseMachine(limits) {
-            @Override
-            public boolean isHolder(String name, long token) {
-                return isOut(Mutant.LOG_TOKEN_NOT_CHECKED) || super.isHolder(name, token);
-            }
+        LeaseMachine machine =
+                new LeaseMachine(limits) {
+                    @Override
+                    public boolean isHolder(String name, long token) {
+                        return isOut(Mutant.LOG_TOKEN_NOT_CHECKED) || super.isHolder(name, token);
+                    }
 
-            @Override
-            boolean renewedSince(long renewals, long seen) {
-                return !isOut(Mutant.EXPIRY_WITHOUT_RENEWALS) && super.renewedSince(renewals, seen);
-            }
+                    @Override
+                    boolean renewedSince(long renewals, long seen) {
+                        return !isOut(Mutant.EXPIRY_WITHOUT_RENEWALS)
+                                && super.renewedSince(renewals, seen);
+                    }
 
-            @Override
-            boolean endsWithSession() {
-                return isOut(Mutant.LEASE_FREED_WITH_SESSION);
-            }
+                    @Override
+                    boolean endsWithSession() {
+                        return isOut(Mutant.LEASE_FREED_WITH_SESSION);
+                    }
 
-            @Override
-            public byte[] snapshot() {
-                return isOut(Mutant.TOKEN_LOST_IN_SNAPSHOT) && held().isEmpty() ? new LeaseMachine(limits).snapshot() : super.snapshot();
-            }
-        };
+                    @Override
+                    public byte[] snapshot() {
+                        return isOut(Mutant.TOKEN_LOST_IN_SNAPSHOT) && held().isEmpty()
+                                ? new LeaseMachine(limits).snapshot()
+                                : super.snapshot();
+                    }
+                };
         if (snapshot != null) {
             machine.restore(snapshot);
         }
@@ -71,23 +80,30 @@
         };
     }
 
-    /** @param period between two looks; 0: it looks whenever it likes, and no step of its clock is to be counted */
+    /**
+     * @param period between two looks; 0: it looks whenever it likes, and no step of its clock is
+     *     to be counted
+     */
     LeaderWatch watch(LeaseMachine machine, Map<String, LeaderWatch.Seen> seen, long period) {
-        return new LeaderWatch(machine, drift, seen, isOut(Mutant.CLOCK_STEP_COUNTED) ? 0 : period) {
+        return new LeaderWatch(
+                machine, drift, seen, isOut(Mutant.CLOCK_STEP_COUNTED) ? 0 : period) {
             @Override
             long inherited(long now, long ttl) {
-                return isOut(Mutant.NEW_LEADER_DOES_NOT_WAIT) ? now - drift.beyond(ttl) : super.inherited(now, ttl);
+                return isOut(Mutant.NEW_LEADER_DOES_NOT_WAIT)
+                        ? now - drift.beyond(ttl)
+                        : super.inherited(now, ttl);
             }
         };
     }
 
     Fence fence(String name, long highest) {
-        Fence fence = new Fence() {
-            @Override
-            boolean isOutdated(long token, long most) {
-                return !isOut(Mutant.TOKEN_NOT_CHECKED) && super.isOutdated(token, most);
-            }
-        };
+        Fence fence =
+                new Fence() {
+                    @Override
+                    boolean isOutdated(long token, long most) {
+                        return !isOut(Mutant.TOKEN_NOT_CHECKED) && super.isOutdated(token, most);
+                    }
+                };
         fence.admit(name, highest);
         return fence;
     }
--- a/src/measure/java/calicostream/lease/SimLeases.java
+++ b/src/measure/java/calicostream/lease/SimLeases.java
@@ -18,14 +18,17 @@
 import java.util.stream.IntStream;
 
 /**
- * Leases on a simulated cluster: each member wants two, acts by the log and at a resource whose messages may take three times to live, as
- * if it had been stopped between its check and its act, and changes its mind. After each event no two members believe that they hold the
- * same, nobody believes it whose lease was granted on, and the resource took no act after one under a later token.
+ * Leases on a simulated cluster: each member wants two, acts by the log and at a resource whose
+ * messages may take three times to live, as if it had been stopped between its check and its act,
+ * and changes its mind. After each event no two members believe that they hold the same, nobody
+ * believes it whose lease was granted on, and the resource took no act after one under a later
+ * token.
  */
 public final class SimLeases implements Guest {
     private static final long MILLI = 1_000_000;
     private static final long SHORT = 1000 * MILLI;
-    private static final long LONG = 3000 * MILLI; // twice a session's: who is cut off may hold when its session is over
+    private static final long LONG =
+            3000 * MILLI; // twice a session's: who is cut off may hold when its session is over
     private static final long FAULTS_END = 6_000 * MILLI;
     private static final String[] NAMES = {"divide", "roll"};
     private static final long HEARTBEAT = 50 * MILLI;
@@ -34,9 +37,14 @@
 
     /** What goes wrong beside what the cluster itself draws. */
     public enum Plan {
-        /** Holders are killed, stopped past their end, told to stop, and sessions change their mind. */
+        /**
+         * Holders are killed, stopped past their end, told to stop, and sessions change their mind.
+         */
         ALL,
-        /** Holders are killed, one after the other, and leaders with them where they are the same; nothing else. */
+        /**
+         * Holders are killed, one after the other, and leaders with them where they are the same;
+         * nothing else.
+         */
         KILLS,
         /** Likewise, and only members that run no voter want the leases. */
         KILLS_OUTSIDE
@@ -56,7 +64,10 @@
             client = new LeaseClient(session, MACHINE, process::nanos);
             for (String name : NAMES) {
                 long ttl = ttl(name);
-                Holder holder = client.add(parts.holder(name, ttl, new Holder(name, ttl, process.nanos()).state()));
+                Holder holder =
+                        client.add(
+                                parts.holder(
+                                        name, ttl, new Holder(name, ttl, process.nanos()).state()));
                 holders.add(holder);
                 if (!resting && (plan != Plan.KILLS_OUTSIDE || id > world.members() - OUTSIDE)) {
                     holder.want();
@@ -70,17 +81,24 @@
             Holder holder = holders.get(world.random().nextInt(NAMES.length));
             Acts acts = client.acts(holder);
             if (world.random().nextInt(4) == 0) {
-                Fenced.Outcome<LeaseCommand.Act> command = acts.inLog(new Bytes.Writer().i64(++acted).done());
+                Fenced.Outcome<LeaseCommand.Act> command =
+                        acts.inLog(new Bytes.Writer().i64(++acted).done());
                 if (command.isDone()) {
-                    session.run(MACHINE, command.result().encode(), outcome -> { });
+                    session.run(MACHINE, command.result().encode(), outcome -> {});
                 }
             } else {
-                acts.at((lease, token, payload) -> {
-                    boolean held = world.random().nextInt(40) == 0;
-                    long late = held ? world.random().nextInt((int) (3 * ttl(lease) / MILLI)) * MILLI : 0;
-                    world.at(world.now() + MILLI + late, () -> resource(lease, token));
-                    return Fenced.Outcome.done(null);
-                }, null);
+                acts.at(
+                        (lease, token, payload) -> {
+                            boolean held = world.random().nextInt(40) == 0;
+                            long late =
+                                    held
+                                            ? world.random().nextInt((int) (3 * ttl(lease) / MILLI))
+                                                    * MILLI
+                                            : 0;
+                            world.at(world.now() + MILLI + late, () -> resource(lease, token));
+                            return Fenced.Outcome.done(null);
+                        },
+                        null);
             }
             process.schedule(this::act, (10 + world.random().nextInt(50)) * MILLI);
         }
@@ -88,7 +106,9 @@
         boolean holds(int which) {
             Holder holder = holders.get(which);
             // A copy is asked: the question must not tell the holder that its time is over.
-            return holder.phase() == Holder.Phase.HELD && new Holder(holder.name(), ttl(holder.name()), Drift.BOUND, holder.state()).mayAct(process.nanos());
+            return holder.phase() == Holder.Phase.HELD
+                    && new Holder(holder.name(), ttl(holder.name()), Drift.BOUND, holder.state())
+                            .mayAct(process.nanos());
         }
     }
 
@@ -109,7 +129,10 @@
     private int refused;
     private String fault = "";
 
-    /** @param without the safeguard taken out; null: none; @param told whether members without a copy are told of grants */
+    /**
+     * @param without the safeguard taken out; null: none; @param told whether members without a
+     *     copy are told of grants
+     */
     public SimLeases(Plan plan, Mutant without, boolean told) {
         this.plan = plan;
         this.told = told;
@@ -122,7 +145,10 @@
         return handOvers;
     }
 
-    /** Acts that the resource took and refused, grants, and those of them that somebody had waited for. */
+    /**
+     * Acts that the resource took and refused, grants, and those of them that somebody had waited
+     * for.
+     */
     public List<Integer> counts() {
         return List.of(accepted, refused, book.granted(), book.fromQueue());
     }
@@ -145,40 +171,41 @@
     @Override
     public Map<String, Part> parts(int member) {
         LeaseMachine machine = parts.machine(null);
-        Machine watched = new Machine() {
-            @Override
-            public Effects apply(long index, Command command) {
-                Effects effects = machine.apply(index, command);
-                if (book.applied(index, command, effects)) {
-                    granted(effects);
-                }
-                return effects;
-            }
-
-            @Override
-            public Effects sessionEnded(long index, long session) {
-                Effects effects = machine.sessionEnded(index, session);
-                if (book.ended(index, session, effects)) {
-                    granted(effects);
-                }
-                return effects;
-            }
-
-            @Override
-            public byte[] query(byte[] question) {
-                return machine.query(question);
-            }
-
-            @Override
-            public byte[] snapshot() {
-                return machine.snapshot();
-            }
-
-            @Override
-            public void restore(byte[] snapshot) {
-                machine.restore(snapshot);
-            }
-        };
+        Machine watched =
+                new Machine() {
+                    @Override
+                    public Effects apply(long index, Command command) {
+                        Effects effects = machine.apply(index, command);
+                        if (book.applied(index, command, effects)) {
+                            granted(effects);
+                        }
+                        return effects;
+                    }
+
+                    @Override
+                    public Effects sessionEnded(long index, long session) {
+                        Effects effects = machine.sessionEnded(index, session);
+                        if (book.ended(index, session, effects)) {
+                            granted(effects);
+                        }
+                        return effects;
+                    }
+
+                    @Override
+                    public byte[] query(byte[] question) {
+                        return machine.query(question);
+                    }
+
+                    @Override
+                    public byte[] snapshot() {
+                        return machine.snapshot();
+                    }
+
+                    @Override
+                    public void restore(byte[] snapshot) {
+                        machine.restore(snapshot);
+                    }
+                };
         return Map.of(MACHINE, new Part(watched, parts.watch(machine, Map.of(), HEARTBEAT)));
     }
 
@@ -210,28 +237,36 @@
         members.values().forEach(each -> each.holders.forEach(Holder::stop));
     }
 
-    // ---- Faults ---------------------------------------------------------------------------------------
+    // ---- Faults
+    // ---------------------------------------------------------------------------------------
     private void next(long millis) {
-        world.at(world.now() + millis * MILLI, () -> {
-            if (world.now() > FAULTS_END || resting) {
-                return;
-            }
-            int which = world.random().nextInt(NAMES.length);
-            members.values().stream().filter(each -> each.holds(which)).findFirst().ifPresent(holding -> cause(holding, which));
-            next(plan == Plan.ALL ? 100 + world.random().nextInt(1_500) : 2_200);
-        });
+        world.at(
+                world.now() + millis * MILLI,
+                () -> {
+                    if (world.now() > FAULTS_END || resting) {
+                        return;
+                    }
+                    int which = world.random().nextInt(NAMES.length);
+                    members.values().stream()
+                            .filter(each -> each.holds(which))
+                            .findFirst()
+                            .ifPresent(holding -> cause(holding, which));
+                    next(plan == Plan.ALL ? 100 + world.random().nextInt(1_500) : 2_200);
+                });
     }
 
     private void cause(Member holding, int which) {
         Holder holder = holding.holders.get(which);
         switch (plan == Plan.ALL ? world.random().nextInt(6) : 0) {
             case 0 -> {
-                List<Integer> held = IntStream.range(0, NAMES.length).filter(holding::holds).boxed().toList();
+                List<Integer> held =
+                        IntStream.range(0, NAMES.length).filter(holding::holds).boxed().toList();
                 if (world.kill(holding.id, 500 + world.random().nextInt(1_000))) {
-                    held.forEach(each -> {
-                        killed.put(each, world.now());
-                        killedToken.put(each, holding.holders.get(each).token());
-                    });
+                    held.forEach(
+                            each -> {
+                                killed.put(each, world.now());
+                                killedToken.put(each, holding.holders.get(each).token());
+                            });
                 }
             }
             case 1 -> world.stall(holding.id, (int) (3 * SHORT / MILLI));
@@ -242,8 +277,14 @@
             }
             case 4 -> {
                 // Who waits is stopped when its turn comes, and hears of it when it has lapsed.
-                members.values().stream().filter(each -> each.holders.get(which).phase() == Holder.Phase.WAITING)
-                        .forEach(each -> world.stall(each.id, (int) (2 * SHORT / MILLI) + world.random().nextInt(500)));
+                members.values().stream()
+                        .filter(each -> each.holders.get(which).phase() == Holder.Phase.WAITING)
+                        .forEach(
+                                each ->
+                                        world.stall(
+                                                each.id,
+                                                (int) (2 * SHORT / MILLI)
+                                                        + world.random().nextInt(500)));
                 holder.transfer(0);
                 wantAgain(holding, holder);
             }
@@ -255,21 +296,34 @@
     }
 
     private void wantAgain(Member member, Holder holder) {
-        world.at(world.now() + world.random().nextInt(500) * MILLI, () -> {
-            if (!resting && members.get(member.id) == member) {
-                holder.want();
-            }
-        });
+        world.at(
+                world.now() + world.random().nextInt(500) * MILLI,
+                () -> {
+                    if (!resting && members.get(member.id) == member) {
+                        holder.want();
+                    }
+                });
     }
 
-    // ---- Judgement ------------------------------------------------------------------------------------
+    // ---- Judgement
+    // ------------------------------------------------------------------------------------
     /** It is granted in the log: whoever held before must know by now, by its own clock. */
     private void granted(Effects effects) {
         for (Effects.Event each : effects.events()) {
             if (LeaseEvent.decode(each) instanceof LeaseEvent.Granted granted) {
                 int which = granted.name().equals(NAMES[0]) ? 0 : 1;
-                members.values().stream().filter(member -> member.holds(which)).forEach(member -> judge(false, "member " + member.id
-                        + " believes to hold " + granted.name() + " when it is granted under token " + granted.token()));
+                members.values().stream()
+                        .filter(member -> member.holds(which))
+                        .forEach(
+                                member ->
+                                        judge(
+                                                false,
+                                                "member "
+                                                        + member.id
+                                                        + " believes to hold "
+                                                        + granted.name()
+                                                        + " when it is granted under token "
+                                                        + granted.token()));
             } else if (LeaseEvent.decode(each) instanceof LeaseEvent.Acted act) {
                 did(act.name(), act.token());
             }
@@ -282,8 +336,14 @@
             return;
         }
         accepted++;
-        judge(token >= atResource.getOrDefault(lease, 0L),
-                "the resource takes an act of " + lease + " under token " + token + " after one under " + atResource.get(lease));
+        judge(
+                token >= atResource.getOrDefault(lease, 0L),
+                "the resource takes an act of "
+                        + lease
+                        + " under token "
+                        + token
+                        + " after one under "
+                        + atResource.get(lease));
         atResource.put(lease, token);
         did(lease, token);
     }
@@ -308,7 +368,14 @@
             Member holding = null;
             for (Member each : members.values()) {
                 if (each.holds(which)) {
-                    judge(holding == null, "members " + (holding == null ? 0 : holding.id) + " and " + each.id + " believe to hold " + NAMES[which]);
+                    judge(
+                            holding == null,
+                            "members "
+                                    + (holding == null ? 0 : holding.id)
+                                    + " and "
+                                    + each.id
+                                    + " believe to hold "
+                                    + NAMES[which]);
                     holding = each;
                 }
             }
--- a/src/measure/java/calicostream/lease/TaskProcesses.java
+++ b/src/measure/java/calicostream/lease/TaskProcesses.java
@@ -9,7 +9,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Processes with one task, on one log that answers at once, or not at all; in virtual time (nanoseconds). One thread. */
+/**
+ * Processes with one task, on one log that answers at once, or not at all; in virtual time
+ * (nanoseconds). One thread.
+ */
 final class TaskProcesses {
     private static final long MILLI = 1_000_000;
     private static final long TTL = 2_000 * MILLI;
@@ -26,41 +29,58 @@
         long acted;
 
         Process(int member) {
-            session = new MemberSession(new MemberSession.Settings(member, 60_000, 150, 8), List.of(1), (long) member << 40);
-            tasks = new Tasks(session, "lease", () -> now, event -> events.add(event.code() + " " + event.token()));
-            tasks.add(new Task() {
-                @Override
-                public String lease() {
-                    return NAME;
-                }
+            session =
+                    new MemberSession(
+                            new MemberSession.Settings(member, 60_000, 150, 8),
+                            List.of(1),
+                            (long) member << 40);
+            tasks =
+                    new Tasks(
+                            session,
+                            "lease",
+                            () -> now,
+                            event -> events.add(event.code() + " " + event.token()));
+            tasks.add(
+                    new Task() {
+                        @Override
+                        public String lease() {
+                            return NAME;
+                        }
 
-                @Override
-                public void started(Acts acts) {
-                    calls.add("started");
-                }
+                        @Override
+                        public void started(Acts acts) {
+                            calls.add("started");
+                        }
 
-                @Override
-                public void step(Acts acts, long nowNanos) {
-                    calls.add("step");
-                    if (throwsNext) {
-                        throwsNext = false;
-                        throw new IllegalStateException("broken on purpose");
-                    }
-                    acts.tell(new byte[] {7}, outcome -> acted += outcome.accepted() ? 1 : 0).ifPresent(why -> {
-                        throw new AssertionError("an act of the holder was not taken: " + why);
-                    });
-                }
+                        @Override
+                        public void step(Acts acts, long nowNanos) {
+                            calls.add("step");
+                            if (throwsNext) {
+                                throwsNext = false;
+                                throw new IllegalStateException("broken on purpose");
+                            }
+                            acts.tell(
+                                            new byte[] {7},
+                                            outcome -> acted += outcome.accepted() ? 1 : 0)
+                                    .ifPresent(
+                                            why -> {
+                                                throw new AssertionError(
+                                                        "an act of the holder was not taken: "
+                                                                + why);
+                                            });
+                        }
 
-                @Override
-                public void stopped() {
-                    calls.add("stopped");
-                }
+                        @Override
+                        public void stopped() {
+                            calls.add("stopped");
+                        }
 
-                @Override
-                public void heard(long token, byte[] payload, long nowNanos) {
-                    calls.add("heard " + payload[0]);
-                }
-            }, TTL);
+                        @Override
+                        public void heard(long token, byte[] payload, long nowNanos) {
+                            calls.add("heard " + payload[0]);
+                        }
+                    },
+                    TTL);
         }
 
         long count(String call) {
@@ -69,13 +89,20 @@
 
         /** All that it wants to send and what comes of it, until it is quiet. */
         void exchange() {
-            for (List<MemberSession.Send> sends = session.tick(now); !sends.isEmpty() && !isCut; sends = session.tick(now)) {
+            for (List<MemberSession.Send> sends = session.tick(now);
+                    !sends.isEmpty() && !isCut;
+                    sends = session.tick(now)) {
                 for (MemberSession.Send send : sends) {
                     Frame.Request request = (Frame.Request) Frame.decode(send.frame());
-                    session.received(1, new Frame.Reply(request.id(), 0, state.apply(++index, request.body())), now);
+                    session.received(
+                            1,
+                            new Frame.Reply(request.id(), 0, state.apply(++index, request.body())),
+                            now);
                     for (Replicated.News news : state.takeNews()) {
                         if (news.machine().equals("lease")) {
-                            processes.stream().filter(each -> !each.isCut).forEach(each -> each.tasks.news(news.event()));
+                            processes.stream()
+                                    .filter(each -> !each.isCut)
+                                    .forEach(each -> each.tasks.news(news.event()));
                         }
                     }
                 }
@@ -99,10 +126,11 @@
     }
 
     private void turn() {
-        processes.forEach(each -> {
-            each.tasks.tick();
-            each.exchange();
-        });
+        processes.forEach(
+                each -> {
+                    each.tasks.tick();
+                    each.exchange();
+                });
         for (byte[] body : watch.due(now)) {
             state.apply(++index, new Entry.Timed(state.era(), "lease", body).encode());
         }
--- a/src/measure/java/calicostream/lease/TrialsFleet.java
+++ b/src/measure/java/calicostream/lease/TrialsFleet.java
@@ -11,8 +11,8 @@
 import java.util.stream.IntStream;
 
 /**
- * Twenty front ends with the module as it is, an engine that is down for a minute, and hints or none; in virtual time (microseconds). The
- * accounts are read once {@link #of} has returned.
+ * Twenty front ends with the module as it is, an engine that is down for a minute, and hints or
+ * none; in virtual time (microseconds). The accounts are read once {@link #of} has returned.
  */
 final class TrialsFleet {
     static final long SEED = 25;
@@ -22,12 +22,24 @@
     private static final long DOWN = 3;
     private static final long BACK_AT = 60_000 * MILLI;
     private static final long NEWS = 30 * MILLI;
-    private static final String SETTINGS = "lanes.count=1\nlanes.0.name=look\nlanes.0.effect=repeatable\n"
-            + "lanes.0.aim_us=800000\nlanes.0.deadline_us=4000000\nfamily_info.kind_cores=12\n"
-            + "family_info.kind_memory_mb=24576\nceilings.max_attempts=3\nceilings.cancel=true\ntick_us=5000\n"
-            + "family_info.holds_tables=false\nfamily_info.waits_for_loads=true\n"
-            + "family_info.width_by_class=1\nrules.cold_share=0.3\nrules.overload_factor=4\n"
-            + "rules.fall_us=2000000\nrules.warm_up_us=14000000\n";
+    private static final String SETTINGS =
+            "lanes.count=1\n"
+                    + "lanes.0.name=look\n"
+                    + "lanes.0.effect=repeatable\n"
+                    + "lanes.0.aim_us=800000\n"
+                    + "lanes.0.deadline_us=4000000\n"
+                    + "family_info.kind_cores=12\n"
+                    + "family_info.kind_memory_mb=24576\n"
+                    + "ceilings.max_attempts=3\n"
+                    + "ceilings.cancel=true\n"
+                    + "tick_us=5000\n"
+                    + "family_info.holds_tables=false\n"
+                    + "family_info.waits_for_loads=true\n"
+                    + "family_info.width_by_class=1\n"
+                    + "rules.cold_share=0.3\n"
+                    + "rules.overload_factor=4\n"
+                    + "rules.fall_us=2000000\n"
+                    + "rules.warm_up_us=14000000\n";
 
     private final class Process implements Trials.FrontEnd {
         final Sides sides = new Sides(SETTINGS);
@@ -50,7 +62,8 @@
                     used = true;
                     backAfter.add(time - BACK_AT);
                 }
-                sides.gateway.ended(each, fails ? Outcome.CONNECT_FAILED : Outcome.OK, null, new byte[0]);
+                sides.gateway.ended(
+                        each, fails ? Outcome.CONNECT_FAILED : Outcome.OK, null, new byte[0]);
             }
         }
 
@@ -65,18 +78,23 @@
         }
     }
 
-    private record Word(long at, byte[] payload) { }
+    private record Word(long at, byte[] payload) {}
 
     private final Random random = new Random(SEED);
     private long time = 1_000_000;
+
     /** For each front end that used the engine again: how long after it was back. */
     final List<Long> backAfter = new ArrayList<>();
+
     /** Queries that went to the engine while it was down. */
     int trialsMade;
 
-    private TrialsFleet() { }
+    private TrialsFleet() {}
 
-    /** @param holder of the lease; -1: nobody, the fleet without a cluster; @param diesAt its words end then */
+    /**
+     * @param holder of the lease; -1: nobody, the fleet without a cluster; @param diesAt its words
+     *     end then
+     */
     static TrialsFleet of(int holder, long diesAt) {
         TrialsFleet made = new TrialsFleet();
         made.run(holder, diesAt);
@@ -89,8 +107,17 @@
         Holder held = new Holder(Trials.LEASE, 3_600_000_000_000L, 0);
         held.want();
         held.answered(0, held.next(0).number(), new LeaseAnswer.Holds(4));
-        Acts acts = new Acts(held, () -> 0, "lease", (machine, body, done) ->
-                words.add(new Word(time, ((LeaseCommand.Act) LeaseCommand.decode(body)).payload())));
+        Acts acts =
+                new Acts(
+                        held,
+                        () -> 0,
+                        "lease",
+                        (machine, body, done) ->
+                                words.add(
+                                        new Word(
+                                                time,
+                                                ((LeaseCommand.Act) LeaseCommand.decode(body))
+                                                        .payload())));
         if (holder >= 0) {
             fleet.get(holder).trials.started(acts);
         }
--- a/src/measure/java/calicostream/lease/TrialsPair.java
+++ b/src/measure/java/calicostream/lease/TrialsPair.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.TreeSet;
 
-/** One process that tells of its trials, and another that hears each thing twice, or not; in virtual time (nanoseconds). One thread. */
+/**
+ * One process that tells of its trials, and another that hears each thing twice, or not; in virtual
+ * time (nanoseconds). One thread.
+ */
 final class TrialsPair {
     static final long MILLI = 1_000_000;
     private static final long TICK = 50 * MILLI;
@@ -19,7 +22,8 @@
 
         @Override
         public Trials.View view() {
-            return new Trials.View(listed.stream().filter(out::contains).mapToLong(id -> id).toArray(),
+            return new Trials.View(
+                    listed.stream().filter(out::contains).mapToLong(id -> id).toArray(),
                     listed.stream().filter(id -> !out.contains(id)).mapToLong(id -> id).toArray());
         }
 
@@ -30,15 +34,24 @@
     }
 
     long now;
+
     /** What is told now does not reach the other. */
     boolean isLost;
+
     final Process holder = new Process();
     final Process other = new Process();
+
     /** All that was told. */
     final List<byte[]> words = new ArrayList<>();
+
     private final Holder held = new Holder(Trials.LEASE, 1000 * 1000 * MILLI, 0);
-    private final Acts acts = new Acts(held, () -> now, "lease", (machine, body, done) ->
-            words.add(((LeaseCommand.Act) LeaseCommand.decode(body)).payload()));
+    private final Acts acts =
+            new Acts(
+                    held,
+                    () -> now,
+                    "lease",
+                    (machine, body, done) ->
+                            words.add(((LeaseCommand.Act) LeaseCommand.decode(body)).payload()));
 
     /** The one gets the lease. */
     void hold() {
--- a/src/measure/java/calicostream/lease/VirtualLog.java
+++ b/src/measure/java/calicostream/lease/VirtualLog.java
@@ -13,15 +13,16 @@
 import java.util.function.Consumer;
 
 /**
- * A log as members see one: three voters of which one leads, entries that are committed after a while, in order, or lost when the leader
- * changes, and no quorum at times. It stands for the consensus alone; sessions, eras, the leases' machine and what the leader counts are
- * the product's own. Before a new era the copy goes through a snapshot.
+ * A log as members see one: three voters of which one leads, entries that are committed after a
+ * while, in order, or lost when the leader changes, and no quorum at times. It stands for the
+ * consensus alone; sessions, eras, the leases' machine and what the leader counts are the product's
+ * own. Before a new era the copy goes through a snapshot.
  */
 final class VirtualLog {
     static final int VOTERS = 3;
     private static final long PERIOD = 20_000_000;
 
-    private record Proposal(byte[] entry, Consumer<Outcome> done) { }
+    private record Proposal(byte[] entry, Consumer<Outcome> done) {}
 
     private final LeaseRuns runs;
     private final Parts parts;
@@ -59,13 +60,18 @@
         commit();
     }
 
-    /** Another voter leads; of what was proposed, a first part is in its log and the rest is not. */
+    /**
+     * Another voter leads; of what was proposed, a first part is in its log and the rest is not.
+     */
     void change(int to) {
         int kept = runs.random.nextInt(proposed.size() + 1);
         List<Proposal> lost = new ArrayList<>(proposed.subList(kept, proposed.size()));
         proposed.subList(kept, proposed.size()).clear();
         while (!proposed.isEmpty()) {
-            apply(new Proposal(proposed.remove(0).entry, outcome -> { })); // Its answer went with the old leader.
+            apply(
+                    new Proposal(
+                            proposed.remove(0).entry,
+                            outcome -> {})); // Its answer went with the old leader.
         }
         lost.clear();
         byte[] snapshot = state.snapshot();
@@ -79,7 +85,7 @@
     private void lead(int voter) {
         leader = voter;
         changes++;
-        apply(new Proposal(new Entry.Era(voter, changes).encode(), outcome -> { }));
+        apply(new Proposal(new Entry.Era(voter, changes).encode(), outcome -> {}));
         watch = parts.watch(machine, Map.of(), 0);
         keeper = new SessionKeeper(state, PERIOD);
         watch.eraBegan(state.era(), runs.process(voter).nanos());
@@ -92,21 +98,23 @@
         }
         long now = runs.process(leader).nanos();
         for (byte[] body : watch.due(now)) {
-            propose(new Entry.Timed(state.era(), "lease", body).encode(), outcome -> { });
+            propose(new Entry.Timed(state.era(), "lease", body).encode(), outcome -> {});
         }
         for (Entry.Expire expire : keeper.due(now)) {
-            propose(expire.encode(), outcome -> { });
+            propose(expire.encode(), outcome -> {});
         }
         runs.process(leader).after(PERIOD, () -> count(since));
     }
 
     void received(int voter, byte[] frame, Consumer<byte[]> answer) {
         Frame.Request request = (Frame.Request) Frame.decode(frame);
-        Consumer<Outcome> done = outcome -> answer.accept(new Frame.Reply(request.id(), 0, outcome).encode());
+        Consumer<Outcome> done =
+                outcome -> answer.accept(new Frame.Reply(request.id(), 0, outcome).encode());
         if (voter == leader) {
             propose(request.body(), done);
         } else {
-            done.accept(Outcome.failed(0, ClusterException.NotLeader.CODE, voter, leader, state.era()));
+            done.accept(
+                    Outcome.failed(0, ClusterException.NotLeader.CODE, voter, leader, state.era()));
         }
     }
 
--- a/src/measure/java/calicostream/lease/VoterModel.java
+++ b/src/measure/java/calicostream/lease/VoterModel.java
@@ -5,22 +5,26 @@
 import calicostream.cluster.Effects;
 import calicostream.prove.Model;
 import calicostream.prove.Mutant;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /**
- * Three voters and their logs, as far as amnesia needs them: a vote and a copy of the log are one step each, any voter stands at any
- * time, leaders that are out of date go on until they hear better, and a voter forgets everything. What a majority holds is applied by
- * the product's {@link LeaseMachine}. With the safeguard, one who forgot is a learner until a leader has every other voter's word at its
- * own term, as a change of voters would need.
+ * Three voters and their logs, as far as amnesia needs them: a vote and a copy of the log are one
+ * step each, any voter stands at any time, leaders that are out of date go on until they hear
+ * better, and a voter forgets everything. What a majority holds is applied by the product's {@link
+ * LeaseMachine}. With the safeguard, one who forgot is a learner until a leader has every other
+ * voter's word at its own term, as a change of voters would need.
  *
- * <p>Promise: no token is given to two sessions, and none is lost. Assumed: no second voter forgets before the first is back.
+ * <p>Promise: no token is given to two sessions, and none is lost. Assumed: no second voter forgets
+ * before the first is back.
  */
 public final class VoterModel implements Model {
-    /** Bounds: terms, entries of a log, voters that forget, and how many of the commands there are, 1 to 6. */
-    public record Scope(int terms, int entries, int forgets, int commands) { }
+    /**
+     * Bounds: terms, entries of a log, voters that forget, and how many of the commands there are,
+     * 1 to 6.
+     */
+    public record Scope(int terms, int entries, int forgets, int commands) {}
 
     // A state: what the judge knows, how many may forget yet, then each voter.
     private static final int GIVEN = 0; // Session that token 1, 2, 3 were given to.
@@ -42,9 +46,18 @@
     private static final int LEADS = 2;
     private static final int LEARNS = 3;
 
-    private static final int NOTHING = 0; // Commands: 1, 2 sessions acquire, 3, 4 they release token 1, 5, 6 token 2
-    private static final String[] WORDS = {" stands for leader", " gives its vote to voter ", " leads and logs", " is sent the log of voter ",
-        " learns that a majority holds its log", " loses its memory", " is let vote again by voter ", " starts again"};
+    private static final int NOTHING =
+            0; // Commands: 1, 2 sessions acquire, 3, 4 they release token 1, 5, 6 token 2
+    private static final String[] WORDS = {
+        " stands for leader",
+        " gives its vote to voter ",
+        " leads and logs",
+        " is sent the log of voter ",
+        " learns that a majority holds its log",
+        " loses its memory",
+        " is let vote again by voter ",
+        " starts again"
+    };
 
     private final Scope scope;
     private final Parts parts;
@@ -74,9 +87,19 @@
         int kind = action >> 6;
         int v = 1 + (action >> 4 & 3);
         int more = action & 15;
-        String command = more == NOTHING ? " nothing" : more <= 2 ? " that session " + more + " acquires"
-                : " that session " + (2 - more % 2) + " releases token " + (more - 1) / 2;
-        return "voter " + v + WORDS[kind] + (kind == 1 || kind == 3 || kind == 6 ? more + 1 : kind == 2 ? command : "");
+        String command =
+                more == NOTHING
+                        ? " nothing"
+                        : more <= 2
+                                ? " that session " + more + " acquires"
+                                : " that session "
+                                        + (2 - more % 2)
+                                        + " releases token "
+                                        + (more - 1) / 2;
+        return "voter "
+                + v
+                + WORDS[kind]
+                + (kind == 1 || kind == 3 || kind == 6 ? more + 1 : kind == 2 ? command : "");
     }
 
     @Override
@@ -105,8 +128,12 @@
 
     private void vote(int v, int at, int other, byte[] s, Steps to) {
         int of = HEAD + other * each;
-        boolean free = s[at + TERM] < s[of + TERM] || s[at + TERM] == s[of + TERM] && s[at + VOTED] == 0;
-        if (s[at + ROLE] == LEARNS || !free || last(s, at) > last(s, of) || last(s, at) == last(s, of) && s[at + LENGTH] > s[of + LENGTH]) {
+        boolean free =
+                s[at + TERM] < s[of + TERM] || s[at + TERM] == s[of + TERM] && s[at + VOTED] == 0;
+        if (s[at + ROLE] == LEARNS
+                || !free
+                || last(s, at) > last(s, of)
+                || last(s, at) == last(s, of) && s[at + LENGTH] > s[of + LENGTH]) {
             return;
         }
         byte[] n = s.clone();
@@ -152,7 +179,8 @@
                 byte[] n = s.clone();
                 follow(n, of, s[at + TERM]);
                 System.arraycopy(s, at + LENGTH, n, of + LENGTH, each - LENGTH);
-                n[at + ACKED + other] = s[of + ROLE] == LEARNS ? s[at + ACKED + other] : s[at + LENGTH];
+                n[at + ACKED + other] =
+                        s[of + ROLE] == LEARNS ? s[at + ACKED + other] : s[at + LENGTH];
                 to.to(action(3, other, v), n);
             }
             holders += s[at + ACKED + other] == s[at + LENGTH] ? 1 : 0;
@@ -166,10 +194,21 @@
         byte[] tokens = tokens(s, at);
         byte[] n = s.clone();
         for (int i = 0; i < TOKENS; i++) {
-            boolean lost = tokens[i] == 0 && s[at + LENGTH] >= s[HELD]; // A leader out of date knows less, and says nothing wrong.
+            boolean lost =
+                    tokens[i] == 0
+                            && s[at + LENGTH]
+                                    >= s[HELD]; // A leader out of date knows less, and says
+            // nothing wrong.
             if (s[GIVEN + i] != 0 && tokens[i] != s[GIVEN + i] && (lost || tokens[i] != 0)) {
-                to.broken(action(4, v, 0), "token " + (i + 1) + " was given to session " + s[GIVEN + i]
-                        + (tokens[i] == 0 ? " and is forgotten" : " and is given to session " + tokens[i]));
+                to.broken(
+                        action(4, v, 0),
+                        "token "
+                                + (i + 1)
+                                + " was given to session "
+                                + s[GIVEN + i]
+                                + (tokens[i] == 0
+                                        ? " and is forgotten"
+                                        : " and is given to session " + tokens[i]));
                 return;
             }
             n[GIVEN + i] = (byte) Math.max(s[GIVEN + i], tokens[i]);
@@ -184,24 +223,32 @@
         for (int i = 0; i < s[at + LENGTH]; i++) {
             key.append((char) (s[at + LOG + i] & 15));
         }
-        return given.computeIfAbsent(key.toString(), commands -> {
-            LeaseMachine machine = parts.machine(null);
-            byte[] tokens = new byte[TOKENS];
-            for (int i = 0; i < commands.length(); i++) {
-                int command = commands.charAt(i);
-                if (command != NOTHING) {
-                    LeaseCommand said = command <= 2 ? new LeaseCommand.Acquire("task", 2_000_000_000L, true)
-                            : new LeaseCommand.Release("task", (command - 1) / 2);
-                    Effects effects = machine.apply(i + 1, new Command(2 - command % 2, i, 0, said.encode()));
-                    for (Effects.Event event : effects.events()) {
-                        if (LeaseEvent.decode(event) instanceof LeaseEvent.Granted g && g.token() <= TOKENS) {
-                            tokens[(int) g.token() - 1] = (byte) g.session();
+        return given.computeIfAbsent(
+                key.toString(),
+                commands -> {
+                    LeaseMachine machine = parts.machine(null);
+                    byte[] tokens = new byte[TOKENS];
+                    for (int i = 0; i < commands.length(); i++) {
+                        int command = commands.charAt(i);
+                        if (command != NOTHING) {
+                            LeaseCommand said =
+                                    command <= 2
+                                            ? new LeaseCommand.Acquire("task", 2_000_000_000L, true)
+                                            : new LeaseCommand.Release("task", (command - 1) / 2);
+                            Effects effects =
+                                    machine.apply(
+                                            i + 1,
+                                            new Command(2 - command % 2, i, 0, said.encode()));
+                            for (Effects.Event event : effects.events()) {
+                                if (LeaseEvent.decode(event) instanceof LeaseEvent.Granted g
+                                        && g.token() <= TOKENS) {
+                                    tokens[(int) g.token() - 1] = (byte) g.session();
+                                }
+                            }
                         }
                     }
-                }
-            }
-            return tokens;
-        });
+                    return tokens;
+                });
     }
 
     private void faults(int v, int at, byte[] s, Steps to) {
--- a/src/measure/java/calicostream/mass/ByChance.java
+++ b/src/measure/java/calicostream/mass/ByChance.java
@@ -15,6 +15,7 @@
 
     @Override
     public void query(long now, Query query) {
-        actions.send(query.id(), new ArrayList<>(ready.keySet()).get(random.nextInt(ready.size())), 0);
+        actions.send(
+                query.id(), new ArrayList<>(ready.keySet()).get(random.nextInt(ready.size())), 0);
     }
 }
--- a/src/measure/java/calicostream/mass/EngineModel.java
+++ b/src/measure/java/calicostream/mass/EngineModel.java
@@ -11,7 +11,10 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** An engine whose cores are shared by all that runs; it keeps the accounts of what was sent to it while it was cold. */
+/**
+ * An engine whose cores are shared by all that runs; it keeps the accounts of what was sent to it
+ * while it was cold.
+ */
 final class EngineModel {
     /** A query on it; {@code left} is its work in core-microseconds. */
     static final class Run {
@@ -26,7 +29,7 @@
         }
     }
 
-    private record Seen(long at, int running, double busy) { }
+    private record Seen(long at, int running, double busy) {}
 
     private static final long SEES = 100_000; // us between looks at its load
     private static final long REPORT_AGE = 1_000_000; // us by which a report is late
@@ -89,7 +92,10 @@
 
     void connect(int gateway, int change) {
         connections.merge(gateway, change, Integer::sum);
-        mostConnections = Math.max(mostConnections, connections.values().stream().mapToInt(Integer::intValue).sum());
+        mostConnections =
+                Math.max(
+                        mostConnections,
+                        connections.values().stream().mapToInt(Integer::intValue).sum());
     }
 
     void start(Run run, double usualWork) {
@@ -101,19 +107,28 @@
         plan();
     }
 
-    /** The rule on cold engines: what was sent within its window, against what the engine can do now, several times. */
+    /**
+     * The rule on cold engines: what was sent within its window, against what the engine can do
+     * now, several times.
+     */
     private void account(double usualWork) {
         coldSent.add(new double[] {time.now(), usualWork});
         while (coldSent.peek()[0] <= time.now() - shape.rules().coldWindowUs()) {
             coldSent.poll();
         }
-        coldPeak = Math.max(coldPeak, coldSent.stream().mapToDouble(e -> e[1]).sum() / coldAllowance());
+        coldPeak =
+                Math.max(
+                        coldPeak, coldSent.stream().mapToDouble(e -> e[1]).sum() / coldAllowance());
         coldWork += usualWork;
     }
 
     /** Work of one window. */
     double coldAllowance() {
-        return shape.rules().coldMultiple() * shape.rules().coldShare() * cores * Fleet.CAPACITY * shape.rules().coldWindowUs();
+        return shape.rules().coldMultiple()
+                * shape.rules().coldShare()
+                * cores
+                * Fleet.CAPACITY
+                * shape.rules().coldWindowUs();
     }
 
     void stop(Run run) {
@@ -148,15 +163,17 @@
         long planned = ++version;
         double soonest = running.stream().mapToDouble(r -> r.left / r.threads).min().orElse(-1);
         if (!running.isEmpty()) {
-            time.after((long) Math.ceil(Math.max(0, soonest) / rate()) + 1, () -> {
-                if (planned == version) {
-                    advance();
-                    List<Run> done = running.stream().filter(r -> r.left <= 0).toList();
-                    running.removeAll(done);
-                    plan();
-                    done.forEach(r -> r.ended.accept(true));
-                }
-            });
+            time.after(
+                    (long) Math.ceil(Math.max(0, soonest) / rate()) + 1,
+                    () -> {
+                        if (planned == version) {
+                            advance();
+                            List<Run> done = running.stream().filter(r -> r.left <= 0).toList();
+                            running.removeAll(done);
+                            plan();
+                            done.forEach(r -> r.ended.accept(true));
+                        }
+                    });
         }
     }
 }
--- a/src/measure/java/calicostream/mass/Fleet.java
+++ b/src/measure/java/calicostream/mass/Fleet.java
@@ -15,34 +15,75 @@
 import java.util.TreeMap;
 import java.util.function.BiFunction;
 
-/** A fleet of front ends and engines over some virtual time; the accounts are read when {@link #run} returns. */
+/**
+ * A fleet of front ends and engines over some virtual time; the accounts are read when {@link #run}
+ * returns.
+ */
 final class Fleet {
-    /** What is drawn: numbers, queries a second over all, the rules, and the time a client waits. */
-    record Shape(int gateways, int gatewaysTold, int engines, int zones, double queriesPerS, QueryRouter.Rules rules,
-            QueryRouter.Fees fees, long deadlineUs, long listLateUs) {
+    /**
+     * What is drawn: numbers, queries a second over all, the rules, and the time a client waits.
+     */
+    record Shape(
+            int gateways,
+            int gatewaysTold,
+            int engines,
+            int zones,
+            double queriesPerS,
+            QueryRouter.Rules rules,
+            QueryRouter.Fees fees,
+            long deadlineUs,
+            long listLateUs) {
         static Shape usual() {
-            return new Shape(100, 100, 80, 4, 700, new QueryRouter.Rules(0.3, 4, 2_000_000, 14_000_000, 0, 0, 0, 0),
-                    new QueryRouter.Fees(0.04, 0.08), 60_000_000, 0);
+            return new Shape(
+                    100,
+                    100,
+                    80,
+                    4,
+                    700,
+                    new QueryRouter.Rules(0.3, 4, 2_000_000, 14_000_000, 0, 0, 0, 0),
+                    new QueryRouter.Fees(0.04, 0.08),
+                    60_000_000,
+                    0);
         }
 
         /** Few front ends before many engines, and a list that comes late. */
         static Shape vast() {
             Shape usual = usual();
-            return new Shape(14, 14, 60, 2, 480, usual.rules, usual.fees, usual.deadlineUs, 2_000_000);
+            return new Shape(
+                    14, 14, 60, 2, 480, usual.rules, usual.fees, usual.deadlineUs, 2_000_000);
         }
 
         /** Thirty front ends before a few engines, which they keep full. */
         static Shape throng() {
             Shape usual = usual();
-            return new Shape(30, 30, 8, 2, 70, usual.rules, usual.fees, usual.deadlineUs, 2_000_000);
+            return new Shape(
+                    30, 30, 8, 2, 70, usual.rules, usual.fees, usual.deadlineUs, 2_000_000);
         }
 
         Shape told(int number) {
-            return new Shape(gateways, number, engines, zones, queriesPerS, rules, fees, deadlineUs, listLateUs);
+            return new Shape(
+                    gateways,
+                    number,
+                    engines,
+                    zones,
+                    queriesPerS,
+                    rules,
+                    fees,
+                    deadlineUs,
+                    listLateUs);
         }
 
         Shape zones(int number) {
-            return new Shape(gateways, gatewaysTold, engines, number, queriesPerS, rules, fees, deadlineUs, listLateUs);
+            return new Shape(
+                    gateways,
+                    gatewaysTold,
+                    engines,
+                    number,
+                    queriesPerS,
+                    rules,
+                    fees,
+                    deadlineUs,
+                    listLateUs);
         }
     }
 
@@ -55,7 +96,9 @@
     static final long IDLE = 21_000_000;
     static final int CORES = 10;
     private static final int GROUPS = 60;
-    private static final double[] WORK = {60_000, 2_400_000, 2_000_000}; // core-us: lookup, report, load
+    private static final double[] WORK = {
+        60_000, 2_400_000, 2_000_000
+    }; // core-us: lookup, report, load
     private static final int[] THREADS = {1, 4, 2};
     final Time time = new Time();
     final Shape shape;
@@ -72,7 +115,8 @@
 
     /** With the decision module in each gateway. */
     static Fleet ofModules(Shape shape, long seed) {
-        return new Fleet(shape, seed, (index, actions) -> new Logic(settings(shape, index), actions));
+        return new Fleet(
+                shape, seed, (index, actions) -> new Logic(settings(shape, index), actions));
     }
 
     /** With a choice by chance among all engines listed as ready in each. */
@@ -80,7 +124,8 @@
         return new Fleet(shape, seed, (index, actions) -> new ByChance(actions, seed + index));
     }
 
-    private Fleet(Shape shape, long seed, BiFunction<Integer, QueryRouter.Actions, QueryRouter> maker) {
+    private Fleet(
+            Shape shape, long seed, BiFunction<Integer, QueryRouter.Actions, QueryRouter> maker) {
         this.shape = shape;
         this.maker = maker;
         random = new SplittableRandom(seed);
@@ -117,23 +162,53 @@
     private static QueryRouter.Settings settings(Shape shape, int index) {
         List<QueryClass> classes = new ArrayList<>();
         for (int i = 0; i < WORK.length; i++) {
-            classes.add(new QueryClass(5_000_000, 2.5, shape.deadlineUs, i == 0 ? 1 : 6, 0.3,
-                    i == 2 ? Effect.ONCE : Effect.REPEATABLE, Scope.ALL, shape.deadlineUs, false, false, THREADS[i],
-                    i == 2, i != 2, List.of(), List.of()));
+            classes.add(
+                    new QueryClass(
+                            5_000_000,
+                            2.5,
+                            shape.deadlineUs,
+                            i == 0 ? 1 : 6,
+                            0.3,
+                            i == 2 ? Effect.ONCE : Effect.REPEATABLE,
+                            Scope.ALL,
+                            shape.deadlineUs,
+                            false,
+                            false,
+                            THREADS[i],
+                            i == 2,
+                            i != 2,
+                            List.of(),
+                            List.of()));
         }
-        return new QueryRouter.Settings(shape.gatewaysTold, index, index % shape.zones, shape.fees,
-                List.of(new QueryRouter.Kind(CORES, 16_384)), classes, List.of(), 0.1,
-                new QueryRouter.Limits(false, true, ATTEMPTS), shape.rules,
-                new QueryRouter.EngineTraits(false, true, 0.4, 0), QueryRouter.Reporting.WITH_ANSWERS, false, 1000);
+        return new QueryRouter.Settings(
+                shape.gatewaysTold,
+                index,
+                index % shape.zones,
+                shape.fees,
+                List.of(new QueryRouter.Kind(CORES, 16_384)),
+                classes,
+                List.of(),
+                0.1,
+                new QueryRouter.Limits(false, true, ATTEMPTS),
+                shape.rules,
+                new QueryRouter.EngineTraits(false, true, 0.4, 0),
+                QueryRouter.Reporting.WITH_ANSWERS,
+                false,
+                1000);
     }
 
-    // ---- What happens -----------------------------------------------------------------------------------
+    // ---- What happens
+    // -----------------------------------------------------------------------------------
     /** A front end begins, knowing nothing but the list. */
     void start(int index) {
         GatewayModel g = new GatewayModel(this, index, index % shape.zones, maker);
         gateways.set(index, g);
-        g.roster(QueryRouter.RosterKind.CACHED, engines.values().stream().filter(e -> e.state != EngineState.GONE)
-                .map(EngineModel::entry).toList());
+        g.roster(
+                QueryRouter.RosterKind.CACHED,
+                engines.values().stream()
+                        .filter(e -> e.state != EngineState.GONE)
+                        .map(EngineModel::entry)
+                        .toList());
         g.reader = list.follow(index, changed -> g.roster(QueryRouter.RosterKind.CHANGES, changed));
     }
 
@@ -143,7 +218,9 @@
 
     /** An engine begins, cold, and the list tells it to all. */
     EngineModel add(long bornUs) {
-        EngineModel e = new EngineModel(time, shape, nextEngine++, engines.size() % shape.zones, CORES, bornUs);
+        EngineModel e =
+                new EngineModel(
+                        time, shape, nextEngine++, engines.size() % shape.zones, CORES, bornUs);
         engines.put(e.id, e);
         list.tell(e.entry());
         return e;
@@ -153,38 +230,47 @@
     void drain(EngineModel e) {
         e.state = EngineState.DRAINING;
         list.tell(e.entry());
-        time.after(7_000_000, () -> {
-            e.state = EngineState.GONE;
-            list.tell(e.entry());
-        });
+        time.after(
+                7_000_000,
+                () -> {
+                    e.state = EngineState.GONE;
+                    list.tell(e.entry());
+                });
     }
 
     /** Its process dies with what it runs, which the list tells late, and comes back cold. */
     void lose(EngineModel e, long toldAfter, long backAfter) {
         e.die();
         time.after(toldAfter, () -> list.tell(e.entry()));
-        time.after(backAfter, () -> {
-            e.bornUs = time.now();
-            e.state = EngineState.READY;
-            list.tell(e.entry());
-        });
+        time.after(
+                backAfter,
+                () -> {
+                    e.bornUs = time.now();
+                    e.state = EngineState.READY;
+                    list.tell(e.entry());
+                });
     }
 
     private void arrivals(int index) {
         double mean = 1e6 / (shape.queriesPerS * shares[index]);
-        time.after((long) (-mean * Math.log(1 - random.nextDouble())), () -> {
-            GatewayModel g = gateways.get(index);
-            if (g.alive) {
-                double draw = random.nextDouble();
-                int queryClass = draw < 0.7 ? 0 : draw < 0.9 ? 1 : 2;
-                g.ask(queryClass, (int) (GROUPS * Math.pow(random.nextDouble(), 1.7)));
-            }
-            arrivals(index);
-        });
+        time.after(
+                (long) (-mean * Math.log(1 - random.nextDouble())),
+                () -> {
+                    GatewayModel g = gateways.get(index);
+                    if (g.alive) {
+                        double draw = random.nextDouble();
+                        int queryClass = draw < 0.7 ? 0 : draw < 0.9 ? 1 : 2;
+                        g.ask(queryClass, (int) (GROUPS * Math.pow(random.nextDouble(), 1.7)));
+                    }
+                    arrivals(index);
+                });
     }
 
     private void look() {
-        List<EngineModel> warm = engines.values().stream().filter(e -> e.state == EngineState.READY && !e.cold()).toList();
+        List<EngineModel> warm =
+                engines.values().stream()
+                        .filter(e -> e.state == EngineState.READY && !e.cold())
+                        .toList();
         double mean = warm.stream().mapToDouble(EngineModel::load).average().orElse(0);
         double most = warm.stream().mapToDouble(EngineModel::load).max().orElse(0);
         if (mean > 0) {
@@ -202,7 +288,8 @@
         time.run(time.now() + us);
     }
 
-    // ---- What the parts ask -----------------------------------------------------------------------------
+    // ---- What the parts ask
+    // -----------------------------------------------------------------------------
     long nextQuery() {
         return ++queries;
     }
@@ -231,7 +318,8 @@
         violations.merge(what, 1, Integer::sum);
     }
 
-    // ---- Accounts -----------------------------------------------------------------------------------------
+    // ---- Accounts
+    // -----------------------------------------------------------------------------------------
     int violationCount() {
         return violations.values().stream().mapToInt(Integer::intValue).sum();
     }
--- a/src/measure/java/calicostream/mass/GatewayModel.java
+++ b/src/measure/java/calicostream/mass/GatewayModel.java
@@ -13,7 +13,10 @@
 import java.util.Set;
 import java.util.function.BiFunction;
 
-/** One front end: a module, what it has out, its connections, and a check of each thing that it does. */
+/**
+ * One front end: a module, what it has out, its connections, and a check of each thing that it
+ * does.
+ */
 final class GatewayModel implements QueryRouter.Actions {
     private static final class Open {
         final Query query;
@@ -44,7 +47,11 @@
     boolean alive = true;
     ListSource.Reader reader;
 
-    GatewayModel(Fleet fleet, int index, int zone, BiFunction<Integer, QueryRouter.Actions, QueryRouter> maker) {
+    GatewayModel(
+            Fleet fleet,
+            int index,
+            int zone,
+            BiFunction<Integer, QueryRouter.Actions, QueryRouter> maker) {
         this.fleet = fleet;
         this.index = index;
         this.zone = zone;
@@ -66,14 +73,26 @@
 
     void ask(int queryClass, int tableGroup) {
         asked++;
-        Query query = new Query(fleet.nextQuery(), queryClass, 0, 0, fleet.shape.deadlineUs(), 0, 0, tableGroup, false);
+        Query query =
+                new Query(
+                        fleet.nextQuery(),
+                        queryClass,
+                        0,
+                        0,
+                        fleet.shape.deadlineUs(),
+                        0,
+                        0,
+                        tableGroup,
+                        false);
         Open o = new Open(query, fleet.time.now() + fleet.shape.deadlineUs());
         open.put(query.id(), o);
-        fleet.time.after(fleet.shape.deadlineUs() + Fleet.LATE, () -> {
-            if (alive && !o.answered) {
-                fleet.violation("no answer in time");
-            }
-        });
+        fleet.time.after(
+                fleet.shape.deadlineUs() + Fleet.LATE,
+                () -> {
+                    if (alive && !o.answered) {
+                        fleet.violation("no answer in time");
+                    }
+                });
         router.query(fleet.time.now(), query);
     }
 
@@ -116,12 +135,16 @@
             end(o, attempt, Outcome.CONNECT_FAILED);
             return;
         }
-        if (fleet.time.now() - withdrawnAt.getOrDefault(e.id, fleet.time.now()) > Fleet.LONGEST_WAY) {
+        if (fleet.time.now() - withdrawnAt.getOrDefault(e.id, fleet.time.now())
+                > Fleet.LONGEST_WAY) {
             fleet.violation("sent after word that the engine drains");
         }
         o.counted = true;
-        o.run = new EngineModel.Run(fleet.work(o.query.queryClass()), fleet.threads(o.query.queryClass()),
-                ok -> end(o, attempt, ok ? Outcome.OK : Outcome.RESET));
+        o.run =
+                new EngineModel.Run(
+                        fleet.work(o.query.queryClass()),
+                        fleet.threads(o.query.queryClass()),
+                        ok -> end(o, attempt, ok ? Outcome.OK : Outcome.RESET));
         e.start(o.run, fleet.usualWork(o.query.queryClass()));
     }
 
@@ -143,20 +166,33 @@
         if (over) {
             open.remove(o.query.id());
         }
-        router.ended(fleet.time.now(), new AttemptEnd(o.query.id(), attempt, e.id, outcome, over,
-                fleet.time.now() - o.sentAt, 0, 0, outcome == Outcome.OK ? e.report() : null));
+        router.ended(
+                fleet.time.now(),
+                new AttemptEnd(
+                        o.query.id(),
+                        attempt,
+                        e.id,
+                        outcome,
+                        over,
+                        fleet.time.now() - o.sentAt,
+                        0,
+                        0,
+                        outcome == Outcome.OK ? e.report() : null));
     }
 
     /** Connections that rest for long are closed, as the daemon does. */
     void closeIdle() {
-        linkUsed.entrySet().removeIf(link -> {
-            boolean idle = linkOut.getOrDefault(link.getKey(), 0) == 0
-                    && fleet.time.now() - link.getValue() > Fleet.IDLE;
-            if (idle) {
-                fleet.engine(link.getKey()).connect(index, -1);
-            }
-            return idle;
-        });
+        linkUsed.entrySet()
+                .removeIf(
+                        link -> {
+                            boolean idle =
+                                    linkOut.getOrDefault(link.getKey(), 0) == 0
+                                            && fleet.time.now() - link.getValue() > Fleet.IDLE;
+                            if (idle) {
+                                fleet.engine(link.getKey()).connect(index, -1);
+                            }
+                            return idle;
+                        });
     }
 
     /** Killed: its connections end, and what they carried is given up. */
@@ -171,14 +207,16 @@
     public void cancel(long id, int attempt) {
         Open o = open.get(id);
         if (o != null && o.at != null && o.attempts == attempt + 1) {
-            fleet.time.after(1, () -> {
-                if (alive && o.at != null && o.attempts == attempt + 1) {
-                    if (o.run != null) {
-                        o.at.stop(o.run);
-                    }
-                    end(o, attempt, Outcome.CANCELLED);
-                }
-            });
+            fleet.time.after(
+                    1,
+                    () -> {
+                        if (alive && o.at != null && o.attempts == attempt + 1) {
+                            if (o.run != null) {
+                                o.at.stop(o.run);
+                            }
+                            end(o, attempt, Outcome.CANCELLED);
+                        }
+                    });
         }
     }
 
@@ -209,15 +247,17 @@
 
     @Override
     public void timer(long delayUs, long token) {
-        fleet.time.after(delayUs, () -> {
-            if (alive) {
-                router.timer(fleet.time.now(), token);
-            }
-        });
+        fleet.time.after(
+                delayUs,
+                () -> {
+                    if (alive) {
+                        router.timer(fleet.time.now(), token);
+                    }
+                });
     }
 
     @Override
-    public void terms(long query, double memoryMb, int priority) { }
+    public void terms(long query, double memoryMb, int priority) {}
 
     @Override
     public void probe(long engine) {
@@ -225,8 +265,8 @@
     }
 
     @Override
-    public void subscribeRoster() { }
+    public void subscribeRoster() {}
 
     @Override
-    public void log(String text) { }
+    public void log(String text) {}
 }
--- a/src/measure/java/calicostream/mass/ListSource.java
+++ b/src/measure/java/calicostream/mass/ListSource.java
@@ -9,14 +9,15 @@
 import java.util.function.Consumer;
 
 /**
- * The one source of the list: numbered changes that reach each front end late, at times twice or before an older one, and not at
- * all while the source is away; a front end that has lost it asks again as {@link Asking} says.
+ * The one source of the list: numbered changes that reach each front end late, at times twice or
+ * before an older one, and not at all while the source is away; a front end that has lost it asks
+ * again as {@link Asking} says.
  */
 final class ListSource {
     private static final double TWICE = 0.2;
     private static final long CALL = 1_000; // us for a call to be answered or refused
 
-    private record Change(long seq, Engine entry) { }
+    private record Change(long seq, Engine entry) {}
 
     /** A front end's side: like the daemon's, it passes over what it has seen. */
     final class Reader {
@@ -47,21 +48,28 @@
             }
             asking.asked(time.now());
             calls.add(time.now());
-            time.after(CALL, () -> {
-                if (away) {
-                    lost();
-                } else {
-                    following = true;
-                    asking.answered();
-                    List.copyOf(changes.subList((int) seen, changes.size())).forEach(this::take);
-                }
-            });
+            time.after(
+                    CALL,
+                    () -> {
+                        if (away) {
+                            lost();
+                        } else {
+                            following = true;
+                            asking.answered();
+                            List.copyOf(changes.subList((int) seen, changes.size()))
+                                    .forEach(this::take);
+                        }
+                    });
         }
 
         private void take(Change change) {
             if (following && !closed && change.seq > seen) {
-                List<Engine> missed = changes.subList((int) seen, (int) change.seq).stream().map(Change::entry).toList();
-                seen = change.seq; // One that overtook others was asked for again, with what lies between.
+                List<Engine> missed =
+                        changes.subList((int) seen, (int) change.seq).stream()
+                                .map(Change::entry)
+                                .toList();
+                seen = change.seq; // One that overtook others was asked for again, with what lies
+                // between.
                 to.accept(missed);
             }
         }
--- a/src/measure/java/calicostream/mass/MassRuns.java
+++ b/src/measure/java/calicostream/mass/MassRuns.java
@@ -9,12 +9,16 @@
 public final class MassRuns {
     private static final int REPLACED = 20;
     private static final int MOST_REPLACED = 48;
-    private static final int ACCEPTED = 100; // connections that an engine of the model accepts: one for each front end
+    private static final int ACCEPTED =
+            100; // connections that an engine of the model accepts: one for each front end
     private static final long S = 1_000_000;
 
-    private MassRuns() { }
+    private MassRuns() {}
 
-    /** So many front ends are killed at once and start again 3 s later, all in one second, while engines are replaced. */
+    /**
+     * So many front ends are killed at once and start again 3 s later, all in one second, while
+     * engines are replaced.
+     */
     static List<EngineModel> storm(Fleet fleet, int killed, int replaced) {
         List<EngineModel> old = fleet.engines();
         List<EngineModel> cold = new ArrayList<>();
@@ -39,7 +43,10 @@
         return storm(fleet, 70, REPLACED);
     }
 
-    /** Two in three of thirty front ends are killed at once, while half of the few engines are replaced. */
+    /**
+     * Two in three of thirty front ends are killed at once, while half of the few engines are
+     * replaced.
+     */
     static List<EngineModel> throng(Fleet fleet) {
         return storm(fleet, 20, 4);
     }
@@ -49,7 +56,10 @@
         return storm(fleet, 0, MOST_REPLACED);
     }
 
-    /** Six in ten engines of the vast fleet are replaced within 7 s, while the list's source goes away for 3 s. */
+    /**
+     * Six in ten engines of the vast fleet are replaced within 7 s, while the list's source goes
+     * away for 3 s.
+     */
     static List<EngineModel> vastJoin(Fleet fleet) {
         List<EngineModel> old = fleet.engines();
         List<EngineModel> cold = new ArrayList<>();
@@ -64,7 +74,9 @@
         return cold;
     }
 
-    /** A zone's engines die at once, which the list tells after 4 s, and are back cold after 5 s. */
+    /**
+     * A zone's engines die at once, which the list tells after 4 s, and are back cold after 5 s.
+     */
     static List<EngineModel> vastZone(Fleet fleet) {
         List<EngineModel> lost = fleet.engines().stream().filter(e -> e.zone == 1).toList();
         lost.forEach(e -> fleet.lose(e, 4 * S, 5 * S));
@@ -72,7 +84,10 @@
         return lost;
     }
 
-    /** Runs them for so long past their first seconds, in which all connections are new; those are not looked at. */
+    /**
+     * Runs them for so long past their first seconds, in which all connections are new; those are
+     * not looked at.
+     */
     static void settled(long us, Fleet... fleets) {
         for (Fleet each : fleets) {
             each.run(10 * S);
@@ -85,11 +100,22 @@
         return cold.stream().mapToDouble(e -> e.coldPeak).max().orElse(0);
     }
 
-    /** Work sent to cold engines against what they could do in that time, which is a part of what the rule allows. */
+    /**
+     * Work sent to cold engines against what they could do in that time, which is a part of what
+     * the rule allows.
+     */
     static double use(Fleet fleet, List<EngineModel> cold) {
-        double windows = fleet.shape.rules().warmUpUs() / (double) fleet.shape.rules().coldWindowUs();
-        return cold.stream().mapToDouble(e -> e.coldWork * fleet.shape.rules().coldMultiple() / windows / e.coldAllowance())
-                .average().orElse(0);
+        double windows =
+                fleet.shape.rules().warmUpUs() / (double) fleet.shape.rules().coldWindowUs();
+        return cold.stream()
+                .mapToDouble(
+                        e ->
+                                e.coldWork
+                                        * fleet.shape.rules().coldMultiple()
+                                        / windows
+                                        / e.coldAllowance())
+                .average()
+                .orElse(0);
     }
 
     /** Figures of the measurement, in order. */
@@ -109,11 +135,25 @@
         List<String> out = new ArrayList<>();
         out.add("gateways=" + herd.shape.gateways());
         out.add("engines=" + herd.shape.engines());
-        out.add(String.format(Locale.ROOT, "cold_peak_ratio=%.2f", Math.max(peak(started), peak(joined))));
+        out.add(
+                String.format(
+                        Locale.ROOT,
+                        "cold_peak_ratio=%.2f",
+                        Math.max(peak(started), peak(joined))));
         out.add(String.format(Locale.ROOT, "cold_use_ratio=%.2f", use(join, joined)));
-        out.add(String.format(Locale.ROOT, "connections_ratio=%.2f", Math.max(connections(herd), connections(join))));
-        out.add(String.format(Locale.ROOT, "herd_p99_ratio=%.2f", calm.fullest(0.99) / chance.fullest(0.99)));
-        out.add(String.format(Locale.ROOT, "handshakes_a_query=%.3f", calm.perQuery(g -> g.handshakes)));
+        out.add(
+                String.format(
+                        Locale.ROOT,
+                        "connections_ratio=%.2f",
+                        Math.max(connections(herd), connections(join))));
+        out.add(
+                String.format(
+                        Locale.ROOT,
+                        "herd_p99_ratio=%.2f",
+                        calm.fullest(0.99) / chance.fullest(0.99)));
+        out.add(
+                String.format(
+                        Locale.ROOT, "handshakes_a_query=%.3f", calm.perQuery(g -> g.handshakes)));
         out.add(String.format(Locale.ROOT, "crossed=%.3f", calm.perQuery(g -> g.crossed)));
         out.add(String.format(Locale.ROOT, "served=%.3f", calm.perQuery(g -> g.served)));
         out.add("violations=" + violations);
@@ -130,15 +170,34 @@
         List<EngineModel> back = vastZone(zone);
         List<String> out = new ArrayList<>();
         out.add("vast_violations=" + (join.violationCount() + zone.violationCount()));
-        out.add(String.format(Locale.ROOT, "vast_cold_peak_ratio=%.2f", Math.max(peak(joined), peak(back))));
-        out.add(String.format(Locale.ROOT, "vast_cold_use_ratio=%.2f", Math.min(use(join, joined), use(zone, back))));
-        out.add(String.format(Locale.ROOT, "vast_list_calls_ratio=%.2f", join.list.busiestSecond()));
-        out.add(String.format(Locale.ROOT, "vast_handshakes_per_query=%.3f", join.perQuery(g -> g.handshakes)));
-        out.add(String.format(Locale.ROOT, "vast_served=%.3f", Math.min(join.perQuery(g -> g.served), zone.perQuery(g -> g.served))));
+        out.add(
+                String.format(
+                        Locale.ROOT,
+                        "vast_cold_peak_ratio=%.2f",
+                        Math.max(peak(joined), peak(back))));
+        out.add(
+                String.format(
+                        Locale.ROOT,
+                        "vast_cold_use_ratio=%.2f",
+                        Math.min(use(join, joined), use(zone, back))));
+        out.add(
+                String.format(
+                        Locale.ROOT, "vast_list_calls_ratio=%.2f", join.list.busiestSecond()));
+        out.add(
+                String.format(
+                        Locale.ROOT,
+                        "vast_handshakes_per_query=%.3f",
+                        join.perQuery(g -> g.handshakes)));
+        out.add(
+                String.format(
+                        Locale.ROOT,
+                        "vast_served=%.3f",
+                        Math.min(join.perQuery(g -> g.served), zone.perQuery(g -> g.served))));
         return out;
     }
 
     private static double connections(Fleet fleet) {
-        return fleet.engines().stream().mapToInt(e -> e.mostConnections).max().orElse(0) / (double) ACCEPTED;
+        return fleet.engines().stream().mapToInt(e -> e.mostConnections).max().orElse(0)
+                / (double) ACCEPTED;
     }
 }
--- a/src/measure/java/calicostream/mass/PlainRouter.java
+++ b/src/measure/java/calicostream/mass/PlainRouter.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** What policies to compare with have in common: each query goes out once, and all that they do not heed is passed over. */
+/**
+ * What policies to compare with have in common: each query goes out once, and all that they do not
+ * heed is passed over.
+ */
 public abstract class PlainRouter implements QueryRouter {
     protected final Actions actions;
     protected final TreeMap<Long, Engine> ready = new TreeMap<>();
@@ -36,28 +39,28 @@
     }
 
     @Override
-    public void start(long now) { }
+    public void start(long now) {}
 
     @Override
-    public void started(long now, long query, int attempt) { }
+    public void started(long now, long query, int attempt) {}
 
     @Override
-    public void progress(long now, Progress progress) { }
+    public void progress(long now, Progress progress) {}
 
     @Override
-    public void abandoned(long now, long query) { }
+    public void abandoned(long now, long query) {}
 
     @Override
-    public void timer(long now, long token) { }
+    public void timer(long now, long token) {}
 
     @Override
-    public void probed(long now, long engine, Outcome outcome, Report report) { }
+    public void probed(long now, long engine, Outcome outcome, Report report) {}
 
     @Override
-    public void restored(long now, long engine) { }
+    public void restored(long now, long engine) {}
 
     @Override
-    public void sharedBy(long now, int processes, int place) { }
+    public void sharedBy(long now, int processes, int place) {}
 
     @Override
     public double[] learned() {
@@ -65,7 +68,7 @@
     }
 
     @Override
-    public void learned(double[] before) { }
+    public void learned(double[] before) {}
 
     @Override
     public boolean avoids(long engine) {
--- a/src/measure/java/calicostream/mass/Time.java
+++ b/src/measure/java/calicostream/mass/Time.java
@@ -5,10 +5,14 @@
 
 /** Virtual time: what is due next, in the order made where due together. */
 public final class Time {
-    private record Due(long at, long number, Runnable work) { }
+    private record Due(long at, long number, Runnable work) {}
 
-    private final PriorityQueue<Due> due = new PriorityQueue<>(
-            (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
+    private final PriorityQueue<Due> due =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at != b.at
+                                    ? Long.compare(a.at, b.at)
+                                    : Long.compare(a.number, b.number));
     private long now = 1_000_000_000_000L;
     private long made;
 
--- a/src/measure/java/calicostream/measure/BudgetMeasure.java
+++ b/src/measure/java/calicostream/measure/BudgetMeasure.java
@@ -15,8 +15,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Session budgets: fleets in virtual time with faults until the time is up, steady ones against the all-seeing division, and what one decision
- * costs in real time. The last line holds the figures.
+ * Session budgets: fleets in virtual time with faults until the time is up, steady ones against the
+ * all-seeing division, and what one decision costs in real time. The last line holds the figures.
  */
 public final class BudgetMeasure {
     private static final long FAULTY_NANOS = 14_000_000_000L;
@@ -25,10 +25,18 @@
 
     private static final int ENGINES = 60;
     private static final int TENANTS = 16;
-    private static final BudgetSettings SETTINGS = new BudgetSettings(List.of(new BudgetSettings.Pool("pool", 1, 1_000)),
-            IntStream.range(0, TENANTS).mapToObj(t -> new BudgetSettings.Tenant("t" + t, 1 + t, Map.of())).toList(), List.of("p"), TTL, 500, 8);
+    private static final BudgetSettings SETTINGS =
+            new BudgetSettings(
+                    List.of(new BudgetSettings.Pool("pool", 1, 1_000)),
+                    IntStream.range(0, TENANTS)
+                            .mapToObj(t -> new BudgetSettings.Tenant("t" + t, 1 + t, Map.of()))
+                            .toList(),
+                    List.of("p"),
+                    TTL,
+                    500,
+                    8);
 
-    private BudgetMeasure() { }
+    private BudgetMeasure() {}
 
     /** Grants for all tenants at all engines. */
     private static Holdings holdings() {
@@ -40,7 +48,10 @@
                 shares.add(new BudgetCommand.Share("p", 1, "e" + e, 1, "t" + t, (e + t) % 3));
             }
         }
-        holdings.granted(new BudgetCommand.Grants(holdings.report(0, new Demand(TENANTS, 1)).number(), 1, shares, List.of()), 0);
+        holdings.granted(
+                new BudgetCommand.Grants(
+                        holdings.report(0, new Demand(TENANTS, 1)).number(), 1, shares, List.of()),
+                0);
         return holdings;
     }
 
@@ -58,20 +69,55 @@
         }
         boolean timed = runs == Long.MAX_VALUE;
         int most = (int) Math.min(runs, 100_000);
-        BudgetRuns.Faulty faulty = BudgetRuns.faulty(seed, true, most, timed ? System.nanoTime() + FAULTY_NANOS : Long.MAX_VALUE);
+        BudgetRuns.Faulty faulty =
+                BudgetRuns.faulty(
+                        seed,
+                        true,
+                        most,
+                        timed ? System.nanoTime() + FAULTY_NANOS : Long.MAX_VALUE);
         tell("faulty", faulty);
-        BudgetRuns.Faulty quorum = BudgetRuns.faulty(seed, false, most, timed ? System.nanoTime() + FAULTY_NANOS : Long.MAX_VALUE);
+        BudgetRuns.Faulty quorum =
+                BudgetRuns.faulty(
+                        seed,
+                        false,
+                        most,
+                        timed ? System.nanoTime() + FAULTY_NANOS : Long.MAX_VALUE);
         tell("faulty with a quorum", quorum);
-        System.out.printf(Locale.ROOT, "budget runs=%d over_cap=%d fair_distance=%.4f cap_use_ratio=%.3f reclaim_p50_ttl=%.2f reclaim_p99_ttl=%.2f"
-                + " decision_ns_p99=%.1f decision_us_p99=%.2f seed=%d%n", faulty.runs() + quorum.runs(), faulty.overCap() + quorum.overCap(), distance, use,
-                at(quorum.reclaims(), 0.5), at(quorum.reclaims(), 0.99), decisionNanos(), requestMicros(), seed);
+        System.out.printf(
+                Locale.ROOT,
+                "budget runs=%d over_cap=%d fair_distance=%.4f cap_use_ratio=%.3f"
+                        + " reclaim_p50_ttl=%.2f reclaim_p99_ttl=%.2f decision_ns_p99=%.1f"
+                        + " decision_us_p99=%.2f seed=%d%n",
+                faulty.runs() + quorum.runs(),
+                faulty.overCap() + quorum.overCap(),
+                distance,
+                use,
+                at(quorum.reclaims(), 0.5),
+                at(quorum.reclaims(), 0.99),
+                decisionNanos(),
+                requestMicros(),
+                seed);
     }
 
     private static void tell(String what, BudgetRuns.Faulty runs) {
-        System.out.printf(Locale.ROOT, "%s: %d runs, %d steps, %d commands, %d faults, refused %s, called back %d times: known after %.2f leases at"
-                + " p50, %.2f at p99, %.2f at most, room free after %.2f, %.2f, %.2f%s%n", what, runs.runs(), runs.steps(), runs.commands(),
-                runs.faults(), runs.refusals(), runs.reclaims().size(), at(runs.reclaims(), 0.5), at(runs.reclaims(), 0.99),
-                at(runs.reclaims(), 1), at(runs.freed(), 0.5), at(runs.freed(), 0.99), at(runs.freed(), 1),
+        System.out.printf(
+                Locale.ROOT,
+                "%s: %d runs, %d steps, %d commands, %d faults, refused %s, called back %d times:"
+                    + " known after %.2f leases at p50, %.2f at p99, %.2f at most, room free after"
+                    + " %.2f, %.2f, %.2f%s%n",
+                what,
+                runs.runs(),
+                runs.steps(),
+                runs.commands(),
+                runs.faults(),
+                runs.refusals(),
+                runs.reclaims().size(),
+                at(runs.reclaims(), 0.5),
+                at(runs.reclaims(), 0.99),
+                at(runs.reclaims(), 1),
+                at(runs.freed(), 0.5),
+                at(runs.freed(), 0.99),
+                at(runs.freed(), 1),
                 runs.first() == null ? "" : ", " + runs.first());
     }
 
@@ -79,7 +125,10 @@
         return sorted.isEmpty() ? 0 : sorted.get((int) ((sorted.size() - 1) * part)) / (double) TTL;
     }
 
-    /** What a request pays: is its tenant to be admitted, has it room at each engine in question, one begins and ends. 99th percentile. */
+    /**
+     * What a request pays: is its tenant to be admitted, has it room at each engine in question,
+     * one begins and ends. 99th percentile.
+     */
     private static double requestMicros() {
         Holdings holdings = holdings();
         TenantQueues queues = new TenantQueues(SETTINGS, 1_000, 1);
@@ -104,7 +153,10 @@
         return requests.getValueAtPercentile(99) / 1000.0;
     }
 
-    /** The 99th percentile over batches of a hundred decisions, as one is shorter than the clock's step. */
+    /**
+     * The 99th percentile over batches of a hundred decisions, as one is shorter than the clock's
+     * step.
+     */
     private static double decisionNanos() {
         Holdings holdings = holdings();
         Histogram batches = new Histogram(3);
--- a/src/measure/java/calicostream/measure/ClusterProveMeasure.java
+++ b/src/measure/java/calicostream/measure/ClusterProveMeasure.java
@@ -14,17 +14,24 @@
 import java.util.stream.IntStream;
 
 /**
- * The proofs of the whole cluster: six tenths of the runs are clusters under faults, two are leases, two are budgets, all in virtual time
- * from one seed on; then the models of leases and voters with everything in place, and each safeguard taken out in turn. The last line
- * holds the figures. Arguments: the first seed, how many runs in all. Threads: those of the common pool; the figures don't depend on them.
+ * The proofs of the whole cluster: six tenths of the runs are clusters under faults, two are
+ * leases, two are budgets, all in virtual time from one seed on; then the models of leases and
+ * voters with everything in place, and each safeguard taken out in turn. The last line holds the
+ * figures. Arguments: the first seed, how many runs in all. Threads: those of the common pool; the
+ * figures don't depend on them.
  */
 public final class ClusterProveMeasure {
     private static final long MOST = 3_000_000;
+
     /** Runs given to a thread at a time. */
     private static final int PIECE = 20;
+
     /** Runs without a safeguard until it counts as not found. */
     private static final int TRIES = 400;
-    /** What random runs of budgets find; directed histories ({@code SafeguardsTest}) find every one. */
+
+    /**
+     * What random runs of budgets find; directed histories ({@code SafeguardsTest}) find every one.
+     */
     private static final List<String> BUDGET = List.of("GRANT_HELD_TO_EXPIRY");
 
     private static long states;
@@ -32,7 +39,7 @@
     private static int mutants;
     private static int found;
 
-    private ClusterProveMeasure() { }
+    private ClusterProveMeasure() {}
 
     public static void main(String[] args) {
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "off");
@@ -44,29 +51,64 @@
         long from = System.nanoTime();
 
         ClusterProofs.Runs inCluster = ClusterProofs.run(seed, clusters);
-        System.out.println("clusters: " + inCluster.runs() + " runs, " + inCluster.steps() + " steps, " + inCluster.acknowledged() + " commands, "
-                + inCluster.changes() + " changes of voters, hash " + inCluster.hash() + ", " + inCluster.faults() + seconds(from));
+        System.out.println(
+                "clusters: "
+                        + inCluster.runs()
+                        + " runs, "
+                        + inCluster.steps()
+                        + " steps, "
+                        + inCluster.acknowledged()
+                        + " commands, "
+                        + inCluster.changes()
+                        + " changes of voters, hash "
+                        + inCluster.hash()
+                        + ", "
+                        + inCluster.faults()
+                        + seconds(from));
         broken(inCluster.broken());
         if (!inCluster.broken().isEmpty()) {
             long failing = Long.parseLong(inCluster.broken().get(0).split(" ")[1]);
             System.out.println("seed " + failing + " needs " + ClusterProofs.thinned(failing));
         }
-        List<LeaseProofs.Runs> inLeases = pieces(leases).mapToObj(at -> LeaseProofs.run(seed + at, Math.min(PIECE, leases - at))).toList();
+        List<LeaseProofs.Runs> inLeases =
+                pieces(leases)
+                        .mapToObj(at -> LeaseProofs.run(seed + at, Math.min(PIECE, leases - at)))
+                        .toList();
         inLeases.forEach(each -> broken(each.broken()));
         long leaseFaults = inLeases.stream().mapToLong(LeaseProofs.Runs::faults).sum();
-        System.out.println("leases: " + leases + " runs, " + leaseFaults + " faults" + seconds(from));
-        List<BudgetRuns.Faulty> inBudgets = pieces(budgets).mapToObj(at ->
-                BudgetRuns.faulty(seed + at, at / PIECE % 2 == 0, Math.min(PIECE, budgets - at), Long.MAX_VALUE)).toList();
-        inBudgets.stream().filter(each -> each.overCap() > 0).forEach(each -> broken(List.of(each.overCap() + " budgets broken, first " + each.first())));
+        System.out.println(
+                "leases: " + leases + " runs, " + leaseFaults + " faults" + seconds(from));
+        List<BudgetRuns.Faulty> inBudgets =
+                pieces(budgets)
+                        .mapToObj(
+                                at ->
+                                        BudgetRuns.faulty(
+                                                seed + at,
+                                                at / PIECE % 2 == 0,
+                                                Math.min(PIECE, budgets - at),
+                                                Long.MAX_VALUE))
+                        .toList();
+        inBudgets.stream()
+                .filter(each -> each.overCap() > 0)
+                .forEach(
+                        each ->
+                                broken(
+                                        List.of(
+                                                each.overCap()
+                                                        + " budgets broken, first "
+                                                        + each.first())));
         long budgetFaults = inBudgets.stream().mapToLong(BudgetRuns.Faulty::faults).sum();
-        System.out.println("budgets: " + budgets + " runs, " + budgetFaults + " faults" + seconds(from));
+        System.out.println(
+                "budgets: " + budgets + " runs, " + budgetFaults + " faults" + seconds(from));
 
         for (Supplier<Model> each : LeaseProofs.whole()) {
             Explorer.Result result = explore("", each.get());
             broken(result.broken() == null ? List.of() : List.of(result.toString()));
         }
         for (Map.Entry<Mutant, Model> each : new TreeMap<>(LeaseProofs.without()).entrySet()) {
-            mutant("model without " + each.getKey(), explore(each.getKey() + ", ", each.getValue()).broken() != null);
+            mutant(
+                    "model without " + each.getKey(),
+                    explore(each.getKey() + ", ", each.getValue()).broken() != null);
         }
         for (String each : ClusterProofs.safeguards()) {
             mutant("clusters without " + each, ClusterProofs.found(each, seed, TRIES) >= 0);
@@ -75,13 +117,27 @@
             mutant("budgets without " + each, BudgetRuns.found(each, seed, TRIES) >= 0);
         }
         System.out.println("all" + seconds(from));
-        System.out.println("prove sim_runs=" + (clusters + leases + budgets) + " faults_injected="
-                + (inCluster.injected() + leaseFaults + budgetFaults) + " states_checked=" + states + " mutants=" + mutants + " mutants_found="
-                + found + " violations=" + violations + " seed=" + seed);
+        System.out.println(
+                "prove sim_runs="
+                        + (clusters + leases + budgets)
+                        + " faults_injected="
+                        + (inCluster.injected() + leaseFaults + budgetFaults)
+                        + " states_checked="
+                        + states
+                        + " mutants="
+                        + mutants
+                        + " mutants_found="
+                        + found
+                        + " violations="
+                        + violations
+                        + " seed="
+                        + seed);
     }
 
     private static IntStream pieces(int runs) {
-        return IntStream.range(0, (runs + PIECE - 1) / PIECE).map(piece -> piece * PIECE).parallel();
+        return IntStream.range(0, (runs + PIECE - 1) / PIECE)
+                .map(piece -> piece * PIECE)
+                .parallel();
     }
 
     private static Explorer.Result explore(String before, Model model) {
--- a/src/measure/java/calicostream/measure/DeploymentsMeasure.java
+++ b/src/measure/java/calicostream/measure/DeploymentsMeasure.java
@@ -3,11 +3,14 @@
 
 import calicostream.deployments.Deployments;
 
-/** Draws deployments, checks the rules on each and compares what is served; the last line holds the figures. */
+/**
+ * Draws deployments, checks the rules on each and compares what is served; the last line holds the
+ * figures.
+ */
 public final class DeploymentsMeasure {
     private static final int DRAWN = 200;
 
-    private DeploymentsMeasure() { }
+    private DeploymentsMeasure() {}
 
     /** Arguments: the seed, and the number of one draw to play alone. */
     public static void main(String[] args) {
--- a/src/measure/java/calicostream/measure/FlightMeasure.java
+++ b/src/measure/java/calicostream/measure/FlightMeasure.java
@@ -40,11 +40,13 @@
 import org.apache.arrow.memory.RootAllocator;
 
 /**
- * What the front end costs: daemon and engine are processes of their own, and each figure is a ratio against the engine read
- * directly, in turn, in the same run. The last line holds the figures.
+ * What the front end costs: daemon and engine are processes of their own, and each figure is a
+ * ratio against the engine read directly, in turn, in the same run. The last line holds the
+ * figures.
  */
 public final class FlightMeasure {
-    private static final String LARGE = "select rows=512000 batch=1000 width=1044"; // 512 MB and a little
+    private static final String LARGE =
+            "select rows=512000 batch=1000 width=1044"; // 512 MB and a little
     private static final String SMALL = "select rows=100 width=100";
     private static final int WARM = 500;
     private static final int LARGE_ROUNDS = 5;
@@ -52,7 +54,14 @@
     private static final int STALLED = 100;
     private static final int POLLS = 5000;
     private static final String[] ENGINE_HEAP = {"-Xmx512m"};
-    private static final String[] FRONT_HEAP = {"-XX:+UseSerialGC", "-Xms64m", "-Xmx64m", "-XX:MaxDirectMemorySize=192m", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData"};
+    private static final String[] FRONT_HEAP = {
+        "-XX:+UseSerialGC",
+        "-Xms64m",
+        "-Xmx64m",
+        "-XX:MaxDirectMemorySize=192m",
+        "-XX:TieredStopAtLevel=1",
+        "-XX:-UsePerfData"
+    };
     private final BufferAllocator allocator = new RootAllocator();
     private final Path folder = Files.createTempDirectory("flight-measure");
     private final ChangeLogStand log = new ChangeLogStand();
@@ -61,7 +70,7 @@
     private Process front;
     private int frontPort, enginePort;
 
-    private FlightMeasure() throws IOException { }
+    private FlightMeasure() throws IOException {}
 
     /** {@code engine}: serves as the engine's process. */
     public static void main(String[] args) throws Exception {
@@ -75,19 +84,32 @@
             measure.run();
         } finally {
             for (Process each : measure.processes) {
-                each.destroy(); each.waitFor(3, TimeUnit.SECONDS);
+                each.destroy();
+                each.waitFor(3, TimeUnit.SECONDS);
             }
         }
         System.exit(0);
     }
 
     private Process launch(Path output, String[] heap, String... main) throws IOException {
-        List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java")
+                                        .toString()));
         command.addAll(List.of(heap));
-        command.addAll(List.of("--add-opens=java.base/java.nio=ALL-UNNAMED", "-Dcalicostream.deploy=" + folder,
-                "-Xlog:gc:file=" + output + ".gc", "-cp", System.getProperty("java.class.path")));
+        command.addAll(
+                List.of(
+                        "--add-opens=java.base/java.nio=ALL-UNNAMED",
+                        "-Dcalicostream.deploy=" + folder,
+                        "-Xlog:gc:file=" + output + ".gc",
+                        "-cp",
+                        System.getProperty("java.class.path")));
         command.addAll(List.of(main));
-        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(output.toFile());
+        ProcessBuilder builder =
+                new ProcessBuilder(command)
+                        .redirectErrorStream(true)
+                        .redirectOutput(output.toFile());
         builder.environment().put("NODE_CONFIG", folder.resolve("config.json").toString());
         builder.environment().put("TMPDIR", folder.toString());
         Process out = builder.start();
@@ -114,20 +136,34 @@
         Path engineOut = folder.resolve("engine.out");
         launch(engineOut, ENGINE_HEAP, "calicostream.measure.FlightMeasure", "engine");
         enginePort = port(engineOut, "port ");
-        InetSocketAddress engine = new InetSocketAddress(InetAddress.getLoopbackAddress(), enginePort);
-        Path config = Program.configure(folder, 0, log.port(), List.of(Program.endpoint("e1", engine, "Ready", 0)), 8192);
-        Files.writeString(config, Files.readString(config).replace("\"kind_cores\":[12,8]", "\"kind_cores\":[8192,8192]"));
-        Files.writeString(folder.resolve("flight.json"), "{\"enabled\":true,\"listen\":\"127.0.0.1:0\","
-                + "\"query_class\":\"report\",\"metadata_class\":\"lookup\",\"poll_wait_ms\":60000,"
-                + "\"metadata_life_ms\":60000,\"calls\":20000,\"calls_per_client\":20000}");
+        InetSocketAddress engine =
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), enginePort);
+        Path config =
+                Program.configure(
+                        folder,
+                        0,
+                        log.port(),
+                        List.of(Program.endpoint("e1", engine, "Ready", 0)),
+                        8192);
+        Files.writeString(
+                config,
+                Files.readString(config)
+                        .replace("\"kind_cores\":[12,8]", "\"kind_cores\":[8192,8192]"));
+        Files.writeString(
+                folder.resolve("flight.json"),
+                "{\"enabled\":true,\"listen\":\"127.0.0.1:0\","
+                    + "\"query_class\":\"report\",\"metadata_class\":\"lookup\",\"poll_wait_ms\":60000,"
+                    + "\"metadata_life_ms\":60000,\"calls\":20000,\"calls_per_client\":20000}");
         Path frontOut = folder.resolve("front.out");
         front = launch(frontOut, FRONT_HEAP, "calicostream.Main", "serve");
         frontPort = port(frontOut, "Flight SQL listens on port");
     }
 
     private FlightSqlClient client(int port) {
-        FlightSqlClient out = new FlightSqlClient(FlightClient.builder(allocator,
-                Location.forGrpcInsecure("127.0.0.1", port)).build());
+        FlightSqlClient out =
+                new FlightSqlClient(
+                        FlightClient.builder(allocator, Location.forGrpcInsecure("127.0.0.1", port))
+                                .build());
         clients.add(out);
         return out;
     }
@@ -141,7 +177,10 @@
         long bytes = 0;
         try (FlightStream stream = client.getStream(info.getEndpoints().get(0).getTicket())) {
             while (stream.next()) {
-                bytes += stream.getRoot().getFieldVectors().stream().mapToLong(each -> each.getBufferSize()).sum();
+                bytes +=
+                        stream.getRoot().getFieldVectors().stream()
+                                .mapToLong(each -> each.getBufferSize())
+                                .sum();
             }
         }
         return bytes;
@@ -172,7 +211,13 @@
             }
             ratios[i] = directly / seconds(at);
             fastest = Math.max(fastest, bytes / 1e6 * ratios[i] / directly);
-            System.out.printf(Locale.ROOT, "large %d: %.0f MB, direct %.2f s, ratio %.2f%n", i, bytes / 1e6, directly, ratios[i]);
+            System.out.printf(
+                    Locale.ROOT,
+                    "large %d: %.0f MB, direct %.2f s, ratio %.2f%n",
+                    i,
+                    bytes / 1e6,
+                    directly,
+                    ratios[i]);
         }
         Arrays.sort(ratios);
         Histogram[] small = {new Histogram(60_000_000, 3), new Histogram(60_000_000, 3)};
@@ -182,7 +227,11 @@
             small[i % 2].recordValue((System.nanoTime() - at) / 1000);
         }
         for (Histogram each : small) {
-            System.out.println("small us: p50 " + each.getValueAtPercentile(50) + " p99 " + each.getValueAtPercentile(99));
+            System.out.println(
+                    "small us: p50 "
+                            + each.getValueAtPercentile(50)
+                            + " p99 "
+                            + each.getValueAtPercentile(99));
         }
         stall();
         int heap = peakHeap();
@@ -190,15 +239,28 @@
         long resident = status("VmHWM:") / 1024;
         front.destroyForcibly().waitFor();
         FlightRuns.Result runs = new FlightRuns(folder).run();
-        System.out.printf(Locale.ROOT, "flight stream_ratio=%.2f stream_mb_s=%.0f peak_heap_mb=%d resident_mb=%d "
-                        + "small_ratio_p50=%.2f small_ratio_p99=%.2f small_p50_us=%d calls_open=%d threads=%d kill_runs=%d "
-                        + "double_loads=%d cancel_p100_ms=%d%n", ratios[LARGE_ROUNDS / 2], fastest, heap, resident,
-                ratio(small, 50), ratio(small, 99), small[1].getValueAtPercentile(50), polls[0], polls[1], runs.kills(),
-                runs.doubles(), runs.slowestCancelMs());
+        System.out.printf(
+                Locale.ROOT,
+                "flight stream_ratio=%.2f stream_mb_s=%.0f peak_heap_mb=%d resident_mb=%d"
+                        + " small_ratio_p50=%.2f small_ratio_p99=%.2f small_p50_us=%d calls_open=%d"
+                        + " threads=%d kill_runs=%d double_loads=%d cancel_p100_ms=%d%n",
+                ratios[LARGE_ROUNDS / 2],
+                fastest,
+                heap,
+                resident,
+                ratio(small, 50),
+                ratio(small, 99),
+                small[1].getValueAtPercentile(50),
+                polls[0],
+                polls[1],
+                runs.kills(),
+                runs.doubles(),
+                runs.slowestCancelMs());
     }
 
     private static double ratio(Histogram[] each, double percentile) {
-        return (double) each[1].getValueAtPercentile(percentile) / each[0].getValueAtPercentile(percentile);
+        return (double) each[1].getValueAtPercentile(percentile)
+                / each[0].getValueAtPercentile(percentile);
     }
 
     /** Clients that open a large result and read nothing, for two seconds. */
@@ -225,7 +287,9 @@
     }
 
     private long status(String field) throws IOException {
-        for (String line : Files.readAllLines(Path.of("/proc/" + front.pid() + "/status"), StandardCharsets.US_ASCII)) {
+        for (String line :
+                Files.readAllLines(
+                        Path.of("/proc/" + front.pid() + "/status"), StandardCharsets.US_ASCII)) {
             if (line.startsWith(field)) {
                 return Long.parseLong(line.replaceAll("\\D+", ""));
             }
@@ -236,31 +300,38 @@
     /** Calls that wait for news of one long query: how many were open, on how many threads. */
     private int[] polls() throws Exception {
         ManagedChannel channel = channel(frontPort);
-        FlightServiceGrpc.FlightServiceBlockingStub stub = FlightServiceGrpc.newBlockingStub(channel);
-        Flight.FlightDescriptor first = stub.pollFlightInfo(Raw.query("select rows=1 polls=1000000 hold"))
-                .getFlightDescriptor();
-        Flight.PollInfo told = stub.pollFlightInfo(first); // The engine has told half, and keeps the next answer.
+        FlightServiceGrpc.FlightServiceBlockingStub stub =
+                FlightServiceGrpc.newBlockingStub(channel);
+        Flight.FlightDescriptor first =
+                stub.pollFlightInfo(Raw.query("select rows=1 polls=1000000 hold"))
+                        .getFlightDescriptor();
+        Flight.PollInfo told =
+                stub.pollFlightInfo(first); // The engine has told half, and keeps the next answer.
         AtomicInteger ended = new AtomicInteger();
         CountDownLatch errors = new CountDownLatch(1);
         for (int i = 0; i < POLLS; i++) {
-            FlightServiceGrpc.newStub(channel).pollFlightInfo(told.getFlightDescriptor(), new StreamObserver<>() {
-                @Override
-                public void onNext(Flight.PollInfo info) { }
+            FlightServiceGrpc.newStub(channel)
+                    .pollFlightInfo(
+                            told.getFlightDescriptor(),
+                            new StreamObserver<>() {
+                                @Override
+                                public void onNext(Flight.PollInfo info) {}
 
-                @Override
-                public void onError(Throwable error) {
-                    ended.incrementAndGet();
-                    if (errors.getCount() > 0) {
-                        System.out.println("a poll ended: " + Status.fromThrowable(error));
-                        errors.countDown();
-                    }
-                }
+                                @Override
+                                public void onError(Throwable error) {
+                                    ended.incrementAndGet();
+                                    if (errors.getCount() > 0) {
+                                        System.out.println(
+                                                "a poll ended: " + Status.fromThrowable(error));
+                                        errors.countDown();
+                                    }
+                                }
 
-                @Override
-                public void onCompleted() {
-                    ended.incrementAndGet();
-                }
-            });
+                                @Override
+                                public void onCompleted() {
+                                    ended.incrementAndGet();
+                                }
+                            });
         }
         Thread.sleep(2500);
         int open = POLLS - ended.get();
--- a/src/measure/java/calicostream/measure/MassMeasure.java
+++ b/src/measure/java/calicostream/measure/MassMeasure.java
@@ -15,13 +15,13 @@
 import java.util.List;
 
 /**
- * Many front ends that can't talk, in virtual time, and what a new one takes until its first good answer, in real time with the
- * flags of {@code run}. The last line holds the figures.
+ * Many front ends that can't talk, in virtual time, and what a new one takes until its first good
+ * answer, in real time with the flags of {@code run}. The last line holds the figures.
  */
 public final class MassMeasure {
     private static final int STARTS = 5;
 
-    private MassMeasure() { }
+    private MassMeasure() {}
 
     public static void main(String[] args) throws Exception {
         long seed = args.length > 0 ? Long.parseLong(args[0]) : 1;
@@ -33,17 +33,25 @@
         }
         Arrays.sort(taken);
         System.out.println("first answers after " + Arrays.toString(taken) + " ms");
-        int violations = (int) figures.stream().takeWhile(each -> !each.startsWith("violations=")).count();
+        int violations =
+                (int) figures.stream().takeWhile(each -> !each.startsWith("violations=")).count();
         figures.add(violations, "first_answer_ms=" + taken[STARTS / 2]);
         System.out.println("mass " + String.join(" ", figures));
     }
 
     private static long firstAnswerMs() throws Exception {
         Path folder = Files.createTempDirectory("mass-measure");
-        try (ChangeLogStand log = new ChangeLogStand(); RespStand engine = new RespStand()) {
-            Path config = Program.configure(folder, 0, log.port(),
-                    List.of(Program.endpoint("e1", engine.address(), "Ready", 0)), 1024);
-            ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", Program.run()).redirectErrorStream(true);
+        try (ChangeLogStand log = new ChangeLogStand();
+                RespStand engine = new RespStand()) {
+            Path config =
+                    Program.configure(
+                            folder,
+                            0,
+                            log.port(),
+                            List.of(Program.endpoint("e1", engine.address(), "Ready", 0)),
+                            1024);
+            ProcessBuilder builder =
+                    new ProcessBuilder("/bin/sh", "-c", Program.run()).redirectErrorStream(true);
             builder.environment().put("NODE_CONFIG", config.toString());
             builder.environment().put("TMPDIR", folder.toString());
             long from = System.nanoTime();
--- a/src/measure/java/calicostream/measure/ProveMeasure.java
+++ b/src/measure/java/calicostream/measure/ProveMeasure.java
@@ -10,18 +10,26 @@
 import java.util.function.Supplier;
 
 /**
- * Explores the models with everything in place, and without each safeguard in turn, and runs leases in virtual time from one seed after
- * the other. The last line holds the figures. Arguments: the first seed, how many runs.
+ * Explores the models with everything in place, and without each safeguard in turn, and runs leases
+ * in virtual time from one seed after the other. The last line holds the figures. Arguments: the
+ * first seed, how many runs.
  */
 public final class ProveMeasure {
     private static final long MOST = 3_000_000;
 
-    private ProveMeasure() { }
+    private ProveMeasure() {}
 
     public static void main(String[] args) {
         long seed = args.length > 0 ? Long.parseLong(args[0]) : 1;
         int runs = args.length > 1 ? Integer.parseInt(args[1]) : 2000;
-        System.out.println("seeds " + seed + " to " + (seed + runs - 1) + ", at most " + MOST + " states of a model");
+        System.out.println(
+                "seeds "
+                        + seed
+                        + " to "
+                        + (seed + runs - 1)
+                        + ", at most "
+                        + MOST
+                        + " states of a model");
         LeaseProofs.Runs inTime = LeaseProofs.run(seed, runs);
         System.out.println(inTime);
         long states = 0;
@@ -38,8 +46,21 @@
             states += result.states();
             found += result.broken() == null ? 0 : 1;
         }
-        System.out.println("prove sim_runs=" + runs + " faults_injected=" + inTime.faults() + " states_checked=" + states + " mutants=" + without.size() + " mutants_found=" + found
-                + " violations=" + violations + " seed=" + seed);
+        System.out.println(
+                "prove sim_runs="
+                        + runs
+                        + " faults_injected="
+                        + inTime.faults()
+                        + " states_checked="
+                        + states
+                        + " mutants="
+                        + without.size()
+                        + " mutants_found="
+                        + found
+                        + " violations="
+                        + violations
+                        + " seed="
+                        + seed);
     }
 
     private static Explorer.Result timed(String before, Model model, long most) {
--- a/src/measure/java/calicostream/prove/Explorer.java
+++ b/src/measure/java/calicostream/prove/Explorer.java
@@ -8,17 +8,37 @@
 import java.util.List;
 
 /**
- * Breadth first over the states of a {@link Model}, so that the first break found is one of the shortest. A state is remembered as a
- * hash of 64 bits, its parent and its action, 14 bytes and the table's slack, and kept whole only while it waits to be looked at. Two
- * states with one hash would hide the later one: at ten million states that has a chance of three in a million.
+ * Breadth first over the states of a {@link Model}, so that the first break found is one of the
+ * shortest. A state is remembered as a hash of 64 bits, its parent and its action, 14 bytes and the
+ * table's slack, and kept whole only while it waits to be looked at. Two states with one hash would
+ * hide the later one: at ten million states that has a chance of three in a million.
  */
 public final class Explorer {
-    /** {@code complete}: every state that can be reached was; {@code broken} and {@code trace} are null and empty without a break. */
-    public record Result(String model, long states, long steps, int depth, boolean complete, String broken, List<String> trace) {
+    /**
+     * {@code complete}: every state that can be reached was; {@code broken} and {@code trace} are
+     * null and empty without a break.
+     */
+    public record Result(
+            String model,
+            long states,
+            long steps,
+            int depth,
+            boolean complete,
+            String broken,
+            List<String> trace) {
         @Override
         public String toString() {
-            return model + ": " + states + " states, " + steps + " steps, depth " + depth + (complete ? ", all there are" : "")
-                    + (broken == null ? ", no break" : ", BROKEN: " + broken + "\n  " + String.join("\n  ", trace));
+            return model
+                    + ": "
+                    + states
+                    + " states, "
+                    + steps
+                    + " steps, depth "
+                    + depth
+                    + (complete ? ", all there are" : "")
+                    + (broken == null
+                            ? ", no break"
+                            : ", BROKEN: " + broken + "\n  " + String.join("\n  ", trace));
         }
     }
 
@@ -54,21 +74,23 @@
         while (!waiting.isEmpty() && known < most) {
             byte[] state = waiting.poll();
             int at = looked++;
-            model.steps(state, new Model.Steps() {
-                @Override
-                public void to(int action, byte[] next) {
-                    steps++;
-                    add(waiting, next, at, action);
-                }
+            model.steps(
+                    state,
+                    new Model.Steps() {
+                        @Override
+                        public void to(int action, byte[] next) {
+                            steps++;
+                            add(waiting, next, at, action);
+                        }
 
-                @Override
-                public void broken(int action, String promise) {
-                    if (broken == null) {
-                        broken = promise;
-                        brokenAction = action;
-                    }
-                }
-            });
+                        @Override
+                        public void broken(int action, String promise) {
+                            if (broken == null) {
+                                broken = promise;
+                                brokenAction = action;
+                            }
+                        }
+                    });
             if (broken != null) {
                 return new Result(model.name(), known, steps, depth + 1, false, broken, trace(at));
             }
--- a/src/measure/java/calicostream/prove/Model.java
+++ b/src/measure/java/calicostream/prove/Model.java
@@ -3,11 +3,15 @@
 
 import java.util.List;
 
-/** What the explorer explores. A state is an array of bytes, equal states equal arrays; one thread. */
+/**
+ * What the explorer explores. A state is an array of bytes, equal states equal arrays; one thread.
+ */
 public interface Model {
     /** Takes the steps that are possible from a state. */
     interface Steps {
-        /** One more step: which action, numbered as the model likes, and the state that it leads to. */
+        /**
+         * One more step: which action, numbered as the model likes, and the state that it leads to.
+         */
         void to(int action, byte[] state);
 
         /** That action breaks a promise. */
--- a/src/measure/java/calicostream/prove/Mutant.java
+++ b/src/measure/java/calicostream/prove/Mutant.java
@@ -1,7 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.prove;
 
-/** The safeguards that proofs take out, one at a time, by subclasses of the product's classes or in the model that stands for them. */
+/**
+ * The safeguards that proofs take out, one at a time, by subclasses of the product's classes or in
+ * the model that stands for them.
+ */
 public enum Mutant {
     /** A resource takes acts under any token. */
     TOKEN_NOT_CHECKED,
@@ -15,7 +18,10 @@
     DRIFT_NOT_COUNTED,
     /** A grant from the queue is used without a renewal, counted from its arrival. */
     QUEUE_GRANT_NOT_CONFIRMED,
-    /** A step of the leader's clock counts as time; taken by whole clusters, as the models' leaders look when they like. */
+    /**
+     * A step of the leader's clock counts as time; taken by whole clusters, as the models' leaders
+     * look when they like.
+     */
     CLOCK_STEP_COUNTED,
     /** A lease ends with its holder's session. */
     LEASE_FREED_WITH_SESSION,
@@ -27,6 +33,9 @@
     TOKEN_LOST_IN_SNAPSHOT,
     /** A voter that has forgotten its log votes on. */
     VOTE_AFTER_AMNESIA,
-    /** A budget's grant is given anew before it has run out at its user; taken by the model of grants. */
+    /**
+     * A budget's grant is given anew before it has run out at its user; taken by the model of
+     * grants.
+     */
     GRANT_FREED_BEFORE_EXPIRY
 }
--- a/src/measure/java/calicostream/rig/Await.java
+++ b/src/measure/java/calicostream/rig/Await.java
@@ -9,7 +9,7 @@
 final class Await {
     private static final long LOOK_NANOS = 5_000_000;
 
-    private Await() { }
+    private Await() {}
 
     /** Fails after the rig's patience with what it is told then. */
     static void until(Callable<Boolean> condition, Supplier<String> otherwise) throws Exception {
--- a/src/measure/java/calicostream/rig/ClusterMeasure.java
+++ b/src/measure/java/calicostream/rig/ClusterMeasure.java
@@ -21,9 +21,10 @@
 import java.util.stream.Stream;
 
 /**
- * Seven processes of the program in one cluster, four of them with a twin that has none, under faults of links, processes and disks; the last
- * line has the figures, "none" for what this version does not do. First argument: a seed, by which victims and order are drawn. It ends
- * within 50 seconds, with fewer repeats on a slow machine.
+ * Seven processes of the program in one cluster, four of them with a twin that has none, under
+ * faults of links, processes and disks; the last line has the figures, "none" for what this version
+ * does not do. First argument: a seed, by which victims and order are drawn. It ends within 50
+ * seconds, with fewer repeats on a slow machine.
  */
 public final class ClusterMeasure {
     private static final int MEMBERS = 7;
@@ -32,13 +33,24 @@
     private static final long ASK_EVERY_MS = 20;
     private static final long TTL_MS = 1_000;
     private static final long FAULT_MS = 800; // longer than a leader is doubted
-    private static final long END_NANOS = 45_000_000_000L; // since the start, after which nothing new is begun
+    private static final long END_NANOS =
+            45_000_000_000L; // since the start, after which nothing new is begun
     private static final int KILLS = 4;
     private static final int LINK_FAULTS = 10;
 
-    private static final int CAP = 56; // sessions that an engine runs at once: eight for each process
-    private static final String BUDGETS = "[budget]\nttl = \"1500ms\"\nprocesses = [\"m1\", \"m2\", \"m3\", \"m4\", \"m5\", \"m6\", \"m7\"]\n"
-            + "default = \"all\"\nin_hand = 8\npatience = \"2s\"\n[pools.all]\nengine_cap = " + CAP + "\nfloor = 4\n[tenants.all]\n";
+    private static final int CAP =
+            56; // sessions that an engine runs at once: eight for each process
+    private static final String BUDGETS =
+            "[budget]\n"
+                    + "ttl = \"1500ms\"\n"
+                    + "processes = [\"m1\", \"m2\", \"m3\", \"m4\", \"m5\", \"m6\", \"m7\"]\n"
+                    + "default = \"all\"\n"
+                    + "in_hand = 8\n"
+                    + "patience = \"2s\"\n"
+                    + "[pools.all]\n"
+                    + "engine_cap = "
+                    + CAP
+                    + "\nfloor = 4\n[tenants.all]\n";
 
     private interface Fault {
         void play() throws Exception;
@@ -55,7 +67,12 @@
 
     private ClusterMeasure(Path folder, long seed) throws IOException {
         random = new Random(seed);
-        twins = new Twins(folder, new Fleet.Plan(MEMBERS, VOTERS, true, Fleet.Plan.QUICK + BUDGETS), TWINNED, ASK_EVERY_MS);
+        twins =
+                new Twins(
+                        folder,
+                        new Fleet.Plan(MEMBERS, VOTERS, true, Fleet.Plan.QUICK + BUDGETS),
+                        TWINNED,
+                        ASK_EVERY_MS);
         fleet = twins.on;
         link("cut", LinkFault.CUT);
         link("stall", LinkFault.STALL);
@@ -114,7 +131,10 @@
         return line(seed, from, to);
     }
 
-    /** Drawn, but those of links first: they restart no process, so that a slow machine gets through them. */
+    /**
+     * Drawn, but those of links first: they restart no process, so that a slow machine gets through
+     * them.
+     */
     private List<String> order() {
         List<String> all = new ArrayList<>(faults.keySet());
         Collections.shuffle(all.subList(0, LINK_FAULTS), random);
@@ -142,7 +162,8 @@
         fleet.heal();
     }
 
-    // ---- Who is what -------------------------------------------------------------------------------------
+    // ---- Who is what
+    // -------------------------------------------------------------------------------------
 
     /** Who leads, as most that run say; the first voter that runs if nobody does for long. */
     private int leader() throws Exception {
@@ -159,12 +180,23 @@
         return up.get(0);
     }
 
-    /** A start of the whole fleet is no fault: it counts from when grants are in force, or a bounded time later. */
+    /**
+     * A start of the whole fleet is no fault: it counts from when grants are in force, or a bounded
+     * time later.
+     */
     private void awaitGrants() throws Exception {
         long end = System.nanoTime() + 8_000_000_000L;
         for (int each : fleet.members()) {
-            while (budgets && System.nanoTime() < end && !fleet.signs(each).get("layers").asObject().get("budget").asObject().get("here")
-                    .asObject().getBoolean("live", false)) {
+            while (budgets
+                    && System.nanoTime() < end
+                    && !fleet.signs(each)
+                            .get("layers")
+                            .asObject()
+                            .get("budget")
+                            .asObject()
+                            .get("here")
+                            .asObject()
+                            .getBoolean("live", false)) {
                 Await.pass(20);
             }
         }
@@ -178,20 +210,29 @@
     }
 
     private Optional<Act> lastAct() {
-        return fleet.history.copy().acts().stream().filter(Act::done).max(Comparator.comparingLong(Act::at));
+        return fleet.history.copy().acts().stream()
+                .filter(Act::done)
+                .max(Comparator.comparingLong(Act::at));
     }
 
     private int holder() {
         return lastAct().map(act -> Integer.parseInt(act.who().substring(1))).orElse(1);
     }
 
-    /** Who holds and goes on holding: what was done just before may end a lease by itself, which is no hand-over. */
+    /**
+     * Who holds and goes on holding: what was done just before may end a lease by itself, which is
+     * no hand-over.
+     */
     private int steadyHolder() {
         long from = System.nanoTime();
         long end = from + 4 * TTL_MS * 1_000_000;
         int holder = holder();
-        for (long since = from; System.nanoTime() < end && System.nanoTime() - since < TTL_MS * 1_100_000; Await.pass(5)) {
-            if (holder() != holder || System.nanoTime() - lastAct().map(Act::at).orElse(0L) > TTL_MS * 1_000_000 / 4) {
+        for (long since = from;
+                System.nanoTime() < end && System.nanoTime() - since < TTL_MS * 1_100_000;
+                Await.pass(5)) {
+            if (holder() != holder
+                    || System.nanoTime() - lastAct().map(Act::at).orElse(0L)
+                            > TTL_MS * 1_000_000 / 4) {
                 holder = holder();
                 since = System.nanoTime();
             }
@@ -202,7 +243,8 @@
     /** Waits for an act by another one, for a bounded time. */
     private void awaitHolder(String other) {
         long end = System.nanoTime() + 4 * TTL_MS * 1_000_000;
-        while (System.nanoTime() < end && lastAct().filter(act -> !act.who().equals(other)).isEmpty()) {
+        while (System.nanoTime() < end
+                && lastAct().filter(act -> !act.who().equals(other)).isEmpty()) {
             Await.pass(5);
         }
     }
@@ -211,23 +253,30 @@
     private int victim(int wanted) throws Exception {
         List<Integer> up = twins.up();
         long voters = up.stream().filter(each -> each <= VOTERS).count();
-        return up.contains(wanted) && (wanted > VOTERS || voters > VOTERS / 2 + 1) ? wanted : up.get(up.size() - 1);
+        return up.contains(wanted) && (wanted > VOTERS || voters > VOTERS / 2 + 1)
+                ? wanted
+                : up.get(up.size() - 1);
     }
 
-    // ---- Faults ------------------------------------------------------------------------------------------
+    // ---- Faults
+    // ------------------------------------------------------------------------------------------
 
     private void link(String kind, LinkFault fault) {
-        faults.put(kind, () -> {
-            fleet.isolate(fault, List.of(leader()));
-            Await.pass(FAULT_MS);
-        });
+        faults.put(
+                kind,
+                () -> {
+                    fleet.isolate(fault, List.of(leader()));
+                    Await.pass(FAULT_MS);
+                });
     }
 
     private void all(String kind, LinkFault fault) {
-        faults.put(kind, () -> {
-            fleet.set(fault, fleet.members(), fleet.members());
-            Await.pass(FAULT_MS);
-        });
+        faults.put(
+                kind,
+                () -> {
+                    fleet.set(fault, fleet.members(), fleet.members());
+                    Await.pass(FAULT_MS);
+                });
     }
 
     private void from(LinkFault fault, int member) throws Exception {
@@ -294,37 +343,82 @@
         }
     }
 
-    // ---- Figures -----------------------------------------------------------------------------------------
+    // ---- Figures
+    // -----------------------------------------------------------------------------------------
 
     private String line(long seed, long from, long to) {
         Judge judge = new Judge(fleet.history.copy());
         Judge without = new Judge(twins.off.history.copy());
         List<Long> handovers = judge.handovers(RigTasks.LEASE, killed).stream().sorted().toList();
         long lost = judge.lost().size() + judge.answeredTwice().size() + judge.ranTwice().size();
-        System.out.printf(Locale.ROOT, "acts %d, refused %d; handovers after %d kills of holders, ms: %s%n",
-                fleet.history.copy().acts().size(), fleet.history.copy().acts().stream().filter(act -> !act.done()).count(), killed.size(),
+        System.out.printf(
+                Locale.ROOT,
+                "acts %d, refused %d; handovers after %d kills of holders, ms: %s%n",
+                fleet.history.copy().acts().size(),
+                fleet.history.copy().acts().stream().filter(act -> !act.done()).count(),
+                killed.size(),
                 handovers.stream().map(each -> each / 1_000_000).toList());
-        System.out.printf(Locale.ROOT, "asked %d with the cluster, served %.5f, 99th percentile %.1f ms; without %d, %.5f, %.1f ms%n",
-                fleet.history.copy().asked().size(), judge.served(TWINNED, from, to), waited(judge, from, to),
-                twins.off.history.copy().asked().size(), without.served(TWINNED, from, to), waited(without, from, to));
-        System.out.printf(Locale.ROOT, "refused %d with the cluster, %d without%n", judge.ended(TWINNED, from, to, History.Answer.REFUSED),
+        System.out.printf(
+                Locale.ROOT,
+                "asked %d with the cluster, served %.5f, 99th percentile %.1f ms; without %d, %.5f,"
+                        + " %.1f ms%n",
+                fleet.history.copy().asked().size(),
+                judge.served(TWINNED, from, to),
+                waited(judge, from, to),
+                twins.off.history.copy().asked().size(),
+                without.served(TWINNED, from, to),
+                waited(without, from, to));
+        System.out.printf(
+                Locale.ROOT,
+                "refused %d with the cluster, %d without%n",
+                judge.ended(TWINNED, from, to, History.Answer.REFUSED),
                 without.ended(TWINNED, from, to, History.Answer.REFUSED));
-        System.out.println("refused with the cluster, by front end, in seconds since the start: " + refusals());
-        System.out.printf(Locale.ROOT, "most at once at an engine: %d with the cluster, of a cap of %d; %d without%n", judge.mostAtOnce(), CAP,
+        System.out.println(
+                "refused with the cluster, by front end, in seconds since the start: "
+                        + refusals());
+        System.out.printf(
+                Locale.ROOT,
+                "most at once at an engine: %d with the cluster, of a cap of %d; %d without%n",
+                judge.mostAtOnce(),
+                CAP,
                 without.mostAtOnce());
-        System.out.println("kinds " + String.join(" ", kinds) + "; lost without the cluster " + without.lost().size());
-        return String.format(Locale.ROOT, "cluster processes=%d fault_kinds=%d double_acts=%d over_cap=%s lost_answers=%d "
-                + "bookings_broken=none handover_ttl_ratio_p99=%s fair_distance=none cap_use_ratio=none reclaim_p99_ms=none "
-                + "ready_at_start=none service_ratio_faults=%.4f decision_us_p99=none seed=%d", MEMBERS, kinds.size(),
-                judge.doubleActs().size(), budgets ? judge.overCap(CAP) : "none", lost, handovers.size() < killed.size() || handovers.isEmpty() ? "none"
-                : String.format(Locale.ROOT, "%.2f", Judge.percentile(handovers, 0.99) / 1e6 / TTL_MS),
-                judge.served(TWINNED, from, to) / without.served(TWINNED, from, to), seed);
+        System.out.println(
+                "kinds "
+                        + String.join(" ", kinds)
+                        + "; lost without the cluster "
+                        + without.lost().size());
+        return String.format(
+                Locale.ROOT,
+                "cluster processes=%d fault_kinds=%d double_acts=%d over_cap=%s lost_answers=%d"
+                        + " bookings_broken=none handover_ttl_ratio_p99=%s fair_distance=none"
+                        + " cap_use_ratio=none reclaim_p99_ms=none ready_at_start=none"
+                        + " service_ratio_faults=%.4f decision_us_p99=none seed=%d",
+                MEMBERS,
+                kinds.size(),
+                judge.doubleActs().size(),
+                budgets ? judge.overCap(CAP) : "none",
+                lost,
+                handovers.size() < killed.size() || handovers.isEmpty()
+                        ? "none"
+                        : String.format(
+                                Locale.ROOT,
+                                "%.2f",
+                                Judge.percentile(handovers, 0.99) / 1e6 / TTL_MS),
+                judge.served(TWINNED, from, to) / without.served(TWINNED, from, to),
+                seed);
     }
 
     private Map<Integer, Map<Long, Integer>> refusals() {
         Map<Integer, Map<Long, Integer>> out = new TreeMap<>();
-        fleet.history.copy().answered().stream().filter(each -> each.answer() == History.Answer.REFUSED).forEach(each -> out
-                .computeIfAbsent(each.front(), key -> new TreeMap<>()).merge((each.at() - began) / 1_000_000_000L, 1, Integer::sum));
+        fleet.history.copy().answered().stream()
+                .filter(each -> each.answer() == History.Answer.REFUSED)
+                .forEach(
+                        each ->
+                                out.computeIfAbsent(each.front(), key -> new TreeMap<>())
+                                        .merge(
+                                                (each.at() - began) / 1_000_000_000L,
+                                                1,
+                                                Integer::sum));
         return out;
     }
 
--- a/src/measure/java/calicostream/rig/EngineStand.java
+++ b/src/measure/java/calicostream/rig/EngineStand.java
@@ -18,13 +18,17 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** An engine that serves each request after a fixed time, unless it is called off, and records when each ran. */
+/**
+ * An engine that serves each request after a fixed time, unless it is called off, and records when
+ * each ran.
+ */
 final class EngineStand implements AutoCloseable {
     private static final int CORES = 12;
     private final ServerSocket server = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
     private final Set<Socket> peers = ConcurrentHashMap.newKeySet();
     private final Map<String, Long> running = new ConcurrentHashMap<>();
-    private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(Stands.daemons("engine"));
+    private final ScheduledExecutorService timer =
+            Executors.newSingleThreadScheduledExecutor(Stands.daemons("engine"));
     private final int number;
     private final long serviceMs;
     private final History history;
@@ -33,14 +37,16 @@
         this.number = number;
         this.serviceMs = serviceMs;
         this.history = history;
-        Stands.daemon("engine's door", () -> {
-            while (!server.isClosed()) {
-                Socket peer = server.accept();
-                peer.setTcpNoDelay(true);
-                peers.add(peer);
-                Stands.daemon("engine's peer", () -> serve(peer));
-            }
-        });
+        Stands.daemon(
+                "engine's door",
+                () -> {
+                    while (!server.isClosed()) {
+                        Socket peer = server.accept();
+                        peer.setTcpNoDelay(true);
+                        peers.add(peer);
+                        Stands.daemon("engine's peer", () -> serve(peer));
+                    }
+                });
     }
 
     InetSocketAddress address() {
@@ -49,7 +55,8 @@
 
     private void serve(Socket peer) throws IOException {
         try (peer) {
-            DataInputStream in = new DataInputStream(new BufferedInputStream(peer.getInputStream()));
+            DataInputStream in =
+                    new DataInputStream(new BufferedInputStream(peer.getInputStream()));
             while (true) {
                 String[] words = command(in);
                 if (words[0].equals("REQ")) {
@@ -76,8 +83,16 @@
     private void end(Socket peer, String id) {
         if (ended(id)) {
             try {
-                peer.getOutputStream().write(array(id, "DONE", "sheets=1,stats=util:" + (double) Math.min(CORES, running.size()) / CORES
-                        + ";inflight:" + running.size(), "row\n"));
+                peer.getOutputStream()
+                        .write(
+                                array(
+                                        id,
+                                        "DONE",
+                                        "sheets=1,stats=util:"
+                                                + (double) Math.min(CORES, running.size()) / CORES
+                                                + ";inflight:"
+                                                + running.size(),
+                                        "row\n"));
             } catch (IOException e) {
                 // Who asked is gone; that it ran is recorded.
             }
@@ -88,7 +103,9 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(("*" + parts.length + "\r\n").getBytes(StandardCharsets.US_ASCII));
         for (String part : parts) {
-            out.writeBytes(("$" + part.length() + "\r\n" + part + "\r\n").getBytes(StandardCharsets.US_ASCII));
+            out.writeBytes(
+                    ("$" + part.length() + "\r\n" + part + "\r\n")
+                            .getBytes(StandardCharsets.US_ASCII));
         }
         return out.toByteArray();
     }
--- a/src/measure/java/calicostream/rig/Fleet.java
+++ b/src/measure/java/calicostream/rig/Fleet.java
@@ -20,8 +20,9 @@
 import java.util.function.Predicate;
 
 /**
- * Members of one cluster, each a process of the program, with a relay on every directed link between any two; engines, change log and
- * clients are stand-ins that all of them share. One thread uses it; {@link #close} ends every process, whatever state it is in.
+ * Members of one cluster, each a process of the program, with a relay on every directed link
+ * between any two; engines, change log and clients are stand-ins that all of them share. One thread
+ * uses it; {@link #close} ends every process, whatever state it is in.
  */
 final class Fleet implements AutoCloseable {
     /**
@@ -30,8 +31,17 @@
      * @param settings lines of the cluster's file behind those of members and links
      */
     record Plan(int members, int voters, boolean clustered, String settings) {
-        static final String QUICK = "[raft]\nheartbeat = \"100ms\"\nmissed = 5\nelection = \"300ms\"\nsnapshot_every = 1000\n"
-                + "[session]\nttl = \"1500ms\"\nretry = \"100ms\"\n[lease]\nttl = \"1s\"\n";
+        static final String QUICK =
+                "[raft]\n"
+                        + "heartbeat = \"100ms\"\n"
+                        + "missed = 5\n"
+                        + "election = \"300ms\"\n"
+                        + "snapshot_every = 1000\n"
+                        + "[session]\n"
+                        + "ttl = \"1500ms\"\n"
+                        + "retry = \"100ms\"\n"
+                        + "[lease]\n"
+                        + "ttl = \"1s\"\n";
 
         static Plan of(int members, int voters) {
             return new Plan(members, voters, true, QUICK);
@@ -76,17 +86,27 @@
         for (int from = 1; plan.clustered() && from <= plan.members(); from++) {
             for (int to = 1; to <= plan.members(); to++) {
                 if (from != to) {
-                    links.put(key(from, to), relays.open(new InetSocketAddress(own, 0), addresses.get(to - 1)));
+                    links.put(
+                            key(from, to),
+                            relays.open(new InetSocketAddress(own, 0), addresses.get(to - 1)));
                 }
             }
         }
     }
 
-    /** A loopback address of this rig alone, so that a port that was free stays free until a member takes it. */
+    /**
+     * A loopback address of this rig alone, so that a port that was free stays free until a member
+     * takes it.
+     */
     private static InetAddress ownAddress() throws IOException {
         Random random = new Random(ProcessHandle.current().pid() * 31 + System.nanoTime());
-        return InetAddress.getByAddress(new byte[] {127, (byte) (1 + random.nextInt(250)), (byte) random.nextInt(256),
-                (byte) (1 + random.nextInt(250))});
+        return InetAddress.getByAddress(
+                new byte[] {
+                    127,
+                    (byte) (1 + random.nextInt(250)),
+                    (byte) random.nextInt(256),
+                    (byte) (1 + random.nextInt(250))
+                });
     }
 
     private static InetSocketAddress free(InetAddress at) throws IOException {
@@ -99,7 +119,8 @@
         return from * 1000 + to;
     }
 
-    // ---- Processes ---------------------------------------------------------------------------------------
+    // ---- Processes
+    // ---------------------------------------------------------------------------------------
 
     /** Starts all, and returns when each serves. */
     void startAll() throws Exception {
@@ -125,24 +146,45 @@
 
     /** A further process with the settings of a member but for its folder of settings. */
     Proc proc(int member, int place, String... properties) throws IOException {
-        Path home = Files.createDirectories(folder.resolve((plan.clustered() ? "m" : "off") + place));
+        Path home =
+                Files.createDirectories(folder.resolve((plan.clustered() ? "m" : "off") + place));
         List<String> known = new ArrayList<>();
         for (int i = 0; i < engines.size(); i++) {
             known.add(Program.endpoint("e" + i, engines.get(i).address(), "Ready", 0));
         }
         Path config = Program.configure(home, 0, list.port(), known, 256);
-        List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:+UseSerialGC", "-Xmx48m", "-XX:TieredStopAtLevel=1", "-XX:CICompilerCount=1", "-Xshare:auto",
-                "--add-opens=java.base/java.nio=ALL-UNNAMED", "-Dcalicostream.deploy=" + home));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-XX:+UseSerialGC",
+                                "-Xmx48m",
+                                "-XX:TieredStopAtLevel=1",
+                                "-XX:CICompilerCount=1",
+                                "-Xshare:auto",
+                                "--add-opens=java.base/java.nio=ALL-UNNAMED",
+                                "-Dcalicostream.deploy=" + home));
         if (plan.clustered()) {
-            command.addAll(List.of("-Dcalicostream.cluster.disks=calicostream.rig.RigDisks", "-D" + RigDisks.PROPERTY + "=" + disk(place),
-                    "-Dcalicostream.lease.tasks=calicostream.rig.RigTasks", "-D" + RigTasks.PROPERTY + "=" + resource.port() + " m" + place));
+            command.addAll(
+                    List.of(
+                            "-Dcalicostream.cluster.disks=calicostream.rig.RigDisks",
+                            "-D" + RigDisks.PROPERTY + "=" + disk(place),
+                            "-Dcalicostream.lease.tasks=calicostream.rig.RigTasks",
+                            "-D" + RigTasks.PROPERTY + "=" + resource.port() + " m" + place));
         }
         command.addAll(List.of(properties));
-        command.addAll(List.of("-cp", System.getProperty("java.class.path"), "calicostream.Main", "serve"));
-        Map<String, String> environment = new HashMap<>(Map.of("NODE_CONFIG", config.toString(), "TMPDIR", home.toString()));
+        command.addAll(
+                List.of(
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "calicostream.Main",
+                        "serve"));
+        Map<String, String> environment =
+                new HashMap<>(Map.of("NODE_CONFIG", config.toString(), "TMPDIR", home.toString()));
         if (plan.clustered()) {
-            environment.put("NODE_CLUSTER", Files.writeString(home.resolve("cluster.toml"), settings(member)).toString());
+            environment.put(
+                    "NODE_CLUSTER",
+                    Files.writeString(home.resolve("cluster.toml"), settings(member)).toString());
         }
         Proc proc = new Proc("member " + member, command, environment);
         all.add(proc);
@@ -150,19 +192,42 @@
     }
 
     private String settings(int self) {
-        StringBuilder out = new StringBuilder("enabled = true\n[cluster]\nname = \"" + cluster + "\"\n[member]\nname = \"m" + self + "\"\ndata = \""
-                + data(self) + "\"\nmarks = \"" + marks(self) + "\"\ngeneration = " + generations.getOrDefault(self, 0) + "\n");
+        StringBuilder out =
+                new StringBuilder(
+                        "enabled = true\n[cluster]\nname = \""
+                                + cluster
+                                + "\"\n[member]\nname = \"m"
+                                + self
+                                + "\"\ndata = \""
+                                + data(self)
+                                + "\"\nmarks = \""
+                                + marks(self)
+                                + "\"\ngeneration = "
+                                + generations.getOrDefault(self, 0)
+                                + "\n");
         for (int i = 1; i <= plan.members(); i++) {
             InetSocketAddress at = addresses.get(i - 1);
-            out.append(voters.contains(i) ? "[[voters]]\n" : "[[members]]\n").append("name = \"m").append(i).append("\"\nnumber = ")
-                    .append(i).append("\naddress = \"").append(text(at)).append("\"\n");
+            out.append(voters.contains(i) ? "[[voters]]\n" : "[[members]]\n")
+                    .append("name = \"m")
+                    .append(i)
+                    .append("\"\nnumber = ")
+                    .append(i)
+                    .append("\naddress = \"")
+                    .append(text(at))
+                    .append("\"\n");
         }
         for (int to = 1; to <= plan.members(); to++) {
             if (to != self) {
-                out.append("[[links]]\nto = \"m").append(to).append("\"\nvia = \"").append(via(self, to)).append("\"\n");
+                out.append("[[links]]\nto = \"m")
+                        .append(to)
+                        .append("\"\nvia = \"")
+                        .append(via(self, to))
+                        .append("\"\n");
             }
         }
-        return out + plan.settings().replace("[lease]\n", "[lease]\ntokens_above = " + tokensAbove + "\n");
+        return out
+                + plan.settings()
+                        .replace("[lease]\n", "[lease]\ntokens_above = " + tokensAbove + "\n");
     }
 
     private String via(int from, int to) {
@@ -185,7 +250,11 @@
     /** What the member's disk does from now on, at its next call. */
     void disk(int member, RigDisks.Lie lie, long amount) throws IOException {
         Path next = Files.writeString(folder.resolve("disk.next"), lie + " " + amount);
-        Files.move(next, disk(member), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(
+                next,
+                disk(member),
+                StandardCopyOption.ATOMIC_MOVE,
+                StandardCopyOption.REPLACE_EXISTING);
     }
 
     /** The folder that is this member's alone. */
@@ -198,7 +267,10 @@
         return folder.resolve(cluster + "-" + RigDisks.HONEST + member);
     }
 
-    /** Whoever is started from now on is of a new group with these voters and only tokens above that, and begins with empty folders. */
+    /**
+     * Whoever is started from now on is of a new group with these voters and only tokens above
+     * that, and begins with empty folders.
+     */
     void regroup(String name, List<Integer> first, long above) {
         cluster = name;
         tokensAbove = above;
@@ -266,7 +338,8 @@
         return running.get(member).awaitExit();
     }
 
-    // ---- Links -------------------------------------------------------------------------------------------
+    // ---- Links
+    // -------------------------------------------------------------------------------------------
 
     Relays.Link link(int from, int to) {
         return links.get(key(from, to));
@@ -300,7 +373,8 @@
         return java.util.stream.IntStream.rangeClosed(1, plan.members()).boxed().toList();
     }
 
-    // ---- What operators see ------------------------------------------------------------------------------
+    // ---- What operators see
+    // ------------------------------------------------------------------------------
 
     /** What the member tells operators of the cluster. */
     JsonObject signs(int member) throws IOException {
@@ -324,15 +398,25 @@
     /** Waits until the member's signs are so. */
     JsonObject awaitSigns(int member, String what, Predicate<JsonObject> so) throws Exception {
         JsonObject[] last = new JsonObject[1];
-        Await.until(() -> so.test(last[0] = signs(member)), () -> "member " + member + ", waiting for " + what + ": " + last[0] + "\n"
-                + String.join("\n", running.get(member).lines()));
+        Await.until(
+                () -> so.test(last[0] = signs(member)),
+                () ->
+                        "member "
+                                + member
+                                + ", waiting for "
+                                + what
+                                + ": "
+                                + last[0]
+                                + "\n"
+                                + String.join("\n", running.get(member).lines()));
         return last[0];
     }
 
     /** Waits until one of these leads and all of them say so; its number. */
     int awaitLeader(List<Integer> among) throws Exception {
         int[] leader = new int[1];
-        Await.until(() -> agreed(among, leader), () -> "no leader among " + among + ": " + told(among));
+        Await.until(
+                () -> agreed(among, leader), () -> "no leader among " + among + ": " + told(among));
         return leader[0];
     }
 
--- a/src/measure/java/calicostream/rig/History.java
+++ b/src/measure/java/calicostream/rig/History.java
@@ -5,31 +5,52 @@
 import java.util.List;
 
 /**
- * What the stand-ins saw, in one process and by its one monotonic clock (nanoseconds). Any thread adds; {@link #copy} is what a judge
- * reads. Nothing in here was told by a process of the program about itself.
+ * What the stand-ins saw, in one process and by its one monotonic clock (nanoseconds). Any thread
+ * adds; {@link #copy} is what a judge reads. Nothing in here was told by a process of the program
+ * about itself.
  */
 final class History {
     /** A client wrote a whole request to a front end. */
-    record Asked(String id, int front, long at) { }
+    record Asked(String id, int front, long at) {}
 
     /** A client read a whole answer. */
-    record Answered(String id, int front, long at, Answer answer) { }
+    record Answered(String id, int front, long at, Answer answer) {}
 
-    enum Answer { SERVED, REFUSED, DEADLINE, FAILED }
+    enum Answer {
+        SERVED,
+        REFUSED,
+        DEADLINE,
+        FAILED
+    }
 
-    /** The connection ended with requests on it that had no answer; {@code expected} if the rig had ended that process. */
-    record Dropped(String id, int front, long at, boolean expected) { }
+    /**
+     * The connection ended with requests on it that had no answer; {@code expected} if the rig had
+     * ended that process.
+     */
+    record Dropped(String id, int front, long at, boolean expected) {}
 
-    /** An engine ran a request from then to then; {@code to} is {@link Long#MAX_VALUE} where it never ended. */
-    record Ran(String id, int engine, long from, long to) { }
+    /**
+     * An engine ran a request from then to then; {@code to} is {@link Long#MAX_VALUE} where it
+     * never ended.
+     */
+    record Ran(String id, int engine, long from, long to) {}
 
-    /** A resource was asked to act, and did or refused. {@code number} is the actor's count of its own acts. */
-    record Act(String lease, long token, String who, long number, long at, boolean done) { }
+    /**
+     * A resource was asked to act, and did or refused. {@code number} is the actor's count of its
+     * own acts.
+     */
+    record Act(String lease, long token, String who, long number, long at, boolean done) {}
 
     /** The rig did something to the fleet. */
-    record Done(String what, long at) { }
+    record Done(String what, long at) {}
 
-    record All(List<Asked> asked, List<Answered> answered, List<Dropped> dropped, List<Ran> ran, List<Act> acts, List<Done> done) { }
+    record All(
+            List<Asked> asked,
+            List<Answered> answered,
+            List<Dropped> dropped,
+            List<Ran> ran,
+            List<Act> acts,
+            List<Done> done) {}
 
     private final List<Asked> asked = new ArrayList<>();
     private final List<Answered> answered = new ArrayList<>();
@@ -63,7 +84,12 @@
     }
 
     synchronized All copy() {
-        return new All(List.copyOf(asked), List.copyOf(answered), List.copyOf(dropped), List.copyOf(ran), List.copyOf(acts),
+        return new All(
+                List.copyOf(asked),
+                List.copyOf(answered),
+                List.copyOf(dropped),
+                List.copyOf(ran),
+                List.copyOf(acts),
                 List.copyOf(done));
     }
 }
--- a/src/measure/java/calicostream/rig/Judge.java
+++ b/src/measure/java/calicostream/rig/Judge.java
@@ -17,7 +17,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Judges what was recorded; pure, and without any class of the program, so that both can't be wrong in the same way. */
+/**
+ * Judges what was recorded; pure, and without any class of the program, so that both can't be wrong
+ * in the same way.
+ */
 final class Judge {
     private final History.All all;
 
@@ -25,7 +28,10 @@
         this.all = all;
     }
 
-    /** Requests without an end: no answer, and the connection is not known to have ended with a process that the rig ended. */
+    /**
+     * Requests without an end: no answer, and the connection is not known to have ended with a
+     * process that the rig ended.
+     */
     List<String> lost() {
         Set<String> ended = new HashSet<>();
         all.answered().forEach(each -> ended.add(each.id()));
@@ -46,33 +52,61 @@
         return all.ran().stream().map(Ran::id).filter(id -> !seen.add(id)).toList();
     }
 
-    /** Of what these front ends were asked in the window: how many have this answer; null for those that have no end yet. */
+    /**
+     * Of what these front ends were asked in the window: how many have this answer; null for those
+     * that have no end yet.
+     */
     long ended(Set<Integer> fronts, long from, long to, Answer how) {
         Map<String, Answer> ends = new HashMap<>();
         all.answered().forEach(each -> ends.put(each.id(), each.answer()));
         all.dropped().forEach(each -> ends.put(each.id(), Answer.FAILED));
-        return all.asked().stream().filter(each -> fronts.contains(each.front()) && each.at() >= from && each.at() < to)
-                .filter(each -> ends.get(each.id()) == how).count();
+        return all.asked().stream()
+                .filter(
+                        each ->
+                                fronts.contains(each.front())
+                                        && each.at() >= from
+                                        && each.at() < to)
+                .filter(each -> ends.get(each.id()) == how)
+                .count();
     }
 
-    /** Share of what was asked in the window that was served, of these front ends; NaN if nothing was asked. */
+    /**
+     * Share of what was asked in the window that was served, of these front ends; NaN if nothing
+     * was asked.
+     */
     double served(Set<Integer> fronts, long from, long to) {
-        long asked = all.asked().stream().filter(each -> fronts.contains(each.front()) && each.at() >= from && each.at() < to).count();
+        long asked =
+                all.asked().stream()
+                        .filter(
+                                each ->
+                                        fronts.contains(each.front())
+                                                && each.at() >= from
+                                                && each.at() < to)
+                        .count();
         return (double) ended(fronts, from, to, Answer.SERVED) / asked;
     }
 
     /** Nanoseconds from asked to answered, rising. */
     List<Long> waits(Set<Integer> fronts, long from, long to) {
         Map<String, Long> asked = new HashMap<>();
-        all.asked().stream().filter(each -> fronts.contains(each.front()) && each.at() >= from && each.at() < to)
+        all.asked().stream()
+                .filter(
+                        each ->
+                                fronts.contains(each.front())
+                                        && each.at() >= from
+                                        && each.at() < to)
                 .forEach(each -> asked.put(each.id(), each.at()));
-        return all.answered().stream().filter(each -> asked.containsKey(each.id())).map(each -> each.at() - asked.get(each.id()))
-                .sorted().toList();
+        return all.answered().stream()
+                .filter(each -> asked.containsKey(each.id()))
+                .map(each -> each.at() - asked.get(each.id()))
+                .sorted()
+                .toList();
     }
 
     /**
-     * Acts that must not have been done: under a token lower than one that had acted on that lease, under a token that another one
-     * had acted under, or the same act of the same actor again. In the order in which the resource did them.
+     * Acts that must not have been done: under a token lower than one that had acted on that lease,
+     * under a token that another one had acted under, or the same act of the same actor again. In
+     * the order in which the resource did them.
      */
     List<Act> doubleActs() {
         List<Act> out = new ArrayList<>();
@@ -93,15 +127,28 @@
     }
 
     private List<Act> acts() {
-        return all.acts().stream().filter(Act::done).sorted(Comparator.comparingLong(Act::at)).toList();
+        return all.acts().stream()
+                .filter(Act::done)
+                .sorted(Comparator.comparingLong(Act::at))
+                .toList();
     }
 
-    /** For each of these ends of a holder: nanoseconds to the first act under a higher token than all before it; none if there was none. */
+    /**
+     * For each of these ends of a holder: nanoseconds to the first act under a higher token than
+     * all before it; none if there was none.
+     */
     List<Long> handovers(String lease, List<Long> ends) {
         List<Long> out = new ArrayList<>();
         for (long end : ends) {
-            long before = acts().stream().filter(a -> a.lease().equals(lease) && a.at() <= end).mapToLong(Act::token).max().orElse(0);
-            acts().stream().filter(a -> a.lease().equals(lease) && a.at() > end && a.token() > before).findFirst()
+            long before =
+                    acts().stream()
+                            .filter(a -> a.lease().equals(lease) && a.at() <= end)
+                            .mapToLong(Act::token)
+                            .max()
+                            .orElse(0);
+            acts().stream()
+                    .filter(a -> a.lease().equals(lease) && a.at() > end && a.token() > before)
+                    .findFirst()
                     .ifPresent(next -> out.add(next.at() - end));
         }
         return out;
@@ -117,11 +164,15 @@
         return running().stream().mapToInt(Integer::intValue).max().orElse(0);
     }
 
-    /** For each request that an engine began to run: how many it then ran. What ended at that moment has ended. */
+    /**
+     * For each request that an engine began to run: how many it then ran. What ended at that moment
+     * has ended.
+     */
     private List<Integer> running() {
         Map<Integer, TreeMap<Long, int[]>> changes = new HashMap<>();
         for (Ran each : all.ran()) {
-            TreeMap<Long, int[]> of = changes.computeIfAbsent(each.engine(), key -> new TreeMap<>());
+            TreeMap<Long, int[]> of =
+                    changes.computeIfAbsent(each.engine(), key -> new TreeMap<>());
             of.computeIfAbsent(each.from(), key -> new int[2])[0]++;
             of.computeIfAbsent(each.to(), key -> new int[2])[1]++;
         }
@@ -140,8 +191,17 @@
 
     /** The longest time in the window in which a front end that was asked served nobody. */
     long longestSilence(int front, long from, long to) {
-        List<Long> served = new ArrayList<>(all.answered().stream().filter(each -> each.front() == front
-                && each.answer() == Answer.SERVED && each.at() >= from && each.at() < to).map(Answered::at).toList());
+        List<Long> served =
+                new ArrayList<>(
+                        all.answered().stream()
+                                .filter(
+                                        each ->
+                                                each.front() == front
+                                                        && each.answer() == Answer.SERVED
+                                                        && each.at() >= from
+                                                        && each.at() < to)
+                                .map(Answered::at)
+                                .toList());
         Collections.sort(served);
         long longest = 0;
         long last = from;
@@ -154,6 +214,9 @@
 
     /** The value that so great a share of the list, which rises, does not exceed. */
     static long percentile(List<Long> rising, double share) {
-        return rising.isEmpty() ? 0 : rising.get(Math.min(rising.size() - 1, (int) Math.ceil(share * rising.size()) - 1));
+        return rising.isEmpty()
+                ? 0
+                : rising.get(
+                        Math.min(rising.size() - 1, (int) Math.ceil(share * rising.size()) - 1));
     }
 }
--- a/src/measure/java/calicostream/rig/LinkFault.java
+++ b/src/measure/java/calicostream/rig/LinkFault.java
@@ -4,18 +4,27 @@
 /**
  * What is wrong with a directed link. Immutable.
  *
- * @param amount nanoseconds for DELAY, bytes a second for THROTTLE, bytes for RESET_AFTER and ROT; else without meaning
+ * @param amount nanoseconds for DELAY, bytes a second for THROTTLE, bytes for RESET_AFTER and ROT;
+ *     else without meaning
  */
 record LinkFault(Kind kind, long amount) {
     enum Kind {
         NONE,
-        /** Connections are closed, and new ones as soon as they come; what was under way is lost. */
+        /**
+         * Connections are closed, and new ones as soon as they come; what was under way is lost.
+         */
         CUT,
         /** Connections stay, and new ones are taken; bytes wait, and go on once it is over. */
         STALL,
-        /** New connections are taken and nothing is read from any, so that the sender's own buffers fill. */
+        /**
+         * New connections are taken and nothing is read from any, so that the sender's own buffers
+         * fill.
+         */
         MUTE,
-        /** Everything is taken and nothing passed on; once it is over the connections end, as their streams have a hole. */
+        /**
+         * Everything is taken and nothing passed on; once it is over the connections end, as their
+         * streams have a hole.
+         */
         SWALLOW,
         /** Each byte comes later by this much. */
         DELAY,
@@ -33,7 +42,11 @@
     static final LinkFault SWALLOW = new LinkFault(Kind.SWALLOW, 0);
 
     LinkFault {
-        if (amount <= 0 && (kind == Kind.DELAY || kind == Kind.THROTTLE || kind == Kind.RESET_AFTER || kind == Kind.ROT)) {
+        if (amount <= 0
+                && (kind == Kind.DELAY
+                        || kind == Kind.THROTTLE
+                        || kind == Kind.RESET_AFTER
+                        || kind == Kind.ROT)) {
             throw new IllegalArgumentException(kind + " needs an amount");
         }
     }
--- a/src/measure/java/calicostream/rig/ListStand.java
+++ b/src/measure/java/calicostream/rig/ListStand.java
@@ -12,21 +12,35 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** A change log with any number of followers and nothing new to tell, which says each half second that it is there. */
+/**
+ * A change log with any number of followers and nothing new to tell, which says each half second
+ * that it is there.
+ */
 final class ListStand implements AutoCloseable {
     private final ServerSocket server = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
     private final Set<Socket> followers = ConcurrentHashMap.newKeySet();
-    private final ScheduledExecutorService beat = Executors.newSingleThreadScheduledExecutor(Stands.daemons("change log"));
+    private final ScheduledExecutorService beat =
+            Executors.newSingleThreadScheduledExecutor(Stands.daemons("change log"));
 
     ListStand() throws IOException {
-        Stands.daemon("change log's door", () -> {
-            while (!server.isClosed()) {
-                Socket follower = server.accept();
-                write(follower, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: here\n\n");
-                followers.add(follower);
-            }
-        });
-        beat.scheduleAtFixedRate(() -> followers.forEach(each -> write(each, ": here\n\n")), 500, 500, TimeUnit.MILLISECONDS);
+        Stands.daemon(
+                "change log's door",
+                () -> {
+                    while (!server.isClosed()) {
+                        Socket follower = server.accept();
+                        write(
+                                follower,
+                                "HTTP/1.1 200 OK\r\n"
+                                        + "Content-Type: text/event-stream\r\n\r\n"
+                                        + ": here\n\n");
+                        followers.add(follower);
+                    }
+                });
+        beat.scheduleAtFixedRate(
+                () -> followers.forEach(each -> write(each, ": here\n\n")),
+                500,
+                500,
+                TimeUnit.MILLISECONDS);
     }
 
     private void write(Socket follower, String text) {
--- a/src/measure/java/calicostream/rig/Load.java
+++ b/src/measure/java/calicostream/rig/Load.java
@@ -18,20 +18,25 @@
 import java.util.regex.Pattern;
 
 /**
- * Clients in open loop: one connection to each front end, a request on each so often, whatever became of those before. Every request
- * and every end of one is recorded.
+ * Clients in open loop: one connection to each front end, a request on each so often, whatever
+ * became of those before. Every request and every end of one is recorded.
  */
 final class Load implements AutoCloseable {
     private static final Pattern ID = Pattern.compile("\"id\":(\\d+)");
     private static final int DEADLINE_MS = 4000;
     private final History history;
     private final Map<Integer, Client> clients = new ConcurrentHashMap<>();
-    private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(Stands.daemons("load"));
+    private final ScheduledExecutorService timer =
+            Executors.newSingleThreadScheduledExecutor(Stands.daemons("load"));
     private final AtomicLong numbers = new AtomicLong();
 
     Load(History history, long everyMs) {
         this.history = history;
-        timer.scheduleAtFixedRate(() -> clients.values().forEach(Client::ask), everyMs, everyMs, TimeUnit.MILLISECONDS);
+        timer.scheduleAtFixedRate(
+                () -> clients.values().forEach(Client::ask),
+                everyMs,
+                everyMs,
+                TimeUnit.MILLISECONDS);
     }
 
     /** From now on this front end is asked, there. */
@@ -41,7 +46,10 @@
         Stands.daemon("client of " + front, client::read);
     }
 
-    /** This front end is asked nothing more; what is under way goes on. {@code gone}: the rig is about to end that process. */
+    /**
+     * This front end is asked nothing more; what is under way goes on. {@code gone}: the rig is
+     * about to end that process.
+     */
     void end(int front, boolean gone) {
         Client client = clients.remove(front);
         if (client != null && gone) {
@@ -54,7 +62,9 @@
         timer.shutdown();
         timer.awaitTermination(Proc.PATIENCE_MS, TimeUnit.MILLISECONDS);
         for (Client each : clients.values()) {
-            Await.until(() -> each.open.isEmpty(), () -> "front end " + each.front + " owes " + each.open.size() + " answers");
+            Await.until(
+                    () -> each.open.isEmpty(),
+                    () -> "front end " + each.front + " owes " + each.open.size() + " answers");
         }
     }
 
@@ -79,7 +89,10 @@
             socket.setTcpNoDelay(true);
         }
 
-        /** On the timer's thread; a front end that reads nothing fills the socket only after some thousand requests. */
+        /**
+         * On the timer's thread; a front end that reads nothing fills the socket only after some
+         * thousand requests.
+         */
         synchronized void ask() {
             if (broken || socket.isClosed()) {
                 return;
@@ -89,8 +102,16 @@
             open.put(number, id);
             long at = System.nanoTime();
             try {
-                socket.getOutputStream().write(("{\"jsonrpc\":\"2.0\",\"id\":" + number + ",\"method\":\"lookup\",\"params\":{\"i\":\""
-                        + id + "\",\"d\":" + DEADLINE_MS + ",\"content\":\"c2VsZWN0IDE=\"}}\n").getBytes(StandardCharsets.US_ASCII));
+                socket.getOutputStream()
+                        .write(
+                                ("{\"jsonrpc\":\"2.0\",\"id\":"
+                                                + number
+                                                + ",\"method\":\"lookup\",\"params\":{\"i\":\""
+                                                + id
+                                                + "\",\"d\":"
+                                                + DEADLINE_MS
+                                                + ",\"content\":\"c2VsZWN0IDE=\"}}\n")
+                                        .getBytes(StandardCharsets.US_ASCII));
                 history.add(new History.Asked(id, front, at));
             } catch (IOException e) {
                 open.remove(number);
@@ -99,13 +120,21 @@
         }
 
         void read() {
-            try (BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII))) {
+            try (BufferedReader in =
+                    new BufferedReader(
+                            new InputStreamReader(
+                                    socket.getInputStream(), StandardCharsets.US_ASCII))) {
                 for (String line = in.readLine(); line != null; line = in.readLine()) {
                     Matcher id = ID.matcher(line);
                     if (id.find()) {
                         long number = Long.parseLong(id.group(1));
                         open.remove(number);
-                        history.add(new History.Answered(String.format("%016x", number), front, System.nanoTime(), answer(line)));
+                        history.add(
+                                new History.Answered(
+                                        String.format("%016x", number),
+                                        front,
+                                        System.nanoTime(),
+                                        answer(line)));
                     }
                 }
             } catch (IOException e) {
@@ -116,7 +145,10 @@
 
         private synchronized void dropAll() {
             broken = true;
-            open.forEach((number, id) -> history.add(new History.Dropped(id, front, System.nanoTime(), expected)));
+            open.forEach(
+                    (number, id) ->
+                            history.add(
+                                    new History.Dropped(id, front, System.nanoTime(), expected)));
             open.clear();
         }
     }
@@ -125,7 +157,8 @@
         if (line.contains("\"result\"")) {
             return Answer.SERVED;
         }
-        return line.contains("\"code\":-32000") && line.contains("\"w\":") ? Answer.REFUSED
+        return line.contains("\"code\":-32000") && line.contains("\"w\":")
+                ? Answer.REFUSED
                 : line.contains("not answered in time") ? Answer.DEADLINE : Answer.FAILED;
     }
 }
--- a/src/measure/java/calicostream/rig/Passage.java
+++ b/src/measure/java/calicostream/rig/Passage.java
@@ -5,13 +5,15 @@
 import java.util.ArrayDeque;
 
 /**
- * What passes when in one direction of a relayed connection: counts of bytes and times, no bytes and no sockets. Times are monotonic
- * nanoseconds and never go back. At most {@link #ROOM} bytes wait; what does not fit is not read, so that the sender feels it.
+ * What passes when in one direction of a relayed connection: counts of bytes and times, no bytes
+ * and no sockets. Times are monotonic nanoseconds and never go back. At most {@link #ROOM} bytes
+ * wait; what does not fit is not read, so that the sender feels it.
  */
 final class Passage {
     static final int ROOM = 64 * 1024;
     private static final long NEVER = Long.MAX_VALUE;
-    private static final long BURST = 20_000_000; // ns of a throttled link's rate that may go at once
+    private static final long BURST =
+            20_000_000; // ns of a throttled link's rate that may go at once
 
     /** Bytes that may go on from then on. */
     private static final class Piece {
@@ -33,7 +35,9 @@
     private double allowance; // bytes
     private boolean holed;
 
-    /** What is wrong from now on. What waits already goes by the new rule, but is not delayed anew. */
+    /**
+     * What is wrong from now on. What waits already goes by the new rule, but is not delayed anew.
+     */
     void set(LinkFault to, long now) {
         if (to.kind() == Kind.SWALLOW) {
             holed |= held > 0;
@@ -74,7 +78,12 @@
             holed = true;
             return;
         }
-        lastDue = Math.max(lastDue, fault.kind() == Kind.DELAY ? now + fault.amount() : now); // Bytes never overtake each other.
+        lastDue =
+                Math.max(
+                        lastDue,
+                        fault.kind() == Kind.DELAY
+                                ? now + fault.amount()
+                                : now); // Bytes never overtake each other.
         pieces.add(new Piece(lastDue, bytes));
         held += bytes;
     }
@@ -95,11 +104,15 @@
             fill(now);
             ripe = (int) Math.min(ripe, allowance);
         }
-        return fault.kind() == Kind.RESET_AFTER ? (int) Math.min(ripe, fault.amount() - passed) : ripe;
+        return fault.kind() == Kind.RESET_AFTER
+                ? (int) Math.min(ripe, fault.amount() - passed)
+                : ripe;
     }
 
     private boolean isHeldBack() {
-        return fault.kind() == Kind.STALL || fault.kind() == Kind.MUTE || fault.kind() == Kind.SWALLOW;
+        return fault.kind() == Kind.STALL
+                || fault.kind() == Kind.MUTE
+                || fault.kind() == Kind.SWALLOW;
     }
 
     private void fill(long now) {
@@ -115,7 +128,7 @@
 
     /** So much of what was due was written. */
     void gave(int bytes) {
-        for (int left = bytes; left > 0;) {
+        for (int left = bytes; left > 0; ) {
             Piece first = pieces.getFirst();
             int part = Math.min(left, first.bytes);
             first.bytes -= part;
--- a/src/measure/java/calicostream/rig/Proc.java
+++ b/src/measure/java/calicostream/rig/Proc.java
@@ -16,15 +16,16 @@
 import java.util.function.Predicate;
 
 /**
- * A process that the rig started: its log is read as it comes, signals go to its own id alone, and it never outlives the rig. Any
- * thread.
+ * A process that the rig started: its log is read as it comes, signals go to its own id alone, and
+ * it never outlives the rig. Any thread.
  */
 final class Proc implements AutoCloseable {
     static final long PATIENCE_MS = 30_000;
     private static final Set<Process> ALL = ConcurrentHashMap.newKeySet();
 
     static {
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> ALL.forEach(Process::destroyForcibly)));
+        Runtime.getRuntime()
+                .addShutdownHook(new Thread(() -> ALL.forEach(Process::destroyForcibly)));
     }
 
     private final String name;
@@ -80,8 +81,15 @@
             wait(100);
             found = lines.stream().filter(has).findFirst();
         }
-        return found.orElseThrow(() -> new AssertionError(name + (ended ? " ended and" : "") + " did not say '" + text + "':\n"
-                + String.join("\n", lines)));
+        return found.orElseThrow(
+                () ->
+                        new AssertionError(
+                                name
+                                        + (ended ? " ended and" : "")
+                                        + " did not say '"
+                                        + text
+                                        + "':\n"
+                                        + String.join("\n", lines)));
     }
 
     void assertAlive() {
@@ -94,13 +102,21 @@
         return process.isAlive();
     }
 
-    /** By the name that {@code kill} knows it by. STOP has taken hold when this returns, where the system tells it. */
+    /**
+     * By the name that {@code kill} knows it by. STOP has taken hold when this returns, where the
+     * system tells it.
+     */
     void signal(String signal) throws Exception {
         if (process.isAlive()) {
-            new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid())).start().waitFor();
+            new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid()))
+                    .start()
+                    .waitFor();
             if (signal.equals("STOP") && Files.exists(stat())) {
-                // One thread hears of it and tells the others: until it has run, on a busy machine, they go on.
-                Await.until(() -> Files.readString(stat()).replaceFirst(".*\\) ", "").startsWith("T"), () -> name + " does not stop");
+                // One thread hears of it and tells the others: until it has run, on a busy machine,
+                // they go on.
+                Await.until(
+                        () -> Files.readString(stat()).replaceFirst(".*\\) ", "").startsWith("T"),
+                        () -> name + " does not stop");
             }
         }
     }
