--- a/src/measure/java/calicostream/rig/Relays.java
+++ b/src/measure/java/calicostream/rig/Relays.java
@@ -22,8 +22,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * All relays, on one selector thread of their own; {@link Passage} decides, this moves the bytes. Any thread may open links and switch
- * faults. An error on a connection ends that connection as it would end without a relay; {@link #close} ends everything.
+ * All relays, on one selector thread of their own; {@link Passage} decides, this moves the bytes.
+ * Any thread may open links and switch faults. An error on a connection ends that connection as it
+ * would end without a relay; {@link #close} ends everything.
  */
 final class Relays implements AutoCloseable {
     private final Selector selector = Selector.open();
@@ -37,7 +38,9 @@
         thread.start();
     }
 
-    /** One directed link: who connects to {@link #at} reaches the target, by the fault that is set. */
+    /**
+     * One directed link: who connects to {@link #at} reaches the target, by the fault that is set.
+     */
     final class Link {
         private final ServerSocketChannel listener = ServerSocketChannel.open();
         private final InetSocketAddress target;
@@ -56,11 +59,14 @@
 
         /** Takes hold soon, not at once; {@link Relays#settle} waits for it. */
         void set(LinkFault to) {
-            post(() -> {
-                fault = to;
-                long now = System.nanoTime();
-                connections.stream().filter(c -> c.link == this).forEach(c -> c.set(to, now));
-            });
+            post(
+                    () -> {
+                        fault = to;
+                        long now = System.nanoTime();
+                        connections.stream()
+                                .filter(c -> c.link == this)
+                                .forEach(c -> c.set(to, now));
+                    });
         }
 
         /** Connections that came so far. */
@@ -106,7 +112,11 @@
         try {
             while (!closed) {
                 long now = System.nanoTime();
-                long next = connections.stream().mapToLong(c -> c.nextLook(now)).min().orElse(Long.MAX_VALUE);
+                long next =
+                        connections.stream()
+                                .mapToLong(c -> c.nextLook(now))
+                                .min()
+                                .orElse(Long.MAX_VALUE);
                 if (next == Long.MAX_VALUE) {
                     selector.select();
                 } else if (next <= now) {
@@ -126,7 +136,9 @@
                 }
                 selector.selectedKeys().clear();
                 long woken = System.nanoTime();
-                List.copyOf(connections).stream().filter(c -> c.ready || c.nextLook(woken) <= woken).forEach(Both::turn);
+                List.copyOf(connections).stream()
+                        .filter(c -> c.ready || c.nextLook(woken) <= woken)
+                        .forEach(Both::turn);
             }
         } catch (IOException e) {
             throw new IllegalStateException("the relays' selector failed", e);
@@ -239,7 +251,10 @@
                 }
                 if (near.isOpen()) {
                     nearKey.interestOps(forth.readInterest() | back.writeInterest());
-                    farKey.interestOps(far.isConnected() ? back.readInterest() | forth.writeInterest() : SelectionKey.OP_CONNECT);
+                    farKey.interestOps(
+                            far.isConnected()
+                                    ? back.readInterest() | forth.writeInterest()
+                                    : SelectionKey.OP_CONNECT);
                 }
             } catch (IOException | CancelledKeyException e) {
                 close(); // As either end would see it without a relay.
@@ -254,7 +269,9 @@
             final SocketChannel from;
             final SocketChannel to;
             final Passage passage = new Passage();
-            final ByteBuffer bytes = ByteBuffer.allocate(Passage.ROOM); // What waits, from 0 to what the passage holds.
+            final ByteBuffer bytes =
+                    ByteBuffer.allocate(
+                            Passage.ROOM); // What waits, from 0 to what the passage holds.
             boolean ended;
             boolean blocked;
 
@@ -280,7 +297,10 @@
             }
 
             private int write(int due) throws IOException {
-                byte[] out = Arrays.copyOf(bytes.array(), due); // A spoilt byte that does not go out now may be whole later.
+                byte[] out =
+                        Arrays.copyOf(
+                                bytes.array(),
+                                due); // A spoilt byte that does not go out now may be whole later.
                 for (int i = 0; i < due; i++) {
                     out[i] ^= passage.spoils(i) ? 4 : 0;
                 }
--- a/src/measure/java/calicostream/rig/ResourceStand.java
+++ b/src/measure/java/calicostream/rig/ResourceStand.java
@@ -13,9 +13,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * What leased tasks act upon, in the rig's own process. An actor says that it is about to act, is told to go on, and acts; the gate lets
- * the rig hold one of them between the two, which is after its check that it holds the lease. Tokens are checked unless the rig takes
- * that away, which is the control. Every act is recorded as it is decided, one at a time.
+ * What leased tasks act upon, in the rig's own process. An actor says that it is about to act, is
+ * told to go on, and acts; the gate lets the rig hold one of them between the two, which is after
+ * its check that it holds the lease. Tokens are checked unless the rig takes that away, which is
+ * the control. Every act is recorded as it is decided, one at a time.
  */
 final class ResourceStand implements AutoCloseable {
     private final ServerSocket server = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
@@ -29,13 +30,15 @@
 
     ResourceStand(History history) throws IOException {
         this.history = history;
-        Stands.daemon("resource's door", () -> {
-            while (!server.isClosed()) {
-                Socket peer = server.accept();
-                peers.add(peer);
-                Stands.daemon("resource's peer", () -> serve(peer));
-            }
-        });
+        Stands.daemon(
+                "resource's door",
+                () -> {
+                    while (!server.isClosed()) {
+                        Socket peer = server.accept();
+                        peers.add(peer);
+                        Stands.daemon("resource's peer", () -> serve(peer));
+                    }
+                });
     }
 
     int port() {
@@ -79,11 +82,21 @@
     }
 
     private void serve(Socket peer) throws Exception {
-        try (peer; BufferedReader in = new BufferedReader(new InputStreamReader(peer.getInputStream(), StandardCharsets.US_ASCII))) {
+        try (peer;
+                BufferedReader in =
+                        new BufferedReader(
+                                new InputStreamReader(
+                                        peer.getInputStream(), StandardCharsets.US_ASCII))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 String[] words = line.split(" ");
-                String answer = words[0].equals("READY") ? ready(words[3])
-                        : act(words[1], Long.parseLong(words[2]), words[3], Long.parseLong(words[4]));
+                String answer =
+                        words[0].equals("READY")
+                                ? ready(words[3])
+                                : act(
+                                        words[1],
+                                        Long.parseLong(words[2]),
+                                        words[3],
+                                        Long.parseLong(words[4]));
                 peer.getOutputStream().write((answer + "\n").getBytes(StandardCharsets.US_ASCII));
             }
         } finally {
--- a/src/measure/java/calicostream/rig/RigDisks.java
+++ b/src/measure/java/calicostream/rig/RigDisks.java
@@ -18,10 +18,11 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A member's disks, in the member's own process, which fail or lie as the file says that {@link #PROPERTY} names: its one line is a
- * {@link Lie} and, for SLOW, milliseconds. The file is read at each call, so that the rig switches it at any time. A folder whose path
- * has {@link #HONEST} in it is on another device, which has no faults. Only processes die here and never the machine, so that nothing is
- * forced to the real device: how long that takes is another matter than what is tested.
+ * A member's disks, in the member's own process, which fail or lie as the file says that {@link
+ * #PROPERTY} names: its one line is a {@link Lie} and, for SLOW, milliseconds. The file is read at
+ * each call, so that the rig switches it at any time. A folder whose path has {@link #HONEST} in it
+ * is on another device, which has no faults. Only processes die here and never the machine, so that
+ * nothing is forced to the real device: how long that takes is another matter than what is tested.
  */
 public final class RigDisks implements Disks {
     static final String PROPERTY = "calicostream.rig.disk";
@@ -36,16 +37,21 @@
         READ_ONLY,
         /** Each sync fails and says so. */
         FAILS,
-        /** Nothing is written any more, and each sync says that it was: all of it is gone with the process. */
+        /**
+         * Nothing is written any more, and each sync says that it was: all of it is gone with the
+         * process.
+         */
         FORGETS
     }
 
-    private record Now(Lie lie, long amount) { }
+    private record Now(Lie lie, long amount) {}
 
     @Override
     public Disk open(Path folder) throws DurableException {
         Disk real = new FileDisk(folder);
-        return new Lying(real, folder.toString().contains(HONEST) ? null : Path.of(System.getProperty(PROPERTY)));
+        return new Lying(
+                real,
+                folder.toString().contains(HONEST) ? null : Path.of(System.getProperty(PROPERTY)));
     }
 
     /** Both files of a name: what the disk has, and behind it what it only says that it has. */
@@ -65,7 +71,11 @@
             }
             try {
                 String[] words = Files.readString(control).trim().split(" ");
-                return words[0].isEmpty() ? new Now(Lie.HONEST, 0) : new Now(Lie.valueOf(words[0]), words.length > 1 ? Long.parseLong(words[1]) : 0);
+                return words[0].isEmpty()
+                        ? new Now(Lie.HONEST, 0)
+                        : new Now(
+                                Lie.valueOf(words[0]),
+                                words.length > 1 ? Long.parseLong(words[1]) : 0);
             } catch (IOException e) {
                 throw new UncheckedIOException("the rig wrote no word for the disk", e);
             }
@@ -73,9 +83,13 @@
 
         private void write() throws DurableException {
             switch (now().lie) {
-                case FULL -> throw new DurableException.Full(place(), new IOException("no space left, says the rig"));
-                case READ_ONLY -> throw new DurableException.ReadOnly(place(), new IOException("read-only, says the rig"));
-                default -> { }
+                case FULL ->
+                        throw new DurableException.Full(
+                                place(), new IOException("no space left, says the rig"));
+                case READ_ONLY ->
+                        throw new DurableException.ReadOnly(
+                                place(), new IOException("read-only, says the rig"));
+                default -> {}
             }
         }
 
@@ -129,7 +143,8 @@
                 LockSupport.parkNanos(now.amount * 1_000_000);
             }
             if (now.lie == Lie.FAILS) {
-                throw new DurableException.SyncFailed(name, new IOException("input/output error, says the rig"));
+                throw new DurableException.SyncFailed(
+                        name, new IOException("input/output error, says the rig"));
             }
         }
 
--- a/src/measure/java/calicostream/rig/RigTasks.java
+++ b/src/measure/java/calicostream/rig/RigTasks.java
@@ -16,11 +16,16 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** A leased task in a member's own process: while it holds, it acts at the rig's resource every so often. */
+/**
+ * A leased task in a member's own process: while it holds, it acts at the rig's resource every so
+ * often.
+ */
 public final class RigTasks implements TaskSource {
     static final String LEASE = "rig";
+
     /** The resource's port, and the member's name. */
     static final String PROPERTY = "calicostream.rig.resource";
+
     private static final long EVERY_NANOS = 20_000_000;
 
     @Override
@@ -54,7 +59,10 @@
         }
     }
 
-    /** The resource over a connection that is opened anew when it breaks; a broken act counts as one that may have been done. */
+    /**
+     * The resource over a connection that is opened anew when it breaks; a broken act counts as one
+     * that may have been done.
+     */
     private static final class Remote implements Fenced<Long, String> {
         private final int port;
         private final String who;
@@ -73,12 +81,19 @@
                 if (socket == null) {
                     socket = new Socket(InetAddress.getLoopbackAddress(), port);
                     socket.setTcpNoDelay(true);
-                    in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+                    in =
+                            new BufferedReader(
+                                    new InputStreamReader(
+                                            socket.getInputStream(), StandardCharsets.US_ASCII));
                 }
-                call("READY " + words); // The check is behind it, the act before it: here the rig stops the process.
+                call("READY " + words); // The check is behind it, the act before it: here the rig
+                // stops the process.
                 String answer = call("ACT " + words);
-                return answer.equals("DONE") ? Outcome.done(answer) : Outcome.refused(
-                        new LeaseRejection.TokenOutdated(lease, token, Long.parseLong(answer.split(" ")[1])));
+                return answer.equals("DONE")
+                        ? Outcome.done(answer)
+                        : Outcome.refused(
+                                new LeaseRejection.TokenOutdated(
+                                        lease, token, Long.parseLong(answer.split(" ")[1])));
             } catch (IOException e) {
                 socket = null;
                 throw new UncheckedIOException("the resource does not answer", e);
--- a/src/measure/java/calicostream/rig/Stands.java
+++ b/src/measure/java/calicostream/rig/Stands.java
@@ -9,16 +9,19 @@
         void run() throws Exception;
     }
 
-    private Stands() { }
+    private Stands() {}
 
     static void daemon(String name, Work work) {
-        daemons(name).newThread(() -> {
-            try {
-                work.run();
-            } catch (Exception e) {
-                // The other side is gone; what was recorded by then is what counts.
-            }
-        }).start();
+        daemons(name)
+                .newThread(
+                        () -> {
+                            try {
+                                work.run();
+                            } catch (Exception e) {
+                                // The other side is gone; what was recorded by then is what counts.
+                            }
+                        })
+                .start();
     }
 
     static ThreadFactory daemons(String name) {
--- a/src/measure/java/calicostream/rig/Twins.java
+++ b/src/measure/java/calicostream/rig/Twins.java
@@ -9,8 +9,9 @@
 import java.util.Set;
 
 /**
- * A clustered fleet, and for some of its processes a twin without a cluster under the same load at the same time. What is done to such a
- * process is done to its twin as well, so that what is left between the two is the cluster alone. One thread.
+ * A clustered fleet, and for some of its processes a twin without a cluster under the same load at
+ * the same time. What is done to such a process is done to its twin as well, so that what is left
+ * between the two is the cluster alone. One thread.
  */
 final class Twins implements AutoCloseable {
     final Fleet on;
@@ -20,9 +21,18 @@
 
     Twins(Path folder, Fleet.Plan plan, Set<Integer> twinned, long askEveryMs) throws IOException {
         this.twinned = twinned;
-        on = new Fleet(Files.createDirectories(folder.resolve("on")), plan, new History(), askEveryMs);
-        off = new Fleet(Files.createDirectories(folder.resolve("off")), new Fleet.Plan(plan.members(), plan.voters(), false, ""),
-                new History(), askEveryMs);
+        on =
+                new Fleet(
+                        Files.createDirectories(folder.resolve("on")),
+                        plan,
+                        new History(),
+                        askEveryMs);
+        off =
+                new Fleet(
+                        Files.createDirectories(folder.resolve("off")),
+                        new Fleet.Plan(plan.members(), plan.voters(), false, ""),
+                        new History(),
+                        askEveryMs);
     }
 
     void startAll() throws Exception {
@@ -73,7 +83,8 @@
     boolean look() throws Exception {
         for (int each : List.copyOf(starting)) {
             boolean twin = twinned.contains(each);
-            if (on.proc(each).hasSaid("listens on port") && (!twin || off.proc(each).hasSaid("listens on port"))) {
+            if (on.proc(each).hasSaid("listens on port")
+                    && (!twin || off.proc(each).hasSaid("listens on port"))) {
                 on.awaitServing(each);
                 if (twin) {
                     off.awaitServing(each);
@@ -94,7 +105,8 @@
 
     @Override
     public void close() throws IOException {
-        try (on; off) {
+        try (on;
+                off) {
             on.relays.settle();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/test/java/calicostream/BehaviourTest.java
+++ b/src/test/java/calicostream/BehaviourTest.java
@@ -8,7 +8,6 @@
 import static calicostream.Recorder.queryClass;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -29,7 +28,8 @@
 /** The design, and the exceptions that failures made necessary. */
 class BehaviourTest {
     private static final QueryClass LOOK = look(Effect.REPEATABLE);
-    private static final QueryClass WIDE = queryClass(Effect.REPEATABLE, Scope.ALL, false, 4, false);
+    private static final QueryClass WIDE =
+            queryClass(Effect.REPEATABLE, Scope.ALL, false, 4, false);
 
     private static Set<Long> engines(Recorder r) {
         Set<Long> out = new HashSet<>();
@@ -111,12 +111,16 @@
         assertArrayEquals(r.logic.learned(), next.logic.learned());
     }
 
-    /** Cores stand idle where queries wait for disks or spill: such an engine has no room, whatever its cores report. */
+    /**
+     * Cores stand idle where queries wait for disks or spill: such an engine has no room, whatever
+     * its cores report.
+     */
     @Test
     void engineWhoseMemoryOrDisksAreFullHasNoRoomThoughItsCoresIdle() {
         for (String column : List.of("x0", "x1")) {
             Recorder r = Recorder.with(1, LOOK);
-            QueryRouter.Report cores = QueryRouter.Report.NOTHING.with("inflight", 58).with("util", 0.58);
+            QueryRouter.Report cores =
+                    QueryRouter.Report.NOTHING.with("inflight", 58).with("util", 0.58);
             r.logic.probed(r.now, 1, Outcome.OK, cores.with(column, 0.6));
             r.ask(1, 0);
             assertTrue(r.last(1), "what is counted beyond the cores waits, and is no load");
@@ -129,11 +133,16 @@
         }
     }
 
-    /** Served late it is worth little: what can still be in time goes first, by what runs of its class take now. */
+    /**
+     * Served late it is worth little: what can still be in time goes first, by what runs of its
+     * class take now.
+     */
     @Test
     void heldQueryWhoseClassRunsTooLongForItsAimGivesWay() {
         Recorder r = Recorder.with(1, LOOK, look(Effect.REPEATABLE));
-        for (int i = 1; i <= 3; i++) { // Jammed: runs of 3 s, where the aim is 2.2 s and the work 0.1 s.
+        for (int i = 1;
+                i <= 3;
+                i++) { // Jammed: runs of 3 s, where the aim is 2.2 s and the work 0.1 s.
             r.ask(i, 0, 0, 0, i, 100 * MS);
             r.pass(3 * S);
             r.end(r.lastOf(i), Outcome.OK, 100, 50);
@@ -188,13 +197,16 @@
         int[] sent = new int[2];
         for (int i = 0; i < 2; i++) {
             Recorder r = Recorder.with(Recorder.settings(3, LOOK), 1);
-            r.logic.probed(r.now, 1, Outcome.OK, new QueryRouter.Report(Double.NaN, i == 0 ? 0.7 : 0.1));
+            r.logic.probed(
+                    r.now, 1, Outcome.OK, new QueryRouter.Report(Double.NaN, i == 0 ? 0.7 : 0.1));
             for (int q = 0; q < 30; q++) {
                 r.ask(q, 0);
             }
             sent[i] = r.sent.size();
         }
-        assertTrue(sent[0] > 0 && sent[1] > sent[0], sent[0] + " on a busy engine, " + sent[1] + " on an idle one");
+        assertTrue(
+                sent[0] > 0 && sent[1] > sent[0],
+                sent[0] + " on a busy engine, " + sent[1] + " on an idle one");
     }
 
     @Test
@@ -228,8 +240,23 @@
     @Test
     void heldQueryIsTurnedAwayWhenItWouldEarnNothing() {
         QueryClass late = queryClass(Effect.ONCE, Scope.ALL, false, 4, false);
-        QueryClass never = new QueryClass(2 * S, 2, 10 * S, 1, 0, Effect.ONCE, Scope.ALL, 3 * S, false, false, 4, false, true,
-                List.of(), List.of());
+        QueryClass never =
+                new QueryClass(
+                        2 * S,
+                        2,
+                        10 * S,
+                        1,
+                        0,
+                        Effect.ONCE,
+                        Scope.ALL,
+                        3 * S,
+                        false,
+                        false,
+                        4,
+                        false,
+                        true,
+                        List.of(),
+                        List.of());
         for (QueryClass spec : List.of(late, never)) {
             Recorder r = Recorder.with(1, spec);
             for (int i = 0; i < 6; i++) {
@@ -245,7 +272,11 @@
 
     @Test
     void tenantBeyondItsShareComesLast() {
-        Recorder r = Recorder.with(Recorder.settings(1, 3, 0, false, List.of(new Tenant(1), new Tenant(100)), WIDE), 1);
+        Recorder r =
+                Recorder.with(
+                        Recorder.settings(
+                                1, 3, 0, false, List.of(new Tenant(1), new Tenant(100)), WIDE),
+                        1);
         r.pass(S);
         for (int i = 0; i < 8; i++) {
             r.ask(i, 0, 0, 0, 1, 400 * MS);
@@ -385,7 +416,8 @@
             boolean errs = r.last().engine() == 1;
             r.end(r.last(), errs ? Outcome.ERROR : Outcome.OK, 100, 50);
             if (errs) {
-                assertTrue(r.last(i) && r.last().engine() != 1, "the second attempt goes elsewhere");
+                assertTrue(
+                        r.last(i) && r.last().engine() != 1, "the second attempt goes elsewhere");
                 r.end(r.last(), Outcome.OK, 100, 50);
                 r.ask(1000 + i, 1, 0, 0, i, 100 * MS);
                 assertTrue(r.last().engine() != 1, "a load that errs may not go again");
@@ -506,7 +538,9 @@
                 r.end(r.last(), Outcome.OK, 2000, 50);
             }
         }
-        assertTrue(r.sent.size() - before < 20, r.sent.size() + " sent to an engine that may have restarted");
+        assertTrue(
+                r.sent.size() - before < 20,
+                r.sent.size() + " sent to an engine that may have restarted");
     }
 
     @Test
@@ -514,9 +548,24 @@
         int[] home = new int[2];
         for (int i = 0; i < 2; i++) {
             QueryRouter.Settings s = Recorder.settings(1, LOOK);
-            Recorder r = Recorder.with(new QueryRouter.Settings(1, 0, 1, new QueryRouter.Fees(i * 0.04, 0),
-                    s.kinds(), s.classes(), s.tenants(), 1,
-                    s.limits(), s.rules(), s.engines(), s.reporting(), false, s.tickUs()), 8);
+            Recorder r =
+                    Recorder.with(
+                            new QueryRouter.Settings(
+                                    1,
+                                    0,
+                                    1,
+                                    new QueryRouter.Fees(i * 0.04, 0),
+                                    s.kinds(),
+                                    s.classes(),
+                                    s.tenants(),
+                                    1,
+                                    s.limits(),
+                                    s.rules(),
+                                    s.engines(),
+                                    s.reporting(),
+                                    false,
+                                    s.tickUs()),
+                            8);
             for (int q = 0; q < 200; q++) {
                 r.ask(q, 0, 0, 0, q, 100 * MS);
                 home[i] += r.last().engine() % 2;
@@ -562,7 +611,10 @@
         assertNotEquals(r.lastOf(3).engine(), r.lastOf(4).engine());
     }
 
-    /** Asks until a query looks before it is sent; that query's id. A quiet fleet is looked at for some only. */
+    /**
+     * Asks until a query looks before it is sent; that query's id. A quiet fleet is looked at for
+     * some only.
+     */
     private static long askUntilOneLooks(Recorder r) {
         for (long id = 1; id < 100; id++) {
             r.ask(id, 0);
@@ -574,7 +626,10 @@
         throw new AssertionError("none of 100 queries looked");
     }
 
-    /** Of threads that are only counted some wait for disks: they fill an engine less than busy cores do. */
+    /**
+     * Of threads that are only counted some wait for disks: they fill an engine less than busy
+     * cores do.
+     */
     @Test
     void engineHasMoreRoomForThreadsWhereNothingTellsOfItsCores() {
         for (double busy : new double[] {Double.NaN, 0.9}) {
@@ -583,7 +638,9 @@
                 r.logic.probed(r.now, 1, Outcome.OK, new QueryRouter.Report(i, busy));
                 r.ask(i, 0);
             }
-            assertEquals((int) (8 * (Double.isNaN(busy) ? Logic.BLIND_ROOM : Logic.ROOM)), r.sent.size());
+            assertEquals(
+                    (int) (8 * (Double.isNaN(busy) ? Logic.BLIND_ROOM : Logic.ROOM)),
+                    r.sent.size());
         }
     }
 
@@ -633,7 +690,10 @@
     void clockThatStandsStillAndRepeatedListsChangeNothing() {
         Recorder r = Recorder.with(2, LOOK);
         for (int i = 0; i < 50; i++) {
-            r.roster(RosterKind.COMPLETE, engine(1, 0, EngineState.READY), engine(2, 0, EngineState.READY));
+            r.roster(
+                    RosterKind.COMPLETE,
+                    engine(1, 0, EngineState.READY),
+                    engine(2, 0, EngineState.READY));
             r.logic.timer(r.now, Logic.TICK_TOKEN);
             r.ask(i, 0);
             r.end(r.last(), Outcome.OK, 100, 50);
@@ -662,7 +722,8 @@
             r.ask(i, i % 10 == 0 ? 1 : 0, 0, 0, 1, (i % 10 == 0 ? 800 : 100) * MS);
             r.pass(10 * MS);
             long now = r.now;
-            List<Recorder.Sent> due = r.sent.stream().filter(s -> now - s.at() == 100 * MS).toList();
+            List<Recorder.Sent> due =
+                    r.sent.stream().filter(s -> now - s.at() == 100 * MS).toList();
             due.forEach(s -> r.end(s, Outcome.OK, s.query() % 10 == 0 ? 800 : 100, 50));
         }
         wide = (int) r.sent.stream().filter(s -> s.query() % 10 == 0).count();
--- a/src/test/java/calicostream/LayoutTest.java
+++ b/src/test/java/calicostream/LayoutTest.java
@@ -11,16 +11,36 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-/** Which package may know which: arrows go from the composition to the shells, from these to decisions and records. */
+/**
+ * Which package may know which: arrows go from the composition to the shells, from these to
+ * decisions and records.
+ */
 class LayoutTest {
     private static final JavaClasses CLASSES = classes();
-    private static final String[] OPTIONAL = {"calicostream.flight..", "calicostream.grpc..", "calicostream.syslog..",
-            "calicostream.cluster..", "calicostream.durable..", "calicostream.lease..", "calicostream.budget..",
-            "calicostream.booking..", "calicostream.errors.."};
-    private static final String[] SHELLS = {"calicostream.platform..", "calicostream.admin..", "calicostream.handover..",
-            "calicostream.flight..", "calicostream.grpc..", "calicostream.syslog..", "calicostream.adapter..",
-            "calicostream.daemon.."};
-    private static final String[] LIBRARIES = {"io.microraft..", "org.tomlj..", "org.HdrHistogram..", "org.antlr.."};
+    private static final String[] OPTIONAL = {
+        "calicostream.flight..",
+        "calicostream.grpc..",
+        "calicostream.syslog..",
+        "calicostream.cluster..",
+        "calicostream.durable..",
+        "calicostream.lease..",
+        "calicostream.budget..",
+        "calicostream.booking..",
+        "calicostream.errors.."
+    };
+    private static final String[] SHELLS = {
+        "calicostream.platform..",
+        "calicostream.admin..",
+        "calicostream.handover..",
+        "calicostream.flight..",
+        "calicostream.grpc..",
+        "calicostream.syslog..",
+        "calicostream.adapter..",
+        "calicostream.daemon.."
+    };
+    private static final String[] LIBRARIES = {
+        "io.microraft..", "org.tomlj..", "org.HdrHistogram..", "org.antlr.."
+    };
 
     /** Names are enough: libraries' own classes are not read. */
     private static JavaClasses classes() {
@@ -29,12 +49,20 @@
     }
 
     private static ArchRule not(String who, String... whom) {
-        return noClasses().that().resideInAPackage(who).should().dependOnClassesThat().resideInAnyPackage(whom);
+        return noClasses()
+                .that()
+                .resideInAPackage(who)
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(whom);
     }
 
     @Test
     void platformKnowsNoOptionalPart() {
-        for (String each : new String[] {"calicostream.platform..", "calicostream.admin..", "calicostream.handover.."}) {
+        for (String each :
+                new String[] {
+                    "calicostream.platform..", "calicostream.admin..", "calicostream.handover.."
+                }) {
             not(each, OPTIONAL).check(CLASSES);
         }
     }
@@ -43,45 +71,89 @@
     void optionalPartsKnowNeitherThePlatformNorWhoComposesThem() {
         for (String each : OPTIONAL) {
             not(each, "calicostream.platform..", "calicostream.daemon..", "calicostream.admin..")
-                    .allowEmptyShould(true).check(CLASSES);
+                    .allowEmptyShould(true)
+                    .check(CLASSES);
         }
-        noClasses().that().resideOutsideOfPackage("calicostream.daemon..").and()
-                .doNotHaveFullyQualifiedName("calicostream.Main").should().dependOnClassesThat()
-                .resideInAPackage("calicostream.daemon..").check(CLASSES);
+        noClasses()
+                .that()
+                .resideOutsideOfPackage("calicostream.daemon..")
+                .and()
+                .doNotHaveFullyQualifiedName("calicostream.Main")
+                .should()
+                .dependOnClassesThat()
+                .resideInAPackage("calicostream.daemon..")
+                .check(CLASSES);
     }
 
     @Test
     void errorsKnowNobody() {
-        not("calicostream.errors..", "calicostream", "calicostream.cluster..", "calicostream.durable..", "calicostream.lease..",
-                "calicostream.budget..", "calicostream.booking..").check(CLASSES);
+        not(
+                        "calicostream.errors..",
+                        "calicostream",
+                        "calicostream.cluster..",
+                        "calicostream.durable..",
+                        "calicostream.lease..",
+                        "calicostream.budget..",
+                        "calicostream.booking..")
+                .check(CLASSES);
     }
 
-    /** A wall clock that steps reaches nothing that the fleet agrees on, as nobody there reads one. */
+    /**
+     * A wall clock that steps reaches nothing that the fleet agrees on, as nobody there reads one.
+     */
     @Test
     void whatTheFleetAgreesOnReadsNoWallClock() {
-        noClasses().that().resideInAnyPackage("calicostream.cluster..", "calicostream.durable..", "calicostream.lease..",
-                "calicostream.budget..").should().callMethod(System.class, "currentTimeMillis").orShould()
-                .callMethod(java.time.Instant.class, "now").orShould().callMethod(java.time.Clock.class, "systemUTC").check(CLASSES);
+        noClasses()
+                .that()
+                .resideInAnyPackage(
+                        "calicostream.cluster..",
+                        "calicostream.durable..",
+                        "calicostream.lease..",
+                        "calicostream.budget..")
+                .should()
+                .callMethod(System.class, "currentTimeMillis")
+                .orShould()
+                .callMethod(java.time.Instant.class, "now")
+                .orShould()
+                .callMethod(java.time.Clock.class, "systemUTC")
+                .check(CLASSES);
     }
 
     @Test
     void coreAndWhatAllWiresShareKnowNoShell() {
-        for (String each : new String[] {"calicostream.core..", "calicostream.net..", "calicostream.sql..",
-                "calicostream.config..", "calicostream.listing.."}) {
+        for (String each :
+                new String[] {
+                    "calicostream.core..",
+                    "calicostream.net..",
+                    "calicostream.sql..",
+                    "calicostream.config..",
+                    "calicostream.listing.."
+                }) {
             not(each, SHELLS).check(CLASSES);
         }
     }
 
     @Test
     void librariesOfTheClusterAreForTheClusterAlone() {
-        noClasses().that().resideOutsideOfPackages("calicostream.cluster..", "calicostream.durable..", "calicostream.lease..",
-                "calicostream.budget..", "calicostream.booking..").should().dependOnClassesThat()
-                .resideInAnyPackage(LIBRARIES).check(CLASSES);
+        noClasses()
+                .that()
+                .resideOutsideOfPackages(
+                        "calicostream.cluster..",
+                        "calicostream.durable..",
+                        "calicostream.lease..",
+                        "calicostream.budget..",
+                        "calicostream.booking..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(LIBRARIES)
+                .check(CLASSES);
     }
 
     /** A rule that is broken on purpose shows that the rules above see arrows at all. */
     @Test
     void theRulesSeeAnArrow() {
-        assertThrows(AssertionError.class, () -> not("calicostream.daemon..", "calicostream.flight..").check(CLASSES));
+        assertThrows(
+                AssertionError.class,
+                () -> not("calicostream.daemon..", "calicostream.flight..").check(CLASSES));
     }
 }
--- a/src/test/java/calicostream/ModuleShapeTest.java
+++ b/src/test/java/calicostream/ModuleShapeTest.java
@@ -11,7 +11,8 @@
 
 /** Night duty reads the module in one sitting. */
 class ModuleShapeTest {
-    private static final List<String> LINES = read(Path.of("src/main/java/calicostream/Logic.java"));
+    private static final List<String> LINES =
+            read(Path.of("src/main/java/calicostream/Logic.java"));
 
     private static List<String> read(Path path) {
         try {
--- a/src/test/java/calicostream/RandomEventsTest.java
+++ b/src/test/java/calicostream/RandomEventsTest.java
@@ -28,8 +28,16 @@
 /** Random days: whatever happens, the rules hold. The order of events comes from the seed alone. */
 class RandomEventsTest {
     private static final int ENGINES = 6;
-    private static final Outcome[] ENDS = {Outcome.OK, Outcome.OK, Outcome.OK, Outcome.ERROR, Outcome.FULL,
-        Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT};
+    private static final Outcome[] ENDS = {
+        Outcome.OK,
+        Outcome.OK,
+        Outcome.OK,
+        Outcome.ERROR,
+        Outcome.FULL,
+        Outcome.CONNECT_FAILED,
+        Outcome.RESET,
+        Outcome.TIMEOUT
+    };
 
     private final Map<Long, EngineState> states = new HashMap<>();
     private final Map<Long, Integer> classOf = new HashMap<>();
@@ -44,11 +52,19 @@
     private int failuresSeen;
 
     private Recorder day() {
-        Recorder r = Recorder.with(Recorder.settings(2, 3, 0.1, false, List.of(new QueryRouter.Tenant(40)),
-                queryClass(Effect.REPEATABLE, Scope.ALL, false, 1, false),
-                queryClass(Effect.ONCE, Scope.ALL, true, 2, true),
-                queryClass(Effect.BY_KEY, Scope.CELL, false, 3, false),
-                Recorder.bound(List.of(1), List.of())), ENGINES);
+        Recorder r =
+                Recorder.with(
+                        Recorder.settings(
+                                2,
+                                3,
+                                0.1,
+                                false,
+                                List.of(new QueryRouter.Tenant(40)),
+                                queryClass(Effect.REPEATABLE, Scope.ALL, false, 1, false),
+                                queryClass(Effect.ONCE, Scope.ALL, true, 2, true),
+                                queryClass(Effect.BY_KEY, Scope.CELL, false, 3, false),
+                                Recorder.bound(List.of(1), List.of())),
+                        ENGINES);
         for (long e = 1; e <= ENGINES; e++) {
             states.put(e, EngineState.READY);
         }
@@ -80,19 +96,39 @@
             classOf.put(id, queryClass);
             keyOf.put(id, queryClass == 1 ? 1L + random.nextInt(4) : 0L);
             deadline.put(id, r.now + 10 * S);
-            r.ask(id, queryClass, 0, keyOf.get(id), random.nextInt(5), (20 + random.nextInt(400)) * MS);
+            r.ask(
+                    id,
+                    queryClass,
+                    0,
+                    keyOf.get(id),
+                    random.nextInt(5),
+                    (20 + random.nextInt(400)) * MS);
         } else if (dice < 8 && !out.isEmpty()) {
             List<Recorder.Sent> all = new ArrayList<>(out.values());
             all.sort((a, b) -> Long.compare(a.query(), b.query()));
             end(r, all.get(random.nextInt(all.size())), ENDS[random.nextInt(ENDS.length)]);
         } else if (dice == 8) {
             long engine = 1 + random.nextInt(ENGINES);
-            EngineState state = random.nextInt(3) == 0 ? EngineState.values()[random.nextInt(3)] : EngineState.READY;
+            EngineState state =
+                    random.nextInt(3) == 0
+                            ? EngineState.values()[random.nextInt(3)]
+                            : EngineState.READY;
             states.put(engine, state);
-            r.roster(RosterKind.CHANGES, Recorder.engine(engine, random.nextInt(4) == 0 ? r.now : 0, state));
+            r.roster(
+                    RosterKind.CHANGES,
+                    Recorder.engine(engine, random.nextInt(4) == 0 ? r.now : 0, state));
         } else {
-            out.values().stream().min((a, b) -> Long.compare(a.query(), b.query())).ifPresent(s -> r.logic.progress(
-                    r.now, new Progress(s.query(), s.attempt(), Notice.SHARE_DONE, random.nextDouble())));
+            out.values().stream()
+                    .min((a, b) -> Long.compare(a.query(), b.query()))
+                    .ifPresent(
+                            s ->
+                                    r.logic.progress(
+                                            r.now,
+                                            new Progress(
+                                                    s.query(),
+                                                    s.attempt(),
+                                                    Notice.SHARE_DONE,
+                                                    random.nextDouble())));
             r.pass(random.nextInt(300) * MS);
         }
     }
@@ -116,7 +152,9 @@
             for (; refusalsSeen < r.refused.size(); refusalsSeen++) {
                 long q = r.refused.get(refusalsSeen);
                 assertTrue(answered.add(q), "second answer");
-                assertTrue(classOf.get(q) == 0 || classOf.get(q) == 3 || !mayHaveRun.contains(q), "false promise");
+                assertTrue(
+                        classOf.get(q) == 0 || classOf.get(q) == 3 || !mayHaveRun.contains(q),
+                        "false promise");
                 assertTrue(r.now <= deadline.get(q) + S);
             }
             for (; failuresSeen < r.failed.size(); failuresSeen++) {
@@ -137,15 +175,24 @@
 
     private void checkSend(Recorder.Sent s) {
         int queryClass = classOf.get(s.query());
-        assertEquals(EngineState.READY, states.get(s.engine()), "sent to an engine that is not ready");
+        assertEquals(
+                EngineState.READY, states.get(s.engine()), "sent to an engine that is not ready");
         assertFalse(queryClass == 1 && mayHaveRun.contains(s.query()), "ran twice");
         assertTrue(s.attempt() < 3, "too many attempts");
         assertTrue(queryClass != 3 || s.engine() % 2 == 1, "out of place");
         if (keyOf.get(s.query()) != 0) {
             long key = keyOf.get(s.query());
-            assertTrue(out.keySet().stream().noneMatch(q -> keyOf.get(q) == key), "two of one key at once");
-            assertTrue(classOf.keySet().stream().noneMatch(
-                    q -> q < s.query() && keyOf.get(q) == key && !answered.contains(q)), "out of order");
+            assertTrue(
+                    out.keySet().stream().noneMatch(q -> keyOf.get(q) == key),
+                    "two of one key at once");
+            assertTrue(
+                    classOf.keySet().stream()
+                            .noneMatch(
+                                    q ->
+                                            q < s.query()
+                                                    && keyOf.get(q) == key
+                                                    && !answered.contains(q)),
+                    "out of order");
         }
         assertEquals(null, out.put(s.query(), s), "two attempts at once");
     }
--- a/src/test/java/calicostream/Recorder.java
+++ b/src/test/java/calicostream/Recorder.java
@@ -27,7 +27,7 @@
     static final long S = 1_000_000;
     static final long START = 100 * S;
 
-    record Sent(long at, long query, long engine, int attempt) { }
+    record Sent(long at, long query, long engine, int attempt) {}
 
     final List<Sent> sent = new ArrayList<>();
     final List<Long> refused = new ArrayList<>();
@@ -64,17 +64,38 @@
         return settings(gateways, 3, 0, false, List.of(), classes);
     }
 
-    static Settings settings(int gateways, int attempts, double ration, boolean probes, List<Tenant> tenants,
+    static Settings settings(
+            int gateways,
+            int attempts,
+            double ration,
+            boolean probes,
+            List<Tenant> tenants,
             QueryClass... classes) {
         return settings(gateways, attempts, ration, probes, tenants, false, classes);
     }
 
-    static Settings settings(int gateways, int attempts, double ration, boolean probes, List<Tenant> tenants,
-            boolean onRequest, QueryClass... classes) {
-        return new Settings(gateways, 0, 0, new QueryRouter.Fees(0, 0), List.of(new Kind(8, 16384)), List.of(classes), tenants, 0.05,
+    static Settings settings(
+            int gateways,
+            int attempts,
+            double ration,
+            boolean probes,
+            List<Tenant> tenants,
+            boolean onRequest,
+            QueryClass... classes) {
+        return new Settings(
+                gateways,
+                0,
+                0,
+                new QueryRouter.Fees(0, 0),
+                List.of(new Kind(8, 16384)),
+                List.of(classes),
+                tenants,
+                0.05,
                 new Limits(probes, true, attempts),
                 new Rules(0.3, 2.5, 2 * S, 10 * S, 300 * MS, 3, ration, ration > 0 ? 5 * S : 0),
-                new EngineTraits(true, true, 0.4, 500 * MS), probes ? Reporting.ON_PROBE : Reporting.WITH_ANSWERS, onRequest,
+                new EngineTraits(true, true, 0.4, 500 * MS),
+                probes ? Reporting.ON_PROBE : Reporting.WITH_ANSWERS,
+                onRequest,
                 5 * MS);
     }
 
@@ -82,14 +103,30 @@
         return queryClass(effect, Scope.ALL, false, 1, false);
     }
 
-    static QueryClass queryClass(Effect effect, Scope scope, boolean inOrder, int threads, boolean load) {
-        return new QueryClass(2 * S, 2, 10 * S, 1, 0.3, effect, scope, 3 * S, inOrder, false, threads, load,
+    static QueryClass queryClass(
+            Effect effect, Scope scope, boolean inOrder, int threads, boolean load) {
+        return new QueryClass(
+                2 * S, 2, 10 * S, 1, 0.3, effect, scope, 3 * S, inOrder, false, threads, load,
                 !load, List.of(), List.of());
     }
 
     static QueryClass bound(List<Integer> zones, List<Integer> kinds) {
-        return new QueryClass(2 * S, 2, 10 * S, 1, 0.3, Effect.REPEATABLE, Scope.ALL, 3 * S, false, false, 1,
-                false, false, zones, kinds);
+        return new QueryClass(
+                2 * S,
+                2,
+                10 * S,
+                1,
+                0.3,
+                Effect.REPEATABLE,
+                Scope.ALL,
+                3 * S,
+                false,
+                false,
+                1,
+                false,
+                false,
+                zones,
+                kinds);
     }
 
     /** Engines with odd ids are in zone 1 and cell 1, the others in zone 0 and cell 0. */
@@ -131,8 +168,18 @@
     }
 
     void end(Sent s, Outcome outcome, double workMs, double memoryMb) {
-        logic.ended(now, new AttemptEnd(s.query, s.attempt, s.engine, outcome, outcome == Outcome.OK, now - s.at,
-                workMs, memoryMb, null));
+        logic.ended(
+                now,
+                new AttemptEnd(
+                        s.query,
+                        s.attempt,
+                        s.engine,
+                        outcome,
+                        outcome == Outcome.OK,
+                        now - s.at,
+                        workMs,
+                        memoryMb,
+                        null));
     }
 
     void report(long engine, double running) {
@@ -151,11 +198,15 @@
     }
 
     private long[] next(long until) {
-        return timers.stream().filter(t -> t[0] <= until).min((a, b) -> Long.compare(a[0], b[0])).orElse(null);
+        return timers.stream()
+                .filter(t -> t[0] <= until)
+                .min((a, b) -> Long.compare(a[0], b[0]))
+                .orElse(null);
     }
 
     long answers(long query) {
-        return refused.stream().filter(q -> q == query).count() + failed.stream().filter(q -> q == query).count();
+        return refused.stream().filter(q -> q == query).count()
+                + failed.stream().filter(q -> q == query).count();
     }
 
     @Override
--- a/src/test/java/calicostream/RulesTest.java
+++ b/src/test/java/calicostream/RulesTest.java
@@ -144,7 +144,9 @@
             }
             work[gateways - 1] = r.sent.size() * 0.1;
             double mayTake = 2.5 * 0.3 * 8 * 2 / gateways;
-            assertTrue(work[gateways - 1] > 0 && work[gateways - 1] < mayTake, work[gateways - 1] + " s of work");
+            assertTrue(
+                    work[gateways - 1] > 0 && work[gateways - 1] < mayTake,
+                    work[gateways - 1] + " s of work");
         }
         assertTrue(work[0] > 1.5 * work[1]);
     }
@@ -227,24 +229,45 @@
         assertEquals(20 + 5, r.sent.size());
     }
 
-    /** Many gateways together, of one process or two: in no window is a cold engine sent more than the rule allows. */
+    /**
+     * Many gateways together, of one process or two: in no window is a cold engine sent more than
+     * the rule allows.
+     */
     @ParameterizedTest
     @CsvSource({"1, 1", "2, 1", "7, 1", "40, 1", "300, 1", "1, 2", "3, 2", "40, 2"})
     void allGatewaysTogetherKeepAColdEngineWithinItsCapacity(int gateways, int processes) {
         QueryRouter.Settings s = Recorder.settings(gateways, LOOK);
-        double limit = s.rules().coldMultiple() * s.rules().coldShare() * 8 * s.rules().coldWindowUs();
+        double limit =
+                s.rules().coldMultiple() * s.rules().coldShare() * 8 * s.rules().coldWindowUs();
         java.util.TreeMap<Long, Double> sent = new java.util.TreeMap<>();
         for (int i = 0; i < gateways * processes; i++) {
             int g = i / processes;
-            Recorder r = new Recorder(new QueryRouter.Settings(gateways, g, 0, new QueryRouter.Fees(0, 0), s.kinds(), s.classes(), s.tenants(), 1,
-                    s.limits(), s.rules(), s.engines(), s.reporting(), false, s.tickUs()));
+            Recorder r =
+                    new Recorder(
+                            new QueryRouter.Settings(
+                                    gateways,
+                                    g,
+                                    0,
+                                    new QueryRouter.Fees(0, 0),
+                                    s.kinds(),
+                                    s.classes(),
+                                    s.tenants(),
+                                    1,
+                                    s.limits(),
+                                    s.rules(),
+                                    s.engines(),
+                                    s.reporting(),
+                                    false,
+                                    s.tickUs()));
             r.logic.sharedBy(r.now, processes, i % processes);
             r.roster(RosterKind.COMPLETE, engine(1, Recorder.START, EngineState.READY));
             int ended = 0;
             for (int q = 0; q < 90; q++) {
                 r.ask(q, 0, 0, 0, 1, 2 * S);
                 r.pass(100 * MS);
-                for (; ended < r.sent.size(); ended++) { // Held ones, too, which go when the gateway's turn comes.
+                for (;
+                        ended < r.sent.size();
+                        ended++) { // Held ones, too, which go when the gateway's turn comes.
                     sent.merge(r.sent.get(ended).at(), 2.0 * S, Double::sum);
                     r.end(r.sent.get(ended), Outcome.OK, 2000, 50);
                 }
@@ -252,25 +275,48 @@
         }
         double most = 0;
         for (long from : sent.keySet()) {
-            most = Math.max(most, sent.subMap(from, from + s.rules().coldWindowUs()).values().stream()
-                    .mapToDouble(Double::doubleValue).sum());
+            most =
+                    Math.max(
+                            most,
+                            sent.subMap(from, from + s.rules().coldWindowUs()).values().stream()
+                                    .mapToDouble(Double::doubleValue)
+                                    .sum());
         }
         assertTrue(most > 0 && most <= limit, most / S + " of " + limit / S + " core-seconds");
         double all = sent.values().stream().mapToDouble(Double::doubleValue).sum();
-        double budget = Logic.COLD_PART * Logic.CORE_YIELD * limit * 9 * S / s.rules().coldWindowUs();
+        double budget =
+                Logic.COLD_PART * Logic.CORE_YIELD * limit * 9 * S / s.rules().coldWindowUs();
         double least = gateways * processes > 2 ? 0.7 : 0.6; // Two have a query and a half each.
         assertTrue(all > least * budget, all / S + " of " + budget / S + " core-seconds");
     }
 
-    /** Front ends that have just started know nothing of heavy queries: a cold engine takes them all the same, within the rule. */
+    /**
+     * Front ends that have just started know nothing of heavy queries: a cold engine takes them all
+     * the same, within the rule.
+     */
     @Test
     void queriesOfUnknownWorkHaveTheirTurnsAtAColdEngine() {
         QueryRouter.Settings s = Recorder.settings(40, LOOK, LOOK);
         java.util.TreeMap<Long, Double> sent = new java.util.TreeMap<>();
         int heavy = 0;
         for (int g = 0; g < 40; g++) {
-            Recorder r = new Recorder(new QueryRouter.Settings(40, g, 0, new QueryRouter.Fees(0, 0), s.kinds(), s.classes(),
-                    s.tenants(), 1, s.limits(), s.rules(), s.engines(), s.reporting(), false, s.tickUs()));
+            Recorder r =
+                    new Recorder(
+                            new QueryRouter.Settings(
+                                    40,
+                                    g,
+                                    0,
+                                    new QueryRouter.Fees(0, 0),
+                                    s.kinds(),
+                                    s.classes(),
+                                    s.tenants(),
+                                    1,
+                                    s.limits(),
+                                    s.rules(),
+                                    s.engines(),
+                                    s.reporting(),
+                                    false,
+                                    s.tickUs()));
             r.roster(RosterKind.COMPLETE, engine(1, Recorder.START, EngineState.READY));
             int ended = 0;
             for (int q = 0; q < 36; q++) {
@@ -286,16 +332,27 @@
             }
         }
         assertTrue(heavy > 10, heavy + " heavy queries in 9 s of 40 front ends");
-        double limit = s.rules().coldMultiple() * s.rules().coldShare() * 8 * s.rules().coldWindowUs();
-        sent.keySet().forEach(from -> {
-            double work = sent.subMap(from, from + s.rules().coldWindowUs()).values().stream().mapToDouble(d -> d).sum();
-            assertTrue(work <= limit, work / S + " of " + limit / S + " core-seconds");
-        });
+        double limit =
+                s.rules().coldMultiple() * s.rules().coldShare() * 8 * s.rules().coldWindowUs();
+        sent.keySet()
+                .forEach(
+                        from -> {
+                            double work =
+                                    sent
+                                            .subMap(from, from + s.rules().coldWindowUs())
+                                            .values()
+                                            .stream()
+                                            .mapToDouble(d -> d)
+                                            .sum();
+                            assertTrue(
+                                    work <= limit, work / S + " of " + limit / S + " core-seconds");
+                        });
     }
 
     /**
-     * Light queries of one class that a cold engine takes in a row, after 20 s in which two light classes, and a heavy one
-     * with every twentieth query, ran in 100 ms each; the answers tell the work where {@code told}.
+     * Light queries of one class that a cold engine takes in a row, after 20 s in which two light
+     * classes, and a heavy one with every twentieth query, ran in 100 ms each; the answers tell the
+     * work where {@code told}.
      */
     private static int lightOnesToColdEngine(boolean told, double light, double heavy) {
         Recorder r = Recorder.with(Recorder.settings(1, LOOK, LOOK, LOOK), 3);
@@ -307,29 +364,50 @@
         }
         r.roster(RosterKind.COMPLETE, engine(9, r.now, EngineState.READY));
         int taken = 0;
-        for (r.ask(1000, 1, 0, 0, 1, light); r.last(1000 + taken) && taken < 100; r.ask(1000 + taken, 1, 0, 0, 1, light)) {
+        for (r.ask(1000, 1, 0, 0, 1, light);
+                r.last(1000 + taken) && taken < 100;
+                r.ask(1000 + taken, 1, 0, 0, 1, light)) {
             Recorder.Sent sent = r.last();
-            r.logic.ended(r.now, new QueryRouter.AttemptEnd(sent.query(), sent.attempt(), sent.engine(), Outcome.OK, true, 100 * MS,
-                    told ? light / MS : 0, 50, null));
+            r.logic.ended(
+                    r.now,
+                    new QueryRouter.AttemptEnd(
+                            sent.query(),
+                            sent.attempt(),
+                            sent.engine(),
+                            Outcome.OK,
+                            true,
+                            100 * MS,
+                            told ? light / MS : 0,
+                            50,
+                            null));
             taken++;
         }
         return taken;
     }
 
-    /** Two light classes have 5.7 of 13.7 s of the work: one of them alone may use up what is both's, and no more. */
+    /**
+     * Two light classes have 5.7 of 13.7 s of the work: one of them alone may use up what is
+     * both's, and no more.
+     */
     @Test
     void lightClassesShareTheirPartOfAColdEngine() {
         double both = Logic.COLD_PART * Logic.CORE_YIELD * 2.5 * 0.3 * 8 * 2 * 5.7 / 13.7;
         int taken = lightOnesToColdEngine(true, 300 * MS, 8 * S);
-        assertTrue(taken * 0.3 > 0.8 * both && taken * 0.3 < 1.1 * both, taken + " of 0.3 s, " + both + " s allowed");
+        assertTrue(
+                taken * 0.3 > 0.8 * both && taken * 0.3 < 1.1 * both,
+                taken + " of 0.3 s, " + both + " s allowed");
     }
 
-    /** Estimates thirty times too high, which no answer sets right, do not keep a cold engine empty. */
+    /**
+     * Estimates thirty times too high, which no answer sets right, do not keep a cold engine empty.
+     */
     @Test
     void runTimesBoundRoughEstimatesAtAColdEngine() {
         double most = Logic.COLD_PART * Logic.CORE_YIELD * 2.5 * 0.3 * 8 * 2;
         int taken = lightOnesToColdEngine(false, 3 * S, 3 * S);
-        assertTrue(taken * 0.1 > 0.9 * most && taken * 0.1 <= most, taken + " of 0.1 s, " + most + " s allowed");
+        assertTrue(
+                taken * 0.1 > 0.9 * most && taken * 0.1 <= most,
+                taken + " of 0.1 s, " + most + " s allowed");
     }
 
     @ParameterizedTest
--- a/src/test/java/calicostream/UntoldTest.java
+++ b/src/test/java/calicostream/UntoldTest.java
@@ -22,7 +22,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What the module makes of deployments that tell it little: no reports, reports of one share, no estimates, no costs. */
+/**
+ * What the module makes of deployments that tell it little: no reports, reports of one share, no
+ * estimates, no costs.
+ */
 class UntoldTest {
     private static final QueryClass LOOK = Recorder.look(Effect.REPEATABLE);
     private static final int FULL = (int) (8 * Logic.BLIND_ROOM);
@@ -51,7 +54,9 @@
             }
             sent[i] = sentOf(r, 30);
         }
-        assertTrue(sent[0] == 0 && sent[1] > FULL / 2, sent[0] + " on a full engine, " + sent[1] + " on an idle one");
+        assertTrue(
+                sent[0] == 0 && sent[1] > FULL / 2,
+                sent[0] + " on a full engine, " + sent[1] + " on an idle one");
     }
 
     /** One that turns a query away is full, but it tells nothing of the others. */
@@ -74,7 +79,10 @@
         assertTrue(r.terms.get(1)[1] > 100, r.terms.get(1)[1] + " MB");
     }
 
-    /** Run times in a quiet hour say how little a query can take, not how much the next ones of its class will. */
+    /**
+     * Run times in a quiet hour say how little a query can take, not how much the next ones of its
+     * class will.
+     */
     @Test
     void coldEngineIsSentByUsualRunTimesWhereNothingTellsOfWork() {
         int[] sent = new int[2];
@@ -92,10 +100,15 @@
             }
             sent[slow] = r.sent.size() - before;
         }
-        assertTrue(sent[1] > 0 && sent[1] < sent[0], sent[1] + " of the slower ones, " + sent[0] + " of the others");
+        assertTrue(
+                sent[1] > 0 && sent[1] < sent[0],
+                sent[1] + " of the slower ones, " + sent[0] + " of the others");
     }
 
-    /** All front ends together ask an engine no more often than its cores answer, also where nothing they hear is of use. */
+    /**
+     * All front ends together ask an engine no more often than its cores answer, also where nothing
+     * they hear is of use.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"inflight", "queue", "full"})
     void probesStayWithinWhatEnginesAnswer(String column) {
@@ -117,19 +130,43 @@
         assertTrue(heard >= 2 && heard <= most, heard + " of " + most);
     }
 
-    /** A cancel that engines don't heed leaves the work where it was: without reports nothing would show that. */
+    /**
+     * A cancel that engines don't heed leaves the work where it was: without reports nothing would
+     * show that.
+     */
     @Test
     void slowAttemptIsLeftAloneWhereNoReportWouldShowWhatItsCancelFrees() {
         for (Reporting how : List.of(Reporting.NONE, Reporting.WITH_ANSWERS)) {
-            for (int attempts = 1; attempts <= 3; attempts += 2) { // One that can't move is given up.
+            for (int attempts = 1;
+                    attempts <= 3;
+                    attempts += 2) { // One that can't move is given up.
                 Settings s = Recorder.settings(1, attempts, 0, false, List.of(), LOOK);
-                Recorder r = Recorder.with(new Settings(s.gateways(), 0, 0, s.fees(), s.kinds(), s.classes(), s.tenants(), 1,
-                        s.limits(), s.rules(), s.engines(), how, false, s.tickUs()), 3);
+                Recorder r =
+                        Recorder.with(
+                                new Settings(
+                                        s.gateways(),
+                                        0,
+                                        0,
+                                        s.fees(),
+                                        s.kinds(),
+                                        s.classes(),
+                                        s.tenants(),
+                                        1,
+                                        s.limits(),
+                                        s.rules(),
+                                        s.engines(),
+                                        how,
+                                        false,
+                                        s.tickUs()),
+                                3);
                 r.ask(1, 0);
                 r.pass(400 * MS);
                 r.logic.progress(r.now, new Progress(1, 0, Notice.SHARE_DONE, 0.01));
                 assertEquals(how == Reporting.NONE ? 0 : 1, r.cancelled.size(), how.toString());
-                assertEquals(how == Reporting.NONE || attempts > 1 ? 0 : 1, r.failed.size(), how.toString());
+                assertEquals(
+                        how == Reporting.NONE || attempts > 1 ? 0 : 1,
+                        r.failed.size(),
+                        how.toString());
             }
         }
     }
--- a/src/test/java/calicostream/adapter/WireTest.java
+++ b/src/test/java/calicostream/adapter/WireTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
-import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import calicostream.QueryRouter.Effect;
@@ -25,15 +24,22 @@
 
 /** The codec, the settings, and what becomes of bad input. */
 class WireTest {
-    private static final String OPTIONS = "balancers=2\nlanes.count=1\nlanes.0.effect=repeatable\n"
-            + "lanes.0.aim_us=300000\nlanes.0.deadline_us=1500000\nfamily_info.kind_cores=8\nnew.key=x,y\n"
-            + "family_info.kind_memory_mb=16384.0\ntick_us=5000\n";
+    private static final String OPTIONS =
+            "balancers=2\n"
+                    + "lanes.count=1\n"
+                    + "lanes.0.effect=repeatable\n"
+                    + "lanes.0.aim_us=300000\n"
+                    + "lanes.0.deadline_us=1500000\n"
+                    + "family_info.kind_cores=8\n"
+                    + "new.key=x,y\n"
+                    + "family_info.kind_memory_mb=16384.0\n"
+                    + "tick_us=5000\n";
 
     private interface Body {
         void write(DataOutputStream out) throws IOException;
     }
 
-    private record Ran(int code, byte[] out, String errors) { }
+    private record Ran(int code, byte[] out, String errors) {}
 
     private static byte[] frame(int records, long clock, Body body) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -50,7 +56,9 @@
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream errors = new ByteArrayOutputStream();
-        int code = Adapter.run(new ByteArrayInputStream(in.toByteArray()), out, new PrintStream(errors));
+        int code =
+                Adapter.run(
+                        new ByteArrayInputStream(in.toByteArray()), out, new PrintStream(errors));
         return new Ran(code, out.toByteArray(), errors.toString());
     }
 
@@ -97,21 +105,42 @@
 
     @Test
     void emptyBatchIsAnswered() throws IOException {
-        Ran ran = run(frame(0, 5, out -> { }));
+        Ran ran = run(frame(0, 5, out -> {}));
         assertEquals(0, ran.code);
         assertArrayEquals(new byte[] {0, 0, 0, 0, 0, 0, 0, 8}, ran.out);
     }
 
     @Test
     void queryIsDeliveredWithItsIdAndEngineUnchanged() throws IOException {
-        Ran ran = run(frame(4, 1000, out -> {
-            up(out, OPTIONS);
-            manifest(out);
-            query(out);
-        }));
+        Ran ran =
+                run(
+                        frame(
+                                4,
+                                1000,
+                                out -> {
+                                    up(out, OPTIONS);
+                                    manifest(out);
+                                    query(out);
+                                }));
         assertEquals(0, ran.code, ran.errors);
-        byte[] wanted = {3, (byte) 0xe8, 0, 0, 0, 3, (byte) 0xfd, 0x3a, (byte) 0x91, (byte) 0xc4, 0x0a, 0x12,
-            0x4a, 7, 0x13, (byte) 0x8b};
+        byte[] wanted = {
+            3,
+            (byte) 0xe8,
+            0,
+            0,
+            0,
+            3,
+            (byte) 0xfd,
+            0x3a,
+            (byte) 0x91,
+            (byte) 0xc4,
+            0x0a,
+            0x12,
+            0x4a,
+            7,
+            0x13,
+            (byte) 0x8b
+        };
         boolean found = false;
         for (int i = 0; i + wanted.length <= ran.out.length; i++) {
             found |= Arrays.equals(wanted, Arrays.copyOfRange(ran.out, i, i + wanted.length));
@@ -133,8 +162,10 @@
             ByteArrayOutputStream out = new ByteArrayOutputStream();
             reply.send(out);
             byte[] body = Arrays.copyOfRange(out.toByteArray(), Frame.REPLY_HEADER, out.size());
-            Frame.Batch in = Frame.read(new DataInputStream(new ByteArrayInputStream(
-                    frame(1, 9, o -> o.write(body)))));
+            Frame.Batch in =
+                    Frame.read(
+                            new DataInputStream(
+                                    new ByteArrayInputStream(frame(1, 9, o -> o.write(body)))));
             assertEquals(1000, in.u16());
             assertEquals(query, in.u32());
             assertEquals(engine, in.engine());
@@ -149,10 +180,14 @@
 
     @Test
     void badInputGetsOnePlainMessageAndAnExitCode() throws IOException {
-        byte[] good = frame(3, 1000, out -> {
-            up(out, OPTIONS);
-            manifest(out);
-        });
+        byte[] good =
+                frame(
+                        3,
+                        1000,
+                        out -> {
+                            up(out, OPTIONS);
+                            manifest(out);
+                        });
         byte[] cutRecord = frame(1, 1000, out -> out.writeShort(Codes.UP));
         byte[] shortLength = ByteBuffer.allocate(16).putInt(0).putInt(3).putLong(1).array();
         byte[] left = frame(0, 1, out -> out.writeInt(1));
@@ -160,16 +195,30 @@
         byte[] notUp = frame(1, 1, out -> query(out));
         byte[] badSetting = frame(1, 1, out -> up(out, "lanes.count=-4\n"));
         byte[] badWord = frame(1, 1, out -> up(out, "lanes.count=1\nlanes.0.effect=perhaps\n"));
-        byte[] noList = frame(2, 1, out -> {
-            up(out, OPTIONS);
-            out.writeShort(Codes.BACKENDS_CHANGED);
-            out.writeInt(3);
-            out.writeLong(1);
-            out.writeShort(9);
-            out.writeByte(1);
-        });
-        for (byte[] bad : List.of(Arrays.copyOf(good, good.length - 5), Arrays.copyOf(good, 9), cutRecord,
-                shortLength, left, unknown, notUp, badSetting, badWord, noList)) {
+        byte[] noList =
+                frame(
+                        2,
+                        1,
+                        out -> {
+                            up(out, OPTIONS);
+                            out.writeShort(Codes.BACKENDS_CHANGED);
+                            out.writeInt(3);
+                            out.writeLong(1);
+                            out.writeShort(9);
+                            out.writeByte(1);
+                        });
+        for (byte[] bad :
+                List.of(
+                        Arrays.copyOf(good, good.length - 5),
+                        Arrays.copyOf(good, 9),
+                        cutRecord,
+                        shortLength,
+                        left,
+                        unknown,
+                        notUp,
+                        badSetting,
+                        badWord,
+                        noList)) {
             Ran ran = run(bad);
             assertEquals(1, ran.code);
             assertEquals(1, ran.errors.strip().lines().count(), ran.errors);
@@ -179,8 +228,12 @@
 
     @Test
     void settingsAreReadAndUnknownOnesSkipped() {
-        Settings s = SettingsParser.ofLines(OPTIONS + "stats.how=on_probe\nlanes.0.allowed_in=1,2\n"
-                + "ceilings.may_probe=true\nmembership_mode=subscribe\n").settings();
+        Settings s =
+                SettingsParser.ofLines(
+                                OPTIONS
+                                        + "stats.how=on_probe\nlanes.0.allowed_in=1,2\n"
+                                        + "ceilings.may_probe=true\nmembership_mode=subscribe\n")
+                        .settings();
         assertEquals(2, s.gateways());
         assertEquals(Effect.REPEATABLE, s.classes().get(0).effect());
         assertEquals(List.of(1, 2), s.classes().get(0).zones());
@@ -196,9 +249,10 @@
     void exceptionInADecisionBecomesTheFaultActionWithItsCause() throws IOException {
         Frame.Reply reply = new Frame.Reply();
         Instance instance = new Instance(3, SettingsParser.ofLines(OPTIONS), reply);
-        instance.guard(() -> {
-            throw new IllegalStateException("odd list");
-        });
+        instance.guard(
+                () -> {
+                    throw new IllegalStateException("odd list");
+                });
         instance.guard(() -> instance.probe(1));
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         reply.send(out);
@@ -210,12 +264,18 @@
 
     @Test
     void instancesShareNothingAndADownOneIsForgotten() throws IOException {
-        Ran ran = run(frame(4, 1000, out -> {
-            up(out, OPTIONS);
-            manifest(out);
-            out.writeShort(Codes.DOWN);
-            out.writeInt(3);
-        }), frame(1, 1001, WireTest::query));
+        Ran ran =
+                run(
+                        frame(
+                                4,
+                                1000,
+                                out -> {
+                                    up(out, OPTIONS);
+                                    manifest(out);
+                                    out.writeShort(Codes.DOWN);
+                                    out.writeInt(3);
+                                }),
+                        frame(1, 1001, WireTest::query));
         assertEquals(1, ran.code);
         assertTrue(ran.errors.contains("not up"));
     }
--- a/src/test/java/calicostream/budget/BudgetRunsTest.java
+++ b/src/test/java/calicostream/budget/BudgetRunsTest.java
@@ -15,11 +15,33 @@
     @Test
     void noEngineIsOverItsCapWhateverFails() {
         BudgetRuns.Faulty runs = BudgetRuns.faulty(SEED, true, 24, Long.MAX_VALUE);
-        System.out.println("seed " + SEED + ": " + runs.runs() + " runs, " + runs.steps() + " steps, " + runs.commands() + " commands, "
-                + runs.faults() + " faults, refused " + runs.refusals());
+        System.out.println(
+                "seed "
+                        + SEED
+                        + ": "
+                        + runs.runs()
+                        + " runs, "
+                        + runs.steps()
+                        + " steps, "
+                        + runs.commands()
+                        + " commands, "
+                        + runs.faults()
+                        + " faults, refused "
+                        + runs.refusals());
         assertNull(runs.first());
-        assertTrue(runs.refusals().keySet().containsAll(Set.of("budget-over-cap", "budget-no-proof", "budget-grant-over", "budget-not-due",
-                "budget-old-report", "budget-cap-lowered", "budget-other-incarnation")), "every refusal has been met");
+        assertTrue(
+                runs.refusals()
+                        .keySet()
+                        .containsAll(
+                                Set.of(
+                                        "budget-over-cap",
+                                        "budget-no-proof",
+                                        "budget-grant-over",
+                                        "budget-not-due",
+                                        "budget-old-report",
+                                        "budget-cap-lowered",
+                                        "budget-other-incarnation")),
+                "every refusal has been met");
     }
 
     @Test
@@ -32,8 +54,12 @@
 
     @Test
     void theCheckerSeesWhatIsTakenOut() {
-        for (Safeguard safeguard : Set.of(Safeguard.CAP_AT_APPLY, Safeguard.LOWERED_CAP_WAITS, Safeguard.LOWERED_COUNTS_UNTIL_KNOWN,
-                Safeguard.LEFT_RUNNING_COUNTS)) {
+        for (Safeguard safeguard :
+                Set.of(
+                        Safeguard.CAP_AT_APPLY,
+                        Safeguard.LOWERED_CAP_WAITS,
+                        Safeguard.LOWERED_COUNTS_UNTIL_KNOWN,
+                        Safeguard.LEFT_RUNNING_COUNTS)) {
             long found = BudgetRuns.found(safeguard, SEED, 60);
             System.out.println(safeguard + " taken out: found at seed " + found);
             assertTrue(found >= 0, safeguard + " is not found from seed " + SEED);
@@ -44,8 +70,10 @@
     void sharesAreFairAndCapsAreUsed() {
         for (long seed = SEED; seed < SEED + 2; seed++) {
             BudgetRuns.Steady steady = BudgetRuns.steady(seed);
-            System.out.println("seed " + seed + ": distance " + steady.distance() + ", use " + steady.use());
-            assertTrue(steady.distance() <= 0.05, "seed " + seed + ": distance " + steady.distance());
+            System.out.println(
+                    "seed " + seed + ": distance " + steady.distance() + ", use " + steady.use());
+            assertTrue(
+                    steady.distance() <= 0.05, "seed " + seed + ": distance " + steady.distance());
             assertTrue(steady.use() >= 0.9, "seed " + seed + ": use " + steady.use());
         }
     }
--- a/src/test/java/calicostream/budget/DividerTest.java
+++ b/src/test/java/calicostream/budget/DividerTest.java
@@ -12,7 +12,9 @@
     private static final long SEED = 20261202;
     private static final int CASES = 4_000;
 
-    /** Up to 6 tenants, 10 engines and 3 tiers, guarantees under ceilings, caps that bind or do not. */
+    /**
+     * Up to 6 tenants, 10 engines and 3 tiers, guarantees under ceilings, caps that bind or do not.
+     */
     static Divider.Problem problem(SplittableRandom random) {
         int tenants = random.nextInt(1, 7);
         int engines = random.nextInt(1, 11);
@@ -22,7 +24,11 @@
         int[] tierCaps = new int[tiers];
         for (int k = 0; k < tiers; k++) {
             int tier = k;
-            int sum = java.util.stream.IntStream.range(0, engines).filter(e -> tierOf[e] == tier).map(e -> caps[e]).sum();
+            int sum =
+                    java.util.stream.IntStream.range(0, engines)
+                            .filter(e -> tierOf[e] == tier)
+                            .map(e -> caps[e])
+                            .sum();
             tierCaps[k] = random.nextInt(3) == 0 ? sum / 2 : sum + 10;
         }
         int[] weights = random.ints(tenants, 1, 11).toArray();
@@ -40,9 +46,11 @@
             }
             int sum = Arrays.stream(guarantees[t]).sum();
             overall[t] = random.nextInt(3) == 0 ? random.nextInt(60) : 0;
-            ceiling[t] = Math.max(sum, overall[t]) + random.nextInt(random.nextBoolean() ? 60 : 500);
+            ceiling[t] =
+                    Math.max(sum, overall[t]) + random.nextInt(random.nextBoolean() ? 60 : 500);
         }
-        return new Divider.Problem(caps, tierOf, tierCaps, weights, wanted, guarantees, ceilings, overall, ceiling);
+        return new Divider.Problem(
+                caps, tierOf, tierCaps, weights, wanted, guarantees, ceilings, overall, ceiling);
     }
 
     static int[] totals(int[][] placed) {
@@ -55,7 +63,9 @@
         for (int e = 0; e < problem.engines(); e++) {
             int sum = 0;
             for (int t = 0; t < problem.tenants(); t++) {
-                assertTrue(placed[t][e] >= 0 && placed[t][e] <= problem.wanted()[t][e], what + ": more than wanted");
+                assertTrue(
+                        placed[t][e] >= 0 && placed[t][e] <= problem.wanted()[t][e],
+                        what + ": more than wanted");
                 sum += placed[t][e];
                 own[t][problem.tierOf()[e]] += placed[t][e];
             }
@@ -65,11 +75,15 @@
         for (int k = 0; k < tier.length; k++) {
             assertTrue(tier[k] <= problem.tierCaps()[k], what + ": over tier " + k);
             for (int t = 0; t < problem.tenants(); t++) {
-                assertTrue(own[t][k] <= problem.tierCeilings()[t][k], what + ": over a tenant's ceiling in tier " + k);
+                assertTrue(
+                        own[t][k] <= problem.tierCeilings()[t][k],
+                        what + ": over a tenant's ceiling in tier " + k);
             }
         }
         for (int t = 0; t < problem.tenants(); t++) {
-            assertTrue(Arrays.stream(own[t]).sum() <= problem.ceilings()[t], what + ": over a tenant's ceiling");
+            assertTrue(
+                    Arrays.stream(own[t]).sum() <= problem.ceilings()[t],
+                    what + ": over a tenant's ceiling");
         }
     }
 
@@ -85,18 +99,43 @@
             double[] fair = MaxMinOracle.totals(problem);
             for (int t = 0; t < has.length; t++) {
                 double apart = Math.abs(has[t] - fair[t]);
-                assertTrue(apart < 1.5, "seed " + (SEED + i) + ": tenant " + t + " has " + has[t] + ", fair are " + fair[t]);
+                assertTrue(
+                        apart < 1.5,
+                        "seed "
+                                + (SEED + i)
+                                + ": tenant "
+                                + t
+                                + " has "
+                                + has[t]
+                                + ", fair are "
+                                + fair[t]);
                 largest = Math.max(largest, apart);
                 relative = Math.max(relative, apart / Math.max(fair[t], 20));
             }
         }
-        System.out.println("seed " + SEED + ": largest distance " + largest + " sessions, " + relative + " of a share of 20 or more");
+        System.out.println(
+                "seed "
+                        + SEED
+                        + ": largest distance "
+                        + largest
+                        + " sessions, "
+                        + relative
+                        + " of a share of 20 or more");
     }
 
     @Test
     void guaranteesThatCanBeMetAreMetBeforeWeightsCount() {
-        Divider.Problem problem = new Divider.Problem(new int[] {20, 20}, new int[] {0, 0}, new int[] {40}, new int[] {1, 1_000},
-                new int[][] {{20, 20}, {20, 20}}, new int[][] {{0}, {0}}, new int[][] {{40}, {40}}, new int[] {12, 0}, new int[] {40, 40});
+        Divider.Problem problem =
+                new Divider.Problem(
+                        new int[] {20, 20},
+                        new int[] {0, 0},
+                        new int[] {40},
+                        new int[] {1, 1_000},
+                        new int[][] {{20, 20}, {20, 20}},
+                        new int[][] {{0}, {0}},
+                        new int[][] {{40}, {40}},
+                        new int[] {12, 0},
+                        new int[] {40, 40});
         assertArrayEquals(new int[] {12, 28}, totals(Divider.divide(problem, null)));
     }
 
@@ -110,10 +149,19 @@
             int e = random.nextInt(problem.engines());
             problem.wanted()[t][e] += random.nextInt(1, 10);
             int[] more = totals(Divider.divide(problem, null));
-            assertTrue(more[t] >= before[t], "seed " + (SEED + i) + ": wants more, has " + more[t] + " after " + before[t]);
+            assertTrue(
+                    more[t] >= before[t],
+                    "seed " + (SEED + i) + ": wants more, has " + more[t] + " after " + before[t]);
             problem.weights()[t] *= 3;
             int[] heavier = totals(Divider.divide(problem, null));
-            assertTrue(heavier[t] >= more[t], "seed " + (SEED + i) + ": weighs more, has " + heavier[t] + " after " + more[t]);
+            assertTrue(
+                    heavier[t] >= more[t],
+                    "seed "
+                            + (SEED + i)
+                            + ": weighs more, has "
+                            + heavier[t]
+                            + " after "
+                            + more[t]);
         }
     }
 
@@ -125,16 +173,29 @@
             SplittableRandom random = new SplittableRandom(SEED + i);
             Divider.Problem problem = problem(random);
             int[][] before = Divider.divide(problem, null);
-            assertArrayEquals(before, Divider.divide(problem, before), "seed " + (SEED + i) + ": nothing changed");
-            problem.wanted()[random.nextInt(problem.tenants())][random.nextInt(problem.engines())]++;
+            assertArrayEquals(
+                    before,
+                    Divider.divide(problem, before),
+                    "seed " + (SEED + i) + ": nothing changed");
+            problem.wanted()[random.nextInt(problem.tenants())][
+                    random.nextInt(problem.engines())]++;
             int[][] after = Divider.divide(problem, before);
             int[][] afresh = Divider.divide(problem, null);
             assertLawful(problem, after, "seed " + (SEED + i));
-            assertArrayEquals(totals(afresh), totals(after), "seed " + (SEED + i) + ": the same shares, wherever they are placed");
+            assertArrayEquals(
+                    totals(afresh),
+                    totals(after),
+                    "seed " + (SEED + i) + ": the same shares, wherever they are placed");
             worst = Math.max(worst, moved(before, after));
             worstAfresh = Math.max(worstAfresh, moved(before, afresh));
         }
-        System.out.println("seed " + SEED + ": one more wanted moves at most " + worst + " sessions, divided afresh " + worstAfresh);
+        System.out.println(
+                "seed "
+                        + SEED
+                        + ": one more wanted moves at most "
+                        + worst
+                        + " sessions, divided afresh "
+                        + worstAfresh);
         assertTrue(worst <= 12, "moves " + worst);
     }
 
--- a/src/test/java/calicostream/budget/GrantMachineTest.java
+++ b/src/test/java/calicostream/budget/GrantMachineTest.java
@@ -15,8 +15,14 @@
 import org.junit.jupiter.api.Test;
 
 class GrantMachineTest {
-    private static final BudgetSettings SETTINGS = new BudgetSettings(List.of(new BudgetSettings.Pool("pool", 2, 100)),
-            List.of(new BudgetSettings.Tenant("t", 1, Map.of())), List.of("a", "b"), 1_000_000_000, 500, 2);
+    private static final BudgetSettings SETTINGS =
+            new BudgetSettings(
+                    List.of(new BudgetSettings.Pool("pool", 2, 100)),
+                    List.of(new BudgetSettings.Tenant("t", 1, Map.of())),
+                    List.of("a", "b"),
+                    1_000_000_000,
+                    500,
+                    2);
     private final GrantMachine machine = new GrantMachine(SETTINGS);
     private long index;
 
@@ -34,8 +40,13 @@
         return refusal;
     }
 
-    private static BudgetCommand.Divide divide(long token, String process, long session, long incarnation, int sessions) {
-        return new BudgetCommand.Divide(token, List.of(new BudgetCommand.Share(process, session, "e", incarnation, "t", sessions)));
+    private static BudgetCommand.Divide divide(
+            long token, String process, long session, long incarnation, int sessions) {
+        return new BudgetCommand.Divide(
+                token,
+                List.of(
+                        new BudgetCommand.Share(
+                                process, session, "e", incarnation, "t", sessions)));
     }
 
     private void start() {
@@ -52,16 +63,30 @@
         assertEquals("budget-old-token", refusal(1, divide(4, "a", 1, 1, 1)));
         assertEquals("budget-over-cap", refusal(1, divide(5, "b", 2, 1, 3)));
         assertEquals("budget-grant-over", refusal(1, divide(5, "b", 7, 1, 1)));
-        assertEquals("budget-unknown", refusal(1, new BudgetCommand.Divide(5, List.of(new BudgetCommand.Share("a", 1, "e", 1, "x", 1)))));
-        assertEquals("budget-floors-over-cap", refusal(1, new BudgetCommand.Engine("e", 1, "pool", 3)));
-        assertEquals("budget-other-incarnation", refusal(1, new BudgetCommand.Engine("e", 0, "pool", 10)));
-        assertEquals("budget-no-proof", refusal(2, new BudgetCommand.Count("e", 1, "a", 1, false, index, 0, false)));
+        assertEquals(
+                "budget-unknown",
+                refusal(
+                        1,
+                        new BudgetCommand.Divide(
+                                5, List.of(new BudgetCommand.Share("a", 1, "e", 1, "x", 1)))));
+        assertEquals(
+                "budget-floors-over-cap", refusal(1, new BudgetCommand.Engine("e", 1, "pool", 3)));
+        assertEquals(
+                "budget-other-incarnation",
+                refusal(1, new BudgetCommand.Engine("e", 0, "pool", 10)));
+        assertEquals(
+                "budget-no-proof",
+                refusal(2, new BudgetCommand.Count("e", 1, "a", 1, false, index, 0, false)));
         assertEquals("budget-not-due", refusal(2, new BudgetCommand.Expire("a", 1, false, 0)));
         assertTrue(tell(1, new BudgetCommand.Renew(1, 1, List.of(), List.of())).accepted());
-        assertEquals("budget-old-report", refusal(1, new BudgetCommand.Renew(1, 1, List.of(), List.of())));
+        assertEquals(
+                "budget-old-report",
+                refusal(1, new BudgetCommand.Renew(1, 1, List.of(), List.of())));
         tell(9, new BudgetCommand.Engine("e", 1, "pool", 6));
         assertEquals("budget-cap-lowered", refusal(1, divide(5, "b", 2, 1, 1)));
-        assertEquals("cluster-malformed", machine.apply(++index, new Command(1, 1, 0, new byte[] {1, 99})).refusal());
+        assertEquals(
+                "cluster-malformed",
+                machine.apply(++index, new Command(1, 1, 0, new byte[] {1, 99})).refusal());
     }
 
     @Test
@@ -71,7 +96,11 @@
         assertTrue(tell(9, new BudgetCommand.Engine("e", 1, "pool", 5)).events().isEmpty());
         tell(1, divide(1, "a", 1, 1, 3));
         assertEquals(10, machine.books().engines.get("e").cap);
-        Effects known = tell(1, new BudgetCommand.Renew(1, 2, List.of(new BudgetCommand.Use("e", 1, 3, 0)), List.of()));
+        Effects known =
+                tell(
+                        1,
+                        new BudgetCommand.Renew(
+                                1, 2, List.of(new BudgetCommand.Use("e", 1, 3, 0)), List.of()));
         assertEquals("budget-cap-in-force", known.events().get(0).kind());
         assertEquals(5, machine.books().engines.get("e").cap);
     }
@@ -84,7 +113,10 @@
         assertEquals(4, machine.books().committed("e"));
         assertEquals("budget-other-incarnation", refusal(1, divide(1, "a", 1, 1, 1)));
         tell(9, new BudgetCommand.Gone("e", 2));
-        assertEquals("budget-other-incarnation", refusal(9, new BudgetCommand.Engine("e", 2, "pool", 10)), "none comes back");
+        assertEquals(
+                "budget-other-incarnation",
+                refusal(9, new BudgetCommand.Engine("e", 2, "pool", 10)),
+                "none comes back");
     }
 
     @Test
@@ -104,8 +136,25 @@
 
     @Test
     void impossibleSettingsNameTheirKey() {
-        assertTrue(assertThrows(BudgetException.BadSetting.class, () -> new BudgetSettings(List.of(new BudgetSettings.Pool("p", 1, 5)),
-                List.of(new BudgetSettings.Tenant("t", 1, Map.of("p", new BudgetSettings.Share(6, 8)))), List.of("a"), 1_000_000_000, 500, 1))
-                .getMessage().contains("pools.p.cap"));
+        assertTrue(
+                assertThrows(
+                                BudgetException.BadSetting.class,
+                                () ->
+                                        new BudgetSettings(
+                                                List.of(new BudgetSettings.Pool("p", 1, 5)),
+                                                List.of(
+                                                        new BudgetSettings.Tenant(
+                                                                "t",
+                                                                1,
+                                                                Map.of(
+                                                                        "p",
+                                                                        new BudgetSettings.Share(
+                                                                                6, 8)))),
+                                                List.of("a"),
+                                                1_000_000_000,
+                                                500,
+                                                1))
+                        .getMessage()
+                        .contains("pools.p.cap"));
     }
 }
--- a/src/test/java/calicostream/budget/HoldingsTest.java
+++ b/src/test/java/calicostream/budget/HoldingsTest.java
@@ -14,8 +14,16 @@
 
 class HoldingsTest {
     private static final long MS = 1_000_000;
-    private static final BudgetSettings SETTINGS = new BudgetSettings(List.of(new BudgetSettings.Pool("pool", 2, 100)),
-            List.of(new BudgetSettings.Tenant("s", 1, Map.of()), new BudgetSettings.Tenant("t", 3, Map.of())), List.of("a"), 1_000 * MS, 500, 4);
+    private static final BudgetSettings SETTINGS =
+            new BudgetSettings(
+                    List.of(new BudgetSettings.Pool("pool", 2, 100)),
+                    List.of(
+                            new BudgetSettings.Tenant("s", 1, Map.of()),
+                            new BudgetSettings.Tenant("t", 3, Map.of())),
+                    List.of("a"),
+                    1_000 * MS,
+                    500,
+                    4);
     private final Holdings holdings = new Holdings(SETTINGS, "a");
     private final int e = holdings.engine("e", "pool");
 
@@ -31,8 +39,15 @@
 
     private void granted(long now, int s, int t) {
         long number = holdings.report(now, new Demand(2, MS)).number();
-        holdings.granted(new BudgetCommand.Grants(number, number, List.of(new BudgetCommand.Share("", 1, "e", 1, "s", s),
-                new BudgetCommand.Share("", 1, "e", 1, "t", t)), List.of(new BudgetCommand.Use("e", 1, 0, 0))), now);
+        holdings.granted(
+                new BudgetCommand.Grants(
+                        number,
+                        number,
+                        List.of(
+                                new BudgetCommand.Share("", 1, "e", 1, "s", s),
+                                new BudgetCommand.Share("", 1, "e", 1, "t", t)),
+                        List.of(new BudgetCommand.Use("e", 1, 0, 0))),
+                now);
     }
 
     @Test
@@ -41,7 +56,8 @@
         assertEquals(0, begins(0, 0), "what former starts left is not known");
         granted(0, 3, 5);
         assertEquals(3, begins(0, 0));
-        assertFalse(holdings.mayUse(1, e, SETTINGS.usableNanos()), "three run over the floor of two");
+        assertFalse(
+                holdings.mayUse(1, e, SETTINGS.usableNanos()), "three run over the floor of two");
         assertFalse(holdings.isLive());
         holdings.ended(0, e, 1);
         holdings.ended(0, e, 1);
@@ -50,7 +66,9 @@
 
     @Test
     void grantsEndBeforeTheLeaderHasCountedThemOut() {
-        assertTrue(SETTINGS.usableNanos() * (1 + 500e-6) / (1 - 500e-6) < SETTINGS.ttlNanos(), "the slowest clock here, the fastest there");
+        assertTrue(
+                SETTINGS.usableNanos() * (1 + 500e-6) / (1 - 500e-6) < SETTINGS.ttlNanos(),
+                "the slowest clock here, the fastest there");
         assertTrue(SETTINGS.usableNanos() > SETTINGS.ttlNanos() * 0.998);
     }
 
@@ -58,7 +76,9 @@
     void aDecisionAllocatesNothing() {
         holdings.connected(e, 1);
         granted(0, 3, 5);
-        com.sun.management.ThreadMXBean threads = (com.sun.management.ThreadMXBean) java.lang.management.ManagementFactory.getThreadMXBean();
+        com.sun.management.ThreadMXBean threads =
+                (com.sun.management.ThreadMXBean)
+                        java.lang.management.ManagementFactory.getThreadMXBean();
         threads.getCurrentThreadAllocatedBytes();
         long before = threads.getCurrentThreadAllocatedBytes();
         int yes = 0;
@@ -101,7 +121,10 @@
         assertEquals(List.of(2L), queues.impatient(0, 100 * MS));
         queues.ended(0, 100 * MS);
         queues.ended(0, 150 * MS);
-        BudgetException.NoRoom refusal = assertThrows(BudgetException.NoRoom.class, () -> queues.offer(0, e, 9, 150 * MS, 20 * MS));
+        BudgetException.NoRoom refusal =
+                assertThrows(
+                        BudgetException.NoRoom.class,
+                        () -> queues.offer(0, e, 9, 150 * MS, 20 * MS));
         assertEquals(50 * MS, refusal.returnAfterNanos(), "a session ends each 50 ms");
     }
 
@@ -134,9 +157,14 @@
             doubts.add(new Doubts.Doubt(1, i, e, 1, i * 10 * MS));
         }
         assertEquals(List.of(), doubts.counted(e, 90 * MS, 0), "may still be on their way");
-        assertEquals(List.of(), doubts.counted(e, 115 * MS, 2), "two are old enough, and two may run");
-        assertEquals(List.of(0), doubts.counted(e, 115 * MS, 1).stream().map(Doubts.Doubt::tenant).toList());
-        assertEquals(List.of(1, 2), doubts.counted(e, 500 * MS, 0).stream().map(Doubts.Doubt::tenant).toList());
+        assertEquals(
+                List.of(), doubts.counted(e, 115 * MS, 2), "two are old enough, and two may run");
+        assertEquals(
+                List.of(0),
+                doubts.counted(e, 115 * MS, 1).stream().map(Doubts.Doubt::tenant).toList());
+        assertEquals(
+                List.of(1, 2),
+                doubts.counted(e, 500 * MS, 0).stream().map(Doubts.Doubt::tenant).toList());
         assertEquals(0, doubts.size());
     }
 
@@ -150,7 +178,9 @@
             long sum = Arrays.stream(caps).sum();
             assertEquals(sum == 0 ? 0 : waiting, Arrays.stream(parts).sum(), "run " + run);
             for (int i = 0; i < caps.length && sum > 0; i++) {
-                assertTrue(Math.abs(parts[i] - (double) waiting * caps[i] / sum) < 1 + 1e-9, "run " + run);
+                assertTrue(
+                        Math.abs(parts[i] - (double) waiting * caps[i] / sum) < 1 + 1e-9,
+                        "run " + run);
             }
         }
     }
--- a/src/test/java/calicostream/budget/LedgerTest.java
+++ b/src/test/java/calicostream/budget/LedgerTest.java
@@ -16,8 +16,15 @@
     private static final int CAP = 6;
 
     private static BudgetSettings settings(int floor, int inHand) {
-        return new BudgetSettings(List.of(new BudgetSettings.Pool("pool", floor, 100)),
-                List.of(new BudgetSettings.Tenant("s", 1, Map.of()), new BudgetSettings.Tenant("t", 1, Map.of())), List.of("a"), TRAVEL, 500, inHand);
+        return new BudgetSettings(
+                List.of(new BudgetSettings.Pool("pool", floor, 100)),
+                List.of(
+                        new BudgetSettings.Tenant("s", 1, Map.of()),
+                        new BudgetSettings.Tenant("t", 1, Map.of())),
+                List.of("a"),
+                TRAVEL,
+                500,
+                inHand);
     }
 
     private static Ledger ledger(int floor, int inHand, long now) {
@@ -32,7 +39,9 @@
         Ledger ledger = ledger(2, 8, 5 * MS);
         List<Long> asked = new ArrayList<>();
         ledger.counted(0, TRAVEL + 4 * MS, 0);
-        for (long now = 5 * MS; now < 3 * TRAVEL && ledger.holdings().free(0, now) == 0; now += MS) {
+        for (long now = 5 * MS;
+                now < 3 * TRAVEL && ledger.holdings().free(0, now) == 0;
+                now += MS) {
             if (ledger.isDue(0, now)) {
                 asked.add(now / MS);
                 ledger.counted(0, now, asked.size() == 1 ? 2 : 0);
@@ -48,9 +57,16 @@
         Ledger ledger = ledger(2, 8, 0);
         ledger.joined();
         long number = ledger.holdings().report(MS, new Demand(2, MS)).number();
-        ledger.holdings().granted(new BudgetCommand.Grants(number, 1, List.of(), List.of(new BudgetCommand.Use("e", 1, 0, 0))), MS);
+        ledger.holdings()
+                .granted(
+                        new BudgetCommand.Grants(
+                                number, 1, List.of(), List.of(new BudgetCommand.Use("e", 1, 0, 0))),
+                        MS);
         assertEquals(2, ledger.holdings().free(0, MS));
-        assertEquals(2, ledger.holdings().free(0, 9 * TRAVEL), "and it stays open when the grants have ended");
+        assertEquals(
+                2,
+                ledger.holdings().free(0, 9 * TRAVEL),
+                "and it stays open when the grants have ended");
     }
 
     @Test
@@ -62,13 +78,22 @@
         assertEquals(1, ledger.holdings().free(0, TRAVEL));
     }
 
-    /** The break that the wait avoids: what two processes had sent that died one after the other reaches the engine after it was asked. */
+    /**
+     * The break that the wait avoids: what two processes had sent that died one after the other
+     * reaches the engine after it was asked.
+     */
     @Test
     void whatDeadProcessesHadSentArrivesAfterTheCountAndTheFloorHolds() {
         for (long travel : new long[] {0, TRAVEL}) {
             int onTheWay = 0;
-            for (int start = 0; start < 3; start++) { // each finds an engine that runs nothing, and dies
-                Ledger next = new Ledger(new Holdings(settings(CAP, 4), "a"), start == 0 ? 0 : travel, start * MS);
+            for (int start = 0;
+                    start < 3;
+                    start++) { // each finds an engine that runs nothing, and dies
+                Ledger next =
+                        new Ledger(
+                                new Holdings(settings(CAP, 4), "a"),
+                                start == 0 ? 0 : travel,
+                                start * MS);
                 next.holdings().engine("e", "pool");
                 next.connected(0, 1, start * MS);
                 next.counted(0, start * MS, 0);
@@ -98,7 +123,10 @@
         assertFalse(ledger.over(other, false, 3 * TRAVEL));
         assertEquals(1, ledger.inDoubt());
         assertEquals(List.of(), ledger.counted(0, 3 * TRAVEL, 0));
-        assertEquals(List.of(1), ledger.counted(0, 4 * TRAVEL, 0), "its place comes with a count from a travel time later");
+        assertEquals(
+                List.of(1),
+                ledger.counted(0, 4 * TRAVEL, 0),
+                "its place comes with a count from a travel time later");
         assertEquals(2, ledger.holdings().free(0, 4 * TRAVEL));
     }
 
@@ -109,7 +137,11 @@
         assertEquals(0, young.holdings().free(0, TRAVEL), "the earlier process may have met it");
         Ledger told = ledger(2, 8, 0);
         long number = told.holdings().report(0, new Demand(2, MS)).number();
-        told.holdings().granted(new BudgetCommand.Grants(number, 1, List.of(), List.of(new BudgetCommand.Use("e", 2, 0, 1))), 0);
+        told.holdings()
+                .granted(
+                        new BudgetCommand.Grants(
+                                number, 1, List.of(), List.of(new BudgetCommand.Use("e", 2, 0, 1))),
+                        0);
         assertEquals(1, told.holdings().free(0, 0), "the machine says what it had left there");
         Ledger old = ledger(2, 8, 0);
         old.connected(0, 2, TRAVEL);
--- a/src/test/java/calicostream/budget/SafeguardsTest.java
+++ b/src/test/java/calicostream/budget/SafeguardsTest.java
@@ -12,12 +12,21 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** For each safeguard the shortest history in which the engine passes its cap without it, and does not with it. */
+/**
+ * For each safeguard the shortest history in which the engine passes its cap without it, and does
+ * not with it.
+ */
 class SafeguardsTest {
     private static final long MS = 1_000_000;
     private static final int CAP = 10;
-    private static final BudgetSettings SETTINGS = new BudgetSettings(List.of(new BudgetSettings.Pool("pool", 1, 100)),
-            List.of(new BudgetSettings.Tenant("tenant", 1, Map.of())), List.of("a", "b"), 1_000 * MS, 500, 2);
+    private static final BudgetSettings SETTINGS =
+            new BudgetSettings(
+                    List.of(new BudgetSettings.Pool("pool", 1, 100)),
+                    List.of(new BudgetSettings.Tenant("tenant", 1, Map.of())),
+                    List.of("a", "b"),
+                    1_000 * MS,
+                    500,
+                    2);
 
     /** One engine, which runs what it is sent, and two processes. */
     private static final class World {
@@ -56,16 +65,36 @@
         }
 
         boolean grant(Process process, int sessions) {
-            return tell(2, new BudgetCommand.Divide(1, List.of(new BudgetCommand.Share(process.name, process.session, "e", 1, "tenant", sessions))))
+            return tell(
+                            2,
+                            new BudgetCommand.Divide(
+                                    1,
+                                    List.of(
+                                            new BudgetCommand.Share(
+                                                    process.name,
+                                                    process.session,
+                                                    "e",
+                                                    1,
+                                                    "tenant",
+                                                    sessions))))
                     .accepted();
         }
 
         void count(Process process, boolean former, long seen, int sessions) {
-            tell(2, new BudgetCommand.Count("e", 1, process.name, process.session, former, seen, sessions, false));
+            tell(
+                    2,
+                    new BudgetCommand.Count(
+                            "e", 1, process.name, process.session, former, seen, sessions, false));
         }
 
         void expire(Process process) {
-            tell(0, new BudgetCommand.Expire(process.name, process.session, false, machine.books().processes.get(process.name).number));
+            tell(
+                    0,
+                    new BudgetCommand.Expire(
+                            process.name,
+                            process.session,
+                            false,
+                            machine.books().processes.get(process.name).number));
         }
 
         final class Process {
@@ -134,118 +163,138 @@
 
     @Test
     void grantsAreHeldToTheirExpiry() {
-        assertGuards(Safeguard.GRANT_HELD_TO_EXPIRY, world -> {
-            eight(world, world.a);
-            world.count(world.a, false, world.index, 0);
-            theOtherTakesTheRest(world, 0);
-            world.a.begins(0);
-        });
+        assertGuards(
+                Safeguard.GRANT_HELD_TO_EXPIRY,
+                world -> {
+                    eight(world, world.a);
+                    world.count(world.a, false, world.index, 0);
+                    theOtherTakesTheRest(world, 0);
+                    world.a.begins(0);
+                });
     }
 
     @Test
     void loweredGrantsCountUntilTheyAreKnown() {
-        assertGuards(Safeguard.LOWERED_COUNTS_UNTIL_KNOWN, world -> {
-            eight(world, world.a);
-            assertTrue(world.grant(world.a, 1));
-            theOtherTakesTheRest(world, 0);
-            world.a.begins(0);
-        });
+        assertGuards(
+                Safeguard.LOWERED_COUNTS_UNTIL_KNOWN,
+                world -> {
+                    eight(world, world.a);
+                    assertTrue(world.grant(world.a, 1));
+                    theOtherTakesTheRest(world, 0);
+                    world.a.begins(0);
+                });
     }
 
     @Test
     void whatASilentProcessLeftRunningCounts() {
-        assertGuards(Safeguard.LEFT_RUNNING_COUNTS, world -> {
-            eight(world, world.a);
-            world.a.begins(0);
-            world.expire(world.a);
-            theOtherTakesTheRest(world, 1_100 * MS);
-        });
+        assertGuards(
+                Safeguard.LEFT_RUNNING_COUNTS,
+                world -> {
+                    eight(world, world.a);
+                    world.a.begins(0);
+                    world.expire(world.a);
+                    theOtherTakesTheRest(world, 1_100 * MS);
+                });
     }
 
     @Test
     void aCountFromBeforeTheExpiryProvesNothing() {
-        assertGuards(Safeguard.PROOF_AFTER_EXPIRY, world -> {
-            eight(world, world.a);
-            long seen = world.index;
-            world.a.begins(0);
-            world.expire(world.a);
-            world.count(world.a, false, seen, 0);
-            theOtherTakesTheRest(world, 1_100 * MS);
-        });
+        assertGuards(
+                Safeguard.PROOF_AFTER_EXPIRY,
+                world -> {
+                    eight(world, world.a);
+                    long seen = world.index;
+                    world.a.begins(0);
+                    world.expire(world.a);
+                    world.count(world.a, false, seen, 0);
+                    theOtherTakesTheRest(world, 1_100 * MS);
+                });
     }
 
     @Test
     void whatWasDecidedBeforeAStopIsSentAfterIt() {
-        assertGuards(Safeguard.IN_HAND_COUNTS, world -> {
-            eight(world, world.a);
-            int decided = 0;
-            while (world.a.holdings.mayUse(0, 0, 0)) {
-                world.a.holdings.begun(0, 0);
-                decided++;
-            }
-            assertEquals(SETTINGS.inHand(), decided);
-            world.expire(world.a);
-            world.count(world.a, false, world.index, 0);
-            theOtherTakesTheRest(world, 1_100 * MS);
-            world.running += decided;
-            world.look();
-        });
+        assertGuards(
+                Safeguard.IN_HAND_COUNTS,
+                world -> {
+                    eight(world, world.a);
+                    int decided = 0;
+                    while (world.a.holdings.mayUse(0, 0, 0)) {
+                        world.a.holdings.begun(0, 0);
+                        decided++;
+                    }
+                    assertEquals(SETTINGS.inHand(), decided);
+                    world.expire(world.a);
+                    world.count(world.a, false, world.index, 0);
+                    theOtherTakesTheRest(world, 1_100 * MS);
+                    world.running += decided;
+                    world.look();
+                });
     }
 
     @Test
     void aDivisionOverTheCapIsRefused() {
-        assertGuards(Safeguard.CAP_AT_APPLY, world -> {
-            eight(world, world.a);
-            world.a.begins(0);
-            theOtherTakesTheRest(world, 0);
-        });
+        assertGuards(
+                Safeguard.CAP_AT_APPLY,
+                world -> {
+                    eight(world, world.a);
+                    world.a.begins(0);
+                    theOtherTakesTheRest(world, 0);
+                });
     }
 
     @Test
     void aLoweredCapIsInForceOnceItIsTrue() {
-        assertGuards(Safeguard.LOWERED_CAP_WAITS, world -> {
-            eight(world, world.a);
-            world.a.begins(0);
-            world.tell(9, new BudgetCommand.Engine("e", 1, "pool", 4));
-            world.look();
-        });
+        assertGuards(
+                Safeguard.LOWERED_CAP_WAITS,
+                world -> {
+                    eight(world, world.a);
+                    world.a.begins(0);
+                    world.tell(9, new BudgetCommand.Engine("e", 1, "pool", 4));
+                    world.look();
+                });
     }
 
     @Test
     void grantsCountFromBeforeTheyWereAskedFor() {
-        assertGuards(Safeguard.TIME_FROM_ASKING, world -> {
-            assertTrue(world.grant(world.a, 8));
-            Effects late = world.a.asks(0);
-            world.expire(world.a);
-            world.count(world.a, false, world.index, 0);
-            theOtherTakesTheRest(world, 1_100 * MS);
-            world.a.hears(late, 1_500 * MS);
-            world.a.begins(1_500 * MS);
-        });
+        assertGuards(
+                Safeguard.TIME_FROM_ASKING,
+                world -> {
+                    assertTrue(world.grant(world.a, 8));
+                    Effects late = world.a.asks(0);
+                    world.expire(world.a);
+                    world.count(world.a, false, world.index, 0);
+                    theOtherTakesTheRest(world, 1_100 * MS);
+                    world.a.hears(late, 1_500 * MS);
+                    world.a.begins(1_500 * MS);
+                });
     }
 
     @Test
     void whoSaidThatItsGrantsAreOverTakesNoOlderAnswer() {
-        assertGuards(Safeguard.NO_ANSWER_BEFORE_LAPSE, world -> {
-            eight(world, world.a);
-            Effects late = world.a.asks(900 * MS);
-            assertTrue(world.grant(world.a, 1));
-            world.a.asks(1_000 * MS);
-            theOtherTakesTheRest(world, 1_010 * MS);
-            world.a.hears(late, 1_020 * MS);
-            world.a.begins(1_020 * MS);
-        });
+        assertGuards(
+                Safeguard.NO_ANSWER_BEFORE_LAPSE,
+                world -> {
+                    eight(world, world.a);
+                    Effects late = world.a.asks(900 * MS);
+                    assertTrue(world.grant(world.a, 1));
+                    world.a.asks(1_000 * MS);
+                    theOtherTakesTheRest(world, 1_010 * MS);
+                    world.a.hears(late, 1_020 * MS);
+                    world.a.begins(1_020 * MS);
+                });
     }
 
     @Test
     void aStartedProcessUsesNoFloorBeforeItKnowsWhatItLeftRunning() {
-        assertGuards(Safeguard.FLOOR_AFTER_LEFT_KNOWN, world -> {
-            world.grantMost(world.a);
-            world.a.hears(world.a.asks(0), 0);
-            world.a.begins(0);
-            world.b.begins(0);
-            World.Process again = world.new Process("a", 3);
-            again.begins(10 * MS);
-        });
+        assertGuards(
+                Safeguard.FLOOR_AFTER_LEFT_KNOWN,
+                world -> {
+                    world.grantMost(world.a);
+                    world.a.hears(world.a.asks(0), 0);
+                    world.a.begins(0);
+                    world.b.begins(0);
+                    World.Process again = world.new Process("a", 3);
+                    again.begins(10 * MS);
+                });
     }
 }
--- a/src/test/java/calicostream/cluster/CountedTimeTest.java
+++ b/src/test/java/calicostream/cluster/CountedTimeTest.java
@@ -11,7 +11,10 @@
     private static final long SEED = 77;
     private static final long PERIOD = 50_000_000;
 
-    /** Looks come a period apart or later, by a clock that jumps ahead; what is counted is never more than what passed. */
+    /**
+     * Looks come a period apart or later, by a clock that jumps ahead; what is counted is never
+     * more than what passed.
+     */
     @Test
     void jumpsAndStopsMakeNothingOverEarly() {
         Random random = new Random(SEED);
--- a/src/test/java/calicostream/cluster/NewsroomTest.java
+++ b/src/test/java/calicostream/cluster/NewsroomTest.java
@@ -25,7 +25,8 @@
     }
 
     private Replicated.News news(long to, int bytes) {
-        return new Replicated.News("leases", ++index, new Effects.Event("lease-acted", new byte[bytes], to));
+        return new Replicated.News(
+                "leases", ++index, new Effects.Event("lease-acted", new byte[bytes], to));
     }
 
     private static List<Integer> members(List<Newsroom.Telling> told) {
@@ -39,7 +40,8 @@
         open(3);
         open(3); // Started again, its former session not yet over.
         Newsroom room = new Newsroom(state, SELF);
-        List<Replicated.News> news = List.of(news(second, 5), news(Effects.Event.NOBODY, 5), news(Effects.Event.ALL, 5));
+        List<Replicated.News> news =
+                List.of(news(second, 5), news(Effects.Event.NOBODY, 5), news(Effects.Event.ALL, 5));
         assertEquals(List.of(), room.tell(news, false, 0));
         List<Newsroom.Telling> told = room.tell(news, true, 0);
         assertEquals(List.of(2, 2, 3), members(told));
@@ -66,19 +68,28 @@
         Set<Integer> heard = new HashSet<>();
         for (int i = 0; i < 2_000; i++) {
             asked += 19;
-            for (Newsroom.Telling each : room.tell(List.of(news(Effects.Event.ALL, 30_000)), true, now)) {
+            for (Newsroom.Telling each :
+                    room.tell(List.of(news(Effects.Event.ALL, 30_000)), true, now)) {
                 sent += each.frame().length;
                 heard.add(each.member());
             }
             now += random.nextInt(20_000_000);
-            assertTrue(sent <= Newsroom.ROOM + (now - began) / 1000 * Newsroom.PER_SECOND / 1_000_000 + 1, "seed " + SEED);
+            assertTrue(
+                    sent
+                            <= Newsroom.ROOM
+                                    + (now - began) / 1000 * Newsroom.PER_SECOND / 1_000_000
+                                    + 1,
+                    "seed " + SEED);
         }
         assertEquals(asked, room.told() + room.dropped());
         assertTrue(room.dropped() > 0);
         assertEquals(19, heard.size());
         // Room that was not used does not add up.
         now += 3_600_000_000_000L;
-        long after = room.tell(List.of(news(Effects.Event.ALL, 30_000)), true, now).stream().mapToLong(each -> each.frame().length).sum();
+        long after =
+                room.tell(List.of(news(Effects.Event.ALL, 30_000)), true, now).stream()
+                        .mapToLong(each -> each.frame().length)
+                        .sum();
         assertTrue(after > Newsroom.ROOM / 2 && after <= Newsroom.ROOM);
     }
 }
--- a/src/test/java/calicostream/cluster/ReplicatedTest.java
+++ b/src/test/java/calicostream/cluster/ReplicatedTest.java
@@ -27,7 +27,8 @@
         @Override
         public Effects apply(long index, Command command) {
             all.add(new String(command.body()));
-            return command.body().length == 0 ? Effects.refused("heard-nothing", new byte[] {1})
+            return command.body().length == 0
+                    ? Effects.refused("heard-nothing", new byte[] {1})
                     : Effects.answer(command.body(), new Effects.Event("heard", command.body()));
         }
 
@@ -87,7 +88,9 @@
         for (int sequence = 3; sequence < 3 + Sessions.WINDOW - 1; sequence++) {
             assertTrue(run(session, sequence, 1, "x").accepted());
         }
-        assertInstanceOf(ClusterException.TooManyOpen.class, run(session, 2 + Sessions.WINDOW, 1, "x").error());
+        assertInstanceOf(
+                ClusterException.TooManyOpen.class,
+                run(session, 2 + Sessions.WINDOW, 1, "x").error());
         assertTrue(run(session, 2 + Sessions.WINDOW, 2, "x").accepted());
     }
 
@@ -96,11 +99,17 @@
         assertTrue(apply(new Entry.AddVoter(4, 0)).accepted());
         assertTrue(apply(new Entry.AddVoter(4, 0)).accepted(), "a retry");
         assertTrue(apply(new Entry.RemoveVoter(4, 0)).accepted());
-        assertInstanceOf(ClusterException.GenerationOver.class, apply(new Entry.AddVoter(4, 0)).error());
+        assertInstanceOf(
+                ClusterException.GenerationOver.class, apply(new Entry.AddVoter(4, 0)).error());
         assertEquals(1, state.nextGeneration(4));
         assertTrue(apply(new Entry.AddVoter(4, 3)).accepted());
-        assertInstanceOf(ClusterException.GenerationOver.class, apply(new Entry.AddVoter(4, 2)).error(), "older than one that was added");
-        assertTrue(apply(new Entry.RemoveVoter(5, 0)).accepted(), "one of the first voters, which nobody added");
+        assertInstanceOf(
+                ClusterException.GenerationOver.class,
+                apply(new Entry.AddVoter(4, 2)).error(),
+                "older than one that was added");
+        assertTrue(
+                apply(new Entry.RemoveVoter(5, 0)).accepted(),
+                "one of the first voters, which nobody added");
         Replicated copy = new Replicated(Map.of("heard", new Heard()));
         copy.restore(state.snapshot());
         assertArrayEquals(state.snapshot(), copy.snapshot());
@@ -119,7 +128,8 @@
         for (int nonce = 2; nonce <= Sessions.MAX_OF_MEMBER; nonce++) {
             assertTrue(apply(new Entry.Open(7, nonce, 1000)).accepted());
         }
-        assertInstanceOf(ClusterException.TooManySessions.class, apply(new Entry.Open(7, 99, 1000)).error());
+        assertInstanceOf(
+                ClusterException.TooManySessions.class, apply(new Entry.Open(7, 99, 1000)).error());
         assertInstanceOf(ClusterException.BadTtl.class, apply(new Entry.Open(8, 1, 0)).error());
     }
 
@@ -135,11 +145,14 @@
         apply(new Entry.Era(2, 12));
         apply(new Entry.Expire(era, session, renewed));
         assertTrue(state.isAlive(session), "counted by a former leader");
-        assertEquals(ClusterException.OldEra.CODE, apply(new Entry.Timed(era, "heard", new byte[1])).code());
+        assertEquals(
+                ClusterException.OldEra.CODE,
+                apply(new Entry.Timed(era, "heard", new byte[1])).code());
         apply(new Entry.Expire(state.era(), session, renewed));
         assertFalse(state.isAlive(session));
         assertInstanceOf(ClusterException.SessionOver.class, run(session, 1, 0, "late").error());
-        assertInstanceOf(ClusterException.SessionOver.class, apply(new Entry.Keep(session)).error());
+        assertInstanceOf(
+                ClusterException.SessionOver.class, apply(new Entry.Keep(session)).error());
         assertEquals(List.of("ended " + session), heard.all);
         assertEquals("session-expired", state.takeNews().get(0).event().kind());
     }
@@ -176,12 +189,21 @@
             if (random.nextInt(20) == 0) {
                 copy.restore(state.snapshot());
             }
-            byte[] entry = (switch (random.nextInt(4)) {
-                case 0 -> new Entry.Open(random.nextInt(3), random.nextInt(5), 1000);
-                case 1 -> new Entry.Keep(random.nextInt(20));
-                case 2 -> new Entry.Close(2 + random.nextInt(100));
-                default -> new Entry.Run(session, i, Math.max(0, i - 5), "heard", new byte[] {65});
-            }).encode();
+            byte[] entry =
+                    (switch (random.nextInt(4)) {
+                                case 0 ->
+                                        new Entry.Open(random.nextInt(3), random.nextInt(5), 1000);
+                                case 1 -> new Entry.Keep(random.nextInt(20));
+                                case 2 -> new Entry.Close(2 + random.nextInt(100));
+                                default ->
+                                        new Entry.Run(
+                                                session,
+                                                i,
+                                                Math.max(0, i - 5),
+                                                "heard",
+                                                new byte[] {65});
+                            })
+                            .encode();
             index++;
             if (copy.applied() < index - 1) {
                 copy.restore(state.snapshot());
@@ -196,10 +218,18 @@
         Random random = new Random(SEED);
         long session = open();
         run(session, 1, 0, "a");
-        List<byte[]> right = List.of(state.snapshot(), new Entry.Run(session, 2, 1, "heard", new byte[9]).encode(),
-                new Frame.Request(5, Frame.Ask.READ, "heard", new byte[3]).encode(),
-                new Frame.Reply(5, 0, Outcome.failed(3, ClusterException.QueueFull.CODE, 1, 2, 3)).encode(),
-                new Frame.News("heard", 3, new Effects.Event("heard", new byte[3], 2)).encode());
+        List<byte[]> right =
+                List.of(
+                        state.snapshot(),
+                        new Entry.Run(session, 2, 1, "heard", new byte[9]).encode(),
+                        new Frame.Request(5, Frame.Ask.READ, "heard", new byte[3]).encode(),
+                        new Frame.Reply(
+                                        5,
+                                        0,
+                                        Outcome.failed(3, ClusterException.QueueFull.CODE, 1, 2, 3))
+                                .encode(),
+                        new Frame.News("heard", 3, new Effects.Event("heard", new byte[3], 2))
+                                .encode());
         for (int i = 0; i < 20_000; i++) {
             byte[] bytes = right.get(i % right.size()).clone();
             if (random.nextBoolean()) {
@@ -224,7 +254,8 @@
     @Test
     void anEntryForAMachineThatIsNotHereStopsTheVoter() {
         long session = open();
-        assertThrows(ClusterException.UnknownMachine.class,
+        assertThrows(
+                ClusterException.UnknownMachine.class,
                 () -> apply(new Entry.Run(session, 1, 0, "absent", new byte[0])));
         assertThrows(ClusterException.Malformed.class, () -> state.apply(++index, new byte[] {9}));
     }
--- a/src/test/java/calicostream/cluster/SnapshotFormatTest.java
+++ b/src/test/java/calicostream/cluster/SnapshotFormatTest.java
@@ -59,7 +59,12 @@
         assertEquals(1, state.era());
         assertEquals(new Entry.Era(2, 77), state.leader());
         assertTrue(state.isAlive(3) && state.isAlive(6));
-        assertEquals("ab", new String(state.apply(11, new Entry.Run(3, 2, 1, "text", "b".getBytes()).encode()).answer()), "a retry");
+        assertEquals(
+                "ab",
+                new String(
+                        state.apply(11, new Entry.Run(3, 2, 1, "text", "b".getBytes()).encode())
+                                .answer()),
+                "a retry");
         return state;
     }
 
@@ -72,6 +77,7 @@
     void thePresentVersionIsWhatIsWritten() throws Exception {
         Replicated state = read("replicated-v2.snapshot");
         assertFalse(state.mayAdd(3, 0) || state.mayAdd(4, 1));
-        assertArrayEquals(Files.readAllBytes(GOLDEN.resolve("replicated-v2.snapshot")), written().snapshot());
+        assertArrayEquals(
+                Files.readAllBytes(GOLDEN.resolve("replicated-v2.snapshot")), written().snapshot());
     }
 }
--- a/src/test/java/calicostream/cluster/config/BudgetConfigTest.java
+++ b/src/test/java/calicostream/cluster/config/BudgetConfigTest.java
@@ -21,26 +21,35 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The budgets' tables of the pattern in the deploy folder, as they are and with one line spoilt. */
+/**
+ * The budgets' tables of the pattern in the deploy folder, as they are and with one line spoilt.
+ */
 class BudgetConfigTest {
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private static String pattern() throws IOException {
-        return Files.readString(Path.of("deploy/cluster.toml")).replace("enabled = false", "enabled = true");
+        return Files.readString(Path.of("deploy/cluster.toml"))
+                .replace("enabled = false", "enabled = true");
     }
 
     private ClusterConfig read(String text) throws IOException {
-        return ClusterConfig.read(Files.writeString(folder.resolve("cluster.toml"), text)).orElseThrow();
+        return ClusterConfig.read(Files.writeString(folder.resolve("cluster.toml"), text))
+                .orElseThrow();
     }
 
     @Test
     void patternHasPoolsTenantsAndEveryWayToKnowOne() throws IOException {
         BudgetConfig told = read(pattern()).budget().orElseThrow();
-        assertEquals(List.of(new BudgetSettings.Pool("core", 2, 640), new BudgetSettings.Pool("scatter", 1, 1_000_000)),
+        assertEquals(
+                List.of(
+                        new BudgetSettings.Pool("core", 2, 640),
+                        new BudgetSettings.Pool("scatter", 1, 1_000_000)),
                 told.settings().pools());
-        assertEquals(new BudgetSettings.Share(20, 300), told.settings().tenants().get(0).share("core"));
-        assertEquals(new BudgetSettings.Share(40, 400), told.settings().tenants().get(0).share(BudgetSettings.FLEET));
+        assertEquals(
+                new BudgetSettings.Share(20, 300), told.settings().tenants().get(0).share("core"));
+        assertEquals(
+                new BudgetSettings.Share(40, 400),
+                told.settings().tenants().get(0).share(BudgetSettings.FLEET));
         assertEquals(1, told.settings().tenants().get(1).weight());
         assertEquals(5_000_000_000L, told.settings().ttlNanos());
         assertEquals(500, told.settings().driftPpm());
@@ -54,60 +63,121 @@
         InetAddress outside = InetAddress.getByName("10.2.0.0");
         assertEquals(others, told.tenants().tenant(Told.NOTHING));
         assertEquals(east, told.tenants().tenant(new Told(null, "east-app", null, null, null)));
-        assertEquals(east, told.tenants().tenant(new Told(null, "somebody", "east", null, outside)));
-        assertEquals(east, told.tenants().tenant(new Told(null, null, null, new InetSocketAddress("127.0.0.1", 7601), outside)));
+        assertEquals(
+                east, told.tenants().tenant(new Told(null, "somebody", "east", null, outside)));
+        assertEquals(
+                east,
+                told.tenants()
+                        .tenant(
+                                new Told(
+                                        null,
+                                        null,
+                                        null,
+                                        new InetSocketAddress("127.0.0.1", 7601),
+                                        outside)));
         assertEquals(east, told.tenants().tenant(new Told(null, null, null, null, inside)));
-        assertEquals(others, told.tenants().tenant(new Told("others", "east-app", "east", null, inside)), "the call's own word counts first");
-        assertEquals(others, told.tenants().tenant(new Told("nobody", null, null, null, InetAddress.getByName("::1"))));
+        assertEquals(
+                others,
+                told.tenants().tenant(new Told("others", "east-app", "east", null, inside)),
+                "the call's own word counts first");
+        assertEquals(
+                others,
+                told.tenants()
+                        .tenant(
+                                new Told(
+                                        "nobody", null, null, null, InetAddress.getByName("::1"))));
     }
 
     @Test
     void fileWithoutBudgetsHasNone() throws IOException {
-        assertTrue(read(pattern().substring(0, pattern().indexOf("# Session budgets"))).budget().isEmpty());
+        assertTrue(
+                read(pattern().substring(0, pattern().indexOf("# Session budgets")))
+                        .budget()
+                        .isEmpty());
     }
 
     /** Each with what is replaced, the code, the line's key and the fact. */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "UNKNOWN_KEY | in_hand = 8 | in_hands = 8 | budget.in_hands | no such key",
-        "UNKNOWN_KEY | weight = 3 | wieght = 3 | tenants.east.wieght | no such key",
-        "UNKNOWN_KEY | pools.core.ceiling = 300 | pools.core.most = 300 | tenants.east.pools.core.most | no such key",
-        "WRONG_UNIT | patience = \"300ms\" | patience = \"300MB\" | budget.patience | '300MB', a whole number with one of the units us,",
-        "WRONG_UNIT | ttl = \"5s\"\\nprocesses | ttl = 5\\nprocesses | budget.ttl | '5', a whole number with one of the units us,",
-        "WRONG_TYPE | kinds = [0] | kinds = [\"core\"] | pools.core.kinds | an array of whole numbers is needed",
-        "WRONG_TYPE | logins = [\"east-app\"] | logins = \"east-app\" | tenants.east.logins | an array of texts in quotes is needed",
-        "WRONG_TYPE | \"10.1.0.0/16\" | \"10.1.0.1/16\" | tenants.east.clients | '10.1.0.1/16' is no range such as 10.1.0.0/16",
-        "WRONG_TYPE | \"10.1.0.0/16\" | \"10.1/16\" | tenants.east.clients | '10.1/16' is no range",
-        "WRONG_TYPE | \"10.1.0.0/16\" | \"east.example/16\" | tenants.east.clients | 'east.example/16' is no range",
-        "OUT_OF_RANGE | in_hand = 8 | in_hand = 0 | budget.in_hand | 0, 1 to 10000 allowed",
-        "OUT_OF_RANGE | \"m2\", \"m3\"] | \"m 2\"] | budget.processes | 'm 2', 1 to 63 letters",
-        "MISSING_KEY | engine_cap = 16 | # | pools.scatter.engine_cap | it is needed",
-        "OVERLAP | \"m2\", \"m3\"] | \"m2\", \"m2\"] | budget.processes | 'm2' comes twice",
-        "OVERLAP | engine_cap = 16 | engine_cap = 16\\nkinds = [3, 0] | pools.scatter.kinds | kind 0 is pool core's",
-        "OVERLAP | kinds = [0] | # | pools.scatter.kinds | all the other kinds is pool core's",
-        "OVERLAP | [tenants.others] | [tenants.others]\\nlogins = [\"b\", \"east-app\"] | tenants.others.logins | 'east-app' is tenant east's",
-        "OVERLAP | [tenants.others] | [tenants.others]\\nclients = [\"10.0.0.0/8\"] | tenants.others.clients | '10.0.0.0/8' is tenant east's",
-        "IMPOSSIBLE | engine_cap = 32 | engine_cap = 5 | pools.core.engine_cap | 5 is less than the floors of 3 processes, 6 by",
-        "IMPOSSIBLE | cap = 640 | cap = 19 | pools.core.cap | 19 is less than the 20 that tenants are guaranteed",
-        "IMPOSSIBLE | ceiling = 400 | ceiling = 39 | tenants.east.ceiling | 39 is less than the guarantee of 40",
-        "IMPOSSIBLE | core.guarantee = 20 | core.guarantee = 401 | tenants.east.pools.core.ceiling | 300 is less than the guarantee of 401",
-        "IMPOSSIBLE | pools.core.ceiling = 300 | pools.cores.ceiling = 300 | tenants.east.pools.cores | 'cores' is none of the pools core, scatter",
-        "IMPOSSIBLE | default = \"others\" | default = \"other\" | budget.default | 'other' is none of the tenants east, others",
-        "IMPOSSIBLE | ttl = \"5s\"\\nprocesses | ttl = \"2s\"\\nprocesses | budget.ttl | grants must outlast a change of leader, which takes 2s by",
-    })
-    void mistakeIsOneLineWithFileLineAndKey(Code code, String was, String is, String key, String fact) throws IOException {
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "UNKNOWN_KEY | in_hand = 8 | in_hands = 8 | budget.in_hands | no such key",
+                "UNKNOWN_KEY | weight = 3 | wieght = 3 | tenants.east.wieght | no such key",
+                "UNKNOWN_KEY | pools.core.ceiling = 300 | pools.core.most = 300 |"
+                        + " tenants.east.pools.core.most | no such key",
+                "WRONG_UNIT | patience = \"300ms\" | patience = \"300MB\" | budget.patience |"
+                        + " '300MB', a whole number with one of the units us,",
+                "WRONG_UNIT | ttl = \"5s\"\\n"
+                        + "processes | ttl = 5\\n"
+                        + "processes | budget.ttl | '5', a whole number with one of the units us,",
+                "WRONG_TYPE | kinds = [0] | kinds = [\"core\"] | pools.core.kinds | an array of"
+                        + " whole numbers is needed",
+                "WRONG_TYPE | logins = [\"east-app\"] | logins = \"east-app\" | tenants.east.logins"
+                        + " | an array of texts in quotes is needed",
+                "WRONG_TYPE | \"10.1.0.0/16\" | \"10.1.0.1/16\" | tenants.east.clients |"
+                        + " '10.1.0.1/16' is no range such as 10.1.0.0/16",
+                "WRONG_TYPE | \"10.1.0.0/16\" | \"10.1/16\" | tenants.east.clients | '10.1/16' is"
+                        + " no range",
+                "WRONG_TYPE | \"10.1.0.0/16\" | \"east.example/16\" | tenants.east.clients |"
+                        + " 'east.example/16' is no range",
+                "OUT_OF_RANGE | in_hand = 8 | in_hand = 0 | budget.in_hand | 0, 1 to 10000 allowed",
+                "OUT_OF_RANGE | \"m2\", \"m3\"] | \"m 2\"] | budget.processes | 'm 2', 1 to 63"
+                        + " letters",
+                "MISSING_KEY | engine_cap = 16 | # | pools.scatter.engine_cap | it is needed",
+                "OVERLAP | \"m2\", \"m3\"] | \"m2\", \"m2\"] | budget.processes | 'm2' comes twice",
+                "OVERLAP | engine_cap = 16 | engine_cap = 16\\n"
+                        + "kinds = [3, 0] | pools.scatter.kinds | kind 0 is pool core's",
+                "OVERLAP | kinds = [0] | # | pools.scatter.kinds | all the other kinds is pool"
+                        + " core's",
+                "OVERLAP | [tenants.others] | [tenants.others]\\n"
+                        + "logins = [\"b\", \"east-app\"] | tenants.others.logins | 'east-app' is"
+                        + " tenant east's",
+                "OVERLAP | [tenants.others] | [tenants.others]\\n"
+                    + "clients = [\"10.0.0.0/8\"] | tenants.others.clients | '10.0.0.0/8' is tenant"
+                    + " east's",
+                "IMPOSSIBLE | engine_cap = 32 | engine_cap = 5 | pools.core.engine_cap | 5 is less"
+                        + " than the floors of 3 processes, 6 by",
+                "IMPOSSIBLE | cap = 640 | cap = 19 | pools.core.cap | 19 is less than the 20 that"
+                        + " tenants are guaranteed",
+                "IMPOSSIBLE | ceiling = 400 | ceiling = 39 | tenants.east.ceiling | 39 is less than"
+                        + " the guarantee of 40",
+                "IMPOSSIBLE | core.guarantee = 20 | core.guarantee = 401 |"
+                    + " tenants.east.pools.core.ceiling | 300 is less than the guarantee of 401",
+                "IMPOSSIBLE | pools.core.ceiling = 300 | pools.cores.ceiling = 300 |"
+                        + " tenants.east.pools.cores | 'cores' is none of the pools core, scatter",
+                "IMPOSSIBLE | default = \"others\" | default = \"other\" | budget.default | 'other'"
+                        + " is none of the tenants east, others",
+                "IMPOSSIBLE | ttl = \"5s\"\\n"
+                    + "processes | ttl = \"2s\"\\n"
+                    + "processes | budget.ttl | grants must outlast a change of leader, which takes"
+                    + " 2s by",
+            })
+    void mistakeIsOneLineWithFileLineAndKey(
+            Code code, String was, String is, String key, String fact) throws IOException {
         String text = pattern();
         int at = text.lastIndexOf(was.replace("\\n", "\n"));
         assertTrue(at > 0, was);
-        String spoilt = text.substring(0, at) + is.replace("\\n", "\n") + text.substring(at + was.replace("\\n", "\n").length());
-        ClusterConfigException told = assertThrows(ClusterConfigException.class, () -> read(spoilt));
+        String spoilt =
+                text.substring(0, at)
+                        + is.replace("\\n", "\n")
+                        + text.substring(at + was.replace("\\n", "\n").length());
+        ClusterConfigException told =
+                assertThrows(ClusterConfigException.class, () -> read(spoilt));
         String message = told.getMessage();
         assertEquals(code, told.code(), message);
         assertEquals(key, told.key(), message);
         assertTrue(message.contains(": " + key + ": " + fact), message);
         assertEquals(1, message.lines().count(), message);
-        String last = key.substring(key.lastIndexOf('.') + 1); // its line, or its table's head where it is not there
+        String last =
+                key.substring(
+                        key.lastIndexOf('.')
+                                + 1); // its line, or its table's head where it is not there
         String line = spoilt.lines().skip(told.line() - 1).findFirst().orElseThrow();
-        assertTrue(line.matches("(.*\\.)?" + last + "(\\..*)? = .*") || line.startsWith("[") || line.contains("cores"), line);
+        assertTrue(
+                line.matches("(.*\\.)?" + last + "(\\..*)? = .*")
+                        || line.startsWith("[")
+                        || line.contains("cores"),
+                line);
     }
 }
--- a/src/test/java/calicostream/cluster/config/ClusterConfigTest.java
+++ b/src/test/java/calicostream/cluster/config/ClusterConfigTest.java
@@ -27,8 +27,7 @@
 /** The pattern in the deploy folder, turned on, and with one line of it spoilt. */
 class ClusterConfigTest {
     private static final Path PATTERN = Path.of("deploy/cluster.toml");
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private static String pattern() throws IOException {
         return Files.readString(PATTERN).replace("enabled = false", "enabled = true");
@@ -57,37 +56,70 @@
         ClusterConfig told = read(pattern().substring(0, pattern().indexOf("# Session budgets")));
         String least = pattern().substring(0, pattern().indexOf("[raft]"));
         assertEquals(told, read(least));
-        assertEquals(new ClusterConfig.Raft(Duration.ofMillis(250), 4, Duration.ofSeconds(1), 1024, 10_000), told.raft());
-        assertEquals(new ClusterConfig.Session(Duration.ofSeconds(10), Duration.ofSeconds(1), 256), told.session());
+        assertEquals(
+                new ClusterConfig.Raft(
+                        Duration.ofMillis(250), 4, Duration.ofSeconds(1), 1024, 10_000),
+                told.raft());
+        assertEquals(
+                new ClusterConfig.Session(Duration.ofSeconds(10), Duration.ofSeconds(1), 256),
+                told.session());
         assertEquals(new ClusterConfig.Disk(4 << 20, Duration.ofMillis(500)), told.disk());
         assertEquals(500, told.driftPpm());
         assertEquals(Duration.ofSeconds(5), told.leaseTtl());
-        assertEquals(List.of(1, 2, 3), told.voters().stream().map(ClusterConfig.Member::number).toList());
+        assertEquals(
+                List.of(1, 2, 3),
+                told.voters().stream().map(ClusterConfig.Member::number).toList());
         assertTrue(told.isVoter());
         assertEquals(7501, told.self().address().getPort());
     }
 
     @Test
     void memberThatIsNoVoterHasANumberAndAnAddressOfItsOwn() throws IOException {
-        ClusterConfig told = read(pattern().replace("name = \"m1\"\ndata = \"/var/lib/calicostream/m1\"",
-                "name = \"n7\"\nnumber = 7\nlisten = \"127.0.0.1:7507\"\ndata = \"seven\""));
+        ClusterConfig told =
+                read(
+                        pattern()
+                                .replace(
+                                        "name = \"m1\"\ndata = \"/var/lib/calicostream/m1\"",
+                                        "name = \"n7\"\n"
+                                                + "number = 7\n"
+                                                + "listen = \"127.0.0.1:7507\"\n"
+                                                + "data = \"seven\""));
         assertFalse(told.isVoter());
         assertEquals(7, told.self().number());
         assertEquals(folder.resolve("seven"), told.data());
     }
 
-    private static final String MORE = "[[members]]\nname = \"m4\"\nnumber = 4\naddress = \"127.0.0.1:7504\"\n"
-            + "[[links]]\nto = \"m2\"\nvia = \"127.0.0.1:7602\"\n[[links]]\nto = \"m4\"\nvia = \"127.0.0.1:7604\"\n";
+    private static final String MORE =
+            "[[members]]\n"
+                    + "name = \"m4\"\n"
+                    + "number = 4\n"
+                    + "address = \"127.0.0.1:7504\"\n"
+                    + "[[links]]\n"
+                    + "to = \"m2\"\n"
+                    + "via = \"127.0.0.1:7602\"\n"
+                    + "[[links]]\n"
+                    + "to = \"m4\"\n"
+                    + "via = \"127.0.0.1:7604\"\n";
 
     @Test
     void linksLeadToVotersAndMembersOtherwise() throws IOException {
         ClusterConfig told = read(pattern() + MORE);
-        assertEquals(Map.of(2, 7602, 3, 7503, 4, 7604), told.peers().entrySet().stream()
-                .collect(Collectors.toMap(Map.Entry::getKey, each -> each.getValue().getPort())));
+        assertEquals(
+                Map.of(2, 7602, 3, 7503, 4, 7604),
+                told.peers().entrySet().stream()
+                        .collect(
+                                Collectors.toMap(
+                                        Map.Entry::getKey, each -> each.getValue().getPort())));
         assertEquals(told.data(), told.marks());
-        String fourth = pattern().replaceFirst("name = \"m1\"", "name = \"m4\"\ngeneration = 2\nmarks = \"other\"");
+        String fourth =
+                pattern()
+                        .replaceFirst(
+                                "name = \"m1\"",
+                                "name = \"m4\"\ngeneration = 2\nmarks = \"other\"");
         ClusterConfig four = read(fourth + MORE.substring(0, MORE.lastIndexOf("[[links]]")));
-        assertEquals(new ClusterConfig.Member("m4", 4, new InetSocketAddress("127.0.0.1", 7504)), four.self());
+        assertEquals(
+                new ClusterConfig.Member("m4", 4, new InetSocketAddress("127.0.0.1", 7504)),
+                four.self());
         assertFalse(four.isVoter());
         assertEquals(2, four.generation());
         assertEquals(folder.resolve("other"), four.marks());
@@ -95,63 +127,107 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "OUT_OF_RANGE | to = \"m2\" | to = \"m9\" | links.to: 'm9' is none of the voters and members",
-        "IMPOSSIBLE | to = \"m2\" | to = \"m1\" | links.to: 'm1' is this member itself, member.name says",
-        "OVERLAP | to = \"m4\" | to = \"m2\" | links.to: 'm2' has a link already",
-        "MISSING_KEY | via = \"127.0.0.1:7604\" | # | links.via: it is needed",
-        "OVERLAP | number = 4 | number = 2 | members.number: '2' is voter m2's",
-        "OVERLAP | address = \"127.0.0.1:7504\" | address = \"127.0.0.1:7503\" | members.address: 127.0.0.1:7503 is voter m3's",
-    })
-    void mistakeInLinksAndMembersIsToldToo(Code code, String was, String is, String fact) throws IOException {
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "OUT_OF_RANGE | to = \"m2\" | to = \"m9\" | links.to: 'm9' is none of the voters"
+                        + " and members",
+                "IMPOSSIBLE | to = \"m2\" | to = \"m1\" | links.to: 'm1' is this member itself,"
+                        + " member.name says",
+                "OVERLAP | to = \"m4\" | to = \"m2\" | links.to: 'm2' has a link already",
+                "MISSING_KEY | via = \"127.0.0.1:7604\" | # | links.via: it is needed",
+                "OVERLAP | number = 4 | number = 2 | members.number: '2' is voter m2's",
+                "OVERLAP | address = \"127.0.0.1:7504\" | address = \"127.0.0.1:7503\" |"
+                        + " members.address: 127.0.0.1:7503 is voter m3's",
+            })
+    void mistakeInLinksAndMembersIsToldToo(Code code, String was, String is, String fact)
+            throws IOException {
         ClusterConfigException told = refused(pattern() + MORE.replace(was, is));
         assertEquals(code, told.code(), told.getMessage());
         assertTrue(told.getMessage().contains(": " + fact), told.getMessage());
     }
 
-    /** Each with the line of the pattern that is replaced, and what the message says of that line. */
+    /**
+     * Each with the line of the pattern that is replaced, and what the message says of that line.
+     */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', nullValues = "-", value = {
-        "UNKNOWN_KEY | retry = \"1s\" | retries = \"1s\" | session.retries: no such key",
-        "UNKNOWN_KEY | [clock] | [clocks] | clocks: no such key",
-        "SYNTAX | election = \"1s\" | election = 1s | -",
-        "SYNTAX | missed = 4 | heartbeat = \"1s\" | -",
-        "MISSING_KEY | name = \"league-east\" | # | cluster.name: it is needed",
-        "MISSING_KEY | name = \"m1\" | name = \"m9\" | member.name: 'm9' is none of the voters m1,",
-        "MISSING_KEY | address = \"127.0.0.1:7502\" | # | voters.address: it is needed",
-        "WRONG_TYPE | queue = 1024 | queue = \"1024\" | raft.queue: a whole number is needed",
-        "WRONG_TYPE | name = \"m2\" | name = 2 | voters.name: a text in quotes is needed",
-        "WRONG_TYPE | enabled = true | enabled = \"yes\" | enabled: true or false is needed",
-        "WRONG_TYPE | ttl = \"10s\" | ttl = true | session.ttl: a number with its unit, in quotes,",
-        "WRONG_TYPE | address = \"127.0.0.1:7502\" | address = \"m2:7502\" | voters.address: 'm2:7502' is not",
-        "WRONG_UNIT | ttl = \"10s\" | ttl = 10 | session.ttl: '10', a whole number with one of the units us, ms, s,",
-        "WRONG_UNIT | ttl = \"5s\" | ttl = \"5MB\" | lease.ttl: '5MB', a whole number with one of the units us, ms,",
-        "WRONG_UNIT | segment = \"4MB\" | segment = \"4 MB\" | disk.segment: '4 MB', a whole number with one of the units B,",
-        "WRONG_UNIT | drift = \"500ppm\" | drift = \"0.05%\" | clock.drift: '0.05%', a whole number with one of the units ppm",
-        "OUT_OF_RANGE | drift = \"500ppm\" | drift = \"100ppm\" | clock.drift: '100ppm', 500ppm to 100000ppm allowed",
-        "OUT_OF_RANGE | ttl = \"5s\" | ttl = \"99999999999999999999h\" | lease.ttl: '99999999999999999999h', 1s to 1h allowed",
-        "OUT_OF_RANGE | queue = 256 | queue = 0 | session.queue: 0, 1 to 65536 allowed",
-        "OUT_OF_RANGE | name = \"league-east\" | name = \"a b\" | cluster.name: 'a b', 1 to 63 letters, digits, dots,",
-        "OUT_OF_RANGE | address = \"127.0.0.1:7502\" | address = \"0.0.0.0:7502\" | voters.address: '0.0.0.0:7502', others",
-        "OVERLAP | address = \"127.0.0.1:7503\" | address = \"127.0.0.1:7501\" | voters.address: 127.0.0.1:7501 is voter m1's",
-        "OVERLAP | name = \"m3\" | name = \"m2\" | voters.name: 'm2' is voter m2's",
-        "OVERLAP | number = 3 | number = 1 | voters.number: '1' is voter m1's",
-        "OVERLAP | data = \"/var/lib/calicostream/m1\" | listen = \"127.0.0.1:7509\" | member.listen: voter m1 has another one",
-        "IMPOSSIBLE | ttl = \"10s\" | ttl = \"2s\" | session.ttl: a session must outlast a change of leader, which takes 2s by",
-        "IMPOSSIBLE | election = \"1s\" | election = \"250ms\" | raft.election: no longer than raft.heartbeat:",
-        "IMPOSSIBLE | retry = \"1s\" | retry = \"10s\" | session.retry: no shorter than session.ttl: a session would",
-        "IMPOSSIBLE | sync_warning = \"500ms\" | sync_warning = \"1s\" | disk.sync_warning: a leader whose disk is that slow",
-    })
-    void mistakeIsOneLineWithFileLineAndKey(Code code, String was, String is, String fact) throws IOException {
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            nullValues = "-",
+            value = {
+                "UNKNOWN_KEY | retry = \"1s\" | retries = \"1s\" | session.retries: no such key",
+                "UNKNOWN_KEY | [clock] | [clocks] | clocks: no such key",
+                "SYNTAX | election = \"1s\" | election = 1s | -",
+                "SYNTAX | missed = 4 | heartbeat = \"1s\" | -",
+                "MISSING_KEY | name = \"league-east\" | # | cluster.name: it is needed",
+                "MISSING_KEY | name = \"m1\" | name = \"m9\" | member.name: 'm9' is none of the"
+                        + " voters m1,",
+                "MISSING_KEY | address = \"127.0.0.1:7502\" | # | voters.address: it is needed",
+                "WRONG_TYPE | queue = 1024 | queue = \"1024\" | raft.queue: a whole number is"
+                        + " needed",
+                "WRONG_TYPE | name = \"m2\" | name = 2 | voters.name: a text in quotes is needed",
+                "WRONG_TYPE | enabled = true | enabled = \"yes\" | enabled: true or false is"
+                        + " needed",
+                "WRONG_TYPE | ttl = \"10s\" | ttl = true | session.ttl: a number with its unit, in"
+                        + " quotes,",
+                "WRONG_TYPE | address = \"127.0.0.1:7502\" | address = \"m2:7502\" |"
+                        + " voters.address: 'm2:7502' is not",
+                "WRONG_UNIT | ttl = \"10s\" | ttl = 10 | session.ttl: '10', a whole number with one"
+                        + " of the units us, ms, s,",
+                "WRONG_UNIT | ttl = \"5s\" | ttl = \"5MB\" | lease.ttl: '5MB', a whole number with"
+                        + " one of the units us, ms,",
+                "WRONG_UNIT | segment = \"4MB\" | segment = \"4 MB\" | disk.segment: '4 MB', a"
+                        + " whole number with one of the units B,",
+                "WRONG_UNIT | drift = \"500ppm\" | drift = \"0.05%\" | clock.drift: '0.05%', a"
+                        + " whole number with one of the units ppm",
+                "OUT_OF_RANGE | drift = \"500ppm\" | drift = \"100ppm\" | clock.drift: '100ppm',"
+                        + " 500ppm to 100000ppm allowed",
+                "OUT_OF_RANGE | ttl = \"5s\" | ttl = \"99999999999999999999h\" | lease.ttl:"
+                        + " '99999999999999999999h', 1s to 1h allowed",
+                "OUT_OF_RANGE | queue = 256 | queue = 0 | session.queue: 0, 1 to 65536 allowed",
+                "OUT_OF_RANGE | name = \"league-east\" | name = \"a b\" | cluster.name: 'a b', 1 to"
+                        + " 63 letters, digits, dots,",
+                "OUT_OF_RANGE | address = \"127.0.0.1:7502\" | address = \"0.0.0.0:7502\" |"
+                        + " voters.address: '0.0.0.0:7502', others",
+                "OVERLAP | address = \"127.0.0.1:7503\" | address = \"127.0.0.1:7501\" |"
+                        + " voters.address: 127.0.0.1:7501 is voter m1's",
+                "OVERLAP | name = \"m3\" | name = \"m2\" | voters.name: 'm2' is voter m2's",
+                "OVERLAP | number = 3 | number = 1 | voters.number: '1' is voter m1's",
+                "OVERLAP | data = \"/var/lib/calicostream/m1\" | listen = \"127.0.0.1:7509\" |"
+                        + " member.listen: voter m1 has another one",
+                "IMPOSSIBLE | ttl = \"10s\" | ttl = \"2s\" | session.ttl: a session must outlast a"
+                        + " change of leader, which takes 2s by",
+                "IMPOSSIBLE | election = \"1s\" | election = \"250ms\" | raft.election: no longer"
+                        + " than raft.heartbeat:",
+                "IMPOSSIBLE | retry = \"1s\" | retry = \"10s\" | session.retry: no shorter than"
+                        + " session.ttl: a session would",
+                "IMPOSSIBLE | sync_warning = \"500ms\" | sync_warning = \"1s\" | disk.sync_warning:"
+                        + " a leader whose disk is that slow",
+            })
+    void mistakeIsOneLineWithFileLineAndKey(Code code, String was, String is, String fact)
+            throws IOException {
         String text = pattern();
         int at = line(text, was);
-        ClusterConfigException told = refused(text.replaceFirst(Pattern.quote(was), Matcher.quoteReplacement(is)));
+        ClusterConfigException told =
+                refused(text.replaceFirst(Pattern.quote(was), Matcher.quoteReplacement(is)));
         assertEquals(code, told.code(), told.getMessage());
         boolean whole = is.equals("#"); // A key that is not there is told at its table's head.
-        int line = whole ? line(text, told.key().equals("cluster.name") ? "[cluster]" : "[[voters]]\nname = \"m2\"") : at;
+        int line =
+                whole
+                        ? line(
+                                text,
+                                told.key().equals("cluster.name")
+                                        ? "[cluster]"
+                                        : "[[voters]]\nname = \"m2\"")
+                        : at;
         assertEquals(line, told.line(), told.getMessage());
         String message = told.getMessage();
-        assertTrue(message.startsWith("bad configuration: " + folder.resolve("cluster.toml") + ":" + line + ": "), message);
+        assertTrue(
+                message.startsWith(
+                        "bad configuration: " + folder.resolve("cluster.toml") + ":" + line + ": "),
+                message);
         assertTrue(message.endsWith(" [" + code.text() + "]"), message);
         assertEquals(1, message.lines().count(), message);
         assertTrue(fact == null || message.contains(": " + fact), message);
@@ -161,16 +237,28 @@
     @Test
     void votersAreThreeOrFive() throws IOException {
         String text = pattern();
-        String two = text.replace(text.substring(text.indexOf("[[voters]]\nname = \"m3\""), text.indexOf("[raft]")), "");
+        String two =
+                text.replace(
+                        text.substring(
+                                text.indexOf("[[voters]]\nname = \"m3\""), text.indexOf("[raft]")),
+                        "");
         ClusterConfigException told = refused(two);
-        assertEquals("bad configuration: " + folder.resolve("cluster.toml") + ":" + line(two, "[[voters]]")
-                + ": voters: 2 voters, 3 or 5 needed [cluster-config-impossible]", told.getMessage());
+        assertEquals(
+                "bad configuration: "
+                        + folder.resolve("cluster.toml")
+                        + ":"
+                        + line(two, "[[voters]]")
+                        + ": voters: 2 voters, 3 or 5 needed [cluster-config-impossible]",
+                told.getMessage());
     }
 
     @Test
     void memberThatIsNoVoterTakesNoVotersPlace() throws IOException {
-        String text = pattern().replace("name = \"m1\"\ndata",
-                "name = \"n7\"\nnumber = 2\nlisten = \"127.0.0.1:7507\"\ndata");
+        String text =
+                pattern()
+                        .replace(
+                                "name = \"m1\"\ndata",
+                                "name = \"n7\"\nnumber = 2\nlisten = \"127.0.0.1:7507\"\ndata");
         ClusterConfigException told = refused(text);
         assertEquals(Code.OVERLAP, told.code());
         assertEquals("member.number", told.key());
@@ -179,38 +267,66 @@
 
     @Test
     void fileThatIsNotThereIsAMistake() {
-        ClusterConfigException told = assertThrows(ClusterConfigException.class,
-                () -> ClusterConfig.read(folder.resolve("none.toml")));
+        ClusterConfigException told =
+                assertThrows(
+                        ClusterConfigException.class,
+                        () -> ClusterConfig.read(folder.resolve("none.toml")));
         assertEquals(Code.UNREADABLE, told.code());
         assertEquals(0, told.line());
     }
 
     @Test
     void furtherSectionsAreReadBySomebodyElse() throws IOException {
-        SettingsFile file = SettingsFile.read(write(pattern() + "\n[teams.east]\nweight = 3\n\n[teams.west]\nwieght = 2\n"));
+        SettingsFile file =
+                SettingsFile.read(
+                        write(
+                                pattern()
+                                        + "\n"
+                                        + "[teams.east]\n"
+                                        + "weight = 3\n\n"
+                                        + "[teams.west]\n"
+                                        + "wieght = 2\n"));
         assertTrue(ClusterConfig.of(file).isPresent());
         SettingsFile.Section teams = file.section("teams");
         assertEquals(List.of("east", "west"), teams.names());
         assertEquals(3, teams.section("east").count("weight", null, 1, 100));
-        assertEquals("teams.west.weight", assertThrows(ClusterConfigException.class,
-                () -> teams.section("west").count("weight", null, 1, 100)).key());
+        assertEquals(
+                "teams.west.weight",
+                assertThrows(
+                                ClusterConfigException.class,
+                                () -> teams.section("west").count("weight", null, 1, 100))
+                        .key());
         assertEquals(1, teams.section("west").count("weight", 1, 1, 100));
         ClusterConfigException left = assertThrows(ClusterConfigException.class, file::done);
         assertEquals("teams.west.wieght", left.key());
-        assertEquals((int) (pattern() + "\n[teams.east]\nweight = 3\n\n[teams.west]\nwieght").lines().count(), left.line());
+        assertEquals(
+                (int)
+                        (pattern() + "\n[teams.east]\nweight = 3\n\n[teams.west]\nwieght")
+                                .lines()
+                                .count(),
+                left.line());
     }
 
     @Test
     void pageHasARowForEachCodeAndKey() throws IOException {
         String page = Files.readString(Path.of("docs/operate/cluster-settings.md"));
-        Set<String> rows = page.lines().filter(l -> l.startsWith("| `cluster-config-"))
-                .map(l -> l.split("`")[1]).collect(Collectors.toCollection(TreeSet::new));
-        assertEquals(List.of(Code.values()).stream().map(Code::text).collect(Collectors.toCollection(TreeSet::new)), rows);
+        Set<String> rows =
+                page.lines()
+                        .filter(l -> l.startsWith("| `cluster-config-"))
+                        .map(l -> l.split("`")[1])
+                        .collect(Collectors.toCollection(TreeSet::new));
+        assertEquals(
+                List.of(Code.values()).stream()
+                        .map(Code::text)
+                        .collect(Collectors.toCollection(TreeSet::new)),
+                rows);
         String table = "";
         for (String line : pattern().lines().toList()) {
             table = line.startsWith("[") ? line.replaceAll("[\\[\\]]", "") + "." : table;
             if (Pattern.matches("[a-z_]+ = .*", line)) {
-                String key = (table + line.substring(0, line.indexOf(' '))).replaceFirst("^(pools|tenants)\\.[a-z]+", "$1.NAME");
+                String key =
+                        (table + line.substring(0, line.indexOf(' ')))
+                                .replaceFirst("^(pools|tenants)\\.[a-z]+", "$1.NAME");
                 assertTrue(page.contains("`" + key + "`"), key);
             }
         }
--- a/src/test/java/calicostream/cluster/process/DecisionsTest.java
+++ b/src/test/java/calicostream/cluster/process/DecisionsTest.java
@@ -32,15 +32,43 @@
     private static final Voter FOUR = new Voter(4, 0);
     private static final long MILLI = 1_000_000;
 
-    private static Signs signs(Signs.State state, boolean leads, int leader, List<Voter> voters, long noQuorum, long session,
+    private static Signs signs(
+            Signs.State state,
+            boolean leads,
+            int leader,
+            List<Voter> voters,
+            long noQuorum,
+            long session,
             Status.State disk) {
-        DurableException trouble = disk == Status.State.READY ? null : new DurableException.Full("here", null);
-        return new Signs(state, state == Signs.State.FAILED ? "because" : "", ONE, leader, leads, 7, 40, 50, voters, List.of(), noQuorum,
-                1, 0, 0, session, session != 0, 0, new Status(disk, 0, trouble, 1, false, 0, 0, 0, 0, 0), 0,
-                new TcpLinks.Figures(0, 0, 0, 0, 0), "", Map.of());
+        DurableException trouble =
+                disk == Status.State.READY ? null : new DurableException.Full("here", null);
+        return new Signs(
+                state,
+                state == Signs.State.FAILED ? "because" : "",
+                ONE,
+                leader,
+                leads,
+                7,
+                40,
+                50,
+                voters,
+                List.of(),
+                noQuorum,
+                1,
+                0,
+                0,
+                session,
+                session != 0,
+                0,
+                new Status(disk, 0, trouble, 1, false, 0, 0, 0, 0, 0),
+                0,
+                new TcpLinks.Figures(0, 0, 0, 0, 0),
+                "",
+                Map.of());
     }
 
-    private static final Signs LEADS = signs(Signs.State.VOTER, true, 1, List.of(ONE, TWO, THREE), 0, 5, Status.State.READY);
+    private static final Signs LEADS =
+            signs(Signs.State.VOTER, true, 1, List.of(ONE, TWO, THREE), 0, 5, Status.State.READY);
 
     private static Amnesia.Own own(Amnesia.Standing standing, long last, Doubt doubt) {
         return new Amnesia.Own(3, last, "", last, standing, doubt, "the facts");
@@ -53,63 +81,132 @@
         assertEquals(Start.As.FOUNDER, Start.of(true, ONE, Optional.empty(), blank).as());
         assertEquals(Start.As.JOINER, Start.of(true, next, Optional.empty(), blank).as());
         assertEquals(Start.As.JOINER, Start.of(false, FOUR, Optional.empty(), blank).as());
-        assertEquals(Start.As.RETURNING, Start.of(true, ONE, Optional.of(ONE), own(Amnesia.Standing.ADMITTED, 9, Doubt.NONE)).as());
-        assertEquals(Start.As.BARRED, Start.of(true, ONE, Optional.empty(), own(Amnesia.Standing.FRESH, 9, Doubt.NONE)).as());
+        assertEquals(
+                Start.As.RETURNING,
+                Start.of(true, ONE, Optional.of(ONE), own(Amnesia.Standing.ADMITTED, 9, Doubt.NONE))
+                        .as());
+        assertEquals(
+                Start.As.BARRED,
+                Start.of(true, ONE, Optional.empty(), own(Amnesia.Standing.FRESH, 9, Doubt.NONE))
+                        .as());
         for (Doubt doubt : Doubt.values()) {
-            Start start = Start.of(true, ONE, Optional.of(ONE), own(Amnesia.Standing.ADMITTED, 9, doubt));
+            Start start =
+                    Start.of(true, ONE, Optional.of(ONE), own(Amnesia.Standing.ADMITTED, 9, doubt));
             assertEquals(doubt == Doubt.NONE, start.runsVoter());
         }
-        Start barred = Start.of(true, ONE, Optional.of(ONE), own(Amnesia.Standing.BARRED, 9, Doubt.NONE));
+        Start barred =
+                Start.of(true, ONE, Optional.of(ONE), own(Amnesia.Standing.BARRED, 9, Doubt.NONE));
         assertFalse(barred.runsVoter());
         assertEquals("the facts", barred.why());
-        assertEquals("member-folder-of-another", assertThrows(MemberException.class,
-                () -> Start.of(true, ONE, Optional.of(TWO), blank)).code());
+        assertEquals(
+                "member-folder-of-another",
+                assertThrows(
+                                MemberException.class,
+                                () -> Start.of(true, ONE, Optional.of(TWO), blank))
+                        .code());
     }
 
     @Test
     void standsWhereItsCopyAndItsSessionSay() {
         Group group = new Group(List.of(ONE, TWO), List.of(THREE));
-        assertEquals(Signs.State.VOTER, Standing.of(false, "", "", false, false, ONE, group, 2, true, 90, 10).state());
-        assertEquals(Signs.State.VOTER, Standing.of(false, "", "", false, false, ONE, group, 0, true, 20, 10).state());
-        assertEquals(Signs.State.BEHIND, Standing.of(false, "", "", false, false, ONE, group, 0, true, 21, 10).state());
-        assertEquals(Signs.State.VOTER, Standing.of(false, "", "", false, false, ONE, group, 0, false, 21, 10).state());
-        assertEquals(Signs.State.LEARNER, Standing.of(false, "", "", false, false, THREE, group, 2, true, 0, 10).state());
-        assertEquals(Signs.State.SPARE, Standing.of(false, "", "", false, false, FOUR, group, 0, true, 99, 10).state());
-        assertEquals(Signs.State.ASKING, Standing.of(false, "", "", false, true, ONE, group, 0, true, 99, 10).state());
-        assertEquals(Signs.State.REMOVED, Standing.of(false, "", "", true, false, ONE, group, 2, true, 0, 10).state());
-        assertEquals(new Standing(Signs.State.BARRED, "forgot"),
+        assertEquals(
+                Signs.State.VOTER,
+                Standing.of(false, "", "", false, false, ONE, group, 2, true, 90, 10).state());
+        assertEquals(
+                Signs.State.VOTER,
+                Standing.of(false, "", "", false, false, ONE, group, 0, true, 20, 10).state());
+        assertEquals(
+                Signs.State.BEHIND,
+                Standing.of(false, "", "", false, false, ONE, group, 0, true, 21, 10).state());
+        assertEquals(
+                Signs.State.VOTER,
+                Standing.of(false, "", "", false, false, ONE, group, 0, false, 21, 10).state());
+        assertEquals(
+                Signs.State.LEARNER,
+                Standing.of(false, "", "", false, false, THREE, group, 2, true, 0, 10).state());
+        assertEquals(
+                Signs.State.SPARE,
+                Standing.of(false, "", "", false, false, FOUR, group, 0, true, 99, 10).state());
+        assertEquals(
+                Signs.State.ASKING,
+                Standing.of(false, "", "", false, true, ONE, group, 0, true, 99, 10).state());
+        assertEquals(
+                Signs.State.REMOVED,
+                Standing.of(false, "", "", true, false, ONE, group, 2, true, 0, 10).state());
+        assertEquals(
+                new Standing(Signs.State.BARRED, "forgot"),
                 Standing.of(false, "", "forgot", true, true, ONE, group, 0, true, 0, 10));
-        assertEquals(new Standing(Signs.State.FAILED, "full"),
+        assertEquals(
+                new Standing(Signs.State.FAILED, "full"),
                 Standing.of(false, "full", "", true, false, ONE, group, 2, true, 0, 10));
-        assertEquals(Signs.State.STOPPING, Standing.of(true, "full", "", true, false, ONE, group, 2, true, 0, 10).state());
+        assertEquals(
+                Signs.State.STOPPING,
+                Standing.of(true, "full", "", true, false, ONE, group, 2, true, 0, 10).state());
     }
 
     @ParameterizedTest
-    @CsvSource({"voters/4.0/add,1.0 2.0 3.0 4.0", "voters/2.0/remove,1.0 3.0", "voters/2.0/replace/2.1,1.0 2.1 3.0",
-        "voters/1.0/replace/4.0,2.0 3.0 4.0"})
+    @CsvSource({
+        "voters/4.0/add,1.0 2.0 3.0 4.0",
+        "voters/2.0/remove,1.0 3.0",
+        "voters/2.0/replace/2.1,1.0 2.1 3.0",
+        "voters/1.0/replace/4.0,2.0 3.0 4.0"
+    })
     void wishNamesWhoAreToBeVoters(String words, String wanted) {
         Wish.Voters wish = (Wish.Voters) Wish.of(words, LEADS).orElseThrow();
-        assertEquals(wanted, String.join(" ", wish.wanted().stream().map(Voter::toString).toList()));
+        assertEquals(
+                wanted, String.join(" ", wish.wanted().stream().map(Voter::toString).toList()));
     }
 
     @Test
     void wishThatCannotBeIsRefusedAtOnce() {
         assertEquals(new Wish.Lead("lead/2.0", TWO), Wish.of("lead/2.0", LEADS).orElseThrow());
-        for (String none : List.of("", "lead", "lead/2", "voters/2/add", "voters/2.0", "voters/2.0/adds", "voters/99999999.0/add")) {
+        for (String none :
+                List.of(
+                        "",
+                        "lead",
+                        "lead/2",
+                        "voters/2/add",
+                        "voters/2.0",
+                        "voters/2.0/adds",
+                        "voters/99999999.0/add")) {
             assertTrue(Wish.of(none, LEADS).isEmpty(), none);
         }
-        for (String bad : List.of("voters/2.0/add", "voters/2.1/add", "voters/4.0/remove", "voters/4.0/replace/5.0",
-                "voters/2.0/replace/2.0", "voters/2.0/replace/3.0", "lead/4.0", "lead/1.0")) {
+        for (String bad :
+                List.of(
+                        "voters/2.0/add",
+                        "voters/2.1/add",
+                        "voters/4.0/remove",
+                        "voters/4.0/replace/5.0",
+                        "voters/2.0/replace/2.0",
+                        "voters/2.0/replace/3.0",
+                        "lead/4.0",
+                        "lead/1.0")) {
             assertThrows(ClusterException.BadChange.class, () -> Wish.of(bad, LEADS), bad);
         }
         Signs two = signs(Signs.State.VOTER, true, 1, List.of(ONE), 0, 5, Status.State.READY);
         assertThrows(ClusterException.BadChange.class, () -> Wish.of("voters/1.0/remove", two));
-        Signs follows = signs(Signs.State.VOTER, false, 2, List.of(ONE, TWO, THREE), 0, 5, Status.State.READY);
-        assertEquals(2, assertThrows(ClusterException.NotLeader.class, () -> Wish.of("voters/4.0/add", follows)).leader());
+        Signs follows =
+                signs(
+                        Signs.State.VOTER,
+                        false,
+                        2,
+                        List.of(ONE, TWO, THREE),
+                        0,
+                        5,
+                        Status.State.READY);
+        assertEquals(
+                2,
+                assertThrows(
+                                ClusterException.NotLeader.class,
+                                () -> Wish.of("voters/4.0/add", follows))
+                        .leader());
         assertTrue(Wish.of("nonsense", follows).isEmpty());
     }
 
-    /** A group of which steps are lost, refused and late: a wish is done, given up or passed on, and done is never a lie. */
+    /**
+     * A group of which steps are lost, refused and late: a wish is done, given up or passed on, and
+     * done is never a lie.
+     */
     @Test
     void wishesEndWhateverBecomesOfTheirSteps() {
         long seed = new Random().nextLong();
@@ -118,15 +215,28 @@
         for (int run = 0; run < 2000; run++) {
             List<Voter> voters = new ArrayList<>(List.of(ONE, TWO, THREE));
             List<Voter> learners = new ArrayList<>();
-            WishRun wish = new WishRun(Wish.of(random.nextBoolean() ? "voters/2.0/replace/4.0" : "voters/3.0/remove", LEADS).orElseThrow(),
-                    0, 200 * MILLI, 60_000 * MILLI);
+            WishRun wish =
+                    new WishRun(
+                            Wish.of(
+                                            random.nextBoolean()
+                                                    ? "voters/2.0/replace/4.0"
+                                                    : "voters/3.0/remove",
+                                            LEADS)
+                                    .orElseThrow(),
+                            0,
+                            200 * MILLI,
+                            60_000 * MILLI);
             List<Voter> wanted = ((Wish.Voters) wish.wish()).wanted();
             int loses = random.nextInt(3);
             int leader = 1;
             long now = 0;
             for (; !wish.isOver() && now < 100_000 * MILLI; now += random.nextInt(300) * MILLI) {
                 leader = random.nextInt(2000) == 0 ? 2 : leader;
-                if (!wish.isDue(now, leader == 1, leader, new Group(List.copyOf(voters), List.copyOf(learners)))) {
+                if (!wish.isDue(
+                        now,
+                        leader == 1,
+                        leader,
+                        new Group(List.copyOf(voters), List.copyOf(learners)))) {
                     continue;
                 }
                 VoterPlan.Step step = VoterPlan.next(wanted, voters, learners, ONE).orElseThrow();
@@ -143,22 +253,31 @@
                         wish.stepEnded("");
                     }
                     case 1 -> wish.stepEnded("refused");
-                    default -> { }
+                    default -> {}
                 }
             }
             assertTrue(wish.isOver(), "seed " + seed + " run " + run);
             assertTrue(now <= 61_000 * MILLI, "seed " + seed + " run " + run);
             if (wish.words().endsWith(": done")) {
                 done++;
-                assertTrue(voters.size() == wanted.size() && voters.containsAll(wanted) && learners.isEmpty(), "seed " + seed);
+                assertTrue(
+                        voters.size() == wanted.size()
+                                && voters.containsAll(wanted)
+                                && learners.isEmpty(),
+                        "seed " + seed);
             } else {
-                assertTrue(wish.words().contains("given up") || leader != 1, "seed " + seed + ": " + wish.words());
+                assertTrue(
+                        wish.words().contains("given up") || leader != 1,
+                        "seed " + seed + ": " + wish.words());
             }
         }
         assertTrue(done > 1000, "seed " + seed + ": " + done);
     }
 
-    /** Whatever waits and whoever leads: it ends in time, closes the session once and first, and leads no more if it can. */
+    /**
+     * Whatever waits and whoever leads: it ends in time, closes the session once and first, and
+     * leads no more if it can.
+     */
     @Test
     void plannedStopEndsInTimeAndInOrder() {
         long seed = new Random().nextLong();
@@ -190,7 +309,12 @@
             assertTrue(now - began <= 1520 * MILLI, "seed " + seed);
             assertEquals(1, closes, "seed " + seed);
             assertTrue(handOvers <= 8, "seed " + seed);
-            assertTrue(!leads || others.isEmpty() || handOvers > 1 || handOvers == 1 && !handsOver || now - began > 1400 * MILLI,
+            assertTrue(
+                    !leads
+                            || others.isEmpty()
+                            || handOvers > 1
+                            || handOvers == 1 && !handsOver
+                            || now - began > 1400 * MILLI,
                     "seed " + seed + " run " + run);
         }
     }
@@ -199,19 +323,48 @@
     void changesOfSignsAreToldOnce() {
         assertEquals(List.of(), Telling.of(LEADS, LEADS));
         assertEquals(List.of(new Telling.Line(false, "1.0 is voter")), Telling.of(null, LEADS));
-        Signs alone = signs(Signs.State.VOTER, false, 0, List.of(ONE, TWO), 900, 0, Status.State.FULL);
-        assertEquals(List.of(new Telling.Line(false, "no leader is known, term 7"),
-                new Telling.Line(true, "no quorum was heard for 900 ms: changes wait, the front end serves on"),
-                new Telling.Line(true, "session 5 is over"), new Telling.Line(false, "voters [1.0, 2.0], learners []"),
-                new Telling.Line(true, "disk is full: " + new DurableException.Full("here", null).getMessage())),
+        Signs alone =
+                signs(Signs.State.VOTER, false, 0, List.of(ONE, TWO), 900, 0, Status.State.FULL);
+        assertEquals(
+                List.of(
+                        new Telling.Line(false, "no leader is known, term 7"),
+                        new Telling.Line(
+                                true,
+                                "no quorum was heard for 900 ms: changes wait, the front end serves"
+                                        + " on"),
+                        new Telling.Line(true, "session 5 is over"),
+                        new Telling.Line(false, "voters [1.0, 2.0], learners []"),
+                        new Telling.Line(
+                                true,
+                                "disk is full: "
+                                        + new DurableException.Full("here", null).getMessage())),
                 Telling.of(LEADS, alone));
-        assertEquals(List.of(new Telling.Line(false, "member 1 leads, term 7"), new Telling.Line(false, "a quorum is heard again"),
-                new Telling.Line(false, "session 5 is open"), new Telling.Line(false, "voters [1.0, 2.0, 3.0], learners []"),
-                new Telling.Line(false, "disk is ready")), Telling.of(alone, LEADS));
-        assertEquals(List.of(new Telling.Line(true, "1.0 is failed: because")),
-                Telling.of(LEADS, signs(Signs.State.FAILED, true, 1, LEADS.voters(), 0, 5, Status.State.READY)));
-        assertEquals(List.of(new Telling.Line(false, "1.0 is down")), Telling.of(LEADS, LEADS.as(Signs.State.DOWN, "")));
-        assertEquals(List.of(new Telling.Line(true, "1.0 is down: broken")), Telling.of(LEADS, LEADS.as(Signs.State.DOWN, "broken")));
+        assertEquals(
+                List.of(
+                        new Telling.Line(false, "member 1 leads, term 7"),
+                        new Telling.Line(false, "a quorum is heard again"),
+                        new Telling.Line(false, "session 5 is open"),
+                        new Telling.Line(false, "voters [1.0, 2.0, 3.0], learners []"),
+                        new Telling.Line(false, "disk is ready")),
+                Telling.of(alone, LEADS));
+        assertEquals(
+                List.of(new Telling.Line(true, "1.0 is failed: because")),
+                Telling.of(
+                        LEADS,
+                        signs(
+                                Signs.State.FAILED,
+                                true,
+                                1,
+                                LEADS.voters(),
+                                0,
+                                5,
+                                Status.State.READY)));
+        assertEquals(
+                List.of(new Telling.Line(false, "1.0 is down")),
+                Telling.of(LEADS, LEADS.as(Signs.State.DOWN, "")));
+        assertEquals(
+                List.of(new Telling.Line(true, "1.0 is down: broken")),
+                Telling.of(LEADS, LEADS.as(Signs.State.DOWN, "broken")));
     }
 
     @Test
--- a/src/test/java/calicostream/cluster/process/MemberTest.java
+++ b/src/test/java/calicostream/cluster/process/MemberTest.java
@@ -11,15 +11,22 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Members with threads, sockets and folders, in one process and without a front end: what processes do not show or can not be. */
+/**
+ * Members with threads, sockets and folders, in one process and without a front end: what processes
+ * do not show or can not be.
+ */
 class MemberTest {
     @Test
-    void plannedStopAnswersWhatWaitsHandsOverTheLeadAndClosesTheSession(@TempDir Path folder) throws Exception {
+    void plannedStopAnswersWhatWaitsHandsOverTheLeadAndClosesTheSession(@TempDir Path folder)
+            throws Exception {
         try (MembersHere members = new MembersHere(folder)) {
             members.startAll();
             int leader = members.signs(1).get("leader").asInt();
             members.counts.values().forEach(each -> each.adds = true);
-            JsonObject before = members.await(leader, signs -> figure(signs, "answered") > 3 && figure(signs, "heard") > 3);
+            JsonObject before =
+                    members.await(
+                            leader,
+                            signs -> figure(signs, "answered") > 3 && figure(signs, "heard") > 3);
             members.stop(leader);
             JsonObject last = members.signs(leader);
             assertEquals("down", last.get("state").asString());
@@ -28,10 +35,23 @@
             assertTrue(figure(last, "stopped_at") >= figure(before, "answered"), last.toString());
             int other = 1 + leader % 3;
             long answered = figure(members.signs(other), "answered");
-            JsonObject after = members.await(other, signs -> figure(signs, "answered") > answered && MembersHere.votes(signs));
-            assertTrue(after.get("leader").asInt() != leader && after.get("term").asInt() > before.get("term").asInt());
+            JsonObject after =
+                    members.await(
+                            other,
+                            signs ->
+                                    figure(signs, "answered") > answered
+                                            && MembersHere.votes(signs));
+            assertTrue(
+                    after.get("leader").asInt() != leader
+                            && after.get("term").asInt() > before.get("term").asInt());
             members.start(leader);
-            assertEquals(2, members.await(leader, MembersHere::votes).get("disk").asObject().get("incarnation").asInt());
+            assertEquals(
+                    2,
+                    members.await(leader, MembersHere::votes)
+                            .get("disk")
+                            .asObject()
+                            .get("incarnation")
+                            .asInt());
         }
     }
 
@@ -51,13 +71,23 @@
             Files.move(members.data(3), folder.resolve("newer"));
             Folders.copy(old, members.data(3));
             members.start(3);
-            JsonObject older = members.await(3, each -> each.get("state").asString().equals("barred"));
-            assertTrue(older.get("why").asString().startsWith("cluster-voter-forgot: "), older.toString());
+            JsonObject older =
+                    members.await(3, each -> each.get("state").asString().equals("barred"));
+            assertTrue(
+                    older.get("why").asString().startsWith("cluster-voter-forgot: "),
+                    older.toString());
             members.stop(3);
             Files.move(members.data(3), folder.resolve("older"));
             members.start(3);
-            JsonObject lost = members.await(3, each -> each.get("state").asString().equals("barred") && each.get("session_alive").asBoolean());
-            assertTrue(lost.get("why").asString().startsWith("cluster-voter-forgot: "), lost.toString());
+            JsonObject lost =
+                    members.await(
+                            3,
+                            each ->
+                                    each.get("state").asString().equals("barred")
+                                            && each.get("session_alive").asBoolean());
+            assertTrue(
+                    lost.get("why").asString().startsWith("cluster-voter-forgot: "),
+                    lost.toString());
             for (int number = 1; number <= 2; number++) {
                 members.await(number, MembersHere::votes);
             }
