--- a/src/test/java/calicostream/cluster/raft/CodecTest.java
+++ b/src/test/java/calicostream/cluster/raft/CodecTest.java
@@ -37,42 +37,141 @@
 
     private static LogEntry change(long index, Voter removed, Voter... left) {
         List<RaftEndpoint> rest = List.of(left);
-        return Codec.MODEL.createLogEntryBuilder().setIndex(index).setTerm(2).setOperation(
-                Codec.MODEL.createUpdateRaftGroupMembersOpBuilder().setMembers(rest).setVotingMembers(rest).setEndpoint(removed)
-                        .setMode(MembershipChangeMode.REMOVE_MEMBER).build()).build();
+        return Codec.MODEL
+                .createLogEntryBuilder()
+                .setIndex(index)
+                .setTerm(2)
+                .setOperation(
+                        Codec.MODEL
+                                .createUpdateRaftGroupMembersOpBuilder()
+                                .setMembers(rest)
+                                .setVotingMembers(rest)
+                                .setEndpoint(removed)
+                                .setMode(MembershipChangeMode.REMOVE_MEMBER)
+                                .build())
+                .build();
     }
 
     private static List<RaftMessage> messages() {
-        var view = Codec.MODEL.createRaftGroupMembersViewBuilder().setLogIndex(5).setMembers(List.of(ONE, TWO, THREE))
-                .setVotingMembers(List.of(ONE, TWO)).build();
-        var chunk = Codec.MODEL.createSnapshotChunkBuilder().setIndex(9).setTerm(2).setSnapshotChunkIndex(0)
-                .setSnapshotChunkCount(1).setGroupMembersView(view).setOperation(new byte[] {1, 2}).build();
-        var plain = Codec.MODEL.createLogEntryBuilder().setIndex(3).setTerm(1).setOperation(new Entry.Keep(4).encode()).build();
+        var view =
+                Codec.MODEL
+                        .createRaftGroupMembersViewBuilder()
+                        .setLogIndex(5)
+                        .setMembers(List.of(ONE, TWO, THREE))
+                        .setVotingMembers(List.of(ONE, TWO))
+                        .build();
+        var chunk =
+                Codec.MODEL
+                        .createSnapshotChunkBuilder()
+                        .setIndex(9)
+                        .setTerm(2)
+                        .setSnapshotChunkIndex(0)
+                        .setSnapshotChunkCount(1)
+                        .setGroupMembersView(view)
+                        .setOperation(new byte[] {1, 2})
+                        .build();
+        var plain =
+                Codec.MODEL
+                        .createLogEntryBuilder()
+                        .setIndex(3)
+                        .setTerm(1)
+                        .setOperation(new Entry.Keep(4).encode())
+                        .build();
         return List.of(
-                Codec.MODEL.createAppendEntriesRequestBuilder().setGroupId(Codec.GROUP).setSender(TWO).setTerm(2)
-                        .setPreviousLogTerm(1).setPreviousLogIndex(2).setCommitIndex(1).setLogEntries(List.of(plain,
-                        change(4, ONE, TWO, THREE))).setQuerySequenceNumber(8).setFlowControlSequenceNumber(9).build(),
-                Codec.MODEL.createAppendEntriesSuccessResponseBuilder().setGroupId(Codec.GROUP).setSender(ONE).setTerm(2)
-                        .setLastLogIndex(4).setQuerySequenceNumber(5).setFlowControlSequenceNumber(6).build(),
-                Codec.MODEL.createAppendEntriesFailureResponseBuilder().setGroupId(Codec.GROUP).setSender(ONE).setTerm(2)
-                        .setExpectedNextIndex(4).setQuerySequenceNumber(5).setFlowControlSequenceNumber(6).build(),
-                Codec.MODEL.createInstallSnapshotRequestBuilder().setGroupId(Codec.GROUP).setSender(ONE).setTerm(2)
-                        .setSenderLeader(true).setSnapshotTerm(2).setSnapshotIndex(9).setTotalSnapshotChunkCount(1)
-                        .setSnapshotChunk(chunk).setSnapshottedMembers(List.of(ONE)).setGroupMembersView(view)
-                        .setQuerySequenceNumber(1).setFlowControlSequenceNumber(2).build(),
-                Codec.MODEL.createInstallSnapshotResponseBuilder().setGroupId(Codec.GROUP).setSender(ONE).setTerm(2)
-                        .setSnapshotIndex(9).setRequestedSnapshotChunkIndex(3).setQuerySequenceNumber(1)
-                        .setFlowControlSequenceNumber(2).build(),
-                Codec.MODEL.createPreVoteRequestBuilder().setGroupId(Codec.GROUP).setSender(ONE).setTerm(2).setLastLogTerm(1)
-                        .setLastLogIndex(8).build(),
-                Codec.MODEL.createPreVoteResponseBuilder().setGroupId(Codec.GROUP).setSender(ONE).setTerm(2).setGranted(true)
+                Codec.MODEL
+                        .createAppendEntriesRequestBuilder()
+                        .setGroupId(Codec.GROUP)
+                        .setSender(TWO)
+                        .setTerm(2)
+                        .setPreviousLogTerm(1)
+                        .setPreviousLogIndex(2)
+                        .setCommitIndex(1)
+                        .setLogEntries(List.of(plain, change(4, ONE, TWO, THREE)))
+                        .setQuerySequenceNumber(8)
+                        .setFlowControlSequenceNumber(9)
                         .build(),
-                Codec.MODEL.createVoteRequestBuilder().setGroupId(Codec.GROUP).setSender(ONE).setTerm(2).setLastLogTerm(1)
-                        .setLastLogIndex(8).setSticky(true).build(),
-                Codec.MODEL.createVoteResponseBuilder().setGroupId(Codec.GROUP).setSender(ONE).setTerm(2).setGranted(false)
+                Codec.MODEL
+                        .createAppendEntriesSuccessResponseBuilder()
+                        .setGroupId(Codec.GROUP)
+                        .setSender(ONE)
+                        .setTerm(2)
+                        .setLastLogIndex(4)
+                        .setQuerySequenceNumber(5)
+                        .setFlowControlSequenceNumber(6)
                         .build(),
-                Codec.MODEL.createTriggerLeaderElectionRequestBuilder().setGroupId(Codec.GROUP).setSender(ONE).setTerm(2)
-                        .setLastLogTerm(1).setLastLogIndex(8).build());
+                Codec.MODEL
+                        .createAppendEntriesFailureResponseBuilder()
+                        .setGroupId(Codec.GROUP)
+                        .setSender(ONE)
+                        .setTerm(2)
+                        .setExpectedNextIndex(4)
+                        .setQuerySequenceNumber(5)
+                        .setFlowControlSequenceNumber(6)
+                        .build(),
+                Codec.MODEL
+                        .createInstallSnapshotRequestBuilder()
+                        .setGroupId(Codec.GROUP)
+                        .setSender(ONE)
+                        .setTerm(2)
+                        .setSenderLeader(true)
+                        .setSnapshotTerm(2)
+                        .setSnapshotIndex(9)
+                        .setTotalSnapshotChunkCount(1)
+                        .setSnapshotChunk(chunk)
+                        .setSnapshottedMembers(List.of(ONE))
+                        .setGroupMembersView(view)
+                        .setQuerySequenceNumber(1)
+                        .setFlowControlSequenceNumber(2)
+                        .build(),
+                Codec.MODEL
+                        .createInstallSnapshotResponseBuilder()
+                        .setGroupId(Codec.GROUP)
+                        .setSender(ONE)
+                        .setTerm(2)
+                        .setSnapshotIndex(9)
+                        .setRequestedSnapshotChunkIndex(3)
+                        .setQuerySequenceNumber(1)
+                        .setFlowControlSequenceNumber(2)
+                        .build(),
+                Codec.MODEL
+                        .createPreVoteRequestBuilder()
+                        .setGroupId(Codec.GROUP)
+                        .setSender(ONE)
+                        .setTerm(2)
+                        .setLastLogTerm(1)
+                        .setLastLogIndex(8)
+                        .build(),
+                Codec.MODEL
+                        .createPreVoteResponseBuilder()
+                        .setGroupId(Codec.GROUP)
+                        .setSender(ONE)
+                        .setTerm(2)
+                        .setGranted(true)
+                        .build(),
+                Codec.MODEL
+                        .createVoteRequestBuilder()
+                        .setGroupId(Codec.GROUP)
+                        .setSender(ONE)
+                        .setTerm(2)
+                        .setLastLogTerm(1)
+                        .setLastLogIndex(8)
+                        .setSticky(true)
+                        .build(),
+                Codec.MODEL
+                        .createVoteResponseBuilder()
+                        .setGroupId(Codec.GROUP)
+                        .setSender(ONE)
+                        .setTerm(2)
+                        .setGranted(false)
+                        .build(),
+                Codec.MODEL
+                        .createTriggerLeaderElectionRequestBuilder()
+                        .setGroupId(Codec.GROUP)
+                        .setSender(ONE)
+                        .setTerm(2)
+                        .setLastLogTerm(1)
+                        .setLastLogIndex(8)
+                        .build());
     }
 
     @Test
@@ -98,7 +197,8 @@
             try {
                 Codec.message(bytes);
             } catch (ClusterException.Malformed e) {
-                assertTrue(e.getMessage().startsWith(ClusterException.Malformed.CODE), "seed " + SEED);
+                assertTrue(
+                        e.getMessage().startsWith(ClusterException.Malformed.CODE), "seed " + SEED);
             }
         }
     }
@@ -108,28 +208,63 @@
         LogTerms terms = new LogTerms();
         List<LogEntry> sent = new ArrayList<>();
         for (long index = 81; index <= 86; index++) {
-            sent.add(Codec.MODEL.createLogEntryBuilder().setIndex(index).setTerm(index < 85 ? 1 : 2).setOperation(new byte[1]).build());
+            sent.add(
+                    Codec.MODEL
+                            .createLogEntryBuilder()
+                            .setIndex(index)
+                            .setTerm(index < 85 ? 1 : 2)
+                            .setOperation(new byte[1])
+                            .build());
         }
-        var append = Codec.MODEL.createAppendEntriesRequestBuilder().setGroupId(Codec.GROUP).setSender(TWO).setTerm(2).setPreviousLogTerm(1)
-                .setPreviousLogIndex(80).setCommitIndex(84).setLogEntries(sent).setQuerySequenceNumber(8).setFlowControlSequenceNumber(9).build();
+        var append =
+                Codec.MODEL
+                        .createAppendEntriesRequestBuilder()
+                        .setGroupId(Codec.GROUP)
+                        .setSender(TWO)
+                        .setTerm(2)
+                        .setPreviousLogTerm(1)
+                        .setPreviousLogIndex(80)
+                        .setCommitIndex(84)
+                        .setLogEntries(sent)
+                        .setQuerySequenceNumber(8)
+                        .setFlowControlSequenceNumber(9)
+                        .build();
         assertEquals(append, terms.trim(append, 80), "nothing of it is here");
         terms.append(sent.subList(0, 3));
         var trimmed = (io.microraft.model.message.AppendEntriesRequest) terms.trim(append, 80);
-        assertEquals(List.of(83L, 3, 84L), List.of(trimmed.getPreviousLogIndex(), trimmed.getLogEntries().size(), trimmed.getLogEntries().get(0).getIndex()));
+        assertEquals(
+                List.of(83L, 3, 84L),
+                List.of(
+                        trimmed.getPreviousLogIndex(),
+                        trimmed.getLogEntries().size(),
+                        trimmed.getLogEntries().get(0).getIndex()));
         assertEquals(9, trimmed.getFlowControlSequenceNumber());
         terms.truncateFrom(82);
-        assertEquals(81, ((io.microraft.model.message.AppendEntriesRequest) terms.trim(append, 80)).getPreviousLogIndex());
+        assertEquals(
+                81,
+                ((io.microraft.model.message.AppendEntriesRequest) terms.trim(append, 80))
+                        .getPreviousLogIndex());
         terms.truncateUntil(81);
         assertEquals(append, terms.trim(append, 80));
-        assertEquals(84, ((io.microraft.model.message.AppendEntriesRequest) terms.trim(append, 84)).getPreviousLogIndex(), "what was applied is the same");
-        terms.append(List.of(Codec.MODEL.createLogEntryBuilder().setIndex(80).setTerm(1).setOperation(new byte[1]).build()));
+        assertEquals(
+                84,
+                ((io.microraft.model.message.AppendEntriesRequest) terms.trim(append, 84))
+                        .getPreviousLogIndex(),
+                "what was applied is the same");
+        terms.append(
+                List.of(
+                        Codec.MODEL
+                                .createLogEntryBuilder()
+                                .setIndex(80)
+                                .setTerm(1)
+                                .setOperation(new byte[1])
+                                .build()));
         assertEquals(append, terms.trim(append, 84), "the library can compare by itself");
     }
 
     /** Time goes on from task to task. */
     private static final class Steps implements Reactor {
-        private record Task(long at, Runnable run) {
-        }
+        private record Task(long at, Runnable run) {}
 
         private final ArrayDeque<Runnable> now = new ArrayDeque<>();
         private final List<Task> later = new ArrayList<>();
@@ -164,29 +299,67 @@
     private static List<RaftMessage> asked(List<LogEntry> entries) {
         Bytes.Writer self = new Bytes.Writer();
         Codec.voter(self, ONE);
-        var first = Codec.MODEL.createRaftGroupMembersViewBuilder().setLogIndex(0).setMembers(List.of(ONE, TWO, THREE))
-                .setVotingMembers(List.of(ONE, TWO, THREE)).build();
-        Map<String, byte[]> notes = new TreeMap<>(Map.of("self", self.u8(1).done(), "first-voters", Codec.view(first)));
-        Recovered found = new Recovered(2, "", notes, null,
-                entries.stream().map(entry -> new Recovered.Entry(entry.getIndex(), entry.getTerm(), Codec.entry(entry))).toList(),
-                null, List.of());
+        var first =
+                Codec.MODEL
+                        .createRaftGroupMembersViewBuilder()
+                        .setLogIndex(0)
+                        .setMembers(List.of(ONE, TWO, THREE))
+                        .setVotingMembers(List.of(ONE, TWO, THREE))
+                        .build();
+        Map<String, byte[]> notes =
+                new TreeMap<>(Map.of("self", self.u8(1).done(), "first-voters", Codec.view(first)));
+        Recovered found =
+                new Recovered(
+                        2,
+                        "",
+                        notes,
+                        null,
+                        entries.stream()
+                                .map(
+                                        entry ->
+                                                new Recovered.Entry(
+                                                        entry.getIndex(),
+                                                        entry.getTerm(),
+                                                        Codec.entry(entry)))
+                                .toList(),
+                        null,
+                        List.of());
         List<RaftMessage> asked = new ArrayList<>();
         Steps steps = new Steps();
-        VoterNode voter = new VoterNode(new VoterNode.Settings(ONE, List.of(ONE, TWO, THREE), 50, 5, 200, 8, 100), steps,
-                (to, frame) -> {
-                    if (Frame.decode(frame) instanceof Frame.Raft raft) {
-                        asked.add(Codec.message(raft.message()));
-                    }
-                }, new NopRaftStore(), StoreOnLog.restored(found), new Replicated(Map.of()), Map.of(), new Random(SEED), error -> { });
+        VoterNode voter =
+                new VoterNode(
+                        new VoterNode.Settings(ONE, List.of(ONE, TWO, THREE), 50, 5, 200, 8, 100),
+                        steps,
+                        (to, frame) -> {
+                            if (Frame.decode(frame) instanceof Frame.Raft raft) {
+                                asked.add(Codec.message(raft.message()));
+                            }
+                        },
+                        new NopRaftStore(),
+                        StoreOnLog.restored(found),
+                        new Replicated(Map.of()),
+                        Map.of(),
+                        new Random(SEED),
+                        error -> {});
         voter.start();
         steps.until(3_000_000_000L);
-        return asked.stream().filter(m -> m instanceof PreVoteRequest || m instanceof VoteRequest).toList();
+        return asked.stream()
+                .filter(m -> m instanceof PreVoteRequest || m instanceof VoteRequest)
+                .toList();
     }
 
-    /** Found by the simulation: it would count its own vote into a majority of those who removed it. */
+    /**
+     * Found by the simulation: it would count its own vote into a majority of those who removed it.
+     */
     @Test
     void whoseLogSaysThatItWasRemovedAsksForNoVotes() {
-        LogEntry before = Codec.MODEL.createLogEntryBuilder().setIndex(1).setTerm(1).setOperation(new Entry.Keep(4).encode()).build();
+        LogEntry before =
+                Codec.MODEL
+                        .createLogEntryBuilder()
+                        .setIndex(1)
+                        .setTerm(1)
+                        .setOperation(new Entry.Keep(4).encode())
+                        .build();
         assertTrue(!asked(List.of(before)).isEmpty());
         assertEquals(List.of(), asked(List.of(before, change(2, ONE, TWO, THREE))));
     }
--- a/src/test/java/calicostream/cluster/raft/LeaderSilenceTest.java
+++ b/src/test/java/calicostream/cluster/raft/LeaderSilenceTest.java
@@ -30,13 +30,16 @@
     private static final Voter SELF = new Voter(1, 0);
     private static final Voter LEADER = new Voter(2, 0);
 
-    private record Event(long at, long order, Runnable task) {
-    }
+    private record Event(long at, long order, Runnable task) {}
 
     /** Virtual time. */
     private static final class Hand implements Reactor {
-        private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) ->
-                a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+        private final PriorityQueue<Event> events =
+                new PriorityQueue<>(
+                        (a, b) ->
+                                a.at != b.at
+                                        ? Long.compare(a.at, b.at)
+                                        : Long.compare(a.order, b.order));
         private long now;
         private long order;
 
@@ -73,12 +76,28 @@
     @BeforeEach
     void start() {
         System.setProperty("org.slf4j.simpleLogger.log.io.microraft", "off");
-        voter = new VoterNode(new VoterNode.Settings(SELF, List.of(SELF, LEADER, new Voter(3, 0)), BEAT, 5, 200, 16, 100), hand,
-                (to, frame) -> {
-                    if (Frame.decode(frame) instanceof Frame.Raft raft) {
-                        sent.add(Codec.message(raft.message()));
-                    }
-                }, new NopRaftStore(), Optional.empty(), new Replicated(Map.of()), Map.of(), new Random(1), why -> { });
+        voter =
+                new VoterNode(
+                        new VoterNode.Settings(
+                                SELF,
+                                List.of(SELF, LEADER, new Voter(3, 0)),
+                                BEAT,
+                                5,
+                                200,
+                                16,
+                                100),
+                        hand,
+                        (to, frame) -> {
+                            if (Frame.decode(frame) instanceof Frame.Raft raft) {
+                                sent.add(Codec.message(raft.message()));
+                            }
+                        },
+                        new NopRaftStore(),
+                        Optional.empty(),
+                        new Replicated(Map.of()),
+                        Map.of(),
+                        new Random(1),
+                        why -> {});
         voter.start();
     }
 
@@ -87,22 +106,41 @@
     }
 
     private void receive(RaftMessage message, int generation) {
-        voter.received(LEADER.member(), new Frame.Raft(generation, Codec.message(message)).encode());
+        voter.received(
+                LEADER.member(), new Frame.Raft(generation, Codec.message(message)).encode());
         hand.pass(0);
     }
 
     private static VoteRequest asksForVotes() {
-        return Codec.MODEL.createVoteRequestBuilder().setGroupId(Codec.GROUP).setSender(LEADER).setTerm(1).setLastLogTerm(0)
-                .setLastLogIndex(0).setSticky(false).build();
+        return Codec.MODEL
+                .createVoteRequestBuilder()
+                .setGroupId(Codec.GROUP)
+                .setSender(LEADER)
+                .setTerm(1)
+                .setLastLogTerm(0)
+                .setLastLogIndex(0)
+                .setSticky(false)
+                .build();
     }
 
     private static AppendEntriesRequest heartbeat() {
-        return Codec.MODEL.createAppendEntriesRequestBuilder().setGroupId(Codec.GROUP).setSender(LEADER).setTerm(1)
-                .setPreviousLogTerm(0).setPreviousLogIndex(0).setCommitIndex(0).setLogEntries(List.of())
-                .setQuerySequenceNumber(0).setFlowControlSequenceNumber(0).build();
+        return Codec.MODEL
+                .createAppendEntriesRequestBuilder()
+                .setGroupId(Codec.GROUP)
+                .setSender(LEADER)
+                .setTerm(1)
+                .setPreviousLogTerm(0)
+                .setPreviousLogIndex(0)
+                .setCommitIndex(0)
+                .setLogEntries(List.of())
+                .setQuerySequenceNumber(0)
+                .setFlowControlSequenceNumber(0)
+                .build();
     }
 
-    /** Found by the simulation: the open pre-vote kept the library from ever doubting this leader. */
+    /**
+     * Found by the simulation: the open pre-vote kept the library from ever doubting this leader.
+     */
     @Test
     void aLeaderWhoseFirstWordOvertookAPreVoteIsForgottenOnceSilent() {
         receive(asksForVotes());
@@ -128,7 +166,10 @@
         assertEquals(1, voter.term());
     }
 
-    /** Found by the simulation: a voter whose disk had forgot was sent what was for its former self, by itself too. */
+    /**
+     * Found by the simulation: a voter whose disk had forgot was sent what was for its former self,
+     * by itself too.
+     */
     @Test
     void whatIsForAnotherGenerationIsNotAnswered() {
         receive(asksForVotes(), SELF.generation() + 1);
@@ -144,7 +185,8 @@
     void onlyWhatALeaderSendsCounts() {
         LeaderSilence silence = new LeaderSilence(SELF, 3);
         List<Boolean> due = new ArrayList<>();
-        for (RaftMessage message : List.of(heartbeat(), heartbeat(), heartbeat(), asksForVotes(), asksForVotes())) {
+        for (RaftMessage message :
+                List.of(heartbeat(), heartbeat(), heartbeat(), asksForVotes(), asksForVotes())) {
             silence.heard(message);
             due.add(silence.beat(voterTerm()).isPresent());
         }
--- a/src/test/java/calicostream/cluster/raft/RecallTest.java
+++ b/src/test/java/calicostream/cluster/raft/RecallTest.java
@@ -74,20 +74,34 @@
             group.rounds(1, 3, 1);
             assertEquals(Recall.State.FORGOT, group.state(3));
             assertTrue(three.barred.contains("incarnation"), three.barred);
-            assertTrue(three.recall.error() instanceof ClusterException.VoterForgot, three.recall.reason());
+            assertTrue(
+                    three.recall.error() instanceof ClusterException.VoterForgot,
+                    three.recall.reason());
             assertFalse(three.recall.mayBegin());
         }
     }
 
-    /** Log and marks of one instant agree with each other and with the incarnations: only what peers were told since speaks against them. */
+    /**
+     * Log and marks of one instant agree with each other and with the incarnations: only what peers
+     * were told since speaks against them.
+     */
     @Test
     void twoFoldersOfOneInstantAreToldByPeersAlone() throws IOException {
         running();
-        group.get(1).recall.heard(Codec.MODEL.createAppendEntriesSuccessResponseBuilder().setGroupId(Codec.GROUP).setSender(new Voter(3, 0))
-                .setTerm(7).setLastLogIndex(120).build());
+        group.get(1)
+                .recall
+                .heard(
+                        Codec.MODEL
+                                .createAppendEntriesSuccessResponseBuilder()
+                                .setGroupId(Codec.GROUP)
+                                .setSender(new Voter(3, 0))
+                                .setTerm(7)
+                                .setLastLogIndex(120)
+                                .build());
         group.start(3, admitted(5, 7, 100));
         group.rounds(1, 3, 2);
-        assertEquals(Recall.State.ASKING, group.state(3), "the one that was acknowledged is waited for");
+        assertEquals(
+                Recall.State.ASKING, group.state(3), "the one that was acknowledged is waited for");
         group.rounds(1, 3, 1, 2);
         assertEquals(Recall.State.FORGOT, group.state(3));
         assertTrue(group.get(3).barred.contains("acknowledged 120"), group.get(3).barred);
@@ -96,8 +110,16 @@
     @Test
     void aVoteThatIsGoneIsToldByWhoGotIt() throws IOException {
         running();
-        group.get(2).recall.heard(Codec.MODEL.createVoteResponseBuilder().setGroupId(Codec.GROUP).setSender(new Voter(3, 0)).setTerm(8)
-                .setGranted(true).build());
+        group.get(2)
+                .recall
+                .heard(
+                        Codec.MODEL
+                                .createVoteResponseBuilder()
+                                .setGroupId(Codec.GROUP)
+                                .setSender(new Voter(3, 0))
+                                .setTerm(8)
+                                .setGranted(true)
+                                .build());
         group.start(3, admitted(5, 7, 100));
         group.rounds(1, 3, 1, 2);
         assertEquals(Recall.State.FORGOT, group.state(3));
@@ -123,7 +145,10 @@
         assertEquals(5, memory.met(one, 6, 60, true).incarnation());
         assertEquals(6, memory.met(one, 5, 50, true).incarnation(), "it is over");
         assertEquals(5, memory.met(one, 6, 60, true).incarnation(), "the same as before");
-        assertEquals(6, memory.met(one, 6, 61, true).incarnation(), "another process of this incarnation");
+        assertEquals(
+                6,
+                memory.met(one, 6, 61, true).incarnation(),
+                "another process of this incarnation");
         PeerMemory kept = PeerMemory.read(memory.write());
         assertEquals(5, kept.met(one, 6, 60, true).incarnation());
         assertEquals(6, kept.met(one, 7, 70, true).incarnation());
--- a/src/test/java/calicostream/cluster/raft/VoterPlanTest.java
+++ b/src/test/java/calicostream/cluster/raft/VoterPlanTest.java
@@ -32,13 +32,18 @@
                 Voter leader = of(from).get(0);
                 int least = Math.min(voters.size(), of(to).size());
                 int steps = 0;
-                for (Optional<VoterPlan.Step> step = VoterPlan.next(of(to), voters, learners, leader); step.isPresent();
+                for (Optional<VoterPlan.Step> step =
+                                VoterPlan.next(of(to), voters, learners, leader);
+                        step.isPresent();
                         step = VoterPlan.next(of(to), voters, learners, leader)) {
                     Voter who = step.get().who();
                     switch (step.get().kind()) {
                         case LEARN -> assertTrue(learners.add(who));
                         case PROMOTE -> assertTrue(learners.remove(who) && voters.add(who));
-                        case REMOVE -> assertTrue(!who.equals(leader) && (voters.remove(who) | learners.remove(who)));
+                        case REMOVE ->
+                                assertTrue(
+                                        !who.equals(leader)
+                                                && (voters.remove(who) | learners.remove(who)));
                         case HAND_OVER -> {
                             assertTrue(voters.contains(who));
                             leader = who;
--- a/src/test/java/calicostream/cluster/sim/LeasesInClusterTest.java
+++ b/src/test/java/calicostream/cluster/sim/LeasesInClusterTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Leases on whole clusters in virtual time, under the cluster's faults and their own. {@code LeaseSimMain} replays a seed. */
+/**
+ * Leases on whole clusters in virtual time, under the cluster's faults and their own. {@code
+ * LeaseSimMain} replays a seed.
+ */
 class LeasesInClusterTest {
     private static final long FIRST = 20_000;
 
@@ -23,13 +26,19 @@
 
     @Test
     void noPromiseIsBrokenUnderTheClustersFaults() {
-        List<LeaseSimMain.Run> runs = LongStream.range(FIRST, FIRST + 10).parallel()
-                .mapToObj(seed -> LeaseSimMain.run(seed, SimLeases.Plan.ALL, null, true)).toList();
+        List<LeaseSimMain.Run> runs =
+                LongStream.range(FIRST, FIRST + 10)
+                        .parallel()
+                        .mapToObj(seed -> LeaseSimMain.run(seed, SimLeases.Plan.ALL, null, true))
+                        .toList();
         runs.forEach(run -> assertEquals("", run.result().fault(), "seed " + run.result().seed()));
-        // What did not happen was not checked: acts taken, late ones refused, grants, and grants to who had waited.
+        // What did not happen was not checked: acts taken, late ones refused, grants, and grants to
+        // who had waited.
         for (int i = 0; i < 4; i++) {
             int at = i;
-            assertTrue(runs.stream().mapToInt(run -> run.leases().counts().get(at)).sum() >= 1, "count " + at);
+            assertTrue(
+                    runs.stream().mapToInt(run -> run.leases().counts().get(at)).sum() >= 1,
+                    "count " + at);
         }
     }
 
@@ -37,29 +46,48 @@
     void aMemberThatIsToldTakesOverWithinTwoTimesToLive() {
         List<Double> told = handOvers(true);
         List<Double> untold = handOvers(false);
-        assertTrue(told.size() > 15 && untold.size() > 15, "hand-overs " + told.size() + ", " + untold.size());
+        assertTrue(
+                told.size() > 15 && untold.size() > 15,
+                "hand-overs " + told.size() + ", " + untold.size());
         assertTrue(told.get(told.size() - 1) <= 2, "told: " + told);
-        assertTrue(untold.get(untold.size() / 2) > told.get(told.size() / 2), "medians of " + untold + " and " + told);
+        assertTrue(
+                untold.get(untold.size() / 2) > told.get(told.size() / 2),
+                "medians of " + untold + " and " + told);
     }
 
     private static List<Double> handOvers(boolean told) {
         List<Double> all = new ArrayList<>();
-        LongStream.range(FIRST, FIRST + 6).parallel()
-                .mapToObj(seed -> LeaseSimMain.run(seed, SimLeases.Plan.KILLS_OUTSIDE, null, told)).toList()
-                .forEach(run -> {
-                    assertEquals("", run.result().fault(), "seed " + run.result().seed());
-                    all.addAll(run.leases().handOvers());
-                });
+        LongStream.range(FIRST, FIRST + 6)
+                .parallel()
+                .mapToObj(seed -> LeaseSimMain.run(seed, SimLeases.Plan.KILLS_OUTSIDE, null, told))
+                .toList()
+                .forEach(
+                        run -> {
+                            assertEquals("", run.result().fault(), "seed " + run.result().seed());
+                            all.addAll(run.leases().handOvers());
+                        });
         return all.stream().sorted().toList();
     }
 
     /** {@code from} is where it is found soon; where the simulation changed, the search goes on. */
     @ParameterizedTest
-    @CsvSource({"TOKEN_NOT_CHECKED, 20_030", "QUEUE_GRANT_NOT_CONFIRMED, 20_023", "LEASE_FREED_WITH_SESSION, 20_008",
-        "NEW_LEADER_DOES_NOT_WAIT, 20_012", "CLOCK_STEP_COUNTED, 20_002"})
+    @CsvSource({
+        "TOKEN_NOT_CHECKED, 20_030",
+        "QUEUE_GRANT_NOT_CONFIRMED, 20_023",
+        "LEASE_FREED_WITH_SESSION, 20_008",
+        "NEW_LEADER_DOES_NOT_WAIT, 20_012",
+        "CLOCK_STEP_COUNTED, 20_002"
+    })
     void aSafeguardTakenOutIsFound(Mutant without, String from) {
         long seed = Long.parseLong(from.replace("_", ""));
-        assertTrue(LongStream.range(seed, seed + 200).anyMatch(each ->
-                !LeaseSimMain.run(each, SimLeases.Plan.ALL, without, true).result().fault().isEmpty()), without + " was not found");
+        assertTrue(
+                LongStream.range(seed, seed + 200)
+                        .anyMatch(
+                                each ->
+                                        !LeaseSimMain.run(each, SimLeases.Plan.ALL, without, true)
+                                                .result()
+                                                .fault()
+                                                .isEmpty()),
+                without + " was not found");
     }
 }
--- a/src/test/java/calicostream/cluster/tcp/TcpClusterTest.java
+++ b/src/test/java/calicostream/cluster/tcp/TcpClusterTest.java
@@ -41,7 +41,8 @@
 
 /** Voters with real threads, sockets and folders, in one process. */
 class TcpClusterTest {
-    private static final List<Voter> FIRST = List.of(new Voter(1, 0), new Voter(2, 0), new Voter(3, 0));
+    private static final List<Voter> FIRST =
+            List.of(new Voter(1, 0), new Voter(2, 0), new Voter(3, 0));
 
     static {
         System.setProperty("org.slf4j.simpleLogger.log.io.microraft", "off");
@@ -85,27 +86,49 @@
         Node(int id, Path folder) throws IOException {
             FileDisk disk = new FileDisk(Files.createDirectories(folder.resolve("voter-" + id)));
             log = DurableLog.open(disk, disk, new Identity("test", "voter-" + id), Options.DEFAULT);
-            links = new TcpLinks(loop, "test", id, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), Map.of(),
-                    this::received);
-            voter = new VoterNode(new VoterNode.Settings(FIRST.get(id - 1), FIRST, 50, 5, 200, 64, 100), reactor, links,
-                    new StoreOnLog(log), StoreOnLog.restored(log.recovered()), new Replicated(Map.of("sum", new Sum())), Map.of(),
-                    new Random(id), error -> { });
-            member = new MemberSession(new MemberSession.Settings(id, 2000, 200, 16), List.of(1, 2, 3), (long) id << 40 | ++marks << 20);
-            thread = new Thread(() -> {
-                try {
-                    loop.run();
-                } catch (IOException e) {
-                    throw new IllegalStateException(e);
-                }
-            }, "voter-" + id);
+            links =
+                    new TcpLinks(
+                            loop,
+                            "test",
+                            id,
+                            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                            Map.of(),
+                            this::received);
+            voter =
+                    new VoterNode(
+                            new VoterNode.Settings(FIRST.get(id - 1), FIRST, 50, 5, 200, 64, 100),
+                            reactor,
+                            links,
+                            new StoreOnLog(log),
+                            StoreOnLog.restored(log.recovered()),
+                            new Replicated(Map.of("sum", new Sum())),
+                            Map.of(),
+                            new Random(id),
+                            error -> {});
+            member =
+                    new MemberSession(
+                            new MemberSession.Settings(id, 2000, 200, 16),
+                            List.of(1, 2, 3),
+                            (long) id << 40 | ++marks << 20);
+            thread =
+                    new Thread(
+                            () -> {
+                                try {
+                                    loop.run();
+                                } catch (IOException e) {
+                                    throw new IllegalStateException(e);
+                                }
+                            },
+                            "voter-" + id);
             thread.start();
         }
 
         void start() {
-            loop.post(() -> {
-                voter.start();
-                tick();
-            });
+            loop.post(
+                    () -> {
+                        voter.start();
+                        tick();
+                    });
         }
 
         private void received(int from, byte[] bytes) {
@@ -133,12 +156,13 @@
         }
 
         void stop() throws InterruptedException {
-            loop.post(() -> {
-                voter.stop();
-                links.close();
-                log.close();
-                loop.stop();
-            });
+            loop.post(
+                    () -> {
+                        voter.stop();
+                        links.close();
+                        log.close();
+                        loop.stop();
+                    });
             thread.join();
         }
     }
@@ -146,14 +170,15 @@
     private final List<Node> nodes = new ArrayList<>();
     private long marks;
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private void connect() throws IOException {
         for (Node a : nodes) {
             for (int id = 1; id <= 3; id++) {
                 int peer = id;
-                InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), nodes.get(id - 1).links.port());
+                InetSocketAddress at =
+                        new InetSocketAddress(
+                                InetAddress.getLoopbackAddress(), nodes.get(id - 1).links.port());
                 a.loop.post(() -> a.links.peer(peer, at));
             }
         }
@@ -200,7 +225,8 @@
             nodes.add(new Node(id, folder));
         }
         connect();
-        InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), nodes.get(0).links.port());
+        InetSocketAddress at =
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), nodes.get(0).links.port());
         byte[] greeting = TcpFrame.greeting("test".getBytes(), 2, 1);
         byte[] rotten = TcpFrame.frame(new byte[] {1, 2, 3});
         rotten[TcpFrame.HEAD] ^= 1;
--- a/src/test/java/calicostream/core/GatewayTest.java
+++ b/src/test/java/calicostream/core/GatewayTest.java
@@ -17,7 +17,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What the core promises whatever its two sides and the module do, on a clock that the tests turn. */
+/**
+ * What the core promises whatever its two sides and the module do, on a clock that the tests turn.
+ */
 class GatewayTest {
     private final Sides sides = new Sides(Sides.TWO_LANES);
     private final Gateway gateway = sides.gateway;
@@ -88,7 +90,10 @@
         ask(1, 1, 20_000_000);
         pass(21_000_000);
         assertTrue(sent.size() <= 3, sent.size() + " attempts");
-        assertEquals(1, told.stream().filter(t -> t.matches("(served|refused|failed) 1.*")).count(), told.toString());
+        assertEquals(
+                1,
+                told.stream().filter(t -> t.matches("(served|refused|failed) 1.*")).count(),
+                told.toString());
     }
 
     @Test
@@ -145,13 +150,18 @@
         assertEquals(2, sent.size());
     }
 
-    /** The next attempt goes by another connection, and must not overtake the word that calls the first one off. */
+    /**
+     * The next attempt goes by another connection, and must not overtake the word that calls the
+     * first one off.
+     */
     @Test
     void anAttemptCalledOffCountsAsOutUntilItsEngineHasHeard() {
         long handle = ask(0, 1, 4_000_000);
         gateway.cancel(handle, 0);
         gateway.ended(sent.get(0), Outcome.CANCELLED, null, null);
-        gateway.begun(sent.get(0), "late"); // On its way when it was called off: the client must not see any of it.
+        gateway.begun(
+                sent.get(0),
+                "late"); // On its way when it was called off: the client must not see any of it.
         gateway.send(handle, 8, 0);
         pass(Gateway.STOP_TRAVELS - 1);
         assertEquals(1, sent.size(), "neither by the module nor in spite of it");
@@ -162,7 +172,9 @@
         assertEquals(0, gateway.open(), "a final end waits for nothing");
         pass(1_000_000);
         assertEquals(2, sent.size());
-        assertEquals(List.of("stop 0", "stop " + sent.get(1).number, "stop " + sent.get(1).number), told);
+        assertEquals(
+                List.of("stop 0", "stop " + sent.get(1).number, "stop " + sent.get(1).number),
+                told);
     }
 
     /** A process that ends owes an answer to what it has in hand, whatever its deadline. */
@@ -177,25 +189,42 @@
         assertEquals(4, told.size(), told.toString());
     }
 
-    /** Engines of one cell know a repeat of theirs; a client that is told to ask again may come to any. */
+    /**
+     * Engines of one cell know a repeat of theirs; a client that is told to ask again may come to
+     * any.
+     */
     @Test
     void givingUpAllRefusesARepeatByKeyOnlyWhereAllEnginesKnowIt() {
         for (String scope : new String[] {"all", "cell"}) {
-            Sides keyed = new Sides(Sides.TWO_LANES.replace("lanes.0.effect=repeatable", "lanes.0.effect=by_key\nlanes.0.key_scope="
-                    + scope + "\nlanes.0.window_us=500000"));
+            Sides keyed =
+                    new Sides(
+                            Sides.TWO_LANES.replace(
+                                    "lanes.0.effect=repeatable",
+                                    "lanes.0.effect=by_key\nlanes.0.key_scope="
+                                            + scope
+                                            + "\nlanes.0.window_us=500000"));
             keyed.start(7, 8);
             keyed.gateway.accept(keyed, 1, "id1", 0, 1, 4_000_000, new byte[0]);
             assertEquals(1, keyed.sent.size());
             keyed.gateway.giveUpAll();
-            assertEquals(List.of("stop 0", scope.equals("all") ? "refused 1" : "failed 1 ENGINE"), keyed.told);
+            assertEquals(
+                    List.of("stop 0", scope.equals("all") ? "refused 1" : "failed 1 ENGINE"),
+                    keyed.told);
         }
     }
 
-    /** The module's own clock of the window and the core's agree; whoever asks later is not heard. */
+    /**
+     * The module's own clock of the window and the core's agree; whoever asks later is not heard.
+     */
     @Test
     void noRepeatByKeyIsSentAfterItsWindow() {
-        Sides keyed = new Sides(Sides.TWO_LANES.replace("lanes.0.effect=repeatable",
-                "lanes.0.effect=by_key\nlanes.0.key_scope=all\nlanes.0.window_us=500000"));
+        Sides keyed =
+                new Sides(
+                        Sides.TWO_LANES.replace(
+                                "lanes.0.effect=repeatable",
+                                "lanes.0.effect=by_key\n"
+                                        + "lanes.0.key_scope=all\n"
+                                        + "lanes.0.window_us=500000"));
         keyed.start(7, 8);
         long handle = keyed.gateway.accept(keyed, 1, "id1", 0, 1, 4_000_000, new byte[0]);
         keyed.pass(400_000);
@@ -210,7 +239,10 @@
         assertEquals(1, keyed.told.size(), keyed.told.toString());
     }
 
-    /** What ends makes room, and what waits must not go there in the last moment: a load would then have failed for nothing. */
+    /**
+     * What ends makes room, and what waits must not go there in the last moment: a load would then
+     * have failed for nothing.
+     */
     @Test
     void givingUpAllSendsNothingMore() {
         ask(0, 1, 4_000_000);
@@ -241,13 +273,18 @@
         assertEquals(List.of(), told, "nobody waits for an answer");
     }
 
-    /** What waits for a connection when an operator takes the engine out ends there, and goes elsewhere. */
+    /**
+     * What waits for a connection when an operator takes the engine out ends there, and goes
+     * elsewhere.
+     */
     @Test
     void anEngineIsUsedOnlyWhereNeitherTheListNorAnOperatorForbidsIt() {
         pass(2_100_000); // A gateway that has just started sends cold engines nothing.
         gateway.disable(7);
         assertEquals(List.of("withdrawn 7"), told);
-        gateway.roster(RosterKind.CHANGES, List.of(engine(7, EngineState.DRAINING), engine(8, EngineState.DRAINING)));
+        gateway.roster(
+                RosterKind.CHANGES,
+                List.of(engine(7, EngineState.DRAINING), engine(8, EngineState.DRAINING)));
         gateway.enable(7, sides.time);
         ask(0, 1, 4_000_000);
         assertEquals(List.of(), sent, "the list still forbids it");
@@ -270,10 +307,17 @@
             ask(0, sides.time, 1_000_000);
             while (sent.size() > ended) {
                 Gateway.Attempt attempt = sent.get(ended++);
-                gateway.ended(attempt, attempt.engine == down ? Outcome.CONNECT_FAILED : Outcome.OK, null, new byte[0]);
+                gateway.ended(
+                        attempt,
+                        attempt.engine == down ? Outcome.CONNECT_FAILED : Outcome.OK,
+                        null,
+                        new byte[0]);
             }
         }
-        return (int) sent.subList(before, sent.size()).stream().filter(attempt -> attempt.engine == home).count();
+        return (int)
+                sent.subList(before, sent.size()).stream()
+                        .filter(attempt -> attempt.engine == home)
+                        .count();
     }
 
     private int ended;
@@ -282,18 +326,25 @@
 
     @Test
     void anotherFrontEndsTrialsPutOffOnesOwnAndItsAnswerBringsThemOn() {
-        gateway.roster(RosterKind.COMPLETE, List.of(engine(7, EngineState.READY), engine(8, EngineState.READY), engine(9, EngineState.READY)));
-        sentToDown(1_000_000, () -> { });
+        gateway.roster(
+                RosterKind.COMPLETE,
+                List.of(
+                        engine(7, EngineState.READY),
+                        engine(8, EngineState.READY),
+                        engine(9, EngineState.READY)));
+        sentToDown(1_000_000, () -> {});
         home = down = sent.get(0).engine;
-        assertTrue(sentToDown(30_000_000, () -> { }) >= 3, "without hints it tries for itself");
+        assertTrue(sentToDown(30_000_000, () -> {}) >= 3, "without hints it tries for itself");
         assertEquals(List.of(down), Arrays.stream(gateway.ready(true)).boxed().toList());
         assertEquals(2, gateway.ready(false).length);
         gateway.hinted(down, false);
         assertEquals(0, sentToDown(30_000_000, () -> gateway.hinted(down, false)));
-        assertTrue(sentToDown(9_000_000, () -> { }) >= 1, "the hints have ended, and it tries for itself");
+        assertTrue(
+                sentToDown(9_000_000, () -> {}) >= 1,
+                "the hints have ended, and it tries for itself");
         gateway.hinted(down, true);
         down = 0;
-        assertTrue(sentToDown(500_000, () -> { }) >= 1, "it is owed a query");
+        assertTrue(sentToDown(500_000, () -> {}) >= 1, "it is owed a query");
         assertEquals(0, gateway.ready(true).length);
         gateway.hinted(7, false);
         gateway.hinted(8, false);
--- a/src/test/java/calicostream/durable/CrashTest.java
+++ b/src/test/java/calicostream/durable/CrashTest.java
@@ -8,7 +8,10 @@
 import calicostream.durable.Trials.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** A crash at every disk call of random writing: what was promised is there, nothing else is, and no honest disk is doubted. */
+/**
+ * A crash at every disk call of random writing: what was promised is there, nothing else is, and no
+ * honest disk is doubted.
+ */
 class CrashTest {
 
     @Test
--- a/src/test/java/calicostream/durable/FileDiskTest.java
+++ b/src/test/java/calicostream/durable/FileDiskTest.java
@@ -22,17 +22,25 @@
 
     private static final Identity WHO = new Identity("site", "a");
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private DurableLog open() throws DurableException {
-        return DurableLog.open(new FileDisk(folder.resolve("log")), new FileDisk(folder.resolve("marks")), WHO, Options.DEFAULT);
+        return DurableLog.open(
+                new FileDisk(folder.resolve("log")),
+                new FileDisk(folder.resolve("marks")),
+                WHO,
+                Options.DEFAULT);
     }
 
     /** Writes until it is killed, and says what was promised. */
     public static void main(String[] args) throws IOException {
         Path folder = Path.of(args[0]);
-        DurableLog log = DurableLog.open(new FileDisk(folder.resolve("log")), new FileDisk(folder.resolve("marks")), WHO, Options.DEFAULT);
+        DurableLog log =
+                DurableLog.open(
+                        new FileDisk(folder.resolve("log")),
+                        new FileDisk(folder.resolve("marks")),
+                        WHO,
+                        Options.DEFAULT);
         if (log.recovered().own().standing() == Amnesia.Standing.FRESH) log.admit();
         for (long index = log.recovered().lastIndex() + 1; ; index++) {
             log.appendEntry(index, 1, Long.toString(index).getBytes(StandardCharsets.UTF_8));
@@ -45,23 +53,41 @@
     void aKilledProcessKeepsItsWordAndASecondOneIsKeptOut() throws Exception {
         long last = 0;
         for (int round = 1; round <= 3; round++) {
-            Process process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx64m", "-cp",
-                    System.getProperty("java.class.path"), FileDiskTest.class.getName(), folder.toString()).redirectErrorStream(true).start();
-            try (BufferedReader out = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
+            Process process =
+                    new ProcessBuilder(
+                                    Path.of(System.getProperty("java.home"), "bin", "java")
+                                            .toString(),
+                                    "-Xmx64m",
+                                    "-cp",
+                                    System.getProperty("java.class.path"),
+                                    FileDiskTest.class.getName(),
+                                    folder.toString())
+                            .redirectErrorStream(true)
+                            .start();
+            try (BufferedReader out =
+                    new BufferedReader(
+                            new InputStreamReader(
+                                    process.getInputStream(), StandardCharsets.UTF_8))) {
                 for (int i = 0; i < 20; i++) last = Long.parseLong(out.readLine());
-                DurableException.InUse inUse = assertThrows(DurableException.InUse.class, this::open);
+                DurableException.InUse inUse =
+                        assertThrows(DurableException.InUse.class, this::open);
                 assertTrue(inUse.facts().contains("process " + process.pid()), inUse.facts());
                 process.toHandle().destroyForcibly();
-                for (String line = out.readLine(); line != null; line = out.readLine()) last = Long.parseLong(line);
+                for (String line = out.readLine(); line != null; line = out.readLine())
+                    last = Long.parseLong(line);
             } finally {
                 process.destroyForcibly().waitFor();
             }
             DurableLog log = open();
             Recovered found = log.recovered();
             assertEquals(Amnesia.Doubt.NONE, found.own().doubt(), found.own().facts());
-            assertTrue(found.lastIndex() >= last && found.lastIndex() <= last + 1, found.lastIndex() + " after " + last);
+            assertTrue(
+                    found.lastIndex() >= last && found.lastIndex() <= last + 1,
+                    found.lastIndex() + " after " + last);
             for (Recovered.Entry entry : found.entries())
-                assertEquals(Long.toString(entry.index()), new String(entry.bytes(), StandardCharsets.UTF_8));
+                assertEquals(
+                        Long.toString(entry.index()),
+                        new String(entry.bytes(), StandardCharsets.UTF_8));
             log.close();
         }
     }
@@ -70,7 +96,10 @@
     void oneProcessHasAFolderOnceAndGivesItBack() throws Exception {
         DurableLog log = open();
         assertThrows(DurableException.InUse.class, this::open);
-        assertThrows(DurableException.InUse.class, this::open, "the first refusal must not give the lock away");
+        assertThrows(
+                DurableException.InUse.class,
+                this::open,
+                "the first refusal must not give the lock away");
         log.close();
         open().close();
         assertThrows(DurableException.LogClosed.class, log::sync);
@@ -85,7 +114,9 @@
             assertThrows(DurableException.class, () -> new FileDisk(folder.resolve("file")));
             assumeTrue(Files.exists(Path.of("/dev/full")));
             Files.createSymbolicLink(folder.resolve("full"), Path.of("/dev/full"));
-            assertThrows(DurableException.Full.class, () -> disk.append("full", ByteBuffer.wrap(new byte[10])));
+            assertThrows(
+                    DurableException.Full.class,
+                    () -> disk.append("full", ByteBuffer.wrap(new byte[10])));
             disk.delete("full");
         }
     }
@@ -93,7 +124,8 @@
     @Test
     void aFileIsAppendedRenamedAndDeleted() throws Exception {
         try (FileDisk disk = new FileDisk(folder)) {
-            for (int i = 0; i < 12; i++) disk.append("file" + i, ByteBuffer.wrap(new byte[] {(byte) i}));
+            for (int i = 0; i < 12; i++)
+                disk.append("file" + i, ByteBuffer.wrap(new byte[] {(byte) i}));
             disk.append("file0", ByteBuffer.wrap(new byte[] {9}));
             disk.rename("file0", "file1");
             disk.append("file1", ByteBuffer.wrap(new byte[] {8}));
--- a/src/test/java/calicostream/durable/FormatTest.java
+++ b/src/test/java/calicostream/durable/FormatTest.java
@@ -20,7 +20,10 @@
     private static final Path GOLDEN = Path.of("src/test/resources/durable/v1");
     private static final Identity WHO = new Identity("site", "a");
 
-    /** Two openings, so that a head goes on after another; one generation and a half of snapshots, a vote, a note, a cut. */
+    /**
+     * Two openings, so that a head goes on after another; one generation and a half of snapshots, a
+     * vote, a note, a cut.
+     */
     private static FaultyDisk write() throws DurableException {
         FaultyDisk disk = new FaultyDisk("disk", new FaultyDisk.Power(1));
         DurableLog log = DurableLog.open(disk, disk, WHO, Options.DEFAULT);
@@ -29,7 +32,8 @@
         log.saveNote("gone", new byte[1]);
         log.saveNote("gone", null);
         log.saveTerm(3, "b");
-        for (int i = 1; i <= 5; i++) log.appendEntry(i, 3, ("entry " + i).getBytes(StandardCharsets.UTF_8));
+        for (int i = 1; i <= 5; i++)
+            log.appendEntry(i, 3, ("entry " + i).getBytes(StandardCharsets.UTF_8));
         log.sync();
         log.snapshotChunk(2, 3, 1, 2, "second half".getBytes(StandardCharsets.UTF_8));
         log.snapshotChunk(2, 3, 0, 2, "first half".getBytes(StandardCharsets.UTF_8));
@@ -53,7 +57,8 @@
     private static FaultyDisk golden() throws IOException {
         FaultyDisk disk = new FaultyDisk("disk", new FaultyDisk.Power(1));
         try (Stream<Path> files = Files.list(GOLDEN)) {
-            for (Path file : files.toList()) disk.put(file.getFileName().toString(), Files.readAllBytes(file));
+            for (Path file : files.toList())
+                disk.put(file.getFileName().toString(), Files.readAllBytes(file));
         }
         return disk;
     }
@@ -69,12 +74,23 @@
         assertEquals("a:4100", new String(found.notes().get("endpoint"), StandardCharsets.UTF_8));
         assertEquals(2, found.snapshot().index());
         assertEquals(3, found.snapshot().term());
-        assertEquals("first half", new String(found.snapshot().chunks().get(0), StandardCharsets.UTF_8));
-        assertEquals("second half", new String(found.snapshot().chunks().get(1), StandardCharsets.UTF_8));
-        assertEquals(List.of(3L, 4L, 5L, 6L), found.entries().stream().map(Recovered.Entry::index).toList());
-        assertEquals(List.of(3L, 3L, 4L, 4L), found.entries().stream().map(Recovered.Entry::term).toList());
-        assertEquals("entry 5 of term 4", new String(found.entries().get(2).bytes(), StandardCharsets.UTF_8));
-        assertEquals(new Amnesia.Own(3, 4, "", 6, Amnesia.Standing.ADMITTED, Amnesia.Doubt.NONE, ""), found.own());
+        assertEquals(
+                "first half", new String(found.snapshot().chunks().get(0), StandardCharsets.UTF_8));
+        assertEquals(
+                "second half",
+                new String(found.snapshot().chunks().get(1), StandardCharsets.UTF_8));
+        assertEquals(
+                List.of(3L, 4L, 5L, 6L),
+                found.entries().stream().map(Recovered.Entry::index).toList());
+        assertEquals(
+                List.of(3L, 3L, 4L, 4L),
+                found.entries().stream().map(Recovered.Entry::term).toList());
+        assertEquals(
+                "entry 5 of term 4",
+                new String(found.entries().get(2).bytes(), StandardCharsets.UTF_8));
+        assertEquals(
+                new Amnesia.Own(3, 4, "", 6, Amnesia.Standing.ADMITTED, Amnesia.Doubt.NONE, ""),
+                found.own());
     }
 
     @Test
@@ -82,7 +98,8 @@
         FaultyDisk golden = golden();
         FaultyDisk today = write();
         assertEquals(golden.files(), today.files());
-        for (String name : golden.files()) assertArrayEquals(golden.bytes(name), today.bytes(name), name);
+        for (String name : golden.files())
+            assertArrayEquals(golden.bytes(name), today.bytes(name), name);
     }
 
     @Test
@@ -100,7 +117,10 @@
         }
     }
 
-    /** Each byte of each promised record in turn: a log never opens as sound with something else in it than was written. */
+    /**
+     * Each byte of each promised record in turn: a log never opens as sound with something else in
+     * it than was written.
+     */
     @Test
     void everyFlippedByteOfTheLogIsNoticed() throws Exception {
         FaultyDisk whole = golden();
@@ -113,9 +133,12 @@
                 flipped[at] ^= 0x10;
                 disk.put(name, flipped);
                 try {
-                    if (DurableLog.open(disk, disk, WHO, Options.DEFAULT).recovered().own().doubt() != Amnesia.Doubt.NONE) noticed++;
+                    if (DurableLog.open(disk, disk, WHO, Options.DEFAULT).recovered().own().doubt()
+                            != Amnesia.Doubt.NONE) noticed++;
                 } catch (DurableException e) {
-                    assertTrue(List.of("log-rotten", "log-hole").contains(e.code()), name + " byte " + at + ": " + e);
+                    assertTrue(
+                            List.of("log-rotten", "log-hole").contains(e.code()),
+                            name + " byte " + at + ": " + e);
                     noticed++;
                 }
             }
@@ -126,6 +149,7 @@
     @Test
     void eachStateHasItsRowInTheOperatorsPage() throws Exception {
         String page = Files.readString(Path.of("docs/operate/durable.md"));
-        for (Status.State state : Status.State.values()) assertTrue(page.contains("| " + state + " |"), state.name());
+        for (Status.State state : Status.State.values())
+            assertTrue(page.contains("| " + state + " |"), state.name());
     }
 }
--- a/src/test/java/calicostream/durable/LiesTest.java
+++ b/src/test/java/calicostream/durable/LiesTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Each lie of a disk is noticed or took nothing; each fault has its type, its state and its way back. */
+/**
+ * Each lie of a disk is noticed or took nothing; each fault has its type, its state and its way
+ * back.
+ */
 class LiesTest {
 
     private static final int SEEDS = 100;
@@ -27,15 +30,22 @@
         for (Trials.Lie lie : Trials.Lie.values()) {
             for (long seed = 1; seed <= SEEDS; seed++) {
                 Outcome outcome = Trials.lie(seed, lie);
-                assertTrue(outcome.end() == End.INTACT || outcome.end() == End.NOTICED, () -> outcome.end() + " " + outcome.what());
+                assertTrue(
+                        outcome.end() == End.INTACT || outcome.end() == End.NOTICED,
+                        () -> outcome.end() + " " + outcome.what());
                 if (outcome.end() == End.NOTICED) noticed.merge(lie, 1, Integer::sum);
             }
         }
         System.out.println("seeds 1 to " + SEEDS + ", noticed " + noticed);
         for (Trials.Lie lie : Trials.Lie.values()) {
             // A rotten snapshot has the generation before it, and the log, to stand in.
-            boolean spared = lie == Trials.Lie.SNAPSHOT_ROT || lie == Trials.Lie.SNAPSHOT_GONE || lie == Trials.Lie.MARKS_ROT;
-            assertTrue(noticed.getOrDefault(lie, 0) >= (spared ? 1 : SEEDS / 4), lie + " noticed " + noticed.get(lie));
+            boolean spared =
+                    lie == Trials.Lie.SNAPSHOT_ROT
+                            || lie == Trials.Lie.SNAPSHOT_GONE
+                            || lie == Trials.Lie.MARKS_ROT;
+            assertTrue(
+                    noticed.getOrDefault(lie, 0) >= (spared ? 1 : SEEDS / 4),
+                    lie + " noticed " + noticed.get(lie));
         }
     }
 
@@ -60,7 +70,8 @@
                 assertEquals(e, play.durable.status().trouble(), what);
                 assertThrows(DurableException.LogFailed.class, () -> play.durable.sync(), what);
             }
-            // The system lives and its pages lie; the fault is mended, and the power goes right after the opening.
+            // The system lives and its pages lie; the fault is mended, and the power goes right
+            // after the opening.
             play.killed();
             play.log.full = play.log.readOnly = play.marks.full = play.marks.readOnly = false;
             play.open();
@@ -140,7 +151,9 @@
     void oneFolderServesOneLog() throws Exception {
         Play play = new Play(1);
         play.open();
-        assertThrows(DurableException.InUse.class, () -> DurableLog.open(play.log, play.marks, Play.WHO, Options.DEFAULT));
+        assertThrows(
+                DurableException.InUse.class,
+                () -> DurableLog.open(play.log, play.marks, Play.WHO, Options.DEFAULT));
     }
 
     @Test
@@ -165,6 +178,9 @@
         play.durable.close();
         play.log.remove(Names.snapshot(new Record.Ref(4, 1)));
         play.durable = DurableLog.open(play.log, play.marks, Play.WHO, Options.DEFAULT);
-        assertEquals(6, play.durable.recovered().entries().size(), "the first segment still holds all from the first entry");
+        assertEquals(
+                6,
+                play.durable.recovered().entries().size(),
+                "the first segment still holds all from the first entry");
     }
 }
--- a/src/test/java/calicostream/errors/FamilyTest.java
+++ b/src/test/java/calicostream/errors/FamilyTest.java
@@ -20,7 +20,10 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** The family is closed: roots that are sealed with a page each, final types with a code each, and each code's row on that page. */
+/**
+ * The family is closed: roots that are sealed with a page each, final types with a code each, and
+ * each code's row on that page.
+ */
 class FamilyTest {
     private static Set<Class<?>> roots() throws ClassNotFoundException {
         Set<Class<?>> roots = new HashSet<>();
@@ -30,10 +33,16 @@
                 if (Modifier.isAbstract(type.getModifiers())) {
                     roots.add(type);
                 } else {
-                    assertTrue(Modifier.isFinal(type.getModifiers()) && (type.getSuperclass().isSealed()
-                            || Arrays.stream(type.getInterfaces()).anyMatch(Class::isSealed)), type + " is not of a sealed root");
+                    assertTrue(
+                            Modifier.isFinal(type.getModifiers())
+                                    && (type.getSuperclass().isSealed()
+                                            || Arrays.stream(type.getInterfaces())
+                                                    .anyMatch(Class::isSealed)),
+                            type + " is not of a sealed root");
                 }
-            } else if (each.isInterface() && each.isAssignableTo(FleetError.class.getName()) && !each.isEquivalentTo(FleetError.class)) {
+            } else if (each.isInterface()
+                    && each.isAssignableTo(FleetError.class.getName())
+                    && !each.isEquivalentTo(FleetError.class)) {
                 roots.add(Class.forName(each.getName()));
             }
         }
@@ -57,10 +66,22 @@
                 codes.add(code);
             }
             String row = "(?m)^\\| `((?:" + String.join("|", page.prefixes()) + ")[a-z-]+)` \\|";
-            assertEquals(codes, Pattern.compile(row).matcher(Files.readString(Path.of("docs/operate", page.value()))).results()
-                    .map(match -> match.group(1)).collect(Collectors.toCollection(TreeSet::new)), page.value());
+            assertEquals(
+                    codes,
+                    Pattern.compile(row)
+                            .matcher(Files.readString(Path.of("docs/operate", page.value())))
+                            .results()
+                            .map(match -> match.group(1))
+                            .collect(Collectors.toCollection(TreeSet::new)),
+                    page.value());
         }
-        assertTrue(packages.containsAll(Set.of("calicostream.cluster", "calicostream.durable", "calicostream.budget",
-                "calicostream.lease")), packages.toString());
+        assertTrue(
+                packages.containsAll(
+                        Set.of(
+                                "calicostream.cluster",
+                                "calicostream.durable",
+                                "calicostream.budget",
+                                "calicostream.lease")),
+                packages.toString());
     }
 }
--- a/src/test/java/calicostream/flight/state/StatePropertyTest.java
+++ b/src/test/java/calicostream/flight/state/StatePropertyTest.java
@@ -27,20 +27,26 @@
 
 /** The other decisions of the front, each against a model of a few lines. */
 class StatePropertyTest {
-    record Step3(int kind, int a, int b) { }
+    record Step3(int kind, int a, int b) {}
 
     @Provide
     Arbitrary<List<Step3>> steps() {
-        return Combinators.combine(Arbitraries.integers().between(0, 6), Arbitraries.integers().between(0, 9),
-                Arbitraries.integers().between(0, 200)).as(Step3::new).list().ofMaxSize(150);
+        return Combinators.combine(
+                        Arbitraries.integers().between(0, 6),
+                        Arbitraries.integers().between(0, 9),
+                        Arbitraries.integers().between(0, 200))
+                .as(Step3::new)
+                .list()
+                .ofMaxSize(150);
     }
 
-    // ---- Handles ----------------------------------------------------------------------------------------
+    // ---- Handles
+    // ----------------------------------------------------------------------------------------
     @Property(tries = 1000)
     void handlesBelongToTheirOwnersWithinBounds(@ForAll("steps") List<Step3> steps) {
         int[] made = new int[1];
         Handles<Integer> handles = new Handles<>(() -> "h" + made[0]++, 6, 3, 500);
-        record Kept(String owner, int thing, long until) { }
+        record Kept(String owner, int thing, long until) {}
         LinkedHashMap<String, Kept> model = new LinkedHashMap<>(16, 0.75f, true);
         long now = 0;
         for (Step3 step : steps) {
@@ -49,48 +55,61 @@
             String name = "h" + step.a;
             long at = now;
             switch (step.kind) {
-                case 0: case 1: case 2:
+                case 0:
+                case 1:
+                case 2:
                     StringBuilder got = new StringBuilder();
                     int thing = made[0];
                     List<Integer> gone = handles.put(now, owner, thing, got);
                     List<Integer> wanted = new ArrayList<>();
-                    boolean full = model.values().stream().filter(k -> k.owner.equals(owner)).count() >= 3;
+                    boolean full =
+                            model.values().stream().filter(k -> k.owner.equals(owner)).count() >= 3;
                     if (full || model.size() >= 6) {
-                        String first = model.entrySet().stream().filter(e -> !full || e.getValue().owner.equals(owner))
-                                .findFirst().orElseThrow().getKey();
+                        String first =
+                                model.entrySet().stream()
+                                        .filter(e -> !full || e.getValue().owner.equals(owner))
+                                        .findFirst()
+                                        .orElseThrow()
+                                        .getKey();
                         wanted.add(model.remove(first).thing);
                     }
                     assertEquals(wanted, gone);
                     model.put(got.toString(), new Kept(owner, thing, now + 500));
                     break;
-                case 3: case 4: {
-                    Kept kept = model.containsKey(name) ? model.get(name) : null;
-                    boolean there = kept != null && kept.owner.equals(owner) && kept.until > now;
-                    assertEquals(there ? kept.thing : null, handles.get(now, owner, name));
-                    if (there) {
-                        model.put(name, new Kept(owner, kept.thing, now + 500));
+                case 3:
+                case 4:
+                    {
+                        Kept kept = model.containsKey(name) ? model.get(name) : null;
+                        boolean there =
+                                kept != null && kept.owner.equals(owner) && kept.until > now;
+                        assertEquals(there ? kept.thing : null, handles.get(now, owner, name));
+                        if (there) {
+                            model.put(name, new Kept(owner, kept.thing, now + 500));
+                        }
+                        break;
+                    }
+                case 5:
+                    {
+                        Set<Integer> due = new HashSet<>();
+                        model.values().removeIf(k -> k.until <= at && due.add(k.thing));
+                        assertEquals(due, new HashSet<>(handles.expire(now)));
+                        break;
+                    }
+                default:
+                    {
+                        Set<Integer> his = new HashSet<>();
+                        model.values().removeIf(k -> k.owner.equals(owner) && his.add(k.thing));
+                        assertEquals(his, new HashSet<>(handles.removeAll(owner)));
+                        break;
                     }
-                    break;
-                }
-                case 5: {
-                    Set<Integer> due = new HashSet<>();
-                    model.values().removeIf(k -> k.until <= at && due.add(k.thing));
-                    assertEquals(due, new HashSet<>(handles.expire(now)));
-                    break;
-                }
-                default: {
-                    Set<Integer> his = new HashSet<>();
-                    model.values().removeIf(k -> k.owner.equals(owner) && his.add(k.thing));
-                    assertEquals(his, new HashSet<>(handles.removeAll(owner)));
-                    break;
-                }
             }
             assertEquals(model.size(), handles.size());
             assertTrue(handles.size() <= 6);
         }
     }
 
-    // ---- Prepared statements ----------------------------------------------------------------------------
+    // ---- Prepared statements
+    // ----------------------------------------------------------------------------
     @Property(tries = 1000)
     void anEnginesHandleServesOneAtATime(@ForAll("steps") List<Step3> steps) {
         Prepared<String, String> statement = new Prepared<>(null);
@@ -138,25 +157,38 @@
     }
 
     @Property
-    void parametersAreTakenIfTheyFitAndOnlyThen(@ForAll("types") List<String> wanted, @ForAll("types") List<String> got,
+    void parametersAreTakenIfTheyFitAndOnlyThen(
+            @ForAll("types") List<String> wanted,
+            @ForAll("types") List<String> got,
             @ForAll @IntRange(max = 2) int rows) {
-        Prepared<String, String> statement = new Prepared<>(wanted.stream().map(t -> new Parameter("p", t)).toList());
+        Prepared<String, String> statement =
+                new Prepared<>(wanted.stream().map(t -> new Parameter("p", t)).toList());
         boolean fits = wanted.equals(got) && (wanted.isEmpty() || rows > 0);
         String fault = statement.fault(got.stream().map(t -> new Parameter("q", t)).toList(), rows);
         assertEquals(fits, fault == null, fault);
     }
 
-    // ---- Results ----------------------------------------------------------------------------------------
+    // ---- Results
+    // ----------------------------------------------------------------------------------------
     @Property
-    void aResultIsHeldUpToItsBoundThenFlows(@ForAll("sizes") List<Integer> sizes, @ForAll @IntRange(max = 300) int hold,
-            @ForAll @IntRange(max = 900) int most, @ForAll boolean mayBegin) {
+    void aResultIsHeldUpToItsBoundThenFlows(
+            @ForAll("sizes") List<Integer> sizes,
+            @ForAll @IntRange(max = 300) int hold,
+            @ForAll @IntRange(max = 900) int most,
+            @ForAll boolean mayBegin) {
         ResultGate gate = new ResultGate(hold, most, mayBegin);
         long seen = 0;
         boolean begun = false;
         for (int size : sizes) {
             seen += size;
-            Verdict wanted = most > 0 && seen > most ? Verdict.TOO_LONG : begun ? Verdict.PASS
-                    : seen <= hold ? Verdict.HOLD : mayBegin ? Verdict.BEGIN : Verdict.TOO_LONG;
+            Verdict wanted =
+                    most > 0 && seen > most
+                            ? Verdict.TOO_LONG
+                            : begun
+                                    ? Verdict.PASS
+                                    : seen <= hold
+                                            ? Verdict.HOLD
+                                            : mayBegin ? Verdict.BEGIN : Verdict.TOO_LONG;
             assertEquals(wanted, gate.next(size, true));
             begun |= wanted == Verdict.BEGIN;
             assertEquals(begun, gate.hasBegun());
@@ -178,7 +210,8 @@
         assertEquals(Verdict.TOO_LONG, new ResultGate(1000, 0, false).next(10, false));
     }
 
-    // ---- Admission --------------------------------------------------------------------------------------
+    // ---- Admission
+    // --------------------------------------------------------------------------------------
     @Property(tries = 500)
     void boundsHoldWhateverComesAndGoes(@ForAll("steps") List<Step3> steps) {
         Admission admission = new Admission(8, 3, 1000, 5);
@@ -189,8 +222,14 @@
             int his = open.getOrDefault(client, 0);
             int all = open.values().stream().mapToInt(n -> n).sum();
             if (step.kind <= 3) {
-                Admission.Answer wanted = all >= 8 ? Admission.Answer.ALL_FULL : held >= 1000
-                        ? Admission.Answer.BYTES_FULL : his >= 3 ? Admission.Answer.CLIENT_FULL : Admission.Answer.TAKEN;
+                Admission.Answer wanted =
+                        all >= 8
+                                ? Admission.Answer.ALL_FULL
+                                : held >= 1000
+                                        ? Admission.Answer.BYTES_FULL
+                                        : his >= 3
+                                                ? Admission.Answer.CLIENT_FULL
+                                                : Admission.Answer.TAKEN;
                 assertEquals(wanted, admission.enter(client));
                 open.merge(client, wanted == Admission.Answer.TAKEN ? 1 : 0, Integer::sum);
             } else if (step.kind == 4 && his > 0) {
@@ -222,11 +261,12 @@
         assertEquals(2, admission.streams());
     }
 
-    // ---- Shared answers ---------------------------------------------------------------------------------
+    // ---- Shared answers
+    // ---------------------------------------------------------------------------------
     @Property(tries = 1000)
     void everyWaiterHearsOnceAndNoAnswerIsOlderThanAChange(@ForAll("steps") List<Step3> steps) {
         SharedAnswers<Integer, Long> shared = new SharedAnswers<>(300, 1000);
-        record Attempt(String question, long epoch, long startedIn) { }
+        record Attempt(String question, long epoch, long startedIn) {}
         List<Attempt> under = new ArrayList<>();
         Map<Integer, String> waiting = new HashMap<>();
         int who = 0;
@@ -238,7 +278,8 @@
             if (step.kind <= 2) {
                 Step did = shared.ask(now, question, ++who);
                 if (did == Step.ANSWER) {
-                    assertEquals(version, shared.find(now, question), "no answer from before a change");
+                    assertEquals(
+                            version, shared.find(now, question), "no answer from before a change");
                 } else {
                     waiting.put(who, question);
                     if (did == Step.ASK) {
@@ -247,11 +288,21 @@
                 }
             } else if (step.kind <= 4 && !under.isEmpty()) {
                 Attempt attempt = under.remove(step.a % under.size());
-                List<Integer> heard = step.kind == 3
-                        ? shared.answered(now, attempt.question, attempt.epoch, "", attempt.startedIn, 10)
-                        : shared.failed(attempt.question, attempt.epoch);
+                List<Integer> heard =
+                        step.kind == 3
+                                ? shared.answered(
+                                        now,
+                                        attempt.question,
+                                        attempt.epoch,
+                                        "",
+                                        attempt.startedIn,
+                                        10)
+                                : shared.failed(attempt.question, attempt.epoch);
                 for (int each : heard) {
-                    assertEquals(attempt.question, waiting.remove(each), "each waiter hears once, of its own question");
+                    assertEquals(
+                            attempt.question,
+                            waiting.remove(each),
+                            "each waiter hears once, of its own question");
                 }
             } else if (step.kind == 5) {
                 shared.changed("");
@@ -268,7 +319,8 @@
         }
     }
 
-    // ---- Progress, effects, sessions --------------------------------------------------------------------
+    // ---- Progress, effects, sessions
+    // --------------------------------------------------------------------
     @Property
     void progressNeverGoesBackAndWakesWhoWaits(@ForAll("shares") List<Double> shares) {
         Progress<Integer, String> progress = new Progress<>(100);
@@ -297,11 +349,23 @@
 
     @Example
     void firstWordsTellWhatChangesCatalogs() {
-        for (String yes : List.of("create table t", "  DROP table t", "-- note\nalter table t", "/* a */ (truncate t)",
-                ";;grant x")) {
+        for (String yes :
+                List.of(
+                        "create table t",
+                        "  DROP table t",
+                        "-- note\nalter table t",
+                        "/* a */ (truncate t)",
+                        ";;grant x")) {
             assertTrue(Effects.changesCatalog(yes), yes);
         }
-        for (String no : List.of("select 1", "", "insert into create_t", "-- create", "/* drop", "creates")) {
+        for (String no :
+                List.of(
+                        "select 1",
+                        "",
+                        "insert into create_t",
+                        "-- create",
+                        "/* drop",
+                        "creates")) {
             assertFalse(Effects.changesCatalog(no), no);
         }
     }
--- a/src/test/java/calicostream/flight/state/TransactionsPropertyTest.java
+++ b/src/test/java/calicostream/flight/state/TransactionsPropertyTest.java
@@ -29,12 +29,17 @@
     private static final Bounds BOUNDS = new Bounds(3, 4, 1000, 100, 5000);
 
     /** One thing that happens; {@code pick} chooses which transaction, owner or engine. */
-    record Step(int kind, int pick, int time) { }
+    record Step(int kind, int pick, int time) {}
 
     @Provide
     Arbitrary<List<Step>> lives() {
-        return Combinators.combine(Arbitraries.integers().between(0, 11), Arbitraries.integers().between(0, 50),
-                Arbitraries.integers().between(0, 400)).as(Step::new).list().ofMaxSize(120);
+        return Combinators.combine(
+                        Arbitraries.integers().between(0, 11),
+                        Arbitraries.integers().between(0, 50),
+                        Arbitraries.integers().between(0, 400))
+                .as(Step::new)
+                .list()
+                .ofMaxSize(120);
     }
 
     /** What a client has been told of its transaction. */
@@ -67,7 +72,10 @@
                 assertEquals(live.getOrDefault(owner, 0) < BOUNDS.ofClient(), may);
                 if (may) {
                     Txn<String> begun = all.begun(now, owner, engine, "h" + names[0]);
-                    long there = known.stream().filter(each -> !each.over && each.txn.engine == engine).count();
+                    long there =
+                            known.stream()
+                                    .filter(each -> !each.over && each.txn.engine == engine)
+                                    .count();
                     assertEquals(there >= BOUNDS.onEngine(), begun == null);
                     if (begun != null) {
                         known.add(new Known(begun));
@@ -102,13 +110,19 @@
                 for (Known each : known) {
                     boolean drained = each.draining && now >= each.drainAt;
                     boolean idle = !each.inUse && now - each.usedAt >= BOUNDS.leaseUs();
-                    if (!each.over && (idle || drained && !(each.inUse && each.purpose == Purpose.COMMIT))) {
+                    if (!each.over
+                            && (idle
+                                    || drained
+                                            && !(each.inUse && each.purpose == Purpose.COMMIT))) {
                         over(each, live);
                     }
                 }
             }
             for (String each : List.of("o0", "o1", "o2")) {
-                assertEquals(live.getOrDefault(each, 0), all.liveOf(each), "what a client has open is counted");
+                assertEquals(
+                        live.getOrDefault(each, 0),
+                        all.liveOf(each),
+                        "what a client has open is counted");
             }
         }
     }
@@ -138,7 +152,12 @@
         }
     }
 
-    private static void done(Transactions<String> all, Known one, Result result, long now, Map<String, Integer> live) {
+    private static void done(
+            Transactions<String> all,
+            Known one,
+            Result result,
+            long now,
+            Map<String, Integer> live) {
         if (!one.inUse) {
             return;
         }
--- a/src/test/java/calicostream/flight/suite/ClientsTest.java
+++ b/src/test/java/calicostream/flight/suite/ClientsTest.java
@@ -50,10 +50,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Standard clients at their ordinary work, clients that log in, and calls that no standard client makes. */
+/**
+ * Standard clients at their ordinary work, clients that log in, and calls that no standard client
+ * makes.
+ */
 class ClientsTest {
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
     private final Script script = new Script();
     private Rig rig;
     private ManagedChannel channel;
@@ -65,8 +67,13 @@
     }
 
     private void startWithUsers() throws Exception {
-        Files.writeString(folder.resolve("users"), "# who may come\nann:" + Crypt.crypt("secret", "$6$rounds=1000$saltsalt$")
-                + "\nbob:" + Crypt.crypt("other", "$5$rounds=1000$pepper$") + "\n");
+        Files.writeString(
+                folder.resolve("users"),
+                "# who may come\nann:"
+                        + Crypt.crypt("secret", "$6$rounds=1000$saltsalt$")
+                        + "\nbob:"
+                        + Crypt.crypt("other", "$5$rounds=1000$pepper$")
+                        + "\n");
         start("\"users\":\"users\"");
     }
 
@@ -85,7 +92,8 @@
     }
 
     private static String basic(String credentials) {
-        return "Basic " + Base64.getEncoder().encodeToString(credentials.getBytes(StandardCharsets.UTF_8));
+        return "Basic "
+                + Base64.getEncoder().encodeToString(credentials.getBytes(StandardCharsets.UTF_8));
     }
 
     private FlightServiceGrpc.FlightServiceBlockingStub stub(Metadata headers) {
@@ -96,9 +104,12 @@
     /** Logs in, and returns the token. */
     private String token(String credentials) {
         AtomicReference<Metadata> answered = new AtomicReference<>();
-        FlightServiceGrpc.FlightServiceBlockingStub stub = stub(authorization(basic(credentials))).withInterceptors(
-                MetadataUtils.newCaptureMetadataInterceptor(answered, new AtomicReference<>()));
-        stub.listActions(Flight.Empty.getDefaultInstance()).forEachRemaining(each -> { });
+        FlightServiceGrpc.FlightServiceBlockingStub stub =
+                stub(authorization(basic(credentials)))
+                        .withInterceptors(
+                                MetadataUtils.newCaptureMetadataInterceptor(
+                                        answered, new AtomicReference<>()));
+        stub.listActions(Flight.Empty.getDefaultInstance()).forEachRemaining(each -> {});
         return answered.get().get(FlightWire.AUTHORIZATION);
     }
 
@@ -106,12 +117,17 @@
         return assertThrows(StatusRuntimeException.class, call::run).getStatus().getCode();
     }
 
-    // ---- JDBC -------------------------------------------------------------------------------------------
+    // ---- JDBC
+    // -------------------------------------------------------------------------------------------
     @Test
     void jdbcDriverDoesItsOrdinaryWork() throws Exception {
         startWithUsers();
-        String url = "jdbc:arrow-flight-sql://127.0.0.1:" + rig.port() + "/?useEncryption=false&user=ann&password=secret";
-        try (Connection connection = DriverManager.getConnection(url); Statement statement = connection.createStatement()) {
+        String url =
+                "jdbc:arrow-flight-sql://127.0.0.1:"
+                        + rig.port()
+                        + "/?useEncryption=false&user=ann&password=secret";
+        try (Connection connection = DriverManager.getConnection(url);
+                Statement statement = connection.createStatement()) {
             try (ResultSet rows = statement.executeQuery("select rows=3")) {
                 int sum = 0;
                 while (rows.next()) {
@@ -134,23 +150,46 @@
             assertEquals("calicostream", connection.getMetaData().getDatabaseProductName());
             assertEquals("\"", connection.getMetaData().getIdentifierQuoteString());
         }
-        assertThrows(SQLException.class, () -> DriverManager.getConnection(url.replace("secret", "wrong")).close());
+        assertThrows(
+                SQLException.class,
+                () -> DriverManager.getConnection(url.replace("secret", "wrong")).close());
     }
 
-    // ---- Logins -----------------------------------------------------------------------------------------
+    // ---- Logins
+    // -----------------------------------------------------------------------------------------
     @Test
     void nobodyComesInWithoutATokenOrWithAWrongOne() throws Exception {
         startWithUsers();
-        for (String none : new String[] {"", "Bearer ", "Bearer nonsense", "Basic", "Basic !!", basic("ann"),
-            basic("ann:wrong"), basic("nobody:secret"), basic(":")}) {
-            assertEquals(Status.Code.UNAUTHENTICATED, code(() -> stub(authorization(none)).getFlightInfo(Raw.query("select"))),
+        for (String none :
+                new String[] {
+                    "",
+                    "Bearer ",
+                    "Bearer nonsense",
+                    "Basic",
+                    "Basic !!",
+                    basic("ann"),
+                    basic("ann:wrong"),
+                    basic("nobody:secret"),
+                    basic(":")
+                }) {
+            assertEquals(
+                    Status.Code.UNAUTHENTICATED,
+                    code(() -> stub(authorization(none)).getFlightInfo(Raw.query("select"))),
                     none);
         }
-        assertEquals(Status.Code.UNAUTHENTICATED, code(() -> FlightServiceGrpc.newBlockingStub(channel)
-                .getFlightInfo(Raw.query("select"))));
+        assertEquals(
+                Status.Code.UNAUTHENTICATED,
+                code(
+                        () ->
+                                FlightServiceGrpc.newBlockingStub(channel)
+                                        .getFlightInfo(Raw.query("select"))));
         String token = token("ann:secret");
         assertTrue(token.startsWith("Bearer "));
-        assertEquals(1, stub(authorization(token)).getFlightInfo(Raw.query("select rows=1")).getEndpointCount());
+        assertEquals(
+                1,
+                stub(authorization(token))
+                        .getFlightInfo(Raw.query("select rows=1"))
+                        .getEndpointCount());
         assertTrue(token("bob:other").startsWith("Bearer "));
     }
 
@@ -161,21 +200,58 @@
         FlightServiceGrpc.FlightServiceBlockingStub bob = stub(authorization(token("bob:other")));
         Flight.FlightInfo info = ann.getFlightInfo(Raw.query("select rows=1"));
         Flight.Ticket hers = info.getEndpoint(0).getTicket();
-        Flight.Ticket none = FlightWire.ticket(FlightWire.packed(FlightSql.TicketStatementQuery.newBuilder()
-                .setStatementHandle(ByteString.copyFromUtf8("nothing")).build()));
-        Status others = assertThrows(StatusRuntimeException.class, () -> bob.doGet(hers).hasNext()).getStatus();
-        Status nothing = assertThrows(StatusRuntimeException.class, () -> bob.doGet(none).hasNext()).getStatus();
-        assertEquals(nothing.getCode() + nothing.getDescription(), others.getCode() + others.getDescription());
-        Flight.Action cancel = Flight.Action.newBuilder().setType(FlightWire.CANCEL_INFO).setBody(
-                Flight.CancelFlightInfoRequest.newBuilder().setInfo(info).build().toByteString()).build();
+        Flight.Ticket none =
+                FlightWire.ticket(
+                        FlightWire.packed(
+                                FlightSql.TicketStatementQuery.newBuilder()
+                                        .setStatementHandle(ByteString.copyFromUtf8("nothing"))
+                                        .build()));
+        Status others =
+                assertThrows(StatusRuntimeException.class, () -> bob.doGet(hers).hasNext())
+                        .getStatus();
+        Status nothing =
+                assertThrows(StatusRuntimeException.class, () -> bob.doGet(none).hasNext())
+                        .getStatus();
+        assertEquals(
+                nothing.getCode() + nothing.getDescription(),
+                others.getCode() + others.getDescription());
+        Flight.Action cancel =
+                Flight.Action.newBuilder()
+                        .setType(FlightWire.CANCEL_INFO)
+                        .setBody(
+                                Flight.CancelFlightInfoRequest.newBuilder()
+                                        .setInfo(info)
+                                        .build()
+                                        .toByteString())
+                        .build();
         assertEquals(Status.Code.NOT_FOUND, code(() -> bob.doAction(cancel).hasNext()));
-        Flight.Result begun = ann.doAction(Flight.Action.newBuilder().setType(FlightWire.BEGIN_TRANSACTION).setBody(
-                FlightWire.packed(FlightSql.ActionBeginTransactionRequest.getDefaultInstance())).build()).next();
-        ByteString transaction = com.google.protobuf.Any.parseFrom(begun.getBody())
-                .unpack(FlightSql.ActionBeginTransactionResult.class).getTransactionId();
-        Flight.Action commit = Flight.Action.newBuilder().setType(FlightWire.END_TRANSACTION).setBody(FlightWire.packed(
-                FlightSql.ActionEndTransactionRequest.newBuilder().setTransactionId(transaction).setAction(
-                        FlightSql.ActionEndTransactionRequest.EndTransaction.END_TRANSACTION_COMMIT).build())).build();
+        Flight.Result begun =
+                ann.doAction(
+                                Flight.Action.newBuilder()
+                                        .setType(FlightWire.BEGIN_TRANSACTION)
+                                        .setBody(
+                                                FlightWire.packed(
+                                                        FlightSql.ActionBeginTransactionRequest
+                                                                .getDefaultInstance()))
+                                        .build())
+                        .next();
+        ByteString transaction =
+                com.google.protobuf.Any.parseFrom(begun.getBody())
+                        .unpack(FlightSql.ActionBeginTransactionResult.class)
+                        .getTransactionId();
+        Flight.Action commit =
+                Flight.Action.newBuilder()
+                        .setType(FlightWire.END_TRANSACTION)
+                        .setBody(
+                                FlightWire.packed(
+                                        FlightSql.ActionEndTransactionRequest.newBuilder()
+                                                .setTransactionId(transaction)
+                                                .setAction(
+                                                        FlightSql.ActionEndTransactionRequest
+                                                                .EndTransaction
+                                                                .END_TRANSACTION_COMMIT)
+                                                .build()))
+                        .build();
         assertEquals(Status.Code.NOT_FOUND, code(() -> bob.doAction(commit).hasNext()));
         assertEquals(0, rig.count("commit"));
         assertTrue(ann.doGet(hers).hasNext(), "still hers");
@@ -187,37 +263,82 @@
     void closedSessionRollsBackAndItsTokenIsWorthNothing() throws Exception {
         startWithUsers();
         FlightServiceGrpc.FlightServiceBlockingStub ann = stub(authorization(token("ann:secret")));
-        ann.doAction(Flight.Action.newBuilder().setType(FlightWire.BEGIN_TRANSACTION).setBody(
-                FlightWire.packed(FlightSql.ActionBeginTransactionRequest.getDefaultInstance())).build()).next();
+        ann.doAction(
+                        Flight.Action.newBuilder()
+                                .setType(FlightWire.BEGIN_TRANSACTION)
+                                .setBody(
+                                        FlightWire.packed(
+                                                FlightSql.ActionBeginTransactionRequest
+                                                        .getDefaultInstance()))
+                                .build())
+                .next();
         ann.doAction(Flight.Action.newBuilder().setType(FlightWire.CLOSE_SESSION).build()).next();
         Rig.await("rolled back", () -> rig.count("rollback") == 1);
-        assertEquals(Status.Code.UNAUTHENTICATED, code(() -> ann.getFlightInfo(Raw.query("select"))));
+        assertEquals(
+                Status.Code.UNAUTHENTICATED, code(() -> ann.getFlightInfo(Raw.query("select"))));
     }
 
     @Test
     void sessionOptionsHoldForItsCalls() throws Exception {
         start();
         FlightSqlClient client = rig.client(new ClientCookieMiddleware.Factory());
-        SetSessionOptionsResult told = client.setSessionOptions(new SetSessionOptionsRequest(Map.of(
-                "catalog", SessionOptionValueFactory.makeSessionOptionValue("sales"),
-                "class", SessionOptionValueFactory.makeSessionOptionValue("report"),
-                "priority", SessionOptionValueFactory.makeSessionOptionValue(9L),
-                "colour", SessionOptionValueFactory.makeSessionOptionValue("red"))));
-        assertEquals(List.of("colour", "priority"), told.getErrors().keySet().stream().sorted().toList());
-        assertEquals(List.of("catalog", "class"), client.getSessionOptions(new GetSessionOptionsRequest())
-                .getSessionOptions().keySet().stream().sorted().toList());
-        try (var stream = client.getStream(client.execute("select rows=1").getEndpoints().get(0).getTicket())) {
+        SetSessionOptionsResult told =
+                client.setSessionOptions(
+                        new SetSessionOptionsRequest(
+                                Map.of(
+                                        "catalog",
+                                                SessionOptionValueFactory.makeSessionOptionValue(
+                                                        "sales"),
+                                        "class",
+                                                SessionOptionValueFactory.makeSessionOptionValue(
+                                                        "report"),
+                                        "priority",
+                                                SessionOptionValueFactory.makeSessionOptionValue(
+                                                        9L),
+                                        "colour",
+                                                SessionOptionValueFactory.makeSessionOptionValue(
+                                                        "red"))));
+        assertEquals(
+                List.of("colour", "priority"),
+                told.getErrors().keySet().stream().sorted().toList());
+        assertEquals(
+                List.of("catalog", "class"),
+                client
+                        .getSessionOptions(new GetSessionOptionsRequest())
+                        .getSessionOptions()
+                        .keySet()
+                        .stream()
+                        .sorted()
+                        .toList());
+        try (var stream =
+                client.getStream(
+                        client.execute("select rows=1").getEndpoints().get(0).getTicket())) {
             assertTrue(stream.next());
         }
-        assertEquals(1, rig.onLoop(() -> rig.gateway.figures().ended(calicostream.core.Watcher.Ending.SERVED, 1)),
+        assertEquals(
+                1,
+                rig.onLoop(
+                        () ->
+                                rig.gateway
+                                        .figures()
+                                        .ended(calicostream.core.Watcher.Ending.SERVED, 1)),
                 "the session's class");
         client.closeSession(new CloseSessionRequest());
-        assertEquals(FlightStatusCode.NOT_FOUND, assertThrows(FlightRuntimeException.class,
-                () -> client.closeSession(new CloseSessionRequest())).status().code());
+        assertEquals(
+                FlightStatusCode.NOT_FOUND,
+                assertThrows(
+                                FlightRuntimeException.class,
+                                () -> client.closeSession(new CloseSessionRequest()))
+                        .status()
+                        .code());
     }
 
-    // ---- Calls that no standard client makes ------------------------------------------------------------
-    /** Random bytes, and near misses of real messages, to every call: an error each, and the front serves on. */
+    // ---- Calls that no standard client makes
+    // ------------------------------------------------------------
+    /**
+     * Random bytes, and near misses of real messages, to every call: an error each, and the front
+     * serves on.
+     */
     @Test
     void malformedMessagesAreToldToBeSo() throws Exception {
         start();
@@ -227,9 +348,11 @@
         byte[] real = Raw.query("select rows=1").toByteArray();
         int[] answered = new int[1];
         for (var method : FlightServiceGrpc.getServiceDescriptor().getMethods()) {
-            MethodDescriptor<byte[], byte[]> raw = MethodDescriptor.<byte[], byte[]>newBuilder(Raw.BYTES, Raw.BYTES)
-                    .setType(MethodDescriptor.MethodType.SERVER_STREAMING).setFullMethodName(method.getFullMethodName())
-                    .build();
+            MethodDescriptor<byte[], byte[]> raw =
+                    MethodDescriptor.<byte[], byte[]>newBuilder(Raw.BYTES, Raw.BYTES)
+                            .setType(MethodDescriptor.MethodType.SERVER_STREAMING)
+                            .setFullMethodName(method.getFullMethodName())
+                            .build();
             for (int i = 0; i < 40; i++) {
                 byte[] message = i % 2 == 0 ? real.clone() : new byte[random.nextInt(60)];
                 if (i % 2 == 1) {
@@ -238,11 +361,18 @@
                     message[random.nextInt(message.length)] = (byte) random.nextInt();
                 }
                 try {
-                    ClientCalls.blockingServerStreamingCall(channel, raw, CallOptions.DEFAULT.withDeadlineAfter(Rig.PATIENCE_S,
-                            java.util.concurrent.TimeUnit.SECONDS), message).forEachRemaining(each -> { });
+                    ClientCalls.blockingServerStreamingCall(
+                                    channel,
+                                    raw,
+                                    CallOptions.DEFAULT.withDeadlineAfter(
+                                            Rig.PATIENCE_S, java.util.concurrent.TimeUnit.SECONDS),
+                                    message)
+                            .forEachRemaining(each -> {});
                     answered[0]++;
                 } catch (StatusRuntimeException e) {
-                    assertTrue(e.getStatus().getCode() != Status.Code.DEADLINE_EXCEEDED, method.getFullMethodName());
+                    assertTrue(
+                            e.getStatus().getCode() != Status.Code.DEADLINE_EXCEEDED,
+                            method.getFullMethodName());
                 }
             }
         }
@@ -255,37 +385,80 @@
     @Test
     void whatIsNoQueryOrNoUpdateIsSaidToBe() throws Exception {
         start();
-        FlightServiceGrpc.FlightServiceBlockingStub stub = FlightServiceGrpc.newBlockingStub(channel);
-        Flight.FlightDescriptor path = Flight.FlightDescriptor.newBuilder().setType(
-                Flight.FlightDescriptor.DescriptorType.PATH).addPath("x").build();
+        FlightServiceGrpc.FlightServiceBlockingStub stub =
+                FlightServiceGrpc.newBlockingStub(channel);
+        Flight.FlightDescriptor path =
+                Flight.FlightDescriptor.newBuilder()
+                        .setType(Flight.FlightDescriptor.DescriptorType.PATH)
+                        .addPath("x")
+                        .build();
         assertEquals(Status.Code.INVALID_ARGUMENT, code(() -> stub.getFlightInfo(path)));
         assertEquals(Status.Code.INVALID_ARGUMENT, code(() -> stub.getFlightInfo(Raw.query("  "))));
-        assertEquals(Status.Code.INVALID_ARGUMENT, code(() -> stub.getFlightInfo(Raw.query("bad syntax"))));
-        assertEquals(Status.Code.INVALID_ARGUMENT, code(() -> stub.getFlightInfo(FlightWire.descriptor(FlightWire.packed(
-                FlightSql.CommandStatementUpdate.newBuilder().setQuery("insert").build())))));
-        assertEquals(Status.Code.UNIMPLEMENTED, code(() -> stub.doAction(Flight.Action.newBuilder().setType("Fly").build())
-                .hasNext()));
-        assertEquals(Status.Code.INVALID_ARGUMENT, code(() -> stub.doAction(Flight.Action.newBuilder()
-                .setType(FlightWire.END_TRANSACTION).setBody(FlightWire.packed(FlightSql.ActionEndTransactionRequest
-                        .getDefaultInstance())).build()).hasNext()));
+        assertEquals(
+                Status.Code.INVALID_ARGUMENT,
+                code(() -> stub.getFlightInfo(Raw.query("bad syntax"))));
+        assertEquals(
+                Status.Code.INVALID_ARGUMENT,
+                code(
+                        () ->
+                                stub.getFlightInfo(
+                                        FlightWire.descriptor(
+                                                FlightWire.packed(
+                                                        FlightSql.CommandStatementUpdate
+                                                                .newBuilder()
+                                                                .setQuery("insert")
+                                                                .build())))));
+        assertEquals(
+                Status.Code.UNIMPLEMENTED,
+                code(
+                        () ->
+                                stub.doAction(Flight.Action.newBuilder().setType("Fly").build())
+                                        .hasNext()));
+        assertEquals(
+                Status.Code.INVALID_ARGUMENT,
+                code(
+                        () ->
+                                stub.doAction(
+                                                Flight.Action.newBuilder()
+                                                        .setType(FlightWire.END_TRANSACTION)
+                                                        .setBody(
+                                                                FlightWire.packed(
+                                                                        FlightSql
+                                                                                .ActionEndTransactionRequest
+                                                                                .getDefaultInstance()))
+                                                        .build())
+                                        .hasNext()));
         int[] actions = new int[1];
         stub.listActions(Flight.Empty.getDefaultInstance()).forEachRemaining(each -> actions[0]++);
         assertEquals(13, actions[0]);
-        assertEquals(Status.Code.UNIMPLEMENTED, code(() -> stub.listFlights(Flight.Criteria.getDefaultInstance()).hasNext()));
+        assertEquals(
+                Status.Code.UNIMPLEMENTED,
+                code(() -> stub.listFlights(Flight.Criteria.getDefaultInstance()).hasNext()));
     }
 
-    // ---- Configuration ----------------------------------------------------------------------------------
+    // ---- Configuration
+    // ----------------------------------------------------------------------------------
     @Test
     void badConfigurationSaysWhichKeyAndWhatIsAllowed() throws Exception {
-        for (String[] each : new String[][] {{"\"hold_byte\":1", "unknown key 'hold_byte'"},
-            {"\"hold_bytes\":-1", "hold_bytes is -1"}, {"\"endpoints\":\"two\"", "endpoints is 'two'"},
-            {"\"threads\":0", "threads is 0"}}) {
-            Path file = Files.writeString(folder.resolve("bad.json"), "{\"enabled\":true," + each[0] + "}");
-            String told = assertThrows(SettingsException.class, () -> FlightConfig.read(file)).getMessage();
+        for (String[] each :
+                new String[][] {
+                    {"\"hold_byte\":1", "unknown key 'hold_byte'"},
+                    {"\"hold_bytes\":-1", "hold_bytes is -1"},
+                    {"\"endpoints\":\"two\"", "endpoints is 'two'"},
+                    {"\"threads\":0", "threads is 0"}
+                }) {
+            Path file =
+                    Files.writeString(
+                            folder.resolve("bad.json"), "{\"enabled\":true," + each[0] + "}");
+            String told =
+                    assertThrows(SettingsException.class, () -> FlightConfig.read(file))
+                            .getMessage();
             assertTrue(told.contains(each[1]), told);
         }
         Files.writeString(folder.resolve("users"), "ann:plain\n");
-        assertTrue(assertThrows(SettingsException.class, () -> start("\"users\":\"users\"")).getMessage()
-                .contains("line 1"));
+        assertTrue(
+                assertThrows(SettingsException.class, () -> start("\"users\":\"users\""))
+                        .getMessage()
+                        .contains("line 1"));
     }
 }
--- a/src/test/java/calicostream/flight/suite/ConformanceTest.java
+++ b/src/test/java/calicostream/flight/suite/ConformanceTest.java
@@ -17,16 +17,29 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Each thing that clients do, with each thing that an engine does in the call that it is about: against the front end with
- * two engines, of which the first asked misbehaves once, and against that engine alone, so that the table itself is checked.
- * Words: {@code ok}, {@code refused} (with the time to stay away), {@code failed}, {@code unknown} (outcome), {@code dead}
- * (transaction), else the status; {@code !} any of these but ok, {@code *} any, {@code a/b} either, {@code -} no case.
+ * Each thing that clients do, with each thing that an engine does in the call that it is about:
+ * against the front end with two engines, of which the first asked misbehaves once, and against
+ * that engine alone, so that the table itself is checked. Words: {@code ok}, {@code refused} (with
+ * the time to stay away), {@code failed}, {@code unknown} (outcome), {@code dead} (transaction),
+ * else the status; {@code !} any of these but ok, {@code *} any, {@code a/b} either, {@code -} no
+ * case.
  */
 class ConformanceTest {
-    private static final Act[] ACTS = {Act.ANSWERS, Act.REFUSES, Act.SLOW, Act.ERRS, Act.DIES_BEFORE, Act.DIES_DURING,
-        Act.DIES_AFTER, Act.DRAINS, Act.BAD_PROTOBUF, Act.BAD_ARROW};
+    private static final Act[] ACTS = {
+        Act.ANSWERS,
+        Act.REFUSES,
+        Act.SLOW,
+        Act.ERRS,
+        Act.DIES_BEFORE,
+        Act.DIES_DURING,
+        Act.DIES_AFTER,
+        Act.DRAINS,
+        Act.BAD_PROTOBUF,
+        Act.BAD_ARROW
+    };
     // op, engine's call, then by act: through the front end; alone
-    private static final String TABLE = """
+    private static final String TABLE =
+            """
             query            get    ok ok ok ok ok ok ok ok ok ok              | ok resource_exhausted ok failed unavailable unavailable ok ok ! !
             query            info   ok ok ok ok ok ok ok ok - -                | ok resource_exhausted ok failed unavailable unavailable * ok - -
             stream           get    ok ok ok ok ok failed ok ok ok ok          | ok resource_exhausted ok failed unavailable unavailable ok ok ! !
@@ -58,10 +71,9 @@
             ingest           put    ok refused/ok ok unknown unknown/ok unknown ok ok unknown unknown | ok resource_exhausted/unavailable ok failed ! ! ok ok ! !
             """;
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
-    private record Case(String op, String kind, Act act, String through, String alone) { }
+    private record Case(String op, String kind, Act act, String through, String alone) {}
 
     private static List<Case> cases() {
         List<Case> out = new ArrayList<>();
@@ -79,7 +91,11 @@
     }
 
     private static boolean fits(String wanted, String got) {
-        return wanted.equals("*") ? !got.startsWith("wrong") : wanted.equals("!") ? !got.equals("ok") && !got.startsWith("wrong") : Arrays.asList(wanted.split("/")).contains(got);
+        return wanted.equals("*")
+                ? !got.startsWith("wrong")
+                : wanted.equals("!")
+                        ? !got.equals("ok") && !got.startsWith("wrong")
+                        : Arrays.asList(wanted.split("/")).contains(got);
     }
 
     private String run(Case each, boolean alone) throws Exception {
@@ -89,8 +105,11 @@
             Runnable arm = () -> script.next(each.kind, each.act);
             var client = alone ? rig.client(rig.engines.get(0).address().getPort()) : rig.client();
             String got = Ops.outcome(Ops.ALL.get(each.op), client, arm);
-            boolean load = List.of("update", "prepared-update", "txn-update", "ingest").contains(each.op);
-            boolean twice = load && (rig.count("update") > 1 || rig.count("ingest") > 1) || rig.count("commit") > 1;
+            boolean load =
+                    List.of("update", "prepared-update", "txn-update", "ingest").contains(each.op);
+            boolean twice =
+                    load && (rig.count("update") > 1 || rig.count("ingest") > 1)
+                            || rig.count("commit") > 1;
             return twice ? got + " twice" : got;
         }
     }
@@ -102,13 +121,24 @@
         ExecutorService threads = Executors.newFixedThreadPool(4);
         List<Future<String>> results = new ArrayList<>();
         for (Case each : cases) {
-            results.add(threads.submit(() -> {
-                String through = run(each, false);
-                String alone = run(each, true);
-                boolean held = fits(each.through, through) && fits(each.alone, alone);
-                return String.format("%-5s %-16s %-24s %-13s through=%s (%s) alone=%s (%s)", held ? "held" : "FAIL", each.op,
-                        each.kind, each.act, through, each.through, alone, each.alone);
-            }));
+            results.add(
+                    threads.submit(
+                            () -> {
+                                String through = run(each, false);
+                                String alone = run(each, true);
+                                boolean held =
+                                        fits(each.through, through) && fits(each.alone, alone);
+                                return String.format(
+                                        "%-5s %-16s %-24s %-13s through=%s (%s) alone=%s (%s)",
+                                        held ? "held" : "FAIL",
+                                        each.op,
+                                        each.kind,
+                                        each.act,
+                                        through,
+                                        each.through,
+                                        alone,
+                                        each.alone);
+                            }));
         }
         for (Future<String> each : results) {
             report.add(each.get(120, TimeUnit.SECONDS));
--- a/src/test/java/calicostream/flight/suite/Data.java
+++ b/src/test/java/calicostream/flight/suite/Data.java
@@ -40,11 +40,13 @@
 /** Results that the stand-in engine has: a number and a text as wide as wanted. */
 final class Data {
     private static final BufferAllocator ALLOCATOR = new RootAllocator();
-    static final Schema ROWS = new Schema(List.of(
-            new Field("id", FieldType.nullable(new ArrowType.Int(32, true)), null),
-            new Field("pad", FieldType.nullable(ArrowType.Utf8.INSTANCE), null)));
+    static final Schema ROWS =
+            new Schema(
+                    List.of(
+                            new Field("id", FieldType.nullable(new ArrowType.Int(32, true)), null),
+                            new Field("pad", FieldType.nullable(ArrowType.Utf8.INSTANCE), null)));
 
-    private Data() { }
+    private Data() {}
 
     static Schema parameters(int count) {
         List<Field> out = new ArrayList<>();
@@ -63,7 +65,9 @@
     }
 
     static Flight.FlightData schema(Schema schema) {
-        return Flight.FlightData.newBuilder().setDataHeader(FlightWire.schemaHeader(schema)).build();
+        return Flight.FlightData.newBuilder()
+                .setDataHeader(FlightWire.schemaHeader(schema))
+                .build();
     }
 
     /** Rows numbered from {@code from}, each with a text so wide. */
@@ -84,7 +88,8 @@
 
     /** Results of uncommon kinds: dictionaries, nested types, no columns. */
     static List<Flight.FlightData> special(String text) {
-        DictionaryProvider.MapDictionaryProvider dictionaries = new DictionaryProvider.MapDictionaryProvider();
+        DictionaryProvider.MapDictionaryProvider dictionaries =
+                new DictionaryProvider.MapDictionaryProvider();
         List<FieldVector> columns = new ArrayList<>();
         if (text.contains("dictionary")) {
             VarCharVector words = new VarCharVector("words", ALLOCATOR);
@@ -121,7 +126,9 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         } finally {
-            dictionaries.getDictionaryIds().forEach(id -> dictionaries.lookup(id).getVector().close());
+            dictionaries
+                    .getDictionaryIds()
+                    .forEach(id -> dictionaries.lookup(id).getVector().close());
         }
         return messages(ipc.toByteArray());
     }
@@ -139,8 +146,11 @@
             ByteString header = ByteString.copyFrom(ipc, in.position(), length);
             in.position(in.position() + length);
             int body = (int) Message.getRootAsMessage(header.asReadOnlyByteBuffer()).bodyLength();
-            out.add(Flight.FlightData.newBuilder().setDataHeader(header)
-                    .setDataBody(ByteString.copyFrom(ipc, in.position(), body)).build());
+            out.add(
+                    Flight.FlightData.newBuilder()
+                            .setDataHeader(header)
+                            .setDataBody(ByteString.copyFrom(ipc, in.position(), body))
+                            .build());
             in.position(in.position() + body);
         }
         return out;
@@ -167,13 +177,20 @@
 
     static List<Flight.FlightData> sqlInfo() {
         List<Frame> out = new ArrayList<>();
-        new SqlInfoBuilder().withFlightSqlServerName("stand").withFlightSqlServerReadOnly(false)
-                .withFlightSqlServerSubstrait(true).withFlightSqlServerSql(true).withSqlIdentifierQuoteChar("\"")
-                .send(List.of(FlightSql.SqlInfo.FLIGHT_SQL_SERVER_NAME_VALUE,
-                        FlightSql.SqlInfo.FLIGHT_SQL_SERVER_SUBSTRAIT_VALUE,
-                        FlightSql.SqlInfo.FLIGHT_SQL_SERVER_SQL_VALUE,
-                        FlightSql.SqlInfo.FLIGHT_SQL_SERVER_READ_ONLY_VALUE,
-                        FlightSql.SqlInfo.SQL_IDENTIFIER_QUOTE_CHAR_VALUE), new FrameListener(out));
+        new SqlInfoBuilder()
+                .withFlightSqlServerName("stand")
+                .withFlightSqlServerReadOnly(false)
+                .withFlightSqlServerSubstrait(true)
+                .withFlightSqlServerSql(true)
+                .withSqlIdentifierQuoteChar("\"")
+                .send(
+                        List.of(
+                                FlightSql.SqlInfo.FLIGHT_SQL_SERVER_NAME_VALUE,
+                                FlightSql.SqlInfo.FLIGHT_SQL_SERVER_SUBSTRAIT_VALUE,
+                                FlightSql.SqlInfo.FLIGHT_SQL_SERVER_SQL_VALUE,
+                                FlightSql.SqlInfo.FLIGHT_SQL_SERVER_READ_ONLY_VALUE,
+                                FlightSql.SqlInfo.SQL_IDENTIFIER_QUOTE_CHAR_VALUE),
+                        new FrameListener(out));
         return out.stream().map(Data::message).toList();
     }
 
--- a/src/test/java/calicostream/flight/suite/EngineStand.java
+++ b/src/test/java/calicostream/flight/suite/EngineStand.java
@@ -48,19 +48,21 @@
 import org.apache.arrow.vector.types.pojo.Schema;
 
 /**
- * A stand-in Flight SQL engine. It runs statements of its own small kind ({@code select rows=5 batch=2 width=10 parts=1}),
- * keeps prepared statements and transactions, counts what it was made to do, and misbehaves as its script says. One lock
- * guards its state; all stand-ins share a few threads.
+ * A stand-in Flight SQL engine. It runs statements of its own small kind ({@code select rows=5
+ * batch=2 width=10 parts=1}), keeps prepared statements and transactions, counts what it was made
+ * to do, and misbehaves as its script says. One lock guards its state; all stand-ins share a few
+ * threads.
  */
 public final class EngineStand implements AutoCloseable {
-    private static final Metadata.Key<String> NEVER = Metadata.Key.of("calicostream-never-ran",
-            Metadata.ASCII_STRING_MARSHALLER);
+    private static final Metadata.Key<String> NEVER =
+            Metadata.Key.of("calicostream-never-ran", Metadata.ASCII_STRING_MARSHALLER);
     private static final Pattern NUMBER = Pattern.compile("(rows|batch|width|parts|polls)=(\\d+)");
     private static final long SLOW_MS = 150;
     private static final long HOLD_MS = 10;
-    private static final NioEventLoopGroup NETTY = new NioEventLoopGroup(4, new DefaultThreadFactory("engines", true));
-    private static final ScheduledExecutorService THREADS = Executors.newScheduledThreadPool(8,
-            new DefaultThreadFactory("stand", true));
+    private static final NioEventLoopGroup NETTY =
+            new NioEventLoopGroup(4, new DefaultThreadFactory("engines", true));
+    private static final ScheduledExecutorService THREADS =
+            Executors.newScheduledThreadPool(8, new DefaultThreadFactory("stand", true));
     private final Script script;
     private final List<Channel> connections = new CopyOnWriteArrayList<>();
     private final Server server;
@@ -72,12 +74,21 @@
     private final Map<String, Integer> polled = new HashMap<>();
     private final List<Long> cancelledAt = Collections.synchronizedList(new ArrayList<>());
     private int named;
-    volatile Runnable onDrain = () -> { };
+    volatile Runnable onDrain = () -> {};
 
     EngineStand(Script script) throws IOException {
         this.script = script;
-        server = NettyServerBuilder.forAddress(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
-                .executor(THREADS).bossEventLoopGroup(NETTY).workerEventLoopGroup(NETTY).channelFactory(this::listener).maxInboundMessageSize(128 << 20).addService(service()).build().start();
+        server =
+                NettyServerBuilder.forAddress(
+                                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                        .executor(THREADS)
+                        .bossEventLoopGroup(NETTY)
+                        .workerEventLoopGroup(NETTY)
+                        .channelFactory(this::listener)
+                        .maxInboundMessageSize(128 << 20)
+                        .addService(service())
+                        .build()
+                        .start();
     }
 
     /** A listener that keeps the connections it takes. */
@@ -100,11 +111,19 @@
 
     private ServerServiceDefinition service() {
         Service service = new Service();
-        MethodDescriptor<Flight.Ticket, byte[]> get = FlightServiceGrpc.getDoGetMethod().toBuilder(
-                FlightServiceGrpc.getDoGetMethod().getRequestMarshaller(), Raw.BYTES).build();
-        ServerServiceDefinition.Builder out = ServerServiceDefinition.builder(FlightServiceGrpc.SERVICE_NAME);
+        MethodDescriptor<Flight.Ticket, byte[]> get =
+                FlightServiceGrpc.getDoGetMethod().toBuilder(
+                                FlightServiceGrpc.getDoGetMethod().getRequestMarshaller(),
+                                Raw.BYTES)
+                        .build();
+        ServerServiceDefinition.Builder out =
+                ServerServiceDefinition.builder(FlightServiceGrpc.SERVICE_NAME);
         service.bindService().getMethods().stream()
-                .filter(each -> !each.getMethodDescriptor().getFullMethodName().equals(get.getFullMethodName()))
+                .filter(
+                        each ->
+                                !each.getMethodDescriptor()
+                                        .getFullMethodName()
+                                        .equals(get.getFullMethodName()))
                 .forEach(out::addMethod);
         return out.addMethod(get, ServerCalls.asyncServerStreamingCall(service::get)).build();
     }
@@ -113,12 +132,18 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getPort());
     }
 
-    /** How often something was done here: {@code update}, {@code commit}, {@code get}, {@code open} transactions ... */
+    /**
+     * How often something was done here: {@code update}, {@code commit}, {@code get}, {@code open}
+     * transactions ...
+     */
     synchronized int count(String what) {
         switch (what) {
-            case "transactions": return transactions.size();
-            case "prepared": return prepared.size();
-            default: return counts.getOrDefault(what, 0);
+            case "transactions":
+                return transactions.size();
+            case "prepared":
+                return prepared.size();
+            default:
+                return counts.getOrDefault(what, 0);
         }
     }
 
@@ -134,14 +159,15 @@
 
     /** As a process that is killed: its connections are reset. */
     void die() {
-        connections.forEach(each -> {
-            try {
-                each.config().setOption(ChannelOption.SO_LINGER, 0);
-            } catch (io.netty.channel.ChannelException e) {
-                // Its other end has closed it.
-            }
-            each.eventLoop().execute(() -> each.unsafe().closeForcibly());
-        });
+        connections.forEach(
+                each -> {
+                    try {
+                        each.config().setOption(ChannelOption.SO_LINGER, 0);
+                    } catch (io.netty.channel.ChannelException e) {
+                        // Its other end has closed it.
+                    }
+                    each.eventLoop().execute(() -> each.unsafe().closeForcibly());
+                });
         server.shutdownNow();
     }
 
@@ -187,25 +213,39 @@
     /** Acts as the script says; true: go on and answer. */
     private <T> boolean acts(Act act, StreamObserver<T> out, Runnable answer) {
         switch (act) {
-            case REFUSES: fail(out, refusal()); return false;
-            case ERRS: fail(out, Status.INTERNAL.withDescription("scripted")); return false;
-            case SLOW: THREADS.schedule(answer, SLOW_MS, TimeUnit.MILLISECONDS); return false;
-            case DIES_BEFORE: die(); return false;
-            case HANGS: return false;
-            case DRAINS: onDrain.run(); return true;
-            default: return true;
+            case REFUSES:
+                fail(out, refusal());
+                return false;
+            case ERRS:
+                fail(out, Status.INTERNAL.withDescription("scripted"));
+                return false;
+            case SLOW:
+                THREADS.schedule(answer, SLOW_MS, TimeUnit.MILLISECONDS);
+                return false;
+            case DIES_BEFORE:
+                die();
+                return false;
+            case HANGS:
+                return false;
+            case DRAINS:
+                onDrain.run();
+                return true;
+            default:
+                return true;
         }
     }
 
     /** One message, then what the act has for afterwards. */
     private <T> void one(String kind, StreamObserver<T> out, T message) {
-        ((ServerCallStreamObserver<T>) out).setOnCancelHandler(() -> cancelledAt.add(System.nanoTime()));
+        ((ServerCallStreamObserver<T>) out)
+                .setOnCancelHandler(() -> cancelledAt.add(System.nanoTime()));
         Act act = script.take(kind);
         did(kind);
-        Runnable answer = () -> {
-            out.onNext(message);
-            out.onCompleted();
-        };
+        Runnable answer =
+                () -> {
+                    out.onNext(message);
+                    out.onCompleted();
+                };
         if (!acts(act, out, answer)) {
             return;
         }
@@ -237,7 +277,9 @@
         try {
             return any.unpack(as);
         } catch (InvalidProtocolBufferException e) {
-            throw Status.INVALID_ARGUMENT.withDescription("not a " + as.getSimpleName()).asRuntimeException();
+            throw Status.INVALID_ARGUMENT
+                    .withDescription("not a " + as.getSimpleName())
+                    .asRuntimeException();
         }
     }
 
@@ -249,25 +291,32 @@
     private synchronized String text(Any any) {
         switch (shortName(any)) {
             case "CommandStatementQuery":
-                FlightSql.CommandStatementQuery query = unpack(any, FlightSql.CommandStatementQuery.class);
+                FlightSql.CommandStatementQuery query =
+                        unpack(any, FlightSql.CommandStatementQuery.class);
                 alive(query.getTransactionId());
                 if (query.getQuery().startsWith("bad")) {
                     throw Status.INVALID_ARGUMENT.withDescription("syntax").asRuntimeException();
                 }
                 return query.getQuery();
-            case "CommandStatementSubstraitPlan": return "select rows=2";
+            case "CommandStatementSubstraitPlan":
+                return "select rows=2";
             case "CommandPreparedStatementQuery":
-                String handle = unpack(any, FlightSql.CommandPreparedStatementQuery.class).getPreparedStatementHandle()
-                        .toStringUtf8();
+                String handle =
+                        unpack(any, FlightSql.CommandPreparedStatementQuery.class)
+                                .getPreparedStatementHandle()
+                                .toStringUtf8();
                 String sql = prepared.get(handle);
                 if (sql == null) {
-                    throw Status.NOT_FOUND.withDescription("no such statement").asRuntimeException();
+                    throw Status.NOT_FOUND
+                            .withDescription("no such statement")
+                            .asRuntimeException();
                 }
                 if (sql.contains("?") && !bound.containsKey(handle)) {
                     throw Status.INVALID_ARGUMENT.withDescription("not bound").asRuntimeException();
                 }
                 return sql + " from=" + bound.getOrDefault(handle, 0);
-            default: return shortName(any);
+            default:
+                return shortName(any);
         }
     }
 
@@ -282,7 +331,9 @@
             return Data.sqlInfo().stream().map(Flight.FlightData::toByteArray).iterator();
         }
         if (text.startsWith("CommandGet")) {
-            return Data.oneRow(catalog(text)).stream().map(Flight.FlightData::toByteArray).iterator();
+            return Data.oneRow(catalog(text)).stream()
+                    .map(Flight.FlightData::toByteArray)
+                    .iterator();
         }
         if (text.contains("special=")) {
             return Data.special(text).stream().map(Flight.FlightData::toByteArray).iterator();
@@ -292,7 +343,10 @@
         int width = number(text, "width", 4);
         Matcher from = Pattern.compile("from=(\\d+)").matcher(text);
         int first = from.find() ? Integer.parseInt(from.group(1)) : 0;
-        byte[] whole = rows > batch * 4 ? Data.batch(first, batch, width).toByteArray() : null; // Long ones repeat one batch.
+        byte[] whole =
+                rows > batch * 4
+                        ? Data.batch(first, batch, width).toByteArray()
+                        : null; // Long ones repeat one batch.
         return new Iterator<>() {
             private int at = -1;
 
@@ -308,7 +362,10 @@
                     return Data.schema(Data.ROWS).toByteArray();
                 }
                 int now = Math.min(batch, rows - at);
-                byte[] out = whole != null && now == batch ? whole : Data.batch(first + at, now, width).toByteArray();
+                byte[] out =
+                        whole != null && now == batch
+                                ? whole
+                                : Data.batch(first + at, now, width).toByteArray();
                 at += now;
                 return out;
             }
@@ -317,15 +374,24 @@
 
     private static Schema catalog(String command) {
         switch (command) {
-            case "CommandGetCatalogs": return Schemas.GET_CATALOGS_SCHEMA;
-            case "CommandGetDbSchemas": return Schemas.GET_SCHEMAS_SCHEMA;
-            case "CommandGetTableTypes": return Schemas.GET_TABLE_TYPES_SCHEMA;
-            case "CommandGetPrimaryKeys": return Schemas.GET_PRIMARY_KEYS_SCHEMA;
-            case "CommandGetExportedKeys": return Schemas.GET_EXPORTED_KEYS_SCHEMA;
-            case "CommandGetImportedKeys": return Schemas.GET_IMPORTED_KEYS_SCHEMA;
-            case "CommandGetCrossReference": return Schemas.GET_CROSS_REFERENCE_SCHEMA;
-            case "CommandGetXdbcTypeInfo": return Schemas.GET_TYPE_INFO_SCHEMA;
-            default: return Schemas.GET_TABLES_SCHEMA_NO_SCHEMA;
+            case "CommandGetCatalogs":
+                return Schemas.GET_CATALOGS_SCHEMA;
+            case "CommandGetDbSchemas":
+                return Schemas.GET_SCHEMAS_SCHEMA;
+            case "CommandGetTableTypes":
+                return Schemas.GET_TABLE_TYPES_SCHEMA;
+            case "CommandGetPrimaryKeys":
+                return Schemas.GET_PRIMARY_KEYS_SCHEMA;
+            case "CommandGetExportedKeys":
+                return Schemas.GET_EXPORTED_KEYS_SCHEMA;
+            case "CommandGetImportedKeys":
+                return Schemas.GET_IMPORTED_KEYS_SCHEMA;
+            case "CommandGetCrossReference":
+                return Schemas.GET_CROSS_REFERENCE_SCHEMA;
+            case "CommandGetXdbcTypeInfo":
+                return Schemas.GET_TYPE_INFO_SCHEMA;
+            default:
+                return Schemas.GET_TABLES_SCHEMA_NO_SCHEMA;
         }
     }
 
@@ -339,49 +405,85 @@
         }
 
         private Flight.FlightInfo info(Flight.FlightDescriptor descriptor, String text) {
-            Flight.FlightInfo.Builder out = Flight.FlightInfo.newBuilder().setFlightDescriptor(descriptor)
-                    .setSchema(Data.schemaBytes(Data.ROWS));
+            Flight.FlightInfo.Builder out =
+                    Flight.FlightInfo.newBuilder()
+                            .setFlightDescriptor(descriptor)
+                            .setSchema(Data.schemaBytes(Data.ROWS));
             int parts = number(text, "parts", 1);
             for (int i = 0; i < parts; i++) {
-                out.addEndpoint(Flight.FlightEndpoint.newBuilder().setTicket(Flight.Ticket.newBuilder()
-                        .setTicket(ByteString.copyFromUtf8(text + (parts > 1 ? " from=" + i * 1000 : "")))));
+                out.addEndpoint(
+                        Flight.FlightEndpoint.newBuilder()
+                                .setTicket(
+                                        Flight.Ticket.newBuilder()
+                                                .setTicket(
+                                                        ByteString.copyFromUtf8(
+                                                                text
+                                                                        + (parts > 1
+                                                                                ? " from="
+                                                                                        + i * 1000
+                                                                                : "")))));
             }
             return out.build();
         }
 
         @Override
-        public void getFlightInfo(Flight.FlightDescriptor request, StreamObserver<Flight.FlightInfo> out) {
+        public void getFlightInfo(
+                Flight.FlightDescriptor request, StreamObserver<Flight.FlightInfo> out) {
             guarded(out, () -> one("info", out, info(request, text(any(request.getCmd())))));
         }
 
         @Override
-        public void getSchema(Flight.FlightDescriptor request, StreamObserver<Flight.SchemaResult> out) {
-            guarded(out, () -> {
-                text(any(request.getCmd()));
-                one("schema", out, Flight.SchemaResult.newBuilder().setSchema(Data.schemaBytes(Data.ROWS)).build());
-            });
+        public void getSchema(
+                Flight.FlightDescriptor request, StreamObserver<Flight.SchemaResult> out) {
+            guarded(
+                    out,
+                    () -> {
+                        text(any(request.getCmd()));
+                        one(
+                                "schema",
+                                out,
+                                Flight.SchemaResult.newBuilder()
+                                        .setSchema(Data.schemaBytes(Data.ROWS))
+                                        .build());
+                    });
         }
 
         @Override
-        public void pollFlightInfo(Flight.FlightDescriptor request, StreamObserver<Flight.PollInfo> out) {
-            guarded(out, () -> {
-                String text = text(any(request.getCmd()));
-                int polls = number(text, "polls", 2);
-                int now;
-                synchronized (EngineStand.this) {
-                    now = polled.merge(text, 1, Integer::sum);
-                }
-                Flight.PollInfo.Builder told = Flight.PollInfo.newBuilder().setInfo(info(request, text))
-                        .setProgress(Math.min(1, (double) now / polls));
-                if (text.contains("hold") && now > 1) { // A query that takes long: the same again, after a while.
-                    THREADS.schedule(() -> {
-                        out.onNext(told.setProgress(0).setFlightDescriptor(request).build());
-                        out.onCompleted();
-                    }, HOLD_MS, TimeUnit.MILLISECONDS);
-                    return;
-                }
-                one("poll", out, (now < polls ? told.setFlightDescriptor(request) : told).build());
-            });
+        public void pollFlightInfo(
+                Flight.FlightDescriptor request, StreamObserver<Flight.PollInfo> out) {
+            guarded(
+                    out,
+                    () -> {
+                        String text = text(any(request.getCmd()));
+                        int polls = number(text, "polls", 2);
+                        int now;
+                        synchronized (EngineStand.this) {
+                            now = polled.merge(text, 1, Integer::sum);
+                        }
+                        Flight.PollInfo.Builder told =
+                                Flight.PollInfo.newBuilder()
+                                        .setInfo(info(request, text))
+                                        .setProgress(Math.min(1, (double) now / polls));
+                        if (text.contains("hold")
+                                && now > 1) { // A query that takes long: the same again, after a
+                            // while.
+                            THREADS.schedule(
+                                    () -> {
+                                        out.onNext(
+                                                told.setProgress(0)
+                                                        .setFlightDescriptor(request)
+                                                        .build());
+                                        out.onCompleted();
+                                    },
+                                    HOLD_MS,
+                                    TimeUnit.MILLISECONDS);
+                            return;
+                        }
+                        one(
+                                "poll",
+                                out,
+                                (now < polls ? told.setFlightDescriptor(request) : told).build());
+                    });
         }
 
         /** In bytes, so that a message may be none. */
@@ -391,30 +493,33 @@
             Act act = script.take("get");
             did("get");
             Iterator<byte[]> messages = result(request.getTicket().toStringUtf8());
-            Runnable answer = () -> {
-                while (!to.isCancelled() && to.isReady() && messages.hasNext()) {
-                    to.onNext(messages.next());
-                }
-                if (!to.isCancelled() && !messages.hasNext() && act == Act.CUT_AT_END) {
-                    THREADS.schedule(EngineStand.this::die, 50, TimeUnit.MILLISECONDS);
-                } else if (!to.isCancelled() && !messages.hasNext()) {
-                    to.onCompleted();
-                    dieAfter(act);
-                }
-            };
+            Runnable answer =
+                    () -> {
+                        while (!to.isCancelled() && to.isReady() && messages.hasNext()) {
+                            to.onNext(messages.next());
+                        }
+                        if (!to.isCancelled() && !messages.hasNext() && act == Act.CUT_AT_END) {
+                            THREADS.schedule(EngineStand.this::die, 50, TimeUnit.MILLISECONDS);
+                        } else if (!to.isCancelled() && !messages.hasNext()) {
+                            to.onCompleted();
+                            dieAfter(act);
+                        }
+                    };
             boolean[] ended = new boolean[1];
-            Runnable once = () -> {
-                synchronized (ended) {
-                    if (!ended[0]) {
-                        answer.run();
-                        ended[0] = !messages.hasNext();
-                    }
-                }
-            };
+            Runnable once =
+                    () -> {
+                        synchronized (ended) {
+                            if (!ended[0]) {
+                                answer.run();
+                                ended[0] = !messages.hasNext();
+                            }
+                        }
+                    };
             if (act == Act.DIES_DURING) {
                 to.onNext(messages.next());
                 to.onNext(messages.next());
-                if (number(request.getTicket().toStringUtf8(), "rows", 2) > 10_000) { // Past what is held.
+                if (number(request.getTicket().toStringUtf8(), "rows", 2)
+                        > 10_000) { // Past what is held.
                     for (int i = 0; i < 200 && messages.hasNext(); i++) {
                         to.onNext(messages.next());
                     }
@@ -429,21 +534,29 @@
             }
             if (act == Act.BAD_ARROW) {
                 to.onNext(messages.next());
-                to.onNext(Flight.FlightData.newBuilder().setDataHeader(ByteString.copyFrom(new byte[] {1, 2, 3, 4, 5, 6, 7}))
-                        .setDataBody(ByteString.copyFrom(new byte[64])).build().toByteArray());
+                to.onNext(
+                        Flight.FlightData.newBuilder()
+                                .setDataHeader(
+                                        ByteString.copyFrom(new byte[] {1, 2, 3, 4, 5, 6, 7}))
+                                .setDataBody(ByteString.copyFrom(new byte[64]))
+                                .build()
+                                .toByteArray());
                 to.onCompleted();
                 return;
             }
-            java.util.concurrent.atomic.AtomicBoolean goes = new java.util.concurrent.atomic.AtomicBoolean();
-            Runnable begin = () -> {
-                goes.set(true);
-                once.run();
-            };
-            to.setOnReadyHandler(() -> {
-                if (goes.get()) {
-                    once.run();
-                }
-            });
+            java.util.concurrent.atomic.AtomicBoolean goes =
+                    new java.util.concurrent.atomic.AtomicBoolean();
+            Runnable begin =
+                    () -> {
+                        goes.set(true);
+                        once.run();
+                    };
+            to.setOnReadyHandler(
+                    () -> {
+                        if (goes.get()) {
+                            once.run();
+                        }
+                    });
             if (acts(act, out, begin)) {
                 begin.run();
             }
@@ -451,7 +564,8 @@
 
         @Override
         public StreamObserver<Flight.FlightData> doPut(StreamObserver<Flight.PutResult> out) {
-            ((ServerCallStreamObserver<Flight.PutResult>) out).setOnCancelHandler(() -> cancelledAt.add(System.nanoTime()));
+            ((ServerCallStreamObserver<Flight.PutResult>) out)
+                    .setOnCancelHandler(() -> cancelledAt.add(System.nanoTime()));
             return new Put(out);
         }
 
@@ -461,16 +575,28 @@
         }
 
         private void action(Flight.Action request, StreamObserver<Flight.Result> out) {
-            Any body = request.getType().startsWith("CancelFlight") ? Any.getDefaultInstance() : any(request.getBody());
+            Any body =
+                    request.getType().startsWith("CancelFlight")
+                            ? Any.getDefaultInstance()
+                            : any(request.getBody());
             Message result = null;
             synchronized (EngineStand.this) {
                 switch (request.getType()) {
                     case FlightWire.CREATE_PREPARED:
                     case FlightWire.CREATE_PREPARED_PLAN:
-                        String sql = shortName(body).equals("ActionCreatePreparedStatementRequest")
-                                ? unpack(body, FlightSql.ActionCreatePreparedStatementRequest.class).getQuery() : "select";
+                        String sql =
+                                shortName(body).equals("ActionCreatePreparedStatementRequest")
+                                        ? unpack(
+                                                        body,
+                                                        FlightSql
+                                                                .ActionCreatePreparedStatementRequest
+                                                                .class)
+                                                .getQuery()
+                                        : "select";
                         if (sql.startsWith("bad")) {
-                            throw Status.INVALID_ARGUMENT.withDescription("syntax").asRuntimeException();
+                            throw Status.INVALID_ARGUMENT
+                                    .withDescription("syntax")
+                                    .asRuntimeException();
                         }
                         String made = name("p");
                         prepared.put(made, sql);
@@ -478,66 +604,97 @@
                         FlightSql.ActionCreatePreparedStatementResult.Builder told =
                                 FlightSql.ActionCreatePreparedStatementResult.newBuilder()
                                         .setPreparedStatementHandle(ByteString.copyFromUtf8(made))
-                                        .setParameterSchema(Data.schemaBytes(Data.parameters((int) marks)));
-                        result = sql.startsWith("select") ? told.setDatasetSchema(Data.schemaBytes(Data.ROWS)).build()
-                                : told.build();
+                                        .setParameterSchema(
+                                                Data.schemaBytes(Data.parameters((int) marks)));
+                        result =
+                                sql.startsWith("select")
+                                        ? told.setDatasetSchema(Data.schemaBytes(Data.ROWS)).build()
+                                        : told.build();
                         break;
                     case FlightWire.CLOSE_PREPARED:
-                        prepared.remove(unpack(body, FlightSql.ActionClosePreparedStatementRequest.class)
-                                .getPreparedStatementHandle().toStringUtf8());
+                        prepared.remove(
+                                unpack(body, FlightSql.ActionClosePreparedStatementRequest.class)
+                                        .getPreparedStatementHandle()
+                                        .toStringUtf8());
                         break;
                     case FlightWire.BEGIN_TRANSACTION:
                         String begun = name("t");
                         transactions.add(begun);
-                        result = FlightSql.ActionBeginTransactionResult.newBuilder()
-                                .setTransactionId(ByteString.copyFromUtf8(begun)).build();
+                        result =
+                                FlightSql.ActionBeginTransactionResult.newBuilder()
+                                        .setTransactionId(ByteString.copyFromUtf8(begun))
+                                        .build();
                         break;
                     case FlightWire.END_TRANSACTION:
-                        FlightSql.ActionEndTransactionRequest end = unpack(body,
-                                FlightSql.ActionEndTransactionRequest.class);
+                        FlightSql.ActionEndTransactionRequest end =
+                                unpack(body, FlightSql.ActionEndTransactionRequest.class);
                         alive(end.getTransactionId());
-                        String how = end.getAction() == FlightSql.ActionEndTransactionRequest.EndTransaction
-                                .END_TRANSACTION_COMMIT ? "commit" : "rollback";
+                        String how =
+                                end.getAction()
+                                                == FlightSql.ActionEndTransactionRequest
+                                                        .EndTransaction.END_TRANSACTION_COMMIT
+                                        ? "commit"
+                                        : "rollback";
                         did(how + " sent");
                         break;
                     case FlightWire.BEGIN_SAVEPOINT:
-                        alive(unpack(body, FlightSql.ActionBeginSavepointRequest.class).getTransactionId());
+                        alive(
+                                unpack(body, FlightSql.ActionBeginSavepointRequest.class)
+                                        .getTransactionId());
                         String point = name("s");
                         savepoints.add(point);
-                        result = FlightSql.ActionBeginSavepointResult.newBuilder()
-                                .setSavepointId(ByteString.copyFromUtf8(point)).build();
+                        result =
+                                FlightSql.ActionBeginSavepointResult.newBuilder()
+                                        .setSavepointId(ByteString.copyFromUtf8(point))
+                                        .build();
                         break;
                     case FlightWire.END_SAVEPOINT:
-                        String ended = unpack(body, FlightSql.ActionEndSavepointRequest.class).getSavepointId()
-                                .toStringUtf8();
+                        String ended =
+                                unpack(body, FlightSql.ActionEndSavepointRequest.class)
+                                        .getSavepointId()
+                                        .toStringUtf8();
                         if (!savepoints.contains(ended)) {
-                            throw Status.NOT_FOUND.withDescription("no such savepoint").asRuntimeException();
+                            throw Status.NOT_FOUND
+                                    .withDescription("no such savepoint")
+                                    .asRuntimeException();
                         }
                         break;
                     case FlightWire.CANCEL_INFO:
                         did("cancel");
                         break;
                     default:
-                        throw Status.UNIMPLEMENTED.withDescription(request.getType()).asRuntimeException();
+                        throw Status.UNIMPLEMENTED
+                                .withDescription(request.getType())
+                                .asRuntimeException();
                 }
             }
-            Flight.Result packed = result == null ? null : Flight.Result.newBuilder().setBody(Any.pack(result).toByteString())
-                    .build();
+            Flight.Result packed =
+                    result == null
+                            ? null
+                            : Flight.Result.newBuilder()
+                                    .setBody(Any.pack(result).toByteString())
+                                    .build();
             Act act = script.take(request.getType());
-            Runnable answer = () -> {
-                effect(request);
-                did(request.getType());
-                if (packed != null) {
-                    out.onNext(act == Act.BAD_PROTOBUF || act == Act.BAD_ARROW
-                            ? Flight.Result.newBuilder().setBody(ByteString.copyFromUtf8("\u0001\u0002")).build() : packed);
-                }
-                if (act == Act.DIES_DURING) {
-                    die();
-                } else {
-                    out.onCompleted();
-                    dieAfter(act);
-                }
-            };
+            Runnable answer =
+                    () -> {
+                        effect(request);
+                        did(request.getType());
+                        if (packed != null) {
+                            out.onNext(
+                                    act == Act.BAD_PROTOBUF || act == Act.BAD_ARROW
+                                            ? Flight.Result.newBuilder()
+                                                    .setBody(
+                                                            ByteString.copyFromUtf8("\u0001\u0002"))
+                                                    .build()
+                                            : packed);
+                        }
+                        if (act == Act.DIES_DURING) {
+                            die();
+                        } else {
+                            out.onCompleted();
+                            dieAfter(act);
+                        }
+                    };
             if (acts(act, out, answer)) {
                 answer.run();
             }
@@ -546,12 +703,16 @@
         /** Ends of transactions take effect only where the act lets them. */
         private void effect(Flight.Action request) {
             if (request.getType().equals(FlightWire.END_TRANSACTION)) {
-                FlightSql.ActionEndTransactionRequest end = unpack(any(request.getBody()),
-                        FlightSql.ActionEndTransactionRequest.class);
+                FlightSql.ActionEndTransactionRequest end =
+                        unpack(any(request.getBody()), FlightSql.ActionEndTransactionRequest.class);
                 synchronized (EngineStand.this) {
                     transactions.remove(end.getTransactionId().toStringUtf8());
-                    did(end.getAction() == FlightSql.ActionEndTransactionRequest.EndTransaction.END_TRANSACTION_COMMIT
-                            ? "commit" : "rollback");
+                    did(
+                            end.getAction()
+                                            == FlightSql.ActionEndTransactionRequest.EndTransaction
+                                                    .END_TRANSACTION_COMMIT
+                                    ? "commit"
+                                    : "rollback");
                 }
             }
         }
@@ -584,20 +745,28 @@
                 }
             }
             String name = shortName(command);
-            if (name.equals("CommandStatementUpdate") || name.equals("CommandStatementSubstraitPlan")) {
+            if (name.equals("CommandStatementUpdate")
+                    || name.equals("CommandStatementSubstraitPlan")) {
                 answer(); // Its client reads the answer before it ends its part.
                 return;
             }
             if (data.getDataHeader().isEmpty()) {
                 return;
             }
-            org.apache.arrow.flatbuf.Message message = org.apache.arrow.flatbuf.Message.getRootAsMessage(
-                    data.getDataHeader().asReadOnlyByteBuffer());
+            org.apache.arrow.flatbuf.Message message =
+                    org.apache.arrow.flatbuf.Message.getRootAsMessage(
+                            data.getDataHeader().asReadOnlyByteBuffer());
             if (message.headerType() == MessageHeader.RecordBatch) {
                 rows += ((RecordBatch) message.header(new RecordBatch())).length();
                 did("batch");
-                value = data.getDataBody().size() >= 12 ? data.getDataBody().substring(8, 12).asReadOnlyByteBuffer()
-                        .order(java.nio.ByteOrder.LITTLE_ENDIAN).getInt() : 0;
+                value =
+                        data.getDataBody().size() >= 12
+                                ? data.getDataBody()
+                                        .substring(8, 12)
+                                        .asReadOnlyByteBuffer()
+                                        .order(java.nio.ByteOrder.LITTLE_ENDIAN)
+                                        .getInt()
+                                : 0;
                 if (++batches == 1 && act == Act.DIES_DURING) {
                     die();
                 }
@@ -605,7 +774,7 @@
         }
 
         @Override
-        public void onError(Throwable error) { }
+        public void onError(Throwable error) {}
 
         @Override
         public void onCompleted() {
@@ -616,25 +785,33 @@
 
         private void answer() {
             answered = true;
-            if (act == Act.REFUSES || act == Act.DIES_BEFORE || act == Act.DIES_DURING && batches > 0) {
+            if (act == Act.REFUSES
+                    || act == Act.DIES_BEFORE
+                    || act == Act.DIES_DURING && batches > 0) {
                 return;
             }
             if (act == Act.DIES_DURING) {
                 die();
                 return;
             }
-            Runnable answer = () -> {
-                try {
-                    Message told = end();
-                    out.onNext(Flight.PutResult.newBuilder().setAppMetadata(
-                            act == Act.BAD_PROTOBUF || act == Act.BAD_ARROW ? ByteString.copyFromUtf8("\u0001\u0002\u0007")
-                                    : told.toByteString()).build());
-                    out.onCompleted();
-                    dieAfter(act);
-                } catch (io.grpc.StatusRuntimeException e) {
-                    fail(out, e.getStatus());
-                }
-            };
+            Runnable answer =
+                    () -> {
+                        try {
+                            Message told = end();
+                            out.onNext(
+                                    Flight.PutResult.newBuilder()
+                                            .setAppMetadata(
+                                                    act == Act.BAD_PROTOBUF || act == Act.BAD_ARROW
+                                                            ? ByteString.copyFromUtf8(
+                                                                    "\u0001\u0002\u0007")
+                                                            : told.toByteString())
+                                            .build());
+                            out.onCompleted();
+                            dieAfter(act);
+                        } catch (io.grpc.StatusRuntimeException e) {
+                            fail(out, e.getStatus());
+                        }
+                    };
             if (acts(act, out, answer)) {
                 answer.run();
             }
@@ -643,28 +820,40 @@
         private Message end() {
             switch (shortName(command)) {
                 case "CommandStatementUpdate":
-                    FlightSql.CommandStatementUpdate update = unpack(command, FlightSql.CommandStatementUpdate.class);
+                    FlightSql.CommandStatementUpdate update =
+                            unpack(command, FlightSql.CommandStatementUpdate.class);
                     alive(update.getTransactionId());
                     if (update.getQuery().startsWith("bad")) {
-                        throw Status.INVALID_ARGUMENT.withDescription("syntax").asRuntimeException();
+                        throw Status.INVALID_ARGUMENT
+                                .withDescription("syntax")
+                                .asRuntimeException();
                     }
                     did("update");
                     did("update " + update.getQuery());
                     return FlightSql.DoPutUpdateResult.newBuilder().setRecordCount(3).build();
                 case "CommandPreparedStatementUpdate":
-                    known(unpack(command, FlightSql.CommandPreparedStatementUpdate.class).getPreparedStatementHandle());
+                    known(
+                            unpack(command, FlightSql.CommandPreparedStatementUpdate.class)
+                                    .getPreparedStatementHandle());
                     did("update");
-                    return FlightSql.DoPutUpdateResult.newBuilder().setRecordCount(Math.max(1, rows)).build();
+                    return FlightSql.DoPutUpdateResult.newBuilder()
+                            .setRecordCount(Math.max(1, rows))
+                            .build();
                 case "CommandPreparedStatementQuery":
-                    ByteString handle = unpack(command, FlightSql.CommandPreparedStatementQuery.class)
-                            .getPreparedStatementHandle();
+                    ByteString handle =
+                            unpack(command, FlightSql.CommandPreparedStatementQuery.class)
+                                    .getPreparedStatementHandle();
                     known(handle);
                     synchronized (EngineStand.this) {
                         bound.put(handle.toStringUtf8(), value);
                     }
-                    return FlightSql.DoPutPreparedStatementResult.newBuilder().setPreparedStatementHandle(handle).build();
+                    return FlightSql.DoPutPreparedStatementResult.newBuilder()
+                            .setPreparedStatementHandle(handle)
+                            .build();
                 case "CommandStatementIngest":
-                    alive(unpack(command, FlightSql.CommandStatementIngest.class).getTransactionId());
+                    alive(
+                            unpack(command, FlightSql.CommandStatementIngest.class)
+                                    .getTransactionId());
                     did("ingest");
                     return FlightSql.DoPutUpdateResult.newBuilder().setRecordCount(rows).build();
                 default:
@@ -676,7 +865,9 @@
         private void known(ByteString handle) {
             synchronized (EngineStand.this) {
                 if (!prepared.containsKey(handle.toStringUtf8())) {
-                    throw Status.NOT_FOUND.withDescription("no such statement").asRuntimeException();
+                    throw Status.NOT_FOUND
+                            .withDescription("no such statement")
+                            .asRuntimeException();
                 }
             }
         }
