--- a/src/test/java/calicostream/flight/suite/HardCasesTest.java
+++ b/src/test/java/calicostream/flight/suite/HardCasesTest.java
@@ -45,11 +45,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What breaks a front end of this kind: cuts, deaths, drains, clients that go or don't read, and much of each. */
+/**
+ * What breaks a front end of this kind: cuts, deaths, drains, clients that go or don't read, and
+ * much of each.
+ */
 class HardCasesTest {
     private static final long PATIENCE_S = Rig.PATIENCE_S;
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
     private final Script script = new Script();
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private final List<ManagedChannel> channels = new ArrayList<>();
@@ -70,29 +72,42 @@
     }
 
     private ManagedChannel channel() {
-        ManagedChannel out = NettyChannelBuilder.forAddress("127.0.0.1", rig.port()).usePlaintext()
-                .maxInboundMessageSize(128 << 20).build();
+        ManagedChannel out =
+                NettyChannelBuilder.forAddress("127.0.0.1", rig.port())
+                        .usePlaintext()
+                        .maxInboundMessageSize(128 << 20)
+                        .build();
         channels.add(out);
         return out;
     }
 
     private static String outcome(Ops.Op op, FlightSqlClient client) {
-        return Ops.outcome(op, client, () -> { });
+        return Ops.outcome(op, client, () -> {});
     }
 
-    // ---- Cuts -------------------------------------------------------------------------------------------
+    // ---- Cuts
+    // -------------------------------------------------------------------------------------------
     private static int size(int rows) {
-        return Data.schema(Data.ROWS).toByteArray().length + Data.batch(0, rows, 4).toByteArray().length;
+        return Data.schema(Data.ROWS).toByteArray().length
+                + Data.batch(0, rows, 4).toByteArray().length;
     }
 
     @Test
     void cutAtExactlyWhatIsHeldIsRepairedAndOneByteMoreIsSeen() throws Exception {
         FlightSqlClient client = start(2, "\"hold_bytes\":" + size(50));
         script.next("get", Act.CUT_AT_END);
-        assertEquals("ok", outcome((c, arm) -> Ops.rows(c, c.execute("select rows=50", Ops.LOOKUP), 50), client));
+        assertEquals(
+                "ok",
+                outcome(
+                        (c, arm) -> Ops.rows(c, c.execute("select rows=50", Ops.LOOKUP), 50),
+                        client));
         assertEquals(2, rig.count("get"), "the cut one and its repair");
         script.next("get", Act.CUT_AT_END);
-        assertEquals("failed", outcome((c, arm) -> Ops.rows(c, c.execute("select rows=51", Ops.LOOKUP), 51), client));
+        assertEquals(
+                "failed",
+                outcome(
+                        (c, arm) -> Ops.rows(c, c.execute("select rows=51", Ops.LOOKUP), 51),
+                        client));
         assertEquals(3, rig.count("get"), "never a second attempt once the stream has begun");
     }
 
@@ -100,14 +115,22 @@
     void cutBeforeTheSchemaIsRepairedEvenWhereNothingIsHeld() throws Exception {
         FlightSqlClient client = start(2, "\"hold_bytes\":0");
         script.next("get", Act.DIES_BEFORE);
-        assertEquals("ok", outcome((c, arm) -> Ops.rows(c, c.execute("select rows=5", Ops.LOOKUP), 5), client));
+        assertEquals(
+                "ok",
+                outcome(
+                        (c, arm) -> Ops.rows(c, c.execute("select rows=5", Ops.LOOKUP), 5),
+                        client));
     }
 
     @Test
     void engineDiesBetweenGetFlightInfoAndDoGet() throws Exception {
         FlightSqlClient client = start(2);
         FlightInfo info = client.execute("select rows=5", Ops.LOOKUP);
-        EngineStand asked = rig.engines.stream().filter(each -> each.count("schema") > 0).findFirst().orElseThrow();
+        EngineStand asked =
+                rig.engines.stream()
+                        .filter(each -> each.count("schema") > 0)
+                        .findFirst()
+                        .orElseThrow();
         asked.die();
         assertEquals("ok", outcome((c, arm) -> Ops.rows(c, info, 5), client));
     }
@@ -119,7 +142,10 @@
         assertEquals(3, info.getEndpoints().size());
         assertEquals(List.of(0, 1, 2, 3, 4), Ops.ids(client, info).subList(0, 5));
         FlightInfo later = client.execute("select rows=6 parts=2", Ops.LOOKUP);
-        int number = rig.engines.get(0).count("info") > 0 && rig.engines.get(1).count("info") == 0 ? 0 : 1;
+        int number =
+                rig.engines.get(0).count("info") > 0 && rig.engines.get(1).count("info") == 0
+                        ? 0
+                        : 1;
         EngineStand kept = rig.engines.get(1 - number);
         if (kept.count("info") == 0) {
             rig.restart(number);
@@ -132,16 +158,19 @@
         FlightSqlClient client = start(2);
         for (int i = 0; i < 10; i++) {
             FlightInfo info = client.execute("select rows=5", Ops.LOOKUP);
-            Future<String> one = threads.submit(() -> outcome((c, arm) -> Ops.rows(c, info, 5), client));
+            Future<String> one =
+                    threads.submit(() -> outcome((c, arm) -> Ops.rows(c, info, 5), client));
             String other = outcome((c, arm) -> Ops.rows(c, info, 5), client);
-            List<String> both = new ArrayList<>(List.of(one.get(PATIENCE_S, TimeUnit.SECONDS), other));
+            List<String> both =
+                    new ArrayList<>(List.of(one.get(PATIENCE_S, TimeUnit.SECONDS), other));
             both.sort(null);
             assertEquals(List.of("not_found", "ok"), both);
         }
         assertEquals(10, rig.count("get"));
     }
 
-    // ---- Transactions -----------------------------------------------------------------------------------
+    // ---- Transactions
+    // -----------------------------------------------------------------------------------
     @ParameterizedTest
     @ValueSource(strings = {"DIES_BEFORE", "DIES_DURING", "ERRS"})
     void lostCommitIsUnknownAndNeverSentAgain(String act) throws Exception {
@@ -150,7 +179,8 @@
         assertEquals(3, client.executeUpdate("insert", txn, Ops.LOAD));
         script.next(FlightWire.END_TRANSACTION, Act.valueOf(act));
         for (int i = 0; i < 3; i++) { // Each further use is told the same.
-            FlightRuntimeException told = assertThrows(FlightRuntimeException.class, () -> client.commit(txn, Ops.LOAD));
+            FlightRuntimeException told =
+                    assertThrows(FlightRuntimeException.class, () -> client.commit(txn, Ops.LOAD));
             assertEquals(FlightStatusCode.UNKNOWN, told.status().code());
             assertTrue(told.getMessage().contains("outcome unknown"), told.getMessage());
         }
@@ -164,11 +194,19 @@
         FlightSqlClient.Transaction txn = client.beginTransaction(Ops.LOOKUP);
         int holder = rig.engines.get(0).count("transactions") > 0 ? 0 : 1;
         rig.restart(holder);
-        assertEquals("dead", outcome((c, arm) -> Long.toString(c.executeUpdate("insert", txn, Ops.LOAD)), client));
-        assertEquals("dead", outcome((c, arm) -> {
-            c.commit(txn, Ops.LOAD);
-            return "ok";
-        }, client));
+        assertEquals(
+                "dead",
+                outcome(
+                        (c, arm) -> Long.toString(c.executeUpdate("insert", txn, Ops.LOAD)),
+                        client));
+        assertEquals(
+                "dead",
+                outcome(
+                        (c, arm) -> {
+                            c.commit(txn, Ops.LOAD);
+                            return "ok";
+                        },
+                        client));
         assertEquals(0, rig.count("commit sent") + rig.count("update"));
     }
 
@@ -178,12 +216,17 @@
         FlightSqlClient.Transaction kept = client.beginTransaction(Ops.LOOKUP);
         client.executeUpdate("insert", kept, Ops.LOAD);
         int holder = rig.engines.get(0).count("transactions") > 0 ? 0 : 1;
-        rig.onLoop(() -> {
-            rig.state(holder + 1, EngineState.DRAINING);
-            return null;
-        });
-        assertEquals("invalid_argument", outcome((c, arm) -> Long.toString(c.executeUpdate("insert", kept, Ops.LOAD)),
-                client), "nothing new in it, only its end");
+        rig.onLoop(
+                () -> {
+                    rig.state(holder + 1, EngineState.DRAINING);
+                    return null;
+                });
+        assertEquals(
+                "invalid_argument",
+                outcome(
+                        (c, arm) -> Long.toString(c.executeUpdate("insert", kept, Ops.LOAD)),
+                        client),
+                "nothing new in it, only its end");
         client.commit(kept, Ops.LOAD);
         assertEquals(1, rig.engines.get(holder).count("commit"));
     }
@@ -193,15 +236,20 @@
         FlightSqlClient client = start(2);
         FlightSqlClient.Transaction left = client.beginTransaction(Ops.LOOKUP);
         int holder = rig.engines.get(0).count("transactions") > 0 ? 0 : 1;
-        rig.onLoop(() -> {
-            rig.state(holder + 1, EngineState.DRAINING);
-            return null;
-        });
+        rig.onLoop(
+                () -> {
+                    rig.state(holder + 1, EngineState.DRAINING);
+                    return null;
+                });
         Rig.await("rolled back", () -> rig.engines.get(holder).count("rollback") == 1);
-        assertEquals("dead", outcome((c, arm) -> {
-            c.commit(left, Ops.LOAD);
-            return "ok";
-        }, client));
+        assertEquals(
+                "dead",
+                outcome(
+                        (c, arm) -> {
+                            c.commit(left, Ops.LOAD);
+                            return "ok";
+                        },
+                        client));
         assertEquals(0, rig.count("commit sent"));
     }
 
@@ -209,7 +257,8 @@
     void idleTransactionIsRolledBackAndItsEngineFreed() throws Exception {
         FlightSqlClient client = start(1, "\"transaction_idle_ms\":100");
         client.beginTransaction(Ops.LOOKUP);
-        Rig.await("rolled back", () -> rig.count("rollback") == 1 && rig.count("transactions") == 0);
+        Rig.await(
+                "rolled back", () -> rig.count("rollback") == 1 && rig.count("transactions") == 0);
         rig.awaitFigure("transactions", 0);
     }
 
@@ -218,15 +267,33 @@
         FlightSqlClient client = start(1);
         FlightSqlClient.Transaction txn = client.beginTransaction(Ops.LOOKUP);
         script.next("put", Act.HANGS);
-        Future<String> first = threads.submit(() -> outcome((c, arm) -> Long.toString(c.executeUpdate("insert", txn,
-                Rig.options("stat-load", 1500))), client));
+        Future<String> first =
+                threads.submit(
+                        () ->
+                                outcome(
+                                        (c, arm) ->
+                                                Long.toString(
+                                                        c.executeUpdate(
+                                                                "insert",
+                                                                txn,
+                                                                Rig.options("stat-load", 1500))),
+                                        client));
         Rig.await("out", () -> rig.count("put") == 1);
-        assertEquals("invalid_argument", outcome((c, arm) -> Long.toString(c.executeUpdate("insert", txn, Ops.LOAD)), client));
+        assertEquals(
+                "invalid_argument",
+                outcome(
+                        (c, arm) -> Long.toString(c.executeUpdate("insert", txn, Ops.LOAD)),
+                        client));
         assertEquals("timed_out", first.get(PATIENCE_S, TimeUnit.SECONDS));
-        assertEquals("dead", outcome((c, arm) -> {
-            c.commit(txn, Ops.LOAD);
-            return "ok";
-        }, client), "half of it may be done");
+        assertEquals(
+                "dead",
+                outcome(
+                        (c, arm) -> {
+                            c.commit(txn, Ops.LOAD);
+                            return "ok";
+                        },
+                        client),
+                "half of it may be done");
     }
 
     @Test
@@ -234,14 +301,18 @@
         FlightSqlClient client = start(1, "\"transactions_per_client\":2");
         FlightSqlClient.Transaction first = client.beginTransaction(Ops.LOOKUP);
         client.beginTransaction(Ops.LOOKUP);
-        assertEquals("resource_exhausted", outcome((c, arm) -> new String(c.beginTransaction(Ops.LOOKUP)
-                .getTransactionId()), client));
+        assertEquals(
+                "resource_exhausted",
+                outcome(
+                        (c, arm) -> new String(c.beginTransaction(Ops.LOOKUP).getTransactionId()),
+                        client));
         client.rollback(first, Ops.LOOKUP);
         client.beginTransaction(Ops.LOOKUP);
         assertEquals(2, rig.count("transactions"));
     }
 
-    // ---- Prepared statements ----------------------------------------------------------------------------
+    // ---- Prepared statements
+    // ----------------------------------------------------------------------------
     @Test
     void preparedStatementOutlivesEveryEngineItWasMadeOn() throws Exception {
         FlightSqlClient client = start(2);
@@ -260,23 +331,33 @@
     @Test
     void parametersThatDoNotFitAreTurnedAwayUnsent() throws Exception {
         FlightSqlClient client = start(1);
-        try (FlightSqlClient.PreparedStatement made = client.prepare("select rows=1 ? ?", Ops.LOOKUP)) {
-            assertEquals("invalid_argument", outcome((c, arm) -> Ops.ids(c, made.execute(Ops.LOOKUP)).toString(), client),
+        try (FlightSqlClient.PreparedStatement made =
+                client.prepare("select rows=1 ? ?", Ops.LOOKUP)) {
+            assertEquals(
+                    "invalid_argument",
+                    outcome((c, arm) -> Ops.ids(c, made.execute(Ops.LOOKUP)).toString(), client),
                     "missing");
         }
         for (int given : new int[] {1, 3}) {
             try (FlightSqlClient.PreparedStatement made = client.prepare("insert ? ?", Ops.LOOKUP);
                     var root = Data.bound(new int[given])) {
                 made.setParameters(root);
-                assertEquals("invalid_argument", outcome((c, arm) -> Long.toString(made.executeUpdate(Ops.LOAD)), client));
+                assertEquals(
+                        "invalid_argument",
+                        outcome((c, arm) -> Long.toString(made.executeUpdate(Ops.LOAD)), client));
             }
         }
         try (FlightSqlClient.PreparedStatement made = client.prepare("insert ?", Ops.LOOKUP);
-                var text = org.apache.arrow.vector.VectorSchemaRoot.create(new org.apache.arrow.vector.types.pojo.Schema(
-                        List.of(Data.ROWS.getFields().get(1))), rig.allocator())) {
+                var text =
+                        org.apache.arrow.vector.VectorSchemaRoot.create(
+                                new org.apache.arrow.vector.types.pojo.Schema(
+                                        List.of(Data.ROWS.getFields().get(1))),
+                                rig.allocator())) {
             text.setRowCount(1);
             made.setParameters(text);
-            assertEquals("invalid_argument", outcome((c, arm) -> Long.toString(made.executeUpdate(Ops.LOAD)), client),
+            assertEquals(
+                    "invalid_argument",
+                    outcome((c, arm) -> Long.toString(made.executeUpdate(Ops.LOAD)), client),
                     "the wrong type");
         }
         assertEquals(0, rig.count("put") + rig.count("get") + rig.count("info"));
@@ -288,20 +369,34 @@
         FlightSqlClient.PreparedStatement first = client.prepare("select rows=1", Ops.LOOKUP);
         client.prepare("select rows=1", Ops.LOOKUP);
         client.prepare("select rows=1", Ops.LOOKUP);
-        assertEquals("not_found", outcome((c, arm) -> Ops.ids(c, first.execute(Ops.LOOKUP)).toString(), client));
+        assertEquals(
+                "not_found",
+                outcome((c, arm) -> Ops.ids(c, first.execute(Ops.LOOKUP)).toString(), client));
         Rig.await("closed at the engine", () -> rig.count("prepared") == 2);
     }
 
-    // ---- Size -------------------------------------------------------------------------------------------
+    // ---- Size
+    // -------------------------------------------------------------------------------------------
     @Test
     void resultOverTheBoundIsNeitherRefusedNorTheEnginesFault() throws Exception {
         FlightSqlClient client = start(1, "\"max_result_bytes\":200000", "\"hold_bytes\":1000");
         for (int i = 0; i < 5; i++) {
-            FlightRuntimeException told = assertThrows(FlightRuntimeException.class,
-                    () -> Ops.rows(client, client.execute("select rows=100000 width=100", Ops.LOOKUP), 0));
+            FlightRuntimeException told =
+                    assertThrows(
+                            FlightRuntimeException.class,
+                            () ->
+                                    Ops.rows(
+                                            client,
+                                            client.execute(
+                                                    "select rows=100000 width=100", Ops.LOOKUP),
+                                            0));
             assertEquals(FlightStatusCode.RESOURCE_EXHAUSTED, told.status().code());
             assertTrue(told.getMessage().contains("200000"), told.getMessage());
-            assertEquals("ok", outcome((c, arm) -> Ops.rows(c, c.execute("select rows=3", Ops.LOOKUP), 3), client));
+            assertEquals(
+                    "ok",
+                    outcome(
+                            (c, arm) -> Ops.rows(c, c.execute("select rows=3", Ops.LOOKUP), 3),
+                            client));
         }
         assertEquals(10, rig.count("get"), "no attempt was made twice");
     }
@@ -309,26 +404,38 @@
     @Test
     void messageOverTheBoundIsToldToo() throws Exception {
         FlightSqlClient client = start(1, "\"max_message_bytes\":100000");
-        assertEquals("resource_exhausted", outcome((c, arm) -> Ops.rows(c, c.execute("select rows=1000 width=200",
-                Ops.LOOKUP), 0), client));
+        assertEquals(
+                "resource_exhausted",
+                outcome(
+                        (c, arm) ->
+                                Ops.rows(c, c.execute("select rows=1000 width=200", Ops.LOOKUP), 0),
+                        client));
         assertEquals(1, rig.count("get"));
-        assertEquals("ok", outcome((c, arm) -> Ops.rows(c, c.execute("select rows=3", Ops.LOOKUP), 3), client));
+        assertEquals(
+                "ok",
+                outcome(
+                        (c, arm) -> Ops.rows(c, c.execute("select rows=3", Ops.LOOKUP), 3),
+                        client));
     }
 
     @Test
     void batchOf64MegabytesPasses() throws Exception {
         FlightSqlClient client = start(1);
         int rows = 64;
-        FlightInfo info = client.execute("select batch=64 width=" + ((1 << 20) - 64) + " rows=" + rows, Ops.LOOKUP);
+        FlightInfo info =
+                client.execute(
+                        "select batch=64 width=" + ((1 << 20) - 64) + " rows=" + rows, Ops.LOOKUP);
         assertEquals("ok", Ops.rows(client, info, rows));
     }
 
     @Test
     void uncommonResultsPassAsTheyAre() throws Exception {
         FlightSqlClient client = start(1);
-        for (String[] each : new String[][] {{"dictionary", "blue"}, {"nested", "[0,1]"}, {"none", null}}) {
+        for (String[] each :
+                new String[][] {{"dictionary", "blue"}, {"nested", "[0,1]"}, {"none", null}}) {
             FlightInfo info = client.execute("select special=" + each[0], Ops.LOOKUP);
-            try (FlightStream stream = client.getStream(info.getEndpoints().get(0).getTicket(), Ops.LOOKUP)) {
+            try (FlightStream stream =
+                    client.getStream(info.getEndpoints().get(0).getTicket(), Ops.LOOKUP)) {
                 assertTrue(stream.next());
                 assertEquals(2, stream.getRoot().getRowCount());
                 if (each[1] == null) {
@@ -336,23 +443,35 @@
                 } else if (each[0].equals("nested")) {
                     assertEquals(each[1], stream.getRoot().getVector(0).getObject(0).toString());
                 } else {
-                    assertEquals("blue", org.apache.arrow.vector.dictionary.DictionaryEncoder.decode(
-                            stream.getRoot().getVector(0), stream.getDictionaryProvider().lookup(1)).getObject(0).toString());
+                    assertEquals(
+                            "blue",
+                            org.apache.arrow.vector.dictionary.DictionaryEncoder.decode(
+                                            stream.getRoot().getVector(0),
+                                            stream.getDictionaryProvider().lookup(1))
+                                    .getObject(0)
+                                    .toString());
                 }
             }
         }
     }
 
-    // ---- Clients that don't read, or go -----------------------------------------------------------------
+    // ---- Clients that don't read, or go
+    // -----------------------------------------------------------------
     /**
-     * The clients come in groups, of a class with time to spare, and none is taken for stalled: however slow the machine is,
-     * all are there at once. Other tests hold what time does to such clients.
+     * The clients come in groups, of a class with time to spare, and none is taken for stalled:
+     * however slow the machine is, all are there at once. Other tests hold what time does to such
+     * clients.
      */
     @Test
     void thousandClientsThatReadNothingHoldUpNobody() throws Exception {
         int group = 20;
-        FlightSqlClient client = start(2, "\"window_bytes\":65535", "\"calls_per_client\":2000", "\"hold_bytes\":1000",
-                "\"stall_ms\":600000");
+        FlightSqlClient client =
+                start(
+                        2,
+                        "\"window_bytes\":65535",
+                        "\"calls_per_client\":2000",
+                        "\"hold_bytes\":1000",
+                        "\"stall_ms\":600000");
         long alone = smallQuery(client);
         ManagedChannel[] lazy = new ManagedChannel[group];
         for (int i = 0; i < group; i++) {
@@ -363,15 +482,21 @@
             ManagedChannel channel = lazy[i % group];
             CompletableFuture<Status> end = new CompletableFuture<>();
             end.thenAccept(ended::add);
-            Raw.unread(channel, Raw.ticket(channel, "select rows=40000 batch=1000 width=50", "report"), end);
+            Raw.unread(
+                    channel,
+                    Raw.ticket(channel, "select rows=40000 batch=1000 width=50", "report"),
+                    end);
             if (i % group == 0) {
                 int open = i;
-                rig.awaitHere(open + " flow", () -> rig.admission.streams() == open || !ended.isEmpty());
+                rig.awaitHere(
+                        open + " flow", () -> rig.admission.streams() == open || !ended.isEmpty());
                 assertEquals(List.of(), List.copyOf(ended));
             }
         }
         long beside = smallQuery(client);
-        assertTrue(beside < Math.max(1000, 20 * alone), beside + " ms for a small query beside them, " + alone + " alone");
+        assertTrue(
+                beside < Math.max(1000, 20 * alone),
+                beside + " ms for a small query beside them, " + alone + " alone");
         assertEquals(1000, rig.admission.streams(), "all were there meanwhile");
         for (ManagedChannel channel : lazy) {
             channel.shutdownNow();
@@ -384,22 +509,38 @@
     private static long smallQuery(FlightSqlClient client) throws Exception {
         long began = System.nanoTime();
         for (int i = 0; i < 50; i++) {
-            assertEquals("ok", Ops.rows(client, client.execute("select rows=3 n=" + i, Ops.LOOKUP), 3));
+            assertEquals(
+                    "ok", Ops.rows(client, client.execute("select rows=3 n=" + i, Ops.LOOKUP), 3));
         }
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began) / 50;
     }
 
     @Test
     void streamsBeyondTheirMemoryAreRefusedAndSmallQueriesAreNot() throws Exception {
-        FlightSqlClient client = start(1, "\"window_bytes\":65535", "\"stream_bytes\":140000", "\"hold_bytes\":1000");
+        FlightSqlClient client =
+                start(
+                        1,
+                        "\"window_bytes\":65535",
+                        "\"stream_bytes\":140000",
+                        "\"hold_bytes\":1000");
         ManagedChannel channel = channel();
         for (int i = 0; i < 2; i++) {
-            Raw.unread(channel, Raw.ticket(channel, "select rows=40000 batch=1000 width=50"),
+            Raw.unread(
+                    channel,
+                    Raw.ticket(channel, "select rows=40000 batch=1000 width=50"),
                     new CompletableFuture<>());
         }
         Rig.await("both flow", () -> rig.admission.streams() == 2);
-        assertEquals("refused", outcome((c, arm) -> Ops.rows(c, c.execute("select rows=40000", Ops.LOOKUP), 40_000), client));
-        assertEquals("ok", outcome((c, arm) -> Ops.rows(c, c.execute("select rows=3", Ops.LOOKUP), 3), client));
+        assertEquals(
+                "refused",
+                outcome(
+                        (c, arm) -> Ops.rows(c, c.execute("select rows=40000", Ops.LOOKUP), 40_000),
+                        client));
+        assertEquals(
+                "ok",
+                outcome(
+                        (c, arm) -> Ops.rows(c, c.execute("select rows=3", Ops.LOOKUP), 3),
+                        client));
         channel.shutdownNow();
         Rig.await("none flows", () -> rig.admission.streams() == 0);
     }
@@ -408,7 +549,9 @@
     void streamOfAClientThatStopsReadingEndsInTime() throws Exception {
         start(1, "\"stall_ms\":200", "\"hold_bytes\":1000");
         ManagedChannel channel = channel();
-        Raw.unread(channel, Raw.ticket(channel, "select rows=400000 batch=1000 width=50"),
+        Raw.unread(
+                channel,
+                Raw.ticket(channel, "select rows=400000 batch=1000 width=50"),
                 new CompletableFuture<>());
         Rig.await("the engine is freed", () -> !rig.engines.get(0).cancelledAt().isEmpty());
         rig.awaitFigure("streams", 0);
@@ -421,7 +564,8 @@
         start(1, "\"hold_bytes\":1000");
         ManagedChannel channel = channel();
         script.next("get", sql.endsWith("=1") ? Act.HANGS : Act.ANSWERS);
-        ClientCallStreamObserver<Flight.Ticket> call = Raw.unread(channel, Raw.ticket(channel, sql), new CompletableFuture<>());
+        ClientCallStreamObserver<Flight.Ticket> call =
+                Raw.unread(channel, Raw.ticket(channel, sql), new CompletableFuture<>());
         Rig.await("at the engine", () -> rig.count("get") == 1);
         long at = System.nanoTime();
         call.cancel("no longer wanted", null);
@@ -435,20 +579,26 @@
     void clientThatGoesInAnUpdateOrAnUploadLeavesNothingOpen() throws Exception {
         FlightSqlClient client = start(1);
         script.next("put", Act.HANGS).next("put", Act.HANGS);
-        assertEquals("timed_out", outcome((c, arm) -> Long.toString(c.executeUpdate("insert",
-                Rig.options("stat-load", 300))), client));
+        assertEquals(
+                "timed_out",
+                outcome(
+                        (c, arm) ->
+                                Long.toString(
+                                        c.executeUpdate("insert", Rig.options("stat-load", 300))),
+                        client));
         Rig.await("freed", () -> rig.engines.get(0).cancelledAt().size() == 1);
         rig.awaitFigure("calls", 0);
         assertEquals(0, rig.count("update"));
     }
 
-    // ---- Drains, uploads --------------------------------------------------------------------------------
+    // ---- Drains, uploads
+    // --------------------------------------------------------------------------------
     @ParameterizedTest
     @ValueSource(strings = {"stream", "ingest", "update"})
     void drainLetsWhatIsUnderWayEnd(String op) throws Exception {
         FlightSqlClient client = start(2);
         script.next(op.equals("stream") ? "get" : "put", Act.DRAINS);
-        assertEquals("ok", Ops.outcome(Ops.ALL.get(op), client, () -> { }));
+        assertEquals("ok", Ops.outcome(Ops.ALL.get(op), client, () -> {}));
     }
 
     @Test
@@ -479,78 +629,129 @@
     }
 
     private static Flight.FlightData schema() {
-        return Data.schema(Data.ROWS).toBuilder().setFlightDescriptor(FlightWire.descriptor(FlightWire.packed(
-                FlightSql.CommandStatementIngest.newBuilder().setTable("t").build()))).build();
+        return Data.schema(Data.ROWS).toBuilder()
+                .setFlightDescriptor(
+                        FlightWire.descriptor(
+                                FlightWire.packed(
+                                        FlightSql.CommandStatementIngest.newBuilder()
+                                                .setTable("t")
+                                                .build())))
+                .build();
     }
 
     private StreamObserver<Flight.FlightData> put(CompletableFuture<String> end) {
         Metadata headers = new Metadata();
         headers.put(calicostream.grpc.Calls.CLASS, "stat-load");
-        return FlightServiceGrpc.newStub(channel()).withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers))
-                .doPut(new StreamObserver<>() {
-                    @Override
-                    public void onNext(Flight.PutResult result) {
-                        try {
-                            end.complete("ok " + FlightSql.DoPutUpdateResult.parseFrom(result.getAppMetadata())
-                                    .getRecordCount());
-                        } catch (com.google.protobuf.InvalidProtocolBufferException e) {
-                            end.completeExceptionally(e);
-                        }
-                    }
-
-                    @Override
-                    public void onError(Throwable error) {
-                        end.complete(Status.fromThrowable(error).getCode() + " "
-                                + Status.fromThrowable(error).getDescription());
-                    }
-
-                    @Override
-                    public void onCompleted() { }
-                });
-    }
-
-    // ---- Time -------------------------------------------------------------------------------------------
+        return FlightServiceGrpc.newStub(channel())
+                .withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers))
+                .doPut(
+                        new StreamObserver<>() {
+                            @Override
+                            public void onNext(Flight.PutResult result) {
+                                try {
+                                    end.complete(
+                                            "ok "
+                                                    + FlightSql.DoPutUpdateResult.parseFrom(
+                                                                    result.getAppMetadata())
+                                                            .getRecordCount());
+                                } catch (com.google.protobuf.InvalidProtocolBufferException e) {
+                                    end.completeExceptionally(e);
+                                }
+                            }
+
+                            @Override
+                            public void onError(Throwable error) {
+                                end.complete(
+                                        Status.fromThrowable(error).getCode()
+                                                + " "
+                                                + Status.fromThrowable(error).getDescription());
+                            }
+
+                            @Override
+                            public void onCompleted() {}
+                        });
+    }
+
+    // ---- Time
+    // -------------------------------------------------------------------------------------------
     @ParameterizedTest
-    @ValueSource(strings = {"schema", "info", "get", "put", FlightWire.CREATE_PREPARED, FlightWire.BEGIN_TRANSACTION,
-        "poll"})
+    @ValueSource(
+            strings = {
+                "schema",
+                "info",
+                "get",
+                "put",
+                FlightWire.CREATE_PREPARED,
+                FlightWire.BEGIN_TRANSACTION,
+                "poll"
+            })
     void deadlineThatPassesInAPhaseEndsTheCallThere(String phase) throws Exception {
         FlightSqlClient client = start(1);
         script.always(phase, Act.HANGS);
         var soon = Rig.options(phase.equals("put") ? "stat-load" : "lookup", 400);
-        String got = outcome((c, arm) -> {
-            switch (phase) {
-                case "put": return Long.toString(c.executeUpdate("insert", soon));
-                case FlightWire.CREATE_PREPARED: return c.prepare("select", soon).toString();
-                case FlightWire.BEGIN_TRANSACTION: return c.beginTransaction(soon).toString();
-                case "poll": return Ops.poll(FlightServiceGrpc.newBlockingStub(channel())
-                        .withDeadlineAfter(400, TimeUnit.MILLISECONDS), c, "select rows=1 polls=3", 1);
-                default:
-                    FlightInfo info = c.execute("select rows=1", soon);
-                    try (FlightStream stream = c.getStream(info.getEndpoints().get(0).getTicket(), soon)) {
-                        return Boolean.toString(stream.next());
-                    }
-            }
-        }, client);
-        assertTrue(List.of("timed_out", "broken").contains(got), got); // "broken": a plain gRPC status
+        String got =
+                outcome(
+                        (c, arm) -> {
+                            switch (phase) {
+                                case "put":
+                                    return Long.toString(c.executeUpdate("insert", soon));
+                                case FlightWire.CREATE_PREPARED:
+                                    return c.prepare("select", soon).toString();
+                                case FlightWire.BEGIN_TRANSACTION:
+                                    return c.beginTransaction(soon).toString();
+                                case "poll":
+                                    return Ops.poll(
+                                            FlightServiceGrpc.newBlockingStub(channel())
+                                                    .withDeadlineAfter(400, TimeUnit.MILLISECONDS),
+                                            c,
+                                            "select rows=1 polls=3",
+                                            1);
+                                default:
+                                    FlightInfo info = c.execute("select rows=1", soon);
+                                    try (FlightStream stream =
+                                            c.getStream(
+                                                    info.getEndpoints().get(0).getTicket(), soon)) {
+                                        return Boolean.toString(stream.next());
+                                    }
+                            }
+                        },
+                        client);
+        assertTrue(
+                List.of("timed_out", "broken").contains(got), got); // "broken": a plain gRPC status
         rig.awaitFigure("calls", 0);
     }
 
-    // ---- Polls, cancel, renew ---------------------------------------------------------------------------
+    // ---- Polls, cancel, renew
+    // ---------------------------------------------------------------------------
     @Test
     void pollsTellProgressThenTheResult() throws Exception {
         FlightSqlClient client = start(2);
-        FlightServiceGrpc.FlightServiceBlockingStub stub = FlightServiceGrpc.newBlockingStub(channel());
+        FlightServiceGrpc.FlightServiceBlockingStub stub =
+                FlightServiceGrpc.newBlockingStub(channel());
         assertEquals("ok", Ops.poll(stub, client, "select rows=7 polls=4", 7));
         Flight.PollInfo first = stub.pollFlightInfo(Raw.query("select rows=7 polls=1000000"));
         assertTrue(first.hasFlightDescriptor());
         Flight.PollInfo second = stub.pollFlightInfo(first.getFlightDescriptor());
         assertTrue(second.getProgress() >= first.getProgress());
-        Flight.CancelFlightInfoResult ended = Flight.CancelFlightInfoResult.parseFrom(stub.doAction(action(
-                FlightWire.CANCEL_INFO, Flight.CancelFlightInfoRequest.newBuilder().setInfo(second.getInfo()).build()
-                        .toByteString())).next().getBody());
+        Flight.CancelFlightInfoResult ended =
+                Flight.CancelFlightInfoResult.parseFrom(
+                        stub.doAction(
+                                        action(
+                                                FlightWire.CANCEL_INFO,
+                                                Flight.CancelFlightInfoRequest.newBuilder()
+                                                        .setInfo(second.getInfo())
+                                                        .build()
+                                                        .toByteString()))
+                                .next()
+                                .getBody());
         assertEquals(Flight.CancelStatus.CANCEL_STATUS_CANCELLED, ended.getStatus());
-        assertEquals(Status.Code.NOT_FOUND, assertThrows(StatusRuntimeException.class,
-                () -> stub.pollFlightInfo(second.getFlightDescriptor())).getStatus().getCode());
+        assertEquals(
+                Status.Code.NOT_FOUND,
+                assertThrows(
+                                StatusRuntimeException.class,
+                                () -> stub.pollFlightInfo(second.getFlightDescriptor()))
+                        .getStatus()
+                        .getCode());
     }
 
     private static Flight.Action action(String type, ByteString body) {
@@ -561,37 +762,61 @@
     void cancelFreesTheEngineAndEndsTheStream() throws Exception {
         start(1, "\"hold_bytes\":1000");
         ManagedChannel channel = channel();
-        FlightServiceGrpc.FlightServiceBlockingStub stub = FlightServiceGrpc.newBlockingStub(channel);
+        FlightServiceGrpc.FlightServiceBlockingStub stub =
+                FlightServiceGrpc.newBlockingStub(channel);
         Flight.FlightInfo info = stub.getFlightInfo(Raw.query("select rows=1"));
         script.next("get", Act.HANGS);
         CompletableFuture<Status> end = new CompletableFuture<>();
         Raw.unread(channel, info.getEndpoint(0).getTicket(), end).request(1);
         Rig.await("out", () -> rig.count("get") == 1);
-        ByteString request = Flight.CancelFlightInfoRequest.newBuilder().setInfo(info).build().toByteString();
+        ByteString request =
+                Flight.CancelFlightInfoRequest.newBuilder().setInfo(info).build().toByteString();
         assertTrue(stub.doAction(action(FlightWire.CANCEL_INFO, request)).hasNext());
         assertEquals(Status.Code.CANCELLED, end.get(PATIENCE_S, TimeUnit.SECONDS).getCode());
         Rig.await("freed", () -> rig.engines.get(0).cancelledAt().size() == 1);
-        assertEquals(Status.Code.NOT_FOUND, assertThrows(StatusRuntimeException.class,
-                () -> stub.doAction(action(FlightWire.CANCEL_INFO, request)).hasNext()).getStatus().getCode());
+        assertEquals(
+                Status.Code.NOT_FOUND,
+                assertThrows(
+                                StatusRuntimeException.class,
+                                () ->
+                                        stub.doAction(action(FlightWire.CANCEL_INFO, request))
+                                                .hasNext())
+                        .getStatus()
+                        .getCode());
     }
 
     @Test
     void renewedEndpointLivesOnAndAUsedOneDoesNot() throws Exception {
         FlightSqlClient client = start(1);
-        FlightServiceGrpc.FlightServiceBlockingStub stub = FlightServiceGrpc.newBlockingStub(channel());
-        Flight.FlightEndpoint endpoint = stub.getFlightInfo(Raw.query("select rows=2")).getEndpoint(0);
-        ByteString request = Flight.RenewFlightEndpointRequest.newBuilder().setEndpoint(endpoint).build().toByteString();
-        Flight.FlightEndpoint renewed = Flight.FlightEndpoint.parseFrom(stub.doAction(action(FlightWire.RENEW_ENDPOINT,
-                request)).next().getBody());
+        FlightServiceGrpc.FlightServiceBlockingStub stub =
+                FlightServiceGrpc.newBlockingStub(channel());
+        Flight.FlightEndpoint endpoint =
+                stub.getFlightInfo(Raw.query("select rows=2")).getEndpoint(0);
+        ByteString request =
+                Flight.RenewFlightEndpointRequest.newBuilder()
+                        .setEndpoint(endpoint)
+                        .build()
+                        .toByteString();
+        Flight.FlightEndpoint renewed =
+                Flight.FlightEndpoint.parseFrom(
+                        stub.doAction(action(FlightWire.RENEW_ENDPOINT, request)).next().getBody());
         assertTrue(renewed.hasExpirationTime());
         assertEquals(endpoint.getTicket(), renewed.getTicket());
-        stub.doGet(renewed.getTicket()).forEachRemaining(each -> { });
-        assertEquals(Status.Code.NOT_FOUND, assertThrows(StatusRuntimeException.class,
-                () -> stub.doAction(action(FlightWire.RENEW_ENDPOINT, request)).hasNext()).getStatus().getCode());
+        stub.doGet(renewed.getTicket()).forEachRemaining(each -> {});
+        assertEquals(
+                Status.Code.NOT_FOUND,
+                assertThrows(
+                                StatusRuntimeException.class,
+                                () ->
+                                        stub.doAction(action(FlightWire.RENEW_ENDPOINT, request))
+                                                .hasNext())
+                        .getStatus()
+                        .getCode());
         assertEquals("ok", Ops.rows(client, client.execute("select rows=1", Ops.LOOKUP), 1));
     }
 
-    // ---- Catalogs ---------------------------------------------------------------------------------------
+    // ---- Catalogs
+    // ---------------------------------------------------------------------------------------
     @Test
     void equalQuestionsAtTheSameTimeShareAnAttempt() throws Exception {
         FlightSqlClient client = start(1);
@@ -599,10 +824,12 @@
         CountDownLatch go = new CountDownLatch(1);
         List<Future<String>> all = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            all.add(threads.submit(() -> {
-                go.await();
-                return Ops.outcome(Ops.ALL.get("catalogs"), client, () -> { });
-            }));
+            all.add(
+                    threads.submit(
+                            () -> {
+                                go.await();
+                                return Ops.outcome(Ops.ALL.get("catalogs"), client, () -> {});
+                            }));
         }
         go.countDown();
         for (Future<String> each : all) {
@@ -610,26 +837,34 @@
         }
         assertEquals(1, rig.count("get"));
         client.executeUpdate("create table t", Ops.LOAD);
-        assertEquals("ok", Ops.outcome(Ops.ALL.get("catalogs"), client, () -> { }));
+        assertEquals("ok", Ops.outcome(Ops.ALL.get("catalogs"), client, () -> {}));
         assertEquals(2, rig.count("get"), "dropped by DDL");
     }
 
-    // ---- Bounds -----------------------------------------------------------------------------------------
+    // ---- Bounds
+    // -----------------------------------------------------------------------------------------
     @Test
     void callsOverABoundAreRefusedAtOnceWithTheTimeToStayAway() throws Exception {
         start(1, "\"calls_per_client\":3", "\"info_schema\":\"none\"");
         script.always("get", Act.HANGS);
         ManagedChannel channel = channel();
-        FlightServiceGrpc.FlightServiceBlockingStub stub = FlightServiceGrpc.newBlockingStub(channel);
+        FlightServiceGrpc.FlightServiceBlockingStub stub =
+                FlightServiceGrpc.newBlockingStub(channel);
         for (int i = 0; i < 3; i++) {
             Raw.unread(channel, Raw.ticket(channel, "select rows=1"), new CompletableFuture<>());
         }
         rig.awaitFigure("streams", 3);
-        StatusRuntimeException told = assertThrows(StatusRuntimeException.class, () -> Raw.ticket(channel, "select rows=1"));
+        StatusRuntimeException told =
+                assertThrows(
+                        StatusRuntimeException.class, () -> Raw.ticket(channel, "select rows=1"));
         assertEquals(Status.Code.UNAVAILABLE, told.getStatus().getCode());
         assertTrue(told.getTrailers().containsKey(calicostream.grpc.Calls.STAY_AWAY));
-        assertEquals(1, FlightServiceGrpc.newBlockingStub(channel()).getFlightInfo(Raw.query("select rows=1"))
-                .getEndpointCount(), "another client has a share of its own");
+        assertEquals(
+                1,
+                FlightServiceGrpc.newBlockingStub(channel())
+                        .getFlightInfo(Raw.query("select rows=1"))
+                        .getEndpointCount(),
+                "another client has a share of its own");
     }
 
     @Test
@@ -637,34 +872,46 @@
         start(1, "\"poll_wait_ms\":60000", "\"calls_per_client\":3000");
         script.next("poll", Act.ANSWERS).always("poll", Act.HANGS);
         Metadata headers = new Metadata();
-        headers.put(calicostream.grpc.Calls.CLASS, "report"); // Time enough to have them all there on a slow machine, too.
-        FlightServiceGrpc.FlightServiceBlockingStub stub = FlightServiceGrpc.newBlockingStub(channel())
-                .withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers));
-        Flight.FlightDescriptor next = stub.pollFlightInfo(Raw.query("select rows=1 polls=5")).getFlightDescriptor();
+        headers.put(
+                calicostream.grpc.Calls.CLASS,
+                "report"); // Time enough to have them all there on a slow machine, too.
+        FlightServiceGrpc.FlightServiceBlockingStub stub =
+                FlightServiceGrpc.newBlockingStub(channel())
+                        .withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers));
+        Flight.FlightDescriptor next =
+                stub.pollFlightInfo(Raw.query("select rows=1 polls=5")).getFlightDescriptor();
         Flight.PollInfo told = stub.pollFlightInfo(next);
         int before = Thread.activeCount();
-        ManagedChannel channel = NettyChannelBuilder.forAddress("127.0.0.1", rig.port()).usePlaintext().directExecutor()
-                .build(); // So that its client takes no threads either, whose number would be as the machine is.
+        ManagedChannel channel =
+                NettyChannelBuilder.forAddress("127.0.0.1", rig.port())
+                        .usePlaintext()
+                        .directExecutor()
+                        .build(); // So that its client takes no threads either, whose number would
+        // be as the machine is.
         channels.add(channel);
         AtomicInteger open = new AtomicInteger();
         Context.CancellableContext context = Context.current().withCancellation();
-        context.run(() -> {
-            for (int i = 0; i < 2000; i++) {
-                open.incrementAndGet();
-                FlightServiceGrpc.newStub(channel).pollFlightInfo(told.getFlightDescriptor(), new StreamObserver<>() {
-                    @Override
-                    public void onNext(Flight.PollInfo info) { }
-
-                    @Override
-                    public void onError(Throwable error) {
-                        open.decrementAndGet();
+        context.run(
+                () -> {
+                    for (int i = 0; i < 2000; i++) {
+                        open.incrementAndGet();
+                        FlightServiceGrpc.newStub(channel)
+                                .pollFlightInfo(
+                                        told.getFlightDescriptor(),
+                                        new StreamObserver<>() {
+                                            @Override
+                                            public void onNext(Flight.PollInfo info) {}
+
+                                            @Override
+                                            public void onError(Throwable error) {
+                                                open.decrementAndGet();
+                                            }
+
+                                            @Override
+                                            public void onCompleted() {}
+                                        });
                     }
-
-                    @Override
-                    public void onCompleted() { }
                 });
-            }
-        });
         rig.awaitFigure("calls", 2000);
         assertTrue(Thread.activeCount() - before < 40, "threads");
         context.cancel(null);
@@ -672,38 +919,50 @@
         assertEquals(0, open.get());
     }
 
-    // ---- Two fronts, two processes ----------------------------------------------------------------------
+    // ---- Two fronts, two processes
+    // ----------------------------------------------------------------------
     @Test
     void sameRequestIdOnBothFrontsIsTwoRequests() throws Exception {
         start(1);
         Metadata headers = new Metadata();
         headers.put(calicostream.grpc.Calls.REQUEST, "same-id");
-        FlightServiceGrpc.FlightServiceBlockingStub stub = FlightServiceGrpc.newBlockingStub(channel())
-                .withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers));
+        FlightServiceGrpc.FlightServiceBlockingStub stub =
+                FlightServiceGrpc.newBlockingStub(channel())
+                        .withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers));
         script.next("get", Act.SLOW);
-        Flight.Ticket ticket = stub.getFlightInfo(Raw.query("select rows=1")).getEndpoint(0).getTicket();
+        Flight.Ticket ticket =
+                stub.getFlightInfo(Raw.query("select rows=1")).getEndpoint(0).getTicket();
         List<String> other = new ArrayList<>();
         CompletableFuture<Void> done = new CompletableFuture<>();
-        rig.onLoop(() -> rig.gateway.accept(new Front() {
-            @Override
-            public void served(long tag, Object result) {
-                other.add("served");
-                ((calicostream.flight.wire.Answers.Held) result).drop();
-                done.complete(null);
-            }
-
-            @Override
-            public void refused(long tag, long retryAfterMs) {
-                other.add("refused");
-                done.complete(null);
-            }
-
-            @Override
-            public void failed(long tag, Failure why) {
-                other.add("failed");
-                done.complete(null);
-            }
-        }, 1, "same-id", 0, 0, 4_000_000, "select rows=1".getBytes(java.nio.charset.StandardCharsets.UTF_8)));
+        rig.onLoop(
+                () ->
+                        rig.gateway.accept(
+                                new Front() {
+                                    @Override
+                                    public void served(long tag, Object result) {
+                                        other.add("served");
+                                        ((calicostream.flight.wire.Answers.Held) result).drop();
+                                        done.complete(null);
+                                    }
+
+                                    @Override
+                                    public void refused(long tag, long retryAfterMs) {
+                                        other.add("refused");
+                                        done.complete(null);
+                                    }
+
+                                    @Override
+                                    public void failed(long tag, Failure why) {
+                                        other.add("failed");
+                                        done.complete(null);
+                                    }
+                                },
+                                1,
+                                "same-id",
+                                0,
+                                0,
+                                4_000_000,
+                                "select rows=1".getBytes(java.nio.charset.StandardCharsets.UTF_8)));
         List<Flight.FlightData> got = new ArrayList<>();
         stub.doGet(ticket).forEachRemaining(got::add);
         done.get(PATIENCE_S, TimeUnit.SECONDS);
@@ -717,12 +976,18 @@
         FlightSqlClient elder = start(1);
         FlightInfo info = elder.execute("select rows=1", Ops.LOOKUP);
         FlightSqlClient.Transaction txn = elder.beginTransaction(Ops.LOOKUP);
-        try (Rig younger = new Rig(new Script(), 1, java.nio.file.Files.createTempDirectory(folder, "younger"))) {
+        try (Rig younger =
+                new Rig(
+                        new Script(),
+                        1,
+                        java.nio.file.Files.createTempDirectory(folder, "younger"))) {
             FlightSqlClient client = younger.client();
-            FlightRuntimeException told = assertThrows(FlightRuntimeException.class, () -> Ops.rows(client, info, 1));
+            FlightRuntimeException told =
+                    assertThrows(FlightRuntimeException.class, () -> Ops.rows(client, info, 1));
             assertEquals(FlightStatusCode.NOT_FOUND, told.status().code());
             assertTrue(told.status().metadata().containsKey("grpc-retry-pushback-ms"));
-            FlightRuntimeException dead = assertThrows(FlightRuntimeException.class, () -> client.commit(txn, Ops.LOAD));
+            FlightRuntimeException dead =
+                    assertThrows(FlightRuntimeException.class, () -> client.commit(txn, Ops.LOAD));
             assertTrue(dead.getMessage().contains("dead or ended"), dead.getMessage());
         }
     }
--- a/src/test/java/calicostream/flight/suite/Ops.java
+++ b/src/test/java/calicostream/flight/suite/Ops.java
@@ -25,7 +25,10 @@
 import org.apache.arrow.vector.ipc.ArrowStreamReader;
 import org.apache.arrow.vector.ipc.ArrowStreamWriter;
 
-/** What clients do, each with the kind of the engine's call that the case is about, and what comes of it in one word. */
+/**
+ * What clients do, each with the kind of the engine's call that the case is about, and what comes
+ * of it in one word.
+ */
 final class Ops {
     /** Does it; {@code arm} is run just before the step that the case is about. */
     interface Op {
@@ -37,110 +40,179 @@
     static final Map<String, Op> ALL = new LinkedHashMap<>();
 
     static {
-        ALL.put("query", (client, arm) -> {
-            arm.run();
-            return rows(client, client.execute("select rows=3", LOOKUP), 3);
-        });
-        ALL.put("stream", (client, arm) -> {
-            arm.run();
-            return rows(client, client.execute("select rows=400000 batch=1000 width=8", LOOKUP), 400_000);
-        });
-        ALL.put("parts", (client, arm) -> {
-            arm.run();
-            return rows(client, client.execute("select rows=2 parts=3", LOOKUP), -1);
-        });
-        ALL.put("empty", (client, arm) -> {
-            arm.run();
-            return rows(client, client.execute("select rows=0", LOOKUP), 0);
-        });
-        ALL.put("update", (client, arm) -> {
-            arm.run();
-            return client.executeUpdate("insert into a.t", LOAD) == 3 ? "ok" : "wrong";
-        });
-        ALL.put("prepare", (client, arm) -> {
-            arm.run();
-            try (FlightSqlClient.PreparedStatement made = client.prepare("select rows=2", LOOKUP)) {
-                return made.getResultSetSchema().getFields().size() == 2 ? "ok" : "wrong";
-            }
-        });
+        ALL.put(
+                "query",
+                (client, arm) -> {
+                    arm.run();
+                    return rows(client, client.execute("select rows=3", LOOKUP), 3);
+                });
+        ALL.put(
+                "stream",
+                (client, arm) -> {
+                    arm.run();
+                    return rows(
+                            client,
+                            client.execute("select rows=400000 batch=1000 width=8", LOOKUP),
+                            400_000);
+                });
+        ALL.put(
+                "parts",
+                (client, arm) -> {
+                    arm.run();
+                    return rows(client, client.execute("select rows=2 parts=3", LOOKUP), -1);
+                });
+        ALL.put(
+                "empty",
+                (client, arm) -> {
+                    arm.run();
+                    return rows(client, client.execute("select rows=0", LOOKUP), 0);
+                });
+        ALL.put(
+                "update",
+                (client, arm) -> {
+                    arm.run();
+                    return client.executeUpdate("insert into a.t", LOAD) == 3 ? "ok" : "wrong";
+                });
+        ALL.put(
+                "prepare",
+                (client, arm) -> {
+                    arm.run();
+                    try (FlightSqlClient.PreparedStatement made =
+                            client.prepare("select rows=2", LOOKUP)) {
+                        return made.getResultSetSchema().getFields().size() == 2 ? "ok" : "wrong";
+                    }
+                });
         ALL.put("prepared-query", (client, arm) -> prepared(client, arm, false));
         ALL.put("prepared-bind", (client, arm) -> prepared(client, arm, true));
-        ALL.put("prepared-update", (client, arm) -> {
-            try (FlightSqlClient.PreparedStatement made = client.prepare("insert ?", LOOKUP);
-                    VectorSchemaRoot root = Data.bound(7)) {
-                made.setParameters(root);
-                arm.run();
-                return made.executeUpdate(LOAD) == 1 ? "ok" : "wrong";
-            }
-        });
-        ALL.put("begin", (client, arm) -> {
-            arm.run();
-            return client.beginTransaction(LOOKUP).getTransactionId().length > 0 ? "ok" : "wrong";
-        });
-        ALL.put("commit", (client, arm) -> {
-            FlightSqlClient.Transaction txn = client.beginTransaction(LOOKUP);
-            client.executeUpdate("insert", txn, LOAD);
-            arm.run();
-            client.commit(txn, LOAD);
-            return "ok";
-        });
-        ALL.put("rollback", (client, arm) -> {
-            FlightSqlClient.Transaction txn = client.beginTransaction(LOOKUP);
-            arm.run();
-            client.rollback(txn, LOOKUP);
-            return "ok";
-        });
-        ALL.put("txn-query", (client, arm) -> {
-            FlightSqlClient.Transaction txn = client.beginTransaction(LOOKUP);
-            arm.run();
-            return rows(client, client.execute("select rows=3", txn, LOOKUP), 3);
-        });
-        ALL.put("txn-update", (client, arm) -> {
-            FlightSqlClient.Transaction txn = client.beginTransaction(LOOKUP);
-            arm.run();
-            return client.executeUpdate("insert", txn, LOAD) == 3 ? "ok" : "wrong";
-        });
-        ALL.put("savepoint", (client, arm) -> {
-            FlightSqlClient.Transaction txn = client.beginTransaction(LOOKUP);
-            arm.run();
-            FlightSqlClient.Savepoint point = client.beginSavepoint(txn, "s", LOOKUP);
-            FlightSqlClient.Savepoint later = client.beginSavepoint(txn, "later", LOOKUP);
-            client.rollback(later, LOOKUP);
-            client.release(point, LOOKUP);
-            client.commit(txn, LOAD);
-            return "ok";
-        });
+        ALL.put(
+                "prepared-update",
+                (client, arm) -> {
+                    try (FlightSqlClient.PreparedStatement made =
+                                    client.prepare("insert ?", LOOKUP);
+                            VectorSchemaRoot root = Data.bound(7)) {
+                        made.setParameters(root);
+                        arm.run();
+                        return made.executeUpdate(LOAD) == 1 ? "ok" : "wrong";
+                    }
+                });
+        ALL.put(
+                "begin",
+                (client, arm) -> {
+                    arm.run();
+                    return client.beginTransaction(LOOKUP).getTransactionId().length > 0
+                            ? "ok"
+                            : "wrong";
+                });
+        ALL.put(
+                "commit",
+                (client, arm) -> {
+                    FlightSqlClient.Transaction txn = client.beginTransaction(LOOKUP);
+                    client.executeUpdate("insert", txn, LOAD);
+                    arm.run();
+                    client.commit(txn, LOAD);
+                    return "ok";
+                });
+        ALL.put(
+                "rollback",
+                (client, arm) -> {
+                    FlightSqlClient.Transaction txn = client.beginTransaction(LOOKUP);
+                    arm.run();
+                    client.rollback(txn, LOOKUP);
+                    return "ok";
+                });
+        ALL.put(
+                "txn-query",
+                (client, arm) -> {
+                    FlightSqlClient.Transaction txn = client.beginTransaction(LOOKUP);
+                    arm.run();
+                    return rows(client, client.execute("select rows=3", txn, LOOKUP), 3);
+                });
+        ALL.put(
+                "txn-update",
+                (client, arm) -> {
+                    FlightSqlClient.Transaction txn = client.beginTransaction(LOOKUP);
+                    arm.run();
+                    return client.executeUpdate("insert", txn, LOAD) == 3 ? "ok" : "wrong";
+                });
+        ALL.put(
+                "savepoint",
+                (client, arm) -> {
+                    FlightSqlClient.Transaction txn = client.beginTransaction(LOOKUP);
+                    arm.run();
+                    FlightSqlClient.Savepoint point = client.beginSavepoint(txn, "s", LOOKUP);
+                    FlightSqlClient.Savepoint later = client.beginSavepoint(txn, "later", LOOKUP);
+                    client.rollback(later, LOOKUP);
+                    client.release(point, LOOKUP);
+                    client.commit(txn, LOAD);
+                    return "ok";
+                });
         ALL.put("catalogs", metadata(client -> client.getCatalogs(LOOKUP)));
         ALL.put("schemas", metadata(client -> client.getSchemas(null, null, LOOKUP)));
-        ALL.put("tables", metadata(client -> client.getTables(null, null, null, null, false, LOOKUP)));
+        ALL.put(
+                "tables",
+                metadata(client -> client.getTables(null, null, null, null, false, LOOKUP)));
         ALL.put("table-types", metadata(client -> client.getTableTypes(LOOKUP)));
-        ALL.put("primary-keys", metadata(client -> client.getPrimaryKeys(TableRef.of(null, null, "t"), LOOKUP)));
-        ALL.put("exported-keys", metadata(client -> client.getExportedKeys(TableRef.of(null, null, "t"), LOOKUP)));
-        ALL.put("imported-keys", metadata(client -> client.getImportedKeys(TableRef.of(null, null, "t"), LOOKUP)));
-        ALL.put("cross-reference", metadata(client -> client.getCrossReference(TableRef.of(null, null, "t"),
-                TableRef.of(null, null, "u"), LOOKUP)));
+        ALL.put(
+                "primary-keys",
+                metadata(client -> client.getPrimaryKeys(TableRef.of(null, null, "t"), LOOKUP)));
+        ALL.put(
+                "exported-keys",
+                metadata(client -> client.getExportedKeys(TableRef.of(null, null, "t"), LOOKUP)));
+        ALL.put(
+                "imported-keys",
+                metadata(client -> client.getImportedKeys(TableRef.of(null, null, "t"), LOOKUP)));
+        ALL.put(
+                "cross-reference",
+                metadata(
+                        client ->
+                                client.getCrossReference(
+                                        TableRef.of(null, null, "t"),
+                                        TableRef.of(null, null, "u"),
+                                        LOOKUP)));
         ALL.put("type-info", metadata(client -> client.getXdbcTypeInfo(LOOKUP)));
-        ALL.put("sql-info", (client, arm) -> {
-            arm.run();
-            return rows(client, client.getSqlInfo(new FlightSql.SqlInfo[] {FlightSql.SqlInfo.SQL_IDENTIFIER_QUOTE_CHAR},
-                    LOOKUP), -1);
-        });
-        ALL.put("schema", (client, arm) -> {
-            arm.run();
-            return client.getExecuteSchema("select rows=1", LOOKUP).getSchema().equals(Data.ROWS) ? "ok" : "wrong";
-        });
-        ALL.put("substrait", (client, arm) -> {
-            arm.run();
-            return rows(client, client.executeSubstrait(new FlightSqlClient.SubstraitPlan(new byte[] {1}, "0.1"), LOOKUP),
-                    2);
-        });
-        ALL.put("ingest", (client, arm) -> {
-            arm.run();
-            return ingest(client, 5, 10) == 50 ? "ok" : "wrong";
-        });
+        ALL.put(
+                "sql-info",
+                (client, arm) -> {
+                    arm.run();
+                    return rows(
+                            client,
+                            client.getSqlInfo(
+                                    new FlightSql.SqlInfo[] {
+                                        FlightSql.SqlInfo.SQL_IDENTIFIER_QUOTE_CHAR
+                                    },
+                                    LOOKUP),
+                            -1);
+                });
+        ALL.put(
+                "schema",
+                (client, arm) -> {
+                    arm.run();
+                    return client.getExecuteSchema("select rows=1", LOOKUP)
+                                    .getSchema()
+                                    .equals(Data.ROWS)
+                            ? "ok"
+                            : "wrong";
+                });
+        ALL.put(
+                "substrait",
+                (client, arm) -> {
+                    arm.run();
+                    return rows(
+                            client,
+                            client.executeSubstrait(
+                                    new FlightSqlClient.SubstraitPlan(new byte[] {1}, "0.1"),
+                                    LOOKUP),
+                            2);
+                });
+        ALL.put(
+                "ingest",
+                (client, arm) -> {
+                    arm.run();
+                    return ingest(client, 5, 10) == 50 ? "ok" : "wrong";
+                });
     }
 
-    private Ops() { }
+    private Ops() {}
 
     private interface Metadata {
         FlightInfo ask(FlightSqlClient client);
@@ -153,8 +225,10 @@
         };
     }
 
-    private static String prepared(FlightSqlClient client, Runnable arm, boolean bind) throws Exception {
-        try (FlightSqlClient.PreparedStatement made = client.prepare(bind ? "select rows=2 ?" : "select rows=2", LOOKUP);
+    private static String prepared(FlightSqlClient client, Runnable arm, boolean bind)
+            throws Exception {
+        try (FlightSqlClient.PreparedStatement made =
+                        client.prepare(bind ? "select rows=2 ?" : "select rows=2", LOOKUP);
                 VectorSchemaRoot root = Data.bound(41)) {
             if (bind) {
                 made.setParameters(root);
@@ -168,7 +242,8 @@
 
     static long ingest(FlightSqlClient client, int batches, int rows) throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        try (VectorSchemaRoot root = VectorSchemaRoot.create(Data.parameters(1), ArrowRows.ALLOCATOR);
+        try (VectorSchemaRoot root =
+                        VectorSchemaRoot.create(Data.parameters(1), ArrowRows.ALLOCATOR);
                 ArrowStreamWriter writer = new ArrowStreamWriter(root, null, out)) {
             for (int i = 0; i < batches; i++) {
                 for (int row = 0; row < rows; row++) {
@@ -178,10 +253,19 @@
                 writer.writeBatch();
             }
         }
-        try (ArrowStreamReader reader = new ArrowStreamReader(new ByteArrayInputStream(out.toByteArray()),
-                ArrowRows.ALLOCATOR)) {
-            return client.executeIngest(reader, new FlightSqlClient.ExecuteIngestOptions("t",
-                    FlightSql.CommandStatementIngest.TableDefinitionOptions.getDefaultInstance(), null, null, null), LOAD);
+        try (ArrowStreamReader reader =
+                new ArrowStreamReader(
+                        new ByteArrayInputStream(out.toByteArray()), ArrowRows.ALLOCATOR)) {
+            return client.executeIngest(
+                    reader,
+                    new FlightSqlClient.ExecuteIngestOptions(
+                            "t",
+                            FlightSql.CommandStatementIngest.TableDefinitionOptions
+                                    .getDefaultInstance(),
+                            null,
+                            null,
+                            null),
+                    LOAD);
         }
     }
 
@@ -219,30 +303,51 @@
         } catch (FlightRuntimeException e) {
             return word(e.status());
         } catch (Exception e) {
-            return e.getCause() instanceof FlightRuntimeException cause ? word(cause.status()) : "broken";
+            return e.getCause() instanceof FlightRuntimeException cause
+                    ? word(cause.status())
+                    : "broken";
         }
     }
 
     static String word(CallStatus status) {
-        boolean wait = status.metadata() != null && status.metadata().containsKey("grpc-retry-pushback-ms");
+        boolean wait =
+                status.metadata() != null
+                        && status.metadata().containsKey("grpc-retry-pushback-ms");
         boolean dead = String.valueOf(status.description()).contains("is dead");
-        return status.code() == FlightStatusCode.UNAVAILABLE && wait ? "refused" : dead ? "dead"
-                : status.code() == FlightStatusCode.INTERNAL ? "failed" : status.code().toString().toLowerCase();
+        return status.code() == FlightStatusCode.UNAVAILABLE && wait
+                ? "refused"
+                : dead
+                        ? "dead"
+                        : status.code() == FlightStatusCode.INTERNAL
+                                ? "failed"
+                                : status.code().toString().toLowerCase();
     }
 
-    /** Polls a query to its end, then reads it; by gRPC alone, as Arrow's client has no call for it. */
-    static String poll(FlightServiceGrpc.FlightServiceBlockingStub stub, FlightSqlClient client, String sql, int rows)
+    /**
+     * Polls a query to its end, then reads it; by gRPC alone, as Arrow's client has no call for it.
+     */
+    static String poll(
+            FlightServiceGrpc.FlightServiceBlockingStub stub,
+            FlightSqlClient client,
+            String sql,
+            int rows)
             throws Exception {
-        Flight.FlightDescriptor next = calicostream.flight.wire.FlightWire.descriptor(
-                calicostream.flight.wire.FlightWire.packed(FlightSql.CommandStatementQuery.newBuilder().setQuery(sql)
-                        .build()));
+        Flight.FlightDescriptor next =
+                calicostream.flight.wire.FlightWire.descriptor(
+                        calicostream.flight.wire.FlightWire.packed(
+                                FlightSql.CommandStatementQuery.newBuilder()
+                                        .setQuery(sql)
+                                        .build()));
         for (int i = 0; i < 100; i++) {
             Flight.PollInfo told = stub.pollFlightInfo(next);
             if (!told.hasFlightDescriptor()) {
                 long got = 0;
                 for (Flight.FlightEndpoint endpoint : told.getInfo().getEndpointList()) {
-                    try (FlightStream stream = client.getStream(new org.apache.arrow.flight.Ticket(
-                            endpoint.getTicket().getTicket().toByteArray()), LOOKUP)) {
+                    try (FlightStream stream =
+                            client.getStream(
+                                    new org.apache.arrow.flight.Ticket(
+                                            endpoint.getTicket().getTicket().toByteArray()),
+                                    LOOKUP)) {
                         while (stream.next()) {
                             got += stream.getRoot().getRowCount();
                         }
--- a/src/test/java/calicostream/flight/suite/Rig.java
+++ b/src/test/java/calicostream/flight/suite/Rig.java
@@ -31,19 +31,45 @@
 import org.apache.arrow.memory.BufferAllocator;
 import org.apache.arrow.memory.RootAllocator;
 
-/** The front end's parts with a loop of their own in this process, and stand-in engines that share a script. */
+/**
+ * The front end's parts with a loop of their own in this process, and stand-in engines that share a
+ * script.
+ */
 public final class Rig implements AutoCloseable {
     static final long PATIENCE_S = 30;
     private static final long LOOK_AGAIN_NS = 200_000;
-    private static final String SETTINGS = "zones=hall-a\nflavors=std\nlanes.count=4\n"
-            + "lanes.0.name=lookup\nlanes.0.effect=repeatable\nlanes.0.aim_us=800000\nlanes.0.deadline_us=4000000\n"
-            + "lanes.1.name=report\nlanes.1.effect=repeatable\nlanes.1.aim_us=5000000\nlanes.1.deadline_us=20000000\n"
-            + "lanes.2.name=stat-load\nlanes.2.effect=once\nlanes.2.aim_us=4000000\nlanes.2.deadline_us=20000000\n"
-            + "lanes.3.name=meta\nlanes.3.effect=repeatable\nlanes.3.aim_us=800000\nlanes.3.deadline_us=4000000\n"
-            + "family_info.kind_cores=%d\nfamily_info.kind_memory_mb=24576\nceilings.max_attempts=5\nceilings.cancel=true\n"
-            + "tick_us=5000\nfamily_info.holds_tables=false,false,true,false\n"
-            + "family_info.waits_for_loads=false,false,false,false\nfamily_info.width_by_class=1,1,1,1\n"
-            + "rules.cold_share=0.3\nrules.overload_factor=4\nrules.fall_us=2000000\nrules.warm_up_us=14000000\n";
+    private static final String SETTINGS =
+            "zones=hall-a\n"
+                    + "flavors=std\n"
+                    + "lanes.count=4\n"
+                    + "lanes.0.name=lookup\n"
+                    + "lanes.0.effect=repeatable\n"
+                    + "lanes.0.aim_us=800000\n"
+                    + "lanes.0.deadline_us=4000000\n"
+                    + "lanes.1.name=report\n"
+                    + "lanes.1.effect=repeatable\n"
+                    + "lanes.1.aim_us=5000000\n"
+                    + "lanes.1.deadline_us=20000000\n"
+                    + "lanes.2.name=stat-load\n"
+                    + "lanes.2.effect=once\n"
+                    + "lanes.2.aim_us=4000000\n"
+                    + "lanes.2.deadline_us=20000000\n"
+                    + "lanes.3.name=meta\n"
+                    + "lanes.3.effect=repeatable\n"
+                    + "lanes.3.aim_us=800000\n"
+                    + "lanes.3.deadline_us=4000000\n"
+                    + "family_info.kind_cores=%d\n"
+                    + "family_info.kind_memory_mb=24576\n"
+                    + "ceilings.max_attempts=5\n"
+                    + "ceilings.cancel=true\n"
+                    + "tick_us=5000\n"
+                    + "family_info.holds_tables=false,false,true,false\n"
+                    + "family_info.waits_for_loads=false,false,false,false\n"
+                    + "family_info.width_by_class=1,1,1,1\n"
+                    + "rules.cold_share=0.3\n"
+                    + "rules.overload_factor=4\n"
+                    + "rules.fall_us=2000000\n"
+                    + "rules.warm_up_us=14000000\n";
     private final BufferAllocator allocator = new RootAllocator();
     private final Loop loop;
     private final FlightEngines side;
@@ -56,22 +82,36 @@
     private final List<Engine> listed = new ArrayList<>();
 
     /** Keys of {@code flight.json}, each {@code "name":value}; as many engines as said. */
-    public Rig(Script script, int engineCount, int cores, Path folder, String... keys) throws Exception {
+    public Rig(Script script, int engineCount, int cores, Path folder, String... keys)
+            throws Exception {
         this.script = script;
-        String json = "{\"enabled\":true,\"listen\":\"127.0.0.1:0\",\"metadata_class\":\"meta\""
-                + (keys.length == 0 ? "" : "," + String.join(",", keys)) + "}";
-        FlightConfig config = FlightConfig.read(Files.writeString(folder.resolve("flight.json"), json));
+        String json =
+                "{\"enabled\":true,\"listen\":\"127.0.0.1:0\",\"metadata_class\":\"meta\""
+                        + (keys.length == 0 ? "" : "," + String.join(",", keys))
+                        + "}";
+        FlightConfig config =
+                FlightConfig.read(Files.writeString(folder.resolve("flight.json"), json));
         SettingsParser settings = SettingsParser.ofLines(String.format(SETTINGS, cores));
         Clock clock = new Clock();
         loop = new Loop(clock, new Deadlines());
-        admission = new Admission(config.calls(), config.callsPerClient(), config.bytesInFlight(), config.mostStreams());
+        admission =
+                new Admission(
+                        config.calls(),
+                        config.callsPerClient(),
+                        config.bytesInFlight(),
+                        config.mostStreams());
         side = new FlightEngines(loop, settings, config, admission);
-        gateway = new Gateway(clock, loop.deadlines(), settings.settings().withoutNotes(), new Watcher() {
-            @Override
-            public void engine(Engine engine) {
-                side.listed(engine);
-            }
-        });
+        gateway =
+                new Gateway(
+                        clock,
+                        loop.deadlines(),
+                        settings.settings().withoutNotes(),
+                        new Watcher() {
+                            @Override
+                            public void engine(Engine engine) {
+                                side.listed(engine);
+                            }
+                        });
         front = new FlightFront(loop, gateway, config, settings, admission, side);
         for (int i = 0; i < engineCount; i++) {
             EngineStand engine = new EngineStand(script);
@@ -83,13 +123,16 @@
         }
         gateway.start(side, listed);
         front.start();
-        Thread thread = new Thread(() -> {
-            try {
-                loop.run();
-            } catch (IOException e) {
-                throw new java.io.UncheckedIOException(e);
-            }
-        }, "loop");
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                loop.run();
+                            } catch (IOException e) {
+                                throw new java.io.UncheckedIOException(e);
+                            }
+                        },
+                        "loop");
         thread.setDaemon(true);
         thread.start();
     }
@@ -113,24 +156,26 @@
         EngineStand fresh = new EngineStand(script);
         engines.set(number, fresh);
         fresh.onDrain = () -> loop.post(() -> state(number + 1, EngineState.DRAINING));
-        onLoop(() -> {
-            state(number + 1, EngineState.GONE);
-            side.locate(number + 1, fresh.address());
-            state(number + 1, EngineState.READY);
-            return null;
-        });
+        onLoop(
+                () -> {
+                    state(number + 1, EngineState.GONE);
+                    side.locate(number + 1, fresh.address());
+                    state(number + 1, EngineState.READY);
+                    return null;
+                });
         return fresh;
     }
 
     <T> T onLoop(Callable<T> work) throws Exception {
         CompletableFuture<T> out = new CompletableFuture<>();
-        loop.post(() -> {
-            try {
-                out.complete(work.call());
-            } catch (Exception e) {
-                out.completeExceptionally(e);
-            }
-        });
+        loop.post(
+                () -> {
+                    try {
+                        out.complete(work.call());
+                    } catch (Exception e) {
+                        out.completeExceptionally(e);
+                    }
+                });
         return out.get(PATIENCE_S, TimeUnit.SECONDS);
     }
 
@@ -157,7 +202,8 @@
         try {
             await(what, condition);
         } catch (AssertionError e) {
-            throw new AssertionError(e.getMessage() + ", begun=" + admission.streams() + " " + figures(), e);
+            throw new AssertionError(
+                    e.getMessage() + ", begun=" + admission.streams() + " " + figures(), e);
         }
     }
 
@@ -171,7 +217,9 @@
             if (System.nanoTime() > until) {
                 throw new AssertionError("not within " + PATIENCE_S + " s: " + what);
             }
-            LockSupport.parkNanos(LOOK_AGAIN_NS); // Where cores are few, a busy wait would slow down what it waits for.
+            LockSupport.parkNanos(
+                    LOOK_AGAIN_NS); // Where cores are few, a busy wait would slow down what it
+            // waits for.
         }
     }
 
@@ -189,7 +237,8 @@
     }
 
     FlightSqlClient client(int port, FlightClientMiddleware.Factory... middleware) {
-        FlightClient.Builder builder = FlightClient.builder(allocator, Location.forGrpcInsecure("127.0.0.1", port));
+        FlightClient.Builder builder =
+                FlightClient.builder(allocator, Location.forGrpcInsecure("127.0.0.1", port));
         for (FlightClientMiddleware.Factory each : middleware) {
             builder.intercept(each);
         }
@@ -203,10 +252,13 @@
     }
 
     static CallOption[] options(String queryClass, int waitMs) {
-        org.apache.arrow.flight.FlightCallHeaders headers = new org.apache.arrow.flight.FlightCallHeaders();
+        org.apache.arrow.flight.FlightCallHeaders headers =
+                new org.apache.arrow.flight.FlightCallHeaders();
         headers.insert("calicostream-class", queryClass);
-        return new CallOption[] {new org.apache.arrow.flight.HeaderCallOption(headers),
-            org.apache.arrow.flight.CallOptions.timeout(waitMs, TimeUnit.MILLISECONDS)};
+        return new CallOption[] {
+            new org.apache.arrow.flight.HeaderCallOption(headers),
+            org.apache.arrow.flight.CallOptions.timeout(waitMs, TimeUnit.MILLISECONDS)
+        };
     }
 
     @Override
@@ -219,10 +271,11 @@
             }
         }
         front.close();
-        onLoop(() -> {
-            loop.stop();
-            return null;
-        });
+        onLoop(
+                () -> {
+                    loop.stop();
+                    return null;
+                });
         side.close();
         engines.forEach(EngineStand::close);
     }
--- a/src/test/java/calicostream/flight/suite/Script.java
+++ b/src/test/java/calicostream/flight/suite/Script.java
@@ -5,10 +5,26 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What engines do when a call of a kind comes; all engines of a run share one, so the first that is asked acts on it. */
+/**
+ * What engines do when a call of a kind comes; all engines of a run share one, so the first that is
+ * asked acts on it.
+ */
 final class Script {
     /** What an engine does with a call. */
-    enum Act { ANSWERS, REFUSES, SLOW, ERRS, DIES_BEFORE, DIES_DURING, DIES_AFTER, DRAINS, BAD_PROTOBUF, BAD_ARROW, HANGS, CUT_AT_END }
+    enum Act {
+        ANSWERS,
+        REFUSES,
+        SLOW,
+        ERRS,
+        DIES_BEFORE,
+        DIES_DURING,
+        DIES_AFTER,
+        DRAINS,
+        BAD_PROTOBUF,
+        BAD_ARROW,
+        HANGS,
+        CUT_AT_END
+    }
 
     private final Map<String, ArrayDeque<Act>> acts = new HashMap<>();
     private final Map<String, Act> always = new HashMap<>();
@@ -26,6 +42,8 @@
 
     synchronized Act take(String kind) {
         ArrayDeque<Act> some = acts.get(kind);
-        return some == null || some.isEmpty() ? always.getOrDefault(kind, Act.ANSWERS) : some.poll();
+        return some == null || some.isEmpty()
+                ? always.getOrDefault(kind, Act.ANSWERS)
+                : some.poll();
     }
 }
--- a/src/test/java/calicostream/flight/wire/UploadTest.java
+++ b/src/test/java/calicostream/flight/wire/UploadTest.java
@@ -26,7 +26,7 @@
         }
 
         @Override
-        public void end() { }
+        public void end() {}
     }
 
     private static Frame frame() {
@@ -35,7 +35,7 @@
 
     @Example
     void frameAfterAnEnginesEndIsTheNextEngines() {
-        Upload upload = new Upload(frame(), () -> { });
+        Upload upload = new Upload(frame(), () -> {});
         Engine first = new Engine();
         Engine second = new Engine();
         upload.to(first);
@@ -49,7 +49,10 @@
         assertEquals(List.of(rows), second.got);
     }
 
-    /** Steps in any order: a frame reaches one engine that is still there, and none is tried after one that has rows. */
+    /**
+     * Steps in any order: a frame reaches one engine that is still there, and none is tried after
+     * one that has rows.
+     */
     @Property(tries = 2000)
     void framesGoToOneEngineOnly(@ForAll @Size(max = 40) List<@IntRange(max = 3) Integer> steps) {
         int[] asked = new int[1];
--- a/src/test/java/calicostream/grpc/BalancingChannelTest.java
+++ b/src/test/java/calicostream/grpc/BalancingChannelTest.java
@@ -36,48 +36,87 @@
 
 /** The plug-in before stand-in gRPC servers. */
 class BalancingChannelTest {
-    private static final MethodDescriptor<StringValue, StringValue> RUN = MethodDescriptor
-            .<StringValue, StringValue>newBuilder().setType(MethodDescriptor.MethodType.UNARY)
-            .setFullMethodName("stand.Engine/Run")
-            .setRequestMarshaller(ProtoUtils.marshaller(StringValue.getDefaultInstance()))
-            .setResponseMarshaller(ProtoUtils.marshaller(StringValue.getDefaultInstance())).build();
-    private static final String SETTINGS = "lanes.count=2\nlanes.0.name=look\nlanes.0.effect=repeatable\n"
-            + "lanes.0.aim_us=4000000\nlanes.0.deadline_us=9000000\nlanes.1.name=load\nlanes.1.effect=once\n"
-            + "lanes.1.aim_us=4000000\nlanes.1.deadline_us=9000000\nfamily_info.kind_cores=12\n"
-            + "family_info.holds_tables=false,true\nfamily_info.width_by_class=1,2\nceilings.max_attempts=3\n"
-            + "ceilings.cancel=true\nceilings.dial_timeout_us=5000000\ntick_us=5000\nfamily_info.note_period_us=50000\n";
+    private static final MethodDescriptor<StringValue, StringValue> RUN =
+            MethodDescriptor.<StringValue, StringValue>newBuilder()
+                    .setType(MethodDescriptor.MethodType.UNARY)
+                    .setFullMethodName("stand.Engine/Run")
+                    .setRequestMarshaller(ProtoUtils.marshaller(StringValue.getDefaultInstance()))
+                    .setResponseMarshaller(ProtoUtils.marshaller(StringValue.getDefaultInstance()))
+                    .build();
+    private static final String SETTINGS =
+            "lanes.count=2\n"
+                    + "lanes.0.name=look\n"
+                    + "lanes.0.effect=repeatable\n"
+                    + "lanes.0.aim_us=4000000\n"
+                    + "lanes.0.deadline_us=9000000\n"
+                    + "lanes.1.name=load\n"
+                    + "lanes.1.effect=once\n"
+                    + "lanes.1.aim_us=4000000\n"
+                    + "lanes.1.deadline_us=9000000\n"
+                    + "family_info.kind_cores=12\n"
+                    + "family_info.holds_tables=false,true\n"
+                    + "family_info.width_by_class=1,2\n"
+                    + "ceilings.max_attempts=3\n"
+                    + "ceilings.cancel=true\n"
+                    + "ceilings.dial_timeout_us=5000000\n"
+                    + "tick_us=5000\n"
+                    + "family_info.note_period_us=50000\n";
     private final List<Server> servers = new ArrayList<>();
     private final AtomicInteger runs = new AtomicInteger();
     private BalancingChannel channel;
 
     private void start(List<UnaryOperator<String>> engines) throws Exception {
-        channel = new BalancingChannel(SettingsParser.ofLines(SETTINGS), address -> NettyChannelBuilder
-                .forAddress(address).usePlaintext().disableRetry().directExecutor().build(), Watcher.NONE);
+        channel =
+                new BalancingChannel(
+                        SettingsParser.ofLines(SETTINGS),
+                        address ->
+                                NettyChannelBuilder.forAddress(address)
+                                        .usePlaintext()
+                                        .disableRetry()
+                                        .directExecutor()
+                                        .build(),
+                        Watcher.NONE);
         List<Engine> roster = new ArrayList<>();
         Map<Long, InetSocketAddress> addresses = new HashMap<>();
         for (UnaryOperator<String> engine : engines) {
-            Server server = NettyServerBuilder.forAddress(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
-                    .addService(ServerServiceDefinition.builder("stand.Engine").addMethod(RUN,
-                            ServerCalls.asyncUnaryCall((request, to) -> {
-                                runs.incrementAndGet();
-                                try {
-                                    to.onNext(StringValue.of(engine.apply(request.getValue())));
-                                    to.onCompleted();
-                                } catch (StatusRuntimeException e) {
-                                    to.onError(e);
-                                }
-                            })).build()).build().start();
+            Server server =
+                    NettyServerBuilder.forAddress(
+                                    new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                            .addService(
+                                    ServerServiceDefinition.builder("stand.Engine")
+                                            .addMethod(
+                                                    RUN,
+                                                    ServerCalls.asyncUnaryCall(
+                                                            (request, to) -> {
+                                                                runs.incrementAndGet();
+                                                                try {
+                                                                    to.onNext(
+                                                                            StringValue.of(
+                                                                                    engine.apply(
+                                                                                            request
+                                                                                                    .getValue())));
+                                                                    to.onCompleted();
+                                                                } catch (StatusRuntimeException e) {
+                                                                    to.onError(e);
+                                                                }
+                                                            }))
+                                            .build())
+                            .build()
+                            .start();
             servers.add(server);
             long id = servers.size();
             roster.add(new Engine(id, 0, 0, 0, 0, EngineState.READY));
-            addresses.put(id, new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getPort()));
+            addresses.put(
+                    id, new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getPort()));
         }
         channel.roster(RosterKind.COMPLETE, roster, addresses);
     }
 
     private String call(String queryClass, long waitMs) {
-        CallOptions options = CallOptions.DEFAULT.withOption(BalancingChannel.QUERY_CLASS, queryClass)
-                .withDeadlineAfter(waitMs, TimeUnit.MILLISECONDS);
+        CallOptions options =
+                CallOptions.DEFAULT
+                        .withOption(BalancingChannel.QUERY_CLASS, queryClass)
+                        .withDeadlineAfter(waitMs, TimeUnit.MILLISECONDS);
         return ClientCalls.blockingUnaryCall(channel, RUN, options, StringValue.of("x")).getValue();
     }
 
@@ -101,20 +140,25 @@
     @Test
     void aReadGoesToAnotherEngineAndALoadDoesNot() throws Exception {
         AtomicInteger tries = new AtomicInteger();
-        UnaryOperator<String> first = x -> tries.incrementAndGet() == 1 ? unavailable(x) : x + " done";
+        UnaryOperator<String> first =
+                x -> tries.incrementAndGet() == 1 ? unavailable(x) : x + " done";
         start(List.of(first, first));
         assertEquals("x done", call("look", 8000));
         assertEquals(2, runs.get());
         tries.set(0);
-        assertEquals(Status.Code.UNAVAILABLE,
-                assertThrows(StatusRuntimeException.class, () -> call("load", 8000)).getStatus().getCode());
+        assertEquals(
+                Status.Code.UNAVAILABLE,
+                assertThrows(StatusRuntimeException.class, () -> call("load", 8000))
+                        .getStatus()
+                        .getCode());
         assertEquals(3, runs.get());
     }
 
     @Test
     void withNoEngineItIsRefusedWithAWait() throws Exception {
         start(List.of());
-        StatusRuntimeException refused = assertThrows(StatusRuntimeException.class, () -> call("look", 8000));
+        StatusRuntimeException refused =
+                assertThrows(StatusRuntimeException.class, () -> call("look", 8000));
         assertEquals(Status.Code.UNAVAILABLE, refused.getStatus().getCode());
         assertTrue(Long.parseLong(refused.getTrailers().get(Calls.STAY_AWAY)) > 0);
     }
@@ -122,8 +166,11 @@
     @Test
     void aCallWithoutAClassIsMalformed() throws Exception {
         start(List.of(x -> x));
-        assertEquals(Status.Code.INVALID_ARGUMENT,
-                assertThrows(StatusRuntimeException.class, () -> call("what", 8000)).getStatus().getCode());
+        assertEquals(
+                Status.Code.INVALID_ARGUMENT,
+                assertThrows(StatusRuntimeException.class, () -> call("what", 8000))
+                        .getStatus()
+                        .getCode());
         assertEquals(0, runs.get());
     }
 }
--- a/src/test/java/calicostream/handover/HandoverTest.java
+++ b/src/test/java/calicostream/handover/HandoverTest.java
@@ -22,15 +22,19 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class HandoverTest {
-    private static final String STATE = "{\"version\":1,\"generation\":0,\"listening\":true,\"seq\":9,"
-            + "\"engines\":{\"e1\":{\"at\":1,\"out\":false}}}";
-    @TempDir
-    Path folder;
+    private static final String STATE =
+            "{\"version\":1,\"generation\":0,\"listening\":true,\"seq\":9,"
+                    + "\"engines\":{\"e1\":{\"at\":1,\"out\":false}}}";
+    @TempDir Path folder;
     private final List<String> heard = new ArrayList<>();
 
     private Handover joined(String who) {
-        Handover handover = new Handover(folder, "n1", (engine, word) ->
-                heard.add(who + " " + engine + (word.out() ? " out" : " back")));
+        Handover handover =
+                new Handover(
+                        folder,
+                        "n1",
+                        (engine, word) ->
+                                heard.add(who + " " + engine + (word.out() ? " out" : " back")));
         handover.join();
         return handover;
     }
@@ -66,7 +70,8 @@
     void whatTheDeadLeftIsNotReadAndClearedAway() throws IOException {
         Path path = folder.resolve("calicostream-n1.handover");
         byte[] left;
-        try (SlotFile free = new SlotFile(path); SlotFile dead = new SlotFile(path)) {
+        try (SlotFile free = new SlotFile(path);
+                SlotFile dead = new SlotFile(path)) {
             dead.write(STATE.getBytes(StandardCharsets.UTF_8));
             assertEquals(1, free.others(new long[SlotFile.SLOTS]).size(), "while it lives");
             left = Files.readAllBytes(path);
@@ -80,10 +85,16 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "{", "[]", "{\"version\":2,\"generation\":9,\"listening\":true,\"engines\":{}}",
-        "{\"version\":1,\"generation\":9,\"listening\":true}",
-        "{\"version\":1,\"generation\":9,\"listening\":true,\"engines\":{\"e1\":7}}",
-        "{\"version\":1,\"generation\":\"x\",\"listening\":true,\"engines\":{}}"})
+    @ValueSource(
+            strings = {
+                "",
+                "{",
+                "[]",
+                "{\"version\":2,\"generation\":9,\"listening\":true,\"engines\":{}}",
+                "{\"version\":1,\"generation\":9,\"listening\":true}",
+                "{\"version\":1,\"generation\":9,\"listening\":true,\"engines\":{\"e1\":7}}",
+                "{\"version\":1,\"generation\":\"x\",\"listening\":true,\"engines\":{}}"
+            })
     void aStateThatCannotBeReadIsNotUsed(String text) throws IOException {
         try (SlotFile odd = new SlotFile(folder.resolve("calicostream-n1.handover"))) {
             odd.write(text.getBytes(StandardCharsets.UTF_8));
@@ -94,7 +105,9 @@
         }
     }
 
-    /** It was half written, or written over while it was read: what was known of that process stays. */
+    /**
+     * It was half written, or written over while it was read: what was known of that process stays.
+     */
     @Test
     void aHalfWrittenStateChangesNothing() throws IOException {
         Path path = folder.resolve("calicostream-n1.handover");
@@ -138,7 +151,8 @@
         fifth.leave();
         held.get(2).close();
         assertEquals(2, new SlotFile(path).own());
-        Handover nowhere = new Handover(folder.resolve("missing"), "n1", (engine, word) -> heard.add(engine));
+        Handover nowhere =
+                new Handover(folder.resolve("missing"), "n1", (engine, word) -> heard.add(engine));
         nowhere.join();
         nowhere.look();
         assertFalse(nowhere.hasElder());
--- a/src/test/java/calicostream/lease/HolderTest.java
+++ b/src/test/java/calicostream/lease/HolderTest.java
@@ -21,7 +21,7 @@
     private static final long WITHIN = Drift.BOUND.within(TTL);
     private final Holder holder = new Holder("task", TTL, 0);
     private long now;
-    private final Acts acts = new Acts(holder, () -> now, "lease", (machine, body, done) -> { });
+    private final Acts acts = new Acts(holder, () -> now, "lease", (machine, body, done) -> {});
 
     private Ask asks(Class<? extends LeaseCommand> kind) {
         Ask ask = holder.next(now);
@@ -32,7 +32,8 @@
 
     private void holds(long token) {
         holder.want();
-        holder.answered(now, asks(LeaseCommand.Acquire.class).number(), new LeaseAnswer.Holds(token));
+        holder.answered(
+                now, asks(LeaseCommand.Acquire.class).number(), new LeaseAnswer.Holds(token));
         assertTrue(holder.mayAct(now));
     }
 
@@ -57,7 +58,10 @@
         assertFalse(acts.isHeld());
     }
 
-    /** Stopped for three times its lease: the renewal that was out comes back and does not bring it back to life. */
+    /**
+     * Stopped for three times its lease: the renewal that was out comes back and does not bring it
+     * back to life.
+     */
     @Test
     void whoWasStoppedStopsAndAsksAnew() {
         holds(4);
@@ -120,26 +124,33 @@
         assertFalse(acts.isHeld());
     }
 
-    /** The check passes, then the process is stopped: the resource refuses what arrives after the next holder's act. */
+    /**
+     * The check passes, then the process is stopped: the resource refuses what arrives after the
+     * next holder's act.
+     */
     @Test
     void theResourceRefusesTheActThatCameTooLate() {
         Fence fence = new Fence();
         List<String> done = new ArrayList<>();
-        Fenced<String, Integer> resource = (lease, token, act) -> {
-            LeaseRejection refused = fence.admit(lease, token).orElse(null);
-            if (refused != null) {
-                return Outcome.refused(refused);
-            }
-            done.add(act);
-            return Outcome.done(done.size());
-        };
+        Fenced<String, Integer> resource =
+                (lease, token, act) -> {
+                    LeaseRejection refused = fence.admit(lease, token).orElse(null);
+                    if (refused != null) {
+                        return Outcome.refused(refused);
+                    }
+                    done.add(act);
+                    return Outcome.done(done.size());
+                };
         holds(4);
-        Fenced<String, Integer> afterThePause = (lease, token, act) -> {
-            resource.act(lease, 5, "the next holder's");
-            return resource.act(lease, token, act);
-        };
+        Fenced<String, Integer> afterThePause =
+                (lease, token, act) -> {
+                    resource.act(lease, 5, "the next holder's");
+                    return resource.act(lease, token, act);
+                };
         assertEquals(1, acts.at(resource, "in time").result());
-        assertEquals(new LeaseRejection.TokenOutdated("task", 4, 5), acts.at(afterThePause, "too late").refused());
+        assertEquals(
+                new LeaseRejection.TokenOutdated("task", 4, 5),
+                acts.at(afterThePause, "too late").refused());
         assertEquals(List.of("in time", "the next holder's"), done);
         assertEquals(5, fence.highest("task"));
     }
--- a/src/test/java/calicostream/lease/LeaseMachineTest.java
+++ b/src/test/java/calicostream/lease/LeaseMachineTest.java
@@ -56,14 +56,25 @@
         assertEquals(new LeaseAnswer.Holds(1), acquire(7));
         assertEquals(new LeaseAnswer.Waits(1), acquire(8));
         assertEquals(new LeaseAnswer.Waits(2), acquire(9));
-        assertEquals(new LeaseRejection.AlreadyWaits(TASK, 2), refusal(say(9, new LeaseCommand.Acquire(TASK, S, true))));
-        assertEquals(new LeaseRejection.AlreadyHolds(TASK, 1), refusal(say(7, new LeaseCommand.Acquire(TASK, S, true))));
-        assertEquals(new LeaseRejection.IsHeld(TASK, 1), refusal(say(3, new LeaseCommand.Acquire(TASK, S, false))));
-        assertEquals(List.of(new LeaseEvent.Freed(TASK, 1, LeaseEvent.Why.RELEASED), new LeaseEvent.Granted(TASK, 2, 8)),
+        assertEquals(
+                new LeaseRejection.AlreadyWaits(TASK, 2),
+                refusal(say(9, new LeaseCommand.Acquire(TASK, S, true))));
+        assertEquals(
+                new LeaseRejection.AlreadyHolds(TASK, 1),
+                refusal(say(7, new LeaseCommand.Acquire(TASK, S, true))));
+        assertEquals(
+                new LeaseRejection.IsHeld(TASK, 1),
+                refusal(say(3, new LeaseCommand.Acquire(TASK, S, false))));
+        assertEquals(
+                List.of(
+                        new LeaseEvent.Freed(TASK, 1, LeaseEvent.Why.RELEASED),
+                        new LeaseEvent.Granted(TASK, 2, 8)),
                 events(say(7, new LeaseCommand.Release(TASK, 1))));
         acquire(7);
         ask(8, new LeaseCommand.Release(TASK, 2));
-        assertTrue(machine.isHolder(TASK, 3) && machine.held().get(0).session() == 9, "who comes back goes to the end");
+        assertTrue(
+                machine.isHolder(TASK, 3) && machine.held().get(0).session() == 9,
+                "who comes back goes to the end");
     }
 
     @Test
@@ -71,13 +82,21 @@
         acquire(7);
         acquire(8);
         ask(7, new LeaseCommand.Release(TASK, 1));
-        for (LeaseCommand each : List.of(new LeaseCommand.Renew(TASK, 1), new LeaseCommand.Release(TASK, 1), new LeaseCommand.Transfer(TASK, 1, 0),
-                new LeaseCommand.Act(TASK, 1, new byte[3]))) {
+        for (LeaseCommand each :
+                List.of(
+                        new LeaseCommand.Renew(TASK, 1),
+                        new LeaseCommand.Release(TASK, 1),
+                        new LeaseCommand.Transfer(TASK, 1, 0),
+                        new LeaseCommand.Act(TASK, 1, new byte[3]))) {
             assertEquals(new LeaseRejection.NotHolder(TASK, 1, 2), refusal(say(7, each)));
         }
-        assertEquals(new LeaseRejection.NotHolder(TASK, 2, 2), refusal(say(7, new LeaseCommand.Renew(TASK, 2))), "another's token");
+        assertEquals(
+                new LeaseRejection.NotHolder(TASK, 2, 2),
+                refusal(say(7, new LeaseCommand.Renew(TASK, 2))),
+                "another's token");
         byte[] payload = {5, 6};
-        LeaseEvent.Acted acted = (LeaseEvent.Acted) events(say(8, new LeaseCommand.Act(TASK, 2, payload))).get(0);
+        LeaseEvent.Acted acted =
+                (LeaseEvent.Acted) events(say(8, new LeaseCommand.Act(TASK, 2, payload))).get(0);
         assertArrayEquals(payload, acted.payload());
     }
 
@@ -85,12 +104,21 @@
     void anEndThatARenewalOvertookIsRefused() {
         acquire(7);
         ask(7, new LeaseCommand.Renew(TASK, 1));
-        assertEquals(new LeaseRejection.RenewedMeanwhile(TASK, 1, 1), refusal(say(0, new LeaseCommand.Expire(TASK, 1, 0))));
-        assertInstanceOf(LeaseRejection.NotItsToSay.class, refusal(say(8, new LeaseCommand.Expire(TASK, 1, 1))));
-        assertInstanceOf(LeaseRejection.NotItsToSay.class, refusal(say(0, new LeaseCommand.Acquire(TASK, S, true))));
+        assertEquals(
+                new LeaseRejection.RenewedMeanwhile(TASK, 1, 1),
+                refusal(say(0, new LeaseCommand.Expire(TASK, 1, 0))));
+        assertInstanceOf(
+                LeaseRejection.NotItsToSay.class,
+                refusal(say(8, new LeaseCommand.Expire(TASK, 1, 1))));
+        assertInstanceOf(
+                LeaseRejection.NotItsToSay.class,
+                refusal(say(0, new LeaseCommand.Acquire(TASK, S, true))));
         ask(0, new LeaseCommand.Expire(TASK, 1, 1));
         assertEquals(List.of(), machine.held());
-        assertEquals(new LeaseAnswer.Holds(2), acquire(7), "a forgotten lease's token is not given again");
+        assertEquals(
+                new LeaseAnswer.Holds(2),
+                acquire(7),
+                "a forgotten lease's token is not given again");
     }
 
     @Test
@@ -101,7 +129,9 @@
         machine.sessionEnded(++index, 8);
         machine.sessionEnded(++index, 7);
         assertTrue(machine.isHolder(TASK, 1));
-        assertEquals(new LeaseRejection.SessionEnded(TASK, 1), refusal(say(7, new LeaseCommand.Renew(TASK, 1))));
+        assertEquals(
+                new LeaseRejection.SessionEnded(TASK, 1),
+                refusal(say(7, new LeaseCommand.Renew(TASK, 1))));
         ask(0, new LeaseCommand.Expire(TASK, 1, 0));
         assertEquals(9, machine.held().get(0).session());
     }
@@ -109,13 +139,20 @@
     @Test
     void aPlannedStopChoosesAmongThoseThatWait() {
         acquire(7);
-        assertEquals(new LeaseRejection.NoSuccessor(TASK, 0), refusal(say(7, new LeaseCommand.Transfer(TASK, 1, 0))));
+        assertEquals(
+                new LeaseRejection.NoSuccessor(TASK, 0),
+                refusal(say(7, new LeaseCommand.Transfer(TASK, 1, 0))));
         acquire(8);
         acquire(9);
-        assertEquals(new LeaseRejection.NoSuccessor(TASK, 5), refusal(say(7, new LeaseCommand.Transfer(TASK, 1, 5))));
+        assertEquals(
+                new LeaseRejection.NoSuccessor(TASK, 5),
+                refusal(say(7, new LeaseCommand.Transfer(TASK, 1, 5))));
         ask(7, new LeaseCommand.Transfer(TASK, 1, 9));
         assertEquals(9, machine.held().get(0).session());
-        assertEquals(new LeaseRejection.AlreadyHolds(TASK, 2), refusal(say(9, new LeaseCommand.Withdraw(TASK))), "the grant came first");
+        assertEquals(
+                new LeaseRejection.AlreadyHolds(TASK, 2),
+                refusal(say(9, new LeaseCommand.Withdraw(TASK))),
+                "the grant came first");
         ask(8, new LeaseCommand.Withdraw(TASK));
         assertEquals(0, machine.held().get(0).waiting());
     }
@@ -125,11 +162,37 @@
         LeaseMachine small = new LeaseMachine(new Limits(1, 10, 1, 1));
         Command first = new Command(7, 1, 0, new LeaseCommand.Acquire("a", 5, true).encode());
         small.apply(1, first);
-        assertInstanceOf(LeaseRejection.TooManyLeases.class, refusal(small.apply(2, new Command(7, 2, 0, new LeaseCommand.Acquire("b", 5, true).encode()))));
+        assertInstanceOf(
+                LeaseRejection.TooManyLeases.class,
+                refusal(
+                        small.apply(
+                                2,
+                                new Command(
+                                        7,
+                                        2,
+                                        0,
+                                        new LeaseCommand.Acquire("b", 5, true).encode()))));
         small.apply(3, new Command(8, 1, 0, new LeaseCommand.Acquire("a", 5, true).encode()));
-        assertEquals(new LeaseRejection.QueueFull("a", 1), refusal(small.apply(4, new Command(9, 1, 0, first.body()))));
-        assertInstanceOf(LeaseRejection.BadTerms.class, refusal(small.apply(5, new Command(9, 2, 0, new LeaseCommand.Acquire("a", 11, true).encode()))));
-        assertInstanceOf(LeaseRejection.BadTerms.class, refusal(small.apply(6, new Command(9, 3, 0, new LeaseCommand.Acquire("", 5, true).encode()))));
+        assertEquals(
+                new LeaseRejection.QueueFull("a", 1),
+                refusal(small.apply(4, new Command(9, 1, 0, first.body()))));
+        assertInstanceOf(
+                LeaseRejection.BadTerms.class,
+                refusal(
+                        small.apply(
+                                5,
+                                new Command(
+                                        9,
+                                        2,
+                                        0,
+                                        new LeaseCommand.Acquire("a", 11, true).encode()))));
+        assertInstanceOf(
+                LeaseRejection.BadTerms.class,
+                refusal(
+                        small.apply(
+                                6,
+                                new Command(
+                                        9, 3, 0, new LeaseCommand.Acquire("", 5, true).encode()))));
     }
 
     /** Whatever bytes come, the machine answers and stays as it is. */
@@ -139,7 +202,8 @@
         byte[] before = machine.snapshot();
         byte[] good = new LeaseCommand.Act(TASK, 1, new byte[4]).encode();
         for (int cut = 0; cut < good.length; cut++) {
-            Effects effects = machine.apply(++index, new Command(7, index, 0, Arrays.copyOf(good, cut)));
+            Effects effects =
+                    machine.apply(++index, new Command(7, index, 0, Arrays.copyOf(good, cut)));
             assertEquals("cluster-malformed", effects.refusal());
         }
         assertArrayEquals(before, machine.snapshot());
@@ -154,7 +218,9 @@
         machine.sessionEnded(++index, 7);
         ask(9, new LeaseCommand.Acquire("trials", 3 * S, true));
         ask(0, new LeaseCommand.RaiseTokens(40));
-        String golden = Files.readString(Path.of("src/test/resources/lease/snapshot-1.hex")).replaceAll("\\s", "");
+        String golden =
+                Files.readString(Path.of("src/test/resources/lease/snapshot-1.hex"))
+                        .replaceAll("\\s", "");
         assertEquals(golden, HexFormat.of().formatHex(machine.snapshot()));
         LeaseMachine read = new LeaseMachine();
         read.restore(HexFormat.of().parseHex(golden));
@@ -171,6 +237,8 @@
     @EnumSource(LeaseRejection.Kind.class)
     void everyRefusalHasItsCode(LeaseRejection.Kind kind) throws ReflectiveOperationException {
         assertEquals(kind.type.getField("CODE").get(null), kind.code);
-        assertEquals(LeaseRejection.class.getPermittedSubclasses().length, LeaseRejection.Kind.values().length);
+        assertEquals(
+                LeaseRejection.class.getPermittedSubclasses().length,
+                LeaseRejection.Kind.values().length);
     }
 }
--- a/src/test/java/calicostream/lease/LeaseRunsTest.java
+++ b/src/test/java/calicostream/lease/LeaseRunsTest.java
@@ -32,7 +32,12 @@
 
     @Test
     void theNextHolderActsAboutOneTimeToLiveAfterTheLastIsKilled() {
-        List<Double> handOvers = LongStream.range(FIRST, FIRST + 12).boxed().flatMap(seed -> LeaseRuns.kills(seed).handOvers().stream()).sorted().toList();
+        List<Double> handOvers =
+                LongStream.range(FIRST, FIRST + 12)
+                        .boxed()
+                        .flatMap(seed -> LeaseRuns.kills(seed).handOvers().stream())
+                        .sorted()
+                        .toList();
         assertTrue(handOvers.size() > 50, "hand-overs " + handOvers.size());
         double p99 = handOvers.get(handOvers.size() * 99 / 100);
         assertTrue(p99 > 0.5 && p99 <= 2, "p99 " + p99);
@@ -44,9 +49,18 @@
     }
 
     @ParameterizedTest
-    @EnumSource(names = {"TOKEN_NOT_CHECKED", "LOG_TOKEN_NOT_CHECKED", "NEW_LEADER_DOES_NOT_WAIT", "EXPIRY_FROM_ANSWER_TIME",
-        "QUEUE_GRANT_NOT_CONFIRMED", "LEASE_FREED_WITH_SESSION"})
+    @EnumSource(
+            names = {
+                "TOKEN_NOT_CHECKED",
+                "LOG_TOKEN_NOT_CHECKED",
+                "NEW_LEADER_DOES_NOT_WAIT",
+                "EXPIRY_FROM_ANSWER_TIME",
+                "QUEUE_GRANT_NOT_CONFIRMED",
+                "LEASE_FREED_WITH_SESSION"
+            })
     void runsByChanceFindItToo(Mutant without) {
-        assertTrue(LongStream.range(FIRST, FIRST + 40 * RUNS).anyMatch(seed -> !LeaseRuns.run(seed, without).broken().isEmpty()));
+        assertTrue(
+                LongStream.range(FIRST, FIRST + 40 * RUNS)
+                        .anyMatch(seed -> !LeaseRuns.run(seed, without).broken().isEmpty()));
     }
 }
--- a/src/test/java/calicostream/lease/ProofsTest.java
+++ b/src/test/java/calicostream/lease/ProofsTest.java
@@ -39,7 +39,10 @@
     void theLackOfEachSafeguardIsFound(Mutant each) {
         Explorer.Result result = Explorer.explore(LeaseProofs.without().get(each), MOST);
         assertNotNull(result.broken(), result::toString);
-        assertEquals(result.depth(), result.trace().size(), "the trace goes from the start to the break");
+        assertEquals(
+                result.depth(),
+                result.trace().size(),
+                "the trace goes from the start to the break");
     }
 
     /** The explorer by itself: every state once, the shortest way to a break. */
@@ -49,7 +52,9 @@
         assertEquals(100 * 100, all.states());
         assertTrue(all.complete());
         Explorer.Result broken = Explorer.explore(new Counters(6), MOST);
-        assertEquals(List.of("0", "0", "0", "0", "0", "1", "1", "1", "1", "1"), broken.trace().stream().sorted().toList());
+        assertEquals(
+                List.of("0", "0", "0", "0", "0", "1", "1", "1", "1", "1"),
+                broken.trace().stream().sorted().toList());
     }
 
     /** Two counters; of small ones it is forbidden that both reach the top. */
--- a/src/test/java/calicostream/lease/TasksTest.java
+++ b/src/test/java/calicostream/lease/TasksTest.java
@@ -44,7 +44,8 @@
     void aTaskThatThrowsLeavesItsLeaseToAnotherAndWantsItAgain() {
         first.throwsNext = true;
         processes.pass(300);
-        assertEquals(List.of("lease-held 1", "lease-task-failed 1", "lease-given-back 1"), first.events);
+        assertEquals(
+                List.of("lease-held 1", "lease-task-failed 1", "lease-given-back 1"), first.events);
         assertEquals(1, second.count("started"));
         assertEquals(Holder.Phase.IDLE, first.tasks.figures().get(0).phase());
         processes.pass(2_500);
--- a/src/test/java/calicostream/lease/TrialsFleetTest.java
+++ b/src/test/java/calicostream/lease/TrialsFleetTest.java
@@ -18,11 +18,27 @@
         TrialsFleet alone = TrialsFleet.of(-1, 0);
         TrialsFleet led = TrialsFleet.of(4, TrialsFleet.END);
         TrialsFleet left = TrialsFleet.of(4, 30_000 * MILLI);
-        System.out.println("seed " + TrialsFleet.SEED + ": sent to the engine that is down " + alone.trialsMade + " alone, " + led.trialsMade
-                + " with hints, " + left.trialsMade + " with hints for half the time; all back after " + lastBack(alone) + " ms, "
-                + lastBack(led) + " ms");
-        assertTrue(led.trialsMade * 3 <= alone.trialsMade, led.trialsMade + " of " + alone.trialsMade);
-        assertTrue(led.backAfter.size() == SIZE && alone.backAfter.size() == SIZE && left.backAfter.size() == SIZE, "all used it again");
+        System.out.println(
+                "seed "
+                        + TrialsFleet.SEED
+                        + ": sent to the engine that is down "
+                        + alone.trialsMade
+                        + " alone, "
+                        + led.trialsMade
+                        + " with hints, "
+                        + left.trialsMade
+                        + " with hints for half the time; all back after "
+                        + lastBack(alone)
+                        + " ms, "
+                        + lastBack(led)
+                        + " ms");
+        assertTrue(
+                led.trialsMade * 3 <= alone.trialsMade, led.trialsMade + " of " + alone.trialsMade);
+        assertTrue(
+                led.backAfter.size() == SIZE
+                        && alone.backAfter.size() == SIZE
+                        && left.backAfter.size() == SIZE,
+                "all used it again");
         assertTrue(left.trialsMade > led.trialsMade, "who hears no more tries for itself");
     }
 }
--- a/src/test/java/calicostream/lease/TrialsTest.java
+++ b/src/test/java/calicostream/lease/TrialsTest.java
@@ -13,7 +13,9 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** One process tells of its trials; the others hear of it, each thing once, and go on without it. */
+/**
+ * One process tells of its trials; the others hear of it, each thing once, and go on without it.
+ */
 class TrialsTest {
     private static final long SEED = 25;
 
@@ -43,7 +45,8 @@
         holder.out.remove(3L);
         pair.pass(2_000);
         assertEquals(2, other.hinted.stream().filter("3 served"::equals).count());
-        assertTrue(other.trials.figures().contains("\"3\":{\"served\":true"), other.trials.figures());
+        assertTrue(
+                other.trials.figures().contains("\"3\":{\"served\":true"), other.trials.figures());
     }
 
     @Test
@@ -87,14 +90,22 @@
         pair.pass(1_200);
         holder.out.clear();
         pair.pass(300);
-        assertTrue(words.stream().allMatch(word -> word.length <= Limits.PAYLOAD && new Bytes.Reader("word", word).u8() == 1));
+        assertTrue(
+                words.stream()
+                        .allMatch(
+                                word ->
+                                        word.length <= Limits.PAYLOAD
+                                                && new Bytes.Reader("word", word).u8() == 1));
         assertTrue(other.trials.hints(pair.now).size() <= Trials.MOST);
         Map<Long, Hint> before = other.trials.hints(pair.now);
         int hinted = other.hinted.size();
         byte[] right = words.get(0);
         for (int i = 0; i < 200; i++) {
             byte[] cut = java.util.Arrays.copyOf(right, random.nextInt(right.length));
-            assertThrows(ClusterException.Malformed.class, () -> other.trials.heard(9, cut, pair.now), "seed " + SEED);
+            assertThrows(
+                    ClusterException.Malformed.class,
+                    () -> other.trials.heard(9, cut, pair.now),
+                    "seed " + SEED);
         }
         assertEquals(before, other.trials.hints(pair.now));
         assertEquals(hinted, other.hinted.size());
--- a/src/test/java/calicostream/listing/AskingTest.java
+++ b/src/test/java/calicostream/listing/AskingTest.java
@@ -30,7 +30,13 @@
     }
 
     private static long busiest(List<Long> calls, long window) {
-        return calls.stream().mapToLong(from -> calls.stream().filter(at -> at >= from && at < from + window).count()).max()
+        return calls.stream()
+                .mapToLong(
+                        from ->
+                                calls.stream()
+                                        .filter(at -> at >= from && at < from + window)
+                                        .count())
+                .max()
                 .orElse(0);
     }
 
@@ -39,7 +45,9 @@
         assertTrue(busiest(calls(100 * MS), 5 * MS) < TIER / 5, "right after the end");
         List<Long> later = calls(10 * S).stream().filter(at -> at > 2 * S).toList();
         double even = later.size() * 5.0 * MS / (8 * S);
-        assertTrue(busiest(later, 5 * MS) < 10 * even, busiest(later, 5 * MS) + " in 5 ms against " + even);
+        assertTrue(
+                busiest(later, 5 * MS) < 10 * even,
+                busiest(later, 5 * MS) + " in 5 ms against " + even);
     }
 
     @Test
@@ -50,11 +58,15 @@
             for (int tries = 0; tries < 50; tries++) {
                 asking.asked(at);
                 long next = asking.next(at);
-                assertTrue(next >= at + 50 * MS && next <= at + 640 * MS, "seed " + i + ": after " + (next - at) + " us");
+                assertTrue(
+                        next >= at + 50 * MS && next <= at + 640 * MS,
+                        "seed " + i + ": after " + (next - at) + " us");
                 at = next;
             }
             asking.answered();
-            assertTrue(asking.next(at + S) < at + S + 100 * MS, "seed " + i + ": one that had answered is asked soon");
+            assertTrue(
+                    asking.next(at + S) < at + S + 100 * MS,
+                    "seed " + i + ": one that had answered is asked soon");
         }
     }
 
--- a/src/test/java/calicostream/mass/MassTest.java
+++ b/src/test/java/calicostream/mass/MassTest.java
@@ -15,7 +15,10 @@
     private static final long S = 1_000_000;
     private static final long SEED = 20261201;
 
-    /** Seventy front ends start in the same second, in the middle of a release, and know nothing of each other. */
+    /**
+     * Seventy front ends start in the same second, in the middle of a release, and know nothing of
+     * each other.
+     */
     @ParameterizedTest
     @CsvSource({"100", "80", "130"})
     void aColdEngineIsSparedByAllTogetherHoweverManyStart(int told) {
@@ -24,12 +27,18 @@
         List<EngineModel> cold = MassRuns.herd(fleet);
         fleet.run(14 * S);
         double peak = MassRuns.peak(cold);
-        double most = told >= 100 ? 1 : 100.0 / told; // Fewer told than there are: the part of each is too large.
+        double most =
+                told >= 100
+                        ? 1
+                        : 100.0 / told; // Fewer told than there are: the part of each is too large.
         assertTrue(peak > 0 && peak <= most, "peak " + peak);
         assertEquals(Map.of(), fleet.violations());
     }
 
-    /** Thirty have a thirtieth each, and their turns must not add up to more than the rule allows, also where they all have just started. */
+    /**
+     * Thirty have a thirtieth each, and their turns must not add up to more than the rule allows,
+     * also where they all have just started.
+     */
     @Test
     void thirtyFrontEndsTogetherSpareAFewColdEngines() {
         for (long seed = SEED; seed < SEED + 3; seed++) {
@@ -77,20 +86,31 @@
         assertEquals(Map.of(), fleet.violations());
     }
 
-    /** Its engines drain together: their front ends go elsewhere, and nothing is sent to a drained one. */
+    /**
+     * Its engines drain together: their front ends go elsewhere, and nothing is sent to a drained
+     * one.
+     */
     @Test
     void aZoneThatLosesItsEnginesIsServedByTheOthers() {
         Fleet fleet = Fleet.ofModules(Fleet.Shape.usual(), SEED);
         fleet.run(10 * S);
         fleet.engines().stream().filter(e -> e.zone == 1).forEach(fleet::drain);
         fleet.run(30 * S);
-        long refused = fleet.gateways().stream().filter(g -> g.zone == 1).mapToLong(g -> g.refused + g.failed).sum();
-        long asked = fleet.gateways().stream().filter(g -> g.zone == 1).mapToLong(g -> g.asked).sum();
+        long refused =
+                fleet.gateways().stream()
+                        .filter(g -> g.zone == 1)
+                        .mapToLong(g -> g.refused + g.failed)
+                        .sum();
+        long asked =
+                fleet.gateways().stream().filter(g -> g.zone == 1).mapToLong(g -> g.asked).sum();
         assertTrue(refused < 0.05 * asked, refused + " of " + asked + " turned away");
         assertEquals(Map.of(), fleet.violations());
     }
 
-    /** Few front ends before many engines: turns at cold engines that waste half of the allowance leave them idle beside full ones. */
+    /**
+     * Few front ends before many engines: turns at cold engines that waste half of the allowance
+     * leave them idle beside full ones.
+     */
     @Test
     void aVastFleetUsesItsColdEnginesAndKeepsTheRules() {
         for (long seed = SEED; seed < SEED + 3; seed++) {
@@ -103,7 +123,9 @@
             String run = "seed " + seed + ": ";
             assertEquals(Map.of(), join.violations(), run);
             assertEquals(Map.of(), zone.violations(), run);
-            assertTrue(MassRuns.peak(cold) <= 1 && MassRuns.peak(back) <= 1, run + MassRuns.peak(cold) + ", " + MassRuns.peak(back));
+            assertTrue(
+                    MassRuns.peak(cold) <= 1 && MassRuns.peak(back) <= 1,
+                    run + MassRuns.peak(cold) + ", " + MassRuns.peak(back));
             assertTrue(MassRuns.use(join, cold) > 0.5, run + MassRuns.use(join, cold));
             assertTrue(MassRuns.use(zone, back) > 0.5, run + MassRuns.use(zone, back));
         }
--- a/src/test/java/calicostream/net/ConnectionTest.java
+++ b/src/test/java/calicostream/net/ConnectionTest.java
@@ -21,11 +21,15 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The end of a connection, against another side that reads as a test says and on a clock that it turns. */
+/**
+ * The end of a connection, against another side that reads as a test says and on a clock that it
+ * turns.
+ */
 class ConnectionTest {
     private static final int PATIENCE_S = 20;
     private static final int BOUND = 128 * 1024;
-    private static final int SOCKET_TAKES = 4 * 1024; // far less than the ring: it empties in many steps
+    private static final int SOCKET_TAKES =
+            4 * 1024; // far less than the ring: it empties in many steps
     private static final long LINGERS = 1_100_000;
     private final AtomicLong ahead = new AtomicLong();
     private final CompletableFuture<Connection> accepted = new CompletableFuture<>();
@@ -36,31 +40,43 @@
 
     @BeforeEach
     void start() throws Exception {
-        Clock clock = new Clock() {
-            @Override
-            public long now() {
-                return super.now() + ahead.get();
-            }
-        };
-        loop = new Loop(clock, new Deadlines());
-        Listener listener = new Listener(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 8, new Listener.Taker() {
-            @Override
-            public void accepted(SocketChannel channel) throws IOException {
-                channel.setOption(StandardSocketOptions.SO_SNDBUF, SOCKET_TAKES);
-                accepted.complete(Connection.accepted(loop, channel, new Connection.Handler() {
+        Clock clock =
+                new Clock() {
                     @Override
-                    public void received(Connection c) { }
+                    public long now() {
+                        return super.now() + ahead.get();
+                    }
+                };
+        loop = new Loop(clock, new Deadlines());
+        Listener listener =
+                new Listener(
+                        loop,
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                        8,
+                        new Listener.Taker() {
+                            @Override
+                            public void accepted(SocketChannel channel) throws IOException {
+                                channel.setOption(StandardSocketOptions.SO_SNDBUF, SOCKET_TAKES);
+                                accepted.complete(
+                                        Connection.accepted(
+                                                loop,
+                                                channel,
+                                                new Connection.Handler() {
+                                                    @Override
+                                                    public void received(Connection c) {}
 
-                    @Override
-                    public void closed(Connection c) { }
-                }, BOUND, BOUND));
-            }
+                                                    @Override
+                                                    public void closed(Connection c) {}
+                                                },
+                                                BOUND,
+                                                BOUND));
+                            }
 
-            @Override
-            public boolean spareOne() {
-                return false;
-            }
-        });
+                            @Override
+                            public boolean spareOne() {
+                                return false;
+                            }
+                        });
         thread = new LoopThread(loop);
         client = new Socket();
         client.setReceiveBufferSize(8 * 1024);
@@ -81,20 +97,21 @@
 
     /** Writes until the socket takes no more and half of the ring is full; the bytes queued. */
     private long fill() throws Exception {
-        return on(() -> {
-            while (connection.unsent() < BOUND / 2) {
-                connection.write(new byte[1024]);
-                connection.flushNow();
-            }
-            return connection.queued();
-        });
+        return on(
+                () -> {
+                    while (connection.unsent() < BOUND / 2) {
+                        connection.write(new byte[1024]);
+                        connection.flushNow();
+                    }
+                    return connection.queued();
+                });
     }
 
     /** Reads until so many bytes more have gone into the socket. */
     private long readUntilWritten(InputStream in, long count) throws Exception {
         long before = on(connection::written);
         long read = 0;
-        for (byte[] some = new byte[4096]; on(connection::written) < before + count;) {
+        for (byte[] some = new byte[4096]; on(connection::written) < before + count; ) {
             int more = in.read(some);
             assertTrue(more > 0, "it ended after " + read + " bytes more");
             read += more;
@@ -110,10 +127,11 @@
     @Test
     void whoReadsSlowlyHasAllOfTheLastAnswer() throws Exception {
         long queued = fill();
-        on(() -> {
-            connection.finish();
-            return null;
-        });
+        on(
+                () -> {
+                    connection.finish();
+                    return null;
+                });
         InputStream in = client.getInputStream();
         long read = 0;
         for (int second = 0; second < 3; second++) {
@@ -126,12 +144,14 @@
     @Test
     void whoReadsNothingIsNotWaitedFor() throws Exception {
         fill();
-        on(() -> {
-            connection.finish();
-            return null;
-        });
-        // The system itself may take some more, which can't be told from reading; of two seconds without, one is a whole one.
-        for (int quiet = 0; quiet < 2;) {
+        on(
+                () -> {
+                    connection.finish();
+                    return null;
+                });
+        // The system itself may take some more, which can't be told from reading; of two seconds
+        // without, one is a whole one.
+        for (int quiet = 0; quiet < 2; ) {
             long before = on(connection::written);
             passASecond();
             quiet = on(connection::written) > before ? 0 : quiet + 1;
--- a/src/test/java/calicostream/net/LoopTest.java
+++ b/src/test/java/calicostream/net/LoopTest.java
@@ -26,34 +26,47 @@
     @Test
     void aSelectorThatFailsIsReplacedUnderItsChannels() throws Exception {
         AtomicInteger failing = new AtomicInteger();
-        Loop loop = new Loop(new Clock(), new Deadlines(), (selector, ready, ms) -> {
-            if (failing.getAndUpdate(n -> Math.max(0, n - 1)) > 0) {
-                throw new IOException("Bad file descriptor");
-            }
-            selector.select(ready, ms < 0 ? 1 : ms);
-        });
-        Listener listener = new Listener(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 8, echo(loop));
-        CompletableFuture<Void> ended = CompletableFuture.runAsync(() -> {
-            try {
-                loop.run();
-            } catch (IOException e) {
-                throw new java.io.UncheckedIOException(e);
-            }
-        });
+        Loop loop =
+                new Loop(
+                        new Clock(),
+                        new Deadlines(),
+                        (selector, ready, ms) -> {
+                            if (failing.getAndUpdate(n -> Math.max(0, n - 1)) > 0) {
+                                throw new IOException("Bad file descriptor");
+                            }
+                            selector.select(ready, ms < 0 ? 1 : ms);
+                        });
+        Listener listener =
+                new Listener(
+                        loop,
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                        8,
+                        echo(loop));
+        CompletableFuture<Void> ended =
+                CompletableFuture.runAsync(
+                        () -> {
+                            try {
+                                loop.run();
+                            } catch (IOException e) {
+                                throw new java.io.UncheckedIOException(e);
+                            }
+                        });
         try (Socket early = new Socket(InetAddress.getLoopbackAddress(), listener.port())) {
             assertEchoes(early, "before");
             for (int round = 0; round < 5; round++) {
                 failing.set(3);
-                loop.post(() -> { });
+                loop.post(() -> {});
                 assertEchoes(early, "after " + round);
                 try (Socket late = new Socket(InetAddress.getLoopbackAddress(), listener.port())) {
                     assertEchoes(late, "new " + round);
                 }
             }
             failing.set(1000); // The system itself fails: one error, and no spinning.
-            loop.post(() -> { });
-            Exception e = assertThrows(java.util.concurrent.ExecutionException.class,
-                    () -> ended.get(PATIENCE_S, TimeUnit.SECONDS));
+            loop.post(() -> {});
+            Exception e =
+                    assertThrows(
+                            java.util.concurrent.ExecutionException.class,
+                            () -> ended.get(PATIENCE_S, TimeUnit.SECONDS));
             assertEquals("Bad file descriptor", e.getCause().getCause().getMessage());
             assertTrue(failing.get() > 900, "it gave up after a few");
         }
@@ -63,17 +76,22 @@
         return new Listener.Taker() {
             @Override
             public void accepted(SocketChannel channel) throws IOException {
-                Connection.accepted(loop, channel, new Connection.Handler() {
-                    @Override
-                    public void received(Connection c) {
-                        byte[] all = c.in().copy(0, c.in().size());
-                        c.in().skip(all.length);
-                        c.write(all);
-                    }
+                Connection.accepted(
+                        loop,
+                        channel,
+                        new Connection.Handler() {
+                            @Override
+                            public void received(Connection c) {
+                                byte[] all = c.in().copy(0, c.in().size());
+                                c.in().skip(all.length);
+                                c.write(all);
+                            }
 
-                    @Override
-                    public void closed(Connection c) { }
-                }, 4096, 4096);
+                            @Override
+                            public void closed(Connection c) {}
+                        },
+                        4096,
+                        4096);
             }
 
             @Override
--- a/src/test/java/calicostream/net/LoopThread.java
+++ b/src/test/java/calicostream/net/LoopThread.java
@@ -14,24 +14,30 @@
 
     public LoopThread(Loop loop) {
         this.loop = loop;
-        Thread thread = new Thread(() -> {
-            try {
-                loop.run();
-            } catch (IOException e) {
-                throw new IllegalStateException(e);
-            }
-        });
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                loop.run();
+                            } catch (IOException e) {
+                                throw new IllegalStateException(e);
+                            }
+                        });
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Waits until all that is due has been done: it comes behind what a turn was given to do, and several pieces of that may share one turn. */
+    /**
+     * Waits until all that is due has been done: it comes behind what a turn was given to do, and
+     * several pieces of that may share one turn.
+     */
     public void awaitDue() throws Exception {
         CompletableFuture<Void> due = new CompletableFuture<>();
-        on(() -> {
-            loop.deadlines().add(loop.clock().now(), (now, ref) -> due.complete(null), 0);
-            return null;
-        });
+        on(
+                () -> {
+                    loop.deadlines().add(loop.clock().now(), (now, ref) -> due.complete(null), 0);
+                    return null;
+                });
         due.get(PATIENCE_S, TimeUnit.SECONDS);
     }
 
--- a/src/test/java/calicostream/platform/FrontRig.java
+++ b/src/test/java/calicostream/platform/FrontRig.java
@@ -30,8 +30,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A front end's parts on real sockets, in this process. What a test does {@link #on} the loop's thread happens in one turn: what
- * arrives at a socket meanwhile is there and unread, whatever the test does next, so that two events cross in a known order.
+ * A front end's parts on real sockets, in this process. What a test does {@link #on} the loop's
+ * thread happens in one turn: what arrives at a socket meanwhile is there and unread, whatever the
+ * test does next, so that two events cross in a known order.
  */
 final class FrontRig implements AutoCloseable {
     static final int WIDE = 0;
@@ -41,12 +42,24 @@
     static final int KEYED = 2;
     static final int IN_TURN = 3;
     static final long WINDOW_MS = 300;
-    private static final String SETTINGS = "lanes.count=4\nfamily_info.kind_cores=12,1\nceilings.dial_timeout_us=60000000\n"
-            + "ceilings.max_attempts=5\nceilings.cancel=true\n"
-            + "rules.cold_share=0.3\nrules.warm_up_us=14000000\nrules.fall_us=2000000\nrules.overload_factor=4\n"
-            + lane(LOOK, "look", "repeatable") + lane(LOAD, "load", "once") + lane(KEYED, "keyed", "by_key")
-            + lane(IN_TURN, "in-turn", "once") + "lanes.3.one_at_a_time=true\n"
-            + "lanes.2.key_scope=all\nlanes.2.window_us=" + WINDOW_MS * 1000 + "\n";
+    private static final String SETTINGS =
+            "lanes.count=4\n"
+                    + "family_info.kind_cores=12,1\n"
+                    + "ceilings.dial_timeout_us=60000000\n"
+                    + "ceilings.max_attempts=5\n"
+                    + "ceilings.cancel=true\n"
+                    + "rules.cold_share=0.3\n"
+                    + "rules.warm_up_us=14000000\n"
+                    + "rules.fall_us=2000000\n"
+                    + "rules.overload_factor=4\n"
+                    + lane(LOOK, "look", "repeatable")
+                    + lane(LOAD, "load", "once")
+                    + lane(KEYED, "keyed", "by_key")
+                    + lane(IN_TURN, "in-turn", "once")
+                    + "lanes.3.one_at_a_time=true\n"
+                    + "lanes.2.key_scope=all\nlanes.2.window_us="
+                    + WINDOW_MS * 1000
+                    + "\n";
     final SettingsParser settings = SettingsParser.ofLines(SETTINGS);
     final SetClock clock = new SetClock();
     final Loop loop;
@@ -59,10 +72,23 @@
 
     private static String lane(int number, String name, String effect) {
         String at = "lanes." + number + ".";
-        return at + "name=" + name + "\n" + at + "effect=" + effect + "\n" + at + "aim_us=8000000\n" + at + "deadline_us=9000000\n";
+        return at
+                + "name="
+                + name
+                + "\n"
+                + at
+                + "effect="
+                + effect
+                + "\n"
+                + at
+                + "aim_us=8000000\n"
+                + at
+                + "deadline_us=9000000\n";
     }
 
-    /** Real time, and what a test adds to it, or one moment that passes only where a test says so. */
+    /**
+     * Real time, and what a test adds to it, or one moment that passes only where a test says so.
+     */
     static final class SetClock extends Clock {
         private final AtomicLong ahead = new AtomicLong();
         private volatile long stoppedAt;
@@ -86,14 +112,17 @@
         loop = new Loop(clock, new Deadlines());
         side = new RespEngines(loop, settings.classNames(), settings.wiring(), 16);
         gateway = new Gateway(clock, loop.deadlines(), settings.settings(), Watcher.NONE);
-        front = new JsonRpcFront(loop, gateway, settings.classNames(), 9_000_000, rows -> (byte[]) rows);
+        front =
+                new JsonRpcFront(
+                        loop, gateway, settings.classNames(), 9_000_000, rows -> (byte[]) rows);
         thread = new LoopThread(loop);
-        on(() -> {
-            gateway.start(side, List.of());
-            front.most(100);
-            front.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            return null;
-        });
+        on(
+                () -> {
+                    gateway.start(side, List.of());
+                    front.most(100);
+                    front.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+                    return null;
+                });
     }
 
     /** Does the work in one turn of the loop. */
@@ -118,10 +147,11 @@
     }
 
     void listed(long id, int kind, InetSocketAddress address) throws Exception {
-        on(() -> {
-            list(id, kind, address, EngineState.READY);
-            return null;
-        });
+        on(
+                () -> {
+                    list(id, kind, address, EngineState.READY);
+                    return null;
+                });
     }
 
     Client client() throws Exception {
@@ -137,7 +167,8 @@
 
     /** Waits until so many requests are in hand. */
     void awaitOpen(int count) throws Exception {
-        for (long end = System.nanoTime() + Program.PATIENCE_MS * 1_000_000; on(gateway::open) != count;) {
+        for (long end = System.nanoTime() + Program.PATIENCE_MS * 1_000_000;
+                on(gateway::open) != count; ) {
             if (System.nanoTime() > end) {
                 throw new AssertionError(on(gateway::open) + " requests in hand, not " + count);
             }
@@ -157,13 +188,14 @@
 
     @Override
     public void close() throws Exception {
-        on(() -> {
-            if (!retired) {
-                retire();
-            }
-            loop.stop();
-            return null;
-        });
+        on(
+                () -> {
+                    if (!retired) {
+                        retire();
+                    }
+                    loop.stop();
+                    return null;
+                });
         for (Client each : clients) {
             each.socket.close();
         }
@@ -171,19 +203,29 @@
 
     /** A line that asks for the request with this number as its id. */
     static String request(String queryClass, int number) {
-        return "{\"jsonrpc\":\"2.0\",\"id\":" + number + ",\"method\":\"" + queryClass + "\",\"params\":{\"i\":\""
-                + id(number) + "\",\"d\":8000,\"content\":\"c2VsZWN0IDE=\"}}\n";
+        return "{\"jsonrpc\":\"2.0\",\"id\":"
+                + number
+                + ",\"method\":\""
+                + queryClass
+                + "\",\"params\":{\"i\":\""
+                + id(number)
+                + "\",\"d\":8000,\"content\":\"c2VsZWN0IDE=\"}}\n";
     }
 
     static String interrupt(int number) {
-        return "{\"jsonrpc\":\"2.0\",\"method\":\"interrupt\",\"params\":{\"id\":" + number + "}}\n";
+        return "{\"jsonrpc\":\"2.0\",\"method\":\"interrupt\",\"params\":{\"id\":"
+                + number
+                + "}}\n";
     }
 
     static String id(int number) {
         return String.format("%016x", number);
     }
 
-    /** A client of the front; all of its calls may also be made on the loop's thread, but for {@link #line}. */
+    /**
+     * A client of the front; all of its calls may also be made on the loop's thread, but for {@link
+     * #line}.
+     */
     static final class Client {
         final Socket socket;
         private final int port;
@@ -194,7 +236,10 @@
             socket = new Socket(InetAddress.getLoopbackAddress(), port);
             socket.setTcpNoDelay(true);
             socket.setSoTimeout((int) Program.PATIENCE_MS);
-            in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+            in =
+                    new BufferedReader(
+                            new InputStreamReader(
+                                    socket.getInputStream(), StandardCharsets.US_ASCII));
         }
 
         int port() {
@@ -264,6 +309,13 @@
 
     /** From the loop's thread: a request of the asker; its handle. */
     long ask(Asker asker, int queryClass, int number) {
-        return gateway.accept(asker, number, id(number), queryClass, 1, 8_000_000, "select 1".getBytes(StandardCharsets.US_ASCII));
+        return gateway.accept(
+                asker,
+                number,
+                id(number),
+                queryClass,
+                1,
+                8_000_000,
+                "select 1".getBytes(StandardCharsets.US_ASCII));
     }
 }
--- a/src/test/java/calicostream/platform/ProbesTest.java
+++ b/src/test/java/calicostream/platform/ProbesTest.java
@@ -23,12 +23,24 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of the module's questions how an engine fares, against an engine that answers as a test says. */
+/**
+ * What becomes of the module's questions how an engine fares, against an engine that answers as a
+ * test says.
+ */
 class ProbesTest {
     private static final long IDLE_US = 10_000_000;
-    private static final String SETTINGS = "lanes.count=1\nlanes.0.name=look\nlanes.0.effect=repeatable\n"
-            + "lanes.0.aim_us=800000\nlanes.0.deadline_us=4000000\nfamily_info.kind_cores=12\nceilings.may_probe=true\n"
-            + "ceilings.dial_timeout_us=60000000\nceilings.conn_idle_us=" + IDLE_US + "\nstats.how=on_probe\nstats.columns=inflight,queue,x0\n";
+    private static final String SETTINGS =
+            "lanes.count=1\n"
+                    + "lanes.0.name=look\n"
+                    + "lanes.0.effect=repeatable\n"
+                    + "lanes.0.aim_us=800000\n"
+                    + "lanes.0.deadline_us=4000000\n"
+                    + "family_info.kind_cores=12\n"
+                    + "ceilings.may_probe=true\n"
+                    + "ceilings.dial_timeout_us=60000000\n"
+                    + "ceilings.conn_idle_us="
+                    + IDLE_US
+                    + "\nstats.how=on_probe\nstats.columns=inflight,queue,x0\n";
     private static final long ID = 1;
     private final FrontRig.SetClock clock = new FrontRig.SetClock();
     private final SettingsParser settings = SettingsParser.ofLines(SETTINGS);
@@ -45,11 +57,12 @@
         side = new RespEngines(loop, settings.classNames(), settings.wiring(), 16);
         gateway = new Gateway(clock, loop.deadlines(), settings.settings(), Watcher.NONE);
         thread = new LoopThread(loop);
-        on(() -> {
-            side.locate(ID, stand.address());
-            gateway.start(side, List.of(new Engine(ID, 0, 0, 0, 0, EngineState.READY)));
-            return null;
-        });
+        on(
+                () -> {
+                    side.locate(ID, stand.address());
+                    gateway.start(side, List.of(new Engine(ID, 0, 0, 0, 0, EngineState.READY)));
+                    return null;
+                });
     }
 
     @AfterEach
@@ -63,14 +76,18 @@
     }
 
     private String probe() throws Exception {
-        on(() -> {
-            gateway.probe(ID);
-            return null;
-        });
+        on(
+                () -> {
+                    gateway.probe(ID);
+                    return null;
+                });
         return stand.command();
     }
 
-    /** An unfit engine, a late, second or uncalled-for answer and none at all: the connection stays, and so does the engine. */
+    /**
+     * An unfit engine, a late, second or uncalled-for answer and none at all: the connection stays,
+     * and so does the engine.
+     */
     @Test
     void oneConnectionCarriesThemAll() throws Exception {
         assertEquals("STAT|probe1", probe());
@@ -100,25 +117,31 @@
     @Test
     void whoCanNotBeReachedIsLeftOut() throws Exception {
         stand.die();
-        for (long end = System.nanoTime() + Program.PATIENCE_MS * 1_000_000; on(gateway::avoided) == 0;) {
+        for (long end = System.nanoTime() + Program.PATIENCE_MS * 1_000_000;
+                on(gateway::avoided) == 0; ) {
             assertTrue(System.nanoTime() < end, "the engine is still used");
-            on(() -> { // A socket that closes may still take one connection, and break it.
-                gateway.probe(ID);
-                return null;
-            });
+            on(
+                    () -> { // A socket that closes may still take one connection, and break it.
+                        gateway.probe(ID);
+                        return null;
+                    });
         }
     }
 
-    /** The engine's close of a resting connection lies unread when it is asked: the question goes by another one. */
+    /**
+     * The engine's close of a resting connection lies unread when it is asked: the question goes by
+     * another one.
+     */
     @Test
     void aQuestionDoesNotGoByAConnectionThatItsEngineHasClosed() throws Exception {
         assertEquals("STAT|probe1", probe());
         stand.answer("probe1|FIT|stats=inflight:3|");
-        on(() -> {
-            stand.leave();
-            gateway.probe(ID);
-            return null;
-        });
+        on(
+                () -> {
+                    stand.leave();
+                    gateway.probe(ID);
+                    return null;
+                });
         assertEquals("STAT|probe2", stand.command());
     }
 
@@ -127,32 +150,38 @@
     void aConnectionIsNotClosedAsIdleUnderAQuestion() throws Exception {
         assertEquals("STAT|probe1", probe());
         stand.answer("probe1|FIT|stats=inflight:3|");
-        on(() -> {
-            clock.advance(IDLE_US * 6 / 10);
-            gateway.probe(ID);
-            return null;
-        });
+        on(
+                () -> {
+                    clock.advance(IDLE_US * 6 / 10);
+                    gateway.probe(ID);
+                    return null;
+                });
         assertEquals("STAT|probe2", stand.command());
-        on(() -> {
-            clock.advance(IDLE_US * 2 / 10);
-            return null;
-        });
+        on(
+                () -> {
+                    clock.advance(IDLE_US * 2 / 10);
+                    return null;
+                });
         thread.awaitDue();
         stand.answer("probe2|FIT|stats=inflight:3|");
         assertEquals("STAT|probe3", probe());
         assertEquals(1, stand.connections());
     }
 
-    /** The list gives an engine another address while a question waits for its connection to the old one: our own close is no failure of it. */
+    /**
+     * The list gives an engine another address while a question waits for its connection to the old
+     * one: our own close is no failure of it.
+     */
     @Test
     void anEngineThatMovesUnderAQuestionIsNotLeftOut() throws Exception {
         try (LateStand late = new LateStand()) {
-            on(() -> {
-                side.locate(ID, late.address());
-                gateway.probe(ID);
-                side.locate(ID, stand.address());
-                return null;
-            });
+            on(
+                    () -> {
+                        side.locate(ID, late.address());
+                        gateway.probe(ID);
+                        side.locate(ID, stand.address());
+                        return null;
+                    });
             assertEquals(0, on(gateway::avoided), "it was benched for what we did");
             assertEquals("STAT|probe2", probe());
         }
@@ -160,12 +189,17 @@
 
     @Test
     void anEngineThatDrainsIsNotAsked() throws Exception {
-        on(() -> {
-            gateway.roster(RosterKind.CHANGES, List.of(new Engine(ID, 0, 0, 0, 0, EngineState.DRAINING)));
-            gateway.probe(ID);
-            gateway.roster(RosterKind.CHANGES, List.of(new Engine(ID, 0, 0, 0, 0, EngineState.READY)));
-            return null;
-        });
+        on(
+                () -> {
+                    gateway.roster(
+                            RosterKind.CHANGES,
+                            List.of(new Engine(ID, 0, 0, 0, 0, EngineState.DRAINING)));
+                    gateway.probe(ID);
+                    gateway.roster(
+                            RosterKind.CHANGES,
+                            List.of(new Engine(ID, 0, 0, 0, 0, EngineState.READY)));
+                    return null;
+                });
         assertEquals("STAT|probe1", probe(), "the first that goes out");
     }
 }
--- a/src/test/java/calicostream/platform/RespTest.java
+++ b/src/test/java/calicostream/platform/RespTest.java
@@ -35,7 +35,9 @@
             assertTrue(ring.put(java.util.Arrays.copyOfRange(whole, cut, whole.length)));
             byte[][] items = Resp.take(ring);
             assertEquals("id" + round, new String(items[0], StandardCharsets.ISO_8859_1));
-            assertEquals(new String(body, StandardCharsets.ISO_8859_1), new String(items[3], StandardCharsets.ISO_8859_1));
+            assertEquals(
+                    new String(body, StandardCharsets.ISO_8859_1),
+                    new String(items[3], StandardCharsets.ISO_8859_1));
             assertEquals(0, ring.size());
         }
     }
@@ -49,7 +51,8 @@
         ring.skip(3990);
         assertTrue(ring.put(bytes("x".repeat(4000))));
         assertEquals(10, ring.indexOf((byte) 'x', 0));
-        assertEquals("x".repeat(4000), new String(ring.copy(10, 4000), StandardCharsets.ISO_8859_1));
+        assertEquals(
+                "x".repeat(4000), new String(ring.copy(10, 4000), StandardCharsets.ISO_8859_1));
     }
 
     @Test
@@ -71,8 +74,19 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"+OK\r\n", "*x\r\n", "*9\r\n", "*1\r\n:5\r\n", "*1\r\n$3\r\nabcde\r\n", "*1\n$1\r\na\r\n",
-        "*1\r\n$9999999\r\n", "*-1\r\n", "*0000000000000001", "*1\r\n$\r\n"})
+    @ValueSource(
+            strings = {
+                "+OK\r\n",
+                "*x\r\n",
+                "*9\r\n",
+                "*1\r\n:5\r\n",
+                "*1\r\n$3\r\nabcde\r\n",
+                "*1\n$1\r\na\r\n",
+                "*1\r\n$9999999\r\n",
+                "*-1\r\n",
+                "*0000000000000001",
+                "*1\r\n$\r\n"
+            })
     void whatIsNotAnArrayOfBulkStringsIsBad(String text) {
         Ring ring = new Ring(4096);
         ring.put(bytes(text));
--- a/src/test/java/calicostream/platform/RosterTest.java
+++ b/src/test/java/calicostream/platform/RosterTest.java
@@ -12,9 +12,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class RosterTest {
-    private static final String GOOD = """
+    private static final String GOOD =
+            """
             {"seq":2,"fleet":{"snapshot":%s,"endpoints":[{"name":"e1","address":"127.0.0.1:7001","zone":"a","type":"k","group":0,
-            "status":"Ready","weight":4,"since_ms":1700000000000}]}}""";
+            "status":"Ready","weight":4,"since_ms":1700000000000}]}}\
+            """;
 
     /** Converts the same time anew to another one each time, as a clock that is stepped does. */
     private static final class Stepped extends Clock {
@@ -28,13 +30,17 @@
 
     private final Roster roster = new Roster(new Stepped(), List.of("a"), List.of("k"));
 
-    /** Forgotten starts would be converted anew, and each engine would look as if it had restarted. */
+    /**
+     * Forgotten starts would be converted anew, and each engine would look as if it had restarted.
+     */
     @ParameterizedTest
-    @ValueSource(strings = {
-        "{\"seq\":3,\"fleet\":{\"snapshot\":true,\"endpoints\":[{\"name\":\"e2\",\"status\":\"What\"}]}}",
-        "{\"seq\":3,\"fleet\":{\"snapshot\":true,\"endpoints\":[{\"name\":\"e2\",\"status\":\"Ready\"}]}}",
-        "{\"seq\":3,\"fleet\":{\"snapshot\":true,\"endpoints\":[{\"name\":\"e1\",\"status\":\"Gone\"},7]}}",
-        "{\"seq\":3,\"fleet\":{\"snapshot\":true}}"})
+    @ValueSource(
+            strings = {
+                "{\"seq\":3,\"fleet\":{\"snapshot\":true,\"endpoints\":[{\"name\":\"e2\",\"status\":\"What\"}]}}",
+                "{\"seq\":3,\"fleet\":{\"snapshot\":true,\"endpoints\":[{\"name\":\"e2\",\"status\":\"Ready\"}]}}",
+                "{\"seq\":3,\"fleet\":{\"snapshot\":true,\"endpoints\":[{\"name\":\"e1\",\"status\":\"Gone\"},7]}}",
+                "{\"seq\":3,\"fleet\":{\"snapshot\":true}}"
+            })
     void aWholeListThatCantBeReadForgetsNothing(String bad) throws BadInput {
         long born = roster.parse(GOOD.formatted("false")).engines().get(0).bornUs();
         assertThrows(BadInput.class, () -> roster.parse(bad));
--- a/src/test/java/calicostream/rig/BudgetsTest.java
+++ b/src/test/java/calicostream/rig/BudgetsTest.java
@@ -18,23 +18,38 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Three processes with session budgets at two engines. The engines record what runs; the judge, which knows no grant, counts it against
- * the cap. They are started once; each test begins with grants in force everywhere.
+ * Three processes with session budgets at two engines. The engines record what runs; the judge,
+ * which knows no grant, counts it against the cap. They are started once; each test begins with
+ * grants in force everywhere.
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class BudgetsTest {
     private static final List<Integer> ALL = List.of(1, 2, 3);
     private static final int CAP = 6;
-    private static final String BUDGETS = "[budget]\nttl = \"1500ms\"\nprocesses = [\"m1\", \"m2\", \"m3\"]\ndefault = \"others\"\n"
-            + "in_hand = 6\npatience = \"2s\"\n[pools.all]\nengine_cap = " + CAP + "\nfloor = 1\n[tenants.east]\nweight = 3\nclients = [\"127.0.0.0/8\"]\n"
-            + "[tenants.others]\n";
+    private static final String BUDGETS =
+            "[budget]\n"
+                    + "ttl = \"1500ms\"\n"
+                    + "processes = [\"m1\", \"m2\", \"m3\"]\n"
+                    + "default = \"others\"\n"
+                    + "in_hand = 6\n"
+                    + "patience = \"2s\"\n"
+                    + "[pools.all]\n"
+                    + "engine_cap = "
+                    + CAP
+                    + "\nfloor = 1\n[tenants.east]\nweight = 3\nclients = [\"127.0.0.0/8\"]\n"
+                    + "[tenants.others]\n";
     private final History history = new History();
     private Fleet fleet;
     private long begun;
 
     @BeforeAll
     void start(@TempDir Path folder) throws Exception {
-        fleet = new Fleet(folder, new Fleet.Plan(3, 3, true, Fleet.Plan.QUICK + BUDGETS), history, 10);
+        fleet =
+                new Fleet(
+                        folder,
+                        new Fleet.Plan(3, 3, true, Fleet.Plan.QUICK + BUDGETS),
+                        history,
+                        10);
         fleet.startAll();
     }
 
@@ -74,14 +89,23 @@
     }
 
     private static boolean holdsArbiter(JsonObject signs) {
-        return signs.get("layers").asObject().get("lease").asObject().get("tasks").asObject().get("budget-arbiter").asObject()
-                .getInt("left_ms", 0) > 0;
+        return signs.get("layers")
+                        .asObject()
+                        .get("lease")
+                        .asObject()
+                        .get("tasks")
+                        .asObject()
+                        .get("budget-arbiter")
+                        .asObject()
+                        .getInt("left_ms", 0)
+                > 0;
     }
 
     /** What may be in use is within the cap, by every copy's own word. */
     private void assertFiguresAreWithinCaps() throws Exception {
         for (int each : ALL) {
-            JsonObject engines = budget(fleet.signs(each)).get("fleet").asObject().get("engines").asObject();
+            JsonObject engines =
+                    budget(fleet.signs(each)).get("fleet").asObject().get("engines").asObject();
             assertEquals(2, engines.size(), engines.toString());
             for (Member engine : engines) {
                 JsonObject told = engine.getValue().asObject();
@@ -94,10 +118,14 @@
     private void assertServed(Set<Integer> fronts) throws Exception {
         Await.pass(1_000);
         long now = System.nanoTime();
-        Await.until(() -> new Judge(history.copy()).ended(fronts, begun, now, null) == 0, () -> "some were not answered");
+        Await.until(
+                () -> new Judge(history.copy()).ended(fronts, begun, now, null) == 0,
+                () -> "some were not answered");
         Judge judge = new Judge(history.copy());
         assertEquals(0, judge.ended(fronts, begun, now, History.Answer.FAILED), "failed");
-        assertTrue(judge.served(fronts, begun, now) > 0.9, "share served " + judge.served(fronts, begun, now));
+        assertTrue(
+                judge.served(fronts, begun, now) > 0.9,
+                "share served " + judge.served(fronts, begun, now));
     }
 
     @Test
@@ -124,7 +152,10 @@
         List<Integer> others = ALL.stream().filter(each -> each != arbiter[0]).toList();
         Await.until(() -> arbiter(others) > 0, () -> "nobody is arbiter after " + arbiter[0]);
         for (int each : others) {
-            fleet.awaitSigns(each, "grants by the next arbiter", signs -> isLive(signs) && granted(signs, "east") > 0);
+            fleet.awaitSigns(
+                    each,
+                    "grants by the next arbiter",
+                    signs -> isLive(signs) && granted(signs, "east") > 0);
         }
         fleet.start(arbiter[0]);
         fleet.awaitSigns(arbiter[0], "grants after its start", BudgetsTest::isLive);
--- a/src/test/java/calicostream/rig/JudgeTest.java
+++ b/src/test/java/calicostream/rig/JudgeTest.java
@@ -14,7 +14,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** A judge that never finds anything proves nothing: each of its findings is shown a history that has it, and one that has not. */
+/**
+ * A judge that never finds anything proves nothing: each of its findings is shown a history that
+ * has it, and one that has not.
+ */
 class JudgeTest {
     private final History history = new History();
 
--- a/src/test/java/calicostream/rig/LeasesTest.java
+++ b/src/test/java/calicostream/rig/LeasesTest.java
@@ -18,8 +18,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Five processes that take turns at one leased task. What acts is recorded at the resource, in this process, and judged without the
- * program. They are started once; each test begins with all in one group and one of them acting, and with a record of its own.
+ * Five processes that take turns at one leased task. What acts is recorded at the resource, in this
+ * process, and judged without the program. They are started once; each test begins with all in one
+ * group and one of them acting, and with a record of its own.
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class LeasesTest {
@@ -63,7 +64,10 @@
     }
 
     private Act lastDone() {
-        return acts.copy().acts().stream().filter(Act::done).max(Comparator.comparingLong(Act::at)).orElseThrow();
+        return acts.copy().acts().stream()
+                .filter(Act::done)
+                .max(Comparator.comparingLong(Act::at))
+                .orElseThrow();
     }
 
     private static int number(String who) {
@@ -76,7 +80,10 @@
         return lastDone();
     }
 
-    /** The holder has checked that it holds, is stopped for three times its lease, goes on, and acts: that act, under its former token. */
+    /**
+     * The holder has checked that it holds, is stopped for three times its lease, goes on, and
+     * acts: that act, under its former token.
+     */
     private Act stopBetweenCheckAndAct() throws Exception {
         fleet.resource.closeGate();
         String holder = fleet.resource.awaitHeld();
@@ -90,37 +97,54 @@
         } finally {
             proc.signal("CONT");
         }
-        Await.until(() -> !acts(holder, next.at()).isEmpty(), () -> holder + " did not act after it was stopped: " + acts.copy().acts());
+        Await.until(
+                () -> !acts(holder, next.at()).isEmpty(),
+                () -> holder + " did not act after it was stopped: " + acts.copy().acts());
         Act late = acts(holder, next.at()).get(0);
         assertTrue(late.token() < next.token(), late + " after " + next);
         return late;
     }
 
     private Act lastOf(String holder) {
-        return acts.copy().acts().stream().filter(a -> a.done() && a.who().equals(holder)).max(Comparator.comparingLong(Act::at)).orElseThrow();
+        return acts.copy().acts().stream()
+                .filter(a -> a.done() && a.who().equals(holder))
+                .max(Comparator.comparingLong(Act::at))
+                .orElseThrow();
     }
 
     /** Its acts since then, refused ones as well; the first comes first. */
     private List<Act> acts(String who, long since) {
-        return acts.copy().acts().stream().filter(a -> a.who().equals(who) && a.at() > since).sorted(Comparator.comparingLong(Act::at)).toList();
+        return acts.copy().acts().stream()
+                .filter(a -> a.who().equals(who) && a.at() > since)
+                .sorted(Comparator.comparingLong(Act::at))
+                .toList();
     }
 
     @Test
     void holderStoppedBetweenCheckAndActIsRefused() throws Exception {
-        assertFalse(stopBetweenCheckAndAct().done(), "its late act must have come, and been refused");
+        assertFalse(
+                stopBetweenCheckAndAct().done(), "its late act must have come, and been refused");
         assertEquals(List.of(), new Judge(acts.copy()).doubleActs());
     }
 
-    /** The control: the same without the check of tokens. If this finds nothing, the test above proves nothing. */
+    /**
+     * The control: the same without the check of tokens. If this finds nothing, the test above
+     * proves nothing.
+     */
     @Test
     void withoutTheFenceTheSameHolderActsTwice() throws Exception {
         record(false);
         awaitAct(System.nanoTime());
         assertTrue(stopBetweenCheckAndAct().done());
-        assertFalse(new Judge(acts.copy()).doubleActs().isEmpty(), "the judge finds no double act where there is one");
+        assertFalse(
+                new Judge(acts.copy()).doubleActs().isEmpty(),
+                "the judge finds no double act where there is one");
     }
 
-    /** Even a resource that checks nothing sees no double act of a process that runs: it stops by itself before the next one begins. */
+    /**
+     * Even a resource that checks nothing sees no double act of a process that runs: it stops by
+     * itself before the next one begins.
+     */
     @Test
     void holderCutOffFromTheLogStopsBeforeAnotherBegins() throws Exception {
         record(false);
@@ -133,23 +157,38 @@
         awaitAct(System.nanoTime());
         Judge judge = new Judge(acts.copy());
         assertEquals(List.of(), judge.doubleActs());
-        assertTrue(acts.copy().acts().stream().filter(a -> a.who().equals(holder) && a.token() < next.token())
-                .allMatch(a -> a.at() < next.at()), "its last act comes before the first of its successor");
+        assertTrue(
+                acts.copy().acts().stream()
+                        .filter(a -> a.who().equals(holder) && a.token() < next.token())
+                        .allMatch(a -> a.at() < next.at()),
+                "its last act comes before the first of its successor");
     }
 
     /** Who acts, once operators see that it holds and all others are in the queue. */
     private String awaitTurns() throws Exception {
-        Await.until(() -> {
-            String holder = lastDone().who();
-            for (int member = 1; member <= 5; member++) {
-                String state = fleet.signs(member).get("layers").asObject().get("lease").asObject().get("tasks").asObject()
-                        .get(RigTasks.LEASE).asObject().get("state").asString();
-                if (!state.equals(member == number(holder) ? "held" : "waiting")) {
-                    return false;
-                }
-            }
-            return true;
-        }, () -> "the others than " + lastDone() + " don't wait");
+        Await.until(
+                () -> {
+                    String holder = lastDone().who();
+                    for (int member = 1; member <= 5; member++) {
+                        String state =
+                                fleet.signs(member)
+                                        .get("layers")
+                                        .asObject()
+                                        .get("lease")
+                                        .asObject()
+                                        .get("tasks")
+                                        .asObject()
+                                        .get(RigTasks.LEASE)
+                                        .asObject()
+                                        .get("state")
+                                        .asString();
+                        if (!state.equals(member == number(holder) ? "held" : "waiting")) {
+                            return false;
+                        }
+                    }
+                    return true;
+                },
+                () -> "the others than " + lastDone() + " don't wait");
         return lastDone().who();
     }
 
@@ -161,7 +200,8 @@
         awaitSuccessor(holder);
         Judge judge = new Judge(acts.copy());
         assertEquals(List.of(), judge.doubleActs());
-        assertTrue(judge.handovers(RigTasks.LEASE, List.of(killed)).get(0) < 4 * TTL_MS * 1_000_000,
+        assertTrue(
+                judge.handovers(RigTasks.LEASE, List.of(killed)).get(0) < 4 * TTL_MS * 1_000_000,
                 "on any machine within four times its lease; twice is measured, not tested");
     }
 
@@ -174,9 +214,17 @@
         awaitSuccessor(holder);
         assertEquals(List.of(), new Judge(acts.copy()).doubleActs());
         Act last = lastOf(holder);
-        Act next = acts.copy().acts().stream().filter(a -> a.done() && a.token() > last.token()).min(Comparator.comparingLong(Act::at)).orElseThrow();
+        Act next =
+                acts.copy().acts().stream()
+                        .filter(a -> a.done() && a.token() > last.token())
+                        .min(Comparator.comparingLong(Act::at))
+                        .orElseThrow();
         proc.awaitLine("lease-given-back lease=" + RigTasks.LEASE + " token=" + last.token());
-        assertTrue(next.at() - last.at() < TTL_MS * 1_000_000, "handed over in " + (next.at() - last.at()) / 1_000_000 + " ms");
-        assertTrue(next.at() - stopped < 2_000_000_000L, (next.at() - stopped) / 1_000_000 + " ms from the word to stop");
+        assertTrue(
+                next.at() - last.at() < TTL_MS * 1_000_000,
+                "handed over in " + (next.at() - last.at()) / 1_000_000 + " ms");
+        assertTrue(
+                next.at() - stopped < 2_000_000_000L,
+                (next.at() - stopped) / 1_000_000 + " ms from the word to stop");
     }
 }
--- a/src/test/java/calicostream/rig/LostQuorumTest.java
+++ b/src/test/java/calicostream/rig/LostQuorumTest.java
@@ -21,7 +21,11 @@
     private final History history = new History();
 
     private long highestToken() {
-        return history.copy().acts().stream().filter(Act::done).mapToLong(Act::token).max().orElse(0);
+        return history.copy().acts().stream()
+                .filter(Act::done)
+                .mapToLong(Act::token)
+                .max()
+                .orElse(0);
     }
 
     @Test
@@ -33,22 +37,32 @@
             long begun = System.nanoTime();
             fleet.killAll(LOST);
             for (int each : LEFT) {
-                fleet.awaitSigns(each, "no quorum", signs -> signs.getInt("no_quorum_ms", 0) > 0 && !signs.getBoolean("session_alive", true));
+                fleet.awaitSigns(
+                        each,
+                        "no quorum",
+                        signs ->
+                                signs.getInt("no_quorum_ms", 0) > 0
+                                        && !signs.getBoolean("session_alive", true));
             }
 
-            // Step 2 of the page: the highest token at the resources and at the copies that are left.
+            // Step 2 of the page: the highest token at the resources and at the copies that are
+            // left.
             JsonObject copy = fleet.signs(3).get("layers").asObject().get("lease").asObject();
             long above = 2 * Math.max(highestToken(), copy.getLong("last_token", 0));
             assertTrue(above > 0, copy.toString());
 
-            // Steps 3 and 4: another name, voters that run, empty folders, higher tokens; one process after the other.
+            // Steps 3 and 4: another name, voters that run, empty folders, higher tokens; one
+            // process after the other.
             fleet.regroup("rig-2", LEFT, above);
             long from = System.nanoTime();
             fleet.stop(3);
             fleet.start(3);
             fleet.stop(4);
             fleet.launch(4);
-            fleet.regroup("rig", List.of(1, 2, 3), 0); // A lost voter comes back after all, as whom it was.
+            fleet.regroup(
+                    "rig",
+                    List.of(1, 2, 3),
+                    0); // A lost voter comes back after all, as whom it was.
             fleet.launch(1);
             fleet.awaitServing(4);
             fleet.regroup("rig-2", LEFT, above);
@@ -72,8 +86,16 @@
             assertEquals(List.of(), judge.lost());
             assertEquals(List.of(), judge.answeredTwice());
             assertEquals(List.of(), judge.ranTwice());
-            assertEquals(judge.ended(Set.copyOf(LEFT), begun, now, Answer.SERVED), history.copy().asked().stream()
-                    .filter(each -> LEFT.contains(each.front()) && each.at() >= begun && each.at() < now).count(), "all was served meanwhile");
+            assertEquals(
+                    judge.ended(Set.copyOf(LEFT), begun, now, Answer.SERVED),
+                    history.copy().asked().stream()
+                            .filter(
+                                    each ->
+                                            LEFT.contains(each.front())
+                                                    && each.at() >= begun
+                                                    && each.at() < now)
+                            .count(),
+                    "all was served meanwhile");
         }
     }
 }
--- a/src/test/java/calicostream/rig/MembersTest.java
+++ b/src/test/java/calicostream/rig/MembersTest.java
@@ -20,8 +20,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Five processes of the program, three of them voters, and what is done to their links, processes and folders. They are started once:
- * each test begins with all of them in one group and ends with them so. Clients ask all the time; the judge looks at the end of each.
+ * Five processes of the program, three of them voters, and what is done to their links, processes
+ * and folders. They are started once: each test begins with all of them in one group and ends with
+ * them so. Clients ask all the time; the judge looks at the end of each.
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class MembersTest {
@@ -29,8 +30,10 @@
     private static final List<Integer> ALL = List.of(1, 2, 3, 4, 5);
     private static final long ASK_EVERY_MS = 20;
     private static final int STOPPED = 143; // the exit code after SIGTERM
-    private static final long LONGER_THAN_ALL_MS = 2_500; // than session, lease, election and missed heartbeats
-    private static final long USUAL_NANOS = 1_000_000_000L; // of an answer, on a machine with much else to do
+    private static final long LONGER_THAN_ALL_MS =
+            2_500; // than session, lease, election and missed heartbeats
+    private static final long USUAL_NANOS =
+            1_000_000_000L; // of an answer, on a machine with much else to do
     private final History history = new History();
     private Fleet fleet;
     private long begun;
@@ -39,7 +42,9 @@
     void start(@TempDir Path folder) throws Exception {
         fleet = new Fleet(folder, Fleet.Plan.of(5, 3), history, ASK_EVERY_MS);
         fleet.startAll();
-        assertEquals("[\"1.0\",\"2.0\",\"3.0\"]", fleet.signs(fleet.awaitLeader(VOTERS)).get("voters").toString());
+        assertEquals(
+                "[\"1.0\",\"2.0\",\"3.0\"]",
+                fleet.signs(fleet.awaitLeader(VOTERS)).get("voters").toString());
     }
 
     @BeforeEach
@@ -82,14 +87,20 @@
     /** What these front ends were asked since the test began was served, as soon as ever. */
     private void assertServedThroughout(Set<Integer> fronts) throws Exception {
         long now = System.nanoTime();
-        Await.until(() -> new Judge(history.copy()).ended(fronts, begun, now, null) == 0, () -> "some were not answered");
+        Await.until(
+                () -> new Judge(history.copy()).ended(fronts, begun, now, null) == 0,
+                () -> "some were not answered");
         Judge judge = new Judge(history.copy());
         List<Long> waits = judge.waits(fronts, begun, now);
         assertTrue(waits.size() > 10, waits.size() + " answers");
-        assertTrue(Judge.percentile(waits, 0.99) < USUAL_NANOS, "answers took " + Judge.percentile(waits, 0.99) / 1_000_000 + " ms");
+        assertTrue(
+                Judge.percentile(waits, 0.99) < USUAL_NANOS,
+                "answers took " + Judge.percentile(waits, 0.99) / 1_000_000 + " ms");
         for (int front : fronts) {
             long silence = judge.longestSilence(front, begun, now);
-            assertTrue(silence < 2 * USUAL_NANOS, "front end " + front + " was silent for " + silence / 1_000_000 + " ms");
+            assertTrue(
+                    silence < 2 * USUAL_NANOS,
+                    "front end " + front + " was silent for " + silence / 1_000_000 + " ms");
         }
         assertEquals(1.0, judge.served(fronts, begun, now), 0.0, "share served");
     }
@@ -100,11 +111,21 @@
         fleet.isolate(LinkFault.CUT, List.of(leader));
         int next = fleet.awaitLeader(others(VOTERS, leader));
         assertNotEquals(leader, next);
-        fleet.awaitSigns(leader, "no quorum", signs -> signs.getInt("no_quorum_ms", 0) > 0 && !signs.getBoolean("session_alive", true));
+        fleet.awaitSigns(
+                leader,
+                "no quorum",
+                signs ->
+                        signs.getInt("no_quorum_ms", 0) > 0
+                                && !signs.getBoolean("session_alive", true));
         Await.pass(LONGER_THAN_ALL_MS / 2);
         assertServedThroughout(Set.copyOf(ALL));
         fleet.heal();
-        fleet.awaitSigns(leader, "the group", signs -> signs.getInt("no_quorum_ms", 1) == 0 && signs.getBoolean("session_alive", false));
+        fleet.awaitSigns(
+                leader,
+                "the group",
+                signs ->
+                        signs.getInt("no_quorum_ms", 1) == 0
+                                && signs.getBoolean("session_alive", false));
     }
 
     @Test
@@ -118,7 +139,9 @@
     @Test
     void stoppedLeaderGoesOnAsAFollower() throws Exception {
         int leader = fleet.awaitLeader(VOTERS);
-        fleet.load.end(leader, false); // Its clients wait as long as it is stopped, with the cluster or without.
+        fleet.load.end(
+                leader,
+                false); // Its clients wait as long as it is stopped, with the cluster or without.
         fleet.proc(leader).signal("STOP");
         int next;
         try {
@@ -128,14 +151,21 @@
             fleet.proc(leader).signal("CONT");
         }
         fleet.resume(leader);
-        fleet.awaitSigns(leader, "another leader", signs -> !signs.getBoolean("leads", true) && signs.getInt("leader", 0) == next
-                && signs.getBoolean("session_alive", false));
+        fleet.awaitSigns(
+                leader,
+                "another leader",
+                signs ->
+                        !signs.getBoolean("leads", true)
+                                && signs.getInt("leader", 0) == next
+                                && signs.getBoolean("session_alive", false));
         assertServedThroughout(others(leader));
     }
 
     private static boolean votes(JsonObject signs) {
-        return signs.getString("state", "").equals("voter") && signs.getBoolean("session_alive", false)
-                && signs.getInt("no_quorum_ms", 1) == 0 && signs.getInt("leader", 0) != 0;
+        return signs.getString("state", "").equals("voter")
+                && signs.getBoolean("session_alive", false)
+                && signs.getInt("no_quorum_ms", 1) == 0
+                && signs.getInt("leader", 0) != 0;
     }
 
     @Test
@@ -145,9 +175,16 @@
         long applied = before.getLong("applied", 0);
         fleet.kill(leader);
         int next = fleet.awaitLeader(others(VOTERS, leader));
-        fleet.awaitSigns(next, "all that was applied", signs -> votes(signs) && signs.getLong("applied", 0) >= applied);
+        fleet.awaitSigns(
+                next,
+                "all that was applied",
+                signs -> votes(signs) && signs.getLong("applied", 0) >= applied);
         fleet.start(leader);
-        JsonObject back = fleet.awaitSigns(leader, "its vote", signs -> votes(signs) && signs.getLong("applied", 0) > applied);
+        JsonObject back =
+                fleet.awaitSigns(
+                        leader,
+                        "its vote",
+                        signs -> votes(signs) && signs.getLong("applied", 0) > applied);
         assertEquals(incarnation(before) + 1, incarnation(back));
         assertServedThroughout(others(leader));
     }
@@ -161,12 +198,21 @@
         long applied = fleet.signs(1).getLong("applied", 0);
         fleet.killAll(VOTERS);
         for (int each : List.of(4, 5)) {
-            fleet.awaitSigns(each, "no quorum", signs -> signs.getInt("no_quorum_ms", 0) > 0 && !signs.getBoolean("session_alive", true));
+            fleet.awaitSigns(
+                    each,
+                    "no quorum",
+                    signs ->
+                            signs.getInt("no_quorum_ms", 0) > 0
+                                    && !signs.getBoolean("session_alive", true));
         }
         Await.pass(LONGER_THAN_ALL_MS / 2);
         fleet.launch(1);
         fleet.awaitServing(1);
-        JsonObject alone = fleet.awaitSigns(1, "its peers' word", signs -> signs.getString("state", "").equals("asking"));
+        JsonObject alone =
+                fleet.awaitSigns(
+                        1,
+                        "its peers' word",
+                        signs -> signs.getString("state", "").equals("asking"));
         assertTrue(!alone.getBoolean("leads", true), alone.toString());
         assertServedThroughout(Set.of(4, 5));
         fleet.launch(2);
@@ -218,21 +264,37 @@
         assertServedThroughout(others(voter));
     }
 
-    /** Barred, it is in its session, and comes back as the operators' page says for a member whose folder forgot. */
+    /**
+     * Barred, it is in its session, and comes back as the operators' page says for a member whose
+     * folder forgot.
+     */
     private void readmit(int voter) throws Exception {
-        JsonObject barred = fleet.awaitSigns(voter, "that it forgot", signs -> signs.getString("state", "").equals("barred")
-                && signs.getBoolean("session_alive", false));
-        assertTrue(!barred.getString("why", "").isEmpty() && barred.get("disk").asObject().getBoolean("barred", false), barred.toString());
+        JsonObject barred =
+                fleet.awaitSigns(
+                        voter,
+                        "that it forgot",
+                        signs ->
+                                signs.getString("state", "").equals("barred")
+                                        && signs.getBoolean("session_alive", false));
+        assertTrue(
+                !barred.getString("why", "").isEmpty()
+                        && barred.get("disk").asObject().getBoolean("barred", false),
+                barred.toString());
         int before = barred.getInt("generation", 0);
         assertEquals(STOPPED, fleet.stop(voter));
         fleet.generation(voter, before + 1);
         fleet.start(voter);
-        JsonObject spare = fleet.awaitSigns(voter, "a session", signs -> signs.getBoolean("session_alive", false));
+        JsonObject spare =
+                fleet.awaitSigns(
+                        voter, "a session", signs -> signs.getBoolean("session_alive", false));
         assertEquals("spare", spare.getString("state", ""), spare.toString());
         String old = voter + "." + before;
         String next = voter + "." + (before + 1);
-        Await.until(() -> isDone(others(VOTERS, voter), old, next), () -> old + " was not replaced by " + next);
-        fleet.awaitSigns(voter, "to vote again", signs -> signs.getString("state", "").equals("voter"));
+        Await.until(
+                () -> isDone(others(VOTERS, voter), old, next),
+                () -> old + " was not replaced by " + next);
+        fleet.awaitSigns(
+                voter, "to vote again", signs -> signs.getString("state", "").equals("voter"));
     }
 
     /** A wish ends with its leader, and what is left of it is said to the next one. */
@@ -244,7 +306,11 @@
             return true;
         }
         if (!signs.getString("wish", "").contains("under way")) {
-            fleet.tell(leader, present.contains(next) ? "voters/" + old + "/remove" : "voters/" + old + "/replace/" + next);
+            fleet.tell(
+                    leader,
+                    present.contains(next)
+                            ? "voters/" + old + "/remove"
+                            : "voters/" + old + "/replace/" + next);
         }
         return false;
     }
@@ -253,14 +319,23 @@
     void fullAndReadOnlyDisksAreNamedAndCostTheirVotersUntilARestart() throws Exception {
         int full = fleet.awaitLeader(VOTERS);
         awaitFailed(full, RigDisks.Lie.FULL, "full");
-        fleet.awaitSigns(full, "its session by the others", signs -> signs.getBoolean("session_alive", false)
-                && !signs.getBoolean("leads", true));
+        fleet.awaitSigns(
+                full,
+                "its session by the others",
+                signs ->
+                        signs.getBoolean("session_alive", false)
+                                && !signs.getBoolean("leads", true));
         int leader = fleet.awaitLeader(others(VOTERS, full));
         int readOnly = others(others(VOTERS, full), leader).get(0);
         assertTrue(fleet.isReady(full));
         awaitFailed(readOnly, RigDisks.Lie.READ_ONLY, "read_only");
         fleet.awaitSigns(leader, "no quorum", signs -> signs.getInt("no_quorum_ms", 0) > 0);
-        fleet.awaitSigns(full, "no quorum", signs -> signs.getInt("no_quorum_ms", 0) > 0 && !signs.getBoolean("session_alive", true));
+        fleet.awaitSigns(
+                full,
+                "no quorum",
+                signs ->
+                        signs.getInt("no_quorum_ms", 0) > 0
+                                && !signs.getBoolean("session_alive", true));
         assertServedThroughout(Set.copyOf(ALL));
         assertTrue(fleet.isReady(full));
         assertTrue(fleet.tell(full, "voters/4.0/add").contains("cluster-not-leader"));
@@ -273,16 +348,28 @@
         }
         for (int voter : failed) {
             fleet.awaitServing(voter);
-            fleet.awaitSigns(voter, "to vote again", signs -> signs.getString("state", "").equals("voter")
-                    && signs.getInt("leader", 0) > 0);
+            fleet.awaitSigns(
+                    voter,
+                    "to vote again",
+                    signs ->
+                            signs.getString("state", "").equals("voter")
+                                    && signs.getInt("leader", 0) > 0);
         }
     }
 
     private void awaitFailed(int voter, RigDisks.Lie lie, String named) throws Exception {
         fleet.disk(voter, lie, 0);
         String code = "disk-" + named.replace('_', '-');
-        JsonObject signs = fleet.awaitSigns(voter, code, each -> each.getString("state", "").equals("failed")
-                && each.get("disk").asObject().getString("trouble", "").contains(code));
+        JsonObject signs =
+                fleet.awaitSigns(
+                        voter,
+                        code,
+                        each ->
+                                each.getString("state", "").equals("failed")
+                                        && each.get("disk")
+                                                .asObject()
+                                                .getString("trouble", "")
+                                                .contains(code));
         assertTrue(signs.getString("why", "").startsWith(code + ": "), signs.toString());
         assertEquals(named, signs.get("disk").asObject().getString("state", ""));
     }
@@ -293,11 +380,17 @@
         fleet.disk(leader, RigDisks.Lie.SLOW, 1_500);
         try {
             assertNotEquals(leader, fleet.awaitLeader(others(VOTERS, leader)));
-            fleet.awaitSigns(leader, "that it is slow", signs -> signs.get("disk").asObject().getInt("slow_syncs", 0) > 0);
+            fleet.awaitSigns(
+                    leader,
+                    "that it is slow",
+                    signs -> signs.get("disk").asObject().getInt("slow_syncs", 0) > 0);
         } finally {
             fleet.disk(leader, RigDisks.Lie.HONEST, 0);
         }
         assertServedThroughout(Set.copyOf(ALL));
-        fleet.awaitSigns(leader, "another leader", signs -> signs.getInt("leader", 0) > 0 && signs.getBoolean("session_alive", false));
+        fleet.awaitSigns(
+                leader,
+                "another leader",
+                signs -> signs.getInt("leader", 0) > 0 && signs.getBoolean("session_alive", false));
     }
 }
--- a/src/test/java/calicostream/rig/PassageTest.java
+++ b/src/test/java/calicostream/rig/PassageTest.java
@@ -77,14 +77,21 @@
     void oneByteInSoManyIsSpoilt() {
         passage.set(LinkFault.rot(100), 0);
         passage.took(250, 0);
-        assertTrue(passage.spoils(99) && passage.spoils(199) && !passage.spoils(98) && !passage.spoils(100));
+        assertTrue(
+                passage.spoils(99)
+                        && passage.spoils(199)
+                        && !passage.spoils(98)
+                        && !passage.spoils(100));
         passage.gave(50);
         assertTrue(passage.spoils(49));
         passage.gave(50);
         assertTrue(passage.spoils(99) && !passage.spoils(49));
     }
 
-    /** Whatever is switched when: nothing passes that was not taken, no more waits than there is room for, and all passes in the end. */
+    /**
+     * Whatever is switched when: nothing passes that was not taken, no more waits than there is
+     * room for, and all passes in the end.
+     */
     @Test
     void randomFaultsKeepTheCounts() {
         for (long seed = 1; seed <= 300; seed++) {
@@ -98,15 +105,23 @@
                 now += random.nextInt(30) * MS;
                 int what = random.nextInt(12);
                 if (what < 6) {
-                    LinkFault[] faults = {LinkFault.NONE, LinkFault.STALL, LinkFault.MUTE, LinkFault.delay(1 + random.nextInt(80)),
-                            LinkFault.throttle(1 + random.nextInt(100_000)), LinkFault.rot(1 + random.nextInt(100))};
+                    LinkFault[] faults = {
+                        LinkFault.NONE,
+                        LinkFault.STALL,
+                        LinkFault.MUTE,
+                        LinkFault.delay(1 + random.nextInt(80)),
+                        LinkFault.throttle(1 + random.nextInt(100_000)),
+                        LinkFault.rot(1 + random.nextInt(100))
+                    };
                     each.set(faults[what], now);
                 } else if (what == 11 && random.nextInt(50) == 0) {
                     each.set(LinkFault.SWALLOW, now);
                     swallowed = true;
                 }
                 int room = each.room();
-                assertTrue(room >= 0 && (swallowed || room + each.held() <= Passage.ROOM), "seed " + seed);
+                assertTrue(
+                        room >= 0 && (swallowed || room + each.held() <= Passage.ROOM),
+                        "seed " + seed);
                 int n = room == 0 ? 0 : random.nextInt(Math.min(room, 9000) + 1);
                 if (n > 0) {
                     each.took(n, now);
@@ -136,6 +151,7 @@
             passage.gave(due);
             passed += due;
         }
-        assertTrue(passed >= 19_000 && passed <= 20_200, passed + " bytes in 2 s at 10,000 a second");
+        assertTrue(
+                passed >= 19_000 && passed <= 20_200, passed + " bytes in 2 s at 10,000 a second");
     }
 }
--- a/src/test/java/calicostream/rig/RelaysTest.java
+++ b/src/test/java/calicostream/rig/RelaysTest.java
@@ -33,7 +33,10 @@
         relays = new Relays();
         target = new ServerSocket(0, 8, here);
         target.setSoTimeout((int) Proc.PATIENCE_MS);
-        link = relays.open(new InetSocketAddress(here, 0), new InetSocketAddress(here, target.getLocalPort()));
+        link =
+                relays.open(
+                        new InetSocketAddress(here, 0),
+                        new InetSocketAddress(here, target.getLocalPort()));
         open();
     }
 
