--- a/src/test/java/calicostream/syslog/SyslogTest.java
+++ b/src/test/java/calicostream/syslog/SyslogTest.java
@@ -24,27 +24,42 @@
 
 /** Records against stand-in collectors on loopback. */
 class SyslogTest {
-    private static final String HEAD = "1 \\d{4}-\\d\\d-\\d\\dT\\d\\d:\\d\\d:\\d\\d(\\.\\d{1,6})?Z n1 calicostream \\d+ ";
+    private static final String HEAD =
+            "1 \\d{4}-\\d\\d-\\d\\dT\\d\\d:\\d\\d:\\d\\d(\\.\\d{1,6})?Z n1 calicostream \\d+ ";
 
     private static Loop loop() throws Exception {
         return new Loop(new Clock(), new Deadlines());
     }
 
     private static SyslogConfig config(int port, boolean tcp) {
-        return new SyslogConfig(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), tcp, 16, 32473);
+        return new SyslogConfig(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), port), tcp, 16, 32473);
     }
 
     @Test
     void answersAndEnginesOverUdp() throws Exception {
         try (DatagramSocket collector = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             collector.setSoTimeout(10_000);
-            Syslog syslog = new Syslog(loop(), config(collector.getLocalPort(), false), "n1", List.of("look", "load"));
+            Syslog syslog =
+                    new Syslog(
+                            loop(),
+                            config(collector.getLocalPort(), false),
+                            "n1",
+                            List.of("look", "load"));
             syslog.answered("9b1f03aa5c7e2d41", 1, Ending.FAILED, 2, 1500);
             syslog.engine(new Engine(10, 1, 0, 0, 0, EngineState.DRAINING));
-            assertMatches("<132>" + HEAD + "ANSWER \\[answer@32473 id=\"9b1f03aa5c7e2d41\" class=\"load\" "
-                    + "ending=\"failed\" attempts=\"2\" us=\"1500\"\\]", receive(collector));
-            assertMatches("<133>" + HEAD + "ENGINE \\[engine@32473 id=\"a\" state=\"draining\" zone=\"0\" "
-                    + "kind=\"1\"\\]", receive(collector));
+            assertMatches(
+                    "<132>"
+                            + HEAD
+                            + "ANSWER \\[answer@32473 id=\"9b1f03aa5c7e2d41\" class=\"load\" "
+                            + "ending=\"failed\" attempts=\"2\" us=\"1500\"\\]",
+                    receive(collector));
+            assertMatches(
+                    "<133>"
+                            + HEAD
+                            + "ENGINE \\[engine@32473 id=\"a\" state=\"draining\" zone=\"0\" "
+                            + "kind=\"1\"\\]",
+                    receive(collector));
             assertEquals(0, syslog.dropped());
         }
     }
@@ -53,14 +68,17 @@
     void countedOctetsOverTcp() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Loop loop = loop();
-            Syslog syslog = new Syslog(loop, config(server.getLocalPort(), true), "n1", List.of("look"));
-            Thread thread = new Thread(() -> {
-                try {
-                    loop.run();
-                } catch (java.io.IOException e) {
-                    throw new java.io.UncheckedIOException(e);
-                }
-            });
+            Syslog syslog =
+                    new Syslog(loop, config(server.getLocalPort(), true), "n1", List.of("look"));
+            Thread thread =
+                    new Thread(
+                            () -> {
+                                try {
+                                    loop.run();
+                                } catch (java.io.IOException e) {
+                                    throw new java.io.UncheckedIOException(e);
+                                }
+                            });
             thread.start();
             loop.post(() -> syslog.answered("9b1f03aa5c7e2d41", 0, Ending.SERVED, 1, 7));
             try (Socket collector = server.accept()) {
@@ -72,7 +90,8 @@
                 }
                 byte[] record = new byte[length];
                 in.readFully(record);
-                assertMatches("<134>" + HEAD + "ANSWER \\[answer@32473 .* us=\"7\"\\]",
+                assertMatches(
+                        "<134>" + HEAD + "ANSWER \\[answer@32473 .* us=\"7\"\\]",
                         new String(record, StandardCharsets.UTF_8));
             } finally {
                 loop.post(loop::stop);
@@ -83,9 +102,15 @@
 
     @Test
     void valuesAreEscapedAndHeadersPrintable() {
-        String text = new String(new Record(16, Record.INFO, Instant.EPOCH, "my host", "", "M", "e@1")
-                .with("v", "a\"b\\c]d").bytes(), StandardCharsets.UTF_8);
-        assertEquals("<134>1 1970-01-01T00:00:00Z my_host calicostream - M [e@1 v=\"a\\\"b\\\\c\\]d\"]", text);
+        String text =
+                new String(
+                        new Record(16, Record.INFO, Instant.EPOCH, "my host", "", "M", "e@1")
+                                .with("v", "a\"b\\c]d")
+                                .bytes(),
+                        StandardCharsets.UTF_8);
+        assertEquals(
+                "<134>1 1970-01-01T00:00:00Z my_host calicostream - M [e@1 v=\"a\\\"b\\\\c\\]d\"]",
+                text);
     }
 
     private static String receive(DatagramSocket socket) throws Exception {
--- a/src/test/java/calicostream/wire/ChangeLogStand.java
+++ b/src/test/java/calicostream/wire/ChangeLogStand.java
@@ -35,11 +35,15 @@
     /** The same, with events right behind the answer's head. */
     public String follow(String events) throws IOException {
         follower = server.accept();
-        while (SocketTable.hasEnded(follower.getLocalPort(), follower.getPort())) { // It gave up before it was answered.
+        while (SocketTable.hasEnded(
+                follower.getLocalPort(),
+                follower.getPort())) { // It gave up before it was answered.
             follower = server.accept();
         }
-        BufferedReader in = new BufferedReader(new InputStreamReader(follower.getInputStream(),
-                StandardCharsets.US_ASCII));
+        BufferedReader in =
+                new BufferedReader(
+                        new InputStreamReader(
+                                follower.getInputStream(), StandardCharsets.US_ASCII));
         String last = "";
         if (!in.readLine().equals("GET /changes HTTP/1.1")) {
             throw new IOException("not a follower");
@@ -63,20 +67,29 @@
         write("id: " + seq + "\ndata: " + event + "\n\n");
     }
 
-    /** From now on it says now and then that it is there: followers leave a log that is silent for two seconds. */
+    /**
+     * From now on it says now and then that it is there: followers leave a log that is silent for
+     * two seconds.
+     */
     public void stayAwake() {
-        awake = Executors.newSingleThreadScheduledExecutor(task -> {
-            Thread thread = new Thread(task, "change log");
-            thread.setDaemon(true);
-            return thread;
-        });
-        awake.scheduleAtFixedRate(() -> {
-            try {
-                write(": here\n\n");
-            } catch (IOException e) {
-                awake.shutdown(); // The follower has gone, and the test with it.
-            }
-        }, SIGN_MS, SIGN_MS, TimeUnit.MILLISECONDS);
+        awake =
+                Executors.newSingleThreadScheduledExecutor(
+                        task -> {
+                            Thread thread = new Thread(task, "change log");
+                            thread.setDaemon(true);
+                            return thread;
+                        });
+        awake.scheduleAtFixedRate(
+                () -> {
+                    try {
+                        write(": here\n\n");
+                    } catch (IOException e) {
+                        awake.shutdown(); // The follower has gone, and the test with it.
+                    }
+                },
+                SIGN_MS,
+                SIGN_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     public synchronized void write(String text) throws IOException {
--- a/src/test/java/calicostream/wire/ConfigurationTest.java
+++ b/src/test/java/calicostream/wire/ConfigurationTest.java
@@ -16,17 +16,24 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class ConfigurationTest {
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "{", "[]", "{\"listen\":\"127.0.0.1:0\"}", "{\"listen\":7,\"changelog\":\"x\"}",
-        "{\"listen\":\"localhost:80\",\"changelog\":\"127.0.0.1:1\",\"known\":{},\"settings\":{}}",
-        "{\"listen\":\"127.0.0.1:0\",\"changelog\":\"127.0.0.1:1\",\"known\":{},\"settings\":{}}",
-        "{\"listen\":\"127.0.0.1:0\",\"changelog\":\"127.0.0.1:1\",\"known\":{\"results\":[]},"
-            + "\"settings\":{\"stats\":{\"how\":\"what\"}}}"})
+    @ValueSource(
+            strings = {
+                "",
+                "{",
+                "[]",
+                "{\"listen\":\"127.0.0.1:0\"}",
+                "{\"listen\":7,\"changelog\":\"x\"}",
+                "{\"listen\":\"localhost:80\",\"changelog\":\"127.0.0.1:1\",\"known\":{},\"settings\":{}}",
+                "{\"listen\":\"127.0.0.1:0\",\"changelog\":\"127.0.0.1:1\",\"known\":{},\"settings\":{}}",
+                "{\"listen\":\"127.0.0.1:0\",\"changelog\":\"127.0.0.1:1\",\"known\":{\"results\":[]},"
+                    + "\"settings\":{\"stats\":{\"how\":\"what\"}}}"
+            })
     void badConfigurationEndsTheProgramWithOneLine(String text) throws Exception {
-        Process process = Program.launch(folder, Files.writeString(folder.resolve("bad.json"), text));
+        Process process =
+                Program.launch(folder, Files.writeString(folder.resolve("bad.json"), text));
         List<String> said = process.inputReader().lines().toList();
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(2, process.exitValue());
@@ -34,10 +41,13 @@
         assertTrue(said.get(0).startsWith("calicostream: bad "), said.get(0));
     }
 
-    /** As nohup starts it: the new file is taken all the same, also after one that can't be used. */
+    /**
+     * As nohup starts it: the new file is taken all the same, also after one that can't be used.
+     */
     @Test
     void fileThatChangesIsReadWhereTheSignalIsIgnored() throws Exception {
-        try (ChangeLogStand log = new ChangeLogStand(); ChangeLogStand log2 = new ChangeLogStand();
+        try (ChangeLogStand log = new ChangeLogStand();
+                ChangeLogStand log2 = new ChangeLogStand();
                 RespStand engine = new RespStand()) {
             List<String> engines = List.of(Program.endpoint("e1", engine.address(), "Ready", 0));
             Path config = Program.configure(folder, 0, log.port(), engines, 1024);
@@ -45,7 +55,8 @@
                 program.awaitLine("SIGHUP is ignored");
                 assertEquals("1", log.follow());
                 program.awaitLine("listens on port");
-                String whole = Files.readString(Program.configure(folder, 0, log2.port(), engines, 1024));
+                String whole =
+                        Files.readString(Program.configure(folder, 0, log2.port(), engines, 1024));
                 Files.writeString(config, whole.substring(0, whole.length() / 2));
                 program.awaitLine("the configuration stays as it was");
                 program.hangUp(); // Changes nothing: it is not heard.
@@ -56,15 +67,25 @@
         }
     }
 
-    /** The log is there and never answers: what it got since the start counts as told after 7 s, and not before. */
+    /**
+     * The log is there and never answers: what it got since the start counts as told after 7 s, and
+     * not before.
+     */
     @Test
     void withoutTheChangeLogClientsComeSevenSecondsAfterTheStart() throws Exception {
-        try (ChangeLogStand log = new ChangeLogStand(); RespStand engine = new RespStand()) {
+        try (ChangeLogStand log = new ChangeLogStand();
+                RespStand engine = new RespStand()) {
             long from = System.nanoTime();
-            try (Program program = new Program(folder, log.port(), List.of(Program.endpoint("e1", engine.address(), "Ready", 0)))) {
+            try (Program program =
+                    new Program(
+                            folder,
+                            log.port(),
+                            List.of(Program.endpoint("e1", engine.address(), "Ready", 0)))) {
                 program.awaitLine("the change log has not told all");
                 int port = program.port("listens on port");
-                assertTrue(System.nanoTime() - from >= 7_000_000_000L, "it came before the list could");
+                assertTrue(
+                        System.nanoTime() - from >= 7_000_000_000L,
+                        "it came before the list could");
                 Program.ask(port, engine, 1);
             }
         }
@@ -72,14 +93,25 @@
 
     @Test
     void bothFormsOfTheSettingsReadAlike() {
-        String lines = "balancers=2\nstats.columns=util,inflight\nstats.how=inline\nlanes.count=1\nlanes.0.name=a_b\n"
-                + "lanes.0.effect=once\nlanes.0.aim_us=5\nlanes.0.allowed_in=0,1\nfamily_info.kind_cores=12,8\n"
-                + "ceilings.may_probe=false\nrealms=\n";
-        String json = "{'balancers':2,'stats':{'columns':['util','inflight'],'how':'inline'},'lanes':[{'name':'a b',"
-                + "'effect':'once','aim_us':5,'allowed_in':[0,1]}],'family_info':{'kind_cores':[12,8]},"
-                + "'ceilings':{'may_probe':false},'realms':[],'new':{'key':null}}";
+        String lines =
+                "balancers=2\n"
+                        + "stats.columns=util,inflight\n"
+                        + "stats.how=inline\n"
+                        + "lanes.count=1\n"
+                        + "lanes.0.name=a_b\n"
+                        + "lanes.0.effect=once\n"
+                        + "lanes.0.aim_us=5\n"
+                        + "lanes.0.allowed_in=0,1\n"
+                        + "family_info.kind_cores=12,8\n"
+                        + "ceilings.may_probe=false\n"
+                        + "realms=\n";
+        String json =
+                "{'balancers':2,'stats':{'columns':['util','inflight'],'how':'inline'},'lanes':[{'name':'a"
+                    + " b','effect':'once','aim_us':5,'allowed_in':[0,1]}],'family_info':{'kind_cores':[12,8]},"
+                    + "'ceilings':{'may_probe':false},'realms':[],'new':{'key':null}}";
         SettingsParser one = SettingsParser.ofLines(lines);
-        SettingsParser other = SettingsParser.ofJson(Json.parse(json.replace('\'', '"')).asObject());
+        SettingsParser other =
+                SettingsParser.ofJson(Json.parse(json.replace('\'', '"')).asObject());
         assertEquals(one.settings(), other.settings());
         assertEquals(one.classNames(), other.classNames());
         assertEquals(List.of("util", "inflight"), other.columns());
--- a/src/test/java/calicostream/wire/Exchange.java
+++ b/src/test/java/calicostream/wire/Exchange.java
@@ -21,20 +21,23 @@
 import java.util.regex.Pattern;
 
 /**
- * Plays a recorded exchange against the started program. A line is a party, a sign and bytes: '>' is sent by
- * the party, '<' is what the party must receive next, '!' is a word on it. Parties: c1, c2 ... clients (lines),
- * crowd (many clients), a1, a2 ... callers of the admin address (bytes; what they receive is all until it ends;
- * "until" asks for the figures until they are so), b1, b2 ... the same of the successor's, e1, e2 ... engines
- * (commands with '|' between their parts), log and log2 (events; "hold" takes a follower and says nothing), program, successor. In bytes, b64(...) is
- * base64 and \n, \r, \t, \0 are what they usually are; in what is expected, * stands for any bytes, and in
- * events @e1 for an engine's address and @@ for the time in Unix milliseconds.
+ * Plays a recorded exchange against the started program. A line is a party, a sign and bytes: '>'
+ * is sent by the party, '<' is what the party must receive next, '!' is a word on it. Parties: c1,
+ * c2 ... clients (lines), crowd (many clients), a1, a2 ... callers of the admin address (bytes;
+ * what they receive is all until it ends; "until" asks for the figures until they are so), b1, b2
+ * ... the same of the successor's, e1, e2 ... engines (commands with '|' between their parts), log
+ * and log2 (events; "hold" takes a follower and says nothing), program, successor. In bytes,
+ * b64(...) is base64 and \n, \r, \t, \0 are what they usually are; in what is expected, * stands
+ * for any bytes, and in events @e1 for an engine's address and @@ for the time in Unix
+ * milliseconds.
  */
 public final class Exchange implements AutoCloseable {
     private final Map<String, Socket> clients = new HashMap<>();
     private final Map<String, BufferedReader> readers = new HashMap<>();
     private final Map<String, RespStand> engines = new HashMap<>();
     private final List<Socket> crowd = new ArrayList<>();
-    private final Map<String, ChangeLogStand> logs = Map.of("log", new ChangeLogStand(), "log2", new ChangeLogStand());
+    private final Map<String, ChangeLogStand> logs =
+            Map.of("log", new ChangeLogStand(), "log2", new ChangeLogStand());
     private final Path folder;
     private int sockets = 1024;
     private final Map<String, String> settings = new HashMap<>();
@@ -61,10 +64,14 @@
                 try {
                     exchange.step(line.group(1), line.group(2).charAt(0), line.group(3));
                 } catch (IOException | AssertionError e) {
-                    throw new AssertionError(file.getFileName() + ":" + (i + 1) + ": " + e.getMessage(), e);
+                    throw new AssertionError(
+                            file.getFileName() + ":" + (i + 1) + ": " + e.getMessage(), e);
                 }
             }
-            assertTrue(exchange.program == null || !exchange.program.isAlive() || exchange.stillServes(),
+            assertTrue(
+                    exchange.program == null
+                            || !exchange.program.isAlive()
+                            || exchange.stillServes(),
                     "the program no longer serves");
         }
     }
@@ -107,7 +114,9 @@
                 program = new Program(folder, 0, logs.get("log").port(), known, sockets);
                 admin = program.port("operators call on port");
             } else if (word.startsWith("quiet ")) {
-                assertTrue(program.isQuiet(Long.parseLong(word.substring(6))), "the program has gone on");
+                assertTrue(
+                        program.isQuiet(Long.parseLong(word.substring(6))),
+                        "the program has gone on");
             } else if (word.startsWith("says ")) {
                 program.awaitLine(word.substring(5));
             } else if (word.equals("listens")) {
@@ -130,12 +139,15 @@
                 program.hangUp();
                 program.awaitLine("stays as it was");
             } else if (word.startsWith("hup ")) {
-                Program.configure(folder, 0, logs.get(word.substring(4)).port(), List.of(), sockets);
+                Program.configure(
+                        folder, 0, logs.get(word.substring(4)).port(), List.of(), sockets);
                 program.hangUp();
             } else {
                 assertEquals("exit 0", word);
                 int code = program.awaitExit();
-                assertTrue(code == 0 || code == 143, "exit " + code); // 128 + SIGTERM is Java's own way to say so
+                assertTrue(
+                        code == 0 || code == 143,
+                        "exit " + code); // 128 + SIGTERM is Java's own way to say so
             }
         } catch (InterruptedException e) {
             throw new IOException(e);
@@ -152,7 +164,8 @@
     }
 
     private Program started(int listen) throws IOException {
-        Program started = new Program(folder, listen, logs.get("log").port(), known, sockets, settings);
+        Program started =
+                new Program(folder, listen, logs.get("log").port(), known, sockets, settings);
         assertEquals("1", logs.get("log").follow());
         return started;
     }
@@ -164,7 +177,10 @@
         successor.awaitLine("listens on port");
     }
 
-    /** "ask N": so many clients that ask once, have their answer and stay; "silent N"; "ended": none of these stays. */
+    /**
+     * "ask N": so many clients that ask once, have their answer and stay; "silent N"; "ended": none
+     * of these stays.
+     */
     private void crowd(String[] words) throws IOException {
         if (words[0].equals("ended")) {
             for (Socket each : crowd) {
@@ -190,8 +206,10 @@
         }
         if (text.startsWith("until ")) {
             String expected = text.substring(6);
-            for (long end = System.nanoTime() + Program.PATIENCE_MS * 1_000_000; true;) {
-                String got = Program.call(name.startsWith("a") ? admin : successorAdmin, "GET /-/metrics");
+            for (long end = System.nanoTime() + Program.PATIENCE_MS * 1_000_000; true; ) {
+                String got =
+                        Program.call(
+                                name.startsWith("a") ? admin : successorAdmin, "GET /-/metrics");
                 if (System.nanoTime() > end || pattern(expected).matcher(got).matches()) {
                     matches(expected, got);
                     return;
@@ -200,7 +218,11 @@
         } else if (sign == '>') {
             clients.get(name).getOutputStream().write(bytes(text).getBytes(StandardCharsets.UTF_8));
         } else if (sign == '<') {
-            matches(text, new String(clients.get(name).getInputStream().readAllBytes(), StandardCharsets.UTF_8));
+            matches(
+                    text,
+                    new String(
+                            clients.get(name).getInputStream().readAllBytes(),
+                            StandardCharsets.UTF_8));
             clients.remove(name).close();
         } else {
             assertEquals("connect", text);
@@ -234,7 +256,9 @@
     private String events(String text) {
         String event = text.replace("@@", Long.toString(System.currentTimeMillis()));
         for (Map.Entry<String, RespStand> e : engines.entrySet()) {
-            event = event.replace("@" + e.getKey(), "127.0.0.1:" + e.getValue().address().getPort());
+            event =
+                    event.replace(
+                            "@" + e.getKey(), "127.0.0.1:" + e.getValue().address().getPort());
         }
         return bytes(event);
     }
@@ -258,7 +282,9 @@
             assertTrue(engine.ended(), "the connection is still open");
             engine.hangUp();
         } else if (text.startsWith("quiet ")) {
-            assertTrue(engine.quiet(Integer.parseInt(text.substring(6))), "something was sent to " + name);
+            assertTrue(
+                    engine.quiet(Integer.parseInt(text.substring(6))),
+                    "something was sent to " + name);
         } else {
             assertEquals("new", text);
         }
@@ -268,17 +294,25 @@
         if (!clients.containsKey(name)) {
             Socket socket = socket();
             clients.put(name, socket);
-            readers.put(name, new BufferedReader(new InputStreamReader(socket.getInputStream(),
-                    StandardCharsets.UTF_8)));
+            readers.put(
+                    name,
+                    new BufferedReader(
+                            new InputStreamReader(
+                                    socket.getInputStream(), StandardCharsets.UTF_8)));
         }
         if (sign == '>') {
             boolean whole = !text.endsWith("\\0");
-            String sent = bytes(whole ? text : text.substring(0, text.length() - 2)) + (whole ? "\n" : "");
+            String sent =
+                    bytes(whole ? text : text.substring(0, text.length() - 2))
+                            + (whole ? "\n" : "");
             clients.get(name).getOutputStream().write(sent.getBytes(StandardCharsets.UTF_8));
         } else if (sign == '<') {
             matches(text, readers.get(name).readLine());
         } else if (text.startsWith("flood ")) {
-            byte[] flood = "x".repeat(Integer.parseInt(text.substring(6))).getBytes(StandardCharsets.US_ASCII);
+            byte[] flood =
+                    "x"
+                            .repeat(Integer.parseInt(text.substring(6)))
+                            .getBytes(StandardCharsets.US_ASCII);
             clients.get(name).getOutputStream().write(flood);
         } else if (text.equals("ended")) {
             assertEquals(null, readers.get(name).readLine());
@@ -292,8 +326,15 @@
 
     private static String bytes(String text) {
         Matcher encoded = Pattern.compile("b64\\((.*?)\\)").matcher(text);
-        return unescaped(encoded.replaceAll(m -> Matcher.quoteReplacement(Base64.getEncoder()
-                .encodeToString(unescaped(m.group(1)).getBytes(StandardCharsets.UTF_8)))));
+        return unescaped(
+                encoded.replaceAll(
+                        m ->
+                                Matcher.quoteReplacement(
+                                        Base64.getEncoder()
+                                                .encodeToString(
+                                                        unescaped(m.group(1))
+                                                                .getBytes(
+                                                                        StandardCharsets.UTF_8)))));
     }
 
     private static String unescaped(String text) {
@@ -301,11 +342,13 @@
     }
 
     private static Pattern pattern(String expected) {
-        return Pattern.compile(Pattern.quote(bytes(expected)).replace("*", "\\E.*\\Q"), Pattern.DOTALL);
+        return Pattern.compile(
+                Pattern.quote(bytes(expected)).replace("*", "\\E.*\\Q"), Pattern.DOTALL);
     }
 
     private static void matches(String expected, String actual) {
-        assertTrue(actual != null && pattern(expected).matcher(actual).matches(),
+        assertTrue(
+                actual != null && pattern(expected).matcher(actual).matches(),
                 "expected " + expected + " but got " + actual);
     }
 
--- a/src/test/java/calicostream/wire/ExchangesTest.java
+++ b/src/test/java/calicostream/wire/ExchangesTest.java
@@ -12,15 +12,22 @@
 
 /** Every recorded exchange, each against a program of its own. */
 class ExchangesTest {
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     @TestFactory
     Stream<DynamicTest> exchanges() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("src/test/resources/exchanges"))) {
             List<Path> sorted = files.sorted().toList();
-            return sorted.stream().map(file -> DynamicTest.dynamicTest(file.getFileName().toString(),
-                    () -> Exchange.play(file, Files.createTempDirectory(folder, "run"))));
+            return sorted.stream()
+                    .map(
+                            file ->
+                                    DynamicTest.dynamicTest(
+                                            file.getFileName().toString(),
+                                            () ->
+                                                    Exchange.play(
+                                                            file,
+                                                            Files.createTempDirectory(
+                                                                    folder, "run"))));
         }
     }
 }
--- a/src/test/java/calicostream/wire/FaultRunsTest.java
+++ b/src/test/java/calicostream/wire/FaultRunsTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The same faults on both protocols: the rules are the core's, whatever wire is before and behind it. */
+/**
+ * The same faults on both protocols: the rules are the core's, whatever wire is before and behind
+ * it.
+ */
 class FaultRunsTest {
     private static final String READ = "select * from sales_17.orders";
     private static final String LOAD = "insert into sales_17.points select 1";
@@ -36,8 +39,7 @@
     }
 
     abstract static class Runs {
-        @TempDir
-        Path folder;
+        @TempDir Path folder;
         private final Stand stand = stand();
         private final List<Stand.Engine> engines = new ArrayList<>();
         private ChangeLogStand log;
@@ -171,11 +173,18 @@
             Stand.Asked running = first.next();
             int index = engines.indexOf(first);
             log.tell(2, Program.event(2, false, List.of(entry(index, "Terminating", 0))));
-            // The log is read in order, and the figures tell that what came behind the drain has been read.
-            String third = Program.endpoint("e9", new InetSocketAddress(InetAddress.getLoopbackAddress(), 1), "Terminating", 0);
+            // The log is read in order, and the figures tell that what came behind the drain has
+            // been read.
+            String third =
+                    Program.endpoint(
+                            "e9",
+                            new InetSocketAddress(InetAddress.getLoopbackAddress(), 1),
+                            "Terminating",
+                            0);
             log.tell(3, Program.event(3, false, List.of(third)));
             long end = System.nanoTime() + Program.PATIENCE_MS * 1_000_000;
-            while (!Program.call(admin, "GET /-/metrics").contains("\"pool_size\":3") && System.nanoTime() < end) {
+            while (!Program.call(admin, "GET /-/metrics").contains("\"pool_size\":3")
+                    && System.nanoTime() < end) {
                 Thread.onSpinWait();
             }
             Stand.Engine other = engines.get(1 - index);
@@ -209,9 +218,10 @@
                 assertEquals("served row", answer.await());
             }
             String figures = Program.call(admin, "GET /-/metrics");
-            assertTrue(figures.endsWith("{\"ok\":{\"lookup\":6,\"report\":0,\"stat-load\":0},\"shed\":{\"lookup\":0,"
-                    + "\"report\":0,\"stat-load\":0},\"errors\":{\"lookup\":0,\"report\":0,\"stat-load\":0},"
-                    + "\"tries\":6,\"active\":0,\"pool_size\":2,\"pool_ejected\":1}\n"), figures);
+            assertTrue(
+                    figures.endsWith(
+                            "{\"ok\":{\"lookup\":6,\"report\":0,\"stat-load\":0},\"shed\":{\"lookup\":0,\"report\":0,\"stat-load\":0},\"errors\":{\"lookup\":0,\"report\":0,\"stat-load\":0},\"tries\":6,\"active\":0,\"pool_size\":2,\"pool_ejected\":1}\n"),
+                    figures);
             assertTrue(Program.call(admin, path + "/enable").startsWith("HTTP/1.1 200 "));
             Stand.Answer after = stand.ask("lookup", READ, 9000);
             first.next().serve("row");
@@ -222,24 +232,32 @@
         void coldEngineIsSpared() throws Exception {
             start(1);
             engines.add(stand.engine());
-            log.tell(2, Program.event(2, false, List.of(entry(1, "Ready", System.currentTimeMillis()))));
+            log.tell(
+                    2,
+                    Program.event(
+                            2, false, List.of(entry(1, "Ready", System.currentTimeMillis()))));
             List<Stand.Answer> answers = new ArrayList<>();
             long end = System.nanoTime() + Program.PATIENCE_MS * 1_000_000;
             int asked = 0;
-            while (engines.get(1).waiting() == 0 && System.nanoTime() < end) { // until its start has arrived
+            while (engines.get(1).waiting() == 0
+                    && System.nanoTime() < end) { // until its start has arrived
                 answers.add(stand.ask("lookup", "select 1 from s_" + asked++ + ".t", 1500));
                 Thread.sleep(2);
             }
             for (int i = 0; i < 40 && asked < 1000; i++) {
                 answers.add(stand.ask("lookup", "select 1 from s_" + asked++ + ".t", 1500));
             }
-            for (Stand.Answer answer : answers) { // No engine answers: all end by themselves, one by one.
+            for (Stand.Answer answer :
+                    answers) { // No engine answers: all end by themselves, one by one.
                 String told = answer.await();
                 assertTrue(told.equals("refused") || told.equals("deadline"), told);
             }
-            // All ended within one window of the rule. The allowance is 4 times 30% of 12 cores for 2 s, of which usual work of 1 s takes less than 20.
+            // All ended within one window of the rule. The allowance is 4 times 30% of 12 cores for
+            // 2 s, of which usual work of 1 s takes less than 20.
             assertTrue(engines.get(1).waiting() > 0, "nothing sent to the cold engine");
-            assertTrue(engines.get(1).waiting() <= 20, engines.get(1).waiting() + " sent to the cold engine");
+            assertTrue(
+                    engines.get(1).waiting() <= 20,
+                    engines.get(1).waiting() + " sent to the cold engine");
             assertTrue(engines.get(0).waiting() > 0, "nothing sent to the warm one");
         }
 
--- a/src/test/java/calicostream/wire/FlightFrontTest.java
+++ b/src/test/java/calicostream/wire/FlightFrontTest.java
@@ -22,11 +22,13 @@
 import org.junit.jupiter.api.function.Executable;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What only Flight SQL has: tickets, prepared statements, its statuses for calls that can't be used. */
+/**
+ * What only Flight SQL has: tickets, prepared statements, its statuses for calls that can't be
+ * used.
+ */
 class FlightFrontTest {
     private static final CallOption[] LOOKUP = FlightStand.options("lookup", 15_000);
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
     private final FlightStand stand = new FlightStand();
     private final ExecutorService thread = Executors.newSingleThreadExecutor();
     private Stand.Engine engine;
@@ -38,8 +40,12 @@
     void start() throws Exception {
         engine = stand.engine();
         log = new ChangeLogStand();
-        program = new Program(folder, log.port(), List.of(Program.endpoint("e1", engine.address(), "Ready", 0)),
-                stand.deploy());
+        program =
+                new Program(
+                        folder,
+                        log.port(),
+                        List.of(Program.endpoint("e1", engine.address(), "Ready", 0)),
+                        stand.deploy());
         log.follow();
         log.stayAwake();
         stand.connect(program);
@@ -59,7 +65,8 @@
     @Test
     void secondProcessListensOnTheSameAddress() throws Exception {
         String known = Program.endpoint("e1", engine.address(), "Ready", 0);
-        try (Program second = new Program(folder, log.port(), List.of(known), FlightStand.deploy(stand.port()))) {
+        try (Program second =
+                new Program(folder, log.port(), List.of(known), FlightStand.deploy(stand.port()))) {
             log.follow();
             assertEquals(stand.port(), second.port("Flight SQL listens on port"));
         }
@@ -70,7 +77,8 @@
     }
 
     private String firstRow(FlightInfo info) throws Exception {
-        try (FlightStream stream = client.getStream(info.getEndpoints().get(0).getTicket(), LOOKUP)) {
+        try (FlightStream stream =
+                client.getStream(info.getEndpoints().get(0).getTicket(), LOOKUP)) {
             stream.next();
             return stream.getRoot().getVector(0).getObject(0).toString();
         }
@@ -89,16 +97,22 @@
     @Test
     void whatCannotBeUsedIsSaidToBe() throws Exception {
         assertStatus(FlightStatusCode.INVALID_ARGUMENT, () -> client.execute(" ", LOOKUP));
-        assertStatus(FlightStatusCode.INVALID_ARGUMENT,
+        assertStatus(
+                FlightStatusCode.INVALID_ARGUMENT,
                 () -> client.execute("select 1", FlightStand.options("what", 15_000)));
-        assertStatus(FlightStatusCode.INVALID_ARGUMENT, () -> client.executeUpdate("insert into a_1.t select 1", LOOKUP));
+        assertStatus(
+                FlightStatusCode.INVALID_ARGUMENT,
+                () -> client.executeUpdate("insert into a_1.t select 1", LOOKUP));
         FlightInfo info = client.execute("select 1", FlightStand.options("stat-load", 15_000));
         CallOption[] asLoad = FlightStand.options("stat-load", 15_000);
-        assertStatus(FlightStatusCode.INVALID_ARGUMENT, () -> {
-            try (FlightStream stream = client.getStream(info.getEndpoints().get(0).getTicket(), asLoad)) {
-                stream.next();
-            }
-        });
+        assertStatus(
+                FlightStatusCode.INVALID_ARGUMENT,
+                () -> {
+                    try (FlightStream stream =
+                            client.getStream(info.getEndpoints().get(0).getTicket(), asLoad)) {
+                        stream.next();
+                    }
+                });
         assertEquals(0, engine.waiting());
     }
 }
--- a/src/test/java/calicostream/wire/FlightStand.java
+++ b/src/test/java/calicostream/wire/FlightStand.java
@@ -45,11 +45,13 @@
 /** Flight SQL clients and engines. */
 final class FlightStand implements Stand {
     private final BufferAllocator allocator = new RootAllocator();
-    private final ExecutorService threads = Executors.newCachedThreadPool(work -> {
-        Thread thread = new Thread(work);
-        thread.setDaemon(true);
-        return thread;
-    });
+    private final ExecutorService threads =
+            Executors.newCachedThreadPool(
+                    work -> {
+                        Thread thread = new Thread(work);
+                        thread.setDaemon(true);
+                        return thread;
+                    });
     private FlightClient flight;
     private FlightSqlClient client;
     private int port;
@@ -65,8 +67,12 @@
     }
 
     static String[] deploy(int port) {
-        return new String[] {"flight.json",
-            "{\"enabled\":true,\"listen\":\"127.0.0.1:" + port + "\",\"engines\":\"flight\",\"info_schema\":\"none\"}"};
+        return new String[] {
+            "flight.json",
+            "{\"enabled\":true,\"listen\":\"127.0.0.1:"
+                    + port
+                    + "\",\"engines\":\"flight\",\"info_schema\":\"none\"}"
+        };
     }
 
     /** Where the program that it is connected to listens. */
@@ -77,7 +83,9 @@
     @Override
     public void connect(Program program) throws IOException {
         port = program.port("Flight SQL listens on port");
-        flight = FlightClient.builder(allocator, Location.forGrpcInsecure("127.0.0.1", port)).build();
+        flight =
+                FlightClient.builder(allocator, Location.forGrpcInsecure("127.0.0.1", port))
+                        .build();
         client = new FlightSqlClient(flight);
     }
 
@@ -88,7 +96,9 @@
     static CallOption[] options(String queryClass, int waitMs) {
         CallHeaders headers = new FlightCallHeaders();
         headers.insert("calicostream-class", queryClass);
-        return new CallOption[] {new HeaderCallOption(headers), CallOptions.timeout(waitMs, TimeUnit.MILLISECONDS)};
+        return new CallOption[] {
+            new HeaderCallOption(headers), CallOptions.timeout(waitMs, TimeUnit.MILLISECONDS)
+        };
     }
 
     @Override
@@ -96,16 +106,19 @@
         CallOption[] options = options(queryClass, waitMs);
         CompletableFuture<FlightStream> stream = new CompletableFuture<>();
         CompletableFuture<String> answer = new CompletableFuture<>();
-        threads.execute(() -> {
-            try {
-                answer.complete(queryClass.equals("stat-load") ? "served " + client.executeUpdate(sql, options)
-                        : "served " + rows(sql, options, stream));
-            } catch (FlightRuntimeException e) {
-                answer.complete(read(e.status()));
-            } catch (Exception e) {
-                answer.complete("broken: " + e);
-            }
-        });
+        threads.execute(
+                () -> {
+                    try {
+                        answer.complete(
+                                queryClass.equals("stat-load")
+                                        ? "served " + client.executeUpdate(sql, options)
+                                        : "served " + rows(sql, options, stream));
+                    } catch (FlightRuntimeException e) {
+                        answer.complete(read(e.status()));
+                    } catch (Exception e) {
+                        answer.complete("broken: " + e);
+                    }
+                });
         return new Answer() {
             @Override
             public String await() throws Exception {
@@ -114,19 +127,23 @@
 
             @Override
             public void cancel() throws Exception {
-                stream.get(Program.PATIENCE_MS, TimeUnit.MILLISECONDS).cancel("no longer wanted", null);
+                stream.get(Program.PATIENCE_MS, TimeUnit.MILLISECONDS)
+                        .cancel("no longer wanted", null);
             }
         };
     }
 
-    private String rows(String sql, CallOption[] options, CompletableFuture<FlightStream> opened) throws Exception {
+    private String rows(String sql, CallOption[] options, CompletableFuture<FlightStream> opened)
+            throws Exception {
         FlightInfo info = client.execute(sql, options);
         StringBuilder out = new StringBuilder();
-        try (FlightStream stream = client.getStream(info.getEndpoints().get(0).getTicket(), options)) {
+        try (FlightStream stream =
+                client.getStream(info.getEndpoints().get(0).getTicket(), options)) {
             opened.complete(stream);
             while (stream.next()) {
                 for (int i = 0; i < stream.getRoot().getRowCount(); i++) {
-                    out.append(out.length() > 0 ? "\n" : "").append(stream.getRoot().getVector(0).getObject(i));
+                    out.append(out.length() > 0 ? "\n" : "")
+                            .append(stream.getRoot().getVector(0).getObject(i));
                 }
             }
         }
@@ -134,10 +151,16 @@
     }
 
     static String read(CallStatus status) {
-        boolean wait = status.metadata() != null && status.metadata().containsKey("grpc-retry-pushback-ms");
-        return status.code() == FlightStatusCode.UNAVAILABLE && wait ? "refused"
-                : status.code() == FlightStatusCode.TIMED_OUT ? "deadline"
-                : status.code() == FlightStatusCode.INTERNAL ? "failed" : status.code().toString();
+        boolean wait =
+                status.metadata() != null
+                        && status.metadata().containsKey("grpc-retry-pushback-ms");
+        return status.code() == FlightStatusCode.UNAVAILABLE && wait
+                ? "refused"
+                : status.code() == FlightStatusCode.TIMED_OUT
+                        ? "deadline"
+                        : status.code() == FlightStatusCode.INTERNAL
+                                ? "failed"
+                                : status.code().toString();
     }
 
     @Override
@@ -154,15 +177,19 @@
         final Server server;
 
         FlightEngine() throws IOException {
-            server = NettyServerBuilder.forAddress(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
-                    .addService(service())
-                    .build().start();
+            server =
+                    NettyServerBuilder.forAddress(
+                                    new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                            .addService(service())
+                            .build()
+                            .start();
         }
 
-        @SuppressWarnings("deprecation") // The only way to a server that can be ended at once takes one.
+        @SuppressWarnings(
+                "deprecation") // The only way to a server that can be ended at once takes one.
         private io.grpc.BindableService service() {
-            return FlightGrpcUtils.createFlightService(allocator, this,
-                    org.apache.arrow.flight.auth.ServerAuthHandler.NO_OP, threads);
+            return FlightGrpcUtils.createFlightService(
+                    allocator, this, org.apache.arrow.flight.auth.ServerAuthHandler.NO_OP, threads);
         }
 
         @Override
@@ -191,26 +218,46 @@
         }
 
         @Override
-        public FlightInfo getFlightInfoStatement(FlightSql.CommandStatementQuery command, CallContext context,
+        public FlightInfo getFlightInfoStatement(
+                FlightSql.CommandStatementQuery command,
+                CallContext context,
                 FlightDescriptor descriptor) {
-            Ticket ticket = new Ticket(Any.pack(FlightSql.TicketStatementQuery.newBuilder()
-                    .setStatementHandle(ByteString.copyFromUtf8(command.getQuery())).build()).toByteArray());
-            return FlightInfo.builder(null, descriptor,
-                    List.of(new FlightEndpoint(ticket, Location.reuseConnection()))).build();
+            Ticket ticket =
+                    new Ticket(
+                            Any.pack(
+                                            FlightSql.TicketStatementQuery.newBuilder()
+                                                    .setStatementHandle(
+                                                            ByteString.copyFromUtf8(
+                                                                    command.getQuery()))
+                                                    .build())
+                                    .toByteArray());
+            return FlightInfo.builder(
+                            null,
+                            descriptor,
+                            List.of(new FlightEndpoint(ticket, Location.reuseConnection())))
+                    .build();
         }
 
         @Override
-        public void getStreamStatement(FlightSql.TicketStatementQuery ticket, CallContext context,
+        public void getStreamStatement(
+                FlightSql.TicketStatementQuery ticket,
+                CallContext context,
                 ServerStreamListener listener) {
             CountDownLatch cancelled = new CountDownLatch(1);
             listener.setOnCancelHandler(cancelled::countDown);
-            asked.add(new FlightAsked(ticket.getStatementHandle().toStringUtf8(), listener, null, cancelled));
+            asked.add(
+                    new FlightAsked(
+                            ticket.getStatementHandle().toStringUtf8(), listener, null, cancelled));
         }
 
         @Override
-        public Runnable acceptPutStatement(FlightSql.CommandStatementUpdate command, CallContext context,
-                FlightStream stream, StreamListener<PutResult> acknowledge) {
-            FlightAsked update = new FlightAsked(command.getQuery(), null, acknowledge, new CountDownLatch(1));
+        public Runnable acceptPutStatement(
+                FlightSql.CommandStatementUpdate command,
+                CallContext context,
+                FlightStream stream,
+                StreamListener<PutResult> acknowledge) {
+            FlightAsked update =
+                    new FlightAsked(command.getQuery(), null, acknowledge, new CountDownLatch(1));
             return () -> { // Flight completes the call when this returns.
                 asked.add(update);
                 update.answered.join();
@@ -225,8 +272,11 @@
         final CountDownLatch cancelled;
         final CompletableFuture<Void> answered = new CompletableFuture<>();
 
-        FlightAsked(String sql, NoOpFlightSqlProducer.ServerStreamListener listener,
-                NoOpFlightSqlProducer.StreamListener<PutResult> acknowledge, CountDownLatch cancelled) {
+        FlightAsked(
+                String sql,
+                NoOpFlightSqlProducer.ServerStreamListener listener,
+                NoOpFlightSqlProducer.StreamListener<PutResult> acknowledge,
+                CountDownLatch cancelled) {
             this.sql = sql;
             this.listener = listener;
             this.acknowledge = acknowledge;
@@ -241,8 +291,11 @@
         @Override
         public void serve(String row) {
             if (listener == null) {
-                byte[] told = FlightSql.DoPutUpdateResult.newBuilder().setRecordCount(Long.parseLong(row)).build()
-                        .toByteArray();
+                byte[] told =
+                        FlightSql.DoPutUpdateResult.newBuilder()
+                                .setRecordCount(Long.parseLong(row))
+                                .build()
+                                .toByteArray();
                 try (ArrowBuf buffer = allocator.buffer(told.length)) {
                     buffer.writeBytes(told);
                     acknowledge.onNext(PutResult.metadata(buffer));
--- a/src/test/java/calicostream/wire/LateStand.java
+++ b/src/test/java/calicostream/wire/LateStand.java
@@ -9,7 +9,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** An engine whose connections don't come up until a test says so: others wait before them, and the system takes no more. */
+/**
+ * An engine whose connections don't come up until a test says so: others wait before them, and the
+ * system takes no more.
+ */
 public final class LateStand implements AutoCloseable {
     private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     private final List<Socket> sockets = new ArrayList<>();
--- a/src/test/java/calicostream/wire/PlatformStand.java
+++ b/src/test/java/calicostream/wire/PlatformStand.java
@@ -36,23 +36,29 @@
     @Override
     public void connect(Program program) throws IOException {
         client = new Socket(InetAddress.getLoopbackAddress(), program.port("listens on port"));
-        BufferedReader in = new BufferedReader(new InputStreamReader(client.getInputStream(), StandardCharsets.UTF_8));
-        daemon(() -> {
-            for (String line = in.readLine(); line != null; line = in.readLine()) {
-                Matcher id = Pattern.compile("\"id\":(\\d+)").matcher(line);
-                if (id.find()) {
-                    answers.get(Integer.parseInt(id.group(1))).complete(read(line));
-                }
-            }
-        });
+        BufferedReader in =
+                new BufferedReader(
+                        new InputStreamReader(client.getInputStream(), StandardCharsets.UTF_8));
+        daemon(
+                () -> {
+                    for (String line = in.readLine(); line != null; line = in.readLine()) {
+                        Matcher id = Pattern.compile("\"id\":(\\d+)").matcher(line);
+                        if (id.find()) {
+                            answers.get(Integer.parseInt(id.group(1))).complete(read(line));
+                        }
+                    }
+                });
     }
 
     private static String read(String line) {
         Matcher rows = Pattern.compile("\"content\":\"(.*?)\"").matcher(line);
         if (rows.find()) {
-            return "served " + new String(Base64.getDecoder().decode(rows.group(1)), StandardCharsets.UTF_8).trim();
+            return "served "
+                    + new String(Base64.getDecoder().decode(rows.group(1)), StandardCharsets.UTF_8)
+                            .trim();
         }
-        boolean refused = line.contains("\"code\":-32000") && line.matches(".*\"data\":\\{\"w\":\\d+\\}.*");
+        boolean refused =
+                line.contains("\"code\":-32000") && line.matches(".*\"data\":\\{\"w\":\\d+\\}.*");
         return refused ? "refused" : line.contains("not answered in time") ? "deadline" : "failed";
     }
 
@@ -61,9 +67,18 @@
         int id = ++lastId;
         CompletableFuture<String> answer = new CompletableFuture<>();
         answers.put(id, answer);
-        send("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"method\":\"" + queryClass + "\",\"params\":{\"i\":\""
-                + String.format("%016x", id) + "\",\"d\":" + waitMs + ",\"content\":\""
-                + Base64.getEncoder().encodeToString(sql.getBytes(StandardCharsets.UTF_8)) + "\"}}");
+        send(
+                "{\"jsonrpc\":\"2.0\",\"id\":"
+                        + id
+                        + ",\"method\":\""
+                        + queryClass
+                        + "\",\"params\":{\"i\":\""
+                        + String.format("%016x", id)
+                        + "\",\"d\":"
+                        + waitMs
+                        + ",\"content\":\""
+                        + Base64.getEncoder().encodeToString(sql.getBytes(StandardCharsets.UTF_8))
+                        + "\"}}");
         return new Answer() {
             @Override
             public String await() throws Exception {
@@ -72,7 +87,10 @@
 
             @Override
             public void cancel() throws IOException {
-                send("{\"jsonrpc\":\"2.0\",\"method\":\"interrupt\",\"params\":{\"id\":" + id + "}}");
+                send(
+                        "{\"jsonrpc\":\"2.0\",\"method\":\"interrupt\",\"params\":{\"id\":"
+                                + id
+                                + "}}");
             }
         };
     }
@@ -91,13 +109,16 @@
     }
 
     static void daemon(Work work) {
-        Thread thread = new Thread(() -> {
-            try {
-                work.run();
-            } catch (Exception e) {
-                // The other side has gone; what a test waits for then does not come, and it says so.
-            }
-        });
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                work.run();
+                            } catch (Exception e) {
+                                // The other side has gone; what a test waits for then does not
+                                // come, and it says so.
+                            }
+                        });
         thread.setDaemon(true);
         thread.start();
     }
@@ -109,17 +130,18 @@
         final Map<String, CountDownLatch> stops = new ConcurrentHashMap<>();
 
         RespEngine() throws IOException {
-            daemon(() -> {
-                while (true) {
-                    String[] words = stand.command().split("\\|", 4);
-                    if (words[0].equals("REQ")) {
-                        stops.put(words[1], new CountDownLatch(1));
-                        asked.add(new RespAsked(words[1], words[3]));
-                    } else if (words[0].equals("STOP")) {
-                        stops.get(words[1]).countDown();
-                    }
-                }
-            });
+            daemon(
+                    () -> {
+                        while (true) {
+                            String[] words = stand.command().split("\\|", 4);
+                            if (words[0].equals("REQ")) {
+                                stops.put(words[1], new CountDownLatch(1));
+                                asked.add(new RespAsked(words[1], words[3]));
+                            } else if (words[0].equals("STOP")) {
+                                stops.get(words[1]).countDown();
+                            }
+                        }
+                    });
         }
 
         @Override
--- a/src/test/java/calicostream/wire/RespStand.java
+++ b/src/test/java/calicostream/wire/RespStand.java
@@ -19,7 +19,10 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A stand-in engine that speaks RESP as a test tells it to; commands come from all its connections in one line. */
+/**
+ * A stand-in engine that speaks RESP as a test tells it to; commands come from all its connections
+ * in one line.
+ */
 public final class RespStand implements AutoCloseable {
     private final ServerSocket server = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
     private final BlockingQueue<Command> commands = new LinkedBlockingQueue<>();
@@ -28,26 +31,29 @@
     private volatile Peer last;
     private volatile boolean dead;
 
-    private record Command(Peer from, String text) { }
+    private record Command(Peer from, String text) {}
 
-    private record Peer(Socket socket, CountDownLatch ended) { }
+    private record Peer(Socket socket, CountDownLatch ended) {}
 
     public RespStand() throws IOException {
-        PlatformStand.daemon(() -> {
-            while (true) {
-                Peer peer = new Peer(server.accept(), new CountDownLatch(1));
-                peers.add(peer);
-                if (dead) { // A thread that waits in accept may take one more while the socket closes.
-                    reset(peer);
-                }
-                PlatformStand.daemon(() -> read(peer));
-            }
-        });
+        PlatformStand.daemon(
+                () -> {
+                    while (true) {
+                        Peer peer = new Peer(server.accept(), new CountDownLatch(1));
+                        peers.add(peer);
+                        if (dead) { // A thread that waits in accept may take one more while the
+                            // socket closes.
+                            reset(peer);
+                        }
+                        PlatformStand.daemon(() -> read(peer));
+                    }
+                });
     }
 
     private void read(Peer peer) throws IOException {
         try {
-            DataInputStream in = new DataInputStream(new BufferedInputStream(peer.socket.getInputStream()));
+            DataInputStream in =
+                    new DataInputStream(new BufferedInputStream(peer.socket.getInputStream()));
             while (true) {
                 commands.add(new Command(peer, command(in)));
             }
@@ -60,7 +66,10 @@
         return new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
     }
 
-    /** The next command, its parts joined by '|'; what is said of "the connection" is from now on its own. */
+    /**
+     * The next command, its parts joined by '|'; what is said of "the connection" is from now on
+     * its own.
+     */
     public String command() throws IOException {
         Command next = next((int) Program.PATIENCE_MS);
         if (next == null) {
@@ -74,7 +83,10 @@
         return next.text;
     }
 
-    /** Whether nothing arrives for this long; for what must not be sent, after what came before was seen. */
+    /**
+     * Whether nothing arrives for this long; for what must not be sent, after what came before was
+     * seen.
+     */
     public boolean quiet(int millis) throws IOException {
         return next(millis) == null;
     }
@@ -117,7 +129,10 @@
         SocketTable.awaitRead(peer.socket.getPort(), peer.socket.getLocalPort());
     }
 
-    /** Ends the connection of the last command without a reset, and waits until the other side's socket has heard of it. */
+    /**
+     * Ends the connection of the last command without a reset, and waits until the other side's
+     * socket has heard of it.
+     */
     public void leave() throws IOException {
         int local = last.socket.getLocalPort();
         int remote = last.socket.getPort();
@@ -175,7 +190,8 @@
     private static int count(DataInputStream in, char type) throws IOException {
         int c = in.read();
         if (c != type) {
-            throw new IOException(c < 0 ? "the connection ended" : "not " + type + " but " + (char) c);
+            throw new IOException(
+                    c < 0 ? "the connection ended" : "not " + type + " but " + (char) c);
         }
         int value = 0;
         for (c = in.read(); c != '\r'; c = in.read()) {
--- a/src/test/java/calicostream/wire/RunTermsTest.java
+++ b/src/test/java/calicostream/wire/RunTermsTest.java
@@ -23,24 +23,54 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the platform asks of {@code run}: one process that, once it serves, opens sockets and nothing else. */
+/**
+ * What the platform asks of {@code run}: one process that, once it serves, opens sockets and
+ * nothing else.
+ */
 class RunTermsTest {
-    private static final List<String> SERVING = List.of("admin", "config", "core", "daemon", "handover", "listing", "net", "platform", "sql", "syslog");
+    private static final List<String> SERVING =
+            List.of(
+                    "admin",
+                    "config",
+                    "core",
+                    "daemon",
+                    "handover",
+                    "listing",
+                    "net",
+                    "platform",
+                    "sql",
+                    "syslog");
     private static final int MOST_THREADS = 20;
     private static final int MOST_JARS = 6; // of the class path: those that hold what it runs
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     @Test
     void runIsOneCommandThatTakesTheShellsPlace() throws IOException {
-        assertTrue(Program.run().matches("trap '' HUP; exec java( -[\\w:+.=-]+)* -jar target/calicostream\\.jar serve"), Program.run());
+        assertTrue(
+                Program.run()
+                        .matches(
+                                "trap '' HUP; exec java( -[\\w:+.=-]+)* -jar"
+                                        + " target/calicostream\\.jar serve"),
+                Program.run());
     }
 
     /** {@code run} by the shell, as the platform does it, on the classes that the tests run on. */
     private Process launch(Path config) throws IOException {
-        String command = Program.run().replace("exec java ", "exec \"$0\" ").replace("-jar target/calicostream.jar", "\"$@\"");
-        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", command, Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-Dcalicostream.deploy=" + folder, "-cp", System.getProperty("java.class.path"), "calicostream.Main").redirectErrorStream(true);
+        String command =
+                Program.run()
+                        .replace("exec java ", "exec \"$0\" ")
+                        .replace("-jar target/calicostream.jar", "\"$@\"");
+        ProcessBuilder builder =
+                new ProcessBuilder(
+                                "/bin/sh",
+                                "-c",
+                                command,
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-Dcalicostream.deploy=" + folder,
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                "calicostream.Main")
+                        .redirectErrorStream(true);
         builder.environment().put("NODE_CONFIG", config.toString());
         builder.environment().put("TMPDIR", folder.toString());
         return builder.start();
@@ -58,9 +88,16 @@
 
     @Test
     void onceItServesItOpensSocketsAndNothingElse() throws Exception {
-        try (ChangeLogStand log = new ChangeLogStand(); RespStand engine = new RespStand()) {
-            Process process = launch(Program.configure(folder, 0, log.port(),
-                    List.of(Program.endpoint("e1", engine.address(), "Ready", 0)), 1024));
+        try (ChangeLogStand log = new ChangeLogStand();
+                RespStand engine = new RespStand()) {
+            Process process =
+                    launch(
+                            Program.configure(
+                                    folder,
+                                    0,
+                                    log.port(),
+                                    List.of(Program.endpoint("e1", engine.address(), "Ready", 0)),
+                                    1024));
             try (BufferedReader lines = process.inputReader(StandardCharsets.UTF_8)) {
                 log.follow();
                 int port = port(lines);
@@ -74,24 +111,41 @@
                 FileTime listed = (FileTime) Files.getAttribute(folder, "lastAccessTime");
                 look(process, port, engine);
                 Assumptions.assumeTrue(tells, "the file system tells no access times");
-                assertEquals(1000, listed.toMillis(), "the folder that its processes share was listed");
+                assertEquals(
+                        1000, listed.toMillis(), "the folder that its processes share was listed");
             } finally {
                 process.destroyForcibly().waitFor();
             }
         }
     }
 
-    /** A new configuration may be announced while the program starts, before a virtual machine takes signals: it would end there. */
+    /**
+     * A new configuration may be announced while the program starts, before a virtual machine takes
+     * signals: it would end there.
+     */
     @Test
     void aHangUpAtAnyMomentOfTheStartEndsNothing() throws Exception {
-        try (ChangeLogStand log = new ChangeLogStand(); RespStand engine = new RespStand()) {
-            Process process = launch(Program.configure(folder, 0, log.port(),
-                    List.of(Program.endpoint("e1", engine.address(), "Ready", 0)), 1024));
-            String java = Path.of(System.getProperty("java.home"), "bin", "java").toRealPath().toString();
+        try (ChangeLogStand log = new ChangeLogStand();
+                RespStand engine = new RespStand()) {
+            Process process =
+                    launch(
+                            Program.configure(
+                                    folder,
+                                    0,
+                                    log.port(),
+                                    List.of(Program.endpoint("e1", engine.address(), "Ready", 0)),
+                                    1024));
+            String java =
+                    Path.of(System.getProperty("java.home"), "bin", "java").toRealPath().toString();
             while (process.isAlive() && !process.info().command().orElse("").equals(java)) {
                 Thread.onSpinWait(); // Until the shell has given its place to the program.
             }
-            Process hangUps = new ProcessBuilder("/bin/sh", "-c", "while kill -HUP " + process.pid() + "; do :; done").start();
+            Process hangUps =
+                    new ProcessBuilder(
+                                    "/bin/sh",
+                                    "-c",
+                                    "while kill -HUP " + process.pid() + "; do :; done")
+                            .start();
             try (BufferedReader lines = process.inputReader(StandardCharsets.UTF_8)) {
                 log.follow();
                 int port = port(lines);
@@ -111,21 +165,31 @@
             long threads = tasks.count();
             assertTrue(threads <= MOST_THREADS, threads + " threads");
         }
-        assertTrue(Files.readString(proc.resolve("maps")).contains("/libc"), "not linked against the C library");
+        assertTrue(
+                Files.readString(proc.resolve("maps")).contains("/libc"),
+                "not linked against the C library");
         long jars = files(process.pid()).stream().filter(f -> f.endsWith(".jar")).count();
         assertTrue(jars <= MOST_JARS, jars + " jars are open");
-        assertTrue(files(process.pid()).stream().noneMatch(f -> Files.isDirectory(Path.of(f))), "a folder is open");
+        assertTrue(
+                files(process.pid()).stream().noneMatch(f -> Files.isDirectory(Path.of(f))),
+                "a folder is open");
         Set<String> unix = new HashSet<>();
         for (String line : Files.readAllLines(Path.of("/proc/net/unix"))) {
             String[] words = line.trim().split(" +");
-            unix.add(words.length > 7 ? "socket:[" + words[6] + "]" : ""); // Unnamed ones are Java's own, led nowhere.
+            unix.add(
+                    words.length > 7
+                            ? "socket:[" + words[6] + "]"
+                            : ""); // Unnamed ones are Java's own, led nowhere.
         }
-        assertTrue(links(process.pid()).stream().noneMatch(unix::contains), "a named Unix socket is open");
+        assertTrue(
+                links(process.pid()).stream().noneMatch(unix::contains),
+                "a named Unix socket is open");
         Duration used = process.info().totalCpuDuration().orElseThrow();
         long from = System.nanoTime();
         Thread.sleep(1000); // Idle on purpose: it is the idle time that is measured.
-        double share = process.info().totalCpuDuration().orElseThrow().minus(used).toNanos()
-                / (double) (System.nanoTime() - from);
+        double share =
+                process.info().totalCpuDuration().orElseThrow().minus(used).toNanos()
+                        / (double) (System.nanoTime() - from);
         assertTrue(share < 0.5, "an idle front end uses " + share + " of a core");
         Program.ask(port, engine, 1000);
     }
@@ -160,19 +224,33 @@
         return links;
     }
 
-    /** By what the classes name: sendfile and splice lie under transferTo, a fork under a process's start. */
+    /**
+     * By what the classes name: sendfile and splice lie under transferTo, a fork under a process's
+     * start.
+     */
     @Test
     void nothingOnItsPathStartsAProgramSendsAFileOrListsAFolder() throws IOException {
         List<String> found = new ArrayList<>();
-        List<Path> roots = new ArrayList<>(SERVING.stream().map(p -> Path.of("target/classes/calicostream", p)).toList());
+        List<Path> roots =
+                new ArrayList<>(
+                        SERVING.stream()
+                                .map(p -> Path.of("target/classes/calicostream", p))
+                                .toList());
         int scanned = 0;
         for (Path root : roots) {
             try (Stream<Path> all = Files.walk(root)) {
                 for (Path file : all.filter(f -> f.toString().endsWith(".class")).toList()) {
                     scanned++;
                     Set<String> names = names(file);
-                    for (String bad : List.of("transferTo", "transferFrom", "java/lang/ProcessBuilder", "exec",
-                            "java/net/UnixDomainSocketAddress", "newDirectoryStream", "java/nio/file/DirectoryStream")) {
+                    for (String bad :
+                            List.of(
+                                    "transferTo",
+                                    "transferFrom",
+                                    "java/lang/ProcessBuilder",
+                                    "exec",
+                                    "java/net/UnixDomainSocketAddress",
+                                    "newDirectoryStream",
+                                    "java/nio/file/DirectoryStream")) {
                         if (names.contains(bad)) {
                             found.add(file.getFileName() + " " + bad);
                         }
@@ -182,9 +260,13 @@
         }
         assertEquals(List.of(), found);
         assertTrue(scanned > 40, "only " + scanned + " classes");
-        assertFalse(names(Path.of("target/test-classes/calicostream/wire/RunTermsTest.class")).isEmpty());
-        assertTrue(names(Path.of("target/test-classes/calicostream/wire/RunTermsTest.class"))
-                .contains("java/lang/ProcessBuilder"), "the scan sees what this class itself uses");
+        assertFalse(
+                names(Path.of("target/test-classes/calicostream/wire/RunTermsTest.class"))
+                        .isEmpty());
+        assertTrue(
+                names(Path.of("target/test-classes/calicostream/wire/RunTermsTest.class"))
+                        .contains("java/lang/ProcessBuilder"),
+                "the scan sees what this class itself uses");
     }
 
     /** All texts of a class file's constant pool: names of classes, methods and types. */
@@ -196,11 +278,27 @@
             for (int i = 1; i < count; i++) {
                 int tag = in.readUnsignedByte();
                 switch (tag) {
-                    case 1: names.add(in.readUTF()); break;
-                    case 5: case 6: in.skipNBytes(8); i++; break;
-                    case 7: case 8: case 16: case 19: case 20: in.skipNBytes(2); break;
-                    case 15: in.skipNBytes(3); break;
-                    default: in.skipNBytes(4); break;
+                    case 1:
+                        names.add(in.readUTF());
+                        break;
+                    case 5:
+                    case 6:
+                        in.skipNBytes(8);
+                        i++;
+                        break;
+                    case 7:
+                    case 8:
+                    case 16:
+                    case 19:
+                    case 20:
+                        in.skipNBytes(2);
+                        break;
+                    case 15:
+                        in.skipNBytes(3);
+                        break;
+                    default:
+                        in.skipNBytes(4);
+                        break;
                 }
             }
         }
--- a/src/test/java/calicostream/wire/SocketTable.java
+++ b/src/test/java/calicostream/wire/SocketTable.java
@@ -8,14 +8,17 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** The system's own table of TCP connections: what has arrived at a socket whose owner has not looked yet. */
+/**
+ * The system's own table of TCP connections: what has arrived at a socket whose owner has not
+ * looked yet.
+ */
 public final class SocketTable {
     private static final int SYN_SENT = 2;
     private static final int CLOSE_WAIT = 8;
 
-    private record Row(int local, int remote, int state, long unread) { }
+    private record Row(int local, int remote, int state, long unread) {}
 
-    private SocketTable() { }
+    private SocketTable() {}
 
     private static List<Row> rows() throws IOException {
         List<Row> out = new ArrayList<>();
@@ -24,8 +27,12 @@
             List<String> lines = Files.exists(path) ? Files.readAllLines(path) : List.of("");
             for (String line : lines.subList(1, lines.size())) {
                 String[] words = line.trim().split("\\s+");
-                out.add(new Row(port(words[1]), port(words[2]), Integer.parseInt(words[3], 16),
-                        Long.parseLong(words[4].substring(words[4].indexOf(':') + 1), 16)));
+                out.add(
+                        new Row(
+                                port(words[1]),
+                                port(words[2]),
+                                Integer.parseInt(words[3], 16),
+                                Long.parseLong(words[4].substring(words[4].indexOf(':') + 1), 16)));
             }
         }
         return out;
@@ -47,7 +54,9 @@
 
     /** Waits until the other side's end has arrived at the socket with these ports. */
     public static void awaitEnd(int local, int remote) throws IOException {
-        await("that the other side has ended", r -> r.local == local && r.remote == remote && r.state == CLOSE_WAIT);
+        await(
+                "that the other side has ended",
+                r -> r.local == local && r.remote == remote && r.state == CLOSE_WAIT);
     }
 
     /** Waits until the socket with these ports is gone, as the other side has reset it. */
@@ -63,18 +72,22 @@
 
     /** Whether the other side's end has arrived at the socket with these ports. */
     public static boolean hasEnded(int local, int remote) throws IOException {
-        return rows().stream().anyMatch(r -> r.local == local && r.remote == remote && r.state == CLOSE_WAIT);
+        return rows().stream()
+                .anyMatch(r -> r.local == local && r.remote == remote && r.state == CLOSE_WAIT);
     }
 
     /** Waits until so many bytes lie unread in the socket with these ports. */
     public static void awaitUnread(int local, int remote, int bytes) throws IOException {
-        await("with " + bytes + " unread bytes", r -> r.local == local && r.remote == remote && r.unread >= bytes);
+        await(
+                "with " + bytes + " unread bytes",
+                r -> r.local == local && r.remote == remote && r.unread >= bytes);
     }
 
     /** Waits until nothing lies unread in the socket with these ports, or it is closed. */
     public static void awaitRead(int local, int remote) throws IOException {
         long end = System.nanoTime() + Program.PATIENCE_MS * 1_000_000;
-        while (rows().stream().anyMatch(r -> r.local == local && r.remote == remote && r.unread > 0)) {
+        while (rows().stream()
+                .anyMatch(r -> r.local == local && r.remote == remote && r.unread > 0)) {
             if (System.nanoTime() > end) {
                 throw new AssertionError("bytes that are not read");
             }
@@ -87,7 +100,10 @@
         await("that waits for its connection", r -> r.remote == remote && r.state == SYN_SENT);
     }
 
-    /** Waits until no connection to this port is being asked for: a channel that is closed goes with the selector's next turn. */
+    /**
+     * Waits until no connection to this port is being asked for: a channel that is closed goes with
+     * the selector's next turn.
+     */
     public static void awaitNobodyAsks(int remote) throws IOException {
         long end = System.nanoTime() + Program.PATIENCE_MS * 1_000_000;
         while (rows().stream().anyMatch(r -> r.remote == remote && r.state == SYN_SENT)) {
