--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-.PHONY: build test lint run measure-flight measure-mass measure-deployments measure-durable measure-budget prove-lease measure-cluster prove-cluster
+.PHONY: build test format lint run measure-flight measure-mass measure-deployments measure-durable measure-budget prove-lease measure-cluster prove-cluster
 
 build:
 	mvn -q -DskipTests package
@@ -6,9 +6,13 @@
 test:
 	mvn -B verify
 
-# Every warning of the compiler is an error here.
+# Formats all Java sources.
+format:
+	mvn -q -B spotless:apply
+
+# What `mvn verify` checks beside the tests: warnings of the compiler, formatting, the rules of config/checkstyle.xml.
 lint:
-	mvn -q -B clean compile -Dmaven.compiler.showWarnings=true -Dmaven.compiler.failOnWarning=true
+	mvn -q -B test-compile spotless:check checkstyle:check@lint
 
 # CONFIG: a configuration file as the platform writes it.
 run: build
--- a/src/measure/java/calicostream/lease/LeaseModel.java
+++ b/src/measure/java/calicostream/lease/LeaseModel.java
@@ -1,7 +1,44 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.lease;
 
-import static calicostream.lease.LeaseWorld.*;
+import static calicostream.lease.LeaseWorld.ACTS_LEFT;
+import static calicostream.lease.LeaseWorld.APPLIED;
+import static calicostream.lease.LeaseWorld.ASKS;
+import static calicostream.lease.LeaseWorld.CHANGES_LEFT;
+import static calicostream.lease.LeaseWorld.CHECKED;
+import static calicostream.lease.LeaseWorld.CLOCKS;
+import static calicostream.lease.LeaseWorld.COPIES;
+import static calicostream.lease.LeaseWorld.COPIES_LEFT;
+import static calicostream.lease.LeaseWorld.COPY;
+import static calicostream.lease.LeaseWorld.EACH;
+import static calicostream.lease.LeaseWorld.ENDED;
+import static calicostream.lease.LeaseWorld.ENDS_LEFT;
+import static calicostream.lease.LeaseWorld.EXPIRE_RENEWALS;
+import static calicostream.lease.LeaseWorld.EXPIRE_TOKEN;
+import static calicostream.lease.LeaseWorld.FENCE;
+import static calicostream.lease.LeaseWorld.GIVEN;
+import static calicostream.lease.LeaseWorld.LEADER;
+import static calicostream.lease.LeaseWorld.LOG_ACTS;
+import static calicostream.lease.LeaseWorld.LOG_ACTS_LEFT;
+import static calicostream.lease.LeaseWorld.LOG_TOKEN;
+import static calicostream.lease.LeaseWorld.NEWS;
+import static calicostream.lease.LeaseWorld.NOW;
+import static calicostream.lease.LeaseWorld.ONCE;
+import static calicostream.lease.LeaseWorld.OUT;
+import static calicostream.lease.LeaseWorld.PHASE;
+import static calicostream.lease.LeaseWorld.REPLY;
+import static calicostream.lease.LeaseWorld.SEEN_AGO;
+import static calicostream.lease.LeaseWorld.SEEN_RENEWALS;
+import static calicostream.lease.LeaseWorld.SEEN_TOKEN;
+import static calicostream.lease.LeaseWorld.STOPS_LEFT;
+import static calicostream.lease.LeaseWorld.TO;
+import static calicostream.lease.LeaseWorld.TOKEN;
+import static calicostream.lease.LeaseWorld.WANTED;
+import static calicostream.lease.LeaseWorld.holder;
+import static calicostream.lease.LeaseWorld.keep;
+import static calicostream.lease.LeaseWorld.machine;
+import static calicostream.lease.LeaseWorld.pass;
+import static calicostream.lease.LeaseWorld.place;
 
 import calicostream.prove.Model;
 import calicostream.prove.Mutant;
