--- a/src/main/java/calicostream/Main.java
+++ b/src/main/java/calicostream/Main.java
@@ -1,11 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream;
 
-import calicostream.adapter.Adapter;
-import calicostream.daemon.Composition;
-import calicostream.platform.ConfigWatch;
-import calicostream.platform.Node;
-import calicostream.platform.NodeConfig;
+import calicostream.adapter.SimulatorAdapter;
+import calicostream.config.SettingsException;
+import calicostream.daemon.ReloadSignal;
+import calicostream.daemon.ServerAssembly;
+import calicostream.platform.ConfigFileWatcher;
+import calicostream.platform.FrontEndConfig;
+import calicostream.platform.FrontEndServer;
 import java.io.IOException;
 import java.nio.file.Path;
 
@@ -20,7 +22,7 @@
         String mode = args.length == 1 ? args[0] : "";
         switch (mode) {
             case "adapter":
-                System.exit(Adapter.run(System.in, System.out, System.err));
+                System.exit(SimulatorAdapter.run(System.in, System.out, System.err));
                 break;
             case "serve":
                 serve();
@@ -42,18 +44,20 @@
         System.setProperty("slf4j.provider", "org.slf4j.simple.SimpleServiceProvider");
         System.setProperty("slf4j.internal.verbosity", "WARN");
         try {
-            Hangup hangup = Hangup.taken();
+            ReloadSignal hangup = ReloadSignal.taken();
             String path = System.getenv("NODE_CONFIG");
             if (path == null) {
                 throw new SettingsException("bad configuration: NODE_CONFIG is not set");
             }
             Path file = Path.of(path);
-            ConfigWatch watch =
-                    hangup.isDeaf() ? new ConfigWatch(file) : null; // Before the file is read.
+            ConfigFileWatcher watch =
+                    hangup.isDeaf()
+                            ? new ConfigFileWatcher(file)
+                            : null; // Before the file is read.
             Path deploy = Path.of(System.getProperty("calicostream.deploy", "deploy"));
-            Node node =
-                    Composition.node(
-                            NodeConfig.read(file),
+            FrontEndServer node =
+                    ServerAssembly.node(
+                            FrontEndConfig.read(file),
                             deploy,
                             named("TMPDIR"),
                             named("NODE_CLUSTER")); // TMPDIR: where processes of this front end
--- a/src/main/java/calicostream/adapter/Codes.java
+++ b/src/main/java/calicostream/adapter/RecordCodes.java
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.adapter;
 
-import calicostream.QueryRouter.Outcome;
+import calicostream.routing.AttemptOutcome;
 import java.util.Map;
 import java.util.Set;
 
 /** Record codes of the wire; events and actions are numbered apart. */
-final class Codes {
+final class RecordCodes {
     static final int UP = 1000;
     static final int BACKENDS_CHANGED = 1010;
     static final int QUERY = 1020;
@@ -44,24 +44,24 @@
     static final int OBSERVE = 1100;
     static final int ALLOT = 1120;
 
-    static final Map<Integer, Outcome> OUTCOMES =
+    static final Map<Integer, AttemptOutcome> OUTCOMES =
             Map.of(
                     10,
-                    Outcome.OK,
+                    AttemptOutcome.OK,
                     20,
-                    Outcome.ERROR,
+                    AttemptOutcome.ERROR,
                     30,
-                    Outcome.FULL,
+                    AttemptOutcome.OVERLOADED,
                     40,
-                    Outcome.TIMEOUT,
+                    AttemptOutcome.TIMEOUT,
                     50,
-                    Outcome.CONNECT_FAILED,
+                    AttemptOutcome.CONNECT_FAILED,
                     60,
-                    Outcome.RESET,
+                    AttemptOutcome.RESET,
                     70,
-                    Outcome.CANCELLED,
+                    AttemptOutcome.CANCELLED,
                     80,
-                    Outcome.MOOT);
+                    AttemptOutcome.NOT_STARTED);
 
-    private Codes() {}
+    private RecordCodes() {}
 }
--- a/src/main/java/calicostream/adapter/Adapter.java
+++ b/src/main/java/calicostream/adapter/SimulatorAdapter.java
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.adapter;
 
-import calicostream.QueryRouter.Engine;
-import calicostream.QueryRouter.EngineState;
-import calicostream.QueryRouter.Notice;
-import calicostream.QueryRouter.Outcome;
-import calicostream.QueryRouter.Report;
-import calicostream.QueryRouter.RosterKind;
-import calicostream.SettingsException;
-import calicostream.SettingsParser;
+import calicostream.config.SettingsException;
+import calicostream.routing.AttemptOutcome;
+import calicostream.routing.EndpointUpdate;
+import calicostream.routing.EngineEndpoint;
+import calicostream.routing.EngineLifecycle;
+import calicostream.routing.LoadReport;
+import calicostream.routing.ProgressKind;
+import calicostream.routing.SettingsParser;
 import java.io.BufferedInputStream;
 import java.io.BufferedOutputStream;
 import java.io.DataInputStream;
@@ -22,22 +22,24 @@
 import java.util.Map;
 
 /** Hosts one decision instance for each gateway and speaks the simulator's wire. */
-public final class Adapter {
+public final class SimulatorAdapter {
     private static final int BUFFER = 1 << 16;
     private static final double MS_SHIFT = 4096;
     private static final double MEMORY_UNIT_MB = 4;
-    private final Map<Long, Instance> instances = new HashMap<>();
-    private final Map<Integer, List<Engine>> lists = new HashMap<>();
-    private final Frame.Reply reply = new Frame.Reply();
+    private final Map<Long, RouterInstance> instances = new HashMap<>();
+    private final Map<Integer, List<EngineEndpoint>> lists = new HashMap<>();
+    private final SimulatorFrame.Reply reply = new SimulatorFrame.Reply();
 
     /** Serves until the input ends; the exit code. */
     public static int run(InputStream input, OutputStream output, PrintStream errors)
             throws IOException {
         DataInputStream in = new DataInputStream(new BufferedInputStream(input, BUFFER));
         OutputStream out = new BufferedOutputStream(output, BUFFER);
-        Adapter adapter = new Adapter();
+        SimulatorAdapter adapter = new SimulatorAdapter();
         try {
-            for (Frame.Batch batch = Frame.read(in); batch != null; batch = Frame.read(in)) {
+            for (SimulatorFrame.Batch batch = SimulatorFrame.read(in);
+                    batch != null;
+                    batch = SimulatorFrame.read(in)) {
                 for (long i = 0; i < batch.records; i++) {
                     adapter.event(batch);
                 }
@@ -51,26 +53,26 @@
         }
     }
 
-    private void event(Frame.Batch in) {
+    private void event(SimulatorFrame.Batch in) {
         int code = in.u16();
-        if (code == Codes.MANIFEST) {
+        if (code == RecordCodes.MANIFEST) {
             manifest(in);
             return;
         }
-        if (!Codes.EVENTS.contains(code)) {
+        if (!RecordCodes.EVENTS.contains(code)) {
             throw new WireException("unknown event " + code);
         }
         long number = in.u32();
-        if (code == Codes.UP) {
+        if (code == RecordCodes.UP) {
             in.u64();
             SettingsParser parser = SettingsParser.ofLines(in.text(in.u32()));
-            Instance fresh = new Instance(number, parser, reply);
+            RouterInstance fresh = new RouterInstance(number, parser, reply);
             instances.put(number, fresh);
             fresh.guard(() -> fresh.router.start(in.clock));
             return;
         }
-        Instance to = instances.get(number);
-        if (code == Codes.DOWN) {
+        RouterInstance to = instances.get(number);
+        if (code == RecordCodes.DOWN) {
             instances.remove(number);
             return;
         }
@@ -82,55 +84,55 @@
         to.guard(call);
     }
 
-    private Runnable decode(int code, Frame.Batch in, Instance to) {
+    private Runnable decode(int code, SimulatorFrame.Batch in, RouterInstance to) {
         long now = in.clock;
         switch (code) {
-            case Codes.BACKENDS_CHANGED:
+            case RecordCodes.BACKENDS_CHANGED:
                 return roster(in, to);
-            case Codes.QUERY:
+            case RecordCodes.QUERY:
                 return query(in, to);
-            case Codes.ESTABLISHED:
+            case RecordCodes.ESTABLISHED:
                 {
                     long id = in.u32();
                     in.engine();
                     in.u32();
                     int attempt = in.u16();
-                    return () -> to.router.started(now, id, attempt);
+                    return () -> to.router.streamStarted(now, id, attempt);
                 }
-            case Codes.NOTICE:
+            case RecordCodes.NOTICE:
                 {
                     long id = in.u32();
-                    Notice notice = notice(in.u8());
+                    ProgressKind notice = notice(in.u8());
                     double amount = in.f32();
                     int attempt = in.u16();
                     in.engine();
-                    boolean onLoad = notice == Notice.WAITS_FOR_MEMORY && amount >= 2;
-                    Notice kind = onLoad ? Notice.WAITS_FOR_LOAD : notice;
+                    boolean onLoad = notice == ProgressKind.WAITING_FOR_MEMORY && amount >= 2;
+                    ProgressKind kind = onLoad ? ProgressKind.WAITING_FOR_LOAD : notice;
                     return () ->
                             to.router.progress(
                                     now,
-                                    new calicostream.QueryRouter.Progress(
+                                    new calicostream.routing.QueryProgress(
                                             id, attempt, kind, amount));
                 }
-            case Codes.RESULT:
+            case RecordCodes.RESULT:
                 return result(in, to);
-            case Codes.DROPPED:
+            case RecordCodes.DROPPED:
                 {
                     long id = in.u32();
-                    return () -> to.router.abandoned(now, id);
+                    return () -> to.router.queryAbandoned(now, id);
                 }
-            case Codes.ALARM:
+            case RecordCodes.ALARM:
                 {
                     long token = in.u64();
-                    return () -> to.router.timer(now, token);
+                    return () -> to.router.timerFired(now, token);
                 }
-            case Codes.CHECKED:
+            case RecordCodes.CHECKED:
                 {
                     long engine = in.engine();
-                    Outcome outcome = outcome(in.u16());
+                    AttemptOutcome outcome = outcome(in.u16());
                     in.u32();
-                    Report report = report(in, to);
-                    return () -> to.router.probed(now, engine, outcome, report);
+                    LoadReport report = report(in, to);
+                    return () -> to.router.probeCompleted(now, engine, outcome, report);
                 }
             default:
                 {
@@ -141,10 +143,10 @@
         }
     }
 
-    private void manifest(Frame.Batch in) {
+    private void manifest(SimulatorFrame.Batch in) {
         int number = in.u16();
         long count = in.u32();
-        List<Engine> entries = new ArrayList<>();
+        List<EngineEndpoint> entries = new ArrayList<>();
         for (long i = 0; i < count; i++) {
             in.f32();
             int kind = in.u8();
@@ -152,27 +154,28 @@
             long id = in.engine();
             int zone = in.u16();
             long born = in.u64();
-            entries.add(new Engine(id, kind, cell, zone, born, state(in.u8())));
+            entries.add(new EngineEndpoint(id, kind, cell, zone, born, state(in.u8())));
         }
         lists.put(number, List.copyOf(entries));
     }
 
-    private Runnable roster(Frame.Batch in, Instance to) {
+    private Runnable roster(SimulatorFrame.Batch in, RouterInstance to) {
         in.u64();
         int number = in.u16();
         int form = in.u8();
-        if (form >= RosterKind.values().length) {
+        if (form >= EndpointUpdate.values().length) {
             throw new WireException("unknown form of list " + form);
         }
-        RosterKind kind = RosterKind.values()[form];
-        List<Engine> entries = kind == RosterKind.FAILED ? List.of() : lists.get(number);
+        EndpointUpdate kind = EndpointUpdate.values()[form];
+        List<EngineEndpoint> entries =
+                kind == EndpointUpdate.FAILED ? List.of() : lists.get(number);
         if (entries == null) {
             throw new WireException("list " + number + " was never sent");
         }
-        return () -> to.router.roster(in.clock, kind, entries);
+        return () -> to.router.endpointsChanged(in.clock, kind, entries);
     }
 
-    private static Runnable query(Frame.Batch in, Instance to) {
+    private static Runnable query(SimulatorFrame.Batch in, RouterInstance to) {
         long id = in.u32();
         int queryClass = in.u8();
         int tenant = in.u16();
@@ -184,9 +187,9 @@
         int bits = in.u16();
         double valid = (bits & 1) != 0 ? cost : 0;
         return () ->
-                to.router.query(
+                to.router.queryAccepted(
                         in.clock,
-                        new calicostream.QueryRouter.Query(
+                        new calicostream.routing.Query(
                                 id,
                                 queryClass,
                                 tenant,
@@ -198,57 +201,57 @@
                                 (bits & 2) != 0));
     }
 
-    private static Runnable result(Frame.Batch in, Instance to) {
+    private static Runnable result(SimulatorFrame.Batch in, RouterInstance to) {
         long id = in.u32();
         long elapsed = in.u32();
         boolean over = in.u8() != 0;
-        Outcome outcome = outcome(in.u16());
+        AttemptOutcome outcome = outcome(in.u16());
         long note = in.u32();
         int attempt = in.u16();
         long engine = in.engine();
-        Report report = report(in, to);
-        boolean told = to.tellsCost && outcome == Outcome.OK;
+        LoadReport report = report(in, to);
+        boolean told = to.tellsCost && outcome == AttemptOutcome.OK;
         double work = told ? Math.floor(note / MS_SHIFT) : 0;
         double memory = told ? note % MS_SHIFT * MEMORY_UNIT_MB : 0;
         return () ->
-                to.router.ended(
+                to.router.attemptEnded(
                         in.clock,
-                        new calicostream.QueryRouter.AttemptEnd(
+                        new calicostream.routing.AttemptResult(
                                 id, attempt, engine, outcome, over, elapsed, work, memory, report));
     }
 
-    private static Report report(Frame.Batch in, Instance to) {
+    private static LoadReport report(SimulatorFrame.Batch in, RouterInstance to) {
         int count = in.u8();
-        Report report = count == 0 ? null : Report.NOTHING;
+        LoadReport report = count == 0 ? null : LoadReport.EMPTY;
         for (int i = 0; i < count; i++) {
             double value = in.f32();
-            report = i < to.columns.size() ? report.with(to.columns.get(i), value) : report;
+            report = i < to.columns.size() ? report.withColumn(to.columns.get(i), value) : report;
         }
         return report;
     }
 
-    private static EngineState state(int code) {
-        if (code >= EngineState.values().length) {
+    private static EngineLifecycle state(int code) {
+        if (code >= EngineLifecycle.values().length) {
             throw new WireException("unknown state of an engine " + code);
         }
-        return EngineState.values()[code];
+        return EngineLifecycle.values()[code];
     }
 
-    private static Notice notice(int code) {
+    private static ProgressKind notice(int code) {
         switch (code) {
             case 1:
-                return Notice.SHARE_DONE;
+                return ProgressKind.FRACTION_DONE;
             case 2:
-                return Notice.SPILLS;
+                return ProgressKind.SPILLING;
             case 3:
-                return Notice.WAITS_FOR_MEMORY;
+                return ProgressKind.WAITING_FOR_MEMORY;
             default:
-                return Notice.OTHER;
+                return ProgressKind.OTHER;
         }
     }
 
-    private static Outcome outcome(int code) {
-        Outcome outcome = Codes.OUTCOMES.get(code);
+    private static AttemptOutcome outcome(int code) {
+        AttemptOutcome outcome = RecordCodes.OUTCOMES.get(code);
         if (outcome == null) {
             throw new WireException("unknown outcome " + code);
         }
--- a/src/main/java/calicostream/adapter/Frame.java
+++ b/src/main/java/calicostream/adapter/SimulatorFrame.java
@@ -13,7 +13,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** Frames of the simulator's wire: big-endian, packed, a header and records. */
-final class Frame {
+final class SimulatorFrame {
     static final int BATCH_HEADER = 16;
     static final int REPLY_HEADER = 8;
     static final int LONGEST = 1 << 30;
@@ -99,7 +99,7 @@
         }
     }
 
-    private Frame() {}
+    private SimulatorFrame() {}
 
     /** The next batch, or null at the end of input. */
     static Batch read(DataInputStream in) throws IOException {
--- a/src/main/java/calicostream/admin/Operator.java
+++ b/src/main/java/calicostream/admin/AdminOperations.java
@@ -2,7 +2,7 @@
 package calicostream.admin;
 
 /** What the operators may ask of a front end. Called on the loop's thread. */
-public interface Operator {
+public interface AdminOperations {
     /** Whether this process can serve now. */
     boolean isReady();
 
@@ -20,11 +20,11 @@
      * What a part that is on tells of itself, as a JSON object; null where none that is on has this
      * name, or it tells nothing.
      */
-    String signs(String part);
+    String statusJson(String part);
 
     /**
      * Words to a part that is on: null where there is none that knows them, empty where it took
      * them, else why not.
      */
-    String tell(String part, String words);
+    String administer(String part, String words);
 }
--- a/src/main/java/calicostream/admin/AdminFront.java
+++ b/src/main/java/calicostream/admin/AdminServer.java
@@ -19,7 +19,7 @@
  * The operators' address: HTTP/1.1, one call a connection. The loop serves it before all else, so
  * that a call is answered in time however busy the front end is.
  */
-public final class AdminFront implements Listener.Taker {
+public final class AdminServer implements Listener.Taker {
     /** Descriptors kept for callers. */
     public static final int MOST = 16;
 
@@ -32,11 +32,11 @@
     private static final Pattern ENGINE = Pattern.compile("/-/engines/([^/]+)/(disable|enable)");
     private static final Pattern PART = Pattern.compile("/-/([a-z]+)(?:/(.+))?");
     private final Loop loop;
-    private final Operator operator;
+    private final AdminOperations operator;
     private final Set<Caller> callers = new LinkedHashSet<>(); // the oldest first
     private Listener listener;
 
-    public AdminFront(Loop loop, Operator operator) {
+    public AdminServer(Loop loop, AdminOperations operator) {
         this.loop = loop;
         this.operator = operator;
     }
@@ -125,7 +125,7 @@
     /** What a part of the program that is on tells, and words to it. */
     private Reply part(String method, String path) {
         Matcher part = PART.matcher(path);
-        String signs = part.matches() ? operator.signs(part.group(1)) : null;
+        String signs = part.matches() ? operator.statusJson(part.group(1)) : null;
         if (signs == null) {
             return Reply.text(404, "Not Found");
         }
@@ -137,7 +137,7 @@
         if (!method.equals("POST")) {
             return notAllowed("POST");
         }
-        String refusal = operator.tell(part.group(1), part.group(2));
+        String refusal = operator.administer(part.group(1), part.group(2));
         return refusal == null
                 ? Reply.text(404, "Not Found")
                 : refusal.isEmpty()
--- a/src/main/java/calicostream/budget/Flow.java
+++ b/src/main/java/calicostream/budget/BoundedFlowNetwork.java
@@ -8,7 +8,7 @@
  * A small network of whole numbers with bounds from both sides, into which single units are led;
  * not shared between threads.
  */
-final class Flow {
+final class BoundedFlowNetwork {
     private final int[] first;
     private final int[] by;
     // by half edge: the even one goes forward, the odd one beside it back
@@ -20,7 +20,7 @@
     private int[] carried = new int[64];
     private int edges;
 
-    Flow(int nodes) {
+    BoundedFlowNetwork(int nodes) {
         first = new int[nodes];
         Arrays.fill(first, -1);
         by = new int[nodes];
--- a/src/main/java/calicostream/budget/BudgetCommand.java
+++ b/src/main/java/calicostream/budget/BudgetCommand.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.budget;
 
-import calicostream.cluster.Bytes;
+import calicostream.cluster.BinaryCodec;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Supplier;
@@ -9,7 +9,7 @@
 /**
  * What the grant machine is told; immutable. Who sent a command is the cluster's to say: a process
  * is the session it joined under, and only the leader may expire. Encoded with a version, a kind
- * and {@link Bytes}; a list is bounded by the bytes that are there.
+ * and {@link FieldBuffer}; a list is bounded by the bytes that are there.
  */
 public sealed interface BudgetCommand {
     /** The longest name of a process, tenant, engine or pool, in bytes. */
@@ -115,14 +115,14 @@
         }
 
         public byte[] encode() {
-            Bytes.Writer out = new Bytes.Writer().u8(1).i64(number).i64(version);
+            BinaryCodec.Writer out = new BinaryCodec.Writer().u8(1).i64(number).i64(version);
             put(out, shares);
             putUses(out, left);
             return out.done();
         }
 
         public static Grants decode(byte[] bytes) {
-            Bytes.Reader in = new Bytes.Reader("grants", bytes);
+            BinaryCodec.Reader in = new BinaryCodec.Reader("grants", bytes);
             in.version(1);
             Grants grants = new Grants(in.i64(), in.i64(), sharesOf(in), usesOf(in));
             in.end();
@@ -131,7 +131,7 @@
     }
 
     default byte[] encode() {
-        Bytes.Writer out = new Bytes.Writer().u8(1);
+        BinaryCodec.Writer out = new BinaryCodec.Writer().u8(1);
         if (this instanceof Join join) {
             out.u8(1).text(join.process);
         } else if (this instanceof Leave) {
@@ -169,7 +169,7 @@
     }
 
     static BudgetCommand decode(byte[] bytes) {
-        Bytes.Reader in = new Bytes.Reader("budget command", bytes);
+        BinaryCodec.Reader in = new BinaryCodec.Reader("budget command", bytes);
         in.version(1);
         int kind = in.u8();
         BudgetCommand command =
@@ -209,7 +209,7 @@
         return command;
     }
 
-    private static void put(Bytes.Writer out, List<Share> shares) {
+    private static void put(BinaryCodec.Writer out, List<Share> shares) {
         out.i32(shares.size());
         shares.forEach(
                 share ->
@@ -221,7 +221,7 @@
                                 .i32(share.sessions));
     }
 
-    private static List<Share> sharesOf(Bytes.Reader in) {
+    private static List<Share> sharesOf(BinaryCodec.Reader in) {
         return list(
                 in,
                 32,
@@ -235,17 +235,17 @@
                                 sessions(in)));
     }
 
-    private static void putUses(Bytes.Writer out, List<Use> uses) {
+    private static void putUses(BinaryCodec.Writer out, List<Use> uses) {
         out.i32(uses.size());
         uses.forEach(
                 use -> out.text(use.engine).i64(use.incarnation).i32(use.sessions).i32(use.left));
     }
 
-    private static List<Use> usesOf(Bytes.Reader in) {
+    private static List<Use> usesOf(BinaryCodec.Reader in) {
         return list(in, 20, () -> new Use(in.text(NAME), in.i64(), sessions(in), sessions(in)));
     }
 
-    private static int sessions(Bytes.Reader in) {
+    private static int sessions(BinaryCodec.Reader in) {
         int sessions = in.i32();
         if (sessions < 0 || sessions > UNKNOWN) {
             throw in.malformed(sessions + " sessions");
@@ -253,7 +253,7 @@
         return sessions;
     }
 
-    private static <T> List<T> list(Bytes.Reader in, int each, Supplier<T> read) {
+    private static <T> List<T> list(BinaryCodec.Reader in, int each, Supplier<T> read) {
         int count = in.count(each);
         List<T> list = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
--- a/src/main/java/calicostream/budget/BudgetException.java
+++ b/src/main/java/calicostream/budget/BudgetException.java
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.budget;
 
-import calicostream.errors.FleetError;
-import calicostream.errors.Page;
+import calicostream.errors.OperationalError;
+import calicostream.errors.OperatorDocumentation;
 
 /**
  * What can go wrong with budgets, as one sealed family: each type has a stable code, the facts in
@@ -10,8 +10,8 @@
  * command is refused; only {@link NoRoom} concerns a request, and its front end words it. Instances
  * are immutable and carry no stack trace.
  */
-@Page(value = "budget.md", prefixes = "budget-")
-public abstract sealed class BudgetException extends RuntimeException implements FleetError {
+@OperatorDocumentation(value = "budget.md", prefixes = "budget-")
+public abstract sealed class BudgetException extends RuntimeException implements OperationalError {
     private static final long serialVersionUID = 1L;
     private final String code;
     private final String facts;
--- a/src/main/java/calicostream/budget/Demand.java
+++ b/src/main/java/calicostream/budget/DemandEstimator.java
@@ -8,7 +8,7 @@
  * waits. It rises at once and falls only after the need has been lower by more than a band for a
  * whole hold, so that small changes move no grant. Owned by one thread; nanoseconds, sessions.
  */
-public final class Demand {
+public final class DemandEstimator {
     private final int tenants;
     private final long holdNanos;
     private int[] estimate = new int[0];
@@ -19,7 +19,7 @@
     /**
      * @param holdNanos for how long a lower need must last
      */
-    public Demand(int tenants, long holdNanos) {
+    public DemandEstimator(int tenants, long holdNanos) {
         this.tenants = tenants;
         this.holdNanos = holdNanos;
     }
--- a/src/main/java/calicostream/budget/Arbiter.java
+++ b/src/main/java/calicostream/budget/GrantCoordinator.java
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.budget;
 
-import calicostream.budget.Books.EngineBook;
-import calicostream.budget.Books.Held;
-import calicostream.budget.Books.Line;
-import calicostream.budget.Books.ProcessBook;
+import calicostream.budget.GrantLedger.EngineBook;
+import calicostream.budget.GrantLedger.Held;
+import calicostream.budget.GrantLedger.Line;
+import calicostream.budget.GrantLedger.ProcessBook;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -17,12 +17,12 @@
  * machine checks again. It keeps only the last division, to move little; a new arbiter begins with
  * what the machine says is granted.
  */
-public final class Arbiter {
+public final class GrantCoordinator {
     private static final int SHARES = 300; // a command, so that it stays far under the log's bound
     private final BudgetSettings settings;
     private final Map<String, int[]> last = new HashMap<>();
 
-    public Arbiter(BudgetSettings settings) {
+    public GrantCoordinator(BudgetSettings settings) {
         this.settings = settings;
     }
 
@@ -31,7 +31,7 @@
      * @param token of the arbiter's lease
      */
     public List<BudgetCommand.Divide> divide(GrantMachine machine, long token) {
-        Books books = machine.books();
+        GrantLedger books = machine.books();
         String[] engines = books.engines.keySet().toArray(String[]::new);
         int[][] fair = fair(books, engines);
         List<BudgetCommand.Divide> commands = new ArrayList<>();
@@ -46,7 +46,7 @@
         return commands;
     }
 
-    private int[][] fair(Books books, String[] engines) {
+    private int[][] fair(GrantLedger books, String[] engines) {
         int tenants = settings.tenants().size();
         int tiers = settings.pools().size();
         int[] caps = new int[engines.length];
@@ -73,8 +73,8 @@
             }
         }
         int[][] fair =
-                Divider.divide(
-                        new Divider.Problem(
+                MaxMinFairAllocator.divide(
+                        new MaxMinFairAllocator.Problem(
                                 caps,
                                 tierOf,
                                 settings.pools().stream()
@@ -110,7 +110,8 @@
      * What of the cap can be granted at all: the rest is floors that nobody asks for, and what
      * silent processes may have in use.
      */
-    private int grantable(Books books, String name, EngineBook engine, int[][] wanted, int e) {
+    private int grantable(
+            GrantLedger books, String name, EngineBook engine, int[][] wanted, int e) {
         int rest = Math.min(engine.cap, engine.target);
         for (Map.Entry<String, ProcessBook> each : books.processes.entrySet()) {
             int floor = books.floor(each.getKey(), name);
@@ -141,7 +142,7 @@
 
     /** One engine's division among processes, and the way there from what is granted. */
     private final class EngineShares {
-        private final Books books;
+        private final GrantLedger books;
         private final String name;
         private final EngineBook engine;
         private final String[] processes;
@@ -153,7 +154,7 @@
         private final int[] floor;
         private final int[] granted;
 
-        EngineShares(Books books, String name, int[] fair) {
+        EngineShares(GrantLedger books, String name, int[] fair) {
             this.books = books;
             this.name = name;
             this.engine = books.engines.get(name);
--- a/src/main/java/calicostream/budget/GrantTimes.java
+++ b/src/main/java/calicostream/budget/GrantExpiryMonitor.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.budget;
 
-import calicostream.cluster.Timekeeper;
+import calicostream.cluster.ExpiryMonitor;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -12,7 +12,7 @@
  * is over, and so are the grants of a process's earlier starts once it has joined for as long. It
  * counts from when it sees a report applied, which is after the process asked.
  */
-public final class GrantTimes implements Timekeeper {
+public final class GrantExpiryMonitor implements ExpiryMonitor {
     private final BudgetSettings settings;
     private final GrantMachine machine;
     private final Map<String, Long> since = new HashMap<>();
@@ -20,7 +20,7 @@
     /**
      * @param machine the copy beside it
      */
-    public GrantTimes(BudgetSettings settings, GrantMachine machine) {
+    public GrantExpiryMonitor(BudgetSettings settings, GrantMachine machine) {
         this.settings = settings;
         this.machine = machine;
     }
--- a/src/main/java/calicostream/budget/Books.java
+++ b/src/main/java/calicostream/budget/GrantLedger.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.budget;
 
-import calicostream.cluster.Bytes;
+import calicostream.cluster.BinaryCodec;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -14,7 +14,7 @@
  * It answers how many sessions may be in use at an engine and decides nothing; ordered maps make
  * equal states equal bytes. Owned by one machine, which alone changes it.
  */
-final class Books {
+final class GrantLedger {
     private static final int FORMAT = 1;
     private static final int VERSIONS = 16;
 
@@ -124,7 +124,7 @@
     long token;
     long index;
 
-    Books(BudgetSettings settings) {
+    GrantLedger(BudgetSettings settings) {
         named = Set.copyOf(settings.processes());
         named.forEach(name -> processes.put(name, new ProcessBook()));
     }
@@ -156,7 +156,8 @@
     }
 
     byte[] snapshot() {
-        Bytes.Writer out = new Bytes.Writer().u8(FORMAT).i64(token).i64(index).i32(engines.size());
+        BinaryCodec.Writer out =
+                new BinaryCodec.Writer().u8(FORMAT).i64(token).i64(index).i32(engines.size());
         engines.forEach(
                 (name, engine) ->
                         out.text(name)
@@ -195,10 +196,10 @@
         return out.done();
     }
 
-    static Books restore(BudgetSettings settings, byte[] snapshot) {
-        Bytes.Reader in = new Bytes.Reader("budget snapshot", snapshot);
+    static GrantLedger restore(BudgetSettings settings, byte[] snapshot) {
+        BinaryCodec.Reader in = new BinaryCodec.Reader("budget snapshot", snapshot);
         in.version(FORMAT);
-        Books books = new Books(settings);
+        GrantLedger books = new GrantLedger(settings);
         books.token = in.i64();
         books.index = in.i64();
         for (int i = in.count(20); i > 0; i--) {
@@ -234,7 +235,7 @@
         return books;
     }
 
-    private static void held(Bytes.Reader in, Held held) {
+    private static void held(BinaryCodec.Reader in, Held held) {
         held.left = in.i32();
         held.used = in.i32();
         for (int i = in.count(12); i > 0; i--) {
--- a/src/main/java/calicostream/budget/GrantMachine.java
+++ b/src/main/java/calicostream/budget/GrantMachine.java
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.budget;
 
-import calicostream.budget.Books.EngineBook;
-import calicostream.budget.Books.Held;
-import calicostream.budget.Books.Line;
-import calicostream.budget.Books.ProcessBook;
-import calicostream.cluster.Bytes;
+import calicostream.budget.GrantLedger.EngineBook;
+import calicostream.budget.GrantLedger.Held;
+import calicostream.budget.GrantLedger.Line;
+import calicostream.budget.GrantLedger.ProcessBook;
+import calicostream.cluster.BinaryCodec;
 import calicostream.cluster.ClusterException;
 import calicostream.cluster.Command;
-import calicostream.cluster.Effects;
-import calicostream.cluster.Machine;
+import calicostream.cluster.CommandEffects;
+import calicostream.cluster.StateMachine;
 import java.util.ArrayList;
 import java.util.EnumSet;
 import java.util.LinkedHashSet;
@@ -26,13 +26,13 @@
  * have left running. That falls only by the process's own word, by the engine's own count taken
  * after the leader has counted the grants out, or with the engine's incarnation.
  */
-public final class GrantMachine implements Machine {
+public final class GrantMachine implements StateMachine {
     /** The name under which it is composed. */
     public static final String NAME = "budget";
 
     private final BudgetSettings settings;
     private final Set<Safeguard> out;
-    private Books books;
+    private GrantLedger books;
 
     public GrantMachine(BudgetSettings settings) {
         this(settings, EnumSet.noneOf(Safeguard.class));
@@ -41,10 +41,10 @@
     GrantMachine(BudgetSettings settings, Set<Safeguard> out) {
         this.settings = settings;
         this.out = out;
-        this.books = new Books(settings);
+        this.books = new GrantLedger(settings);
     }
 
-    Books books() {
+    GrantLedger books() {
         return books;
     }
 
@@ -60,20 +60,20 @@
     }
 
     @Override
-    public Effects apply(long index, Command command) {
+    public CommandEffects apply(long index, Command command) {
         books.index = index;
         try {
             return apply(index, command, BudgetCommand.decode(command.body()));
         } catch (BudgetException refused) { // every check comes before the first change
-            return Effects.refused(
-                    refused.code(), new Bytes.Writer().text(refused.getMessage()).done());
+            return CommandEffects.refused(
+                    refused.code(), new BinaryCodec.Writer().text(refused.getMessage()).done());
         } catch (ClusterException.Malformed malformed) {
-            return Effects.refused(
-                    malformed.code(), new Bytes.Writer().text(malformed.getMessage()).done());
+            return CommandEffects.refused(
+                    malformed.code(), new BinaryCodec.Writer().text(malformed.getMessage()).done());
         }
     }
 
-    private Effects apply(long index, Command sender, BudgetCommand command) {
+    private CommandEffects apply(long index, Command sender, BudgetCommand command) {
         if (command instanceof BudgetCommand.Join join) {
             return join(sender.session(), join);
         } else if (command instanceof BudgetCommand.Leave) {
@@ -89,14 +89,14 @@
             forget(gone.engine());
             books.engines.remove(gone.engine());
             books.past.put(gone.engine(), gone.incarnation());
-            return Effects.NONE;
+            return CommandEffects.NONE;
         } else if (command instanceof BudgetCommand.Count count) {
             return count(count);
         }
         return expire(index, sender, (BudgetCommand.Expire) command);
     }
 
-    private Effects join(long session, BudgetCommand.Join join) {
+    private CommandEffects join(long session, BudgetCommand.Join join) {
         if (session == 0) {
             throw new BudgetException.Unknown("session of process", join.process());
         }
@@ -106,7 +106,7 @@
                 throw new BudgetException.Unknown(
                         "process", join.process() + " under another's session " + session);
             }
-            return Effects.NONE;
+            return CommandEffects.NONE;
         }
         ProcessBook process =
                 books.processes.computeIfAbsent(join.process(), name -> new ProcessBook());
@@ -138,10 +138,10 @@
         process.number = 0;
         process.version = 0;
         process.expiredAt = 0;
-        return Effects.NONE;
+        return CommandEffects.NONE;
     }
 
-    private Effects leave(long session) {
+    private CommandEffects leave(long session) {
         ProcessBook process = mine(session);
         process.held
                 .values()
@@ -155,10 +155,10 @@
             process.held.clear();
         }
         process.session = 0;
-        return Effects.answer(new byte[0], settle());
+        return CommandEffects.answer(new byte[0], settle());
     }
 
-    private Effects renew(long session, BudgetCommand.Renew renew) {
+    private CommandEffects renew(long session, BudgetCommand.Renew renew) {
         ProcessBook process = mine(session);
         if (renew.number() <= process.number) {
             throw new BudgetException.OldReport(nameOf(process), renew.number(), process.number);
@@ -208,7 +208,7 @@
                         want.sessions();
             }
         }
-        return Effects.answer(grants(process).encode(), settle());
+        return CommandEffects.answer(grants(process).encode(), settle());
     }
 
     private BudgetCommand.Grants grants(ProcessBook process) {
@@ -242,7 +242,7 @@
         return new BudgetCommand.Grants(process.number, process.version, shares, left);
     }
 
-    private Effects divide(BudgetCommand.Divide divide) {
+    private CommandEffects divide(BudgetCommand.Divide divide) {
         if (divide.token() < books.token) {
             throw new BudgetException.OldToken(divide.token(), books.token);
         }
@@ -287,7 +287,7 @@
                                         held.adopted(process.version);
                                     }
                                 }));
-        return Effects.NONE;
+        return CommandEffects.NONE;
     }
 
     /** The new sums by process, if they fit. */
@@ -319,7 +319,7 @@
         return sums;
     }
 
-    private Effects engine(BudgetCommand.Engine command) {
+    private CommandEffects engine(BudgetCommand.Engine command) {
         BudgetSettings.Pool pool = settings.pool(command.pool());
         EngineBook known = books.engines.get(command.engine());
         long least =
@@ -349,7 +349,7 @@
                 out.contains(Safeguard.LOWERED_CAP_WAITS)
                         ? command.cap()
                         : Math.max(known.cap, command.cap());
-        return Effects.answer(new byte[0], settle());
+        return CommandEffects.answer(new byte[0], settle());
     }
 
     /** What ran at an engine ended with it. */
@@ -357,7 +357,7 @@
         books.processes.values().forEach(process -> process.held.remove(engine));
     }
 
-    private Effects count(BudgetCommand.Count count) {
+    private CommandEffects count(BudgetCommand.Count count) {
         present(count.engine(), count.incarnation());
         ProcessBook process = books.processes.get(count.process());
         if (process == null || process.session != count.session()) {
@@ -384,10 +384,10 @@
             held.used = Math.min(Math.max(held.used, held.most()), bound);
             held.forgetGrants();
         }
-        return Effects.answer(new byte[0], settle());
+        return CommandEffects.answer(new byte[0], settle());
     }
 
-    private Effects expire(long index, Command sender, BudgetCommand.Expire expire) {
+    private CommandEffects expire(long index, Command sender, BudgetCommand.Expire expire) {
         ProcessBook process = books.processes.get(expire.process());
         String why =
                 !sender.byLeader() && !out.contains(Safeguard.GRANT_HELD_TO_EXPIRY)
@@ -406,7 +406,7 @@
         }
         if (expire.former()) {
             process.formerExpiredAt = index;
-            return Effects.NONE;
+            return CommandEffects.NONE;
         }
         process.expiredAt = index;
         process.version++; // no answer given before counts as the present one
@@ -420,27 +420,27 @@
                                             : Math.max(held.used, held.most());
                             held.forgetGrants();
                         });
-        return Effects.NONE;
+        return CommandEffects.NONE;
     }
 
     /** Lowered caps come in force once no more than they may be in use. */
-    private Effects.Event[] settle() {
-        List<Effects.Event> events = new ArrayList<>();
+    private CommandEffects.Event[] settle() {
+        List<CommandEffects.Event> events = new ArrayList<>();
         books.engines.forEach(
                 (name, engine) -> {
                     if (engine.target < engine.cap && books.committed(name) <= engine.target) {
                         engine.cap = engine.target;
                         events.add(
-                                new Effects.Event(
+                                new CommandEffects.Event(
                                         "budget-cap-in-force",
-                                        new Bytes.Writer()
+                                        new BinaryCodec.Writer()
                                                 .text(name)
                                                 .i64(engine.incarnation)
                                                 .i32(engine.cap)
                                                 .done()));
                     }
                 });
-        return events.toArray(Effects.Event[]::new);
+        return events.toArray(CommandEffects.Event[]::new);
     }
 
     private boolean isPresent(String engine, long incarnation) {
@@ -488,6 +488,6 @@
 
     @Override
     public void restore(byte[] snapshot) {
-        books = Books.restore(settings, snapshot);
+        books = GrantLedger.restore(settings, snapshot);
     }
 }
--- a/src/main/java/calicostream/budget/GrantView.java
+++ b/src/main/java/calicostream/budget/GrantView.java
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.budget;
 
-import calicostream.budget.Books.Held;
-import calicostream.budget.Books.Line;
-import calicostream.budget.Books.ProcessBook;
+import calicostream.budget.GrantLedger.Held;
+import calicostream.budget.GrantLedger.Line;
+import calicostream.budget.GrantLedger.ProcessBook;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -32,9 +32,9 @@
     public record Unproven(
             String engine, String process, long session, boolean former, long over, int sessions) {}
 
-    private final Books books;
+    private final GrantLedger books;
 
-    GrantView(Books books) {
+    GrantView(GrantLedger books) {
         this.books = books;
     }
 
--- a/src/main/java/calicostream/budget/Holdings.java
+++ b/src/main/java/calicostream/budget/GrantedSessions.java
@@ -17,7 +17,7 @@
  * asked for; what remains then, and with no quorum, are the floors. Sessions are whole numbers,
  * tenants and engines are slots.
  */
-public final class Holdings {
+public final class GrantedSessions {
     private final BudgetSettings settings;
     private final String process;
     private final Set<Safeguard> out;
@@ -45,11 +45,11 @@
     private long version;
     private boolean calledBack;
 
-    public Holdings(BudgetSettings settings, String process) {
+    public GrantedSessions(BudgetSettings settings, String process) {
         this(settings, process, EnumSet.noneOf(Safeguard.class));
     }
 
-    Holdings(BudgetSettings settings, String process, Set<Safeguard> out) {
+    GrantedSessions(BudgetSettings settings, String process, Set<Safeguard> out) {
         this.settings = settings;
         this.process = process;
         this.out = out;
@@ -193,8 +193,8 @@
      * old one counts as left running, which it knows to the last. The old object hears of those
      * ends, and this one by {@link #leftBy}; of what arrives only this one need hear.
      */
-    public Holdings anew() {
-        Holdings next = new Holdings(settings, process, out);
+    public GrantedSessions anew() {
+        GrantedSessions next = new GrantedSessions(settings, process, out);
         for (int engine = 0; engine < names.size(); engine++) {
             next.engine(names.get(engine), pools.get(engine));
             next.connected(engine, incarnation[engine]);
@@ -205,7 +205,7 @@
     }
 
     /** Fewer of this process's own earlier sessions run at the engine. */
-    public void leftBy(Holdings before, int engine) {
+    public void leftBy(GrantedSessions before, int engine) {
         if (before.incarnation[engine] == incarnation[engine]) {
             leftRunning(
                     engine,
@@ -223,7 +223,7 @@
     }
 
     /** The report to send now; its answer counts from this moment, on whichever try it is given. */
-    public BudgetCommand.Renew report(long now, Demand demand) {
+    public BudgetCommand.Renew report(long now, DemandEstimator demand) {
         if (live && now >= ends) {
             lapse();
         }
--- a/src/main/java/calicostream/budget/Divider.java
+++ b/src/main/java/calicostream/budget/MaxMinFairAllocator.java
@@ -12,7 +12,7 @@
  * later, and the greedy order is exact up to single sessions. A pure function: the same problem and
  * previous division give the same division.
  */
-public final class Divider {
+public final class MaxMinFairAllocator {
     /**
      * @param caps by engine
      * @param tierOf by engine: its tier
@@ -44,7 +44,7 @@
     }
 
     private final Problem problem;
-    private final Flow flow;
+    private final BoundedFlowNetwork flow;
     private final int sink;
     private final int[][] toTier;
     private final int[][] toEngine;
@@ -52,13 +52,13 @@
     private final int[] fromTier;
     private final int[] totals;
 
-    private Divider(Problem problem) {
+    private MaxMinFairAllocator(Problem problem) {
         this.problem = problem;
         int tenants = problem.tenants();
         int tiers = problem.tiers();
         int engines = problem.engines();
         sink = tenants + tenants * tiers + engines + tiers;
-        flow = new Flow(sink + 1);
+        flow = new BoundedFlowNetwork(sink + 1);
         totals = new int[tenants];
         toTier = new int[tenants][tiers];
         toEngine = new int[tenants][engines];
@@ -102,13 +102,13 @@
      * @return sessions by tenant and engine
      */
     public static int[][] divide(Problem problem, int[][] previous) {
-        Divider fair = new Divider(problem);
+        MaxMinFairAllocator fair = new MaxMinFairAllocator(problem);
         int[][] kept = fair.guarantee();
         fair.fill(problem.weights, problem.ceilings);
         if (previous == null) {
             return fair.placed();
         }
-        Divider near = new Divider(problem);
+        MaxMinFairAllocator near = new MaxMinFairAllocator(problem);
         near.follow(previous, kept, fair.totals);
         return near.placed();
     }
--- a/src/main/java/calicostream/budget/Waits.java
+++ b/src/main/java/calicostream/budget/QueuedDemand.java
@@ -2,8 +2,8 @@
 package calicostream.budget;
 
 /** What waits for no engine in particular, as demand at each of them. Stateless. */
-public final class Waits {
-    private Waits() {}
+public final class QueuedDemand {
+    private QueuedDemand() {}
 
     /**
      * In parts by the engines' caps, whole, and together just what waits; engines without a cap
--- a/src/main/java/calicostream/budget/Ledger.java
+++ b/src/main/java/calicostream/budget/SessionLedger.java
@@ -17,7 +17,7 @@
  * bounds nothing: each of those that died within that time may have had as many on the way as one
  * may have.
  */
-public final class Ledger {
+public final class SessionLedger {
     private static final int LOOKS = 5; // in a travel time
 
     /** A session begun by this process; it knows under which of the process's joins. */
@@ -37,10 +37,10 @@
     }
 
     private final long travelNanos;
-    private final Doubts doubts;
+    private final UnconfirmedSessions doubts;
     private final Map<Integer, Long> looks = new HashMap<>();
-    private Holdings holdings;
-    private Holdings former;
+    private GrantedSessions holdings;
+    private GrantedSessions former;
     private int start;
     private long startedAt;
 
@@ -49,15 +49,15 @@
      *     connection that is closed, is on its way
      * @param now since when no other process of this name runs, or later
      */
-    public Ledger(BudgetSettings settings, String process, long travelNanos, long now) {
-        this(new Holdings(settings, process), travelNanos, now);
+    public SessionLedger(BudgetSettings settings, String process, long travelNanos, long now) {
+        this(new GrantedSessions(settings, process), travelNanos, now);
     }
 
-    Ledger(Holdings holdings, long travelNanos, long now) {
+    SessionLedger(GrantedSessions holdings, long travelNanos, long now) {
         this.holdings = holdings;
         this.travelNanos = travelNanos;
         this.startedAt = now;
-        doubts = new Doubts(travelNanos);
+        doubts = new UnconfirmedSessions(travelNanos);
     }
 
     /** The same process, but known to be the only one of its name only from now on. */
@@ -66,7 +66,7 @@
     }
 
     /** What it goes by now; another object after {@link #joined}. */
-    public Holdings holdings() {
+    public GrantedSessions holdings() {
         return holdings;
     }
 
@@ -125,7 +125,7 @@
             ended(session.start, session.tenant, session.engine, session.incarnation);
         } else {
             doubts.add(
-                    new Doubts.Doubt(
+                    new UnconfirmedSessions.Doubt(
                             session.start,
                             session.tenant,
                             session.engine,
@@ -142,7 +142,7 @@
      */
     public List<Integer> counted(int engine, long askedAt, int running) {
         List<Integer> tenants = new ArrayList<>();
-        for (Doubts.Doubt each : doubts.counted(engine, askedAt, running)) {
+        for (UnconfirmedSessions.Doubt each : doubts.counted(engine, askedAt, running)) {
             ended(each.start(), each.tenant(), engine, each.incarnation());
             tenants.add(each.tenant());
         }
@@ -179,12 +179,12 @@
      * Of this join, or of the one before, which counts as left running; older ones count until the
      * engines tell.
      */
-    private Holdings by(int number) {
+    private GrantedSessions by(int number) {
         return number == start ? holdings : number == start - 1 ? former : null;
     }
 
     private void ended(int number, int tenant, int engine, long incarnation) {
-        Holdings by = by(number);
+        GrantedSessions by = by(number);
         if (by != null) {
             by.ended(tenant, engine, incarnation);
             if (by == former) {
--- a/src/main/java/calicostream/budget/TenantQueues.java
+++ b/src/main/java/calicostream/budget/TenantQueues.java
@@ -68,7 +68,7 @@
      * Of the tenants that may use the engine now and wait for it, the one with least in use for its
      * weight: its longest waiting request, or -1.
      */
-    public long next(int engine, long now, Holdings holdings) {
+    public long next(int engine, long now, GrantedSessions holdings) {
         return next(
                 engine, t -> holdings.mayUse(t, engine, now), t -> holdings.sessions(t, engine));
     }
--- a/src/main/java/calicostream/budget/Doubts.java
+++ b/src/main/java/calicostream/budget/UnconfirmedSessions.java
@@ -12,7 +12,7 @@
  * Engines that can't tell sessions by process tell how many run in all, which is more than any
  * process's own. Owned by one thread; nanoseconds of the process's clock.
  */
-public final class Doubts {
+public final class UnconfirmedSessions {
     /**
      * @param start under which of this process's sessions at the cluster it was begun, by number
      */
@@ -25,7 +25,7 @@
      * @param travelNanos after which what was given up is no longer on its way: its connection is
      *     closed or carried the word before then
      */
-    public Doubts(long travelNanos) {
+    public UnconfirmedSessions(long travelNanos) {
         this.travelNanos = travelNanos;
     }
 
--- a/src/main/java/calicostream/budget/package-info.java
+++ b/src/main/java/calicostream/budget/package-info.java
@@ -5,7 +5,7 @@
  * fairly, leased, and checked against the engine's cap where commands are applied; every class here
  * is a decision without clock, I/O or threads. It does not know how a request's tenant is found,
  * which engine a request goes to, how commands are carried, nor who may be arbiter. Read {@link
- * calicostream.budget.GrantMachine} first, then {@link calicostream.budget.Holdings}, which the
- * request path asks.
+ * calicostream.budget.GrantMachine} first, then {@link calicostream.budget.GrantedSessions}, which
+ * the request path asks.
  */
 package calicostream.budget;
--- a/src/main/java/calicostream/budget/process/BudgetGate.java
+++ b/src/main/java/calicostream/budget/process/BudgetGate.java
@@ -1,22 +1,22 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.budget.process;
 
-import calicostream.QueryRouter.Engine;
-import calicostream.QueryRouter.EngineState;
-import calicostream.QueryRouter.Outcome;
-import calicostream.QueryRouter.Report;
 import calicostream.budget.BudgetException;
 import calicostream.budget.BudgetSettings;
-import calicostream.budget.Demand;
-import calicostream.budget.Ledger;
+import calicostream.budget.DemandEstimator;
+import calicostream.budget.QueuedDemand;
+import calicostream.budget.SessionLedger;
 import calicostream.budget.TenantQueues;
 import calicostream.budget.TenantRules;
-import calicostream.budget.Waits;
 import calicostream.cluster.config.BudgetConfig;
-import calicostream.core.Engines;
+import calicostream.core.EngineClient;
 import calicostream.core.Gateway;
-import calicostream.core.Watcher;
+import calicostream.core.RequestListener;
 import calicostream.net.Loop;
+import calicostream.routing.AttemptOutcome;
+import calicostream.routing.EngineEndpoint;
+import calicostream.routing.EngineLifecycle;
+import calicostream.routing.LoadReport;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -32,31 +32,31 @@
  * an engine, counts what begins and ends, and makes the reports. All calls are the loop's; it
  * answers from memory and asks nobody. Engines of no pool are let through uncounted.
  */
-public final class BudgetGate implements Engines {
+public final class BudgetGate implements EngineClient {
     private static final long MICRO = 1_000; // ns
     private static final int REPORTS = 5; // a lease
     private static final long TICK = 20_000; // us: no longer than what a request may notice
 
-    private record Asked(Wire.Ask ask, long at) {}
+    private record Asked(BudgetMailbox.Ask ask, long at) {}
 
     private final Loop loop;
-    private final Engines engines;
+    private final EngineClient engines;
     private final BudgetConfig config;
     private final BudgetSettings settings;
-    private final Wire wire;
+    private final BudgetMailbox wire;
     private final Map<Long, Integer> slots = new HashMap<>();
     private final List<Long> ids = new ArrayList<>();
     private final Map<Long, Long> began = new HashMap<>();
-    private final Map<Long, Engine> listed = new HashMap<>();
+    private final Map<Long, EngineEndpoint> listed = new HashMap<>();
     private final Map<String, Long> gone = new HashMap<>();
-    private final Map<Gateway.Attempt, Ledger.Session> begun = new HashMap<>();
+    private final Map<Gateway.Attempt, SessionLedger.Session> begun = new HashMap<>();
     private final List<Set<Gateway.Request>> admitted = new ArrayList<>();
     private final Map<Long, Gateway.Request> kept = new HashMap<>();
     private final Map<Long, Asked> asks = new HashMap<>();
     private final Map<Long, ArrayDeque<Long>> probes = new HashMap<>();
     private final TenantQueues queues;
-    private final Demand demand;
-    private final Ledger ledger;
+    private final DemandEstimator demand;
+    private final SessionLedger ledger;
     private final long reportMicros;
     private Gateway gateway;
     private int uncounted;
@@ -68,7 +68,12 @@
     /**
      * @param process the member's name; @param engines what it stands before
      */
-    BudgetGate(Loop loop, Engines engines, BudgetConfig config, String process, Wire wire) {
+    BudgetGate(
+            Loop loop,
+            EngineClient engines,
+            BudgetConfig config,
+            String process,
+            BudgetMailbox wire) {
         this.loop = loop;
         this.engines = engines;
         this.config = config;
@@ -78,9 +83,9 @@
         for (int t = 0; t < tenants; t++) {
             admitted.add(new HashSet<>());
         }
-        ledger = new Ledger(settings, process, settings.ttlNanos(), now());
+        ledger = new SessionLedger(settings, process, settings.ttlNanos(), now());
         queues = new TenantQueues(settings, config.queue(), 1);
-        demand = new Demand(tenants, settings.ttlNanos() / 2);
+        demand = new DemandEstimator(tenants, settings.ttlNanos() / 2);
         reportMicros = Math.max(10_000, settings.ttlNanos() / MICRO / REPORTS);
         wire.gate(
                 () -> loop.post(this::joined),
@@ -95,23 +100,23 @@
     // ---- The list
     // ------------------------------------------------------------------------------------------
     /** Hears of the list before the engine side does. */
-    public Watcher watcher() {
-        return new Watcher() {
+    public RequestListener watcher() {
+        return new RequestListener() {
             @Override
-            public void engine(Engine engine) {
+            public void engineChanged(EngineEndpoint engine) {
                 listed(engine);
             }
         };
     }
 
     @Override
-    public void began(long engine, long unixMillis) {
+    public void engineStarted(long engine, long unixMillis) {
         began.put(engine, unixMillis);
-        engines.began(engine, unixMillis);
+        engines.engineStarted(engine, unixMillis);
     }
 
-    private void listed(Engine engine) {
-        if (engine.state() == EngineState.GONE) {
+    private void listed(EngineEndpoint engine) {
+        if (engine.lifecycle() == EngineLifecycle.REMOVED) {
             listed.remove(engine.id());
             gone.put(name(engine.id()), incarnation(engine.id()));
         } else {
@@ -119,7 +124,7 @@
             listed.put(engine.id(), engine);
         }
         Optional<String> pool = config.pool(engine.kind());
-        if (pool.isPresent() && engine.state() != EngineState.GONE) {
+        if (pool.isPresent() && engine.lifecycle() != EngineLifecycle.REMOVED) {
             Integer known = slots.get(engine.id());
             int slot =
                     known != null ? known : ledger.holdings().engine(name(engine.id()), pool.get());
@@ -139,7 +144,7 @@
                         .filter(each -> config.pool(each.kind()).isPresent())
                         .map(
                                 each ->
-                                        new Wire.Listed(
+                                        new BudgetMailbox.Listed(
                                                 name(each.id()),
                                                 incarnation(each.id()),
                                                 config.pool(each.kind()).get(),
@@ -168,10 +173,10 @@
                         .tenant(
                                 new TenantRules.Told(
                                         null,
-                                        request.front().login(request.tag()),
-                                        request.front().catalog(request.tag()),
-                                        request.front().listening(request.tag()),
-                                        request.front().client(request.tag())));
+                                        request.responseHandler().login(request.tag()),
+                                        request.responseHandler().catalog(request.tag()),
+                                        request.responseHandler().localAddress(request.tag()),
+                                        request.responseHandler().clientAddress(request.tag())));
         if (queues.waiting(request.tenant, 0) == 0 && mayAdmit(request.tenant)) {
             admitted.get(request.tenant).add(request);
             return true;
@@ -182,7 +187,7 @@
             kept.put(number, request);
         } catch (BudgetException.NoRoom noRoom) {
             refused++;
-            gateway.turnAway(request, noRoom.returnAfterNanos() / MICRO);
+            gateway.reject(request, noRoom.returnAfterNanos() / MICRO);
         }
         return false;
     }
@@ -195,13 +200,13 @@
         Set<Gateway.Request> with = admitted.get(tenant);
         int free = uncounted > 0 ? Integer.MAX_VALUE : ledger.holdings().free(tenant, now());
         if (with.size() >= free) {
-            with.removeIf(Gateway.Request::isOver);
+            with.removeIf(Gateway.Request::isAnswered);
         }
         return with.size() < free;
     }
 
     @Override
-    public boolean mayUse(Gateway.Request request, long engine) {
+    public boolean hasTenantCapacity(Gateway.Request request, long engine) {
         Integer slot = slots.get(engine);
         return slot == null || ledger.holdings().mayUse(request.tenant, slot, now());
     }
@@ -213,7 +218,7 @@
         if (slot != null) {
             if (!ledger.holdings()
                     .mayUse(attempt.request.tenant, slot, now())) { // whatever the module asks
-                gateway.ended(attempt, Outcome.FULL, null, null);
+                gateway.attemptEnded(attempt, AttemptOutcome.OVERLOADED, null, null);
                 return;
             }
             begun.put(attempt, ledger.begun(attempt.request.tenant, slot));
@@ -222,23 +227,23 @@
     }
 
     @Override
-    public void heard(Gateway.Attempt attempt) {
-        Ledger.Session session = begun.get(attempt);
+    public void attemptAcknowledged(Gateway.Attempt attempt) {
+        SessionLedger.Session session = begun.get(attempt);
         if (session != null) {
             ledger.arrived(session);
         }
     }
 
     @Override
-    public void over(Gateway.Attempt attempt, Outcome outcome, Report report) {
-        Ledger.Session session = begun.remove(attempt);
+    public void attemptEnded(Gateway.Attempt attempt, AttemptOutcome outcome, LoadReport report) {
+        SessionLedger.Session session = begun.remove(attempt);
         if (session == null) {
             return;
         }
         boolean known =
-                outcome != Outcome.TIMEOUT
-                        && outcome != Outcome.CANCELLED
-                        && outcome != Outcome.SPOILT;
+                outcome != AttemptOutcome.TIMEOUT
+                        && outcome != AttemptOutcome.CANCELLED
+                        && outcome != AttemptOutcome.CONNECTION_BROKEN;
         if (ledger.over(session, known, now())) {
             queues.ended(attempt.request.tenant, now());
         }
@@ -249,18 +254,18 @@
     }
 
     @Override
-    public void reported(long engine, Report report) {
+    public void loadReported(long engine, LoadReport report) {
         ArrayDeque<Long> open = probes.getOrDefault(engine, new ArrayDeque<>());
         Long oldest = open.peekFirst(); // It may be the answer to that one.
         open.pollLast();
         if (report != null && oldest != null) {
             counted(engine, report, oldest);
         }
-        engines.reported(engine, report);
+        engines.loadReported(engine, report);
     }
 
     /** How many sessions the engine runs of all processes together, as of that time or later. */
-    private void counted(long engine, Report report, long askedAt) {
+    private void counted(long engine, LoadReport report, long askedAt) {
         Integer slot = slots.get(engine);
         if (slot == null || Double.isNaN(report.running())) {
             return;
@@ -274,7 +279,7 @@
             asks.remove(engine);
             wire.count(
                     name(engine),
-                    new Wire.Counted(
+                    new BudgetMailbox.Counted(
                             ledger.holdings().incarnation(slot), running, asked.ask.seen()));
         }
     }
@@ -299,9 +304,9 @@
     private void serve() {
         for (long number = next(); number >= 0; number = next()) {
             Gateway.Request request = kept.remove(number);
-            if (!request.isOver()) {
+            if (!request.isAnswered()) {
                 admitted.get(request.tenant).add(request);
-                gateway.admitted(request);
+                gateway.admit(request);
             }
         }
     }
@@ -314,7 +319,7 @@
         for (int t = 0; t < settings.tenants().size(); t++) {
             for (long number : queues.impatient(t, now())) {
                 refused++;
-                gateway.turnAway(
+                gateway.reject(
                         kept.remove(number), queues.refusal(t, now()).returnAfterNanos() / MICRO);
             }
         }
@@ -342,7 +347,7 @@
                 wire.report(ledger.holdings().report(now(), demand));
             }
             wire.figures(
-                    Figures.of(
+                    BudgetMetrics.of(
                             settings,
                             ledger.holdings(),
                             queues,
@@ -367,8 +372,9 @@
                                                 : 0)
                         .toArray();
         for (int t = 0; t < settings.tenants().size(); t++) {
-            admitted.get(t).removeIf(Gateway.Request::isOver);
-            int[] waiting = Waits.spread(queues.waiting(t, 0) + admitted.get(t).size(), caps);
+            admitted.get(t).removeIf(Gateway.Request::isAnswered);
+            int[] waiting =
+                    QueuedDemand.spread(queues.waiting(t, 0) + admitted.get(t).size(), caps);
             for (int slot = 0; slot < caps.length; slot++) {
                 demand.observe(t, slot, ledger.holdings().sessions(t, slot), waiting[slot], now());
             }
@@ -390,7 +396,7 @@
         reportAt = 0;
     }
 
-    private void answered(Wire.Answer answer) {
+    private void answered(BudgetMailbox.Answer answer) {
         if (answer.grants() != null) {
             ledger.holdings().granted(answer.grants(), now());
             reportAt =
@@ -407,7 +413,7 @@
      * The arbiter wants the engines' own counts: those that can be asked are, the others tell with
      * an answer that goes out from now on.
      */
-    private void ask(Wire.Ask ask) {
+    private void ask(BudgetMailbox.Ask ask) {
         for (Map.Entry<Long, Integer> each : slots.entrySet()) {
             if (ask.engines().contains(name(each.getKey()))) {
                 asks.put(each.getKey(), new Asked(ask, now()));
@@ -419,8 +425,8 @@
     // ---- Passed on
     // -----------------------------------------------------------------------------------------
     @Override
-    public void locate(long engine, InetSocketAddress address) {
-        engines.locate(engine, address);
+    public void setAddress(long engine, InetSocketAddress address) {
+        engines.setAddress(engine, address);
     }
 
     @Override
@@ -439,27 +445,27 @@
     }
 
     @Override
-    public void most(int connections) {
-        engines.most(connections);
+    public void setMaxConnections(int connections) {
+        engines.setMaxConnections(connections);
     }
 
     @Override
-    public void priority(Gateway.Attempt attempt) {
-        engines.priority(attempt);
+    public void priorityChanged(Gateway.Attempt attempt) {
+        engines.priorityChanged(attempt);
     }
 
     @Override
-    public void withdrawn(long engine) {
-        engines.withdrawn(engine);
+    public void engineDraining(long engine) {
+        engines.engineDraining(engine);
     }
 
     @Override
-    public void renewed(long engine) {
-        engines.renewed(engine);
+    public void engineReinstated(long engine) {
+        engines.engineReinstated(engine);
     }
 
     @Override
-    public void gone(long engine) {
-        engines.gone(engine);
+    public void engineRemoved(long engine) {
+        engines.engineRemoved(engine);
     }
 }
--- a/src/main/java/calicostream/budget/process/Wire.java
+++ b/src/main/java/calicostream/budget/process/BudgetMailbox.java
@@ -12,7 +12,7 @@
  * Between a process's gate, on the front end's loop, and its layer, on the member's thread: the
  * newest word each way, and nobody waits. Any thread; all that passes is immutable.
  */
-final class Wire {
+final class BudgetMailbox {
     /** An engine as the list names it here. */
     record Listed(String name, long incarnation, String pool, int cap) {}
 
--- a/src/main/java/calicostream/budget/process/Figures.java
+++ b/src/main/java/calicostream/budget/process/BudgetMetrics.java
@@ -3,20 +3,20 @@
 
 import calicostream.budget.BudgetSettings;
 import calicostream.budget.GrantView;
-import calicostream.budget.Holdings;
+import calicostream.budget.GrantedSessions;
 import calicostream.budget.TenantQueues;
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
 import java.util.List;
 
 /** The figures under the names that {@code docs/operate/budget.md} has. Stateless. */
-final class Figures {
-    private Figures() {}
+final class BudgetMetrics {
+    private BudgetMetrics() {}
 
     /** What this process may use and uses. */
     static String of(
             BudgetSettings settings,
-            Holdings holdings,
+            GrantedSessions holdings,
             TenantQueues queues,
             List<String> names,
             int doubts,
--- a/src/main/java/calicostream/budget/process/BudgetLayer.java
+++ b/src/main/java/calicostream/budget/process/BudgetService.java
@@ -3,16 +3,16 @@
 
 import calicostream.budget.BudgetCommand;
 import calicostream.budget.BudgetException;
+import calicostream.budget.GrantExpiryMonitor;
 import calicostream.budget.GrantMachine;
-import calicostream.budget.GrantTimes;
-import calicostream.cluster.Machine;
+import calicostream.cluster.CommandOutcome;
+import calicostream.cluster.ExpiryMonitor;
 import calicostream.cluster.MemberSession;
-import calicostream.cluster.Outcome;
-import calicostream.cluster.Timekeeper;
+import calicostream.cluster.StateMachine;
 import calicostream.cluster.config.BudgetConfig;
-import calicostream.cluster.process.Layer;
-import calicostream.core.Engines;
-import calicostream.lease.Task;
+import calicostream.cluster.process.ReplicatedService;
+import calicostream.core.EngineClient;
+import calicostream.lease.LeasedTask;
 import calicostream.net.Loop;
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
@@ -23,13 +23,13 @@
  * Session budgets as a layer of a member: joins under each session, sends the gate's reports one at
  * a time and hands it the answers. On the member's thread, but for {@link #gate}.
  */
-public final class BudgetLayer implements Layer {
+public final class BudgetService implements ReplicatedService {
     private final BudgetConfig config;
     private final String process;
-    private final Wire wire = new Wire();
+    private final BudgetMailbox wire = new BudgetMailbox();
     private final GrantMachine machine;
-    private final GrantTimes times;
-    private final ArbiterTask arbiter;
+    private final GrantExpiryMonitor times;
+    private final GrantCoordinatorTask arbiter;
     private MemberSession session;
     private long joined;
     private long joining;
@@ -40,21 +40,21 @@
     /**
      * @param process this member's name, by which the settings may give it floors
      */
-    public BudgetLayer(BudgetConfig config, String process) {
+    public BudgetService(BudgetConfig config, String process) {
         this.config = config;
         this.process = process;
         machine = new GrantMachine(config.settings());
-        times = new GrantTimes(config.settings(), machine);
-        arbiter = new ArbiterTask(config, machine, wire);
+        times = new GrantExpiryMonitor(config.settings(), machine);
+        arbiter = new GrantCoordinatorTask(config, machine, wire);
     }
 
     /** To run under the arbiter's lease. */
-    public Task arbiter() {
+    public LeasedTask arbiter() {
         return arbiter;
     }
 
     /** What stands before the front end's engine side; once, before the member starts. */
-    public BudgetGate gate(Loop loop, Engines engines) {
+    public BudgetGate gate(Loop loop, EngineClient engines) {
         return new BudgetGate(loop, engines, config, process, wire);
     }
 
@@ -64,12 +64,12 @@
     }
 
     @Override
-    public Machine machine() {
+    public StateMachine machine() {
         return machine;
     }
 
     @Override
-    public Optional<Timekeeper> timekeeper() {
+    public Optional<ExpiryMonitor> timekeeper() {
         return Optional.of(times);
     }
 
@@ -100,7 +100,7 @@
         }
     }
 
-    private void joined(long under, Outcome outcome) {
+    private void joined(long under, CommandOutcome outcome) {
         if (outcome.accepted() && session.session() == under) {
             joined = under;
             wire.joined();
@@ -109,17 +109,19 @@
         }
     }
 
-    private void answered(long under, Outcome outcome) {
+    private void answered(long under, CommandOutcome outcome) {
         if (under != joined) {
             return;
         }
         reporting = false;
         if (outcome.accepted()) {
-            wire.answer(new Wire.Answer(BudgetCommand.Grants.decode(outcome.answer()), false));
+            wire.answer(
+                    new BudgetMailbox.Answer(BudgetCommand.Grants.decode(outcome.answer()), false));
         } else {
             failed++;
             wire.answer(
-                    new Wire.Answer(null, outcome.code().equals(BudgetException.GrantOver.CODE)));
+                    new BudgetMailbox.Answer(
+                            null, outcome.code().equals(BudgetException.GrantOver.CODE)));
         }
     }
 
@@ -142,6 +144,6 @@
                                 joined != 0 && session != null && joined == session.session())
                         .add("reports_failed", failed)
                         .add("here", Json.parse(wire.figures()));
-        return out.add("fleet", Figures.fleet(config.settings(), machine.view())).toString();
+        return out.add("fleet", BudgetMetrics.fleet(config.settings(), machine.view())).toString();
     }
 }
--- a/src/main/java/calicostream/budget/process/ArbiterTask.java
+++ b/src/main/java/calicostream/budget/process/GrantCoordinatorTask.java
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.budget.process;
 
-import calicostream.budget.Arbiter;
 import calicostream.budget.BudgetCommand;
+import calicostream.budget.GrantCoordinator;
 import calicostream.budget.GrantMachine;
 import calicostream.budget.GrantView;
-import calicostream.cluster.Frame;
+import calicostream.cluster.MemberMessage;
 import calicostream.cluster.MemberSession;
 import calicostream.cluster.config.BudgetConfig;
-import calicostream.lease.Acts;
-import calicostream.lease.Task;
+import calicostream.lease.FencedActions;
+import calicostream.lease.LeasedTask;
 import com.eclipsesource.json.Json;
 import java.util.List;
 
@@ -19,21 +19,21 @@
  * waits for proof. It goes by the copy at hand, or by one that it asks a voter for. The machine
  * checks all that it says. On the member's thread.
  */
-final class ArbiterTask implements Task {
+final class GrantCoordinatorTask implements LeasedTask {
     private static final int ROUNDS = 10; // a lease of grants
     private final BudgetConfig config;
     private final GrantMachine machine;
-    private final Wire wire;
+    private final BudgetMailbox wire;
     private final long everyNanos;
     private MemberSession session;
-    private Arbiter arbiter;
+    private GrantCoordinator arbiter;
     private long due;
     private long rounds;
     private long divisions;
     private long refused;
     private String lastRefusal = "";
 
-    ArbiterTask(BudgetConfig config, GrantMachine machine, Wire wire) {
+    GrantCoordinatorTask(BudgetConfig config, GrantMachine machine, BudgetMailbox wire) {
         this.config = config;
         this.machine = machine;
         this.wire = wire;
@@ -50,13 +50,13 @@
     }
 
     @Override
-    public void started(Acts acts) {
-        arbiter = new Arbiter(config.settings());
+    public void started(FencedActions acts) {
+        arbiter = new GrantCoordinator(config.settings());
         due = Long.MIN_VALUE;
     }
 
     @Override
-    public void step(Acts acts, long nowNanos) {
+    public void step(FencedActions acts, long nowNanos) {
         if (due != Long.MIN_VALUE && nowNanos - due < 0) {
             return;
         }
@@ -67,7 +67,7 @@
             round(acts, view);
         } else {
             session.read(
-                    Frame.Ask.LOCAL,
+                    MemberMessage.Ask.LOCAL,
                     GrantMachine.NAME,
                     new byte[0],
                     nowNanos,
@@ -83,12 +83,12 @@
         }
     }
 
-    private void round(Acts acts, GrantMachine copy) {
+    private void round(FencedActions acts, GrantMachine copy) {
         rounds++;
         GrantView view = copy.view();
-        List<Wire.Listed> listed = wire.listed();
+        List<BudgetMailbox.Listed> listed = wire.listed();
         List<GrantView.Engine> known = view.engines();
-        for (Wire.Listed each : listed) {
+        for (BudgetMailbox.Listed each : listed) {
             boolean same =
                     known.stream()
                             .anyMatch(
@@ -127,7 +127,7 @@
     private void count(GrantView view) {
         List<GrantView.Unproven> unproven = view.unproven();
         for (GrantView.Engine each : view.engines()) {
-            Wire.Counted counted = wire.takeCount(each.name());
+            BudgetMailbox.Counted counted = wire.takeCount(each.name());
             if (counted != null && counted.incarnation() == each.incarnation()) {
                 unproven.stream()
                         .filter(
@@ -154,7 +154,7 @@
         }
         if (!unproven.isEmpty()) {
             wire.ask(
-                    new Wire.Ask(
+                    new BudgetMailbox.Ask(
                             unproven.stream().map(GrantView.Unproven::engine).distinct().toList(),
                             view.index()));
         }
@@ -164,7 +164,7 @@
         session.run(GrantMachine.NAME, command.encode(), this::heard);
     }
 
-    private void heard(calicostream.cluster.Outcome outcome) {
+    private void heard(calicostream.cluster.CommandOutcome outcome) {
         if (!outcome.accepted()) {
             refused++;
             lastRefusal = outcome.code();
--- a/src/main/java/calicostream/cluster/Bytes.java
+++ b/src/main/java/calicostream/cluster/BinaryCodec.java
@@ -12,8 +12,8 @@
  * does not fit is {@link ClusterException.Malformed}, never another exception and never an
  * allocation of a length that was only claimed.
  */
-public final class Bytes {
-    private Bytes() {}
+public final class BinaryCodec {
+    private BinaryCodec() {}
 
     /** Writes into a growing array; not shared between threads. */
     public static final class Writer {
--- a/src/main/java/calicostream/cluster/CountedTime.java
+++ b/src/main/java/calicostream/cluster/BoundedElapsedTime.java
@@ -7,7 +7,7 @@
  * process, nothing is taken for over that may not be; a look that comes late makes things last
  * longer. Pure, one thread; nanoseconds.
  */
-public final class CountedTime {
+public final class BoundedElapsedTime {
     private final long periodNanos;
     private long counted;
     private long lastNanos;
@@ -16,7 +16,7 @@
     /**
      * @param periodNanos that passes between two looks at least
      */
-    public CountedTime(long periodNanos) {
+    public BoundedElapsedTime(long periodNanos) {
         this.periodNanos = periodNanos;
     }
 
--- a/src/main/java/calicostream/cluster/ClusterException.java
+++ b/src/main/java/calicostream/cluster/ClusterException.java
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.cluster;
 
-import calicostream.errors.FleetError;
-import calicostream.errors.Page;
+import calicostream.errors.OperationalError;
+import calicostream.errors.OperatorDocumentation;
 
 /**
  * What can go wrong in the cluster, as one sealed family: each type has a stable code, the facts in
@@ -10,8 +10,8 @@
  * request path never waits for the cluster. Instances are immutable and carry no stack trace unless
  * one helps to find a fault of the program.
  */
-@Page(value = "cluster.md", prefixes = "cluster-")
-public abstract sealed class ClusterException extends RuntimeException implements FleetError {
+@OperatorDocumentation(value = "cluster.md", prefixes = "cluster-")
+public abstract sealed class ClusterException extends RuntimeException implements OperationalError {
     private static final long serialVersionUID = 1L;
     private final String code;
     private final String facts;
@@ -322,7 +322,7 @@
     /**
      * The error that was sent as a code and its facts; an unknown code becomes {@link Malformed}.
      */
-    static ClusterException of(String code, Bytes.Reader in) {
+    static ClusterException of(String code, BinaryCodec.Reader in) {
         return switch (code) {
             case NotLeader.CODE -> new NotLeader((int) in.i64(), (int) in.i64(), in.i64());
             case QueueFull.CODE -> new QueueFull((int) in.i64(), (int) in.i64(), (int) in.i64());
--- a/src/main/java/calicostream/cluster/Effects.java
+++ b/src/main/java/calicostream/cluster/CommandEffects.java
@@ -11,7 +11,7 @@
  * @param refusal stable code of why the machine did not accept the command; null if it did
  * @param answer in the machine's own encoding; the facts of a refusal if there is one
  */
-public record Effects(String refusal, byte[] answer, List<Event> events) {
+public record CommandEffects(String refusal, byte[] answer, List<Event> events) {
     /**
      * Something that happened in a machine, for watchers; {@code body} is in the machine's own
      * encoding.
@@ -30,18 +30,18 @@
     }
 
     /** Accepted, nothing to say. */
-    public static final Effects NONE = new Effects(null, new byte[0], List.of());
+    public static final CommandEffects NONE = new CommandEffects(null, new byte[0], List.of());
 
-    public Effects {
+    public CommandEffects {
         events = List.copyOf(events);
     }
 
-    public static Effects answer(byte[] answer, Event... events) {
-        return new Effects(null, answer, List.of(events));
+    public static CommandEffects answer(byte[] answer, Event... events) {
+        return new CommandEffects(null, answer, List.of(events));
     }
 
-    public static Effects refused(String code, byte[] facts) {
-        return new Effects(code, facts, List.of());
+    public static CommandEffects refused(String code, byte[] facts) {
+        return new CommandEffects(code, facts, List.of());
     }
 
     public boolean accepted() {
--- a/src/main/java/calicostream/cluster/Outcome.java
+++ b/src/main/java/calicostream/cluster/CommandOutcome.java
@@ -8,7 +8,7 @@
  *
  * @param index of the log at which this holds; a retry hears the index of the first time
  */
-public record Outcome(Kind kind, long index, String code, byte[] answer) {
+public record CommandOutcome(Kind kind, long index, String code, byte[] answer) {
     /** Who spoke. */
     public enum Kind {
         ACCEPTED,
@@ -19,42 +19,42 @@
     /** Larger answers stop the voter that made them: a machine has to keep within it. */
     public static final int MAX_ANSWER = 1 << 20;
 
-    static Outcome of(long index, Effects effects) {
+    static CommandOutcome of(long index, CommandEffects effects) {
         return effects.accepted()
-                ? new Outcome(Kind.ACCEPTED, index, "", effects.answer())
-                : new Outcome(Kind.REFUSED, index, effects.refusal(), effects.answer());
+                ? new CommandOutcome(Kind.ACCEPTED, index, "", effects.answer())
+                : new CommandOutcome(Kind.REFUSED, index, effects.refusal(), effects.answer());
     }
 
     /** {@code facts} are the numbers that the error is made of, in its constructor's order. */
-    public static Outcome failed(long index, String code, long... facts) {
-        Bytes.Writer out = new Bytes.Writer();
+    public static CommandOutcome failed(long index, String code, long... facts) {
+        BinaryCodec.Writer out = new BinaryCodec.Writer();
         for (long fact : facts) {
             out.i64(fact);
         }
-        return new Outcome(Kind.FAILED, index, code, out.done());
+        return new CommandOutcome(Kind.FAILED, index, code, out.done());
     }
 
     public boolean accepted() {
         return kind == Kind.ACCEPTED;
     }
 
-    /** The error of a {@link Kind#FAILED}. */
+    /** The error of a {@link EngineKind#FAILED}. */
     public ClusterException error() {
-        return ClusterException.of(code, new Bytes.Reader("facts of " + code, answer));
+        return ClusterException.of(code, new BinaryCodec.Reader("facts of " + code, answer));
     }
 
-    public void encode(Bytes.Writer out) {
+    public void encode(BinaryCodec.Writer out) {
         out.u8(kind.ordinal()).i64(index).text(code).blob(answer);
     }
 
     /**
      * @throws ClusterException.Malformed if there is no outcome next
      */
-    public static Outcome decode(Bytes.Reader in) {
+    public static CommandOutcome decode(BinaryCodec.Reader in) {
         int kind = in.u8();
         if (kind >= Kind.values().length) {
             throw in.malformed("no outcome is of kind " + kind);
         }
-        return new Outcome(Kind.values()[kind], in.i64(), in.text(128), in.blob(MAX_ANSWER));
+        return new CommandOutcome(Kind.values()[kind], in.i64(), in.text(128), in.blob(MAX_ANSWER));
     }
 }
--- a/src/main/java/calicostream/cluster/Reactor.java
+++ b/src/main/java/calicostream/cluster/EventLoop.java
@@ -6,7 +6,7 @@
  * what it is given runs on the one thread, in order of {@link #execute} or at its time. Time is of
  * a monotonic clock, in nanoseconds, and means something only as a difference within this process.
  */
-public interface Reactor {
+public interface EventLoop {
     long nanos();
 
     void execute(Runnable task);
--- a/src/main/java/calicostream/cluster/Frame.java
+++ b/src/main/java/calicostream/cluster/MemberMessage.java
@@ -2,15 +2,15 @@
 package calicostream.cluster;
 
 /**
- * What goes over {@link Links}: messages among voters, members' requests with their replies, and
- * news. Immutable.
+ * What goes over {@link PeerTransport}: messages among voters, members' requests with their
+ * replies, and news. Immutable.
  */
-public sealed interface Frame {
+public sealed interface MemberMessage {
     int VERSION = 1;
 
     /** What a request asks for. */
     enum Ask {
-        /** {@code body} is an {@link Entry} to put into the log. */
+        /** {@code body} is an {@link ReplicatedEntry} to put into the log. */
         ENTRY,
         /** {@code body} is a question to {@code machine}, answered as of now or later. */
         READ,
@@ -24,27 +24,27 @@
      * @param generation of the voter that it is for: a member's present voter must not answer for
      *     one that it was
      */
-    record Raft(int generation, byte[] message) implements Frame {}
+    record Raft(int generation, byte[] message) implements MemberMessage {}
 
     /** {@code id} is chosen by the sender, another one for each attempt. */
-    record Request(long id, Ask ask, String machine, byte[] body) implements Frame {}
+    record Request(long id, Ask ask, String machine, byte[] body) implements MemberMessage {}
 
     /**
      * @param ageNanos with {@link Ask#LOCAL}, how old the state is at most that was asked; else 0
      */
-    record Reply(long id, long ageNanos, Outcome outcome) implements Frame {}
+    record Reply(long id, long ageNanos, CommandOutcome outcome) implements MemberMessage {}
 
     /**
      * Something happened at {@code index}, told to a member unasked; may be lost, late, or there
      * twice.
      */
-    record News(String machine, long index, Effects.Event event) implements Frame {}
+    record News(String machine, long index, CommandEffects.Event event) implements MemberMessage {}
 
     /**
      * A voter asks what is remembered of it; {@code nonce} is this process's, and comes back with
      * the answer.
      */
-    record Recall(int generation, long incarnation, long nonce) implements Frame {}
+    record Recall(int generation, long incarnation, long nonce) implements MemberMessage {}
 
     /**
      * What the answerer, by its own generation, incarnation and nonce, remembers of the asker from
@@ -64,10 +64,10 @@
             long acknowledged,
             long voteTerm,
             boolean grouped)
-            implements Frame {}
+            implements MemberMessage {}
 
     default byte[] encode() {
-        Bytes.Writer out = new Bytes.Writer().u8(VERSION);
+        BinaryCodec.Writer out = new BinaryCodec.Writer().u8(VERSION);
         if (this instanceof Raft raft) {
             out.u8(1).i32(raft.generation).blob(raft.message);
         } else if (this instanceof Request request) {
@@ -105,13 +105,13 @@
     /**
      * @throws ClusterException.Malformed if the bytes are no frame of this version
      */
-    static Frame decode(byte[] bytes) {
-        Bytes.Reader in = new Bytes.Reader("frame", bytes);
+    static MemberMessage decode(byte[] bytes) {
+        BinaryCodec.Reader in = new BinaryCodec.Reader("frame", bytes);
         in.version(VERSION);
         int kind = in.u8();
-        Frame frame =
+        MemberMessage frame =
                 switch (kind) {
-                    case 1 -> new Raft(in.i32(), in.blob(Links.MAX_FRAME));
+                    case 1 -> new Raft(in.i32(), in.blob(PeerTransport.MAX_FRAME));
                     case 2 -> {
                         long id = in.i64();
                         int ask = in.u8();
@@ -121,19 +121,19 @@
                         yield new Request(
                                 id,
                                 Ask.values()[ask],
-                                in.text(Entry.MAX_NAME),
+                                in.text(ReplicatedEntry.MAX_NAME),
                                 in.blob(2 * Command.MAX_BODY));
                     }
-                    case 3 -> new Reply(in.i64(), in.i64(), Outcome.decode(in));
+                    case 3 -> new Reply(in.i64(), in.i64(), CommandOutcome.decode(in));
                     case 4 -> {
-                        String machine = in.text(Entry.MAX_NAME);
+                        String machine = in.text(ReplicatedEntry.MAX_NAME);
                         long index = in.i64();
-                        String what = in.text(Entry.MAX_NAME);
+                        String what = in.text(ReplicatedEntry.MAX_NAME);
                         long to = in.i64();
                         yield new News(
                                 machine,
                                 index,
-                                new Effects.Event(what, in.blob(Command.MAX_BODY), to));
+                                new CommandEffects.Event(what, in.blob(Command.MAX_BODY), to));
                     }
                     case 5 -> new Recall(in.i32(), in.i64(), in.i64());
                     case 6 ->
--- a/src/main/java/calicostream/cluster/MemberSession.java
+++ b/src/main/java/calicostream/cluster/MemberSession.java
@@ -27,16 +27,16 @@
      */
     public record Settings(int member, int ttlMillis, int retryMillis, int queue) {}
 
-    private record Waiting(String machine, byte[] body, Consumer<Outcome> done) {}
+    private record Waiting(String machine, byte[] body, Consumer<CommandOutcome> done) {}
 
-    private record Attempt(long id, Entry entry, long sentNanos) {}
+    private record Attempt(long id, ReplicatedEntry entry, long sentNanos) {}
 
     private record Read(
-            Frame.Ask ask,
+            MemberMessage.Ask ask,
             String machine,
             byte[] question,
             long sinceNanos,
-            Consumer<Frame.Reply> done) {}
+            Consumer<MemberMessage.Reply> done) {}
 
     private final Settings settings;
     private final ArrayDeque<Waiting> queue = new ArrayDeque<>();
@@ -87,10 +87,10 @@
     }
 
     /** Runs a command once; {@code done} hears how it went, exactly once. */
-    public void run(String machine, byte[] body, Consumer<Outcome> done) {
+    public void run(String machine, byte[] body, Consumer<CommandOutcome> done) {
         if (queue.size() >= settings.queue) {
             done.accept(
-                    Outcome.failed(
+                    CommandOutcome.failed(
                             0,
                             ClusterException.QueueFull.CODE,
                             settings.member,
@@ -98,7 +98,7 @@
                             settings.queue));
         } else if (body.length > Command.MAX_BODY) {
             done.accept(
-                    Outcome.failed(
+                    CommandOutcome.failed(
                             0, ClusterException.TooLarge.CODE, body.length, Command.MAX_BODY));
         } else {
             queue.add(new Waiting(machine, body, done));
@@ -110,17 +110,17 @@
      * ClusterException.NoQuorum} in time.
      */
     public void read(
-            Frame.Ask ask,
+            MemberMessage.Ask ask,
             String machine,
             byte[] question,
             long nowNanos,
-            Consumer<Frame.Reply> done) {
+            Consumer<MemberMessage.Reply> done) {
         if (reads.size() >= settings.queue) {
             done.accept(
-                    new Frame.Reply(
+                    new MemberMessage.Reply(
                             0,
                             0,
-                            Outcome.failed(
+                            CommandOutcome.failed(
                                     0,
                                     ClusterException.QueueFull.CODE,
                                     settings.member,
@@ -130,7 +130,7 @@
         }
         long id = nextId++;
         reads.put(id, new Read(ask, machine, question, nowNanos, done));
-        out.add(new Send(voter(), new Frame.Request(id, ask, machine, question).encode()));
+        out.add(new Send(voter(), new MemberMessage.Request(id, ask, machine, question).encode()));
     }
 
     /** Gives the session back; nothing may be run after this. */
@@ -140,11 +140,11 @@
             out.add(
                     new Send(
                             voter(),
-                            new Frame.Request(
+                            new MemberMessage.Request(
                                             nextId++,
-                                            Frame.Ask.ENTRY,
+                                            MemberMessage.Ask.ENTRY,
                                             "",
-                                            new Entry.Close(session).encode())
+                                            new ReplicatedEntry.Close(session).encode())
                                     .encode()));
             lose();
         }
@@ -171,10 +171,10 @@
         reads.values().removeIf(read -> nowNanos - read.sinceNanos > 2 * retry && late.add(read));
         for (Read read : late) {
             read.done.accept(
-                    new Frame.Reply(
+                    new MemberMessage.Reply(
                             0,
                             0,
-                            Outcome.failed(
+                            CommandOutcome.failed(
                                     0,
                                     ClusterException.NoQuorum.CODE,
                                     settings.member,
@@ -187,28 +187,31 @@
 
     private void next(long nowNanos) {
         if (session == 0) {
-            send(new Entry.Open(settings.member, nonce, settings.ttlMillis), nowNanos);
+            send(new ReplicatedEntry.Open(settings.member, nonce, settings.ttlMillis), nowNanos);
         } else if (running != null || !queue.isEmpty()) {
             if (running == null) {
                 running = queue.poll();
                 sequence++;
             }
             send(
-                    new Entry.Run(session, sequence, sequence - 1, running.machine, running.body),
+                    new ReplicatedEntry.Run(
+                            session, sequence, sequence - 1, running.machine, running.body),
                     nowNanos);
-        } else if (nowNanos - (aliveUntil - SessionKeeper.surelyAliveNanos(settings.ttlMillis))
+        } else if (nowNanos
+                        - (aliveUntil - SessionExpiryMonitor.surelyAliveNanos(settings.ttlMillis))
                 > settings.ttlMillis * 1_000_000L / 4) {
-            send(new Entry.Keep(session), nowNanos);
+            send(new ReplicatedEntry.Keep(session), nowNanos);
         }
     }
 
-    private void send(Entry entry, long nowNanos) {
+    private void send(ReplicatedEntry entry, long nowNanos) {
         attempt = new Attempt(nextId++, entry, nowNanos);
         redirected = false;
         out.add(
                 new Send(
                         voter(),
-                        new Frame.Request(attempt.id, Frame.Ask.ENTRY, "", entry.encode())
+                        new MemberMessage.Request(
+                                        attempt.id, MemberMessage.Ask.ENTRY, "", entry.encode())
                                 .encode()));
     }
 
@@ -217,24 +220,24 @@
     }
 
     /** A voter answered. What is not, or no longer, asked for is left alone. */
-    public void received(int from, Frame.Reply reply, long nowNanos) {
+    public void received(int from, MemberMessage.Reply reply, long nowNanos) {
         lastHeard = nowNanos;
         Read read = reads.remove(reply.id());
         if (read != null) {
             // The answer is as old as the copy was, and then some: it may have been asked as soon
             // as it was sent.
             long age =
-                    read.ask == Frame.Ask.LOCAL
+                    read.ask == MemberMessage.Ask.LOCAL
                             ? reply.ageNanos() + (nowNanos - read.sinceNanos)
                             : 0;
             follow(from, reply.outcome());
-            read.done.accept(new Frame.Reply(reply.id(), age, reply.outcome()));
+            read.done.accept(new MemberMessage.Reply(reply.id(), age, reply.outcome()));
         }
         if (attempt == null || attempt.id != reply.id()) {
             return;
         }
-        Outcome outcome = reply.outcome();
-        String code = outcome.kind() == Outcome.Kind.FAILED ? outcome.code() : "";
+        CommandOutcome outcome = reply.outcome();
+        String code = outcome.kind() == CommandOutcome.Kind.FAILED ? outcome.code() : "";
         switch (code) {
             case ClusterException.NotLeader.CODE -> {
                 // Soon, not at once: two voters that each take the other for the leader would be
@@ -253,33 +256,33 @@
                     ClusterException.Malformed.CODE,
                     ClusterException.TooLarge.CODE -> {
                 // Refused before it got into the log: its number is free.
-                sequence -= attempt.entry instanceof Entry.Run ? 1 : 0;
+                sequence -= attempt.entry instanceof ReplicatedEntry.Run ? 1 : 0;
                 answered(attempt, outcome);
             }
             default -> answered(attempt, outcome);
         }
     }
 
-    private void answered(Attempt to, Outcome outcome) {
+    private void answered(Attempt to, CommandOutcome outcome) {
         attempt = null;
-        if (to.entry instanceof Entry.Open) {
+        if (to.entry instanceof ReplicatedEntry.Open) {
             if (!outcome.accepted()) {
                 attempt = to;
                 return;
             }
-            session = new Bytes.Reader("session", outcome.answer()).i64();
+            session = new BinaryCodec.Reader("session", outcome.answer()).i64();
             sequence = 0;
         }
-        aliveUntil = to.sentNanos + SessionKeeper.surelyAliveNanos(settings.ttlMillis);
-        if (to.entry instanceof Entry.Run) {
+        aliveUntil = to.sentNanos + SessionExpiryMonitor.surelyAliveNanos(settings.ttlMillis);
+        if (to.entry instanceof ReplicatedEntry.Run) {
             Waiting done = running;
             running = null;
             done.done.accept(outcome);
         }
     }
 
-    private void follow(int from, Outcome outcome) {
-        if (outcome.kind() == Outcome.Kind.FAILED
+    private void follow(int from, CommandOutcome outcome) {
+        if (outcome.kind() == CommandOutcome.Kind.FAILED
                 && outcome.code().equals(ClusterException.NotLeader.CODE)) {
             int leader = ((ClusterException.NotLeader) outcome.error()).leader();
             int at = voters.indexOf(leader);
@@ -298,11 +301,12 @@
         running = null;
         if (unsure != null) {
             unsure.done.accept(
-                    Outcome.failed(
+                    CommandOutcome.failed(
                             0, ClusterException.Unsure.CODE, settings.member, lost, sequence));
         }
         for (Waiting waiting : unsent) {
-            waiting.done.accept(Outcome.failed(0, ClusterException.SessionOver.CODE, lost, 0));
+            waiting.done.accept(
+                    CommandOutcome.failed(0, ClusterException.SessionOver.CODE, lost, 0));
         }
     }
 
--- a/src/main/java/calicostream/cluster/Links.java
+++ b/src/main/java/calicostream/cluster/PeerTransport.java
@@ -7,7 +7,7 @@
  * {@link Receiver} is called on the thread that owns the receiver's state. Frames are at most
  * {@link #MAX_FRAME} bytes.
  */
-public interface Links {
+public interface PeerTransport {
     /**
      * Entries of one append and chunks of a snapshot are bounded so that their frames stay far
      * below this.
--- a/src/main/java/calicostream/cluster/Entry.java
+++ b/src/main/java/calicostream/cluster/ReplicatedEntry.java
@@ -2,11 +2,11 @@
 package calicostream.cluster;
 
 /**
- * One entry of the replicated log as {@link Replicated} applies it. The encoding starts with its
- * version and a kind; an entry of another version in the log stops a voter, since guessing would
- * make copies differ. Immutable.
+ * One entry of the replicated log as {@link ReplicatedState} applies it. The encoding starts with
+ * its version and a kind; an entry of another version in the log stops a voter, since guessing
+ * would make copies differ. Immutable.
  */
-public sealed interface Entry {
+public sealed interface ReplicatedEntry {
     /** Of the encoding. */
     int VERSION = 1;
 
@@ -14,43 +14,43 @@
     int MAX_NAME = 64;
 
     /** A leader starts; {@code nonce} lets it know its own. The entry's index becomes the era. */
-    record Era(int member, long nonce) implements Entry {}
+    record Era(int member, long nonce) implements ReplicatedEntry {}
 
     /**
      * A member asks for a session; the same {@code nonce} again gets the same session while that
      * one is alive.
      */
-    record Open(int member, long nonce, int ttlMillis) implements Entry {}
+    record Open(int member, long nonce, int ttlMillis) implements ReplicatedEntry {}
 
     /**
      * A command for a machine; answers up to and including {@code acked} are no longer needed by
      * the sender.
      */
     record Run(long session, long sequence, long acked, String machine, byte[] body)
-            implements Entry {}
+            implements ReplicatedEntry {}
 
     /** The member is there. */
-    record Keep(long session) implements Entry {}
+    record Keep(long session) implements ReplicatedEntry {}
 
     /** The member is done. */
-    record Close(long session) implements Entry {}
+    record Close(long session) implements ReplicatedEntry {}
 
     /**
      * The leader of {@code era} counted the session's time since the entry {@code renewed}, and it
      * is over.
      */
-    record Expire(long era, long session, long renewed) implements Entry {}
+    record Expire(long era, long session, long renewed) implements ReplicatedEntry {}
 
-    /** What a {@link Timekeeper} of the leader of {@code era} found. */
-    record Timed(long era, String machine, byte[] body) implements Entry {}
+    /** What a {@link ExpiryMonitor} of the leader of {@code era} found. */
+    record Timed(long era, String machine, byte[] body) implements ReplicatedEntry {}
 
     /**
      * The leader is about to add this voter, or to promote it; refused if it must not come back.
      */
-    record AddVoter(int member, int generation) implements Entry {}
+    record AddVoter(int member, int generation) implements ReplicatedEntry {}
 
     /** The leader is about to remove this voter: it is never added again. */
-    record RemoveVoter(int member, int generation) implements Entry {}
+    record RemoveVoter(int member, int generation) implements ReplicatedEntry {}
 
     /** Only a leader makes it, from its own state; refused if a member sends it. */
     default boolean ofLeader() {
@@ -62,7 +62,7 @@
     }
 
     default byte[] encode() {
-        Bytes.Writer out = new Bytes.Writer().u8(VERSION);
+        BinaryCodec.Writer out = new BinaryCodec.Writer().u8(VERSION);
         if (this instanceof Era e) {
             out.u8(1).i32(e.member).i64(e.nonce);
         } else if (this instanceof Open e) {
@@ -88,11 +88,11 @@
     /**
      * @throws ClusterException.Malformed if the bytes are no entry of this version
      */
-    static Entry decode(byte[] bytes) {
-        Bytes.Reader in = new Bytes.Reader("entry", bytes);
+    static ReplicatedEntry decode(byte[] bytes) {
+        BinaryCodec.Reader in = new BinaryCodec.Reader("entry", bytes);
         in.version(VERSION);
         int kind = in.u8();
-        Entry entry =
+        ReplicatedEntry entry =
                 switch (kind) {
                     case 1 -> new Era(in.i32(), in.i64());
                     case 2 -> new Open(in.i32(), in.i64(), in.i32());
--- a/src/main/java/calicostream/cluster/Replicated.java
+++ b/src/main/java/calicostream/cluster/ReplicatedState.java
@@ -8,34 +8,34 @@
 import java.util.TreeMap;
 
 /**
- * The one machine that all voters apply alike: sessions, eras, and the named {@link Machine}s
+ * The one machine that all voters apply alike: sessions, eras, and the named {@link StateMachine}s
  * composed into it. Pure, one thread; it reads no clock, and a leader's entry counts only in the
  * era in which the leader counted. What throws here ({@link ClusterException.Malformed}, {@link
  * ClusterException.UnknownMachine}, a machine's fault) has to stop the voter, since its copy would
  * differ from then on.
  */
-public final class Replicated {
+public final class ReplicatedState {
     /** Of a snapshot; the first had no generations of voters, and is still read. */
     private static final int VERSION = 2;
 
     private static final int MAX_PART = 1 << 28;
 
     /** An event and the machine it is of; "" for this layer's own. */
-    public record News(String machine, long index, Effects.Event event) {}
+    public record StateChange(String machine, long index, CommandEffects.Event event) {}
 
-    private final SortedMap<String, Machine> machines;
-    private Sessions sessions = new Sessions();
+    private final SortedMap<String, StateMachine> machines;
+    private SessionTable sessions = new SessionTable();
     private VoterGenerations voters = new VoterGenerations();
     private long applied;
     private long era;
-    private Entry.Era leader = new Entry.Era(0, 0);
-    private List<News> news = new ArrayList<>();
+    private ReplicatedEntry.Era leader = new ReplicatedEntry.Era(0, 0);
+    private List<StateChange> news = new ArrayList<>();
 
     /**
-     * @param machines by name; the same at all voters, names of at most {@link Entry#MAX_NAME}
-     *     bytes
+     * @param machines by name; the same at all voters, names of at most {@link
+     *     ReplicatedEntry#MAX_NAME} bytes
      */
-    public Replicated(Map<String, Machine> machines) {
+    public ReplicatedState(Map<String, StateMachine> machines) {
         this.machines = new TreeMap<>(machines);
     }
 
@@ -50,7 +50,7 @@
     }
 
     /** Who began the present era, and its mark. */
-    public Entry.Era leader() {
+    public ReplicatedEntry.Era leader() {
         return leader;
     }
 
@@ -72,26 +72,26 @@
         return voters.next(member);
     }
 
-    Sessions sessions() {
+    SessionTable sessions() {
         return sessions;
     }
 
     /** What happened since this was last called; empty after a restart, so news are no orders. */
-    public List<News> takeNews() {
-        List<News> taken = news;
+    public List<StateChange> takeNews() {
+        List<StateChange> taken = news;
         news = new ArrayList<>();
         return taken;
     }
 
     /** Applies one entry of the log. */
-    public Outcome apply(long index, byte[] bytes) {
+    public CommandOutcome apply(long index, byte[] bytes) {
         if (index <= applied) {
             throw new IllegalStateException("index " + index + " after " + applied);
         }
-        Entry entry = Entry.decode(bytes);
+        ReplicatedEntry entry = ReplicatedEntry.decode(bytes);
         applied = index;
-        if (entry instanceof Entry.Run run) {
-            Machine machine = machine(run.machine());
+        if (entry instanceof ReplicatedEntry.Run run) {
+            StateMachine machine = machine(run.machine());
             return sessions.run(
                     index,
                     run,
@@ -106,38 +106,38 @@
                                                     run.sequence(),
                                                     0,
                                                     run.body()))));
-        } else if (entry instanceof Entry.Keep keep) {
+        } else if (entry instanceof ReplicatedEntry.Keep keep) {
             return sessions.keep(index, keep.session());
-        } else if (entry instanceof Entry.Open open) {
+        } else if (entry instanceof ReplicatedEntry.Open open) {
             return sessions.open(index, open);
-        } else if (entry instanceof Entry.Close close) {
+        } else if (entry instanceof ReplicatedEntry.Close close) {
             if (sessions.close(close.session())) {
                 ended(index, close.session(), "session-closed");
             }
             return done(index);
-        } else if (entry instanceof Entry.Era began) {
+        } else if (entry instanceof ReplicatedEntry.Era began) {
             era = index;
             leader = began;
             machines.forEach((name, machine) -> told(name, index, machine.eraBegan(index, era)));
             return done(index);
-        } else if (entry instanceof Entry.Expire expire) {
+        } else if (entry instanceof ReplicatedEntry.Expire expire) {
             if (expire.era() == era && sessions.expire(expire)) {
                 ended(index, expire.session(), "session-expired");
             }
             return done(index);
-        } else if (entry instanceof Entry.Timed timed) {
+        } else if (entry instanceof ReplicatedEntry.Timed timed) {
             if (timed.era() != era) {
-                return Outcome.failed(index, ClusterException.OldEra.CODE, timed.era(), era);
+                return CommandOutcome.failed(index, ClusterException.OldEra.CODE, timed.era(), era);
             }
-            Machine machine = machine(timed.machine());
+            StateMachine machine = machine(timed.machine());
             return told(
                     timed.machine(),
                     index,
                     machine.apply(index, new Command(0, 0, era, timed.body())));
         }
-        if (entry instanceof Entry.AddVoter add) {
+        if (entry instanceof ReplicatedEntry.AddVoter add) {
             return voters.add(index, add);
-        } else if (entry instanceof Entry.RemoveVoter remove) {
+        } else if (entry instanceof ReplicatedEntry.RemoveVoter remove) {
             return voters.remove(index, remove);
         }
         throw new IllegalStateException("an entry of no kind: " + entry);
@@ -148,8 +148,8 @@
         return machine(machine).query(question);
     }
 
-    private Machine machine(String name) {
-        Machine machine = machines.get(name);
+    private StateMachine machine(String name) {
+        StateMachine machine = machines.get(name);
         if (machine == null) {
             throw new ClusterException.UnknownMachine(name);
         }
@@ -158,33 +158,34 @@
 
     private void ended(long index, long session, String kind) {
         news.add(
-                new News(
+                new StateChange(
                         "",
                         index,
-                        new Effects.Event(kind, new Bytes.Writer().i64(session).done())));
+                        new CommandEffects.Event(
+                                kind, new BinaryCodec.Writer().i64(session).done())));
         machines.forEach(
                 (name, machine) -> told(name, index, machine.sessionEnded(index, session)));
     }
 
-    private Outcome told(String name, long index, Effects effects) {
-        if (effects.answer().length > Outcome.MAX_ANSWER) {
+    private CommandOutcome told(String name, long index, CommandEffects effects) {
+        if (effects.answer().length > CommandOutcome.MAX_ANSWER) {
             throw new ClusterException.TooLarge(
-                    "answer of " + name, effects.answer().length, Outcome.MAX_ANSWER);
+                    "answer of " + name, effects.answer().length, CommandOutcome.MAX_ANSWER);
         }
-        for (Effects.Event event : effects.events()) {
-            news.add(new News(name, index, event));
+        for (CommandEffects.Event event : effects.events()) {
+            news.add(new StateChange(name, index, event));
         }
-        return Outcome.of(index, effects);
+        return CommandOutcome.of(index, effects);
     }
 
-    private static Outcome done(long index) {
-        return new Outcome(Outcome.Kind.ACCEPTED, index, "", new byte[0]);
+    private static CommandOutcome done(long index) {
+        return new CommandOutcome(CommandOutcome.Kind.ACCEPTED, index, "", new byte[0]);
     }
 
     /** Equal states give equal bytes. */
     public byte[] snapshot() {
-        Bytes.Writer out =
-                new Bytes.Writer()
+        BinaryCodec.Writer out =
+                new BinaryCodec.Writer()
                         .u8(VERSION)
                         .i64(applied)
                         .i64(era)
@@ -206,20 +207,20 @@
      * @throws ClusterException.UnknownMachine if it has a machine that this build has not
      */
     public void restore(byte[] snapshot) {
-        Bytes.Reader in = new Bytes.Reader("snapshot", snapshot);
+        BinaryCodec.Reader in = new BinaryCodec.Reader("snapshot", snapshot);
         int version = in.u8();
         if (version < 1 || version > VERSION) {
             throw in.malformed("version " + version + " is not in 1.." + VERSION);
         }
         long at = in.i64();
         long eraThen = in.i64();
-        Entry.Era leaderThen = new Entry.Era(in.i32(), in.i64());
-        Sessions sessionsThen = Sessions.read(in);
+        ReplicatedEntry.Era leaderThen = new ReplicatedEntry.Era(in.i32(), in.i64());
+        SessionTable sessionsThen = SessionTable.read(in);
         VoterGenerations votersThen =
                 version < 2 ? new VoterGenerations() : VoterGenerations.read(in);
         Map<String, byte[]> parts = new TreeMap<>();
         for (int left = in.count(8); left > 0; left--) {
-            String name = in.text(Entry.MAX_NAME);
+            String name = in.text(ReplicatedEntry.MAX_NAME);
             machine(name);
             parts.put(name, in.blob(MAX_PART));
         }
--- a/src/main/java/calicostream/cluster/SessionKeeper.java
+++ b/src/main/java/calicostream/cluster/SessionExpiryMonitor.java
@@ -7,18 +7,18 @@
 import java.util.Map;
 
 /**
- * The leader's count of the members' silence; pure, one thread, beside a {@link Replicated}. It
- * starts each count when it sees that a member was heard, which is never before the member spoke,
- * and adds a bound on drift: so it comes to an end after the member's own count ({@link
+ * The leader's count of the members' silence; pure, one thread, beside a {@link ReplicatedState}.
+ * It starts each count when it sees that a member was heard, which is never before the member
+ * spoke, and adds a bound on drift: so it comes to an end after the member's own count ({@link
  * #surelyAliveNanos}) did. A new era forgets all counts.
  */
-public final class SessionKeeper {
+public final class SessionExpiryMonitor {
     /** Clocks differ by at most 500 ppm; both sides set aside twice that. */
     private static final long DRIFT = 1000;
 
     private record Count(long renewed, long sinceNanos) {}
 
-    private final Replicated state;
+    private final ReplicatedState state;
     private final long periodNanos;
     private final Map<Long, Count> counts = new HashMap<>();
     private long era;
@@ -27,7 +27,7 @@
     /**
      * @param periodNanos at which {@link #due} is called when this process is not stopped
      */
-    public SessionKeeper(Replicated state, long periodNanos) {
+    public SessionExpiryMonitor(ReplicatedState state, long periodNanos) {
         this.state = state;
         this.periodNanos = periodNanos;
     }
@@ -44,7 +44,7 @@
      * What to propose now: sessions whose members were silent for all of their time. May repeat
      * itself.
      */
-    public List<Entry.Expire> due(long nowNanos) {
+    public List<ReplicatedEntry.Expire> due(long nowNanos) {
         if (era != state.era()) {
             era = state.era();
             counts.clear();
@@ -54,9 +54,9 @@
         // theirs.
         long stopped = Math.max(0, nowNanos - lastNanos - 2 * periodNanos);
         lastNanos = nowNanos;
-        List<Entry.Expire> due = new ArrayList<>();
+        List<ReplicatedEntry.Expire> due = new ArrayList<>();
         counts.keySet().removeIf(id -> !state.isAlive(id));
-        for (Sessions.Session session : state.sessions().alive()) {
+        for (SessionTable.Session session : state.sessions().alive()) {
             Count count = counts.get(session.id);
             if (count == null || count.renewed != session.renewed()) {
                 counts.put(session.id, new Count(session.renewed(), nowNanos));
@@ -68,7 +68,7 @@
             }
             long ttl = session.ttlMillis * 1_000_000L;
             if (nowNanos - count.sinceNanos > ttl + ttl / DRIFT) {
-                due.add(new Entry.Expire(era, session.id, session.renewed()));
+                due.add(new ReplicatedEntry.Expire(era, session.id, session.renewed()));
             }
         }
         return due;
--- a/src/main/java/calicostream/cluster/Sessions.java
+++ b/src/main/java/calicostream/cluster/SessionTable.java
@@ -9,12 +9,12 @@
 import java.util.function.Supplier;
 
 /**
- * The members' sessions: pure, a part of {@link Replicated}, one thread. A session's number is the
- * index of the entry that opened it; its commands count once each, by number, and their outcomes
- * are kept until the member no longer needs them. It has a time to live but no clock: that the time
- * ran out is told by {@link #expire}.
+ * The members' sessions: pure, a part of {@link ReplicatedState}, one thread. A session's number is
+ * the index of the entry that opened it; its commands count once each, by number, and their
+ * outcomes are kept until the member no longer needs them. It has a time to live but no clock: that
+ * the time ran out is told by {@link #expire}.
  */
-final class Sessions {
+final class SessionTable {
     /** Commands of one session whose outcomes are kept. */
     static final int WINDOW = 64;
 
@@ -34,7 +34,7 @@
         private long renewed;
         private long last;
         private long acked;
-        private final TreeMap<Long, Outcome> outcomes = new TreeMap<>();
+        private final TreeMap<Long, CommandOutcome> outcomes = new TreeMap<>();
 
         Session(long id, int member, long nonce, int ttlMillis) {
             this.id = id;
@@ -64,9 +64,9 @@
         return alive.containsKey(session);
     }
 
-    Outcome open(long index, Entry.Open open) {
+    CommandOutcome open(long index, ReplicatedEntry.Open open) {
         if (open.ttlMillis() < MIN_TTL_MILLIS || open.ttlMillis() > MAX_TTL_MILLIS) {
-            return Outcome.failed(
+            return CommandOutcome.failed(
                     index,
                     ClusterException.BadTtl.CODE,
                     open.ttlMillis(),
@@ -84,7 +84,7 @@
             }
         }
         if (ofMember >= MAX_OF_MEMBER || alive.size() >= MAX_SESSIONS) {
-            return Outcome.failed(
+            return CommandOutcome.failed(
                     index,
                     ClusterException.TooManySessions.CODE,
                     open.member(),
@@ -96,24 +96,27 @@
         return opened(index, session);
     }
 
-    private static Outcome opened(long index, Session session) {
-        return new Outcome(
-                Outcome.Kind.ACCEPTED, index, "", new Bytes.Writer().i64(session.id).done());
+    private static CommandOutcome opened(long index, Session session) {
+        return new CommandOutcome(
+                CommandOutcome.Kind.ACCEPTED,
+                index,
+                "",
+                new BinaryCodec.Writer().i64(session.id).done());
     }
 
-    Outcome keep(long index, long id) {
+    CommandOutcome keep(long index, long id) {
         Session session = alive.get(id);
         if (session == null) {
             return over(index, id);
         }
         session.renewed = index;
-        return new Outcome(Outcome.Kind.ACCEPTED, index, "", new byte[0]);
+        return new CommandOutcome(CommandOutcome.Kind.ACCEPTED, index, "", new byte[0]);
     }
 
     /**
      * Runs {@code apply} if this command's turn is now; else answers what was answered, or why not.
      */
-    Outcome run(long index, Entry.Run run, Supplier<Outcome> apply) {
+    CommandOutcome run(long index, ReplicatedEntry.Run run, Supplier<CommandOutcome> apply) {
         Session session = alive.get(run.session());
         if (session == null) {
             return over(index, run.session());
@@ -121,7 +124,7 @@
         session.renewed = index;
         long sequence = run.sequence();
         if (sequence <= session.acked || sequence > session.last + 1 || run.acked() >= sequence) {
-            return Outcome.failed(
+            return CommandOutcome.failed(
                     index,
                     ClusterException.OutOfOrder.CODE,
                     session.id,
@@ -134,19 +137,19 @@
             session.acked = run.acked();
             session.outcomes.headMap(session.acked, true).clear();
         }
-        Outcome known = session.outcomes.get(sequence);
+        CommandOutcome known = session.outcomes.get(sequence);
         if (known != null) {
             return known;
         }
         if (session.outcomes.size() >= WINDOW) {
-            return Outcome.failed(
+            return CommandOutcome.failed(
                     index,
                     ClusterException.TooManyOpen.CODE,
                     session.id,
                     session.outcomes.size(),
                     WINDOW);
         }
-        Outcome outcome = apply.get();
+        CommandOutcome outcome = apply.get();
         session.last = sequence;
         session.outcomes.put(sequence, outcome);
         return outcome;
@@ -163,7 +166,7 @@
      * @return whether it is over by this; not if the member was heard after what the leader had
      *     counted from
      */
-    boolean expire(Entry.Expire expire) {
+    boolean expire(ReplicatedEntry.Expire expire) {
         Session session = alive.get(expire.session());
         if (session == null || session.renewed != expire.renewed()) {
             return false;
@@ -172,11 +175,11 @@
         return true;
     }
 
-    private static Outcome over(long index, long id) {
-        return Outcome.failed(index, ClusterException.SessionOver.CODE, id, index);
+    private static CommandOutcome over(long index, long id) {
+        return CommandOutcome.failed(index, ClusterException.SessionOver.CODE, id, index);
     }
 
-    void write(Bytes.Writer out) {
+    void write(BinaryCodec.Writer out) {
         out.i32(alive.size());
         for (Session s : alive.values()) {
             out.i64(s.id)
@@ -187,22 +190,22 @@
                     .i64(s.last)
                     .i64(s.acked);
             out.i32(s.outcomes.size());
-            for (Map.Entry<Long, Outcome> outcome : s.outcomes.entrySet()) {
+            for (Map.Entry<Long, CommandOutcome> outcome : s.outcomes.entrySet()) {
                 out.i64(outcome.getKey());
                 outcome.getValue().encode(out);
             }
         }
     }
 
-    static Sessions read(Bytes.Reader in) {
-        Sessions read = new Sessions();
+    static SessionTable read(BinaryCodec.Reader in) {
+        SessionTable read = new SessionTable();
         for (int left = in.count(52); left > 0; left--) {
             Session s = new Session(in.i64(), in.i32(), in.i64(), in.i32());
             s.renewed = in.i64();
             s.last = in.i64();
             s.acked = in.i64();
             for (int outcomes = in.count(25); outcomes > 0; outcomes--) {
-                s.outcomes.put(in.i64(), Outcome.decode(in));
+                s.outcomes.put(in.i64(), CommandOutcome.decode(in));
             }
             read.alive.put(s.id, s);
         }
--- a/src/main/java/calicostream/cluster/Machine.java
+++ b/src/main/java/calicostream/cluster/StateMachine.java
@@ -5,11 +5,12 @@
  * A pure state machine that is replicated under a name. Every voter applies the same calls in the
  * same order, one thread at a time, so an implementation must be a function of its calls alone: no
  * clock, no randomness, no I/O, no order taken from identity hashes. Time reaches it only as
- * commands of the leader ({@link Command#byLeader}), which a {@link Timekeeper} beside it proposes.
- * It must not throw for bad input: what it does not accept it answers with {@link Effects#refused};
- * an exception stops the voter, since copies that go on differently are worse than one less.
+ * commands of the leader ({@link Command#byLeader}), which a {@link ExpiryMonitor} beside it
+ * proposes. It must not throw for bad input: what it does not accept it answers with {@link
+ * CommandEffects#refused}; an exception stops the voter, since copies that go on differently are
+ * worse than one less.
  */
-public interface Machine {
+public interface StateMachine {
     /**
      * Applies one command, once: a retry with the same session and sequence number is answered by
      * the layer above from what was answered first and does not get here.
@@ -17,22 +18,22 @@
      * @param index of the log; grows by at least one with each call, so it may serve as a fencing
      *     token
      */
-    Effects apply(long index, Command command);
+    CommandEffects apply(long index, Command command);
 
     /**
      * A session is over, closed by its member or expired by the leader; its number never comes
      * back.
      */
-    default Effects sessionEnded(long index, long session) {
-        return Effects.NONE;
+    default CommandEffects sessionEnded(long index, long session) {
+        return CommandEffects.NONE;
     }
 
     /**
      * A leader starts; its era is larger than all before. What an older leader counted is void from
      * here on.
      */
-    default Effects eraBegan(long index, long era) {
-        return Effects.NONE;
+    default CommandEffects eraBegan(long index, long era) {
+        return CommandEffects.NONE;
     }
 
     /**
--- a/src/main/java/calicostream/cluster/Newsroom.java
+++ b/src/main/java/calicostream/cluster/StatePublisher.java
@@ -6,12 +6,13 @@
 
 /**
  * What the leader tells members that hold no copy of the state: whom, and how much of it. Pure, one
- * thread, beside a {@link Replicated}. It is best effort and bounded: what finds no room is dropped
- * and counted, never kept, since news that wait are no news and whoever needs to be sure asks. Only
- * the leader tells, so that a member hears a thing once as a rule; a leader that was stopped may
- * tell what is long over, so news must be worth nothing but a reason to ask or to hurry.
+ * thread, beside a {@link ReplicatedState}. It is best effort and bounded: what finds no room is
+ * dropped and counted, never kept, since news that wait are no news and whoever needs to be sure
+ * asks. Only the leader tells, so that a member hears a thing once as a rule; a leader that was
+ * stopped may tell what is long over, so news must be worth nothing but a reason to ask or to
+ * hurry.
  */
-public final class Newsroom {
+public final class StatePublisher {
     /** Bytes that may go out at once, and bytes a second after that. */
     static final long ROOM = 256 * 1024;
 
@@ -21,7 +22,7 @@
     /** What to send. */
     public record Telling(int member, byte[] frame) {}
 
-    private final Replicated state;
+    private final ReplicatedState state;
     private final int self;
     private long room = ROOM;
     private long lastNanos;
@@ -33,7 +34,7 @@
     /**
      * @param self the member that this process is, which hears of its own copy
      */
-    public Newsroom(Replicated state, int self) {
+    public StatePublisher(ReplicatedState state, int self) {
         this.state = state;
         this.self = self;
     }
@@ -49,10 +50,11 @@
     }
 
     /**
-     * @param news what {@link Replicated#takeNews} gave, all of it
+     * @param news what {@link ReplicatedState#takeNews} gave, all of it
      * @param leads whether this process leads; else there is nothing to tell
      */
-    public List<Telling> tell(List<Replicated.News> news, boolean leads, long nowNanos) {
+    public List<Telling> tell(
+            List<ReplicatedState.StateChange> news, boolean leads, long nowNanos) {
         // At 1 MiB a second the room is full again within a quarter of one, whatever the clock did.
         long passed = started ? Math.max(0, Math.min(SECOND, nowNanos - lastNanos)) : 0;
         long more = passed * PER_SECOND / SECOND;
@@ -65,13 +67,14 @@
         if (!leads) {
             return out;
         }
-        for (Replicated.News each : news) {
+        for (ReplicatedState.StateChange each : news) {
             long to = each.event().to();
-            if (to == Effects.Event.NOBODY) {
+            if (to == CommandEffects.Event.NOBODY) {
                 continue;
             }
-            byte[] frame = new Frame.News(each.machine(), each.index(), each.event()).encode();
-            if (to != Effects.Event.ALL) {
+            byte[] frame =
+                    new MemberMessage.News(each.machine(), each.index(), each.event()).encode();
+            if (to != CommandEffects.Event.ALL) {
                 state.sessions().find(to).ifPresent(session -> add(out, session.member, frame));
                 continue;
             }
--- a/src/main/java/calicostream/cluster/VoterGenerations.java
+++ b/src/main/java/calicostream/cluster/VoterGenerations.java
@@ -27,9 +27,9 @@
     }
 
     /** The same again is accepted, as its sender may not have heard. */
-    Outcome add(long index, Entry.AddVoter entry) {
+    CommandOutcome add(long index, ReplicatedEntry.AddVoter entry) {
         if (!mayAdd(entry.member(), entry.generation())) {
-            return Outcome.failed(
+            return CommandOutcome.failed(
                     index,
                     ClusterException.GenerationOver.CODE,
                     entry.member(),
@@ -37,32 +37,32 @@
                     next(entry.member()));
         }
         added.put(entry.member(), entry.generation());
-        return new Outcome(Outcome.Kind.ACCEPTED, index, "", new byte[0]);
+        return new CommandOutcome(CommandOutcome.Kind.ACCEPTED, index, "", new byte[0]);
     }
 
-    Outcome remove(long index, Entry.RemoveVoter entry) {
+    CommandOutcome remove(long index, ReplicatedEntry.RemoveVoter entry) {
         removed.merge(entry.member(), entry.generation(), Math::max);
-        return new Outcome(Outcome.Kind.ACCEPTED, index, "", new byte[0]);
+        return new CommandOutcome(CommandOutcome.Kind.ACCEPTED, index, "", new byte[0]);
     }
 
-    void write(Bytes.Writer out) {
+    void write(BinaryCodec.Writer out) {
         write(out, added);
         write(out, removed);
     }
 
-    private static void write(Bytes.Writer out, SortedMap<Integer, Integer> generations) {
+    private static void write(BinaryCodec.Writer out, SortedMap<Integer, Integer> generations) {
         out.i32(generations.size());
         generations.forEach((member, generation) -> out.i32(member).i32(generation));
     }
 
-    static VoterGenerations read(Bytes.Reader in) {
+    static VoterGenerations read(BinaryCodec.Reader in) {
         VoterGenerations read = new VoterGenerations();
         read(in, read.added);
         read(in, read.removed);
         return read;
     }
 
-    private static void read(Bytes.Reader in, SortedMap<Integer, Integer> generations) {
+    private static void read(BinaryCodec.Reader in, SortedMap<Integer, Integer> generations) {
         for (int left = in.count(8); left > 0; left--) {
             generations.put(in.i32(), in.i32());
         }
--- a/src/main/java/calicostream/cluster/config/ClusterConfigException.java
+++ b/src/main/java/calicostream/cluster/config/ClusterConfigException.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.cluster.config;
 
-import calicostream.SettingsException;
+import calicostream.config.SettingsException;
 
 /**
  * What can't be used in the cluster's settings. The message is one line: file, line, key, the fact
--- a/src/main/java/calicostream/cluster/process/Disks.java
+++ b/src/main/java/calicostream/cluster/process/DiskProvider.java
@@ -12,7 +12,7 @@
  * #PROPERTY} names a class that the class path brings as a service of this type: so a test gives a
  * real process a disk that fails or lies. Any thread.
  */
-public interface Disks {
+public interface DiskProvider {
     /** The full name of the class whose disks are used. */
     String PROPERTY = "calicostream.cluster.disks";
 
@@ -20,12 +20,12 @@
     Disk open(Path folder) throws DurableException;
 
     /** Those that the property names; without it no service is looked for. */
-    static Disks chosen() {
+    static DiskProvider chosen() {
         String name = System.getProperty(PROPERTY);
         if (name == null) {
             return FileDisk::new;
         }
-        return ServiceLoader.load(Disks.class).stream()
+        return ServiceLoader.load(DiskProvider.class).stream()
                 .filter(each -> each.type().getName().equals(name))
                 .findFirst()
                 .orElseThrow(
--- a/src/main/java/calicostream/cluster/process/Member.java
+++ b/src/main/java/calicostream/cluster/process/Member.java
@@ -2,20 +2,20 @@
 package calicostream.cluster.process;
 
 import calicostream.cluster.ClusterException;
-import calicostream.cluster.Frame;
-import calicostream.cluster.Machine;
+import calicostream.cluster.CommandOutcome;
+import calicostream.cluster.ExpiryMonitor;
+import calicostream.cluster.MemberMessage;
 import calicostream.cluster.MemberSession;
-import calicostream.cluster.Newsroom;
-import calicostream.cluster.Outcome;
-import calicostream.cluster.Replicated;
-import calicostream.cluster.Timekeeper;
+import calicostream.cluster.ReplicatedState;
+import calicostream.cluster.StateMachine;
+import calicostream.cluster.StatePublisher;
 import calicostream.cluster.config.ClusterConfig;
-import calicostream.cluster.raft.Recall;
-import calicostream.cluster.raft.StoreOnLog;
+import calicostream.cluster.raft.DurableRaftStore;
 import calicostream.cluster.raft.Voter;
 import calicostream.cluster.raft.VoterNode;
-import calicostream.cluster.tcp.LoopReactor;
-import calicostream.cluster.tcp.TcpLinks;
+import calicostream.cluster.raft.VoterRecoveryHandshake;
+import calicostream.cluster.tcp.SelectorEventLoop;
+import calicostream.cluster.tcp.TcpTransport;
 import calicostream.core.Clock;
 import calicostream.core.Deadlines;
 import calicostream.durable.DurableException;
@@ -53,21 +53,21 @@
 
     private final ClusterConfig config;
     private final Voter self;
-    private final List<Layer> layers;
-    private final Map<String, Layer> layersByName = new TreeMap<>();
+    private final List<ReplicatedService> layers;
+    private final Map<String, ReplicatedService> layersByName = new TreeMap<>();
     private final Loop loop;
-    private final LoopReactor reactor;
+    private final SelectorEventLoop reactor;
     private final DurableLog log;
-    private final TcpLinks links;
-    private final Replicated state;
-    private final Newsroom newsroom;
+    private final TcpTransport links;
+    private final ReplicatedState state;
+    private final StatePublisher newsroom;
     private final List<Voter> first;
-    private final StoreOnLog store;
-    private final Start start;
+    private final DurableRaftStore store;
+    private final StartupRole start;
     private final VoterNode voter; // null where the start is barred
     private final MemberSession session;
-    private final KnownVoters known;
-    private final QuorumWatch quorum;
+    private final VoterDirectory known;
+    private final QuorumMonitor quorum;
     private final Map<Integer, Long> heardAt = new HashMap<>();
     private final long tickNanos;
     private final Thread thread;
@@ -77,29 +77,30 @@
     private long sessionSeen;
     private long sessionSince;
     private long signsAt;
-    private WishRun wish;
+    private MembershipCommandRunner wish;
     private PlannedStop stop;
     private boolean closed; // the session, for good: it would open another one
-    private volatile Signs signs;
+    private volatile MemberStatus signs;
 
-    private Member(ClusterConfig config, List<Layer> layers, Disks disks) throws IOException {
+    private Member(ClusterConfig config, List<ReplicatedService> layers, DiskProvider disks)
+            throws IOException {
         this.config = config;
         this.layers = List.copyOf(layers);
         layers.forEach(layer -> layersByName.put(layer.name(), layer));
         self = new Voter(config.self().number(), config.generation());
         loop = new Loop(new Clock(), new Deadlines());
-        reactor = new LoopReactor(loop);
-        quorum = new QuorumWatch(reactor.nanos());
+        reactor = new SelectorEventLoop(loop);
+        quorum = new QuorumMonitor(reactor.nanos());
         tickNanos =
                 Math.max(5 * MILLI, Math.min(50 * MILLI, config.session().retry().toNanos() / 10));
         SecureRandom random = new SecureRandom();
-        log = Folder.open(config, disks);
+        log = MemberDirectory.open(config, disks);
         boolean open = false;
         try {
-            store = new StoreOnLog(log);
-            var restored = StoreOnLog.restored(log.recovered());
+            store = new DurableRaftStore(log);
+            var restored = DurableRaftStore.restored(log.recovered());
             start =
-                    Start.of(
+                    StartupRole.of(
                             config.isVoter(),
                             self,
                             restored.map(
@@ -109,23 +110,23 @@
                                                             .getLocalEndpoint()),
                             log.recovered().own());
             links =
-                    new TcpLinks(
+                    new TcpTransport(
                             loop,
                             config.cluster(),
                             self.member(),
                             config.self().address(),
                             config.peers(),
                             this::received);
-            Map<String, Machine> machines = new TreeMap<>();
-            Map<String, Timekeeper> timekeepers = new TreeMap<>();
+            Map<String, StateMachine> machines = new TreeMap<>();
+            Map<String, ExpiryMonitor> timekeepers = new TreeMap<>();
             layersByName.forEach(
                     (name, layer) -> {
                         machines.put(name, layer.machine());
                         layer.timekeeper()
                                 .ifPresent(timekeeper -> timekeepers.put(name, timekeeper));
                     });
-            state = new Replicated(machines);
-            newsroom = new Newsroom(state, self.member());
+            state = new ReplicatedState(machines);
+            newsroom = new StatePublisher(state, self.member());
             first = config.voters().stream().map(each -> new Voter(each.number(), 0)).toList();
             ClusterConfig.Raft raft = config.raft();
             voter =
@@ -156,7 +157,7 @@
         }
         barred = start.runsVoter() ? "" : start.why();
         known =
-                new KnownVoters(
+                new VoterDirectory(
                         config.voters().stream()
                                 .map(ClusterConfig.Member::number)
                                 .filter(each -> start.runsVoter() || each != self.member())
@@ -180,10 +181,11 @@
      *
      * @throws MemberException if the folder or the address can't be had, or must not be used
      */
-    public static Member start(ClusterConfig config, List<Layer> layers) throws IOException {
+    public static Member start(ClusterConfig config, List<ReplicatedService> layers)
+            throws IOException {
         Member member;
         try {
-            member = new Member(config, layers, Disks.chosen());
+            member = new Member(config, layers, DiskProvider.chosen());
         } catch (DurableException e) {
             throw MemberException.of(e);
         } catch (java.net.BindException e) {
@@ -207,7 +209,7 @@
 
     /** The signs as a JSON object; as of some moments ago. */
     public String signs() {
-        return SignsJson.of(config, signs);
+        return MemberStatusJson.of(config, signs);
     }
 
     /** The port of the cluster's address. */
@@ -221,7 +223,7 @@
      */
     public String tell(String words) {
         try {
-            Wish wanted = Wish.of(words, signs).orElse(null);
+            MembershipCommand wanted = MembershipCommand.of(words, signs).orElse(null);
             if (wanted == null) {
                 return null;
             }
@@ -230,7 +232,11 @@
                         words, "another wish is under way: " + signs.wish());
             }
             LOG.info("{}: operators ask for {}", self, words);
-            loop.post(() -> wish = new WishRun(wanted, reactor.nanos(), WISH_STEP, WISH_LONGEST));
+            loop.post(
+                    () ->
+                            wish =
+                                    new MembershipCommandRunner(
+                                            wanted, reactor.nanos(), WISH_STEP, WISH_LONGEST));
             return "";
         } catch (ClusterException e) {
             return e.getMessage() + "; " + e.remedy();
@@ -243,7 +249,7 @@
                 () -> {
                     if (stop == null) {
                         stop = new PlannedStop(reactor.nanos(), GRACE, LAST_WORDS);
-                        layers.forEach(layer -> guarded(layer, Layer::stopping));
+                        layers.forEach(layer -> guarded(layer, ReplicatedService::stopping));
                     }
                 });
     }
@@ -278,7 +284,7 @@
             LOG.error("{}: its thread ended", self, e);
             failure = e.toString();
         } finally {
-            Signs last = signs.as(Signs.State.DOWN, failure);
+            MemberStatus last = signs.as(MemberStatus.State.DOWN, failure);
             tell(signs, last);
             signs = last;
             log.close();
@@ -286,14 +292,14 @@
     }
 
     private void received(int from, byte[] bytes) {
-        Frame frame = Frame.decode(bytes);
+        MemberMessage frame = MemberMessage.decode(bytes);
         long now = reactor.nanos();
         heardAt.put(from, now);
-        if (frame instanceof Frame.Reply reply) {
+        if (frame instanceof MemberMessage.Reply reply) {
             if (reply.outcome().accepted() && reply.ageNanos() == 0) {
                 quorum.heard(now);
                 heardLeader = from;
-            } else if (reply.outcome().kind() == Outcome.Kind.FAILED
+            } else if (reply.outcome().kind() == CommandOutcome.Kind.FAILED
                     && reply.outcome().error() instanceof ClusterException.NotLeader other
                     && known.named(other.leader())) {
                 session.voters(known.numbers());
@@ -302,8 +308,8 @@
             if (!closed) {
                 flush(now);
             }
-        } else if (frame instanceof Frame.News news) {
-            heard(new Replicated.News(news.machine(), news.index(), news.event()));
+        } else if (frame instanceof MemberMessage.News news) {
+            heard(new ReplicatedState.StateChange(news.machine(), news.index(), news.event()));
             if (!closed) {
                 flush(now);
             }
@@ -313,8 +319,8 @@
         }
     }
 
-    private void heard(Replicated.News news) {
-        Layer layer = layersByName.get(news.machine());
+    private void heard(ReplicatedState.StateChange news) {
+        ReplicatedService layer = layersByName.get(news.machine());
         if (layer != null) {
             guarded(layer, each -> each.news(news.index(), news.event()));
         }
@@ -330,12 +336,12 @@
             return;
         }
         reactor.schedule(this::tick, stop == null ? tickNanos : 5 * MILLI);
-        List<Replicated.News> taken = state.takeNews();
+        List<ReplicatedState.StateChange> taken = state.takeNews();
         taken.forEach(this::heard);
         newsroom.tell(taken, voter != null && voter.leads(), now)
                 .forEach(each -> links.send(each.member(), each.frame()));
         if (!closed) {
-            layers.forEach(layer -> guarded(layer, Layer::tick));
+            layers.forEach(layer -> guarded(layer, ReplicatedService::tick));
             flush(now);
         }
         if (voter != null) {
@@ -353,18 +359,18 @@
     }
 
     private void publish(long now) {
-        Signs next = look(now);
+        MemberStatus next = look(now);
         tell(signs, next);
         signs = next;
-        if ((next.state() == Signs.State.VOTER || next.state() == Signs.State.LEARNER)
+        if ((next.state() == MemberStatus.State.VOTER || next.state() == MemberStatus.State.LEARNER)
                 && next.applied() > 0
                 && known.are(next.voters().stream().map(Voter::member).sorted().toList())) {
             session.voters(known.numbers());
         }
     }
 
-    private void tell(Signs before, Signs next) {
-        for (Telling.Line line : Telling.of(before, next)) {
+    private void tell(MemberStatus before, MemberStatus next) {
+        for (StatusChangeLogger.Line line : StatusChangeLogger.of(before, next)) {
             if (line.warn()) {
                 LOG.warn("cluster {}: {}", config.cluster(), line.text());
             } else {
@@ -375,15 +381,15 @@
 
     /** Takes the next step of what operators wish. */
     private void granted(long now) {
-        if (wish == null || !wish.isDue(now, voter.leads(), voter.leader(), Group.of(voter))) {
+        if (wish == null || !wish.isDue(now, voter.leads(), voter.leader(), Membership.of(voter))) {
             return;
         }
-        WishRun run = wish;
-        if (run.wish() instanceof Wish.Voters change) {
+        MembershipCommandRunner run = wish;
+        if (run.wish() instanceof MembershipCommand.Voters change) {
             voter.towards(
                     change.wanted(),
                     error -> run.stepEnded(error == null ? "" : error.getMessage()));
-        } else if (run.wish() instanceof Wish.Lead lead) {
+        } else if (run.wish() instanceof MembershipCommand.Lead lead) {
             voter.handOver(lead.to());
         }
     }
@@ -403,7 +409,7 @@
                 closed = true;
             }
             case HAND_OVER ->
-                    Group.of(voter).voters().stream()
+                    Membership.of(voter).voters().stream()
                             .filter(each -> each.member() == stop.to())
                             .findFirst()
                             .ifPresent(voter::handOver);
@@ -444,14 +450,16 @@
 
     private boolean isAsking() {
         return voter != null
-                && voter.recall().map(recall -> recall.state() == Recall.State.ASKING).orElse(true);
+                && voter.recall()
+                        .map(recall -> recall.state() == VoterRecoveryHandshake.State.ASKING)
+                        .orElse(true);
     }
 
-    private Signs look(long now) {
+    private MemberStatus look(long now) {
         var disk = log.status();
-        Group group = Group.of(voter);
-        Standing standing =
-                Standing.of(
+        Membership group = Membership.of(voter);
+        MemberStateEvaluator standing =
+                MemberStateEvaluator.of(
                         stop != null,
                         failure,
                         barred,
@@ -462,13 +470,15 @@
                         voter == null ? 0 : voter.leader(),
                         session.isAlive(now),
                         voter == null ? 0 : voter.ageNanos().orElse(0L),
-                        Standing.silenceNanos(config));
+                        MemberStateEvaluator.silenceNanos(config));
         long limit =
-                standing.follows() ? Standing.doubtNanos(config) : Standing.silenceNanos(config);
+                standing.follows()
+                        ? MemberStateEvaluator.doubtNanos(config)
+                        : MemberStateEvaluator.silenceNanos(config);
         int leader = standing.follows() ? voter.leader() : session.isAlive(now) ? heardLeader : 0;
         Map<String, String> figures = new TreeMap<>();
         layers.forEach(layer -> guarded(layer, each -> figures.put(each.name(), each.figures())));
-        return new Signs(
+        return new MemberStatus(
                 standing.state(),
                 standing.why(),
                 self,
@@ -493,7 +503,7 @@
                 Map.copyOf(figures));
     }
 
-    private void guarded(Layer layer, Consumer<Layer> call) {
+    private void guarded(ReplicatedService layer, Consumer<ReplicatedService> call) {
         try {
             call.accept(layer);
         } catch (RuntimeException e) {
--- a/src/main/java/calicostream/cluster/process/Folder.java
+++ b/src/main/java/calicostream/cluster/process/MemberDirectory.java
@@ -5,30 +5,30 @@
 import calicostream.durable.Disk;
 import calicostream.durable.DurableException;
 import calicostream.durable.DurableLog;
-import calicostream.durable.Identity;
-import calicostream.durable.Options;
+import calicostream.durable.LogIdentity;
+import calicostream.durable.LogOptions;
 
 /**
  * Where a member's log and marks are: in the folders of the settings, one folder for each of its
  * generations. Stateless.
  */
-final class Folder {
-    private Folder() {}
+final class MemberDirectory {
+    private MemberDirectory() {}
 
-    static DurableLog open(ClusterConfig config, Disks disks) throws DurableException {
+    static DurableLog open(ClusterConfig config, DiskProvider disks) throws DurableException {
         String part = "generation-" + config.generation();
         Disk data = disks.open(config.data().resolve(part));
         Disk marks =
                 config.marks().equals(config.data())
                         ? data
                         : disks.open(config.marks().resolve(part));
-        Options options =
-                new Options(
+        LogOptions options =
+                new LogOptions(
                         (int) config.disk().segmentBytes(),
                         config.disk().syncWarning().toNanos(),
                         false,
                         System::nanoTime);
         return DurableLog.open(
-                data, marks, new Identity(config.cluster(), config.self().name()), options);
+                data, marks, new LogIdentity(config.cluster(), config.self().name()), options);
     }
 }
--- a/src/main/java/calicostream/cluster/process/MemberException.java
+++ b/src/main/java/calicostream/cluster/process/MemberException.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.cluster.process;
 
-import calicostream.SettingsException;
+import calicostream.config.SettingsException;
 import calicostream.durable.DurableException;
 
 /**
--- a/src/main/java/calicostream/cluster/process/Standing.java
+++ b/src/main/java/calicostream/cluster/process/MemberStateEvaluator.java
@@ -5,7 +5,7 @@
 import calicostream.cluster.raft.Voter;
 
 /** Where a member stands, of what is known at one moment; pure. */
-record Standing(Signs.State state, String why) {
+record MemberStateEvaluator(MemberStatus.State state, String why) {
     /**
      * @param failure why the voter stopped by itself; empty if it did not
      * @param barred why it must not vote; empty if it may
@@ -14,43 +14,46 @@
      * @param group as its own copy has it
      * @param copyAgeNanos how old that copy is at most; 0 where nobody vouched for it yet
      */
-    static Standing of(
+    static MemberStateEvaluator of(
             boolean stopping,
             String failure,
             String barred,
             boolean voterEnded,
             boolean asking,
             Voter self,
-            Group group,
+            Membership group,
             int leader,
             boolean sessionAlive,
             long copyAgeNanos,
             long silenceNanos) {
         if (stopping) {
-            return new Standing(Signs.State.STOPPING, "");
+            return new MemberStateEvaluator(MemberStatus.State.STOPPING, "");
         } else if (!failure.isEmpty()) {
-            return new Standing(Signs.State.FAILED, failure);
+            return new MemberStateEvaluator(MemberStatus.State.FAILED, failure);
         } else if (!barred.isEmpty()) {
-            return new Standing(Signs.State.BARRED, barred);
+            return new MemberStateEvaluator(MemberStatus.State.BARRED, barred);
         } else if (voterEnded) {
-            return new Standing(Signs.State.REMOVED, "");
+            return new MemberStateEvaluator(MemberStatus.State.REMOVED, "");
         } else if (asking) {
-            return new Standing(Signs.State.ASKING, "");
+            return new MemberStateEvaluator(MemberStatus.State.ASKING, "");
         } else if (!group.voters().contains(self) && !group.learners().contains(self)) {
-            return new Standing(Signs.State.SPARE, "");
+            return new MemberStateEvaluator(MemberStatus.State.SPARE, "");
         } else if (leader == 0 && sessionAlive && copyAgeNanos > 2 * silenceNanos) {
-            return new Standing(
-                    Signs.State.BEHIND,
+            return new MemberStateEvaluator(
+                    MemberStatus.State.BEHIND,
                     "its copy hears of no leader, its session does: removed, or its link from the"
                             + " leader is cut");
         }
-        return new Standing(
-                group.voters().contains(self) ? Signs.State.VOTER : Signs.State.LEARNER, "");
+        return new MemberStateEvaluator(
+                group.voters().contains(self)
+                        ? MemberStatus.State.VOTER
+                        : MemberStatus.State.LEARNER,
+                "");
     }
 
     /** Whether there is a copy that follows the leader. */
     boolean follows() {
-        return state == Signs.State.VOTER || state == Signs.State.LEARNER;
+        return state == MemberStatus.State.VOTER || state == MemberStatus.State.LEARNER;
     }
 
     /**
--- a/src/main/java/calicostream/cluster/process/Signs.java
+++ b/src/main/java/calicostream/cluster/process/MemberStatus.java
@@ -2,8 +2,8 @@
 package calicostream.cluster.process;
 
 import calicostream.cluster.raft.Voter;
-import calicostream.cluster.tcp.TcpLinks;
-import calicostream.durable.Status;
+import calicostream.cluster.tcp.TcpTransport;
+import calicostream.durable.LogStatus;
 import java.util.List;
 import java.util.Map;
 
@@ -24,7 +24,7 @@
  * @param wish how operators' last words fare; empty without any
  * @param layers figures of the layers, JSON objects by their names
  */
-record Signs(
+record MemberStatus(
         State state,
         String why,
         Voter self,
@@ -42,9 +42,9 @@
         long session,
         boolean sessionAlive,
         long sessionAgeMillis,
-        Status disk,
+        LogStatus disk,
         long diskSinceMillis,
-        TcpLinks.Figures links,
+        TcpTransport.Figures links,
         String wish,
         Map<String, String> layers) {
     /** Where a member stands in its group. */
@@ -78,8 +78,8 @@
         DOWN
     }
 
-    Signs as(State other, String because) {
-        return new Signs(
+    MemberStatus as(State other, String because) {
+        return new MemberStatus(
                 other,
                 because,
                 self,
--- a/src/main/java/calicostream/cluster/process/SignsJson.java
+++ b/src/main/java/calicostream/cluster/process/MemberStatusJson.java
@@ -11,10 +11,10 @@
 import java.util.Locale;
 
 /** The signs under the names that {@code docs/operate/cluster.md} has. Stateless. */
-final class SignsJson {
-    private SignsJson() {}
+final class MemberStatusJson {
+    private MemberStatusJson() {}
 
-    static String of(ClusterConfig config, Signs signs) {
+    static String of(ClusterConfig config, MemberStatus signs) {
         JsonObject layers = Json.object();
         signs.layers().forEach((name, figures) -> layers.add(name, parsed(figures)));
         return Json.object()
@@ -52,7 +52,7 @@
                 .toString();
     }
 
-    private static JsonObject disk(Signs signs) {
+    private static JsonObject disk(MemberStatus signs) {
         var disk = signs.disk();
         return Json.object()
                 .add("state", word(disk.state()))
--- a/src/main/java/calicostream/cluster/process/Group.java
+++ b/src/main/java/calicostream/cluster/process/Membership.java
@@ -7,13 +7,13 @@
 import java.util.List;
 
 /** Voters and learners as a copy has them, by number; immutable. */
-record Group(List<Voter> voters, List<Voter> learners) {
+record Membership(List<Voter> voters, List<Voter> learners) {
     /**
      * @param voter null where none runs
      */
-    static Group of(VoterNode voter) {
+    static Membership of(VoterNode voter) {
         if (voter == null) {
-            return new Group(List.of(), List.of());
+            return new Membership(List.of(), List.of());
         }
         List<Voter> all =
                 voter.votersAndLearners().stream()
@@ -22,7 +22,7 @@
                                 Comparator.comparingInt(Voter::member)
                                         .thenComparingInt(Voter::generation))
                         .toList();
-        return new Group(
+        return new Membership(
                 all.stream().filter(voter.voters()::contains).toList(),
                 all.stream().filter(each -> !voter.voters().contains(each)).toList());
     }
--- a/src/main/java/calicostream/cluster/process/Wish.java
+++ b/src/main/java/calicostream/cluster/process/MembershipCommand.java
@@ -14,17 +14,17 @@
  * What operators may ask the leader for: one more voter, one less, one in another's place, or that
  * another one leads. Pure and immutable.
  */
-sealed interface Wish {
+sealed interface MembershipCommand {
     Pattern WORDS =
             Pattern.compile(
                     "voters/(VOTER)/(add|remove)|voters/(VOTER)/replace/(VOTER)|lead/(VOTER)"
                             .replace("VOTER", "\\d{1,7}\\.\\d{1,7}"));
 
     /** These are to be the voters. */
-    record Voters(String words, List<Voter> wanted) implements Wish {}
+    record Voters(String words, List<Voter> wanted) implements MembershipCommand {}
 
     /** That one is to lead. */
-    record Lead(String words, Voter to) implements Wish {}
+    record Lead(String words, Voter to) implements MembershipCommand {}
 
     String words();
 
@@ -32,12 +32,12 @@
      * Empty where the words are none of ours; otherwise the wish or why it can't be begun, by a
      * member with these signs.
      */
-    static Optional<Wish> of(String words, Signs signs) {
+    static Optional<MembershipCommand> of(String words, MemberStatus signs) {
         Matcher said = WORDS.matcher(words);
         if (!said.matches()) {
             return Optional.empty();
         }
-        if (signs.state() != Signs.State.VOTER || !signs.leads()) {
+        if (signs.state() != MemberStatus.State.VOTER || !signs.leads()) {
             throw new ClusterException.NotLeader(
                     signs.self().member(), signs.leader(), signs.era());
         }
@@ -78,7 +78,7 @@
         return Optional.of(new Voters(words, List.copyOf(wanted)));
     }
 
-    private static Wish lead(String words, Voter to, Signs signs) {
+    private static MembershipCommand lead(String words, Voter to, MemberStatus signs) {
         if (!signs.voters().contains(to)) {
             throw new ClusterException.BadChange(
                     words, to + " is no voter; voters are " + signs.voters());
--- a/src/main/java/calicostream/cluster/process/WishRun.java
+++ b/src/main/java/calicostream/cluster/process/MembershipCommandRunner.java
@@ -6,8 +6,8 @@
  * leader's; who leads next knows nothing of it, and what is reached by then stays. Pure, one
  * thread, monotonic nanoseconds.
  */
-final class WishRun {
-    private final Wish wish;
+final class MembershipCommandRunner {
+    private final MembershipCommand wish;
     private final long sinceNanos;
     private final long stepNanos;
     private final long longestNanos;
@@ -19,7 +19,8 @@
     /**
      * @param stepNanos between two steps; @param longestNanos after which it is given up
      */
-    WishRun(Wish wish, long nowNanos, long stepNanos, long longestNanos) {
+    MembershipCommandRunner(
+            MembershipCommand wish, long nowNanos, long stepNanos, long longestNanos) {
         this.wish = wish;
         sinceNanos = nowNanos;
         stepAt = nowNanos;
@@ -27,7 +28,7 @@
         this.longestNanos = longestNanos;
     }
 
-    Wish wish() {
+    MembershipCommand wish() {
         return wish;
     }
 
@@ -39,15 +40,15 @@
      * Whether a step is to be taken now; its end is to be told, unless it is a hand-over, which has
      * none.
      */
-    boolean isDue(long nowNanos, boolean leads, int leader, Group group) {
+    boolean isDue(long nowNanos, boolean leads, int leader, Membership group) {
         if (isOver()) {
             return false;
         }
-        if (wish instanceof Wish.Voters change
+        if (wish instanceof MembershipCommand.Voters change
                         && group.voters().size() == change.wanted().size()
                         && group.voters().containsAll(change.wanted())
                         && group.learners().isEmpty()
-                || wish instanceof Wish.Lead lead && leader == lead.to().member()) {
+                || wish instanceof MembershipCommand.Lead lead && leader == lead.to().member()) {
             end = "done";
         } else if (!leads && leader != 0) {
             end = "member " + leader + " leads now: see what holds there, and say it there again";
@@ -56,7 +57,7 @@
         } else if (leads
                 && (!out || nowNanos - stepAt > 10 * stepNanos)
                 && nowNanos - stepAt >= 0) {
-            out = wish instanceof Wish.Voters;
+            out = wish instanceof MembershipCommand.Voters;
             stepAt = nowNanos + stepNanos;
             return true;
         }
--- a/src/main/java/calicostream/cluster/process/QuorumWatch.java
+++ b/src/main/java/calicostream/cluster/process/QuorumMonitor.java
@@ -5,10 +5,10 @@
  * For how long nothing was heard that only a quorum can bring about; pure, one thread, monotonic
  * nanoseconds.
  */
-final class QuorumWatch {
+final class QuorumMonitor {
     private long lastNanos;
 
-    QuorumWatch(long nowNanos) {
+    QuorumMonitor(long nowNanos) {
         lastNanos = nowNanos;
     }
 
--- a/src/main/java/calicostream/cluster/process/Layer.java
+++ b/src/main/java/calicostream/cluster/process/ReplicatedService.java
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.cluster.process;
 
-import calicostream.cluster.Effects;
-import calicostream.cluster.Machine;
+import calicostream.cluster.CommandEffects;
+import calicostream.cluster.ExpiryMonitor;
 import calicostream.cluster.MemberSession;
-import calicostream.cluster.Timekeeper;
+import calicostream.cluster.StateMachine;
 import java.util.Optional;
 import java.util.function.LongSupplier;
 
@@ -14,7 +14,7 @@
  * itself. A layer is one member's, for one life. What it throws is logged and changes nothing for
  * the others, but for {@link #machine}'s, which stops the voter.
  */
-public interface Layer {
+public interface ReplicatedService {
     /**
      * Under which its machine is composed and its figures are told; the same at all members, for
      * ever.
@@ -22,10 +22,10 @@
     String name();
 
     /** The same object at each call. */
-    Machine machine();
+    StateMachine machine();
 
     /** The leader's count of time for the machine, if it needs one. */
-    default Optional<Timekeeper> timekeeper() {
+    default Optional<ExpiryMonitor> timekeeper() {
         return Optional.empty();
     }
 
@@ -49,7 +49,7 @@
      * first not for what a restart finds. Perhaps late, lost, or told twice: a reason to ask or to
      * hurry, never an order.
      */
-    default void news(long index, Effects.Event event) {}
+    default void news(long index, CommandEffects.Event event) {}
 
     /**
      * The process ends as planned: gives back what it holds, by the session, which is closed once
--- a/src/main/java/calicostream/cluster/process/Start.java
+++ b/src/main/java/calicostream/cluster/process/StartupRole.java
@@ -2,7 +2,7 @@
 package calicostream.cluster.process;
 
 import calicostream.cluster.raft.Voter;
-import calicostream.durable.Amnesia;
+import calicostream.durable.StateLossDetector;
 import java.util.Optional;
 
 /**
@@ -10,7 +10,7 @@
  * generation's, so that a member whose folder forgot is somebody new with an empty one once its
  * generation is raised.
  */
-record Start(As as, String why) {
+record StartupRole(As as, String why) {
     /** The ways to start. */
     enum As {
         /** One of the first voters, and it has promised nothing yet. */
@@ -28,7 +28,8 @@
      * @param stored as whom it last ran with this folder
      * @throws MemberException if the folder was another voter's
      */
-    static Start of(boolean founder, Voter self, Optional<Voter> stored, Amnesia.Own own) {
+    static StartupRole of(
+            boolean founder, Voter self, Optional<Voter> stored, StateLossDetector.Own own) {
         if (stored.isPresent() && !stored.get().equals(self)) {
             throw new MemberException(
                     "member-folder-of-another",
@@ -36,14 +37,17 @@
                     "give the member its own number and folder back, or an empty folder and the"
                             + " next generation");
         }
-        if (own.doubt() != Amnesia.Doubt.NONE || own.standing() == Amnesia.Standing.BARRED) {
-            return new Start(As.BARRED, own.facts());
+        if (own.doubt() != StateLossDetector.Doubt.NONE
+                || own.standing() == StateLossDetector.Standing.BARRED) {
+            return new StartupRole(As.BARRED, own.facts());
         }
         if (stored.isPresent()) {
-            return new Start(As.RETURNING, "");
+            return new StartupRole(As.RETURNING, "");
         }
-        if (own.term() > 0 || own.lastIndex() > 0 || own.standing() != Amnesia.Standing.FRESH) {
-            return new Start(
+        if (own.term() > 0
+                || own.lastIndex() > 0
+                || own.standing() != StateLossDetector.Standing.FRESH) {
+            return new StartupRole(
                     As.BARRED,
                     "the folder has a log, term "
                             + own.term()
@@ -52,8 +56,8 @@
                             + ", and does not say whose");
         }
         return founder && self.generation() == 0
-                ? new Start(As.FOUNDER, "")
-                : new Start(As.JOINER, "");
+                ? new StartupRole(As.FOUNDER, "")
+                : new StartupRole(As.JOINER, "");
     }
 
     boolean runsVoter() {
--- a/src/main/java/calicostream/cluster/process/Telling.java
+++ b/src/main/java/calicostream/cluster/process/StatusChangeLogger.java
@@ -6,18 +6,18 @@
 import java.util.Locale;
 
 /** Which lines of the log a change of the signs is worth; pure. */
-final class Telling {
+final class StatusChangeLogger {
     /**
      * @param warn whether somebody may have to do something
      */
     record Line(boolean warn, String text) {}
 
-    private Telling() {}
+    private StatusChangeLogger() {}
 
     /**
      * @param before null at the start
      */
-    static List<Line> of(Signs before, Signs now) {
+    static List<Line> of(MemberStatus before, MemberStatus now) {
         List<Line> out = new ArrayList<>();
         if (before == null || before.state() != now.state()) {
             boolean bad =
@@ -34,7 +34,7 @@
                                     + now.state().name().toLowerCase(Locale.ROOT)
                                     + (now.why().isEmpty() ? "" : ": " + now.why())));
         }
-        if (before == null || now.state() == Signs.State.DOWN) {
+        if (before == null || now.state() == MemberStatus.State.DOWN) {
             return out;
         }
         if (before.leader() != now.leader() || before.term() != now.term() && now.leader() != 0) {
@@ -56,7 +56,7 @@
             out.add(new Line(false, "a quorum is heard again"));
         }
         if (before.session() != now.session()) {
-            boolean lost = now.session() == 0 && now.state() != Signs.State.STOPPING;
+            boolean lost = now.session() == 0 && now.state() != MemberStatus.State.STOPPING;
             out.add(
                     new Line(
                             lost,
--- a/src/main/java/calicostream/cluster/process/KnownVoters.java
+++ b/src/main/java/calicostream/cluster/process/VoterDirectory.java
@@ -9,10 +9,10 @@
  * copy at hand knows the present ones; without one, a leader that another voter named is added, so
  * that a member finds a group whose first voters are all gone but one.
  */
-final class KnownVoters {
+final class VoterDirectory {
     private List<Integer> numbers;
 
-    KnownVoters(List<Integer> first) {
+    VoterDirectory(List<Integer> first) {
         numbers = List.copyOf(first);
     }
 
--- a/src/main/java/calicostream/cluster/raft/StoreOnLog.java
+++ b/src/main/java/calicostream/cluster/raft/DurableRaftStore.java
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.cluster.raft;
 
-import calicostream.cluster.Bytes;
+import calicostream.cluster.BinaryCodec;
 import calicostream.durable.DurableLog;
-import calicostream.durable.Recovered;
+import calicostream.durable.RecoveredState;
 import io.microraft.RaftEndpoint;
 import io.microraft.model.groupop.UpdateRaftGroupMembersOp;
 import io.microraft.model.log.LogEntry;
@@ -23,45 +23,45 @@
  * The library's store over a {@link DurableLog}; one thread, no state of its own. Every call that
  * the library says is to be flushed syncs before it returns.
  */
-public final class StoreOnLog implements RaftStore, Recall.Keeper {
+public final class DurableRaftStore implements RaftStore, VoterRecoveryHandshake.Keeper {
     private static final String SELF = "self";
     private static final String FIRST = "first-voters";
     private static final String PEERS = "peers";
 
     private final DurableLog log;
 
-    public StoreOnLog(DurableLog log) {
+    public DurableRaftStore(DurableLog log) {
         this.log = log;
     }
 
     /** Empty if the log has never been a voter's. */
-    public static Optional<RestoredRaftState> restored(Recovered found) {
+    public static Optional<RestoredRaftState> restored(RecoveredState found) {
         byte[] self = found.notes().get(SELF);
         byte[] first = found.notes().get(FIRST);
         if (self == null || first == null) {
             return Optional.empty();
         }
-        Bytes.Reader in = new Bytes.Reader("own name", self);
+        BinaryCodec.Reader in = new BinaryCodec.Reader("own name", self);
         RaftEndpointPersistentState me =
-                Codec.MODEL
+                RaftMessageCodec.MODEL
                         .createRaftEndpointPersistentStateBuilder()
-                        .setLocalEndpoint(Codec.voter(in))
+                        .setLocalEndpoint(RaftMessageCodec.voter(in))
                         .setVoting(in.u8() != 0)
                         .build();
         RaftTermPersistentState term =
-                Codec.MODEL
+                RaftMessageCodec.MODEL
                         .createRaftTermPersistentStateBuilder()
                         .setTerm((int) found.term())
                         .setVotedFor(voted(found.votedFor()))
                         .build();
         List<SnapshotChunk> chunks = new ArrayList<>();
         if (found.snapshot() != null) {
-            found.snapshot().chunks().forEach(bytes -> chunks.add(Codec.chunk(bytes)));
+            found.snapshot().chunks().forEach(bytes -> chunks.add(RaftMessageCodec.chunk(bytes)));
         }
         var snapshot =
                 chunks.isEmpty()
                         ? null
-                        : Codec.MODEL
+                        : RaftMessageCodec.MODEL
                                 .createSnapshotEntryBuilder()
                                 .setIndex(chunks.get(0).getIndex())
                                 .setTerm(chunks.get(0).getTerm())
@@ -69,8 +69,9 @@
                                 .setGroupMembersView(chunks.get(0).getGroupMembersView())
                                 .build();
         List<LogEntry> entries = new ArrayList<>();
-        found.entries().forEach(entry -> entries.add(Codec.entry(entry.bytes())));
-        return Optional.of(new RestoredRaftState(me, Codec.view(first), term, snapshot, entries));
+        found.entries().forEach(entry -> entries.add(RaftMessageCodec.entry(entry.bytes())));
+        return Optional.of(
+                new RestoredRaftState(me, RaftMessageCodec.view(first), term, snapshot, entries));
     }
 
     /**
@@ -80,8 +81,8 @@
      * @param nonce drawn at random for this process
      * @param patience in heartbeats, for voters that don't answer
      */
-    public Recall recall(Voter self, List<Voter> first, long nonce, int patience) {
-        Recovered found = log.recovered();
+    public VoterRecoveryHandshake recall(Voter self, List<Voter> first, long nonce, int patience) {
+        RecoveredState found = log.recovered();
         Collection<RaftEndpoint> voters = new ArrayList<>(first);
         Optional<RestoredRaftState> restored = restored(found);
         if (restored.isPresent()) {
@@ -98,7 +99,7 @@
                                 : voters;
             }
         }
-        return new Recall(
+        return new VoterRecoveryHandshake(
                 self,
                 first,
                 voters.stream().map(Voter.class::cast).toList(),
@@ -135,15 +136,15 @@
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState self) throws IOException {
-        Bytes.Writer out = new Bytes.Writer();
-        Codec.voter(out, self.getLocalEndpoint());
+        BinaryCodec.Writer out = new BinaryCodec.Writer();
+        RaftMessageCodec.voter(out, self.getLocalEndpoint());
         log.saveNote(SELF, out.u8(self.isVoting() ? 1 : 0).done());
         log.sync();
     }
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView first) throws IOException {
-        log.saveNote(FIRST, Codec.view(first));
+        log.saveNote(FIRST, RaftMessageCodec.view(first));
         log.sync();
     }
 
@@ -157,7 +158,7 @@
     @Override
     public void persistLogEntries(List<LogEntry> entries) throws IOException {
         for (LogEntry entry : entries) {
-            log.appendEntry(entry.getIndex(), entry.getTerm(), Codec.entry(entry));
+            log.appendEntry(entry.getIndex(), entry.getTerm(), RaftMessageCodec.entry(entry));
         }
     }
 
@@ -168,7 +169,7 @@
                 chunk.getTerm(),
                 chunk.getSnapshotChunkIndex(),
                 chunk.getSnapshotChunkCount(),
-                Codec.chunk(chunk));
+                RaftMessageCodec.chunk(chunk));
     }
 
     @Override
--- a/src/main/java/calicostream/cluster/raft/FailingStore.java
+++ b/src/main/java/calicostream/cluster/raft/FailStopStore.java
@@ -15,7 +15,7 @@
  * A store whose first failure stops the voter: what a failed sync left on a disk is not known, so
  * nothing that was to be kept may be acknowledged after it, not even if a later call would succeed.
  */
-final class FailingStore implements RaftStore {
+final class FailStopStore implements RaftStore {
     private interface Call {
         void run() throws IOException;
     }
@@ -28,7 +28,7 @@
     /**
      * @param terms follows what is in the log
      */
-    FailingStore(RaftStore store, LogTerms terms, Consumer<Throwable> failed) {
+    FailStopStore(RaftStore store, LogTerms terms, Consumer<Throwable> failed) {
         this.store = store;
         this.terms = terms;
         this.failed = failed;
--- a/src/main/java/calicostream/cluster/raft/LeaderSilence.java
+++ b/src/main/java/calicostream/cluster/raft/LeaderSilence.java
@@ -61,9 +61,9 @@
         }
         beats = 0;
         return Optional.of(
-                Codec.MODEL
+                RaftMessageCodec.MODEL
                         .createVoteRequestBuilder()
-                        .setGroupId(Codec.GROUP)
+                        .setGroupId(RaftMessageCodec.GROUP)
                         .setSender(known)
                         .setTerm(term.getTerm() + 1)
                         .setLastLogTerm(0)
--- a/src/main/java/calicostream/cluster/raft/Stepper.java
+++ b/src/main/java/calicostream/cluster/raft/LogApplier.java
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.cluster.raft;
 
-import calicostream.cluster.Entry;
-import calicostream.cluster.Outcome;
-import calicostream.cluster.Replicated;
+import calicostream.cluster.CommandOutcome;
+import calicostream.cluster.ReplicatedEntry;
+import calicostream.cluster.ReplicatedState;
 import io.microraft.statemachine.StateMachine;
 import java.io.ByteArrayOutputStream;
 import java.util.Arrays;
@@ -12,23 +12,23 @@
 import java.util.function.Consumer;
 
 /**
- * Steps {@link Replicated} as the library commits entries. The first exception out of it ends this
- * copy: nothing more is applied, and the voter is told to stop before the copies differ.
+ * Steps {@link ReplicatedState} as the library commits entries. The first exception out of it ends
+ * this copy: nothing more is applied, and the voter is told to stop before the copies differ.
  */
-final class Stepper implements StateMachine {
+final class LogApplier implements StateMachine {
     private static final int CHUNK = 256 * 1024;
 
     /** A read; {@code machine} is "" to hear just how far the log was. */
     record Question(String machine, byte[] question) {}
 
     private final int member;
-    private final Replicated state;
+    private final ReplicatedState state;
     private final Random random;
     private final Consumer<Throwable> failed;
     private long nonce;
     private Throwable broken;
 
-    Stepper(int member, Replicated state, Random random, Consumer<Throwable> failed) {
+    LogApplier(int member, ReplicatedState state, Random random, Consumer<Throwable> failed) {
         this.member = member;
         this.state = state;
         this.random = random;
@@ -51,7 +51,8 @@
                         question.machine.isEmpty()
                                 ? new byte[0]
                                 : state.query(question.machine, question.question);
-                return new Outcome(Outcome.Kind.ACCEPTED, state.applied(), "", answer);
+                return new CommandOutcome(
+                        CommandOutcome.Kind.ACCEPTED, state.applied(), "", answer);
             }
             return state.apply(index, (byte[]) operation);
         } catch (RuntimeException | Error e) {
@@ -87,6 +88,6 @@
         do {
             nonce = random.nextLong();
         } while (nonce == 0);
-        return new Entry.Era(member, nonce).encode();
+        return new ReplicatedEntry.Era(member, nonce).encode();
     }
 }
--- a/src/main/java/calicostream/cluster/raft/LogTerms.java
+++ b/src/main/java/calicostream/cluster/raft/LogTerms.java
@@ -50,7 +50,7 @@
             return message;
         }
         LogEntry before = entries.get(known - 1);
-        return Codec.MODEL
+        return RaftMessageCodec.MODEL
                 .createAppendEntriesRequestBuilder()
                 .setGroupId(append.getGroupId())
                 .setSender(append.getSender())
--- a/src/main/java/calicostream/cluster/raft/PeerMemory.java
+++ b/src/main/java/calicostream/cluster/raft/PeerRecoveryState.java
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.cluster.raft;
 
-import calicostream.cluster.Bytes;
-import calicostream.durable.Amnesia.Seen;
+import calicostream.cluster.BinaryCodec;
+import calicostream.durable.StateLossDetector.Seen;
 import io.microraft.model.message.AppendEntriesSuccessResponse;
 import io.microraft.model.message.RaftMessage;
 import io.microraft.model.message.VoteResponse;
@@ -16,7 +16,7 @@
  * they are answered for ({@link #write}); terms, indexes and votes are in memory alone, as a sync
  * for each acknowledgement would cost more than it tells.
  */
-final class PeerMemory {
+final class PeerRecoveryState {
     private static final int VERSION = 1;
 
     /** {@code before} is all that was known when this incarnation was met. */
@@ -95,10 +95,10 @@
     }
 
     byte[] write() {
-        Bytes.Writer out = new Bytes.Writer().u8(VERSION).i32(known.size());
+        BinaryCodec.Writer out = new BinaryCodec.Writer().u8(VERSION).i32(known.size());
         known.forEach(
                 (who, one) -> {
-                    Codec.voter(out, who);
+                    RaftMessageCodec.voter(out, who);
                     out.i64(one.incarnation)
                             .i64(one.nonce)
                             .i64(one.before.incarnation())
@@ -107,12 +107,12 @@
         return out.done();
     }
 
-    static PeerMemory read(byte[] bytes) {
-        PeerMemory read = new PeerMemory();
-        Bytes.Reader in = new Bytes.Reader("memory of peers", bytes);
+    static PeerRecoveryState read(byte[] bytes) {
+        PeerRecoveryState read = new PeerRecoveryState();
+        BinaryCodec.Reader in = new BinaryCodec.Reader("memory of peers", bytes);
         in.version(VERSION);
         for (int left = in.count(33); left > 0; left--) {
-            Voter who = Codec.voter(in);
+            Voter who = RaftMessageCodec.voter(in);
             Known one = new Known();
             one.incarnation = in.i64();
             one.nonce = in.i64();
--- a/src/main/java/calicostream/cluster/raft/Pace.java
+++ b/src/main/java/calicostream/cluster/raft/RaftExecutor.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.cluster.raft;
 
-import calicostream.cluster.Reactor;
+import calicostream.cluster.EventLoop;
 import io.microraft.executor.RaftNodeExecutor;
 import java.time.Clock;
 import java.time.Instant;
@@ -14,12 +14,12 @@
  * here one of its seconds is one heartbeat of ours, for its clock and its timers alike. Its clock
  * is our monotonic one, so that a step of the wall clock makes no leader doubted.
  */
-final class Pace extends Clock implements RaftNodeExecutor {
-    private final Reactor reactor;
+final class RaftExecutor extends Clock implements RaftNodeExecutor {
+    private final EventLoop reactor;
     private final int heartbeatMillis;
     private final long startNanos;
 
-    Pace(Reactor reactor, int heartbeatMillis) {
+    RaftExecutor(EventLoop reactor, int heartbeatMillis) {
         this.reactor = reactor;
         this.heartbeatMillis = heartbeatMillis;
         this.startNanos = reactor.nanos();
--- a/src/main/java/calicostream/cluster/raft/Codec.java
+++ b/src/main/java/calicostream/cluster/raft/RaftMessageCodec.java
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.cluster.raft;
 
-import calicostream.cluster.Bytes;
+import calicostream.cluster.BinaryCodec;
 import calicostream.cluster.ClusterException;
-import calicostream.cluster.Links;
+import calicostream.cluster.PeerTransport;
 import io.microraft.MembershipChangeMode;
 import io.microraft.RaftEndpoint;
 import io.microraft.model.RaftModelFactory;
@@ -33,15 +33,15 @@
  * made is {@link ClusterException.Malformed}. Every message starts with a version, its kind, the
  * sender and the term.
  */
-public final class Codec {
+public final class RaftMessageCodec {
     static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
     static final Object GROUP = "calicostream";
     private static final int VERSION = 1;
 
-    private Codec() {}
+    private RaftMessageCodec() {}
 
     public static byte[] message(RaftMessage message) {
-        Bytes.Writer out = new Bytes.Writer().u8(VERSION).u8(kind(message));
+        BinaryCodec.Writer out = new BinaryCodec.Writer().u8(VERSION).u8(kind(message));
         voter(out, message.getSender());
         out.i32(message.getTerm());
         if (message instanceof AppendEntriesRequest m) {
@@ -116,7 +116,7 @@
     }
 
     public static RaftMessage message(byte[] bytes) {
-        Bytes.Reader in = new Bytes.Reader("message", bytes);
+        BinaryCodec.Reader in = new BinaryCodec.Reader("message", bytes);
         in.version(VERSION);
         int kind = in.u8();
         RaftEndpoint sender = voter(in);
@@ -136,7 +136,7 @@
                                         .setFlowControlSequenceNumber(in.i64());
                         List<LogEntry> entries = new ArrayList<>();
                         for (int left = in.count(17); left > 0; left--) {
-                            entries.add(entry(in.blob(Links.MAX_FRAME)));
+                            entries.add(entry(in.blob(PeerTransport.MAX_FRAME)));
                         }
                         yield m.setLogEntries(entries).build();
                     }
@@ -168,7 +168,8 @@
                                         .setSnapshotTerm(in.i32())
                                         .setSnapshotIndex(in.i64())
                                         .setTotalSnapshotChunkCount(in.i32());
-                        m.setSnapshotChunk(in.u8() == 0 ? null : chunk(in.blob(Links.MAX_FRAME)));
+                        m.setSnapshotChunk(
+                                in.u8() == 0 ? null : chunk(in.blob(PeerTransport.MAX_FRAME)));
                         m.setSnapshottedMembers(voters(in));
                         m.setGroupMembersView(in.u8() == 0 ? null : view(in.blob(1 << 16)));
                         yield m.setQuerySequenceNumber(in.i64())
@@ -231,8 +232,8 @@
     }
 
     static byte[] entry(LogEntry entry) {
-        Bytes.Writer out =
-                new Bytes.Writer().u8(VERSION).i64(entry.getIndex()).i32(entry.getTerm());
+        BinaryCodec.Writer out =
+                new BinaryCodec.Writer().u8(VERSION).i64(entry.getIndex()).i32(entry.getTerm());
         Object operation = entry.getOperation();
         if (operation instanceof byte[] bytes) {
             out.u8(1).blob(bytes);
@@ -249,12 +250,12 @@
     }
 
     static LogEntry entry(byte[] bytes) {
-        Bytes.Reader in = new Bytes.Reader("log entry", bytes);
+        BinaryCodec.Reader in = new BinaryCodec.Reader("log entry", bytes);
         in.version(VERSION);
         var entry = MODEL.createLogEntryBuilder().setIndex(in.i64()).setTerm(in.i32());
         int kind = in.u8();
         if (kind == 1) {
-            entry.setOperation(in.blob(Links.MAX_FRAME));
+            entry.setOperation(in.blob(PeerTransport.MAX_FRAME));
         } else if (kind == 2) {
             var op =
                     MODEL.createUpdateRaftGroupMembersOpBuilder()
@@ -281,7 +282,7 @@
     }
 
     static byte[] chunk(SnapshotChunk chunk) {
-        return new Bytes.Writer()
+        return new BinaryCodec.Writer()
                 .u8(VERSION)
                 .i64(chunk.getIndex())
                 .i32(chunk.getTerm())
@@ -293,7 +294,7 @@
     }
 
     static SnapshotChunk chunk(byte[] bytes) {
-        Bytes.Reader in = new Bytes.Reader("snapshot chunk", bytes);
+        BinaryCodec.Reader in = new BinaryCodec.Reader("snapshot chunk", bytes);
         in.version(VERSION);
         SnapshotChunk chunk =
                 MODEL.createSnapshotChunkBuilder()
@@ -302,21 +303,21 @@
                         .setSnapshotChunkIndex(in.i32())
                         .setSnapshotChunkCount(in.i32())
                         .setGroupMembersView(view(in.blob(1 << 16)))
-                        .setOperation(in.blob(Links.MAX_FRAME))
+                        .setOperation(in.blob(PeerTransport.MAX_FRAME))
                         .build();
         in.end();
         return chunk;
     }
 
     static byte[] view(RaftGroupMembersView view) {
-        Bytes.Writer out = new Bytes.Writer().u8(VERSION).i64(view.getLogIndex());
+        BinaryCodec.Writer out = new BinaryCodec.Writer().u8(VERSION).i64(view.getLogIndex());
         voters(out, view.getMembers());
         voters(out, view.getVotingMembers());
         return out.done();
     }
 
     static RaftGroupMembersView view(byte[] bytes) {
-        Bytes.Reader in = new Bytes.Reader("list of voters", bytes);
+        BinaryCodec.Reader in = new BinaryCodec.Reader("list of voters", bytes);
         in.version(VERSION);
         RaftGroupMembersView view =
                 MODEL.createRaftGroupMembersViewBuilder()
@@ -328,12 +329,12 @@
         return view;
     }
 
-    private static void voters(Bytes.Writer out, Collection<RaftEndpoint> voters) {
+    private static void voters(BinaryCodec.Writer out, Collection<RaftEndpoint> voters) {
         out.i32(voters.size());
         voters.forEach(voter -> voter(out, voter));
     }
 
-    private static Collection<RaftEndpoint> voters(Bytes.Reader in) {
+    private static Collection<RaftEndpoint> voters(BinaryCodec.Reader in) {
         Collection<RaftEndpoint> voters = new LinkedHashSet<>();
         for (int left = in.count(8); left > 0; left--) {
             voters.add(voter(in));
@@ -341,12 +342,12 @@
         return voters;
     }
 
-    static void voter(Bytes.Writer out, RaftEndpoint endpoint) {
+    static void voter(BinaryCodec.Writer out, RaftEndpoint endpoint) {
         Voter voter = (Voter) endpoint;
         out.i32(voter.member()).i32(voter.generation());
     }
 
-    static Voter voter(Bytes.Reader in) {
+    static Voter voter(BinaryCodec.Reader in) {
         return new Voter(in.i32(), in.i32());
     }
 }
--- a/src/main/java/calicostream/cluster/raft/FirstWord.java
+++ b/src/main/java/calicostream/cluster/raft/RecoveryHandshakeTransport.java
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.cluster.raft;
 
-import calicostream.cluster.Frame;
-import calicostream.cluster.Links;
-import calicostream.cluster.Reactor;
+import calicostream.cluster.EventLoop;
+import calicostream.cluster.MemberMessage;
+import calicostream.cluster.PeerTransport;
 import java.io.IOException;
 import java.util.List;
 import java.util.function.BooleanSupplier;
@@ -12,10 +12,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The shell of a {@link Recall}: its frames and beats, on the voter's thread, for as long as the
- * voter lives; no choice is made here.
+ * The shell of a {@link VoterRecoveryHandshake}: its frames and beats, on the voter's thread, for
+ * as long as the voter lives; no choice is made here.
  */
-final class FirstWord {
+final class RecoveryHandshakeTransport {
     /** What it asks of, and tells, the voter. */
     record Hooks(
             BooleanSupplier isStopped,
@@ -25,7 +25,7 @@
             Consumer<Throwable> fail) {}
 
     private interface Step {
-        List<Recall.Send> run() throws IOException;
+        List<VoterRecoveryHandshake.Send> run() throws IOException;
     }
 
     /** A line of the log so many beats. */
@@ -34,16 +34,21 @@
     private static final Logger LOG = LoggerFactory.getLogger(VoterNode.class);
 
     private final Voter self;
-    private final Recall recall;
-    private final Reactor reactor;
-    private final Links links;
+    private final VoterRecoveryHandshake recall;
+    private final EventLoop reactor;
+    private final PeerTransport links;
     private final long beatNanos;
     private final Hooks hooks;
     private boolean begun;
     private int beats;
 
-    FirstWord(
-            Voter self, Recall recall, Reactor reactor, Links links, long beatNanos, Hooks hooks) {
+    RecoveryHandshakeTransport(
+            Voter self,
+            VoterRecoveryHandshake recall,
+            EventLoop reactor,
+            PeerTransport links,
+            long beatNanos,
+            Hooks hooks) {
         this.self = self;
         this.recall = recall;
         this.reactor = reactor;
@@ -52,7 +57,7 @@
         this.hooks = hooks;
     }
 
-    Recall recall() {
+    VoterRecoveryHandshake recall() {
         return recall;
     }
 
@@ -66,11 +71,11 @@
         }
     }
 
-    void received(int from, Frame frame) {
+    void received(int from, MemberMessage frame) {
         boolean grouped = hooks.isGrouped.getAsBoolean();
-        if (frame instanceof Frame.Recall asks) {
+        if (frame instanceof MemberMessage.Recall asks) {
             step(() -> recall.received(from, asks, grouped));
-        } else if (frame instanceof Frame.Recalled told) {
+        } else if (frame instanceof MemberMessage.Recalled told) {
             step(
                     () -> {
                         recall.received(from, told, grouped);
