--- a/src/main/java/calicostream/cluster/raft/VoterChanges.java
+++ b/src/main/java/calicostream/cluster/raft/VoterChanges.java
@@ -2,9 +2,9 @@
 package calicostream.cluster.raft;
 
 import calicostream.cluster.ClusterException;
-import calicostream.cluster.Entry;
-import calicostream.cluster.Outcome;
-import calicostream.cluster.Replicated;
+import calicostream.cluster.CommandOutcome;
+import calicostream.cluster.ReplicatedEntry;
+import calicostream.cluster.ReplicatedState;
 import io.microraft.RaftEndpoint;
 import io.microraft.RaftNode;
 import java.util.Collection;
@@ -22,8 +22,8 @@
 final class VoterChanges {
     private final RaftNode raft;
     private final Voter self;
-    private final Replicated state;
-    private final BiConsumer<Entry, Consumer<Outcome>> propose;
+    private final ReplicatedState state;
+    private final BiConsumer<ReplicatedEntry, Consumer<CommandOutcome>> propose;
 
     /** Why this voter can't; null if it leads. */
     private final Supplier<ClusterException> notLeading;
@@ -33,8 +33,8 @@
     VoterChanges(
             RaftNode raft,
             Voter self,
-            Replicated state,
-            BiConsumer<Entry, Consumer<Outcome>> propose,
+            ReplicatedState state,
+            BiConsumer<ReplicatedEntry, Consumer<CommandOutcome>> propose,
             Supplier<ClusterException> notLeading) {
         this.raft = raft;
         this.self = self;
@@ -43,7 +43,7 @@
         this.notLeading = notLeading;
     }
 
-    void change(Change change, Voter who, Consumer<ClusterException> done) {
+    void change(VoterChange change, Voter who, Consumer<ClusterException> done) {
         ClusterException refused = refused(change, who);
         if (refused != null) {
             done.accept(refused);
@@ -56,7 +56,7 @@
                     done.accept(error);
                 };
         long since = raft.getCommittedMembers().getLogIndex();
-        if (change != Change.PROMOTE) {
+        if (change != VoterChange.PROMOTE) {
             note(change, who, since, end);
             return;
         }
@@ -82,25 +82,25 @@
                         });
     }
 
-    private ClusterException refused(Change change, Voter who) {
+    private ClusterException refused(VoterChange change, Voter who) {
         Collection<RaftEndpoint> voters = raft.getEffectiveMembers().getVotingMembers();
         if (notLeading.get() != null) {
             return notLeading.get();
         } else if (running) {
             return bad(change, who, "another change runs");
-        } else if (change == Change.REMOVE && who.equals(self)) {
+        } else if (change == VoterChange.REMOVE && who.equals(self)) {
             return bad(change, who, "it leads, let it hand over first");
-        } else if (change == Change.REMOVE && voters.contains(who) && voters.size() <= 2) {
+        } else if (change == VoterChange.REMOVE && voters.contains(who) && voters.size() <= 2) {
             return bad(change, who, "too few voters would be left, add one first");
         }
         return null;
     }
 
-    private void note(Change change, Voter who, long since, Consumer<ClusterException> end) {
-        Entry entry =
-                change == Change.REMOVE
-                        ? new Entry.RemoveVoter(who.member(), who.generation())
-                        : new Entry.AddVoter(who.member(), who.generation());
+    private void note(VoterChange change, Voter who, long since, Consumer<ClusterException> end) {
+        ReplicatedEntry entry =
+                change == VoterChange.REMOVE
+                        ? new ReplicatedEntry.RemoveVoter(who.member(), who.generation())
+                        : new ReplicatedEntry.AddVoter(who.member(), who.generation());
         propose.accept(
                 entry,
                 outcome -> {
@@ -108,7 +108,7 @@
                         end.accept(outcome.error());
                     } else if (notLeading.get() != null) {
                         end.accept(notLeading.get());
-                    } else if (change != Change.REMOVE
+                    } else if (change != VoterChange.REMOVE
                             && !state.mayAdd(who.member(), who.generation())) {
                         end.accept(
                                 new ClusterException.GenerationOver(
@@ -132,7 +132,7 @@
                 });
     }
 
-    private static ClusterException bad(Change change, Voter who, String why) {
+    private static ClusterException bad(VoterChange change, Voter who, String why) {
         return new ClusterException.BadChange(change + " " + who, why);
     }
 
@@ -158,7 +158,7 @@
                             switch (step.kind()) {
                                 case LEARN, PROMOTE, REMOVE ->
                                         change(
-                                                Change.valueOf(step.kind().name()),
+                                                VoterChange.valueOf(step.kind().name()),
                                                 step.who(),
                                                 done);
                                 case HAND_OVER -> raft.transferLeadership(step.who());
--- a/src/main/java/calicostream/cluster/raft/VoterNode.java
+++ b/src/main/java/calicostream/cluster/raft/VoterNode.java
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.cluster.raft;
 
+import calicostream.cluster.BoundedElapsedTime;
 import calicostream.cluster.ClusterException;
 import calicostream.cluster.Command;
-import calicostream.cluster.CountedTime;
-import calicostream.cluster.Entry;
-import calicostream.cluster.Frame;
-import calicostream.cluster.Links;
-import calicostream.cluster.Outcome;
-import calicostream.cluster.Reactor;
-import calicostream.cluster.Replicated;
-import calicostream.cluster.SessionKeeper;
-import calicostream.cluster.Timekeeper;
+import calicostream.cluster.CommandOutcome;
+import calicostream.cluster.EventLoop;
+import calicostream.cluster.ExpiryMonitor;
+import calicostream.cluster.MemberMessage;
+import calicostream.cluster.PeerTransport;
+import calicostream.cluster.ReplicatedEntry;
+import calicostream.cluster.ReplicatedState;
+import calicostream.cluster.SessionExpiryMonitor;
 import io.microraft.QueryPolicy;
 import io.microraft.RaftConfig;
 import io.microraft.RaftEndpoint;
@@ -41,7 +41,7 @@
  * randomness of its own, so that a test may run a whole cluster in virtual time. Once it failed or
  * was stopped it says nothing more; the way back is a new one.
  */
-public final class VoterNode implements Links.Receiver {
+public final class VoterNode implements PeerTransport.Receiver {
     /**
      * @param first the voters that the cluster began with, the same everywhere; a joiner is none of
      *     them
@@ -61,18 +61,18 @@
             int snapshotEvery) {}
 
     /** Entries of one append: of the largest ones, half a frame. */
-    private static final int BATCH = Links.MAX_FRAME / (2 * Command.MAX_BODY) / 2;
+    private static final int BATCH = PeerTransport.MAX_FRAME / (2 * Command.MAX_BODY) / 2;
 
     private static final Logger LOG = LoggerFactory.getLogger(VoterNode.class);
 
     private final Settings settings;
-    private final Reactor reactor;
-    private final Links links;
-    private final Replicated state;
-    private final Map<String, Timekeeper> timekeepers;
-    private final SessionKeeper keeper;
-    private final CountedTime counted;
-    private final Stepper stepper;
+    private final EventLoop reactor;
+    private final PeerTransport links;
+    private final ReplicatedState state;
+    private final Map<String, ExpiryMonitor> timekeepers;
+    private final SessionExpiryMonitor keeper;
+    private final BoundedElapsedTime counted;
+    private final LogApplier stepper;
     private final LeaderSilence silence;
     private final VoterChanges changes;
     private final LogTerms terms = new LogTerms();
@@ -80,7 +80,7 @@
     private final Consumer<Throwable> failed;
     private boolean stopped;
     private final boolean wasRestored;
-    private FirstWord firstWord; // null where nobody is asked
+    private RecoveryHandshakeTransport firstWord; // null where nobody is asked
     private boolean begun;
     private long toldEra;
     private int proposed;
@@ -97,12 +97,12 @@
      */
     public VoterNode(
             Settings settings,
-            Reactor reactor,
-            Links links,
+            EventLoop reactor,
+            PeerTransport links,
             RaftStore store,
             Optional<RestoredRaftState> restored,
-            Replicated state,
-            Map<String, Timekeeper> timekeepers,
+            ReplicatedState state,
+            Map<String, ExpiryMonitor> timekeepers,
             Random random,
             Consumer<Throwable> failed) {
         this.settings = settings;
@@ -111,15 +111,15 @@
         this.state = state;
         this.timekeepers = timekeepers;
         this.failed = failed;
-        this.keeper = new SessionKeeper(state, settings.heartbeatMillis * 1_000_000L);
-        this.counted = new CountedTime(settings.heartbeatMillis * 1_000_000L);
-        this.stepper = new Stepper(settings.self.member(), state, random, this::fail);
+        this.keeper = new SessionExpiryMonitor(state, settings.heartbeatMillis * 1_000_000L);
+        this.counted = new BoundedElapsedTime(settings.heartbeatMillis * 1_000_000L);
+        this.stepper = new LogApplier(settings.self.member(), state, random, this::fail);
         this.silence = new LeaderSilence(settings.self, 3 * settings.missed);
         this.nextId = random.nextLong();
-        Pace pace = new Pace(reactor, settings.heartbeatMillis);
+        RaftExecutor pace = new RaftExecutor(reactor, settings.heartbeatMillis);
         RaftNode.RaftNodeBuilder builder =
                 RaftNode.newBuilder()
-                        .setGroupId(Codec.GROUP)
+                        .setGroupId(RaftMessageCodec.GROUP)
                         .setConfig(
                                 RaftConfig.newBuilder()
                                         .setLeaderHeartbeatPeriodSecs(1)
@@ -137,10 +137,10 @@
                         .setExecutor(pace)
                         .setClock(pace)
                         .setRandom(random)
-                        .setStore(new FailingStore(store, terms, this::fail))
+                        .setStore(new FailStopStore(store, terms, this::fail))
                         .setStateMachine(stepper)
                         .setTransport(new Sender())
-                        .setModelFactory(Codec.MODEL);
+                        .setModelFactory(RaftMessageCodec.MODEL);
         wasRestored = restored.isPresent() && !restored.get().getLogEntries().isEmpty();
         restored.ifPresent(found -> terms.append(found.getLogEntries()));
         if (restored.isPresent()) {
@@ -168,7 +168,8 @@
                 Voter to = (Voter) target;
                 links.send(
                         to.member(),
-                        new Frame.Raft(to.generation(), Codec.message(message)).encode());
+                        new MemberMessage.Raft(to.generation(), RaftMessageCodec.message(message))
+                                .encode());
             }
         }
 
@@ -198,15 +199,15 @@
      * Asks peers first what they remember of this voter: silent until {@code first} lets it speak,
      * or stops it for good.
      */
-    public void start(Recall first) {
+    public void start(VoterRecoveryHandshake first) {
         firstWord =
-                new FirstWord(
+                new RecoveryHandshakeTransport(
                         settings.self,
                         first,
                         reactor,
                         links,
                         settings.heartbeatMillis * 1_000_000L,
-                        new FirstWord.Hooks(
+                        new RecoveryHandshakeTransport.Hooks(
                                 this::isStopped,
                                 () -> wasRestored || state.applied() > 0,
                                 () -> state.applied() > 0 && voters().contains(settings.self),
@@ -216,8 +217,8 @@
     }
 
     /** Where this voter stands before its first word; empty if it was started without asking. */
-    public Optional<Recall> recall() {
-        return Optional.ofNullable(firstWord).map(FirstWord::recall);
+    public Optional<VoterRecoveryHandshake> recall() {
+        return Optional.ofNullable(firstWord).map(RecoveryHandshakeTransport::recall);
     }
 
     /** Silent from now on; what was proposed may still be decided by the others. */
@@ -276,7 +277,7 @@
         return raft.getCommittedMembers().getMembers();
     }
 
-    public Replicated state() {
+    public ReplicatedState state() {
         return state;
     }
 
@@ -304,7 +305,7 @@
      * acknowledged the present voters and learners is not promoted: one that is gone for good would
      * count into a quorum that then may never be.
      */
-    public void change(Change change, Voter who, Consumer<ClusterException> done) {
+    public void change(VoterChange change, Voter who, Consumer<ClusterException> done) {
         changes.change(change, who, done);
     }
 
@@ -347,23 +348,25 @@
                 toldEra = state.era();
                 timekeepers.values().forEach(timekeeper -> timekeeper.eraBegan(toldEra, span));
             }
-            for (Entry.Expire expire : keeper.due(now)) {
+            for (ReplicatedEntry.Expire expire : keeper.due(now)) {
                 propose(expire.encode(), outcome -> {});
             }
             timekeepers.forEach(
                     (name, timekeeper) -> {
                         for (byte[] body : timekeeper.due(span)) {
                             propose(
-                                    new Entry.Timed(state.era(), name, body).encode(),
+                                    new ReplicatedEntry.Timed(state.era(), name, body).encode(),
                                     outcome -> {});
                         }
                     });
-            read(new Stepper.Question("", new byte[0]), outcome -> fresh(outcome, now));
+            read(new LogApplier.Question("", new byte[0]), outcome -> fresh(outcome, now));
         } else if (leader() != 0 && leader() != settings.self.member()) {
             askAt = now;
             askId = nextId++;
             links.send(
-                    leader(), new Frame.Request(askId, Frame.Ask.READ, "", new byte[0]).encode());
+                    leader(),
+                    new MemberMessage.Request(askId, MemberMessage.Ask.READ, "", new byte[0])
+                            .encode());
         }
         reactor.schedule(this::beat, settings.heartbeatMillis * 1_000_000L);
     }
@@ -372,7 +375,7 @@
      * The leader had all up to an index at some moment after {@code sinceNanos}; so has this copy
      * once it got there.
      */
-    private void fresh(Outcome outcome, long sinceNanos) {
+    private void fresh(CommandOutcome outcome, long sinceNanos) {
         if (outcome.accepted()
                 && state.applied() >= outcome.index()
                 && (!fresh || sinceNanos - freshSince > 0)) {
@@ -386,79 +389,82 @@
         if (isStopped()) {
             return;
         }
-        Frame frame = Frame.decode(bytes);
+        MemberMessage frame = MemberMessage.decode(bytes);
         Optional.ofNullable(firstWord).ifPresent(word -> word.received(from, frame));
         if (begun) {
             received(from, frame);
         }
     }
 
-    private void received(int from, Frame frame) {
-        if (frame instanceof Frame.Raft message) {
-            RaftMessage decoded = Codec.message(message.message());
+    private void received(int from, MemberMessage frame) {
+        if (frame instanceof MemberMessage.Raft message) {
+            RaftMessage decoded = RaftMessageCodec.message(message.message());
             if (((Voter) decoded.getSender()).member() == from
                     && message.generation() == settings.self.generation()) {
                 silence.heard(decoded);
                 recall().ifPresent(recall -> recall.heard(decoded));
                 raft.handle(terms.trim(decoded, state.applied()));
             }
-        } else if (frame instanceof Frame.Request request) {
-            Consumer<Outcome> reply =
+        } else if (frame instanceof MemberMessage.Request request) {
+            Consumer<CommandOutcome> reply =
                     outcome -> {
                         if (!stopped) {
-                            links.send(from, new Frame.Reply(request.id(), 0, outcome).encode());
+                            links.send(
+                                    from,
+                                    new MemberMessage.Reply(request.id(), 0, outcome).encode());
                         }
                     };
             switch (request.ask()) {
                 case ENTRY -> proposeOf(request.body(), reply);
-                case READ -> read(new Stepper.Question(request.machine(), request.body()), reply);
+                case READ ->
+                        read(new LogApplier.Question(request.machine(), request.body()), reply);
                 case LOCAL -> local(from, request);
             }
-        } else if (frame instanceof Frame.Reply reply && reply.id() == askId) {
+        } else if (frame instanceof MemberMessage.Reply reply && reply.id() == askId) {
             fresh(reply.outcome(), askAt);
         }
     }
 
-    private void local(int from, Frame.Request request) {
+    private void local(int from, MemberMessage.Request request) {
         Optional<Long> age = ageNanos();
-        Outcome outcome =
+        CommandOutcome outcome =
                 !state.knows(request.machine())
-                        ? Outcome.failed(0, ClusterException.UnknownMachine.CODE)
+                        ? CommandOutcome.failed(0, ClusterException.UnknownMachine.CODE)
                         : age.isEmpty()
-                                ? Outcome.failed(
+                                ? CommandOutcome.failed(
                                         0,
                                         ClusterException.NoQuorum.CODE,
                                         settings.self.member(),
                                         0)
-                                : new Outcome(
-                                        Outcome.Kind.ACCEPTED,
+                                : new CommandOutcome(
+                                        CommandOutcome.Kind.ACCEPTED,
                                         state.applied(),
                                         "",
                                         state.query(request.machine(), request.body()));
-        links.send(from, new Frame.Reply(request.id(), age.orElse(0L), outcome).encode());
+        links.send(from, new MemberMessage.Reply(request.id(), age.orElse(0L), outcome).encode());
     }
 
-    private void proposeOf(byte[] bytes, Consumer<Outcome> reply) {
-        Entry entry;
+    private void proposeOf(byte[] bytes, Consumer<CommandOutcome> reply) {
+        ReplicatedEntry entry;
         try {
-            entry = Entry.decode(bytes);
+            entry = ReplicatedEntry.decode(bytes);
         } catch (ClusterException.Malformed e) {
-            reply.accept(Outcome.failed(0, e.code()));
+            reply.accept(CommandOutcome.failed(0, e.code()));
             return;
         }
         if (entry.ofLeader()) {
-            reply.accept(Outcome.failed(0, ClusterException.Malformed.CODE));
-        } else if (entry instanceof Entry.Run run && !state.knows(run.machine())) {
-            reply.accept(Outcome.failed(0, ClusterException.UnknownMachine.CODE));
+            reply.accept(CommandOutcome.failed(0, ClusterException.Malformed.CODE));
+        } else if (entry instanceof ReplicatedEntry.Run run && !state.knows(run.machine())) {
+            reply.accept(CommandOutcome.failed(0, ClusterException.UnknownMachine.CODE));
         } else {
             propose(bytes, reply);
         }
     }
 
-    private void propose(byte[] entry, Consumer<Outcome> reply) {
+    private void propose(byte[] entry, Consumer<CommandOutcome> reply) {
         if (proposed >= settings.queue) {
             reply.accept(
-                    Outcome.failed(
+                    CommandOutcome.failed(
                             0,
                             ClusterException.QueueFull.CODE,
                             settings.self.member(),
@@ -467,7 +473,7 @@
             return;
         }
         proposed++;
-        raft.<Outcome>replicate(entry)
+        raft.<CommandOutcome>replicate(entry)
                 .whenComplete(
                         (ok, error) -> {
                             proposed--;
@@ -475,34 +481,35 @@
                         });
     }
 
-    private void read(Stepper.Question question, Consumer<Outcome> reply) {
+    private void read(LogApplier.Question question, Consumer<CommandOutcome> reply) {
         if (!question.machine().isEmpty() && !state.knows(question.machine())) {
-            reply.accept(Outcome.failed(0, ClusterException.UnknownMachine.CODE));
+            reply.accept(CommandOutcome.failed(0, ClusterException.UnknownMachine.CODE));
             return;
         }
-        raft.<Outcome>query(question, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
+        raft.<CommandOutcome>query(
+                        question, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
                 .whenComplete(
                         (ok, error) ->
                                 reply.accept(error == null ? ok.getResult() : failure(error)));
     }
 
-    private Outcome failure(Throwable error) {
+    private CommandOutcome failure(Throwable error) {
         if (error instanceof NotLeaderException) {
-            return Outcome.failed(
+            return CommandOutcome.failed(
                     0,
                     ClusterException.NotLeader.CODE,
                     settings.self.member(),
                     leader(),
                     state.era());
         } else if (error instanceof CannotReplicateException) {
-            return Outcome.failed(
+            return CommandOutcome.failed(
                     0,
                     ClusterException.QueueFull.CODE,
                     settings.self.member(),
                     proposed,
                     settings.queue);
         }
-        return Outcome.failed(0, ClusterException.Unsure.CODE, settings.self.member(), 0, 0);
+        return CommandOutcome.failed(0, ClusterException.Unsure.CODE, settings.self.member(), 0, 0);
     }
 
     @Override
--- a/src/main/java/calicostream/cluster/raft/Recall.java
+++ b/src/main/java/calicostream/cluster/raft/VoterRecoveryHandshake.java
@@ -2,12 +2,12 @@
 package calicostream.cluster.raft;
 
 import calicostream.cluster.ClusterException;
-import calicostream.cluster.Frame;
-import calicostream.durable.Amnesia;
-import calicostream.durable.Amnesia.Own;
-import calicostream.durable.Amnesia.Seen;
-import calicostream.durable.Amnesia.Standing;
-import calicostream.durable.Verdict;
+import calicostream.cluster.MemberMessage;
+import calicostream.durable.RecoveryVerdict;
+import calicostream.durable.StateLossDetector;
+import calicostream.durable.StateLossDetector.Own;
+import calicostream.durable.StateLossDetector.Seen;
+import calicostream.durable.StateLossDetector.Standing;
 import io.microraft.model.message.RaftMessage;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -23,10 +23,10 @@
  * Whether a voter may say its first word: it asks its peers what they remember of it, and answers
  * when they ask. No I/O but through its {@link Keeper}, no clock, one thread. It waits for all
  * other voters for some beats and for a majority of them without end, as it could not be elected by
- * fewer; {@link Amnesia} is the judge. What has forgotten is barred for good under its generation
- * and says why; it comes back as a learner under the next.
+ * fewer; {@link StateLossDetector} is the judge. What has forgotten is barred for good under its
+ * generation and says why; it comes back as a learner under the next.
  */
-public final class Recall {
+public final class VoterRecoveryHandshake {
     /** Where it stands. */
     public enum State {
         /** It neither votes nor acknowledges yet. */
@@ -61,7 +61,7 @@
     private final long nonce;
     private final int patience;
     private final Keeper keeper;
-    private final PeerMemory memory;
+    private final PeerRecoveryState memory;
     private final Map<String, Seen> told = new TreeMap<>();
     private final Map<Integer, String> names = new TreeMap<>();
     private boolean admitted;
@@ -76,7 +76,7 @@
      * @param nonce of this process, drawn at random
      * @param patience in beats, for voters that don't answer
      */
-    Recall(
+    VoterRecoveryHandshake(
             Voter self,
             Collection<Voter> first,
             Collection<Voter> voters,
@@ -94,7 +94,7 @@
         asked.remove(self.member());
         this.own = own;
         this.admitted = own.standing() == Standing.ADMITTED;
-        this.memory = memory == null ? new PeerMemory() : PeerMemory.read(memory);
+        this.memory = memory == null ? new PeerRecoveryState() : PeerRecoveryState.read(memory);
         this.nonce = nonce;
         this.patience = patience;
         this.keeper = keeper;
@@ -132,7 +132,8 @@
         decide();
         List<Send> sends = new ArrayList<>();
         if (error() == null && (beats <= patience || beats % patience == 0)) {
-            byte[] frame = new Frame.Recall(self.generation(), own.incarnation(), nonce).encode();
+            byte[] frame =
+                    new MemberMessage.Recall(self.generation(), own.incarnation(), nonce).encode();
             asked.stream()
                     .filter(member -> !names.containsKey(member))
                     .forEach(member -> sends.add(new Send(member, frame)));
@@ -143,12 +144,12 @@
     /**
      * @param grouped whether this voter's group has committed something
      */
-    List<Send> received(int from, Frame.Recall ask, boolean grouped) throws IOException {
+    List<Send> received(int from, MemberMessage.Recall ask, boolean grouped) throws IOException {
         Seen seen = met(new Voter(from, ask.generation()), ask.incarnation(), ask.nonce(), grouped);
         return List.of(
                 new Send(
                         from,
-                        new Frame.Recalled(
+                        new MemberMessage.Recalled(
                                         ask.nonce(),
                                         self.generation(),
                                         own.incarnation(),
@@ -161,7 +162,7 @@
                                 .encode()));
     }
 
-    void received(int from, Frame.Recalled answer, boolean grouped) throws IOException {
+    void received(int from, MemberMessage.Recalled answer, boolean grouped) throws IOException {
         if (answer.to() != nonce) {
             return;
         }
@@ -210,26 +211,26 @@
         if (error() != null) {
             return;
         }
-        Amnesia.Answer answer = Amnesia.judge(own, founder, named(), told);
-        boolean forgot = Amnesia.hasForgotten(own, told);
+        StateLossDetector.Answer answer = StateLossDetector.judge(own, founder, named(), told);
+        boolean forgot = StateLossDetector.hasForgotten(own, told);
         if (mayBegin() && !forgot) {
             return;
         }
         reason = answer.reason();
         long heard = others.stream().filter(names::containsKey).count();
         boolean waited = heard == others.size() || beats >= patience;
-        if (answer.verdict() == Verdict.REFUSE) {
+        if (answer.verdict() == RecoveryVerdict.REFUSE) {
             state = State.REFUSED;
-        } else if (forgot || answer.verdict() == Verdict.LEARNER && founder) {
+        } else if (forgot || answer.verdict() == RecoveryVerdict.LEARNER && founder) {
             state = State.FORGOT;
             keeper.bar(reason);
-        } else if (answer.verdict() == Verdict.VOTER && waited) {
+        } else if (answer.verdict() == RecoveryVerdict.VOTER && waited) {
             if (!admitted) {
                 admitted = true;
                 keeper.admit();
             }
             state = State.VOTES;
-        } else if (answer.verdict() == Verdict.LEARNER
+        } else if (answer.verdict() == RecoveryVerdict.LEARNER
                 && waited
                 && heard >= (others.size() + 1) / 2) {
             state = State.LEARNS;
--- a/src/main/java/calicostream/cluster/tcp/LoopReactor.java
+++ b/src/main/java/calicostream/cluster/tcp/SelectorEventLoop.java
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.cluster.tcp;
 
-import calicostream.cluster.Reactor;
+import calicostream.cluster.EventLoop;
 import calicostream.net.Loop;
 
 /**
  * A loop as the thread and clock of a voter or member. {@link #execute} may be called by any
  * thread.
  */
-public final class LoopReactor implements Reactor {
+public final class SelectorEventLoop implements EventLoop {
     private final Loop loop;
 
-    public LoopReactor(Loop loop) {
+    public SelectorEventLoop(Loop loop) {
         this.loop = loop;
     }
 
--- a/src/main/java/calicostream/cluster/tcp/TcpFrame.java
+++ b/src/main/java/calicostream/cluster/tcp/TcpFrame.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.cluster.tcp;
 
-import calicostream.cluster.Links;
+import calicostream.cluster.PeerTransport;
 import calicostream.net.BadInput;
 import calicostream.net.Ring;
 import java.nio.ByteBuffer;
@@ -68,8 +68,9 @@
         }
         ByteBuffer head = ByteBuffer.wrap(in.copy(0, HEAD));
         int length = head.getInt();
-        if (length < 0 || length > Links.MAX_FRAME) {
-            throw new BadInput("a frame of " + length + " bytes, at most " + Links.MAX_FRAME);
+        if (length < 0 || length > PeerTransport.MAX_FRAME) {
+            throw new BadInput(
+                    "a frame of " + length + " bytes, at most " + PeerTransport.MAX_FRAME);
         }
         if (in.size() < HEAD + length) {
             return null;
--- a/src/main/java/calicostream/cluster/tcp/TcpLinks.java
+++ b/src/main/java/calicostream/cluster/tcp/TcpTransport.java
@@ -2,7 +2,7 @@
 package calicostream.cluster.tcp;
 
 import calicostream.cluster.ClusterException;
-import calicostream.cluster.Links;
+import calicostream.cluster.PeerTransport;
 import calicostream.net.BadInput;
 import calicostream.net.Connection;
 import calicostream.net.Listener;
@@ -26,8 +26,8 @@
  * which goes on after a stop is not given what was meant for a minute ago. {@link #close} ends all
  * connections and says nothing more.
  */
-public final class TcpLinks implements Links {
-    private static final Logger LOG = LoggerFactory.getLogger(TcpLinks.class);
+public final class TcpTransport implements PeerTransport {
+    private static final Logger LOG = LoggerFactory.getLogger(TcpTransport.class);
     private static final int ROOM = MAX_FRAME + (1 << 20);
     private static final int LEAST_OPEN =
             64; // that may connect; where there are more peers, each and one in its place
@@ -55,7 +55,7 @@
      * @param cluster its name; peers of another name are refused
      * @param at where the others find this member; port 0 for any
      */
-    public TcpLinks(
+    public TcpTransport(
             Loop loop,
             String cluster,
             int self,
--- a/src/main/java/calicostream/config/ConfigFile.java
+++ b/src/main/java/calicostream/config/ConfigFile.java
@@ -1,7 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.config;
 
-import calicostream.SettingsException;
 import calicostream.net.BadInput;
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
--- a/src/main/java/calicostream/SettingsException.java
+++ b/src/main/java/calicostream/config/SettingsException.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package calicostream;
+package calicostream.config;
 
 /** Settings or configuration that can't be used; its message is shown to the operator as it is. */
 public class SettingsException extends RuntimeException {
--- a/src/main/java/calicostream/core/Engines.java
+++ b/src/main/java/calicostream/core/EngineClient.java
@@ -1,24 +1,24 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.core;
 
-import calicostream.QueryRouter.Outcome;
-import calicostream.QueryRouter.Report;
+import calicostream.routing.AttemptOutcome;
+import calicostream.routing.LoadReport;
 import java.net.InetSocketAddress;
 
 /**
  * The way to the engines. Calls take effect at once or later; what becomes of an attempt is told by
- * {@link Gateway#ended}, once, unless {@link #stop} came first.
+ * {@link Gateway#attemptEnded}, once, unless {@link #stop} came first.
  */
-public interface Engines {
+public interface EngineClient {
     /** Called once, before anything else: where ends and news of attempts are told. */
     void attach(Gateway gateway);
 
     /** Where an engine listens, told before the engine is first sent to and when that changes. */
-    void locate(long engine, InetSocketAddress address);
+    void setAddress(long engine, InetSocketAddress address);
 
     /**
      * Whether the module may hear of a request now. If not, it is kept here until {@link
-     * Gateway#admitted} or {@link Gateway#turnAway}, or until it {@link Gateway.Request#isOver is
+     * Gateway#admit} or {@link Gateway#reject}, or until it {@link Gateway.Request#isAnswered is
      * over}.
      */
     default boolean admits(Gateway.Request request) {
@@ -29,7 +29,7 @@
      * Whether the tenant of a request has room at an engine now; answered from memory, many times a
      * request.
      */
-    default boolean mayUse(Gateway.Request request, long engine) {
+    default boolean hasTenantCapacity(Gateway.Request request, long engine) {
         return true;
     }
 
@@ -37,19 +37,19 @@
      * An attempt is over, whoever ended it; told before the module hears of it. The report is null
      * where none came.
      */
-    default void over(Gateway.Attempt attempt, Outcome outcome, Report report) {}
+    default void attemptEnded(Gateway.Attempt attempt, AttemptOutcome outcome, LoadReport report) {}
 
     /**
      * When the engine's process began by the list's own word, the same for all that read it; told
      * with each word on the engine.
      */
-    default void began(long engine, long unixMillis) {}
+    default void engineStarted(long engine, long unixMillis) {}
 
     /** News of an attempt: its engine has it. */
-    default void heard(Gateway.Attempt attempt) {}
+    default void attemptAcknowledged(Gateway.Attempt attempt) {}
 
     /** An engine's answer how it fares; the report is null where none came. */
-    default void reported(long engine, Report report) {}
+    default void loadReported(long engine, LoadReport report) {}
 
     /** Starts an attempt; nothing of it may go out after a {@link #withdrawn} for its engine. */
     void send(Gateway.Attempt attempt);
@@ -58,8 +58,8 @@
     void stop(Gateway.Attempt attempt);
 
     /**
-     * Asks an engine how it fares, which ends in one {@link Gateway#probed}, later; false: it can't
-     * be asked.
+     * Asks an engine how it fares, which ends in one {@link Gateway#probeCompleted}, later; false:
+     * it can't be asked.
      */
     default boolean probe(long engine) {
         return false;
@@ -69,21 +69,21 @@
      * At most so many connections to all engines together from now on, where a bound on them is
      * kept.
      */
-    default void most(int connections) {}
+    default void setMaxConnections(int connections) {}
 
     /** A new priority for an attempt that is out. */
-    void priority(Gateway.Attempt attempt);
+    void priorityChanged(Gateway.Attempt attempt);
 
     /** The engine drains: what has not gone out to it must not. */
-    void withdrawn(long engine);
+    void engineDraining(long engine);
 
     /**
      * The engine is put back after operators had it: nothing new may use a connection from before.
      */
-    void renewed(long engine);
+    void engineReinstated(long engine);
 
     /**
      * The engine's process has ended: attempts there end, and all that is kept for it is forgotten.
      */
-    void gone(long engine);
+    void engineRemoved(long engine);
 }
--- a/src/main/java/calicostream/core/Gateway.java
+++ b/src/main/java/calicostream/core/Gateway.java
@@ -1,10 +1,24 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.core;
 
-import calicostream.Logic;
-import calicostream.QueryRouter;
-import calicostream.core.Front.Failure;
-import calicostream.core.Watcher.Ending;
+import calicostream.core.RequestListener.RequestOutcome;
+import calicostream.core.ResponseHandler.Failure;
+import calicostream.routing.AffinityRouter;
+import calicostream.routing.AttemptOutcome;
+import calicostream.routing.AttemptResult;
+import calicostream.routing.EndpointUpdate;
+import calicostream.routing.EngineEndpoint;
+import calicostream.routing.EngineLifecycle;
+import calicostream.routing.Idempotency;
+import calicostream.routing.IdempotencyScope;
+import calicostream.routing.LoadReport;
+import calicostream.routing.ProgressKind;
+import calicostream.routing.Query;
+import calicostream.routing.QueryClass;
+import calicostream.routing.QueryProgress;
+import calicostream.routing.QueryRouter;
+import calicostream.routing.RouterActions;
+import calicostream.routing.RouterSettings;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -23,7 +37,7 @@
  * attempts at once, and no second send or refusal of a query that must not run twice once it may
  * have run.
  */
-public final class Gateway implements QueryRouter.Actions {
+public final class Gateway implements RouterActions {
     private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
 
     /**
@@ -31,14 +45,14 @@
      * next attempt goes by another connection, whose bytes may overtake that word. No final answer
      * waits for this.
      */
-    public static final long STOP_TRAVELS = 10_000;
+    public static final long CANCEL_DELIVERY_MICROS = 10_000;
 
     /** A request in hand. */
     public static final class Request {
-        final Front front;
+        final ResponseHandler responseHandler;
         final long tag;
-        final QueryRouter.QueryClass spec;
-        final long takenAt;
+        final QueryClass queryClassSettings;
+        final long acceptedAt;
         public final String id;
         public final int queryClass;
         public final byte[] body;
@@ -47,10 +61,10 @@
          * What to do where the body's text does not say it all; it belongs to the front and the
          * engine side.
          */
-        public final Object work;
+        public final Object operation;
 
         /** The one engine that may run it, or 0. */
-        public final long pinned;
+        public final long stickyEngine;
 
         public final long deadline;
 
@@ -59,69 +73,72 @@
 
         long handle;
         int attempts;
-        long riskSince; // when the first attempt that may have run was sent
-        boolean answered, mayHaveRun, streaming, told, left;
-        QueryRouter.Query asked;
-        Attempt out;
-        private Attempt before;
+        long firstRiskySendAt; // when the first attempt that may have run was sent
+        boolean answered, mayHaveRun, streaming, routed, leftKeyQueue;
+        Query query;
+        Attempt activeAttempt;
+        private Attempt previousAttempt;
         int priority = 1;
 
         private Request(
-                Front front,
+                ResponseHandler front,
                 long tag,
                 String id,
                 int queryClass,
-                QueryRouter.QueryClass spec,
+                QueryClass spec,
                 byte[] body,
                 Object work,
                 long pinned,
                 long takenAt,
                 long deadline) {
-            this.front = front;
+            this.responseHandler = front;
             this.tag = tag;
             this.id = id;
             this.queryClass = queryClass;
-            this.spec = spec;
+            this.queryClassSettings = spec;
             this.body = body;
-            this.work = work;
-            this.pinned = pinned;
-            this.takenAt = takenAt;
+            this.operation = work;
+            this.stickyEngine = pinned;
+            this.acceptedAt = takenAt;
             this.deadline = deadline;
         }
 
         /** Whether it is a load, which engines take as an update and which holds its tables. */
         public boolean isLoad() {
-            return spec.load();
+            return queryClassSettings.load();
         }
 
         /** Whether it must not run twice: by its class, or as its engine holds what it changes. */
-        public boolean isOnce() {
-            return pinned != 0 || spec.effect() == QueryRouter.Effect.ONCE;
+        public boolean isNonIdempotent() {
+            return stickyEngine != 0
+                    || queryClassSettings.idempotency() == Idempotency.NON_IDEMPOTENT;
         }
 
         /**
          * Whether its client may ask for it once more, at any front end, though it may have run.
          */
-        private boolean isHarmlessAgain() {
-            return !isOnce()
-                    && (spec.effect() == QueryRouter.Effect.REPEATABLE
-                            || spec.scope() == QueryRouter.Scope.ALL);
+        private boolean isSafeToRetryByClient() {
+            return !isNonIdempotent()
+                    && (queryClassSettings.idempotency() == Idempotency.IDEMPOTENT
+                            || queryClassSettings.idempotencyScope() == IdempotencyScope.ALL);
         }
 
         /** Until when a further attempt may go out, as far as what may have run bounds that. */
-        private long repeatableUntil() {
-            boolean bounded = mayHaveRun && spec.effect() == QueryRouter.Effect.BY_KEY;
-            return bounded ? riskSince + spec.windowUs() : Long.MAX_VALUE;
+        private long retryableUntil() {
+            boolean bounded =
+                    mayHaveRun
+                            && queryClassSettings.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY;
+            return bounded ? firstRiskySendAt + queryClassSettings.retryWindowUs() : Long.MAX_VALUE;
         }
 
         /** Whether it keeps its turn among those of its key. */
-        boolean isInLine() {
-            return spec.inOrder() && asked.key() != 0;
+        boolean isOrderedByKey() {
+            return queryClassSettings.orderedByKey() && query.key() != 0;
         }
 
         /** Who asked, and under which tag. */
-        public Front front() {
-            return front;
+        public ResponseHandler responseHandler() {
+            return responseHandler;
         }
 
         public long tag() {
@@ -129,7 +146,7 @@
         }
 
         /** Nothing more is owed for it. */
-        public boolean isOver() {
+        public boolean isAnswered() {
             return answered;
         }
 
@@ -141,8 +158,8 @@
          * The attempt that ended last, or null: the engine side makes sure that its word goes
          * before the next one.
          */
-        public Attempt before() {
-            return before;
+        public Attempt previousAttempt() {
+            return previousAttempt;
         }
     }
 
@@ -155,8 +172,8 @@
         public final long giveUpAt;
         public Object link;
         long handle;
-        private final long goesOutBefore;
-        private boolean calledOff;
+        private final long latestSendTime;
+        private boolean cancelled;
 
         private Attempt(Request request, int number, long engine, long sentAt, long giveUpAt) {
             this.request = request;
@@ -164,7 +181,7 @@
             this.engine = engine;
             this.sentAt = sentAt;
             this.giveUpAt = giveUpAt;
-            goesOutBefore = Math.min(giveUpAt, request.repeatableUntil());
+            latestSendTime = Math.min(giveUpAt, request.retryableUntil());
         }
 
         public long handle() {
@@ -173,64 +190,70 @@
     }
 
     /** {@code word}: the result is no result but a final word on the request. */
-    private record End(
+    private record AttemptEnd(
             Attempt attempt,
-            QueryRouter.Outcome outcome,
-            QueryRouter.Report report,
+            AttemptOutcome outcome,
+            LoadReport report,
             Object result,
             boolean word) {}
 
     private final Clock clock;
     private final Deadlines deadlines;
-    private final QueryRouter.Settings settings;
+    private final RouterSettings settings;
     private final QueryRouter router;
-    private final Watcher watcher;
-    private final Slots<Request> requests = new Slots<>();
-    private final Slots<Attempt> attempts = new Slots<>();
-    private final Map<Long, QueryRouter.Engine> roster = new HashMap<>();
+    private final RequestListener watcher;
+    private final SlotTable<Request> requests = new SlotTable<>();
+    private final SlotTable<Attempt> attempts = new SlotTable<>();
+    private final Map<Long, EngineEndpoint> endpointsChanged = new HashMap<>();
     private final Set<Long> disabled = new HashSet<>(); // by hand, whatever the list says
     private final Map<Long, Long> restored =
             new HashMap<>(); // engines put back, and when, until they are warm
-    private final ArrayDeque<End> ends = new ArrayDeque<>();
-    private final Figures figures;
-    private final Deadlines.Target moduleTimer = (now, token) -> tell(r -> r.timer(now, token));
+    private final ArrayDeque<AttemptEnd> ends = new ArrayDeque<>();
+    private final RequestMetrics metrics;
+    private final Deadlines.Target moduleTimer =
+            (now, token) -> tell(r -> r.timerFired(now, token));
     private final Deadlines.Target attemptDue = this::attemptDue;
     private final Deadlines.Target attemptCalledOff = this::attemptCalledOff;
     private final Deadlines.Target requestDue = this::requestDue;
-    private final KeyLines<Request> keyLines;
-    private Engines engines;
+    private final KeyedRequestQueue<Request> keyLines;
+    private EngineClient engines;
     private boolean inModule, settling;
     private long faults;
 
     public Gateway(
-            Clock clock, Deadlines deadlines, QueryRouter.Settings settings, Watcher watcher) {
+            Clock clock, Deadlines deadlines, RouterSettings settings, RequestListener watcher) {
         this.clock = clock;
         this.deadlines = deadlines;
         this.settings = settings;
         this.watcher = watcher;
-        router = new Logic(settings, this);
-        figures = new Figures(settings.classes().size());
-        keyLines = new KeyLines<>(clock, deadlines, settings.rules().keyRestUs(), this::arrive);
+        router = new AffinityRouter(settings, this);
+        metrics = new RequestMetrics(settings.classes().size());
+        keyLines =
+                new KeyedRequestQueue<>(
+                        clock,
+                        deadlines,
+                        settings.protectionRules().keyQuietPeriodUs(),
+                        this::arrive);
     }
 
     /** How this front end's processes share out keys; before the start. */
-    public void turns(Turns turns) {
+    public void attachKeyOwnership(KeyOwnership turns) {
         keyLines.attach(turns);
     }
 
     /** Starts the module with the engines last known. */
-    public void start(Engines side, List<QueryRouter.Engine> known) {
+    public void start(EngineClient side, List<EngineEndpoint> known) {
         engines = side;
         engines.attach(this);
         tell(r -> r.start(clock.now()));
-        roster(QueryRouter.RosterKind.CACHED, known);
+        endpointsChanged(EndpointUpdate.CACHED, known);
     }
 
     // ---- From the fronts
     // ------------------------------------------------------------------------------
     /** Takes a request; its answer goes to the front under this tag, maybe before this returns. */
     public long accept(
-            Front front,
+            ResponseHandler front,
             long tag,
             String id,
             int queryClass,
@@ -242,7 +265,7 @@
 
     /** The same with work that the text does not say, and the one engine that may run it, or 0. */
     public long accept(
-            Front front,
+            ResponseHandler front,
             long tag,
             String id,
             int queryClass,
@@ -255,15 +278,14 @@
                 front,
                 tag,
                 id,
-                new QueryRouter.Query(
-                        0, queryClass, 0, 0, budgetUs, 0, 0, tableGroup, false, pinned),
+                new Query(0, queryClass, 0, 0, budgetUs, 0, 0, tableGroup, false, pinned),
                 body,
                 work);
     }
 
     /** The same with all that the client says of it; its id as a query is given here. */
     public long accept(
-            Front front, long tag, String id, QueryRouter.Query asked, byte[] body, Object work) {
+            ResponseHandler front, long tag, String id, Query asked, byte[] body, Object work) {
         long now = clock.now();
         Request request =
                 new Request(
@@ -274,13 +296,13 @@
                         settings.classes().get(asked.queryClass()),
                         body,
                         work,
-                        asked.pinned(),
+                        asked.stickyEngine(),
                         now,
                         now + asked.timeLeftUs());
         request.handle = requests.add(request);
         deadlines.add(request.deadline, requestDue, request.handle);
-        request.asked = asked.as(request.handle);
-        if (request.isInLine()) {
+        request.query = asked.withId(request.handle);
+        if (request.isOrderedByKey()) {
             keyLines.add(asked.key(), request);
         } else {
             arrive(request);
@@ -294,30 +316,30 @@
      */
     private void arrive(Request request) {
         if (engines.admits(request)) {
-            admitted(request);
+            admit(request);
         }
     }
 
     /** The engine side takes a request to the module that it had kept; it may be over by now. */
-    public void admitted(Request request) {
+    public void admit(Request request) {
         long now = clock.now();
-        if (!request.answered && !request.told) {
-            request.told = true;
-            tell(r -> r.query(now, request.asked.leaving(request.deadline - now)));
+        if (!request.answered && !request.routed) {
+            request.routed = true;
+            tell(r -> r.queryAccepted(now, request.query.withTimeLeft(request.deadline - now)));
         }
     }
 
     /** The engine side turns a request away that it has kept or was just asked to admit. */
-    public void turnAway(Request request, long retryAfterUs) {
-        if (!request.told) {
-            refuse(request.handle, retryAfterUs);
+    public void reject(Request request, long retryAfterUs) {
+        if (!request.routed) {
+            reject(request.handle, retryAfterUs);
         }
     }
 
     private void left(Request request) {
-        if (request.isInLine() && request.out == null && !request.left) {
-            request.left = true;
-            keyLines.left(request.asked.key(), request);
+        if (request.isOrderedByKey() && request.activeAttempt == null && !request.leftKeyQueue) {
+            request.leftKeyQueue = true;
+            keyLines.left(request.query.key(), request);
         }
     }
 
@@ -330,8 +352,8 @@
         if (request != null) {
             tell(
                     r -> {
-                        close(request, Ending.ABANDONED);
-                        r.abandoned(clock.now(), handle);
+                        close(request, RequestOutcome.ABANDONED);
+                        r.queryAbandoned(clock.now(), handle);
                     });
         }
     }
@@ -340,57 +362,58 @@
      * The process ends: what it has in hand is turned away where trying again is harmless, else it
      * has failed.
      */
-    public void giveUpAll() {
+    public void terminateAll() {
         List<Request> open = new ArrayList<>();
         requests.forEach(open::add);
         open.sort(
                 Comparator.comparing(
                         request ->
-                                request.out != null)); // Or what waits would take the room of what
+                                request.activeAttempt
+                                        != null)); // Or what waits would take the room of what
         // ends.
         for (Request request : open) {
             tell(
                     r -> {
                         if (request.streaming) { // A part of its result has gone out: its client
                             // can tell that no more comes.
-                            close(request, Ending.FAILED);
-                            request.front.failed(request.tag, Failure.CUT);
+                            close(request, RequestOutcome.FAILED);
+                            request.responseHandler.failed(request.tag, Failure.STREAM_BROKEN);
                         } else {
-                            refuse(request.handle, 0);
+                            reject(request.handle, 0);
                         }
-                        r.abandoned(clock.now(), request.handle);
+                        r.queryAbandoned(clock.now(), request.handle);
                     });
         }
     }
 
     /** Requests that still wait for their final answer. */
-    public int open() {
+    public int openRequests() {
         return requests.size();
     }
 
     /**
      * A request turned away before it could be taken, for what it asks of this front end at once.
      */
-    public void turnedAway(int queryClass) {
-        figures.ended(queryClass, Ending.REFUSED);
+    public void recordRejection(int queryClass) {
+        metrics.requestEnded(queryClass, RequestOutcome.REJECTED);
     }
 
     // ---- For the operators
     // ----------------------------------------------------------------------------
-    public Figures figures() {
-        return figures;
+    public RequestMetrics metrics() {
+        return metrics;
     }
 
     /** Engines in the list, whatever their state. */
-    public int listed() {
-        return roster.size();
+    public int listedEngines() {
+        return endpointsChanged.size();
     }
 
     /** Of these, the ones left out now, by hand or by the module, each counted once. */
-    public int avoided() {
+    public int excludedEngines() {
         return (int)
-                roster.keySet().stream()
-                        .filter(id -> disabled.contains(id) || router.avoids(id))
+                endpointsChanged.keySet().stream()
+                        .filter(id -> disabled.contains(id) || router.isEjected(id))
                         .count();
     }
 
@@ -398,11 +421,11 @@
      * Engines that may be used: those that the module leaves out by its own choice, but for trials,
      * or all others.
      */
-    public long[] ready(boolean leftOut) {
-        return roster.values().stream()
-                .filter(each -> usable(each).state() == QueryRouter.EngineState.READY)
-                .mapToLong(QueryRouter.Engine::id)
-                .filter(id -> router.avoids(id) == leftOut)
+    public long[] readyEngines(boolean leftOut) {
+        return endpointsChanged.values().stream()
+                .filter(each -> usable(each).lifecycle() == EngineLifecycle.READY)
+                .mapToLong(EngineEndpoint::id)
+                .filter(id -> router.isEjected(id) == leftOut)
                 .sorted()
                 .toArray();
     }
@@ -412,17 +435,17 @@
      * It is nothing where the module uses the engine, and stops nothing from going there that would
      * go there without it.
      */
-    public void hinted(long engine, boolean served) {
-        if (router.avoids(engine) && served) {
-            tell(r -> r.restored(clock.now(), engine));
-        } else if (router.avoids(engine)) {
-            tell(r -> r.probed(clock.now(), engine, QueryRouter.Outcome.CANCELLED, null));
+    public void applyEjectionHint(long engine, boolean served) {
+        if (router.isEjected(engine) && served) {
+            tell(r -> r.engineReinstated(clock.now(), engine));
+        } else if (router.isEjected(engine)) {
+            tell(r -> r.probeCompleted(clock.now(), engine, AttemptOutcome.CANCELLED, null));
         }
     }
 
     /** Whether an engine has this id, or had it when it was taken out. */
-    public boolean knows(long engine) {
-        return roster.containsKey(engine) || disabled.contains(engine);
+    public boolean isKnownEngine(long engine) {
+        return endpointsChanged.containsKey(engine) || disabled.contains(engine);
     }
 
     public boolean isDisabled(long engine) {
@@ -434,7 +457,7 @@
         if (disabled.add(engine)) {
             LOG.info("engine {} disabled by hand", Long.toHexString(engine));
             restored.remove(engine);
-            hear(roster.get(engine));
+            hear(endpointsChanged.get(engine));
         }
     }
 
@@ -442,34 +465,35 @@
     public void enable(long engine, long at) {
         LOG.info("engine {} enabled by hand", Long.toHexString(engine));
         disabled.remove(engine);
-        restored.values().removeIf(each -> clock.now() - each > settings.rules().warmUpUs());
+        restored.values()
+                .removeIf(each -> clock.now() - each > settings.protectionRules().warmUpUs());
         restored.put(engine, at);
-        engines.renewed(engine);
-        hear(roster.get(engine));
-        tell(r -> r.restored(clock.now(), engine));
+        engines.engineReinstated(engine);
+        hear(endpointsChanged.get(engine));
+        tell(r -> r.engineReinstated(clock.now(), engine));
     }
 
     /**
      * So many processes serve this front end's clients together; this one is number {@code place},
      * from 0.
      */
-    public void sharedBy(int processes, int place) {
+    public void processesChanged(int processes, int place) {
         keyLines.countOthers(clock.now());
-        tell(r -> r.sharedBy(clock.now(), processes, place));
+        tell(r -> r.processesChanged(clock.now(), processes, place));
     }
 
     /** What the module has learned that another process of this front end can start with. */
-    public double[] learned() {
-        return router.learned();
+    public double[] learnedRunTimes() {
+        return router.learnedRunTimes();
     }
 
-    public void learned(double[] before) {
-        tell(r -> r.learned(before));
+    public void learnedRunTimes(double[] before) {
+        tell(r -> r.learnedRunTimes(before));
     }
 
-    private void hear(QueryRouter.Engine listed) {
+    private void hear(EngineEndpoint listed) {
         if (listed != null) {
-            roster(QueryRouter.RosterKind.CHANGES, List.of(listed));
+            endpointsChanged(EndpointUpdate.INCREMENTAL, List.of(listed));
         }
     }
 
@@ -477,13 +501,13 @@
      * An engine as module and engine side may use it: only where neither the list nor an operator
      * forbids it.
      */
-    private QueryRouter.Engine usable(QueryRouter.Engine listed) {
-        boolean ready = listed.state() == QueryRouter.EngineState.READY;
+    private EngineEndpoint usable(EngineEndpoint listed) {
+        boolean ready = listed.lifecycle() == EngineLifecycle.READY;
         if (ready && disabled.contains(listed.id())) {
-            return listed.in(QueryRouter.EngineState.DRAINING);
+            return listed.withLifecycle(EngineLifecycle.DRAINING);
         }
         long backAt = restored.getOrDefault(listed.id(), 0L);
-        return ready && backAt > listed.bornUs() ? listed.bornAt(backAt) : listed;
+        return ready && backAt > listed.startedAtUs() ? listed.withStartTime(backAt) : listed;
     }
 
     // ---- From the engine side
@@ -492,28 +516,21 @@
      * An attempt ended. Late word on one that had ended already is ignored, and the answer is
      * false.
      */
-    public boolean ended(
-            Attempt attempt,
-            QueryRouter.Outcome outcome,
-            QueryRouter.Report report,
-            Object result) {
+    public boolean attemptEnded(
+            Attempt attempt, AttemptOutcome outcome, LoadReport report, Object result) {
         return isOut(attempt) && end(attempt, outcome, report, result);
     }
 
     /** Whether word of it still counts: it has neither ended nor been called off. */
     private boolean isOut(Attempt attempt) {
-        return !attempt.calledOff && attempts.get(attempt.handle) != null;
+        return !attempt.cancelled && attempts.get(attempt.handle) != null;
     }
 
-    private boolean end(
-            Attempt attempt,
-            QueryRouter.Outcome outcome,
-            QueryRouter.Report report,
-            Object result) {
+    private boolean end(Attempt attempt, AttemptOutcome outcome, LoadReport report, Object result) {
         if (attempts.remove(attempt.handle) == null) {
             return false;
         }
-        ends.add(new End(attempt, outcome, report, result, false));
+        ends.add(new AttemptEnd(attempt, outcome, report, result, false));
         settle();
         return true;
     }
@@ -522,10 +539,10 @@
      * An attempt ended with a word that is final for its request and says nothing of its engine:
      * the statement can't be run by any, or what it brings is more than the front end passes on.
      */
-    public void concluded(Attempt attempt, QueryRouter.Report report, Object word) {
+    public void attemptConcluded(Attempt attempt, LoadReport report, Object word) {
         if (isOut(attempt)) {
             attempts.remove(attempt.handle);
-            ends.add(new End(attempt, QueryRouter.Outcome.CANCELLED, report, word, true));
+            ends.add(new AttemptEnd(attempt, AttemptOutcome.CANCELLED, report, word, true));
             settle();
         }
     }
@@ -534,53 +551,53 @@
      * The first of an attempt's result goes to the client before its end is known: no deadline of
      * ours ends it from now on, and its end is the request's, whole or not.
      */
-    public void begun(Attempt attempt, Object stream) {
+    public void streamBegan(Attempt attempt, Object stream) {
         Request request = attempt.request;
         if (isOut(attempt) && !request.answered) {
             request.streaming = true;
-            request.front.begun(request.tag, stream);
-            tell(r -> r.started(clock.now(), request.handle, attempt.number));
+            request.responseHandler.streamBegan(request.tag, stream);
+            tell(r -> r.streamStarted(clock.now(), request.handle, attempt.number));
         }
     }
 
     /** A probe ended; the report is null where none came. */
-    public void probed(long engine, QueryRouter.Outcome outcome, QueryRouter.Report report) {
+    public void probeCompleted(long engine, AttemptOutcome outcome, LoadReport report) {
         if (inModule) { // It came of what the module asked for just now.
-            deadlines.add(clock.now(), (now, id) -> probed(id, outcome, report), engine);
+            deadlines.add(clock.now(), (now, id) -> probeCompleted(id, outcome, report), engine);
         } else {
-            engines.reported(engine, report);
-            tell(r -> r.probed(clock.now(), engine, outcome, report));
+            engines.loadReported(engine, report);
+            tell(r -> r.probeCompleted(clock.now(), engine, outcome, report));
         }
     }
 
     /**
      * The last byte of an attempt has been written to its engine, whatever has become of it since.
      */
-    public void written(Attempt attempt) {
-        figures.tried();
+    public void attemptWritten(Attempt attempt) {
+        metrics.attemptWritten();
     }
 
     /**
      * Whether an attempt that has waited on the engine side may go out now. If not, it has ended or
      * is to be ended there as one that never ran. Not to be asked while the module acts.
      */
-    public boolean mayGoOut(Attempt attempt) {
+    public boolean maySend(Attempt attempt) {
         Request request = attempt.request;
-        if (isOut(attempt) && request.front.hasLeft(request.tag)) {
+        if (isOut(attempt) && request.responseHandler.isClientGone(request.tag)) {
             abandon(request.handle);
         }
-        return isOut(attempt) && clock.now() < attempt.goesOutBefore;
+        return isOut(attempt) && clock.now() < attempt.latestSendTime;
     }
 
     /** News of an attempt that still runs. */
-    public void progress(Attempt attempt, QueryRouter.Notice notice, double amount) {
+    public void attemptProgressed(Attempt attempt, ProgressKind notice, double amount) {
         if (isOut(attempt)) {
-            engines.heard(attempt);
+            engines.attemptAcknowledged(attempt);
             tell(
                     r ->
                             r.progress(
                                     clock.now(),
-                                    new QueryRouter.Progress(
+                                    new QueryProgress(
                                             attempt.request.handle,
                                             attempt.number,
                                             notice,
@@ -593,41 +610,41 @@
      * first; the module hears of such ends after it has heard the list, so that it does not choose
      * the same engine again.
      */
-    public void roster(QueryRouter.RosterKind kind, List<QueryRouter.Engine> list) {
+    public void endpointsChanged(EndpointUpdate kind, List<EngineEndpoint> list) {
         inModule = true;
         try {
-            if (kind != QueryRouter.RosterKind.CHANGES) {
-                Map<Long, QueryRouter.Engine> old = new HashMap<>(roster);
+            if (kind != EndpointUpdate.INCREMENTAL) {
+                Map<Long, EngineEndpoint> old = new HashMap<>(endpointsChanged);
                 list.forEach(e -> old.remove(e.id()));
-                old.values().forEach(e -> list(e.in(QueryRouter.EngineState.GONE)));
+                old.values().forEach(e -> list(e.withLifecycle(EngineLifecycle.REMOVED)));
             }
             list.forEach(this::list);
         } finally {
             inModule = false;
         }
-        List<QueryRouter.Engine> usable = list.stream().map(this::usable).toList();
-        tell(r -> r.roster(clock.now(), kind, usable));
+        List<EngineEndpoint> usable = list.stream().map(this::usable).toList();
+        tell(r -> r.endpointsChanged(clock.now(), kind, usable));
     }
 
-    private void list(QueryRouter.Engine engine) {
-        QueryRouter.Engine old =
-                engine.state() == QueryRouter.EngineState.GONE
-                        ? roster.remove(engine.id())
-                        : roster.put(engine.id(), engine);
+    private void list(EngineEndpoint engine) {
+        EngineEndpoint old =
+                engine.lifecycle() == EngineLifecycle.REMOVED
+                        ? endpointsChanged.remove(engine.id())
+                        : endpointsChanged.put(engine.id(), engine);
         if (!engine.equals(old)) {
-            watcher.engine(engine);
+            watcher.engineChanged(engine);
         }
-        if (usable(engine).state() == QueryRouter.EngineState.DRAINING) {
-            engines.withdrawn(engine.id());
-        } else if (engine.state() == QueryRouter.EngineState.GONE) {
-            engines.gone(engine.id());
+        if (usable(engine).lifecycle() == EngineLifecycle.DRAINING) {
+            engines.engineDraining(engine.id());
+        } else if (engine.lifecycle() == EngineLifecycle.REMOVED) {
+            engines.engineRemoved(engine.id());
         }
     }
 
     // ---- The module's actions
     // -------------------------------------------------------------------------
     @Override
-    public void send(long query, long engine, long giveUpAt) {
+    public void startAttempt(long query, long engine, long giveUpAt) {
         long now = clock.now();
         Request request = requests.get(query);
         if (request == null) {
@@ -636,67 +653,67 @@
         }
         long until = giveUpAt > 0 ? Math.min(giveUpAt, request.deadline) : request.deadline;
         Attempt attempt = new Attempt(request, request.attempts, engine, now, until);
-        QueryRouter.Engine listed = roster.get(engine);
-        boolean ready = listed != null && usable(listed).state() == QueryRouter.EngineState.READY;
-        boolean again = (request.isOnce() || request.streaming) && request.mayHaveRun;
+        EngineEndpoint listed = endpointsChanged.get(engine);
+        boolean ready = listed != null && usable(listed).lifecycle() == EngineLifecycle.READY;
+        boolean again = (request.isNonIdempotent() || request.streaming) && request.mayHaveRun;
         attempt.handle = attempts.add(attempt);
         request.attempts++;
         // Neither a second attempt beside one that is out, nor a second run, whatever the module
         // asks.
         if (request.answered
-                || request.out != null
+                || request.activeAttempt != null
                 || again
-                || now >= attempt.goesOutBefore
-                || request.attempts > settings.limits().maxAttempts()) {
-            ended(attempt, QueryRouter.Outcome.MOOT, null, null);
+                || now >= attempt.latestSendTime
+                || request.attempts > settings.attemptLimits().maxAttempts()) {
+            attemptEnded(attempt, AttemptOutcome.NOT_STARTED, null, null);
             return;
         }
-        if (request.front.hasLeft(
+        if (request.responseHandler.isClientGone(
                 request.tag)) { // What the client said last is still unread: the module hears it by
             // this end.
-            close(request, Ending.ABANDONED);
-            ended(attempt, QueryRouter.Outcome.MOOT, null, null);
+            close(request, RequestOutcome.ABANDONED);
+            attemptEnded(attempt, AttemptOutcome.NOT_STARTED, null, null);
             return;
         }
         if (!ready) {
-            ended(attempt, QueryRouter.Outcome.CONNECT_FAILED, null, null);
+            attemptEnded(attempt, AttemptOutcome.CONNECT_FAILED, null, null);
             return;
         }
-        request.out = attempt;
+        request.activeAttempt = attempt;
         deadlines.add(until, attemptDue, attempt.handle);
         engines.send(attempt);
     }
 
     @Override
-    public boolean mayUse(long query, long engine) {
+    public boolean hasTenantCapacity(long query, long engine) {
         Request request = requests.get(query);
-        return request == null || engines.mayUse(request, engine);
+        return request == null || engines.hasTenantCapacity(request, engine);
     }
 
     @Override
-    public void cancel(long query, int number) {
+    public void cancelAttempt(long query, int number) {
         Request request = requests.get(query);
         if (request != null
-                && request.out != null
-                && request.out.number == number
-                && isOut(request.out)) {
-            Attempt out = request.out;
+                && request.activeAttempt != null
+                && request.activeAttempt.number == number
+                && isOut(request.activeAttempt)) {
+            Attempt out = request.activeAttempt;
             engines.stop(out);
-            out.calledOff = true;
-            deadlines.add(clock.now() + STOP_TRAVELS, attemptCalledOff, out.handle);
+            out.cancelled = true;
+            deadlines.add(clock.now() + CANCEL_DELIVERY_MICROS, attemptCalledOff, out.handle);
         }
     }
 
     @Override
-    public void refuse(long query, long retryAfterUs) {
+    public void reject(long query, long retryAfterUs) {
         Request request = requests.get(query);
         if (request == null || request.answered) {
             return;
         }
-        boolean neverRan = !request.mayHaveRun && request.out == null;
-        if (neverRan || request.isHarmlessAgain()) {
-            close(request, Ending.REFUSED);
-            request.front.refused(request.tag, retryAfterUs / 1000);
+        boolean neverRan = !request.mayHaveRun && request.activeAttempt == null;
+        if (neverRan || request.isSafeToRetryByClient()) {
+            close(request, RequestOutcome.REJECTED);
+            request.responseHandler.rejected(request.tag, retryAfterUs / 1000);
         } else { // "Trying again is harmless" would be untrue: say no more than that it failed.
             fail(query);
         }
@@ -709,39 +726,41 @@
             long slack =
                     4 * settings.tickUs(); // The module ends a query a little before its deadline.
             boolean late = clock.now() + slack >= request.deadline;
-            close(request, Ending.FAILED);
-            request.front.failed(request.tag, late ? Failure.DEADLINE : Failure.ENGINE);
+            close(request, RequestOutcome.FAILED);
+            request.responseHandler.failed(request.tag, late ? Failure.DEADLINE : Failure.ENGINE);
         }
     }
 
     @Override
-    public void terms(long query, double memoryMb, int priority) {
+    public void assignResources(long query, double memoryMb, int priority) {
         Request request = requests.get(query);
         if (request != null && request.priority != priority) {
             request.priority = priority;
-            if (request.out != null && isOut(request.out)) {
-                engines.priority(request.out);
+            if (request.activeAttempt != null && isOut(request.activeAttempt)) {
+                engines.priorityChanged(request.activeAttempt);
             }
         }
     }
 
     @Override
-    public void timer(long delayUs, long token) {
+    public void scheduleTimer(long delayUs, long token) {
         deadlines.add(clock.now() + delayUs, moduleTimer, token);
     }
 
     @Override
-    public void probe(long engine) {
-        QueryRouter.Engine listed = roster.get(engine);
-        boolean ready = listed != null && usable(listed).state() == QueryRouter.EngineState.READY;
+    public void probeLoad(long engine) {
+        EngineEndpoint listed = endpointsChanged.get(engine);
+        boolean ready = listed != null && usable(listed).lifecycle() == EngineLifecycle.READY;
         if (!ready || !engines.probe(engine)) { // Told later: the module must not be re-entered.
             deadlines.add(
-                    clock.now(), (now, id) -> probed(id, QueryRouter.Outcome.MOOT, null), engine);
+                    clock.now(),
+                    (now, id) -> probeCompleted(id, AttemptOutcome.NOT_STARTED, null),
+                    engine);
         }
     }
 
     @Override
-    public void subscribeRoster() {
+    public void watchEndpoints() {
         // Changes come by themselves: the list of engines is followed from the start.
     }
 
@@ -756,24 +775,24 @@
      * Marks the one final answer; the slot lives on while an attempt is out, so that its end finds
      * it.
      */
-    private void close(Request request, Ending ending) {
+    private void close(Request request, RequestOutcome ending) {
         request.answered = true;
-        figures.ended(request.queryClass, ending);
-        watcher.answered(
+        metrics.requestEnded(request.queryClass, ending);
+        watcher.requestEnded(
                 request.id,
                 request.queryClass,
                 ending,
                 request.attempts,
-                clock.now() - request.takenAt);
+                clock.now() - request.acceptedAt);
         requests.remove(request.handle);
-        if (request.out != null) {
-            giveUp(request.out, QueryRouter.Outcome.CANCELLED);
+        if (request.activeAttempt != null) {
+            giveUp(request.activeAttempt, AttemptOutcome.CANCELLED);
         } else {
             left(request);
         }
     }
 
-    private void giveUp(Attempt attempt, QueryRouter.Outcome outcome) {
+    private void giveUp(Attempt attempt, AttemptOutcome outcome) {
         if (attempts.get(attempt.handle) != null) {
             engines.stop(attempt);
             end(attempt, outcome, null, null);
@@ -784,14 +803,14 @@
     private void attemptCalledOff(long now, long handle) {
         Attempt attempt = attempts.get(handle);
         if (attempt != null) {
-            end(attempt, QueryRouter.Outcome.CANCELLED, null, null);
+            end(attempt, AttemptOutcome.CANCELLED, null, null);
         }
     }
 
     private void attemptDue(long now, long handle) {
         Attempt attempt = attempts.get(handle);
         if (attempt != null && !attempt.request.streaming) {
-            giveUp(attempt, QueryRouter.Outcome.TIMEOUT);
+            giveUp(attempt, AttemptOutcome.TIMEOUT);
         }
     }
 
@@ -801,12 +820,12 @@
         if (request != null && !request.streaming) {
             tell(
                     r -> {
-                        if (request.told) {
+                        if (request.routed) {
                             fail(handle);
                         } else { // It has waited for its key or for room all the time.
-                            refuse(handle, 0);
+                            reject(handle, 0);
                         }
-                        r.abandoned(now, handle);
+                        r.queryAbandoned(now, handle);
                     });
         }
     }
@@ -821,7 +840,7 @@
         }
         settling = true;
         try {
-            for (End end = ends.poll(); end != null; end = ends.poll()) {
+            for (AttemptEnd end = ends.poll(); end != null; end = ends.poll()) {
                 settle(end);
             }
         } finally {
@@ -829,39 +848,41 @@
         }
     }
 
-    private void settle(End end) {
+    private void settle(AttemptEnd end) {
         Attempt attempt = end.attempt;
         Request request = attempt.request;
-        if (request.out == attempt) {
-            request.out = null;
-            request.before = attempt;
+        if (request.activeAttempt == attempt) {
+            request.activeAttempt = null;
+            request.previousAttempt = attempt;
         }
         if (request.answered) { // It ended before its attempt did.
             left(request);
         }
-        request.riskSince =
-                request.mayHaveRun || !end.outcome.mayHaveRun ? request.riskSince : attempt.sentAt;
+        request.firstRiskySendAt =
+                request.mayHaveRun || !end.outcome.mayHaveRun
+                        ? request.firstRiskySendAt
+                        : attempt.sentAt;
         request.mayHaveRun |= end.outcome.mayHaveRun;
-        engines.over(attempt, end.outcome, end.report);
-        boolean serves = end.outcome == QueryRouter.Outcome.OK && !request.answered;
+        engines.attemptEnded(attempt, end.outcome, end.report);
+        boolean serves = end.outcome == AttemptOutcome.OK && !request.answered;
         long now = clock.now();
         if (end.word && !request.answered) {
-            close(request, Ending.FAILED);
-            request.front.concluded(request.tag, end.result);
+            close(request, RequestOutcome.FAILED);
+            request.responseHandler.concluded(request.tag, end.result);
         } else if (request.streaming
                 && !serves
                 && !request.answered) { // The client has seen a part: no other attempt.
-            close(request, Ending.FAILED);
-            request.front.failed(request.tag, Failure.CUT);
+            close(request, RequestOutcome.FAILED);
+            request.responseHandler.failed(request.tag, Failure.STREAM_BROKEN);
         } else if (serves) {
-            close(request, Ending.SERVED);
-            request.front.served(request.tag, end.result);
+            close(request, RequestOutcome.SERVED);
+            request.responseHandler.served(request.tag, end.result);
         }
         tell(
                 r ->
-                        r.ended(
+                        r.attemptEnded(
                                 now,
-                                new QueryRouter.AttemptEnd(
+                                new AttemptResult(
                                         request.handle,
                                         attempt.number,
                                         attempt.engine,
--- a/src/main/java/calicostream/core/Turns.java
+++ b/src/main/java/calicostream/core/KeyOwnership.java
@@ -5,12 +5,12 @@
  * Which process of this front end runs the requests of a key, where two serve side by side. One
  * thread calls it, and no call waits.
  */
-public interface Turns {
+public interface KeyOwnership {
     /** One process alone: every turn is its own. */
-    Turns ALONE =
-            new Turns() {
+    KeyOwnership ALONE =
+            new KeyOwnership() {
                 @Override
-                public boolean take(long key) {
+                public boolean tryAcquire(long key) {
                     return true;
                 }
 
@@ -18,7 +18,7 @@
                 public void release(long key) {}
 
                 @Override
-                public int others() {
+                public int otherProcesses() {
                     return 0;
                 }
             };
@@ -27,7 +27,7 @@
      * Whether a further request of the key may run here now. False: another process has the key, or
      * waits for it, and it is to be asked again soon; who asks first is next.
      */
-    boolean take(long key);
+    boolean tryAcquire(long key);
 
     /** Nothing of the key is left here, neither running nor resting. */
     void release(long key);
@@ -36,5 +36,5 @@
      * How many other processes of this front end live now. The keys of one that has ended are free
      * at once.
      */
-    int others();
+    int otherProcesses();
 }
--- a/src/main/java/calicostream/core/KeyLines.java
+++ b/src/main/java/calicostream/core/KeyedRequestQueue.java
@@ -11,7 +11,7 @@
  * let through here is kept in order by the decision module; a key goes back once nothing of it is
  * left and it has rested.
  */
-final class KeyLines<R> {
+final class KeyedRequestQueue<R> {
     static final long LOOK = 5_000; // us between looks at a key that another process has
 
     private static final class Line<R> {
@@ -28,18 +28,18 @@
     private final Map<Long, Line<R>> lines = new HashMap<>();
     private final Deadlines.Target look = this::look;
     private final Deadlines.Target rested = this::rested;
-    private Turns turns = Turns.ALONE;
+    private KeyOwnership turns = KeyOwnership.ALONE;
     private int others;
     private long lostAt = Long.MIN_VALUE / 2;
 
-    KeyLines(Clock clock, Deadlines deadlines, long restUs, Consumer<R> through) {
+    KeyedRequestQueue(Clock clock, Deadlines deadlines, long restUs, Consumer<R> through) {
         this.clock = clock;
         this.deadlines = deadlines;
         this.restUs = restUs;
         this.through = through;
     }
 
-    void attach(Turns to) {
+    void attach(KeyOwnership to) {
         turns = to;
     }
 
@@ -66,7 +66,7 @@
     private boolean mayTake(long now, long key, Line<R> line) {
         countOthers(now);
         boolean heldHere = line.here > 0 || line.resting;
-        return (heldHere || now - lostAt >= restUs) && turns.take(key);
+        return (heldHere || now - lostAt >= restUs) && turns.tryAcquire(key);
     }
 
     /**
@@ -74,7 +74,7 @@
      * over until it has.
      */
     void countOthers(long now) {
-        int living = turns.others();
+        int living = turns.otherProcesses();
         lostAt = living < others ? now : lostAt;
         others = living;
     }
--- a/src/main/java/calicostream/core/Watcher.java
+++ b/src/main/java/calicostream/core/RequestListener.java
@@ -1,24 +1,25 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.core;
 
-import calicostream.QueryRouter.Engine;
+import calicostream.routing.EngineEndpoint;
 
 /** Told of final answers and of changes to engines, for the operators' records. */
-public interface Watcher {
+public interface RequestListener {
     /** A watcher that records nothing. */
-    Watcher NONE = new Watcher() {};
+    RequestListener NONE = new RequestListener() {};
 
     /** How a request ended: served, refused, failed, or abandoned by its client. */
-    enum Ending {
+    enum RequestOutcome {
         SERVED,
-        REFUSED,
+        REJECTED,
         FAILED,
         ABANDONED
     }
 
     /** One final answer, or the end of a request that its client left. */
-    default void answered(String id, int queryClass, Ending ending, int attempts, long elapsedUs) {}
+    default void requestEnded(
+            String id, int queryClass, RequestOutcome ending, int attempts, long elapsedUs) {}
 
     /** An engine as the list now names it. */
-    default void engine(Engine engine) {}
+    default void engineChanged(EngineEndpoint engine) {}
 }
--- a/src/main/java/calicostream/core/Figures.java
+++ b/src/main/java/calicostream/core/RequestMetrics.java
@@ -1,37 +1,37 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.core;
 
-import calicostream.core.Watcher.Ending;
+import calicostream.core.RequestListener.RequestOutcome;
 
 /**
  * What became of requests and attempts from the start of the process on. The one place where it is
  * counted.
  */
-public final class Figures {
-    private final long[][] ends = new long[Ending.values().length][];
-    private long tries;
+public final class RequestMetrics {
+    private final long[][] ends = new long[RequestOutcome.values().length][];
+    private long attemptsWritten;
 
-    Figures(int classes) {
+    RequestMetrics(int classes) {
         for (int i = 0; i < ends.length; i++) {
             ends[i] = new long[classes];
         }
     }
 
-    void ended(int queryClass, Ending how) {
+    void requestEnded(int queryClass, RequestOutcome how) {
         ends[how.ordinal()][queryClass]++;
     }
 
-    void tried() {
-        tries++;
+    void attemptWritten() {
+        attemptsWritten++;
     }
 
     /** Requests of the class that ended so. */
-    public long ended(Ending how, int queryClass) {
+    public long requestEnded(RequestOutcome how, int queryClass) {
         return ends[how.ordinal()][queryClass];
     }
 
     /** Attempts whose last byte has been written to an engine. */
-    public long tries() {
-        return tries;
+    public long attemptsWritten() {
+        return attemptsWritten;
     }
 }
--- a/src/main/java/calicostream/core/Front.java
+++ b/src/main/java/calicostream/core/ResponseHandler.java
@@ -8,7 +8,7 @@
  * Where requests come from. Each request that {@link Gateway#accept} took gets exactly one of these
  * calls.
  */
-public interface Front {
+public interface ResponseHandler {
     /**
      * All of the result in the engine side's form, text unless the front asked for work; after
      * {@link #begun} its end.
@@ -19,7 +19,7 @@
      * The result begins and goes on as the client takes it; its end is told by one of the other
      * calls.
      */
-    default void begun(long tag, Object stream) {
+    default void streamBegan(long tag, Object stream) {
         throw new IllegalStateException("this front takes whole results only");
     }
 
@@ -29,7 +29,7 @@
     }
 
     /** Turned away; trying again is harmless, best after this time. */
-    void refused(long tag, long retryAfterMs);
+    void rejected(long tag, long retryAfterMs);
 
     /** Failed, with nothing promised about its effect. */
     void failed(long tag, Failure why);
@@ -39,7 +39,7 @@
      * handled yet. Asked right before something goes to an engine, maybe while this front hands a
      * request over; it calls nothing back.
      */
-    default boolean hasLeft(long tag) {
+    default boolean isClientGone(long tag) {
         return false;
     }
 
@@ -53,11 +53,11 @@
         return null;
     }
 
-    default InetSocketAddress listening(long tag) {
+    default InetSocketAddress localAddress(long tag) {
         return null;
     }
 
-    default InetAddress client(long tag) {
+    default InetAddress clientAddress(long tag) {
         return null;
     }
 
@@ -65,6 +65,6 @@
     enum Failure {
         DEADLINE,
         ENGINE,
-        CUT
+        STREAM_BROKEN
     }
 }
--- a/src/main/java/calicostream/core/Service.java
+++ b/src/main/java/calicostream/core/Service.java
@@ -27,7 +27,7 @@
      * What operators see of it beside the figures of all, as a JSON object; null where there is
      * nothing.
      */
-    default String signs() {
+    default String statusJson() {
         return null;
     }
 
@@ -35,7 +35,7 @@
      * Operators' words: null where it knows no such ones, empty where they were taken, else one
      * line that says why not.
      */
-    default String tell(String words) {
+    default String administer(String words) {
         return null;
     }
 
@@ -43,5 +43,5 @@
      * Off the loop, at the end of the process: waits, for a bounded time, until what was answered
      * has gone out.
      */
-    void awaitEnd() throws InterruptedException;
+    void awaitTermination() throws InterruptedException;
 }
--- a/src/main/java/calicostream/core/Slots.java
+++ b/src/main/java/calicostream/core/SlotTable.java
@@ -9,7 +9,7 @@
  * entry's end, by a timer or a late answer, finds nothing rather than the slot's next tenant.
  * Handles are above 0.
  */
-public final class Slots<T> {
+public final class SlotTable<T> {
     private static final int INDEX_BITS = 20;
     private static final int MOST = 1 << INDEX_BITS;
     private Object[] entries = new Object[64];
--- a/src/main/java/calicostream/daemon/ClusterPart.java
+++ b/src/main/java/calicostream/daemon/ClusterPart.java
@@ -1,20 +1,20 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.daemon;
 
-import calicostream.SettingsException;
 import calicostream.budget.process.BudgetGate;
-import calicostream.budget.process.BudgetLayer;
+import calicostream.budget.process.BudgetService;
 import calicostream.cluster.config.ClusterConfig;
 import calicostream.cluster.config.SettingsFile;
-import calicostream.cluster.process.Layer;
 import calicostream.cluster.process.Member;
-import calicostream.core.Engines;
+import calicostream.cluster.process.ReplicatedService;
+import calicostream.config.SettingsException;
+import calicostream.core.EngineClient;
 import calicostream.core.Gateway;
+import calicostream.core.RequestListener;
 import calicostream.core.Service;
-import calicostream.core.Watcher;
-import calicostream.lease.Trials;
-import calicostream.lease.process.LeaseLayer;
-import calicostream.lease.process.TaskSource;
+import calicostream.lease.EjectionHints;
+import calicostream.lease.process.LeaseService;
+import calicostream.lease.process.LeasedTaskProvider;
 import calicostream.net.Loop;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -28,19 +28,19 @@
 final class ClusterPart implements Service {
     private static final String LIBRARY = "org/tomlj/Toml.class";
     private final ClusterConfig config;
-    private final LeaseLayer leases;
-    private final List<Layer> layers = new ArrayList<>();
-    private final BudgetLayer budget; // null where the file has none
+    private final LeaseService leases;
+    private final List<ReplicatedService> layers = new ArrayList<>();
+    private final BudgetService budget; // null where the file has none
     private Member member;
 
     private ClusterPart(ClusterConfig config, long tokensAbove) {
         this.config = config;
         budget =
                 config.budget()
-                        .map(settings -> new BudgetLayer(settings, config.self().name()))
+                        .map(settings -> new BudgetService(settings, config.self().name()))
                         .orElse(null);
-        leases = new LeaseLayer(config.leaseTtl(), config.raft().heartbeat(), tokensAbove);
-        TaskSource.chosen().forEach(leases::add);
+        leases = new LeaseService(config.leaseTtl(), config.raft().heartbeat(), tokensAbove);
+        LeasedTaskProvider.chosen().forEach(leases::add);
         layers.add(leases);
         if (budget != null) {
             leases.add(budget.arbiter());
@@ -68,7 +68,7 @@
     }
 
     /** The engine side with what stands before it, which hears of the list among the watchers. */
-    Engines gated(Loop loop, Engines engines, List<Watcher> watchers) {
+    EngineClient gated(Loop loop, EngineClient engines, List<RequestListener> watchers) {
         if (budget == null) {
             return engines;
         }
@@ -79,7 +79,7 @@
 
     /** Before anybody is served: what ends the program must do so now. */
     void join(Loop loop, Gateway gateway) throws IOException {
-        leases.add(new Trials(new TrialsPort(loop, gateway)));
+        leases.add(new EjectionHints(new EjectionHintBridge(loop, gateway)));
         // The library tells each vote and heartbeat that it misses; what matters of it the member
         // says itself.
         System.setProperty(
@@ -113,18 +113,18 @@
     }
 
     @Override
-    public void awaitEnd() throws InterruptedException {
+    public void awaitTermination() throws InterruptedException {
         member.stop();
         member.awaitEnd();
     }
 
     @Override
-    public String signs() {
+    public String statusJson() {
         return member.signs();
     }
 
     @Override
-    public String tell(String words) {
+    public String administer(String words) {
         return member.tell(words);
     }
 }
--- a/src/main/java/calicostream/daemon/TrialsPort.java
+++ b/src/main/java/calicostream/daemon/EjectionHintBridge.java
@@ -2,7 +2,7 @@
 package calicostream.daemon;
 
 import calicostream.core.Gateway;
-import calicostream.lease.Trials;
+import calicostream.lease.EjectionHints;
 import calicostream.net.Loop;
 import java.util.concurrent.atomic.AtomicInteger;
 
@@ -11,27 +11,27 @@
  * then, and hints for it. Neither waits for the other; hints that come faster than the front end
  * takes them are dropped.
  */
-final class TrialsPort implements Trials.FrontEnd {
+final class EjectionHintBridge implements EjectionHints.FrontEnd {
     private static final long LOOK = 100_000; // us between two looks
     private static final int MOST_WAITING = 4 * 1024;
     private final Loop loop;
     private final Gateway gateway;
     private final AtomicInteger waiting = new AtomicInteger();
-    private volatile Trials.View view = new Trials.View(new long[0], new long[0]);
+    private volatile EjectionHints.View view = new EjectionHints.View(new long[0], new long[0]);
 
-    TrialsPort(Loop loop, Gateway gateway) {
+    EjectionHintBridge(Loop loop, Gateway gateway) {
         this.loop = loop;
         this.gateway = gateway;
         loop.post(this::look);
     }
 
     private void look() {
-        view = new Trials.View(gateway.ready(true), gateway.ready(false));
+        view = new EjectionHints.View(gateway.readyEngines(true), gateway.readyEngines(false));
         loop.deadlines().add(loop.clock().now() + LOOK, (now, ref) -> look(), 0);
     }
 
     @Override
-    public Trials.View view() {
+    public EjectionHints.View view() {
         return view;
     }
 
@@ -44,7 +44,7 @@
         loop.post(
                 () -> {
                     waiting.decrementAndGet();
-                    gateway.hinted(engine, served);
+                    gateway.applyEjectionHint(engine, served);
                 });
     }
 }
--- a/src/main/java/calicostream/daemon/FlightPart.java
+++ b/src/main/java/calicostream/daemon/FlightPart.java
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.daemon;
 
-import calicostream.QueryRouter;
-import calicostream.SettingsParser;
-import calicostream.core.Engines;
+import calicostream.core.EngineClient;
 import calicostream.core.Gateway;
+import calicostream.core.RequestListener;
 import calicostream.core.Service;
-import calicostream.core.Watcher;
 import calicostream.flight.ArrowRows;
 import calicostream.flight.FlightConfig;
-import calicostream.flight.engine.FlightEngines;
-import calicostream.flight.front.FlightFront;
+import calicostream.flight.engine.FlightEngineClient;
+import calicostream.flight.front.FlightSqlServer;
 import calicostream.flight.state.Admission;
 import calicostream.net.Loop;
+import calicostream.routing.EngineEndpoint;
+import calicostream.routing.SettingsParser;
 import java.util.function.Function;
 
 /** Flight SQL as a part of the program: its front and, where engines speak it, its engine side. */
@@ -21,7 +21,7 @@
     private final SettingsParser settings;
     private final FlightConfig config;
     private final Admission admission;
-    private final FlightEngines engines;
+    private final FlightEngineClient engines;
 
     FlightPart(Loop loop, SettingsParser settings, FlightConfig config) {
         this.loop = loop;
@@ -35,22 +35,22 @@
                         config.mostStreams());
         engines =
                 config.flightEngines()
-                        ? new FlightEngines(loop, settings, config, admission)
+                        ? new FlightEngineClient(loop, settings, config, admission)
                         : null;
     }
 
     /** Null where engines are reached by the platform's protocol. */
-    Engines engines() {
+    EngineClient engines() {
         return engines;
     }
 
     /** The engine side hears the list, too: transactions end with the process that holds them. */
-    Watcher watcher() {
+    RequestListener watcher() {
         return engines == null
-                ? Watcher.NONE
-                : new Watcher() {
+                ? RequestListener.NONE
+                : new RequestListener() {
                     @Override
-                    public void engine(QueryRouter.Engine engine) {
+                    public void engineChanged(EngineEndpoint engine) {
                         engines.listed(engine);
                     }
                 };
@@ -61,6 +61,6 @@
     }
 
     Service front(Gateway gateway) {
-        return new FlightFront(loop, gateway, config, settings, admission, engines);
+        return new FlightSqlServer(loop, gateway, config, settings, admission, engines);
     }
 }
--- a/src/main/java/calicostream/Hangup.java
+++ b/src/main/java/calicostream/daemon/ReloadSignal.java
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-package calicostream;
+package calicostream.daemon;
 
+import calicostream.config.SettingsException;
 import java.lang.reflect.Proxy;
 
 /**
@@ -9,22 +10,22 @@
  * handler of signals is no part of Java's standard, and the compiler warns of its mere name, so it
  * is looked up.
  */
-final class Hangup {
+public final class ReloadSignal {
     private static final String IGNORED = "SIG_IGN";
     private Runnable told;
     private boolean missed;
     private boolean deaf;
 
-    private Hangup() {}
+    private ReloadSignal() {}
 
-    static Hangup taken() {
-        Hangup hangup = new Hangup();
+    public static ReloadSignal taken() {
+        ReloadSignal hangup = new ReloadSignal();
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
             Object told =
                     Proxy.newProxyInstance(
-                            Hangup.class.getClassLoader(),
+                            ReloadSignal.class.getClassLoader(),
                             new Class<?>[] {handler},
                             (proxy, method, args) -> {
                                 if (method.getName().equals("handle")) {
@@ -49,7 +50,7 @@
      * Whether whoever started the program had the signal ignored (nohup does). A virtual machine
      * leaves it so, whatever it is asked, and the program never hears of it.
      */
-    boolean isDeaf() {
+    public boolean isDeaf() {
         return deaf;
     }
 
@@ -62,7 +63,7 @@
     }
 
     /** From now on it is told here, on the signal's own thread. */
-    synchronized void tell(Runnable to) {
+    public synchronized void tell(Runnable to) {
         told = to;
         if (missed) {
             to.run();
--- a/src/main/java/calicostream/daemon/Composition.java
+++ b/src/main/java/calicostream/daemon/ServerAssembly.java
@@ -1,24 +1,24 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.daemon;
 
-import calicostream.QueryRouter.Settings;
-import calicostream.SettingsParser;
 import calicostream.config.ConfigFile;
 import calicostream.core.Clock;
 import calicostream.core.Deadlines;
-import calicostream.core.Engines;
+import calicostream.core.EngineClient;
 import calicostream.core.Gateway;
+import calicostream.core.RequestListener;
 import calicostream.core.Service;
-import calicostream.core.Watcher;
 import calicostream.flight.FlightConfig;
 import calicostream.net.Loop;
 import calicostream.platform.Descriptors;
-import calicostream.platform.Node;
-import calicostream.platform.NodeConfig;
-import calicostream.platform.Parts;
-import calicostream.platform.RespEngines;
-import calicostream.syslog.Syslog;
+import calicostream.platform.FrontEndConfig;
+import calicostream.platform.FrontEndServer;
+import calicostream.platform.RespEngineClient;
+import calicostream.platform.ServerComponents;
+import calicostream.routing.RouterSettings;
+import calicostream.routing.SettingsParser;
 import calicostream.syslog.SyslogConfig;
+import calicostream.syslog.SyslogSender;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -30,16 +30,16 @@
  * nothing more: its classes are named in here only behind that look, so the virtual machine never
  * loads them.
  */
-public final class Composition {
-    private Composition() {}
+public final class ServerAssembly {
+    private ServerAssembly() {}
 
     /**
      * A front end as its configuration and the files of the {@code deploy} folder say. {@code
      * shared} is the folder that this front end's processes have in common, or null. {@code
      * clusterFile} has the cluster's settings, or is null.
      */
-    public static Node node(NodeConfig config, Path deploy, Path shared, Path clusterFile)
-            throws IOException {
+    public static FrontEndServer node(
+            FrontEndConfig config, Path deploy, Path shared, Path clusterFile) throws IOException {
         FlightConfig flightConfig = flight(deploy.resolve("flight.json"));
         SyslogConfig syslogConfig = syslog(deploy.resolve("syslog.json"));
         ClusterPart cluster = clusterFile == null ? null : ClusterPart.read(clusterFile);
@@ -53,21 +53,23 @@
         FlightPart flight =
                 flightConfig == null ? null : new FlightPart(loop, settings, flightConfig);
 
-        Engines engines = flight == null ? null : flight.engines();
+        EngineClient engines = flight == null ? null : flight.engines();
         boolean wide = engines != null;
         engines =
                 wide
                         ? engines
-                        : new RespEngines(
+                        : new RespEngineClient(
                                 loop,
                                 settings.classNames(),
-                                settings.wiring(),
+                                settings.connectionSettings(),
                                 descriptors.engines());
-        Settings decided = wide ? settings.settings().withoutNotes() : settings.settings();
-        List<Watcher> watchers = watchers(loop, config, flight, syslogConfig);
+        RouterSettings decided =
+                wide ? settings.settings().withoutProgressNotes() : settings.settings();
+        List<RequestListener> watchers = watchers(loop, config, flight, syslogConfig);
         engines = cluster == null ? engines : cluster.gated(loop, engines, watchers);
         Gateway gateway =
-                new Gateway(loop.clock(), loop.deadlines(), decided, Watchers.of(watchers));
+                new Gateway(
+                        loop.clock(), loop.deadlines(), decided, CompositeListener.of(watchers));
 
         List<Service> services = new ArrayList<>();
         if (flight != null) {
@@ -78,8 +80,10 @@
             cluster.join(loop, gateway);
             services.add(cluster);
         }
-        return new Node(
-                config, new Parts(descriptors, loop, gateway, engines, text, services), shared);
+        return new FrontEndServer(
+                config,
+                new ServerComponents(descriptors, loop, gateway, engines, text, services),
+                shared);
     }
 
     private static FlightConfig flight(Path file) {
@@ -90,15 +94,15 @@
         return ConfigFile.isOn(file) ? SyslogConfig.read(file) : null;
     }
 
-    private static List<Watcher> watchers(
-            Loop loop, NodeConfig config, FlightPart flight, SyslogConfig syslog)
+    private static List<RequestListener> watchers(
+            Loop loop, FrontEndConfig config, FlightPart flight, SyslogConfig syslog)
             throws IOException {
-        List<Watcher> out = new ArrayList<>();
+        List<RequestListener> out = new ArrayList<>();
         if (flight != null) {
             out.add(flight.watcher());
         }
         if (syslog != null) {
-            out.add(new Syslog(loop, syslog, config.name(), config.settings().classNames()));
+            out.add(new SyslogSender(loop, syslog, config.name(), config.settings().classNames()));
         }
         return out;
     }
--- a/src/main/java/calicostream/listing/Asking.java
+++ b/src/main/java/calicostream/discovery/WatchBackoff.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package calicostream.listing;
+package calicostream.discovery;
 
 import java.util.SplittableRandom;
 
@@ -8,7 +8,7 @@
  * source in the same moment, so each waits for a time of its own. Times are microseconds of the
  * caller's clock, which never goes back; one thread calls it; the seed decides every wait.
  */
-public final class Asking {
+public final class WatchBackoff {
     private static final long SPREAD =
             100_000; // us in which a tier asks a source that ended: short against the grace of
     // drains
@@ -23,7 +23,7 @@
     private long askedAt;
     private long pause;
 
-    public Asking(long seed) {
+    public WatchBackoff(long seed) {
         random = new SplittableRandom(seed);
     }
 
--- a/src/main/java/calicostream/listing/package-info.java
+++ b/src/main/java/calicostream/discovery/package-info.java
@@ -2,6 +2,6 @@
 /**
  * When a front end asks for the list of engines again: decided here, without I/O and without a
  * clock, so that a whole tier can be played in virtual time. It does not know connections, events
- * or engines. Read {@link calicostream.listing.Asking} first.
+ * or engines. Read {@link calicostream.discovery.WatchBackoff} first.
  */
-package calicostream.listing;
+package calicostream.discovery;
--- a/src/main/java/calicostream/durable/Marks.java
+++ b/src/main/java/calicostream/durable/DurabilityMarkers.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.durable;
 
-import calicostream.durable.Frames.Frame;
+import calicostream.durable.RecordFraming.Frame;
 import java.nio.ByteBuffer;
 import java.util.List;
 
@@ -9,43 +9,44 @@
  * The marks of a member, in files of their own, best on another device than the log. Each file
  * begins with a whole mark and grows by one at each sync; the last sound one holds. One thread.
  */
-final class Marks {
+final class DurabilityMarkers {
 
     private static final int ROLL = 64 << 10;
 
     private final Disk disk;
-    private final Bytes out = new Bytes(512);
+    private final FieldBuffer out = new FieldBuffer(512);
     private long number;
     private String file;
     private long seq;
     private int crc;
     private int size;
-    private Record.Mark last;
+    private LogRecord.Mark last;
     private boolean unreadable;
 
-    private Marks(Disk disk) {
+    private DurabilityMarkers(Disk disk) {
         this.disk = disk;
     }
 
     /** Reads the marks that are there; {@link #last} is null without any. */
-    static Marks read(Disk disk, Identity who, List<String> findings) throws DurableException {
-        Marks marks = new Marks(disk);
-        List<String> files = Names.of(Names.MARK, disk.list());
+    static DurabilityMarkers read(Disk disk, LogIdentity who, List<String> findings)
+            throws DurableException {
+        DurabilityMarkers marks = new DurabilityMarkers(disk);
+        List<String> files = SegmentNames.of(SegmentNames.MARK, disk.list());
         for (int i = files.size() - 1; i >= 0 && marks.last == null; i--) {
             String name = files.get(i);
-            marks.number = Math.max(marks.number, Names.number(name));
+            marks.number = Math.max(marks.number, SegmentNames.number(name));
             byte[] bytes = disk.read(name);
             int end = 0;
-            for (Frame frame = Frames.find(bytes, 0, name);
+            for (Frame frame = RecordFraming.find(bytes, 0, name);
                     frame != null;
-                    frame = Frames.find(bytes, frame.end(), name)) {
-                if (frame.record() instanceof Record.Mark mark) marks.last = mark;
+                    frame = RecordFraming.find(bytes, frame.end(), name)) {
+                if (frame.record() instanceof LogRecord.Mark mark) marks.last = mark;
                 end = frame.end();
             }
             if (end < bytes.length)
                 findings.add(name + ": its last " + (bytes.length - end) + " bytes are no mark");
         }
-        Record.Mark mark = marks.last;
+        LogRecord.Mark mark = marks.last;
         marks.unreadable = mark == null && !files.isEmpty();
         if (mark != null && !mark.who().equals(who))
             throw new DurableException.Foreign(
@@ -53,7 +54,7 @@
         return marks;
     }
 
-    Record.Mark last() {
+    LogRecord.Mark last() {
         return last;
     }
 
@@ -67,29 +68,29 @@
     }
 
     /** Begins a new file with this mark, in place of those that were. */
-    void begin(Record.Mark mark) throws DurableException {
+    void begin(LogRecord.Mark mark) throws DurableException {
         number++;
         out.clear();
         seq = 1;
-        crc = Frames.write(out, mark, seq, 0, 0);
-        String name = Names.mark(number);
+        crc = RecordFraming.write(out, mark, seq, 0, 0);
+        String name = SegmentNames.mark(number);
         place(disk, name, out.view());
         size = out.size();
         file = name;
         last = mark;
-        for (String old : Names.of(Names.MARK, disk.list()))
+        for (String old : SegmentNames.of(SegmentNames.MARK, disk.list()))
             if (!old.equals(name)) disk.delete(old);
     }
 
     /** On the disk on return. */
-    void put(Record.Mark mark) throws DurableException {
+    void put(LogRecord.Mark mark) throws DurableException {
         if (size > ROLL) {
             begin(mark);
             return;
         }
         out.clear();
         int prev = crc;
-        crc = Frames.write(out, mark, ++seq, 0, prev);
+        crc = RecordFraming.write(out, mark, ++seq, 0, prev);
         size += out.size();
         disk.append(file, out.view());
         disk.sync(file);
@@ -98,7 +99,7 @@
 
     /** Puts a whole file there, or none. */
     static void place(Disk disk, String name, ByteBuffer bytes) throws DurableException {
-        String part = name + Names.PART;
+        String part = name + SegmentNames.PART;
         disk.delete(part);
         disk.append(part, bytes);
         disk.sync(part);
--- a/src/main/java/calicostream/durable/DurableException.java
+++ b/src/main/java/calicostream/durable/DurableException.java
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.durable;
 
-import calicostream.errors.FleetError;
-import calicostream.errors.Page;
+import calicostream.errors.OperationalError;
+import calicostream.errors.OperatorDocumentation;
 import java.io.IOException;
 
 /**
@@ -11,10 +11,10 @@
  * docs/operate/durable.md} has a row for each code. It is an {@link IOException}, so that it passes
  * through stores that know only that.
  */
-@Page(
+@OperatorDocumentation(
         value = "durable.md",
         prefixes = {"disk-", "file-", "folder-", "format-", "log-", "snapshot-"})
-public abstract sealed class DurableException extends IOException implements FleetError {
+public abstract sealed class DurableException extends IOException implements OperationalError {
 
     private static final long serialVersionUID = 1;
 
@@ -45,8 +45,8 @@
     }
 
     /** What the log is in once a call has thrown this. */
-    Status.State state() {
-        return Status.State.FAILED;
+    LogStatus.State state() {
+        return LogStatus.State.FAILED;
     }
 
     /** No room, or no quota, for what was to be written. */
@@ -64,8 +64,8 @@
         }
 
         @Override
-        Status.State state() {
-            return Status.State.FULL;
+        LogStatus.State state() {
+            return LogStatus.State.FULL;
         }
     }
 
@@ -84,8 +84,8 @@
         }
 
         @Override
-        Status.State state() {
-            return Status.State.READ_ONLY;
+        LogStatus.State state() {
+            return LogStatus.State.READ_ONLY;
         }
     }
 
@@ -107,8 +107,8 @@
     }
 
     /**
-     * A sync takes or took longer than the bound. Not thrown: it is the trouble of a {@link Status}
-     * in SLOW.
+     * A sync takes or took longer than the bound. Not thrown: it is the trouble of a {@link
+     * LogStatus} in SLOW.
      */
     public static final class Slow extends DurableException {
         private static final long serialVersionUID = 1;
@@ -198,11 +198,11 @@
     }
 
     /** A record that was promised can be found and not be read. */
-    public static final class Rotten extends DurableException {
+    public static final class Corrupt extends DurableException {
         private static final long serialVersionUID = 1;
         public static final String CODE = "log-rotten";
 
-        public Rotten(String facts) {
+        public Corrupt(String facts) {
             super(
                     CODE,
                     facts,
@@ -213,11 +213,11 @@
     }
 
     /** Records that were promised are not there, and later ones are. */
-    public static final class Hole extends DurableException {
+    public static final class MissingRecords extends DurableException {
         private static final long serialVersionUID = 1;
         public static final String CODE = "log-hole";
 
-        public Hole(String facts) {
+        public MissingRecords(String facts) {
             super(
                     CODE,
                     facts,
@@ -228,11 +228,11 @@
     }
 
     /** No generation of the snapshot that the log rests on can be read. */
-    public static final class RottenSnapshot extends DurableException {
+    public static final class CorruptSnapshot extends DurableException {
         private static final long serialVersionUID = 1;
         public static final String CODE = "snapshot-rotten";
 
-        public RottenSnapshot(String facts) {
+        public CorruptSnapshot(String facts) {
             super(
                     CODE,
                     facts,
--- a/src/main/java/calicostream/durable/DurableLog.java
+++ b/src/main/java/calicostream/durable/DurableLog.java
@@ -24,13 +24,13 @@
      * on: another process, another member's folder, a hole or a rotten record that had been
      * promised.
      */
-    static DurableLog open(Disk disk, Disk marks, Identity who, Options options)
+    static DurableLog open(Disk disk, Disk marks, LogIdentity who, LogOptions options)
             throws DurableException {
-        return Store.open(disk, marks, who, options);
+        return SegmentedLog.open(disk, marks, who, options);
     }
 
-    /** What was found at the opening; its entries are let go by {@link Recovered#release}. */
-    Recovered recovered();
+    /** What was found at the opening; its entries are let go by {@link RecoveredState#release}. */
+    RecoveredState recovered();
 
     /**
      * {@code index} is the one after the last entry or after the newest snapshot, whichever is
@@ -85,8 +85,8 @@
 
     /**
      * Makes it known for good that this member's disk has forgotten, before anything else is done
-     * with it: from now on, after any number of starts, it is {@link Verdict#LEARNER} until {@link
-     * #admit()}. Synced on return.
+     * with it: from now on, after any number of starts, it is {@link RecoveryVerdict#LEARNER} until
+     * {@link #admit()}. Synced on return.
      */
     void bar(String why) throws DurableException;
 
@@ -97,7 +97,7 @@
     void admit() throws DurableException;
 
     /** What operators see. */
-    Status status();
+    LogStatus status();
 
     /** Syncs what can be synced, unlocks. Never throws; a log that had failed just unlocks. */
     @Override
--- a/src/main/java/calicostream/durable/Bytes.java
+++ b/src/main/java/calicostream/durable/FieldBuffer.java
@@ -7,12 +7,12 @@
 import java.util.Arrays;
 
 /** A growing array that fields are written to, big-endian; and the same fields read back. */
-final class Bytes {
+final class FieldBuffer {
 
     private byte[] array;
     private int size;
 
-    Bytes(int capacity) {
+    FieldBuffer(int capacity) {
         array = new byte[capacity];
     }
 
--- a/src/main/java/calicostream/durable/Health.java
+++ b/src/main/java/calicostream/durable/LogHealth.java
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.durable;
 
-import calicostream.durable.Status.State;
+import calicostream.durable.LogStatus.State;
 
 /**
  * The state of a log as operators see it: a machine that takes what happened and when. It reads no
  * clock. Its caller holds the lock that makes it safe to be asked by any thread.
  */
-final class Health {
+final class LogHealth {
 
     static final int CALM = 8;
 
@@ -22,7 +22,7 @@
     private long slow;
     private long longest;
 
-    Health(long slowNanos, long now) {
+    LogHealth(long slowNanos, long now) {
         this.slowNanos = slowNanos;
         this.since = now;
     }
@@ -83,9 +83,9 @@
     }
 
     /** A sync that still runs past the bound is seen as slow before it ends. */
-    Status status(long now, long incarnation, boolean barred, long lastIndex, long bytes) {
+    LogStatus status(long now, long incarnation, boolean barred, long lastIndex, long bytes) {
         if (syncing && state == State.READY && now - began > slowNanos)
-            return new Status(
+            return new LogStatus(
                     State.SLOW,
                     began,
                     slow(now - began),
@@ -96,7 +96,7 @@
                     Math.max(longest, now - began),
                     lastIndex,
                     bytes);
-        return new Status(
+        return new LogStatus(
                 state, since, trouble, incarnation, barred, syncs, slow, longest, lastIndex, bytes);
     }
 }
--- a/src/main/java/calicostream/durable/Identity.java
+++ b/src/main/java/calicostream/durable/LogIdentity.java
@@ -5,9 +5,9 @@
  * Whose folder it is: both names are written into every file, so that a folder put in another's
  * place is known as such.
  */
-public record Identity(String cluster, String member) {
+public record LogIdentity(String cluster, String member) {
 
-    public Identity {
+    public LogIdentity {
         if (cluster.isBlank() || member.isBlank())
             throw new IllegalArgumentException("cluster and member need a name each");
         if (cluster.length() > 200 || member.length() > 200)
--- a/src/main/java/calicostream/durable/Opening.java
+++ b/src/main/java/calicostream/durable/LogOpener.java
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.durable;
 
-import calicostream.durable.Amnesia.Doubt;
-import calicostream.durable.Amnesia.Standing;
+import calicostream.durable.StateLossDetector.Doubt;
+import calicostream.durable.StateLossDetector.Standing;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -11,21 +11,21 @@
  * the mark of the new incarnation, with the doubt if there is one, comes before anything else is
  * changed.
  */
-final class Opening {
+final class LogOpener {
 
     private final Disk disk;
     private final Disk marksDisk;
-    private final Identity who;
-    private final Options options;
+    private final LogIdentity who;
+    private final LogOptions options;
     private final List<String> findings = new ArrayList<>();
-    Contents contents;
-    Marks marks;
-    Generations generations;
-    Segments segments;
+    LogState contents;
+    DurabilityMarkers marks;
+    SnapshotFiles generations;
+    SegmentWriter segments;
     long incarnation;
-    Recovered recovered;
+    RecoveredState recovered;
 
-    Opening(Disk disk, Disk marksDisk, Identity who, Options options) {
+    LogOpener(Disk disk, Disk marksDisk, LogIdentity who, LogOptions options) {
         this.disk = disk;
         this.marksDisk = marksDisk;
         this.who = who;
@@ -33,24 +33,24 @@
     }
 
     void run() throws DurableException {
-        marks = Marks.read(marksDisk, who, findings);
-        generations = new Generations(disk, who);
+        marks = DurabilityMarkers.read(marksDisk, who, findings);
+        generations = new SnapshotFiles(disk, who);
         if (options.startOver()) startOver();
         else resume();
     }
 
     private void resume() throws DurableException {
-        Record.Mark mark = marks.last();
-        List<Scan.Segment> files = new ArrayList<>();
-        for (String name : Names.of(Names.LOG, disk.list()))
-            files.add(new Scan.Segment(name, disk.read(name)));
-        Scan.Result scan = Scan.run(who, files, mark);
+        LogRecord.Mark mark = marks.last();
+        List<LogScanner.Segment> files = new ArrayList<>();
+        for (String name : SegmentNames.of(SegmentNames.LOG, disk.list()))
+            files.add(new LogScanner.Segment(name, disk.read(name)));
+        LogScanner.Result scan = LogScanner.run(who, files, mark);
         files.clear();
         findings.addAll(scan.findings());
         contents = scan.vouched();
-        List<Record> tail = tail(scan);
-        Contents whole = contents.copy();
-        for (Record record : tail) whole.apply(record);
+        List<LogRecord> tail = tail(scan);
+        LogState whole = contents.copy();
+        for (LogRecord record : tail) whole.apply(record);
         Standing standing =
                 worse(mark == null ? whole.standing() : mark.standing(), whole.standing());
         String why = mark == null ? "" : mark.why();
@@ -65,15 +65,17 @@
         contents.stand(standing);
         whole.stand(standing);
         incarnation = 1 + Math.max(scan.incarnation(), mark == null ? 0 : mark.incarnation());
-        Recovered.Snapshot snapshot = generations.newest(whole, findings);
+        RecoveredState.Snapshot snapshot = generations.newest(whole, findings);
         generations.unreadable().forEach(contents::drop);
 
-        marks.begin(new Record.Mark(who, incarnation, scan.seq(), scan.crc(), standing, why));
+        marks.begin(new LogRecord.Mark(who, incarnation, scan.seq(), scan.crc(), standing, why));
         deleteParts();
-        segments = new Segments(disk, who, incarnation, scan.nextSegment(), scan.reach());
+        segments = new SegmentWriter(disk, who, incarnation, scan.nextSegment(), scan.reach());
         segments.vouched(scan.seq());
         segments.begin(contents, scan.seq(), scan.crc(), tail);
-        marks.put(new Record.Mark(who, incarnation, segments.seq(), segments.crc(), standing, why));
+        marks.put(
+                new LogRecord.Mark(
+                        who, incarnation, segments.seq(), segments.crc(), standing, why));
         segments.marked();
         for (String name : scan.stale()) disk.delete(name);
         contents = whole;
@@ -82,15 +84,15 @@
     }
 
     /** The sound records past the mark, up to one whose snapshot never became whole. */
-    private List<Record> tail(Scan.Result scan) throws DurableException {
-        List<Record> tail = new ArrayList<>();
-        for (Record record : scan.tail()) {
-            if (record instanceof Record.Snapshot snapshot
+    private List<LogRecord> tail(LogScanner.Result scan) throws DurableException {
+        List<LogRecord> tail = new ArrayList<>();
+        for (LogRecord record : scan.tail()) {
+            if (record instanceof LogRecord.Snapshot snapshot
                     && generations.load(snapshot.ref()) == null) break;
             // The worse of log and mark holds: a bar past the mark may have been answered for, an
             // admission was not.
-            if (!(record instanceof Record.Stands stands) || stands.standing() == Standing.BARRED)
-                tail.add(record);
+            if (!(record instanceof LogRecord.Stands stands)
+                    || stands.standing() == Standing.BARRED) tail.add(record);
         }
         return tail;
     }
@@ -101,14 +103,14 @@
     }
 
     private void startOver() throws DurableException {
-        Record.Mark mark = marks.last();
+        LogRecord.Mark mark = marks.last();
         long before = mark == null ? 0 : mark.incarnation();
         long number = 0;
         List<String> names = disk.list();
-        for (String name : Names.of(Names.LOG, names)) {
-            number = Names.number(name);
-            Frames.Frame frame = Frames.read(disk.read(name), 0, name);
-            if (frame == null || !(frame.record() instanceof Record.Head head)) continue;
+        for (String name : SegmentNames.of(SegmentNames.LOG, names)) {
+            number = SegmentNames.number(name);
+            RecordFraming.Frame frame = RecordFraming.read(disk.read(name), 0, name);
+            if (frame == null || !(frame.record() instanceof LogRecord.Head head)) continue;
             if (!head.who().equals(who))
                 throw new DurableException.Foreign(
                         name + " belongs to " + head.who() + ", this is " + who);
@@ -118,42 +120,42 @@
         long seq = mark == null ? 0 : mark.seq();
         int crc = mark == null ? 0 : mark.crc();
         String why = "started over at incarnation " + incarnation;
-        marks.begin(new Record.Mark(who, incarnation, seq, crc, Standing.BARRED, why));
+        marks.begin(new LogRecord.Mark(who, incarnation, seq, crc, Standing.BARRED, why));
         deleteParts();
-        for (String name : names) if (name.startsWith(Names.ASIDE)) disk.delete(name);
-        List<String> old = new ArrayList<>(Names.of(Names.LOG, names));
-        old.addAll(Names.of(Names.SNAPSHOT, names));
-        for (String name : old) disk.rename(name, Names.ASIDE + incarnation + "-" + name);
+        for (String name : names) if (name.startsWith(SegmentNames.ASIDE)) disk.delete(name);
+        List<String> old = new ArrayList<>(SegmentNames.of(SegmentNames.LOG, names));
+        old.addAll(SegmentNames.of(SegmentNames.SNAPSHOT, names));
+        for (String name : old) disk.rename(name, SegmentNames.ASIDE + incarnation + "-" + name);
         disk.syncFolder();
         if (!old.isEmpty()) findings.add("set aside: " + old);
-        contents = new Contents();
+        contents = new LogState();
         contents.stand(Standing.BARRED);
-        segments = new Segments(disk, who, incarnation, number + 1, java.util.Map.of());
+        segments = new SegmentWriter(disk, who, incarnation, number + 1, java.util.Map.of());
         segments.vouched(seq);
         segments.begin(contents, seq, crc, List.of());
         marks.put(
-                new Record.Mark(
+                new LogRecord.Mark(
                         who, incarnation, segments.seq(), segments.crc(), Standing.BARRED, why));
         segments.marked();
         finish(Doubt.NONE, why, null);
     }
 
     private void deleteParts() throws DurableException {
-        for (String name : disk.list()) if (Names.isPart(name)) disk.delete(name);
+        for (String name : disk.list()) if (SegmentNames.isPart(name)) disk.delete(name);
         if (marksDisk == disk) return;
-        for (String name : marksDisk.list()) if (Names.isPart(name)) marksDisk.delete(name);
+        for (String name : marksDisk.list()) if (SegmentNames.isPart(name)) marksDisk.delete(name);
     }
 
-    private void finish(Doubt doubt, String facts, Recovered.Snapshot snapshot) {
+    private void finish(Doubt doubt, String facts, RecoveredState.Snapshot snapshot) {
         long from = snapshot == null ? 0 : snapshot.index();
         recovered =
-                new Recovered(
+                new RecoveredState(
                         contents.term(),
                         contents.votedFor(),
                         contents.notes(),
                         snapshot,
                         contents.entriesAbove(from),
-                        new Amnesia.Own(
+                        new StateLossDetector.Own(
                                 incarnation,
                                 contents.term(),
                                 contents.votedFor(),
--- a/src/main/java/calicostream/durable/Options.java
+++ b/src/main/java/calicostream/durable/LogOptions.java
@@ -9,18 +9,19 @@
  * until {@link DurableLog#admit()}. {@code clock} tells monotonic nanoseconds; it is asked for
  * signs only, no byte on the disk depends on it.
  */
-public record Options(int segmentBytes, long slowSyncNanos, boolean startOver, LongSupplier clock) {
+public record LogOptions(
+        int segmentBytes, long slowSyncNanos, boolean startOver, LongSupplier clock) {
 
-    public static final Options DEFAULT =
-            new Options(4 << 20, 1_000_000_000L, false, System::nanoTime);
+    public static final LogOptions DEFAULT =
+            new LogOptions(4 << 20, 1_000_000_000L, false, System::nanoTime);
 
-    public Options {
+    public LogOptions {
         if (segmentBytes < 256)
             throw new IllegalArgumentException("a segment has 256 bytes at least");
         if (slowSyncNanos <= 0) throw new IllegalArgumentException("a sync takes time");
     }
 
-    public Options startingOver() {
-        return new Options(segmentBytes, slowSyncNanos, true, clock);
+    public LogOptions startingOver() {
+        return new LogOptions(segmentBytes, slowSyncNanos, true, clock);
     }
 }
--- a/src/main/java/calicostream/durable/Record.java
+++ b/src/main/java/calicostream/durable/LogRecord.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.durable;
 
-import calicostream.durable.Amnesia.Standing;
+import calicostream.durable.StateLossDetector.Standing;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
@@ -12,11 +12,11 @@
  * What a frame holds, in each of the three kinds of files. The numbers of kinds and the order of
  * fields never change.
  */
-sealed interface Record {
+sealed interface LogRecord {
 
     int kind();
 
-    void write(Bytes out);
+    void write(FieldBuffer out);
 
     /** A snapshot as the log names it. */
     record Ref(long index, long term) {}
@@ -27,7 +27,7 @@
      * the log's first entry less one, if all before it are gone.
      */
     record Head(
-            Identity who,
+            LogIdentity who,
             long segment,
             long incarnation,
             long afterSeq,
@@ -38,14 +38,14 @@
             long lastIndex,
             List<Ref> snapshots,
             Map<String, byte[]> notes)
-            implements Record {
+            implements LogRecord {
         @Override
         public int kind() {
             return 1;
         }
 
         @Override
-        public void write(Bytes out) {
+        public void write(FieldBuffer out) {
             out.text(who.cluster());
             out.text(who.member());
             out.u64(segment);
@@ -70,21 +70,21 @@
         }
 
         private static Head read(ByteBuffer in) {
-            Identity who = new Identity(Bytes.text(in), Bytes.text(in));
+            LogIdentity who = new LogIdentity(FieldBuffer.text(in), FieldBuffer.text(in));
             long segment = in.getLong();
             long incarnation = in.getLong();
             long afterSeq = in.getLong();
             int afterCrc = in.getInt();
             Standing standing = Standing.values()[in.get()];
             long term = in.getLong();
-            String votedFor = Bytes.text(in);
+            String votedFor = FieldBuffer.text(in);
             long lastIndex = in.getLong();
             List<Ref> snapshots = new ArrayList<>();
             for (int left = in.get(); left > 0; left--)
                 snapshots.add(new Ref(in.getLong(), in.getLong()));
             Map<String, byte[]> notes = new TreeMap<>();
             for (int left = in.getInt(); left > 0; left--)
-                notes.put(Bytes.text(in), Bytes.bytes(in));
+                notes.put(FieldBuffer.text(in), FieldBuffer.bytes(in));
             return new Head(
                     who,
                     segment,
@@ -100,54 +100,54 @@
         }
     }
 
-    record Entry(long index, long term, byte[] bytes) implements Record {
+    record Entry(long index, long term, byte[] bytes) implements LogRecord {
         @Override
         public int kind() {
             return 2;
         }
 
         @Override
-        public void write(Bytes out) {
+        public void write(FieldBuffer out) {
             out.u64(index);
             out.u64(term);
             out.bytes(bytes);
         }
     }
 
-    record CutFrom(long index) implements Record {
+    record CutFrom(long index) implements LogRecord {
         @Override
         public int kind() {
             return 3;
         }
 
         @Override
-        public void write(Bytes out) {
+        public void write(FieldBuffer out) {
             out.u64(index);
         }
     }
 
-    record Term(long term, String votedFor) implements Record {
+    record Term(long term, String votedFor) implements LogRecord {
         @Override
         public int kind() {
             return 4;
         }
 
         @Override
-        public void write(Bytes out) {
+        public void write(FieldBuffer out) {
             out.u64(term);
             out.text(votedFor);
         }
     }
 
     /** {@code value} is null where the note is removed. */
-    record Note(String name, byte[] value) implements Record {
+    record Note(String name, byte[] value) implements LogRecord {
         @Override
         public int kind() {
             return 5;
         }
 
         @Override
-        public void write(Bytes out) {
+        public void write(FieldBuffer out) {
             out.text(name);
             out.u8(value == null ? 0 : 1);
             if (value != null) out.bytes(value);
@@ -155,27 +155,27 @@
     }
 
     /** From here on the log rests on this snapshot, whose file was whole before. */
-    record Snapshot(Ref ref) implements Record {
+    record Snapshot(Ref ref) implements LogRecord {
         @Override
         public int kind() {
             return 6;
         }
 
         @Override
-        public void write(Bytes out) {
+        public void write(FieldBuffer out) {
             out.u64(ref.index());
             out.u64(ref.term());
         }
     }
 
-    record Stands(Standing standing) implements Record {
+    record Stands(Standing standing) implements LogRecord {
         @Override
         public int kind() {
             return 7;
         }
 
         @Override
-        public void write(Bytes out) {
+        public void write(FieldBuffer out) {
             out.u8(standing.ordinal());
         }
     }
@@ -184,15 +184,15 @@
      * The mark: {@code seq} and {@code crc} are of the last record of the log that was synced;
      * {@code why} is of a member that is barred.
      */
-    record Mark(Identity who, long incarnation, long seq, int crc, Standing standing, String why)
-            implements Record {
+    record Mark(LogIdentity who, long incarnation, long seq, int crc, Standing standing, String why)
+            implements LogRecord {
         @Override
         public int kind() {
             return 8;
         }
 
         @Override
-        public void write(Bytes out) {
+        public void write(FieldBuffer out) {
             out.text(who.cluster());
             out.text(who.member());
             out.u64(incarnation);
@@ -203,14 +203,14 @@
         }
     }
 
-    record SnapshotHead(Identity who, Ref ref, int chunks) implements Record {
+    record SnapshotHead(LogIdentity who, Ref ref, int chunks) implements LogRecord {
         @Override
         public int kind() {
             return 9;
         }
 
         @Override
-        public void write(Bytes out) {
+        public void write(FieldBuffer out) {
             out.text(who.cluster());
             out.text(who.member());
             out.u64(ref.index());
@@ -219,27 +219,27 @@
         }
     }
 
-    record Chunk(int number, byte[] bytes) implements Record {
+    record Chunk(int number, byte[] bytes) implements LogRecord {
         @Override
         public int kind() {
             return 10;
         }
 
         @Override
-        public void write(Bytes out) {
+        public void write(FieldBuffer out) {
             out.u32(number);
             out.bytes(bytes);
         }
     }
 
-    record SnapshotEnd(int chunks) implements Record {
+    record SnapshotEnd(int chunks) implements LogRecord {
         @Override
         public int kind() {
             return 11;
         }
 
         @Override
-        public void write(Bytes out) {
+        public void write(FieldBuffer out) {
             out.u32(chunks);
         }
     }
@@ -247,29 +247,29 @@
     /**
      * Null for a kind that this version does not know; runtime exceptions for fields that can't be.
      */
-    static Record read(int kind, ByteBuffer in) {
+    static LogRecord read(int kind, ByteBuffer in) {
         return switch (kind) {
             case 1 -> Head.read(in);
-            case 2 -> new Entry(in.getLong(), in.getLong(), Bytes.bytes(in));
+            case 2 -> new Entry(in.getLong(), in.getLong(), FieldBuffer.bytes(in));
             case 3 -> new CutFrom(in.getLong());
-            case 4 -> new Term(in.getLong(), Bytes.text(in));
-            case 5 -> new Note(Bytes.text(in), in.get() == 0 ? null : Bytes.bytes(in));
+            case 4 -> new Term(in.getLong(), FieldBuffer.text(in));
+            case 5 -> new Note(FieldBuffer.text(in), in.get() == 0 ? null : FieldBuffer.bytes(in));
             case 6 -> new Snapshot(new Ref(in.getLong(), in.getLong()));
             case 7 -> new Stands(Standing.values()[in.get()]);
             case 8 ->
                     new Mark(
-                            new Identity(Bytes.text(in), Bytes.text(in)),
+                            new LogIdentity(FieldBuffer.text(in), FieldBuffer.text(in)),
                             in.getLong(),
                             in.getLong(),
                             in.getInt(),
                             Standing.values()[in.get()],
-                            Bytes.text(in));
+                            FieldBuffer.text(in));
             case 9 ->
                     new SnapshotHead(
-                            new Identity(Bytes.text(in), Bytes.text(in)),
+                            new LogIdentity(FieldBuffer.text(in), FieldBuffer.text(in)),
                             new Ref(in.getLong(), in.getLong()),
                             in.getInt());
-            case 10 -> new Chunk(in.getInt(), Bytes.bytes(in));
+            case 10 -> new Chunk(in.getInt(), FieldBuffer.bytes(in));
             case 11 -> new SnapshotEnd(in.getInt());
             default -> null;
         };
--- a/src/main/java/calicostream/durable/Scan.java
+++ b/src/main/java/calicostream/durable/LogScanner.java
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.durable;
 
-import calicostream.durable.Amnesia.Doubt;
-import calicostream.durable.Frames.Frame;
+import calicostream.durable.RecordFraming.Frame;
+import calicostream.durable.StateLossDetector.Doubt;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -14,7 +14,7 @@
  * before that had been promised, and so had one at the log's end that the mark or a later record
  * vouches for. What nobody vouches for is a torn tail and is cut.
  */
-final class Scan {
+final class LogScanner {
 
     record Segment(String name, byte[] bytes) {}
 
@@ -24,10 +24,10 @@
      * came back after they were deleted.
      */
     record Result(
-            Contents vouched,
+            LogState vouched,
             long seq,
             int crc,
-            List<Record> tail,
+            List<LogRecord> tail,
             long incarnation,
             long nextSegment,
             Doubt doubt,
@@ -36,8 +36,8 @@
             List<String> stale,
             List<String> findings) {}
 
-    private final Identity who;
-    private final Record.Mark mark;
+    private final LogIdentity who;
+    private final LogRecord.Mark mark;
     private final List<String> findings = new ArrayList<>();
     private final Map<String, Long> reach = new TreeMap<>();
     private final List<String> stale = new ArrayList<>();
@@ -48,29 +48,31 @@
     private long seq;
 
     private int crc;
-    private Contents contents;
-    private Contents vouched;
+    private LogState contents;
+    private LogState vouched;
     private boolean metMark;
     private int crcAtMark;
-    private final List<Record> tail = new ArrayList<>();
+    private final List<LogRecord> tail = new ArrayList<>();
     private Doubt doubt = Doubt.NONE;
 
-    private Scan(Identity who, Record.Mark mark) {
+    private LogScanner(LogIdentity who, LogRecord.Mark mark) {
         this.who = who;
         this.mark = mark;
     }
 
     /** {@code segments} by number; {@code mark} is null without one. */
-    static Result run(Identity who, List<Segment> segments, Record.Mark mark)
+    static Result run(LogIdentity who, List<Segment> segments, LogRecord.Mark mark)
             throws DurableException {
-        return new Scan(who, mark).run(segments);
+        return new LogScanner(who, mark).run(segments);
     }
 
     private Result run(List<Segment> all) throws DurableException {
         List<Segment> segments = new ArrayList<>(all);
         List<Frame> heads = heads(segments);
         long next =
-                segments.isEmpty() ? 1 : Names.number(segments.get(segments.size() - 1).name()) + 1;
+                segments.isEmpty()
+                        ? 1
+                        : SegmentNames.number(segments.get(segments.size() - 1).name()) + 1;
         // From the last one back: what a later head goes on before is superseded, whole segments
         // too.
         List<Segment> chain = new ArrayList<>();
@@ -78,27 +80,27 @@
         long limit = Long.MAX_VALUE;
         for (int i = segments.size() - 1; i >= 0; i--) {
             if (i + 1 < segments.size()
-                    && Names.number(segments.get(i).name()) + 1
-                            != Names.number(segments.get(i + 1).name())) {
+                    && SegmentNames.number(segments.get(i).name()) + 1
+                            != SegmentNames.number(segments.get(i + 1).name())) {
                 for (int old = 0; old <= i; old++) stale.add(segments.get(old).name());
                 break;
             }
             Frame head = heads.get(i);
-            incarnation = Math.max(incarnation, ((Record.Head) head.record()).incarnation());
+            incarnation = Math.max(incarnation, ((LogRecord.Head) head.record()).incarnation());
             reach.put(segments.get(i).name(), 0L);
             if (head.seq() > limit) continue;
             chain.add(0, segments.get(i));
             chainHeads.add(0, head);
-            limit = ((Record.Head) head.record()).afterSeq();
+            limit = ((LogRecord.Head) head.record()).afterSeq();
         }
         for (int i = 0; i < chain.size(); i++)
             segment(
                     chain.get(i),
                     chainHeads.get(i),
-                    i + 1 < chain.size() ? (Record.Head) chainHeads.get(i + 1).record() : null);
-        if (contents == null) contents = new Contents();
+                    i + 1 < chain.size() ? (LogRecord.Head) chainHeads.get(i + 1).record() : null);
+        if (contents == null) contents = new LogState();
         if (contents.base() > contents.snapshotIndex())
-            throw new DurableException.Hole(
+            throw new DurableException.MissingRecords(
                     "the log begins after entry "
                             + contents.base()
                             + ", the newest snapshot ends at "
@@ -150,16 +152,16 @@
         List<Frame> heads = new ArrayList<>();
         for (int i = 0; i < segments.size(); i++) {
             Segment segment = segments.get(i);
-            Frame head = Frames.read(segment.bytes(), 0, segment.name());
-            if (head == null || !(head.record() instanceof Record.Head)) {
-                Frame later = Frames.find(segment.bytes(), 0, segment.name());
+            Frame head = RecordFraming.read(segment.bytes(), 0, segment.name());
+            if (head == null || !(head.record() instanceof LogRecord.Head)) {
+                Frame later = RecordFraming.find(segment.bytes(), 0, segment.name());
                 if (i + 1 < segments.size() || later != null) throw rotten(segment, 0, "its head");
                 findings.add(
                         segment.name() + " holds nothing that can be read and is written anew");
                 segments.remove(i);
                 break;
             }
-            Identity found = ((Record.Head) head.record()).who();
+            LogIdentity found = ((LogRecord.Head) head.record()).who();
             if (!found.equals(who))
                 throw new DurableException.Foreign(
                         segment.name() + " belongs to " + found + ", this is " + who);
@@ -168,18 +170,19 @@
         return heads;
     }
 
-    private void segment(Segment segment, Frame first, Record.Head next) throws DurableException {
-        Record.Head head = (Record.Head) first.record();
+    private void segment(Segment segment, Frame first, LogRecord.Head next)
+            throws DurableException {
+        LogRecord.Head head = (LogRecord.Head) first.record();
         if (contents == null) {
             contents =
                     head.afterSeq() == 0 && head.lastIndex() == 0
-                            ? new Contents()
-                            : Contents.of(head);
+                            ? new LogState()
+                            : LogState.of(head);
             seq = head.afterSeq();
             crc = head.afterCrc();
             meet();
         } else if (head.afterSeq() != seq || head.afterCrc() != crc || !contents.agrees(head)) {
-            throw new DurableException.Hole(
+            throw new DurableException.MissingRecords(
                     segment.name()
                             + " goes on after record "
                             + head.afterSeq()
@@ -190,7 +193,7 @@
         step(first);
         int at = first.end();
         while (next == null || seq < next.afterSeq()) {
-            Frame frame = Frames.read(segment.bytes(), at, segment.name());
+            Frame frame = RecordFraming.read(segment.bytes(), at, segment.name());
             boolean goesOn = frame != null && frame.seq() == seq + 1 && frame.prev() == crc;
             if (!goesOn) {
                 ended(segment, at, next);
@@ -198,9 +201,10 @@
             }
             String wrong = contents.check(frame.record());
             if (wrong != null)
-                throw new DurableException.Hole(segment.name() + " at byte " + at + ": " + wrong);
+                throw new DurableException.MissingRecords(
+                        segment.name() + " at byte " + at + ": " + wrong);
             contents.apply(frame.record());
-            if (frame.record() instanceof Record.Entry entry)
+            if (frame.record() instanceof LogRecord.Entry entry)
                 reach.merge(segment.name(), entry.index(), Math::max);
             if (vouched != null && metMark) tail.add(frame.record());
             step(frame);
@@ -228,13 +232,13 @@
      * No sound record follows in this segment: its honest end, a torn tail, forgotten records, rot
      * or a hole.
      */
-    private void ended(Segment segment, int at, Record.Head next) throws DurableException {
+    private void ended(Segment segment, int at, LogRecord.Head next) throws DurableException {
         byte[] bytes = segment.bytes();
         if (next == null && at == bytes.length) return;
-        boolean blank = Frames.isBlank(bytes, at);
+        boolean blank = RecordFraming.isBlank(bytes, at);
         if (next != null) {
             if (blank)
-                throw new DurableException.Hole(
+                throw new DurableException.MissingRecords(
                         segment.name()
                                 + " ends at record "
                                 + seq
@@ -242,10 +246,10 @@
                                 + next.afterSeq());
             throw rotten(segment, at, "record " + (seq + 1));
         }
-        Frame later = blank ? null : Frames.find(bytes, at, segment.name());
+        Frame later = blank ? null : RecordFraming.find(bytes, at, segment.name());
         for (Frame found = later;
                 found != null;
-                found = Frames.find(bytes, found.end(), segment.name()))
+                found = RecordFraming.find(bytes, found.end(), segment.name()))
             maxSynced = Math.max(maxSynced, found.synced());
         boolean promised = maxSynced > seq || mark != null && mark.seq() > seq;
         if (promised && (later != null || !blank && !cutShort(bytes, at)))
@@ -264,13 +268,13 @@
      * get to the disk whole.
      */
     private static boolean cutShort(byte[] bytes, int at) {
-        if (bytes.length - at < Frames.OVERHEAD) return true;
+        if (bytes.length - at < RecordFraming.OVERHEAD) return true;
         int length = java.nio.ByteBuffer.wrap(bytes).getInt(at);
         return length < 0 || length > bytes.length - at - 8;
     }
 
     private static DurableException rotten(Segment segment, int at, String what) {
-        return new DurableException.Rotten(
+        return new DurableException.Corrupt(
                 segment.name()
                         + " at byte "
                         + at
--- a/src/main/java/calicostream/durable/Contents.java
+++ b/src/main/java/calicostream/durable/LogState.java
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.durable;
 
-import calicostream.durable.Amnesia.Standing;
-import calicostream.durable.Record.Ref;
+import calicostream.durable.LogRecord.Ref;
+import calicostream.durable.StateLossDetector.Standing;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -13,7 +13,7 @@
  * records that a caller wants to write ({@link #check}) and for those that are read back. Entries
  * are kept until {@link #forgetEntries}: a running log needs bounds only.
  */
-final class Contents {
+final class LogState {
 
     static final int NOTES_LIMIT = 64 << 10;
 
@@ -29,11 +29,11 @@
     private long base;
 
     private long last;
-    private List<Record.Entry> entries = new ArrayList<>();
+    private List<LogRecord.Entry> entries = new ArrayList<>();
 
     /** The state at a segment's head, where all before it is gone. */
-    static Contents of(Record.Head head) {
-        Contents contents = new Contents();
+    static LogState of(LogRecord.Head head) {
+        LogState contents = new LogState();
         contents.term = head.term();
         contents.votedFor = head.votedFor();
         contents.standing = head.standing();
@@ -43,15 +43,16 @@
         return contents;
     }
 
-    Contents copy() {
-        Contents copy = of(head(new Identity("-", "-"), 0, 0, 0, 0));
+    LogState copy() {
+        LogState copy = of(head(new LogIdentity("-", "-"), 0, 0, 0, 0));
         copy.base = base;
         copy.entries = entries == null ? null : new ArrayList<>(entries);
         return copy;
     }
 
-    Record.Head head(Identity who, long segment, long incarnation, long afterSeq, int afterCrc) {
-        return new Record.Head(
+    LogRecord.Head head(
+            LogIdentity who, long segment, long incarnation, long afterSeq, int afterCrc) {
+        return new LogRecord.Head(
                 who,
                 segment,
                 incarnation,
@@ -66,7 +67,7 @@
     }
 
     /** Whether a head tells the same as the records before it did. */
-    boolean agrees(Record.Head head) {
+    boolean agrees(LogRecord.Head head) {
         return head.term() == term
                 && head.votedFor().equals(votedFor)
                 && head.lastIndex() == last
@@ -74,10 +75,10 @@
     }
 
     /** Why the record breaks the rules of a log here; null when it does not. */
-    String check(Record record) {
-        if (record instanceof Record.Entry entry) {
+    String check(LogRecord record) {
+        if (record instanceof LogRecord.Entry entry) {
             if (entry.index() != last + 1) return "entry " + entry.index() + " after " + last;
-        } else if (record instanceof Record.CutFrom cut) {
+        } else if (record instanceof LogRecord.CutFrom cut) {
             if (cut.index() <= snapshotIndex() || cut.index() > last + 1)
                 return "cut from "
                         + cut.index()
@@ -85,7 +86,7 @@
                         + snapshotIndex()
                         + " and a last entry "
                         + last;
-        } else if (record instanceof Record.Term vote) {
+        } else if (record instanceof LogRecord.Term vote) {
             if (vote.term() < term) return "term " + vote.term() + " after " + term;
             if (vote.term() == term && !votedFor.isEmpty() && !votedFor.equals(vote.votedFor()))
                 return "a vote for '"
@@ -94,37 +95,37 @@
                         + term
                         + " after one for "
                         + votedFor;
-        } else if (record instanceof Record.Note note) {
+        } else if (record instanceof LogRecord.Note note) {
             int size = note.value() == null ? 0 : note.name().length() + note.value().length;
             for (Map.Entry<String, byte[]> other : notes.entrySet())
                 if (!other.getKey().equals(note.name()))
                     size += other.getKey().length() + other.getValue().length;
             if (size > NOTES_LIMIT)
                 return "notes of " + size + " bytes, " + NOTES_LIMIT + " at most";
-        } else if (record instanceof Record.Snapshot snapshot) {
+        } else if (record instanceof LogRecord.Snapshot snapshot) {
             if (snapshot.ref().index() <= snapshotIndex())
                 return "snapshot of " + snapshot.ref().index() + " after " + snapshotIndex();
-        } else if (!(record instanceof Record.Stands)) {
+        } else if (!(record instanceof LogRecord.Stands)) {
             return "no record of a log: " + record.getClass().getSimpleName();
         }
         return null;
     }
 
-    void apply(Record record) {
-        if (record instanceof Record.Entry entry) {
+    void apply(LogRecord record) {
+        if (record instanceof LogRecord.Entry entry) {
             last = entry.index();
             if (entries != null) entries.add(entry);
-        } else if (record instanceof Record.CutFrom cut) {
+        } else if (record instanceof LogRecord.CutFrom cut) {
             last = cut.index() - 1;
             base = Math.min(base, last);
             if (entries != null) entries.subList((int) (last - base), entries.size()).clear();
-        } else if (record instanceof Record.Term vote) {
+        } else if (record instanceof LogRecord.Term vote) {
             term = vote.term();
             votedFor = vote.votedFor();
-        } else if (record instanceof Record.Note note) {
+        } else if (record instanceof LogRecord.Note note) {
             if (note.value() == null) notes.remove(note.name());
             else notes.put(note.name(), note.value());
-        } else if (record instanceof Record.Snapshot snapshot) {
+        } else if (record instanceof LogRecord.Snapshot snapshot) {
             snapshots.add(snapshot.ref());
             if (snapshots.size() > 2) snapshots.remove(0);
             if (snapshot.ref().index() > last) {
@@ -133,7 +134,7 @@
                 base = last = snapshot.ref().index();
                 if (entries != null) entries.clear();
             }
-        } else if (record instanceof Record.Stands stands) {
+        } else if (record instanceof LogRecord.Stands stands) {
             standing = stands.standing();
         }
     }
@@ -142,7 +143,7 @@
      * What a head says beyond the records before it: a standing that was changed and generations
      * that were passed over at an opening.
      */
-    void adopt(Record.Head head) {
+    void adopt(LogRecord.Head head) {
         standing = head.standing();
         snapshots.clear();
         snapshots.addAll(head.snapshots());
@@ -162,11 +163,11 @@
     }
 
     /** The entries above {@code index}. */
-    List<Recovered.Entry> entriesAbove(long index) {
-        List<Recovered.Entry> above = new ArrayList<>();
-        for (Record.Entry entry : entries) {
+    List<RecoveredState.Entry> entriesAbove(long index) {
+        List<RecoveredState.Entry> above = new ArrayList<>();
+        for (LogRecord.Entry entry : entries) {
             if (entry.index() > index)
-                above.add(new Recovered.Entry(entry.index(), entry.term(), entry.bytes()));
+                above.add(new RecoveredState.Entry(entry.index(), entry.term(), entry.bytes()));
         }
         return above;
     }
--- a/src/main/java/calicostream/durable/Status.java
+++ b/src/main/java/calicostream/durable/LogStatus.java
@@ -3,9 +3,9 @@
 
 /**
  * What operators see of a log. {@code trouble} is null in READY; {@code sinceNanos} is on the clock
- * of {@link Options}; {@code bytes} are in the files that are written now.
+ * of {@link LogOptions}; {@code bytes} are in the files that are written now.
  */
-public record Status(
+public record LogStatus(
         State state,
         long sinceNanos,
         DurableException trouble,
--- a/src/main/java/calicostream/durable/Frames.java
+++ b/src/main/java/calicostream/durable/RecordFraming.java
@@ -9,19 +9,19 @@
  * number all was synced when it was written, CRC of the frame before. Pure; {@code
  * docs/operate/durable-format.md} has the bytes.
  */
-final class Frames {
+final class RecordFraming {
 
     static final int VERSION = 1;
     static final int OVERHEAD = 30;
     private static final int BODY = 8;
 
-    private Frames() {}
+    private RecordFraming() {}
 
     /** A frame that was read; {@code end} is the offset after it. */
-    record Frame(int end, int crc, long seq, long synced, int prev, Record record) {}
+    record Frame(int end, int crc, long seq, long synced, int prev, LogRecord record) {}
 
     /** Appends the frame of {@code record} and returns its CRC. */
-    static int write(Bytes out, Record record, long seq, long synced, int prev) {
+    static int write(FieldBuffer out, LogRecord record, long seq, long synced, int prev) {
         int start = out.size();
         out.u64(0);
         out.u8(VERSION);
@@ -60,9 +60,9 @@
         long seq = in.getLong();
         long synced = in.getLong();
         int prev = in.getInt();
-        Record record;
+        LogRecord record;
         try {
-            record = Record.read(kind, in);
+            record = LogRecord.read(kind, in);
         } catch (RuntimeException e) {
             // Its CRC is right, so it was written so: by a program whose fields differ.
             throw new DurableException.UnknownFormat(
--- a/src/main/java/calicostream/durable/Recovered.java
+++ b/src/main/java/calicostream/durable/RecoveredState.java
@@ -7,17 +7,17 @@
 /**
  * What an opening found. {@code snapshot} is null without one; {@code entries} are those above it,
  * without a gap. {@code votedFor} is empty for no vote in {@code term}. {@code own} is what the
- * member's own marks say: {@link Amnesia} makes the verdict of it and of what peers remember.
- * {@code findings} are remarks for operators: a tail that was cut, a generation that was passed
- * over.
+ * member's own marks say: {@link StateLossDetector} makes the verdict of it and of what peers
+ * remember. {@code findings} are remarks for operators: a tail that was cut, a generation that was
+ * passed over.
  */
-public record Recovered(
+public record RecoveredState(
         long term,
         String votedFor,
         Map<String, byte[]> notes,
         Snapshot snapshot,
         List<Entry> entries,
-        Amnesia.Own own,
+        StateLossDetector.Own own,
         List<String> findings) {
 
     public record Entry(long index, long term, byte[] bytes) {}
@@ -32,7 +32,7 @@
     }
 
     /** The same without entries and snapshot, for a log that has been read. */
-    public Recovered release() {
-        return new Recovered(term, votedFor, notes, null, List.of(), own, findings);
+    public RecoveredState release() {
+        return new RecoveredState(term, votedFor, notes, null, List.of(), own, findings);
     }
 }
--- a/src/main/java/calicostream/durable/Verdict.java
+++ b/src/main/java/calicostream/durable/RecoveryVerdict.java
@@ -2,7 +2,7 @@
 package calicostream.durable;
 
 /** What a member may do with the log that it found. */
-public enum Verdict {
+public enum RecoveryVerdict {
     /** It remembers all that it promised: it may vote, and its acknowledgements count. */
     VOTER,
     /**
--- a/src/main/java/calicostream/durable/Names.java
+++ b/src/main/java/calicostream/durable/SegmentNames.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.durable;
 
-import calicostream.durable.Record.Ref;
+import calicostream.durable.LogRecord.Ref;
 import java.util.ArrayList;
 import java.util.HexFormat;
 import java.util.List;
@@ -11,7 +11,7 @@
  * The names of files: {@code log-}, {@code mark-} and {@code snap-} with numbers of 16 hexadecimal
  * digits, so that names sort as numbers do.
  */
-final class Names {
+final class SegmentNames {
 
     static final String LOG = "log-";
     static final String MARK = "mark-";
@@ -23,7 +23,7 @@
     private static final Pattern TWO = Pattern.compile("[0-9a-f]{16}-[0-9a-f]{16}");
     private static final HexFormat HEX = HexFormat.of();
 
-    private Names() {}
+    private SegmentNames() {}
 
     static String log(long number) {
         return LOG + hex(number);
--- a/src/main/java/calicostream/durable/Segments.java
+++ b/src/main/java/calicostream/durable/SegmentWriter.java
@@ -9,14 +9,14 @@
  * The segment that is written, and which older ones may go. Records wait in memory until they are
  * many or the log is synced. One thread.
  */
-final class Segments {
+final class SegmentWriter {
 
     private static final int FLUSH = 64 << 10;
 
     private final Disk disk;
-    private final Identity who;
+    private final LogIdentity who;
     private final long incarnation;
-    private final Bytes out = new Bytes(FLUSH * 2);
+    private final FieldBuffer out = new FieldBuffer(FLUSH * 2);
 
     /** The highest entry in each segment, by name, the oldest first. */
     private final TreeMap<String, Long> reach = new TreeMap<>();
@@ -28,7 +28,8 @@
     private int crc;
     private long synced;
 
-    Segments(Disk disk, Identity who, long incarnation, long next, Map<String, Long> reach) {
+    SegmentWriter(
+            Disk disk, LogIdentity who, long incarnation, long next, Map<String, Long> reach) {
         this.disk = disk;
         this.who = who;
         this.incarnation = incarnation;
@@ -40,35 +41,35 @@
      * Begins a segment that goes on after record {@code afterSeq}; it is there, with {@code first}
      * in it, on return.
      */
-    void begin(Contents state, long afterSeq, int afterCrc, List<Record> first)
+    void begin(LogState state, long afterSeq, int afterCrc, List<LogRecord> first)
             throws DurableException {
         out.clear();
-        String name = Names.log(next);
+        String name = SegmentNames.log(next);
         reach.put(name, 0L);
         seq = afterSeq + 1;
         crc =
-                Frames.write(
+                RecordFraming.write(
                         out,
                         state.head(who, next, incarnation, afterSeq, afterCrc),
                         seq,
                         synced,
                         afterCrc);
         file = name;
-        for (Record record : first) add(record);
-        Marks.place(disk, name, out.view());
+        for (LogRecord record : first) add(record);
+        DurabilityMarkers.place(disk, name, out.view());
         size = out.size();
         out.clear();
         next++;
     }
 
-    void write(Record record) throws DurableException {
+    void write(LogRecord record) throws DurableException {
         add(record);
         if (out.size() >= FLUSH) flush();
     }
 
-    private void add(Record record) {
-        crc = Frames.write(out, record, ++seq, synced, crc);
-        if (record instanceof Record.Entry entry) reach.merge(file, entry.index(), Math::max);
+    private void add(LogRecord record) {
+        crc = RecordFraming.write(out, record, ++seq, synced, crc);
+        if (record instanceof LogRecord.Entry entry) reach.merge(file, entry.index(), Math::max);
     }
 
     void flush() throws DurableException {
--- a/src/main/java/calicostream/durable/Store.java
+++ b/src/main/java/calicostream/durable/SegmentedLog.java
@@ -1,31 +1,31 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.durable;
 
-import calicostream.durable.Amnesia.Standing;
-import calicostream.durable.Record.Ref;
+import calicostream.durable.LogRecord.Ref;
+import calicostream.durable.StateLossDetector.Standing;
 import java.util.List;
 
 /**
- * The log of {@link DurableLog} on two {@link Disk}s. It makes no judgement: {@link Opening} reads,
- * {@link Contents} has the rules.
+ * The log of {@link DurableLog} on two {@link Disk}s. It makes no judgement: {@link LogOpener}
+ * reads, {@link LogState} has the rules.
  */
-final class Store implements DurableLog {
+final class SegmentedLog implements DurableLog {
 
     private static final int LARGEST = 64 << 20;
 
     private final Disk disk;
     private final Disk marksDisk;
-    private final Identity who;
-    private final Options options;
-    private final Contents contents;
-    private final Marks marks;
-    private final Generations generations;
-    private final Segments segments;
+    private final LogIdentity who;
+    private final LogOptions options;
+    private final LogState contents;
+    private final DurabilityMarkers marks;
+    private final SnapshotFiles generations;
+    private final SegmentWriter segments;
     private final long incarnation;
-    private final Recovered recovered;
+    private final RecoveredState recovered;
 
     /** Guarded by itself, as operators ask from any thread. */
-    private final Health health;
+    private final LogHealth health;
 
     private String why;
     private long wantedAfter;
@@ -33,7 +33,8 @@
     private volatile boolean barred;
     private volatile long bytes;
 
-    private Store(Disk disk, Disk marksDisk, Identity who, Options options, Opening opening) {
+    private SegmentedLog(
+            Disk disk, Disk marksDisk, LogIdentity who, LogOptions options, LogOpener opening) {
         this.disk = disk;
         this.marksDisk = marksDisk;
         this.who = who;
@@ -45,19 +46,19 @@
         this.incarnation = opening.incarnation;
         this.recovered = opening.recovered;
         this.why = opening.marks.last().why();
-        this.health = new Health(options.slowSyncNanos(), options.clock().getAsLong());
+        this.health = new LogHealth(options.slowSyncNanos(), options.clock().getAsLong());
         signs();
     }
 
-    static DurableLog open(Disk disk, Disk marks, Identity who, Options options)
+    static DurableLog open(Disk disk, Disk marks, LogIdentity who, LogOptions options)
             throws DurableException {
         disk.lock();
         boolean open = false;
         try {
             if (marks != disk) marks.lock();
-            Opening opening = new Opening(disk, marks, who, options);
+            LogOpener opening = new LogOpener(disk, marks, who, options);
             opening.run();
-            Store store = new Store(disk, marks, who, options, opening);
+            SegmentedLog store = new SegmentedLog(disk, marks, who, options, opening);
             open = true;
             return store;
         } finally {
@@ -69,7 +70,7 @@
     }
 
     @Override
-    public Recovered recovered() {
+    public RecoveredState recovered() {
         return recovered;
     }
 
@@ -79,13 +80,13 @@
             throw new IllegalArgumentException(
                     "an entry of " + bytes.length + " bytes, " + LARGEST + " at most");
         if (generations.isWhole()) sync();
-        write(new Record.Entry(index, term, bytes));
+        write(new LogRecord.Entry(index, term, bytes));
     }
 
     @Override
     public void truncateFrom(long index) throws DurableException {
         if (index == contents.last() + 1) return;
-        write(new Record.CutFrom(index));
+        write(new LogRecord.CutFrom(index));
     }
 
     @Override
@@ -104,15 +105,15 @@
     @Override
     public void saveTerm(long term, String votedFor) throws DurableException {
         if (term == contents.term() && votedFor.equals(contents.votedFor())) return;
-        write(new Record.Term(term, votedFor));
+        write(new LogRecord.Term(term, votedFor));
     }
 
     @Override
     public void saveNote(String name, byte[] value) throws DurableException {
-        write(new Record.Note(name, value));
+        write(new LogRecord.Note(name, value));
     }
 
-    private void write(Record record) throws DurableException {
+    private void write(LogRecord record) throws DurableException {
         usable();
         String wrong = contents.check(record);
         if (wrong != null) throw new IllegalArgumentException(wrong);
@@ -150,7 +151,7 @@
     private void syncAll() throws DurableException {
         Ref whole = generations.finish();
         if (whole != null) {
-            Record.Snapshot record = new Record.Snapshot(whole);
+            LogRecord.Snapshot record = new LogRecord.Snapshot(whole);
             // Chunks may have waited while an entry was cut that they stand for, or a later
             // snapshot was taken.
             if (contents.check(record) == null) {
@@ -185,7 +186,7 @@
 
     private void mark() throws DurableException {
         marks.put(
-                new Record.Mark(
+                new LogRecord.Mark(
                         who,
                         incarnation,
                         segments.seq(),
@@ -205,7 +206,7 @@
     }
 
     private void stand(Standing standing, String reason) throws DurableException {
-        write(new Record.Stands(standing));
+        write(new LogRecord.Stands(standing));
         why = reason;
         sync();
     }
@@ -251,7 +252,7 @@
     }
 
     @Override
-    public Status status() {
+    public LogStatus status() {
         synchronized (health) {
             return health.status(
                     options.clock().getAsLong(), incarnation, barred, lastIndex, bytes);
@@ -261,7 +262,7 @@
     @Override
     public void close() {
         synchronized (health) {
-            if (health.state() == Status.State.CLOSED) return;
+            if (health.state() == LogStatus.State.CLOSED) return;
         }
         try {
             sync();
--- a/src/main/java/calicostream/durable/Generations.java
+++ b/src/main/java/calicostream/durable/SnapshotFiles.java
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.durable;
 
-import calicostream.durable.Frames.Frame;
-import calicostream.durable.Record.Ref;
+import calicostream.durable.LogRecord.Ref;
+import calicostream.durable.RecordFraming.Frame;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
 
 /** Snapshot files: the one that is being collected, and what is in a whole one. One thread. */
-final class Generations {
+final class SnapshotFiles {
 
     private final Disk disk;
-    private final Identity who;
-    private final Bytes out = new Bytes(1 << 16);
+    private final LogIdentity who;
+    private final FieldBuffer out = new FieldBuffer(1 << 16);
     private final List<Ref> unreadable = new ArrayList<>();
     private Ref pending;
     private BitSet got;
@@ -20,7 +20,7 @@
     private long seq;
     private int crc;
 
-    Generations(Disk disk, Identity who) {
+    SnapshotFiles(Disk disk, LogIdentity who) {
         this.disk = disk;
         this.who = who;
     }
@@ -29,10 +29,10 @@
      * The chunks in order, or null when the file is not whole. A sound file of another member is an
      * error.
      */
-    static List<byte[]> decode(Identity who, Ref ref, byte[] file, String name)
+    static List<byte[]> decode(LogIdentity who, Ref ref, byte[] file, String name)
             throws DurableException {
-        Frame frame = Frames.read(file, 0, name);
-        if (frame == null || !(frame.record() instanceof Record.SnapshotHead head)) return null;
+        Frame frame = RecordFraming.read(file, 0, name);
+        if (frame == null || !(frame.record() instanceof LogRecord.SnapshotHead head)) return null;
         if (!head.who().equals(who))
             throw new DurableException.Foreign(
                     name + " belongs to " + head.who() + ", this is " + who);
@@ -40,7 +40,7 @@
         byte[][] chunks = new byte[head.chunks()][];
         for (int left = head.chunks(); left > 0; left--) {
             Frame next = next(file, frame, name);
-            if (next == null || !(next.record() instanceof Record.Chunk chunk)) return null;
+            if (next == null || !(next.record() instanceof LogRecord.Chunk chunk)) return null;
             if (chunk.number() < 0
                     || chunk.number() >= chunks.length
                     || chunks[chunk.number()] != null) return null;
@@ -49,13 +49,13 @@
         }
         Frame end = next(file, frame, name);
         if (end == null
-                || !(end.record() instanceof Record.SnapshotEnd)
+                || !(end.record() instanceof LogRecord.SnapshotEnd)
                 || end.end() != file.length) return null;
         return List.of(chunks);
     }
 
     private static Frame next(byte[] file, Frame before, String name) throws DurableException {
-        Frame frame = Frames.read(file, before.end(), name);
+        Frame frame = RecordFraming.read(file, before.end(), name);
         return frame != null && frame.seq() == before.seq() + 1 && frame.prev() == before.crc()
                 ? frame
                 : null;
@@ -66,7 +66,8 @@
      * where there is none and the log goes back to its first entry. Those that can't be read are
      * dropped from {@code contents}.
      */
-    Recovered.Snapshot newest(Contents contents, List<String> findings) throws DurableException {
+    RecoveredState.Snapshot newest(LogState contents, List<String> findings)
+            throws DurableException {
         List<Ref> refs = new ArrayList<>(contents.snapshots());
         unreadable.clear();
         for (int i = refs.size() - 1; i >= 0; i--) {
@@ -78,9 +79,9 @@
                             "snapshots that can't be read: "
                                     + unreadable
                                     + "; "
-                                    + Names.snapshot(ref)
+                                    + SegmentNames.snapshot(ref)
                                     + " and the log stand in");
-                return new Recovered.Snapshot(ref.index(), ref.term(), chunks);
+                return new RecoveredState.Snapshot(ref.index(), ref.term(), chunks);
             }
             if (chunks == null) {
                 unreadable.add(ref);
@@ -88,7 +89,7 @@
             }
         }
         if (contents.base() > 0)
-            throw new DurableException.RottenSnapshot(
+            throw new DurableException.CorruptSnapshot(
                     "no readable generation joins the log, which begins after entry "
                             + contents.base()
                             + "; not readable: "
@@ -108,7 +109,7 @@
 
     /** Null where the file is not there or not whole. */
     List<byte[]> load(Ref ref) throws DurableException {
-        String name = Names.snapshot(ref);
+        String name = SegmentNames.snapshot(ref);
         try {
             return decode(who, ref, disk.read(name), name);
         } catch (DurableException.Missing e) {
@@ -124,22 +125,22 @@
             got = new BitSet(count);
             seq = 0;
             crc = 0;
-            write(new Record.SnapshotHead(who, ref, count));
+            write(new LogRecord.SnapshotHead(who, ref, count));
         }
         if (got.get(number)) return;
-        write(new Record.Chunk(number, bytes));
+        write(new LogRecord.Chunk(number, bytes));
         got.set(number);
     }
 
-    private void write(Record record) throws DurableException {
+    private void write(LogRecord record) throws DurableException {
         out.clear();
-        crc = Frames.write(out, record, ++seq, 0, crc);
-        disk.append(Names.snapshot(pending) + Names.PART, out.view());
+        crc = RecordFraming.write(out, record, ++seq, 0, crc);
+        disk.append(SegmentNames.snapshot(pending) + SegmentNames.PART, out.view());
     }
 
     void drop() throws DurableException {
         if (pending == null) return;
-        disk.delete(Names.snapshot(pending) + Names.PART);
+        disk.delete(SegmentNames.snapshot(pending) + SegmentNames.PART);
         pending = null;
     }
 
@@ -153,10 +154,10 @@
     Ref finish() throws DurableException {
         if (!isWhole()) return null;
         Ref done = pending;
-        write(new Record.SnapshotEnd(of));
-        String name = Names.snapshot(done);
-        disk.sync(name + Names.PART);
-        disk.rename(name + Names.PART, name);
+        write(new LogRecord.SnapshotEnd(of));
+        String name = SegmentNames.snapshot(done);
+        disk.sync(name + SegmentNames.PART);
+        disk.rename(name + SegmentNames.PART, name);
         disk.syncFolder();
         pending = null;
         return done;
@@ -164,8 +165,8 @@
 
     /** Deletes whole files that the log does not name. */
     void deleteBut(List<Ref> named) throws DurableException {
-        List<String> kept = named.stream().map(Names::snapshot).toList();
-        for (String name : Names.of(Names.SNAPSHOT, disk.list()))
+        List<String> kept = named.stream().map(SegmentNames::snapshot).toList();
+        for (String name : SegmentNames.of(SegmentNames.SNAPSHOT, disk.list()))
             if (!kept.contains(name)) disk.delete(name);
     }
 }
--- a/src/main/java/calicostream/durable/Amnesia.java
+++ b/src/main/java/calicostream/durable/StateLossDetector.java
@@ -8,12 +8,12 @@
  * Whether a member still knows all that it promised. Pure: what it found in its own marks and what
  * peers remember of it goes in, the verdict and its reason come out. A member asks before its first
  * vote and before its first acknowledgement, and again whenever a peer tells more, until the answer
- * is not {@link Verdict#WAIT}. Waiting costs nothing: without word from a majority no vote can win
- * anyhow.
+ * is not {@link RecoveryVerdict#WAIT}. Waiting costs nothing: without word from a majority no vote
+ * can win anyhow.
  */
-public final class Amnesia {
+public final class StateLossDetector {
 
-    private Amnesia() {}
+    private StateLossDetector() {}
 
     /** How this member stands in its group by its own marks. */
     public enum Standing {
@@ -70,7 +70,7 @@
         public static final Seen NOTHING = new Seen(0, 0, 0, 0, false, false);
     }
 
-    public record Answer(Verdict verdict, String reason) {}
+    public record Answer(RecoveryVerdict verdict, String reason) {}
 
     /**
      * {@code others} are the voters beside it that it knows of, {@code founder} whether its
@@ -81,34 +81,37 @@
         for (Map.Entry<String, Seen> peer : told.entrySet()) {
             if (peer.getValue().alive())
                 return new Answer(
-                        Verdict.REFUSE,
+                        RecoveryVerdict.REFUSE,
                         peer.getKey() + " is connected to another process of this member");
         }
-        if (own.doubt() != Doubt.NONE) return new Answer(Verdict.LEARNER, own.facts());
+        if (own.doubt() != Doubt.NONE) return new Answer(RecoveryVerdict.LEARNER, own.facts());
         if (own.standing() == Standing.BARRED)
             return new Answer(
-                    Verdict.LEARNER, "forgot before and was not admitted anew: " + own.facts());
+                    RecoveryVerdict.LEARNER,
+                    "forgot before and was not admitted anew: " + own.facts());
         for (Map.Entry<String, Seen> peer : told.entrySet()) {
             String forgotten = forgotten(own, peer.getKey(), peer.getValue());
-            if (forgotten != null) return new Answer(Verdict.LEARNER, forgotten);
+            if (forgotten != null) return new Answer(RecoveryVerdict.LEARNER, forgotten);
         }
         long heard = others.stream().filter(told::containsKey).count();
         if (own.standing() == Standing.ADMITTED) {
             return heard >= (others.size() + 1) / 2
-                    ? new Answer(Verdict.VOTER, "marks and " + heard + " peers agree")
+                    ? new Answer(RecoveryVerdict.VOTER, "marks and " + heard + " peers agree")
                     : new Answer(
-                            Verdict.WAIT, "heard " + heard + " of " + others.size() + " peers");
+                            RecoveryVerdict.WAIT,
+                            "heard " + heard + " of " + others.size() + " peers");
         }
         if (told.values().stream().anyMatch(Seen::grouped))
-            return new Answer(Verdict.LEARNER, "the group is founded and has not admitted it");
+            return new Answer(
+                    RecoveryVerdict.LEARNER, "the group is founded and has not admitted it");
         if (!founder || own.term() > 0 || own.lastIndex() > 0)
-            return new Answer(Verdict.LEARNER, "not admitted by a group yet");
+            return new Answer(RecoveryVerdict.LEARNER, "not admitted by a group yet");
         // A new group begins only once in its life; a majority of blank voters could found a second
         // one beside a voter that is cut off.
         return heard == others.size()
-                ? new Answer(Verdict.VOTER, "all first voters are new")
+                ? new Answer(RecoveryVerdict.VOTER, "all first voters are new")
                 : new Answer(
-                        Verdict.WAIT,
+                        RecoveryVerdict.WAIT,
                         "a new group needs all its first voters: heard "
                                 + heard
                                 + " of "
--- a/src/main/java/calicostream/errors/FleetError.java
+++ b/src/main/java/calicostream/errors/OperationalError.java
@@ -7,12 +7,12 @@
  * None of them reaches a client of a front end but in the words of that front end's page.
  *
  * <p>Java seals a family within one package only, and a package here is a concern. So each package
- * seals its own root: an abstract sealed exception with a {@link Page}, or where a refusal is an
- * answer and never thrown a sealed interface with one, whose permitted types are final and name
- * their code in a constant {@code CODE}. A test holds that nothing else implements this, that no
- * code is used twice, and that each has its row.
+ * seals its own root: an abstract sealed exception with a {@link OperatorDocumentation}, or where a
+ * refusal is an answer and never thrown a sealed interface with one, whose permitted types are
+ * final and name their code in a constant {@code CODE}. A test holds that nothing else implements
+ * this, that no code is used twice, and that each has its row.
  */
-public interface FleetError {
+public interface OperationalError {
     /** Stable: rows of the operators' page, figures and alarms go by it. */
     String code();
 
--- a/src/main/java/calicostream/errors/Page.java
+++ b/src/main/java/calicostream/errors/OperatorDocumentation.java
@@ -7,12 +7,12 @@
 import java.lang.annotation.Target;
 
 /**
- * Of a root of {@link FleetError}s: the operators' page that has a row for each of its codes,
+ * Of a root of {@link OperationalError}s: the operators' page that has a row for each of its codes,
  * within {@code docs/operate}.
  */
 @Retention(RetentionPolicy.RUNTIME)
 @Target(ElementType.TYPE)
-public @interface Page {
+public @interface OperatorDocumentation {
     String value();
 
     /** Its codes begin with one of these. */
--- a/src/main/java/calicostream/flight/ArrowRows.java
+++ b/src/main/java/calicostream/flight/ArrowRows.java
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight;
 
-import calicostream.flight.wire.Answers;
+import calicostream.flight.wire.EngineResult;
+import calicostream.flight.wire.FlightFrame;
 import calicostream.flight.wire.FlightWire;
-import calicostream.flight.wire.Frame;
 import com.google.protobuf.ByteString;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -37,7 +37,7 @@
     private ArrowRows() {}
 
     /** Rows of text as frames of a stream of text columns. */
-    public static List<Frame> frames(byte[] rows) {
+    public static List<FlightFrame> frames(byte[] rows) {
         String text = new String(rows, StandardCharsets.UTF_8);
         String[] lines = text.isEmpty() ? new String[0] : text.split("\n", -1);
         int count = text.endsWith("\n") ? lines.length - 1 : lines.length;
@@ -58,7 +58,7 @@
             }
             root.setRowCount(count);
             return List.of(
-                    Frame.of(
+                    FlightFrame.of(
                             ByteString.EMPTY,
                             FlightWire.schemaHeader(root.getSchema()),
                             ByteString.EMPTY,
@@ -68,7 +68,7 @@
     }
 
     /** One batch as a frame. */
-    public static Frame batch(VectorSchemaRoot root) {
+    public static FlightFrame batch(VectorSchemaRoot root) {
         try (ArrowRecordBatch batch = new VectorUnloader(root).getRecordBatch()) {
             ByteArrayOutputStream out = new ByteArrayOutputStream();
             MessageSerializer.serialize(new WriteChannel(Channels.newChannel(out)), batch);
@@ -76,7 +76,7 @@
             ByteBuffer lead = ByteBuffer.wrap(ipc).order(ByteOrder.LITTLE_ENDIAN);
             int header = lead.getInt(Integer.BYTES);
             int body = 2 * Integer.BYTES + header;
-            return Frame.of(
+            return FlightFrame.of(
                     ByteString.EMPTY,
                     ByteString.copyFrom(ipc, 2 * Integer.BYTES, header),
                     ByteString.EMPTY,
@@ -87,13 +87,13 @@
     }
 
     /** Frames as an IPC stream; bodies off the heap are used up. */
-    public static byte[] ipc(List<Frame> frames) {
+    public static byte[] ipc(List<FlightFrame> frames) {
         try {
             ByteArrayOutputStream out = new ByteArrayOutputStream();
-            for (Frame frame : frames) {
+            for (FlightFrame frame : frames) {
                 frame.writeIpc(out);
             }
-            Frame.endIpc(out);
+            FlightFrame.endIpc(out);
             return out.toByteArray();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -108,9 +108,9 @@
      * An engine's result, or the count of an update, as rows of text; what it holds is given back.
      */
     public static byte[] text(Object result) {
-        if (result instanceof Answers.Counted counted) {
+        if (result instanceof EngineResult.Counted counted) {
             return (counted.rows() + "\n").getBytes(StandardCharsets.UTF_8);
-        } else if (!(result instanceof Answers.Held held)) {
+        } else if (!(result instanceof EngineResult.Held held)) {
             return (byte[]) result;
         } else {
             try {
--- a/src/main/java/calicostream/flight/FrameListener.java
+++ b/src/main/java/calicostream/flight/FrameListener.java
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight;
 
+import calicostream.flight.wire.FlightFrame;
 import calicostream.flight.wire.FlightWire;
-import calicostream.flight.wire.Frame;
 import com.google.protobuf.ByteString;
 import java.util.List;
 import org.apache.arrow.flight.FlightProducer;
@@ -12,10 +12,10 @@
 
 /** Takes what a producer of Arrow's library would send, as frames. */
 public final class FrameListener implements FlightProducer.ServerStreamListener {
-    private final List<Frame> out;
+    private final List<FlightFrame> out;
     private VectorSchemaRoot root;
 
-    public FrameListener(List<Frame> out) {
+    public FrameListener(List<FlightFrame> out) {
         this.out = out;
     }
 
@@ -23,7 +23,7 @@
     public void start(VectorSchemaRoot from, DictionaryProvider dictionaries, IpcOption option) {
         root = from;
         out.add(
-                Frame.of(
+                FlightFrame.of(
                         ByteString.EMPTY,
                         FlightWire.schemaHeader(from.getSchema()),
                         ByteString.EMPTY,
--- a/src/main/java/calicostream/flight/engine/Call.java
+++ b/src/main/java/calicostream/flight/engine/EngineCall.java
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.engine;
 
-import calicostream.QueryRouter.Outcome;
-import calicostream.QueryRouter.Report;
 import calicostream.core.Gateway;
-import calicostream.flight.wire.Answers;
+import calicostream.flight.wire.EngineResult;
 import calicostream.flight.wire.FlightWire;
-import calicostream.grpc.Calls;
+import calicostream.grpc.GrpcStatuses;
+import calicostream.routing.AttemptOutcome;
+import calicostream.routing.LoadReport;
 import com.google.protobuf.ByteString;
 import io.grpc.CallOptions;
 import io.grpc.Channel;
@@ -28,7 +28,7 @@
  * One attempt at an engine. It begins on the loop; gRPC's threads use it one after another; its end
  * is told on the loop.
  */
-abstract class Call {
+abstract class EngineCall {
     /** Words that engines have for a statement that none of them can run. */
     private static final Set<Status.Code> OWN_WORDS =
             Set.of(
@@ -43,7 +43,7 @@
 
     private static final String LOCAL_BOUND =
             "gRPC message exceeds maximum size"; // how gRPC says it of what it reads
-    final FlightEngines engines;
+    final FlightEngineClient engines;
     final Gateway.Attempt attempt;
     final Context.CancellableContext context = Context.ROOT.withCancellation();
     final AtomicReference<Metadata> headers = new AtomicReference<>();
@@ -52,13 +52,13 @@
     private final Metadata sent = new Metadata();
     private Channel channel;
 
-    Call(FlightEngines engines, Gateway.Attempt attempt, Metadata with) {
+    EngineCall(FlightEngineClient engines, Gateway.Attempt attempt, Metadata with) {
         this.engines = engines;
         this.attempt = attempt;
         sent.merge(with);
-        sent.put(Calls.CLASS, engines.settings.classNames().get(attempt.request.queryClass));
-        sent.put(Calls.REQUEST, attempt.request.id);
-        sent.put(Calls.URGENCY, Integer.toString(attempt.request.priority()));
+        sent.put(GrpcStatuses.CLASS, engines.settings.classNames().get(attempt.request.queryClass));
+        sent.put(GrpcStatuses.REQUEST, attempt.request.id);
+        sent.put(GrpcStatuses.URGENCY, Integer.toString(attempt.request.priority()));
     }
 
     final void begin(ManagedChannel up) {
@@ -108,17 +108,18 @@
     }
 
     /** The attempt has ended; the first end told counts. */
-    final void finish(Outcome outcome, Object result) {
+    final void finish(AttemptOutcome outcome, Object result) {
         if (over.compareAndSet(false, true)) {
-            Report report = Calls.report(headers.get(), trailers.get());
+            LoadReport report = GrpcStatuses.report(headers.get(), trailers.get());
             engines.loop.post(
                     () -> {
                         ended(outcome);
-                        if (outcome == Outcome.RESET || outcome == Outcome.CONNECT_FAILED) {
+                        if (outcome == AttemptOutcome.RESET
+                                || outcome == AttemptOutcome.CONNECT_FAILED) {
                             engines.lost(attempt.engine);
                         }
-                        if (!engines.gateway().ended(attempt, outcome, report, result)
-                                && result instanceof Answers.Held held) {
+                        if (!engines.gateway().attemptEnded(attempt, outcome, report, result)
+                                && result instanceof EngineResult.Held held) {
                             held.drop();
                         }
                     });
@@ -128,17 +129,18 @@
     /** The request has its final answer, and the engine no fault in it. */
     final void conclude(Status word) {
         if (over.compareAndSet(false, true)) {
-            Report report = Calls.report(headers.get(), trailers.get());
+            LoadReport report = GrpcStatuses.report(headers.get(), trailers.get());
             engines.loop.post(
                     () -> {
-                        ended(Outcome.CANCELLED);
-                        engines.gateway().concluded(attempt, report, new Answers.Word(word));
+                        ended(AttemptOutcome.CANCELLED);
+                        engines.gateway()
+                                .attemptConcluded(attempt, report, new EngineResult.Word(word));
                     });
         }
     }
 
     /** On the loop, before the core hears of the end. */
-    void ended(Outcome outcome) {}
+    void ended(AttemptOutcome outcome) {}
 
     final boolean isOver() {
         return over.get();
@@ -156,8 +158,8 @@
         }
     }
 
-    Outcome outcome(Status status) {
-        return Calls.outcome(status, trailers.get(), attempt.request.isOnce());
+    AttemptOutcome outcome(Status status) {
+        return GrpcStatuses.outcome(status, trailers.get(), attempt.request.isNonIdempotent());
     }
 
     final boolean isOwnWord(Status status) {
