--- a/src/main/java/calicostream/flight/engine/FlightEngines.java
+++ b/src/main/java/calicostream/flight/engine/FlightEngineClient.java
@@ -1,16 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.engine;
 
-import calicostream.QueryRouter;
-import calicostream.SettingsParser;
 import calicostream.core.Gateway;
 import calicostream.flight.FlightConfig;
 import calicostream.flight.state.Admission;
+import calicostream.flight.wire.EngineOperation;
 import calicostream.flight.wire.FlightWire;
-import calicostream.flight.wire.Work;
-import calicostream.grpc.ChannelEngines;
-import calicostream.grpc.Channels;
+import calicostream.grpc.EngineChannels;
+import calicostream.grpc.GrpcEngineClient;
 import calicostream.net.Loop;
+import calicostream.routing.EngineEndpoint;
+import calicostream.routing.EngineLifecycle;
+import calicostream.routing.SettingsParser;
 import com.google.protobuf.ByteString;
 import io.grpc.ManagedChannel;
 import io.grpc.Metadata;
@@ -35,7 +36,7 @@
  * that knows no work. Calls are asynchronous; gRPC's threads hand what they learn to the loop,
  * which owns this object.
  */
-public final class FlightEngines extends ChannelEngines {
+public final class FlightEngineClient extends GrpcEngineClient {
     /** Told on the loop of what happens to engines, as far as it ends what they hold. */
     public interface Listener {
         void drains(long engine);
@@ -55,27 +56,28 @@
     private final NioEventLoopGroup threads;
     private Listener listener;
 
-    public FlightEngines(
+    public FlightEngineClient(
             Loop loop, SettingsParser settings, FlightConfig config, Admission admission) {
         this(
                 loop,
                 settings,
                 config,
                 admission,
-                new NioEventLoopGroup(config.threads(), (ThreadFactory) FlightEngines::daemon));
+                new NioEventLoopGroup(
+                        config.threads(), (ThreadFactory) FlightEngineClient::daemon));
     }
 
-    private FlightEngines(
+    private FlightEngineClient(
             Loop loop,
             SettingsParser settings,
             FlightConfig config,
             Admission admission,
             NioEventLoopGroup threads) {
         super(
-                new Channels(
+                new EngineChannels(
                         loop,
-                        settings.wiring(),
-                        address -> dial(address, settings.wiring(), config, threads)));
+                        settings.connectionSettings(),
+                        address -> dial(address, settings.connectionSettings(), config, threads)));
         this.loop = loop;
         this.settings = settings;
         this.config = config;
@@ -104,7 +106,7 @@
      */
     private static ManagedChannel dial(
             InetSocketAddress address,
-            SettingsParser.Wiring wiring,
+            SettingsParser.ConnectionSettings wiring,
             FlightConfig config,
             NioEventLoopGroup threads) {
         return NettyChannelBuilder.forAddress(address)
@@ -121,23 +123,26 @@
 
     @Override
     public void send(Gateway.Attempt attempt) {
-        Call call = callFor(attempt);
+        EngineCall call = callFor(attempt);
         attempt.link = call;
         channels.start(attempt, call::begin);
     }
 
-    private Call callFor(Gateway.Attempt attempt) {
-        Work.Job job = attempt.request.work instanceof Work.Job given ? given : plain(attempt);
-        Work work = job.work();
-        if (work instanceof Work.Query query) {
+    private EngineCall callFor(Gateway.Attempt attempt) {
+        EngineOperation.Job job =
+                attempt.request.operation instanceof EngineOperation.Job given
+                        ? given
+                        : plain(attempt);
+        EngineOperation work = job.work();
+        if (work instanceof EngineOperation.Query query) {
             return new QueryCall(this, attempt, job.headers(), query);
-        } else if (work instanceof Work.Fetch fetch) {
+        } else if (work instanceof EngineOperation.Fetch fetch) {
             return new QueryCall(this, attempt, job.headers(), fetch);
-        } else if (work instanceof Work.Update update) {
+        } else if (work instanceof EngineOperation.Update update) {
             return new UpdateCall(this, attempt, job.headers(), update);
-        } else if (work instanceof Work.Ingest ingest) {
+        } else if (work instanceof EngineOperation.Ingest ingest) {
             return new IngestCall(this, attempt, job.headers(), ingest);
-        } else if (work instanceof Work.Poll poll) {
+        } else if (work instanceof EngineOperation.Poll poll) {
             return new PollCall(this, attempt, job.headers(), poll);
         } else {
             return new UnaryCall(this, attempt, job.headers(), work);
@@ -145,55 +150,55 @@
     }
 
     /** The work of a request that is just text: a query that must be whole, or an update. */
-    private static Work.Job plain(Gateway.Attempt attempt) {
+    private static EngineOperation.Job plain(Gateway.Attempt attempt) {
         ByteString sql = ByteString.copyFrom(attempt.request.body);
-        Work work =
+        EngineOperation work =
                 attempt.request.isLoad()
-                        ? new Work.Update(
+                        ? new EngineOperation.Update(
                                 FlightWire.packed(
                                         FlightSql.CommandStatementUpdate.newBuilder()
                                                 .setQueryBytes(sql)
                                                 .build()),
                                 null)
-                        : new Work.Query(
+                        : new EngineOperation.Query(
                                 FlightWire.packed(
                                         FlightSql.CommandStatementQuery.newBuilder()
                                                 .setQueryBytes(sql)
                                                 .build()),
                                 null,
                                 false);
-        return new Work.Job(work, new Metadata());
+        return new EngineOperation.Job(work, new Metadata());
     }
 
     @Override
     protected void cancel(Gateway.Attempt attempt) {
-        if (attempt.link instanceof Call call) {
+        if (attempt.link instanceof EngineCall call) {
             call.context.cancel(null);
         }
     }
 
     @Override
-    public void withdrawn(long engine) {
-        super.withdrawn(engine);
+    public void engineDraining(long engine) {
+        super.engineDraining(engine);
         withdrawn.add(engine);
         tell(() -> listener.drains(engine));
     }
 
     @Override
-    public void renewed(long engine) {
-        super.renewed(engine);
+    public void engineReinstated(long engine) {
+        super.engineReinstated(engine);
         back(engine);
     }
 
     /** The list's word on an engine: it takes work again, or its process is another one. */
-    public void listed(QueryRouter.Engine engine) {
-        Long before = born.put(engine.id(), engine.bornUs());
-        if (engine.state() == QueryRouter.EngineState.GONE) {
+    public void listed(EngineEndpoint engine) {
+        Long before = born.put(engine.id(), engine.startedAtUs());
+        if (engine.lifecycle() == EngineLifecycle.REMOVED) {
             born.remove(engine.id());
-        } else if (before != null && engine.bornUs() > before) {
+        } else if (before != null && engine.startedAtUs() > before) {
             lost(engine.id());
         }
-        if (engine.state() == QueryRouter.EngineState.READY) {
+        if (engine.lifecycle() == EngineLifecycle.READY) {
             back(engine.id());
         }
     }
@@ -205,8 +210,8 @@
     }
 
     @Override
-    public void gone(long engine) {
-        super.gone(engine);
+    public void engineRemoved(long engine) {
+        super.engineRemoved(engine);
         withdrawn.remove(engine);
         lost(engine);
     }
--- a/src/main/java/calicostream/flight/engine/IngestCall.java
+++ b/src/main/java/calicostream/flight/engine/IngestCall.java
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.engine;
 
-import calicostream.QueryRouter;
-import calicostream.QueryRouter.Outcome;
 import calicostream.core.Gateway;
-import calicostream.flight.wire.Answers;
+import calicostream.flight.wire.EngineOperation;
+import calicostream.flight.wire.EngineResult;
+import calicostream.flight.wire.FlightFrame;
 import calicostream.flight.wire.FlightWire;
-import calicostream.flight.wire.Frame;
 import calicostream.flight.wire.Upload;
-import calicostream.flight.wire.Work;
+import calicostream.routing.AttemptOutcome;
+import calicostream.routing.ProgressKind;
 import com.google.protobuf.InvalidProtocolBufferException;
 import io.grpc.ClientCall;
 import io.grpc.Metadata;
@@ -22,17 +22,21 @@
  * Until the first rows have gone out nothing is stored, so the attempt counts as never run; from
  * then on its outcome is the engine's to tell.
  */
-final class IngestCall extends Call implements Upload.Receiver {
+final class IngestCall extends EngineCall implements Upload.Receiver {
     private static final long NOTE_EVERY = 200_000;
-    private final Work.Ingest work;
+    private final EngineOperation.Ingest work;
     private final AtomicBoolean drawing = new AtomicBoolean();
     private final AtomicBoolean closed = new AtomicBoolean();
-    private ClientCall<Frame, Flight.PutResult> put;
+    private ClientCall<FlightFrame, Flight.PutResult> put;
     private Flight.PutResult told;
     private volatile boolean schemaSent;
     private long notedAt;
 
-    IngestCall(FlightEngines engines, Gateway.Attempt attempt, Metadata with, Work.Ingest work) {
+    IngestCall(
+            FlightEngineClient engines,
+            Gateway.Attempt attempt,
+            Metadata with,
+            EngineOperation.Ingest work) {
         super(engines, attempt, with);
         this.work = work;
     }
@@ -40,7 +44,7 @@
     @Override
     void begin() {
         if (!work.upload().to(this)) {
-            finish(Outcome.ERROR, null);
+            finish(AttemptOutcome.ERROR, null);
             return;
         }
         put = channel().newCall(FlightWire.DO_PUT, timed());
@@ -80,7 +84,7 @@
     }
 
     @Override
-    public void frame(Frame frame) {
+    public void frame(FlightFrame frame) {
         if (isOver()) {
             frame.release();
             return;
@@ -97,7 +101,7 @@
         if (now - notedAt > NOTE_EVERY) {
             notedAt = now;
             engines.loop.post(
-                    () -> engines.gateway().progress(attempt, QueryRouter.Notice.OTHER, 0));
+                    () -> engines.gateway().attemptProgressed(attempt, ProgressKind.OTHER, 0));
         }
     }
 
@@ -116,29 +120,31 @@
         if (status.isOk()) {
             try {
                 finish(
-                        told == null ? Outcome.ERROR : Outcome.OK,
+                        told == null ? AttemptOutcome.ERROR : AttemptOutcome.OK,
                         told == null
                                 ? null
-                                : new Answers.Counted(
+                                : new EngineResult.Counted(
                                         FlightSql.DoPutUpdateResult.parseFrom(told.getAppMetadata())
                                                 .getRecordCount()));
             } catch (InvalidProtocolBufferException e) {
-                finish(Outcome.ERROR, null);
+                finish(AttemptOutcome.ERROR, null);
             }
         } else if (isOwnWord(status)) {
             conclude(status);
         } else if (stored
                 && outcome(status)
-                        == Outcome.FULL) { // Proven: not a row was stored, though some are gone.
+                        == AttemptOutcome
+                                .OVERLOADED) { // Proven: not a row was stored, though some are
+            // gone.
             conclude(Status.UNAVAILABLE.withDescription("refused by the engine"));
         } else if (stored) {
-            Outcome outcome = outcome(status);
-            finish(outcome.mayHaveRun ? outcome : Outcome.ERROR, null);
+            AttemptOutcome outcome = outcome(status);
+            finish(outcome.mayHaveRun ? outcome : AttemptOutcome.ERROR, null);
         } else { // Not a row has gone out.
             finish(
                     status.getCode() == Status.Code.UNAVAILABLE
-                            ? Outcome.CONNECT_FAILED
-                            : Outcome.FULL,
+                            ? AttemptOutcome.CONNECT_FAILED
+                            : AttemptOutcome.OVERLOADED,
                     null);
         }
     }
--- a/src/main/java/calicostream/flight/engine/PollCall.java
+++ b/src/main/java/calicostream/flight/engine/PollCall.java
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.engine;
 
-import calicostream.QueryRouter.Notice;
-import calicostream.QueryRouter.Outcome;
 import calicostream.core.Gateway;
-import calicostream.flight.wire.Answers;
+import calicostream.flight.wire.EngineOperation;
+import calicostream.flight.wire.EngineResult;
 import calicostream.flight.wire.FlightWire;
-import calicostream.flight.wire.Work;
+import calicostream.routing.AttemptOutcome;
+import calicostream.routing.ProgressKind;
 import io.grpc.Metadata;
 import io.grpc.Status;
 import org.apache.arrow.flight.impl.Flight;
@@ -15,15 +15,19 @@
  * A long query that the engine tells the progress of: asked again until it is done, its news handed
  * to the module as notes. An engine that knows no polling is asked for the plan at once.
  */
-final class PollCall extends Call {
+final class PollCall extends EngineCall {
     private static final long AT_ONCE = 10_000;
     private static final long PAUSE = 100_000;
-    private final Work.Poll work;
+    private final EngineOperation.Poll work;
     private Flight.FlightDescriptor next;
     private double share = -1;
     private long askedAt;
 
-    PollCall(FlightEngines engines, Gateway.Attempt attempt, Metadata with, Work.Poll work) {
+    PollCall(
+            FlightEngineClient engines,
+            Gateway.Attempt attempt,
+            Metadata with,
+            EngineOperation.Poll work) {
         super(engines, attempt, with);
         this.work = work;
     }
@@ -66,17 +70,19 @@
                     @Override
                     public void onCompleted() {
                         finish(
-                                last == null ? Outcome.SPOILT : Outcome.OK,
-                                last == null ? null : new Answers.Planned(attempt.engine, last));
+                                last == null ? AttemptOutcome.CONNECTION_BROKEN : AttemptOutcome.OK,
+                                last == null
+                                        ? null
+                                        : new EngineResult.Planned(attempt.engine, last));
                     }
                 });
     }
 
     private void answered(Flight.PollInfo told) {
         if (told == null) {
-            finish(Outcome.SPOILT, null);
+            finish(AttemptOutcome.CONNECTION_BROKEN, null);
         } else if (!told.hasFlightDescriptor()) {
-            finish(Outcome.OK, new Answers.Planned(attempt.engine, told.getInfo()));
+            finish(AttemptOutcome.OK, new EngineResult.Planned(attempt.engine, told.getInfo()));
         } else {
             next = told.getFlightDescriptor();
             double to = told.hasProgress() ? told.getProgress() : 0;
@@ -85,10 +91,11 @@
             engines.loop.post(
                     () -> {
                         if (news && to > 0 && to <= 1) {
-                            engines.gateway().progress(attempt, Notice.SHARE_DONE, to);
+                            engines.gateway()
+                                    .attemptProgressed(attempt, ProgressKind.FRACTION_DONE, to);
                             work.progress().accept(to);
                         } else { // It says that it is there, if no more.
-                            engines.gateway().progress(attempt, Notice.OTHER, 0);
+                            engines.gateway().attemptProgressed(attempt, ProgressKind.OTHER, 0);
                         }
                         boolean early = engines.loop.clock().now() - askedAt < AT_ONCE;
                         if (isOver()) {
--- a/src/main/java/calicostream/flight/engine/Lease.java
+++ b/src/main/java/calicostream/flight/engine/PreparedStatementLease.java
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.engine;
 
-import calicostream.QueryRouter.Outcome;
+import calicostream.flight.wire.EngineOperation;
+import calicostream.flight.wire.FlightFrame;
 import calicostream.flight.wire.FlightWire;
-import calicostream.flight.wire.Frame;
-import calicostream.flight.wire.Work;
+import calicostream.routing.AttemptOutcome;
 import com.google.protobuf.Any;
 import com.google.protobuf.ByteString;
 import com.google.protobuf.InvalidProtocolBufferException;
@@ -21,13 +21,13 @@
  * or made. One that the engine does not know any more, as it has been restarted, is made again,
  * once: that proves that nothing ran.
  */
-public final class Lease {
-    private final Call call;
-    private final Work.Bound bound;
+public final class PreparedStatementLease {
+    private final EngineCall call;
+    private final EngineOperation.Bound bound;
     private ByteString handle;
     private boolean fresh;
 
-    Lease(Call call, Work.Bound bound) {
+    PreparedStatementLease(EngineCall call, EngineOperation.Bound bound) {
         this.call = call;
         this.bound = bound;
     }
@@ -64,7 +64,7 @@
                             handle = ByteString.EMPTY;
                         }
                         if (handle.isEmpty()) {
-                            call.finish(Outcome.SPOILT, null);
+                            call.finish(AttemptOutcome.CONNECTION_BROKEN, null);
                         } else {
                             then.accept(handle);
                         }
@@ -91,7 +91,7 @@
      * Binds rows of parameters for a query; then runs this with the handle to use from there on.
      */
     void bind(Consumer<ByteString> then) {
-        List<Frame> rows = bound.rows();
+        List<FlightFrame> rows = bound.rows();
         if (rows.isEmpty()) {
             then.accept(handle);
             return;
@@ -121,20 +121,21 @@
                                             : handle;
                             then.accept(handle);
                         } catch (InvalidProtocolBufferException e) {
-                            call.finish(Outcome.SPOILT, null);
+                            call.finish(AttemptOutcome.CONNECTION_BROKEN, null);
                         }
                     }
                 });
     }
 
     /** On the loop, at the attempt's end. */
-    void end(Outcome outcome) {
+    void end(AttemptOutcome outcome) {
         if (handle == null || handle.isEmpty()) {
             return;
         }
         boolean good =
-                outcome == Outcome.OK && bound.statement().giveBack(call.attempt.engine, handle);
-        if (!good && outcome != Outcome.RESET) {
+                outcome == AttemptOutcome.OK
+                        && bound.statement().giveBack(call.attempt.engine, handle);
+        if (!good && outcome != AttemptOutcome.RESET) {
             call.engines.tidy(
                     call.attempt.engine, FlightWire.CLOSE_PREPARED, closing(handle), false);
         }
@@ -149,10 +150,13 @@
 
     /** DoPut of a few frames that are on the heap; the first is the schema. */
     static void put(
-            Call call, ByteString command, List<Frame> frames, Call.Step<Flight.PutResult> answer) {
+            EngineCall call,
+            ByteString command,
+            List<FlightFrame> frames,
+            EngineCall.Step<Flight.PutResult> answer) {
         call.run(
                 () -> {
-                    ClientCall<Frame, Flight.PutResult> put =
+                    ClientCall<FlightFrame, Flight.PutResult> put =
                             call.channel().newCall(FlightWire.DO_PUT, call.timed());
                     put.start(
                             new ClientCall.Listener<>() {
--- a/src/main/java/calicostream/flight/engine/QueryCall.java
+++ b/src/main/java/calicostream/flight/engine/QueryCall.java
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.engine;
 
-import calicostream.QueryRouter.Outcome;
 import calicostream.core.Gateway;
-import calicostream.flight.state.ResultGate;
-import calicostream.flight.wire.Answers;
+import calicostream.flight.state.ResultBuffer;
+import calicostream.flight.wire.EngineOperation;
+import calicostream.flight.wire.EngineResult;
+import calicostream.flight.wire.FlightFrame;
 import calicostream.flight.wire.FlightWire;
-import calicostream.flight.wire.Frame;
-import calicostream.flight.wire.Work;
+import calicostream.routing.AttemptOutcome;
 import com.google.protobuf.ByteString;
 import io.grpc.CallOptions;
 import io.grpc.ClientCall;
@@ -24,43 +24,51 @@
  * kept until the engine has ended without error; once it lets the stream begin, one frame at a time
  * is drawn, when the sink takes it.
  */
-final class QueryCall extends Call implements Answers.Stream {
+final class QueryCall extends EngineCall implements EngineResult.Stream {
     private final ByteString command;
-    private final Lease lease;
-    private final ResultGate gate;
+    private final PreparedStatementLease lease;
+    private final ResultBuffer gate;
     private final boolean streams;
     private List<ByteString> tickets = List.of();
-    private List<Frame> held = new ArrayList<>();
+    private List<FlightFrame> held = new ArrayList<>();
     private final AtomicBoolean drawn = new AtomicBoolean(); // a frame has been asked for
     private int nextTicket;
     private long reserved;
     private boolean hasSchema, flows;
-    private volatile Answers.Sink sink;
+    private volatile EngineResult.Sink sink;
     private volatile long stalledSince;
-    private volatile ClientCall<Flight.Ticket, Frame> get;
+    private volatile ClientCall<Flight.Ticket, FlightFrame> get;
 
-    QueryCall(FlightEngines engines, Gateway.Attempt attempt, Metadata with, Work.Query work) {
+    QueryCall(
+            FlightEngineClient engines,
+            Gateway.Attempt attempt,
+            Metadata with,
+            EngineOperation.Query work) {
         this(engines, attempt, with, work.command(), work.bound(), work.streams());
     }
 
-    QueryCall(FlightEngines engines, Gateway.Attempt attempt, Metadata with, Work.Fetch work) {
+    QueryCall(
+            FlightEngineClient engines,
+            Gateway.Attempt attempt,
+            Metadata with,
+            EngineOperation.Fetch work) {
         this(engines, attempt, with, null, null, work.streams());
         tickets = work.tickets();
     }
 
     private QueryCall(
-            FlightEngines engines,
+            FlightEngineClient engines,
             Gateway.Attempt attempt,
             Metadata with,
             ByteString command,
-            Work.Bound bound,
+            EngineOperation.Bound bound,
             boolean streams) {
         super(engines, attempt, with);
         this.command = command;
         this.streams = streams;
-        lease = bound == null ? null : new Lease(this, bound);
+        lease = bound == null ? null : new PreparedStatementLease(this, bound);
         gate =
-                new ResultGate(
+                new ResultBuffer(
                         streams ? engines.config.holdBytes() : engines.config.mostHeldBytes(),
                         engines.config.mostResultBytes(),
                         streams);
@@ -96,7 +104,7 @@
                     @Override
                     public void onCompleted() {
                         if (last == null) {
-                            finish(Outcome.SPOILT, null);
+                            finish(AttemptOutcome.CONNECTION_BROKEN, null);
                         } else {
                             tickets =
                                     last.getEndpointList().stream()
@@ -131,7 +139,7 @@
                 () -> {
                     // A stream that has begun belongs to its client, and ends by the client's
                     // deadline only.
-                    ClientCall<Flight.Ticket, Frame> call =
+                    ClientCall<Flight.Ticket, FlightFrame> call =
                             channel()
                                     .newCall(
                                             FlightWire.DO_GET,
@@ -140,7 +148,7 @@
                     call.start(
                             new ClientCall.Listener<>() {
                                 @Override
-                                public void onMessage(Frame frame) {
+                                public void onMessage(FlightFrame frame) {
                                     arrived(frame);
                                 }
 
@@ -161,29 +169,31 @@
                 });
     }
 
-    private void arrived(Frame frame) {
+    private void arrived(FlightFrame frame) {
         drawn.set(false);
         if (isOver()) {
             frame.release();
             return;
         }
-        Frame.Kind kind = frame.kind();
+        FlightFrame.Kind kind = frame.kind();
         boolean again =
-                kind == Frame.Kind.SCHEMA
+                kind == FlightFrame.Kind.SCHEMA
                         && hasSchema; // Of several parts only the first brings a schema.
-        if (kind == Frame.Kind.BAD
-                || !hasSchema && (kind == Frame.Kind.BATCH || kind == Frame.Kind.DICTIONARY)) {
+        if (kind == FlightFrame.Kind.BAD
+                || !hasSchema
+                        && (kind == FlightFrame.Kind.BATCH
+                                || kind == FlightFrame.Kind.DICTIONARY)) {
             frame.release();
-            finish(Outcome.SPOILT, null);
+            finish(AttemptOutcome.CONNECTION_BROKEN, null);
             context.cancel(null);
             return;
         }
-        if (again || kind == Frame.Kind.NO_ARROW && frame.metadata().isEmpty()) {
+        if (again || kind == FlightFrame.Kind.NO_ARROW && frame.metadata().isEmpty()) {
             frame.release();
             pull();
             return;
         }
-        hasSchema |= kind == Frame.Kind.SCHEMA;
+        hasSchema |= kind == FlightFrame.Kind.SCHEMA;
         boolean room = !gate.hasBegun() && engines.admission.reserve(frame.bytes());
         switch (gate.next(frame.bytes(), room)) {
             case HOLD:
@@ -201,7 +211,7 @@
                     context.cancel(null);
                     break;
                 }
-                engines.loop.post(() -> engines.gateway().begun(attempt, this));
+                engines.loop.post(() -> engines.gateway().streamBegan(attempt, this));
                 break;
             case PASS:
                 sink.frame(frame);
@@ -218,23 +228,25 @@
     /** The result has been read to its end. */
     private void whole() {
         if (!hasSchema) {
-            finish(Outcome.ERROR, null);
+            finish(AttemptOutcome.ERROR, null);
         } else if (gate.hasBegun()) {
-            finish(Outcome.OK, null);
+            finish(AttemptOutcome.OK, null);
         } else {
-            List<Frame> all = held;
+            List<FlightFrame> all = held;
             long bytes = reserved;
             held = List.of();
             reserved = 0;
-            finish(Outcome.OK, new Answers.Held(all, () -> engines.admission.release(bytes)));
+            finish(
+                    AttemptOutcome.OK,
+                    new EngineResult.Held(all, () -> engines.admission.release(bytes)));
         }
     }
 
     // ---- Flow
     // -------------------------------------------------------------------------------------------
     @Override
-    public void flow(Answers.Sink to) {
-        List<Frame> first = held;
+    public void flow(EngineResult.Sink to) {
+        List<FlightFrame> first = held;
         held = List.of();
         first.forEach(to::frame);
         engines.admission.release(reserved);
@@ -248,7 +260,7 @@
      * Asks for one frame more, if the sink takes one; else the sink calls this again once it does.
      */
     private void pull() {
-        Answers.Sink to = sink;
+        EngineResult.Sink to = sink;
         if (to != null && !to.isReady()) {
             stalledSince = stalledSince == 0 ? engines.loop.clock().now() : stalledSince;
         } else if (drawn.compareAndSet(false, true)) {
@@ -263,8 +275,8 @@
     }
 
     @Override
-    void ended(Outcome outcome) {
-        held.forEach(Frame::release);
+    void ended(AttemptOutcome outcome) {
+        held.forEach(FlightFrame::release);
         engines.admission.release(reserved);
         reserved = 0;
         held = List.of();
--- a/src/main/java/calicostream/flight/engine/UnaryCall.java
+++ b/src/main/java/calicostream/flight/engine/UnaryCall.java
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.engine;
 
-import calicostream.QueryRouter.Outcome;
 import calicostream.core.Gateway;
-import calicostream.flight.wire.Answers;
+import calicostream.flight.wire.EngineOperation;
+import calicostream.flight.wire.EngineResult;
 import calicostream.flight.wire.FlightWire;
-import calicostream.flight.wire.Work;
+import calicostream.routing.AttemptOutcome;
 import com.google.protobuf.Any;
 import com.google.protobuf.ByteString;
 import com.google.protobuf.InvalidProtocolBufferException;
@@ -15,18 +15,22 @@
 import org.apache.arrow.flight.impl.Flight;
 
 /** Work that is one call with a short answer: an action, a schema, a plan. */
-final class UnaryCall extends Call {
+final class UnaryCall extends EngineCall {
     private static final int MOST_RESULTS = 64;
-    private final Work work;
+    private final EngineOperation work;
 
-    UnaryCall(FlightEngines engines, Gateway.Attempt attempt, Metadata with, Work work) {
+    UnaryCall(
+            FlightEngineClient engines,
+            Gateway.Attempt attempt,
+            Metadata with,
+            EngineOperation work) {
         super(engines, attempt, with);
         this.work = work;
     }
 
     @Override
     void begin() {
-        if (work instanceof Work.Act act) {
+        if (work instanceof EngineOperation.Act act) {
             List<ByteString> results = new ArrayList<>();
             act(
                     act.type(),
@@ -42,13 +46,15 @@
                         @Override
                         public void onCompleted() {
                             if (results.stream().allMatch(UnaryCall::isPacked)) {
-                                finish(Outcome.OK, new Answers.Acted(attempt.engine, results));
+                                finish(
+                                        AttemptOutcome.OK,
+                                        new EngineResult.Acted(attempt.engine, results));
                             } else {
-                                finish(Outcome.SPOILT, null);
+                                finish(AttemptOutcome.CONNECTION_BROKEN, null);
                             }
                         }
                     });
-        } else if (work instanceof Work.Describe describe) {
+        } else if (work instanceof EngineOperation.Describe describe) {
             run(
                     () ->
                             stub().getSchema(
@@ -58,25 +64,28 @@
                                                 public void onCompleted() {
                                                     finish(
                                                             last == null
-                                                                    ? Outcome.SPOILT
-                                                                    : Outcome.OK,
+                                                                    ? AttemptOutcome
+                                                                            .CONNECTION_BROKEN
+                                                                    : AttemptOutcome.OK,
                                                             last == null
                                                                     ? null
-                                                                    : new Answers.Described(
+                                                                    : new EngineResult.Described(
                                                                             last.getSchema()));
                                                 }
                                             }));
         } else {
             plan(
-                    ((Work.Plan) work).command(),
+                    ((EngineOperation.Plan) work).command(),
                     new Step<>() {
                         @Override
                         public void onCompleted() {
                             finish(
-                                    last == null ? Outcome.SPOILT : Outcome.OK,
+                                    last == null
+                                            ? AttemptOutcome.CONNECTION_BROKEN
+                                            : AttemptOutcome.OK,
                                     last == null
                                             ? null
-                                            : new Answers.Planned(attempt.engine, last));
+                                            : new EngineResult.Planned(attempt.engine, last));
                         }
                     });
         }
--- a/src/main/java/calicostream/flight/engine/UpdateCall.java
+++ b/src/main/java/calicostream/flight/engine/UpdateCall.java
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.engine;
 
-import calicostream.QueryRouter.Outcome;
 import calicostream.core.Gateway;
-import calicostream.flight.wire.Answers;
+import calicostream.flight.wire.EngineOperation;
+import calicostream.flight.wire.EngineResult;
+import calicostream.flight.wire.FlightFrame;
 import calicostream.flight.wire.FlightWire;
-import calicostream.flight.wire.Frame;
-import calicostream.flight.wire.Work;
+import calicostream.routing.AttemptOutcome;
 import com.google.protobuf.ByteString;
 import com.google.protobuf.InvalidProtocolBufferException;
 import io.grpc.Metadata;
@@ -20,18 +20,22 @@
  * An update: a DoPut that brings the statement, and the rows bound to it where it is a prepared
  * one.
  */
-final class UpdateCall extends Call {
-    private final Work.Update work;
-    private final Lease lease;
+final class UpdateCall extends EngineCall {
+    private final EngineOperation.Update work;
+    private final PreparedStatementLease lease;
 
-    UpdateCall(FlightEngines engines, Gateway.Attempt attempt, Metadata with, Work.Update work) {
+    UpdateCall(
+            FlightEngineClient engines,
+            Gateway.Attempt attempt,
+            Metadata with,
+            EngineOperation.Update work) {
         super(engines, attempt, with);
         this.work = work;
-        lease = work.bound() == null ? null : new Lease(this, work.bound());
+        lease = work.bound() == null ? null : new PreparedStatementLease(this, work.bound());
     }
 
-    static Frame noRows() {
-        return Frame.of(
+    static FlightFrame noRows() {
+        return FlightFrame.of(
                 ByteString.EMPTY,
                 FlightWire.schemaHeader(new Schema(List.of())),
                 ByteString.EMPTY,
@@ -48,7 +52,7 @@
     }
 
     private void put(ByteString handle) {
-        List<Frame> rows = work.bound().rows();
+        List<FlightFrame> rows = work.bound().rows();
         put(
                 FlightWire.packed(
                         FlightSql.CommandPreparedStatementUpdate.newBuilder()
@@ -57,8 +61,8 @@
                 rows.isEmpty() ? List.of(noRows()) : rows);
     }
 
-    private void put(ByteString command, List<Frame> frames) {
-        Lease.put(
+    private void put(ByteString command, List<FlightFrame> frames) {
+        PreparedStatementLease.put(
                 this,
                 command,
                 frames,
@@ -84,19 +88,19 @@
     private void finish(Flight.PutResult told) {
         try {
             finish(
-                    told == null ? Outcome.ERROR : Outcome.OK,
+                    told == null ? AttemptOutcome.ERROR : AttemptOutcome.OK,
                     told == null
                             ? null
-                            : new Answers.Counted(
+                            : new EngineResult.Counted(
                                     FlightSql.DoPutUpdateResult.parseFrom(told.getAppMetadata())
                                             .getRecordCount()));
         } catch (InvalidProtocolBufferException e) {
-            finish(Outcome.ERROR, null);
+            finish(AttemptOutcome.ERROR, null);
         }
     }
 
     @Override
-    void ended(Outcome outcome) {
+    void ended(AttemptOutcome outcome) {
         if (lease != null) {
             lease.end(outcome);
         }
--- a/src/main/java/calicostream/flight/front/Actions.java
+++ b/src/main/java/calicostream/flight/front/ActionHandler.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.front;
 
-import calicostream.flight.state.Sessions;
+import calicostream.flight.state.FlightSessions;
 import calicostream.flight.wire.FlightWire;
 import com.google.protobuf.ByteString;
 import com.google.protobuf.InvalidProtocolBufferException;
@@ -18,24 +18,24 @@
  * DoAction: each action's name and what takes it. Flight's own actions are plain messages, Flight
  * SQL's are packed.
  */
-final class Actions {
+final class ActionHandler {
     private interface Taker {
-        void take(Exchange<Flight.Result> call, ByteString body);
+        void take(ServerCall<Flight.Result> call, ByteString body);
     }
 
-    private final Queries queries;
-    private final Polls polls;
-    private final Logins logins;
+    private final QueryHandler queries;
+    private final PollHandler polls;
+    private final Authentication logins;
     private final Map<String, Taker> takers = new LinkedHashMap<>();
     private final Map<String, String> described = new LinkedHashMap<>();
 
-    Actions(
-            Desk desk,
-            Queries queries,
-            Polls polls,
-            Logins logins,
-            Statements statements,
-            TransactionDesk transactions) {
+    ActionHandler(
+            RequestDispatcher desk,
+            QueryHandler queries,
+            PollHandler polls,
+            Authentication logins,
+            PreparedStatementHandler statements,
+            TransactionHandler transactions) {
         this.queries = queries;
         this.polls = polls;
         this.logins = logins;
@@ -57,7 +57,7 @@
                 (call, body) ->
                         statements.create(
                                 call,
-                                Commands.unpack(
+                                CommandDecoder.unpack(
                                         body,
                                         FlightSql.ActionCreatePreparedStatementRequest.class)));
         add(
@@ -66,7 +66,7 @@
                 (call, body) ->
                         statements.createPlan(
                                 call,
-                                Commands.unpack(
+                                CommandDecoder.unpack(
                                         body,
                                         FlightSql.ActionCreatePreparedSubstraitPlanRequest.class)));
         add(
@@ -75,14 +75,14 @@
                 (call, body) ->
                         statements.close(
                                 call,
-                                Commands.unpack(
+                                CommandDecoder.unpack(
                                         body,
                                         FlightSql.ActionClosePreparedStatementRequest.class)));
         add(
                 FlightWire.BEGIN_TRANSACTION,
                 "Begins a transaction on one engine.",
                 (call, body) -> {
-                    Commands.unpack(body, FlightSql.ActionBeginTransactionRequest.class);
+                    CommandDecoder.unpack(body, FlightSql.ActionBeginTransactionRequest.class);
                     transactions.begin(call);
                 });
         add(
@@ -91,7 +91,7 @@
                 (call, body) ->
                         transactions.end(
                                 call,
-                                Commands.unpack(
+                                CommandDecoder.unpack(
                                         body, FlightSql.ActionEndTransactionRequest.class)));
         add(
                 FlightWire.BEGIN_SAVEPOINT,
@@ -99,7 +99,7 @@
                 (call, body) ->
                         transactions.savepoint(
                                 call,
-                                Commands.unpack(
+                                CommandDecoder.unpack(
                                         body, FlightSql.ActionBeginSavepointRequest.class)));
         add(
                 FlightWire.END_SAVEPOINT,
@@ -107,7 +107,8 @@
                 (call, body) ->
                         transactions.endSavepoint(
                                 call,
-                                Commands.unpack(body, FlightSql.ActionEndSavepointRequest.class)));
+                                CommandDecoder.unpack(
+                                        body, FlightSql.ActionEndSavepointRequest.class)));
     }
 
     private void add(String name, String what, Taker taker) {
@@ -115,10 +116,10 @@
         described.put(name, what);
     }
 
-    void take(Exchange<Flight.Result> call, Flight.Action action) {
+    void take(ServerCall<Flight.Result> call, Flight.Action action) {
         Taker taker = takers.get(action.getType());
         if (taker == null) {
-            call.fail(Words.unsupported("no action '" + action.getType() + "'"));
+            call.fail(FlightStatuses.unsupported("no action '" + action.getType() + "'"));
         } else {
             taker.take(call, action.getBody());
         }
@@ -139,7 +140,7 @@
         try {
             return parser.parseFrom(body);
         } catch (InvalidProtocolBufferException e) {
-            throw Commands.invalid("the action's body can't be read");
+            throw CommandDecoder.invalid("the action's body can't be read");
         }
     }
 
@@ -149,7 +150,7 @@
 
     // ---- Queries
     // ----------------------------------------------------------------------------------------
-    private boolean cancel(Exchange<?> call, Flight.FlightInfo info) {
+    private boolean cancel(ServerCall<?> call, Flight.FlightInfo info) {
         boolean any = polls.cancel(call.owner, info.getFlightDescriptor());
         for (Flight.FlightEndpoint endpoint : info.getEndpointList()) {
             any |= queries.cancel(call.owner, endpoint.getTicket().getTicket());
@@ -157,11 +158,11 @@
         return any;
     }
 
-    private void cancelInfo(Exchange<Flight.Result> call, ByteString body) {
+    private void cancelInfo(ServerCall<Flight.Result> call, ByteString body) {
         Flight.CancelFlightInfoRequest request =
                 plain(body, Flight.CancelFlightInfoRequest.parser());
         if (!cancel(call, request.getInfo())) {
-            call.fail(Words.UNKNOWN_HANDLE);
+            call.fail(FlightStatuses.UNKNOWN_HANDLE);
             return;
         }
         call.reply(
@@ -172,15 +173,15 @@
     }
 
     @SuppressWarnings("deprecation") // Older clients have no other word for it.
-    private void cancelQuery(Exchange<Flight.Result> call, ByteString body) {
+    private void cancelQuery(ServerCall<Flight.Result> call, ByteString body) {
         FlightSql.ActionCancelQueryRequest request =
-                Commands.unpack(body, FlightSql.ActionCancelQueryRequest.class);
+                CommandDecoder.unpack(body, FlightSql.ActionCancelQueryRequest.class);
         if (!cancel(call, plain(request.getInfo(), Flight.FlightInfo.parser()))) {
-            call.fail(Words.UNKNOWN_HANDLE);
+            call.fail(FlightStatuses.UNKNOWN_HANDLE);
             return;
         }
         call.reply(
-                TransactionDesk.result(
+                TransactionHandler.result(
                         FlightSql.ActionCancelQueryResult.newBuilder()
                                 .setResult(
                                         FlightSql.ActionCancelQueryResult.CancelResult
@@ -188,13 +189,13 @@
                                 .build()));
     }
 
-    private void renew(Exchange<Flight.Result> call, ByteString body) {
+    private void renew(ServerCall<Flight.Result> call, ByteString body) {
         Flight.FlightEndpoint renewed =
                 queries.renew(
                         call.owner,
                         plain(body, Flight.RenewFlightEndpointRequest.parser()).getEndpoint());
         if (renewed == null) {
-            call.fail(Words.UNKNOWN_HANDLE, 0);
+            call.fail(FlightStatuses.UNKNOWN_HANDLE, 0);
         } else {
             call.reply(plain(renewed));
         }
@@ -202,22 +203,22 @@
 
     // ---- Sessions
     // ---------------------------------------------------------------------------------------
-    private void setOptions(Exchange<Flight.Result> call, ByteString body) {
+    private void setOptions(ServerCall<Flight.Result> call, ByteString body) {
         Flight.SetSessionOptionsRequest request =
                 plain(body, Flight.SetSessionOptionsRequest.parser());
-        Sessions.Session session = logins.opened(call);
+        FlightSessions.Session session = logins.opened(call);
         Flight.SetSessionOptionsResult.Builder out = Flight.SetSessionOptionsResult.newBuilder();
         request.getSessionOptionsMap()
                 .forEach(
                         (name, value) -> {
-                            Sessions.Setting done =
+                            FlightSessions.Setting done =
                                     logins.sessions().set(session, name, value(value));
-                            if (done != Sessions.Setting.DONE) {
+                            if (done != FlightSessions.Setting.DONE) {
                                 out.putErrors(
                                         name,
                                         Flight.SetSessionOptionsResult.Error.newBuilder()
                                                 .setValue(
-                                                        done == Sessions.Setting.BAD_NAME
+                                                        done == FlightSessions.Setting.BAD_NAME
                                                                 ? Flight.SetSessionOptionsResult
                                                                         .ErrorValue.INVALID_NAME
                                                                 : Flight.SetSessionOptionsResult
@@ -246,7 +247,7 @@
         }
     }
 
-    private void getOptions(Exchange<Flight.Result> call, ByteString body) {
+    private void getOptions(ServerCall<Flight.Result> call, ByteString body) {
         plain(body, Flight.GetSessionOptionsRequest.parser());
         Flight.GetSessionOptionsResult.Builder out = Flight.GetSessionOptionsResult.newBuilder();
         if (call.session != null) {
@@ -267,7 +268,7 @@
         call.reply(plain(out.build()));
     }
 
-    private void closeSession(Exchange<Flight.Result> call, ByteString body) {
+    private void closeSession(ServerCall<Flight.Result> call, ByteString body) {
         plain(body, Flight.CloseSessionRequest.parser());
         if (!logins.close(call)) {
             call.fail(Status.NOT_FOUND.withDescription("no session"));
--- a/src/main/java/calicostream/flight/front/Logins.java
+++ b/src/main/java/calicostream/flight/front/Authentication.java
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.front;
 
-import calicostream.SettingsException;
-import calicostream.flight.state.Sessions;
+import calicostream.config.SettingsException;
+import calicostream.flight.state.FlightSessions;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -21,21 +21,21 @@
  * one for; without, a cookie names the session of a client that asked for one. Passwords are
  * checked off the loop, as that takes a while.
  */
-final class Logins {
+final class Authentication {
     private static final int MOST_CHECKS = 64;
     private static final String UNKNOWN = "$6$calicostream$" + "x".repeat(86);
-    private final Desk desk;
-    private final Sessions sessions;
+    private final RequestDispatcher desk;
+    private final FlightSessions sessions;
     private final Map<String, String> users; // null: nobody needs to log in
     private final ExecutorService workers;
     private Consumer<String> onLast = user -> {};
     private int checks;
 
-    Logins(Desk desk, ExecutorService workers) {
+    Authentication(RequestDispatcher desk, ExecutorService workers) {
         this.desk = desk;
         this.workers = workers;
         sessions =
-                new Sessions(
+                new FlightSessions(
                         desk::name,
                         new LinkedHashSet<>(desk.classNames()),
                         desk.config.sessions(),
@@ -81,12 +81,12 @@
         onLast = then;
     }
 
-    Sessions sessions() {
+    FlightSessions sessions() {
         return sessions;
     }
 
     /** Finds out who calls, then goes on, or tells the call to log in. */
-    void identify(Exchange<?> call, Runnable then) {
+    void identify(ServerCall<?> call, Runnable then) {
         long now = desk.now();
         String header = call.caller.authorization;
         if (users == null) {
@@ -96,7 +96,7 @@
         } else if (header != null && header.startsWith("Bearer ")) {
             call.session = sessions.find(now, header.substring("Bearer ".length()));
             if (call.session == null) {
-                call.fail(Words.NO_TOKEN);
+                call.fail(FlightStatuses.NO_TOKEN);
             } else {
                 known(call, then);
             }
@@ -110,17 +110,17 @@
                         known(call, then);
                     });
         } else {
-            call.fail(Words.NO_TOKEN);
+            call.fail(FlightStatuses.NO_TOKEN);
         }
     }
 
-    private static void known(Exchange<?> call, Runnable then) {
+    private static void known(ServerCall<?> call, Runnable then) {
         call.owner = call.session.user;
         call.client = call.session.user;
         then.run();
     }
 
-    private void login(Exchange<?> call, String credentials, Consumer<String> then) {
+    private void login(ServerCall<?> call, String credentials, Consumer<String> then) {
         String text;
         try {
             text = new String(Base64.getDecoder().decode(credentials), StandardCharsets.UTF_8);
@@ -129,11 +129,11 @@
         }
         int at = text.indexOf(':');
         if (at <= 0) {
-            call.fail(Words.NO_TOKEN);
+            call.fail(FlightStatuses.NO_TOKEN);
             return;
         }
         if (checks >= MOST_CHECKS) {
-            call.fail(Words.refusal(desk.mostWaitMs()), desk.mostWaitMs());
+            call.fail(FlightStatuses.refusal(desk.mostWaitMs()), desk.mostWaitMs());
             return;
         }
         checks++;
@@ -152,7 +152,7 @@
                                 if (right) {
                                     then.accept(user);
                                 } else {
-                                    call.fail(Words.NO_TOKEN);
+                                    call.fail(FlightStatuses.NO_TOKEN);
                                 }
                             });
                 });
@@ -172,7 +172,7 @@
      * The session that an option is set in: a new one, named by a cookie, where nobody needs to log
      * in.
      */
-    Sessions.Session opened(Exchange<?> call) {
+    FlightSessions.Session opened(ServerCall<?> call) {
         if (call.session == null) {
             call.session = sessions.open(desk.now(), "");
             call.caller.giveCookie(call.session.name);
@@ -180,7 +180,7 @@
         return call.session;
     }
 
-    boolean close(Exchange<?> call) {
+    boolean close(ServerCall<?> call) {
         boolean closed = call.session != null && sessions.close(desk.now(), call.session.name);
         if (closed && users != null && !sessions.has(desk.now(), call.session.user)) {
             onLast.accept(call.session.user);
--- a/src/main/java/calicostream/flight/front/Caller.java
+++ b/src/main/java/calicostream/flight/front/CallContext.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.front;
 
-import calicostream.grpc.Calls;
+import calicostream.grpc.GrpcStatuses;
 import io.grpc.Context;
 import io.grpc.Contexts;
 import io.grpc.Deadline;
@@ -18,7 +18,7 @@
  * What a call brings beside its message, and what its answer carries beside it. Made on gRPC's
  * threads, then the loop's.
  */
-final class Caller {
+final class CallContext {
     static final Metadata.Key<String> AUTHORIZATION =
             Metadata.Key.of("authorization", Metadata.ASCII_STRING_MARSHALLER);
     private static final Metadata.Key<String> COOKIE =
@@ -26,7 +26,7 @@
     private static final Metadata.Key<String> SET_COOKIE =
             Metadata.Key.of("set-cookie", Metadata.ASCII_STRING_MARSHALLER);
     private static final String SESSION = "arrow_flight_session_id";
-    private static final Context.Key<Caller> KEY = Context.key("calicostream-caller");
+    private static final Context.Key<CallContext> KEY = Context.key("calicostream-caller");
     final String queryClass;
     final String authorization;
     final String requestId; // null: it names none that can be used
@@ -35,10 +35,10 @@
     private final Metadata added = new Metadata();
     private boolean headersSent;
 
-    private Caller(Metadata headers, String remote) {
-        queryClass = headers.get(Calls.CLASS);
+    private CallContext(Metadata headers, String remote) {
+        queryClass = headers.get(GrpcStatuses.CLASS);
         authorization = headers.get(AUTHORIZATION);
-        String given = headers.get(Calls.REQUEST);
+        String given = headers.get(GrpcStatuses.REQUEST);
         requestId = given != null && given.matches("[A-Za-z0-9._-]{1,64}") ? given : null;
         cookie = sessionOf(headers);
         this.remote = remote;
@@ -59,7 +59,7 @@
         return null;
     }
 
-    static Caller current() {
+    static CallContext current() {
         return KEY.get();
     }
 
@@ -68,8 +68,8 @@
             @Override
             public <Q, R> ServerCall.Listener<Q> interceptCall(
                     ServerCall<Q, R> call, Metadata headers, ServerCallHandler<Q, R> next) {
-                Caller caller =
-                        new Caller(
+                CallContext caller =
+                        new CallContext(
                                 headers,
                                 String.valueOf(
                                         call.getAttributes().get(Grpc.TRANSPORT_ATTR_REMOTE_ADDR)));
--- a/src/main/java/calicostream/flight/front/Catalogs.java
+++ b/src/main/java/calicostream/flight/front/CatalogHandler.java
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.front;
 
-import calicostream.core.Front;
+import calicostream.core.ResponseHandler;
 import calicostream.flight.state.SharedAnswers;
-import calicostream.flight.wire.Answers;
-import calicostream.flight.wire.Frame;
-import calicostream.flight.wire.Work;
+import calicostream.flight.wire.EngineOperation;
+import calicostream.flight.wire.EngineResult;
+import calicostream.flight.wire.FlightFrame;
 import com.google.protobuf.ByteString;
 import io.grpc.Status;
 import java.util.HashMap;
@@ -18,7 +18,7 @@
  * and answers live for a while. The attempt belongs to no call; it is given up when nobody waits
  * for it any more.
  */
-final class Catalogs {
+final class CatalogHandler {
     /**
      * What came of a question: an answer, or the status to tell; {@code stayAwayMs} below 0:
      * nothing of coming back.
@@ -26,7 +26,7 @@
     record Told(Object answer, Status status, long stayAwayMs) {}
 
     private static final class Asked {
-        Desk.Submitted attempt;
+        RequestDispatcher.Submitted attempt;
     }
 
     /** Who waits; compared by identity. */
@@ -38,11 +38,11 @@
         }
     }
 
-    private final Desk desk;
+    private final RequestDispatcher desk;
     private final SharedAnswers<Waiter, Object> shared;
     private final Map<String, Asked> under = new HashMap<>();
 
-    Catalogs(Desk desk) {
+    CatalogHandler(RequestDispatcher desk) {
         this.desk = desk;
         shared = new SharedAnswers<>(desk.config.metadataLifeUs(), desk.config.metadataBytes());
     }
@@ -52,17 +52,21 @@
     }
 
     /** The frames of a command's result; they are on the heap. */
-    void frames(Exchange<?> call, ByteString command, Consumer<Told> then) {
-        ask(call, "rows", command, new Work.Query(command, null, false), then);
+    void frames(ServerCall<?> call, ByteString command, Consumer<Told> then) {
+        ask(call, "rows", command, new EngineOperation.Query(command, null, false), then);
     }
 
     /** The schema of a command's result; an empty one where engines don't tell. */
-    void schema(Exchange<?> call, ByteString command, Consumer<Told> then) {
-        ask(call, "schema", command, new Work.Describe(command), then);
+    void schema(ServerCall<?> call, ByteString command, Consumer<Told> then) {
+        ask(call, "schema", command, new EngineOperation.Describe(command), then);
     }
 
     private void ask(
-            Exchange<?> call, String kind, ByteString command, Work work, Consumer<Told> then) {
+            ServerCall<?> call,
+            String kind,
+            ByteString command,
+            EngineOperation work,
+            Consumer<Told> then) {
         String session = desk.headers(call).toString(); // Engines may answer by session and user.
         String question =
                 kind
@@ -102,7 +106,8 @@
                 });
     }
 
-    private void attempt(Exchange<?> call, String question, String catalog, Work work) {
+    private void attempt(
+            ServerCall<?> call, String question, String catalog, EngineOperation work) {
         long epoch = shared.epoch();
         int queryClass = desk.metadataClass();
         Asked asked = new Asked();
@@ -115,18 +120,18 @@
                         "",
                         work,
                         0,
-                        new Reply() {
+                        new ResponseCallback() {
                             @Override
                             public void served(Object result) {
                                 Object answer = result;
                                 long size = 0;
-                                if (result instanceof Answers.Held held) {
-                                    List<Frame> solid =
-                                            held.frames().stream().map(Frame::solid).toList();
-                                    size = solid.stream().mapToLong(Frame::bytes).sum();
+                                if (result instanceof EngineResult.Held held) {
+                                    List<FlightFrame> solid =
+                                            held.frames().stream().map(FlightFrame::solid).toList();
+                                    size = solid.stream().mapToLong(FlightFrame::bytes).sum();
                                     answer = solid;
                                     held.room().run();
-                                } else if (result instanceof Answers.Described described) {
+                                } else if (result instanceof EngineResult.Described described) {
                                     size = described.schema().size();
                                     answer = described.schema();
                                 }
@@ -144,20 +149,24 @@
 
                             @Override
                             public void refused(long stayAwayMs) {
-                                over(new Told(null, Words.refusal(stayAwayMs), stayAwayMs));
+                                over(
+                                        new Told(
+                                                null,
+                                                FlightStatuses.refusal(stayAwayMs),
+                                                stayAwayMs));
                             }
 
                             @Override
-                            public void failed(Front.Failure why) {
-                                over(new Told(null, Words.failure(why), -1));
+                            public void failed(ResponseHandler.Failure why) {
+                                over(new Told(null, FlightStatuses.failure(why), -1));
                             }
 
                             @Override
                             public void word(Status status) {
-                                if (work instanceof Work.Describe
+                                if (work instanceof EngineOperation.Describe
                                         && status.getCode() == Status.Code.UNIMPLEMENTED) {
                                     served(
-                                            new Answers.Described(
+                                            new EngineResult.Described(
                                                     ByteString
                                                             .EMPTY)); // Kept, so as not to be asked
                                     // each time.
--- a/src/main/java/calicostream/flight/front/Commands.java
+++ b/src/main/java/calicostream/flight/front/CommandDecoder.java
@@ -14,7 +14,7 @@
 import org.apache.arrow.vector.types.pojo.Schema;
 
 /** Reading and writing the protocol's packed messages. */
-final class Commands {
+final class CommandDecoder {
     /** Commands that read catalogs, and the schema of what they bring; tables have two. */
     static final Map<String, Schema> METADATA =
             Map.ofEntries(
@@ -29,7 +29,7 @@
                     Map.entry("CommandGetXdbcTypeInfo", Schemas.GET_TYPE_INFO_SCHEMA),
                     Map.entry("CommandGetSqlInfo", Schemas.GET_SQL_INFO_SCHEMA));
 
-    private Commands() {}
+    private CommandDecoder() {}
 
     /** A packed message; INVALID_ARGUMENT where these bytes are none. */
     static Any parse(ByteString bytes) {
--- a/src/main/java/calicostream/flight/front/Inlet.java
+++ b/src/main/java/calicostream/flight/front/DoPutHandler.java
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.front;
 
-import calicostream.flight.state.Effects;
+import calicostream.flight.state.CatalogChangeDetector;
 import calicostream.flight.state.Transactions.Purpose;
 import calicostream.flight.state.Transactions.Txn;
-import calicostream.flight.wire.Answers;
+import calicostream.flight.wire.EngineOperation;
+import calicostream.flight.wire.EngineResult;
+import calicostream.flight.wire.FlightFrame;
 import calicostream.flight.wire.FlightWire;
-import calicostream.flight.wire.Frame;
 import calicostream.flight.wire.Upload;
-import calicostream.flight.wire.Work;
 import com.google.protobuf.Any;
 import com.google.protobuf.ByteString;
 import com.google.protobuf.InvalidProtocolBufferException;
@@ -25,28 +25,28 @@
  * statement, or rows to store. Frames are drawn one at a time; those of an upload pass to the
  * engine on gRPC's threads, all else is the loop's.
  */
-final class Inlet {
-    private final Desk desk;
-    private final TransactionDesk transactions;
-    private final Statements statements;
-    private final Catalogs catalogs;
+final class DoPutHandler {
+    private final RequestDispatcher desk;
+    private final TransactionHandler transactions;
+    private final PreparedStatementHandler statements;
+    private final CatalogHandler catalogs;
     private final SqlInfo info;
-    private final Exchange<Flight.PutResult> call;
+    private final ServerCall<Flight.PutResult> call;
     private volatile Upload upload;
-    private List<Frame> frames = new ArrayList<>();
+    private List<FlightFrame> frames = new ArrayList<>();
     private long bytes;
     private Any command;
     private String name = "";
     private final AtomicLong here = new AtomicLong();
     private boolean ended;
 
-    Inlet(
-            Desk desk,
-            TransactionDesk transactions,
-            Statements statements,
-            Catalogs catalogs,
+    DoPutHandler(
+            RequestDispatcher desk,
+            TransactionHandler transactions,
+            PreparedStatementHandler statements,
+            CatalogHandler catalogs,
             SqlInfo info,
-            Exchange<Flight.PutResult> call) {
+            ServerCall<Flight.PutResult> call) {
         this.desk = desk;
         this.transactions = transactions;
         this.statements = statements;
@@ -62,7 +62,7 @@
     }
 
     /** What has arrived and not gone on; past its bound new calls are turned away. */
-    private void charge(Frame frame) {
+    private void charge(FlightFrame frame) {
         desk.admission.charge(frame.bytes());
         here.addAndGet(frame.bytes());
     }
@@ -73,7 +73,7 @@
 
     // ---- From the client, on gRPC's threads
     // -----------------------------------------------------------
-    void arrived(Frame frame) {
+    void arrived(FlightFrame frame) {
         charge(frame);
         Upload to = upload;
         if (to != null) {
@@ -83,8 +83,8 @@
         }
     }
 
-    private void pass(Upload to, Frame frame) {
-        if (frame.kind() == Frame.Kind.BAD) {
+    private void pass(Upload to, FlightFrame frame) {
+        if (frame.kind() == FlightFrame.Kind.BAD) {
             frame.release();
             desk.loop.post(
                     () -> {
@@ -92,7 +92,7 @@
                             call.fail(
                                     to.isDrawn()
                                             ? Upload.unknown("a frame can't be read")
-                                            : Words.invalid("a frame can't be read"));
+                                            : FlightStatuses.invalid("a frame can't be read"));
                             call.end();
                         }
                     });
@@ -120,13 +120,13 @@
 
     // ---- On the loop
     // ----------------------------------------------------------------------------------
-    private void take(Frame frame) {
+    private void take(FlightFrame frame) {
         if (call.isAnswered()) {
             frame.release();
             return;
         }
-        if (frame.kind() == Frame.Kind.BAD) {
-            throw Commands.invalid("a frame can't be read");
+        if (frame.kind() == FlightFrame.Kind.BAD) {
+            throw CommandDecoder.invalid("a frame can't be read");
         }
         if (command == null) {
             first(frame);
@@ -146,34 +146,34 @@
         call.out.request(1);
     }
 
-    private void first(Frame frame) {
+    private void first(FlightFrame frame) {
         Flight.FlightDescriptor descriptor;
         try {
             descriptor = frame.descriptor();
         } catch (InvalidProtocolBufferException e) {
-            throw Commands.invalid("the descriptor can't be read");
+            throw CommandDecoder.invalid("the descriptor can't be read");
         }
         if (descriptor == null) {
-            throw Commands.invalid("the first frame has no descriptor");
+            throw CommandDecoder.invalid("the first frame has no descriptor");
         }
-        command = Commands.parse(Commands.command(descriptor));
-        name = Commands.name(command);
+        command = CommandDecoder.parse(CommandDecoder.command(descriptor));
+        name = CommandDecoder.name(command);
         if (desk.engines == null && !name.equals("CommandStatementUpdate")) {
-            throw Words.unsupported(name + ": these engines take plain updates only")
+            throw FlightStatuses.unsupported(name + ": these engines take plain updates only")
                     .asRuntimeException();
         }
         switch (name) {
             case "CommandStatementUpdate":
                 FlightSql.CommandStatementUpdate update =
-                        Commands.unpack(command, FlightSql.CommandStatementUpdate.class);
+                        CommandDecoder.unpack(command, FlightSql.CommandStatementUpdate.class);
                 if (update.getQuery().isBlank()) {
-                    throw Commands.invalid("an empty statement");
+                    throw CommandDecoder.invalid("an empty statement");
                 }
                 run(
                         update.getQuery(),
                         update.getTransactionId(),
                         txn ->
-                                new Work.Update(
+                                new EngineOperation.Update(
                                         txn == null
                                                 ? command.toByteString()
                                                 : FlightWire.packed(
@@ -185,7 +185,8 @@
                 break;
             case "CommandStatementSubstraitPlan":
                 FlightSql.CommandStatementSubstraitPlan plan =
-                        Commands.unpack(command, FlightSql.CommandStatementSubstraitPlan.class);
+                        CommandDecoder.unpack(
+                                command, FlightSql.CommandStatementSubstraitPlan.class);
                 info.ifSubstrait(
                         call,
                         () ->
@@ -195,7 +196,7 @@
                                                         "",
                                                         plan.getTransactionId(),
                                                         txn ->
-                                                                new Work.Update(
+                                                                new EngineOperation.Update(
                                                                         txn == null
                                                                                 ? command
                                                                                         .toByteString()
@@ -211,18 +212,18 @@
             case "CommandStatementIngest":
                 ingest(
                         frame.solid(),
-                        Commands.unpack(command, FlightSql.CommandStatementIngest.class));
+                        CommandDecoder.unpack(command, FlightSql.CommandStatementIngest.class));
                 break;
             case "CommandPreparedStatementUpdate":
             case "CommandPreparedStatementQuery":
-                if (frame.kind() == Frame.Kind.SCHEMA) {
+                if (frame.kind() == FlightFrame.Kind.SCHEMA) {
                     bytes += frame.bytes();
                     frames.add(frame.solid());
                 }
                 call.out.request(1);
                 break;
             default:
-                throw Commands.invalid(name + " can't be put");
+                throw CommandDecoder.invalid(name + " can't be put");
         }
     }
 
@@ -232,15 +233,15 @@
             return;
         }
         if (command == null) {
-            throw Commands.invalid("nothing was put");
+            throw CommandDecoder.invalid("nothing was put");
         }
         if (name.equals("CommandPreparedStatementQuery")) {
             bind(
-                    Commands.unpack(command, FlightSql.CommandPreparedStatementQuery.class)
+                    CommandDecoder.unpack(command, FlightSql.CommandPreparedStatementQuery.class)
                             .getPreparedStatementHandle());
         } else if (name.equals("CommandPreparedStatementUpdate")) {
             prepared(
-                    Commands.unpack(command, FlightSql.CommandPreparedStatementUpdate.class)
+                    CommandDecoder.unpack(command, FlightSql.CommandPreparedStatementUpdate.class)
                             .getPreparedStatementHandle());
         }
     }
@@ -248,16 +249,17 @@
     // ---- Updates
     // --------------------------------------------------------------------------------------
     private interface InTransaction {
-        Work work(Txn<ByteString> txn);
+        EngineOperation work(Txn<ByteString> txn);
     }
 
     private int updateClass() {
         int queryClass = desk.classOf(call, null, desk.config.updateClass());
         if (queryClass < 0
                 || !desk.spec(queryClass).load()
-                || desk.spec(queryClass).effect() != calicostream.QueryRouter.Effect.ONCE) {
+                || desk.spec(queryClass).idempotency()
+                        != calicostream.routing.Idempotency.NON_IDEMPOTENT) {
             // As a class that may be repeated it could be run twice.
-            throw Commands.invalid("an update needs a class of loads");
+            throw CommandDecoder.invalid("an update needs a class of loads");
         }
         return queryClass;
     }
@@ -271,7 +273,7 @@
         if (txn == null && !transaction.isEmpty()) {
             return;
         }
-        Reply answer = new Counting();
+        ResponseCallback answer = new Counting();
         desk.submit(
                 call,
                 queryClass,
@@ -279,38 +281,38 @@
                 what.work(txn),
                 txn == null ? 0 : txn.engine,
                 txn == null ? answer : transactions.within(txn, false, answer));
-        if (Effects.changesCatalog(sql)) {
+        if (CatalogChangeDetector.changesCatalog(sql)) {
             catalogs.changed("");
         }
     }
 
     private void prepared(ByteString handle) {
-        Statements.Entry statement = statements.find(call, handle);
+        PreparedStatementHandler.Entry statement = statements.find(call, handle);
         if (statement != null) {
-            List<Frame> rows = given(statement);
+            List<FlightFrame> rows = given(statement);
             run(
                     statement.sql,
                     statement.transaction,
-                    txn -> new Work.Update(ByteString.EMPTY, statement.bound(rows)));
+                    txn -> new EngineOperation.Update(ByteString.EMPTY, statement.bound(rows)));
         }
     }
 
     /** The rows sent, checked against the statement; none where the schema names no parameter. */
-    private List<Frame> given(Statements.Entry statement) {
-        boolean rows = frames.stream().anyMatch(frame -> frame.kind() == Frame.Kind.BATCH);
-        List<Frame> given =
+    private List<FlightFrame> given(PreparedStatementHandler.Entry statement) {
+        boolean rows = frames.stream().anyMatch(frame -> frame.kind() == FlightFrame.Kind.BATCH);
+        List<FlightFrame> given =
                 rows || !frames.isEmpty() && statement.parameterSchema.isEmpty()
                         ? List.copyOf(frames)
                         : List.of();
-        String fault = Statements.fault(statement, given);
+        String fault = PreparedStatementHandler.fault(statement, given);
         if (fault != null) {
-            throw Commands.invalid(fault);
+            throw CommandDecoder.invalid(fault);
         }
         return given;
     }
 
     private void bind(ByteString handle) {
-        Statements.Entry statement = statements.find(call, handle);
+        PreparedStatementHandler.Entry statement = statements.find(call, handle);
         if (statement != null) {
             statement.core.bind(given(statement));
             call.reply(
@@ -325,7 +327,7 @@
     }
 
     /** Tells the rows changed. */
-    private class Counting extends Reply.To<Flight.PutResult> {
+    private class Counting extends ResponseCallback.To<Flight.PutResult> {
         Counting() {
             super(call);
         }
@@ -333,7 +335,7 @@
         @Override
         public void served(Object result) {
             long rows =
-                    result instanceof Answers.Counted counted
+                    result instanceof EngineResult.Counted counted
                             ? counted.rows()
                             : -1; // -1: not known
             call.reply(
@@ -349,12 +351,12 @@
 
     // ---- Ingest
     // ---------------------------------------------------------------------------------------
-    private void ingest(Frame schema, FlightSql.CommandStatementIngest request) {
+    private void ingest(FlightFrame schema, FlightSql.CommandStatementIngest request) {
         if (request.getTable().isBlank()) {
-            throw Commands.invalid("no table to store rows in");
+            throw CommandDecoder.invalid("no table to store rows in");
         }
-        if (schema.kind() != Frame.Kind.SCHEMA) {
-            throw Commands.invalid("the first frame has no schema");
+        if (schema.kind() != FlightFrame.Kind.SCHEMA) {
+            throw CommandDecoder.invalid("the first frame has no schema");
         }
         int queryClass = updateClass();
         ByteString transaction = request.getTransactionId();
@@ -378,14 +380,14 @@
                         txn == null
                                 ? request
                                 : request.toBuilder().setTransactionId(txn.handle).build());
-        Reply answer =
+        ResponseCallback answer =
                 new Counting() {
                     @Override
-                    public void failed(calicostream.core.Front.Failure why) {
+                    public void failed(calicostream.core.ResponseHandler.Failure why) {
                         call.fail(
                                 rows.isDrawn()
                                         ? Upload.unknown("the upload broke off")
-                                        : Words.failure(why));
+                                        : FlightStatuses.failure(why));
                         rows.drop();
                     }
 
@@ -424,7 +426,7 @@
                 queryClass,
                 desk.config.ingestUs(),
                 about,
-                new Work.Ingest(sent, rows),
+                new EngineOperation.Ingest(sent, rows),
                 txn == null ? 0 : txn.engine,
                 txn == null ? answer : transactions.within(txn, false, answer));
         call.atEnd(rows::drop);
--- a/src/main/java/calicostream/flight/front/FlightFront.java
+++ b/src/main/java/calicostream/flight/front/FlightSqlServer.java
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.front;
 
-import calicostream.SettingsException;
-import calicostream.SettingsParser;
+import calicostream.config.SettingsException;
 import calicostream.core.Gateway;
 import calicostream.core.Service;
 import calicostream.flight.FlightConfig;
-import calicostream.flight.engine.FlightEngines;
+import calicostream.flight.engine.FlightEngineClient;
 import calicostream.flight.state.Admission;
+import calicostream.flight.wire.FlightFrame;
 import calicostream.flight.wire.FlightWire;
-import calicostream.flight.wire.Frame;
 import calicostream.net.Loop;
+import calicostream.routing.SettingsParser;
 import io.grpc.Context;
 import io.grpc.Server;
 import io.grpc.ServerInterceptors;
@@ -41,22 +41,22 @@
  * the part that serves it. All of that is the loop's; gRPC's threads only bring messages and take
  * answers, and none of them ever waits.
  */
-public final class FlightFront implements FlightEngines.Listener, Service {
-    private static final Logger LOG = LoggerFactory.getLogger(FlightFront.class);
+public final class FlightSqlServer implements FlightEngineClient.Listener, Service {
+    private static final Logger LOG = LoggerFactory.getLogger(FlightSqlServer.class);
     private static final long LOOK = 20_000;
     private static final long TIDY = 500_000;
     private static final long TELL = 10_000_000;
     private static final int WORKERS = 2;
     private final FlightConfig config;
-    private final Desk desk;
-    private final Logins logins;
-    private final Queries queries;
-    private final Statements statements;
-    private final TransactionDesk transactions;
-    private final Catalogs catalogs;
+    private final RequestDispatcher desk;
+    private final Authentication logins;
+    private final QueryHandler queries;
+    private final PreparedStatementHandler statements;
+    private final TransactionHandler transactions;
+    private final CatalogHandler catalogs;
     private final SqlInfo info;
-    private final Polls polls;
-    private final Actions actions;
+    private final PollHandler polls;
+    private final ActionHandler actions;
     private final ExecutorService workers = workers();
     private final NioEventLoopGroup threads;
     private Server server;
@@ -64,15 +64,15 @@
     private long tellAt, tidyAt;
 
     /** {@code engines} is null where engines are reached by another protocol. */
-    public FlightFront(
+    public FlightSqlServer(
             Loop loop,
             Gateway gateway,
             FlightConfig config,
             SettingsParser settings,
             Admission admission,
-            FlightEngines engines) {
+            FlightEngineClient engines) {
         this.config = config;
-        desk = new Desk(loop, gateway, config, settings, admission, engines);
+        desk = new RequestDispatcher(loop, gateway, config, settings, admission, engines);
         for (String name :
                 new String[] {config.queryClass(), config.metadataClass(), config.updateClass()}) {
             if (!settings.classNames().contains(name)) {
@@ -80,14 +80,14 @@
                         "bad configuration: flight.json: no class '" + name + "'");
             }
         }
-        logins = new Logins(desk, workers);
-        catalogs = new Catalogs(desk);
+        logins = new Authentication(desk, workers);
+        catalogs = new CatalogHandler(desk);
         info = new SqlInfo(desk, catalogs, workers);
-        transactions = new TransactionDesk(desk);
-        statements = new Statements(desk, transactions);
-        queries = new Queries(desk, transactions, statements, catalogs, info);
-        polls = new Polls(desk, queries);
-        actions = new Actions(desk, queries, polls, logins, statements, transactions);
+        transactions = new TransactionHandler(desk);
+        statements = new PreparedStatementHandler(desk, transactions);
+        queries = new QueryHandler(desk, transactions, statements, catalogs, info);
+        polls = new PollHandler(desk, queries);
+        actions = new ActionHandler(desk, queries, polls, logins, statements, transactions);
         logins.onLast(
                 user -> {
                     transactions.all().left(desk.now(), user);
@@ -148,7 +148,7 @@
                                                 new Calls().bindService(),
                                                 ServerCalls.asyncServerStreamingCall(this::doGet),
                                                 ServerCalls.asyncBidiStreamingCall(this::doPut)),
-                                        Caller.interceptor()))
+                                        CallContext.interceptor()))
                         .build()
                         .start();
     }
@@ -166,7 +166,7 @@
     }
 
     @Override
-    public void awaitEnd() throws InterruptedException {
+    public void awaitTermination() throws InterruptedException {
         if (server != null) {
             server.awaitTermination(1, TimeUnit.SECONDS);
         }
@@ -256,22 +256,23 @@
     // ---- Calls
     // ------------------------------------------------------------------------------------------
     /** On gRPC's thread: lets the call in and hands it on, on the loop. */
-    private <R> void take(StreamObserver<R> out, Consumer<Exchange<R>> serve) {
-        Exchange<R> call = exchange(out);
+    private <R> void take(StreamObserver<R> out, Consumer<ServerCall<R>> serve) {
+        ServerCall<R> call = exchange(out);
         desk.loop.post(() -> enter(call, () -> serve.accept(call)));
     }
 
     /** On gRPC's thread, within the call's start. */
-    private <R> Exchange<R> exchange(StreamObserver<R> out) {
+    private <R> ServerCall<R> exchange(StreamObserver<R> out) {
         ServerCallStreamObserver<R> observer = (ServerCallStreamObserver<R>) out;
         Context context = Context.current();
-        Exchange<R> call = new Exchange<>(Caller.current(), context.getDeadline(), observer);
+        ServerCall<R> call =
+                new ServerCall<>(CallContext.current(), context.getDeadline(), observer);
         observer.setOnCancelHandler(() -> {}); // Late answers are then dropped, not faults.
         context.addListener(ended -> desk.loop.post(call::end), Runnable::run);
         return call;
     }
 
-    private void enter(Exchange<?> call, Runnable serve) {
+    private void enter(ServerCall<?> call, Runnable serve) {
         if (call.isOver()) {
             return;
         }
@@ -283,13 +284,13 @@
                                 () -> {
                                     Admission.Answer answer = desk.admission.enter(call.client);
                                     if (answer != Admission.Answer.TAKEN) {
-                                        desk.gateway.turnedAway(
+                                        desk.gateway.recordRejection(
                                                 Math.max(
                                                         0,
                                                         desk.classOf(
                                                                 call, null, config.queryClass())));
                                         call.fail(
-                                                Words.refusal(desk.mostWaitMs()),
+                                                FlightStatuses.refusal(desk.mostWaitMs()),
                                                 desk.mostWaitMs());
                                         return;
                                     }
@@ -298,7 +299,7 @@
                                 }));
     }
 
-    private static void guarded(Exchange<?> call, Runnable work) {
+    private static void guarded(ServerCall<?> call, Runnable work) {
         try {
             work.run();
         } catch (StatusRuntimeException e) {
@@ -309,20 +310,20 @@
         }
     }
 
-    private void doGet(Flight.Ticket ticket, StreamObserver<Frame> out) {
-        Exchange<Frame> call = exchange(out);
-        Outlet outlet = new Outlet(desk, call);
+    private void doGet(Flight.Ticket ticket, StreamObserver<FlightFrame> out) {
+        ServerCall<FlightFrame> call = exchange(out);
+        ResultStream outlet = new ResultStream(desk, call);
         desk.loop.post(() -> enter(call, () -> queries.get(call, outlet, ticket)));
     }
 
-    private StreamObserver<Frame> doPut(StreamObserver<Flight.PutResult> out) {
+    private StreamObserver<FlightFrame> doPut(StreamObserver<Flight.PutResult> out) {
         ((ServerCallStreamObserver<Flight.PutResult>) out).disableAutoRequest();
-        Exchange<Flight.PutResult> call = exchange(out);
-        Inlet inlet = new Inlet(desk, transactions, statements, catalogs, info, call);
+        ServerCall<Flight.PutResult> call = exchange(out);
+        DoPutHandler inlet = new DoPutHandler(desk, transactions, statements, catalogs, info, call);
         desk.loop.post(() -> enter(call, inlet::begin));
         return new StreamObserver<>() {
             @Override
-            public void onNext(Frame frame) {
+            public void onNext(FlightFrame frame) {
                 inlet.arrived(frame);
             }
 
--- a/src/main/java/calicostream/flight/front/Words.java
+++ b/src/main/java/calicostream/flight/front/FlightStatuses.java
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.front;
 
-import calicostream.core.Front;
+import calicostream.core.ResponseHandler;
 import calicostream.flight.state.Transactions;
 import io.grpc.Status;
 
 /** The statuses that clients hear. What they mean is in {@code docs/operate/flight-sql.md}. */
-final class Words {
+final class FlightStatuses {
     static final Status UNKNOWN_HANDLE =
             Status.NOT_FOUND.withDescription(
                     "no such handle: closed, used, too old, or of another process; ask for a new"
@@ -15,17 +15,17 @@
     static final Status TIMED_OUT =
             Status.DEADLINE_EXCEEDED.withDescription("not answered in time");
 
-    private Words() {}
+    private FlightStatuses() {}
 
     static Status refusal(long stayAwayMs) {
         return Status.UNAVAILABLE.withDescription("refused; stay away for " + stayAwayMs + " ms");
     }
 
-    static Status failure(Front.Failure why) {
+    static Status failure(ResponseHandler.Failure why) {
         switch (why) {
             case DEADLINE:
                 return TIMED_OUT;
-            case CUT:
+            case STREAM_BROKEN:
                 return Status.INTERNAL.withDescription(
                         "the result broke off; what came of it is not whole");
             default:
--- a/src/main/java/calicostream/flight/front/Polls.java
+++ b/src/main/java/calicostream/flight/front/PollHandler.java
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.front;
 
-import calicostream.core.Front;
-import calicostream.flight.state.Handles;
+import calicostream.core.ResponseHandler;
+import calicostream.flight.state.HandleTable;
 import calicostream.flight.state.Progress;
-import calicostream.flight.wire.Answers;
+import calicostream.flight.wire.EngineOperation;
+import calicostream.flight.wire.EngineResult;
 import calicostream.flight.wire.FlightWire;
-import calicostream.flight.wire.Work;
 import com.google.protobuf.Any;
 import com.google.protobuf.ByteString;
 import io.grpc.Status;
@@ -19,15 +19,15 @@
  * without a thread until there is news or its patience ends; a query that nobody asks for any more
  * is given up.
  */
-final class Polls {
+final class PollHandler {
     /** How a query ended: where its result is, or a status. */
     private record End(Flight.FlightInfo info, Status status, long stayAwayMs) {}
 
     private static final class Query {
-        final Progress<Exchange<Flight.PollInfo>, End> progress;
+        final Progress<ServerCall<Flight.PollInfo>, End> progress;
         final String owner;
         String name;
-        Desk.Submitted attempt;
+        RequestDispatcher.Submitted attempt;
         long engine;
         Flight.FlightInfo engineInfo; // once done: what the engine holds
 
@@ -37,33 +37,33 @@
         }
     }
 
-    private final Desk desk;
-    private final Queries queries;
-    private final Handles<Query> all;
+    private final RequestDispatcher desk;
+    private final QueryHandler queries;
+    private final HandleTable<Query> all;
 
-    Polls(Desk desk, Queries queries) {
+    PollHandler(RequestDispatcher desk, QueryHandler queries) {
         this.desk = desk;
         this.queries = queries;
         all =
-                new Handles<>(
+                new HandleTable<>(
                         desk::name,
                         desk.config.statements(),
                         desk.config.statementsPerClient(),
                         Math.max(desk.config.ticketKeptUs(), 4 * desk.config.pollWaitUs()));
     }
 
-    void poll(Exchange<Flight.PollInfo> call, Flight.FlightDescriptor descriptor) {
+    void poll(ServerCall<Flight.PollInfo> call, Flight.FlightDescriptor descriptor) {
         if (desk.engines == null) {
-            throw Words.unsupported("these engines tell no progress").asRuntimeException();
+            throw FlightStatuses.unsupported("these engines tell no progress").asRuntimeException();
         }
-        Any command = Commands.parse(Commands.command(descriptor));
-        String name = Commands.name(command);
+        Any command = CommandDecoder.parse(CommandDecoder.command(descriptor));
+        String name = CommandDecoder.name(command);
         if (name.equals("TicketStatementQuery")) {
             again(call, command);
-        } else if (Commands.METADATA.containsKey(name)
+        } else if (CommandDecoder.METADATA.containsKey(name)
                 || name.equals("CommandPreparedStatementQuery")) {
-            Exchange<Flight.FlightInfo> info =
-                    new Exchange<>(call.caller, call.deadline, null) {
+            ServerCall<Flight.FlightInfo> info =
+                    new ServerCall<>(call.caller, call.deadline, null) {
                         @Override
                         void reply(
                                 Flight.FlightInfo
@@ -88,20 +88,20 @@
         }
     }
 
-    private void begin(Exchange<Flight.PollInfo> call, Queries.Noted noted) {
+    private void begin(ServerCall<Flight.PollInfo> call, QueryHandler.PreparedTicket noted) {
         if (!noted.transaction().isEmpty()) {
-            throw Words.unsupported("no polling in a transaction").asRuntimeException();
+            throw FlightStatuses.unsupported("no polling in a transaction").asRuntimeException();
         }
         int queryClass = desk.classOf(call, noted.queryClass(), desk.config.queryClass());
         if (queryClass < 0 || desk.spec(queryClass).load()) {
-            throw Commands.invalid("a load is an update");
+            throw CommandDecoder.invalid("a load is an update");
         }
         Query query = new Query(call.owner, desk.config.calls());
         StringBuilder name = new StringBuilder();
         all.put(desk.now(), call.owner, query, name).forEach(this::giveUp);
         query.name = name.toString();
-        Work work =
-                new Work.Poll(
+        EngineOperation work =
+                new EngineOperation.Poll(
                         noted.command(), share -> wake(query, query.progress.advanced(share)));
         query.attempt =
                 desk.submit(
@@ -111,10 +111,10 @@
                         noted.sql(),
                         work,
                         0,
-                        new Reply() {
+                        new ResponseCallback() {
                             @Override
                             public void served(Object result) {
-                                Answers.Planned planned = (Answers.Planned) result;
+                                EngineResult.Planned planned = (EngineResult.Planned) result;
                                 query.engine = planned.engine();
                                 query.engineInfo = planned.info();
                                 List<ByteString> tickets =
@@ -138,12 +138,12 @@
 
                             @Override
                             public void refused(long stayAwayMs) {
-                                end(Words.refusal(stayAwayMs), stayAwayMs);
+                                end(FlightStatuses.refusal(stayAwayMs), stayAwayMs);
                             }
 
                             @Override
-                            public void failed(Front.Failure why) {
-                                end(Words.failure(why), -1);
+                            public void failed(ResponseHandler.Failure why) {
+                                end(FlightStatuses.failure(why), -1);
                             }
 
                             @Override
@@ -160,22 +160,22 @@
         tell(call, query);
     }
 
-    private void again(Exchange<Flight.PollInfo> call, Any command) {
+    private void again(ServerCall<Flight.PollInfo> call, Any command) {
         String[] parts =
-                Commands.unpack(command, FlightSql.TicketStatementQuery.class)
+                CommandDecoder.unpack(command, FlightSql.TicketStatementQuery.class)
                         .getStatementHandle()
                         .toStringUtf8()
                         .split(" ", 2);
         Query query = all.get(desk.now(), call.owner, parts[0]);
         if (query == null) {
-            call.fail(Words.UNKNOWN_HANDLE, 0);
+            call.fail(FlightStatuses.UNKNOWN_HANDLE, 0);
             return;
         }
         long heard;
         try {
             heard = parts.length < 2 ? -1 : Long.parseLong(parts[1]);
         } catch (NumberFormatException e) {
-            throw Commands.invalid("not a poll's descriptor");
+            throw CommandDecoder.invalid("not a poll's descriptor");
         }
         if (!query.progress.await(call, heard)) {
             tell(call, query);
@@ -195,7 +195,7 @@
                         0);
     }
 
-    private void wake(Query query, List<Exchange<Flight.PollInfo>> who) {
+    private void wake(Query query, List<ServerCall<Flight.PollInfo>> who) {
         who.forEach(call -> tell(call, query));
     }
 
@@ -209,7 +209,7 @@
                                 .build()));
     }
 
-    private void tell(Exchange<Flight.PollInfo> call, Query query) {
+    private void tell(ServerCall<Flight.PollInfo> call, Query query) {
         End end = query.progress.end();
         if (end != null && end.status != null) {
             call.fail(end.status, end.stayAwayMs);
@@ -218,15 +218,15 @@
                     Flight.PollInfo.newBuilder()
                             .setInfo(end.info)
                             .setProgress(1)
-                            .setExpirationTime(Commands.in(desk.config.ticketKeptUs()))
+                            .setExpirationTime(CommandDecoder.in(desk.config.ticketKeptUs()))
                             .build());
         } else {
             call.reply(
                     Flight.PollInfo.newBuilder()
-                            .setInfo(Commands.info(descriptor(query), ByteString.EMPTY))
+                            .setInfo(CommandDecoder.info(descriptor(query), ByteString.EMPTY))
                             .setFlightDescriptor(descriptor(query))
                             .setProgress(query.progress.share())
-                            .setExpirationTime(Commands.in(desk.config.ticketKeptUs()))
+                            .setExpirationTime(CommandDecoder.in(desk.config.ticketKeptUs()))
                             .build());
         }
     }
@@ -236,8 +236,8 @@
         String name;
         try {
             name =
-                    Commands.unpack(
-                                    Commands.command(descriptor),
+                    CommandDecoder.unpack(
+                                    CommandDecoder.command(descriptor),
                                     FlightSql.TicketStatementQuery.class)
                             .getStatementHandle()
                             .toStringUtf8()
--- a/src/main/java/calicostream/flight/front/Statements.java
+++ b/src/main/java/calicostream/flight/front/PreparedStatementHandler.java
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.front;
 
-import calicostream.flight.engine.Lease;
-import calicostream.flight.state.Handles;
-import calicostream.flight.state.Prepared;
+import calicostream.flight.engine.PreparedStatementLease;
+import calicostream.flight.state.HandleTable;
+import calicostream.flight.state.PreparedStatements;
 import calicostream.flight.state.Transactions.Purpose;
 import calicostream.flight.state.Transactions.Txn;
-import calicostream.flight.wire.Answers;
+import calicostream.flight.wire.EngineOperation;
+import calicostream.flight.wire.EngineResult;
+import calicostream.flight.wire.FlightFrame;
 import calicostream.flight.wire.FlightWire;
-import calicostream.flight.wire.Frame;
-import calicostream.flight.wire.Work;
 import com.google.protobuf.Any;
 import com.google.protobuf.ByteString;
 import com.google.protobuf.Message;
@@ -30,13 +30,13 @@
  * Prepared statements: made at an engine once, so that their schemas are known, and from then on
  * wherever they run.
  */
-final class Statements {
+final class PreparedStatementHandler {
     /**
      * A statement with the client's handle; {@code transaction} is empty, or the name of the one it
      * belongs to.
      */
     static final class Entry {
-        final Prepared<List<Frame>, ByteString> core;
+        final PreparedStatements<List<FlightFrame>, ByteString> core;
         final String action;
         final ByteString request; // as engines get it
         final String sql;
@@ -45,7 +45,7 @@
         final ByteString transaction;
 
         private Entry(
-                Prepared<List<Frame>, ByteString> core,
+                PreparedStatements<List<FlightFrame>, ByteString> core,
                 String action,
                 ByteString request,
                 String sql,
@@ -61,20 +61,20 @@
             this.transaction = transaction;
         }
 
-        Work.Bound bound(List<Frame> rows) {
-            return new Work.Bound(core, action, request, rows);
+        EngineOperation.Bound bound(List<FlightFrame> rows) {
+            return new EngineOperation.Bound(core, action, request, rows);
         }
     }
 
-    private final Desk desk;
-    private final TransactionDesk transactions;
-    private final Handles<Entry> all;
+    private final RequestDispatcher desk;
+    private final TransactionHandler transactions;
+    private final HandleTable<Entry> all;
 
-    Statements(Desk desk, TransactionDesk transactions) {
+    PreparedStatementHandler(RequestDispatcher desk, TransactionHandler transactions) {
         this.desk = desk;
         this.transactions = transactions;
         all =
-                new Handles<>(
+                new HandleTable<>(
                         desk::name,
                         desk.config.statements(),
                         desk.config.statementsPerClient(),
@@ -82,10 +82,10 @@
     }
 
     /** The statement, or null and the call told that there is none. */
-    Entry find(Exchange<?> call, ByteString handle) {
+    Entry find(ServerCall<?> call, ByteString handle) {
         Entry found = all.get(desk.now(), call.owner, handle.toStringUtf8());
         if (found == null) {
-            call.fail(Words.UNKNOWN_HANDLE, 0);
+            call.fail(FlightStatuses.UNKNOWN_HANDLE, 0);
         }
         return found;
     }
@@ -97,9 +97,10 @@
     // ---- Making and closing
     // ---------------------------------------------------------------------------
     void create(
-            Exchange<Flight.Result> call, FlightSql.ActionCreatePreparedStatementRequest request) {
+            ServerCall<Flight.Result> call,
+            FlightSql.ActionCreatePreparedStatementRequest request) {
         if (request.getQuery().isBlank()) {
-            throw Commands.invalid("an empty statement");
+            throw CommandDecoder.invalid("an empty statement");
         }
         Txn<ByteString> txn =
                 request.getTransactionId().isEmpty()
@@ -121,7 +122,7 @@
     }
 
     void createPlan(
-            Exchange<Flight.Result> call,
+            ServerCall<Flight.Result> call,
             FlightSql.ActionCreatePreparedSubstraitPlanRequest request) {
         Txn<ByteString> txn =
                 request.getTransactionId().isEmpty()
@@ -143,38 +144,38 @@
     }
 
     private void create(
-            Exchange<Flight.Result> call,
+            ServerCall<Flight.Result> call,
             String action,
             Message request,
             String sql,
             ByteString transaction,
             Txn<ByteString> txn) {
         ByteString packed = FlightWire.packed(request);
-        Reply answer =
-                new Reply.To<>(call) {
+        ResponseCallback answer =
+                new ResponseCallback.To<>(call) {
                     @Override
                     public void served(Object result) {
-                        made(call, (Answers.Acted) result, action, packed, sql, transaction);
+                        made(call, (EngineResult.Acted) result, action, packed, sql, transaction);
                     }
                 };
         desk.submit(
                 call,
                 desk.metadataClass(),
                 sql,
-                new Work.Act(action, packed),
+                new EngineOperation.Act(action, packed),
                 txn == null ? 0 : txn.engine,
                 txn == null ? answer : transactions.within(txn, true, answer));
     }
 
     private void made(
-            Exchange<Flight.Result> call,
-            Answers.Acted acted,
+            ServerCall<Flight.Result> call,
+            EngineResult.Acted acted,
             String action,
             ByteString request,
             String sql,
             ByteString transaction) {
         FlightSql.ActionCreatePreparedStatementResult told;
-        List<Prepared.Parameter> parameters;
+        List<PreparedStatements.Parameter> parameters;
         try {
             told =
                     acted.results().isEmpty()
@@ -193,7 +194,8 @@
             call.fail(Status.INTERNAL.withDescription("the engine named no statement"));
             return;
         }
-        Prepared<List<Frame>, ByteString> core = new Prepared<>(parameters);
+        PreparedStatements<List<FlightFrame>, ByteString> core =
+                new PreparedStatements<>(parameters);
         core.bind(List.of());
         core.giveBack(acted.engine(), told.getPreparedStatementHandle());
         Entry entry =
@@ -208,7 +210,7 @@
         StringBuilder name = new StringBuilder();
         all.put(desk.now(), call.owner, entry, name).forEach(this::close);
         call.reply(
-                TransactionDesk.result(
+                TransactionHandler.result(
                         told.toBuilder()
                                 .setPreparedStatementHandle(
                                         ByteString.copyFromUtf8(name.toString()))
@@ -216,7 +218,7 @@
     }
 
     void close(
-            Exchange<Flight.Result> call, FlightSql.ActionClosePreparedStatementRequest request) {
+            ServerCall<Flight.Result> call, FlightSql.ActionClosePreparedStatementRequest request) {
         Entry gone =
                 all.remove(
                         desk.now(),
@@ -236,7 +238,7 @@
                                 desk.engines.tidy(
                                         each.engine(),
                                         FlightWire.CLOSE_PREPARED,
-                                        Lease.closing(each.handle()),
+                                        PreparedStatementLease.closing(each.handle()),
                                         false));
     }
 
@@ -259,15 +261,16 @@
                 new ReadChannel(Channels.newChannel(new ByteArrayInputStream(bytes))));
     }
 
-    private static List<Prepared.Parameter> parameters(ByteString schema) throws IOException {
+    private static List<PreparedStatements.Parameter> parameters(ByteString schema)
+            throws IOException {
         return parameters(schema(schema.toByteArray()));
     }
 
-    private static List<Prepared.Parameter> parameters(Schema schema) {
+    private static List<PreparedStatements.Parameter> parameters(Schema schema) {
         return schema.getFields().stream()
                 .map(
                         field ->
-                                new Prepared.Parameter(
+                                new PreparedStatements.Parameter(
                                         field.getName(),
                                         field.getType()
                                                 + (field.getChildren().isEmpty()
@@ -277,9 +280,9 @@
     }
 
     /** Why these frames, schema first, can't be bound to the statement, or null. */
-    static String fault(Entry statement, List<Frame> frames) {
-        List<Prepared.Parameter> got = null;
-        long rows = frames.stream().mapToLong(Frame::rows).sum();
+    static String fault(Entry statement, List<FlightFrame> frames) {
+        List<PreparedStatements.Parameter> got = null;
+        long rows = frames.stream().mapToLong(FlightFrame::rows).sum();
         if (!frames.isEmpty()) {
             try {
                 ByteArrayOutputStream ipc = new ByteArrayOutputStream();
@@ -293,8 +296,8 @@
     }
 
     /** Frames that can be sent any number of times, on any attempt. */
-    static List<Frame> solid(List<Frame> frames) {
-        List<Frame> out = new ArrayList<>();
+    static List<FlightFrame> solid(List<FlightFrame> frames) {
+        List<FlightFrame> out = new ArrayList<>();
         frames.forEach(frame -> out.add(frame.solid()));
         return List.copyOf(out);
     }
--- a/src/main/java/calicostream/flight/front/Queries.java
+++ b/src/main/java/calicostream/flight/front/QueryHandler.java
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.front;
 
-import calicostream.core.Front;
+import calicostream.core.ResponseHandler;
 import calicostream.flight.ArrowRows;
-import calicostream.flight.state.Effects;
-import calicostream.flight.state.Handles;
+import calicostream.flight.state.CatalogChangeDetector;
+import calicostream.flight.state.HandleTable;
 import calicostream.flight.state.Transactions.Purpose;
 import calicostream.flight.state.Transactions.Txn;
-import calicostream.flight.wire.Answers;
+import calicostream.flight.wire.EngineOperation;
+import calicostream.flight.wire.EngineResult;
+import calicostream.flight.wire.FlightFrame;
 import calicostream.flight.wire.FlightWire;
-import calicostream.flight.wire.Frame;
-import calicostream.flight.wire.Work;
 import com.google.protobuf.Any;
 import com.google.protobuf.ByteString;
 import io.grpc.Status;
@@ -27,12 +27,12 @@
  * GetFlightInfo, GetSchema and DoGet: statements are noted down under a ticket, and run when it is
  * fetched, once.
  */
-final class Queries {
+final class QueryHandler {
     /**
      * What a ticket stands for. {@code tickets}: of an engine that has run it already; else empty,
      * and it runs anew.
      */
-    record Noted(
+    record PreparedTicket(
             ByteString command,
             String sql,
             String queryClass,
@@ -42,26 +42,26 @@
             int losses) {}
 
     /** A result under way, by its ticket. */
-    private record Running(String owner, Outlet outlet, Runnable stop) {}
+    private record Running(String owner, ResultStream outlet, Runnable stop) {}
 
     private static final Status PART_LOST =
             Status.NOT_FOUND.withDescription(
                     "the engine that had this part is lost; run the statement again");
-    private final Desk desk;
-    private final TransactionDesk transactions;
-    private final Statements statements;
-    private final Catalogs catalogs;
+    private final RequestDispatcher desk;
+    private final TransactionHandler transactions;
+    private final PreparedStatementHandler statements;
+    private final CatalogHandler catalogs;
     private final SqlInfo info;
-    private final Handles<Noted> tickets;
+    private final HandleTable<PreparedTicket> tickets;
     private final Map<Long, Integer> losses = new HashMap<>(); // of an engine, how often
     private final Map<String, Running> running = new HashMap<>();
-    private final Set<Outlet> outlets = new java.util.LinkedHashSet<>();
+    private final Set<ResultStream> outlets = new java.util.LinkedHashSet<>();
 
-    Queries(
-            Desk desk,
-            TransactionDesk transactions,
-            Statements statements,
-            Catalogs catalogs,
+    QueryHandler(
+            RequestDispatcher desk,
+            TransactionHandler transactions,
+            PreparedStatementHandler statements,
+            CatalogHandler catalogs,
             SqlInfo info) {
         this.desk = desk;
         this.transactions = transactions;
@@ -69,7 +69,7 @@
         this.catalogs = catalogs;
         this.info = info;
         tickets =
-                new Handles<>(
+                new HandleTable<>(
                         desk::name,
                         desk.config.statements(),
                         desk.config.statements(),
@@ -78,26 +78,28 @@
 
     // ---- GetFlightInfo, GetSchema
     // -----------------------------------------------------------------------
-    void info(Exchange<Flight.FlightInfo> call, Flight.FlightDescriptor descriptor) {
-        ByteString bytes = Commands.command(descriptor);
-        Any command = Commands.parse(bytes);
-        String name = Commands.name(command);
-        if (Commands.METADATA.containsKey(name)) {
+    void info(ServerCall<Flight.FlightInfo> call, Flight.FlightDescriptor descriptor) {
+        ByteString bytes = CommandDecoder.command(descriptor);
+        Any command = CommandDecoder.parse(bytes);
+        String name = CommandDecoder.name(command);
+        if (CommandDecoder.METADATA.containsKey(name)) {
             catalogued(name);
             call.reply(
-                    Commands.info(descriptor, FlightWire.schema(metadataSchema(command, name)))
-                            .addEndpoint(Commands.endpoint(bytes))
+                    CommandDecoder.info(
+                                    descriptor, FlightWire.schema(metadataSchema(command, name)))
+                            .addEndpoint(CommandDecoder.endpoint(bytes))
                             .build());
         } else if (name.equals("CommandPreparedStatementQuery")) {
-            Statements.Entry statement =
+            PreparedStatementHandler.Entry statement =
                     statements.find(
                             call,
-                            Commands.unpack(command, FlightSql.CommandPreparedStatementQuery.class)
+                            CommandDecoder.unpack(
+                                            command, FlightSql.CommandPreparedStatementQuery.class)
                                     .getPreparedStatementHandle());
             if (statement != null) {
                 call.reply(
-                        Commands.info(descriptor, statement.resultSchema)
-                                .addEndpoint(Commands.endpoint(bytes))
+                        CommandDecoder.info(descriptor, statement.resultSchema)
+                                .addEndpoint(CommandDecoder.endpoint(bytes))
                                 .build());
             }
         } else {
@@ -107,15 +109,18 @@
 
     /** What the command says, checked; a plan is looked at for whether engines take any. */
     void noted(
-            Exchange<?> call, Any command, String name, java.util.function.Consumer<Noted> then) {
+            ServerCall<?> call,
+            Any command,
+            String name,
+            java.util.function.Consumer<PreparedTicket> then) {
         if (name.equals("CommandStatementQuery")) {
             FlightSql.CommandStatementQuery query =
-                    Commands.unpack(command, FlightSql.CommandStatementQuery.class);
+                    CommandDecoder.unpack(command, FlightSql.CommandStatementQuery.class);
             if (query.getQuery().isBlank()) {
-                throw Commands.invalid("an empty statement");
+                throw CommandDecoder.invalid("an empty statement");
             }
             then.accept(
-                    new Noted(
+                    new PreparedTicket(
                             command.toByteString(),
                             query.getQuery(),
                             classNamed(call),
@@ -125,12 +130,12 @@
                             0));
         } else if (name.equals("CommandStatementSubstraitPlan")) {
             FlightSql.CommandStatementSubstraitPlan plan =
-                    Commands.unpack(command, FlightSql.CommandStatementSubstraitPlan.class);
+                    CommandDecoder.unpack(command, FlightSql.CommandStatementSubstraitPlan.class);
             info.ifSubstrait(
                     call,
                     () ->
                             then.accept(
-                                    new Noted(
+                                    new PreparedTicket(
                                             command.toByteString(),
                                             "",
                                             classNamed(call),
@@ -139,20 +144,20 @@
                                             List.of(),
                                             0)));
         } else {
-            throw Commands.invalid(name + " is no query");
+            throw CommandDecoder.invalid(name + " is no query");
         }
     }
 
-    private String classNamed(Exchange<?> call) {
+    private String classNamed(ServerCall<?> call) {
         if (call.caller.queryClass != null && !desk.classNames().contains(call.caller.queryClass)) {
-            throw Commands.invalid("no class '" + call.caller.queryClass + "'");
+            throw CommandDecoder.invalid("no class '" + call.caller.queryClass + "'");
         }
         return call.caller.queryClass;
     }
 
     private void catalogued(String name) {
         if (desk.engines == null && !name.equals("CommandGetSqlInfo")) {
-            throw Words.unsupported("these engines tell nothing of their catalogs")
+            throw FlightStatuses.unsupported("these engines tell nothing of their catalogs")
                     .asRuntimeException();
         }
     }
@@ -161,18 +166,20 @@
             Any command, String name) {
         boolean tables = name.equals("CommandGetTables");
         return tables
-                        && !Commands.unpack(command, FlightSql.CommandGetTables.class)
+                        && !CommandDecoder.unpack(command, FlightSql.CommandGetTables.class)
                                 .getIncludeSchema()
                 ? Schemas.GET_TABLES_SCHEMA_NO_SCHEMA
-                : Commands.METADATA.get(name);
+                : CommandDecoder.METADATA.get(name);
     }
 
     private void plan(
-            Exchange<Flight.FlightInfo> call, Flight.FlightDescriptor descriptor, Noted noted) {
+            ServerCall<Flight.FlightInfo> call,
+            Flight.FlightDescriptor descriptor,
+            PreparedTicket noted) {
         boolean inTransaction = !noted.transaction.isEmpty();
         if (desk.engines == null) {
             if (inTransaction) {
-                call.fail(Words.UNKNOWN_HANDLE);
+                call.fail(FlightStatuses.UNKNOWN_HANDLE);
             } else {
                 reply(call, descriptor, ByteString.EMPTY, noted);
             }
@@ -207,14 +214,20 @@
     }
 
     private void describeWithin(
-            Exchange<Flight.FlightInfo> call, Flight.FlightDescriptor descriptor, Noted noted) {
+            ServerCall<Flight.FlightInfo> call,
+            Flight.FlightDescriptor descriptor,
+            PreparedTicket noted) {
         Txn<ByteString> txn = transactions.use(call, noted.transaction, Purpose.STATEMENT);
         if (txn != null) {
-            Reply answer =
-                    new Reply.To<>(call) {
+            ResponseCallback answer =
+                    new ResponseCallback.To<>(call) {
                         @Override
                         public void served(Object result) {
-                            reply(call, descriptor, ((Answers.Described) result).schema(), noted);
+                            reply(
+                                    call,
+                                    descriptor,
+                                    ((EngineResult.Described) result).schema(),
+                                    noted);
                         }
 
                         @Override
@@ -230,22 +243,23 @@
                     call,
                     desk.metadataClass(),
                     noted.sql,
-                    new Work.Describe(within(noted, txn)),
+                    new EngineOperation.Describe(within(noted, txn)),
                     txn.engine,
                     transactions.within(txn, true, answer));
         }
     }
 
     /** The command as the transaction's engine knows it. */
-    private static ByteString within(Noted noted, Txn<ByteString> txn) {
-        Any any = Commands.parse(noted.command);
-        return Commands.name(any).equals("CommandStatementQuery")
+    private static ByteString within(PreparedTicket noted, Txn<ByteString> txn) {
+        Any any = CommandDecoder.parse(noted.command);
+        return CommandDecoder.name(any).equals("CommandStatementQuery")
                 ? FlightWire.packed(
-                        Commands.unpack(any, FlightSql.CommandStatementQuery.class).toBuilder()
+                        CommandDecoder.unpack(any, FlightSql.CommandStatementQuery.class)
+                                .toBuilder()
                                 .setTransactionId(txn.handle)
                                 .build())
                 : FlightWire.packed(
-                        Commands.unpack(any, FlightSql.CommandStatementSubstraitPlan.class)
+                        CommandDecoder.unpack(any, FlightSql.CommandStatementSubstraitPlan.class)
                                 .toBuilder()
                                 .setTransactionId(txn.handle)
                                 .build());
@@ -253,21 +267,23 @@
 
     /** The engine's own endpoints, each under a ticket of ours. */
     private void planParts(
-            Exchange<Flight.FlightInfo> call, Flight.FlightDescriptor descriptor, Noted noted) {
+            ServerCall<Flight.FlightInfo> call,
+            Flight.FlightDescriptor descriptor,
+            PreparedTicket noted) {
         int queryClass = desk.classOf(call, noted.queryClass, desk.config.queryClass());
         if (queryClass < 0 || desk.spec(queryClass).load()) {
-            throw Commands.invalid("a load is an update");
+            throw CommandDecoder.invalid("a load is an update");
         }
         desk.submit(
                 call,
                 queryClass,
                 noted.sql,
-                new Work.Plan(noted.command),
+                new EngineOperation.Plan(noted.command),
                 0,
-                new Reply.To<>(call) {
+                new ResponseCallback.To<>(call) {
                     @Override
                     public void served(Object result) {
-                        Answers.Planned planned = (Answers.Planned) result;
+                        EngineResult.Planned planned = (EngineResult.Planned) result;
                         Flight.FlightInfo.Builder out =
                                 planned.info().toBuilder()
                                         .setFlightDescriptor(descriptor)
@@ -291,16 +307,18 @@
     }
 
     private void reply(
-            Exchange<Flight.FlightInfo> call,
+            ServerCall<Flight.FlightInfo> call,
             Flight.FlightDescriptor descriptor,
             ByteString schema,
-            Noted noted) {
+            PreparedTicket noted) {
         call.reply(
-                Commands.info(descriptor, schema).addEndpoint(ticket(call.owner, noted)).build());
+                CommandDecoder.info(descriptor, schema)
+                        .addEndpoint(ticket(call.owner, noted))
+                        .build());
     }
 
     /** An endpoint whose ticket serves once. */
-    Flight.FlightEndpoint ticket(String owner, Noted noted) {
+    Flight.FlightEndpoint ticket(String owner, PreparedTicket noted) {
         StringBuilder name = new StringBuilder();
         tickets.put(desk.now(), owner, noted, name);
         ByteString ticket =
@@ -308,23 +326,24 @@
                         FlightSql.TicketStatementQuery.newBuilder()
                                 .setStatementHandle(ByteString.copyFromUtf8(name.toString()))
                                 .build());
-        return Commands.endpoint(ticket)
-                .setExpirationTime(Commands.in(desk.config.ticketKeptUs()))
+        return CommandDecoder.endpoint(ticket)
+                .setExpirationTime(CommandDecoder.in(desk.config.ticketKeptUs()))
                 .build();
     }
 
-    void schema(Exchange<Flight.SchemaResult> call, Flight.FlightDescriptor descriptor) {
-        ByteString bytes = Commands.command(descriptor);
-        Any command = Commands.parse(bytes);
-        String name = Commands.name(command);
-        if (Commands.METADATA.containsKey(name)) {
+    void schema(ServerCall<Flight.SchemaResult> call, Flight.FlightDescriptor descriptor) {
+        ByteString bytes = CommandDecoder.command(descriptor);
+        Any command = CommandDecoder.parse(bytes);
+        String name = CommandDecoder.name(command);
+        if (CommandDecoder.METADATA.containsKey(name)) {
             catalogued(name);
             call.reply(schemaOf(FlightWire.schema(metadataSchema(command, name))));
         } else if (name.equals("CommandPreparedStatementQuery")) {
-            Statements.Entry statement =
+            PreparedStatementHandler.Entry statement =
                     statements.find(
                             call,
-                            Commands.unpack(command, FlightSql.CommandPreparedStatementQuery.class)
+                            CommandDecoder.unpack(
+                                            command, FlightSql.CommandPreparedStatementQuery.class)
                                     .getPreparedStatementHandle());
             if (statement != null) {
                 call.reply(schemaOf(statement.resultSchema));
@@ -336,7 +355,7 @@
                     name,
                     noted -> {
                         if (desk.engines == null) {
-                            call.fail(Words.unsupported("these engines tell no schemas"));
+                            call.fail(FlightStatuses.unsupported("these engines tell no schemas"));
                         } else if (noted.transaction.isEmpty()) {
                             catalogs.schema(
                                     call,
@@ -356,17 +375,18 @@
                                         call,
                                         desk.metadataClass(),
                                         noted.sql,
-                                        new Work.Describe(within(noted, txn)),
+                                        new EngineOperation.Describe(within(noted, txn)),
                                         txn.engine,
                                         transactions.within(
                                                 txn,
                                                 true,
-                                                new Reply.To<>(call) {
+                                                new ResponseCallback.To<>(call) {
                                                     @Override
                                                     public void served(Object result) {
                                                         call.reply(
                                                                 schemaOf(
-                                                                        ((Answers.Described) result)
+                                                                        ((EngineResult.Described)
+                                                                                        result)
                                                                                 .schema()));
                                                     }
                                                 }));
@@ -382,64 +402,64 @@
 
     // ---- DoGet
     // ------------------------------------------------------------------------------------------
-    void get(Exchange<Frame> call, Outlet outlet, Flight.Ticket ticket) {
-        Any command = Commands.parse(ticket.getTicket());
-        String name = Commands.name(command);
+    void get(ServerCall<FlightFrame> call, ResultStream outlet, Flight.Ticket ticket) {
+        Any command = CommandDecoder.parse(ticket.getTicket());
+        String name = CommandDecoder.name(command);
         outlets.add(outlet);
         call.atEnd(() -> outlets.remove(outlet));
         if (name.equals("TicketStatementQuery")) {
             String handle =
-                    Commands.unpack(command, FlightSql.TicketStatementQuery.class)
+                    CommandDecoder.unpack(command, FlightSql.TicketStatementQuery.class)
                             .getStatementHandle()
                             .toStringUtf8();
             // Taken out at once: a ticket fetched again, by a client's own retry, must not run the
             // statement again.
-            Noted noted = tickets.remove(desk.now(), call.owner, handle);
+            PreparedTicket noted = tickets.remove(desk.now(), call.owner, handle);
             if (noted == null) {
-                outlet.fail(Words.UNKNOWN_HANDLE, 0);
+                outlet.fail(FlightStatuses.UNKNOWN_HANDLE, 0);
             } else {
                 run(outlet, handle, noted);
             }
         } else if (name.equals("CommandPreparedStatementQuery")) {
             prepared(
                     outlet,
-                    Commands.unpack(command, FlightSql.CommandPreparedStatementQuery.class)
+                    CommandDecoder.unpack(command, FlightSql.CommandPreparedStatementQuery.class)
                             .getPreparedStatementHandle());
         } else if (name.equals("CommandGetSqlInfo")) {
             info.frames(
                     call,
-                    Commands.unpack(command, FlightSql.CommandGetSqlInfo.class),
+                    CommandDecoder.unpack(command, FlightSql.CommandGetSqlInfo.class),
                     told -> tell(outlet, told));
-        } else if (Commands.METADATA.containsKey(name)) {
+        } else if (CommandDecoder.METADATA.containsKey(name)) {
             catalogued(name);
             catalogs.frames(call, ticket.getTicket(), told -> tell(outlet, told));
         } else {
-            throw Commands.invalid(name + " is no ticket");
+            throw CommandDecoder.invalid(name + " is no ticket");
         }
     }
 
     @SuppressWarnings("unchecked")
-    private static void tell(Outlet outlet, Catalogs.Told told) {
+    private static void tell(ResultStream outlet, CatalogHandler.Told told) {
         if (told.status() != null) {
             outlet.fail(told.status(), told.stayAwayMs());
         } else {
-            outlet.send((List<Frame>) told.answer(), () -> {});
+            outlet.send((List<FlightFrame>) told.answer(), () -> {});
         }
     }
 
-    private int queryClass(Exchange<?> call, String noted) {
+    private int queryClass(ServerCall<?> call, String noted) {
         int queryClass = desk.classOf(call, noted, desk.config.queryClass());
         if (queryClass < 0) {
-            throw Commands.invalid("no class '" + call.caller.queryClass + "'");
+            throw CommandDecoder.invalid("no class '" + call.caller.queryClass + "'");
         }
         if (desk.spec(queryClass).load()) {
-            throw Commands.invalid("a load is an update");
+            throw CommandDecoder.invalid("a load is an update");
         }
         return queryClass;
     }
 
-    private void run(Outlet outlet, String handle, Noted noted) {
-        Exchange<Frame> call = outlet.call;
+    private void run(ResultStream outlet, String handle, PreparedTicket noted) {
+        ServerCall<FlightFrame> call = outlet.call;
         int queryClass = queryClass(call, noted.queryClass);
         if (!noted.transaction.isEmpty()) {
             Txn<ByteString> txn = transactions.use(call, noted.transaction, Purpose.STATEMENT);
@@ -449,7 +469,7 @@
                         handle,
                         queryClass,
                         noted.sql,
-                        new Work.Query(within(noted, txn), null, true),
+                        new EngineOperation.Query(within(noted, txn), null, true),
                         txn.engine,
                         transactions.within(txn, true, new Result(outlet)));
             }
@@ -459,13 +479,13 @@
                     handle,
                     queryClass,
                     noted.sql,
-                    new Work.Query(noted.command, null, true),
+                    new EngineOperation.Query(noted.command, null, true),
                     0,
                     new Result(outlet));
         } else if (isLost(noted)) {
             outlet.fail(PART_LOST, 0);
         } else { // An engine has it; where that engine is lost, what can be run anew is.
-            Reply reply =
+            ResponseCallback reply =
                     noted.command.isEmpty()
                             ? new Part(outlet)
                             : new Result(outlet) {
@@ -475,8 +495,8 @@
                                 }
 
                                 @Override
-                                public void failed(Front.Failure why) {
-                                    if (why == Front.Failure.ENGINE) {
+                                public void failed(ResponseHandler.Failure why) {
+                                    if (why == ResponseHandler.Failure.ENGINE) {
                                         anew();
                                     } else {
                                         super.failed(why);
@@ -489,7 +509,7 @@
                                             handle,
                                             queryClass,
                                             noted.sql,
-                                            new Work.Query(noted.command, null, true),
+                                            new EngineOperation.Query(noted.command, null, true),
                                             0,
                                             new Result(outlet));
                                 }
@@ -499,25 +519,26 @@
                     handle,
                     queryClass,
                     noted.sql,
-                    new Work.Fetch(noted.tickets, true),
+                    new EngineOperation.Fetch(noted.tickets, true),
                     noted.engine,
                     reply);
         }
     }
 
-    private void prepared(Outlet outlet, ByteString handle) {
-        Exchange<Frame> call = outlet.call;
-        Statements.Entry statement = statements.find(call, handle);
+    private void prepared(ResultStream outlet, ByteString handle) {
+        ServerCall<FlightFrame> call = outlet.call;
+        PreparedStatementHandler.Entry statement = statements.find(call, handle);
         if (statement == null) {
             return;
         }
         int queryClass = queryClass(call, null);
-        List<Frame> rows = statement.core.bound();
-        String fault = Statements.fault(statement, rows);
+        List<FlightFrame> rows = statement.core.bound();
+        String fault = PreparedStatementHandler.fault(statement, rows);
         if (fault != null) {
-            throw Commands.invalid(fault);
+            throw CommandDecoder.invalid(fault);
         }
-        Work work = new Work.Query(ByteString.EMPTY, statement.bound(rows), true);
+        EngineOperation work =
+                new EngineOperation.Query(ByteString.EMPTY, statement.bound(rows), true);
         if (statement.transaction.isEmpty()) {
             submit(
                     outlet,
@@ -543,19 +564,20 @@
     }
 
     private void submit(
-            Outlet outlet,
+            ResultStream outlet,
             String ticket,
             int queryClass,
             String sql,
-            Work work,
+            EngineOperation work,
             long pinned,
-            Reply reply) {
-        Exchange<Frame> call = outlet.call;
-        Desk.Submitted submitted = desk.submit(call, queryClass, sql, work, pinned, reply);
+            ResponseCallback reply) {
+        ServerCall<FlightFrame> call = outlet.call;
+        RequestDispatcher.Submitted submitted =
+                desk.submit(call, queryClass, sql, work, pinned, reply);
         Running entry = new Running(call.owner, outlet, submitted::abandon);
         running.put(ticket, entry);
         call.atEnd(() -> running.remove(ticket, entry));
-        if (Effects.changesCatalog(sql)) {
+        if (CatalogChangeDetector.changesCatalog(sql)) {
             catalogs.changed("");
         }
     }
@@ -564,16 +586,20 @@
         return losses.getOrDefault(engine, 0);
     }
 
-    private boolean isLost(Noted noted) {
+    private boolean isLost(PreparedTicket noted) {
         return losses(noted.engine) != noted.losses;
     }
 
     /** A ticket for what an engine has, for as long as it has it. */
     Flight.FlightEndpoint ticket(
-            String owner, ByteString command, Noted of, long engine, List<ByteString> parts) {
+            String owner,
+            ByteString command,
+            PreparedTicket of,
+            long engine,
+            List<ByteString> parts) {
         return ticket(
                 owner,
-                new Noted(
+                new PreparedTicket(
                         command,
                         of.sql,
                         of.queryClass,
@@ -591,18 +617,18 @@
      * A part that only one engine has: where that can't give it, the statement must be run again.
      */
     private final class Part extends Result {
-        Part(Outlet outlet) {
+        Part(ResultStream outlet) {
             super(outlet);
         }
 
         @Override
         public void refused(long stayAwayMs) {
-            failed(Front.Failure.ENGINE);
+            failed(ResponseHandler.Failure.ENGINE);
         }
 
         @Override
-        public void failed(Front.Failure why) {
-            if (why == Front.Failure.ENGINE) {
+        public void failed(ResponseHandler.Failure why) {
+            if (why == ResponseHandler.Failure.ENGINE) {
                 fail(PART_LOST);
             } else {
                 super.failed(why);
@@ -611,21 +637,21 @@
     }
 
     /** The answer of a query: whole, or a stream that has begun. */
-    private class Result implements Reply {
-        private final Outlet outlet;
+    private class Result implements ResponseCallback {
+        private final ResultStream outlet;
 
-        Result(Outlet outlet) {
+        Result(ResultStream outlet) {
             this.outlet = outlet;
         }
 
         @Override
-        public void begun(Answers.Stream stream) {
+        public void begun(EngineResult.Stream stream) {
             outlet.begin(stream);
         }
 
         @Override
         public void served(Object result) {
-            if (result instanceof Answers.Held held) {
+            if (result instanceof EngineResult.Held held) {
                 outlet.send(held.frames(), held.room());
             } else if (result instanceof byte[] text) {
                 outlet.send(ArrowRows.frames(text), () -> {});
@@ -636,12 +662,12 @@
 
         @Override
         public void refused(long stayAwayMs) {
-            outlet.fail(Words.refusal(stayAwayMs), stayAwayMs);
+            outlet.fail(FlightStatuses.refusal(stayAwayMs), stayAwayMs);
         }
 
         @Override
-        public void failed(Front.Failure why) {
-            outlet.fail(Words.failure(why), -1);
+        public void failed(ResponseHandler.Failure why) {
+            outlet.fail(FlightStatuses.failure(why), -1);
         }
 
         @Override
@@ -664,13 +690,14 @@
     boolean cancel(String owner, ByteString ticket) {
         String handle;
         try {
-            Any any = Commands.parse(ticket);
+            Any any = CommandDecoder.parse(ticket);
             handle =
-                    Commands.name(any).equals("TicketStatementQuery")
-                            ? Commands.unpack(any, FlightSql.TicketStatementQuery.class)
+                    CommandDecoder.name(any).equals("TicketStatementQuery")
+                            ? CommandDecoder.unpack(any, FlightSql.TicketStatementQuery.class)
                                     .getStatementHandle()
                                     .toStringUtf8()
-                            : Commands.unpack(any, FlightSql.CommandPreparedStatementQuery.class)
+                            : CommandDecoder.unpack(
+                                            any, FlightSql.CommandPreparedStatementQuery.class)
                                     .getPreparedStatementHandle()
                                     .toStringUtf8();
         } catch (io.grpc.StatusRuntimeException e) {
@@ -690,18 +717,18 @@
 
     /** The endpoint with its time begun anew, or null. */
     Flight.FlightEndpoint renew(String owner, Flight.FlightEndpoint endpoint) {
-        Any any = Commands.parse(endpoint.getTicket().getTicket());
-        if (!Commands.name(any).equals("TicketStatementQuery")) {
+        Any any = CommandDecoder.parse(endpoint.getTicket().getTicket());
+        if (!CommandDecoder.name(any).equals("TicketStatementQuery")) {
             return null;
         }
         String handle =
-                Commands.unpack(any, FlightSql.TicketStatementQuery.class)
+                CommandDecoder.unpack(any, FlightSql.TicketStatementQuery.class)
                         .getStatementHandle()
                         .toStringUtf8();
         return tickets.get(desk.now(), owner, handle) == null
                 ? null
                 : endpoint.toBuilder()
-                        .setExpirationTime(Commands.in(desk.config.ticketKeptUs()))
+                        .setExpirationTime(CommandDecoder.in(desk.config.ticketKeptUs()))
                         .build();
     }
 
@@ -716,7 +743,7 @@
     }
 
     void look(long now) {
-        for (Outlet outlet : new ArrayList<>(outlets)) {
+        for (ResultStream outlet : new ArrayList<>(outlets)) {
             if (outlet.isStalledSince(now - desk.config.stallUs())) {
                 outlet.fail(
                         Status.ABORTED.withDescription(
--- a/src/main/java/calicostream/flight/front/Desk.java
+++ b/src/main/java/calicostream/flight/front/RequestDispatcher.java
@@ -1,19 +1,19 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.front;
 
-import calicostream.QueryRouter;
-import calicostream.SettingsParser;
-import calicostream.core.Front;
 import calicostream.core.Gateway;
-import calicostream.core.Slots;
+import calicostream.core.ResponseHandler;
+import calicostream.core.SlotTable;
 import calicostream.flight.FlightConfig;
-import calicostream.flight.engine.FlightEngines;
+import calicostream.flight.engine.FlightEngineClient;
 import calicostream.flight.state.Admission;
-import calicostream.flight.state.Sessions;
-import calicostream.flight.wire.Answers;
+import calicostream.flight.state.FlightSessions;
+import calicostream.flight.wire.EngineOperation;
+import calicostream.flight.wire.EngineResult;
 import calicostream.flight.wire.FlightWire;
-import calicostream.flight.wire.Work;
 import calicostream.net.Loop;
+import calicostream.routing.QueryClass;
+import calicostream.routing.SettingsParser;
 import calicostream.sql.Statement;
 import io.grpc.Metadata;
 import java.nio.ByteBuffer;
@@ -25,27 +25,27 @@
 import java.util.function.Consumer;
 
 /** Where the parts of the front hand requests to the core, and get their answers. The loop's. */
-final class Desk implements Front {
+final class RequestDispatcher implements ResponseHandler {
     private static final int NAME_BYTES = 16;
     final Loop loop;
     final Gateway gateway;
     final FlightConfig config;
     final Admission admission;
-    final FlightEngines engines; // null: engines are reached by another protocol
+    final FlightEngineClient engines; // null: engines are reached by another protocol
     private final List<String> classNames;
-    private final List<QueryRouter.QueryClass> classes;
+    private final List<QueryClass> classes;
     private final long mostWaitMs;
-    private final Slots<Reply> replies = new Slots<>();
+    private final SlotTable<ResponseCallback> replies = new SlotTable<>();
     private final SecureRandom random = new SecureRandom();
     private final ByteBuffer unused = ByteBuffer.allocate(256 * NAME_BYTES).limit(0);
 
-    Desk(
+    RequestDispatcher(
             Loop loop,
             Gateway gateway,
             FlightConfig config,
             SettingsParser settings,
             Admission admission,
-            FlightEngines engines) {
+            FlightEngineClient engines) {
         this.loop = loop;
         this.gateway = gateway;
         this.config = config;
@@ -53,7 +53,7 @@
         this.engines = engines;
         classNames = settings.classNames();
         classes = settings.settings().classes();
-        mostWaitMs = settings.wiring().longestRetryUs() / 1000;
+        mostWaitMs = settings.connectionSettings().maxRetryAfterUs() / 1000;
     }
 
     long now() {
@@ -84,8 +84,8 @@
      * The index of a class by the call's header, the session's option, or this name; below 0: there
      * is none.
      */
-    int classOf(Exchange<?> call, String noted, String without) {
-        String session = call.session == null ? null : call.session.text(Sessions.CLASS);
+    int classOf(ServerCall<?> call, String noted, String without) {
+        String session = call.session == null ? null : call.session.text(FlightSessions.CLASS);
         String name =
                 call.caller.queryClass != null
                         ? call.caller.queryClass
@@ -93,7 +93,7 @@
         return classNames.indexOf(name);
     }
 
-    QueryRouter.QueryClass spec(int queryClass) {
+    QueryClass spec(int queryClass) {
         return classes.get(queryClass);
     }
 
@@ -102,7 +102,7 @@
     }
 
     /** What goes with a call's work to the engine. */
-    Metadata headers(Exchange<?> call) {
+    Metadata headers(ServerCall<?> call) {
         Metadata out = new Metadata();
         if (call != null && config.passTokens() && call.caller.authorization != null) {
             out.put(FlightWire.AUTHORIZATION, call.caller.authorization);
@@ -113,13 +113,13 @@
                     .forEach(
                             (option, value) -> {
                                 switch (option) {
-                                    case Sessions.CATALOG:
+                                    case FlightSessions.CATALOG:
                                         out.put(FlightWire.CATALOG, ascii(value));
                                         break;
-                                    case Sessions.SCHEMA:
+                                    case FlightSessions.SCHEMA:
                                         out.put(FlightWire.SCHEMA, ascii(value));
                                         break;
-                                    case Sessions.PRIORITY:
+                                    case FlightSessions.PRIORITY:
                                         out.put(FlightWire.PRIORITY, ascii(value));
                                         break;
                                     default:
@@ -138,19 +138,24 @@
      * A request of a call: it goes with the call's time, and is given up when the client leaves.
      */
     Submitted submit(
-            Exchange<?> call, int queryClass, String sql, Work work, long pinned, Reply reply) {
+            ServerCall<?> call,
+            int queryClass,
+            String sql,
+            EngineOperation work,
+            long pinned,
+            ResponseCallback reply) {
         return submit(call, queryClass, spec(queryClass).deadlineUs(), sql, work, pinned, reply);
     }
 
     Submitted submit(
-            Exchange<?> call,
+            ServerCall<?> call,
             int queryClass,
             long mostUs,
             String sql,
-            Work work,
+            EngineOperation work,
             long pinned,
-            Reply reply) {
-        long budget = Caller.left(call.deadline, mostUs);
+            ResponseCallback reply) {
+        long budget = CallContext.left(call.deadline, mostUs);
         if (budget <= 0) {
             reply.failed(Failure.DEADLINE);
             return new Submitted(0, 0);
@@ -175,9 +180,9 @@
             int queryClass,
             long budgetUs,
             String sql,
-            Work work,
+            EngineOperation work,
             long pinned,
-            Reply reply) {
+            ResponseCallback reply) {
         return submit(headers, null, queryClass, budgetUs, sql, work, pinned, reply);
     }
 
@@ -187,9 +192,9 @@
             int queryClass,
             long budgetUs,
             String sql,
-            Work work,
+            EngineOperation work,
             long pinned,
-            Reply reply) {
+            ResponseCallback reply) {
         byte[] text = sql.getBytes(StandardCharsets.UTF_8);
         int group = Math.max(0, Statement.tableGroup(text));
         String id =
@@ -206,7 +211,7 @@
                         group,
                         budgetUs,
                         text,
-                        new Work.Job(work, headers),
+                        new EngineOperation.Job(work, headers),
                         pinned);
         return new Submitted(tag, handle);
     }
@@ -223,7 +228,7 @@
 
         /** Gives it up, if it has no answer yet. */
         void abandon() {
-            Reply unanswered = replies.remove(tag);
+            ResponseCallback unanswered = replies.remove(tag);
             if (unanswered != null) {
                 gateway.abandon(handle);
                 unanswered.left();
@@ -239,22 +244,22 @@
     // ----------------------------------------------------------------------------
     @Override
     public String login(long tag) {
-        return replies.get(tag) instanceof Reply.To<?> reply && !reply.to.owner.isEmpty()
+        return replies.get(tag) instanceof ResponseCallback.To<?> reply && !reply.to.owner.isEmpty()
                 ? reply.to.owner
                 : null;
     }
 
     @Override
     public String catalog(long tag) {
-        return replies.get(tag) instanceof Reply.To<?> reply && reply.to.session != null
-                ? reply.to.session.text(Sessions.CATALOG)
+        return replies.get(tag) instanceof ResponseCallback.To<?> reply && reply.to.session != null
+                ? reply.to.session.text(FlightSessions.CATALOG)
                 : null;
     }
 
     // ---- Answers from the core
     // -------------------------------------------------------------------------
-    private void answer(long tag, Consumer<Reply> with) {
-        Reply reply = replies.remove(tag);
+    private void answer(long tag, Consumer<ResponseCallback> with) {
+        ResponseCallback reply = replies.remove(tag);
         if (reply != null) {
             with.accept(reply);
         }
@@ -266,20 +271,20 @@
     }
 
     @Override
-    public void begun(long tag, Object stream) {
-        Reply reply = replies.get(tag);
+    public void streamBegan(long tag, Object stream) {
+        ResponseCallback reply = replies.get(tag);
         if (reply != null) {
-            reply.begun((Answers.Stream) stream);
+            reply.begun((EngineResult.Stream) stream);
         }
     }
 
     @Override
     public void concluded(long tag, Object word) {
-        answer(tag, reply -> reply.word(((Answers.Word) word).status()));
+        answer(tag, reply -> reply.word(((EngineResult.Word) word).status()));
     }
 
     @Override
-    public void refused(long tag, long retryAfterMs) {
+    public void rejected(long tag, long retryAfterMs) {
         answer(tag, reply -> reply.refused(retryAfterMs));
     }
 
--- a/src/main/java/calicostream/flight/front/Reply.java
+++ b/src/main/java/calicostream/flight/front/ResponseCallback.java
@@ -1,22 +1,22 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.front;
 
-import calicostream.core.Front;
-import calicostream.flight.wire.Answers;
+import calicostream.core.ResponseHandler;
+import calicostream.flight.wire.EngineResult;
 import io.grpc.Status;
 
 /** Where the one answer of a request goes, on the loop. */
-interface Reply {
+interface ResponseCallback {
     void served(Object result);
 
     void refused(long stayAwayMs);
 
-    void failed(Front.Failure why);
+    void failed(ResponseHandler.Failure why);
 
     /** The engine's own word on the statement. */
     void word(Status status);
 
-    default void begun(Answers.Stream stream) {
+    default void begun(EngineResult.Stream stream) {
         throw new IllegalStateException("this request's result must be whole");
     }
 
@@ -24,21 +24,21 @@
     default void left() {}
 
     /** Answers a call with what the engine brought, or with why it did not. */
-    abstract class To<R> implements Reply {
-        final Exchange<R> to;
+    abstract class To<R> implements ResponseCallback {
+        final ServerCall<R> to;
 
-        To(Exchange<R> to) {
+        To(ServerCall<R> to) {
             this.to = to;
         }
 
         @Override
         public void refused(long stayAwayMs) {
-            to.fail(Words.refusal(stayAwayMs), stayAwayMs);
+            to.fail(FlightStatuses.refusal(stayAwayMs), stayAwayMs);
         }
 
         @Override
-        public void failed(Front.Failure why) {
-            to.fail(Words.failure(why));
+        public void failed(ResponseHandler.Failure why) {
+            to.fail(FlightStatuses.failure(why));
         }
 
         @Override
--- a/src/main/java/calicostream/flight/front/Outlet.java
+++ b/src/main/java/calicostream/flight/front/ResultStream.java
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.front;
 
-import calicostream.flight.wire.Answers;
-import calicostream.flight.wire.Frame;
+import calicostream.flight.wire.EngineResult;
+import calicostream.flight.wire.FlightFrame;
 import io.grpc.Status;
 import java.util.ArrayDeque;
 import java.util.List;
@@ -11,16 +11,16 @@
  * A DoGet's answer. What is held goes out as its client takes it; what flows comes from the
  * engine's threads, so each frame and each end passes under this object's lock.
  */
-final class Outlet implements Answers.Sink {
-    final Exchange<Frame> call;
-    private final Desk desk;
-    private final ArrayDeque<Frame> left = new ArrayDeque<>();
+final class ResultStream implements EngineResult.Sink {
+    final ServerCall<FlightFrame> call;
+    private final RequestDispatcher desk;
+    private final ArrayDeque<FlightFrame> left = new ArrayDeque<>();
     private volatile Runnable onReady = () -> {};
-    private Answers.Stream stream;
+    private EngineResult.Stream stream;
     private boolean closed, held;
     private long heldSince; // when its client last took nothing of what is held, or 0
 
-    Outlet(Desk desk, Exchange<Frame> call) {
+    ResultStream(RequestDispatcher desk, ServerCall<FlightFrame> call) {
         this.desk = desk;
         this.call = call;
         call.out.setOnReadyHandler(() -> onReady.run());
@@ -29,13 +29,13 @@
     // ---- What flows
     // ---------------------------------------------------------------------------------------
     /** On the loop. */
-    void begin(Answers.Stream flowing) {
+    void begin(EngineResult.Stream flowing) {
         stream = flowing;
         flowing.flow(this);
     }
 
     @Override
-    public synchronized void frame(Frame frame) {
+    public synchronized void frame(FlightFrame frame) {
         if (closed || call.out.isCancelled()) {
             frame.release();
         } else {
@@ -56,12 +56,12 @@
     // ---- What is held
     // -------------------------------------------------------------------------------------
     /** Sends these, then ends the call; {@code room} is given back when the call is over. */
-    void send(List<Frame> frames, Runnable room) {
+    void send(List<FlightFrame> frames, Runnable room) {
         left.addAll(frames);
         held = true;
         call.atEnd(
                 () -> {
-                    left.forEach(Frame::release);
+                    left.forEach(FlightFrame::release);
                     left.clear();
                     room.run();
                 });
--- a/src/main/java/calicostream/flight/front/Exchange.java
+++ b/src/main/java/calicostream/flight/front/ServerCall.java
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.front;
 
-import calicostream.flight.state.Sessions;
-import calicostream.grpc.Calls;
+import calicostream.flight.state.FlightSessions;
+import calicostream.grpc.GrpcStatuses;
 import io.grpc.Deadline;
 import io.grpc.Metadata;
 import io.grpc.Status;
@@ -14,17 +14,17 @@
  * One call of a client, from its start to its one end. The loop's, but for the observer's own
  * calls.
  */
-class Exchange<R> {
-    final Caller caller;
+class ServerCall<R> {
+    final CallContext caller;
     final Deadline deadline;
     final ServerCallStreamObserver<R> out;
-    Sessions.Session session; // null: none
+    FlightSessions.Session session; // null: none
     String owner = ""; // of handles: the user, empty where nobody logs in
     String client = ""; // whose share of the calls it takes
     private final List<Runnable> atEnd = new ArrayList<>();
     private boolean answered, over;
 
-    Exchange(Caller caller, Deadline deadline, ServerCallStreamObserver<R> out) {
+    ServerCall(CallContext caller, Deadline deadline, ServerCallStreamObserver<R> out) {
         this.caller = caller;
         this.deadline = deadline;
         this.out = out;
@@ -85,7 +85,7 @@
             answered = true;
             Metadata trailers = new Metadata();
             if (stayAwayMs >= 0) {
-                trailers.put(Calls.STAY_AWAY, Long.toString(stayAwayMs));
+                trailers.put(GrpcStatuses.STAY_AWAY, Long.toString(stayAwayMs));
             }
             out.onError(status.asRuntimeException(trailers));
         }
--- a/src/main/java/calicostream/flight/front/SqlInfo.java
+++ b/src/main/java/calicostream/flight/front/SqlInfo.java
@@ -3,8 +3,8 @@
 
 import calicostream.flight.ArrowRows;
 import calicostream.flight.FrameListener;
+import calicostream.flight.wire.FlightFrame;
 import calicostream.flight.wire.FlightWire;
-import calicostream.flight.wire.Frame;
 import com.google.protobuf.ByteString;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
@@ -39,11 +39,11 @@
     private static final int OWN_BELOW = 500; // From there on it is the SQL that engines speak.
     private static final ByteString ALL =
             FlightWire.packed(FlightSql.CommandGetSqlInfo.getDefaultInstance());
-    private final Desk desk;
-    private final Catalogs catalogs;
+    private final RequestDispatcher desk;
+    private final CatalogHandler catalogs;
     private final ExecutorService workers;
 
-    SqlInfo(Desk desk, Catalogs catalogs, ExecutorService workers) {
+    SqlInfo(RequestDispatcher desk, CatalogHandler catalogs, ExecutorService workers) {
         this.desk = desk;
         this.catalogs = catalogs;
         this.workers = workers;
@@ -79,7 +79,9 @@
                     FlightSql.SqlInfo.FLIGHT_SQL_SERVER_TRANSACTION_TIMEOUT_VALUE);
 
     void frames(
-            Exchange<?> call, FlightSql.CommandGetSqlInfo command, Consumer<Catalogs.Told> then) {
+            ServerCall<?> call,
+            FlightSql.CommandGetSqlInfo command,
+            Consumer<CatalogHandler.Told> then) {
         Set<Integer> wanted = new HashSet<>(command.getInfoList());
         if (desk.engines == null) {
             work(call, wanted, null, then);
@@ -101,30 +103,30 @@
     }
 
     @SuppressWarnings("unchecked")
-    private static List<Frame> framesOf(Catalogs.Told told) {
-        return (List<Frame>) told.answer();
+    private static List<FlightFrame> framesOf(CatalogHandler.Told told) {
+        return (List<FlightFrame>) told.answer();
     }
 
     /** Rows are put together off the loop. */
     private void work(
-            Exchange<?> call,
+            ServerCall<?> call,
             Set<Integer> wanted,
-            List<Frame> theirs,
-            Consumer<Catalogs.Told> then) {
+            List<FlightFrame> theirs,
+            Consumer<CatalogHandler.Told> then) {
         workers.execute(
                 () -> {
-                    Catalogs.Told told;
+                    CatalogHandler.Told told;
                     try {
-                        told = new Catalogs.Told(together(wanted, theirs), null, -1);
+                        told = new CatalogHandler.Told(together(wanted, theirs), null, -1);
                     } catch (IOException | RuntimeException e) {
                         told =
-                                new Catalogs.Told(
+                                new CatalogHandler.Told(
                                         null,
                                         io.grpc.Status.INTERNAL.withDescription(
                                                 "the engine's information can't be read"),
                                         -1);
                     }
-                    Catalogs.Told result = told;
+                    CatalogHandler.Told result = told;
                     desk.loop.post(
                             () -> {
                                 if (!call.isOver()) {
@@ -134,8 +136,9 @@
                 });
     }
 
-    private List<Frame> together(Set<Integer> wanted, List<Frame> theirs) throws IOException {
-        List<Frame> out = new ArrayList<>();
+    private List<FlightFrame> together(Set<Integer> wanted, List<FlightFrame> theirs)
+            throws IOException {
+        List<FlightFrame> out = new ArrayList<>();
         List<Integer> ids = new ArrayList<>(desk.engines != null ? OWN : all());
         ids.removeIf(id -> !wanted.isEmpty() && !wanted.contains(id));
         own().send(ids, new FrameListener(out));
@@ -162,7 +165,7 @@
     }
 
     /** A batch a row: the library can slice a union, but not copy one. */
-    private static void add(VectorSchemaRoot from, Set<Integer> wanted, List<Frame> out) {
+    private static void add(VectorSchemaRoot from, Set<Integer> wanted, List<FlightFrame> out) {
         for (int i = 0; i < from.getRowCount(); i++) {
             int id = ((UInt4Vector) from.getVector(0)).get(i);
             boolean theirs = id >= OWN_BELOW || THEIRS.contains(id);
@@ -178,9 +181,9 @@
      * Goes on where an engine says that it takes Substrait plans; else the call is told that none
      * does.
      */
-    void ifSubstrait(Exchange<?> call, Runnable then) {
+    void ifSubstrait(ServerCall<?> call, Runnable then) {
         if (desk.engines == null) {
-            call.fail(Words.unsupported("these engines take no Substrait plans"));
+            call.fail(FlightStatuses.unsupported("these engines take no Substrait plans"));
             return;
         }
         catalogs.frames(
@@ -210,7 +213,9 @@
                     if (yes) {
                         then.run();
                     } else {
-                        call.fail(Words.unsupported("these engines take no Substrait plans"));
+                        call.fail(
+                                FlightStatuses.unsupported(
+                                        "these engines take no Substrait plans"));
                     }
                 });
     }
--- a/src/main/java/calicostream/flight/front/TransactionDesk.java
+++ b/src/main/java/calicostream/flight/front/TransactionHandler.java
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.front;
 
-import calicostream.core.Front;
+import calicostream.core.ResponseHandler;
 import calicostream.flight.state.Transactions;
 import calicostream.flight.state.Transactions.Purpose;
 import calicostream.flight.state.Transactions.Result;
 import calicostream.flight.state.Transactions.Txn;
-import calicostream.flight.wire.Answers;
+import calicostream.flight.wire.EngineOperation;
+import calicostream.flight.wire.EngineResult;
 import calicostream.flight.wire.FlightWire;
-import calicostream.flight.wire.Work;
 import com.google.protobuf.Any;
 import com.google.protobuf.ByteString;
 import com.google.protobuf.InvalidProtocolBufferException;
@@ -21,14 +21,14 @@
 import org.apache.arrow.flight.sql.impl.FlightSql.ActionEndTransactionRequest.EndTransaction;
 
 /** Transactions and savepoints: the calls that make and end them, and what runs in them. */
-final class TransactionDesk {
+final class TransactionHandler {
     private static final long DRAIN_LEFT =
             350_000; // of the 500 ms, so that a last rollback is out in time
     private static final long REMEMBERED = 120_000_000;
-    private final Desk desk;
+    private final RequestDispatcher desk;
     private final Transactions<ByteString> all;
 
-    TransactionDesk(Desk desk) {
+    TransactionHandler(RequestDispatcher desk) {
         this.desk = desk;
         all =
                 new Transactions<>(
@@ -50,9 +50,9 @@
     /**
      * The transaction that a statement names, taken for it; null: the call has been told why not.
      */
-    Txn<ByteString> use(Exchange<?> call, ByteString name, Purpose purpose) {
+    Txn<ByteString> use(ServerCall<?> call, ByteString name, Purpose purpose) {
         Txn<ByteString> txn = all.find(call.owner, name.toStringUtf8());
-        Status why = Words.transaction(all.use(desk.now(), txn, purpose), txn);
+        Status why = FlightStatuses.transaction(all.use(desk.now(), txn, purpose), txn);
         if (why != null) {
             call.fail(why);
             return null;
@@ -64,8 +64,8 @@
      * A reply that also tells the transaction how it went. {@code reads}: leaving it half-way
      * changes nothing.
      */
-    Reply within(Txn<ByteString> txn, boolean reads, Reply reply) {
-        return new Reply() {
+    ResponseCallback within(Txn<ByteString> txn, boolean reads, ResponseCallback reply) {
+        return new ResponseCallback() {
             @Override
             public void served(Object result) {
                 done(txn, Result.DONE);
@@ -73,7 +73,7 @@
             }
 
             @Override
-            public void begun(Answers.Stream stream) {
+            public void begun(EngineResult.Stream stream) {
                 reply.begun(stream);
             }
 
@@ -84,7 +84,7 @@
             }
 
             @Override
-            public void failed(Front.Failure why) {
+            public void failed(ResponseHandler.Failure why) {
                 done(txn, Result.LOST);
                 reply.failed(why);
             }
@@ -113,41 +113,41 @@
 
     /** An action in a transaction, on its engine. */
     private void act(
-            Exchange<Flight.Result> call,
+            ServerCall<Flight.Result> call,
             Txn<ByteString> txn,
             Purpose purpose,
             String type,
             Message body,
-            Consumer<Answers.Acted> then) {
+            Consumer<EngineResult.Acted> then) {
         int queryClass =
                 purpose == Purpose.COMMIT
                         ? desk.classOf(call, null, desk.config.updateClass())
                         : desk.metadataClass();
-        Reply answer =
-                new Reply.To<>(call) {
+        ResponseCallback answer =
+                new ResponseCallback.To<>(call) {
                     @Override
                     public void served(Object result) {
-                        then.accept((Answers.Acted) result);
+                        then.accept((EngineResult.Acted) result);
                     }
 
                     @Override
-                    public void failed(Front.Failure why) {
-                        Status told = Words.transaction(all.standing(txn), txn);
-                        call.fail(told == null ? Words.failure(why) : told);
+                    public void failed(ResponseHandler.Failure why) {
+                        Status told = FlightStatuses.transaction(all.standing(txn), txn);
+                        call.fail(told == null ? FlightStatuses.failure(why) : told);
                     }
                 };
         desk.submit(
                 call,
                 queryClass,
                 "",
-                new Work.Act(type, FlightWire.packed(body)),
+                new EngineOperation.Act(type, FlightWire.packed(body)),
                 txn.engine,
                 within(txn, false, answer));
     }
 
     // ---- Actions
     // --------------------------------------------------------------------------------------
-    void begin(Exchange<Flight.Result> call) {
+    void begin(ServerCall<Flight.Result> call) {
         if (!all.mayBegin(call.owner)) {
             call.fail(
                     Status.RESOURCE_EXHAUSTED.withDescription(
@@ -163,12 +163,12 @@
                 call,
                 desk.metadataClass(),
                 "",
-                new Work.Act(FlightWire.BEGIN_TRANSACTION, body),
+                new EngineOperation.Act(FlightWire.BEGIN_TRANSACTION, body),
                 0,
-                new Reply.To<>(call) {
+                new ResponseCallback.To<>(call) {
                     @Override
                     public void served(Object result) {
-                        Answers.Acted acted = (Answers.Acted) result;
+                        EngineResult.Acted acted = (EngineResult.Acted) result;
                         ByteString handle =
                                 first(
                                         acted,
@@ -184,7 +184,7 @@
                         Txn<ByteString> txn = all.begun(desk.now(), owner, acted.engine(), handle);
                         if (txn == null) {
                             rollBack(acted.engine(), handle);
-                            call.fail(Words.refusal(desk.mostWaitMs()), desk.mostWaitMs());
+                            call.fail(FlightStatuses.refusal(desk.mostWaitMs()), desk.mostWaitMs());
                             return;
                         }
                         call.reply(
@@ -201,7 +201,7 @@
                     }
 
                     @Override
-                    public void failed(Front.Failure why) {
+                    public void failed(ResponseHandler.Failure why) {
                         all.notBegun(owner);
                         super.failed(why);
                     }
@@ -219,10 +219,10 @@
                 });
     }
 
-    void end(Exchange<Flight.Result> call, FlightSql.ActionEndTransactionRequest request) {
+    void end(ServerCall<Flight.Result> call, FlightSql.ActionEndTransactionRequest request) {
         boolean commit = request.getAction() == EndTransaction.END_TRANSACTION_COMMIT;
         if (!commit && request.getAction() != EndTransaction.END_TRANSACTION_ROLLBACK) {
-            throw Commands.invalid("commit or rollback?");
+            throw CommandDecoder.invalid("commit or rollback?");
         }
         Purpose purpose = commit ? Purpose.COMMIT : Purpose.ROLLBACK;
         Txn<ByteString> txn = use(call, request.getTransactionId(), purpose);
@@ -249,15 +249,15 @@
                     if (status.isOk()) {
                         call.complete();
                     } else {
-                        Status told = Words.transaction(all.standing(txn), txn);
+                        Status told = FlightStatuses.transaction(all.standing(txn), txn);
                         call.fail(told == null ? status : told);
                     }
                 });
     }
 
-    void savepoint(Exchange<Flight.Result> call, FlightSql.ActionBeginSavepointRequest request) {
+    void savepoint(ServerCall<Flight.Result> call, FlightSql.ActionBeginSavepointRequest request) {
         if (request.getName().isEmpty()) {
-            throw Commands.invalid("a savepoint needs a name");
+            throw CommandDecoder.invalid("a savepoint needs a name");
         }
         Txn<ByteString> txn = use(call, request.getTransactionId(), Purpose.STATEMENT);
         if (txn != null) {
@@ -290,15 +290,15 @@
         }
     }
 
-    void endSavepoint(Exchange<Flight.Result> call, FlightSql.ActionEndSavepointRequest request) {
+    void endSavepoint(ServerCall<Flight.Result> call, FlightSql.ActionEndSavepointRequest request) {
         boolean release = request.getAction() == EndSavepoint.END_SAVEPOINT_RELEASE;
         if (!release && request.getAction() != EndSavepoint.END_SAVEPOINT_ROLLBACK) {
-            throw Commands.invalid("release or rollback?");
+            throw CommandDecoder.invalid("release or rollback?");
         }
         String name = request.getSavepointId().toStringUtf8();
         Txn<ByteString> of = all.withSavepoint(call.owner, name);
         if (of == null) {
-            call.fail(Words.UNKNOWN_HANDLE);
+            call.fail(FlightStatuses.UNKNOWN_HANDLE);
             return;
         }
         ByteString handle = all.savepoint(of, name);
@@ -340,7 +340,9 @@
 
     /** A handle out of an action's first result; empty where there is none. */
     static <M extends Message> ByteString first(
-            Answers.Acted acted, Class<M> as, java.util.function.Function<M, ByteString> handle) {
+            EngineResult.Acted acted,
+            Class<M> as,
+            java.util.function.Function<M, ByteString> handle) {
         try {
             return acted.results().isEmpty()
                     ? ByteString.EMPTY
--- a/src/main/java/calicostream/flight/state/Effects.java
+++ b/src/main/java/calicostream/flight/state/CatalogChangeDetector.java
@@ -8,7 +8,7 @@
  * What a statement's first word says of its effect on catalogs. Only a hint: what it forgets comes
  * back when asked for.
  */
-public final class Effects {
+public final class CatalogChangeDetector {
     private static final Set<String> CHANGES =
             Set.of(
                     "CREATE",
@@ -22,7 +22,7 @@
                     "ATTACH",
                     "DETACH");
 
-    private Effects() {}
+    private CatalogChangeDetector() {}
 
     /** Whether tables, schemas or catalogs may be others after it. */
     public static boolean changesCatalog(String sql) {
--- a/src/main/java/calicostream/flight/state/Sessions.java
+++ b/src/main/java/calicostream/flight/state/FlightSessions.java
@@ -14,7 +14,7 @@
  * login, a session without login when nobody has used it for that long. Options of a session hold
  * for its calls.
  */
-public final class Sessions {
+public final class FlightSessions {
     /** What became of one option that a client set. */
     public enum Setting {
         DONE,
@@ -56,7 +56,7 @@
     private final long lifeUs;
     private final LinkedHashMap<String, Session> all = new LinkedHashMap<>(16, 0.75f, true);
 
-    public Sessions(Supplier<String> names, Set<String> classes, int most, long lifeUs) {
+    public FlightSessions(Supplier<String> names, Set<String> classes, int most, long lifeUs) {
         this.names = names;
         this.classes = classes;
         this.most = most;
--- a/src/main/java/calicostream/flight/state/Handles.java
+++ b/src/main/java/calicostream/flight/state/HandleTable.java
@@ -13,7 +13,7 @@
  * not exist. A thing is forgotten when its time is over, and the least recently used of an owner,
  * then of all, when there are too many.
  */
-public final class Handles<T> {
+public final class HandleTable<T> {
     private record Kept<T>(String owner, T thing, long until) {}
 
     private final Supplier<String> names;
@@ -24,7 +24,7 @@
     private final Map<String, Integer> owned = new java.util.HashMap<>();
 
     /** {@code names} must be beyond guessing; {@code keptUs} counts from the last use. */
-    public Handles(Supplier<String> names, int most, int mostOfOwner, long keptUs) {
+    public HandleTable(Supplier<String> names, int most, int mostOfOwner, long keptUs) {
         this.names = names;
         this.most = most;
         this.mostOfOwner = mostOfOwner;
--- a/src/main/java/calicostream/flight/state/Prepared.java
+++ b/src/main/java/calicostream/flight/state/PreparedStatements.java
@@ -13,7 +13,7 @@
  * made where none rests, and forgotten with its engine. {@code B} is what is bound, {@code H} an
  * engine's handle.
  */
-public final class Prepared<B, H> {
+public final class PreparedStatements<B, H> {
     /** A handle at an engine. */
     public record At<H>(long engine, H handle) {}
 
@@ -26,7 +26,7 @@
     private B bound;
     private boolean closed;
 
-    public Prepared(List<Parameter> parameters) {
+    public PreparedStatements(List<Parameter> parameters) {
         this.parameters = parameters;
     }
 
--- a/src/main/java/calicostream/flight/state/ResultGate.java
+++ b/src/main/java/calicostream/flight/state/ResultBuffer.java
@@ -6,7 +6,7 @@
  * that a break costs no more than another attempt; past that, or where there is no room to hold it,
  * the stream begins. Owned by the attempt.
  */
-public final class ResultGate {
+public final class ResultBuffer {
     /**
      * What to do with a part: keep it, begin the stream with all that is kept and this, pass it on,
      * or give up.
@@ -28,7 +28,7 @@
      * {@code mostBytes} 0: no bound. Where the result {@code mayBegin} not, what can't be held is
      * too long.
      */
-    public ResultGate(long holdBytes, long mostBytes, boolean mayBegin) {
+    public ResultBuffer(long holdBytes, long mostBytes, boolean mayBegin) {
         this.holdBytes = holdBytes;
         this.mostBytes = mostBytes;
         this.mayBegin = mayBegin;
--- a/src/main/java/calicostream/flight/wire/Answers.java
+++ b/src/main/java/calicostream/flight/wire/EngineResult.java
@@ -6,18 +6,18 @@
 import java.util.List;
 import org.apache.arrow.flight.impl.Flight;
 
-/** What the engine side gives a front for {@link Work}. */
-public final class Answers {
-    private Answers() {}
+/** What the engine side gives a front for {@link EngineOperation}. */
+public final class EngineResult {
+    private EngineResult() {}
 
     /**
      * A whole result; {@code room} gives back what it holds, once, when its frames have gone out or
      * been dropped.
      */
-    public record Held(List<Frame> frames, Runnable room) {
+    public record Held(List<FlightFrame> frames, Runnable room) {
         /** Nobody takes it. */
         public void drop() {
-            frames.forEach(Frame::release);
+            frames.forEach(FlightFrame::release);
             room.run();
         }
     }
@@ -47,7 +47,7 @@
 
     /** Where a result flows to; frames come one after another, from changing threads. */
     public interface Sink {
-        void frame(Frame frame);
+        void frame(FlightFrame frame);
 
         boolean isReady();
 
--- a/src/main/java/calicostream/flight/wire/Frame.java
+++ b/src/main/java/calicostream/flight/wire/FlightFrame.java
@@ -31,7 +31,7 @@
  * #release} it. Only the small fields before the body are looked at. A message that can't be read
  * is a frame of kind BAD, so that each side can say so in its own words.
  */
-public final class Frame {
+public final class FlightFrame {
     /** What a frame carries, by Arrow's message header. */
     public enum Kind {
         SCHEMA,
@@ -42,19 +42,19 @@
     }
 
     /** Frames as gRPC messages. */
-    public static final MethodDescriptor.Marshaller<Frame> MARSHALLER =
+    public static final MethodDescriptor.Marshaller<FlightFrame> MARSHALLER =
             new MethodDescriptor.Marshaller<>() {
                 @Override
-                public InputStream stream(Frame frame) {
+                public InputStream stream(FlightFrame frame) {
                     return frame.open();
                 }
 
                 @Override
-                public Frame parse(InputStream stream) {
+                public FlightFrame parse(InputStream stream) {
                     try {
                         return read(stream);
                     } catch (IOException e) {
-                        return new Frame(new byte[0], null, 0).bad();
+                        return new FlightFrame(new byte[0], null, 0).bad();
                     }
                 }
             };
@@ -72,24 +72,24 @@
     private ByteString descriptor, metadata = ByteString.EMPTY;
     private Kind kind = Kind.NO_ARROW;
 
-    private Frame(byte[] lead, InputStream body, int bodyLength) {
+    private FlightFrame(byte[] lead, InputStream body, int bodyLength) {
         this.lead = lead;
         this.body = body;
         this.bodyLength = bodyLength;
     }
 
-    private Frame bad() {
+    private FlightFrame bad() {
         kind = Kind.BAD;
         return this;
     }
 
     /** A whole message. */
-    public static Frame of(byte[] message) {
-        return new Frame(message, null, 0).parsed();
+    public static FlightFrame of(byte[] message) {
+        return new FlightFrame(message, null, 0).parsed();
     }
 
     /** A message of its parts; descriptor and metadata may be empty. */
-    public static Frame of(
+    public static FlightFrame of(
             ByteString descriptor, ByteString header, ByteString metadata, ByteString body) {
         Flight.FlightData.Builder out =
                 Flight.FlightData.newBuilder()
@@ -109,7 +109,7 @@
         }
     }
 
-    private static Frame read(InputStream in) throws IOException {
+    private static FlightFrame read(InputStream in) throws IOException {
         int total = in.available();
         if (total <= SMALL || !(in instanceof Detachable detachable)) {
             return of(in.readAllBytes());
@@ -122,7 +122,7 @@
                             ? varint(in, lead)
                             : -1;
             if (tag == BODY_TAG && length == in.available()) {
-                return new Frame(lead.toByteArray(), detachable.detach(), length).parsed();
+                return new FlightFrame(lead.toByteArray(), detachable.detach(), length).parsed();
             }
             if (tag == BODY_TAG || length < 0 || length > in.available()) {
                 break;
@@ -149,7 +149,7 @@
         throw new IOException("not a varint");
     }
 
-    private Frame parsed() {
+    private FlightFrame parsed() {
         try {
             CodedInputStream in = CodedInputStream.newInstance(lead);
             for (int tag = in.readTag(); tag != 0; tag = in.readTag()) {
@@ -235,7 +235,7 @@
     }
 
     /** The same with this descriptor, or none, in place of its own; this frame is used up. */
-    public Frame describedBy(Flight.FlightDescriptor by) {
+    public FlightFrame describedBy(Flight.FlightDescriptor by) {
         try {
             ByteArrayOutputStream out = new ByteArrayOutputStream(lead.length + 64);
             CodedOutputStream coded = CodedOutputStream.newInstance(out);
@@ -258,7 +258,7 @@
                 }
             }
             coded.flush();
-            Frame out2 = new Frame(out.toByteArray(), body, bodyLength).parsed();
+            FlightFrame out2 = new FlightFrame(out.toByteArray(), body, bodyLength).parsed();
             body = null;
             return out2;
         } catch (IOException e) {
@@ -267,7 +267,7 @@
     }
 
     /** The same on the heap, to be written any number of times. */
-    public Frame solid() {
+    public FlightFrame solid() {
         if (body == null) {
             return this;
         }
--- a/src/main/java/calicostream/flight/wire/FlightWire.java
+++ b/src/main/java/calicostream/flight/wire/FlightWire.java
@@ -18,14 +18,14 @@
  * Flight's generated service with DoGet and DoPut in frames, and the words that both sides share.
  */
 public final class FlightWire {
-    public static final MethodDescriptor<Flight.Ticket, Frame> DO_GET =
+    public static final MethodDescriptor<Flight.Ticket, FlightFrame> DO_GET =
             FlightServiceGrpc.getDoGetMethod().toBuilder(
                             FlightServiceGrpc.getDoGetMethod().getRequestMarshaller(),
-                            Frame.MARSHALLER)
+                            FlightFrame.MARSHALLER)
                     .build();
-    public static final MethodDescriptor<Frame, Flight.PutResult> DO_PUT =
+    public static final MethodDescriptor<FlightFrame, Flight.PutResult> DO_PUT =
             FlightServiceGrpc.getDoPutMethod().toBuilder(
-                            Frame.MARSHALLER,
+                            FlightFrame.MARSHALLER,
                             FlightServiceGrpc.getDoPutMethod().getResponseMarshaller())
                     .build();
 
@@ -60,8 +60,8 @@
     /** The generated service, where these two take and give frames. */
     public static ServerServiceDefinition service(
             ServerServiceDefinition generated,
-            ServerCallHandler<Flight.Ticket, Frame> get,
-            ServerCallHandler<Frame, Flight.PutResult> put) {
+            ServerCallHandler<Flight.Ticket, FlightFrame> get,
+            ServerCallHandler<FlightFrame, Flight.PutResult> put) {
         ServerServiceDefinition.Builder out =
                 ServerServiceDefinition.builder(FlightServiceGrpc.SERVICE_NAME);
         generated
--- a/src/main/java/calicostream/flight/wire/Upload.java
+++ b/src/main/java/calicostream/flight/wire/Upload.java
@@ -11,7 +11,7 @@
 public final class Upload {
     /** Where the frames go. */
     public interface Receiver {
-        void frame(Frame frame);
+        void frame(FlightFrame frame);
 
         void end();
     }
@@ -22,19 +22,19 @@
         void request();
     }
 
-    private final Frame schema;
+    private final FlightFrame schema;
     private final Source source;
     private Receiver receiver;
     private boolean drawn, ended, wanted, requested, dropped;
-    private Frame waiting;
+    private FlightFrame waiting;
 
     /** {@code schema} is on the heap. */
-    public Upload(Frame schema, Source source) {
+    public Upload(FlightFrame schema, Source source) {
         this.schema = schema;
         this.source = source;
     }
 
-    public Frame schema() {
+    public FlightFrame schema() {
         return schema;
     }
 
@@ -67,7 +67,7 @@
 
     /** The engine takes one more frame. */
     public void draw(Receiver who) {
-        Frame now;
+        FlightFrame now;
         boolean end, ask;
         synchronized (this) {
             if (who != receiver) {
@@ -91,7 +91,7 @@
     }
 
     /** From the client: a frame that was asked for. */
-    public void frame(Frame frame) {
+    public void frame(FlightFrame frame) {
         Receiver to;
         synchronized (this) {
             requested = false;
@@ -125,7 +125,7 @@
 
     /** The request is over: what still comes goes nowhere. */
     public void drop() {
-        Frame left;
+        FlightFrame left;
         synchronized (this) {
             dropped = true;
             receiver = null;
--- a/src/main/java/calicostream/grpc/BalancingChannel.java
+++ b/src/main/java/calicostream/grpc/BalancingChannel.java
@@ -1,16 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.grpc;
 
-import calicostream.QueryRouter;
-import calicostream.QueryRouter.Outcome;
-import calicostream.QueryRouter.RosterKind;
-import calicostream.SettingsParser;
 import calicostream.core.Clock;
 import calicostream.core.Deadlines;
-import calicostream.core.Front;
 import calicostream.core.Gateway;
-import calicostream.core.Watcher;
+import calicostream.core.RequestListener;
+import calicostream.core.ResponseHandler;
 import calicostream.net.Loop;
+import calicostream.routing.AttemptOutcome;
+import calicostream.routing.EndpointUpdate;
+import calicostream.routing.EngineEndpoint;
+import calicostream.routing.QueryClass;
+import calicostream.routing.SettingsParser;
 import io.grpc.CallOptions;
 import io.grpc.Channel;
 import io.grpc.ClientCall;
@@ -48,9 +49,9 @@
     private static final byte[] NO_BODY = {};
     private final Loop loop;
     private final Gateway gateway;
-    private final Channels channels;
+    private final EngineChannels channels;
     private final List<String> classNames;
-    private final List<QueryRouter.QueryClass> classes;
+    private final List<QueryClass> classes;
     private final Map<String, Call<?, ?>> calls = new HashMap<>();
     private final Thread thread;
 
@@ -61,15 +62,20 @@
     public BalancingChannel(
             SettingsParser settings,
             Function<InetSocketAddress, ManagedChannel> dial,
-            Watcher watcher)
+            RequestListener watcher)
             throws IOException {
         Clock clock = new Clock();
         loop = new Loop(clock, new Deadlines());
         classNames = settings.classNames();
         classes = settings.settings().classes();
-        channels = new Channels(loop, settings.wiring(), dial);
+        channels = new EngineChannels(loop, settings.connectionSettings(), dial);
         // A plain gRPC service sends no notes of progress: silence there means nothing.
-        gateway = new Gateway(clock, loop.deadlines(), settings.settings().withoutNotes(), watcher);
+        gateway =
+                new Gateway(
+                        clock,
+                        loop.deadlines(),
+                        settings.settings().withoutProgressNotes(),
+                        watcher);
         gateway.start(new Side(channels), List.of());
         thread = new Thread(this::run, "calicostream");
         thread.setDaemon(true);
@@ -86,13 +92,13 @@
 
     /** News of the engines; addresses of those that are new or have moved. */
     public void roster(
-            RosterKind kind,
-            List<QueryRouter.Engine> engines,
+            EndpointUpdate kind,
+            List<EngineEndpoint> engines,
             Map<Long, InetSocketAddress> addresses) {
         loop.post(
                 () -> {
                     addresses.forEach(channels::locate);
-                    gateway.roster(kind, engines);
+                    gateway.endpointsChanged(kind, engines);
                 });
     }
 
@@ -122,8 +128,8 @@
     }
 
     /** The engine side: replays a call's messages on the channel to the engine chosen. */
-    private final class Side extends ChannelEngines {
-        Side(Channels channels) {
+    private final class Side extends GrpcEngineClient {
+        Side(EngineChannels channels) {
             super(channels);
         }
 
@@ -142,7 +148,7 @@
     }
 
     /** One call of the application's. */
-    private final class Call<Q, R> extends ClientCall<Q, R> implements Front {
+    private final class Call<Q, R> extends ClientCall<Q, R> implements ResponseHandler {
         private final MethodDescriptor<Q, R> method;
         private final CallOptions options;
         private final Executor executor;
@@ -239,9 +245,9 @@
             Received<R> into = new Received<>(attempt);
             Metadata sent = new Metadata();
             sent.merge(headers);
-            sent.put(Calls.CLASS, classNames.get(attempt.request.queryClass));
-            sent.put(Calls.REQUEST, id);
-            sent.put(Calls.URGENCY, Integer.toString(attempt.request.priority()));
+            sent.put(GrpcStatuses.CLASS, classNames.get(attempt.request.queryClass));
+            sent.put(GrpcStatuses.REQUEST, id);
+            sent.put(GrpcStatuses.URGENCY, Integer.toString(attempt.request.priority()));
             long left = Math.max(1, attempt.giveUpAt - loop.clock().now());
             ClientCall<Q, R> out =
                     channel.newCall(
@@ -271,9 +277,9 @@
         }
 
         @Override
-        public void refused(long tag, long retryAfterMs) {
+        public void rejected(long tag, long retryAfterMs) {
             Metadata trailers = new Metadata();
-            trailers.put(Calls.STAY_AWAY, Long.toString(retryAfterMs));
+            trailers.put(GrpcStatuses.STAY_AWAY, Long.toString(retryAfterMs));
             end(
                     Status.UNAVAILABLE.withDescription(
                             "refused; stay away for " + retryAfterMs + " ms"),
@@ -321,11 +327,13 @@
                     () -> {
                         trailers = told;
                         status = ended;
-                        Outcome outcome =
+                        AttemptOutcome outcome =
                                 ended.isOk()
-                                        ? Outcome.OK
-                                        : Calls.outcome(ended, told, attempt.request.isOnce());
-                        gateway.ended(attempt, outcome, Calls.report(headers, told), null);
+                                        ? AttemptOutcome.OK
+                                        : GrpcStatuses.outcome(
+                                                ended, told, attempt.request.isNonIdempotent());
+                        gateway.attemptEnded(
+                                attempt, outcome, GrpcStatuses.report(headers, told), null);
                     });
         }
     }
--- a/src/main/java/calicostream/grpc/Channels.java
+++ b/src/main/java/calicostream/grpc/EngineChannels.java
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.grpc;
 
-import calicostream.QueryRouter.Outcome;
-import calicostream.SettingsParser.Wiring;
 import calicostream.core.Gateway;
 import calicostream.net.Loop;
+import calicostream.routing.AttemptOutcome;
+import calicostream.routing.SettingsParser.ConnectionSettings;
 import io.grpc.ConnectivityState;
 import io.grpc.ManagedChannel;
 import java.net.InetSocketAddress;
@@ -20,9 +20,9 @@
  * of it has gone out, so a failure to connect proves that it never ran, and a drain can still take
  * it back.
  */
-public final class Channels {
+public final class EngineChannels {
     private final Loop loop;
-    private final Wiring wiring;
+    private final ConnectionSettings wiring;
     private final Function<InetSocketAddress, ManagedChannel> dial;
     private final Map<Long, Peer> peers = new HashMap<>();
     private Gateway gateway;
@@ -42,7 +42,10 @@
     }
 
     /** The channels dialled must leave further attempts to the module: {@code disableRetry()}. */
-    public Channels(Loop loop, Wiring wiring, Function<InetSocketAddress, ManagedChannel> dial) {
+    public EngineChannels(
+            Loop loop,
+            ConnectionSettings wiring,
+            Function<InetSocketAddress, ManagedChannel> dial) {
         this.loop = loop;
         this.wiring = wiring;
         this.dial = dial;
@@ -79,7 +82,7 @@
     public void start(Gateway.Attempt attempt, Consumer<ManagedChannel> begin) {
         Peer peer = peers.get(attempt.engine);
         if (peer == null) {
-            gateway.ended(attempt, Outcome.CONNECT_FAILED, null, null);
+            gateway.attemptEnded(attempt, AttemptOutcome.CONNECT_FAILED, null, null);
         } else if (peer.channel.getState(true) == ConnectivityState.READY) {
             begin(peer, attempt, begin);
         } else {
@@ -131,7 +134,7 @@
 
     private void begin(Peer peer, Gateway.Attempt attempt, Consumer<ManagedChannel> begin) {
         begin.accept(peer.channel);
-        gateway.written(
+        gateway.attemptWritten(
                 attempt); // gRPC tells no more than that the call went to a channel which is up.
     }
 
@@ -141,7 +144,7 @@
 
     private void fail(Peer peer, Waiting waiting) {
         if (peer.waiting.remove(waiting)) {
-            gateway.ended(waiting.attempt, Outcome.CONNECT_FAILED, null, null);
+            gateway.attemptEnded(waiting.attempt, AttemptOutcome.CONNECT_FAILED, null, null);
         }
     }
 
--- a/src/main/java/calicostream/grpc/ChannelEngines.java
+++ b/src/main/java/calicostream/grpc/GrpcEngineClient.java
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.grpc;
 
-import calicostream.core.Engines;
+import calicostream.core.EngineClient;
 import calicostream.core.Gateway;
 import java.net.InetSocketAddress;
 
 /** An engine side over gRPC; a kind of call adds how an attempt begins and how it is called off. */
-public abstract class ChannelEngines implements Engines {
-    protected final Channels channels;
+public abstract class GrpcEngineClient implements EngineClient {
+    protected final EngineChannels channels;
     protected Gateway gateway;
 
-    protected ChannelEngines(Channels channels) {
+    protected GrpcEngineClient(EngineChannels channels) {
         this.channels = channels;
     }
 
@@ -24,7 +24,7 @@
     }
 
     @Override
-    public void locate(long engine, InetSocketAddress address) {
+    public void setAddress(long engine, InetSocketAddress address) {
         channels.locate(engine, address);
     }
 
@@ -36,22 +36,22 @@
     }
 
     @Override
-    public void priority(Gateway.Attempt attempt) {
+    public void priorityChanged(Gateway.Attempt attempt) {
         // gRPC has no word for the priority of a call that runs; the next attempt carries it.
     }
 
     @Override
-    public void withdrawn(long engine) {
+    public void engineDraining(long engine) {
         channels.withdrawn(engine);
     }
 
     @Override
-    public void renewed(long engine) {
+    public void engineReinstated(long engine) {
         channels.renewed(engine);
     }
 
     @Override
-    public void gone(long engine) {
+    public void engineRemoved(long engine) {
         channels.gone(engine);
     }
 }
