--- a/src/main/java/calicostream/grpc/Calls.java
+++ b/src/main/java/calicostream/grpc/GrpcStatuses.java
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.grpc;
 
-import calicostream.QueryRouter.Outcome;
-import calicostream.QueryRouter.Report;
+import calicostream.routing.AttemptOutcome;
+import calicostream.routing.LoadReport;
 import io.grpc.Metadata;
 import io.grpc.Status;
 
 /** What gRPC's statuses, headers and trailers mean to the core. */
-public final class Calls {
+public final class GrpcStatuses {
     /** On a call: its class of query, by name. */
     public static final String CLASS_NAME = "calicostream-class";
 
@@ -32,7 +32,7 @@
     private static final String REPORT_FORM = "TEXT ";
     private static final String NAMED = "named_metrics.";
 
-    private Calls() {}
+    private GrpcStatuses() {}
 
     private static Metadata.Key<String> key(String name) {
         return Metadata.Key.of(name, Metadata.ASCII_STRING_MARSHALLER);
@@ -43,19 +43,19 @@
      * ran out of memory half-way, so for a query that must not run twice it counts as "full" only
      * with the trailer.
      */
-    public static Outcome outcome(Status status, Metadata trailers, boolean once) {
+    public static AttemptOutcome outcome(Status status, Metadata trailers, boolean once) {
         switch (status.getCode()) {
             case RESOURCE_EXHAUSTED:
                 boolean proven = trailers != null && "true".equals(trailers.get(NEVER_RAN));
-                return proven || !once ? Outcome.FULL : Outcome.ERROR;
+                return proven || !once ? AttemptOutcome.OVERLOADED : AttemptOutcome.ERROR;
             case DEADLINE_EXCEEDED:
-                return Outcome.TIMEOUT;
+                return AttemptOutcome.TIMEOUT;
             case CANCELLED:
-                return Outcome.CANCELLED;
+                return AttemptOutcome.CANCELLED;
             case UNAVAILABLE:
-                return Outcome.RESET;
+                return AttemptOutcome.RESET;
             default:
-                return Outcome.ERROR;
+                return AttemptOutcome.ERROR;
         }
     }
 
@@ -63,13 +63,13 @@
      * The load report in ORCA's text form, {@code TEXT
      * cpu_utilization=0.6,named_metrics.inflight=7}, or null.
      */
-    public static Report report(Metadata headers, Metadata trailers) {
+    public static LoadReport report(Metadata headers, Metadata trailers) {
         String late = trailers == null ? null : trailers.get(LOAD);
         String text = late != null || headers == null ? late : headers.get(LOAD);
         if (text == null || !text.startsWith(REPORT_FORM)) {
             return null;
         }
-        Report out = Report.NOTHING;
+        LoadReport out = LoadReport.EMPTY;
         for (String pair : text.substring(REPORT_FORM.length()).split(",")) {
             int at = pair.indexOf('=');
             String name = at < 0 ? "" : pair.substring(0, at).trim();
@@ -77,9 +77,9 @@
                 double value = Double.parseDouble(pair.substring(at + 1).trim());
                 out =
                         name.equals("cpu_utilization")
-                                ? out.with("util", value)
+                                ? out.withColumn("util", value)
                                 : name.startsWith(NAMED)
-                                        ? out.with(name.substring(NAMED.length()), value)
+                                        ? out.withColumn(name.substring(NAMED.length()), value)
                                         : out;
             } catch (NumberFormatException e) {
                 return null;
--- a/src/main/java/calicostream/handover/KeyLocks.java
+++ b/src/main/java/calicostream/handover/FileKeyOwnership.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.handover;
 
-import calicostream.core.Turns;
+import calicostream.core.KeyOwnership;
 import java.io.IOException;
 import java.nio.channels.FileLock;
 import java.util.HashMap;
@@ -16,19 +16,19 @@
  * request of its own through. So requests that two processes took keep their order. Where locks
  * fail, keys are kept in order by each process for itself.
  */
-final class KeyLocks implements Turns {
-    private static final Logger LOG = LoggerFactory.getLogger(KeyLocks.class);
+final class FileKeyOwnership implements KeyOwnership {
+    private static final Logger LOG = LoggerFactory.getLogger(FileKeyOwnership.class);
     private static final long FIRST = 1L << 40; // far beyond the slots
     private static final long KEYS =
             1L << 40; // keys that fall together wait for each other, and no more
 
     private record Locks(FileLock run, FileLock next) {}
 
-    private final SlotFile file;
+    private final ProcessSlotFile file;
     private final Map<Long, Locks> held = new HashMap<>();
     private boolean troubled;
 
-    KeyLocks(SlotFile file) {
+    FileKeyOwnership(ProcessSlotFile file) {
         this.file = file;
     }
 
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public boolean take(long key) {
+    public boolean tryAcquire(long key) {
         long at = at(key);
         Locks locks = held.getOrDefault(at, new Locks(null, null));
         try {
@@ -63,7 +63,7 @@
     }
 
     @Override
-    public int others() {
+    public int otherProcesses() {
         try {
             return file.living();
         } catch (IOException e) {
--- a/src/main/java/calicostream/handover/Handover.java
+++ b/src/main/java/calicostream/handover/HotRestart.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.handover;
 
-import calicostream.core.Turns;
+import calicostream.core.KeyOwnership;
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
@@ -25,13 +25,13 @@
  * file and reads the others'. One thread uses an object; nothing that fails in here ends more than
  * the hand-over.
  */
-public final class Handover {
+public final class HotRestart {
     /** What the operators said last of an engine, and when, in Unix milliseconds. */
     public record Word(long at, boolean out) {}
 
     private record Peer(long generation, boolean listening, long seq, double[] learned) {}
 
-    private static final Logger LOG = LoggerFactory.getLogger(Handover.class);
+    private static final Logger LOG = LoggerFactory.getLogger(HotRestart.class);
     private static final int VERSION = 1;
     private static final int MOST_WORDS = 1024;
     private static final long LONGEST_NAME = 256;
@@ -43,9 +43,9 @@
     private final Path path;
     private final BiConsumer<String, Word> heard;
     private final Map<String, Word> words = new HashMap<>();
-    private final Peer[] peers = new Peer[SlotFile.SLOTS];
-    private final long[] known = new long[SlotFile.SLOTS];
-    private SlotFile file;
+    private final Peer[] peers = new Peer[ProcessSlotFile.SLOTS];
+    private final long[] known = new long[ProcessSlotFile.SLOTS];
+    private ProcessSlotFile file;
     private String trouble = "";
     private long generation = 1;
     private long seq;
@@ -56,7 +56,7 @@
      * Without a folder there is nobody to tell. {@code heard} is told of words that came later than
      * all before.
      */
-    public Handover(Path folder, String name, BiConsumer<String, Word> heard) {
+    public HotRestart(Path folder, String name, BiConsumer<String, Word> heard) {
         this.heard = heard;
         path =
                 folder == null
@@ -73,7 +73,7 @@
             return;
         }
         try {
-            file = new SlotFile(path);
+            file = new ProcessSlotFile(path);
         } catch (IOException e) {
             LOG.warn("no hand-over: {}", e.toString());
             return;
@@ -84,8 +84,8 @@
     }
 
     /** How the processes of this front end share out keys, from {@link #join} on. */
-    public Turns turns() {
-        return file == null ? Turns.ALONE : new KeyLocks(file);
+    public KeyOwnership turns() {
+        return file == null ? KeyOwnership.ALONE : new FileKeyOwnership(file);
     }
 
     private Stream<Peer> living() {
@@ -172,7 +172,7 @@
         }
         try {
             boolean[] alive = new boolean[peers.length];
-            for (SlotFile.Slot slot : file.others(known)) {
+            for (ProcessSlotFile.Slot slot : file.others(known)) {
                 alive[slot.number()] = true;
                 if (slot.content() != null) {
                     known[slot.number()] = slot.write();
--- a/src/main/java/calicostream/handover/SlotFile.java
+++ b/src/main/java/calicostream/handover/ProcessSlotFile.java
@@ -24,7 +24,7 @@
  * of the write, the length and the CRC32C of the half that holds it, and the CRC32C of the head
  * itself. One thread uses an object.
  */
-final class SlotFile implements AutoCloseable {
+final class ProcessSlotFile implements AutoCloseable {
     /** A slot of another living process; {@code content} is null where it could not be read. */
     record Slot(int number, long write, byte[] content) {}
 
@@ -45,7 +45,7 @@
             System.currentTimeMillis() << 12; // so that no two processes of one slot count alike
 
     /** Takes the first slot that no living process holds. */
-    SlotFile(Path path) throws IOException {
+    ProcessSlotFile(Path path) throws IOException {
         file =
                 FileChannel.open(
                         path,
--- a/src/main/java/calicostream/lease/Drift.java
+++ b/src/main/java/calicostream/lease/ClockDriftBound.java
@@ -8,13 +8,13 @@
  *
  * @param ppm parts of a million; 500 is the bound that clock discipline itself keeps to
  */
-public record Drift(int ppm) {
+public record ClockDriftBound(int ppm) {
     private static final long MILLION = 1_000_000;
 
     /** What every process of the product counts with; nobody can set it lower. */
-    public static final Drift BOUND = new Drift(500);
+    public static final ClockDriftBound BOUND = new ClockDriftBound(500);
 
-    public Drift {
+    public ClockDriftBound {
         if (ppm < 0 || ppm >= MILLION) {
             throw new IllegalArgumentException("drift of " + ppm + " ppm");
         }
--- a/src/main/java/calicostream/lease/Trials.java
+++ b/src/main/java/calicostream/lease/EjectionHints.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.lease;
 
-import calicostream.cluster.Bytes;
+import calicostream.cluster.BinaryCodec;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.LinkedHashMap;
@@ -21,7 +21,7 @@
  * <p>What the holder says is its present view and not what changed, so a word that is lost costs a
  * period.
  */
-public final class Trials implements Task {
+public final class EjectionHints implements LeasedTask {
     /** The lease under which one process tries. */
     public static final String LEASE = "trials";
 
@@ -80,7 +80,7 @@
     private long heardNumber;
     private long lastNow;
 
-    public Trials(FrontEnd front) {
+    public EjectionHints(FrontEnd front) {
         this.front = front;
     }
 
@@ -92,7 +92,7 @@
     // ---- The holder
     // -----------------------------------------------------------------------------------
     @Override
-    public void started(Acts acts) {
+    public void started(FencedActions acts) {
         holds = true;
         started = false;
         number = 0;
@@ -107,7 +107,7 @@
     }
 
     @Override
-    public void step(Acts acts, long now) {
+    public void step(FencedActions acts, long now) {
         if (started && now - saidAt < CHANGE) {
             return;
         }
@@ -151,8 +151,8 @@
                     each.said++;
                     all.add(new Said(engine, true, millis(now - each.since)));
                 });
-        Bytes.Writer out =
-                new Bytes.Writer().u8(VERSION).i64(++number).i32(Math.min(MOST, all.size()));
+        BinaryCodec.Writer out =
+                new BinaryCodec.Writer().u8(VERSION).i64(++number).i32(Math.min(MOST, all.size()));
         all.stream()
                 .limit(MOST)
                 .forEach(each -> out.i64(each.engine).u8(each.served ? 1 : 0).i32(each.ageMillis));
@@ -171,7 +171,7 @@
      */
     @Override
     public void heard(long of, byte[] payload, long now) {
-        Bytes.Reader in = new Bytes.Reader("trials", payload);
+        BinaryCodec.Reader in = new BinaryCodec.Reader("trials", payload);
         in.version(VERSION);
         long word = in.i64();
         List<Said> all = new ArrayList<>();
--- a/src/main/java/calicostream/lease/Acts.java
+++ b/src/main/java/calicostream/lease/FencedActions.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.lease;
 
-import calicostream.lease.Fenced.Outcome;
+import calicostream.lease.FencedResource.FencedResult;
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.LongFunction;
@@ -11,15 +11,15 @@
  * What a task may do under its lease, in two ways and no third: a command of the log, which is
  * refused where it is applied if the token is over, or an act at a resource that checks the token.
  * The token itself is not handed out, so that nothing can be done "while it holds". Same thread as
- * its {@link Holder}; the clock is monotonic, in nanoseconds, and read anew at each act.
+ * its {@link LeaseHolder}; the clock is monotonic, in nanoseconds, and read anew at each act.
  */
-public final class Acts {
+public final class FencedActions {
     /** Sends a command to a machine of the log and hears how it went. */
     interface Sender {
-        void send(String machine, byte[] body, Consumer<calicostream.cluster.Outcome> done);
+        void send(String machine, byte[] body, Consumer<calicostream.cluster.CommandOutcome> done);
     }
 
-    private final Holder holder;
+    private final LeaseHolder holder;
     private final LongSupplier clock;
     private final String machine;
     private final Sender sender;
@@ -27,7 +27,7 @@
     /**
      * @param machine the leases' name in the log
      */
-    Acts(Holder holder, LongSupplier clock, String machine, Sender sender) {
+    FencedActions(LeaseHolder holder, LongSupplier clock, String machine, Sender sender) {
         this.holder = holder;
         this.clock = clock;
         this.machine = machine;
@@ -35,10 +35,10 @@
     }
 
     /** The command to send for it, or why not. Whether it was done, its answer tells. */
-    public Outcome<LeaseCommand.Act> inLog(byte[] payload) {
+    public FencedResult<LeaseCommand.Act> inLog(byte[] payload) {
         return isHeld()
-                ? Outcome.done(new LeaseCommand.Act(holder.name(), holder.token(), payload))
-                : Outcome.refused(notHeld());
+                ? FencedResult.done(new LeaseCommand.Act(holder.name(), holder.token(), payload))
+                : FencedResult.refused(notHeld());
     }
 
     /**
@@ -46,8 +46,8 @@
      * hears how it went.
      */
     public Optional<LeaseRejection> tell(
-            byte[] payload, Consumer<calicostream.cluster.Outcome> done) {
-        Outcome<LeaseCommand.Act> act = inLog(payload);
+            byte[] payload, Consumer<calicostream.cluster.CommandOutcome> done) {
+        FencedResult<LeaseCommand.Act> act = inLog(payload);
         if (act.isDone()) {
             sender.send(machine, act.result().encode(), done);
         }
@@ -61,7 +61,9 @@
      * @param command made with the token, which is good for this command alone
      */
     public Optional<LeaseRejection> command(
-            String of, LongFunction<byte[]> command, Consumer<calicostream.cluster.Outcome> done) {
+            String of,
+            LongFunction<byte[]> command,
+            Consumer<calicostream.cluster.CommandOutcome> done) {
         if (!isHeld()) {
             return Optional.of(notHeld());
         }
@@ -70,10 +72,10 @@
     }
 
     /** Does it at the resource, or says why not. */
-    public <A, R> Outcome<R> at(Fenced<A, R> resource, A act) {
+    public <A, R> FencedResult<R> at(FencedResource<A, R> resource, A act) {
         return isHeld()
                 ? resource.act(holder.name(), holder.token(), act)
-                : Outcome.refused(notHeld());
+                : FencedResult.refused(notHeld());
     }
 
     /**
--- a/src/main/java/calicostream/lease/Fenced.java
+++ b/src/main/java/calicostream/lease/FencedResource.java
@@ -10,18 +10,18 @@
  * @param <A> what is done
  * @param <R> what comes of it
  */
-public interface Fenced<A, R> {
+public interface FencedResource<A, R> {
     /** Does it, or refuses it with {@link LeaseRejection.TokenOutdated} and does nothing. */
-    Outcome<R> act(String lease, long token, A act);
+    FencedResult<R> act(String lease, long token, A act);
 
     /** What came of an act: a result, or why nothing was done. */
-    record Outcome<R>(R result, LeaseRejection refused) {
-        public static <R> Outcome<R> done(R result) {
-            return new Outcome<>(result, null);
+    record FencedResult<R>(R result, LeaseRejection refused) {
+        public static <R> FencedResult<R> done(R result) {
+            return new FencedResult<>(result, null);
         }
 
-        public static <R> Outcome<R> refused(LeaseRejection why) {
-            return new Outcome<>(null, why);
+        public static <R> FencedResult<R> refused(LeaseRejection why) {
+            return new FencedResult<>(null, why);
         }
 
         public boolean isDone() {
--- a/src/main/java/calicostream/lease/Fence.java
+++ b/src/main/java/calicostream/lease/FencingTokenGuard.java
@@ -11,7 +11,7 @@
  * is kept and the act must be one step for whoever looks, and a resource whose acts survive a
  * restart must keep its tokens as well.
  */
-public class Fence {
+public class FencingTokenGuard {
     private final Map<String, Long> highest = new HashMap<>();
 
     /** Empty: the act may be done, and no lower token will be let from now on. */
--- a/src/main/java/calicostream/lease/LeaseAnswer.java
+++ b/src/main/java/calicostream/lease/LeaseAnswer.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.lease;
 
-import calicostream.cluster.Bytes;
+import calicostream.cluster.BinaryCodec;
 
 /**
  * What the sender of a command that was accepted is told. Immutable. A refusal is a {@link
@@ -22,18 +22,18 @@
 
     default byte[] encode() {
         if (this instanceof Holds h) {
-            return new Bytes.Writer().u8(1).i64(h.token).done();
+            return new BinaryCodec.Writer().u8(1).i64(h.token).done();
         }
         return this instanceof Waits w
-                ? new Bytes.Writer().u8(2).i32(w.place).done()
-                : new Bytes.Writer().u8(3).done();
+                ? new BinaryCodec.Writer().u8(2).i32(w.place).done()
+                : new BinaryCodec.Writer().u8(3).done();
     }
 
     /**
      * @throws calicostream.cluster.ClusterException.Malformed if the bytes are no answer
      */
     static LeaseAnswer decode(byte[] body) {
-        Bytes.Reader in = new Bytes.Reader("lease answer", body);
+        BinaryCodec.Reader in = new BinaryCodec.Reader("lease answer", body);
         int kind = in.u8();
         LeaseAnswer answer =
                 switch (kind) {
--- a/src/main/java/calicostream/lease/LeaseClient.java
+++ b/src/main/java/calicostream/lease/LeaseClient.java
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.lease;
 
+import calicostream.cluster.CommandOutcome;
 import calicostream.cluster.MemberSession;
-import calicostream.cluster.Outcome;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.LongSupplier;
@@ -16,7 +16,7 @@
     private final MemberSession member;
     private final String machine;
     private final LongSupplier clock;
-    private final List<Holder> holders = new ArrayList<>();
+    private final List<LeaseHolder> holders = new ArrayList<>();
     private long session;
 
     /**
@@ -29,18 +29,18 @@
     }
 
     /** One more lease that this process may want; once a name. */
-    public Holder add(String name, long ttlNanos) {
-        return add(new Holder(name, ttlNanos, clock.getAsLong()));
+    public LeaseHolder add(String name, long ttlNanos) {
+        return add(new LeaseHolder(name, ttlNanos, clock.getAsLong()));
     }
 
-    Holder add(Holder holder) {
+    LeaseHolder add(LeaseHolder holder) {
         holders.add(holder);
         return holder;
     }
 
     /** What a task may do under that lease. */
-    public Acts acts(Holder holder) {
-        return new Acts(holder, clock, machine, member::run);
+    public FencedActions acts(LeaseHolder holder) {
+        return new FencedActions(holder, clock, machine, member::run);
     }
 
     /** Sends what is due. */
@@ -59,14 +59,14 @@
         holders.forEach(holder -> send(holder, now));
     }
 
-    private void send(Holder holder, long now) {
-        Holder.Ask ask = holder.next(now);
+    private void send(LeaseHolder holder, long now) {
+        LeaseHolder.Ask ask = holder.next(now);
         if (ask != null) {
             member.run(machine, ask.command().encode(), outcome -> ended(holder, ask, outcome));
         }
     }
 
-    private void ended(Holder holder, Holder.Ask ask, Outcome outcome) {
+    private void ended(LeaseHolder holder, LeaseHolder.Ask ask, CommandOutcome outcome) {
         long now = clock.getAsLong();
         switch (outcome.kind()) {
             case ACCEPTED ->
@@ -78,7 +78,7 @@
                             LeaseRejection.decode(outcome.code(), outcome.answer()));
             case FAILED -> holder.unsure(now, ask.number());
         }
-        if (outcome.kind() != Outcome.Kind.FAILED) {
+        if (outcome.kind() != CommandOutcome.Kind.FAILED) {
             send(
                     holder,
                     now); // What follows at once must not wait for a tick: a planned stop may not
@@ -91,7 +91,7 @@
         if (event instanceof LeaseEvent.Granted granted
                 && granted.session() == session
                 && session == member.session()) {
-            for (Holder holder : holders) {
+            for (LeaseHolder holder : holders) {
                 if (holder.name().equals(granted.name())) {
                     holder.granted(clock.getAsLong(), granted.token());
                     send(holder, clock.getAsLong());
--- a/src/main/java/calicostream/lease/LeaseCommand.java
+++ b/src/main/java/calicostream/lease/LeaseCommand.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.lease;
 
-import calicostream.cluster.Bytes;
+import calicostream.cluster.BinaryCodec;
 
 /**
  * What members and the leader ask of {@link LeaseMachine}, with its encoding as the body of a
@@ -54,7 +54,7 @@
     }
 
     default byte[] encode() {
-        Bytes.Writer out = new Bytes.Writer();
+        BinaryCodec.Writer out = new BinaryCodec.Writer();
         if (this instanceof Acquire a) {
             out.u8(1).text(a.name).i64(a.ttl).u8(a.queue ? 1 : 0);
         } else if (this instanceof Renew r) {
@@ -80,17 +80,21 @@
      *     lease
      */
     static LeaseCommand decode(byte[] body) {
-        Bytes.Reader in = new Bytes.Reader("lease command", body);
+        BinaryCodec.Reader in = new BinaryCodec.Reader("lease command", body);
         int kind = in.u8();
         LeaseCommand command =
                 switch (kind) {
-                    case 1 -> new Acquire(in.text(Limits.NAME), in.i64(), in.u8() != 0);
-                    case 2 -> new Renew(in.text(Limits.NAME), in.i64());
-                    case 3 -> new Release(in.text(Limits.NAME), in.i64());
-                    case 4 -> new Withdraw(in.text(Limits.NAME));
-                    case 5 -> new Transfer(in.text(Limits.NAME), in.i64(), in.i64());
-                    case 6 -> new Act(in.text(Limits.NAME), in.i64(), in.blob(Limits.PAYLOAD));
-                    case 7 -> new Expire(in.text(Limits.NAME), in.i64(), in.i64());
+                    case 1 -> new Acquire(in.text(LeaseLimits.NAME), in.i64(), in.u8() != 0);
+                    case 2 -> new Renew(in.text(LeaseLimits.NAME), in.i64());
+                    case 3 -> new Release(in.text(LeaseLimits.NAME), in.i64());
+                    case 4 -> new Withdraw(in.text(LeaseLimits.NAME));
+                    case 5 -> new Transfer(in.text(LeaseLimits.NAME), in.i64(), in.i64());
+                    case 6 ->
+                            new Act(
+                                    in.text(LeaseLimits.NAME),
+                                    in.i64(),
+                                    in.blob(LeaseLimits.PAYLOAD));
+                    case 7 -> new Expire(in.text(LeaseLimits.NAME), in.i64(), in.i64());
                     case 8 -> new RaiseTokens(in.i64());
                     default -> throw in.malformed("no command has the kind " + kind);
                 };
--- a/src/main/java/calicostream/lease/LeaseEvent.java
+++ b/src/main/java/calicostream/lease/LeaseEvent.java
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.lease;
 
-import calicostream.cluster.Bytes;
-import calicostream.cluster.Effects;
+import calicostream.cluster.BinaryCodec;
+import calicostream.cluster.CommandEffects;
 
 /**
  * What happened to a lease, told at every copy of the machine, perhaps more than once and late:
@@ -36,24 +36,24 @@
      * A grant concerns its holder, an act everybody; that something ended is for whoever watches a
      * copy.
      */
-    default Effects.Event encode() {
-        Bytes.Writer out = new Bytes.Writer().text(name()).i64(token());
+    default CommandEffects.Event encode() {
+        BinaryCodec.Writer out = new BinaryCodec.Writer().text(name()).i64(token());
         if (this instanceof Granted g) {
-            return new Effects.Event("lease-granted", out.i64(g.session).done(), g.session);
+            return new CommandEffects.Event("lease-granted", out.i64(g.session).done(), g.session);
         }
         if (this instanceof Freed f) {
-            return new Effects.Event("lease-freed", out.u8(f.why.ordinal()).done());
+            return new CommandEffects.Event("lease-freed", out.u8(f.why.ordinal()).done());
         }
-        return new Effects.Event(
-                "lease-acted", out.blob(((Acted) this).payload).done(), Effects.Event.ALL);
+        return new CommandEffects.Event(
+                "lease-acted", out.blob(((Acted) this).payload).done(), CommandEffects.Event.ALL);
     }
 
     /**
      * @throws calicostream.cluster.ClusterException.Malformed if it is no event of a lease
      */
-    static LeaseEvent decode(Effects.Event event) {
-        Bytes.Reader in = new Bytes.Reader(event.kind(), event.body());
-        String name = in.text(Limits.NAME);
+    static LeaseEvent decode(CommandEffects.Event event) {
+        BinaryCodec.Reader in = new BinaryCodec.Reader(event.kind(), event.body());
+        String name = in.text(LeaseLimits.NAME);
         long token = in.i64();
         LeaseEvent read =
                 switch (event.kind()) {
@@ -65,7 +65,7 @@
                         }
                         yield new Freed(name, token, Why.values()[why]);
                     }
-                    case "lease-acted" -> new Acted(name, token, in.blob(Limits.PAYLOAD));
+                    case "lease-acted" -> new Acted(name, token, in.blob(LeaseLimits.PAYLOAD));
                     default -> throw in.malformed("no event of a lease");
                 };
         in.end();
--- a/src/main/java/calicostream/lease/LeaderWatch.java
+++ b/src/main/java/calicostream/lease/LeaseExpiryMonitor.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.lease;
 
-import calicostream.cluster.Timekeeper;
+import calicostream.cluster.ExpiryMonitor;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -17,12 +17,12 @@
  * their periods, and as much is waited beyond each span. A leader that was stopped thereby expires
  * late, never early.
  */
-public class LeaderWatch implements Timekeeper {
+public class LeaseExpiryMonitor implements ExpiryMonitor {
     /** A grant as renewed so many times, first seen then. */
     record Seen(long token, long renewals, long since) {}
 
     private final LeaseMachine machine;
-    private final Drift drift;
+    private final ClockDriftBound drift;
     private final Map<String, Seen> seen;
     private final long longest; // that counts between two looks
     private boolean looked;
@@ -31,14 +31,15 @@
     /**
      * @param periodNanos at which {@link #due} is called when this process is not stopped
      */
-    public LeaderWatch(LeaseMachine machine, long periodNanos) {
-        this(machine, Drift.BOUND, Map.of(), periodNanos);
+    public LeaseExpiryMonitor(LeaseMachine machine, long periodNanos) {
+        this(machine, ClockDriftBound.BOUND, Map.of(), periodNanos);
     }
 
     /**
      * @param periodNanos 0: it looks whenever it likes, and all that its clock says counts
      */
-    LeaderWatch(LeaseMachine machine, Drift drift, Map<String, Seen> seen, long periodNanos) {
+    LeaseExpiryMonitor(
+            LeaseMachine machine, ClockDriftBound drift, Map<String, Seen> seen, long periodNanos) {
         this.machine = machine;
         this.drift = drift;
         this.seen = new HashMap<>(seen);
--- a/src/main/java/calicostream/lease/Holder.java
+++ b/src/main/java/calicostream/lease/LeaseHolder.java
@@ -12,7 +12,7 @@
  * <p>A grant from the queue came at a moment that this process can't know: it renews first and
  * counts from there.
  */
-public class Holder {
+public class LeaseHolder {
     /**
      * {@code CONFIRMING}: granted while it waited, not usable before a renewal; {@code ENDING}: it
      * has stopped and says so.
@@ -59,7 +59,7 @@
     private static final int PAUSES = 4; // in a time to live, after a refusal
     private final String name;
     private final long ttl;
-    private final Drift drift;
+    private final ClockDriftBound drift;
     private Phase phase;
     private boolean wanted;
     private long token;
@@ -71,15 +71,15 @@
     private long renewAt;
     private long to;
 
-    public Holder(String name, long ttlNanos, long now) {
+    public LeaseHolder(String name, long ttlNanos, long now) {
         this(
                 name,
                 ttlNanos,
-                Drift.BOUND,
+                ClockDriftBound.BOUND,
                 new State(Phase.IDLE, false, 0, 0, 0, false, now, now, now, -1));
     }
 
-    Holder(String name, long ttlNanos, Drift drift, State state) {
+    LeaseHolder(String name, long ttlNanos, ClockDriftBound drift, State state) {
         this.name = name;
         ttl = ttlNanos;
         this.drift = drift;
--- a/src/main/java/calicostream/lease/LeaseMachine.java
+++ b/src/main/java/calicostream/lease/LeaseMachine.java
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.lease;
 
-import calicostream.cluster.Bytes;
+import calicostream.cluster.BinaryCodec;
 import calicostream.cluster.ClusterException;
 import calicostream.cluster.Command;
-import calicostream.cluster.Effects;
-import calicostream.cluster.Machine;
+import calicostream.cluster.CommandEffects;
+import calicostream.cluster.StateMachine;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
@@ -20,7 +20,7 @@
  * <p>The end of a session ends its waiting at once, but not what it holds: the member may not have
  * heard and may count on.
  */
-public class LeaseMachine implements Machine {
+public class LeaseMachine implements StateMachine {
     private static final int VERSION = 1;
     private static final int WAITER_BYTES = 16;
     private static final int LEASE_BYTES = 41;
@@ -56,7 +56,7 @@
         }
     }
 
-    private final Limits limits;
+    private final LeaseLimits limits;
     private TreeMap<String, Lease> leases = new TreeMap<>();
     private long lastToken;
 
@@ -69,23 +69,24 @@
      *     same at every copy, for ever
      */
     public LeaseMachine(long tokensAbove) {
-        this(Limits.STANDARD);
+        this(LeaseLimits.STANDARD);
         lastToken = tokensAbove;
     }
 
-    LeaseMachine(Limits limits) {
+    LeaseMachine(LeaseLimits limits) {
         this.limits = limits;
     }
 
     // ---- Commands
     // -------------------------------------------------------------------------------------
     @Override
-    public Effects apply(long index, Command command) {
+    public CommandEffects apply(long index, Command command) {
         LeaseCommand said;
         try {
             said = LeaseCommand.decode(command.body());
         } catch (ClusterException.Malformed e) {
-            return Effects.refused(e.code(), new Bytes.Writer().text(e.getMessage()).done());
+            return CommandEffects.refused(
+                    e.code(), new BinaryCodec.Writer().text(e.getMessage()).done());
         }
         boolean leaders =
                 said instanceof LeaseCommand.Expire || said instanceof LeaseCommand.RaiseTokens;
@@ -103,7 +104,7 @@
         return ofHolder(command.session(), said);
     }
 
-    private Effects acquire(long session, LeaseCommand.Acquire said) {
+    private CommandEffects acquire(long session, LeaseCommand.Acquire said) {
         String name = said.name();
         if (name.isEmpty() || said.ttl() < limits.leastTtl() || said.ttl() > limits.mostTtl()) {
             return new LeaseRejection.BadTerms(
@@ -117,7 +118,7 @@
             }
             lease = new Lease();
             leases.put(name, lease);
-            return Effects.answer(
+            return CommandEffects.answer(
                     new LeaseAnswer.Holds(lastToken + 1).encode(),
                     grant(name, lease, new Waiter(session, said.ttl())));
         }
@@ -134,10 +135,10 @@
             return new LeaseRejection.QueueFull(name, lease.waiting.size()).refusal();
         }
         lease.waiting.add(new Waiter(session, said.ttl()));
-        return Effects.answer(new LeaseAnswer.Waits(lease.waiting.size()).encode());
+        return CommandEffects.answer(new LeaseAnswer.Waits(lease.waiting.size()).encode());
     }
 
-    private Effects withdraw(long session, String name) {
+    private CommandEffects withdraw(long session, String name) {
         Lease lease = leases.get(name);
         if (lease != null && lease.session == session) {
             return new LeaseRejection.AlreadyHolds(name, lease.token)
@@ -150,12 +151,12 @@
     }
 
     /** What only the holder's token opens, whoever sends it. */
-    private Effects ofHolder(long session, LeaseCommand said) {
+    private CommandEffects ofHolder(long session, LeaseCommand said) {
         String name = said.name();
         Lease lease = leases.get(name);
         if (said instanceof LeaseCommand.Act a) {
             return isHolder(name, a.token())
-                    ? Effects.answer(
+                    ? CommandEffects.answer(
                             new LeaseAnswer.Done().encode(),
                             new LeaseEvent.Acted(name, a.token(), a.payload()).encode())
                     : notHolder(name, a.token());
@@ -166,7 +167,7 @@
             }
             return renewedSince(lease.renewals, e.renewals())
                     ? new LeaseRejection.RenewedMeanwhile(name, e.token(), lease.renewals).refusal()
-                    : Effects.answer(
+                    : CommandEffects.answer(
                             new LeaseAnswer.Done().encode(),
                             free(name, lease, LeaseEvent.Why.EXPIRED));
         }
@@ -178,7 +179,7 @@
                 return new LeaseRejection.SessionEnded(name, r.token()).refusal();
             }
             lease.renewals++;
-            return Effects.answer(new LeaseAnswer.Holds(r.token()).encode());
+            return CommandEffects.answer(new LeaseAnswer.Holds(r.token()).encode());
         }
         if (said instanceof LeaseCommand.Transfer t) {
             return holds(lease, t.token()) && lease.session == session
@@ -187,18 +188,18 @@
         }
         LeaseCommand.Release r = (LeaseCommand.Release) said;
         return holds(lease, r.token()) && lease.session == session
-                ? Effects.answer(
+                ? CommandEffects.answer(
                         new LeaseAnswer.Done().encode(), free(name, lease, LeaseEvent.Why.RELEASED))
                 : notHolder(name, r.token());
     }
 
-    private Effects transfer(Lease lease, LeaseCommand.Transfer said) {
+    private CommandEffects transfer(Lease lease, LeaseCommand.Transfer said) {
         int place = said.to() == 0 ? Math.min(1, lease.waiting.size()) : lease.place(said.to());
         if (place == 0) {
             return new LeaseRejection.NoSuccessor(said.name(), said.to()).refusal();
         }
         lease.waiting.add(0, lease.waiting.remove(place - 1));
-        return Effects.answer(
+        return CommandEffects.answer(
                 new LeaseAnswer.Done().encode(),
                 free(said.name(), lease, LeaseEvent.Why.TRANSFERRED));
     }
@@ -222,7 +223,7 @@
 
     // ---- Grants
     // ---------------------------------------------------------------------------------------
-    private Effects.Event grant(String name, Lease lease, Waiter next) {
+    private CommandEffects.Event grant(String name, Lease lease, Waiter next) {
         lease.session = next.session;
         lease.ttl = next.ttl;
         lease.token = ++lastToken;
@@ -231,18 +232,18 @@
         return new LeaseEvent.Granted(name, lease.token, next.session).encode();
     }
 
-    private Effects.Event[] free(String name, Lease lease, LeaseEvent.Why why) {
-        Effects.Event freed = new LeaseEvent.Freed(name, lease.token, why).encode();
+    private CommandEffects.Event[] free(String name, Lease lease, LeaseEvent.Why why) {
+        CommandEffects.Event freed = new LeaseEvent.Freed(name, lease.token, why).encode();
         if (lease.waiting.isEmpty()) {
             leases.remove(name);
-            return new Effects.Event[] {freed};
+            return new CommandEffects.Event[] {freed};
         }
-        return new Effects.Event[] {freed, grant(name, lease, lease.waiting.remove(0))};
+        return new CommandEffects.Event[] {freed, grant(name, lease, lease.waiting.remove(0))};
     }
 
     @Override
-    public Effects sessionEnded(long index, long session) {
-        List<Effects.Event> events = new ArrayList<>();
+    public CommandEffects sessionEnded(long index, long session) {
+        List<CommandEffects.Event> events = new ArrayList<>();
         for (String name : List.copyOf(leases.keySet())) {
             Lease lease = leases.get(name);
             lease.waiting.removeIf(waiter -> waiter.session == session);
@@ -253,7 +254,7 @@
                 }
             }
         }
-        return new Effects(null, new byte[0], events);
+        return new CommandEffects(null, new byte[0], events);
     }
 
     // ---- Questions
@@ -291,8 +292,10 @@
     /** Body: a name. Answer: token, session, renewals, waiting; all 0 if nobody holds. */
     @Override
     public byte[] query(byte[] question) {
-        Lease lease = leases.get(new Bytes.Reader("lease question", question).text(Limits.NAME));
-        Bytes.Writer out = new Bytes.Writer();
+        Lease lease =
+                leases.get(
+                        new BinaryCodec.Reader("lease question", question).text(LeaseLimits.NAME));
+        BinaryCodec.Writer out = new BinaryCodec.Writer();
         return lease == null
                 ? out.i64(0).i64(0).i64(0).i32(0).done()
                 : out.i64(lease.token)
@@ -302,20 +305,21 @@
                         .done();
     }
 
-    private Effects notHolder(String name, long token) {
+    private CommandEffects notHolder(String name, long token) {
         Lease lease = leases.get(name);
         return new LeaseRejection.NotHolder(name, token, lease == null ? 0 : lease.token).refusal();
     }
 
-    private static Effects done() {
-        return Effects.answer(new LeaseAnswer.Done().encode());
+    private static CommandEffects done() {
+        return CommandEffects.answer(new LeaseAnswer.Done().encode());
     }
 
     // ---- Snapshots
     // ------------------------------------------------------------------------------------
     @Override
     public byte[] snapshot() {
-        Bytes.Writer out = new Bytes.Writer().u8(VERSION).i64(lastToken).i32(leases.size());
+        BinaryCodec.Writer out =
+                new BinaryCodec.Writer().u8(VERSION).i64(lastToken).i32(leases.size());
         leases.forEach(
                 (name, lease) -> {
                     out.text(name)
@@ -332,12 +336,12 @@
 
     @Override
     public void restore(byte[] snapshot) {
-        Bytes.Reader in = new Bytes.Reader("lease snapshot", snapshot);
+        BinaryCodec.Reader in = new BinaryCodec.Reader("lease snapshot", snapshot);
         in.version(VERSION);
         long last = in.i64();
         TreeMap<String, Lease> read = new TreeMap<>();
         for (int left = in.count(LEASE_BYTES); left > 0; left--) {
-            String name = in.text(Limits.NAME);
+            String name = in.text(LeaseLimits.NAME);
             Lease lease = new Lease();
             lease.session = in.i64();
             lease.token = in.i64();
--- a/src/main/java/calicostream/lease/LeaseRejection.java
+++ b/src/main/java/calicostream/lease/LeaseRejection.java
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.lease;
 
-import calicostream.cluster.Bytes;
-import calicostream.cluster.Effects;
-import calicostream.errors.FleetError;
-import calicostream.errors.Page;
+import calicostream.cluster.BinaryCodec;
+import calicostream.cluster.CommandEffects;
+import calicostream.errors.OperationalError;
+import calicostream.errors.OperatorDocumentation;
 
 /**
  * Why a lease's machine, a holder or a fenced resource did not do what was asked. Immutable. It is
  * an answer, and thrown nowhere.
  */
-@Page(value = "lease.md", prefixes = "lease-")
-public sealed interface LeaseRejection extends FleetError {
+@OperatorDocumentation(value = "lease.md", prefixes = "lease-")
+public sealed interface LeaseRejection extends OperationalError {
     /** The lease. */
     String name();
 
@@ -270,12 +270,12 @@
     }
 
     /** As the machine answers it. */
-    default Effects refusal() {
-        Bytes.Writer out = new Bytes.Writer().text(name());
+    default CommandEffects refusal() {
+        BinaryCodec.Writer out = new BinaryCodec.Writer().text(name());
         for (long each : numbers()) {
             out.i64(each);
         }
-        return Effects.refused(code(), out.done());
+        return CommandEffects.refused(code(), out.done());
     }
 
     private long[] numbers() {
@@ -312,8 +312,8 @@
      * @throws calicostream.cluster.ClusterException.Malformed if it is no refusal of a lease
      */
     static LeaseRejection decode(String code, byte[] facts) {
-        Bytes.Reader in = new Bytes.Reader("refusal " + code, facts);
-        String name = in.text(Limits.NAME);
+        BinaryCodec.Reader in = new BinaryCodec.Reader("refusal " + code, facts);
+        String name = in.text(LeaseLimits.NAME);
         LeaseRejection read =
                 switch (code) {
                     case NotHolder.CODE -> new NotHolder(name, in.i64(), in.i64());
--- a/src/main/java/calicostream/lease/Tasks.java
+++ b/src/main/java/calicostream/lease/LeasedTaskRunner.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.lease;
 
-import calicostream.cluster.Effects;
+import calicostream.cluster.CommandEffects;
 import calicostream.cluster.MemberSession;
 import java.util.ArrayList;
 import java.util.List;
@@ -9,11 +9,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * Runs a process's {@link Task}s, each while its lease is held here. Decisions alone; one thread,
- * the session's. A task is told that it started before its first step and that it stopped before it
- * can start again, once each, however the lease came and went in between.
+ * Runs a process's {@link LeasedTask}s, each while its lease is held here. Decisions alone; one
+ * thread, the session's. A task is told that it started before its first step and that it stopped
+ * before it can start again, once each, however the lease came and went in between.
  */
-public final class Tasks {
+public final class LeasedTaskRunner {
     /**
      * What happened, for the log: {@code lease-held}, {@code lease-lost}, {@code lease-given-back},
      * {@code lease-task-failed}.
@@ -29,8 +29,8 @@
      *     often the task threw
      */
     public record Figures(
-            Task task,
-            Holder.Phase phase,
+            LeasedTask task,
+            LeaseHolder.Phase phase,
             long token,
             long leftNanos,
             long held,
@@ -38,10 +38,10 @@
             long failed) {}
 
     private static final class Run {
-        final Task task;
+        final LeasedTask task;
         final long ttl;
-        final Holder holder;
-        final Acts acts;
+        final LeaseHolder holder;
+        final FencedActions acts;
         boolean on;
         long token;
         long held;
@@ -50,7 +50,7 @@
         long againAt;
         boolean rests;
 
-        Run(Task task, long ttl, Holder holder, Acts acts) {
+        Run(LeasedTask task, long ttl, LeaseHolder holder, FencedActions acts) {
             this.task = task;
             this.ttl = ttl;
             this.holder = holder;
@@ -69,18 +69,19 @@
      * @param clock monotonic, nanoseconds, the same that the session is told
      * @param told hears what happened, on the session's thread
      */
-    public Tasks(MemberSession member, String machine, LongSupplier clock, Consumer<Event> told) {
+    public LeasedTaskRunner(
+            MemberSession member, String machine, LongSupplier clock, Consumer<Event> told) {
         client = new LeaseClient(member, machine, clock);
         this.clock = clock;
         this.told = told;
     }
 
     /** Wants its lease from now on; one task a lease. */
-    public void add(Task task, long ttlNanos) {
+    public void add(LeasedTask task, long ttlNanos) {
         if (runs.stream().anyMatch(run -> run.task.lease().equals(task.lease()))) {
             throw new IllegalArgumentException("two tasks of lease " + task.lease());
         }
-        Holder holder = client.add(task.lease(), ttlNanos);
+        LeaseHolder holder = client.add(task.lease(), ttlNanos);
         runs.add(new Run(task, ttlNanos, holder, client.acts(holder)));
         holder.want();
     }
@@ -143,7 +144,7 @@
     }
 
     /** Something happened to a lease, as the copy at hand or the leader told it. */
-    public void news(Effects.Event event) {
+    public void news(CommandEffects.Event event) {
         LeaseEvent read = LeaseEvent.decode(event);
         client.news(read);
         if (read instanceof LeaseEvent.Acted acted) {
--- a/src/main/java/calicostream/lease/process/LeaseLayer.java
+++ b/src/main/java/calicostream/lease/process/LeaseService.java
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.lease.process;
 
-import calicostream.cluster.Effects;
+import calicostream.cluster.CommandEffects;
+import calicostream.cluster.ExpiryMonitor;
 import calicostream.cluster.MemberSession;
-import calicostream.cluster.Timekeeper;
-import calicostream.cluster.process.Layer;
-import calicostream.lease.LeaderWatch;
+import calicostream.cluster.process.ReplicatedService;
+import calicostream.lease.LeaseExpiryMonitor;
 import calicostream.lease.LeaseMachine;
-import calicostream.lease.Task;
-import calicostream.lease.Tasks;
+import calicostream.lease.LeasedTask;
+import calicostream.lease.LeasedTaskRunner;
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
 import java.time.Duration;
@@ -24,14 +24,14 @@
  * Leases as a layer of a member, with the tasks that this process does under them. On the member's
  * thread, but for {@link #add}.
  */
-public final class LeaseLayer implements Layer {
-    private static final Logger LOG = LoggerFactory.getLogger(LeaseLayer.class);
+public final class LeaseService implements ReplicatedService {
+    private static final Logger LOG = LoggerFactory.getLogger(LeaseService.class);
     private static final long MILLI = 1_000_000L;
     private final LeaseMachine machine;
-    private final LeaderWatch watch;
-    private final List<Task> added = new ArrayList<>();
+    private final LeaseExpiryMonitor watch;
+    private final List<LeasedTask> added = new ArrayList<>();
     private final Duration ttl;
-    private Tasks tasks;
+    private LeasedTaskRunner tasks;
 
     /**
      * @param ttl of all leases
@@ -39,14 +39,14 @@
      * @param tokensAbove all tokens are above it: what an earlier group may have given whose log is
      *     lost
      */
-    public LeaseLayer(Duration ttl, Duration heartbeat, long tokensAbove) {
+    public LeaseService(Duration ttl, Duration heartbeat, long tokensAbove) {
         this.ttl = ttl;
         machine = new LeaseMachine(tokensAbove);
-        watch = new LeaderWatch(machine, heartbeat.toNanos());
+        watch = new LeaseExpiryMonitor(machine, heartbeat.toNanos());
     }
 
     /** Before the member starts. */
-    public void add(Task task) {
+    public void add(LeasedTask task) {
         added.add(task);
     }
 
@@ -64,17 +64,17 @@
     }
 
     @Override
-    public Optional<Timekeeper> timekeeper() {
+    public Optional<ExpiryMonitor> timekeeper() {
         return Optional.of(watch);
     }
 
     @Override
     public void joins(MemberSession session, LongSupplier clock) {
-        tasks = new Tasks(session, name(), clock, LeaseLayer::tell);
+        tasks = new LeasedTaskRunner(session, name(), clock, LeaseService::tell);
         added.forEach(task -> tasks.add(task, ttl.toNanos()));
     }
 
-    private static void tell(Tasks.Event event) {
+    private static void tell(LeasedTaskRunner.Event event) {
         if (event.failure() != null) {
             LOG.warn(
                     "{} lease={} token={}",
@@ -93,7 +93,7 @@
     }
 
     @Override
-    public void news(long index, Effects.Event event) {
+    public void news(long index, CommandEffects.Event event) {
         tasks.news(event);
     }
 
@@ -113,7 +113,7 @@
             return "{}";
         }
         JsonObject own = Json.object();
-        for (Tasks.Figures each : tasks.figures()) {
+        for (LeasedTaskRunner.Figures each : tasks.figures()) {
             own.add(
                     each.task().lease(),
                     Json.object()
--- a/src/main/java/calicostream/lease/process/TaskSource.java
+++ b/src/main/java/calicostream/lease/process/LeasedTaskProvider.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.lease.process;
 
-import calicostream.lease.Task;
+import calicostream.lease.LeasedTask;
 import java.util.List;
 import java.util.ServiceLoader;
 
@@ -10,23 +10,23 @@
  * class that the class path brings as a service of this type: so a test has a real process act
  * where the test can see it. Any thread.
  */
-public interface TaskSource {
+public interface LeasedTaskProvider {
     /** The full name of the class whose tasks are run. */
     String PROPERTY = "calicostream.lease.tasks";
 
-    List<Task> tasks();
+    List<LeasedTask> tasks();
 
     /**
      * Those of the class that the property names; without it no service is looked for.
      *
      * @throws IllegalStateException if the class path has it not
      */
-    static List<Task> chosen() {
+    static List<LeasedTask> chosen() {
         String name = System.getProperty(PROPERTY);
         if (name == null) {
             return List.of();
         }
-        return ServiceLoader.load(TaskSource.class).stream()
+        return ServiceLoader.load(LeasedTaskProvider.class).stream()
                 .filter(each -> each.type().getName().equals(name))
                 .findFirst()
                 .orElseThrow(
--- a/src/main/java/calicostream/platform/ConfigWatch.java
+++ b/src/main/java/calicostream/platform/ConfigFileWatcher.java
@@ -11,13 +11,13 @@
  * SIGHUP. One look is one question to the file system; nothing is opened. Not thread-safe: it is
  * made by one thread and asked by one.
  */
-public final class ConfigWatch {
+public final class ConfigFileWatcher {
     private static final String ABSENT = "";
     private final Path file;
     private String seen;
 
     /** Takes the file as it is now for the one that is known. */
-    public ConfigWatch(Path file) {
+    public ConfigFileWatcher(Path file) {
         this.file = file;
         seen = look();
     }
--- a/src/main/java/calicostream/platform/Descriptors.java
+++ b/src/main/java/calicostream/platform/Descriptors.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.platform;
 
-import calicostream.admin.AdminFront;
+import calicostream.admin.AdminServer;
 import java.io.File;
 
 /** How the descriptors of the process are shared out, so that neither side can take them all. */
@@ -10,7 +10,7 @@
     private static final int LATER =
             6; // selector, hand-over, listeners: what comes after the count
     private static final int SPARE =
-            12 + AdminFront.MOST; // log and successor, files read anew, sockets being closed
+            12 + AdminServer.MOST; // log and successor, files read anew, sockets being closed
 
     /**
      * Usual clients hold a third of the limit at most. They get two fifths, so that others can be
--- a/src/main/java/calicostream/platform/Roster.java
+++ b/src/main/java/calicostream/platform/EndpointListDecoder.java
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.platform;
 
-import calicostream.QueryRouter;
-import calicostream.QueryRouter.EngineState;
-import calicostream.QueryRouter.RosterKind;
-import calicostream.SettingsException;
+import calicostream.config.SettingsException;
 import calicostream.core.Clock;
 import calicostream.net.Address;
 import calicostream.net.BadInput;
+import calicostream.routing.EndpointUpdate;
+import calicostream.routing.EngineEndpoint;
+import calicostream.routing.EngineLifecycle;
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
@@ -18,15 +18,15 @@
 import java.util.Map;
 
 /** Reads the change log's events into what the core knows of engines. */
-public final class Roster {
+public final class EndpointListDecoder {
     /**
      * An event: the engines it names, where each listens, and when each process began by the list's
      * own word, in Unix milliseconds.
      */
     public record Change(
             long seq,
-            RosterKind kind,
-            List<QueryRouter.Engine> engines,
+            EndpointUpdate kind,
+            List<EngineEndpoint> engines,
             Map<Long, InetSocketAddress> addresses,
             Map<Long, Long> began) {}
 
@@ -37,7 +37,7 @@
     private final List<String> kinds;
     private final Map<Long, Start> starts = new LinkedHashMap<>();
 
-    public Roster(Clock clock, List<String> zones, List<String> kinds) {
+    public EndpointListDecoder(Clock clock, List<String> zones, List<String> kinds) {
         this.clock = clock;
         this.zones = zones;
         this.kinds = kinds;
@@ -46,13 +46,13 @@
     /** The events of the start, put together to one whole list. */
     public Change known(JsonObject known) {
         try {
-            Map<Long, QueryRouter.Engine> engines = new LinkedHashMap<>();
+            Map<Long, EngineEndpoint> engines = new LinkedHashMap<>();
             Map<Long, InetSocketAddress> addresses = new LinkedHashMap<>();
             Map<Long, Long> began = new LinkedHashMap<>();
             long last = known.getLong("seq", 0);
             for (JsonValue each : known.get("results").asArray()) {
                 Change change = change(each.asObject());
-                if (change.kind == RosterKind.COMPLETE) {
+                if (change.kind == EndpointUpdate.COMPLETE) {
                     engines.clear();
                 }
                 change.engines.forEach(e -> engines.put(e.id(), e));
@@ -60,9 +60,9 @@
                 began.putAll(change.began);
                 last = Math.max(last, change.seq);
             }
-            engines.values().removeIf(e -> e.state() == EngineState.GONE);
+            engines.values().removeIf(e -> e.lifecycle() == EngineLifecycle.REMOVED);
             return new Change(
-                    last, RosterKind.CACHED, List.copyOf(engines.values()), addresses, began);
+                    last, EndpointUpdate.CACHED, List.copyOf(engines.values()), addresses, began);
         } catch (BadInput | RuntimeException e) {
             throw new SettingsException(
                     "bad configuration: 'known' can't be read: " + e.getMessage());
@@ -94,16 +94,16 @@
         if (whole) {
             starts.clear();
         }
-        List<QueryRouter.Engine> engines = new ArrayList<>();
+        List<EngineEndpoint> engines = new ArrayList<>();
         Map<Long, InetSocketAddress> addresses = new LinkedHashMap<>();
         Map<Long, Long> began = new LinkedHashMap<>();
         for (JsonValue each : fleet.get("endpoints").asArray()) {
             JsonObject entry = each.asObject();
             String name = entry.getString("name", "");
             long id = id(name);
-            EngineState state = state(entry.getString("status", ""));
+            EngineLifecycle state = state(entry.getString("status", ""));
             engines.add(
-                    new QueryRouter.Engine(
+                    new EngineEndpoint(
                             id,
                             index(kinds, entry.getString("type", "")),
                             entry.getInt("group", 0),
@@ -111,19 +111,19 @@
                             born(before.get(id), id, entry.getLong("since_ms", 0)),
                             state));
             began.put(id, entry.getLong("since_ms", 0));
-            if (state == EngineState.GONE) {
+            if (state == EngineLifecycle.REMOVED) {
                 starts.remove(id);
             }
             String address = entry.getString("address", "");
             if (!address.isEmpty()) {
                 addresses.put(id, Address.of(address));
-            } else if (state == EngineState.READY) {
+            } else if (state == EngineLifecycle.READY) {
                 throw new BadInput("an engine without an address");
             }
         }
         return new Change(
                 event.getLong("seq", 0),
-                whole ? RosterKind.COMPLETE : RosterKind.CHANGES,
+                whole ? EndpointUpdate.COMPLETE : EndpointUpdate.INCREMENTAL,
                 engines,
                 addresses,
                 began);
@@ -154,14 +154,14 @@
         return at < 0 ? names.size() : at;
     }
 
-    private static EngineState state(String status) throws BadInput {
+    private static EngineLifecycle state(String status) throws BadInput {
         switch (status) {
             case "Ready":
-                return EngineState.READY;
+                return EngineLifecycle.READY;
             case "Terminating":
-                return EngineState.DRAINING;
+                return EngineLifecycle.DRAINING;
             case "Gone":
-                return EngineState.GONE;
+                return EngineLifecycle.REMOVED;
             default:
                 throw new BadInput("an unknown state of an engine");
         }
--- a/src/main/java/calicostream/platform/ChangeLog.java
+++ b/src/main/java/calicostream/platform/EndpointWatch.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.platform;
 
-import calicostream.listing.Asking;
+import calicostream.discovery.WatchBackoff;
 import calicostream.net.BadInput;
 import calicostream.net.Connection;
 import calicostream.net.Loop;
@@ -16,33 +16,33 @@
  * Follows the change log's server-sent events, and asks again from the last one seen as soon as
  * they stop: what the log holds counts as told some seconds later, whether it has arrived or not.
  */
-final class ChangeLog {
-    private static final Logger LOG = LoggerFactory.getLogger(ChangeLog.class);
+final class EndpointWatch {
+    private static final Logger LOG = LoggerFactory.getLogger(EndpointWatch.class);
     private static final int BOUND = 64 * 1024;
     private static final long SETTLED =
             25_000; // us without a byte after which what it held has come
     private static final long LOOK = 100_000; // us between looks for silence
     private final Loop loop;
-    private final Roster roster;
-    private final Consumer<Roster.Change> changed;
-    private final Asking asking;
+    private final EndpointListDecoder roster;
+    private final Consumer<EndpointListDecoder.Change> changed;
+    private final WatchBackoff asking;
     private InetSocketAddress address;
     private Follower follower;
     private long seq;
 
-    ChangeLog(
+    EndpointWatch(
             Loop loop,
             InetSocketAddress address,
-            Roster roster,
+            EndpointListDecoder roster,
             long seq,
             long seed,
-            Consumer<Roster.Change> changed) {
+            Consumer<EndpointListDecoder.Change> changed) {
         this.loop = loop;
         this.address = address;
         this.roster = roster;
         this.seq = seq;
         this.changed = changed;
-        asking = new Asking(seed);
+        asking = new WatchBackoff(seed);
     }
 
     /** The last event seen. */
@@ -112,7 +112,7 @@
 
     private void event(String text) {
         try {
-            Roster.Change change = roster.parse(text);
+            EndpointListDecoder.Change change = roster.parse(text);
             if (change.seq()
                     > seq) { // One seen already, told twice or after a reconnect, may be out of
                 // date.
@@ -146,7 +146,7 @@
 
         private void event(String text) {
             if (!connection.isClosed()) {
-                ChangeLog.this.event(text);
+                EndpointWatch.this.event(text);
             }
         }
 
@@ -174,7 +174,7 @@
             if (follower == this) {
                 follower = null;
                 loop.deadlines()
-                        .add(asking.next(loop.clock().now()), ChangeLog.this::connectAgain, 0);
+                        .add(asking.next(loop.clock().now()), EndpointWatch.this::connectAgain, 0);
             }
         }
     }
--- a/src/main/java/calicostream/platform/NodeConfig.java
+++ b/src/main/java/calicostream/platform/FrontEndConfig.java
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.platform;
 
-import calicostream.SettingsException;
-import calicostream.SettingsParser;
+import calicostream.config.SettingsException;
 import calicostream.net.Address;
 import calicostream.net.BadInput;
+import calicostream.routing.SettingsParser;
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
@@ -18,7 +18,7 @@
  * What the platform tells a front end in its configuration file; {@code seed} differs between front
  * ends and starts.
  */
-public record NodeConfig(
+public record FrontEndConfig(
         String name,
         InetSocketAddress listen,
         InetSocketAddress admin,
@@ -29,7 +29,7 @@
         SettingsParser settings) {
     private static final int FEWEST_SOCKETS = 64;
 
-    public static NodeConfig read(Path path) {
+    public static FrontEndConfig read(Path path) {
         try {
             return parse(Files.readString(path));
         } catch (IOException e) {
@@ -37,19 +37,19 @@
         }
     }
 
-    static NodeConfig parse(String text) {
+    static FrontEndConfig parse(String text) {
         try {
             JsonObject root = Json.parse(text).asObject();
             JsonValue limits = root.get("limits");
             int sockets = limits == null ? 1024 : limits.asObject().getInt("sockets", 1024);
             String name = root.getString("name", "front");
-            return new NodeConfig(
+            return new FrontEndConfig(
                     name,
                     address(root, "listen"),
                     admin(root),
                     address(root, "changelog"),
                     Math.max(FEWEST_SOCKETS, sockets),
-                    Roster.id(name + root.getString("seed", "")),
+                    EndpointListDecoder.id(name + root.getString("seed", "")),
                     member(root, "known"),
                     SettingsParser.ofJson(member(root, "settings")));
         } catch (ParseException e) {
--- a/src/main/java/calicostream/platform/Node.java
+++ b/src/main/java/calicostream/platform/FrontEndServer.java
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.platform;
 
-import calicostream.QueryRouter;
-import calicostream.SettingsException;
-import calicostream.SettingsParser;
-import calicostream.admin.AdminFront;
-import calicostream.admin.FiguresJson;
-import calicostream.admin.Operator;
-import calicostream.core.Engines;
+import calicostream.admin.AdminOperations;
+import calicostream.admin.AdminServer;
+import calicostream.admin.MetricsJson;
+import calicostream.config.SettingsException;
+import calicostream.core.EngineClient;
 import calicostream.core.Gateway;
 import calicostream.core.Service;
-import calicostream.handover.Handover;
+import calicostream.handover.HotRestart;
 import calicostream.net.Loop;
+import calicostream.routing.QueryClass;
+import calicostream.routing.SettingsParser;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -23,8 +23,8 @@
 import org.slf4j.LoggerFactory;
 
 /** One front end on the platform: its parts, its start and its end. */
-public final class Node implements Operator {
-    private static final Logger LOG = LoggerFactory.getLogger(Node.class);
+public final class FrontEndServer implements AdminOperations {
+    private static final Logger LOG = LoggerFactory.getLogger(FrontEndServer.class);
     private static final long SERVE_ON =
             800_000; // us after SIGTERM in which clients may still come: 0.7 s at most
     private static final long MARGIN =
@@ -47,22 +47,23 @@
             700_000; // us in which most who rest ask once more, the other process beside
     private static final long LONGEST_END_S = 30;
     private final Loop loop;
-    private final JsonRpcFront front;
+    private final JsonRpcServer front;
     private final Gateway gateway;
     private final List<Service> services;
-    private final NodeConfig config;
-    private final ChangeLog log;
+    private final FrontEndConfig config;
+    private final EndpointWatch log;
     private final Descriptors descriptors;
-    private final Engines engines;
-    private final Handover handover;
-    private final AdminFront admin;
+    private final EngineClient engines;
+    private final HotRestart handover;
+    private final AdminServer admin;
     private boolean started, listening, ending;
     private IOException failed;
     private final long startedAt;
     private final CountDownLatch done = new CountDownLatch(1);
 
     /** {@code shared} is the folder that this front end's processes have in common, or null. */
-    public Node(NodeConfig config, Parts parts, Path shared) throws IOException {
+    public FrontEndServer(FrontEndConfig config, ServerComponents parts, Path shared)
+            throws IOException {
         this.config = config;
         descriptors = parts.descriptors();
         loop = parts.loop();
@@ -72,15 +73,16 @@
         services = parts.services();
         SettingsParser settings = config.settings();
         front =
-                new JsonRpcFront(
+                new JsonRpcServer(
                         loop, gateway, settings.classNames(), longestDeadline(), parts.text());
-        Roster roster = new Roster(loop.clock(), settings.zoneNames(), settings.kindNames());
-        Roster.Change known = roster.known(config.known());
-        known.addresses().forEach(engines::locate);
-        known.began().forEach(engines::began);
+        EndpointListDecoder roster =
+                new EndpointListDecoder(loop.clock(), settings.zoneNames(), settings.kindNames());
+        EndpointListDecoder.Change known = roster.known(config.known());
+        known.addresses().forEach(engines::setAddress);
+        known.began().forEach(engines::engineStarted);
         List<Runnable> early = new ArrayList<>();
         handover =
-                new Handover(
+                new HotRestart(
                         shared,
                         config.name(),
                         (engine, word) -> {
@@ -91,30 +93,30 @@
                             }
                         });
         handover.join();
-        gateway.turns(handover.turns());
+        gateway.attachKeyOwnership(handover.turns());
         share();
         gateway.start(engines, known.engines());
         started = true;
         early.forEach(Runnable::run);
         log =
-                new ChangeLog(
+                new EndpointWatch(
                         loop,
                         config.changelog(),
                         roster,
                         known.seq(),
                         config.seed(),
                         change -> {
-                            change.addresses().forEach(engines::locate);
-                            change.began().forEach(engines::began);
-                            gateway.roster(change.kind(), change.engines());
+                            change.addresses().forEach(engines::setAddress);
+                            change.began().forEach(engines::engineStarted);
+                            gateway.endpointsChanged(change.kind(), change.engines());
                         });
         log.start();
-        admin = config.admin() == null ? null : new AdminFront(loop, this);
+        admin = config.admin() == null ? null : new AdminServer(loop, this);
     }
 
     private long longestDeadline() {
         return config.settings().settings().classes().stream()
-                .mapToLong(QueryRouter.QueryClass::deadlineUs)
+                .mapToLong(QueryClass::deadlineUs)
                 .max()
                 .orElse(0);
     }
@@ -128,7 +130,7 @@
         loop.post(
                 () -> {
                     try {
-                        InetSocketAddress to = NodeConfig.read(path).changelog();
+                        InetSocketAddress to = FrontEndConfig.read(path).changelog();
                         LOG.info("configuration read anew, change log at {}", to);
                         log.move(to);
                     } catch (SettingsException e) {
@@ -142,14 +144,14 @@
      * file has changed. One that is read half written can't be used, and is read again once it has
      * changed further.
      */
-    public void follow(ConfigWatch watch) {
+    public void follow(ConfigFileWatcher watch) {
         LOG.info(
                 "SIGHUP is ignored, as this process was started: a new configuration is taken once"
                         + " its file changes");
         loop.post(() -> look(watch));
     }
 
-    private void look(ConfigWatch watch) {
+    private void look(ConfigFileWatcher watch) {
         if (watch.hasChanged()) {
             reload(watch.file());
         }
@@ -219,7 +221,7 @@
     }
 
     private void listen() throws IOException {
-        gateway.learned(handover.before());
+        gateway.learnedRunTimes(handover.before());
         front.listen(config.listen());
         LOG.info("listens on port {}", front.port());
         for (Service each : services) {
@@ -235,7 +237,7 @@
         loop.post(
                 () -> {
                     ending = true;
-                    LOG.info("SIGTERM: {} requests are open", gateway.open());
+                    LOG.info("SIGTERM: {} requests are open", gateway.openRequests());
                     if (!listening) {
                         loop.stop();
                         return;
@@ -256,7 +258,7 @@
         try {
             done.await(LONGEST_END_S, TimeUnit.SECONDS);
             for (Service each : services) {
-                each.awaitEnd();
+                each.awaitTermination();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -272,19 +274,19 @@
     @Override
     public boolean disable(String engine) {
         handover.look();
-        long id = Roster.id(engine);
-        if (gateway.knows(id) && !gateway.isDisabled(id)) {
+        long id = EndpointListDecoder.id(engine);
+        if (gateway.isKnownEngine(id) && !gateway.isDisabled(id)) {
             gateway.disable(id);
             handover.say(engine, true);
         }
-        return gateway.knows(id);
+        return gateway.isKnownEngine(id);
     }
 
     @Override
     public boolean enable(String engine) {
         handover.look();
-        long id = Roster.id(engine);
-        boolean known = gateway.knows(id);
+        long id = EndpointListDecoder.id(engine);
+        boolean known = gateway.isKnownEngine(id);
         if (gateway.isDisabled(id)) {
             gateway.enable(id, loop.clock().now());
             handover.say(engine, false);
@@ -293,11 +295,11 @@
     }
 
     /** What an operator said to the other process of this front end. */
-    private void heard(String engine, Handover.Word word) {
+    private void heard(String engine, HotRestart.Word word) {
         if (word.out()) {
-            gateway.disable(Roster.id(engine));
+            gateway.disable(EndpointListDecoder.id(engine));
         } else {
-            gateway.enable(Roster.id(engine), loop.clock().ofUnixMillis(word.at()));
+            gateway.enable(EndpointListDecoder.id(engine), loop.clock().ofUnixMillis(word.at()));
         }
     }
 
@@ -307,7 +309,7 @@
         handover.saw(log.seq());
         if (handover.processes() != before) {
             share();
-            handover.learned(gateway.learned());
+            handover.learned(gateway.learnedRunTimes());
         }
         loop.deadlines().add(now + LOOK, this::look, 0);
     }
@@ -317,16 +319,16 @@
      */
     private void share() {
         LOG.info("processes of this front end: {}", handover.processes());
-        gateway.sharedBy(handover.processes(), handover.place());
+        gateway.processesChanged(handover.processes(), handover.place());
         Descriptors part =
                 Descriptors.of(config.sockets() / handover.processes(), descriptors.own());
         front.most(part.clients());
-        engines.most(part.engines());
+        engines.setMaxConnections(part.engines());
     }
 
     @Override
     public String figures() {
-        return FiguresJson.of(gateway, config.settings().classNames());
+        return MetricsJson.of(gateway, config.settings().classNames());
     }
 
     private Service part(String name) {
@@ -334,15 +336,15 @@
     }
 
     @Override
-    public String signs(String name) {
+    public String statusJson(String name) {
         Service part = part(name);
-        return part == null ? null : part.signs();
+        return part == null ? null : part.statusJson();
     }
 
     @Override
-    public String tell(String name, String words) {
+    public String administer(String name, String words) {
         Service part = part(name);
-        return part == null ? null : part.tell(words);
+        return part == null ? null : part.administer(words);
     }
 
     /** By when all that was taken must be answered: SIGKILL may come soon after. */
@@ -362,12 +364,15 @@
         loop.deadlines().add(loop.clock().now() + LOOK_AGAIN, this::retired, last + LAST_WORDS);
         // Deadlines may lie beyond SIGKILL, and a request that this process ends without an answer
         // is lost.
-        loop.deadlines().add(last, (at, ref) -> gateway.giveUpAll(), 0);
+        loop.deadlines().add(last, (at, ref) -> gateway.terminateAll(), 0);
     }
 
     private void retired(long now, long last) {
-        if (gateway.open() == 0 && front.isEmpty() || now >= last) {
-            LOG.info("served out; left: {} requests, clients {}", gateway.open(), front.left());
+        if (gateway.openRequests() == 0 && front.isEmpty() || now >= last) {
+            LOG.info(
+                    "served out; left: {} requests, clients {}",
+                    gateway.openRequests(),
+                    front.left());
             loop.stop();
         } else {
             loop.deadlines().add(now + LOOK_AGAIN, this::retired, last);
--- a/src/main/java/calicostream/platform/JsonRpcFront.java
+++ b/src/main/java/calicostream/platform/JsonRpcServer.java
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.platform;
 
-import calicostream.QueryRouter;
-import calicostream.core.Front;
 import calicostream.core.Gateway;
-import calicostream.core.Slots;
+import calicostream.core.ResponseHandler;
+import calicostream.core.SlotTable;
 import calicostream.net.Connection;
 import calicostream.net.Listener;
 import calicostream.net.Loop;
 import calicostream.net.Ring;
+import calicostream.routing.Query;
 import calicostream.sql.Statement;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -26,7 +26,7 @@
 import java.util.function.Function;
 
 /** The platform's clients: JSON-RPC 2.0, one message a line. */
-final class JsonRpcFront implements Front, Listener.Taker {
+final class JsonRpcServer implements ResponseHandler, Listener.Taker {
     private static final int BOUND_IN = 128 * 1024;
     private static final int BOUND_OUT = 128 * 1024;
     private static final int MOST_OPEN = 32;
@@ -52,8 +52,8 @@
     private final Loop loop;
     private final Gateway gateway;
     private final List<String> classNames;
-    private final Slots<Pending> pending = new Slots<>();
-    private final Set<Client> clients = new HashSet<>();
+    private final SlotTable<Pending> pending = new SlotTable<>();
+    private final Set<JsonRpcClientConnection> clients = new HashSet<>();
     private final Set<String> openIds = new HashSet<>();
     private final Function<Object, byte[]> text;
     private final double longestWaitMs;
@@ -63,12 +63,12 @@
 
     /** A request taken and not answered, with the connection that waits for it. */
     private static final class Pending {
-        final Client client;
+        final JsonRpcClientConnection client;
         final long id;
         final String requestId;
         long handle;
 
-        Pending(Client client, long id, String requestId) {
+        Pending(JsonRpcClientConnection client, long id, String requestId) {
             this.client = client;
             this.id = id;
             this.requestId = requestId;
@@ -76,7 +76,7 @@
     }
 
     /** {@code text} turns a result, as the engine side gives it, into rows of text. */
-    JsonRpcFront(
+    JsonRpcServer(
             Loop loop,
             Gateway gateway,
             List<String> classNames,
@@ -117,7 +117,7 @@
     }
 
     private void letGo(long now, long ref) {
-        List.copyOf(clients).forEach(Client::letGo);
+        List.copyOf(clients).forEach(JsonRpcClientConnection::letGo);
         loop.deadlines().add(now + LET_GO, this::letGo, 0);
     }
 
@@ -152,7 +152,7 @@
 
     @Override
     public void accepted(SocketChannel channel) throws IOException {
-        new Client(channel);
+        new JsonRpcClientConnection(channel);
     }
 
     /**
@@ -163,12 +163,14 @@
     @Override
     public boolean spareOne() {
         long now = loop.clock().now();
-        Comparator<Client> order =
-                Comparator.comparingInt((Client c) -> c.need(now))
+        Comparator<JsonRpcClientConnection> order =
+                Comparator.comparingInt((JsonRpcClientConnection c) -> c.need(now))
                         .thenComparingLong(c -> c.restsSince);
-        PriorityQueue<Client> spared = new PriorityQueue<>(order);
-        clients.stream().filter(c -> c.need(now) < Client.NEEDED).forEach(spared::add);
-        for (Client least = spared.poll(); least != null; least = spared.poll()) {
+        PriorityQueue<JsonRpcClientConnection> spared = new PriorityQueue<>(order);
+        clients.stream()
+                .filter(c -> c.need(now) < JsonRpcClientConnection.NEEDED)
+                .forEach(spared::add);
+        for (JsonRpcClientConnection least = spared.poll(); least != null; least = spared.poll()) {
             if (least.saysNothing(now)) {
                 least.connection.close();
                 return true;
@@ -178,7 +180,7 @@
     }
 
     private void look(long now, long ref) {
-        for (Client each : List.copyOf(clients)) {
+        for (JsonRpcClientConnection each : List.copyOf(clients)) {
             each.look(now);
         }
         loop.deadlines().add(now + LOOK, this::look, 0);
@@ -196,7 +198,7 @@
     }
 
     @Override
-    public void refused(long tag, long retryAfterMs) {
+    public void rejected(long tag, long retryAfterMs) {
         answer(tag, p -> JsonRpc.refused(p.id, retryAfterMs));
     }
 
@@ -214,20 +216,20 @@
     }
 
     @Override
-    public InetSocketAddress listening(long tag) {
+    public InetSocketAddress localAddress(long tag) {
         Pending p = pending.get(tag);
         return p == null ? null : p.client.connection.local();
     }
 
     @Override
-    public InetAddress client(long tag) {
+    public InetAddress clientAddress(long tag) {
         Pending p = pending.get(tag);
         InetSocketAddress remote = p == null ? null : p.client.connection.remote();
         return remote == null ? null : remote.getAddress();
     }
 
     @Override
-    public boolean hasLeft(long tag) {
+    public boolean isClientGone(long tag) {
         Pending p = pending.get(tag);
         return p == null || p.client.hasLeft(p);
     }
@@ -252,7 +254,7 @@
     }
 
     /** One client's connection. */
-    private final class Client implements Connection.Handler {
+    private final class JsonRpcClientConnection implements Connection.Handler {
         static final int NEEDED = 3;
         final Connection connection;
         final Map<Long, Long> open = new HashMap<>();
@@ -261,13 +263,13 @@
         long restsSince = loop.clock().now();
         long lineSince;
         long heardAt;
-        final Cancels cancels;
+        final PendingCancellations cancels;
         int scanned;
         boolean served, refusesInput;
 
-        Client(SocketChannel channel) throws IOException {
+        JsonRpcClientConnection(SocketChannel channel) throws IOException {
             connection = Connection.accepted(loop, channel, this, BOUND_IN, BOUND_OUT);
-            cancels = new Cancels(connection.in());
+            cancels = new PendingCancellations(connection.in());
             clients.add(this);
         }
 
@@ -499,7 +501,7 @@
             if (open.size() >= MOST_OPEN
                     || untilLast < ON_THE_WAY) { // No engine would answer before this process ends.
                 openIds.remove(message.requestId);
-                gateway.turnedAway(classNames.indexOf(message.method));
+                gateway.recordRejection(classNames.indexOf(message.method));
                 write(JsonRpc.refused(id, 100));
                 return;
             }
@@ -508,8 +510,8 @@
             open.put(id, tag);
             long left = Math.min(timeLeft(message), untilLast);
             int group = Math.max(0, Statement.tableGroup(body));
-            QueryRouter.Query asked =
-                    new QueryRouter.Query(
+            Query asked =
+                    new Query(
                             0,
                             classNames.indexOf(message.method),
                             0,
@@ -521,7 +523,7 @@
                             message.retry == 1);
             p.handle =
                     gateway.accept(
-                            JsonRpcFront.this,
+                            JsonRpcServer.this,
                             tag,
                             message.requestId,
                             asked,
@@ -552,7 +554,7 @@
          */
         private void interrupt(JsonRpc message) {
             cancels.handled(message);
-            Long tag = open.get(Cancels.number(message));
+            Long tag = open.get(PendingCancellations.number(message));
             for (long each : open.values()) {
                 Pending p = pending.get(each);
                 tag = p != null && p.requestId.equals(message.requestId) ? Long.valueOf(each) : tag;
--- a/src/main/java/calicostream/platform/Cancels.java
+++ b/src/main/java/calicostream/platform/PendingCancellations.java
@@ -11,12 +11,12 @@
  * they may wait behind many requests, and what they cancel must not be sent meanwhile. No I/O; each
  * byte is looked through once.
  */
-final class Cancels {
+final class PendingCancellations {
     private final Ring in;
     private final Set<Object> ahead = new HashSet<>(); // numbers and ids
     private int searched; // bytes from the ring's head on
 
-    Cancels(Ring in) {
+    PendingCancellations(Ring in) {
         this.in = in;
     }
 
--- a/src/main/java/calicostream/platform/RespEngines.java
+++ b/src/main/java/calicostream/platform/RespEngineClient.java
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.platform;
 
-import calicostream.QueryRouter.Notice;
-import calicostream.QueryRouter.Outcome;
-import calicostream.QueryRouter.Report;
-import calicostream.SettingsParser;
-import calicostream.core.Engines;
+import calicostream.core.EngineClient;
 import calicostream.core.Gateway;
 import calicostream.net.BadInput;
 import calicostream.net.Connection;
 import calicostream.net.Loop;
+import calicostream.routing.AttemptOutcome;
+import calicostream.routing.LoadReport;
+import calicostream.routing.ProgressKind;
+import calicostream.routing.SettingsParser;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -25,8 +25,8 @@
 import org.slf4j.LoggerFactory;
 
 /** The engine side of the platform: RESP over a few reused connections to each engine. */
-public final class RespEngines implements Engines {
-    private static final Logger LOG = LoggerFactory.getLogger(RespEngines.class);
+public final class RespEngineClient implements EngineClient {
+    private static final Logger LOG = LoggerFactory.getLogger(RespEngineClient.class);
     private static final int BOUND = 128 * 1024;
     private static final int MOST_CONNECTIONS =
             32; // to one engine: more than the attempts that it gets
@@ -49,21 +49,21 @@
     private static final class Engine {
         InetSocketAddress address;
         boolean draining;
-        final List<Link> links = new ArrayList<>();
+        final List<RespConnection> links = new ArrayList<>();
     }
 
     /** An attempt on its connection. */
-    private static final class Call {
+    private static final class RespCall {
         final Gateway.Attempt attempt;
-        Link link;
+        RespConnection link;
         long writtenAt;
         byte[][] pages;
         int pagesLeft;
-        Report report;
+        LoadReport report;
         int dials;
         long stopEnd; // bytes queued on its connection when the word that calls it off was, or 0
 
-        Call(Gateway.Attempt attempt) {
+        RespCall(Gateway.Attempt attempt) {
             this.attempt = attempt;
         }
 
@@ -88,10 +88,10 @@
             this.engine = engine;
         }
 
-        void end(Outcome outcome, Report report) {
+        void end(AttemptOutcome outcome, LoadReport report) {
             if (!over) {
                 over = true;
-                gateway.probed(engine, outcome, report);
+                gateway.probeCompleted(engine, outcome, report);
             }
         }
     }
@@ -101,7 +101,7 @@
 
     private final Loop loop;
     private final List<String> classNames;
-    private final SettingsParser.Wiring wiring;
+    private final SettingsParser.ConnectionSettings wiring;
     private final long reportIdleUs;
     private final int share;
     private final Map<Long, Engine> engines = new HashMap<>();
@@ -112,20 +112,23 @@
     private Gateway gateway;
 
     /** At most so many connections to all engines together. */
-    public RespEngines(
-            Loop loop, List<String> classNames, SettingsParser.Wiring wiring, int mostLinks) {
+    public RespEngineClient(
+            Loop loop,
+            List<String> classNames,
+            SettingsParser.ConnectionSettings wiring,
+            int mostLinks) {
         this.loop = loop;
         this.mostLinks = mostLinks;
         this.classNames = classNames;
         this.wiring = wiring;
-        share = wiring.dear() ? SHARE : 1;
+        share = wiring.connectionsAreCostly() ? SHARE : 1;
         // The engine closes an idle connection too; closing well before it keeps a request from
         // crossing that.
         reportIdleUs = wiring.idleUs() * 7 / 10;
     }
 
     @Override
-    public void most(int connections) {
+    public void setMaxConnections(int connections) {
         mostLinks = connections;
     }
 
@@ -136,7 +139,7 @@
 
     /** Where an engine listens; another address for a known id is a new process there. */
     @Override
-    public void locate(long id, InetSocketAddress address) {
+    public void setAddress(long id, InetSocketAddress address) {
         Engine e = engines.computeIfAbsent(id, k -> new Engine());
         if (!address.equals(e.address)) {
             e.address = address;
@@ -145,7 +148,7 @@
             // now.
             List.copyOf(e.links).stream()
                     .filter(link -> !link.connection.isConnected())
-                    .forEach(Link::leave);
+                    .forEach(RespConnection::leave);
         }
     }
 
@@ -155,19 +158,19 @@
     public void send(Gateway.Attempt attempt) {
         Engine e = engines.get(attempt.engine);
         if (e == null) {
-            gateway.ended(attempt, Outcome.CONNECT_FAILED, null, null);
+            gateway.attemptEnded(attempt, AttemptOutcome.CONNECT_FAILED, null, null);
             return;
         }
         e.draining = false;
-        Call call = new Call(attempt);
+        RespCall call = new RespCall(attempt);
         attempt.link = call;
         place(e, call);
     }
 
-    private void place(Engine e, Call call) {
-        Link link = choose(e, call.attempt.request.id);
+    private void place(Engine e, RespCall call) {
+        RespConnection link = choose(e, call.attempt.request.id);
         if (link == null) {
-            gateway.ended(call.attempt, Outcome.FULL, call.report, null);
+            gateway.attemptEnded(call.attempt, AttemptOutcome.OVERLOADED, call.report, null);
         } else {
             link.add(call);
         }
@@ -179,8 +182,9 @@
      */
     @Override
     public void stop(Gateway.Attempt attempt) {
-        if (attempt.link instanceof Call call && call.link.calls.remove(attempt.request.id, call)) {
-            Link link = call.link;
+        if (attempt.link instanceof RespCall call
+                && call.link.calls.remove(attempt.request.id, call)) {
+            RespConnection link = call.link;
             LOG.debug(
                     "{} attempt {} given up on connection {}",
                     attempt.request.id,
@@ -200,7 +204,7 @@
     public boolean probe(long id) {
         Engine e = engines.get(id);
         long now = loop.clock().now();
-        Link link = e == null ? null : toAsk(e, now);
+        RespConnection link = e == null ? null : toAsk(e, now);
         while (link != null && link.restsEnded()) {
             link = toAsk(e, now);
         }
@@ -209,11 +213,11 @@
         }
         try {
             Probe probe = new Probe(id);
-            (link == null ? new Link(e) : link).ask(probe);
+            (link == null ? new RespConnection(e) : link).ask(probe);
             loop.deadlines()
                     .add(
                             now + wiring.dialTimeoutUs(),
-                            (at, ref) -> probe.end(Outcome.TIMEOUT, null),
+                            (at, ref) -> probe.end(AttemptOutcome.TIMEOUT, null),
                             0);
             return true;
         } catch (IOException x) {
@@ -222,18 +226,18 @@
         }
     }
 
-    private static Link toAsk(Engine e, long now) {
+    private static RespConnection toAsk(Engine e, long now) {
         return e.links.stream()
                 .filter(l -> !l.connection.isFinishing() && !l.doubtful && !l.silent(now))
                 .min(
-                        Comparator.comparing((Link l) -> !l.connection.isConnected())
+                        Comparator.comparing((RespConnection l) -> !l.connection.isConnected())
                                 .thenComparingInt(l -> l.calls.size()))
                 .orElse(null);
     }
 
     @Override
-    public void priority(Gateway.Attempt attempt) {
-        if (attempt.link instanceof Call call && !call.link.unsent.contains(call)) {
+    public void priorityChanged(Gateway.Attempt attempt) {
+        if (attempt.link instanceof RespCall call && !call.link.unsent.contains(call)) {
             call.link.tell(
                     "NICE", attempt.request.id, Integer.toString(attempt.request.priority()));
         }
@@ -244,7 +248,7 @@
      * connection to come up: a slow connect must not carry a send past the grace.
      */
     @Override
-    public void withdrawn(long engine) {
+    public void engineDraining(long engine) {
         Engine e = engines.get(engine);
         if (e != null) {
             e.draining = true;
@@ -256,7 +260,9 @@
                                                     call -> {
                                                         link.unsent.remove(call);
                                                         link.end(
-                                                                call, Outcome.CONNECT_FAILED, null);
+                                                                call,
+                                                                AttemptOutcome.CONNECT_FAILED,
+                                                                null);
                                                     }));
             closeIdle(e);
             loop.deadlines().add(loop.clock().now() + UNSENT, (now, ref) -> closeBlocked(e), 0);
@@ -273,7 +279,7 @@
     }
 
     @Override
-    public void renewed(long engine) {
+    public void engineReinstated(long engine) {
         Engine e = engines.get(engine);
         if (e != null) {
             closeIdle(e);
@@ -286,7 +292,7 @@
      * say so.
      */
     @Override
-    public void gone(long engine) {
+    public void engineRemoved(long engine) {
         Engine e = engines.remove(engine);
         if (e != null) {
             e.draining = true;
@@ -295,7 +301,7 @@
     }
 
     private static void closeIdle(Engine e) {
-        List.copyOf(e.links).stream().filter(l -> l.calls.isEmpty()).forEach(Link::leave);
+        List.copyOf(e.links).stream().filter(l -> l.calls.isEmpty()).forEach(RespConnection::leave);
     }
 
     /**
@@ -303,8 +309,8 @@
      * spoils all that is on it; where opening one is paid for, a few attempts share one. The one
      * with most room where no more may be opened, and null where all are full.
      */
-    private Link choose(Engine e, String id) {
-        Link best = best(e, id);
+    private RespConnection choose(Engine e, String id) {
+        RespConnection best = best(e, id);
         while (best != null && best.restsEnded()) {
             best = best(e, id);
         }
@@ -314,20 +320,20 @@
             return best;
         }
         try {
-            return new Link(e);
+            return new RespConnection(e);
         } catch (IOException x) {
             LOG.warn("no connection to {}: {}", e.address, x.toString());
             return best;
         }
     }
 
-    private Link best(Engine e, String id) {
+    private RespConnection best(Engine e, String id) {
         long now = loop.clock().now();
-        Link best = null;
-        for (Link link : e.links) {
+        RespConnection best = null;
+        for (RespConnection link : e.links) {
             boolean usable =
                     !link.connection.isFinishing()
-                            && link.calls.size() < wiring.streams()
+                            && link.calls.size() < wiring.maxStreamsPerConnection()
                             && !link.doubtful
                             && !link.silent(now)
                             && !link.stale.contains(id)
@@ -345,14 +351,14 @@
     }
 
     /** One connection to an engine and the attempts on it by request id. */
-    private final class Link implements Connection.Handler {
+    private final class RespConnection implements Connection.Handler {
         final Engine engine;
         final long number = ++linksMade;
-        final Map<String, Call> calls = new HashMap<>();
-        final List<Call> unsent = new ArrayList<>();
+        final Map<String, RespCall> calls = new HashMap<>();
+        final List<RespCall> unsent = new ArrayList<>();
         final Map<String, Probe> probes = new HashMap<>();
         final Set<String> stale = new HashSet<>();
-        final List<Link> inDoubt =
+        final List<RespConnection> inDoubt =
                 new ArrayList<>(); // broken ones whose engine may have died with them
         final ArrayDeque<GoingOut> goingOut = new ArrayDeque<>();
         final Connection connection;
@@ -362,7 +368,7 @@
         long partSince;
         boolean watched, partWatched, doubtful, spoilt;
 
-        Link(Engine engine) throws IOException {
+        RespConnection(Engine engine) throws IOException {
             this.engine = engine;
             connection = Connection.to(loop, engine.address, this, BOUND, BOUND);
             engine.links.add(this);
@@ -378,7 +384,7 @@
                             0);
         }
 
-        void add(Call call) {
+        void add(RespCall call) {
             if (calls.isEmpty()) {
                 busySince = loop.clock().now();
             }
@@ -411,15 +417,16 @@
 
         /** Closed by our own choice, it tells nothing of its engine. */
         void leave() {
-            List.copyOf(probes.values()).forEach(probe -> probe.end(Outcome.MOOT, null));
+            List.copyOf(probes.values())
+                    .forEach(probe -> probe.end(AttemptOutcome.NOT_STARTED, null));
             connection.close();
         }
 
-        private void write(Call call) {
+        private void write(RespCall call) {
             Gateway.Attempt a = call.attempt;
-            Gateway.Attempt before = a.request.before();
+            Gateway.Attempt before = a.request.previousAttempt();
             if (before != null
-                    && before.link instanceof Call last
+                    && before.link instanceof RespCall last
                     && !last.isOver()) { // Would be a second copy.
                 LOG.error(
                         "{}: attempt {} by connection {} before the word that ends attempt {} ({}"
@@ -430,7 +437,7 @@
                         before.number,
                         loop.clock().now() - before.sentAt,
                         last.link.number);
-                end(call, Outcome.FULL, null);
+                end(call, AttemptOutcome.OVERLOADED, null);
                 return;
             }
             call.writtenAt = loop.clock().now();
@@ -442,7 +449,7 @@
                             + waitMs
                             + ",urgency="
                             + a.request.priority()
-                            + (a.request.work instanceof String repeatKey
+                            + (a.request.operation instanceof String repeatKey
                                     ? ",once=" + repeatKey
                                     : "");
             boolean sent =
@@ -461,14 +468,14 @@
             if (sent) {
                 goingOut.add(new GoingOut(connection.queued(), a));
             } else { // The ring is full: not a byte of it went out.
-                end(call, Outcome.FULL, null);
+                end(call, AttemptOutcome.OVERLOADED, null);
             }
         }
 
         @Override
         public void drained(Connection c) {
             while (!goingOut.isEmpty() && goingOut.peek().end <= c.written()) {
-                gateway.written(goingOut.poll().attempt);
+                gateway.attemptWritten(goingOut.poll().attempt);
             }
         }
 
@@ -480,7 +487,7 @@
          * The word goes out before the next attempt. Where the engine reads so little that it
          * can't, the end of the connection says it.
          */
-        void callOff(Call call) {
+        void callOff(RespCall call) {
             boolean told = tell("STOP", call.attempt.request.id);
             call.stopEnd = connection.queued();
             connection.flushNow();
@@ -489,7 +496,7 @@
             } else if (!call.isOver()) {
                 loop.deadlines()
                         .add(
-                                loop.clock().now() + Gateway.STOP_TRAVELS / 2,
+                                loop.clock().now() + Gateway.CANCEL_DELIVERY_MICROS / 2,
                                 (now, ref) -> {
                                     if (!call.isOver()) {
                                         LOG.warn(
@@ -519,15 +526,16 @@
          * more.
          */
         boolean silent(long now) {
-            return wiring.noteUs() > 0
+            return wiring.progressPeriodUs() > 0
                     && !calls.isEmpty()
-                    && now - Math.max(heardAt, busySince) > SILENT_NOTES * wiring.noteUs();
+                    && now - Math.max(heardAt, busySince)
+                            > SILENT_NOTES * wiring.progressPeriodUs();
         }
 
-        void end(Call call, Outcome outcome, byte[] result) {
+        void end(RespCall call, AttemptOutcome outcome, byte[] result) {
             if (calls.remove(call.attempt.request.id, call)) {
                 if (outcome
-                        != Outcome
+                        != AttemptOutcome
                                 .OK) { // Another attempt of it must not take a second copy for its
                     // own answer.
                     stale(call.attempt.request.id);
@@ -540,7 +548,7 @@
                         outcome,
                         number);
                 rested();
-                gateway.ended(call.attempt, outcome, call.report, result);
+                gateway.attemptEnded(call.attempt, outcome, call.report, result);
             }
         }
 
@@ -567,16 +575,16 @@
         @Override
         public void connected(Connection c) {
             heardAt = loop.clock().now();
-            for (Call call : List.copyOf(unsent)) {
-                boolean may = gateway.mayGoOut(call.attempt);
+            for (RespCall call : List.copyOf(unsent)) {
+                boolean may = gateway.maySend(call.attempt);
                 if (unsent.remove(call) && may) {
                     write(call);
                 } else {
-                    end(call, Outcome.MOOT, null);
+                    end(call, AttemptOutcome.NOT_STARTED, null);
                 }
             }
             probes.keySet().forEach(tag -> tell("STAT", tag));
-            inDoubt.forEach(link -> link.endAll(Outcome.SPOILT));
+            inDoubt.forEach(link -> link.endAll(AttemptOutcome.CONNECTION_BROKEN));
             inDoubt.clear();
             rested();
         }
@@ -634,31 +642,31 @@
                 probed(probe, answer);
                 return;
             }
-            Call call = calls.get(id);
+            RespCall call = calls.get(id);
             if (call == null) { // Late, a second copy, or nobody's: good as it may be, it is of no
                 // use.
                 return;
             }
             String word = new String(answer[1], StandardCharsets.ISO_8859_1);
             Map<String, String> fields =
-                    Fields.parse(new String(answer[2], StandardCharsets.ISO_8859_1));
-            Report report = Fields.report(fields.get("stats"));
+                    RespFields.parse(new String(answer[2], StandardCharsets.ISO_8859_1));
+            LoadReport report = RespFields.report(fields.get("stats"));
             call.report = report != null ? report : call.report;
             switch (word) {
                 case "DONE":
-                    done(call, Fields.whole(fields, "sheets", 1, MOST_PAGES), answer[3]);
+                    done(call, RespFields.whole(fields, "sheets", 1, MOST_PAGES), answer[3]);
                     break;
                 case "MORE":
-                    more(call, Fields.whole(fields, "sheet", -1, MOST_PAGES), answer[3]);
+                    more(call, RespFields.whole(fields, "sheet", -1, MOST_PAGES), answer[3]);
                     break;
                 case "WAIT":
-                    end(call, Outcome.FULL, null);
+                    end(call, AttemptOutcome.OVERLOADED, null);
                     break;
                 case "BROKE":
-                    end(call, Outcome.ERROR, null);
+                    end(call, AttemptOutcome.ERROR, null);
                     break;
                 case "PAST":
-                    end(call, Outcome.MOOT, null);
+                    end(call, AttemptOutcome.NOT_STARTED, null);
                     break;
                 case "TELL":
                     note(call, fields);
@@ -675,17 +683,17 @@
                 throw new BadInput("an answer to a probe of an unknown kind");
             }
             Map<String, String> fields =
-                    Fields.parse(new String(answer[2], StandardCharsets.ISO_8859_1));
+                    RespFields.parse(new String(answer[2], StandardCharsets.ISO_8859_1));
             probe.end(
-                    word.equals("FIT") ? Outcome.OK : Outcome.ERROR,
-                    Fields.report(fields.get("stats")));
+                    word.equals("FIT") ? AttemptOutcome.OK : AttemptOutcome.ERROR,
+                    RespFields.report(fields.get("stats")));
         }
 
         /**
          * The first page. The rest is fetched before anything goes out: a result is passed on whole
          * or not.
          */
-        private void done(Call call, int pages, byte[] first) throws BadInput {
+        private void done(RespCall call, int pages, byte[] first) throws BadInput {
             if (call.pages != null) { // A second copy, while the other pages are on their way.
                 return;
             }
@@ -693,7 +701,7 @@
                 throw new BadInput("a result that can't be");
             }
             if (pages == 1) {
-                end(call, Outcome.OK, rows(first));
+                end(call, AttemptOutcome.OK, rows(first));
                 return;
             }
             call.pages = new byte[pages][];
@@ -706,7 +714,7 @@
         }
 
         /** Pages come one after another; where none does, the connection is of no more use. */
-        private void awaitPage(Call call, int left) {
+        private void awaitPage(RespCall call, int left) {
             loop.deadlines()
                     .add(
                             loop.clock().now() + PAGE,
@@ -722,7 +730,7 @@
                             0);
         }
 
-        private void more(Call call, int page, byte[] rows) throws BadInput {
+        private void more(RespCall call, int page, byte[] rows) throws BadInput {
             if (call.pages == null || page < 0 || page >= call.pages.length) {
                 throw new BadInput("a page that was not asked for");
             }
@@ -745,7 +753,7 @@
                     System.arraycopy(each, 0, whole, at, each.length);
                     at += each.length;
                 }
-                end(call, Outcome.OK, whole);
+                end(call, AttemptOutcome.OK, whole);
             }
         }
 
@@ -757,23 +765,25 @@
             return page;
         }
 
-        private void note(Call call, Map<String, String> fields) {
-            double value = Fields.number(fields.get("val"));
+        private void note(RespCall call, Map<String, String> fields) {
+            double value = RespFields.number(fields.get("val"));
             switch (fields.getOrDefault("how", "")) {
                 case "pct":
-                    gateway.progress(call.attempt, Notice.SHARE_DONE, value);
+                    gateway.attemptProgressed(call.attempt, ProgressKind.FRACTION_DONE, value);
                     break;
                 case "overflow":
-                    gateway.progress(call.attempt, Notice.SPILLS, value);
+                    gateway.attemptProgressed(call.attempt, ProgressKind.SPILLING, value);
                     break;
                 case "queued":
-                    gateway.progress(
+                    gateway.attemptProgressed(
                             call.attempt,
-                            value >= 2 ? Notice.WAITS_FOR_LOAD : Notice.WAITS_FOR_MEMORY,
+                            value >= 2
+                                    ? ProgressKind.WAITING_FOR_LOAD
+                                    : ProgressKind.WAITING_FOR_MEMORY,
                             value);
                     break;
                 default:
-                    gateway.progress(call.attempt, Notice.OTHER, 0);
+                    gateway.attemptProgressed(call.attempt, ProgressKind.OTHER, 0);
                     break;
             }
         }
@@ -793,32 +803,37 @@
                     .forEach(
                             probe ->
                                     probe.end(
-                                            heardAt > 0 ? Outcome.SPOILT : Outcome.CONNECT_FAILED,
+                                            heardAt > 0
+                                                    ? AttemptOutcome.CONNECTION_BROKEN
+                                                    : AttemptOutcome.CONNECT_FAILED,
                                             null));
-            List<Call> never = List.copyOf(unsent);
+            List<RespCall> never = List.copyOf(unsent);
             unsent.clear();
-            for (Call call : never) {
+            for (RespCall call : never) {
                 boolean again = c.wasReset() && call.dials < 2 && !engine.draining;
-                boolean may = again && gateway.mayGoOut(call.attempt);
+                boolean may = again && gateway.maySend(call.attempt);
                 if (may && calls.remove(call.attempt.request.id, call)) {
                     place(engine, call);
                 } else {
-                    end(call, again ? Outcome.MOOT : Outcome.CONNECT_FAILED, null);
+                    end(
+                            call,
+                            again ? AttemptOutcome.NOT_STARTED : AttemptOutcome.CONNECT_FAILED,
+                            null);
                 }
             }
             inDoubt.forEach(
                     link ->
                             link.endAll(
                                     c.wasReset()
-                                            ? Outcome.SPOILT
-                                            : Outcome.RESET)); // Somebody was there.
+                                            ? AttemptOutcome.CONNECTION_BROKEN
+                                            : AttemptOutcome.RESET)); // Somebody was there.
             inDoubt.clear();
             if (spoilt) { // The close is our word that all on it is given up, and has to travel,
                 // too.
                 loop.deadlines()
                         .add(
-                                loop.clock().now() + Gateway.STOP_TRAVELS,
-                                (now, ref) -> endAll(Outcome.SPOILT),
+                                loop.clock().now() + Gateway.CANCEL_DELIVERY_MICROS,
+                                (now, ref) -> endAll(AttemptOutcome.CONNECTION_BROKEN),
                                 0);
             } else if (!calls.isEmpty()) {
                 doubt();
@@ -826,24 +841,24 @@
         }
 
         private void doubt() {
-            Link other =
+            RespConnection other =
                     engine.links.stream()
                             .filter(l -> !l.connection.isConnected())
                             .findFirst()
                             .orElse(null);
             try {
-                other = other == null && !engine.draining ? new Link(engine) : other;
+                other = other == null && !engine.draining ? new RespConnection(engine) : other;
             } catch (IOException e) {
                 LOG.warn("no connection to {}: {}", engine.address, e.toString());
             }
             if (other == null) {
-                endAll(Outcome.RESET);
+                endAll(AttemptOutcome.RESET);
             } else {
                 other.inDoubt.add(this);
             }
         }
 
-        private void endAll(Outcome outcome) {
+        private void endAll(AttemptOutcome outcome) {
             List.copyOf(calls.values()).forEach(call -> end(call, outcome, null));
         }
     }
--- a/src/main/java/calicostream/platform/Fields.java
+++ b/src/main/java/calicostream/platform/RespFields.java
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.platform;
 
-import calicostream.QueryRouter.Report;
 import calicostream.net.BadInput;
+import calicostream.routing.LoadReport;
 import java.util.HashMap;
 import java.util.Map;
 
 /** The field lists of engines' answers: {@code name=value,name=value}, or {@code -} for none. */
-final class Fields {
+final class RespFields {
     private static final double MOST = 1e6; // queries, or times full: no engine tells more
 
-    private Fields() {}
+    private RespFields() {}
 
     static Map<String, String> parse(String text) throws BadInput {
         if (text.equals("-") || text.isEmpty()) {
@@ -31,15 +31,15 @@
      * A load report, {@code name:value;name:value}; null where there is none. A value that can't be
      * is passed over.
      */
-    static Report report(String text) {
+    static LoadReport report(String text) {
         if (text == null) {
             return null;
         }
-        Report out = Report.NOTHING;
+        LoadReport out = LoadReport.EMPTY;
         for (String pair : text.split(";")) {
             int at = pair.indexOf(':');
             double value = number(at < 0 ? null : pair.substring(at + 1));
-            out = value >= 0 && value <= MOST ? out.with(pair.substring(0, at), value) : out;
+            out = value >= 0 && value <= MOST ? out.withColumn(pair.substring(0, at), value) : out;
         }
         return out;
     }
--- a/src/main/java/calicostream/platform/WarmUp.java
+++ b/src/main/java/calicostream/platform/WarmUp.java
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.platform;
 
-import calicostream.QueryRouter;
-import calicostream.QueryRouter.EngineState;
-import calicostream.QueryRouter.Outcome;
-import calicostream.QueryRouter.Settings;
 import calicostream.core.Clock;
 import calicostream.core.Deadlines;
-import calicostream.core.Engines;
-import calicostream.core.Front;
+import calicostream.core.EngineClient;
 import calicostream.core.Gateway;
-import calicostream.core.Watcher;
+import calicostream.core.RequestListener;
+import calicostream.core.ResponseHandler;
 import calicostream.net.BadInput;
 import calicostream.net.Ring;
+import calicostream.routing.AttemptOutcome;
+import calicostream.routing.EngineEndpoint;
+import calicostream.routing.EngineLifecycle;
+import calicostream.routing.RouterSettings;
 import calicostream.sql.Statement;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -25,7 +25,7 @@
  * which starts again in the middle of a day does not load its classes at its first clients' cost.
  * It works on a core of its own, whose engine answers at once, and touches no socket.
  */
-final class WarmUp implements Engines, Front {
+final class WarmUp implements EngineClient, ResponseHandler {
     private static final long LONGEST = 400_000; // us: a front end that is not up yet serves nobody
     private static final long PIECE = 10_000; // us of work in one go
     private static final int REQUESTS = 1500;
@@ -43,10 +43,10 @@
     private long end;
     private int made, answers;
 
-    WarmUp(Settings settings, List<String> classNames) {
+    WarmUp(RouterSettings settings, List<String> classNames) {
         this.classNames = classNames;
-        gateway = new Gateway(clock, deadlines, settings, Watcher.NONE);
-        gateway.start(this, List.of(new QueryRouter.Engine(ENGINE, 0, 0, 0, 0, EngineState.READY)));
+        gateway = new Gateway(clock, deadlines, settings, RequestListener.NONE);
+        gateway.start(this, List.of(new EngineEndpoint(ENGINE, 0, 0, 0, 0, EngineLifecycle.READY)));
     }
 
     /** Works for a moment; whether there is more to do. */
@@ -97,11 +97,11 @@
                             Resp.ascii("sheets=1,stats=util:0.2;inflight:1"),
                             attempt.request.body));
             byte[][] answer = Resp.take(ring);
-            gateway.ended(
+            gateway.attemptEnded(
                     attempt,
-                    Outcome.OK,
-                    Fields.report(
-                            Fields.parse(new String(answer[2], StandardCharsets.ISO_8859_1))
+                    AttemptOutcome.OK,
+                    RespFields.report(
+                            RespFields.parse(new String(answer[2], StandardCharsets.ISO_8859_1))
                                     .get("stats")),
                     answer[3]);
         }
@@ -111,7 +111,7 @@
     public void attach(Gateway to) {}
 
     @Override
-    public void locate(long engine, InetSocketAddress address) {}
+    public void setAddress(long engine, InetSocketAddress address) {}
 
     @Override
     public void send(Gateway.Attempt attempt) {
@@ -122,16 +122,16 @@
     public void stop(Gateway.Attempt attempt) {}
 
     @Override
-    public void priority(Gateway.Attempt attempt) {}
+    public void priorityChanged(Gateway.Attempt attempt) {}
 
     @Override
-    public void withdrawn(long engine) {}
+    public void engineDraining(long engine) {}
 
     @Override
-    public void renewed(long engine) {}
+    public void engineReinstated(long engine) {}
 
     @Override
-    public void gone(long engine) {}
+    public void engineRemoved(long engine) {}
 
     @Override
     public void served(long tag, Object result) {
@@ -139,7 +139,7 @@
     }
 
     @Override
-    public void refused(long tag, long retryAfterMs) {
+    public void rejected(long tag, long retryAfterMs) {
         answers++;
     }
 
--- a/src/main/java/calicostream/Logic.java
+++ b/src/main/java/calicostream/routing/AffinityRouter.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package calicostream;
+package calicostream.routing;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -22,7 +22,7 @@
  * news, results, endings, health, reports, the tick. Times are microseconds; work is
  * core-microseconds.
  */
-public final class Logic implements QueryRouter {
+public final class AffinityRouter implements QueryRouter {
     // ---- Tuned values
     // -------------------------------------------------------------------------------
     static final int W1 =
@@ -125,7 +125,7 @@
         final List<Job> running = new ArrayList<>();
         final ArrayDeque<double[]> coldSent = new ArrayDeque<>();
         final List<Job> lookers = new ArrayList<>();
-        Engine entry;
+        EngineEndpoint entry;
         double cores, ownThreads, others, price;
         double strikes;
         boolean probing, benched, owed;
@@ -206,7 +206,7 @@
         double value;
         int attempts, looking;
         Node at, avoid, erredAt;
-        Engine riskAt;
+        EngineEndpoint riskAt;
         long sentAt, newsAt, riskUntil, lookedAt = LONG_AGO;
         boolean cancelled, mayHaveRun, streaming, done, late, unusable, moved;
 
@@ -231,13 +231,16 @@
                     Math.min(
                             deadline,
                             now
-                                    + spec.aimUs()
-                                    + (long) (spec.aimStretch() * cost / spec.threads()));
+                                    + spec.latencyObjectiveUs()
+                                    + (long)
+                                            (spec.latencyObjectiveStretch()
+                                                    * cost
+                                                    / spec.threads()));
         }
     }
 
-    private final Settings settings;
-    private final Actions actions;
+    private final RouterSettings settings;
+    private final RouterActions actions;
     private final TreeMap<Long, Node> nodes = new TreeMap<>();
     private final TreeMap<Integer, Group> groups = new TreeMap<>();
     private final Map<Long, Job> jobs = new LinkedHashMap<>();
@@ -257,7 +260,7 @@
     private long reports, lastTick, lastQuery, forgetAt, keysRest, awakeAt = LONG_AGO;
     private long askRosterAt = Long.MAX_VALUE;
 
-    public Logic(Settings settings, Actions actions) {
+    public AffinityRouter(RouterSettings settings, RouterActions actions) {
         this.settings = settings;
         this.actions = actions;
         learned = new Learned[settings.classes().size()];
@@ -272,31 +275,32 @@
         lastTick = now;
         keysRest =
                 now
-                        + settings.rules()
-                                .keyRestUs(); // What was here before may have left one running.
-        if (settings.rosterOnRequest()) {
-            actions.subscribeRoster();
+                        + settings.protectionRules()
+                                .keyQuietPeriodUs(); // What was here before may have left one
+        // running.
+        if (settings.watchEndpointsOnRequest()) {
+            actions.watchEndpoints();
         }
-        actions.timer(TICK, TICK_TOKEN);
+        actions.scheduleTimer(TICK, TICK_TOKEN);
     }
 
     @Override
-    public void roster(long now, RosterKind kind, List<Engine> engines) {
-        if (kind == RosterKind.FAILED) {
+    public void endpointsChanged(long now, EndpointUpdate kind, List<EngineEndpoint> engines) {
+        if (kind == EndpointUpdate.FAILED) {
             askRosterAt = now + ROSTER_RETRY;
             return;
         }
-        if (kind != RosterKind.CHANGES) {
+        if (kind != EndpointUpdate.INCREMENTAL) {
             Set<Long> named = new HashSet<>();
             engines.forEach(e -> named.add(e.id()));
             nodes.values().stream()
                     .filter(n -> !named.contains(n.id))
-                    .forEach(n -> n.entry = n.entry.in(EngineState.GONE));
+                    .forEach(n -> n.entry = n.entry.withLifecycle(EngineLifecycle.REMOVED));
         }
-        engines.forEach(e -> list(now, e, kind == RosterKind.CACHED));
+        engines.forEach(e -> list(now, e, kind == EndpointUpdate.CACHED));
         rosterChanges++;
         fleetCores = 0;
-        nodes.values().stream().filter(Logic::ready).forEach(n -> fleetCores += n.cores);
+        nodes.values().stream().filter(AffinityRouter::ready).forEach(n -> fleetCores += n.cores);
         nodes.values().stream().filter(n -> !ready(n)).forEach(this::forgive);
         nodes.values().removeIf(n -> !ready(n) && n.running.isEmpty() && !cold(n, now));
         Predicate<Long> off = id -> !nodes.containsKey(id) || !ready(nodes.get(id));
@@ -310,12 +314,12 @@
      * stay.
      */
     private void price() {
-        boolean few = settings.fees().handshake() <= 0;
+        boolean few = settings.costs().handshake() <= 0;
         Comparator<Node> order =
                 Comparator.comparing((Node n) -> n.entry.zone() != settings.zone());
         List<Node> homes =
                 nodes.values().stream()
-                        .filter(Logic::ready)
+                        .filter(AffinityRouter::ready)
                         .sorted(order.thenComparingDouble(n -> hash(n, settings.index())))
                         .limit(HOMES)
                         .toList();
@@ -323,24 +327,26 @@
                 .forEach(
                         n ->
                                 n.price =
-                                        (few || homes.contains(n) ? 0 : settings.fees().handshake())
+                                        (few || homes.contains(n)
+                                                        ? 0
+                                                        : settings.costs().handshake())
                                                 + (n.entry.zone() == settings.zone()
                                                         ? 0
-                                                        : settings.fees().crossZone()));
+                                                        : settings.costs().crossZone()));
     }
 
     private static double hash(Node n, long with) {
         return new SplittableRandom(n.id * HASH_SPREAD + with).nextDouble();
     }
 
-    private void list(long now, Engine e, boolean cached) {
+    private void list(long now, EngineEndpoint e, boolean cached) {
         Node n = nodes.computeIfAbsent(e.id(), id -> new Node(id));
-        boolean restarted = n.entry != null && e.bornUs() > n.entry.bornUs();
+        boolean restarted = n.entry != null && e.startedAtUs() > n.entry.startedAtUs();
         boolean fresh = n.entry == null;
         n.entry = e;
-        boolean known = e.kind() < settings.kinds().size();
-        n.cores = known ? Math.max(1, settings.kinds().get(e.kind()).cores()) : 1;
-        n.coldFrom = e.bornUs() > 0 ? Math.max(n.coldFrom, e.bornUs()) : n.coldFrom;
+        boolean known = e.kind() < settings.engineKinds().size();
+        n.cores = known ? Math.max(1, settings.engineKinds().get(e.kind()).cores()) : 1;
+        n.coldFrom = e.startedAtUs() > 0 ? Math.max(n.coldFrom, e.startedAtUs()) : n.coldFrom;
         if (restarted) {
             forgive(n);
             n.reportAt = LONG_AGO;
@@ -351,35 +357,35 @@
     }
 
     private static boolean ready(Node n) {
-        return n.entry.state() == EngineState.READY;
+        return n.entry.lifecycle() == EngineLifecycle.READY;
     }
 
     // ---- Arrival
     // ------------------------------------------------------------------------------------
     @Override
-    public void query(long now, Query q) {
+    public void queryAccepted(long now, Query q) {
         takenAt.add(now);
         if (q.queryClass() >= learned.length) {
-            actions.refuse(q.id(), 0);
+            actions.reject(q.id(), 0);
             return;
         }
         QueryClass usualSpec = settings.classes().get(q.queryClass());
-        QueryClass spec = q.pinned() == 0 ? usualSpec : usualSpec.once();
+        QueryClass spec = q.stickyEngine() == 0 ? usualSpec : usualSpec.asNonIdempotent();
         Learned known = learned[q.queryClass()];
         double cost = cost(q, known);
-        if (q.costUs() > 0) {
+        if (q.estimatedWorkUs() > 0) {
             known.usual += (cost - known.usual) * Math.max(LEARN, 1.0 / ++known.seen);
         }
         Key key =
-                spec.inOrder() && q.key() != 0
+                spec.orderedByKey() && q.key() != 0
                         ? keys.computeIfAbsent(q.key(), k -> new Key())
                         : null;
         Group group = groups.computeIfAbsent(q.tableGroup(), Group::new);
         group.usedAt = now;
         Job job = new Job(now, q, spec, known, group, key, overShare(now, q.tenant()));
-        double worth = spec.worth() * (job.overShare ? settings.overShareWorth() : 1);
+        double worth = spec.priorityWeight() * (job.overShare ? settings.overQuotaWeight() : 1);
         job.value = worth / Math.max(cost, 1);
-        meanWorth += (spec.worth() - meanWorth) * LEARN;
+        meanWorth += (spec.priorityWeight() - meanWorth) * LEARN;
         meanCost += (cost - meanCost) * LEARN;
         jobs.put(q.id(), job);
         double run =
@@ -395,7 +401,8 @@
         if (key != null) {
             key.line.add(job);
         }
-        actions.timer(Math.max(1, q.timeLeftUs() - ANSWER_TICKS * settings.tickUs()), q.id() + 1);
+        actions.scheduleTimer(
+                Math.max(1, q.timeLeftUs() - ANSWER_TICKS * settings.tickUs()), q.id() + 1);
         if (!place(now, job)) {
             held.add(job);
         }
@@ -407,7 +414,7 @@
      */
     private static double cost(Query q, Learned known) {
         double usual = known.usual > 0 ? known.usual : FIRST_WORK;
-        return q.costUs() <= 0 ? usual : q.costUs() * known.cost.upper(0);
+        return q.estimatedWorkUs() <= 0 ? usual : q.estimatedWorkUs() * known.cost.upper(0);
     }
 
     /**
@@ -419,12 +426,12 @@
         double part = Math.max(0.5 / settings.gateways(), own / Math.max(1e-9, own + usual));
         lastQuery = now;
         for (int i = 0; i < tokens.length; i++) {
-            double quota = settings.tenants().get(i).quotaPerS() * part;
+            double quota = settings.tenants().get(i).queriesPerSecond() * part;
             tokens[i] = Math.min(quota + QUOTA_CHANCE, tokens[i] + quota * seconds);
         }
         boolean beyond =
                 tenant < tokens.length
-                        && settings.tenants().get(tenant).quotaPerS() > 0
+                        && settings.tenants().get(tenant).queriesPerSecond() > 0
                         && tokens[tenant] < 1;
         if (!beyond && tenant < tokens.length) {
             tokens[tenant]--;
@@ -449,7 +456,7 @@
         List<Node> despite = new ArrayList<>();
         // An error at once costs little, but not a query that may not go again, nor one that has
         // been tried.
-        boolean mayErr = job.attempts == 0 && job.spec.effect() == Effect.REPEATABLE;
+        boolean mayErr = job.attempts == 0 && job.spec.idempotency() == Idempotency.IDEMPOTENT;
         boolean anySound = false;
         int outsiders = 0;
         for (Node n : order(job.group)) {
@@ -460,7 +467,7 @@
                 boolean trial =
                         n != job.avoid
                                 && (due && n.running.isEmpty() || n.owed && room(now, job, n));
-                if (trial && job.spec.effect() == Effect.REPEATABLE) {
+                if (trial && job.spec.idempotency() == Idempotency.IDEMPOTENT) {
                     return List.of(n);
                 }
                 anySound |= sound;
@@ -496,29 +503,31 @@
         boolean placed =
                 (spec.zones().isEmpty() || spec.zones().contains(n.entry.zone()))
                         && (spec.kinds().isEmpty() || spec.kinds().contains(n.entry.kind()));
-        boolean here = job.query.pinned() == 0 || job.query.pinned() == n.id;
+        boolean here = job.query.stickyEngine() == 0 || job.query.stickyEngine() == n.id;
         return here
                 && ready(n)
                 && placed
                 && repeatable(now, job, n.entry)
                 && warmEnough(now, job, n)
-                && actions.mayUse(job.query.id(), n.id);
+                && actions.hasTenantCapacity(job.query.id(), n.id);
     }
 
-    private static boolean repeatable(long now, Job job, Engine e) {
-        if (!job.mayHaveRun || job.spec.effect() == Effect.REPEATABLE) {
+    private static boolean repeatable(long now, Job job, EngineEndpoint e) {
+        if (!job.mayHaveRun || job.spec.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
         }
-        if (job.spec.effect() == Effect.ONCE || now >= job.riskUntil) {
+        if (job.spec.idempotency() == Idempotency.NON_IDEMPOTENT || now >= job.riskUntil) {
             return false;
         }
-        return job.spec.scope() == Scope.ALL
-                || job.spec.scope() == Scope.ZONE && e.zone() == job.riskAt.zone()
-                || job.spec.scope() == Scope.CELL && e.cell() == job.riskAt.cell();
+        return job.spec.idempotencyScope() == IdempotencyScope.ALL
+                || job.spec.idempotencyScope() == IdempotencyScope.ZONE
+                        && e.zone() == job.riskAt.zone()
+                || job.spec.idempotencyScope() == IdempotencyScope.CELL
+                        && e.cell() == job.riskAt.cell();
     }
 
     private boolean cold(Node n, long now) {
-        return now < n.coldFrom + settings.rules().warmUpUs();
+        return now < n.coldFrom + settings.protectionRules().warmUpUs();
     }
 
     /**
@@ -528,8 +537,8 @@
      * ones have longer turns.
      */
     private boolean warmEnough(long now, Job job, Node n) {
-        Rules r = settings.rules();
-        double window = r.coldWindowUs();
+        ProtectionRules r = settings.protectionRules();
+        double window = r.slowStartWindowUs();
         n.coldSent.removeIf(each -> each[0] <= now - window);
         if (!cold(n, now)) {
             return true;
@@ -537,7 +546,13 @@
         Learned known = job.learned;
         int all = Math.max(settings.gateways(), settings.index() + 1) * processes;
         double most =
-                COLD_PART * r.coldMultiple() * r.coldShare() * n.cores * CORE_YIELD * window / all;
+                COLD_PART
+                        * r.slowStartMultiple()
+                        * r.slowStartShare()
+                        * n.cores
+                        * CORE_YIELD
+                        * window
+                        / all;
         boolean apart = most < known.weight;
         Predicate<Learned> along = other -> apart ? other == known : other.weight <= most;
         double sent =
@@ -597,12 +612,12 @@
 
     /** Whether a further attempt stays within the ration of further attempts. */
     private boolean ration(long now) {
-        Rules r = settings.rules();
-        forget(takenAt, now - r.rationWindowUs() + 1);
-        forget(extraAt, now - r.rationWindowUs());
-        return r.rationWindowUs() <= 0
+        ProtectionRules r = settings.protectionRules();
+        forget(takenAt, now - r.retryBudgetWindowUs() + 1);
+        forget(extraAt, now - r.retryBudgetWindowUs());
+        return r.retryBudgetWindowUs() <= 0
                 || extraAt.size() + 1
-                        <= r.rationFree() / processes + r.rationShare() * takenAt.size();
+                        <= r.retryBudgetFree() / processes + r.retryBudgetRatio() * takenAt.size();
     }
 
     private static void forget(ArrayDeque<Long> times, long until) {
@@ -658,7 +673,7 @@
     private Comparator<Node> leastLoaded(long now) {
         double unseen = usual / Math.max(1e-9, mean());
         double step = Math.max(1e-6, LOAD_STEP * unseen * unseen);
-        double easy = settings.fees().handshake() > 0 ? EASY : 0;
+        double easy = settings.costs().handshake() > 0 ? EASY : 0;
         return Comparator.comparingLong((Node n) -> (long) (Math.max(easy, load(n, now)) / step))
                 .thenComparingDouble(n -> n.price)
                 .thenComparingLong(n -> (long) (load(n, now) / step));
@@ -722,7 +737,8 @@
      * that.
      */
     private boolean look(long now, Job job, List<Node> from) {
-        boolean told = settings.limits().probes() && settings.reporting() != Reporting.NONE;
+        boolean told =
+                settings.attemptLimits().probes() && settings.loadReporting() != LoadReporting.NONE;
         if (!told
                 || job.dither
                         > LOOK_SHARE + mean() / ROOM) { // A quiet fleet is looked at now and then.
@@ -743,7 +759,7 @@
                                                     * settings.gateways()
                                                     * processes
                                                     / (PROBES * n.cores));
-                    actions.probe(n.id);
+                    actions.probeLoad(n.id);
                 }
                 if (stale && n.probing) {
                     job.looking++;
@@ -775,7 +791,7 @@
         }
         terms(now, job);
         job.attempts++;
-        actions.send(job.query.id(), n.id, 0);
+        actions.startAttempt(job.query.id(), n.id, 0);
     }
 
     private void count(Job job, Node n, int sign) {
@@ -794,10 +810,13 @@
      */
     private void terms(long now, Job job) {
         Bias memory = job.learned.memory;
-        double grant = memory.seen > 0 ? job.query.memoryMb() * memory.upper(GRANT_SIGMAS) : 0;
+        double grant =
+                memory.seen > 0 ? job.query.estimatedMemoryMb() * memory.upper(GRANT_SIGMAS) : 0;
         int priority = job.value * meanCost > VALUABLE * meanWorth ? 3 : 1;
-        if (settings.engines().grants() || settings.engines().priorities()) {
-            actions.terms(job.query.id(), grant, job.overShare || now > job.due ? 0 : priority);
+        if (settings.engineCapabilities().memoryGrants()
+                || settings.engineCapabilities().priorities()) {
+            actions.assignResources(
+                    job.query.id(), grant, job.overShare || now > job.due ? 0 : priority);
         }
     }
 
@@ -808,7 +827,7 @@
     // ---- News of running attempts
     // -------------------------------------------------------------------
     @Override
-    public void started(long now, long query, int attempt) {
+    public void streamStarted(long now, long query, int attempt) {
         Job job = jobs.get(query);
         if (job != null && job.at != null) {
             job.streaming = true;
@@ -816,19 +835,21 @@
     }
 
     @Override
-    public void progress(long now, Progress p) {
+    public void progress(long now, QueryProgress p) {
         Job job = jobs.get(p.query());
         if (job == null || job.at == null || p.attempt() != job.attempts - 1) {
             return;
         }
         job.newsAt = now;
-        if (p.notice()
-                == Notice.WAITS_FOR_MEMORY) { // The engine is full, whatever its cores report.
+        if (p.kind()
+                == ProgressKind
+                        .WAITING_FOR_MEMORY) { // The engine is full, whatever its cores report.
             view(now, job.at, room * job.at.cores, REPORT_WEIGHT);
         }
-        boolean shows = settings.reporting() != Reporting.NONE; // Whether cancels free engines.
+        boolean shows =
+                settings.loadReporting() != LoadReporting.NONE; // Whether cancels free engines.
         if (shows
-                && p.notice() == Notice.SHARE_DONE
+                && p.kind() == ProgressKind.FRACTION_DONE
                 && !job.done
                 && !job.cancelled
                 && !job.streaming) {
@@ -839,22 +860,22 @@
     /** A bad plan, or an engine gone slow, shows as a run far longer than a fresh one would be. */
     private void judge(long now, Job job, double share) {
         double left = (now - job.sentAt) * (1 - share) / share;
-        double gain = settings.fees().handshake() > 0 ? 2 * MOVE_GAIN : MOVE_GAIN; // May need one.
+        double gain = settings.costs().handshake() > 0 ? 2 * MOVE_GAIN : MOVE_GAIN; // May need one.
         double doubt = gain * Math.exp(Math.sqrt(job.learned.cost.spread));
         if (left > doubt * Math.max(freshRun(job), job.learned.run)
                 && !job.moved
                 && mayMove(now, job)) {
             job.moved = true; // As slow on another engine, it is the query that is long.
             stop(job);
-        } else if (now + left * HOPELESS > job.deadline && settings.limits().cancel()) {
+        } else if (now + left * HOPELESS > job.deadline && settings.attemptLimits().cancel()) {
             finish(now, job, false);
         }
     }
 
     private boolean mayMove(long now, Job job) {
-        return settings.limits().cancel()
-                && job.spec.effect() == Effect.REPEATABLE
-                && job.attempts < settings.limits().maxAttempts()
+        return settings.attemptLimits().cancel()
+                && job.spec.idempotency() == Idempotency.IDEMPOTENT
+                && job.attempts < settings.attemptLimits().maxAttempts()
                 && ration(now)
                 && now + freshRun(job) < job.deadline;
     }
@@ -862,10 +883,10 @@
     // ---- Results
     // ------------------------------------------------------------------------------------
     @Override
-    public void ended(long now, AttemptEnd end) {
+    public void attemptEnded(long now, AttemptResult end) {
         Node told = nodes.get(end.engine());
-        if (told != null && end.report() != null) {
-            report(now, told, end.report());
+        if (told != null && end.loadReport() != null) {
+            report(now, told, end.loadReport());
         }
         Job job = jobs.get(end.query());
         if (job == null || job.at == null || end.attempt() != job.attempts - 1) {
@@ -877,7 +898,7 @@
         count(job, at, -1);
         settleKey(now, job, end.outcome());
         note(now, job, at, end);
-        if (end.over() || end.outcome() == Outcome.OK || job.done) {
+        if (end.requestAnswered() || end.outcome() == AttemptOutcome.OK || job.done) {
             close(job);
         } else {
             again(now, job, at, end.outcome());
@@ -885,15 +906,17 @@
         pump(now);
     }
 
-    private void settleKey(long now, Job job, Outcome outcome) {
+    private void settleKey(long now, Job job, AttemptOutcome outcome) {
         if (job.key == null) {
             return;
         }
-        if (outcome == Outcome.TIMEOUT
-                || outcome == Outcome.RESET
-                || outcome == Outcome.SPOILT
-                || outcome == Outcome.CANCELLED) {
-            job.key.restUntil = Math.max(job.key.restUntil, now + settings.rules().keyRestUs());
+        if (outcome == AttemptOutcome.TIMEOUT
+                || outcome == AttemptOutcome.RESET
+                || outcome == AttemptOutcome.CONNECTION_BROKEN
+                || outcome == AttemptOutcome.CANCELLED) {
+            job.key.restUntil =
+                    Math.max(
+                            job.key.restUntil, now + settings.protectionRules().keyQuietPeriodUs());
         }
         job.key.unsettled -= job.done ? 1 : 0;
     }
@@ -902,69 +925,75 @@
      * What the outcome tells of the engine and of the class. An error may be the query's own: an
      * engine is struck for it once another one has served the same query.
      */
-    private void note(long now, Job job, Node at, AttemptEnd end) {
-        Outcome outcome = end.outcome();
-        if (outcome == Outcome.CONNECT_FAILED || outcome == Outcome.RESET) {
+    private void note(long now, Job job, Node at, AttemptResult end) {
+        AttemptOutcome outcome = end.outcome();
+        if (outcome == AttemptOutcome.CONNECT_FAILED || outcome == AttemptOutcome.RESET) {
             at.coldFrom = now; // It may come back before the roster tells of it.
             bench(now, at, outcome);
-        } else if (outcome == Outcome.SPOILT || outcome == Outcome.TIMEOUT && at.benched) {
-            strike(now, at, outcome, outcome == Outcome.SPOILT ? BROKEN_STRIKE : 1);
-        } else if (outcome == Outcome.ERROR) {
+        } else if (outcome == AttemptOutcome.CONNECTION_BROKEN
+                || outcome == AttemptOutcome.TIMEOUT && at.benched) {
+            strike(
+                    now,
+                    at,
+                    outcome,
+                    outcome == AttemptOutcome.CONNECTION_BROKEN ? BROKEN_STRIKE : 1);
+        } else if (outcome == AttemptOutcome.ERROR) {
             job.unusable =
                     job.erredAt != null
                             && job.erredAt != at
                             && job.erredAt.strikes + at.strikes == 0;
             job.erredAt = at;
-        } else if (outcome == Outcome.FULL) {
+        } else if (outcome == AttemptOutcome.OVERLOADED) {
             view(now, at, 2 * room * at.cores, 1);
-        } else if (outcome == Outcome.OK) {
+        } else if (outcome == AttemptOutcome.OK) {
             learn(job, at, end);
             if (job.sentAt >= at.benchedUntil) {
                 forgive(at);
             }
             if (job.erredAt != null && job.erredAt != at) {
-                strike(now, job.erredAt, Outcome.ERROR, 1);
+                strike(now, job.erredAt, AttemptOutcome.ERROR, 1);
             }
         }
     }
 
-    private void learn(Job job, Node at, AttemptEnd end) {
+    private void learn(Job job, Node at, AttemptResult end) {
         Learned known = job.learned;
         known.run += (end.elapsedUs() - known.run) * Math.max(LEARN, 1.0 / ++known.runs);
         double work = end.workMs() * 1000;
         if (work > 0) {
             double time = end.elapsedUs() * job.spec.threads();
             slowdown += (Math.min(SLOWEST, time / work) - slowdown) * LEARN;
-            known.cost.learn(work, job.query.costUs());
-            if (job.query.costUs() <= 0) {
+            known.cost.learn(work, job.query.estimatedWorkUs());
+            if (job.query.estimatedWorkUs() <= 0) {
                 known.usual += (work - known.usual) * Math.max(LEARN, 1.0 / ++known.seen);
             }
         }
-        if (work <= 0 && job.query.costUs() <= 0 && known.runs >= KNOWN_RUNS) {
+        if (work <= 0 && job.query.estimatedWorkUs() <= 0 && known.runs >= KNOWN_RUNS) {
             // Nothing tells what it took: at most what its threads need where little else runs.
             known.least =
                     Math.min(known.run, known.least > 0 ? known.least * LEAST_RISES : known.run);
             known.usual = known.least * job.spec.threads();
         }
-        known.memory.learn(end.memoryMb(), job.query.memoryMb());
+        known.memory.learn(end.memoryMb(), job.query.estimatedMemoryMb());
     }
 
     /**
      * The attempt failed: another one where class, number and time allow, else the final answer.
      */
-    private void again(long now, Job job, Node at, Outcome outcome) {
+    private void again(long now, Job job, Node at, AttemptOutcome outcome) {
         if (outcome.mayHaveRun && !job.mayHaveRun) {
-            job.riskUntil = job.sentAt + job.spec.windowUs();
+            job.riskUntil = job.sentAt + job.spec.retryWindowUs();
             job.riskAt = at.entry;
             job.mayHaveRun = true;
         }
         job.avoid = at;
-        boolean most = job.attempts >= settings.limits().maxAttempts();
-        boolean spent = most || outcome == Outcome.MOOT || job.unusable;
+        boolean most = job.attempts >= settings.attemptLimits().maxAttempts();
+        boolean spent = most || outcome == AttemptOutcome.NOT_STARTED || job.unusable;
         boolean allowed =
                 !job.mayHaveRun
-                        || job.spec.effect() == Effect.REPEATABLE
-                        || job.spec.effect() == Effect.BY_KEY && now < job.riskUntil;
+                        || job.spec.idempotency() == Idempotency.IDEMPOTENT
+                        || job.spec.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                                && now < job.riskUntil;
         if (spent || !allowed || now >= job.deadline) {
             finish(now, job, now < job.due && !job.unusable);
         } else if (!place(now, job)) {
@@ -977,13 +1006,13 @@
     /** The final answer that is ours to give; a refusal only where it promises nothing false. */
     private void finish(long now, Job job, boolean refuse) {
         boolean harmless =
-                job.spec.effect() == Effect.REPEATABLE
+                job.spec.idempotency() == Idempotency.IDEMPOTENT
                         || job.at == null && !job.mayHaveRun
-                        || job.spec.effect() == Effect.BY_KEY
-                                && job.spec.scope() == Scope.ALL
+                        || job.spec.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                                && job.spec.idempotencyScope() == IdempotencyScope.ALL
                                 && job.at == null;
         if (refuse && harmless) {
-            actions.refuse(job.query.id(), STAY_AWAY);
+            actions.reject(job.query.id(), STAY_AWAY);
         } else {
             actions.fail(job.query.id());
         }
@@ -992,9 +1021,12 @@
 
     /** Calls the attempt off, if one is out; its end still comes. */
     private void stop(Job job) {
-        if (job.at != null && !job.cancelled && !job.streaming && settings.limits().cancel()) {
+        if (job.at != null
+                && !job.cancelled
+                && !job.streaming
+                && settings.attemptLimits().cancel()) {
             job.cancelled = true;
-            actions.cancel(job.query.id(), job.attempts - 1);
+            actions.cancelAttempt(job.query.id(), job.attempts - 1);
         }
     }
 
@@ -1014,7 +1046,7 @@
     }
 
     @Override
-    public void abandoned(long now, long query) {
+    public void queryAbandoned(long now, long query) {
         Job job = jobs.get(query);
         if (job != null && !job.done) {
             close(job);
@@ -1023,7 +1055,7 @@
     }
 
     @Override
-    public void timer(long now, long token) {
+    public void timerFired(long now, long token) {
         if (token == TICK_TOKEN) {
             tick(now);
             return;
@@ -1054,10 +1086,10 @@
             if (now + Math.max(freshRun(job), job.learned.run) > job.due && !job.late) {
                 held.remove(job);
                 job.late = true;
-                job.value *= job.spec.lateWorth();
+                job.value *= job.spec.lateWeightFactor();
                 held.add(job);
             }
-            boolean over = now + TICK >= (job.spec.lateWorth() > 0 ? job.deadline : job.due);
+            boolean over = now + TICK >= (job.spec.lateWeightFactor() > 0 ? job.deadline : job.due);
             if (over || now + job.cost / job.spec.threads() > job.deadline) {
                 finish(now, job, true);
             }
@@ -1075,8 +1107,9 @@
 
     /** Takes an engine out; for a mere suspicion only while few are out: beyond that it is load. */
     private void bench(long now, Node n, Object why) {
-        boolean hint = why == Outcome.CANCELLED; // How others fare moves the next trial alone.
-        boolean sure = hint || why == Outcome.CONNECT_FAILED || why == Outcome.RESET;
+        boolean hint =
+                why == AttemptOutcome.CANCELLED; // How others fare moves the next trial alone.
+        boolean sure = hint || why == AttemptOutcome.CONNECT_FAILED || why == AttemptOutcome.RESET;
         boolean known = hint ? !n.benched : n.benched && now < n.benchedUntil;
         if (known || !sure && benched >= SUSPECTS * nodes.size()) {
             return;
@@ -1101,7 +1134,7 @@
      * late note costs the work.
      */
     private void checkSilence(long now, Job job) {
-        long notes = settings.engines().noteUs();
+        long notes = settings.engineCapabilities().progressPeriodUs();
         double patience = notes > 0 ? SILENCE_NOTES * notes : SILENCE_RUNS * freshRun(job);
         boolean overdue = job.at != null && now - Math.max(job.newsAt, awakeAt) > patience;
         if (overdue && !job.cancelled && !job.done && !job.streaming) {
@@ -1114,12 +1147,12 @@
     }
 
     @Override
-    public double[] learned() {
+    public double[] learnedRunTimes() {
         return Arrays.stream(learned).mapToDouble(known -> known.least).toArray();
     }
 
     @Override
-    public void learned(double[] before) {
+    public void learnedRunTimes(double[] before) {
         for (int i = 0; i < Math.min(before.length, learned.length); i++) {
             if (before[i] > 0 && learned[i].runs < KNOWN_RUNS) {
                 learned[i].runs = KNOWN_RUNS;
@@ -1130,7 +1163,7 @@
     }
 
     @Override
-    public void sharedBy(long now, int sharers, int number) {
+    public void processesChanged(long now, int sharers, int number) {
         processes = sharers;
         place = number;
     }
@@ -1140,7 +1173,7 @@
      * comes.
      */
     @Override
-    public void restored(long now, long engine) {
+    public void engineReinstated(long now, long engine) {
         Node n = nodes.get(engine);
         if (n != null) {
             forgive(n);
@@ -1150,7 +1183,7 @@
     }
 
     @Override
-    public boolean avoids(long engine) {
+    public boolean isEjected(long engine) {
         Node n = nodes.get(engine);
         return n != null && n.benched;
     }
@@ -1158,14 +1191,14 @@
     // ---- Reports
     // ------------------------------------------------------------------------------------
     @Override
-    public void probed(long now, long engine, Outcome outcome, Report report) {
+    public void probeCompleted(long now, long engine, AttemptOutcome outcome, LoadReport report) {
         Node n = nodes.get(engine);
         if (n != null) {
             n.probing = false;
-            if (report != null && outcome == Outcome.OK) {
+            if (report != null && outcome == AttemptOutcome.OK) {
                 report(now, n, report);
             }
-            if (outcome == Outcome.CONNECT_FAILED || outcome == Outcome.CANCELLED) {
+            if (outcome == AttemptOutcome.CONNECT_FAILED || outcome == AttemptOutcome.CANCELLED) {
                 bench(now, n, outcome);
             }
             n.askAt =
@@ -1182,15 +1215,16 @@
      * Others' threads: those of the queries that are not ours, or less where the cores are not all
      * busy.
      */
-    private void report(long now, Node n, Report report) {
+    private void report(long now, Node n, LoadReport report) {
         room = Double.isNaN(report.utilization()) ? BLIND_ROOM : ROOM;
         double each = Math.max(1, smoothThreads / Math.max(1e-9, smoothQueries));
         double counted = (report.running() - n.running.size()) * each;
         double busy =
-                report.fullest() / BUSY_FULL * room * n.cores
+                report.highestUtilization() / BUSY_FULL * room * n.cores
                         - n.ownThreads; // Cores idle in a jam.
         boolean idle =
-                Math.max(report.utilization(), report.fullest()) < BUSY_FULL; // What is over waits.
+                Math.max(report.utilization(), report.highestUtilization())
+                        < BUSY_FULL; // What is over waits.
         double others =
                 Math.max(
                         0, Double.isNaN(counted) ? busy : idle ? Math.min(counted, busy) : counted);
@@ -1209,7 +1243,7 @@
     // ---- The tick
     // -----------------------------------------------------------------------------------
     private void tick(long now) {
-        actions.timer(TICK, TICK_TOKEN);
+        actions.scheduleTimer(TICK, TICK_TOKEN);
         double slowly = 1 - Math.exp((lastTick - now) / LONG);
         awakeAt = now - lastTick > STANDSTILL ? now : awakeAt; // News is overdue by our own fault.
         lastTick = now;
@@ -1219,9 +1253,9 @@
         double guess = (settings.gateways() - 1) * smoothThreads / Math.max(1, fleetCores);
         usual = reports > 0 ? usual * (1 - slowly) : guess;
         ration(now);
-        if (settings.rosterOnRequest() && now >= askRosterAt) {
+        if (settings.watchEndpointsOnRequest() && now >= askRosterAt) {
             askRosterAt = Long.MAX_VALUE;
-            actions.subscribeRoster();
+            actions.watchEndpoints();
         }
         expire(now);
         pump(now);
--- /dev/null
+++ b/src/main/java/calicostream/routing/EngineLifecycle.java
@@ -0,0 +1,9 @@
+// SPDX-License-Identifier: Apache-2.0
+package calicostream.routing;
+
+/** State of an engine's process as the roster knows it. */
+public enum EngineLifecycle {
+    REMOVED,
+    READY,
+    DRAINING
+}
--- a/src/main/java/calicostream/SettingsParser.java
+++ b/src/main/java/calicostream/routing/SettingsParser.java
@@ -1,17 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-package calicostream;
+package calicostream.routing;
 
-import calicostream.QueryRouter.Effect;
-import calicostream.QueryRouter.EngineTraits;
-import calicostream.QueryRouter.Fees;
-import calicostream.QueryRouter.Kind;
-import calicostream.QueryRouter.Limits;
-import calicostream.QueryRouter.QueryClass;
-import calicostream.QueryRouter.Reporting;
-import calicostream.QueryRouter.Rules;
-import calicostream.QueryRouter.Scope;
-import calicostream.QueryRouter.Settings;
-import calicostream.QueryRouter.Tenant;
+import calicostream.config.SettingsException;
 import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
@@ -23,7 +13,7 @@
 
 /**
  * Reads the start-up settings, {@code path=value} a line on the simulator's wire and nested JSON in
- * a front end's configuration, into the one {@link Settings} type; keys it does not know are
+ * a front end's configuration, into the one {@link RouterSettings} type; keys it does not know are
  * skipped.
  */
 public final class SettingsParser {
@@ -96,14 +86,14 @@
         return flag("family_info.tells_cost", false);
     }
 
-    public Settings settings() {
-        Limits limits =
-                new Limits(
+    public RouterSettings settings() {
+        AttemptLimits limits =
+                new AttemptLimits(
                         flag("ceilings.may_probe", false),
                         flag("ceilings.cancel", false),
                         (int) whole("ceilings.max_attempts", 1));
-        Rules rules =
-                new Rules(
+        ProtectionRules rules =
+                new ProtectionRules(
                         number("rules.cold_share", 1),
                         number("rules.overload_factor", 1),
                         whole("rules.fall_us", 0),
@@ -112,17 +102,17 @@
                         number("rules.budget_free", 0),
                         number("rules.extra_ratio", 0),
                         whole("rules.counted_over_us", 0));
-        EngineTraits traits =
-                new EngineTraits(
+        EngineCapabilities traits =
+                new EngineCapabilities(
                         flag("family_info.takes_grants", false),
                         flag("family_info.priorities", false),
                         number("family_info.most_grant", 1),
                         whole("family_info.note_period_us", 0));
-        return new Settings(
+        return new RouterSettings(
                 (int) Math.max(1, whole("balancers", 1)),
                 (int) whole("self_index", 0),
                 (int) whole("az", 0),
-                new Fees(number("fees.cross_zone", 0), number("fees.handshake", 0)),
+                new RoutingCosts(number("fees.cross_zone", 0), number("fees.handshake", 0)),
                 kinds(),
                 classes(),
                 tenants(),
@@ -135,27 +125,27 @@
                 whole("tick_us", 1000));
     }
 
-    private Reporting reporting() {
+    private LoadReporting reporting() {
         switch (word("stats.how", "off")) {
             case "inline":
-                return Reporting.WITH_ANSWERS;
+                return LoadReporting.WITH_ANSWERS;
             case "on_probe":
-                return Reporting.ON_PROBE;
+                return LoadReporting.ON_PROBE;
             case "off":
-                return Reporting.NONE;
+                return LoadReporting.NONE;
             default:
                 throw bad("stats.how");
         }
     }
 
-    private List<Kind> kinds() {
+    private List<EngineKind> kinds() {
         List<String> cores = list("family_info.kind_cores");
         List<String> memory = list("family_info.kind_memory_mb");
-        List<Kind> out = new ArrayList<>();
+        List<EngineKind> out = new ArrayList<>();
         for (int i = 0; i < cores.size(); i++) {
             double megabytes =
                     i < memory.size() ? parse("family_info.kind_memory_mb", memory.get(i)) : 0;
-            out.add(new Kind(parse("family_info.kind_cores", cores.get(i)), megabytes));
+            out.add(new EngineKind(parse("family_info.kind_cores", cores.get(i)), megabytes));
         }
         return out;
     }
@@ -192,35 +182,35 @@
         return out;
     }
 
-    private List<Tenant> tenants() {
-        List<Tenant> out = new ArrayList<>();
+    private List<TenantLimit> tenants() {
+        List<TenantLimit> out = new ArrayList<>();
         for (int i = 0; i < count("realms.count"); i++) {
-            out.add(new Tenant(number("realms." + i + ".quota_per_s", 0)));
+            out.add(new TenantLimit(number("realms." + i + ".quota_per_s", 0)));
         }
         return out;
     }
 
-    private Effect effect(String key) {
+    private Idempotency effect(String key) {
         switch (word(key, "once")) {
             case "repeatable":
-                return Effect.REPEATABLE;
+                return Idempotency.IDEMPOTENT;
             case "by_key":
-                return Effect.BY_KEY;
+                return Idempotency.IDEMPOTENT_WITH_KEY;
             case "once":
-                return Effect.ONCE;
+                return Idempotency.NON_IDEMPOTENT;
             default:
                 throw bad(key);
         }
     }
 
-    private Scope scope(String key) {
+    private IdempotencyScope scope(String key) {
         switch (word(key, "cell")) {
             case "all":
-                return Scope.ALL;
+                return IdempotencyScope.ALL;
             case "zone":
-                return Scope.ZONE;
+                return IdempotencyScope.ZONE;
             case "cell":
-                return Scope.CELL;
+                return IdempotencyScope.CELL;
             default:
                 throw bad(key);
         }
@@ -244,8 +234,8 @@
     }
 
     /** What the sockets are held to; no part of the decisions. */
-    public Wiring wiring() {
-        return new Wiring(
+    public ConnectionSettings connectionSettings() {
+        return new ConnectionSettings(
                 whole("ceilings.dial_timeout_us", 250_000),
                 whole("ceilings.conn_idle_us", 30_000_000),
                 (int) whole("ceilings.streams_per_conn", 32),
@@ -258,13 +248,13 @@
      * Limits of the connections to engines and of what clients heed, and whether opening one is
      * paid for.
      */
-    public record Wiring(
+    public record ConnectionSettings(
             long dialTimeoutUs,
             long idleUs,
-            int streams,
-            long longestRetryUs,
-            long noteUs,
-            boolean dear) {}
+            int maxStreamsPerConnection,
+            long maxRetryAfterUs,
+            long progressPeriodUs,
+            boolean connectionsAreCostly) {}
 
     private String word(String key, String without) {
         return values.getOrDefault(key, without);
--- a/src/main/java/calicostream/syslog/Record.java
+++ b/src/main/java/calicostream/syslog/SyslogRecord.java
@@ -6,13 +6,13 @@
 import java.time.temporal.ChronoUnit;
 
 /** One message of RFC 5424 with one element of structured data. */
-final class Record {
+final class SyslogRecord {
     static final int WARNING = 4;
     static final int NOTICE = 5;
     static final int INFO = 6;
     private final StringBuilder text = new StringBuilder(256);
 
-    Record(
+    SyslogRecord(
             int facility,
             int severity,
             Instant at,
@@ -38,7 +38,7 @@
      * A parameter; quotes, backslashes and closing brackets in its value are escaped, as the RFC
      * demands.
      */
-    Record with(String name, Object value) {
+    SyslogRecord with(String name, Object value) {
         text.append(' ').append(name).append("=\"");
         String raw = value.toString();
         for (int i = 0; i < raw.length(); i++) {
--- a/src/main/java/calicostream/syslog/Syslog.java
+++ b/src/main/java/calicostream/syslog/SyslogSender.java
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.syslog;
 
-import calicostream.QueryRouter.Engine;
-import calicostream.core.Watcher;
+import calicostream.core.RequestListener;
 import calicostream.net.Connection;
 import calicostream.net.Loop;
+import calicostream.routing.EngineEndpoint;
+import calicostream.routing.EngineLifecycle;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.DatagramChannel;
 import java.nio.charset.StandardCharsets;
 import java.time.Instant;
 import java.util.List;
-import java.util.Locale;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -20,8 +20,8 @@
  * 5426) or TCP with octet counting (RFC 6587). Records never hold a request up: what the collector
  * does not take is dropped and counted.
  */
-public final class Syslog implements Watcher {
-    private static final Logger LOG = LoggerFactory.getLogger(Syslog.class);
+public final class SyslogSender implements RequestListener {
+    private static final Logger LOG = LoggerFactory.getLogger(SyslogSender.class);
     private static final int BOUND = 256 * 1024;
     private static final long PAUSE = 1_000_000;
     private final Loop loop;
@@ -33,7 +33,7 @@
     private Connection stream;
     private long dropped;
 
-    public Syslog(Loop loop, SyslogConfig config, String host, List<String> classNames)
+    public SyslogSender(Loop loop, SyslogConfig config, String host, List<String> classNames)
             throws IOException {
         this.loop = loop;
         this.config = config;
@@ -48,26 +48,29 @@
     }
 
     @Override
-    public void answered(String id, int queryClass, Ending ending, int attempts, long elapsedUs) {
+    public void requestEnded(
+            String id, int queryClass, RequestOutcome ending, int attempts, long elapsedUs) {
         int severity =
-                ending == Ending.FAILED
-                        ? Record.WARNING
-                        : ending == Ending.REFUSED ? Record.NOTICE : Record.INFO;
+                ending == RequestOutcome.FAILED
+                        ? SyslogRecord.WARNING
+                        : ending == RequestOutcome.REJECTED
+                                ? SyslogRecord.NOTICE
+                                : SyslogRecord.INFO;
         send(
                 record(severity, "ANSWER", "answer")
                         .with("id", id)
                         .with("class", classNames.get(queryClass))
-                        .with("ending", ending.name().toLowerCase(Locale.ROOT))
+                        .with("ending", outcomeWord(ending))
                         .with("attempts", attempts)
                         .with("us", elapsedUs));
     }
 
     @Override
-    public void engine(Engine engine) {
+    public void engineChanged(EngineEndpoint engine) {
         send(
-                record(Record.NOTICE, "ENGINE", "engine")
+                record(SyslogRecord.NOTICE, "ENGINE", "engine")
                         .with("id", Long.toHexString(engine.id()))
-                        .with("state", engine.state().name().toLowerCase(Locale.ROOT))
+                        .with("state", lifecycleWord(engine.lifecycle()))
                         .with("zone", engine.zone())
                         .with("kind", engine.kind()));
     }
@@ -77,8 +80,8 @@
         return dropped;
     }
 
-    private Record record(int severity, String messageId, String element) {
-        return new Record(
+    private SyslogRecord record(int severity, String messageId, String element) {
+        return new SyslogRecord(
                 config.facility(),
                 severity,
                 Instant.now(),
@@ -88,7 +91,7 @@
                 element + "@" + config.enterprise());
     }
 
-    private void send(Record record) {
+    private void send(SyslogRecord record) {
         byte[] bytes = record.bytes();
         boolean sent;
         if (config.tcp()) {
@@ -128,7 +131,7 @@
                                     loop.deadlines()
                                             .add(
                                                     loop.clock().now() + PAUSE,
-                                                    Syslog.this::connect,
+                                                    SyslogSender.this::connect,
                                                     0);
                                 }
                             },
@@ -138,4 +141,23 @@
             loop.deadlines().add(loop.clock().now() + PAUSE, this::connect, 0);
         }
     }
+
+    /** The value of the parameter {@code ending}, which collectors rely on. */
+    private static String outcomeWord(RequestOutcome outcome) {
+        return switch (outcome) {
+            case SERVED -> "served";
+            case REJECTED -> "refused";
+            case FAILED -> "failed";
+            case ABANDONED -> "abandoned";
+        };
+    }
+
+    /** The value of the parameter {@code state}, which collectors rely on. */
+    private static String lifecycleWord(EngineLifecycle lifecycle) {
+        return switch (lifecycle) {
+            case REMOVED -> "gone";
+            case READY -> "ready";
+            case DRAINING -> "draining";
+        };
+    }
 }
--- a/src/measure/java/calicostream/budget/BudgetRuns.java
+++ b/src/measure/java/calicostream/budget/BudgetRuns.java
@@ -240,7 +240,8 @@
         return sim.engines.stream().mapToLong(engine -> engine.area).toArray();
     }
 
-    private static Divider.Problem problem(BudgetSettings settings, int[] caps, int[] clients) {
+    private static MaxMinFairAllocator.Problem problem(
+            BudgetSettings settings, int[] caps, int[] clients) {
         int tenants = clients.length;
         int tiers = settings.pools().size();
         int[][] wanted = new int[tenants][caps.length];
@@ -259,7 +260,7 @@
                 ceilings[t][k] = share.ceiling();
             }
         }
-        return new Divider.Problem(
+        return new MaxMinFairAllocator.Problem(
                 caps,
                 tierOf,
                 settings.pools().stream().mapToInt(BudgetSettings.Pool::cap).toArray(),
--- a/src/measure/java/calicostream/budget/BudgetSim.java
+++ b/src/measure/java/calicostream/budget/BudgetSim.java
@@ -2,7 +2,7 @@
 package calicostream.budget;
 
 import calicostream.cluster.Command;
-import calicostream.cluster.Effects;
+import calicostream.cluster.CommandEffects;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
@@ -74,12 +74,12 @@
     long index;
     long nextSession = 1;
     private long era;
-    private GrantTimes leader;
+    private GrantExpiryMonitor leader;
     private double leaderRate;
     private boolean quorum = true;
     private long token;
     private int arbiterAt;
-    private Arbiter arbiter;
+    private GrantCoordinator arbiter;
     long commands;
     long steps;
     String violation;
@@ -130,7 +130,7 @@
     }
 
     private void check(SimEngine engine) {
-        Books.EngineBook book = machine.books().engines.get(engine.name);
+        GrantLedger.EngineBook book = machine.books().engines.get(engine.name);
         if (book != null && book.incarnation == engine.incarnation) {
             engine.inForce = book.cap;
         }
@@ -177,7 +177,7 @@
      * A command on its way to the log, and its answer on the way back; either may be lost, late or
      * doubled.
      */
-    void submit(long session, byte[] body, Consumer<Effects> answer) {
+    void submit(long session, byte[] body, Consumer<CommandEffects> answer) {
         submit(session, body, answer, 0, 0);
     }
 
@@ -185,7 +185,11 @@
      * @param deafUntil until when the sender hears nothing, or only later, though it is heard
      */
     void submit(
-            long session, byte[] body, Consumer<Effects> answer, long dumbUntil, long deafUntil) {
+            long session,
+            byte[] body,
+            Consumer<CommandEffects> answer,
+            long dumbUntil,
+            long deafUntil) {
         if (now < dumbUntil) {
             return;
         }
@@ -199,7 +203,7 @@
                             // the layer below applies what is numbered once
                             if (quorum && !applied[0]) {
                                 applied[0] = true;
-                                Effects effects = apply(new Command(session, 1, 0, body));
+                                CommandEffects effects = apply(new Command(session, 1, 0, body));
                                 for (int j = random.nextDouble() < faults.doubled ? 2 : 1;
                                         j > 0;
                                         j--) {
@@ -220,15 +224,15 @@
         }
     }
 
-    private Effects apply(Command command) {
+    private CommandEffects apply(Command command) {
         commands++;
-        Effects effects = machine.apply(++index, command);
+        CommandEffects effects = machine.apply(++index, command);
         if (!effects.accepted()) {
             refusals.merge(effects.refusal(), 1, Integer::sum);
         }
         for (String name : machine.books().engines.keySet()) {
             int committed = machine.books().committed(name);
-            Books.EngineBook book = machine.books().engines.get(name);
+            GrantLedger.EngineBook book = machine.books().engines.get(name);
             if (out.isEmpty() && committed > book.cap) {
                 violation =
                         name
@@ -293,7 +297,7 @@
     }
 
     private void elect() {
-        leader = new GrantTimes(settings, machine);
+        leader = new GrantExpiryMonitor(settings, machine);
         leaderRate = 1 + (random.nextDouble() * 2 - 1) * settings.driftPpm() / 1e6;
         leader.eraBegan(++era, (long) (now * leaderRate));
     }
@@ -308,7 +312,7 @@
     private void moveArbiter() {
         token++;
         arbiterAt = random.nextInt(processes.size());
-        arbiter = new Arbiter(settings);
+        arbiter = new GrantCoordinator(settings);
     }
 
     private void divide() {
@@ -367,7 +371,7 @@
             GrantMachine view,
             SimProcess seat,
             String name,
-            Books.ProcessBook process,
+            GrantLedger.ProcessBook process,
             SimEngine engine) {
         boolean former = process.hasFormer && random.nextBoolean();
         long over = former ? process.formerExpiredAt : process.expiredAt;
@@ -414,7 +418,7 @@
         at(
                 now + 500 * MS,
                 () -> { // until the machine has it
-                    Books.EngineBook book = machine.books().engines.get(engine.name);
+                    GrantLedger.EngineBook book = machine.books().engines.get(engine.name);
                     if (engine.incarnation == incarnation
                             && engine.cap == cap
                             && (book == null
--- a/src/measure/java/calicostream/budget/MaxMinOracle.java
+++ b/src/measure/java/calicostream/budget/MaxMinOracle.java
@@ -5,24 +5,24 @@
 import java.util.function.IntToDoubleFunction;
 
 /**
- * The fair division as real numbers, by another way than {@link Divider}: what any set of tenants
- * can have together is the least cut round it, over all sets; the level is raised by bisection
- * until a set is full, whose tenants then stay. Slow: for up to some eight tenants.
+ * The fair division as real numbers, by another way than {@link MaxMinFairAllocator}: what any set
+ * of tenants can have together is the least cut round it, over all sets; the level is raised by
+ * bisection until a set is full, whose tenants then stay. Slow: for up to some eight tenants.
  */
 final class MaxMinOracle {
     /** What is given too much in one phase must be nothing to the next. */
     private static final double[] EXACT = {1e-9, 1e-7, 1e-5};
 
-    private final Divider.Problem problem;
+    private final MaxMinFairAllocator.Problem problem;
     private final int tenants;
 
-    private MaxMinOracle(Divider.Problem problem) {
+    private MaxMinOracle(MaxMinFairAllocator.Problem problem) {
         this.problem = problem;
         this.tenants = problem.tenants();
     }
 
     /** What each tenant has in all. */
-    static double[] totals(Divider.Problem problem) {
+    static double[] totals(MaxMinFairAllocator.Problem problem) {
         return new MaxMinOracle(problem).totals();
     }
 
--- a/src/measure/java/calicostream/budget/SimProcess.java
+++ b/src/measure/java/calicostream/budget/SimProcess.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.budget;
 
-import calicostream.cluster.Effects;
+import calicostream.cluster.CommandEffects;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -30,9 +30,9 @@
     private boolean up;
     private long stoppedUntil;
     private long session;
-    private Ledger ledger;
-    private Holdings holdings;
-    private Demand demand;
+    private SessionLedger ledger;
+    private GrantedSessions holdings;
+    private DemandEstimator demand;
     private TenantQueues queues;
     private int[][] idle;
     private long requests;
@@ -77,9 +77,9 @@
     void start() {
         up = true;
         session = sim.nextSession++;
-        holdings = new Holdings(sim.settings, name, sim.out);
-        ledger = new Ledger(holdings, TRAVEL, clock());
-        demand = new Demand(load.clients.length, 500 * BudgetSim.MS);
+        holdings = new GrantedSessions(sim.settings, name, sim.out);
+        ledger = new SessionLedger(holdings, TRAVEL, clock());
+        demand = new DemandEstimator(load.clients.length, 500 * BudgetSim.MS);
         queues = new TenantQueues(sim.settings, 1_000, sim.engines.size());
         idle = new int[sim.engines.size()][load.clients.length];
         waiting.clear();
@@ -163,7 +163,7 @@
                                 }));
     }
 
-    private void answered(long mine, Effects effects, boolean[] answered, long number) {
+    private void answered(long mine, CommandEffects effects, boolean[] answered, long number) {
         if (effects.accepted()) {
             holdings.granted(BudgetCommand.Grants.decode(effects.answer()), clock());
         } else if (effects.refusal().equals("budget-grant-over")) {
--- a/src/measure/java/calicostream/cluster/process/Count.java
+++ b/src/measure/java/calicostream/cluster/process/Count.java
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.cluster.process;
 
-import calicostream.cluster.Bytes;
+import calicostream.cluster.BinaryCodec;
 import calicostream.cluster.Command;
-import calicostream.cluster.Effects;
-import calicostream.cluster.Machine;
+import calicostream.cluster.CommandEffects;
 import calicostream.cluster.MemberSession;
+import calicostream.cluster.StateMachine;
 import java.util.function.LongSupplier;
 
 /** Adds one at each look while it may; what its session answered last is its figure. */
-final class Count implements Layer, Machine {
+final class Count implements ReplicatedService, StateMachine {
     volatile boolean adds;
     private MemberSession session;
     private long sum;
@@ -23,7 +23,7 @@
     }
 
     @Override
-    public Machine machine() {
+    public StateMachine machine() {
         return this;
     }
 
@@ -41,13 +41,13 @@
                     outcome ->
                             answered =
                                     outcome.accepted()
-                                            ? new Bytes.Reader("sum", outcome.answer()).i64()
+                                            ? new BinaryCodec.Reader("sum", outcome.answer()).i64()
                                             : answered);
         }
     }
 
     @Override
-    public void news(long index, Effects.Event event) {
+    public void news(long index, CommandEffects.Event event) {
         heard++;
     }
 
@@ -69,18 +69,18 @@
     }
 
     @Override
-    public Effects apply(long index, Command command) {
+    public CommandEffects apply(long index, Command command) {
         sum++;
-        return Effects.answer(snapshot(), new Effects.Event("added", new byte[0]));
+        return CommandEffects.answer(snapshot(), new CommandEffects.Event("added", new byte[0]));
     }
 
     @Override
     public byte[] snapshot() {
-        return new Bytes.Writer().i64(sum).done();
+        return new BinaryCodec.Writer().i64(sum).done();
     }
 
     @Override
     public void restore(byte[] snapshot) {
-        sum = new Bytes.Reader("sum", snapshot).i64();
+        sum = new BinaryCodec.Reader("sum", snapshot).i64();
     }
 }
--- a/src/measure/java/calicostream/cluster/raft/RecallGroup.java
+++ b/src/measure/java/calicostream/cluster/raft/RecallGroup.java
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.cluster.raft;
 
-import calicostream.cluster.Frame;
-import calicostream.durable.Amnesia.Own;
+import calicostream.cluster.MemberMessage;
+import calicostream.durable.StateLossDetector.Own;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -18,8 +18,8 @@
             List.of(new Voter(1, 0), new Voter(2, 0), new Voter(3, 0));
 
     /** A voter's process and what it kept. */
-    final class Side implements Recall.Keeper {
-        final Recall recall;
+    final class Side implements VoterRecoveryHandshake.Keeper {
+        final VoterRecoveryHandshake recall;
         private final boolean grouped;
         private byte[] memory;
         String barred = "";
@@ -28,7 +28,9 @@
         Side(Voter self, Own own, byte[] memory, boolean grouped) {
             this.grouped = grouped;
             this.memory = memory;
-            recall = new Recall(self, FIRST, FIRST, own, memory, ++nonces, PATIENCE, this);
+            recall =
+                    new VoterRecoveryHandshake(
+                            self, FIRST, FIRST, own, memory, ++nonces, PATIENCE, this);
         }
 
         @Override
@@ -70,20 +72,22 @@
         List<Integer> there = List.of(up);
         for (int i = 0; i < rounds; i++) {
             for (int member : there) {
-                List<Recall.Send> asks = new ArrayList<>(sides.get(member).recall.beat());
-                for (Recall.Send ask : asks) {
+                List<VoterRecoveryHandshake.Send> asks =
+                        new ArrayList<>(sides.get(member).recall.beat());
+                for (VoterRecoveryHandshake.Send ask : asks) {
                     if (there.contains(ask.member())) {
                         Side peer = sides.get(ask.member());
-                        for (Recall.Send told :
+                        for (VoterRecoveryHandshake.Send told :
                                 peer.recall.received(
                                         member,
-                                        (Frame.Recall) Frame.decode(ask.frame()),
+                                        (MemberMessage.Recall) MemberMessage.decode(ask.frame()),
                                         peer.grouped)) {
                             sides.get(member)
                                     .recall
                                     .received(
                                             ask.member(),
-                                            (Frame.Recalled) Frame.decode(told.frame()),
+                                            (MemberMessage.Recalled)
+                                                    MemberMessage.decode(told.frame()),
                                             sides.get(member).grouped);
                         }
                     }
@@ -102,7 +106,7 @@
         return sides.get(member);
     }
 
-    Recall.State state(int member) {
+    VoterRecoveryHandshake.State state(int member) {
         return sides.get(member).recall.state();
     }
 }
--- a/src/measure/java/calicostream/cluster/sim/Guest.java
+++ b/src/measure/java/calicostream/cluster/sim/Guest.java
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.cluster.sim;
 
-import calicostream.cluster.Machine;
+import calicostream.cluster.EventLoop;
+import calicostream.cluster.ExpiryMonitor;
 import calicostream.cluster.MemberSession;
-import calicostream.cluster.Reactor;
-import calicostream.cluster.Replicated;
-import calicostream.cluster.Timekeeper;
+import calicostream.cluster.ReplicatedState;
+import calicostream.cluster.StateMachine;
 import java.util.Map;
 import java.util.Random;
 
@@ -19,7 +19,7 @@
     Guest NONE = new Guest() {};
 
     /** A machine and the leader's count of time for it. */
-    record Part(Machine machine, Timekeeper timekeeper) {}
+    record Part(StateMachine machine, ExpiryMonitor timekeeper) {}
 
     /** What a guest may ask of the world and do to it; times are the world's, in nanoseconds. */
     interface Powers {
@@ -53,7 +53,7 @@
         return Map.of();
     }
 
-    default void memberStarts(int member, Reactor process, MemberSession session) {}
+    default void memberStarts(int member, EventLoop process, MemberSession session) {}
 
     /** With all that it had in memory. */
     default void memberDies(int member) {}
@@ -61,7 +61,7 @@
     default void tick(int member) {}
 
     /** Of the copy at this member, or told by the leader. */
-    default void news(int member, Replicated.News news) {}
+    default void news(int member, ReplicatedState.StateChange news) {}
 
     /** Whether the leader tells members without a copy; else they hear nothing unasked. */
     default boolean isTold() {
--- a/src/measure/java/calicostream/cluster/sim/Lists.java
+++ b/src/measure/java/calicostream/cluster/sim/Lists.java
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.cluster.sim;
 
-import calicostream.cluster.Bytes;
+import calicostream.cluster.BinaryCodec;
 import calicostream.cluster.Command;
-import calicostream.cluster.Effects;
-import calicostream.cluster.Machine;
+import calicostream.cluster.CommandEffects;
+import calicostream.cluster.StateMachine;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -14,7 +14,7 @@
  * Lists to append to, since their histories can be judged in linear time; tells each call to a
  * listener.
  */
-final class Lists implements Machine {
+final class Lists implements StateMachine {
     static final int KEYS = 3;
     private final BiConsumer<Long, String> heard;
     private final Runnable restored;
@@ -29,15 +29,15 @@
     }
 
     static byte[] append(int key, long value) {
-        return new Bytes.Writer().i32(key).i64(value).done();
+        return new BinaryCodec.Writer().i32(key).i64(value).done();
     }
 
     static byte[] which(int key) {
-        return new Bytes.Writer().i32(key).done();
+        return new BinaryCodec.Writer().i32(key).done();
     }
 
     static List<Long> list(byte[] answer) {
-        Bytes.Reader in = new Bytes.Reader("list", answer);
+        BinaryCodec.Reader in = new BinaryCodec.Reader("list", answer);
         List<Long> list = new ArrayList<>();
         for (int left = in.count(8); left > 0; left--) {
             list.add(in.i64());
@@ -50,7 +50,7 @@
     }
 
     @Override
-    public Effects apply(long index, Command command) {
+    public CommandEffects apply(long index, Command command) {
         heard.accept(
                 index,
                 command.session()
@@ -58,28 +58,28 @@
                         + command.sequence()
                         + "/"
                         + Arrays.hashCode(command.body()));
-        Bytes.Reader in = new Bytes.Reader("append", command.body());
+        BinaryCodec.Reader in = new BinaryCodec.Reader("append", command.body());
         List<Long> list = lists.get(in.i32());
         list.add(in.i64());
-        return Effects.answer(new Bytes.Writer().i32(list.size()).done());
+        return CommandEffects.answer(new BinaryCodec.Writer().i32(list.size()).done());
     }
 
     @Override
-    public Effects sessionEnded(long index, long session) {
+    public CommandEffects sessionEnded(long index, long session) {
         heard.accept(index, "ended " + session);
-        return Effects.NONE;
+        return CommandEffects.NONE;
     }
 
     @Override
-    public Effects eraBegan(long index, long era) {
+    public CommandEffects eraBegan(long index, long era) {
         heard.accept(index, "era " + era);
-        return Effects.NONE;
+        return CommandEffects.NONE;
     }
 
     @Override
     public byte[] query(byte[] question) {
-        Bytes.Writer out = new Bytes.Writer();
-        List<Long> list = lists.get(new Bytes.Reader("question", question).i32());
+        BinaryCodec.Writer out = new BinaryCodec.Writer();
+        List<Long> list = lists.get(new BinaryCodec.Reader("question", question).i32());
         out.i32(list.size());
         list.forEach(out::i64);
         return out.done();
@@ -87,7 +87,7 @@
 
     @Override
     public byte[] snapshot() {
-        Bytes.Writer out = new Bytes.Writer();
+        BinaryCodec.Writer out = new BinaryCodec.Writer();
         for (int key = 0; key < KEYS; key++) {
             out.blob(query(which(key)));
         }
@@ -97,7 +97,7 @@
     @Override
     public void restore(byte[] snapshot) {
         restored.run();
-        Bytes.Reader in = new Bytes.Reader("lists", snapshot);
+        BinaryCodec.Reader in = new BinaryCodec.Reader("lists", snapshot);
         for (int key = 0; key < KEYS; key++) {
             lists.set(key, list(in.blob(1 << 24)));
         }
