--- a/src/measure/java/calicostream/cluster/sim/SimCluster.java
+++ b/src/measure/java/calicostream/cluster/sim/SimCluster.java
@@ -1,25 +1,25 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.cluster.sim;
 
-import calicostream.cluster.Bytes;
+import calicostream.cluster.BinaryCodec;
 import calicostream.cluster.ClusterException;
-import calicostream.cluster.Entry;
-import calicostream.cluster.Frame;
-import calicostream.cluster.Links;
-import calicostream.cluster.Machine;
+import calicostream.cluster.ExpiryMonitor;
+import calicostream.cluster.MemberMessage;
 import calicostream.cluster.MemberSession;
-import calicostream.cluster.Newsroom;
-import calicostream.cluster.Replicated;
-import calicostream.cluster.Timekeeper;
-import calicostream.cluster.raft.Change;
-import calicostream.cluster.raft.StoreOnLog;
+import calicostream.cluster.PeerTransport;
+import calicostream.cluster.ReplicatedEntry;
+import calicostream.cluster.ReplicatedState;
+import calicostream.cluster.StateMachine;
+import calicostream.cluster.StatePublisher;
+import calicostream.cluster.raft.DurableRaftStore;
 import calicostream.cluster.raft.Voter;
+import calicostream.cluster.raft.VoterChange;
 import calicostream.cluster.raft.VoterNode;
-import calicostream.durable.Amnesia;
 import calicostream.durable.DurableException;
 import calicostream.durable.DurableLog;
-import calicostream.durable.Identity;
-import calicostream.durable.Options;
+import calicostream.durable.LogIdentity;
+import calicostream.durable.LogOptions;
+import calicostream.durable.StateLossDetector;
 import io.microraft.persistence.RestoredRaftState;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -84,7 +84,7 @@
         }
     }
 
-    private final class Host implements Links.Receiver {
+    private final class Host implements PeerTransport.Receiver {
         final World.Process process;
         int generation;
         SimDisk disk;
@@ -94,7 +94,7 @@
         boolean runsVoter;
         boolean down;
         MemberSession member;
-        Newsroom newsroom;
+        StatePublisher newsroom;
         int lives;
 
         /** Its disks were lied to since it last opened them. */
@@ -129,25 +129,27 @@
                         DurableLog.open(
                                 disk,
                                 marks,
-                                new Identity("sim", name().toString()),
-                                new Options(1 << 14, 1_000_000_000L, false, process::nanos));
+                                new LogIdentity("sim", name().toString()),
+                                new LogOptions(1 << 14, 1_000_000_000L, false, process::nanos));
             } catch (DurableException e) {
                 failed(e);
                 return;
             }
-            if (log.recovered().own().doubt() != Amnesia.Doubt.NONE && !lied && mutants.isEmpty()) {
+            if (log.recovered().own().doubt() != StateLossDetector.Doubt.NONE
+                    && !lied
+                    && mutants.isEmpty()) {
                 throw new Broken(name() + " doubts an honest disk: " + log.recovered().own());
             }
-            StoreOnLog store = new StoreOnLog(log);
-            Map<String, Machine> machines = new TreeMap<>(Map.of("lists", lists));
-            Map<String, Timekeeper> timekeepers = new TreeMap<>();
+            DurableRaftStore store = new DurableRaftStore(log);
+            Map<String, StateMachine> machines = new TreeMap<>(Map.of("lists", lists));
+            Map<String, ExpiryMonitor> timekeepers = new TreeMap<>();
             guest.parts(process.member)
                     .forEach(
                             (name, part) -> {
                                 machines.put(name, part.machine());
                                 timekeepers.put(name, part.timekeeper());
                             });
-            Optional<RestoredRaftState> restored = StoreOnLog.restored(log.recovered());
+            Optional<RestoredRaftState> restored = DurableRaftStore.restored(log.recovered());
             voter =
                     new VoterNode(
                             new VoterNode.Settings(name(), first, 50, 5, 200, QUEUE, 40),
@@ -155,11 +157,11 @@
                             (to, frame) -> send(process.member, to, frame),
                             store,
                             restored,
-                            new Replicated(machines),
+                            new ReplicatedState(machines),
                             timekeepers,
                             new Random(world.random.nextLong()),
                             this::failed);
-            newsroom = new Newsroom(voter.state(), process.member);
+            newsroom = new StatePublisher(voter.state(), process.member);
             if (mutants.contains(Mutant.VOTE_AFTER_AMNESIA) || mutants.contains(Mutant.SYNC_LIES)) {
                 voter.start();
             } else {
@@ -240,14 +242,15 @@
 
         @Override
         public void received(int from, byte[] bytes) {
-            Frame frame = Frame.decode(bytes);
+            MemberMessage frame = MemberMessage.decode(bytes);
             world.trace("received " + process.member, bytes);
-            if (frame instanceof Frame.Reply reply && member != null) {
+            if (frame instanceof MemberMessage.Reply reply && member != null) {
                 member.received(from, reply, process.nanos());
-            } else if (frame instanceof Frame.News news && member != null) {
+            } else if (frame instanceof MemberMessage.News news && member != null) {
                 guest.news(
                         process.member,
-                        new Replicated.News(news.machine(), news.index(), news.event()));
+                        new ReplicatedState.StateChange(
+                                news.machine(), news.index(), news.event()));
             }
             if (voter != null) {
                 voter.received(
@@ -410,15 +413,15 @@
 
     /** The mutant: each attempt of a command that gets to a leader has a number of its own. */
     private byte[] renumber(byte[] frame) {
-        if (Frame.decode(frame) instanceof Frame.Request request
-                && request.ask() == Frame.Ask.ENTRY
-                && Entry.decode(request.body()) instanceof Entry.Run run) {
+        if (MemberMessage.decode(frame) instanceof MemberMessage.Request request
+                && request.ask() == MemberMessage.Ask.ENTRY
+                && ReplicatedEntry.decode(request.body()) instanceof ReplicatedEntry.Run run) {
             long number = renumbered.merge(run.session(), 1L, Long::sum);
-            return new Frame.Request(
+            return new MemberMessage.Request(
                             request.id(),
                             request.ask(),
                             "",
-                            new Entry.Run(
+                            new ReplicatedEntry.Run(
                                             run.session(),
                                             number,
                                             number - 1,
@@ -443,7 +446,7 @@
                         op.ended = world.now();
                         if (outcome.accepted()) {
                             op.end = Judge.End.OK;
-                            op.length = new Bytes.Reader("length", outcome.answer()).i32();
+                            op.length = new BinaryCodec.Reader("length", outcome.answer()).i32();
                             acknowledged++;
                         } else {
                             op.end =
@@ -454,7 +457,7 @@
                     });
             return;
         }
-        Frame.Ask ask = what < 8 ? Frame.Ask.READ : Frame.Ask.LOCAL;
+        MemberMessage.Ask ask = what < 8 ? MemberMessage.Ask.READ : MemberMessage.Ask.LOCAL;
         host.member.read(
                 ask,
                 "lists",
@@ -468,7 +471,7 @@
                         op.length = op.seen.size();
                         // The age was counted by clocks that drift.
                         op.age =
-                                ask == Frame.Ask.LOCAL
+                                ask == MemberMessage.Ask.LOCAL
                                         ? reply.ageNanos() + reply.ageNanos() / 500 + 1
                                         : -1;
                     }
@@ -517,16 +520,16 @@
                         "term " + voter.term() + " is led by " + other + " and " + host.name());
             }
         }
-        List<Replicated.News> taken = voter.state().takeNews();
+        List<ReplicatedState.StateChange> taken = voter.state().takeNews();
         if (guest.isTold()) {
             host.newsroom
                     .tell(taken, voter.leads(), process.nanos())
                     .forEach(each -> send(process.member, each.member(), each.frame()));
         }
-        for (Replicated.News news : taken) {
+        for (ReplicatedState.StateChange news : taken) {
             guest.news(process.member, news);
             if (news.event().kind().equals("session-expired")) {
-                long session = new Bytes.Reader("session", news.event().body()).i64();
+                long session = new BinaryCodec.Reader("session", news.event().body()).i64();
                 if (expired.add(session)) {
                     expired(session);
                 }
@@ -718,7 +721,11 @@
                                     host -> {
                                         if (host.voter.voters().size() > 3
                                                 && host.voter.voters().contains(voter.name())) {
-                                            change(host, Change.REMOVE, voter.name(), () -> {});
+                                            change(
+                                                    host,
+                                                    VoterChange.REMOVE,
+                                                    voter.name(),
+                                                    () -> {});
                                         }
                                     });
             case AMNESIA -> {
@@ -783,7 +790,7 @@
         return hosts.stream().filter(host -> host.voter != null && host.voter.leads()).findFirst();
     }
 
-    private void change(Host leader, Change change, Voter who, Runnable then) {
+    private void change(Host leader, VoterChange change, Voter who, Runnable then) {
         leader.voter.change(
                 change,
                 who,
@@ -824,7 +831,7 @@
         if (leader.voter.votersAndLearners().contains(host.name())) {
             promote.run();
         } else {
-            change(leader, Change.LEARN, host.name(), promote);
+            change(leader, VoterChange.LEARN, host.name(), promote);
         }
     }
 
@@ -835,7 +842,7 @@
     private void comeBack(Host leader, Host host) {
         Voter old = host.name();
         leader.voter.change(
-                Change.LEARN,
+                VoterChange.LEARN,
                 old,
                 error -> {
                     if (error == null) {
@@ -860,7 +867,7 @@
                 .ifPresent(
                         leader ->
                                 leader.voter.change(
-                                        Change.PROMOTE,
+                                        VoterChange.PROMOTE,
                                         who,
                                         error -> {
                                             changes += error == null ? 1 : 0;
--- a/src/measure/java/calicostream/cluster/sim/World.java
+++ b/src/measure/java/calicostream/cluster/sim/World.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.cluster.sim;
 
-import calicostream.cluster.Reactor;
+import calicostream.cluster.EventLoop;
 import java.util.Arrays;
 import java.util.PriorityQueue;
 import java.util.Random;
@@ -83,7 +83,7 @@
     }
 
     /** A process: its clock, and whether it runs. */
-    final class Process implements Reactor {
+    final class Process implements EventLoop {
         final int member;
         int life;
         long stoppedUntil;
--- a/src/measure/java/calicostream/core/Sides.java
+++ b/src/measure/java/calicostream/core/Sides.java
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.core;
 
-import calicostream.QueryRouter.Engine;
-import calicostream.QueryRouter.EngineState;
-import calicostream.QueryRouter.Outcome;
-import calicostream.QueryRouter.Report;
-import calicostream.SettingsParser;
+import calicostream.routing.AttemptOutcome;
+import calicostream.routing.EngineEndpoint;
+import calicostream.routing.EngineLifecycle;
+import calicostream.routing.LoadReport;
+import calicostream.routing.SettingsParser;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -17,7 +17,7 @@
  * Both sides of a {@link Gateway}, which record what it tells them and do what they are told to, on
  * a clock that who uses it turns (microseconds). One thread.
  */
-public class Sides implements Engines, Front {
+public class Sides implements EngineClient, ResponseHandler {
     /** A lane of lookups and one of loads. */
     public static final String TWO_LANES =
             "lanes.count=2\n"
@@ -67,7 +67,7 @@
     public boolean keeps;
 
     /** How attempts end while they are being sent; null: not before somebody says so. */
-    public Outcome atOnce;
+    public AttemptOutcome atOnce;
 
     public long time = 1_000_000;
 
@@ -82,18 +82,18 @@
                         },
                         deadlines,
                         SettingsParser.ofLines(settings).settings(),
-                        Watcher.NONE);
+                        RequestListener.NONE);
     }
 
-    public static Engine engine(long id, EngineState state) {
-        return new Engine(id, 0, 0, 0, 0, state);
+    public static EngineEndpoint engine(long id, EngineLifecycle state) {
+        return new EngineEndpoint(id, 0, 0, 0, 0, state);
     }
 
     /** All of these engines are ready. */
     public void start(long... engines) {
         gateway.start(
                 this,
-                LongStream.of(engines).mapToObj(id -> engine(id, EngineState.READY)).toList());
+                LongStream.of(engines).mapToObj(id -> engine(id, EngineLifecycle.READY)).toList());
     }
 
     /** Turns the clock to each deadline on the way. */
@@ -108,13 +108,13 @@
     public void attach(Gateway to) {}
 
     @Override
-    public void locate(long engine, InetSocketAddress address) {}
+    public void setAddress(long engine, InetSocketAddress address) {}
 
     @Override
     public void send(Gateway.Attempt attempt) {
         sent.add(attempt);
         if (atOnce != null) {
-            gateway.ended(attempt, atOnce, null, null);
+            gateway.attemptEnded(attempt, atOnce, null, null);
         }
     }
 
@@ -132,35 +132,35 @@
     }
 
     @Override
-    public boolean mayUse(Gateway.Request request, long engine) {
+    public boolean hasTenantCapacity(Gateway.Request request, long engine) {
         return !full.contains(engine);
     }
 
     @Override
-    public void over(Gateway.Attempt attempt, Outcome outcome, Report report) {
+    public void attemptEnded(Gateway.Attempt attempt, AttemptOutcome outcome, LoadReport report) {
         overs.add(attempt.engine + " " + outcome);
     }
 
     @Override
-    public void priority(Gateway.Attempt attempt) {}
+    public void priorityChanged(Gateway.Attempt attempt) {}
 
     @Override
-    public void withdrawn(long engine) {
+    public void engineDraining(long engine) {
         told.add("withdrawn " + engine);
     }
 
     @Override
-    public void renewed(long engine) {
+    public void engineReinstated(long engine) {
         told.add("renewed " + engine);
     }
 
     @Override
-    public void gone(long engine) {
+    public void engineRemoved(long engine) {
         told.add("gone " + engine);
     }
 
     @Override
-    public boolean hasLeft(long tag) {
+    public boolean isClientGone(long tag) {
         return left.contains(tag);
     }
 
@@ -173,7 +173,7 @@
     }
 
     @Override
-    public void begun(long tag, Object stream) {
+    public void streamBegan(long tag, Object stream) {
         told.add("begun " + tag + " " + stream);
     }
 
@@ -183,7 +183,7 @@
     }
 
     @Override
-    public void refused(long tag, long retryAfterMs) {
+    public void rejected(long tag, long retryAfterMs) {
         told.add("refused " + tag);
     }
 
--- a/src/measure/java/calicostream/deployments/Ask.java
+++ b/src/measure/java/calicostream/deployments/Ask.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.deployments;
 
-import calicostream.QueryRouter.Query;
+import calicostream.routing.Query;
 
 /** What a client wants, over all its tries: one is at one front end at a time. */
 final class Ask {
--- a/src/measure/java/calicostream/deployments/Checker.java
+++ b/src/measure/java/calicostream/deployments/Checker.java
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.deployments;
 
-import calicostream.QueryRouter.Effect;
-import calicostream.QueryRouter.Engine;
-import calicostream.QueryRouter.EngineState;
-import calicostream.QueryRouter.Outcome;
-import calicostream.QueryRouter.RosterKind;
-import calicostream.QueryRouter.Scope;
+import calicostream.routing.AttemptOutcome;
+import calicostream.routing.EndpointUpdate;
+import calicostream.routing.EngineEndpoint;
+import calicostream.routing.EngineLifecycle;
+import calicostream.routing.Idempotency;
+import calicostream.routing.IdempotencyScope;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -21,7 +21,7 @@
  */
 final class Checker {
     /** An attempt that may have run, or one that is out: where and when it was sent. */
-    private record Sent(int number, Engine to, long at) {}
+    private record Sent(int number, EngineEndpoint to, long at) {}
 
     private static final class Taken {
         final long id;
@@ -50,7 +50,7 @@
     private final Map<Long, Taken> taken = new HashMap<>();
     private final Map<Long, List<Taken>> keys = new HashMap<>();
     private final Map<Long, Long> keyRests = new HashMap<>();
-    private final Map<Long, Engine> told = new HashMap<>();
+    private final Map<Long, EngineEndpoint> told = new HashMap<>();
     private final Map<Long, Long> withdrawn = new HashMap<>();
     private final ArrayDeque<Long> takenAt = new ArrayDeque<>();
     private final ArrayDeque<Long> furtherAt = new ArrayDeque<>();
@@ -68,20 +68,20 @@
 
     // ---- What it is told
     // --------------------------------------------------------------------------------
-    void roster(long now, RosterKind kind, List<Engine> engines) {
-        if (kind == RosterKind.FAILED) {
+    void roster(long now, EndpointUpdate kind, List<EngineEndpoint> engines) {
+        if (kind == EndpointUpdate.FAILED) {
             return;
         }
         Set<Long> named = new HashSet<>();
         engines.forEach(e -> named.add(e.id()));
-        if (kind != RosterKind.CHANGES) {
+        if (kind != EndpointUpdate.INCREMENTAL) {
             told.keySet().stream()
                     .filter(id -> !named.contains(id))
                     .forEach(id -> withdrawn.putIfAbsent(id, now));
         }
-        for (Engine e : engines) {
+        for (EngineEndpoint e : engines) {
             told.put(e.id(), e);
-            if (e.state() == EngineState.READY) {
+            if (e.lifecycle() == EngineLifecycle.READY) {
                 withdrawn.remove(e.id());
             } else {
                 withdrawn.putIfAbsent(e.id(), now);
@@ -91,8 +91,8 @@
 
     /** Whether it was told of this start of an engine. */
     boolean knows(long engine, long bornUs) {
-        Engine e = told.get(engine);
-        return e != null && e.bornUs() >= bornUs;
+        EngineEndpoint e = told.get(engine);
+        return e != null && e.startedAtUs() >= bornUs;
     }
 
     void query(long now, long id, int lane, long key, long deadline) {
@@ -105,22 +105,22 @@
         }
     }
 
-    void ended(long now, long id, int attempt, Outcome outcome, boolean over) {
+    void ended(long now, long id, int attempt, AttemptOutcome outcome, boolean over) {
         Taken t = taken.get(id);
         if (t.out != null && t.out.number == attempt) {
             if (outcome.mayHaveRun) {
                 t.risks.add(t.out);
             }
-            if (outcome == Outcome.MOOT) {
+            if (outcome == AttemptOutcome.NOT_STARTED) {
                 t.attempts--;
             }
             t.out = null;
         }
         boolean mayRunOn =
-                outcome == Outcome.TIMEOUT
-                        || outcome == Outcome.RESET
-                        || outcome == Outcome.CANCELLED
-                        || outcome == Outcome.SPOILT;
+                outcome == AttemptOutcome.TIMEOUT
+                        || outcome == AttemptOutcome.RESET
+                        || outcome == AttemptOutcome.CANCELLED
+                        || outcome == AttemptOutcome.CONNECTION_BROKEN;
         if (mayRunOn && t.key != 0) {
             keyRests.merge(t.key, now + draw.figures().restUs(), Math::max);
         }
@@ -156,7 +156,7 @@
     // -----------------------------------------------------------------------------------
     void send(long now, long id, long engine) {
         Taken t = taken.get(id);
-        Engine to = told.get(engine);
+        EngineEndpoint to = told.get(engine);
         if (t == null || to == null) {
             broken("unknown", now, "query " + id + " to engine " + engine);
             return;
@@ -193,15 +193,17 @@
         t.out = new Sent(t.attempts - 1, to, now);
     }
 
-    private void repeats(long now, Taken t, Draw.Lane lane, Engine to) {
+    private void repeats(long now, Taken t, Draw.Lane lane, EngineEndpoint to) {
         for (Sent risk : t.risks) {
             boolean sameGroup =
-                    lane.scope() == Scope.ALL
-                            || lane.scope() == Scope.ZONE && risk.to.zone() == to.zone()
-                            || lane.scope() == Scope.CELL && risk.to.cell() == to.cell();
+                    lane.scope() == IdempotencyScope.ALL
+                            || lane.scope() == IdempotencyScope.ZONE && risk.to.zone() == to.zone()
+                            || lane.scope() == IdempotencyScope.CELL && risk.to.cell() == to.cell();
             boolean byKey =
-                    lane.effect() == Effect.BY_KEY && sameGroup && now - risk.at <= lane.windowUs();
-            if (lane.effect() != Effect.REPEATABLE && !byKey) {
+                    lane.effect() == Idempotency.IDEMPOTENT_WITH_KEY
+                            && sameGroup
+                            && now - risk.at <= lane.windowUs();
+            if (lane.effect() != Idempotency.IDEMPOTENT && !byKey) {
                 broken(
                         "repeat",
                         now,
@@ -256,8 +258,9 @@
             boolean mayRun = t.out != null || !t.risks.isEmpty();
             boolean harmless =
                     !mayRun
-                            || lane.effect() == Effect.REPEATABLE
-                            || lane.effect() == Effect.BY_KEY && lane.scope() == Scope.ALL;
+                            || lane.effect() == Idempotency.IDEMPOTENT
+                            || lane.effect() == Idempotency.IDEMPOTENT_WITH_KEY
+                                    && lane.scope() == IdempotencyScope.ALL;
             if (!harmless) {
                 broken("untrue refusal", now, lane.name() + " " + id + " may have run");
             }
--- a/src/measure/java/calicostream/deployments/Deployments.java
+++ b/src/measure/java/calicostream/deployments/Deployments.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.deployments;
 
-import calicostream.Logic;
+import calicostream.routing.AffinityRouter;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -63,7 +63,8 @@
 
     static Played play(long seed, int number) {
         Draw draw = Drawing.of(seed, number);
-        return new Played(draw, Play.of(draw, Logic::new), Play.of(draw, LeastLoaded::new));
+        return new Played(
+                draw, Play.of(draw, AffinityRouter::new), Play.of(draw, LeastLoaded::new));
     }
 
     /** Plays so many draws on all processors; what comes of them is in their order. */
--- a/src/measure/java/calicostream/deployments/Draw.java
+++ b/src/measure/java/calicostream/deployments/Draw.java
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.deployments;
 
-import calicostream.QueryRouter.Effect;
-import calicostream.QueryRouter.Reporting;
-import calicostream.QueryRouter.Scope;
+import calicostream.routing.Idempotency;
+import calicostream.routing.IdempotencyScope;
+import calicostream.routing.LoadReporting;
 import java.util.List;
 import java.util.Locale;
 
@@ -71,7 +71,7 @@
 
     /** What front ends hear; {@code fields} in the order of the reports. */
     record Telling(
-            Reporting how,
+            LoadReporting how,
             List<String> fields,
             long periodUs,
             long delayUs,
@@ -151,8 +151,8 @@
             long deadlineUs,
             double worth,
             double lateWorth,
-            Effect effect,
-            Scope scope,
+            Idempotency effect,
+            IdempotencyScope scope,
             long windowUs,
             boolean inOrder,
             boolean load,
--- a/src/measure/java/calicostream/deployments/Drawing.java
+++ b/src/measure/java/calicostream/deployments/Drawing.java
@@ -1,9 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.deployments;
 
-import calicostream.QueryRouter.Effect;
-import calicostream.QueryRouter.Reporting;
-import calicostream.QueryRouter.Scope;
 import calicostream.deployments.Draw.Allowed;
 import calicostream.deployments.Draw.Estimates;
 import calicostream.deployments.Draw.Figures;
@@ -14,6 +11,9 @@
 import calicostream.deployments.Draw.Telling;
 import calicostream.deployments.Draw.Trouble;
 import calicostream.deployments.Draw.What;
+import calicostream.routing.Idempotency;
+import calicostream.routing.IdempotencyScope;
+import calicostream.routing.LoadReporting;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -113,7 +113,7 @@
                         in(0.5, 0.8) * S,
                         in(2, 4) * S,
                         1,
-                        Effect.REPEATABLE,
+                        Idempotency.IDEMPOTENT,
                         false));
         out.add(
                 lane(
@@ -126,7 +126,7 @@
                         in(1, 2) * S,
                         in(10, 20) * S,
                         in(4, 10),
-                        Effect.REPEATABLE,
+                        Idempotency.IDEMPOTENT,
                         false));
         if (chance(0.8)) {
             out.add(
@@ -140,7 +140,7 @@
                             in(2, 4) * S,
                             in(12, 25) * S,
                             in(4, 8),
-                            Effect.ONCE,
+                            Idempotency.NON_IDEMPOTENT,
                             true));
         }
         if (chance(0.4)) {
@@ -155,7 +155,9 @@
                             in(0.5, 2) * S,
                             in(3, 8) * S,
                             in(1, 3),
-                            chance(0.7) ? Effect.BY_KEY : Effect.ONCE,
+                            chance(0.7)
+                                    ? Idempotency.IDEMPOTENT_WITH_KEY
+                                    : Idempotency.NON_IDEMPOTENT,
                             false));
         }
         return out;
@@ -171,14 +173,14 @@
             double aim,
             double deadline,
             double worth,
-            Effect effect,
+            Idempotency effect,
             boolean load) {
         List<Integer> zones =
                 size.zones() > 1 && chance(0.12)
                         ? List.of(random.nextInt(size.zones()))
                         : List.of();
         List<Integer> on = kinds > 1 && chance(0.12) ? List.of(random.nextInt(kinds)) : List.of();
-        boolean ordered = effect != Effect.REPEATABLE && chance(0.6);
+        boolean ordered = effect != Idempotency.IDEMPOTENT && chance(0.6);
         return new Lane(
                 name,
                 share,
@@ -193,7 +195,7 @@
                 worth,
                 in(0.1, 0.6),
                 effect,
-                one(List.of(Scope.values())),
+                one(List.of(IdempotencyScope.values())),
                 time(1 * S, 8 * S),
                 ordered,
                 load,
@@ -252,17 +254,17 @@
         List<String> fields = new ArrayList<>(FIELDS);
         Collections.shuffle(fields, new Random(random.nextLong()));
         fields = List.copyOf(fields.subList(0, whole(1, 4)));
-        Reporting how =
+        LoadReporting how =
                 one(
                         List.of(
-                                Reporting.WITH_ANSWERS,
-                                Reporting.WITH_ANSWERS,
-                                Reporting.ON_PROBE,
-                                Reporting.ON_PROBE,
-                                Reporting.NONE));
+                                LoadReporting.WITH_ANSWERS,
+                                LoadReporting.WITH_ANSWERS,
+                                LoadReporting.ON_PROBE,
+                                LoadReporting.ON_PROBE,
+                                LoadReporting.NONE));
         return new Telling(
                 how,
-                how == Reporting.NONE ? List.of() : fields,
+                how == LoadReporting.NONE ? List.of() : fields,
                 time(100 * MS, 700 * MS),
                 time(10 * MS, 300 * MS),
                 in(0.02, 0.15),
@@ -273,10 +275,10 @@
                 time(300 * MS, 3 * S));
     }
 
-    private Allowed allowed(Reporting how) {
+    private Allowed allowed(LoadReporting how) {
         boolean cancel = chance(0.5);
         return new Allowed(
-                chance(how == Reporting.ON_PROBE ? 0.9 : 0.5),
+                chance(how == LoadReporting.ON_PROBE ? 0.9 : 0.5),
                 in(4, 10),
                 cancel,
                 cancel && chance(0.7),
--- a/src/measure/java/calicostream/deployments/FrontEnd.java
+++ b/src/measure/java/calicostream/deployments/FrontEnd.java
@@ -1,15 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.deployments;
 
-import calicostream.QueryRouter;
-import calicostream.QueryRouter.AttemptEnd;
-import calicostream.QueryRouter.Engine;
-import calicostream.QueryRouter.EngineState;
-import calicostream.QueryRouter.Notice;
-import calicostream.QueryRouter.Outcome;
-import calicostream.QueryRouter.Progress;
-import calicostream.QueryRouter.Report;
-import calicostream.QueryRouter.RosterKind;
+import calicostream.routing.AttemptOutcome;
+import calicostream.routing.AttemptResult;
+import calicostream.routing.EndpointUpdate;
+import calicostream.routing.EngineEndpoint;
+import calicostream.routing.EngineLifecycle;
+import calicostream.routing.LoadReport;
+import calicostream.routing.LoadReporting;
+import calicostream.routing.ProgressKind;
+import calicostream.routing.QueryProgress;
+import calicostream.routing.QueryRouter;
+import calicostream.routing.RouterActions;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -21,7 +23,7 @@
  * One life of a front end: its policy, what it has out, and the ways to engines; a {@link Checker}
  * hears all of it.
  */
-final class FrontEnd implements QueryRouter.Actions {
+final class FrontEnd implements RouterActions {
     private static final long DIAL =
             250_000; // us until a connection that does not come up is given up
     private static final long PROBE_WAIT = 250_000;
@@ -67,15 +69,15 @@
     private final QueryRouter router;
     private final Map<Long, Open> queries = new HashMap<>();
     private final Set<Long> linked = new HashSet<>();
-    private final List<Engine> missed = new ArrayList<>();
-    final Map<Long, Engine> view;
+    private final List<EngineEndpoint> missed = new ArrayList<>();
+    final Map<Long, EngineEndpoint> view;
     boolean alive = true;
     private boolean subscribed;
     private long askedAt;
     int probes, refused, failed, further, overProbed;
 
     /** {@code view}: the list as the front end last had it. */
-    FrontEnd(Play play, int index, Map<Long, Engine> view, Play.Maker maker) {
+    FrontEnd(Play play, int index, Map<Long, EngineEndpoint> view, Play.Maker maker) {
         this.play = play;
         this.index = index;
         this.view = view;
@@ -86,7 +88,7 @@
         checker = new Checker(draw, play.breaks, index);
         router = maker.router(Wording.settings(draw, index, zone), this);
         router.start(now());
-        told(RosterKind.CACHED, List.copyOf(view.values()));
+        told(EndpointUpdate.CACHED, List.copyOf(view.values()));
     }
 
     private long now() {
@@ -106,37 +108,37 @@
     // ---- The list
     // -----------------------------------------------------------------------------------------
     /** A change has reached this front end, or would have. */
-    void change(Engine entry) {
+    void change(EngineEndpoint entry) {
         if (subscribed) {
             view.put(entry.id(), entry);
-            told(RosterKind.CHANGES, List.of(entry));
+            told(EndpointUpdate.INCREMENTAL, List.of(entry));
         } else {
             missed.add(entry);
         }
     }
 
-    private void told(RosterKind kind, List<Engine> list) {
+    private void told(EndpointUpdate kind, List<EngineEndpoint> list) {
         checker.roster(now(), kind, list);
-        router.roster(now(), kind, list);
+        router.endpointsChanged(now(), kind, list);
     }
 
     @Override
-    public void subscribeRoster() {
+    public void watchEndpoints() {
         askedAt = now();
         later(
                 CALL,
                 () -> {
                     if (play.random.nextDouble() < CALL_FAILS) {
-                        told(RosterKind.FAILED, List.of());
+                        told(EndpointUpdate.FAILED, List.of());
                         return;
                     }
                     subscribed = true;
                     missed.forEach(e -> view.put(e.id(), e));
                     missed.clear();
                     told(
-                            RosterKind.COMPLETE,
+                            EndpointUpdate.COMPLETE,
                             view.values().stream()
-                                    .filter(e -> e.state() != EngineState.GONE)
+                                    .filter(e -> e.lifecycle() != EngineLifecycle.REMOVED)
                                     .toList());
                 });
     }
@@ -146,7 +148,7 @@
         if (draw.telling().onRequest() && subscribed) {
             subscribed = false;
             askedAt = now();
-            told(RosterKind.FAILED, List.of());
+            told(EndpointUpdate.FAILED, List.of());
         }
     }
 
@@ -172,7 +174,7 @@
                 ask.deadline - now(),
                 () -> {
                     if (o.out != null) {
-                        end(o.out, Outcome.TIMEOUT, 0);
+                        end(o.out, AttemptOutcome.TIMEOUT, 0);
                     }
                 });
         later(
@@ -183,7 +185,7 @@
                         leave(o);
                     }
                 });
-        router.query(now(), ask.query(id, now(), draw.allowed().clientRetries()));
+        router.queryAccepted(now(), ask.query(id, now(), draw.allowed().clientRetries()));
     }
 
     /** The client leaves early. */
@@ -197,11 +199,11 @@
     private void leave(Open o) {
         o.open = false;
         checker.abandoned(o.id);
-        router.abandoned(now(), o.id);
+        router.queryAbandoned(now(), o.id);
     }
 
     @Override
-    public void send(long id, long engine, long giveUpAt) {
+    public void startAttempt(long id, long engine, long giveUpAt) {
         checker.send(now(), id, engine);
         Open o = queries.get(id);
         Machine m = play.machines.get(engine);
@@ -212,18 +214,18 @@
         further += a.number > 0 ? 1 : 0;
         if (!o.open || o.out != null || o.attempts > draw.allowed().maxAttempts()) {
             o.attempts--;
-            later(1, () -> report(a, Outcome.MOOT, null));
+            later(1, () -> report(a, AttemptOutcome.NOT_STARTED, null));
             return;
         }
         o.out = a;
         if (giveUpAt > 0 && giveUpAt < o.ask.deadline) {
-            later(giveUpAt - now(), () -> end(a, Outcome.TIMEOUT, 0));
+            later(giveUpAt - now(), () -> end(a, AttemptOutcome.TIMEOUT, 0));
         }
         boolean isNew = linked.add(engine);
         if (play.cutOff(zone, m.zone)) {
             if (isNew) {
                 linked.remove(engine);
-                later(DIAL, () -> end(a, Outcome.CONNECT_FAILED, 0));
+                later(DIAL, () -> end(a, AttemptOutcome.CONNECT_FAILED, 0));
             }
             return; // On an open connection it is lost without a word.
         }
@@ -239,9 +241,9 @@
         if (!alive) {
             return;
         }
-        if (m.state == EngineState.GONE) {
+        if (m.state == EngineLifecycle.REMOVED) {
             linked.remove(m.id);
-            end(a, Outcome.CONNECT_FAILED, way(m));
+            end(a, AttemptOutcome.CONNECT_FAILED, way(m));
             return;
         }
         if (m.warmth() < 1) {
@@ -250,13 +252,13 @@
                     .get(m.id)
                     .add(now(), m, work, checker.knows(m.id, m.bornUs), play.breaks)) {
                 play.fall(m);
-                end(a, Outcome.RESET, way(m));
+                end(a, AttemptOutcome.RESET, way(m));
                 return;
             }
         }
-        if (m.state == EngineState.DRAINING || m.hangs) {
+        if (m.state == EngineLifecycle.DRAINING || m.hangs) {
             if (!m.hangs) {
-                end(a, Outcome.FULL, way(m));
+                end(a, AttemptOutcome.OVERLOADED, way(m));
             }
             return;
         }
@@ -276,19 +278,20 @@
             return; // Called off before it came.
         }
         if (!m.take(a.run)) {
-            end(a, Outcome.FULL, way(m));
+            end(a, AttemptOutcome.OVERLOADED, way(m));
         } else if (draw.telling().noteUs() > 0) {
             later(draw.telling().noteUs(), () -> note(a));
         }
     }
 
-    private void ran(Attempt a, Outcome outcome) {
-        boolean errs = outcome == Outcome.OK && play.random.nextDouble() < draw.machines().errors();
-        if (outcome == Outcome.RESET) {
+    private void ran(Attempt a, AttemptOutcome outcome) {
+        boolean errs =
+                outcome == AttemptOutcome.OK && play.random.nextDouble() < draw.machines().errors();
+        if (outcome == AttemptOutcome.RESET) {
             linked.remove(a.to.id);
         }
-        if (outcome == Outcome.RESET || !a.to.hangs && !play.cutOff(zone, a.to.zone)) {
-            end(a, errs ? Outcome.ERROR : outcome, way(a.to));
+        if (outcome == AttemptOutcome.RESET || !a.to.hangs && !play.cutOff(zone, a.to.zone)) {
+            end(a, errs ? AttemptOutcome.ERROR : outcome, way(a.to));
         }
     }
 
@@ -298,26 +301,30 @@
         }
         Machine.Run run = a.run;
         if (!a.to.hangs && !play.cutOff(zone, a.to.zone)) {
-            Notice what =
+            ProgressKind what =
                     run.waitsForMemory()
-                            ? Notice.WAITS_FOR_MEMORY
-                            : run.waitsForLoad() ? Notice.WAITS_FOR_LOAD : Notice.SHARE_DONE;
+                            ? ProgressKind.WAITING_FOR_MEMORY
+                            : run.waitsForLoad()
+                                    ? ProgressKind.WAITING_FOR_LOAD
+                                    : ProgressKind.FRACTION_DONE;
             double amount =
-                    what == Notice.SHARE_DONE
+                    what == ProgressKind.FRACTION_DONE
                             ? run.share() * (0.9 + 0.2 * play.random.nextDouble())
                             : 0;
-            router.progress(now(), new Progress(a.of.id, a.number, what, amount));
+            router.progress(now(), new QueryProgress(a.of.id, a.number, what, amount));
             if (run.missingMb() > 0 && a.of.out == a) {
                 router.progress(
-                        now(), new Progress(a.of.id, a.number, Notice.SPILLS, run.missingMb()));
+                        now(),
+                        new QueryProgress(
+                                a.of.id, a.number, ProgressKind.SPILLING, run.missingMb()));
             }
         }
         later(draw.telling().noteUs(), () -> note(a));
     }
 
-    private void end(Attempt a, Outcome outcome, long after) {
-        Report told =
-                outcome == Outcome.OK && draw.telling().how() == QueryRouter.Reporting.WITH_ANSWERS
+    private void end(Attempt a, AttemptOutcome outcome, long after) {
+        LoadReport told =
+                outcome == AttemptOutcome.OK && draw.telling().how() == LoadReporting.WITH_ANSWERS
                         ? a.to.report()
                         : null;
         later(
@@ -329,22 +336,22 @@
                 });
     }
 
-    private void report(Attempt a, Outcome outcome, Report told) {
+    private void report(Attempt a, AttemptOutcome outcome, LoadReport told) {
         Open o = a.of;
         o.out = o.out == a ? null : o.out;
-        boolean stops = outcome == Outcome.TIMEOUT || outcome == Outcome.CANCELLED;
+        boolean stops = outcome == AttemptOutcome.TIMEOUT || outcome == AttemptOutcome.CANCELLED;
         if (stops && draw.allowed().stops() && a.run != null) {
             a.to.stop(a.run);
         }
-        if (outcome == Outcome.OK && o.open) {
+        if (outcome == AttemptOutcome.OK && o.open) {
             o.open = false;
             play.served(o.ask);
         }
-        boolean tells = outcome == Outcome.OK && draw.telling().tellsCost();
+        boolean tells = outcome == AttemptOutcome.OK && draw.telling().tellsCost();
         checker.ended(now(), o.id, a.number, outcome, !o.open);
-        router.ended(
+        router.attemptEnded(
                 now(),
-                new AttemptEnd(
+                new AttemptResult(
                         o.id,
                         a.number,
                         a.to.id,
@@ -372,17 +379,17 @@
     // ---- What the policy asks
     // ----------------------------------------------------------------------------
     @Override
-    public void cancel(long id, int attempt) {
+    public void cancelAttempt(long id, int attempt) {
         checker.cancel(now(), id, attempt);
         Open o = queries.get(id);
         if (o != null && o.out != null && o.out.number == attempt) {
             Attempt a = o.out;
-            end(a, Outcome.CANCELLED, 1);
+            end(a, AttemptOutcome.CANCELLED, 1);
         }
     }
 
     @Override
-    public void refuse(long id, long retryAfterUs) {
+    public void reject(long id, long retryAfterUs) {
         refused++;
         checker.refuse(now(), id);
         close(id, retryAfterUs, true);
@@ -404,7 +411,7 @@
     }
 
     @Override
-    public void terms(long id, double memoryMb, int priority) {
+    public void assignResources(long id, double memoryMb, int priority) {
         checker.terms(now(), id, memoryMb, priority);
         Open o = queries.get(id);
         o.memoryMb = memoryMb;
@@ -415,27 +422,37 @@
     }
 
     @Override
-    public void timer(long delayUs, long token) {
-        later(Math.max(1, delayUs), () -> router.timer(now(), token));
+    public void scheduleTimer(long delayUs, long token) {
+        later(Math.max(1, delayUs), () -> router.timerFired(now(), token));
     }
 
     @Override
-    public void probe(long engine) {
+    public void probeLoad(long engine) {
         probes++;
         checker.probe(now(), engine);
         Machine m = play.machines.get(engine);
-        if (m.state == EngineState.GONE) {
-            later(way(m), () -> router.probed(now(), engine, Outcome.CONNECT_FAILED, null));
+        if (m.state == EngineLifecycle.REMOVED) {
+            later(
+                    way(m),
+                    () ->
+                            router.probeCompleted(
+                                    now(), engine, AttemptOutcome.CONNECT_FAILED, null));
         } else if (m.hangs || play.cutOff(zone, m.zone)) {
-            later(PROBE_WAIT, () -> router.probed(now(), engine, Outcome.TIMEOUT, null));
+            later(
+                    PROBE_WAIT,
+                    () -> router.probeCompleted(now(), engine, AttemptOutcome.TIMEOUT, null));
         } else if (!m.answersProbe()) {
             overProbed++;
-            later(2 * way(m), () -> router.probed(now(), engine, Outcome.FULL, null));
+            later(
+                    2 * way(m),
+                    () -> router.probeCompleted(now(), engine, AttemptOutcome.OVERLOADED, null));
         } else {
-            boolean tells = draw.telling().how() != QueryRouter.Reporting.NONE;
+            boolean tells = draw.telling().how() != LoadReporting.NONE;
             later(
                     2 * way(m),
-                    () -> router.probed(now(), engine, Outcome.OK, tells ? m.report() : null));
+                    () ->
+                            router.probeCompleted(
+                                    now(), engine, AttemptOutcome.OK, tells ? m.report() : null));
         }
     }
 
--- a/src/measure/java/calicostream/deployments/LeastLoaded.java
+++ b/src/measure/java/calicostream/deployments/LeastLoaded.java
@@ -2,6 +2,16 @@
 package calicostream.deployments;
 
 import calicostream.mass.PlainRouter;
+import calicostream.routing.AttemptOutcome;
+import calicostream.routing.AttemptResult;
+import calicostream.routing.EndpointUpdate;
+import calicostream.routing.EngineEndpoint;
+import calicostream.routing.LoadReport;
+import calicostream.routing.LoadReporting;
+import calicostream.routing.Query;
+import calicostream.routing.QueryClass;
+import calicostream.routing.RouterActions;
+import calicostream.routing.RouterSettings;
 import java.util.ArrayDeque;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -16,48 +26,50 @@
 final class LeastLoaded extends PlainRouter {
     private static final long ASKS = 500_000; // us between reports of an engine that are asked for
     private static final long ASK_TOKEN = 0;
-    private final Settings settings;
+    private final RouterSettings settings;
     private final Map<Long, Integer> own = new HashMap<>();
     private final Map<Long, Double> told = new HashMap<>();
     private final Map<Long, Query> out = new HashMap<>();
     private final Map<Long, ArrayDeque<Query>> lines = new HashMap<>();
 
-    LeastLoaded(Settings settings, Actions actions) {
+    LeastLoaded(RouterSettings settings, RouterActions actions) {
         super(actions);
         this.settings = settings;
     }
 
     @Override
     public void start(long now) {
-        if (settings.rosterOnRequest()) {
-            actions.subscribeRoster();
+        if (settings.watchEndpointsOnRequest()) {
+            actions.watchEndpoints();
         }
-        actions.timer(ASKS, ASK_TOKEN);
+        actions.scheduleTimer(ASKS, ASK_TOKEN);
     }
 
     @Override
-    public void roster(long now, RosterKind kind, java.util.List<Engine> engines) {
-        super.roster(now, kind, engines);
-        if (kind == RosterKind.FAILED) {
-            actions.subscribeRoster();
+    public void endpointsChanged(
+            long now, EndpointUpdate kind, java.util.List<EngineEndpoint> engines) {
+        super.endpointsChanged(now, kind, engines);
+        if (kind == EndpointUpdate.FAILED) {
+            actions.watchEndpoints();
         }
     }
 
     @Override
-    public void timer(long now, long token) {
+    public void timerFired(long now, long token) {
         if (token != ASK_TOKEN) {
             next(token - 1);
             return;
         }
-        actions.timer(ASKS, ASK_TOKEN);
-        if (settings.limits().probes() && settings.reporting() == Reporting.ON_PROBE) {
-            ready.keySet().forEach(actions::probe);
+        actions.scheduleTimer(ASKS, ASK_TOKEN);
+        if (settings.attemptLimits().probes()
+                && settings.loadReporting() == LoadReporting.ON_PROBE) {
+            ready.keySet().forEach(actions::probeLoad);
         }
     }
 
     @Override
-    public void query(long now, Query query) {
-        if (settings.classes().get(query.queryClass()).inOrder() && query.key() != 0) {
+    public void queryAccepted(long now, Query query) {
+        if (settings.classes().get(query.queryClass()).orderedByKey() && query.key() != 0) {
             ArrayDeque<Query> line = lines.computeIfAbsent(query.key(), k -> new ArrayDeque<>());
             line.add(query);
             if (line.size() > 1) {
@@ -69,7 +81,7 @@
 
     private void send(Query query) {
         QueryClass spec = settings.classes().get(query.queryClass());
-        Engine to =
+        EngineEndpoint to =
                 ready.values().stream()
                         .filter(e -> spec.zones().isEmpty() || spec.zones().contains(e.zone()))
                         .filter(e -> spec.kinds().isEmpty() || spec.kinds().contains(e.kind()))
@@ -84,33 +96,33 @@
         }
         own.merge(to.id(), 1, Integer::sum);
         out.put(query.id(), query);
-        actions.send(query.id(), to.id(), 0);
+        actions.startAttempt(query.id(), to.id(), 0);
     }
 
-    private double load(Engine e) {
-        return own.getOrDefault(e.id(), 0) / settings.kinds().get(e.kind()).cores()
+    private double load(EngineEndpoint e) {
+        return own.getOrDefault(e.id(), 0) / settings.engineKinds().get(e.kind()).cores()
                 + told.getOrDefault(e.id(), 0.0);
     }
 
-    private long byChance(Engine e, Query query) {
+    private long byChance(EngineEndpoint e, Query query) {
         return new SplittableRandom(e.id() * 1_000_003 + query.id() + settings.index()).nextLong();
     }
 
     @Override
-    public void ended(long now, AttemptEnd end) {
+    public void attemptEnded(long now, AttemptResult end) {
         Query query = out.remove(end.query());
         own.merge(end.engine(), -1, Integer::sum);
-        heed(end.engine(), end.report());
-        super.ended(now, end);
+        heed(end.engine(), end.loadReport());
+        super.attemptEnded(now, end);
         boolean settled =
-                end.outcome() == Outcome.OK
-                        || end.outcome() == Outcome.ERROR
+                end.outcome() == AttemptOutcome.OK
+                        || end.outcome() == AttemptOutcome.ERROR
                         || !end.outcome().mayHaveRun;
-        over(query, settled ? 0 : settings.rules().keyRestUs());
+        over(query, settled ? 0 : settings.protectionRules().keyQuietPeriodUs());
     }
 
     @Override
-    public void abandoned(long now, long query) {
+    public void queryAbandoned(long now, long query) {
         for (ArrayDeque<Query> line : lines.values()) {
             Query first = line.peek();
             line.removeIf(each -> each.id() == query && each != first);
@@ -120,7 +132,7 @@
     /** What comes next of the same key may start after this rest. */
     private void over(Query query, long rest) {
         if (lines.containsKey(query.key()) && lines.get(query.key()).peek() == query) {
-            actions.timer(rest + 1, query.key() + 1);
+            actions.scheduleTimer(rest + 1, query.key() + 1);
         }
     }
 
@@ -134,9 +146,9 @@
         }
     }
 
-    private void heed(long engine, Report report) {
+    private void heed(long engine, LoadReport report) {
         if (report != null && ready.containsKey(engine)) {
-            double cores = settings.kinds().get(ready.get(engine).kind()).cores();
+            double cores = settings.engineKinds().get(ready.get(engine).kind()).cores();
             double full =
                     Double.isNaN(report.utilization()) ? report.saturation() : report.utilization();
             told.put(engine, Double.isNaN(report.running()) ? full : report.running() / cores);
@@ -144,7 +156,7 @@
     }
 
     @Override
-    public void probed(long now, long engine, Outcome outcome, Report report) {
+    public void probeCompleted(long now, long engine, AttemptOutcome outcome, LoadReport report) {
         heed(engine, report);
     }
 }
--- a/src/measure/java/calicostream/deployments/Machine.java
+++ b/src/measure/java/calicostream/deployments/Machine.java
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.deployments;
 
-import calicostream.QueryRouter.Engine;
-import calicostream.QueryRouter.EngineState;
-import calicostream.QueryRouter.Outcome;
-import calicostream.QueryRouter.Report;
 import calicostream.mass.Time;
+import calicostream.routing.AttemptOutcome;
+import calicostream.routing.EngineEndpoint;
+import calicostream.routing.EngineLifecycle;
+import calicostream.routing.LoadReport;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -25,7 +25,7 @@
         final Draw.Lane lane;
         final double wanted;
         final long expires;
-        final Consumer<Outcome> ended;
+        final Consumer<AttemptOutcome> ended;
         int priority;
         private double left, whole, io, granted, rate;
         private boolean waits, blocked, spills;
@@ -40,7 +40,7 @@
                 double wanted,
                 int priority,
                 long expires,
-                Consumer<Outcome> ended) {
+                Consumer<AttemptOutcome> ended) {
             this.ask = ask;
             this.lane = lane;
             this.wanted = wanted;
@@ -92,7 +92,7 @@
     private final LinkedHashMap<Integer, Boolean> warm = new LinkedHashMap<>(16, 0.75f, true);
     private final ArrayDeque<Seen> seen = new ArrayDeque<>();
     private final ArrayDeque<Long> probedAt = new ArrayDeque<>();
-    EngineState state = EngineState.READY;
+    EngineLifecycle state = EngineLifecycle.READY;
     long bornUs, reportsLateUs;
     boolean hangs, isSlow;
     private double granted, coresBusy, disksBusy;
@@ -116,8 +116,8 @@
     }
 
     /** Cells are of four engines. */
-    Engine entry() {
-        return new Engine(id, kind, (int) (id / 4), zone, bornUs, state);
+    EngineEndpoint entry() {
+        return new EngineEndpoint(id, kind, (int) (id / 4), zone, bornUs, state);
     }
 
     /** Its share of its speed: a cold engine gains evenly until it is warm. */
@@ -149,13 +149,13 @@
         time.after(draw.telling().periodUs(), this::look);
     }
 
-    Report report() {
+    LoadReport report() {
         long upTo = time.now() - draw.telling().delayUs() - reportsLateUs;
         Seen told = seen.peek();
         for (Seen each : seen) {
             told = each.at <= upTo ? each : told;
         }
-        Report out = Report.NOTHING;
+        LoadReport out = LoadReport.EMPTY;
         for (String field : draw.telling().fields()) {
             double value =
                     field.equals("inflight")
@@ -166,7 +166,7 @@
                                             ? told.util
                                             : field.equals("x0") ? told.granted : told.disks;
             out =
-                    out.with(
+                    out.withColumn(
                             field,
                             Math.max(
                                     0,
@@ -250,7 +250,7 @@
                             : line.get(0);
             if (time.now() > next.expires) {
                 line.remove(next);
-                time.after(1, () -> next.ended.accept(Outcome.FULL));
+                time.after(1, () -> next.ended.accept(AttemptOutcome.OVERLOADED));
             } else if (granted + next.wanted <= memoryMb || running.isEmpty()) {
                 line.remove(next);
                 begin(next);
@@ -263,7 +263,7 @@
     /** All that it holds ends without an answer. */
     void die() {
         advance();
-        state = EngineState.GONE;
+        state = EngineLifecycle.REMOVED;
         List<Run> lost = new ArrayList<>(running);
         lost.addAll(line);
         running.clear();
@@ -271,7 +271,7 @@
         warm.clear();
         granted = 0;
         plan();
-        lost.forEach(run -> run.ended.accept(Outcome.RESET));
+        lost.forEach(run -> run.ended.accept(AttemptOutcome.RESET));
     }
 
     /** From now on it is slow, or no more. */
@@ -371,6 +371,6 @@
         List<Run> done = running.stream().filter(run -> run.left <= 0).toList();
         done.forEach(this::leave);
         plan();
-        done.forEach(run -> run.ended.accept(Outcome.OK));
+        done.forEach(run -> run.ended.accept(AttemptOutcome.OK));
     }
 }
--- a/src/measure/java/calicostream/deployments/Play.java
+++ b/src/measure/java/calicostream/deployments/Play.java
@@ -1,12 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.deployments;
 
-import calicostream.QueryRouter;
-import calicostream.QueryRouter.Engine;
-import calicostream.QueryRouter.EngineState;
-import calicostream.QueryRouter.Settings;
 import calicostream.deployments.Draw.Trouble;
 import calicostream.mass.Time;
+import calicostream.routing.EngineEndpoint;
+import calicostream.routing.EngineLifecycle;
+import calicostream.routing.Idempotency;
+import calicostream.routing.QueryRouter;
+import calicostream.routing.RouterActions;
+import calicostream.routing.RouterSettings;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -21,7 +23,7 @@
 final class Play {
     /** Makes the policy of a front end from what its configuration says. */
     interface Maker {
-        QueryRouter router(Settings settings, QueryRouter.Actions actions);
+        QueryRouter router(RouterSettings settings, RouterActions actions);
     }
 
     /**
@@ -73,7 +75,7 @@
             add(i % draw.size().zones(), draw.kindOf(i), 0);
         }
         for (int i = 0; i < draw.size().frontEnds(); i++) {
-            Map<Long, Engine> view = new TreeMap<>();
+            Map<Long, EngineEndpoint> view = new TreeMap<>();
             machines.values().forEach(m -> view.put(m.id, m.entry()));
             FrontEnd front = new FrontEnd(this, i, view, maker);
             fronts.add(front);
@@ -190,8 +192,7 @@
      * A client tries once more where that is harmless; what a killed front end held it tries, too.
      */
     void unserved(Ask ask, long away, boolean refused) {
-        boolean harmless =
-                refused || draw.lanes().get(ask.lane).effect() == QueryRouter.Effect.REPEATABLE;
+        boolean harmless = refused || draw.lanes().get(ask.lane).effect() == Idempotency.IDEMPOTENT;
         if (draw.allowed().clientRetries() && ask.tries < 2 && harmless) {
             triesToCome++;
             time.after(
@@ -214,7 +215,7 @@
     }
 
     /** Changes reach each front end late and in order. */
-    private void tell(Engine entry) {
+    private void tell(EngineEndpoint entry) {
         for (int i = 0; i < fronts.size(); i++) {
             int index = i;
             long at =
@@ -249,7 +250,7 @@
         List<Machine> ready =
                 new ArrayList<>(
                         machines.values().stream()
-                                .filter(m -> m.state == EngineState.READY)
+                                .filter(m -> m.state == EngineLifecycle.READY)
                                 .toList());
         List<Machine> out = new ArrayList<>();
         for (int i = (int) Math.max(1, Math.round(part * ready.size()));
@@ -321,8 +322,8 @@
     }
 
     private void drain(Machine m) {
-        if (m.state == EngineState.READY) {
-            m.state = EngineState.DRAINING;
+        if (m.state == EngineLifecycle.READY) {
+            m.state = EngineLifecycle.DRAINING;
             tell(m.entry());
             time.after(
                     LEAVING,
@@ -341,7 +342,7 @@
                 backAfter,
                 () -> {
                     m.bornUs = time.now();
-                    m.state = EngineState.READY;
+                    m.state = EngineLifecycle.READY;
                     m.hangs = false;
                     colds.get(m.id).forget();
                     tell(m.entry());
--- a/src/measure/java/calicostream/deployments/Wording.java
+++ b/src/measure/java/calicostream/deployments/Wording.java
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.deployments;
 
-import calicostream.QueryRouter.Effect;
-import calicostream.QueryRouter.Reporting;
-import calicostream.QueryRouter.Settings;
-import calicostream.SettingsParser;
+import calicostream.routing.Idempotency;
+import calicostream.routing.LoadReporting;
+import calicostream.routing.RouterSettings;
+import calicostream.routing.SettingsParser;
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
@@ -44,7 +44,7 @@
     }
 
     /** What the front end of this number reads at its start. */
-    static Settings settings(Draw draw, int index, int zone) {
+    static RouterSettings settings(Draw draw, int index, int zone) {
         return new Wording(draw, index, zone).parser(draw.number() % 2 == 0).settings();
     }
 
@@ -115,12 +115,12 @@
         values.put("ceilings.max_attempts", allowed.maxAttempts());
         values.put("ceilings.second_copies", false);
         values.put("client_habits.marks_retry", allowed.clientRetries());
-        Reporting how = telling.how();
+        LoadReporting how = telling.how();
         values.put(
                 "stats.how",
-                how == Reporting.WITH_ANSWERS
+                how == LoadReporting.WITH_ANSWERS
                         ? "inline"
-                        : how == Reporting.ON_PROBE ? "on_probe" : "off");
+                        : how == LoadReporting.ON_PROBE ? "on_probe" : "off");
         values.put("stats.columns", telling.fields());
     }
 
@@ -175,12 +175,12 @@
         values.put(at + "deadline_us", lane.deadlineUs());
         values.put(at + "points", lane.worth());
         values.put(at + "late_worth", lane.lateWorth());
-        Effect effect = lane.effect();
+        Idempotency effect = lane.effect();
         values.put(
                 at + "effect",
-                effect == Effect.REPEATABLE
+                effect == Idempotency.IDEMPOTENT
                         ? "repeatable"
-                        : effect == Effect.ONCE ? "once" : "by_key");
+                        : effect == Idempotency.NON_IDEMPOTENT ? "once" : "by_key");
         values.put(at + "key_scope", lane.scope().toString().toLowerCase(Locale.ROOT));
         values.put(at + "window_us", lane.windowUs());
         values.put(at + "stream", false);
--- a/src/measure/java/calicostream/durable/DurableMeasure.java
+++ b/src/measure/java/calicostream/durable/DurableMeasure.java
@@ -164,7 +164,7 @@
                 new FileDisk(folder.resolve(name)),
                 new FileDisk(folder.resolve(name + "-marks")),
                 Play.WHO,
-                Options.DEFAULT);
+                LogOptions.DEFAULT);
     }
 
     private double batches(String name) throws IOException {
@@ -208,7 +208,7 @@
             began = System.nanoTime();
             try (DurableLog log = log("long")) {
                 took[i] = System.nanoTime() - began;
-                List<Recovered.Entry> entries = log.recovered().entries();
+                List<RecoveredState.Entry> entries = log.recovered().entries();
                 if (entries.size() != LOG_MB * ((1 << 20) / ENTRY))
                     throw new IllegalStateException(
                             "entries " + entries.size() + " of " + bytes + " bytes");
--- a/src/measure/java/calicostream/durable/Play.java
+++ b/src/measure/java/calicostream/durable/Play.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.durable;
 
-import calicostream.durable.Amnesia.Seen;
+import calicostream.durable.StateLossDetector.Seen;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -17,7 +17,7 @@
  */
 final class Play {
 
-    static final Identity WHO = new Identity("site", "a");
+    static final LogIdentity WHO = new LogIdentity("site", "a");
 
     /** What a log says; {@code entries} are all since the last jump. */
     record State(
@@ -87,20 +87,20 @@
         random = new Random(seed);
     }
 
-    static Options options(FaultyDisk.Power power) {
-        return new Options(400, 1_000_000_000L, false, () -> power.now);
+    static LogOptions options(FaultyDisk.Power power) {
+        return new LogOptions(400, 1_000_000_000L, false, () -> power.now);
     }
 
     void open() throws DurableException {
         durable = DurableLog.open(log, marks, WHO, options(power));
-        if (durable.recovered().own().standing() == Amnesia.Standing.FRESH) {
+        if (durable.recovered().own().standing() == StateLossDetector.Standing.FRESH) {
             durable.admit();
             admitted++;
         }
     }
 
-    Amnesia.Answer judge() {
-        return Amnesia.judge(
+    StateLossDetector.Answer judge() {
+        return StateLossDetector.judge(
                 durable.recovered().own(),
                 true,
                 Set.of("b", "c"),
@@ -220,7 +220,7 @@
      * may have been passed over.
      */
     State found(boolean passed) {
-        Recovered recovered = durable.recovered();
+        RecoveredState recovered = durable.recovered();
         long newest = recovered.snapshot() == null ? 0 : recovered.snapshot().index();
         for (int i = since.size() - 1; i >= 0; i--) {
             State state = since.get(i);
@@ -231,7 +231,7 @@
 
     /** Whether what was found was true once. */
     boolean wasPromised() {
-        Recovered recovered = durable.recovered();
+        RecoveredState recovered = durable.recovered();
         return promised.stream().anyMatch(state -> is(state, recovered));
     }
 
@@ -239,7 +239,7 @@
      * A generation that is not the newest does, as long as the entries lead from it to the same
      * end.
      */
-    private static boolean is(State state, Recovered recovered) {
+    private static boolean is(State state, RecoveredState recovered) {
         if (recovered.term() != state.term() || !recovered.votedFor().equals(state.vote()))
             return false;
         byte[] note = recovered.notes().get("note");
@@ -254,7 +254,7 @@
         }
         if (recovered.lastIndex() != state.last()
                 || recovered.entries().size() != state.last() - from) return false;
-        for (Recovered.Entry entry : recovered.entries())
+        for (RecoveredState.Entry entry : recovered.entries())
             if (entry.index() != ++from
                     || !new String(entry.bytes()).equals(state.entries().get(from))) return false;
         return true;
--- a/src/measure/java/calicostream/durable/Trials.java
+++ b/src/measure/java/calicostream/durable/Trials.java
@@ -101,9 +101,11 @@
     }
 
     private static Outcome honest(Play play, String what) {
-        Amnesia.Own own = play.durable.recovered().own();
-        if (own.doubt() != Amnesia.Doubt.NONE) return new Outcome(End.FALSE_ALARM, what + own);
-        if (own.standing() == Amnesia.Standing.ADMITTED && play.judge().verdict() != Verdict.VOTER)
+        StateLossDetector.Own own = play.durable.recovered().own();
+        if (own.doubt() != StateLossDetector.Doubt.NONE)
+            return new Outcome(End.FALSE_ALARM, what + own);
+        if (own.standing() == StateLossDetector.Standing.ADMITTED
+                && play.judge().verdict() != RecoveryVerdict.VOTER)
             return new Outcome(End.FALSE_ALARM, what + play.judge());
         if (play.found(false) != null) return new Outcome(End.INTACT, what);
         return wrong(play, what);
@@ -156,7 +158,7 @@
         }
         // Where one place alone lies, the other has to tell: peers say nothing.
         if (lie != Lie.BOTH_SYNC_LOST && lie != Lie.BOTH_OLDER && lie != Lie.BOTH_EMPTY)
-            play.seen = Amnesia.Seen.NOTHING;
+            play.seen = StateLossDetector.Seen.NOTHING;
         if (log0 || marks0) play.cut(0);
         else play.killed();
         tell(play, lie, log, marks, branch, random);
@@ -165,7 +167,7 @@
         } catch (DurableException e) {
             return back(play, lie, new Outcome(End.NOTICED, what + e.code()));
         }
-        if (play.judge().verdict() != Verdict.VOTER)
+        if (play.judge().verdict() != RecoveryVerdict.VOTER)
             return back(play, lie, new Outcome(End.NOTICED, what + play.judge().reason()));
         return play.found(true) != null ? new Outcome(End.INTACT, what) : wrong(play, what);
     }
@@ -203,28 +205,32 @@
             case LOG_FOREIGN, MARKS_FOREIGN -> {
                 FaultyDisk theirs = new FaultyDisk("z", play.power);
                 FaultyDisk theirMarks = new FaultyDisk("z", play.power);
-                DurableLog.open(theirs, theirMarks, new Identity("site", "z"), Options.DEFAULT)
+                DurableLog.open(
+                                theirs,
+                                theirMarks,
+                                new LogIdentity("site", "z"),
+                                LogOptions.DEFAULT)
                         .close();
                 if (lie == Lie.LOG_FOREIGN) play.log.restore(theirs);
                 else play.marks.restore(theirMarks);
             }
-            case LOG_ROT -> play.log.rot(Names.LOG, random);
-            case MARKS_ROT -> play.marks.rot(Names.MARK, random);
-            case SNAPSHOT_ROT -> play.log.rot(Names.SNAPSHOT, random);
+            case LOG_ROT -> play.log.rot(SegmentNames.LOG, random);
+            case MARKS_ROT -> play.marks.rot(SegmentNames.MARK, random);
+            case SNAPSHOT_ROT -> play.log.rot(SegmentNames.SNAPSHOT, random);
             case SEGMENT_GONE -> {
-                List<String> files = Names.of(Names.LOG, play.log.files());
+                List<String> files = SegmentNames.of(SegmentNames.LOG, play.log.files());
                 play.log.remove(files.get(random.nextInt(files.size())));
             }
             case SEGMENT_OLDER -> {
                 // The one that was being written when the copy was made.
-                List<String> files = Names.of(Names.LOG, log.files());
+                List<String> files = SegmentNames.of(SegmentNames.LOG, log.files());
                 String name = files.get(files.size() - 1);
                 if (play.log.files().contains(name)) play.log.put(name, log.bytes(name));
             }
             case LOG_BRANCHED -> play.log.restore(branch.log);
             case SEGMENT_BRANCHED -> {
                 List<String> files =
-                        Names.of(Names.LOG, play.log.files()).stream()
+                        SegmentNames.of(SegmentNames.LOG, play.log.files()).stream()
                                 .filter(branch.log.files()::contains)
                                 .toList();
                 String name =
@@ -234,7 +240,7 @@
                 if (name != null) play.log.put(name, branch.log.bytes(name));
             }
             case SNAPSHOT_GONE -> {
-                List<String> files = Names.of(Names.SNAPSHOT, play.log.files());
+                List<String> files = SegmentNames.of(SegmentNames.SNAPSHOT, play.log.files());
                 if (!files.isEmpty()) play.log.remove(files.get(random.nextInt(files.size())));
             }
         }
@@ -251,10 +257,11 @@
         try {
             play.durable =
                     DurableLog.open(play.log, play.marks, Play.WHO, Play.options(play.power));
-            if (play.judge().verdict() == Verdict.VOTER)
+            if (play.judge().verdict() == RecoveryVerdict.VOTER)
                 return new Outcome(End.LOST, noticed.what() + ", and forgotten at the next start");
-            if (play.durable.recovered().own().standing() != Amnesia.Standing.FRESH
-                    && play.judge().verdict() == Verdict.LEARNER) play.durable.bar("peers say so");
+            if (play.durable.recovered().own().standing() != StateLossDetector.Standing.FRESH
+                    && play.judge().verdict() == RecoveryVerdict.LEARNER)
+                play.durable.bar("peers say so");
         } catch (DurableException e) {
             opened = false;
         }
@@ -266,14 +273,15 @@
         play.durable =
                 DurableLog.open(
                         play.log, play.marks, Play.WHO, Play.options(play.power).startingOver());
-        if (play.judge().verdict() != Verdict.LEARNER)
+        if (play.judge().verdict() != RecoveryVerdict.LEARNER)
             return new Outcome(End.LOST, noticed.what() + ", and a voter once started over");
         play.durable.appendEntry(1, 1, new byte[3]);
         play.durable.admit();
         play.durable.close();
-        play.seen = Amnesia.Seen.NOTHING;
+        play.seen = StateLossDetector.Seen.NOTHING;
         play.durable = DurableLog.open(play.log, play.marks, Play.WHO, Play.options(play.power));
-        if (play.judge().verdict() != Verdict.VOTER || play.durable.recovered().lastIndex() != 1)
+        if (play.judge().verdict() != RecoveryVerdict.VOTER
+                || play.durable.recovered().lastIndex() != 1)
             return new Outcome(
                     End.FALSE_ALARM, noticed.what() + ", admitted anew and then " + play.judge());
         return noticed;
--- a/src/measure/java/calicostream/lease/LeaseBook.java
+++ b/src/measure/java/calicostream/lease/LeaseBook.java
@@ -2,7 +2,7 @@
 package calicostream.lease;
 
 import calicostream.cluster.Command;
-import calicostream.cluster.Effects;
+import calicostream.cluster.CommandEffects;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -47,7 +47,7 @@
     /**
      * @return whether this copy is the first that applied it
      */
-    boolean applied(long index, Command command, Effects effects) {
+    boolean applied(long index, Command command, CommandEffects effects) {
         if (index <= lastIndex) {
             return false;
         }
@@ -73,7 +73,7 @@
         return true;
     }
 
-    boolean ended(long index, long session, Effects effects) {
+    boolean ended(long index, long session, CommandEffects effects) {
         if (index <= lastIndex) {
             return false;
         }
@@ -83,8 +83,8 @@
         return true;
     }
 
-    private void events(long by, Effects effects) {
-        for (Effects.Event each : effects.events()) {
+    private void events(long by, CommandEffects effects) {
+        for (CommandEffects.Event each : effects.events()) {
             LeaseEvent event = LeaseEvent.decode(each);
             String name = event.name();
             if (event instanceof LeaseEvent.Granted g) {
@@ -120,7 +120,9 @@
                                 + ", which does not hold it");
             } else if (event instanceof LeaseEvent.Acted a) {
                 judge(
-                        acts.add(new calicostream.cluster.Bytes.Reader("act", a.payload()).i64()),
+                        acts.add(
+                                new calicostream.cluster.BinaryCodec.Reader("act", a.payload())
+                                        .i64()),
                         "an act counts twice");
                 judge(
                         a.token() >= acted.getOrDefault(name, 0L),
--- a/src/measure/java/calicostream/lease/LeaseModel.java
+++ b/src/measure/java/calicostream/lease/LeaseModel.java
@@ -50,15 +50,15 @@
  * Members that want one lease, a log that two leaders take turns at, and a resource, with every
  * order of what is under way: commands, answers and news are late, doubled or repeated, and lost if
  * they never arrive or a later one takes their place; a member stops between its check and its act,
- * clocks run slow or fast, leaders change, sessions end. {@link LeaseMachine}, {@link Holder},
- * {@link LeaderWatch} and {@link Fence} are the product's own.
+ * clocks run slow or fast, leaders change, sessions end. {@link LeaseMachine}, {@link LeaseHolder},
+ * {@link LeaseExpiryMonitor} and {@link FencingTokenGuard} are the product's own.
  *
  * <p>Promises: the resource and the log take no act out of the order of tokens and none twice;
  * tokens grow; no two members that ask their own clocks are told that they hold, as long as clocks
  * keep to their bound.
  */
 public final class LeaseModel implements Model {
-    private static final Drift DRIFT = new Drift(250_000);
+    private static final ClockDriftBound DRIFT = new ClockDriftBound(250_000);
     private static final String WORDS =
             "tick|asks|repeats its command|'s command is applied|'s command is doubled|hears the"
                 + " answer|hears that it was granted|checks its lease and begins an act|'s act"
@@ -97,7 +97,7 @@
      */
     public LeaseModel(LeaseScope scope, Mutant without) {
         this.scope = scope;
-        parts = new Parts(without, new Limits(1, 100, 4, 8), DRIFT);
+        parts = new Parts(without, new LeaseLimits(1, 100, 4, 8), DRIFT);
         log = new LeaseSteps(parts, scope.ttl());
     }
 
@@ -171,7 +171,7 @@
 
     private void leader() {
         byte[] s = from.clone();
-        LeaderWatch watch = watch(s);
+        LeaseExpiryMonitor watch = watch(s);
         List<byte[]> due = watch.due(NOW);
         keepWatch(s, watch);
         if (!due.isEmpty() && s[EXPIRE_TOKEN] == 0) {
@@ -211,20 +211,20 @@
         }
     }
 
-    private LeaderWatch watch(byte[] s) {
+    private LeaseExpiryMonitor watch(byte[] s) {
         return parts.watch(
                 log.machine(machine(s)),
                 s[SEEN_TOKEN] == 0
                         ? Map.of()
                         : Map.of(
                                 LeaseSteps.NAME,
-                                new LeaderWatch.Seen(
+                                new LeaseExpiryMonitor.Seen(
                                         s[SEEN_TOKEN], s[SEEN_RENEWALS], NOW - s[SEEN_AGO])),
                 0);
     }
 
-    private void keepWatch(byte[] s, LeaderWatch watch) {
-        LeaderWatch.Seen seen = watch.seen().get(LeaseSteps.NAME);
+    private void keepWatch(byte[] s, LeaseExpiryMonitor watch) {
+        LeaseExpiryMonitor.Seen seen = watch.seen().get(LeaseSteps.NAME);
         s[SEEN_TOKEN] = seen == null ? 0 : (byte) seen.token();
         s[SEEN_RENEWALS] = seen == null ? 0 : (byte) seen.renewals();
         s[SEEN_AGO] =
@@ -243,7 +243,7 @@
                 n[at + OUT] = 0;
                 n[at + OUT + 1] = 0;
             } else if (s[at + OUT] != 0) {
-                Holder holder = holder(n, m);
+                LeaseHolder holder = holder(n, m);
                 LeaseSteps.tell(holder, s[at + REPLY], s[at + REPLY + 1]);
                 keep(n, m, holder, scope.ttl());
             }
@@ -252,7 +252,7 @@
         if (s[at + NEWS] != 0) {
             byte[] n = s.clone();
             n[at + NEWS] = 0;
-            Holder holder = holder(n, m);
+            LeaseHolder holder = holder(n, m);
             holder.granted(NOW, s[at + NEWS]);
             keep(n, m, holder, scope.ttl());
             to(HEAR_NEWS, m, 0, n);
@@ -273,7 +273,7 @@
             }
         } else if (s[at + ENDED] == 1) {
             byte[] n = s.clone();
-            Holder holder = holder(n, m);
+            LeaseHolder holder = holder(n, m);
             holder.sessionEnded(NOW);
             holder.stop();
             keep(n, m, holder, scope.ttl());
@@ -284,15 +284,15 @@
         }
     }
 
-    private Holder holder(byte[] s, int m) {
+    private LeaseHolder holder(byte[] s, int m) {
         return LeaseWorld.holder(s, m, parts, LeaseSteps.NAME, scope.ttl());
     }
 
     private void commands(int m, byte[] s, int at) {
         if (s[at + OUT] == 0 && s[at + ENDED] < 2) {
             byte[] n = s.clone();
-            Holder holder = holder(n, m);
-            Holder.Ask ask = holder.next(NOW);
+            LeaseHolder holder = holder(n, m);
+            LeaseHolder.Ask ask = holder.next(NOW);
             keep(n, m, holder, scope.ttl());
             if (ask != null) {
                 send(n, at, LeaseSteps.kind(ask.command()), LeaseSteps.token(ask.command()));
@@ -416,7 +416,7 @@
         if (s[at + CHECKED] != 0) {
             byte[] n = s.clone();
             n[at + CHECKED] = 0;
-            Fence fence = parts.fence(LeaseSteps.NAME, s[FENCE]);
+            FencingTokenGuard fence = parts.fence(LeaseSteps.NAME, s[FENCE]);
             if (fence.admit(LeaseSteps.NAME, s[at + CHECKED]).isEmpty()
                     && s[at + CHECKED] < s[FENCE]) {
                 steps.broken(
@@ -448,11 +448,11 @@
     private void wishes(int m, byte[] s, int at) {
         if (s[at + WANTED] != 0
                 && s[at + STOPS_LEFT] > 0
-                && s[at + PHASE] >= Holder.Phase.WAITING.ordinal()) {
+                && s[at + PHASE] >= LeaseHolder.Phase.WAITING.ordinal()) {
             for (int kind : new int[] {STOP, HAND_OVER}) {
                 byte[] n = s.clone();
                 n[at + STOPS_LEFT]--;
-                Holder holder = holder(n, m);
+                LeaseHolder holder = holder(n, m);
                 if (kind == STOP) {
                     holder.stop();
                 } else {
@@ -478,7 +478,7 @@
         steps.to(action(kind, m, i), s);
         int holding = 0;
         for (int each = 0; each < scope.members(); each++) {
-            if (s[place(each) + PHASE] == Holder.Phase.HELD.ordinal()
+            if (s[place(each) + PHASE] == LeaseHolder.Phase.HELD.ordinal()
                     && holder(s, each).mayAct(NOW)) {
                 holding++;
             }
--- a/src/measure/java/calicostream/lease/LeaseRuns.java
+++ b/src/measure/java/calicostream/lease/LeaseRuns.java
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.lease;
 
-import calicostream.cluster.Bytes;
-import calicostream.cluster.Frame;
+import calicostream.cluster.BinaryCodec;
+import calicostream.cluster.MemberMessage;
 import calicostream.cluster.MemberSession;
-import calicostream.cluster.Replicated;
+import calicostream.cluster.ReplicatedState;
 import calicostream.prove.Mutant;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -69,8 +69,8 @@
         final int id;
         MemberSession session;
         LeaseClient client;
-        Holder holder;
-        Acts acts;
+        LeaseHolder holder;
+        FencedActions acts;
 
         Member(int id) {
             this.id = id;
@@ -88,7 +88,9 @@
             holder =
                     client.add(
                             parts.holder(
-                                    TASK, TTL, new Holder(TASK, TTL, process.nanos()).state()));
+                                    TASK,
+                                    TTL,
+                                    new LeaseHolder(TASK, TTL, process.nanos()).state()));
             acts = client.acts(holder);
             holder.want();
             tick();
@@ -117,9 +119,9 @@
                                                                                 session.received(
                                                                                         send
                                                                                                 .voter(),
-                                                                                        (Frame
+                                                                                        (MemberMessage
                                                                                                         .Reply)
-                                                                                                Frame
+                                                                                                MemberMessage
                                                                                                         .decode(
                                                                                                                 reply),
                                                                                         process
@@ -136,8 +138,8 @@
          */
         void act() {
             if (random.nextInt(3) == 0) {
-                byte[] number = new Bytes.Writer().i64(++acted).done();
-                Fenced.Outcome<LeaseCommand.Act> command = acts.inLog(number);
+                byte[] number = new BinaryCodec.Writer().i64(++acted).done();
+                FencedResource.FencedResult<LeaseCommand.Act> command = acts.inLog(number);
                 if (command.isDone()) {
                     session.run("lease", command.result().encode(), outcome -> {});
                 }
@@ -145,7 +147,7 @@
                 acts.at(
                         (lease, token, payload) -> {
                             link(0, () -> resource(this, token));
-                            return Fenced.Outcome.done(null);
+                            return FencedResource.FencedResult.done(null);
                         },
                         null);
             }
@@ -163,7 +165,7 @@
     private final Set<Long> done = new HashSet<>();
     private final List<Double> handOvers = new ArrayList<>();
     private final VirtualLog log;
-    private final Fence fence;
+    private final FencingTokenGuard fence;
     private long now;
     private long order;
     private long acted;
@@ -183,7 +185,7 @@
         random = new Random(seed);
         this.killsAlone = killsAlone;
         sessionMillis = killsAlone ? 1500 : 400 + random.nextInt(1400);
-        parts = new Parts(without, Limits.STANDARD, Drift.BOUND);
+        parts = new Parts(without, LeaseLimits.STANDARD, ClockDriftBound.BOUND);
         fence = parts.fence(TASK, 0);
         IntStream.range(0, VirtualLog.VOTERS).forEach(i -> voters.add(new Process()));
         log = new VirtualLog(this, parts, this::news);
@@ -336,8 +338,8 @@
     // ---- Judgement
     // ------------------------------------------------------------------------------------
     private boolean mayAct(Member member) {
-        return member.holder.phase() == Holder.Phase.HELD
-                && new Holder(TASK, TTL, Drift.BOUND, member.holder.state())
+        return member.holder.phase() == LeaseHolder.Phase.HELD
+                && new LeaseHolder(TASK, TTL, ClockDriftBound.BOUND, member.holder.state())
                         .mayAct(member.process.nanos()); // A copy: asking must not tell it.
     }
 
@@ -375,7 +377,7 @@
         did(token);
     }
 
-    private void news(Replicated.News news) {
+    private void news(ReplicatedState.StateChange news) {
         if (!news.machine().equals("lease")) {
             return;
         }
@@ -391,7 +393,7 @@
                                     each.id,
                                     () -> each.process.after(1, () -> each.client.news(event))));
         } else if (event instanceof LeaseEvent.Acted act) {
-            long number = new Bytes.Reader("act", act.payload()).i64();
+            long number = new BinaryCodec.Reader("act", act.payload()).i64();
             if (!done.add(number)) {
                 broken = "act " + number + " is done twice by the log";
             }
--- a/src/measure/java/calicostream/lease/LeaseSteps.java
+++ b/src/measure/java/calicostream/lease/LeaseSteps.java
@@ -2,7 +2,7 @@
 package calicostream.lease;
 
 import calicostream.cluster.Command;
-import calicostream.cluster.Effects;
+import calicostream.cluster.CommandEffects;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -79,7 +79,7 @@
 
     private Step take(int id, int session, byte kind, byte token, byte more) {
         LeaseMachine machine = parts.machine(snapshots.get(id));
-        Effects effects =
+        CommandEffects effects =
                 kind == END_OF_SESSION
                         ? machine.sessionEnded(1, session)
                         : machine.apply(
@@ -92,7 +92,7 @@
         byte granted = 0;
         byte to = 0;
         byte acted = 0;
-        for (Effects.Event each : effects.events()) {
+        for (CommandEffects.Event each : effects.events()) {
             LeaseEvent event = LeaseEvent.decode(each);
             if (event instanceof LeaseEvent.Granted g) {
                 granted = (byte) g.token();
@@ -158,7 +158,7 @@
     }
 
     /** Tells a holder an answer as its class takes it. */
-    static void tell(Holder holder, byte answer, byte token) {
+    static void tell(LeaseHolder holder, byte answer, byte token) {
         long now = LeaseWorld.NOW;
         int number = LeaseWorld.NUMBER;
         switch (answer) {
--- a/src/measure/java/calicostream/lease/LeaseWorld.java
+++ b/src/measure/java/calicostream/lease/LeaseWorld.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.lease;
 
-import calicostream.lease.Holder.Phase;
+import calicostream.lease.LeaseHolder.Phase;
 
 /**
  * The layout of a state of {@link LeaseModel}: members, what is under way between them and the log,
@@ -84,12 +84,12 @@
         return s[at + OUT] != 0 && s[at + OUT] != LeaseSteps.ACT;
     }
 
-    static Holder holder(byte[] s, int m, Parts parts, String name, long ttl) {
+    static LeaseHolder holder(byte[] s, int m, Parts parts, String name, long ttl) {
         int at = place(m);
         return parts.holder(
                 name,
                 ttl,
-                new Holder.State(
+                new LeaseHolder.State(
                         Phase.values()[s[at + PHASE]],
                         s[at + WANTED] != 0,
                         s[at + TOKEN],
@@ -103,9 +103,9 @@
     }
 
     /** Keeps what the holder knows, and of its times only what can still matter. */
-    static void keep(byte[] s, int m, Holder holder, long ttl) {
+    static void keep(byte[] s, int m, LeaseHolder holder, long ttl) {
         int at = place(m);
-        Holder.State h = holder.state();
+        LeaseHolder.State h = holder.state();
         s[at + PHASE] = (byte) h.phase().ordinal();
         s[at + WANTED] = (byte) (h.wanted() ? 1 : 0);
         s[at + TOKEN] = (byte) h.token();
--- a/src/measure/java/calicostream/lease/Parts.java
+++ b/src/measure/java/calicostream/lease/Parts.java
@@ -10,23 +10,23 @@
  */
 final class Parts {
     private final Mutant without;
-    private final Limits limits;
-    private final Drift drift;
+    private final LeaseLimits limits;
+    private final ClockDriftBound drift;
 
     /**
      * @param without the safeguard taken out; null: none
      */
-    Parts(Mutant without, Limits limits, Drift drift) {
+    Parts(Mutant without, LeaseLimits limits, ClockDriftBound drift) {
         this.without = without;
         this.limits = limits;
-        this.drift = without == Mutant.DRIFT_NOT_COUNTED ? new Drift(0) : drift;
+        this.drift = without == Mutant.DRIFT_NOT_COUNTED ? new ClockDriftBound(0) : drift;
     }
 
     boolean isOut(Mutant mutant) {
         return without == mutant;
     }
 
-    Drift drift() {
+    ClockDriftBound drift() {
         return drift;
     }
 
@@ -62,8 +62,8 @@
         return machine;
     }
 
-    Holder holder(String name, long ttl, Holder.State state) {
-        return new Holder(name, ttl, drift, state) {
+    LeaseHolder holder(String name, long ttl, LeaseHolder.State state) {
+        return new LeaseHolder(name, ttl, drift, state) {
             @Override
             long countedFrom(long asked, long now) {
                 return isOut(Mutant.EXPIRY_FROM_ANSWER_TIME) ? now : super.countedFrom(asked, now);
@@ -84,8 +84,9 @@
      * @param period between two looks; 0: it looks whenever it likes, and no step of its clock is
      *     to be counted
      */
-    LeaderWatch watch(LeaseMachine machine, Map<String, LeaderWatch.Seen> seen, long period) {
-        return new LeaderWatch(
+    LeaseExpiryMonitor watch(
+            LeaseMachine machine, Map<String, LeaseExpiryMonitor.Seen> seen, long period) {
+        return new LeaseExpiryMonitor(
                 machine, drift, seen, isOut(Mutant.CLOCK_STEP_COUNTED) ? 0 : period) {
             @Override
             long inherited(long now, long ttl) {
@@ -96,9 +97,9 @@
         };
     }
 
-    Fence fence(String name, long highest) {
-        Fence fence =
-                new Fence() {
+    FencingTokenGuard fence(String name, long highest) {
+        FencingTokenGuard fence =
+                new FencingTokenGuard() {
                     @Override
                     boolean isOutdated(long token, long most) {
                         return !isOut(Mutant.TOKEN_NOT_CHECKED) && super.isOutdated(token, most);
--- a/src/measure/java/calicostream/lease/SimLeases.java
+++ b/src/measure/java/calicostream/lease/SimLeases.java
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.lease;
 
-import calicostream.cluster.Bytes;
+import calicostream.cluster.BinaryCodec;
 import calicostream.cluster.Command;
-import calicostream.cluster.Effects;
-import calicostream.cluster.Machine;
+import calicostream.cluster.CommandEffects;
+import calicostream.cluster.EventLoop;
 import calicostream.cluster.MemberSession;
-import calicostream.cluster.Reactor;
-import calicostream.cluster.Replicated;
+import calicostream.cluster.ReplicatedState;
+import calicostream.cluster.StateMachine;
 import calicostream.cluster.sim.Guest;
 import calicostream.prove.Mutant;
 import java.util.ArrayList;
@@ -52,22 +52,24 @@
 
     private final class Member {
         private final int id;
-        private final Reactor process;
+        private final EventLoop process;
         private final MemberSession session;
         private final LeaseClient client;
-        private final List<Holder> holders = new ArrayList<>();
+        private final List<LeaseHolder> holders = new ArrayList<>();
 
-        Member(int id, Reactor process, MemberSession session) {
+        Member(int id, EventLoop process, MemberSession session) {
             this.id = id;
             this.process = process;
             this.session = session;
             client = new LeaseClient(session, MACHINE, process::nanos);
             for (String name : NAMES) {
                 long ttl = ttl(name);
-                Holder holder =
+                LeaseHolder holder =
                         client.add(
                                 parts.holder(
-                                        name, ttl, new Holder(name, ttl, process.nanos()).state()));
+                                        name,
+                                        ttl,
+                                        new LeaseHolder(name, ttl, process.nanos()).state()));
                 holders.add(holder);
                 if (!resting && (plan != Plan.KILLS_OUTSIDE || id > world.members() - OUTSIDE)) {
                     holder.want();
@@ -78,11 +80,11 @@
 
         /** Checks and acts, at the resource by a message that nothing holds back once it is out. */
         void act() {
-            Holder holder = holders.get(world.random().nextInt(NAMES.length));
-            Acts acts = client.acts(holder);
+            LeaseHolder holder = holders.get(world.random().nextInt(NAMES.length));
+            FencedActions acts = client.acts(holder);
             if (world.random().nextInt(4) == 0) {
-                Fenced.Outcome<LeaseCommand.Act> command =
-                        acts.inLog(new Bytes.Writer().i64(++acted).done());
+                FencedResource.FencedResult<LeaseCommand.Act> command =
+                        acts.inLog(new BinaryCodec.Writer().i64(++acted).done());
                 if (command.isDone()) {
                     session.run(MACHINE, command.result().encode(), outcome -> {});
                 }
@@ -96,7 +98,7 @@
                                                     * MILLI
                                             : 0;
                             world.at(world.now() + MILLI + late, () -> resource(lease, token));
-                            return Fenced.Outcome.done(null);
+                            return FencedResource.FencedResult.done(null);
                         },
                         null);
             }
@@ -104,10 +106,14 @@
         }
 
         boolean holds(int which) {
-            Holder holder = holders.get(which);
+            LeaseHolder holder = holders.get(which);
             // A copy is asked: the question must not tell the holder that its time is over.
-            return holder.phase() == Holder.Phase.HELD
-                    && new Holder(holder.name(), ttl(holder.name()), Drift.BOUND, holder.state())
+            return holder.phase() == LeaseHolder.Phase.HELD
+                    && new LeaseHolder(
+                                    holder.name(),
+                                    ttl(holder.name()),
+                                    ClockDriftBound.BOUND,
+                                    holder.state())
                             .mayAct(process.nanos());
         }
     }
@@ -117,7 +123,7 @@
     private final boolean told;
     private final Map<Integer, Member> members = new TreeMap<>();
     private final LeaseBook book = new LeaseBook();
-    private final Fence fence;
+    private final FencingTokenGuard fence;
     private final Map<String, Long> atResource = new HashMap<>();
     private final Map<Integer, Long> killed = new HashMap<>();
     private final Map<Integer, Long> killedToken = new HashMap<>();
@@ -136,7 +142,7 @@
     public SimLeases(Plan plan, Mutant without, boolean told) {
         this.plan = plan;
         this.told = told;
-        parts = new Parts(without, Limits.STANDARD, Drift.BOUND);
+        parts = new Parts(without, LeaseLimits.STANDARD, ClockDriftBound.BOUND);
         fence = parts.fence(NAMES[0], 0);
     }
 
@@ -171,11 +177,11 @@
     @Override
     public Map<String, Part> parts(int member) {
         LeaseMachine machine = parts.machine(null);
-        Machine watched =
-                new Machine() {
+        StateMachine watched =
+                new StateMachine() {
                     @Override
-                    public Effects apply(long index, Command command) {
-                        Effects effects = machine.apply(index, command);
+                    public CommandEffects apply(long index, Command command) {
+                        CommandEffects effects = machine.apply(index, command);
                         if (book.applied(index, command, effects)) {
                             granted(effects);
                         }
@@ -183,8 +189,8 @@
                     }
 
                     @Override
-                    public Effects sessionEnded(long index, long session) {
-                        Effects effects = machine.sessionEnded(index, session);
+                    public CommandEffects sessionEnded(long index, long session) {
+                        CommandEffects effects = machine.sessionEnded(index, session);
                         if (book.ended(index, session, effects)) {
                             granted(effects);
                         }
@@ -210,7 +216,7 @@
     }
 
     @Override
-    public void memberStarts(int member, Reactor process, MemberSession session) {
+    public void memberStarts(int member, EventLoop process, MemberSession session) {
         members.put(member, new Member(member, process, session));
     }
 
@@ -225,7 +231,7 @@
     }
 
     @Override
-    public void news(int member, Replicated.News news) {
+    public void news(int member, ReplicatedState.StateChange news) {
         if (news.machine().equals(MACHINE) && members.containsKey(member)) {
             members.get(member).client.news(LeaseEvent.decode(news.event()));
         }
@@ -234,7 +240,7 @@
     @Override
     public void settles() {
         resting = true;
-        members.values().forEach(each -> each.holders.forEach(Holder::stop));
+        members.values().forEach(each -> each.holders.forEach(LeaseHolder::stop));
     }
 
     // ---- Faults
@@ -256,7 +262,7 @@
     }
 
     private void cause(Member holding, int which) {
-        Holder holder = holding.holders.get(which);
+        LeaseHolder holder = holding.holders.get(which);
         switch (plan == Plan.ALL ? world.random().nextInt(6) : 0) {
             case 0 -> {
                 List<Integer> held =
@@ -278,7 +284,10 @@
             case 4 -> {
                 // Who waits is stopped when its turn comes, and hears of it when it has lapsed.
                 members.values().stream()
-                        .filter(each -> each.holders.get(which).phase() == Holder.Phase.WAITING)
+                        .filter(
+                                each ->
+                                        each.holders.get(which).phase()
+                                                == LeaseHolder.Phase.WAITING)
                         .forEach(
                                 each ->
                                         world.stall(
@@ -295,7 +304,7 @@
         }
     }
 
-    private void wantAgain(Member member, Holder holder) {
+    private void wantAgain(Member member, LeaseHolder holder) {
         world.at(
                 world.now() + world.random().nextInt(500) * MILLI,
                 () -> {
@@ -308,8 +317,8 @@
     // ---- Judgement
     // ------------------------------------------------------------------------------------
     /** It is granted in the log: whoever held before must know by now, by its own clock. */
-    private void granted(Effects effects) {
-        for (Effects.Event each : effects.events()) {
+    private void granted(CommandEffects effects) {
+        for (CommandEffects.Event each : effects.events()) {
             if (LeaseEvent.decode(each) instanceof LeaseEvent.Granted granted) {
                 int which = granted.name().equals(NAMES[0]) ? 0 : 1;
                 members.values().stream()
--- a/src/measure/java/calicostream/lease/TaskProcesses.java
+++ b/src/measure/java/calicostream/lease/TaskProcesses.java
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.lease;
 
-import calicostream.cluster.Entry;
-import calicostream.cluster.Frame;
+import calicostream.cluster.MemberMessage;
 import calicostream.cluster.MemberSession;
-import calicostream.cluster.Replicated;
+import calicostream.cluster.ReplicatedEntry;
+import calicostream.cluster.ReplicatedState;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -23,7 +23,7 @@
         final MemberSession session;
         final List<String> calls = new ArrayList<>();
         final List<String> events = new ArrayList<>();
-        final Tasks tasks;
+        final LeasedTaskRunner tasks;
         boolean throwsNext;
         boolean isCut;
         long acted;
@@ -35,25 +35,25 @@
                             List.of(1),
                             (long) member << 40);
             tasks =
-                    new Tasks(
+                    new LeasedTaskRunner(
                             session,
                             "lease",
                             () -> now,
                             event -> events.add(event.code() + " " + event.token()));
             tasks.add(
-                    new Task() {
+                    new LeasedTask() {
                         @Override
                         public String lease() {
                             return NAME;
                         }
 
                         @Override
-                        public void started(Acts acts) {
+                        public void started(FencedActions acts) {
                             calls.add("started");
                         }
 
                         @Override
-                        public void step(Acts acts, long nowNanos) {
+                        public void step(FencedActions acts, long nowNanos) {
                             calls.add("step");
                             if (throwsNext) {
                                 throwsNext = false;
@@ -93,12 +93,14 @@
                     !sends.isEmpty() && !isCut;
                     sends = session.tick(now)) {
                 for (MemberSession.Send send : sends) {
-                    Frame.Request request = (Frame.Request) Frame.decode(send.frame());
+                    MemberMessage.Request request =
+                            (MemberMessage.Request) MemberMessage.decode(send.frame());
                     session.received(
                             1,
-                            new Frame.Reply(request.id(), 0, state.apply(++index, request.body())),
+                            new MemberMessage.Reply(
+                                    request.id(), 0, state.apply(++index, request.body())),
                             now);
-                    for (Replicated.News news : state.takeNews()) {
+                    for (ReplicatedState.StateChange news : state.takeNews()) {
                         if (news.machine().equals("lease")) {
                             processes.stream()
                                     .filter(each -> !each.isCut)
@@ -111,14 +113,14 @@
     }
 
     private final LeaseMachine machine = new LeaseMachine();
-    private final LeaderWatch watch = new LeaderWatch(machine, 50 * MILLI);
-    private final Replicated state = new Replicated(Map.of("lease", machine));
+    private final LeaseExpiryMonitor watch = new LeaseExpiryMonitor(machine, 50 * MILLI);
+    private final ReplicatedState state = new ReplicatedState(Map.of("lease", machine));
     private final List<Process> processes = new ArrayList<>();
     private long now = 1_000 * MILLI;
     private long index;
 
     TaskProcesses(int size) {
-        state.apply(++index, new Entry.Era(1, 5).encode());
+        state.apply(++index, new ReplicatedEntry.Era(1, 5).encode());
         for (int member = 1; member <= size; member++) {
             processes.add(new Process(member));
         }
@@ -132,7 +134,7 @@
                     each.exchange();
                 });
         for (byte[] body : watch.due(now)) {
-            state.apply(++index, new Entry.Timed(state.era(), "lease", body).encode());
+            state.apply(++index, new ReplicatedEntry.Timed(state.era(), "lease", body).encode());
         }
     }
 
--- a/src/measure/java/calicostream/lease/TrialsFleet.java
+++ b/src/measure/java/calicostream/lease/TrialsFleet.java
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.lease;
 
-import calicostream.QueryRouter.Outcome;
 import calicostream.core.Gateway;
 import calicostream.core.Sides;
+import calicostream.routing.AttemptOutcome;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -41,9 +41,9 @@
                     + "rules.fall_us=2000000\n"
                     + "rules.warm_up_us=14000000\n";
 
-    private final class Process implements Trials.FrontEnd {
+    private final class Process implements EjectionHints.FrontEnd {
         final Sides sides = new Sides(SETTINGS);
-        final Trials trials = new Trials(this);
+        final EjectionHints trials = new EjectionHints(this);
         boolean used;
 
         Process() {
@@ -62,19 +62,23 @@
                     used = true;
                     backAfter.add(time - BACK_AT);
                 }
-                sides.gateway.ended(
-                        each, fails ? Outcome.CONNECT_FAILED : Outcome.OK, null, new byte[0]);
+                sides.gateway.attemptEnded(
+                        each,
+                        fails ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK,
+                        null,
+                        new byte[0]);
             }
         }
 
         @Override
-        public Trials.View view() {
-            return new Trials.View(sides.gateway.ready(true), sides.gateway.ready(false));
+        public EjectionHints.View view() {
+            return new EjectionHints.View(
+                    sides.gateway.readyEngines(true), sides.gateway.readyEngines(false));
         }
 
         @Override
         public void hinted(long engine, boolean served) {
-            sides.gateway.hinted(engine, served);
+            sides.gateway.applyEjectionHint(engine, served);
         }
     }
 
@@ -104,11 +108,11 @@
     private void run(int holder, long diesAt) {
         List<Process> fleet = IntStream.range(0, SIZE).mapToObj(i -> new Process()).toList();
         ArrayDeque<Word> words = new ArrayDeque<>();
-        Holder held = new Holder(Trials.LEASE, 3_600_000_000_000L, 0);
+        LeaseHolder held = new LeaseHolder(EjectionHints.LEASE, 3_600_000_000_000L, 0);
         held.want();
         held.answered(0, held.next(0).number(), new LeaseAnswer.Holds(4));
-        Acts acts =
-                new Acts(
+        FencedActions acts =
+                new FencedActions(
                         held,
                         () -> 0,
                         "lease",
--- a/src/measure/java/calicostream/lease/TrialsPair.java
+++ b/src/measure/java/calicostream/lease/TrialsPair.java
@@ -14,15 +14,15 @@
     private static final long TICK = 50 * MILLI;
 
     /** A process: engines 1 to 9, of which some are left out. */
-    static final class Process implements Trials.FrontEnd {
+    static final class Process implements EjectionHints.FrontEnd {
         final TreeSet<Long> out = new TreeSet<>();
         final TreeSet<Long> listed = new TreeSet<>(List.of(1L, 2L, 3L, 4L, 5L, 6L, 7L, 8L, 9L));
         final List<String> hinted = new ArrayList<>();
-        final Trials trials = new Trials(this);
+        final EjectionHints trials = new EjectionHints(this);
 
         @Override
-        public Trials.View view() {
-            return new Trials.View(
+        public EjectionHints.View view() {
+            return new EjectionHints.View(
                     listed.stream().filter(out::contains).mapToLong(id -> id).toArray(),
                     listed.stream().filter(id -> !out.contains(id)).mapToLong(id -> id).toArray());
         }
@@ -44,9 +44,9 @@
     /** All that was told. */
     final List<byte[]> words = new ArrayList<>();
 
-    private final Holder held = new Holder(Trials.LEASE, 1000 * 1000 * MILLI, 0);
-    private final Acts acts =
-            new Acts(
+    private final LeaseHolder held = new LeaseHolder(EjectionHints.LEASE, 1000 * 1000 * MILLI, 0);
+    private final FencedActions acts =
+            new FencedActions(
                     held,
                     () -> now,
                     "lease",
--- a/src/measure/java/calicostream/lease/VirtualLog.java
+++ b/src/measure/java/calicostream/lease/VirtualLog.java
@@ -2,11 +2,11 @@
 package calicostream.lease;
 
 import calicostream.cluster.ClusterException;
-import calicostream.cluster.Entry;
-import calicostream.cluster.Frame;
-import calicostream.cluster.Outcome;
-import calicostream.cluster.Replicated;
-import calicostream.cluster.SessionKeeper;
+import calicostream.cluster.CommandOutcome;
+import calicostream.cluster.MemberMessage;
+import calicostream.cluster.ReplicatedEntry;
+import calicostream.cluster.ReplicatedState;
+import calicostream.cluster.SessionExpiryMonitor;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -22,27 +22,27 @@
     static final int VOTERS = 3;
     private static final long PERIOD = 20_000_000;
 
-    private record Proposal(byte[] entry, Consumer<Outcome> done) {}
+    private record Proposal(byte[] entry, Consumer<CommandOutcome> done) {}
 
     private final LeaseRuns runs;
     private final Parts parts;
-    private final Consumer<Replicated.News> heard;
+    private final Consumer<ReplicatedState.StateChange> heard;
     private final List<Proposal> proposed = new ArrayList<>();
     private LeaseMachine machine;
-    private Replicated state;
-    private LeaderWatch watch;
-    private SessionKeeper keeper;
+    private ReplicatedState state;
+    private LeaseExpiryMonitor watch;
+    private SessionExpiryMonitor keeper;
     private int leader;
     private long index;
     private boolean quorum = true;
     private int changes;
 
-    VirtualLog(LeaseRuns runs, Parts parts, Consumer<Replicated.News> heard) {
+    VirtualLog(LeaseRuns runs, Parts parts, Consumer<ReplicatedState.StateChange> heard) {
         this.runs = runs;
         this.parts = parts;
         this.heard = heard;
         machine = parts.machine(null);
-        state = new Replicated(Map.of("lease", machine));
+        state = new ReplicatedState(Map.of("lease", machine));
         lead(1);
         count(changes);
     }
@@ -76,7 +76,7 @@
         lost.clear();
         byte[] snapshot = state.snapshot();
         machine = parts.machine(null);
-        state = new Replicated(Map.of("lease", machine));
+        state = new ReplicatedState(Map.of("lease", machine));
         state.restore(snapshot);
         lead(to);
         count(changes);
@@ -85,9 +85,9 @@
     private void lead(int voter) {
         leader = voter;
         changes++;
-        apply(new Proposal(new Entry.Era(voter, changes).encode(), outcome -> {}));
+        apply(new Proposal(new ReplicatedEntry.Era(voter, changes).encode(), outcome -> {}));
         watch = parts.watch(machine, Map.of(), 0);
-        keeper = new SessionKeeper(state, PERIOD);
+        keeper = new SessionExpiryMonitor(state, PERIOD);
         watch.eraBegan(state.era(), runs.process(voter).nanos());
     }
 
@@ -98,27 +98,29 @@
         }
         long now = runs.process(leader).nanos();
         for (byte[] body : watch.due(now)) {
-            propose(new Entry.Timed(state.era(), "lease", body).encode(), outcome -> {});
+            propose(new ReplicatedEntry.Timed(state.era(), "lease", body).encode(), outcome -> {});
         }
-        for (Entry.Expire expire : keeper.due(now)) {
+        for (ReplicatedEntry.Expire expire : keeper.due(now)) {
             propose(expire.encode(), outcome -> {});
         }
         runs.process(leader).after(PERIOD, () -> count(since));
     }
 
     void received(int voter, byte[] frame, Consumer<byte[]> answer) {
-        Frame.Request request = (Frame.Request) Frame.decode(frame);
-        Consumer<Outcome> done =
-                outcome -> answer.accept(new Frame.Reply(request.id(), 0, outcome).encode());
+        MemberMessage.Request request = (MemberMessage.Request) MemberMessage.decode(frame);
+        Consumer<CommandOutcome> done =
+                outcome ->
+                        answer.accept(new MemberMessage.Reply(request.id(), 0, outcome).encode());
         if (voter == leader) {
             propose(request.body(), done);
         } else {
             done.accept(
-                    Outcome.failed(0, ClusterException.NotLeader.CODE, voter, leader, state.era()));
+                    CommandOutcome.failed(
+                            0, ClusterException.NotLeader.CODE, voter, leader, state.era()));
         }
     }
 
-    private void propose(byte[] entry, Consumer<Outcome> done) {
+    private void propose(byte[] entry, Consumer<CommandOutcome> done) {
         Proposal proposal = new Proposal(entry, done);
         proposed.add(proposal);
         runs.after(1_000_000 + runs.random.nextInt(5_000_000), this::commit);
--- a/src/measure/java/calicostream/lease/VoterModel.java
+++ b/src/measure/java/calicostream/lease/VoterModel.java
@@ -2,7 +2,7 @@
 package calicostream.lease;
 
 import calicostream.cluster.Command;
-import calicostream.cluster.Effects;
+import calicostream.cluster.CommandEffects;
 import calicostream.prove.Model;
 import calicostream.prove.Mutant;
 import java.util.HashMap;
@@ -66,7 +66,7 @@
 
     public VoterModel(Scope scope, Mutant without) {
         this.scope = scope;
-        parts = new Parts(without, Limits.STANDARD, Drift.BOUND);
+        parts = new Parts(without, LeaseLimits.STANDARD, ClockDriftBound.BOUND);
         each = LOG + scope.entries;
     }
 
@@ -235,11 +235,11 @@
                                     command <= 2
                                             ? new LeaseCommand.Acquire("task", 2_000_000_000L, true)
                                             : new LeaseCommand.Release("task", (command - 1) / 2);
-                            Effects effects =
+                            CommandEffects effects =
                                     machine.apply(
                                             i + 1,
                                             new Command(2 - command % 2, i, 0, said.encode()));
-                            for (Effects.Event event : effects.events()) {
+                            for (CommandEffects.Event event : effects.events()) {
                                 if (LeaseEvent.decode(event) instanceof LeaseEvent.Granted g
                                         && g.token() <= TOKENS) {
                                     tokens[(int) g.token() - 1] = (byte) g.session();
--- a/src/measure/java/calicostream/mass/ByChance.java
+++ b/src/measure/java/calicostream/mass/ByChance.java
@@ -1,6 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.mass;
 
+import calicostream.routing.Query;
+import calicostream.routing.RouterActions;
 import java.util.ArrayList;
 import java.util.SplittableRandom;
 
@@ -8,14 +10,14 @@
 final class ByChance extends PlainRouter {
     private final SplittableRandom random;
 
-    ByChance(Actions actions, long seed) {
+    ByChance(RouterActions actions, long seed) {
         super(actions);
         random = new SplittableRandom(seed);
     }
 
     @Override
-    public void query(long now, Query query) {
-        actions.send(
+    public void queryAccepted(long now, Query query) {
+        actions.startAttempt(
                 query.id(), new ArrayList<>(ready.keySet()).get(random.nextInt(ready.size())), 0);
     }
 }
--- a/src/measure/java/calicostream/mass/EngineModel.java
+++ b/src/measure/java/calicostream/mass/EngineModel.java
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.mass;
 
-import calicostream.QueryRouter.Engine;
-import calicostream.QueryRouter.EngineState;
-import calicostream.QueryRouter.Report;
+import calicostream.routing.EngineEndpoint;
+import calicostream.routing.EngineLifecycle;
+import calicostream.routing.LoadReport;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -42,7 +42,7 @@
     private final List<Run> running = new ArrayList<>();
     private final ArrayDeque<Seen> seen = new ArrayDeque<>();
     private final ArrayDeque<double[]> coldSent = new ArrayDeque<>();
-    EngineState state = EngineState.READY;
+    EngineLifecycle state = EngineLifecycle.READY;
     long bornUs;
     int mostConnections;
     double coldPeak, coldWork;
@@ -60,8 +60,8 @@
         look();
     }
 
-    Engine entry() {
-        return new Engine(id, 0, 0, zone, bornUs, state);
+    EngineEndpoint entry() {
+        return new EngineEndpoint(id, 0, 0, zone, bornUs, state);
     }
 
     boolean cold() {
@@ -85,9 +85,9 @@
         time.after(SEES, this::look);
     }
 
-    Report report() {
+    LoadReport report() {
         Seen told = seen.peek();
-        return new Report(told.running, told.busy);
+        return new LoadReport(told.running, told.busy);
     }
 
     void connect(int gateway, int change) {
@@ -113,7 +113,7 @@
      */
     private void account(double usualWork) {
         coldSent.add(new double[] {time.now(), usualWork});
-        while (coldSent.peek()[0] <= time.now() - shape.rules().coldWindowUs()) {
+        while (coldSent.peek()[0] <= time.now() - shape.rules().slowStartWindowUs()) {
             coldSent.poll();
         }
         coldPeak =
@@ -124,11 +124,11 @@
 
     /** Work of one window. */
     double coldAllowance() {
-        return shape.rules().coldMultiple()
-                * shape.rules().coldShare()
+        return shape.rules().slowStartMultiple()
+                * shape.rules().slowStartShare()
                 * cores
                 * Fleet.CAPACITY
-                * shape.rules().coldWindowUs();
+                * shape.rules().slowStartWindowUs();
     }
 
     void stop(Run run) {
@@ -140,7 +140,7 @@
     /** All that runs ends without an answer. */
     void die() {
         advance();
-        state = EngineState.GONE;
+        state = EngineLifecycle.REMOVED;
         List<Run> lost = List.copyOf(running);
         running.clear();
         coldSent.clear();
@@ -150,7 +150,7 @@
 
     private double rate() {
         double share = Math.min(1, cores / (double) Math.max(1, threads()));
-        return share * (cold() ? shape.rules().coldShare() : 1);
+        return share * (cold() ? shape.rules().slowStartShare() : 1);
     }
 
     private void advance() {
--- a/src/measure/java/calicostream/mass/Fleet.java
+++ b/src/measure/java/calicostream/mass/Fleet.java
@@ -1,12 +1,21 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.mass;
 
-import calicostream.Logic;
-import calicostream.QueryRouter;
-import calicostream.QueryRouter.Effect;
-import calicostream.QueryRouter.EngineState;
-import calicostream.QueryRouter.QueryClass;
-import calicostream.QueryRouter.Scope;
+import calicostream.routing.AffinityRouter;
+import calicostream.routing.AttemptLimits;
+import calicostream.routing.EndpointUpdate;
+import calicostream.routing.EngineCapabilities;
+import calicostream.routing.EngineKind;
+import calicostream.routing.EngineLifecycle;
+import calicostream.routing.Idempotency;
+import calicostream.routing.IdempotencyScope;
+import calicostream.routing.LoadReporting;
+import calicostream.routing.ProtectionRules;
+import calicostream.routing.QueryClass;
+import calicostream.routing.QueryRouter;
+import calicostream.routing.RouterActions;
+import calicostream.routing.RouterSettings;
+import calicostream.routing.RoutingCosts;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -29,8 +38,8 @@
             int engines,
             int zones,
             double queriesPerS,
-            QueryRouter.Rules rules,
-            QueryRouter.Fees fees,
+            ProtectionRules rules,
+            RoutingCosts fees,
             long deadlineUs,
             long listLateUs) {
         static Shape usual() {
@@ -40,8 +49,8 @@
                     80,
                     4,
                     700,
-                    new QueryRouter.Rules(0.3, 4, 2_000_000, 14_000_000, 0, 0, 0, 0),
-                    new QueryRouter.Fees(0.04, 0.08),
+                    new ProtectionRules(0.3, 4, 2_000_000, 14_000_000, 0, 0, 0, 0),
+                    new RoutingCosts(0.04, 0.08),
                     60_000_000,
                     0);
         }
@@ -108,7 +117,7 @@
     private final List<GatewayModel> gateways = new ArrayList<>();
     private final double[] shares;
     private final Map<String, Integer> violations = new TreeMap<>();
-    private final BiFunction<Integer, QueryRouter.Actions, QueryRouter> maker;
+    private final BiFunction<Integer, RouterActions, QueryRouter> maker;
     private final List<Double> fullest = new ArrayList<>();
     private long queries;
     private long nextEngine = 1000;
@@ -116,7 +125,9 @@
     /** With the decision module in each gateway. */
     static Fleet ofModules(Shape shape, long seed) {
         return new Fleet(
-                shape, seed, (index, actions) -> new Logic(settings(shape, index), actions));
+                shape,
+                seed,
+                (index, actions) -> new AffinityRouter(settings(shape, index), actions));
     }
 
     /** With a choice by chance among all engines listed as ready in each. */
@@ -124,8 +135,7 @@
         return new Fleet(shape, seed, (index, actions) -> new ByChance(actions, seed + index));
     }
 
-    private Fleet(
-            Shape shape, long seed, BiFunction<Integer, QueryRouter.Actions, QueryRouter> maker) {
+    private Fleet(Shape shape, long seed, BiFunction<Integer, RouterActions, QueryRouter> maker) {
         this.shape = shape;
         this.maker = maker;
         random = new SplittableRandom(seed);
@@ -159,7 +169,7 @@
         return sum;
     }
 
-    private static QueryRouter.Settings settings(Shape shape, int index) {
+    private static RouterSettings settings(Shape shape, int index) {
         List<QueryClass> classes = new ArrayList<>();
         for (int i = 0; i < WORK.length; i++) {
             classes.add(
@@ -169,8 +179,8 @@
                             shape.deadlineUs,
                             i == 0 ? 1 : 6,
                             0.3,
-                            i == 2 ? Effect.ONCE : Effect.REPEATABLE,
-                            Scope.ALL,
+                            i == 2 ? Idempotency.NON_IDEMPOTENT : Idempotency.IDEMPOTENT,
+                            IdempotencyScope.ALL,
                             shape.deadlineUs,
                             false,
                             false,
@@ -180,19 +190,19 @@
                             List.of(),
                             List.of()));
         }
-        return new QueryRouter.Settings(
+        return new RouterSettings(
                 shape.gatewaysTold,
                 index,
                 index % shape.zones,
                 shape.fees,
-                List.of(new QueryRouter.Kind(CORES, 16_384)),
+                List.of(new EngineKind(CORES, 16_384)),
                 classes,
                 List.of(),
                 0.1,
-                new QueryRouter.Limits(false, true, ATTEMPTS),
+                new AttemptLimits(false, true, ATTEMPTS),
                 shape.rules,
-                new QueryRouter.EngineTraits(false, true, 0.4, 0),
-                QueryRouter.Reporting.WITH_ANSWERS,
+                new EngineCapabilities(false, true, 0.4, 0),
+                LoadReporting.WITH_ANSWERS,
                 false,
                 1000);
     }
@@ -204,12 +214,12 @@
         GatewayModel g = new GatewayModel(this, index, index % shape.zones, maker);
         gateways.set(index, g);
         g.roster(
-                QueryRouter.RosterKind.CACHED,
+                EndpointUpdate.CACHED,
                 engines.values().stream()
-                        .filter(e -> e.state != EngineState.GONE)
+                        .filter(e -> e.state != EngineLifecycle.REMOVED)
                         .map(EngineModel::entry)
                         .toList());
-        g.reader = list.follow(index, changed -> g.roster(QueryRouter.RosterKind.CHANGES, changed));
+        g.reader = list.follow(index, changed -> g.roster(EndpointUpdate.INCREMENTAL, changed));
     }
 
     void kill(int index) {
@@ -228,12 +238,12 @@
 
     /** One engine is told to drain; it has gone some time later. */
     void drain(EngineModel e) {
-        e.state = EngineState.DRAINING;
+        e.state = EngineLifecycle.DRAINING;
         list.tell(e.entry());
         time.after(
                 7_000_000,
                 () -> {
-                    e.state = EngineState.GONE;
+                    e.state = EngineLifecycle.REMOVED;
                     list.tell(e.entry());
                 });
     }
@@ -246,7 +256,7 @@
                 backAfter,
                 () -> {
                     e.bornUs = time.now();
-                    e.state = EngineState.READY;
+                    e.state = EngineLifecycle.READY;
                     list.tell(e.entry());
                 });
     }
@@ -269,7 +279,7 @@
     private void look() {
         List<EngineModel> warm =
                 engines.values().stream()
-                        .filter(e -> e.state == EngineState.READY && !e.cold())
+                        .filter(e -> e.state == EngineLifecycle.READY && !e.cold())
                         .toList();
         double mean = warm.stream().mapToDouble(EngineModel::load).average().orElse(0);
         double most = warm.stream().mapToDouble(EngineModel::load).max().orElse(0);
--- a/src/measure/java/calicostream/mass/GatewayModel.java
+++ b/src/measure/java/calicostream/mass/GatewayModel.java
@@ -1,11 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.mass;
 
-import calicostream.QueryRouter;
-import calicostream.QueryRouter.AttemptEnd;
-import calicostream.QueryRouter.EngineState;
-import calicostream.QueryRouter.Outcome;
-import calicostream.QueryRouter.Query;
+import calicostream.routing.AttemptOutcome;
+import calicostream.routing.AttemptResult;
+import calicostream.routing.EndpointUpdate;
+import calicostream.routing.EngineEndpoint;
+import calicostream.routing.EngineLifecycle;
+import calicostream.routing.Query;
+import calicostream.routing.QueryRouter;
+import calicostream.routing.RouterActions;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -17,7 +20,7 @@
  * One front end: a module, what it has out, its connections, and a check of each thing that it
  * does.
  */
-final class GatewayModel implements QueryRouter.Actions {
+final class GatewayModel implements RouterActions {
     private static final class Open {
         final Query query;
         final long deadline;
@@ -51,7 +54,7 @@
             Fleet fleet,
             int index,
             int zone,
-            BiFunction<Integer, QueryRouter.Actions, QueryRouter> maker) {
+            BiFunction<Integer, RouterActions, QueryRouter> maker) {
         this.fleet = fleet;
         this.index = index;
         this.zone = zone;
@@ -59,16 +62,16 @@
         router.start(fleet.time.now());
     }
 
-    void roster(QueryRouter.RosterKind kind, List<QueryRouter.Engine> list) {
-        for (QueryRouter.Engine e : list) {
-            if (e.state() == EngineState.READY) {
+    void roster(EndpointUpdate kind, List<EngineEndpoint> list) {
+        for (EngineEndpoint e : list) {
+            if (e.lifecycle() == EngineLifecycle.READY) {
                 told.add(e.id());
                 withdrawnAt.remove(e.id());
             } else if (told.remove(e.id())) {
                 withdrawnAt.put(e.id(), fleet.time.now());
             }
         }
-        router.roster(fleet.time.now(), kind, list);
+        router.endpointsChanged(fleet.time.now(), kind, list);
     }
 
     void ask(int queryClass, int tableGroup) {
@@ -93,11 +96,11 @@
                         fleet.violation("no answer in time");
                     }
                 });
-        router.query(fleet.time.now(), query);
+        router.queryAccepted(fleet.time.now(), query);
     }
 
     @Override
-    public void send(long id, long engine, long giveUpAt) {
+    public void startAttempt(long id, long engine, long giveUpAt) {
         Open o = open.get(id);
         EngineModel e = fleet.engine(engine);
         int attempt = o.attempts++;
@@ -131,8 +134,8 @@
         if (!alive || o.at != e || o.attempts != attempt + 1) {
             return;
         }
-        if (e.state == EngineState.GONE) {
-            end(o, attempt, Outcome.CONNECT_FAILED);
+        if (e.state == EngineLifecycle.REMOVED) {
+            end(o, attempt, AttemptOutcome.CONNECT_FAILED);
             return;
         }
         if (fleet.time.now() - withdrawnAt.getOrDefault(e.id, fleet.time.now())
@@ -144,11 +147,11 @@
                 new EngineModel.Run(
                         fleet.work(o.query.queryClass()),
                         fleet.threads(o.query.queryClass()),
-                        ok -> end(o, attempt, ok ? Outcome.OK : Outcome.RESET));
+                        ok -> end(o, attempt, ok ? AttemptOutcome.OK : AttemptOutcome.RESET));
         e.start(o.run, fleet.usualWork(o.query.queryClass()));
     }
 
-    private void end(Open o, int attempt, Outcome outcome) {
+    private void end(Open o, int attempt, AttemptOutcome outcome) {
         if (!alive || o.at == null || o.attempts != attempt + 1) {
             return;
         }
@@ -158,7 +161,7 @@
         o.mayHaveRun |= outcome.mayHaveRun;
         linkOut.merge(e.id, -1, Integer::sum);
         linkUsed.put(e.id, fleet.time.now());
-        if (outcome == Outcome.OK && !o.answered) {
+        if (outcome == AttemptOutcome.OK && !o.answered) {
             o.answered = true;
             served++;
         }
@@ -166,9 +169,9 @@
         if (over) {
             open.remove(o.query.id());
         }
-        router.ended(
+        router.attemptEnded(
                 fleet.time.now(),
-                new AttemptEnd(
+                new AttemptResult(
                         o.query.id(),
                         attempt,
                         e.id,
@@ -177,7 +180,7 @@
                         fleet.time.now() - o.sentAt,
                         0,
                         0,
-                        outcome == Outcome.OK ? e.report() : null));
+                        outcome == AttemptOutcome.OK ? e.report() : null));
     }
 
     /** Connections that rest for long are closed, as the daemon does. */
@@ -204,7 +207,7 @@
     }
 
     @Override
-    public void cancel(long id, int attempt) {
+    public void cancelAttempt(long id, int attempt) {
         Open o = open.get(id);
         if (o != null && o.at != null && o.attempts == attempt + 1) {
             fleet.time.after(
@@ -214,14 +217,14 @@
                             if (o.run != null) {
                                 o.at.stop(o.run);
                             }
-                            end(o, attempt, Outcome.CANCELLED);
+                            end(o, attempt, AttemptOutcome.CANCELLED);
                         }
                     });
         }
     }
 
     @Override
-    public void refuse(long id, long retryAfterUs) {
+    public void reject(long id, long retryAfterUs) {
         refused++;
         answer(id);
     }
@@ -241,31 +244,31 @@
         o.answered = true;
         if (o.at != null) {
             open.put(id, o); // Until its attempt has been given up.
-            cancel(id, o.attempts - 1);
+            cancelAttempt(id, o.attempts - 1);
         }
     }
 
     @Override
-    public void timer(long delayUs, long token) {
+    public void scheduleTimer(long delayUs, long token) {
         fleet.time.after(
                 delayUs,
                 () -> {
                     if (alive) {
-                        router.timer(fleet.time.now(), token);
+                        router.timerFired(fleet.time.now(), token);
                     }
                 });
     }
 
     @Override
-    public void terms(long query, double memoryMb, int priority) {}
+    public void assignResources(long query, double memoryMb, int priority) {}
 
     @Override
-    public void probe(long engine) {
+    public void probeLoad(long engine) {
         fleet.violation("a probe, which is not allowed");
     }
 
     @Override
-    public void subscribeRoster() {}
+    public void watchEndpoints() {}
 
     @Override
     public void log(String text) {}
--- a/src/measure/java/calicostream/mass/ListSource.java
+++ b/src/measure/java/calicostream/mass/ListSource.java
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.mass;
 
-import calicostream.QueryRouter.Engine;
-import calicostream.listing.Asking;
+import calicostream.discovery.WatchBackoff;
+import calicostream.routing.EngineEndpoint;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -11,24 +11,24 @@
 /**
  * The one source of the list: numbered changes that reach each front end late, at times twice or
  * before an older one, and not at all while the source is away; a front end that has lost it asks
- * again as {@link Asking} says.
+ * again as {@link WatchBackoff} says.
  */
 final class ListSource {
     private static final double TWICE = 0.2;
     private static final long CALL = 1_000; // us for a call to be answered or refused
 
-    private record Change(long seq, Engine entry) {}
+    private record Change(long seq, EngineEndpoint entry) {}
 
     /** A front end's side: like the daemon's, it passes over what it has seen. */
     final class Reader {
-        private final Asking asking;
-        private final Consumer<List<Engine>> to;
+        private final WatchBackoff asking;
+        private final Consumer<List<EngineEndpoint>> to;
         private long seen = changes.size();
         private boolean following = true;
         private boolean closed;
 
-        private Reader(long seed, Consumer<List<Engine>> to) {
-            asking = new Asking(seed);
+        private Reader(long seed, Consumer<List<EngineEndpoint>> to) {
+            asking = new WatchBackoff(seed);
             this.to = to;
             asking.answered();
         }
@@ -64,7 +64,7 @@
 
         private void take(Change change) {
             if (following && !closed && change.seq > seen) {
-                List<Engine> missed =
+                List<EngineEndpoint> missed =
                         changes.subList((int) seen, (int) change.seq).stream()
                                 .map(Change::entry)
                                 .toList();
@@ -90,13 +90,13 @@
         this.lateUs = lateUs;
     }
 
-    Reader follow(long seed, Consumer<List<Engine>> to) {
+    Reader follow(long seed, Consumer<List<EngineEndpoint>> to) {
         Reader reader = new Reader(seed, to);
         readers.add(reader);
         return reader;
     }
 
-    void tell(Engine entry) {
+    void tell(EngineEndpoint entry) {
         Change change = new Change(changes.size() + 1, entry);
         changes.add(change);
         readers.removeIf(r -> r.closed);
--- a/src/measure/java/calicostream/mass/MassRuns.java
+++ b/src/measure/java/calicostream/mass/MassRuns.java
@@ -106,12 +106,12 @@
      */
     static double use(Fleet fleet, List<EngineModel> cold) {
         double windows =
-                fleet.shape.rules().warmUpUs() / (double) fleet.shape.rules().coldWindowUs();
+                fleet.shape.rules().warmUpUs() / (double) fleet.shape.rules().slowStartWindowUs();
         return cold.stream()
                 .mapToDouble(
                         e ->
                                 e.coldWork
-                                        * fleet.shape.rules().coldMultiple()
+                                        * fleet.shape.rules().slowStartMultiple()
                                         / windows
                                         / e.coldAllowance())
                 .average()
--- a/src/measure/java/calicostream/mass/PlainRouter.java
+++ b/src/measure/java/calicostream/mass/PlainRouter.java
@@ -1,7 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.mass;
 
-import calicostream.QueryRouter;
+import calicostream.routing.AttemptOutcome;
+import calicostream.routing.AttemptResult;
+import calicostream.routing.EndpointUpdate;
+import calicostream.routing.EngineEndpoint;
+import calicostream.routing.EngineLifecycle;
+import calicostream.routing.LoadReport;
+import calicostream.routing.QueryProgress;
+import calicostream.routing.QueryRouter;
+import calicostream.routing.RouterActions;
 import java.util.List;
 import java.util.TreeMap;
 
@@ -10,20 +18,20 @@
  * heed is passed over.
  */
 public abstract class PlainRouter implements QueryRouter {
-    protected final Actions actions;
-    protected final TreeMap<Long, Engine> ready = new TreeMap<>();
+    protected final RouterActions actions;
+    protected final TreeMap<Long, EngineEndpoint> ready = new TreeMap<>();
 
-    protected PlainRouter(Actions actions) {
+    protected PlainRouter(RouterActions actions) {
         this.actions = actions;
     }
 
     @Override
-    public void roster(long now, RosterKind kind, List<Engine> engines) {
-        if (kind == RosterKind.COMPLETE || kind == RosterKind.CACHED) {
+    public void endpointsChanged(long now, EndpointUpdate kind, List<EngineEndpoint> engines) {
+        if (kind == EndpointUpdate.COMPLETE || kind == EndpointUpdate.CACHED) {
             ready.clear();
         }
-        for (Engine e : engines) {
-            if (e.state() == EngineState.READY) {
+        for (EngineEndpoint e : engines) {
+            if (e.lifecycle() == EngineLifecycle.READY) {
                 ready.put(e.id(), e);
             } else {
                 ready.remove(e.id());
@@ -32,8 +40,8 @@
     }
 
     @Override
-    public void ended(long now, AttemptEnd end) {
-        if (!end.over()) {
+    public void attemptEnded(long now, AttemptResult end) {
+        if (!end.requestAnswered()) {
             actions.fail(end.query());
         }
     }
@@ -42,36 +50,36 @@
     public void start(long now) {}
 
     @Override
-    public void started(long now, long query, int attempt) {}
+    public void streamStarted(long now, long query, int attempt) {}
 
     @Override
-    public void progress(long now, Progress progress) {}
+    public void progress(long now, QueryProgress progress) {}
 
     @Override
-    public void abandoned(long now, long query) {}
+    public void queryAbandoned(long now, long query) {}
 
     @Override
-    public void timer(long now, long token) {}
+    public void timerFired(long now, long token) {}
 
     @Override
-    public void probed(long now, long engine, Outcome outcome, Report report) {}
+    public void probeCompleted(long now, long engine, AttemptOutcome outcome, LoadReport report) {}
 
     @Override
-    public void restored(long now, long engine) {}
+    public void engineReinstated(long now, long engine) {}
 
     @Override
-    public void sharedBy(long now, int processes, int place) {}
+    public void processesChanged(long now, int processes, int place) {}
 
     @Override
-    public double[] learned() {
+    public double[] learnedRunTimes() {
         return new double[0];
     }
 
     @Override
-    public void learned(double[] before) {}
+    public void learnedRunTimes(double[] before) {}
 
     @Override
-    public boolean avoids(long engine) {
+    public boolean isEjected(long engine) {
         return false;
     }
 }
--- a/src/measure/java/calicostream/measure/BudgetMeasure.java
+++ b/src/measure/java/calicostream/measure/BudgetMeasure.java
@@ -4,8 +4,8 @@
 import calicostream.budget.BudgetCommand;
 import calicostream.budget.BudgetRuns;
 import calicostream.budget.BudgetSettings;
-import calicostream.budget.Demand;
-import calicostream.budget.Holdings;
+import calicostream.budget.DemandEstimator;
+import calicostream.budget.GrantedSessions;
 import calicostream.budget.TenantQueues;
 import java.util.ArrayList;
 import java.util.List;
@@ -39,8 +39,8 @@
     private BudgetMeasure() {}
 
     /** Grants for all tenants at all engines. */
-    private static Holdings holdings() {
-        Holdings holdings = new Holdings(SETTINGS, "p");
+    private static GrantedSessions holdings() {
+        GrantedSessions holdings = new GrantedSessions(SETTINGS, "p");
         List<BudgetCommand.Share> shares = new ArrayList<>();
         for (int e = 0; e < ENGINES; e++) {
             holdings.connected(holdings.engine("e" + e, "pool"), 1);
@@ -50,7 +50,10 @@
         }
         holdings.granted(
                 new BudgetCommand.Grants(
-                        holdings.report(0, new Demand(TENANTS, 1)).number(), 1, shares, List.of()),
+                        holdings.report(0, new DemandEstimator(TENANTS, 1)).number(),
+                        1,
+                        shares,
+                        List.of()),
                 0);
         return holdings;
     }
@@ -130,7 +133,7 @@
      * one begins and ends. 99th percentile.
      */
     private static double requestMicros() {
-        Holdings holdings = holdings();
+        GrantedSessions holdings = holdings();
         TenantQueues queues = new TenantQueues(SETTINGS, 1_000, 1);
         Histogram requests = new Histogram(3);
         for (int i = 0; i < 300_000; i++) {
@@ -158,7 +161,7 @@
      * step.
      */
     private static double decisionNanos() {
-        Holdings holdings = holdings();
+        GrantedSessions holdings = holdings();
         Histogram batches = new Histogram(3);
         int yes = 0;
         for (int i = 0; i < 400_000; i++) {
--- a/src/measure/java/calicostream/rig/ResourceStand.java
+++ b/src/measure/java/calicostream/rig/ResourceStand.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.rig;
 
-import calicostream.lease.Fence;
+import calicostream.lease.FencingTokenGuard;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -22,7 +22,7 @@
     private final ServerSocket server = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
     private final Set<Socket> peers = ConcurrentHashMap.newKeySet();
     private History history;
-    private Fence fence = new Fence();
+    private FencingTokenGuard fence = new FencingTokenGuard();
     private boolean fenced = true;
     private boolean gate;
     private String held = "";
--- a/src/measure/java/calicostream/rig/RigDisks.java
+++ b/src/measure/java/calicostream/rig/RigDisks.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.rig;
 
-import calicostream.cluster.process.Disks;
+import calicostream.cluster.process.DiskProvider;
 import calicostream.durable.Disk;
 import calicostream.durable.DurableException;
 import calicostream.durable.FileDisk;
@@ -24,7 +24,7 @@
  * is on another device, which has no faults. Only processes die here and never the machine, so that
  * nothing is forced to the real device: how long that takes is another matter than what is tested.
  */
-public final class RigDisks implements Disks {
+public final class RigDisks implements DiskProvider {
     static final String PROPERTY = "calicostream.rig.disk";
     static final String HONEST = "marks";
 
--- a/src/measure/java/calicostream/rig/RigTasks.java
+++ b/src/measure/java/calicostream/rig/RigTasks.java
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.rig;
 
-import calicostream.lease.Acts;
-import calicostream.lease.Fenced;
+import calicostream.lease.FencedActions;
+import calicostream.lease.FencedResource;
 import calicostream.lease.LeaseRejection;
-import calicostream.lease.Task;
-import calicostream.lease.process.TaskSource;
+import calicostream.lease.LeasedTask;
+import calicostream.lease.process.LeasedTaskProvider;
 import java.io.BufferedReader;
 import java.io.EOFException;
 import java.io.IOException;
@@ -20,7 +20,7 @@
  * A leased task in a member's own process: while it holds, it acts at the rig's resource every so
  * often.
  */
-public final class RigTasks implements TaskSource {
+public final class RigTasks implements LeasedTaskProvider {
     static final String LEASE = "rig";
 
     /** The resource's port, and the member's name. */
@@ -29,12 +29,12 @@
     private static final long EVERY_NANOS = 20_000_000;
 
     @Override
-    public List<Task> tasks() {
+    public List<LeasedTask> tasks() {
         String[] words = System.getProperty(PROPERTY).split(" ");
         return List.of(new Acting(new Remote(Integer.parseInt(words[0]), words[1])));
     }
 
-    private static final class Acting implements Task {
+    private static final class Acting implements LeasedTask {
         private final Remote resource;
         private long number;
         private long nextAt;
@@ -50,7 +50,7 @@
         }
 
         @Override
-        public void step(Acts acts, long nowNanos) {
+        public void step(FencedActions acts, long nowNanos) {
             if (!begun || nowNanos - nextAt >= 0) {
                 begun = true;
                 nextAt = nowNanos + EVERY_NANOS;
@@ -63,7 +63,7 @@
      * The resource over a connection that is opened anew when it breaks; a broken act counts as one
      * that may have been done.
      */
-    private static final class Remote implements Fenced<Long, String> {
+    private static final class Remote implements FencedResource<Long, String> {
         private final int port;
         private final String who;
         private Socket socket;
@@ -75,7 +75,7 @@
         }
 
         @Override
-        public Outcome<String> act(String lease, long token, Long number) {
+        public FencedResult<String> act(String lease, long token, Long number) {
             String words = lease + " " + token + " " + who + " " + number;
             try {
                 if (socket == null) {
@@ -90,8 +90,8 @@
                 // stops the process.
                 String answer = call("ACT " + words);
                 return answer.equals("DONE")
-                        ? Outcome.done(answer)
-                        : Outcome.refused(
+                        ? FencedResult.done(answer)
+                        : FencedResult.refused(
                                 new LeaseRejection.TokenOutdated(
                                         lease, token, Long.parseLong(answer.split(" ")[1])));
             } catch (IOException e) {
--- a/src/test/java/calicostream/LayoutTest.java
+++ b/src/test/java/calicostream/LayoutTest.java
@@ -90,6 +90,7 @@
         not(
                         "calicostream.errors..",
                         "calicostream",
+                        "calicostream.routing..",
                         "calicostream.cluster..",
                         "calicostream.durable..",
                         "calicostream.lease..",
@@ -127,7 +128,7 @@
                     "calicostream.net..",
                     "calicostream.sql..",
                     "calicostream.config..",
-                    "calicostream.listing.."
+                    "calicostream.discovery.."
                 }) {
             not(each, SHELLS).check(CLASSES);
         }
--- a/src/test/java/calicostream/adapter/WireTest.java
+++ b/src/test/java/calicostream/adapter/WireTest.java
@@ -6,10 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicostream.QueryRouter.Effect;
-import calicostream.QueryRouter.Reporting;
-import calicostream.QueryRouter.Settings;
-import calicostream.SettingsParser;
+import calicostream.routing.Idempotency;
+import calicostream.routing.LoadReporting;
+import calicostream.routing.RouterSettings;
+import calicostream.routing.SettingsParser;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -44,7 +44,7 @@
     private static byte[] frame(int records, long clock, Body body) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         body.write(new DataOutputStream(bytes));
-        ByteBuffer frame = ByteBuffer.allocate(Frame.BATCH_HEADER + bytes.size());
+        ByteBuffer frame = ByteBuffer.allocate(SimulatorFrame.BATCH_HEADER + bytes.size());
         frame.putInt(records).putInt(frame.capacity()).putLong(clock).put(bytes.toByteArray());
         return frame.array();
     }
@@ -57,13 +57,13 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream errors = new ByteArrayOutputStream();
         int code =
-                Adapter.run(
+                SimulatorAdapter.run(
                         new ByteArrayInputStream(in.toByteArray()), out, new PrintStream(errors));
         return new Ran(code, out.toByteArray(), errors.toString());
     }
 
     private static void up(DataOutputStream out, String options) throws IOException {
-        out.writeShort(Codes.UP);
+        out.writeShort(RecordCodes.UP);
         out.writeInt(3);
         out.writeLong(42);
         out.writeInt(options.length());
@@ -71,7 +71,7 @@
     }
 
     private static void manifest(DataOutputStream out) throws IOException {
-        out.writeShort(Codes.MANIFEST);
+        out.writeShort(RecordCodes.MANIFEST);
         out.writeShort(0);
         out.writeInt(1);
         out.writeFloat(1);
@@ -82,7 +82,7 @@
         out.writeShort(0);
         out.writeLong(0);
         out.writeByte(1);
-        out.writeShort(Codes.BACKENDS_CHANGED);
+        out.writeShort(RecordCodes.BACKENDS_CHANGED);
         out.writeInt(3);
         out.writeLong(1);
         out.writeShort(0);
@@ -90,7 +90,7 @@
     }
 
     private static void query(DataOutputStream out) throws IOException {
-        out.writeShort(Codes.QUERY);
+        out.writeShort(RecordCodes.QUERY);
         out.writeInt(3);
         out.writeInt(0xfd3a91c4);
         out.writeByte(0);
@@ -157,13 +157,14 @@
             long query = random.nextLong() & 0xffffffffL;
             long token = random.nextLong();
             float number = random.nextFloat();
-            Frame.Reply reply = new Frame.Reply();
+            SimulatorFrame.Reply reply = new SimulatorFrame.Reply();
             reply.record(1000, query).engine(engine).u64(token).f32(number).u8(200).text("wörd");
             ByteArrayOutputStream out = new ByteArrayOutputStream();
             reply.send(out);
-            byte[] body = Arrays.copyOfRange(out.toByteArray(), Frame.REPLY_HEADER, out.size());
-            Frame.Batch in =
-                    Frame.read(
+            byte[] body =
+                    Arrays.copyOfRange(out.toByteArray(), SimulatorFrame.REPLY_HEADER, out.size());
+            SimulatorFrame.Batch in =
+                    SimulatorFrame.read(
                             new DataInputStream(
                                     new ByteArrayInputStream(frame(1, 9, o -> o.write(body)))));
             assertEquals(1000, in.u16());
@@ -175,7 +176,7 @@
             assertEquals("wörd", in.text(in.u16()));
             in.end();
         }
-        assertNull(Frame.read(new DataInputStream(new ByteArrayInputStream(new byte[0]))));
+        assertNull(SimulatorFrame.read(new DataInputStream(new ByteArrayInputStream(new byte[0]))));
     }
 
     @Test
@@ -188,7 +189,7 @@
                             up(out, OPTIONS);
                             manifest(out);
                         });
-        byte[] cutRecord = frame(1, 1000, out -> out.writeShort(Codes.UP));
+        byte[] cutRecord = frame(1, 1000, out -> out.writeShort(RecordCodes.UP));
         byte[] shortLength = ByteBuffer.allocate(16).putInt(0).putInt(3).putLong(1).array();
         byte[] left = frame(0, 1, out -> out.writeInt(1));
         byte[] unknown = frame(1, 1, out -> out.writeShort(77));
@@ -201,7 +202,7 @@
                         1,
                         out -> {
                             up(out, OPTIONS);
-                            out.writeShort(Codes.BACKENDS_CHANGED);
+                            out.writeShort(RecordCodes.BACKENDS_CHANGED);
                             out.writeInt(3);
                             out.writeLong(1);
                             out.writeShort(9);
@@ -228,37 +229,37 @@
 
     @Test
     void settingsAreReadAndUnknownOnesSkipped() {
-        Settings s =
+        RouterSettings s =
                 SettingsParser.ofLines(
                                 OPTIONS
                                         + "stats.how=on_probe\nlanes.0.allowed_in=1,2\n"
                                         + "ceilings.may_probe=true\nmembership_mode=subscribe\n")
                         .settings();
         assertEquals(2, s.gateways());
-        assertEquals(Effect.REPEATABLE, s.classes().get(0).effect());
+        assertEquals(Idempotency.IDEMPOTENT, s.classes().get(0).idempotency());
         assertEquals(List.of(1, 2), s.classes().get(0).zones());
-        assertEquals(8, s.kinds().get(0).cores());
-        assertEquals(Reporting.ON_PROBE, s.reporting());
-        assertTrue(s.rosterOnRequest() && s.limits().probes());
-        Settings bare = SettingsParser.ofLines("").settings();
+        assertEquals(8, s.engineKinds().get(0).cores());
+        assertEquals(LoadReporting.ON_PROBE, s.loadReporting());
+        assertTrue(s.watchEndpointsOnRequest() && s.attemptLimits().probes());
+        RouterSettings bare = SettingsParser.ofLines("").settings();
         assertEquals(1, bare.gateways());
         assertTrue(bare.classes().isEmpty());
     }
 
     @Test
     void exceptionInADecisionBecomesTheFaultActionWithItsCause() throws IOException {
-        Frame.Reply reply = new Frame.Reply();
-        Instance instance = new Instance(3, SettingsParser.ofLines(OPTIONS), reply);
+        SimulatorFrame.Reply reply = new SimulatorFrame.Reply();
+        RouterInstance instance = new RouterInstance(3, SettingsParser.ofLines(OPTIONS), reply);
         instance.guard(
                 () -> {
                     throw new IllegalStateException("odd list");
                 });
-        instance.guard(() -> instance.probe(1));
+        instance.guard(() -> instance.probeLoad(1));
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         reply.send(out);
         ByteBuffer frame = ByteBuffer.wrap(out.toByteArray());
         assertEquals(1, frame.getInt(0), "a failed instance acts no more");
-        assertEquals(Codes.CRASH, frame.getShort(Frame.REPLY_HEADER));
+        assertEquals(RecordCodes.CRASH, frame.getShort(SimulatorFrame.REPLY_HEADER));
         assertTrue(out.toString().contains("odd list"));
     }
 
@@ -272,7 +273,7 @@
                                 out -> {
                                     up(out, OPTIONS);
                                     manifest(out);
-                                    out.writeShort(Codes.DOWN);
+                                    out.writeShort(RecordCodes.DOWN);
                                     out.writeInt(3);
                                 }),
                         frame(1, 1001, WireTest::query));
--- a/src/test/java/calicostream/budget/DividerTest.java
+++ b/src/test/java/calicostream/budget/DividerTest.java
@@ -15,7 +15,7 @@
     /**
      * Up to 6 tenants, 10 engines and 3 tiers, guarantees under ceilings, caps that bind or do not.
      */
-    static Divider.Problem problem(SplittableRandom random) {
+    static MaxMinFairAllocator.Problem problem(SplittableRandom random) {
         int tenants = random.nextInt(1, 7);
         int engines = random.nextInt(1, 11);
         int tiers = random.nextInt(1, 4);
@@ -49,7 +49,7 @@
             ceiling[t] =
                     Math.max(sum, overall[t]) + random.nextInt(random.nextBoolean() ? 60 : 500);
         }
-        return new Divider.Problem(
+        return new MaxMinFairAllocator.Problem(
                 caps, tierOf, tierCaps, weights, wanted, guarantees, ceilings, overall, ceiling);
     }
 
@@ -57,7 +57,8 @@
         return Arrays.stream(placed).mapToInt(row -> Arrays.stream(row).sum()).toArray();
     }
 
-    private static void assertLawful(Divider.Problem problem, int[][] placed, String what) {
+    private static void assertLawful(
+            MaxMinFairAllocator.Problem problem, int[][] placed, String what) {
         int[] tier = new int[problem.tiers()];
         int[][] own = new int[problem.tenants()][problem.tiers()];
         for (int e = 0; e < problem.engines(); e++) {
@@ -92,8 +93,8 @@
         double largest = 0;
         double relative = 0;
         for (int i = 0; i < CASES; i++) {
-            Divider.Problem problem = problem(new SplittableRandom(SEED + i));
-            int[][] placed = Divider.divide(problem, null);
+            MaxMinFairAllocator.Problem problem = problem(new SplittableRandom(SEED + i));
+            int[][] placed = MaxMinFairAllocator.divide(problem, null);
             assertLawful(problem, placed, "seed " + (SEED + i));
             int[] has = totals(placed);
             double[] fair = MaxMinOracle.totals(problem);
@@ -125,8 +126,8 @@
 
     @Test
     void guaranteesThatCanBeMetAreMetBeforeWeightsCount() {
-        Divider.Problem problem =
-                new Divider.Problem(
+        MaxMinFairAllocator.Problem problem =
+                new MaxMinFairAllocator.Problem(
                         new int[] {20, 20},
                         new int[] {0, 0},
                         new int[] {40},
@@ -136,24 +137,24 @@
                         new int[][] {{40}, {40}},
                         new int[] {12, 0},
                         new int[] {40, 40});
-        assertArrayEquals(new int[] {12, 28}, totals(Divider.divide(problem, null)));
+        assertArrayEquals(new int[] {12, 28}, totals(MaxMinFairAllocator.divide(problem, null)));
     }
 
     @Test
     void whoWantsOrWeighsMoreHasNoLess() {
         for (int i = 0; i < CASES / 4; i++) {
             SplittableRandom random = new SplittableRandom(SEED + i);
-            Divider.Problem problem = problem(random);
-            int[] before = totals(Divider.divide(problem, null));
+            MaxMinFairAllocator.Problem problem = problem(random);
+            int[] before = totals(MaxMinFairAllocator.divide(problem, null));
             int t = random.nextInt(problem.tenants());
             int e = random.nextInt(problem.engines());
             problem.wanted()[t][e] += random.nextInt(1, 10);
-            int[] more = totals(Divider.divide(problem, null));
+            int[] more = totals(MaxMinFairAllocator.divide(problem, null));
             assertTrue(
                     more[t] >= before[t],
                     "seed " + (SEED + i) + ": wants more, has " + more[t] + " after " + before[t]);
             problem.weights()[t] *= 3;
-            int[] heavier = totals(Divider.divide(problem, null));
+            int[] heavier = totals(MaxMinFairAllocator.divide(problem, null));
             assertTrue(
                     heavier[t] >= more[t],
                     "seed "
@@ -171,16 +172,16 @@
         int worstAfresh = 0;
         for (int i = 0; i < CASES / 4; i++) {
             SplittableRandom random = new SplittableRandom(SEED + i);
-            Divider.Problem problem = problem(random);
-            int[][] before = Divider.divide(problem, null);
+            MaxMinFairAllocator.Problem problem = problem(random);
+            int[][] before = MaxMinFairAllocator.divide(problem, null);
             assertArrayEquals(
                     before,
-                    Divider.divide(problem, before),
+                    MaxMinFairAllocator.divide(problem, before),
                     "seed " + (SEED + i) + ": nothing changed");
             problem.wanted()[random.nextInt(problem.tenants())][
                     random.nextInt(problem.engines())]++;
-            int[][] after = Divider.divide(problem, before);
-            int[][] afresh = Divider.divide(problem, null);
+            int[][] after = MaxMinFairAllocator.divide(problem, before);
+            int[][] afresh = MaxMinFairAllocator.divide(problem, null);
             assertLawful(problem, after, "seed " + (SEED + i));
             assertArrayEquals(
                     totals(afresh),
--- a/src/test/java/calicostream/budget/GrantMachineTest.java
+++ b/src/test/java/calicostream/budget/GrantMachineTest.java
@@ -8,7 +8,7 @@
 
 import calicostream.cluster.ClusterException;
 import calicostream.cluster.Command;
-import calicostream.cluster.Effects;
+import calicostream.cluster.CommandEffects;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
@@ -26,7 +26,7 @@
     private final GrantMachine machine = new GrantMachine(SETTINGS);
     private long index;
 
-    private Effects tell(long session, BudgetCommand command) {
+    private CommandEffects tell(long session, BudgetCommand command) {
         return machine.apply(++index, new Command(session, 1, 0, command.encode()));
     }
 
@@ -96,7 +96,7 @@
         assertTrue(tell(9, new BudgetCommand.Engine("e", 1, "pool", 5)).events().isEmpty());
         tell(1, divide(1, "a", 1, 1, 3));
         assertEquals(10, machine.books().engines.get("e").cap);
-        Effects known =
+        CommandEffects known =
                 tell(
                         1,
                         new BudgetCommand.Renew(
--- a/src/test/java/calicostream/budget/HoldingsTest.java
+++ b/src/test/java/calicostream/budget/HoldingsTest.java
@@ -24,7 +24,7 @@
                     1_000 * MS,
                     500,
                     4);
-    private final Holdings holdings = new Holdings(SETTINGS, "a");
+    private final GrantedSessions holdings = new GrantedSessions(SETTINGS, "a");
     private final int e = holdings.engine("e", "pool");
 
     private int begins(int tenant, long now) {
@@ -38,7 +38,7 @@
     }
 
     private void granted(long now, int s, int t) {
-        long number = holdings.report(now, new Demand(2, MS)).number();
+        long number = holdings.report(now, new DemandEstimator(2, MS)).number();
         holdings.granted(
                 new BudgetCommand.Grants(
                         number,
@@ -135,9 +135,9 @@
         assertEquals(4, holdings.free(1, 0), "no more may be on their way");
         assertEquals(3, begins(0, 0));
         assertEquals(0, holdings.free(0, 0));
-        Holdings anew = holdings.anew();
+        GrantedSessions anew = holdings.anew();
         assertEquals(0, anew.free(0, 0), "three run over the floor of two");
-        assertEquals(3, anew.report(0, new Demand(2, MS)).uses().get(0).left());
+        assertEquals(3, anew.report(0, new DemandEstimator(2, MS)).uses().get(0).left());
         holdings.ended(0, e, 1);
         anew.leftBy(holdings, e);
         assertEquals(0, anew.free(0, 0));
@@ -152,19 +152,23 @@
 
     @Test
     void aSessionInDoubtEndsOnceItsEngineRunsFewerInAll() {
-        Doubts doubts = new Doubts(100 * MS);
+        UnconfirmedSessions doubts = new UnconfirmedSessions(100 * MS);
         for (int i = 0; i < 3; i++) {
-            doubts.add(new Doubts.Doubt(1, i, e, 1, i * 10 * MS));
+            doubts.add(new UnconfirmedSessions.Doubt(1, i, e, 1, i * 10 * MS));
         }
         assertEquals(List.of(), doubts.counted(e, 90 * MS, 0), "may still be on their way");
         assertEquals(
                 List.of(), doubts.counted(e, 115 * MS, 2), "two are old enough, and two may run");
         assertEquals(
                 List.of(0),
-                doubts.counted(e, 115 * MS, 1).stream().map(Doubts.Doubt::tenant).toList());
+                doubts.counted(e, 115 * MS, 1).stream()
+                        .map(UnconfirmedSessions.Doubt::tenant)
+                        .toList());
         assertEquals(
                 List.of(1, 2),
-                doubts.counted(e, 500 * MS, 0).stream().map(Doubts.Doubt::tenant).toList());
+                doubts.counted(e, 500 * MS, 0).stream()
+                        .map(UnconfirmedSessions.Doubt::tenant)
+                        .toList());
         assertEquals(0, doubts.size());
     }
 
@@ -174,7 +178,7 @@
         for (int run = 0; run < 2_000; run++) {
             int[] caps = random.ints(random.nextInt(1, 9), 0, 40).toArray();
             int waiting = random.nextInt(0, 100);
-            int[] parts = Waits.spread(waiting, caps);
+            int[] parts = QueuedDemand.spread(waiting, caps);
             long sum = Arrays.stream(caps).sum();
             assertEquals(sum == 0 ? 0 : waiting, Arrays.stream(parts).sum(), "run " + run);
             for (int i = 0; i < caps.length && sum > 0; i++) {
@@ -187,7 +191,7 @@
 
     @Test
     void demandRisesAtOnceAndFallsLateAndNotByLittle() {
-        Demand demand = new Demand(2, 100 * MS);
+        DemandEstimator demand = new DemandEstimator(2, 100 * MS);
         demand.observe(1, 0, 8, 8, 1_000 * MS);
         int high = demand.estimate(1, 0);
         assertEquals(18, high);
--- a/src/test/java/calicostream/budget/LedgerTest.java
+++ b/src/test/java/calicostream/budget/LedgerTest.java
@@ -27,8 +27,8 @@
                 inHand);
     }
 
-    private static Ledger ledger(int floor, int inHand, long now) {
-        Ledger ledger = new Ledger(settings(floor, inHand), "a", TRAVEL, now);
+    private static SessionLedger ledger(int floor, int inHand, long now) {
+        SessionLedger ledger = new SessionLedger(settings(floor, inHand), "a", TRAVEL, now);
         ledger.holdings().engine("e", "pool");
         ledger.connected(0, 1, now);
         return ledger;
@@ -36,7 +36,7 @@
 
     @Test
     void aFloorOpensWithTheFirstCountThatIsAskedForATravelTimeAfterTheStart() {
-        Ledger ledger = ledger(2, 8, 5 * MS);
+        SessionLedger ledger = ledger(2, 8, 5 * MS);
         List<Long> asked = new ArrayList<>();
         ledger.counted(0, TRAVEL + 4 * MS, 0);
         for (long now = 5 * MS;
@@ -54,9 +54,9 @@
 
     @Test
     void whatTheMachineSaysOpensItAtOnce() {
-        Ledger ledger = ledger(2, 8, 0);
+        SessionLedger ledger = ledger(2, 8, 0);
         ledger.joined();
-        long number = ledger.holdings().report(MS, new Demand(2, MS)).number();
+        long number = ledger.holdings().report(MS, new DemandEstimator(2, MS)).number();
         ledger.holdings()
                 .granted(
                         new BudgetCommand.Grants(
@@ -71,7 +71,7 @@
 
     @Test
     void whereOthersKeepTheEngineBusyTheFewestEverCountedOpenIt() {
-        Ledger ledger = ledger(2, 8, 0);
+        SessionLedger ledger = ledger(2, 8, 0);
         for (int running : new int[] {5, 1, 7}) {
             ledger.counted(0, TRAVEL, running);
         }
@@ -89,9 +89,9 @@
             for (int start = 0;
                     start < 3;
                     start++) { // each finds an engine that runs nothing, and dies
-                Ledger next =
-                        new Ledger(
-                                new Holdings(settings(CAP, 4), "a"),
+                SessionLedger next =
+                        new SessionLedger(
+                                new GrantedSessions(settings(CAP, 4), "a"),
                                 start == 0 ? 0 : travel,
                                 start * MS);
                 next.holdings().engine("e", "pool");
@@ -109,11 +109,11 @@
 
     @Test
     void underANewJoinACountSaysNothingOfWhatThisProcessItselfHasOnTheWay() {
-        Ledger ledger = ledger(2, 8, 0);
+        SessionLedger ledger = ledger(2, 8, 0);
         ledger.joined();
         ledger.counted(0, TRAVEL, 0);
-        Ledger.Session one = ledger.begun(0, 0);
-        Ledger.Session other = ledger.begun(1, 0);
+        SessionLedger.Session one = ledger.begun(0, 0);
+        SessionLedger.Session other = ledger.begun(1, 0);
         ledger.joined();
         assertFalse(ledger.isDue(0, 3 * TRAVEL));
         ledger.counted(0, 3 * TRAVEL, 0);
@@ -132,28 +132,28 @@
 
     @Test
     void aReplacementIsNoProofWhereTheListMayHaveBeenBehindAtTheStart() {
-        Ledger young = ledger(2, 8, 0);
+        SessionLedger young = ledger(2, 8, 0);
         young.connected(0, 2, TRAVEL - 1);
         assertEquals(0, young.holdings().free(0, TRAVEL), "the earlier process may have met it");
-        Ledger told = ledger(2, 8, 0);
-        long number = told.holdings().report(0, new Demand(2, MS)).number();
+        SessionLedger told = ledger(2, 8, 0);
+        long number = told.holdings().report(0, new DemandEstimator(2, MS)).number();
         told.holdings()
                 .granted(
                         new BudgetCommand.Grants(
                                 number, 1, List.of(), List.of(new BudgetCommand.Use("e", 2, 0, 1))),
                         0);
         assertEquals(1, told.holdings().free(0, 0), "the machine says what it had left there");
-        Ledger old = ledger(2, 8, 0);
+        SessionLedger old = ledger(2, 8, 0);
         old.connected(0, 2, TRAVEL);
         assertEquals(2, old.holdings().free(0, TRAVEL));
     }
 
     @Test
     void joiningAnewLetsNoMoreBeOnTheWayToAnEngine() {
-        Ledger ledger = ledger(9, 2, 0);
+        SessionLedger ledger = ledger(9, 2, 0);
         ledger.joined();
         ledger.counted(0, TRAVEL, 0);
-        Ledger.Session one = ledger.begun(0, 0);
+        SessionLedger.Session one = ledger.begun(0, 0);
         ledger.begun(0, 0);
         ledger.joined();
         assertEquals(0, ledger.holdings().free(0, TRAVEL));
--- a/src/test/java/calicostream/budget/SafeguardsTest.java
+++ b/src/test/java/calicostream/budget/SafeguardsTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import calicostream.cluster.Command;
-import calicostream.cluster.Effects;
+import calicostream.cluster.CommandEffects;
 import java.util.EnumSet;
 import java.util.List;
 import java.util.Map;
@@ -48,7 +48,7 @@
             b.open();
         }
 
-        Effects tell(long session, BudgetCommand command) {
+        CommandEffects tell(long session, BudgetCommand command) {
             return machine.apply(++index, new Command(session, 1, 0, command.encode()));
         }
 
@@ -100,13 +100,13 @@
         final class Process {
             final String name;
             final long session;
-            final Holdings holdings;
-            private final Demand demand = new Demand(1, MS);
+            final GrantedSessions holdings;
+            private final DemandEstimator demand = new DemandEstimator(1, MS);
 
             Process(String name, long session) {
                 this.name = name;
                 this.session = session;
-                holdings = new Holdings(SETTINGS, name, out);
+                holdings = new GrantedSessions(SETTINGS, name, out);
                 holdings.engine("e", "pool");
                 holdings.connected(0, 1);
                 tell(session, new BudgetCommand.Join(name));
@@ -116,11 +116,11 @@
                 holdings.leftRunning(0, 1, 0);
             }
 
-            Effects asks(long now) {
+            CommandEffects asks(long now) {
                 return tell(session, holdings.report(now, demand));
             }
 
-            void hears(Effects effects, long now) {
+            void hears(CommandEffects effects, long now) {
                 holdings.granted(BudgetCommand.Grants.decode(effects.answer()), now);
             }
 
@@ -260,7 +260,7 @@
                 Safeguard.TIME_FROM_ASKING,
                 world -> {
                     assertTrue(world.grant(world.a, 8));
-                    Effects late = world.a.asks(0);
+                    CommandEffects late = world.a.asks(0);
                     world.expire(world.a);
                     world.count(world.a, false, world.index, 0);
                     theOtherTakesTheRest(world, 1_100 * MS);
@@ -275,7 +275,7 @@
                 Safeguard.NO_ANSWER_BEFORE_LAPSE,
                 world -> {
                     eight(world, world.a);
-                    Effects late = world.a.asks(900 * MS);
+                    CommandEffects late = world.a.asks(900 * MS);
                     assertTrue(world.grant(world.a, 1));
                     world.a.asks(1_000 * MS);
                     theOtherTakesTheRest(world, 1_010 * MS);
--- a/src/test/java/calicostream/cluster/CountedTimeTest.java
+++ b/src/test/java/calicostream/cluster/CountedTimeTest.java
@@ -18,7 +18,7 @@
     @Test
     void jumpsAndStopsMakeNothingOverEarly() {
         Random random = new Random(SEED);
-        CountedTime time = new CountedTime(PERIOD);
+        BoundedElapsedTime time = new BoundedElapsedTime(PERIOD);
         long clock = random.nextLong();
         long passed = 0;
         long first = time.look(clock);
@@ -40,7 +40,7 @@
 
     @Test
     void looksThatComeSoonerCountAsTheyCame() {
-        CountedTime time = new CountedTime(PERIOD);
+        BoundedElapsedTime time = new BoundedElapsedTime(PERIOD);
         long first = time.look(5);
         assertEquals(7, time.look(12) - first);
         assertEquals(7, time.look(3) - first, "a clock that goes back counts nothing");
--- a/src/test/java/calicostream/cluster/NewsroomTest.java
+++ b/src/test/java/calicostream/cluster/NewsroomTest.java
@@ -16,21 +16,21 @@
 class NewsroomTest {
     private static final long SEED = 25;
     private static final int SELF = 1;
-    private final Replicated state = new Replicated(Map.of());
+    private final ReplicatedState state = new ReplicatedState(Map.of());
     private long index;
 
     private long open(int member) {
-        state.apply(++index, new Entry.Open(member, 7, 1000).encode());
+        state.apply(++index, new ReplicatedEntry.Open(member, 7, 1000).encode());
         return index;
     }
 
-    private Replicated.News news(long to, int bytes) {
-        return new Replicated.News(
-                "leases", ++index, new Effects.Event("lease-acted", new byte[bytes], to));
+    private ReplicatedState.StateChange news(long to, int bytes) {
+        return new ReplicatedState.StateChange(
+                "leases", ++index, new CommandEffects.Event("lease-acted", new byte[bytes], to));
     }
 
-    private static List<Integer> members(List<Newsroom.Telling> told) {
-        return told.stream().map(Newsroom.Telling::member).sorted().toList();
+    private static List<Integer> members(List<StatePublisher.Telling> told) {
+        return told.stream().map(StatePublisher.Telling::member).sorted().toList();
     }
 
     @Test
@@ -39,18 +39,21 @@
         long second = open(2);
         open(3);
         open(3); // Started again, its former session not yet over.
-        Newsroom room = new Newsroom(state, SELF);
-        List<Replicated.News> news =
-                List.of(news(second, 5), news(Effects.Event.NOBODY, 5), news(Effects.Event.ALL, 5));
+        StatePublisher room = new StatePublisher(state, SELF);
+        List<ReplicatedState.StateChange> news =
+                List.of(
+                        news(second, 5),
+                        news(CommandEffects.Event.NOBODY, 5),
+                        news(CommandEffects.Event.ALL, 5));
         assertEquals(List.of(), room.tell(news, false, 0));
-        List<Newsroom.Telling> told = room.tell(news, true, 0);
+        List<StatePublisher.Telling> told = room.tell(news, true, 0);
         assertEquals(List.of(2, 2, 3), members(told));
-        Frame.News first = (Frame.News) Frame.decode(told.get(0).frame());
+        MemberMessage.News first = (MemberMessage.News) MemberMessage.decode(told.get(0).frame());
         assertEquals("leases", first.machine());
         assertEquals(news.get(0).index(), first.index());
         assertEquals(second, first.event().to());
         assertArrayEquals(news.get(0).event().body(), first.event().body());
-        state.apply(++index, new Entry.Close(second).encode());
+        state.apply(++index, new ReplicatedEntry.Close(second).encode());
         assertEquals(List.of(), room.tell(List.of(news(second, 5)), true, 0));
     }
 
@@ -60,7 +63,7 @@
         for (int member = 1; member <= 20; member++) {
             open(member);
         }
-        Newsroom room = new Newsroom(state, SELF);
+        StatePublisher room = new StatePublisher(state, SELF);
         long now = random.nextLong();
         long began = now;
         long sent = 0;
@@ -68,16 +71,16 @@
         Set<Integer> heard = new HashSet<>();
         for (int i = 0; i < 2_000; i++) {
             asked += 19;
-            for (Newsroom.Telling each :
-                    room.tell(List.of(news(Effects.Event.ALL, 30_000)), true, now)) {
+            for (StatePublisher.Telling each :
+                    room.tell(List.of(news(CommandEffects.Event.ALL, 30_000)), true, now)) {
                 sent += each.frame().length;
                 heard.add(each.member());
             }
             now += random.nextInt(20_000_000);
             assertTrue(
                     sent
-                            <= Newsroom.ROOM
-                                    + (now - began) / 1000 * Newsroom.PER_SECOND / 1_000_000
+                            <= StatePublisher.ROOM
+                                    + (now - began) / 1000 * StatePublisher.PER_SECOND / 1_000_000
                                     + 1,
                     "seed " + SEED);
         }
@@ -87,9 +90,9 @@
         // Room that was not used does not add up.
         now += 3_600_000_000_000L;
         long after =
-                room.tell(List.of(news(Effects.Event.ALL, 30_000)), true, now).stream()
+                room.tell(List.of(news(CommandEffects.Event.ALL, 30_000)), true, now).stream()
                         .mapToLong(each -> each.frame().length)
                         .sum();
-        assertTrue(after > Newsroom.ROOM / 2 && after <= Newsroom.ROOM);
+        assertTrue(after > StatePublisher.ROOM / 2 && after <= StatePublisher.ROOM);
     }
 }
--- a/src/test/java/calicostream/cluster/ReplicatedTest.java
+++ b/src/test/java/calicostream/cluster/ReplicatedTest.java
@@ -21,33 +21,34 @@
     private static final long SEED = 25;
 
     /** Tells what it was told, and keeps it all. */
-    private static final class Heard implements Machine {
+    private static final class Heard implements StateMachine {
         private final List<String> all = new ArrayList<>();
 
         @Override
-        public Effects apply(long index, Command command) {
+        public CommandEffects apply(long index, Command command) {
             all.add(new String(command.body()));
             return command.body().length == 0
-                    ? Effects.refused("heard-nothing", new byte[] {1})
-                    : Effects.answer(command.body(), new Effects.Event("heard", command.body()));
+                    ? CommandEffects.refused("heard-nothing", new byte[] {1})
+                    : CommandEffects.answer(
+                            command.body(), new CommandEffects.Event("heard", command.body()));
         }
 
         @Override
-        public Effects sessionEnded(long index, long session) {
+        public CommandEffects sessionEnded(long index, long session) {
             all.add("ended " + session);
-            return Effects.NONE;
+            return CommandEffects.NONE;
         }
 
         @Override
         public byte[] snapshot() {
-            Bytes.Writer out = new Bytes.Writer().i32(all.size());
+            BinaryCodec.Writer out = new BinaryCodec.Writer().i32(all.size());
             all.forEach(out::text);
             return out.done();
         }
 
         @Override
         public void restore(byte[] snapshot) {
-            Bytes.Reader in = new Bytes.Reader("heard", snapshot);
+            BinaryCodec.Reader in = new BinaryCodec.Reader("heard", snapshot);
             List<String> read = new ArrayList<>();
             for (int left = in.count(4); left > 0; left--) {
                 read.add(in.text(100));
@@ -58,26 +59,28 @@
     }
 
     private final Heard heard = new Heard();
-    private final Replicated state = new Replicated(Map.of("heard", heard));
+    private final ReplicatedState state = new ReplicatedState(Map.of("heard", heard));
     private long index;
 
-    private Outcome apply(Entry entry) {
+    private CommandOutcome apply(ReplicatedEntry entry) {
         return state.apply(++index, entry.encode());
     }
 
-    private Outcome run(long session, long sequence, long acked, String body) {
-        return apply(new Entry.Run(session, sequence, acked, "heard", body.getBytes()));
+    private CommandOutcome run(long session, long sequence, long acked, String body) {
+        return apply(new ReplicatedEntry.Run(session, sequence, acked, "heard", body.getBytes()));
     }
 
     private long open() {
-        return new Bytes.Reader("session", apply(new Entry.Open(7, 1, 1000)).answer()).i64();
+        return new BinaryCodec.Reader(
+                        "session", apply(new ReplicatedEntry.Open(7, 1, 1000)).answer())
+                .i64();
     }
 
     @Test
     void aCommandCountsOnceAndItsOutcomeIsKeptUntilAcknowledged() {
         long session = open();
-        Outcome first = run(session, 1, 0, "a");
-        assertSame(Outcome.Kind.ACCEPTED, first.kind());
+        CommandOutcome first = run(session, 1, 0, "a");
+        assertSame(CommandOutcome.Kind.ACCEPTED, first.kind());
         assertEquals(first.index(), run(session, 1, 0, "a").index());
         assertEquals("heard-nothing", run(session, 2, 0, "").code());
         assertEquals("heard-nothing", run(session, 2, 1, "").code());
@@ -85,32 +88,33 @@
         assertInstanceOf(ClusterException.OutOfOrder.class, run(session, 1, 0, "a").error());
         assertInstanceOf(ClusterException.OutOfOrder.class, run(session, 4, 2, "d").error());
         assertInstanceOf(ClusterException.OutOfOrder.class, run(session, 3, 3, "c").error());
-        for (int sequence = 3; sequence < 3 + Sessions.WINDOW - 1; sequence++) {
+        for (int sequence = 3; sequence < 3 + SessionTable.WINDOW - 1; sequence++) {
             assertTrue(run(session, sequence, 1, "x").accepted());
         }
         assertInstanceOf(
                 ClusterException.TooManyOpen.class,
-                run(session, 2 + Sessions.WINDOW, 1, "x").error());
-        assertTrue(run(session, 2 + Sessions.WINDOW, 2, "x").accepted());
+                run(session, 2 + SessionTable.WINDOW, 1, "x").error());
+        assertTrue(run(session, 2 + SessionTable.WINDOW, 2, "x").accepted());
     }
 
     @Test
     void aGenerationThatWasRemovedIsNeverAddedAgain() {
-        assertTrue(apply(new Entry.AddVoter(4, 0)).accepted());
-        assertTrue(apply(new Entry.AddVoter(4, 0)).accepted(), "a retry");
-        assertTrue(apply(new Entry.RemoveVoter(4, 0)).accepted());
+        assertTrue(apply(new ReplicatedEntry.AddVoter(4, 0)).accepted());
+        assertTrue(apply(new ReplicatedEntry.AddVoter(4, 0)).accepted(), "a retry");
+        assertTrue(apply(new ReplicatedEntry.RemoveVoter(4, 0)).accepted());
         assertInstanceOf(
-                ClusterException.GenerationOver.class, apply(new Entry.AddVoter(4, 0)).error());
+                ClusterException.GenerationOver.class,
+                apply(new ReplicatedEntry.AddVoter(4, 0)).error());
         assertEquals(1, state.nextGeneration(4));
-        assertTrue(apply(new Entry.AddVoter(4, 3)).accepted());
+        assertTrue(apply(new ReplicatedEntry.AddVoter(4, 3)).accepted());
         assertInstanceOf(
                 ClusterException.GenerationOver.class,
-                apply(new Entry.AddVoter(4, 2)).error(),
+                apply(new ReplicatedEntry.AddVoter(4, 2)).error(),
                 "older than one that was added");
         assertTrue(
-                apply(new Entry.RemoveVoter(5, 0)).accepted(),
+                apply(new ReplicatedEntry.RemoveVoter(5, 0)).accepted(),
                 "one of the first voters, which nobody added");
-        Replicated copy = new Replicated(Map.of("heard", new Heard()));
+        ReplicatedState copy = new ReplicatedState(Map.of("heard", new Heard()));
         copy.restore(state.snapshot());
         assertArrayEquals(state.snapshot(), copy.snapshot());
         assertFalse(copy.mayAdd(5, 0) || copy.mayAdd(4, 0));
@@ -122,46 +126,49 @@
     void theSameNonceOpensTheSameSession() {
         long session = open();
         assertEquals(session, open());
-        assertTrue(apply(new Entry.Close(session)).accepted());
+        assertTrue(apply(new ReplicatedEntry.Close(session)).accepted());
         assertFalse(state.isAlive(session));
         assertTrue(open() > session);
-        for (int nonce = 2; nonce <= Sessions.MAX_OF_MEMBER; nonce++) {
-            assertTrue(apply(new Entry.Open(7, nonce, 1000)).accepted());
+        for (int nonce = 2; nonce <= SessionTable.MAX_OF_MEMBER; nonce++) {
+            assertTrue(apply(new ReplicatedEntry.Open(7, nonce, 1000)).accepted());
         }
         assertInstanceOf(
-                ClusterException.TooManySessions.class, apply(new Entry.Open(7, 99, 1000)).error());
-        assertInstanceOf(ClusterException.BadTtl.class, apply(new Entry.Open(8, 1, 0)).error());
+                ClusterException.TooManySessions.class,
+                apply(new ReplicatedEntry.Open(7, 99, 1000)).error());
+        assertInstanceOf(
+                ClusterException.BadTtl.class, apply(new ReplicatedEntry.Open(8, 1, 0)).error());
     }
 
     @Test
     void anExpiryCountsOnlyInItsEraAndForTheLastSignOfLife() {
-        apply(new Entry.Era(1, 11));
+        apply(new ReplicatedEntry.Era(1, 11));
         long session = open();
         long era = state.era();
-        assertTrue(apply(new Entry.Keep(session)).accepted());
-        apply(new Entry.Expire(era, session, session));
+        assertTrue(apply(new ReplicatedEntry.Keep(session)).accepted());
+        apply(new ReplicatedEntry.Expire(era, session, session));
         assertTrue(state.isAlive(session), "heard since");
         long renewed = index - 1;
-        apply(new Entry.Era(2, 12));
-        apply(new Entry.Expire(era, session, renewed));
+        apply(new ReplicatedEntry.Era(2, 12));
+        apply(new ReplicatedEntry.Expire(era, session, renewed));
         assertTrue(state.isAlive(session), "counted by a former leader");
         assertEquals(
                 ClusterException.OldEra.CODE,
-                apply(new Entry.Timed(era, "heard", new byte[1])).code());
-        apply(new Entry.Expire(state.era(), session, renewed));
+                apply(new ReplicatedEntry.Timed(era, "heard", new byte[1])).code());
+        apply(new ReplicatedEntry.Expire(state.era(), session, renewed));
         assertFalse(state.isAlive(session));
         assertInstanceOf(ClusterException.SessionOver.class, run(session, 1, 0, "late").error());
         assertInstanceOf(
-                ClusterException.SessionOver.class, apply(new Entry.Keep(session)).error());
+                ClusterException.SessionOver.class,
+                apply(new ReplicatedEntry.Keep(session)).error());
         assertEquals(List.of("ended " + session), heard.all);
         assertEquals("session-expired", state.takeNews().get(0).event().kind());
     }
 
     @Test
     void theKeeperCountsFromTheLastSignOfLifeAndNotItsOwnSilence() {
-        apply(new Entry.Era(1, 11));
+        apply(new ReplicatedEntry.Era(1, 11));
         long session = open();
-        SessionKeeper keeper = new SessionKeeper(state, 50_000_000);
+        SessionExpiryMonitor keeper = new SessionExpiryMonitor(state, 50_000_000);
         long now = -100;
         for (long end = now + 800_000_000; now < end; now += 50_000_000) {
             assertEquals(List.of(), keeper.due(now));
@@ -172,11 +179,11 @@
         now += 90_000_000;
         assertEquals(List.of(), keeper.due(now));
         now += 90_000_000;
-        Entry.Expire expire = keeper.due(now).get(0);
-        assertEquals(new Entry.Expire(state.era(), session, session), expire);
-        apply(new Entry.Keep(session));
+        ReplicatedEntry.Expire expire = keeper.due(now).get(0);
+        assertEquals(new ReplicatedEntry.Expire(state.era(), session, session), expire);
+        apply(new ReplicatedEntry.Keep(session));
         assertEquals(List.of(), keeper.due(now));
-        apply(new Entry.Era(2, 12));
+        apply(new ReplicatedEntry.Era(2, 12));
         assertEquals(List.of(), keeper.due(now + 1_100_000_000L));
     }
 
@@ -184,7 +191,7 @@
     void aSnapshotIsTheWholeState() {
         Random random = new Random(SEED);
         long session = open();
-        Replicated copy = new Replicated(Map.of("heard", new Heard()));
+        ReplicatedState copy = new ReplicatedState(Map.of("heard", new Heard()));
         for (int i = 1; i < 200; i++) {
             if (random.nextInt(20) == 0) {
                 copy.restore(state.snapshot());
@@ -192,11 +199,12 @@
             byte[] entry =
                     (switch (random.nextInt(4)) {
                                 case 0 ->
-                                        new Entry.Open(random.nextInt(3), random.nextInt(5), 1000);
-                                case 1 -> new Entry.Keep(random.nextInt(20));
-                                case 2 -> new Entry.Close(2 + random.nextInt(100));
+                                        new ReplicatedEntry.Open(
+                                                random.nextInt(3), random.nextInt(5), 1000);
+                                case 1 -> new ReplicatedEntry.Keep(random.nextInt(20));
+                                case 2 -> new ReplicatedEntry.Close(2 + random.nextInt(100));
                                 default ->
-                                        new Entry.Run(
+                                        new ReplicatedEntry.Run(
                                                 session,
                                                 i,
                                                 Math.max(0, i - 5),
@@ -221,14 +229,19 @@
         List<byte[]> right =
                 List.of(
                         state.snapshot(),
-                        new Entry.Run(session, 2, 1, "heard", new byte[9]).encode(),
-                        new Frame.Request(5, Frame.Ask.READ, "heard", new byte[3]).encode(),
-                        new Frame.Reply(
+                        new ReplicatedEntry.Run(session, 2, 1, "heard", new byte[9]).encode(),
+                        new MemberMessage.Request(5, MemberMessage.Ask.READ, "heard", new byte[3])
+                                .encode(),
+                        new MemberMessage.Reply(
                                         5,
                                         0,
-                                        Outcome.failed(3, ClusterException.QueueFull.CODE, 1, 2, 3))
+                                        CommandOutcome.failed(
+                                                3, ClusterException.QueueFull.CODE, 1, 2, 3))
                                 .encode(),
-                        new Frame.News("heard", 3, new Effects.Event("heard", new byte[3], 2))
+                        new MemberMessage.News(
+                                        "heard",
+                                        3,
+                                        new CommandEffects.Event("heard", new byte[3], 2))
                                 .encode());
         for (int i = 0; i < 20_000; i++) {
             byte[] bytes = right.get(i % right.size()).clone();
@@ -241,9 +254,9 @@
             byte[] wrong = bytes;
             try {
                 switch (i % right.size()) {
-                    case 0 -> new Replicated(Map.of("heard", new Heard())).restore(wrong);
-                    case 1 -> Entry.decode(wrong);
-                    default -> Frame.decode(wrong);
+                    case 0 -> new ReplicatedState(Map.of("heard", new Heard())).restore(wrong);
+                    case 1 -> ReplicatedEntry.decode(wrong);
+                    default -> MemberMessage.decode(wrong);
                 }
             } catch (ClusterException.Malformed | ClusterException.UnknownMachine e) {
                 assertFalse(e.remedy().isEmpty());
@@ -256,7 +269,7 @@
         long session = open();
         assertThrows(
                 ClusterException.UnknownMachine.class,
-                () -> apply(new Entry.Run(session, 1, 0, "absent", new byte[0])));
+                () -> apply(new ReplicatedEntry.Run(session, 1, 0, "absent", new byte[0])));
         assertThrows(ClusterException.Malformed.class, () -> state.apply(++index, new byte[] {9}));
     }
 }
--- a/src/test/java/calicostream/cluster/SnapshotFormatTest.java
+++ b/src/test/java/calicostream/cluster/SnapshotFormatTest.java
@@ -15,13 +15,13 @@
 class SnapshotFormatTest {
     private static final Path GOLDEN = Path.of("src/test/resources/cluster");
 
-    private static final class Text implements Machine {
+    private static final class Text implements StateMachine {
         private String text = "";
 
         @Override
-        public Effects apply(long index, Command command) {
+        public CommandEffects apply(long index, Command command) {
             text += new String(command.body());
-            return Effects.answer(text.getBytes());
+            return CommandEffects.answer(text.getBytes());
         }
 
         @Override
@@ -35,16 +35,16 @@
         }
     }
 
-    private static Replicated written() {
-        Replicated state = new Replicated(Map.of("text", new Text()));
-        state.apply(1, new Entry.Era(2, 77).encode());
-        state.apply(3, new Entry.Open(1, 5, 1500).encode());
-        state.apply(4, new Entry.Run(3, 1, 0, "text", "a".getBytes()).encode());
-        state.apply(6, new Entry.Open(4, 9, 2000).encode());
-        state.apply(7, new Entry.Run(3, 2, 1, "text", "b".getBytes()).encode());
-        state.apply(8, new Entry.Keep(6).encode());
-        state.apply(9, new Entry.AddVoter(4, 2).encode());
-        state.apply(10, new Entry.RemoveVoter(3, 0).encode());
+    private static ReplicatedState written() {
+        ReplicatedState state = new ReplicatedState(Map.of("text", new Text()));
+        state.apply(1, new ReplicatedEntry.Era(2, 77).encode());
+        state.apply(3, new ReplicatedEntry.Open(1, 5, 1500).encode());
+        state.apply(4, new ReplicatedEntry.Run(3, 1, 0, "text", "a".getBytes()).encode());
+        state.apply(6, new ReplicatedEntry.Open(4, 9, 2000).encode());
+        state.apply(7, new ReplicatedEntry.Run(3, 2, 1, "text", "b".getBytes()).encode());
+        state.apply(8, new ReplicatedEntry.Keep(6).encode());
+        state.apply(9, new ReplicatedEntry.AddVoter(4, 2).encode());
+        state.apply(10, new ReplicatedEntry.RemoveVoter(3, 0).encode());
         return state;
     }
 
@@ -53,16 +53,19 @@
         Files.write(GOLDEN.resolve("replicated-v2.snapshot"), written().snapshot());
     }
 
-    private static Replicated read(String name) throws Exception {
-        Replicated state = new Replicated(Map.of("text", new Text()));
+    private static ReplicatedState read(String name) throws Exception {
+        ReplicatedState state = new ReplicatedState(Map.of("text", new Text()));
         state.restore(Files.readAllBytes(GOLDEN.resolve(name)));
         assertEquals(1, state.era());
-        assertEquals(new Entry.Era(2, 77), state.leader());
+        assertEquals(new ReplicatedEntry.Era(2, 77), state.leader());
         assertTrue(state.isAlive(3) && state.isAlive(6));
         assertEquals(
                 "ab",
                 new String(
-                        state.apply(11, new Entry.Run(3, 2, 1, "text", "b".getBytes()).encode())
+                        state.apply(
+                                        11,
+                                        new ReplicatedEntry.Run(3, 2, 1, "text", "b".getBytes())
+                                                .encode())
                                 .answer()),
                 "a retry");
         return state;
@@ -75,7 +78,7 @@
 
     @Test
     void thePresentVersionIsWhatIsWritten() throws Exception {
-        Replicated state = read("replicated-v2.snapshot");
+        ReplicatedState state = read("replicated-v2.snapshot");
         assertFalse(state.mayAdd(3, 0) || state.mayAdd(4, 1));
         assertArrayEquals(
                 Files.readAllBytes(GOLDEN.resolve("replicated-v2.snapshot")), written().snapshot());
