--- a/src/test/java/calicostream/Recorder.java
+++ b/src/test/java/calicostream/routing/Recorder.java
@@ -1,28 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-package calicostream;
-
-import calicostream.QueryRouter.AttemptEnd;
-import calicostream.QueryRouter.Effect;
-import calicostream.QueryRouter.Engine;
-import calicostream.QueryRouter.EngineState;
-import calicostream.QueryRouter.EngineTraits;
-import calicostream.QueryRouter.Kind;
-import calicostream.QueryRouter.Limits;
-import calicostream.QueryRouter.Outcome;
-import calicostream.QueryRouter.Query;
-import calicostream.QueryRouter.QueryClass;
-import calicostream.QueryRouter.Report;
-import calicostream.QueryRouter.Reporting;
-import calicostream.QueryRouter.RosterKind;
-import calicostream.QueryRouter.Rules;
-import calicostream.QueryRouter.Scope;
-import calicostream.QueryRouter.Settings;
-import calicostream.QueryRouter.Tenant;
+package calicostream.routing;
+
 import java.util.ArrayList;
 import java.util.List;
 
 /** Drives a Logic by hand and keeps the actions it takes. */
-final class Recorder implements QueryRouter.Actions {
+final class Recorder implements RouterActions {
     static final long MS = 1000;
     static final long S = 1_000_000;
     static final long START = 100 * S;
@@ -39,10 +22,10 @@
     final List<long[]> timers = new ArrayList<>();
     int subscriptions;
     long now = START;
-    final Logic logic;
+    final AffinityRouter logic;
 
-    Recorder(Settings settings) {
-        logic = new Logic(settings, this);
+    Recorder(RouterSettings settings) {
+        logic = new AffinityRouter(settings, this);
         logic.start(now);
     }
 
@@ -50,61 +33,66 @@
         return with(settings(1, classes), engines);
     }
 
-    static Recorder with(Settings settings, int engines) {
+    static Recorder with(RouterSettings settings, int engines) {
         Recorder r = new Recorder(settings);
-        List<Engine> list = new ArrayList<>();
+        List<EngineEndpoint> list = new ArrayList<>();
         for (int i = 1; i <= engines; i++) {
-            list.add(engine(i, 0, EngineState.READY));
+            list.add(engine(i, 0, EngineLifecycle.READY));
         }
-        r.logic.roster(r.now, RosterKind.COMPLETE, list);
+        r.logic.endpointsChanged(r.now, EndpointUpdate.COMPLETE, list);
         return r;
     }
 
-    static Settings settings(int gateways, QueryClass... classes) {
+    static RouterSettings settings(int gateways, QueryClass... classes) {
         return settings(gateways, 3, 0, false, List.of(), classes);
     }
 
-    static Settings settings(
+    static RouterSettings settings(
             int gateways,
             int attempts,
             double ration,
             boolean probes,
-            List<Tenant> tenants,
+            List<TenantLimit> tenants,
             QueryClass... classes) {
         return settings(gateways, attempts, ration, probes, tenants, false, classes);
     }
 
-    static Settings settings(
+    static RouterSettings settings(
             int gateways,
             int attempts,
             double ration,
             boolean probes,
-            List<Tenant> tenants,
+            List<TenantLimit> tenants,
             boolean onRequest,
             QueryClass... classes) {
-        return new Settings(
+        return new RouterSettings(
                 gateways,
                 0,
                 0,
-                new QueryRouter.Fees(0, 0),
-                List.of(new Kind(8, 16384)),
+                new RoutingCosts(0, 0),
+                List.of(new EngineKind(8, 16384)),
                 List.of(classes),
                 tenants,
                 0.05,
-                new Limits(probes, true, attempts),
-                new Rules(0.3, 2.5, 2 * S, 10 * S, 300 * MS, 3, ration, ration > 0 ? 5 * S : 0),
-                new EngineTraits(true, true, 0.4, 500 * MS),
-                probes ? Reporting.ON_PROBE : Reporting.WITH_ANSWERS,
+                new AttemptLimits(probes, true, attempts),
+                new ProtectionRules(
+                        0.3, 2.5, 2 * S, 10 * S, 300 * MS, 3, ration, ration > 0 ? 5 * S : 0),
+                new EngineCapabilities(true, true, 0.4, 500 * MS),
+                probes ? LoadReporting.ON_PROBE : LoadReporting.WITH_ANSWERS,
                 onRequest,
                 5 * MS);
     }
 
-    static QueryClass look(Effect effect) {
-        return queryClass(effect, Scope.ALL, false, 1, false);
+    static QueryClass look(Idempotency effect) {
+        return queryClass(effect, IdempotencyScope.ALL, false, 1, false);
     }
 
     static QueryClass queryClass(
-            Effect effect, Scope scope, boolean inOrder, int threads, boolean load) {
+            Idempotency effect,
+            IdempotencyScope scope,
+            boolean inOrder,
+            int threads,
+            boolean load) {
         return new QueryClass(
                 2 * S, 2, 10 * S, 1, 0.3, effect, scope, 3 * S, inOrder, false, threads, load,
                 !load, List.of(), List.of());
@@ -117,8 +105,8 @@
                 10 * S,
                 1,
                 0.3,
-                Effect.REPEATABLE,
-                Scope.ALL,
+                Idempotency.IDEMPOTENT,
+                IdempotencyScope.ALL,
                 3 * S,
                 false,
                 false,
@@ -130,12 +118,12 @@
     }
 
     /** Engines with odd ids are in zone 1 and cell 1, the others in zone 0 and cell 0. */
-    static Engine engine(long id, long born, EngineState state) {
-        return new Engine(id, 0, (int) (id % 2), (int) (id % 2), born, state);
+    static EngineEndpoint engine(long id, long born, EngineLifecycle state) {
+        return new EngineEndpoint(id, 0, (int) (id % 2), (int) (id % 2), born, state);
     }
 
-    void roster(RosterKind kind, Engine... engines) {
-        logic.roster(now, kind, List.of(engines));
+    void roster(EndpointUpdate kind, EngineEndpoint... engines) {
+        logic.endpointsChanged(now, kind, List.of(engines));
     }
 
     void ask(long id, int queryClass) {
@@ -143,12 +131,14 @@
     }
 
     void ask(long id, int queryClass, int tenant, long key, int group, double cost) {
-        logic.query(now, new Query(id, queryClass, tenant, key, 10 * S, cost, 100, group, false));
+        logic.queryAccepted(
+                now, new Query(id, queryClass, tenant, key, 10 * S, cost, 100, group, false));
     }
 
     /** A query that only this engine may run. */
     void askPinned(long id, int queryClass, long engine) {
-        logic.query(now, new Query(id, queryClass, 0, 0, 10 * S, 100 * MS, 100, 0, false, engine));
+        logic.queryAccepted(
+                now, new Query(id, queryClass, 0, 0, 10 * S, 100 * MS, 100, 0, false, engine));
     }
 
     Sent last() {
@@ -163,19 +153,19 @@
         return sent.stream().filter(s -> s.query == query).reduce((a, b) -> b).orElse(null);
     }
 
-    void end(Sent s, Outcome outcome) {
+    void end(Sent s, AttemptOutcome outcome) {
         end(s, outcome, 0, 0);
     }
 
-    void end(Sent s, Outcome outcome, double workMs, double memoryMb) {
-        logic.ended(
+    void end(Sent s, AttemptOutcome outcome, double workMs, double memoryMb) {
+        logic.attemptEnded(
                 now,
-                new AttemptEnd(
+                new AttemptResult(
                         s.query,
                         s.attempt,
                         s.engine,
                         outcome,
-                        outcome == Outcome.OK,
+                        outcome == AttemptOutcome.OK,
                         now - s.at,
                         workMs,
                         memoryMb,
@@ -183,7 +173,7 @@
     }
 
     void report(long engine, double running) {
-        logic.probed(now, engine, Outcome.OK, new Report(running, Double.NaN));
+        logic.probeCompleted(now, engine, AttemptOutcome.OK, new LoadReport(running, Double.NaN));
     }
 
     /** Lets time pass, with every timer that falls due on the way. */
@@ -192,7 +182,7 @@
         for (long[] due = next(until); due != null; due = next(until)) {
             timers.remove(due);
             now = Math.max(now, due[0]);
-            logic.timer(now, due[1]);
+            logic.timerFired(now, due[1]);
         }
         now = until;
     }
@@ -210,18 +200,18 @@
     }
 
     @Override
-    public void send(long query, long engine, long giveUpAt) {
+    public void startAttempt(long query, long engine, long giveUpAt) {
         int attempt = (int) sent.stream().filter(s -> s.query == query).count();
         sent.add(new Sent(now, query, engine, attempt));
     }
 
     @Override
-    public void cancel(long query, int attempt) {
+    public void cancelAttempt(long query, int attempt) {
         cancelled.add(new Sent(now, query, 0, attempt));
     }
 
     @Override
-    public void refuse(long query, long retryAfterUs) {
+    public void reject(long query, long retryAfterUs) {
         refused.add(query);
     }
 
@@ -231,22 +221,22 @@
     }
 
     @Override
-    public void terms(long query, double memoryMb, int priority) {
+    public void assignResources(long query, double memoryMb, int priority) {
         terms.add(new double[] {query, memoryMb, priority});
     }
 
     @Override
-    public void timer(long delayUs, long token) {
+    public void scheduleTimer(long delayUs, long token) {
         timers.add(new long[] {now + delayUs, token});
     }
 
     @Override
-    public void probe(long engine) {
+    public void probeLoad(long engine) {
         probed.add(engine);
     }
 
     @Override
-    public void subscribeRoster() {
+    public void watchEndpoints() {
         subscriptions++;
     }
 
--- a/src/test/java/calicostream/RulesTest.java
+++ b/src/test/java/calicostream/routing/RulesTest.java
@@ -1,23 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
-package calicostream;
+package calicostream.routing;
 
-import static calicostream.Recorder.MS;
-import static calicostream.Recorder.S;
-import static calicostream.Recorder.engine;
-import static calicostream.Recorder.look;
-import static calicostream.Recorder.queryClass;
+import static calicostream.routing.Recorder.MS;
+import static calicostream.routing.Recorder.S;
+import static calicostream.routing.Recorder.engine;
+import static calicostream.routing.Recorder.look;
+import static calicostream.routing.Recorder.queryClass;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicostream.QueryRouter.Effect;
-import calicostream.QueryRouter.EngineState;
-import calicostream.QueryRouter.Outcome;
-import calicostream.QueryRouter.QueryClass;
-import calicostream.QueryRouter.RosterKind;
-import calicostream.QueryRouter.Scope;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -26,8 +20,8 @@
 
 /** Each of the seven rules, one case at a time. */
 class RulesTest {
-    private static final QueryClass LOOK = look(Effect.REPEATABLE);
-    private static final QueryClass ONCE = look(Effect.ONCE);
+    private static final QueryClass LOOK = look(Idempotency.IDEMPOTENT);
+    private static final QueryClass ONCE = look(Idempotency.NON_IDEMPOTENT);
 
     @Test
     void unansweredQueryEndsBeforeItsDeadlineByOwnTimer() {
@@ -35,7 +29,7 @@
         r.ask(1, 0);
         r.pass(10 * S);
         assertEquals(List.of(1L), r.failed);
-        r.end(r.last(), Outcome.TIMEOUT);
+        r.end(r.last(), AttemptOutcome.TIMEOUT);
         assertEquals(1, r.answers(1));
     }
 
@@ -53,10 +47,10 @@
         Recorder r = Recorder.with(2, LOOK);
         r.ask(1, 0);
         Recorder.Sent s = r.last();
-        r.end(s, Outcome.OK);
-        r.end(s, Outcome.TIMEOUT);
-        r.logic.abandoned(r.now, 1);
-        r.logic.abandoned(r.now, 77);
+        r.end(s, AttemptOutcome.OK);
+        r.end(s, AttemptOutcome.TIMEOUT);
+        r.logic.queryAbandoned(r.now, 1);
+        r.logic.queryAbandoned(r.now, 77);
         r.pass(11 * S);
         assertEquals(0, r.answers(1));
         assertEquals(1, r.sent.size());
@@ -66,8 +60,8 @@
     void abandonedQueryIsNotSentAgain() {
         Recorder r = Recorder.with(2, LOOK);
         r.ask(1, 0);
-        r.logic.abandoned(r.now, 1);
-        r.end(r.last(), Outcome.RESET);
+        r.logic.queryAbandoned(r.now, 1);
+        r.end(r.last(), AttemptOutcome.RESET);
         r.pass(11 * S);
         assertEquals(1, r.sent.size());
         assertEquals(0, r.answers(1));
@@ -77,9 +71,9 @@
     void onceIsSentAgainOnlyWhileItProvablyNeverRan() {
         Recorder r = Recorder.with(3, ONCE);
         r.ask(1, 0);
-        r.end(r.last(), Outcome.FULL);
+        r.end(r.last(), AttemptOutcome.OVERLOADED);
         assertEquals(2, r.sent.size());
-        r.end(r.last(), Outcome.ERROR);
+        r.end(r.last(), AttemptOutcome.ERROR);
         r.pass(11 * S);
         assertEquals(2, r.sent.size());
         assertEquals(List.of(1L), r.failed);
@@ -88,43 +82,46 @@
 
     @Test
     void keyedRepeatStaysInScopeAndWindow() {
-        QueryClass zone = queryClass(Effect.BY_KEY, Scope.ZONE, false, 1, false);
+        QueryClass zone =
+                queryClass(Idempotency.IDEMPOTENT_WITH_KEY, IdempotencyScope.ZONE, false, 1, false);
         Recorder r = Recorder.with(6, zone);
         r.ask(1, 0);
         Recorder.Sent first = r.last();
-        r.end(first, Outcome.RESET);
+        r.end(first, AttemptOutcome.RESET);
         assertEquals(2, r.sent.size());
         assertNotEquals(first.engine(), r.last().engine());
         assertEquals(first.engine() % 2, r.last().engine() % 2);
         r.pass(3 * S);
-        r.end(r.last(), Outcome.RESET);
+        r.end(r.last(), AttemptOutcome.RESET);
         assertEquals(2, r.sent.size());
         assertEquals(List.of(1L), r.failed);
     }
 
     @Test
     void keyedThatMayHaveRunIsRefusedOnlyWhereAllEnginesDiscardRepeats() {
-        for (Scope scope : Scope.values()) {
-            Recorder r = Recorder.with(1, queryClass(Effect.BY_KEY, scope, false, 1, false));
+        for (IdempotencyScope scope : IdempotencyScope.values()) {
+            Recorder r =
+                    Recorder.with(
+                            1, queryClass(Idempotency.IDEMPOTENT_WITH_KEY, scope, false, 1, false));
             r.ask(1, 0);
-            r.roster(RosterKind.CHANGES, engine(1, 0, EngineState.GONE));
-            r.end(r.last(), Outcome.RESET);
+            r.roster(EndpointUpdate.INCREMENTAL, engine(1, 0, EngineLifecycle.REMOVED));
+            r.end(r.last(), AttemptOutcome.RESET);
             r.pass(11 * S);
-            assertEquals(scope == Scope.ALL ? 1 : 0, r.refused.size());
-            assertEquals(scope == Scope.ALL ? 0 : 1, r.failed.size());
+            assertEquals(scope == IdempotencyScope.ALL ? 1 : 0, r.refused.size());
+            assertEquals(scope == IdempotencyScope.ALL ? 0 : 1, r.failed.size());
         }
     }
 
     @Test
     void nothingGoesToDrainingOrGoneEngines() {
         Recorder r = Recorder.with(2, LOOK);
-        r.roster(RosterKind.CHANGES, engine(1, 0, EngineState.DRAINING));
+        r.roster(EndpointUpdate.INCREMENTAL, engine(1, 0, EngineLifecycle.DRAINING));
         for (int i = 0; i < 20; i++) {
             r.ask(i, 0, 0, 0, i, 100 * MS);
         }
         assertTrue(r.sent.stream().allMatch(s -> s.engine() == 2));
         int before = r.sent.size();
-        r.roster(RosterKind.COMPLETE, engine(3, 0, EngineState.READY));
+        r.roster(EndpointUpdate.COMPLETE, engine(3, 0, EngineLifecycle.READY));
         r.ask(100, 0);
         assertTrue(r.sent.subList(before, r.sent.size()).stream().allMatch(s -> s.engine() == 3));
     }
@@ -134,11 +131,11 @@
         double[] work = new double[2];
         for (int gateways = 1; gateways <= 2; gateways++) {
             Recorder r = new Recorder(Recorder.settings(gateways, LOOK));
-            r.roster(RosterKind.COMPLETE, engine(1, r.now, EngineState.READY));
+            r.roster(EndpointUpdate.COMPLETE, engine(1, r.now, EngineLifecycle.READY));
             for (int i = 0; i < 400; i++) {
                 r.ask(i, 0);
                 if (!r.sent.isEmpty() && r.lastOf(i) != null) {
-                    r.end(r.last(), Outcome.OK, 100, 50);
+                    r.end(r.last(), AttemptOutcome.OK, 100, 50);
                 }
                 r.pass(4 * MS);
             }
@@ -154,7 +151,7 @@
     @Test
     void restartedGatewayTakesItsPartOfAColdEngineAsSpent() {
         Recorder r = new Recorder(Recorder.settings(1, LOOK));
-        r.roster(RosterKind.CACHED, engine(1, r.now - S, EngineState.READY));
+        r.roster(EndpointUpdate.CACHED, engine(1, r.now - S, EngineLifecycle.READY));
         r.ask(1, 0);
         assertTrue(r.sent.isEmpty());
         r.pass(1900 * MS);
@@ -167,7 +164,8 @@
 
     @Test
     void queriesOfOneKeyRunSinglyInOrderAndRestAfterDoubt() {
-        QueryClass ordered = queryClass(Effect.ONCE, Scope.ALL, true, 1, false);
+        QueryClass ordered =
+                queryClass(Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL, true, 1, false);
         Recorder r = Recorder.with(3, ordered);
         r.pass(300 * MS); // Keys rest after a start.
         r.ask(1, 0, 0, 7, 1, 100 * MS);
@@ -176,7 +174,7 @@
         assertNull(r.lastOf(2));
         assertEquals(3, r.last().query());
         r.pass(50 * MS);
-        r.end(r.lastOf(1), Outcome.RESET);
+        r.end(r.lastOf(1), AttemptOutcome.RESET);
         assertEquals(List.of(1L), r.failed);
         r.pass(250 * MS);
         assertNull(r.lastOf(2));
@@ -186,15 +184,16 @@
 
     @Test
     void keyWaitsForTheAttemptOfAnEndedQuery() {
-        QueryClass ordered = queryClass(Effect.ONCE, Scope.ALL, true, 1, false);
+        QueryClass ordered =
+                queryClass(Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL, true, 1, false);
         Recorder r = Recorder.with(3, ordered);
         r.pass(300 * MS); // Keys rest after a start.
         r.ask(1, 0, 0, 7, 1, 100 * MS);
-        r.logic.abandoned(r.now, 1);
+        r.logic.queryAbandoned(r.now, 1);
         r.ask(2, 0, 0, 7, 1, 100 * MS);
         r.pass(500 * MS);
         assertNull(r.lastOf(2));
-        r.end(r.lastOf(1), Outcome.CANCELLED);
+        r.end(r.lastOf(1), AttemptOutcome.CANCELLED);
         r.pass(250 * MS);
         assertNull(r.lastOf(2));
         r.pass(150 * MS);
@@ -205,8 +204,8 @@
     void boundClassStaysInItsPlaceOnEveryAttempt() {
         Recorder r = Recorder.with(4, Recorder.bound(List.of(1), List.of()));
         r.ask(1, 0);
-        r.end(r.last(), Outcome.CONNECT_FAILED);
-        r.end(r.last(), Outcome.CONNECT_FAILED);
+        r.end(r.last(), AttemptOutcome.CONNECT_FAILED);
+        r.end(r.last(), AttemptOutcome.CONNECT_FAILED);
         r.pass(11 * S);
         assertTrue(r.sent.size() >= 2);
         assertTrue(r.sent.stream().allMatch(s -> s.engine() % 2 == 1));
@@ -224,7 +223,7 @@
             r.ask(i, 0, 0, 0, i, 100 * MS);
         }
         for (Recorder.Sent s : List.copyOf(r.sent)) {
-            r.end(s, Outcome.RESET);
+            r.end(s, AttemptOutcome.RESET);
         }
         assertEquals(20 + 5, r.sent.size());
     }
@@ -236,31 +235,34 @@
     @ParameterizedTest
     @CsvSource({"1, 1", "2, 1", "7, 1", "40, 1", "300, 1", "1, 2", "3, 2", "40, 2"})
     void allGatewaysTogetherKeepAColdEngineWithinItsCapacity(int gateways, int processes) {
-        QueryRouter.Settings s = Recorder.settings(gateways, LOOK);
+        RouterSettings s = Recorder.settings(gateways, LOOK);
         double limit =
-                s.rules().coldMultiple() * s.rules().coldShare() * 8 * s.rules().coldWindowUs();
+                s.protectionRules().slowStartMultiple()
+                        * s.protectionRules().slowStartShare()
+                        * 8
+                        * s.protectionRules().slowStartWindowUs();
         java.util.TreeMap<Long, Double> sent = new java.util.TreeMap<>();
         for (int i = 0; i < gateways * processes; i++) {
             int g = i / processes;
             Recorder r =
                     new Recorder(
-                            new QueryRouter.Settings(
+                            new RouterSettings(
                                     gateways,
                                     g,
                                     0,
-                                    new QueryRouter.Fees(0, 0),
-                                    s.kinds(),
+                                    new RoutingCosts(0, 0),
+                                    s.engineKinds(),
                                     s.classes(),
                                     s.tenants(),
                                     1,
-                                    s.limits(),
-                                    s.rules(),
-                                    s.engines(),
-                                    s.reporting(),
+                                    s.attemptLimits(),
+                                    s.protectionRules(),
+                                    s.engineCapabilities(),
+                                    s.loadReporting(),
                                     false,
                                     s.tickUs()));
-            r.logic.sharedBy(r.now, processes, i % processes);
-            r.roster(RosterKind.COMPLETE, engine(1, Recorder.START, EngineState.READY));
+            r.logic.processesChanged(r.now, processes, i % processes);
+            r.roster(EndpointUpdate.COMPLETE, engine(1, Recorder.START, EngineLifecycle.READY));
             int ended = 0;
             for (int q = 0; q < 90; q++) {
                 r.ask(q, 0, 0, 0, 1, 2 * S);
@@ -269,7 +271,7 @@
                         ended < r.sent.size();
                         ended++) { // Held ones, too, which go when the gateway's turn comes.
                     sent.merge(r.sent.get(ended).at(), 2.0 * S, Double::sum);
-                    r.end(r.sent.get(ended), Outcome.OK, 2000, 50);
+                    r.end(r.sent.get(ended), AttemptOutcome.OK, 2000, 50);
                 }
             }
         }
@@ -278,14 +280,22 @@
             most =
                     Math.max(
                             most,
-                            sent.subMap(from, from + s.rules().coldWindowUs()).values().stream()
+                            sent
+                                    .subMap(from, from + s.protectionRules().slowStartWindowUs())
+                                    .values()
+                                    .stream()
                                     .mapToDouble(Double::doubleValue)
                                     .sum());
         }
         assertTrue(most > 0 && most <= limit, most / S + " of " + limit / S + " core-seconds");
         double all = sent.values().stream().mapToDouble(Double::doubleValue).sum();
         double budget =
-                Logic.COLD_PART * Logic.CORE_YIELD * limit * 9 * S / s.rules().coldWindowUs();
+                AffinityRouter.COLD_PART
+                        * AffinityRouter.CORE_YIELD
+                        * limit
+                        * 9
+                        * S
+                        / s.protectionRules().slowStartWindowUs();
         double least = gateways * processes > 2 ? 0.7 : 0.6; // Two have a query and a half each.
         assertTrue(all > least * budget, all / S + " of " + budget / S + " core-seconds");
     }
@@ -296,28 +306,28 @@
      */
     @Test
     void queriesOfUnknownWorkHaveTheirTurnsAtAColdEngine() {
-        QueryRouter.Settings s = Recorder.settings(40, LOOK, LOOK);
+        RouterSettings s = Recorder.settings(40, LOOK, LOOK);
         java.util.TreeMap<Long, Double> sent = new java.util.TreeMap<>();
         int heavy = 0;
         for (int g = 0; g < 40; g++) {
             Recorder r =
                     new Recorder(
-                            new QueryRouter.Settings(
+                            new RouterSettings(
                                     40,
                                     g,
                                     0,
-                                    new QueryRouter.Fees(0, 0),
-                                    s.kinds(),
+                                    new RoutingCosts(0, 0),
+                                    s.engineKinds(),
                                     s.classes(),
                                     s.tenants(),
                                     1,
-                                    s.limits(),
-                                    s.rules(),
-                                    s.engines(),
-                                    s.reporting(),
+                                    s.attemptLimits(),
+                                    s.protectionRules(),
+                                    s.engineCapabilities(),
+                                    s.loadReporting(),
                                     false,
                                     s.tickUs()));
-            r.roster(RosterKind.COMPLETE, engine(1, Recorder.START, EngineState.READY));
+            r.roster(EndpointUpdate.COMPLETE, engine(1, Recorder.START, EngineLifecycle.READY));
             int ended = 0;
             for (int q = 0; q < 36; q++) {
                 boolean isHeavy = q % 4 == 3;
@@ -327,19 +337,24 @@
                     boolean wasHeavy = r.sent.get(ended).query() % 4 == 3;
                     heavy += wasHeavy ? 1 : 0;
                     sent.merge(r.sent.get(ended).at(), wasHeavy ? 1.0 * S : 0.1 * S, Double::sum);
-                    r.end(r.sent.get(ended), Outcome.OK);
+                    r.end(r.sent.get(ended), AttemptOutcome.OK);
                 }
             }
         }
         assertTrue(heavy > 10, heavy + " heavy queries in 9 s of 40 front ends");
         double limit =
-                s.rules().coldMultiple() * s.rules().coldShare() * 8 * s.rules().coldWindowUs();
+                s.protectionRules().slowStartMultiple()
+                        * s.protectionRules().slowStartShare()
+                        * 8
+                        * s.protectionRules().slowStartWindowUs();
         sent.keySet()
                 .forEach(
                         from -> {
                             double work =
                                     sent
-                                            .subMap(from, from + s.rules().coldWindowUs())
+                                            .subMap(
+                                                    from,
+                                                    from + s.protectionRules().slowStartWindowUs())
                                             .values()
                                             .stream()
                                             .mapToDouble(d -> d)
@@ -360,21 +375,21 @@
             double cost = q % 20 == 0 ? heavy : light;
             r.ask(q, q % 20 == 0 ? 2 : q % 2, 0, 0, 1, cost);
             r.pass(100 * MS);
-            r.end(r.lastOf(q), Outcome.OK, told ? cost / MS : 0, 50);
+            r.end(r.lastOf(q), AttemptOutcome.OK, told ? cost / MS : 0, 50);
         }
-        r.roster(RosterKind.COMPLETE, engine(9, r.now, EngineState.READY));
+        r.roster(EndpointUpdate.COMPLETE, engine(9, r.now, EngineLifecycle.READY));
         int taken = 0;
         for (r.ask(1000, 1, 0, 0, 1, light);
                 r.last(1000 + taken) && taken < 100;
                 r.ask(1000 + taken, 1, 0, 0, 1, light)) {
             Recorder.Sent sent = r.last();
-            r.logic.ended(
+            r.logic.attemptEnded(
                     r.now,
-                    new QueryRouter.AttemptEnd(
+                    new AttemptResult(
                             sent.query(),
                             sent.attempt(),
                             sent.engine(),
-                            Outcome.OK,
+                            AttemptOutcome.OK,
                             true,
                             100 * MS,
                             told ? light / MS : 0,
@@ -391,7 +406,15 @@
      */
     @Test
     void lightClassesShareTheirPartOfAColdEngine() {
-        double both = Logic.COLD_PART * Logic.CORE_YIELD * 2.5 * 0.3 * 8 * 2 * 5.7 / 13.7;
+        double both =
+                AffinityRouter.COLD_PART
+                        * AffinityRouter.CORE_YIELD
+                        * 2.5
+                        * 0.3
+                        * 8
+                        * 2
+                        * 5.7
+                        / 13.7;
         int taken = lightOnesToColdEngine(true, 300 * MS, 8 * S);
         assertTrue(
                 taken * 0.3 > 0.8 * both && taken * 0.3 < 1.1 * both,
@@ -403,7 +426,7 @@
      */
     @Test
     void runTimesBoundRoughEstimatesAtAColdEngine() {
-        double most = Logic.COLD_PART * Logic.CORE_YIELD * 2.5 * 0.3 * 8 * 2;
+        double most = AffinityRouter.COLD_PART * AffinityRouter.CORE_YIELD * 2.5 * 0.3 * 8 * 2;
         int taken = lightOnesToColdEngine(false, 3 * S, 3 * S);
         assertTrue(
                 taken * 0.1 > 0.9 * most && taken * 0.1 <= most,
@@ -414,13 +437,13 @@
     @ValueSource(ints = {1, 300})
     void fleetThatVanishesAndReturnsLeavesNoQueryUnanswered(int gateways) {
         Recorder r = Recorder.with(Recorder.settings(gateways, LOOK), 3);
-        r.roster(RosterKind.COMPLETE);
+        r.roster(EndpointUpdate.COMPLETE);
         r.ask(1, 0);
         assertTrue(r.sent.isEmpty(), "no engine is left");
         r.now += 30 * S; // The clock may jump; timers then come late, and once each.
         r.pass(0);
         assertEquals(1, r.answers(1));
-        r.roster(RosterKind.COMPLETE, engine(1, 0, EngineState.READY));
+        r.roster(EndpointUpdate.COMPLETE, engine(1, 0, EngineLifecycle.READY));
         r.ask(2, 0);
         assertTrue(r.last(2));
     }
@@ -433,7 +456,7 @@
             r.pass(10 * MS);
             if (r.last().attempt() == i) {
                 assertEquals(i + 1, r.sent.size());
-                r.end(r.last(), Outcome.SPOILT);
+                r.end(r.last(), AttemptOutcome.CONNECTION_BROKEN);
             }
         }
         assertEquals(3, r.sent.size());
--- a/src/test/java/calicostream/UntoldTest.java
+++ b/src/test/java/calicostream/routing/UntoldTest.java
@@ -1,22 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-package calicostream;
+package calicostream.routing;
 
-import static calicostream.Recorder.MS;
-import static calicostream.Recorder.S;
+import static calicostream.routing.Recorder.MS;
+import static calicostream.routing.Recorder.S;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicostream.QueryRouter.Effect;
-import calicostream.QueryRouter.EngineState;
-import calicostream.QueryRouter.Notice;
-import calicostream.QueryRouter.Outcome;
-import calicostream.QueryRouter.Progress;
-import calicostream.QueryRouter.Query;
-import calicostream.QueryRouter.QueryClass;
-import calicostream.QueryRouter.Report;
-import calicostream.QueryRouter.Reporting;
-import calicostream.QueryRouter.RosterKind;
-import calicostream.QueryRouter.Settings;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -27,8 +16,8 @@
  * estimates, no costs.
  */
 class UntoldTest {
-    private static final QueryClass LOOK = Recorder.look(Effect.REPEATABLE);
-    private static final int FULL = (int) (8 * Logic.BLIND_ROOM);
+    private static final QueryClass LOOK = Recorder.look(Idempotency.IDEMPOTENT);
+    private static final int FULL = (int) (8 * AffinityRouter.BLIND_ROOM);
 
     private static int sentOf(Recorder r, int asked) {
         for (int i = 0; i < asked; i++) {
@@ -50,7 +39,11 @@
             Recorder r = Recorder.with(Recorder.settings(3, LOOK), 1);
             for (int told = 0; told < 20; told++) {
                 r.now += S;
-                r.logic.probed(r.now, 1, Outcome.OK, Report.NOTHING.with(column, i == 0 ? 1 : 0.1));
+                r.logic.probeCompleted(
+                        r.now,
+                        1,
+                        AttemptOutcome.OK,
+                        LoadReport.EMPTY.withColumn(column, i == 0 ? 1 : 0.1));
             }
             sent[i] = sentOf(r, 30);
         }
@@ -64,7 +57,7 @@
     void refusalOfOneEngineLeavesTheOthersTheirRoom() {
         Recorder r = Recorder.with(Recorder.settings(3, 1, 0, false, List.of(), LOOK), 4);
         r.ask(1, 0);
-        r.end(r.last(), Outcome.FULL);
+        r.end(r.last(), AttemptOutcome.OVERLOADED);
         r.pass(100 * MS);
         assertEquals(1 + 3 * FULL, sentOf(r, 100));
     }
@@ -74,7 +67,7 @@
         Recorder r = Recorder.with(1, LOOK);
         r.ask(1, 0);
         assertEquals(0, r.terms.get(0)[1], 0);
-        r.end(r.last(), Outcome.OK, 100, 100);
+        r.end(r.last(), AttemptOutcome.OK, 100, 100);
         r.ask(2, 0);
         assertTrue(r.terms.get(1)[1] > 100, r.terms.get(1)[1] + " MB");
     }
@@ -89,14 +82,14 @@
         for (int slow = 0; slow < 2; slow++) {
             Recorder r = Recorder.with(Recorder.settings(1, LOOK), 1);
             for (int i = 1; i <= 200; i++) {
-                r.logic.query(r.now, new Query(i, 0, 0, 0, 10 * S, 0, 0, 0, false));
+                r.logic.queryAccepted(r.now, new Query(i, 0, 0, 0, 10 * S, 0, 0, 0, false));
                 r.now += slow == 1 && i > 20 ? 2 * S : 100 * MS;
-                r.end(r.last(), Outcome.OK);
+                r.end(r.last(), AttemptOutcome.OK);
             }
-            r.roster(RosterKind.COMPLETE, Recorder.engine(2, r.now, EngineState.READY));
+            r.roster(EndpointUpdate.COMPLETE, Recorder.engine(2, r.now, EngineLifecycle.READY));
             int before = r.sent.size();
             for (int i = 1000; i < 1100; i++) {
-                r.logic.query(r.now, new Query(i, 0, 0, 0, 10 * S, 0, 0, 0, false));
+                r.logic.queryAccepted(r.now, new Query(i, 0, 0, 0, 10 * S, 0, 0, 0, false));
             }
             sent[slow] = r.sent.size() - before;
         }
@@ -119,14 +112,19 @@
             r.pass(10 * MS);
             r.ask(i, 0);
             for (; heard < r.probed.size(); heard++) {
-                Outcome outcome = column.equals("full") ? Outcome.FULL : Outcome.OK;
-                r.logic.probed(r.now, r.probed.get(heard), outcome, Report.NOTHING.with(column, 1));
+                AttemptOutcome outcome =
+                        column.equals("full") ? AttemptOutcome.OVERLOADED : AttemptOutcome.OK;
+                r.logic.probeCompleted(
+                        r.now,
+                        r.probed.get(heard),
+                        outcome,
+                        LoadReport.EMPTY.withColumn(column, 1));
             }
             if (r.lastOf(i) != null) {
-                r.end(r.lastOf(i), Outcome.OK, 100, 50);
+                r.end(r.lastOf(i), AttemptOutcome.OK, 100, 50);
             }
         }
-        int most = 2 * (int) (1 + 10 * Logic.PROBES * 8 / gateways);
+        int most = 2 * (int) (1 + 10 * AffinityRouter.PROBES * 8 / gateways);
         assertTrue(heard >= 2 && heard <= most, heard + " of " + most);
     }
 
@@ -136,35 +134,35 @@
      */
     @Test
     void slowAttemptIsLeftAloneWhereNoReportWouldShowWhatItsCancelFrees() {
-        for (Reporting how : List.of(Reporting.NONE, Reporting.WITH_ANSWERS)) {
+        for (LoadReporting how : List.of(LoadReporting.NONE, LoadReporting.WITH_ANSWERS)) {
             for (int attempts = 1;
                     attempts <= 3;
                     attempts += 2) { // One that can't move is given up.
-                Settings s = Recorder.settings(1, attempts, 0, false, List.of(), LOOK);
+                RouterSettings s = Recorder.settings(1, attempts, 0, false, List.of(), LOOK);
                 Recorder r =
                         Recorder.with(
-                                new Settings(
+                                new RouterSettings(
                                         s.gateways(),
                                         0,
                                         0,
-                                        s.fees(),
-                                        s.kinds(),
+                                        s.costs(),
+                                        s.engineKinds(),
                                         s.classes(),
                                         s.tenants(),
                                         1,
-                                        s.limits(),
-                                        s.rules(),
-                                        s.engines(),
+                                        s.attemptLimits(),
+                                        s.protectionRules(),
+                                        s.engineCapabilities(),
                                         how,
                                         false,
                                         s.tickUs()),
                                 3);
                 r.ask(1, 0);
                 r.pass(400 * MS);
-                r.logic.progress(r.now, new Progress(1, 0, Notice.SHARE_DONE, 0.01));
-                assertEquals(how == Reporting.NONE ? 0 : 1, r.cancelled.size(), how.toString());
+                r.logic.progress(r.now, new QueryProgress(1, 0, ProgressKind.FRACTION_DONE, 0.01));
+                assertEquals(how == LoadReporting.NONE ? 0 : 1, r.cancelled.size(), how.toString());
                 assertEquals(
-                        how == Reporting.NONE || attempts > 1 ? 0 : 1,
+                        how == LoadReporting.NONE || attempts > 1 ? 0 : 1,
                         r.failed.size(),
                         how.toString());
             }
--- a/src/test/java/calicostream/syslog/SyslogTest.java
+++ b/src/test/java/calicostream/syslog/SyslogTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicostream.QueryRouter.Engine;
-import calicostream.QueryRouter.EngineState;
 import calicostream.core.Clock;
 import calicostream.core.Deadlines;
-import calicostream.core.Watcher.Ending;
+import calicostream.core.RequestListener.RequestOutcome;
 import calicostream.net.Loop;
+import calicostream.routing.EngineEndpoint;
+import calicostream.routing.EngineLifecycle;
 import java.io.DataInputStream;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -40,14 +40,14 @@
     void answersAndEnginesOverUdp() throws Exception {
         try (DatagramSocket collector = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             collector.setSoTimeout(10_000);
-            Syslog syslog =
-                    new Syslog(
+            SyslogSender syslog =
+                    new SyslogSender(
                             loop(),
                             config(collector.getLocalPort(), false),
                             "n1",
                             List.of("look", "load"));
-            syslog.answered("9b1f03aa5c7e2d41", 1, Ending.FAILED, 2, 1500);
-            syslog.engine(new Engine(10, 1, 0, 0, 0, EngineState.DRAINING));
+            syslog.requestEnded("9b1f03aa5c7e2d41", 1, RequestOutcome.FAILED, 2, 1500);
+            syslog.engineChanged(new EngineEndpoint(10, 1, 0, 0, 0, EngineLifecycle.DRAINING));
             assertMatches(
                     "<132>"
                             + HEAD
@@ -68,8 +68,9 @@
     void countedOctetsOverTcp() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Loop loop = loop();
-            Syslog syslog =
-                    new Syslog(loop, config(server.getLocalPort(), true), "n1", List.of("look"));
+            SyslogSender syslog =
+                    new SyslogSender(
+                            loop, config(server.getLocalPort(), true), "n1", List.of("look"));
             Thread thread =
                     new Thread(
                             () -> {
@@ -80,7 +81,8 @@
                                 }
                             });
             thread.start();
-            loop.post(() -> syslog.answered("9b1f03aa5c7e2d41", 0, Ending.SERVED, 1, 7));
+            loop.post(
+                    () -> syslog.requestEnded("9b1f03aa5c7e2d41", 0, RequestOutcome.SERVED, 1, 7));
             try (Socket collector = server.accept()) {
                 collector.setSoTimeout(10_000);
                 DataInputStream in = new DataInputStream(collector.getInputStream());
@@ -104,7 +106,14 @@
     void valuesAreEscapedAndHeadersPrintable() {
         String text =
                 new String(
-                        new Record(16, Record.INFO, Instant.EPOCH, "my host", "", "M", "e@1")
+                        new SyslogRecord(
+                                        16,
+                                        SyslogRecord.INFO,
+                                        Instant.EPOCH,
+                                        "my host",
+                                        "",
+                                        "M",
+                                        "e@1")
                                 .with("v", "a\"b\\c]d")
                                 .bytes(),
                         StandardCharsets.UTF_8);
--- a/src/test/java/calicostream/wire/ConfigurationTest.java
+++ b/src/test/java/calicostream/wire/ConfigurationTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicostream.SettingsParser;
+import calicostream.routing.SettingsParser;
 import com.eclipsesource.json.Json;
 import java.nio.file.Files;
 import java.nio.file.Path;
