--- a/src/main/java/calicostream/Main.java
+++ b/src/main/java/calicostream/Main.java
@@ -9,6 +9,7 @@
 import calicostream.platform.FrontEndConfig;
 import calicostream.platform.FrontEndServer;
 import java.io.IOException;
+import java.net.BindException;
 import java.nio.file.Path;
 
 /** The program: a front end on sockets, or the simulator's adapter. */
@@ -18,6 +19,11 @@
 
     private Main() {}
 
+    /**
+     * Runs the mode that the one argument names.
+     *
+     * @param args {@code serve} or {@code adapter}
+     */
     public static void main(String[] args) throws IOException {
         String mode = args.length == 1 ? args[0] : "";
         switch (mode) {
@@ -70,7 +76,7 @@
         } catch (SettingsException e) {
             System.err.println("calicostream: " + e.getMessage());
             System.exit(UNUSABLE);
-        } catch (java.net.BindException e) {
+        } catch (BindException e) {
             System.err.println("calicostream: can't listen: " + e.getMessage());
             System.exit(UNUSABLE);
         } catch (IOException e) {
