--- a/src/main/java/calicostream/budget/BudgetException.java
+++ b/src/main/java/calicostream/budget/BudgetException.java
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.budget;
 
-import calicostream.errors.OperationalError;
+import calicostream.errors.ErrorDetails;
+import calicostream.errors.OperationalException;
 import calicostream.errors.OperatorDocumentation;
 
 /**
@@ -11,32 +12,11 @@
  * are immutable and carry no stack trace.
  */
 @OperatorDocumentation(value = "budget.md", prefixes = "budget-")
-public abstract sealed class BudgetException extends RuntimeException implements OperationalError {
+public abstract sealed class BudgetException extends OperationalException {
     private static final long serialVersionUID = 1L;
-    private final String code;
-    private final String facts;
-    private final String remedy;
 
     private BudgetException(String code, String facts, String remedy) {
-        super(code + ": " + facts, null, false, false);
-        this.code = code;
-        this.facts = facts;
-        this.remedy = remedy;
-    }
-
-    @Override
-    public String code() {
-        return code;
-    }
-
-    @Override
-    public String facts() {
-        return facts;
-    }
-
-    @Override
-    public String remedy() {
-        return remedy;
+        super(new ErrorDetails(code, facts, remedy));
     }
 
     /** A setting that can't be kept; nothing of the file is used. */
--- a/src/main/java/calicostream/cluster/ClusterException.java
+++ b/src/main/java/calicostream/cluster/ClusterException.java
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.cluster;
 
-import calicostream.errors.OperationalError;
+import calicostream.errors.ErrorDetails;
+import calicostream.errors.OperationalException;
 import calicostream.errors.OperatorDocumentation;
 
 /**
@@ -11,32 +12,11 @@
  * one helps to find a fault of the program.
  */
 @OperatorDocumentation(value = "cluster.md", prefixes = "cluster-")
-public abstract sealed class ClusterException extends RuntimeException implements OperationalError {
+public abstract sealed class ClusterException extends OperationalException {
     private static final long serialVersionUID = 1L;
-    private final String code;
-    private final String facts;
-    private final String remedy;
 
     private ClusterException(String code, String facts, String remedy) {
-        super(code + ": " + facts, null, false, false);
-        this.code = code;
-        this.facts = facts;
-        this.remedy = remedy;
-    }
-
-    @Override
-    public String code() {
-        return code;
-    }
-
-    @Override
-    public String facts() {
-        return facts;
-    }
-
-    @Override
-    public String remedy() {
-        return remedy;
+        super(new ErrorDetails(code, facts, remedy));
     }
 
     /** Bytes of a peer, a client or a disk are not what they should be. */
--- a/src/main/java/calicostream/durable/DurableException.java
+++ b/src/main/java/calicostream/durable/DurableException.java
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.durable;
 
+import calicostream.errors.ErrorDetails;
 import calicostream.errors.OperationalError;
 import calicostream.errors.OperatorDocumentation;
 import java.io.IOException;
@@ -18,30 +19,20 @@
 
     private static final long serialVersionUID = 1;
 
-    private final String code;
-    private final String facts;
-    private final String remedy;
+    private final ErrorDetails details;
 
     private DurableException(String code, String facts, String remedy, Throwable cause) {
-        super(code + ": " + facts + "; " + remedy, cause);
-        this.code = code;
-        this.facts = facts;
-        this.remedy = remedy;
+        this(new ErrorDetails(code, facts, remedy), cause);
     }
 
-    @Override
-    public String code() {
-        return code;
-    }
-
-    @Override
-    public String facts() {
-        return facts;
+    private DurableException(ErrorDetails details, Throwable cause) {
+        super(details.messageWithRemedy(), cause);
+        this.details = details;
     }
 
     @Override
-    public String remedy() {
-        return remedy;
+    public ErrorDetails details() {
+        return details;
     }
 
     /** What the log is in once a call has thrown this. */
--- a/src/main/java/calicostream/errors/OperationalError.java
+++ b/src/main/java/calicostream/errors/OperationalError.java
@@ -2,23 +2,32 @@
 package calicostream.errors;
 
 /**
- * An error of the fleet's common work: each has a type, a code that never changes, the facts (who,
- * what, since when, until when) and what an operator can do. Immutable; any thread may read it.
- * None of them reaches a client of a front end but in the words of that front end's page.
+ * An error that an operator may have to act on. Each type of error has a code that never changes;
+ * each instance states the facts and what an operator can do. Instances are immutable and may be
+ * read by any thread. No client of a front end sees them; the front end answers in its own words.
  *
- * <p>Java seals a family within one package only, and a package here is a concern. So each package
- * seals its own root: an abstract sealed exception with a {@link OperatorDocumentation}, or where a
- * refusal is an answer and never thrown a sealed interface with one, whose permitted types are
- * final and name their code in a constant {@code CODE}. A test holds that nothing else implements
- * this, that no code is used twice, and that each has its row.
+ * <p>Java seals a class hierarchy within one package only, so each package seals its own root: an
+ * abstract sealed exception or, where a rejection is returned and never thrown, a sealed interface.
+ * The root carries an {@link OperatorDocumentation}; its permitted types are final and name their
+ * code in a constant {@code CODE}. {@code OperationalErrorTest} checks that nothing else implements
+ * this interface, that no code is used twice, and that each code is documented.
  */
 public interface OperationalError {
-    /** Stable: rows of the operators' page, figures and alarms go by it. */
-    String code();
+    /** Code, facts and remedy of this error. */
+    ErrorDetails details();
+
+    /** The stable code of this error's type. */
+    default String code() {
+        return details().code();
+    }
 
     /** Who and what, with names and numbers. */
-    String facts();
+    default String facts() {
+        return details().facts();
+    }
 
-    /** What an operator can do; one sentence. */
-    String remedy();
+    /** What an operator can do, in one sentence. */
+    default String remedy() {
+        return details().remedy();
+    }
 }
--- a/src/main/java/calicostream/errors/OperatorDocumentation.java
+++ b/src/main/java/calicostream/errors/OperatorDocumentation.java
@@ -7,14 +7,15 @@
 import java.lang.annotation.Target;
 
 /**
- * Of a root of {@link OperationalError}s: the operators' page that has a row for each of its codes,
- * within {@code docs/operate}.
+ * Names the page that documents each code of a sealed root of {@link OperationalError}s. The page
+ * has a table row for each code.
  */
 @Retention(RetentionPolicy.RUNTIME)
 @Target(ElementType.TYPE)
 public @interface OperatorDocumentation {
+    /** File name of the page within {@code docs/operate}. */
     String value();
 
-    /** Its codes begin with one of these. */
+    /** Each code of the root begins with one of these prefixes. */
     String[] prefixes();
 }
--- a/src/main/java/calicostream/errors/package-info.java
+++ b/src/main/java/calicostream/errors/package-info.java
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /**
- * Owns what all errors of a fleet that works together have in common: type, code, facts, remedy,
- * and the page that tells of them. It knows none of the packages whose errors these are, and
- * nothing else of the program. Read {@link calicostream.errors.OperationalError} first.
+ * Owns what the errors of all replicated parts have in common: a type, a stable code, the facts, a
+ * remedy, and the page that documents the code. It knows none of the packages that declare such
+ * errors, and no other part of the program. Read {@link calicostream.errors.OperationalError}
+ * first.
  */
 package calicostream.errors;
--- a/src/main/java/calicostream/lease/LeaseRejection.java
+++ b/src/main/java/calicostream/lease/LeaseRejection.java
@@ -3,6 +3,7 @@
 
 import calicostream.cluster.BinaryCodec;
 import calicostream.cluster.CommandEffects;
+import calicostream.errors.ErrorDetails;
 import calicostream.errors.OperationalError;
 import calicostream.errors.OperatorDocumentation;
 
@@ -15,6 +16,14 @@
     /** The lease. */
     String name();
 
+    @Override
+    default ErrorDetails details() {
+        return new ErrorDetails(code(), facts(), remedy());
+    }
+
+    @Override
+    String facts();
+
     @Override
     default String code() {
         return Kind.of(this).code;
