--- a/src/main/java/calicostream/budget/BudgetCommand.java
+++ b/src/main/java/calicostream/budget/BudgetCommand.java
@@ -118,14 +118,14 @@
             BinaryCodec.Writer out = new BinaryCodec.Writer().u8(1).i64(number).i64(version);
             put(out, shares);
             putUses(out, left);
-            return out.done();
+            return out.toByteArray();
         }
 
         public static Grants decode(byte[] bytes) {
             BinaryCodec.Reader in = new BinaryCodec.Reader("grants", bytes);
-            in.version(1);
+            in.requireVersion(1);
             Grants grants = new Grants(in.i64(), in.i64(), sharesOf(in), usesOf(in));
-            in.end();
+            in.requireEnd();
             return grants;
         }
     }
@@ -165,12 +165,12 @@
                     .u8(expire.former ? 1 : 0)
                     .i64(expire.number);
         }
-        return out.done();
+        return out.toByteArray();
     }
 
     static BudgetCommand decode(byte[] bytes) {
         BinaryCodec.Reader in = new BinaryCodec.Reader("budget command", bytes);
-        in.version(1);
+        in.requireVersion(1);
         int kind = in.u8();
         BudgetCommand command =
                 switch (kind) {
@@ -205,7 +205,7 @@
                     case 8 -> new Expire(in.text(NAME), in.i64(), in.u8() == 1, in.i64());
                     default -> throw in.malformed("kind " + kind);
                 };
-        in.end();
+        in.requireEnd();
         return command;
     }
 
--- a/src/main/java/calicostream/budget/GrantExpiryMonitor.java
+++ b/src/main/java/calicostream/budget/GrantExpiryMonitor.java
@@ -26,12 +26,12 @@
     }
 
     @Override
-    public void eraBegan(long era, long nowNanos) {
+    public void epochStarted(long era, long nowNanos) {
         since.clear();
     }
 
     @Override
-    public List<byte[]> due(long nowNanos) {
+    public List<byte[]> expiredCommands(long nowNanos) {
         List<byte[]> due = new ArrayList<>();
         Map<String, Long> present = new HashMap<>();
         machine.books()
--- a/src/main/java/calicostream/budget/GrantLedger.java
+++ b/src/main/java/calicostream/budget/GrantLedger.java
@@ -193,12 +193,12 @@
                                 held.sums.forEach(sum -> out.i64(sum[0]).i64(sum[1]));
                             });
                 });
-        return out.done();
+        return out.toByteArray();
     }
 
     static GrantLedger restore(BudgetSettings settings, byte[] snapshot) {
         BinaryCodec.Reader in = new BinaryCodec.Reader("budget snapshot", snapshot);
-        in.version(FORMAT);
+        in.requireVersion(FORMAT);
         GrantLedger books = new GrantLedger(settings);
         books.token = in.i64();
         books.index = in.i64();
@@ -231,7 +231,7 @@
                 held(in, process.held(in.text(BudgetCommand.NAME)));
             }
         }
-        in.end();
+        in.requireEnd();
         return books;
     }
 
--- a/src/main/java/calicostream/budget/GrantMachine.java
+++ b/src/main/java/calicostream/budget/GrantMachine.java
@@ -65,11 +65,13 @@
         try {
             return apply(index, command, BudgetCommand.decode(command.body()));
         } catch (BudgetException refused) { // every check comes before the first change
-            return CommandEffects.refused(
-                    refused.code(), new BinaryCodec.Writer().text(refused.getMessage()).done());
+            return CommandEffects.rejected(
+                    refused.code(),
+                    new BinaryCodec.Writer().text(refused.getMessage()).toByteArray());
         } catch (ClusterException.Malformed malformed) {
-            return CommandEffects.refused(
-                    malformed.code(), new BinaryCodec.Writer().text(malformed.getMessage()).done());
+            return CommandEffects.rejected(
+                    malformed.code(),
+                    new BinaryCodec.Writer().text(malformed.getMessage()).toByteArray());
         }
     }
 
@@ -155,7 +157,7 @@
             process.held.clear();
         }
         process.session = 0;
-        return CommandEffects.answer(new byte[0], settle());
+        return CommandEffects.response(new byte[0], settle());
     }
 
     private CommandEffects renew(long session, BudgetCommand.Renew renew) {
@@ -208,7 +210,7 @@
                         want.sessions();
             }
         }
-        return CommandEffects.answer(grants(process).encode(), settle());
+        return CommandEffects.response(grants(process).encode(), settle());
     }
 
     private BudgetCommand.Grants grants(ProcessBook process) {
@@ -349,7 +351,7 @@
                 out.contains(Safeguard.LOWERED_CAP_WAITS)
                         ? command.cap()
                         : Math.max(known.cap, command.cap());
-        return CommandEffects.answer(new byte[0], settle());
+        return CommandEffects.response(new byte[0], settle());
     }
 
     /** What ran at an engine ended with it. */
@@ -384,13 +386,13 @@
             held.used = Math.min(Math.max(held.used, held.most()), bound);
             held.forgetGrants();
         }
-        return CommandEffects.answer(new byte[0], settle());
+        return CommandEffects.response(new byte[0], settle());
     }
 
     private CommandEffects expire(long index, Command sender, BudgetCommand.Expire expire) {
         ProcessBook process = books.processes.get(expire.process());
         String why =
-                !sender.byLeader() && !out.contains(Safeguard.GRANT_HELD_TO_EXPIRY)
+                !sender.isFromLeader() && !out.contains(Safeguard.GRANT_HELD_TO_EXPIRY)
                         ? "not counted by the leader"
                         : process == null || process.session != expire.session()
                                 ? "another start of the process has joined"
@@ -437,7 +439,7 @@
                                                 .text(name)
                                                 .i64(engine.incarnation)
                                                 .i32(engine.cap)
-                                                .done()));
+                                                .toByteArray()));
                     }
                 });
         return events.toArray(CommandEffects.Event[]::new);
--- a/src/main/java/calicostream/budget/process/BudgetGate.java
+++ b/src/main/java/calicostream/budget/process/BudgetGate.java
@@ -84,7 +84,7 @@
             admitted.add(new HashSet<>());
         }
         ledger = new SessionLedger(settings, process, settings.ttlNanos(), now());
-        queues = new TenantQueues(settings, config.queue(), 1);
+        queues = new TenantQueues(settings, config.maxQueuedPerTenant(), 1);
         demand = new DemandEstimator(tenants, settings.ttlNanos() / 2);
         reportMicros = Math.max(10_000, settings.ttlNanos() / MICRO / REPORTS);
         wire.gate(
@@ -123,7 +123,7 @@
             gone.remove(name(engine.id()));
             listed.put(engine.id(), engine);
         }
-        Optional<String> pool = config.pool(engine.kind());
+        Optional<String> pool = config.poolOfEngineKind(engine.kind());
         if (pool.isPresent() && engine.lifecycle() != EngineLifecycle.REMOVED) {
             Integer known = slots.get(engine.id());
             int slot =
@@ -137,20 +137,22 @@
         uncounted =
                 (int)
                         listed.values().stream()
-                                .filter(each -> config.pool(each.kind()).isEmpty())
+                                .filter(each -> config.poolOfEngineKind(each.kind()).isEmpty())
                                 .count();
         wire.list(
                 listed.values().stream()
-                        .filter(each -> config.pool(each.kind()).isPresent())
+                        .filter(each -> config.poolOfEngineKind(each.kind()).isPresent())
                         .map(
                                 each ->
                                         new BudgetMailbox.Listed(
                                                 name(each.id()),
                                                 incarnation(each.id()),
-                                                config.pool(each.kind()).get(),
-                                                config.engines()
-                                                        .get(config.pool(each.kind()).get())
-                                                        .cap()))
+                                                config.poolOfEngineKind(each.kind()).get(),
+                                                config.enginePools()
+                                                        .get(
+                                                                config.poolOfEngineKind(each.kind())
+                                                                        .get())
+                                                        .engineCap()))
                         .toList(),
                 gone);
     }
@@ -183,7 +185,7 @@
         }
         try {
             long number = ++numbers;
-            queues.offer(request.tenant, 0, number, now(), config.patience().toNanos());
+            queues.offer(request.tenant, 0, number, now(), config.maxQueueDelay().toNanos());
             kept.put(number, request);
         } catch (BudgetException.NoRoom noRoom) {
             refused++;
@@ -364,11 +366,13 @@
                         .mapToInt(
                                 id ->
                                         listed.containsKey(id)
-                                                ? config.engines()
+                                                ? config.enginePools()
                                                         .get(
-                                                                config.pool(listed.get(id).kind())
+                                                                config.poolOfEngineKind(
+                                                                                listed.get(id)
+                                                                                        .kind())
                                                                         .orElseThrow())
-                                                        .cap()
+                                                        .engineCap()
                                                 : 0)
                         .toArray();
         for (int t = 0; t < settings.tenants().size(); t++) {
--- a/src/main/java/calicostream/budget/process/BudgetService.java
+++ b/src/main/java/calicostream/budget/process/BudgetService.java
@@ -81,14 +81,14 @@
 
     @Override
     public void tick() {
-        long present = session.session();
+        long present = session.sessionId();
         if (present == 0 || leaving) {
             return;
         }
         if (present != joined && present != joining) {
             joining = present;
             reporting = false;
-            session.run(
+            session.submit(
                     name(),
                     new BudgetCommand.Join(process).encode(),
                     outcome -> joined(present, outcome));
@@ -96,12 +96,12 @@
         BudgetCommand.Renew report = present == joined && !reporting ? wire.takeReport() : null;
         if (report != null) {
             reporting = true;
-            session.run(name(), report.encode(), outcome -> answered(present, outcome));
+            session.submit(name(), report.encode(), outcome -> answered(present, outcome));
         }
     }
 
     private void joined(long under, CommandOutcome outcome) {
-        if (outcome.accepted() && session.session() == under) {
+        if (outcome.isAccepted() && session.sessionId() == under) {
             joined = under;
             wire.joined();
         } else if (joining == under) {
@@ -114,9 +114,10 @@
             return;
         }
         reporting = false;
-        if (outcome.accepted()) {
+        if (outcome.isAccepted()) {
             wire.answer(
-                    new BudgetMailbox.Answer(BudgetCommand.Grants.decode(outcome.answer()), false));
+                    new BudgetMailbox.Answer(
+                            BudgetCommand.Grants.decode(outcome.response()), false));
         } else {
             failed++;
             wire.answer(
@@ -128,9 +129,9 @@
     /** What runs on is not over: only a process that is idle may say that it leaves. */
     @Override
     public void stopping() {
-        if (joined != 0 && joined == session.session() && wire.isIdle()) {
+        if (joined != 0 && joined == session.sessionId() && wire.isIdle()) {
             leaving = true;
-            session.run(name(), new BudgetCommand.Leave().encode(), outcome -> {});
+            session.submit(name(), new BudgetCommand.Leave().encode(), outcome -> {});
         }
     }
 
@@ -141,7 +142,7 @@
                         .add("process", process)
                         .add(
                                 "joined",
-                                joined != 0 && session != null && joined == session.session())
+                                joined != 0 && session != null && joined == session.sessionId())
                         .add("reports_failed", failed)
                         .add("here", Json.parse(wire.figures()));
         return out.add("fleet", BudgetMetrics.fleet(config.settings(), machine.view())).toString();
--- a/src/main/java/calicostream/budget/process/GrantCoordinatorTask.java
+++ b/src/main/java/calicostream/budget/process/GrantCoordinatorTask.java
@@ -67,16 +67,16 @@
             round(acts, view);
         } else {
             session.read(
-                    MemberMessage.Ask.LOCAL,
+                    MemberMessage.Operation.LOCAL_READ,
                     GrantMachine.NAME,
                     new byte[0],
                     nowNanos,
                     reply -> {
-                        if (reply.outcome().accepted()
-                                && reply.outcome().answer().length > 0
+                        if (reply.outcome().isAccepted()
+                                && reply.outcome().response().length > 0
                                 && acts.isHeld()) {
                             GrantMachine view = new GrantMachine(config.settings());
-                            view.restore(reply.outcome().answer());
+                            view.restore(reply.outcome().response());
                             round(acts, view);
                         }
                     });
@@ -161,11 +161,11 @@
     }
 
     private void run(BudgetCommand command) {
-        session.run(GrantMachine.NAME, command.encode(), this::heard);
+        session.submit(GrantMachine.NAME, command.encode(), this::heard);
     }
 
     private void heard(calicostream.cluster.CommandOutcome outcome) {
-        if (!outcome.accepted()) {
+        if (!outcome.isAccepted()) {
             refused++;
             lastRefusal = outcome.code();
         }
--- a/src/main/java/calicostream/cluster/BinaryCodec.java
+++ b/src/main/java/calicostream/cluster/BinaryCodec.java
@@ -42,7 +42,7 @@
             return blob(text.getBytes(StandardCharsets.UTF_8));
         }
 
-        public byte[] done() {
+        public byte[] toByteArray() {
             return out.toByteArray();
         }
     }
@@ -111,7 +111,7 @@
             return count;
         }
 
-        public void version(int expected) {
+        public void requireVersion(int expected) {
             int version = u8();
             if (version != expected) {
                 throw malformed("version " + version + " is not " + expected);
@@ -119,7 +119,7 @@
         }
 
         /** Nothing may follow. */
-        public void end() {
+        public void requireEnd() {
             if (in.hasRemaining()) {
                 throw malformed(in.remaining() + " bytes too many");
             }
--- a/src/main/java/calicostream/cluster/BoundedElapsedTime.java
+++ b/src/main/java/calicostream/cluster/BoundedElapsedTime.java
@@ -23,7 +23,7 @@
     /**
      * The time that is counted at a look; differences alone mean something, and it never goes back.
      */
-    public long look(long nowNanos) {
+    public long advance(long nowNanos) {
         counted += started ? Math.max(0, Math.min(periodNanos, nowNanos - lastNanos)) : 0;
         started = true;
         lastNanos = nowNanos;
--- a/src/main/java/calicostream/cluster/Command.java
+++ b/src/main/java/calicostream/cluster/Command.java
@@ -12,18 +12,18 @@
  *     else 0
  * @param body in the machine's own encoding, at most {@link #MAX_BODY} bytes
  */
-public record Command(long session, long sequence, long era, byte[] body) {
+public record Command(long session, long sequence, long epoch, byte[] body) {
     /**
      * Larger bodies are refused before they are proposed, and by the machine if one gets there all
      * the same.
      */
-    public static final int MAX_BODY = 64 * 1024;
+    public static final int MAX_BODY_BYTES = 64 * 1024;
 
     /**
      * The leader proposed it from its own count of time. Commands of an era that is over never
      * reach a machine: a leader that was stopped can't expire what its successor has renewed.
      */
-    public boolean byLeader() {
+    public boolean isFromLeader() {
         return session == 0;
     }
 }
--- a/src/main/java/calicostream/cluster/CommandEffects.java
+++ b/src/main/java/calicostream/cluster/CommandEffects.java
@@ -11,7 +11,7 @@
  * @param refusal stable code of why the machine did not accept the command; null if it did
  * @param answer in the machine's own encoding; the facts of a refusal if there is one
  */
-public record CommandEffects(String refusal, byte[] answer, List<Event> events) {
+public record CommandEffects(String rejectionCode, byte[] response, List<Event> events) {
     /**
      * Something that happened in a machine, for watchers; {@code body} is in the machine's own
      * encoding.
@@ -19,13 +19,13 @@
      * @param to whom the leader tells it beside the watchers at the copies: a session, {@link #ALL}
      *     or {@link #NOBODY}
      */
-    public record Event(String kind, byte[] body, long to) {
-        public static final long ALL = 0;
-        public static final long NOBODY = -1;
+    public record Event(String kind, byte[] body, long recipient) {
+        public static final long ALL_MEMBERS = 0;
+        public static final long NO_MEMBER = -1;
 
         /** For the watchers at the copies alone. */
         public Event(String kind, byte[] body) {
-            this(kind, body, NOBODY);
+            this(kind, body, NO_MEMBER);
         }
     }
 
@@ -36,15 +36,15 @@
         events = List.copyOf(events);
     }
 
-    public static CommandEffects answer(byte[] answer, Event... events) {
+    public static CommandEffects response(byte[] answer, Event... events) {
         return new CommandEffects(null, answer, List.of(events));
     }
 
-    public static CommandEffects refused(String code, byte[] facts) {
+    public static CommandEffects rejected(String code, byte[] facts) {
         return new CommandEffects(code, facts, List.of());
     }
 
-    public boolean accepted() {
-        return refusal == null;
+    public boolean isAccepted() {
+        return rejectionCode == null;
     }
 }
--- a/src/main/java/calicostream/cluster/CommandOutcome.java
+++ b/src/main/java/calicostream/cluster/CommandOutcome.java
@@ -8,21 +8,22 @@
  *
  * @param index of the log at which this holds; a retry hears the index of the first time
  */
-public record CommandOutcome(Kind kind, long index, String code, byte[] answer) {
+public record CommandOutcome(Kind kind, long index, String code, byte[] response) {
     /** Who spoke. */
     public enum Kind {
         ACCEPTED,
-        REFUSED,
+        REJECTED,
         FAILED
     }
 
     /** Larger answers stop the voter that made them: a machine has to keep within it. */
-    public static final int MAX_ANSWER = 1 << 20;
+    public static final int MAX_RESPONSE_BYTES = 1 << 20;
 
     static CommandOutcome of(long index, CommandEffects effects) {
-        return effects.accepted()
-                ? new CommandOutcome(Kind.ACCEPTED, index, "", effects.answer())
-                : new CommandOutcome(Kind.REFUSED, index, effects.refusal(), effects.answer());
+        return effects.isAccepted()
+                ? new CommandOutcome(Kind.ACCEPTED, index, "", effects.response())
+                : new CommandOutcome(
+                        Kind.REJECTED, index, effects.rejectionCode(), effects.response());
     }
 
     /** {@code facts} are the numbers that the error is made of, in its constructor's order. */
@@ -31,20 +32,20 @@
         for (long fact : facts) {
             out.i64(fact);
         }
-        return new CommandOutcome(Kind.FAILED, index, code, out.done());
+        return new CommandOutcome(Kind.FAILED, index, code, out.toByteArray());
     }
 
-    public boolean accepted() {
+    public boolean isAccepted() {
         return kind == Kind.ACCEPTED;
     }
 
-    /** The error of a {@link EngineKind#FAILED}. */
+    /** The error of a {@link Kind#FAILED}. */
     public ClusterException error() {
-        return ClusterException.of(code, new BinaryCodec.Reader("facts of " + code, answer));
+        return ClusterException.of(code, new BinaryCodec.Reader("facts of " + code, response));
     }
 
     public void encode(BinaryCodec.Writer out) {
-        out.u8(kind.ordinal()).i64(index).text(code).blob(answer);
+        out.u8(kind.ordinal()).i64(index).text(code).blob(response);
     }
 
     /**
@@ -55,6 +56,7 @@
         if (kind >= Kind.values().length) {
             throw in.malformed("no outcome is of kind " + kind);
         }
-        return new CommandOutcome(Kind.values()[kind], in.i64(), in.text(128), in.blob(MAX_ANSWER));
+        return new CommandOutcome(
+                Kind.values()[kind], in.i64(), in.text(128), in.blob(MAX_RESPONSE_BYTES));
     }
 }
--- a/src/main/java/calicostream/cluster/EventLoop.java
+++ b/src/main/java/calicostream/cluster/EventLoop.java
@@ -7,7 +7,7 @@
  * a monotonic clock, in nanoseconds, and means something only as a difference within this process.
  */
 public interface EventLoop {
-    long nanos();
+    long nanoTime();
 
     void execute(Runnable task);
 
--- a/src/main/java/calicostream/cluster/ExpiryMonitor.java
+++ b/src/main/java/calicostream/cluster/ExpiryMonitor.java
@@ -12,7 +12,7 @@
  */
 public interface ExpiryMonitor {
     /** This process leads from now on. */
-    void eraBegan(long era, long nowNanos);
+    void epochStarted(long era, long nowNanos);
 
     /**
      * Called at least every {@code period} of the node while this process leads.
@@ -22,5 +22,5 @@
      * @return bodies of commands to propose, oldest need first; may repeat what was proposed and is
      *     not yet applied
      */
-    List<byte[]> due(long nowNanos);
+    List<byte[]> expiredCommands(long nowNanos);
 }
--- a/src/main/java/calicostream/cluster/MemberMessage.java
+++ b/src/main/java/calicostream/cluster/MemberMessage.java
@@ -9,13 +9,13 @@
     int VERSION = 1;
 
     /** What a request asks for. */
-    enum Ask {
+    enum Operation {
         /** {@code body} is an {@link ReplicatedEntry} to put into the log. */
-        ENTRY,
+        PROPOSE,
         /** {@code body} is a question to {@code machine}, answered as of now or later. */
         READ,
         /** A question to {@code machine}, answered from the copy at hand with its age. */
-        LOCAL
+        LOCAL_READ
     }
 
     /**
@@ -24,13 +24,15 @@
      * @param generation of the voter that it is for: a member's present voter must not answer for
      *     one that it was
      */
-    record Raft(int generation, byte[] message) implements MemberMessage {}
+    record RaftMessage(int generation, byte[] message) implements MemberMessage {}
 
     /** {@code id} is chosen by the sender, another one for each attempt. */
-    record Request(long id, Ask ask, String machine, byte[] body) implements MemberMessage {}
+    record Request(long id, Operation operation, String machine, byte[] body)
+            implements MemberMessage {}
 
     /**
-     * @param ageNanos with {@link Ask#LOCAL}, how old the state is at most that was asked; else 0
+     * @param ageNanos with {@link Operation#LOCAL_READ}, how old the state is at most that was
+     *     asked; else 0
      */
     record Reply(long id, long ageNanos, CommandOutcome outcome) implements MemberMessage {}
 
@@ -38,13 +40,14 @@
      * Something happened at {@code index}, told to a member unasked; may be lost, late, or there
      * twice.
      */
-    record News(String machine, long index, CommandEffects.Event event) implements MemberMessage {}
+    record Notification(String machine, long index, CommandEffects.Event event)
+            implements MemberMessage {}
 
     /**
      * A voter asks what is remembered of it; {@code nonce} is this process's, and comes back with
      * the answer.
      */
-    record Recall(int generation, long incarnation, long nonce) implements MemberMessage {}
+    record RecoveryRequest(int generation, long incarnation, long nonce) implements MemberMessage {}
 
     /**
      * What the answerer, by its own generation, incarnation and nonce, remembers of the asker from
@@ -54,52 +57,52 @@
      *
      * @param to the asker's nonce
      */
-    record Recalled(
-            long to,
+    record RecoveryResponse(
+            long requestNonce,
             int generation,
             long incarnation,
             long nonce,
             long seenIncarnation,
             long term,
-            long acknowledged,
+            long acknowledgedIndex,
             long voteTerm,
-            boolean grouped)
+            boolean groupHasCommitted)
             implements MemberMessage {}
 
     default byte[] encode() {
         BinaryCodec.Writer out = new BinaryCodec.Writer().u8(VERSION);
-        if (this instanceof Raft raft) {
+        if (this instanceof RaftMessage raft) {
             out.u8(1).i32(raft.generation).blob(raft.message);
         } else if (this instanceof Request request) {
             out.u8(2)
                     .i64(request.id)
-                    .u8(request.ask.ordinal())
+                    .u8(request.operation.ordinal())
                     .text(request.machine)
                     .blob(request.body);
         } else if (this instanceof Reply reply) {
             reply.outcome.encode(out.u8(3).i64(reply.id).i64(reply.ageNanos));
-        } else if (this instanceof News news) {
+        } else if (this instanceof Notification news) {
             out.u8(4)
                     .text(news.machine)
                     .i64(news.index)
                     .text(news.event.kind())
-                    .i64(news.event.to())
+                    .i64(news.event.recipient())
                     .blob(news.event.body());
-        } else if (this instanceof Recall ask) {
+        } else if (this instanceof RecoveryRequest ask) {
             out.u8(5).i32(ask.generation).i64(ask.incarnation).i64(ask.nonce);
-        } else if (this instanceof Recalled told) {
+        } else if (this instanceof RecoveryResponse told) {
             out.u8(6)
-                    .i64(told.to)
+                    .i64(told.requestNonce)
                     .i32(told.generation)
                     .i64(told.incarnation)
                     .i64(told.nonce)
                     .i64(told.seenIncarnation)
                     .i64(told.term)
-                    .i64(told.acknowledged)
+                    .i64(told.acknowledgedIndex)
                     .i64(told.voteTerm)
-                    .u8(told.grouped ? 1 : 0);
+                    .u8(told.groupHasCommitted ? 1 : 0);
         }
-        return out.done();
+        return out.toByteArray();
     }
 
     /**
@@ -107,37 +110,38 @@
      */
     static MemberMessage decode(byte[] bytes) {
         BinaryCodec.Reader in = new BinaryCodec.Reader("frame", bytes);
-        in.version(VERSION);
+        in.requireVersion(VERSION);
         int kind = in.u8();
         MemberMessage frame =
                 switch (kind) {
-                    case 1 -> new Raft(in.i32(), in.blob(PeerTransport.MAX_FRAME));
+                    case 1 -> new RaftMessage(in.i32(), in.blob(PeerTransport.MAX_FRAME_BYTES));
                     case 2 -> {
                         long id = in.i64();
                         int ask = in.u8();
-                        if (ask >= Ask.values().length) {
+                        if (ask >= Operation.values().length) {
                             throw in.malformed("no request asks for " + ask);
                         }
                         yield new Request(
                                 id,
-                                Ask.values()[ask],
-                                in.text(ReplicatedEntry.MAX_NAME),
-                                in.blob(2 * Command.MAX_BODY));
+                                Operation.values()[ask],
+                                in.text(ReplicatedEntry.MAX_NAME_BYTES),
+                                in.blob(2 * Command.MAX_BODY_BYTES));
                     }
                     case 3 -> new Reply(in.i64(), in.i64(), CommandOutcome.decode(in));
                     case 4 -> {
-                        String machine = in.text(ReplicatedEntry.MAX_NAME);
+                        String machine = in.text(ReplicatedEntry.MAX_NAME_BYTES);
                         long index = in.i64();
-                        String what = in.text(ReplicatedEntry.MAX_NAME);
+                        String what = in.text(ReplicatedEntry.MAX_NAME_BYTES);
                         long to = in.i64();
-                        yield new News(
+                        yield new Notification(
                                 machine,
                                 index,
-                                new CommandEffects.Event(what, in.blob(Command.MAX_BODY), to));
+                                new CommandEffects.Event(
+                                        what, in.blob(Command.MAX_BODY_BYTES), to));
                     }
-                    case 5 -> new Recall(in.i32(), in.i64(), in.i64());
+                    case 5 -> new RecoveryRequest(in.i32(), in.i64(), in.i64());
                     case 6 ->
-                            new Recalled(
+                            new RecoveryResponse(
                                     in.i64(),
                                     in.i32(),
                                     in.i64(),
@@ -149,7 +153,7 @@
                                     in.u8() != 0);
                     default -> throw in.malformed("no frame is of kind " + kind);
                 };
-        in.end();
+        in.requireEnd();
         return frame;
     }
 }
--- a/src/main/java/calicostream/cluster/MemberSession.java
+++ b/src/main/java/calicostream/cluster/MemberSession.java
@@ -18,21 +18,21 @@
  */
 public final class MemberSession {
     /** What to send. */
-    public record Send(int voter, byte[] frame) {}
+    public record OutgoingFrame(int voter, byte[] frame) {}
 
     /**
      * @param ttlMillis of the session
      * @param retryMillis until another voter is tried
      * @param queue of commands that wait; more are refused
      */
-    public record Settings(int member, int ttlMillis, int retryMillis, int queue) {}
+    public record Settings(int member, int ttlMillis, int retryMillis, int maxQueued) {}
 
     private record Waiting(String machine, byte[] body, Consumer<CommandOutcome> done) {}
 
     private record Attempt(long id, ReplicatedEntry entry, long sentNanos) {}
 
     private record Read(
-            MemberMessage.Ask ask,
+            MemberMessage.Operation ask,
             String machine,
             byte[] question,
             long sinceNanos,
@@ -41,12 +41,12 @@
     private final Settings settings;
     private final ArrayDeque<Waiting> queue = new ArrayDeque<>();
     private final Map<Long, Read> reads = new HashMap<>();
-    private final List<Send> out = new ArrayList<>();
-    private List<Integer> voters;
+    private final List<OutgoingFrame> out = new ArrayList<>();
+    private List<Integer> updateVoters;
     private int turn;
     private long nextId;
     private long nonce;
-    private long session;
+    private long sessionId;
     private long sequence;
     private boolean started;
     private long aliveUntil;
@@ -62,44 +62,47 @@
      */
     public MemberSession(Settings settings, List<Integer> voters, long mark) {
         this.settings = settings;
-        this.voters = List.copyOf(voters);
+        this.updateVoters = List.copyOf(voters);
         this.nextId = mark;
         this.nonce = mark;
     }
 
     /** The voters changed. */
-    public void voters(List<Integer> now) {
-        voters = List.copyOf(now);
+    public void updateVoters(List<Integer> now) {
+        updateVoters = List.copyOf(now);
     }
 
     /** 0 if there is none. */
-    public long session() {
-        return session;
+    public long sessionId() {
+        return sessionId;
     }
 
     /** The session is alive for sure: nobody has expired it, nor can within this call. */
     public boolean isAlive(long nowNanos) {
-        return session != 0 && aliveUntil - nowNanos > 0;
+        return sessionId != 0 && aliveUntil - nowNanos > 0;
     }
 
-    public int waiting() {
+    public int pendingCommands() {
         return queue.size() + (running == null ? 0 : 1);
     }
 
     /** Runs a command once; {@code done} hears how it went, exactly once. */
-    public void run(String machine, byte[] body, Consumer<CommandOutcome> done) {
-        if (queue.size() >= settings.queue) {
+    public void submit(String machine, byte[] body, Consumer<CommandOutcome> done) {
+        if (queue.size() >= settings.maxQueued) {
             done.accept(
                     CommandOutcome.failed(
                             0,
                             ClusterException.QueueFull.CODE,
                             settings.member,
                             queue.size(),
-                            settings.queue));
-        } else if (body.length > Command.MAX_BODY) {
+                            settings.maxQueued));
+        } else if (body.length > Command.MAX_BODY_BYTES) {
             done.accept(
                     CommandOutcome.failed(
-                            0, ClusterException.TooLarge.CODE, body.length, Command.MAX_BODY));
+                            0,
+                            ClusterException.TooLarge.CODE,
+                            body.length,
+                            Command.MAX_BODY_BYTES));
         } else {
             queue.add(new Waiting(machine, body, done));
         }
@@ -110,12 +113,12 @@
      * ClusterException.NoQuorum} in time.
      */
     public void read(
-            MemberMessage.Ask ask,
+            MemberMessage.Operation ask,
             String machine,
             byte[] question,
             long nowNanos,
             Consumer<MemberMessage.Reply> done) {
-        if (reads.size() >= settings.queue) {
+        if (reads.size() >= settings.maxQueued) {
             done.accept(
                     new MemberMessage.Reply(
                             0,
@@ -125,26 +128,28 @@
                                     ClusterException.QueueFull.CODE,
                                     settings.member,
                                     reads.size(),
-                                    settings.queue)));
+                                    settings.maxQueued)));
             return;
         }
         long id = nextId++;
         reads.put(id, new Read(ask, machine, question, nowNanos, done));
-        out.add(new Send(voter(), new MemberMessage.Request(id, ask, machine, question).encode()));
+        out.add(
+                new OutgoingFrame(
+                        voter(), new MemberMessage.Request(id, ask, machine, question).encode()));
     }
 
     /** Gives the session back; nothing may be run after this. */
     public void close() {
         closed = true;
-        if (session != 0) {
+        if (sessionId != 0) {
             out.add(
-                    new Send(
+                    new OutgoingFrame(
                             voter(),
                             new MemberMessage.Request(
                                             nextId++,
-                                            MemberMessage.Ask.ENTRY,
+                                            MemberMessage.Operation.PROPOSE,
                                             "",
-                                            new ReplicatedEntry.Close(session).encode())
+                                            new ReplicatedEntry.CloseSession(sessionId).encode())
                                     .encode()));
             lose();
         }
@@ -154,7 +159,7 @@
      * Called at least every tenth of {@code retryMillis}, and after what may have made something to
      * send.
      */
-    public List<Send> tick(long nowNanos) {
+    public List<OutgoingFrame> tick(long nowNanos) {
         if (!started) {
             started = true;
             lastHeard = nowNanos;
@@ -180,27 +185,29 @@
                                     settings.member,
                                     (nowNanos - lastHeard) / 1_000_000)));
         }
-        List<Send> taken = List.copyOf(out);
+        List<OutgoingFrame> taken = List.copyOf(out);
         out.clear();
         return taken;
     }
 
     private void next(long nowNanos) {
-        if (session == 0) {
-            send(new ReplicatedEntry.Open(settings.member, nonce, settings.ttlMillis), nowNanos);
+        if (sessionId == 0) {
+            send(
+                    new ReplicatedEntry.OpenSession(settings.member, nonce, settings.ttlMillis),
+                    nowNanos);
         } else if (running != null || !queue.isEmpty()) {
             if (running == null) {
                 running = queue.poll();
                 sequence++;
             }
             send(
-                    new ReplicatedEntry.Run(
-                            session, sequence, sequence - 1, running.machine, running.body),
+                    new ReplicatedEntry.RunCommand(
+                            sessionId, sequence, sequence - 1, running.machine, running.body),
                     nowNanos);
         } else if (nowNanos
-                        - (aliveUntil - SessionExpiryMonitor.surelyAliveNanos(settings.ttlMillis))
+                        - (aliveUntil - SessionExpiryMonitor.safeLifetimeNanos(settings.ttlMillis))
                 > settings.ttlMillis * 1_000_000L / 4) {
-            send(new ReplicatedEntry.Keep(session), nowNanos);
+            send(new ReplicatedEntry.KeepAlive(sessionId), nowNanos);
         }
     }
 
@@ -208,15 +215,18 @@
         attempt = new Attempt(nextId++, entry, nowNanos);
         redirected = false;
         out.add(
-                new Send(
+                new OutgoingFrame(
                         voter(),
                         new MemberMessage.Request(
-                                        attempt.id, MemberMessage.Ask.ENTRY, "", entry.encode())
+                                        attempt.id,
+                                        MemberMessage.Operation.PROPOSE,
+                                        "",
+                                        entry.encode())
                                 .encode()));
     }
 
     private int voter() {
-        return voters.get(Math.floorMod(turn, voters.size()));
+        return updateVoters.get(Math.floorMod(turn, updateVoters.size()));
     }
 
     /** A voter answered. What is not, or no longer, asked for is left alone. */
@@ -227,7 +237,7 @@
             // The answer is as old as the copy was, and then some: it may have been asked as soon
             // as it was sent.
             long age =
-                    read.ask == MemberMessage.Ask.LOCAL
+                    read.ask == MemberMessage.Operation.LOCAL_READ
                             ? reply.ageNanos() + (nowNanos - read.sinceNanos)
                             : 0;
             follow(from, reply.outcome());
@@ -256,7 +266,7 @@
                     ClusterException.Malformed.CODE,
                     ClusterException.TooLarge.CODE -> {
                 // Refused before it got into the log: its number is free.
-                sequence -= attempt.entry instanceof ReplicatedEntry.Run ? 1 : 0;
+                sequence -= attempt.entry instanceof ReplicatedEntry.RunCommand ? 1 : 0;
                 answered(attempt, outcome);
             }
             default -> answered(attempt, outcome);
@@ -265,16 +275,16 @@
 
     private void answered(Attempt to, CommandOutcome outcome) {
         attempt = null;
-        if (to.entry instanceof ReplicatedEntry.Open) {
-            if (!outcome.accepted()) {
+        if (to.entry instanceof ReplicatedEntry.OpenSession) {
+            if (!outcome.isAccepted()) {
                 attempt = to;
                 return;
             }
-            session = new BinaryCodec.Reader("session", outcome.answer()).i64();
+            sessionId = new BinaryCodec.Reader("session", outcome.response()).i64();
             sequence = 0;
         }
-        aliveUntil = to.sentNanos + SessionExpiryMonitor.surelyAliveNanos(settings.ttlMillis);
-        if (to.entry instanceof ReplicatedEntry.Run) {
+        aliveUntil = to.sentNanos + SessionExpiryMonitor.safeLifetimeNanos(settings.ttlMillis);
+        if (to.entry instanceof ReplicatedEntry.RunCommand) {
             Waiting done = running;
             running = null;
             done.done.accept(outcome);
@@ -285,14 +295,14 @@
         if (outcome.kind() == CommandOutcome.Kind.FAILED
                 && outcome.code().equals(ClusterException.NotLeader.CODE)) {
             int leader = ((ClusterException.NotLeader) outcome.error()).leader();
-            int at = voters.indexOf(leader);
+            int at = updateVoters.indexOf(leader);
             turn = at >= 0 && leader != from ? at : turn + 1;
         }
     }
 
     private void lose() {
-        long lost = session;
-        session = 0;
+        long lost = sessionId;
+        sessionId = 0;
         attempt = null;
         nonce++;
         List<Waiting> unsent = new ArrayList<>(queue);
@@ -315,11 +325,11 @@
         return "member "
                 + settings.member
                 + " session "
-                + session
+                + sessionId
                 + " command "
                 + sequence
                 + " waiting "
-                + waiting()
+                + pendingCommands()
                 + " at voter "
                 + voter()
                 + (attempt == null ? "" : " for " + attempt.entry);
--- a/src/main/java/calicostream/cluster/PeerTransport.java
+++ b/src/main/java/calicostream/cluster/PeerTransport.java
@@ -12,11 +12,11 @@
      * Entries of one append and chunks of a snapshot are bounded so that their frames stay far
      * below this.
      */
-    int MAX_FRAME = 8 << 20;
+    int MAX_FRAME_BYTES = 8 << 20;
 
     /** Gets what the others sent to this member. */
     interface Receiver {
-        void received(int from, byte[] frame);
+        void onFrame(int from, byte[] frame);
     }
 
     void send(int member, byte[] frame);
--- a/src/main/java/calicostream/cluster/ReplicatedState.java
+++ b/src/main/java/calicostream/cluster/ReplicatedState.java
@@ -26,35 +26,35 @@
     private final SortedMap<String, StateMachine> machines;
     private SessionTable sessions = new SessionTable();
     private VoterGenerations voters = new VoterGenerations();
-    private long applied;
-    private long era;
-    private ReplicatedEntry.Era leader = new ReplicatedEntry.Era(0, 0);
+    private long appliedIndex;
+    private long epoch;
+    private ReplicatedEntry.EpochStart epochStart = new ReplicatedEntry.EpochStart(0, 0);
     private List<StateChange> news = new ArrayList<>();
 
     /**
      * @param machines by name; the same at all voters, names of at most {@link
-     *     ReplicatedEntry#MAX_NAME} bytes
+     *     ReplicatedEntry#MAX_NAME_BYTES} bytes
      */
     public ReplicatedState(Map<String, StateMachine> machines) {
         this.machines = new TreeMap<>(machines);
     }
 
     /** The last index applied; 0 at first. */
-    public long applied() {
-        return applied;
+    public long appliedIndex() {
+        return appliedIndex;
     }
 
     /** The present leader's era; 0 before the first. */
-    public long era() {
-        return era;
+    public long epoch() {
+        return epoch;
     }
 
     /** Who began the present era, and its mark. */
-    public ReplicatedEntry.Era leader() {
-        return leader;
+    public ReplicatedEntry.EpochStart epochStart() {
+        return epochStart;
     }
 
-    public boolean knows(String machine) {
+    public boolean hasMachine(String machine) {
         return machines.containsKey(machine);
     }
 
@@ -63,7 +63,7 @@
     }
 
     /** Whether this generation of a member may be added to the voters, by what is applied here. */
-    public boolean mayAdd(int member, int generation) {
+    public boolean mayAddVoter(int member, int generation) {
         return voters.mayAdd(member, generation);
     }
 
@@ -77,7 +77,7 @@
     }
 
     /** What happened since this was last called; empty after a restart, so news are no orders. */
-    public List<StateChange> takeNews() {
+    public List<StateChange> drainStateChanges() {
         List<StateChange> taken = news;
         news = new ArrayList<>();
         return taken;
@@ -85,12 +85,12 @@
 
     /** Applies one entry of the log. */
     public CommandOutcome apply(long index, byte[] bytes) {
-        if (index <= applied) {
-            throw new IllegalStateException("index " + index + " after " + applied);
+        if (index <= appliedIndex) {
+            throw new IllegalStateException("index " + index + " after " + appliedIndex);
         }
         ReplicatedEntry entry = ReplicatedEntry.decode(bytes);
-        applied = index;
-        if (entry instanceof ReplicatedEntry.Run run) {
+        appliedIndex = index;
+        if (entry instanceof ReplicatedEntry.RunCommand run) {
             StateMachine machine = machine(run.machine());
             return sessions.run(
                     index,
@@ -106,34 +106,36 @@
                                                     run.sequence(),
                                                     0,
                                                     run.body()))));
-        } else if (entry instanceof ReplicatedEntry.Keep keep) {
+        } else if (entry instanceof ReplicatedEntry.KeepAlive keep) {
             return sessions.keep(index, keep.session());
-        } else if (entry instanceof ReplicatedEntry.Open open) {
+        } else if (entry instanceof ReplicatedEntry.OpenSession open) {
             return sessions.open(index, open);
-        } else if (entry instanceof ReplicatedEntry.Close close) {
+        } else if (entry instanceof ReplicatedEntry.CloseSession close) {
             if (sessions.close(close.session())) {
                 ended(index, close.session(), "session-closed");
             }
             return done(index);
-        } else if (entry instanceof ReplicatedEntry.Era began) {
-            era = index;
-            leader = began;
-            machines.forEach((name, machine) -> told(name, index, machine.eraBegan(index, era)));
+        } else if (entry instanceof ReplicatedEntry.EpochStart began) {
+            epoch = index;
+            epochStart = began;
+            machines.forEach(
+                    (name, machine) -> told(name, index, machine.epochStarted(index, epoch)));
             return done(index);
-        } else if (entry instanceof ReplicatedEntry.Expire expire) {
-            if (expire.era() == era && sessions.expire(expire)) {
+        } else if (entry instanceof ReplicatedEntry.ExpireSession expire) {
+            if (expire.epoch() == epoch && sessions.expire(expire)) {
                 ended(index, expire.session(), "session-expired");
             }
             return done(index);
-        } else if (entry instanceof ReplicatedEntry.Timed timed) {
-            if (timed.era() != era) {
-                return CommandOutcome.failed(index, ClusterException.OldEra.CODE, timed.era(), era);
+        } else if (entry instanceof ReplicatedEntry.LeaderCommand timed) {
+            if (timed.epoch() != epoch) {
+                return CommandOutcome.failed(
+                        index, ClusterException.OldEra.CODE, timed.epoch(), epoch);
             }
             StateMachine machine = machine(timed.machine());
             return told(
                     timed.machine(),
                     index,
-                    machine.apply(index, new Command(0, 0, era, timed.body())));
+                    machine.apply(index, new Command(0, 0, epoch, timed.body())));
         }
         if (entry instanceof ReplicatedEntry.AddVoter add) {
             return voters.add(index, add);
@@ -162,15 +164,17 @@
                         "",
                         index,
                         new CommandEffects.Event(
-                                kind, new BinaryCodec.Writer().i64(session).done())));
+                                kind, new BinaryCodec.Writer().i64(session).toByteArray())));
         machines.forEach(
                 (name, machine) -> told(name, index, machine.sessionEnded(index, session)));
     }
 
     private CommandOutcome told(String name, long index, CommandEffects effects) {
-        if (effects.answer().length > CommandOutcome.MAX_ANSWER) {
+        if (effects.response().length > CommandOutcome.MAX_RESPONSE_BYTES) {
             throw new ClusterException.TooLarge(
-                    "answer of " + name, effects.answer().length, CommandOutcome.MAX_ANSWER);
+                    "answer of " + name,
+                    effects.response().length,
+                    CommandOutcome.MAX_RESPONSE_BYTES);
         }
         for (CommandEffects.Event event : effects.events()) {
             news.add(new StateChange(name, index, event));
@@ -187,15 +191,15 @@
         BinaryCodec.Writer out =
                 new BinaryCodec.Writer()
                         .u8(VERSION)
-                        .i64(applied)
-                        .i64(era)
-                        .i32(leader.member())
-                        .i64(leader.nonce());
+                        .i64(appliedIndex)
+                        .i64(epoch)
+                        .i32(epochStart.member())
+                        .i64(epochStart.nonce());
         sessions.write(out);
         voters.write(out);
         out.i32(machines.size());
         machines.forEach((name, machine) -> out.text(name).blob(machine.snapshot()));
-        return out.done();
+        return out.toByteArray();
     }
 
     /**
@@ -214,21 +218,21 @@
         }
         long at = in.i64();
         long eraThen = in.i64();
-        ReplicatedEntry.Era leaderThen = new ReplicatedEntry.Era(in.i32(), in.i64());
+        ReplicatedEntry.EpochStart leaderThen = new ReplicatedEntry.EpochStart(in.i32(), in.i64());
         SessionTable sessionsThen = SessionTable.read(in);
         VoterGenerations votersThen =
                 version < 2 ? new VoterGenerations() : VoterGenerations.read(in);
         Map<String, byte[]> parts = new TreeMap<>();
         for (int left = in.count(8); left > 0; left--) {
-            String name = in.text(ReplicatedEntry.MAX_NAME);
+            String name = in.text(ReplicatedEntry.MAX_NAME_BYTES);
             machine(name);
             parts.put(name, in.blob(MAX_PART));
         }
-        in.end();
+        in.requireEnd();
         parts.forEach((name, part) -> machine(name).restore(part));
-        applied = at;
-        era = eraThen;
-        leader = leaderThen;
+        appliedIndex = at;
+        epoch = eraThen;
+        epochStart = leaderThen;
         sessions = sessionsThen;
         voters = votersThen;
         news = new ArrayList<>();
--- a/src/main/java/calicostream/cluster/SessionExpiryMonitor.java
+++ b/src/main/java/calicostream/cluster/SessionExpiryMonitor.java
@@ -35,7 +35,7 @@
     /**
      * For how long after it sent what was then answered a member may take its session for alive.
      */
-    public static long surelyAliveNanos(int ttlMillis) {
+    public static long safeLifetimeNanos(int ttlMillis) {
         long ttl = ttlMillis * 1_000_000L;
         return ttl - ttl / DRIFT;
     }
@@ -44,9 +44,9 @@
      * What to propose now: sessions whose members were silent for all of their time. May repeat
      * itself.
      */
-    public List<ReplicatedEntry.Expire> due(long nowNanos) {
-        if (era != state.era()) {
-            era = state.era();
+    public List<ReplicatedEntry.ExpireSession> expiredSessions(long nowNanos) {
+        if (era != state.epoch()) {
+            era = state.epoch();
             counts.clear();
             lastNanos = nowNanos;
         }
@@ -54,7 +54,7 @@
         // theirs.
         long stopped = Math.max(0, nowNanos - lastNanos - 2 * periodNanos);
         lastNanos = nowNanos;
-        List<ReplicatedEntry.Expire> due = new ArrayList<>();
+        List<ReplicatedEntry.ExpireSession> due = new ArrayList<>();
         counts.keySet().removeIf(id -> !state.isAlive(id));
         for (SessionTable.Session session : state.sessions().alive()) {
             Count count = counts.get(session.id);
@@ -68,7 +68,7 @@
             }
             long ttl = session.ttlMillis * 1_000_000L;
             if (nowNanos - count.sinceNanos > ttl + ttl / DRIFT) {
-                due.add(new ReplicatedEntry.Expire(era, session.id, session.renewed()));
+                due.add(new ReplicatedEntry.ExpireSession(era, session.id, session.renewed()));
             }
         }
         return due;
--- a/src/main/java/calicostream/cluster/SessionTable.java
+++ b/src/main/java/calicostream/cluster/SessionTable.java
@@ -16,12 +16,12 @@
  */
 final class SessionTable {
     /** Commands of one session whose outcomes are kept. */
-    static final int WINDOW = 64;
+    static final int MAX_KEPT_OUTCOMES = 64;
 
     /** Of one fleet; a member that opens without end must not fill the voters' memory. */
     static final int MAX_SESSIONS = 4096;
 
-    static final int MAX_OF_MEMBER = 16;
+    static final int MAX_SESSIONS_PER_MEMBER = 16;
     static final int MIN_TTL_MILLIS = 10;
     static final int MAX_TTL_MILLIS = 3_600_000;
 
@@ -64,7 +64,7 @@
         return alive.containsKey(session);
     }
 
-    CommandOutcome open(long index, ReplicatedEntry.Open open) {
+    CommandOutcome open(long index, ReplicatedEntry.OpenSession open) {
         if (open.ttlMillis() < MIN_TTL_MILLIS || open.ttlMillis() > MAX_TTL_MILLIS) {
             return CommandOutcome.failed(
                     index,
@@ -83,7 +83,7 @@
                 ofMember++;
             }
         }
-        if (ofMember >= MAX_OF_MEMBER || alive.size() >= MAX_SESSIONS) {
+        if (ofMember >= MAX_SESSIONS_PER_MEMBER || alive.size() >= MAX_SESSIONS) {
             return CommandOutcome.failed(
                     index,
                     ClusterException.TooManySessions.CODE,
@@ -101,7 +101,7 @@
                 CommandOutcome.Kind.ACCEPTED,
                 index,
                 "",
-                new BinaryCodec.Writer().i64(session.id).done());
+                new BinaryCodec.Writer().i64(session.id).toByteArray());
     }
 
     CommandOutcome keep(long index, long id) {
@@ -116,14 +116,16 @@
     /**
      * Runs {@code apply} if this command's turn is now; else answers what was answered, or why not.
      */
-    CommandOutcome run(long index, ReplicatedEntry.Run run, Supplier<CommandOutcome> apply) {
+    CommandOutcome run(long index, ReplicatedEntry.RunCommand run, Supplier<CommandOutcome> apply) {
         Session session = alive.get(run.session());
         if (session == null) {
             return over(index, run.session());
         }
         session.renewed = index;
         long sequence = run.sequence();
-        if (sequence <= session.acked || sequence > session.last + 1 || run.acked() >= sequence) {
+        if (sequence <= session.acked
+                || sequence > session.last + 1
+                || run.acknowledgedSequence() >= sequence) {
             return CommandOutcome.failed(
                     index,
                     ClusterException.OutOfOrder.CODE,
@@ -133,21 +135,21 @@
         }
         // A late copy of an older packet acknowledges less than is known: the larger of the two
         // holds.
-        if (run.acked() > session.acked) {
-            session.acked = run.acked();
+        if (run.acknowledgedSequence() > session.acked) {
+            session.acked = run.acknowledgedSequence();
             session.outcomes.headMap(session.acked, true).clear();
         }
         CommandOutcome known = session.outcomes.get(sequence);
         if (known != null) {
             return known;
         }
-        if (session.outcomes.size() >= WINDOW) {
+        if (session.outcomes.size() >= MAX_KEPT_OUTCOMES) {
             return CommandOutcome.failed(
                     index,
                     ClusterException.TooManyOpen.CODE,
                     session.id,
                     session.outcomes.size(),
-                    WINDOW);
+                    MAX_KEPT_OUTCOMES);
         }
         CommandOutcome outcome = apply.get();
         session.last = sequence;
@@ -166,9 +168,9 @@
      * @return whether it is over by this; not if the member was heard after what the leader had
      *     counted from
      */
-    boolean expire(ReplicatedEntry.Expire expire) {
+    boolean expire(ReplicatedEntry.ExpireSession expire) {
         Session session = alive.get(expire.session());
-        if (session == null || session.renewed != expire.renewed()) {
+        if (session == null || session.renewed != expire.renewedIndex()) {
             return false;
         }
         alive.remove(session.id);
--- a/src/main/java/calicostream/cluster/StateMachine.java
+++ b/src/main/java/calicostream/cluster/StateMachine.java
@@ -5,9 +5,9 @@
  * A pure state machine that is replicated under a name. Every voter applies the same calls in the
  * same order, one thread at a time, so an implementation must be a function of its calls alone: no
  * clock, no randomness, no I/O, no order taken from identity hashes. Time reaches it only as
- * commands of the leader ({@link Command#byLeader}), which a {@link ExpiryMonitor} beside it
+ * commands of the leader ({@link Command#isFromLeader}), which a {@link ExpiryMonitor} beside it
  * proposes. It must not throw for bad input: what it does not accept it answers with {@link
- * CommandEffects#refused}; an exception stops the voter, since copies that go on differently are
+ * CommandEffects#rejected}; an exception stops the voter, since copies that go on differently are
  * worse than one less.
  */
 public interface StateMachine {
@@ -32,7 +32,7 @@
      * A leader starts; its era is larger than all before. What an older leader counted is void from
      * here on.
      */
-    default CommandEffects eraBegan(long index, long era) {
+    default CommandEffects epochStarted(long index, long era) {
         return CommandEffects.NONE;
     }
 
--- a/src/main/java/calicostream/cluster/StatePublisher.java
+++ b/src/main/java/calicostream/cluster/StatePublisher.java
@@ -14,22 +14,22 @@
  */
 public final class StatePublisher {
     /** Bytes that may go out at once, and bytes a second after that. */
-    static final long ROOM = 256 * 1024;
+    static final long BURST_BYTES = 256 * 1024;
 
-    static final long PER_SECOND = 1 << 20;
+    static final long BYTES_PER_SECOND = 1 << 20;
     private static final long SECOND = 1_000_000_000L;
 
     /** What to send. */
-    public record Telling(int member, byte[] frame) {}
+    public record OutgoingFrame(int member, byte[] frame) {}
 
     private final ReplicatedState state;
     private final int self;
-    private long room = ROOM;
+    private long room = BURST_BYTES;
     private long lastNanos;
     private boolean started;
     private int turn;
-    private long told;
-    private long dropped;
+    private long publishedFrames;
+    private long droppedFrames;
 
     /**
      * @param self the member that this process is, which hears of its own copy
@@ -40,41 +40,42 @@
     }
 
     /** Frames that were given out. */
-    public long told() {
-        return told;
+    public long publishedFrames() {
+        return publishedFrames;
     }
 
     /** Frames that found no room. */
-    public long dropped() {
-        return dropped;
+    public long droppedFrames() {
+        return droppedFrames;
     }
 
     /**
-     * @param news what {@link ReplicatedState#takeNews} gave, all of it
+     * @param news what {@link ReplicatedState#drainStateChanges} gave, all of it
      * @param leads whether this process leads; else there is nothing to tell
      */
-    public List<Telling> tell(
+    public List<OutgoingFrame> publish(
             List<ReplicatedState.StateChange> news, boolean leads, long nowNanos) {
         // At 1 MiB a second the room is full again within a quarter of one, whatever the clock did.
         long passed = started ? Math.max(0, Math.min(SECOND, nowNanos - lastNanos)) : 0;
-        long more = passed * PER_SECOND / SECOND;
+        long more = passed * BYTES_PER_SECOND / SECOND;
         if (!started || more > 0) {
-            room = Math.min(ROOM, room + more);
+            room = Math.min(BURST_BYTES, room + more);
             lastNanos = nowNanos;
             started = true;
         }
-        List<Telling> out = new ArrayList<>();
+        List<OutgoingFrame> out = new ArrayList<>();
         if (!leads) {
             return out;
         }
         for (ReplicatedState.StateChange each : news) {
-            long to = each.event().to();
-            if (to == CommandEffects.Event.NOBODY) {
+            long to = each.event().recipient();
+            if (to == CommandEffects.Event.NO_MEMBER) {
                 continue;
             }
             byte[] frame =
-                    new MemberMessage.News(each.machine(), each.index(), each.event()).encode();
-            if (to != CommandEffects.Event.ALL) {
+                    new MemberMessage.Notification(each.machine(), each.index(), each.event())
+                            .encode();
+            if (to != CommandEffects.Event.ALL_MEMBERS) {
                 state.sessions().find(to).ifPresent(session -> add(out, session.member, frame));
                 continue;
             }
@@ -93,16 +94,16 @@
         return out;
     }
 
-    private void add(List<Telling> out, int member, byte[] frame) {
+    private void add(List<OutgoingFrame> out, int member, byte[] frame) {
         if (member == self) {
             return;
         }
         if (room < frame.length) {
-            dropped++;
+            droppedFrames++;
             return;
         }
         room -= frame.length;
-        told++;
-        out.add(new Telling(member, frame));
+        publishedFrames++;
+        out.add(new OutgoingFrame(member, frame));
     }
 }
--- a/src/main/java/calicostream/cluster/config/BudgetConfig.java
+++ b/src/main/java/calicostream/cluster/config/BudgetConfig.java
@@ -32,9 +32,9 @@
 public record BudgetConfig(
         BudgetSettings settings,
         TenantRules tenants,
-        Map<String, EnginesOf> engines,
-        int queue,
-        Duration patience) {
+        Map<String, EnginePool> enginePools,
+        int maxQueuedPerTenant,
+        Duration maxQueueDelay) {
     private static final int MOST = 1_000_000;
     private static final int NO_CAP = MOST;
 
@@ -42,30 +42,30 @@
      * @param kinds the engines' kinds by number; none for the pool that has all the other kinds
      * @param cap sessions that each engine of the pool runs at once
      */
-    public record EnginesOf(Set<Integer> kinds, int cap) {
-        public EnginesOf {
+    public record EnginePool(Set<Integer> kinds, int engineCap) {
+        public EnginePool {
             kinds = Set.copyOf(kinds);
         }
     }
 
     public BudgetConfig {
-        engines = Map.copyOf(engines);
+        enginePools = Map.copyOf(enginePools);
     }
 
     /**
      * The pool of an engine of this kind; empty where no pool has it, and its sessions are not
      * counted.
      */
-    public Optional<String> pool(int kind) {
+    public Optional<String> poolOfEngineKind(int kind) {
         return settings.pools().stream()
                 .map(Pool::name)
-                .filter(name -> engines.get(name).kinds.contains(kind))
+                .filter(name -> enginePools.get(name).kinds.contains(kind))
                 .findFirst()
                 .or(
                         () ->
                                 settings.pools().stream()
                                         .map(Pool::name)
-                                        .filter(name -> engines.get(name).kinds.isEmpty())
+                                        .filter(name -> enginePools.get(name).kinds.isEmpty())
                                         .findFirst());
     }
 
@@ -75,22 +75,22 @@
             return Optional.empty();
         }
         Section budget = file.section("budget");
-        Duration ttl = budget.span("ttl", "5s", "100ms", "1h");
+        Duration ttl = budget.duration("ttl", "5s", "100ms", "1h");
         if (ttl.compareTo(changeOfLeader) <= 0) {
-            throw budget.wrong(
+            throw budget.error(
                     Code.IMPOSSIBLE,
                     "ttl",
                     "grants must outlast a change of leader, which takes "
-                            + Units.SPAN.text(changeOfLeader.toNanos())
+                            + Units.DURATION.text(changeOfLeader.toNanos())
                             + " by raft.heartbeat, raft.missed and raft.election");
         }
         List<String> processes = budget.texts("processes");
         processes.forEach(name -> ClusterConfig.name(budget, "processes", name));
-        Map<String, EnginesOf> engines = new HashMap<>();
+        Map<String, EnginePool> engines = new HashMap<>();
         List<Pool> pools = pools(file.section("pools"), processes.size(), engines);
         if (pools.isEmpty()) {
             throw file.top()
-                    .wrong(
+                    .error(
                             Code.MISSING_KEY,
                             "pools",
                             "a budget needs one pool at least, such as [pools.all]");
@@ -100,7 +100,7 @@
         List<Tenant> tenants = tenants(section, pools, known);
         String without = budget.text("default");
         if (!known.containsKey(without)) {
-            throw budget.wrong(
+            throw budget.error(
                     Code.IMPOSSIBLE,
                     "default",
                     "'"
@@ -123,11 +123,11 @@
                         rules(section, settings, known, without),
                         engines,
                         budget.count("queue", 1000, 1, MOST),
-                        budget.span("patience", "300ms", "1ms", "1h")));
+                        budget.duration("patience", "300ms", "1ms", "1h")));
     }
 
     private static List<Pool> pools(
-            Section section, int processes, Map<String, EnginesOf> engines) {
+            Section section, int processes, Map<String, EnginePool> engines) {
         List<Pool> out = new ArrayList<>();
         Map<Integer, String> kinds = new HashMap<>();
         for (String name : section.names()) {
@@ -137,16 +137,16 @@
                             name,
                             each.count("floor", 0, 0, MOST),
                             each.count("cap", NO_CAP, 0, MOST));
-            EnginesOf of =
-                    new EnginesOf(
+            EnginePool of =
+                    new EnginePool(
                             Set.copyOf(each.counts("kinds", 1 << 16)),
                             each.count("engine_cap", null, 1, MOST));
             long floors = (long) pool.floor() * processes;
-            if (floors > of.cap) {
-                throw each.wrong(
+            if (floors > of.engineCap) {
+                throw each.error(
                         Code.IMPOSSIBLE,
                         "engine_cap",
-                        of.cap
+                        of.engineCap
                                 + " is less than the floors of "
                                 + processes
                                 + " processes, "
@@ -158,7 +158,7 @@
             for (int kind : of.kinds.isEmpty() ? Set.of(-1) : of.kinds) {
                 String other = kinds.putIfAbsent(kind, name);
                 if (other != null) {
-                    throw each.wrong(
+                    throw each.error(
                             Code.OVERLAP,
                             "kinds",
                             (kind < 0 ? "all the other kinds" : "kind " + kind)
@@ -185,7 +185,7 @@
             long guarantees = 0;
             for (String pool : byPool.names()) {
                 if (pools.stream().noneMatch(has -> has.name().equals(pool))) {
-                    throw byPool.wrong(
+                    throw byPool.error(
                             Code.IMPOSSIBLE,
                             pool,
                             "'"
@@ -197,7 +197,7 @@
                 Share share = share(one);
                 guarantees += share.guarantee();
                 if (guarantees > all.ceiling()) {
-                    throw one.wrong(
+                    throw one.error(
                             Code.IMPOSSIBLE,
                             "guarantee",
                             "with the other pools' "
@@ -220,7 +220,7 @@
                         section.count("guarantee", 0, 0, MOST),
                         section.count("ceiling", NO_CAP, 0, MOST));
         if (out.guarantee() > out.ceiling()) {
-            throw section.wrong(
+            throw section.error(
                     Code.IMPOSSIBLE,
                     "ceiling",
                     out.ceiling() + " is less than the guarantee of " + out.guarantee());
@@ -233,7 +233,7 @@
         for (String each : section.texts("clients")) {
             Range range = Range.parse(each);
             if (range == null) {
-                throw section.wrong(
+                throw section.error(
                         Code.WRONG_TYPE,
                         "clients",
                         "'"
@@ -260,7 +260,7 @@
                     tenants.stream().mapToLong(each -> each.share(pool.name()).guarantee()).sum();
             if (sum > pool.cap()) {
                 throw section.section(pool.name())
-                        .wrong(
+                        .error(
                                 Code.IMPOSSIBLE,
                                 "cap",
                                 pool.cap()
@@ -276,7 +276,7 @@
                         .sum();
         if (sum > caps) {
             throw section.section(pools.get(0).name())
-                    .wrong(
+                    .error(
                             Code.IMPOSSIBLE,
                             "cap",
                             "all pools together have "
@@ -295,7 +295,7 @@
             int dot = shared.key().lastIndexOf('.'); // a tenant's name may have some
             String tenant = shared.key().substring("tenants.".length(), dot);
             throw section.section(tenant)
-                    .wrong(Code.OVERLAP, shared.key().substring(dot + 1), shared.why());
+                    .error(Code.OVERLAP, shared.key().substring(dot + 1), shared.why());
         }
     }
 }
--- a/src/main/java/calicostream/cluster/config/ClusterConfig.java
+++ b/src/main/java/calicostream/cluster/config/ClusterConfig.java
@@ -32,18 +32,18 @@
  */
 public record ClusterConfig(
         String cluster,
-        Member self,
+        MemberAddress self,
         int generation,
-        Path data,
-        Path marks,
-        List<Member> voters,
-        List<Member> members,
-        Map<Integer, InetSocketAddress> links,
-        Raft raft,
-        Session session,
+        Path dataFolder,
+        Path markersFolder,
+        List<MemberAddress> voters,
+        List<MemberAddress> members,
+        Map<Integer, InetSocketAddress> linkAddresses,
+        RaftConfig raft,
+        SessionConfig session,
         Duration leaseTtl,
         int driftPpm,
-        Disk disk,
+        DiskConfig disk,
         Optional<BudgetConfig> budget) {
     private static final long SYNC_WARNING =
             500_000_000; // ns, unless a leader is doubted sooner than after twice that
@@ -53,32 +53,36 @@
      * {@code number} is what the protocol knows it by: never given to another member of this
      * cluster.
      */
-    public record Member(String name, int number, InetSocketAddress address) {}
+    public record MemberAddress(String name, int number, InetSocketAddress address) {}
 
     /**
      * @param missed heartbeats until a leader is doubted; @param queue proposals that wait to be
      *     decided
      */
-    public record Raft(
-            Duration heartbeat, int missed, Duration election, int queue, int snapshotEvery) {}
+    public record RaftConfig(
+            Duration heartbeatPeriod,
+            int missedHeartbeats,
+            Duration electionTimeout,
+            int maxQueuedProposals,
+            int snapshotInterval) {}
 
     /**
      * @param retry until another voter is tried; @param queue commands of this member that wait
      */
-    public record Session(Duration ttl, Duration retry, int queue) {}
+    public record SessionConfig(Duration ttl, Duration retryDelay, int maxQueuedCommands) {}
 
     /**
      * @param syncWarning a sync that takes longer is told to operators
      */
-    public record Disk(long segmentBytes, Duration syncWarning) {}
+    public record DiskConfig(long segmentBytes, Duration slowSyncThreshold) {}
 
     /** Whether a voter of the beginning. */
-    public boolean isVoter() {
+    public boolean isInitialVoter() {
         return voters.contains(self);
     }
 
     /** Where this member finds each other one that it knows, by number. */
-    public Map<Integer, InetSocketAddress> peers() {
+    public Map<Integer, InetSocketAddress> peerAddresses() {
         Map<Integer, InetSocketAddress> out = new HashMap<>();
         Stream.concat(voters.stream(), members.stream())
                 .filter(each -> each.number != self.number)
@@ -86,7 +90,7 @@
                         each ->
                                 out.put(
                                         each.number,
-                                        links.getOrDefault(each.number, each.address)));
+                                        linkAddresses.getOrDefault(each.number, each.address)));
         return Map.copyOf(out);
     }
 
@@ -98,7 +102,7 @@
         SettingsFile file = SettingsFile.read(path);
         Optional<ClusterConfig> out = of(file);
         if (out.isPresent()) {
-            file.done();
+            file.requireAllKeysKnown();
         }
         return out;
     }
@@ -112,21 +116,21 @@
             return Optional.empty();
         }
         Map<Object, String> known = new HashMap<>();
-        List<Member> voters = members(file, "voters", known);
+        List<MemberAddress> voters = members(file, "voters", known);
         if (voters.size() != 3 && voters.size() != 5) {
             throw file.top()
-                    .wrong(
+                    .error(
                             voters.isEmpty() ? Code.MISSING_KEY : Code.IMPOSSIBLE,
                             "voters",
                             voters.size() + " voters, 3 or 5 needed");
         }
-        List<Member> members = members(file, "members", known);
+        List<MemberAddress> members = members(file, "members", known);
         Section member = file.section("member");
         Section clock = file.section("clock");
         Section lease = file.section("lease");
-        Raft raft = raft(file.section("raft"));
+        RaftConfig raft = raft(file.section("raft"));
         int drift = clock.ppm("drift", "500ppm", "500ppm", "100000ppm");
-        Member self = self(member, voters, members);
+        MemberAddress self = self(member, voters, members);
         Path data = member.path("data");
         return Optional.of(
                 new ClusterConfig(
@@ -137,13 +141,13 @@
                         member.has("marks") ? member.path("marks") : data,
                         voters,
                         members,
-                        links(file, self, voters, members),
+                        linkAddresses(file, self, voters, members),
                         raft,
                         session(file.section("session"), raft),
-                        lease.span("ttl", "5s", "1s", "1h"),
+                        lease.duration("ttl", "5s", "1s", "1h"),
                         drift,
                         disk(file.section("disk"), raft),
-                        BudgetConfig.of(file, drift, doubted(raft).plus(raft.election))));
+                        BudgetConfig.of(file, drift, doubted(raft).plus(raft.electionTimeout))));
     }
 
     private static String name(Section section, String key) {
@@ -152,7 +156,7 @@
 
     static String name(Section section, String key, String name) {
         if (!name.matches(NAME)) {
-            throw section.wrong(
+            throw section.error(
                     Code.OUT_OF_RANGE,
                     key,
                     "'"
@@ -165,17 +169,17 @@
     /**
      * @param known what is taken, by whom, so far
      */
-    private static List<Member> members(
+    private static List<MemberAddress> members(
             SettingsFile file, String array, Map<Object, String> known) {
-        List<Member> out = new ArrayList<>();
+        List<MemberAddress> out = new ArrayList<>();
         for (Section each : file.sections(array)) {
-            Member member =
-                    new Member(
+            MemberAddress member =
+                    new MemberAddress(
                             name(each, "name"),
                             each.count("number", null, 1, 1 << 20),
                             each.address("address", null));
             if (member.address == null) {
-                throw each.wrong(Code.MISSING_KEY, "address", "it is needed");
+                throw each.error(Code.MISSING_KEY, "address", "it is needed");
             }
             String who = (array.equals("voters") ? "voter " : "member ") + member.name;
             unlike(each, "name", member.name, who, known);
@@ -186,22 +190,25 @@
         return List.copyOf(out);
     }
 
-    private static Map<Integer, InetSocketAddress> links(
-            SettingsFile file, Member self, List<Member> voters, List<Member> members) {
+    private static Map<Integer, InetSocketAddress> linkAddresses(
+            SettingsFile file,
+            MemberAddress self,
+            List<MemberAddress> voters,
+            List<MemberAddress> members) {
         Map<Integer, InetSocketAddress> out = new HashMap<>();
         for (Section each : file.sections("links")) {
             String name = name(each, "to");
             InetSocketAddress via = each.address("via", null);
             if (via == null) {
-                throw each.wrong(Code.MISSING_KEY, "via", "it is needed");
+                throw each.error(Code.MISSING_KEY, "via", "it is needed");
             }
-            Member to =
+            MemberAddress to =
                     Stream.concat(voters.stream(), members.stream())
                             .filter(m -> m.name.equals(name))
                             .findFirst()
                             .orElseThrow(
                                     () ->
-                                            each.wrong(
+                                            each.error(
                                                     Code.OUT_OF_RANGE,
                                                     "to",
                                                     "'"
@@ -209,13 +216,13 @@
                                                             + "' is none of the voters and"
                                                             + " members"));
             if (to.number == self.number) {
-                throw each.wrong(
+                throw each.error(
                         Code.IMPOSSIBLE,
                         "to",
                         "'" + name + "' is this member itself, member.name says");
             }
             if (out.put(to.number, via) != null) {
-                throw each.wrong(Code.OVERLAP, "to", "'" + name + "' has a link already");
+                throw each.error(Code.OVERLAP, "to", "'" + name + "' has a link already");
             }
         }
         return Map.copyOf(out);
@@ -225,7 +232,7 @@
             Section section, String key, Object value, String name, Map<Object, String> known) {
         String other = known.putIfAbsent(value, name);
         if (other != null) {
-            throw section.wrong(Code.OVERLAP, key, text(value) + " is " + other + "'s");
+            throw section.error(Code.OVERLAP, key, text(value) + " is " + other + "'s");
         }
     }
 
@@ -239,42 +246,44 @@
      * The number and address of a voter, or of another member that is listed, are in its entry; who
      * is not has its own.
      */
-    private static Member self(Section section, List<Member> voters, List<Member> members) {
+    private static MemberAddress self(
+            Section section, List<MemberAddress> voters, List<MemberAddress> members) {
         String name = name(section, "name");
-        List<Member> all = Stream.concat(voters.stream(), members.stream()).toList();
-        Optional<Member> entry = all.stream().filter(v -> v.name.equals(name)).findFirst();
+        List<MemberAddress> all = Stream.concat(voters.stream(), members.stream()).toList();
+        Optional<MemberAddress> entry = all.stream().filter(v -> v.name.equals(name)).findFirst();
         if (entry.isEmpty() && !section.has("number") && !section.has("listen")) {
-            throw section.wrong(
+            throw section.error(
                     Code.MISSING_KEY,
                     "name",
                     "'"
                             + name
                             + "' is none of the voters "
-                            + String.join(", ", voters.stream().map(Member::name).toList())
+                            + String.join(", ", voters.stream().map(MemberAddress::name).toList())
                             + "; a member that is none has member.number and member.listen");
         }
-        Integer number = entry.map(Member::number).orElse(null);
+        Integer number = entry.map(MemberAddress::number).orElse(null);
         InetSocketAddress address =
-                section.address("listen", entry.map(Member::address).orElse(null));
+                section.address("listen", entry.map(MemberAddress::address).orElse(null));
         if (address == null) {
-            throw section.wrong(
+            throw section.error(
                     Code.MISSING_KEY, "listen", "it is needed for a member that is no voter");
         }
-        Member out = new Member(name, section.count("number", number, 1, 1 << 20), address);
+        MemberAddress out =
+                new MemberAddress(name, section.count("number", number, 1, 1 << 20), address);
         if (entry.isPresent() && !entry.get().equals(out)) {
             String key = out.number != number ? "number" : "listen";
-            throw section.wrong(
+            throw section.error(
                     Code.OVERLAP,
                     key,
                     (voters.contains(entry.get()) ? "voter " : "member ")
                             + name
                             + " has another one in its own entry");
         }
-        for (Member each : all) {
+        for (MemberAddress each : all) {
             if (entry.isEmpty()
                     && (each.number == out.number || each.address.equals(out.address))) {
                 Object same = each.number == out.number ? out.number : out.address;
-                throw section.wrong(
+                throw section.error(
                         Code.OVERLAP,
                         each.number == out.number ? "number" : "listen",
                         text(same)
@@ -287,16 +296,16 @@
         return out;
     }
 
-    private static Raft raft(Section section) {
-        Raft out =
-                new Raft(
-                        section.span("heartbeat", "250ms", "10ms", "10s"),
+    private static RaftConfig raft(Section section) {
+        RaftConfig out =
+                new RaftConfig(
+                        section.duration("heartbeat", "250ms", "10ms", "10s"),
                         section.count("missed", 4, 2, 100),
-                        section.span("election", "1s", "50ms", "1min"),
+                        section.duration("election", "1s", "50ms", "1min"),
                         section.count("queue", 1024, 16, 1 << 20),
                         section.count("snapshot_every", 10_000, 100, 10_000_000));
-        if (out.election.compareTo(out.heartbeat) <= 0) {
-            throw section.wrong(
+        if (out.electionTimeout.compareTo(out.heartbeatPeriod) <= 0) {
+            throw section.error(
                     Code.IMPOSSIBLE,
                     "election",
                     "no longer than raft.heartbeat: no election would end");
@@ -304,27 +313,27 @@
         return out;
     }
 
-    private static Duration doubted(Raft raft) {
-        return raft.heartbeat.multipliedBy(raft.missed);
+    private static Duration doubted(RaftConfig raft) {
+        return raft.heartbeatPeriod.multipliedBy(raft.missedHeartbeats);
     }
 
-    private static Session session(Section section, Raft raft) {
-        Session out =
-                new Session(
-                        section.span("ttl", "10s", "100ms", "1h"),
-                        section.span("retry", "1s", "10ms", "1min"),
+    private static SessionConfig session(Section section, RaftConfig raft) {
+        SessionConfig out =
+                new SessionConfig(
+                        section.duration("ttl", "10s", "100ms", "1h"),
+                        section.duration("retry", "1s", "10ms", "1min"),
                         section.count("queue", 256, 1, 1 << 16));
-        Duration change = doubted(raft).plus(raft.election);
+        Duration change = doubted(raft).plus(raft.electionTimeout);
         if (out.ttl.compareTo(change) <= 0) {
-            throw section.wrong(
+            throw section.error(
                     Code.IMPOSSIBLE,
                     "ttl",
                     "a session must outlast a change of leader, which takes "
-                            + Units.SPAN.text(change.toNanos())
+                            + Units.DURATION.text(change.toNanos())
                             + " by raft.heartbeat, raft.missed and raft.election");
         }
-        if (out.retry.compareTo(out.ttl) >= 0) {
-            throw section.wrong(
+        if (out.retryDelay.compareTo(out.ttl) >= 0) {
+            throw section.error(
                     Code.IMPOSSIBLE,
                     "retry",
                     "no shorter than session.ttl: a session would end before its second try");
@@ -332,19 +341,20 @@
         return out;
     }
 
-    private static Disk disk(Section section, Raft raft) {
+    private static DiskConfig disk(Section section, RaftConfig raft) {
         String without =
-                Units.SPAN.text(Math.min(SYNC_WARNING, doubted(raft).toNanos() / 2) / 1000 * 1000);
-        Disk out =
-                new Disk(
+                Units.DURATION.text(
+                        Math.min(SYNC_WARNING, doubted(raft).toNanos() / 2) / 1000 * 1000);
+        DiskConfig out =
+                new DiskConfig(
                         section.bytes("segment", "4MB", "64KB", "1GB"),
-                        section.span("sync_warning", without, "1ms", "1min"));
-        if (out.syncWarning.compareTo(doubted(raft)) >= 0) {
-            throw section.wrong(
+                        section.duration("sync_warning", without, "1ms", "1min"));
+        if (out.slowSyncThreshold.compareTo(doubted(raft)) >= 0) {
+            throw section.error(
                     Code.IMPOSSIBLE,
                     "sync_warning",
                     "a leader whose disk is that slow is doubted sooner, after "
-                            + Units.SPAN.text(doubted(raft).toNanos())
+                            + Units.DURATION.text(doubted(raft).toNanos())
                             + " by raft.heartbeat and raft.missed");
         }
         return out;
--- a/src/main/java/calicostream/cluster/config/SettingsFile.java
+++ b/src/main/java/calicostream/cluster/config/SettingsFile.java
@@ -79,7 +79,7 @@
     }
 
     /** To be called when every part has taken its keys. */
-    public void done() {
+    public void requireAllKeysKnown() {
         leftOver(root, "");
     }
 
@@ -132,7 +132,7 @@
          * What is wrong with a key of this table, told at its line, or at the table's where it has
          * no such key.
          */
-        public ClusterConfigException wrong(Code code, String key, String fact) {
+        public ClusterConfigException error(Code code, String key, String fact) {
             int at = lineOf(table, key);
             return new ClusterConfigException(code, name, at > 0 ? at : line, prefix + key, fact);
         }
@@ -149,7 +149,7 @@
         private <T> T take(String key, Class<T> type, String called) {
             Object value = take(key);
             if (value != null && !type.isInstance(value)) {
-                throw wrong(Code.WRONG_TYPE, key, called + " is needed");
+                throw error(Code.WRONG_TYPE, key, called + " is needed");
             }
             return type.cast(value);
         }
@@ -174,7 +174,7 @@
             List<Section> out = new ArrayList<>();
             for (int i = 0; array != null && i < array.size(); i++) {
                 if (!(array.get(i) instanceof TomlTable inner)) {
-                    throw wrong(Code.WRONG_TYPE, key, "an array of tables is needed");
+                    throw error(Code.WRONG_TYPE, key, "an array of tables is needed");
                 }
                 out.add(new Section(inner, prefix + key + ".", array.inputPositionOf(i).line()));
             }
@@ -190,7 +190,7 @@
         public String text(String key, String without) {
             String value = take(key, String.class, "a text in quotes");
             if (value != null && value.isBlank()) {
-                throw wrong(Code.OUT_OF_RANGE, key, "it is empty");
+                throw error(Code.OUT_OF_RANGE, key, "it is empty");
             }
             return value == null ? without : value;
         }
@@ -201,7 +201,7 @@
 
         private <T> T need(String key, T value) {
             if (value == null) {
-                throw wrong(Code.MISSING_KEY, key, "it is needed");
+                throw error(Code.MISSING_KEY, key, "it is needed");
             }
             return value;
         }
@@ -215,7 +215,7 @@
                     .map(
                             text -> {
                                 if (text.isBlank()) {
-                                    throw wrong(Code.OUT_OF_RANGE, key, "one is empty");
+                                    throw error(Code.OUT_OF_RANGE, key, "one is empty");
                                 }
                                 return text;
                             })
@@ -228,7 +228,7 @@
                     .map(
                             value -> {
                                 if (value < 0 || value > most) {
-                                    throw wrong(
+                                    throw error(
                                             Code.OUT_OF_RANGE,
                                             key,
                                             value + ", 0 to " + most + " allowed");
@@ -243,10 +243,10 @@
             List<T> out = new ArrayList<>();
             for (Object each : array == null ? List.of() : array.toList()) {
                 if (!type.isInstance(each)) {
-                    throw wrong(Code.WRONG_TYPE, key, called + " is needed");
+                    throw error(Code.WRONG_TYPE, key, called + " is needed");
                 }
                 if (out.contains(each)) {
-                    throw wrong(Code.OVERLAP, key, "'" + each + "' comes twice");
+                    throw error(Code.OVERLAP, key, "'" + each + "' comes twice");
                 }
                 out.add(type.cast(each));
             }
@@ -263,7 +263,7 @@
                 return need(key, without);
             }
             if (value < least || value > most) {
-                throw wrong(
+                throw error(
                         Code.OUT_OF_RANGE, key, value + ", " + least + " to " + most + " allowed");
             }
             return value.intValue();
@@ -274,10 +274,10 @@
             String value = given == null ? need(key, without) : given.toString();
             long measure = units.parse(value);
             if (given != null && !(given instanceof String) && !(given instanceof Number)) {
-                throw wrong(Code.WRONG_TYPE, key, "a number with its unit, in quotes, is needed");
+                throw error(Code.WRONG_TYPE, key, "a number with its unit, in quotes, is needed");
             }
             if (measure < 0 || given instanceof Number) {
-                throw wrong(
+                throw error(
                         Code.WRONG_UNIT,
                         key,
                         "'"
@@ -287,7 +287,7 @@
                                 + " is needed, in quotes");
             }
             if (measure < units.parse(least) || measure > units.parse(most)) {
-                throw wrong(
+                throw error(
                         Code.OUT_OF_RANGE,
                         key,
                         "'" + value + "', " + least + " to " + most + " allowed");
@@ -299,8 +299,8 @@
          * A span of time; all bounds are written as in the file, {@code without} is null where the
          * key is needed.
          */
-        public Duration span(String key, String without, String least, String most) {
-            return Duration.ofNanos(measure(key, Units.SPAN, without, least, most));
+        public Duration duration(String key, String without, String least, String most) {
+            return Duration.ofNanos(measure(key, Units.DURATION, without, least, most));
         }
 
         public long bytes(String key, String without, String least, String most) {
@@ -328,14 +328,14 @@
                 if (out.isUnresolved()
                         || out.getPort() == 0
                         || out.getAddress().isAnyLocalAddress()) {
-                    throw wrong(
+                    throw error(
                             Code.OUT_OF_RANGE,
                             key,
                             "'" + value + "', others can't reach a member there");
                 }
                 return out;
             } catch (BadInput e) {
-                throw wrong(Code.WRONG_TYPE, key, e.getMessage());
+                throw error(Code.WRONG_TYPE, key, e.getMessage());
             }
         }
 
--- a/src/main/java/calicostream/cluster/config/Units.java
+++ b/src/main/java/calicostream/cluster/config/Units.java
@@ -13,7 +13,7 @@
  */
 enum Units {
     /** In nanoseconds. */
-    SPAN(
+    DURATION(
             Map.of(
                     "us",
                     1_000L,
--- a/src/main/java/calicostream/cluster/package-info.java
+++ b/src/main/java/calicostream/cluster/package-info.java
@@ -5,7 +5,7 @@
  * sessions of its members, and the shells that carry its commands (consensus is a library's, links
  * and store are ports). It does not know what the machines composed into it mean (leases, budgets,
  * bookings), nor any request, engine or wire of the front ends. Read {@link
- * calicostream.cluster.Machine} first, then {@code ReplicatedState}, which composes machines and
- * sessions.
+ * calicostream.cluster.StateMachine} first, then {@code ReplicatedState}, which composes machines
+ * and sessions.
  */
 package calicostream.cluster;
--- a/src/main/java/calicostream/cluster/process/Member.java
+++ b/src/main/java/calicostream/cluster/process/Member.java
@@ -90,9 +90,11 @@
         self = new Voter(config.self().number(), config.generation());
         loop = new Loop(new Clock(), new Deadlines());
         reactor = new SelectorEventLoop(loop);
-        quorum = new QuorumMonitor(reactor.nanos());
+        quorum = new QuorumMonitor(reactor.nanoTime());
         tickNanos =
-                Math.max(5 * MILLI, Math.min(50 * MILLI, config.session().retry().toNanos() / 10));
+                Math.max(
+                        5 * MILLI,
+                        Math.min(50 * MILLI, config.session().retryDelay().toNanos() / 10));
         SecureRandom random = new SecureRandom();
         log = MemberDirectory.open(config, disks);
         boolean open = false;
@@ -101,7 +103,7 @@
             var restored = DurableRaftStore.restored(log.recovered());
             start =
                     StartupRole.of(
-                            config.isVoter(),
+                            config.isInitialVoter(),
                             self,
                             restored.map(
                                     found ->
@@ -115,7 +117,7 @@
                             config.cluster(),
                             self.member(),
                             config.self().address(),
-                            config.peers(),
+                            config.peerAddresses(),
                             this::received);
             Map<String, StateMachine> machines = new TreeMap<>();
             Map<String, ExpiryMonitor> timekeepers = new TreeMap<>();
@@ -128,7 +130,7 @@
             state = new ReplicatedState(machines);
             newsroom = new StatePublisher(state, self.member());
             first = config.voters().stream().map(each -> new Voter(each.number(), 0)).toList();
-            ClusterConfig.Raft raft = config.raft();
+            ClusterConfig.RaftConfig raft = config.raft();
             voter =
                     !start.runsVoter()
                             ? null
@@ -136,11 +138,11 @@
                                     new VoterNode.Settings(
                                             self,
                                             first,
-                                            (int) raft.heartbeat().toMillis(),
-                                            raft.missed(),
-                                            (int) raft.election().toMillis(),
-                                            raft.queue(),
-                                            raft.snapshotEvery()),
+                                            (int) raft.heartbeatPeriod().toMillis(),
+                                            raft.missedHeartbeats(),
+                                            (int) raft.electionTimeout().toMillis(),
+                                            raft.maxQueuedProposals(),
+                                            raft.snapshotInterval()),
                                     reactor,
                                     links,
                                     store,
@@ -159,7 +161,7 @@
         known =
                 new VoterDirectory(
                         config.voters().stream()
-                                .map(ClusterConfig.Member::number)
+                                .map(ClusterConfig.MemberAddress::number)
                                 .filter(each -> start.runsVoter() || each != self.member())
                                 .toList());
         session =
@@ -167,11 +169,11 @@
                         new MemberSession.Settings(
                                 self.member(),
                                 (int) config.session().ttl().toMillis(),
-                                (int) config.session().retry().toMillis(),
-                                config.session().queue()),
+                                (int) config.session().retryDelay().toMillis(),
+                                config.session().maxQueuedCommands()),
                         known.numbers(),
                         random.nextLong());
-        signs = look(reactor.nanos());
+        signs = look(reactor.nanoTime());
         thread = new Thread(this::run, "cluster-" + config.self().name());
         thread.setDaemon(true);
     }
@@ -204,7 +206,7 @@
      * way, also to be replaced.
      */
     public static int descriptors(ClusterConfig config) {
-        return 24 + 3 * config.peers().size();
+        return 24 + 3 * config.peerAddresses().size();
     }
 
     /** The signs as a JSON object; as of some moments ago. */
@@ -236,7 +238,7 @@
                     () ->
                             wish =
                                     new MembershipCommandRunner(
-                                            wanted, reactor.nanos(), WISH_STEP, WISH_LONGEST));
+                                            wanted, reactor.nanoTime(), WISH_STEP, WISH_LONGEST));
             return "";
         } catch (ClusterException e) {
             return e.getMessage() + "; " + e.remedy();
@@ -248,7 +250,7 @@
         loop.post(
                 () -> {
                     if (stop == null) {
-                        stop = new PlannedStop(reactor.nanos(), GRACE, LAST_WORDS);
+                        stop = new PlannedStop(reactor.nanoTime(), GRACE, LAST_WORDS);
                         layers.forEach(layer -> guarded(layer, ReplicatedService::stopping));
                     }
                 });
@@ -267,14 +269,15 @@
                             .forEach(finding -> LOG.warn("{}: {}", self, finding));
                     tell(null, signs);
                     layers.forEach(
-                            layer -> guarded(layer, each -> each.joins(session, reactor::nanos)));
+                            layer ->
+                                    guarded(layer, each -> each.joins(session, reactor::nanoTime)));
                     if (voter != null) {
                         voter.start(
                                 store.recall(
                                         self,
                                         first,
                                         new SecureRandom().nextLong(),
-                                        2 * config.raft().missed()));
+                                        2 * config.raft().missedHeartbeats()));
                     }
                     tick();
                 });
@@ -293,29 +296,29 @@
 
     private void received(int from, byte[] bytes) {
         MemberMessage frame = MemberMessage.decode(bytes);
-        long now = reactor.nanos();
+        long now = reactor.nanoTime();
         heardAt.put(from, now);
         if (frame instanceof MemberMessage.Reply reply) {
-            if (reply.outcome().accepted() && reply.ageNanos() == 0) {
+            if (reply.outcome().isAccepted() && reply.ageNanos() == 0) {
                 quorum.heard(now);
                 heardLeader = from;
             } else if (reply.outcome().kind() == CommandOutcome.Kind.FAILED
                     && reply.outcome().error() instanceof ClusterException.NotLeader other
                     && known.named(other.leader())) {
-                session.voters(known.numbers());
+                session.updateVoters(known.numbers());
             }
             session.received(from, reply, now);
             if (!closed) {
                 flush(now);
             }
-        } else if (frame instanceof MemberMessage.News news) {
+        } else if (frame instanceof MemberMessage.Notification news) {
             heard(new ReplicatedState.StateChange(news.machine(), news.index(), news.event()));
             if (!closed) {
                 flush(now);
             }
         }
         if (voter != null) {
-            voter.received(from, bytes);
+            voter.onFrame(from, bytes);
         }
     }
 
@@ -331,14 +334,14 @@
     }
 
     private void tick() {
-        long now = reactor.nanos();
+        long now = reactor.nanoTime();
         if (stop != null && stopped(now)) {
             return;
         }
         reactor.schedule(this::tick, stop == null ? tickNanos : 5 * MILLI);
-        List<ReplicatedState.StateChange> taken = state.takeNews();
+        List<ReplicatedState.StateChange> taken = state.drainStateChanges();
         taken.forEach(this::heard);
-        newsroom.tell(taken, voter != null && voter.leads(), now)
+        newsroom.publish(taken, voter != null && voter.leads(), now)
                 .forEach(each -> links.send(each.member(), each.frame()));
         if (!closed) {
             layers.forEach(layer -> guarded(layer, ReplicatedService::tick));
@@ -348,8 +351,8 @@
             voter.ageNanos().ifPresent(age -> quorum.heard(now - age));
             granted(now);
         }
-        if (session.session() != sessionSeen) {
-            sessionSeen = session.session();
+        if (session.sessionId() != sessionSeen) {
+            sessionSeen = session.sessionId();
             sessionSince = now;
         }
         if (now - signsAt >= 0) {
@@ -365,7 +368,7 @@
         if ((next.state() == MemberStatus.State.VOTER || next.state() == MemberStatus.State.LEARNER)
                 && next.applied() > 0
                 && known.are(next.voters().stream().map(Voter::member).sorted().toList())) {
-            session.voters(known.numbers());
+            session.updateVoters(known.numbers());
         }
     }
 
@@ -402,7 +405,7 @@
         others.sort(
                 Comparator.comparingLong(
                         (Integer each) -> now - heardAt.getOrDefault(each, now - GRACE)));
-        switch (stop.next(now, session.waiting(), leads, others)) {
+        switch (stop.next(now, session.pendingCommands(), leads, others)) {
             case CLOSE_SESSION -> {
                 session.close();
                 flush(now);
@@ -442,7 +445,7 @@
                         ? why.getMessage()
                         : new ClusterException.VoterStopped(self.member(), why.toString())
                                 .getMessage();
-        signsAt = reactor.nanos();
+        signsAt = reactor.nanoTime();
         if (!named) {
             LOG.error("{}: its voter stopped", self, why);
         }
@@ -485,20 +488,20 @@
                 leader,
                 voter != null && voter.leads(),
                 voter == null ? 0 : voter.term(),
-                state.era(),
-                state.applied(),
+                state.epoch(),
+                state.appliedIndex(),
                 group.voters(),
                 group.learners(),
                 quorum.missingMillis(now, limit),
                 voter == null ? -1 : voter.ageNanos().map(age -> age / MILLI).orElse(-1L),
                 voter == null ? 0 : voter.proposed(),
-                session.waiting(),
-                session.session(),
+                session.pendingCommands(),
+                session.sessionId(),
                 session.isAlive(now),
-                session.session() == 0 ? 0 : (now - sessionSince) / MILLI,
+                session.sessionId() == 0 ? 0 : (now - sessionSince) / MILLI,
                 disk,
                 (now - disk.sinceNanos()) / MILLI,
-                links.figures(),
+                links.metrics(),
                 wish == null ? "" : wish.words(),
                 Map.copyOf(figures));
     }
--- a/src/main/java/calicostream/cluster/process/MemberDirectory.java
+++ b/src/main/java/calicostream/cluster/process/MemberDirectory.java
@@ -17,15 +17,15 @@
 
     static DurableLog open(ClusterConfig config, DiskProvider disks) throws DurableException {
         String part = "generation-" + config.generation();
-        Disk data = disks.open(config.data().resolve(part));
+        Disk data = disks.open(config.dataFolder().resolve(part));
         Disk marks =
-                config.marks().equals(config.data())
+                config.markersFolder().equals(config.dataFolder())
                         ? data
-                        : disks.open(config.marks().resolve(part));
+                        : disks.open(config.markersFolder().resolve(part));
         LogOptions options =
                 new LogOptions(
                         (int) config.disk().segmentBytes(),
-                        config.disk().syncWarning().toNanos(),
+                        config.disk().slowSyncThreshold().toNanos(),
                         false,
                         System::nanoTime);
         return DurableLog.open(
--- a/src/main/java/calicostream/cluster/process/MemberStateEvaluator.java
+++ b/src/main/java/calicostream/cluster/process/MemberStateEvaluator.java
@@ -61,14 +61,14 @@
      * often.
      */
     static long doubtNanos(ClusterConfig config) {
-        return config.raft().heartbeat().toNanos() * config.raft().missed()
-                + config.raft().election().toNanos();
+        return config.raft().heartbeatPeriod().toNanos() * config.raft().missedHeartbeats()
+                + config.raft().electionTimeout().toNanos();
     }
 
     /** The same for a session without a copy, which asks less often. */
     static long silenceNanos(ClusterConfig config) {
         return Math.max(
                 doubtNanos(config),
-                config.session().ttl().toNanos() / 4 + 2 * config.session().retry().toNanos());
+                config.session().ttl().toNanos() / 4 + 2 * config.session().retryDelay().toNanos());
     }
 }
--- a/src/main/java/calicostream/cluster/process/MemberStatus.java
+++ b/src/main/java/calicostream/cluster/process/MemberStatus.java
@@ -44,7 +44,7 @@
         long sessionAgeMillis,
         LogStatus disk,
         long diskSinceMillis,
-        TcpTransport.Figures links,
+        TcpTransport.Metrics links,
         String wish,
         Map<String, String> layers) {
     /** Where a member stands in its group. */
--- a/src/main/java/calicostream/cluster/process/MemberStatusJson.java
+++ b/src/main/java/calicostream/cluster/process/MemberStatusJson.java
@@ -45,8 +45,8 @@
                                 .add("sent", signs.links().sent())
                                 .add("dropped", signs.links().dropped())
                                 .add("received", signs.links().received())
-                                .add("refused", signs.links().refused())
-                                .add("open", signs.links().open()))
+                                .add("refused", signs.links().rejected())
+                                .add("open", signs.links().openConnections()))
                 .add("wish", signs.wish())
                 .add("layers", layers)
                 .toString();
--- a/src/main/java/calicostream/cluster/raft/DurableRaftStore.java
+++ b/src/main/java/calicostream/cluster/raft/DurableRaftStore.java
@@ -138,7 +138,7 @@
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState self) throws IOException {
         BinaryCodec.Writer out = new BinaryCodec.Writer();
         RaftMessageCodec.voter(out, self.getLocalEndpoint());
-        log.saveNote(SELF, out.u8(self.isVoting() ? 1 : 0).done());
+        log.saveNote(SELF, out.u8(self.isVoting() ? 1 : 0).toByteArray());
         log.sync();
     }
 
--- a/src/main/java/calicostream/cluster/raft/LogApplier.java
+++ b/src/main/java/calicostream/cluster/raft/LogApplier.java
@@ -37,7 +37,9 @@
 
     /** The present era was begun by this voter in this life. */
     boolean ownEra() {
-        return nonce != 0 && state.leader().nonce() == nonce && state.leader().member() == member;
+        return nonce != 0
+                && state.epochStart().nonce() == nonce
+                && state.epochStart().member() == member;
     }
 
     @Override
@@ -52,7 +54,7 @@
                                 ? new byte[0]
                                 : state.query(question.machine, question.question);
                 return new CommandOutcome(
-                        CommandOutcome.Kind.ACCEPTED, state.applied(), "", answer);
+                        CommandOutcome.Kind.ACCEPTED, state.appliedIndex(), "", answer);
             }
             return state.apply(index, (byte[]) operation);
         } catch (RuntimeException | Error e) {
@@ -88,6 +90,6 @@
         do {
             nonce = random.nextLong();
         } while (nonce == 0);
-        return new ReplicatedEntry.Era(member, nonce).encode();
+        return new ReplicatedEntry.EpochStart(member, nonce).encode();
     }
 }
--- a/src/main/java/calicostream/cluster/raft/PeerRecoveryState.java
+++ b/src/main/java/calicostream/cluster/raft/PeerRecoveryState.java
@@ -104,13 +104,13 @@
                             .i64(one.before.incarnation())
                             .u8(one.before.grouped() ? 1 : 0);
                 });
-        return out.done();
+        return out.toByteArray();
     }
 
     static PeerRecoveryState read(byte[] bytes) {
         PeerRecoveryState read = new PeerRecoveryState();
         BinaryCodec.Reader in = new BinaryCodec.Reader("memory of peers", bytes);
-        in.version(VERSION);
+        in.requireVersion(VERSION);
         for (int left = in.count(33); left > 0; left--) {
             Voter who = RaftMessageCodec.voter(in);
             Known one = new Known();
@@ -119,7 +119,7 @@
             one.before = new Seen(in.i64(), 0, 0, 0, false, in.u8() != 0);
             read.known.put(who, one);
         }
-        in.end();
+        in.requireEnd();
         return read;
     }
 }
--- a/src/main/java/calicostream/cluster/raft/RaftExecutor.java
+++ b/src/main/java/calicostream/cluster/raft/RaftExecutor.java
@@ -22,7 +22,7 @@
     RaftExecutor(EventLoop reactor, int heartbeatMillis) {
         this.reactor = reactor;
         this.heartbeatMillis = heartbeatMillis;
-        this.startNanos = reactor.nanos();
+        this.startNanos = reactor.nanoTime();
     }
 
     long raftMillis(long millis) {
@@ -46,7 +46,7 @@
 
     @Override
     public long millis() {
-        return 1 + (reactor.nanos() - startNanos) / 1000 / heartbeatMillis;
+        return 1 + (reactor.nanoTime() - startNanos) / 1000 / heartbeatMillis;
     }
 
     @Override
--- a/src/main/java/calicostream/cluster/raft/RaftMessageCodec.java
+++ b/src/main/java/calicostream/cluster/raft/RaftMessageCodec.java
@@ -91,7 +91,7 @@
         } else if (message instanceof TriggerLeaderElectionRequest m) {
             out.i32(m.getLastLogTerm()).i64(m.getLastLogIndex());
         }
-        return out.done();
+        return out.toByteArray();
     }
 
     private static int kind(RaftMessage message) {
@@ -117,7 +117,7 @@
 
     public static RaftMessage message(byte[] bytes) {
         BinaryCodec.Reader in = new BinaryCodec.Reader("message", bytes);
-        in.version(VERSION);
+        in.requireVersion(VERSION);
         int kind = in.u8();
         RaftEndpoint sender = voter(in);
         int term = in.i32();
@@ -136,7 +136,7 @@
                                         .setFlowControlSequenceNumber(in.i64());
                         List<LogEntry> entries = new ArrayList<>();
                         for (int left = in.count(17); left > 0; left--) {
-                            entries.add(entry(in.blob(PeerTransport.MAX_FRAME)));
+                            entries.add(entry(in.blob(PeerTransport.MAX_FRAME_BYTES)));
                         }
                         yield m.setLogEntries(entries).build();
                     }
@@ -169,7 +169,9 @@
                                         .setSnapshotIndex(in.i64())
                                         .setTotalSnapshotChunkCount(in.i32());
                         m.setSnapshotChunk(
-                                in.u8() == 0 ? null : chunk(in.blob(PeerTransport.MAX_FRAME)));
+                                in.u8() == 0
+                                        ? null
+                                        : chunk(in.blob(PeerTransport.MAX_FRAME_BYTES)));
                         m.setSnapshottedMembers(voters(in));
                         m.setGroupMembersView(in.u8() == 0 ? null : view(in.blob(1 << 16)));
                         yield m.setQuerySequenceNumber(in.i64())
@@ -227,7 +229,7 @@
                                     .build();
                     default -> throw in.malformed("no message is of kind " + kind);
                 };
-        in.end();
+        in.requireEnd();
         return message;
     }
 
@@ -246,16 +248,16 @@
         } else {
             throw new IllegalArgumentException("no entry holds " + operation);
         }
-        return out.done();
+        return out.toByteArray();
     }
 
     static LogEntry entry(byte[] bytes) {
         BinaryCodec.Reader in = new BinaryCodec.Reader("log entry", bytes);
-        in.version(VERSION);
+        in.requireVersion(VERSION);
         var entry = MODEL.createLogEntryBuilder().setIndex(in.i64()).setTerm(in.i32());
         int kind = in.u8();
         if (kind == 1) {
-            entry.setOperation(in.blob(PeerTransport.MAX_FRAME));
+            entry.setOperation(in.blob(PeerTransport.MAX_FRAME_BYTES));
         } else if (kind == 2) {
             var op =
                     MODEL.createUpdateRaftGroupMembersOpBuilder()
@@ -277,7 +279,7 @@
         } else {
             throw in.malformed("no log entry is of kind " + kind);
         }
-        in.end();
+        in.requireEnd();
         return entry.build();
     }
 
@@ -290,12 +292,12 @@
                 .i32(chunk.getSnapshotChunkCount())
                 .blob(view(chunk.getGroupMembersView()))
                 .blob((byte[]) chunk.getOperation())
-                .done();
+                .toByteArray();
     }
 
     static SnapshotChunk chunk(byte[] bytes) {
         BinaryCodec.Reader in = new BinaryCodec.Reader("snapshot chunk", bytes);
-        in.version(VERSION);
+        in.requireVersion(VERSION);
         SnapshotChunk chunk =
                 MODEL.createSnapshotChunkBuilder()
                         .setIndex(in.i64())
@@ -303,9 +305,9 @@
                         .setSnapshotChunkIndex(in.i32())
                         .setSnapshotChunkCount(in.i32())
                         .setGroupMembersView(view(in.blob(1 << 16)))
-                        .setOperation(in.blob(PeerTransport.MAX_FRAME))
+                        .setOperation(in.blob(PeerTransport.MAX_FRAME_BYTES))
                         .build();
-        in.end();
+        in.requireEnd();
         return chunk;
     }
 
@@ -313,19 +315,19 @@
         BinaryCodec.Writer out = new BinaryCodec.Writer().u8(VERSION).i64(view.getLogIndex());
         voters(out, view.getMembers());
         voters(out, view.getVotingMembers());
-        return out.done();
+        return out.toByteArray();
     }
 
     static RaftGroupMembersView view(byte[] bytes) {
         BinaryCodec.Reader in = new BinaryCodec.Reader("list of voters", bytes);
-        in.version(VERSION);
+        in.requireVersion(VERSION);
         RaftGroupMembersView view =
                 MODEL.createRaftGroupMembersViewBuilder()
                         .setLogIndex(in.i64())
                         .setMembers(voters(in))
                         .setVotingMembers(voters(in))
                         .build();
-        in.end();
+        in.requireEnd();
         return view;
     }
 
--- a/src/main/java/calicostream/cluster/raft/RecoveryHandshakeTransport.java
+++ b/src/main/java/calicostream/cluster/raft/RecoveryHandshakeTransport.java
@@ -73,9 +73,9 @@
 
     void received(int from, MemberMessage frame) {
         boolean grouped = hooks.isGrouped.getAsBoolean();
-        if (frame instanceof MemberMessage.Recall asks) {
+        if (frame instanceof MemberMessage.RecoveryRequest asks) {
             step(() -> recall.received(from, asks, grouped));
-        } else if (frame instanceof MemberMessage.Recalled told) {
+        } else if (frame instanceof MemberMessage.RecoveryResponse told) {
             step(
                     () -> {
                         recall.received(from, told, grouped);
--- a/src/main/java/calicostream/cluster/raft/VoterChanges.java
+++ b/src/main/java/calicostream/cluster/raft/VoterChanges.java
@@ -104,12 +104,12 @@
         propose.accept(
                 entry,
                 outcome -> {
-                    if (!outcome.accepted()) {
+                    if (!outcome.isAccepted()) {
                         end.accept(outcome.error());
                     } else if (notLeading.get() != null) {
                         end.accept(notLeading.get());
                     } else if (change != VoterChange.REMOVE
-                            && !state.mayAdd(who.member(), who.generation())) {
+                            && !state.mayAddVoter(who.member(), who.generation())) {
                         end.accept(
                                 new ClusterException.GenerationOver(
                                         who.member(),
--- a/src/main/java/calicostream/cluster/raft/VoterNode.java
+++ b/src/main/java/calicostream/cluster/raft/VoterNode.java
@@ -61,7 +61,8 @@
             int snapshotEvery) {}
 
     /** Entries of one append: of the largest ones, half a frame. */
-    private static final int BATCH = PeerTransport.MAX_FRAME / (2 * Command.MAX_BODY) / 2;
+    private static final int BATCH =
+            PeerTransport.MAX_FRAME_BYTES / (2 * Command.MAX_BODY_BYTES) / 2;
 
     private static final Logger LOG = LoggerFactory.getLogger(VoterNode.class);
 
@@ -168,7 +169,8 @@
                 Voter to = (Voter) target;
                 links.send(
                         to.member(),
-                        new MemberMessage.Raft(to.generation(), RaftMessageCodec.message(message))
+                        new MemberMessage.RaftMessage(
+                                        to.generation(), RaftMessageCodec.message(message))
                                 .encode());
             }
         }
@@ -209,8 +211,8 @@
                         settings.heartbeatMillis * 1_000_000L,
                         new RecoveryHandshakeTransport.Hooks(
                                 this::isStopped,
-                                () -> wasRestored || state.applied() > 0,
-                                () -> state.applied() > 0 && voters().contains(settings.self),
+                                () -> wasRestored || state.appliedIndex() > 0,
+                                () -> state.appliedIndex() > 0 && voters().contains(settings.self),
                                 this::start,
                                 this::fail));
         firstWord.beat();
@@ -288,7 +290,7 @@
 
     /** How old this copy is at most; empty until a leader was heard of once. */
     public Optional<Long> ageNanos() {
-        return fresh ? Optional.of(reactor.nanos() - freshSince) : Optional.empty();
+        return fresh ? Optional.of(reactor.nanoTime() - freshSince) : Optional.empty();
     }
 
     /** Hands the lead to another voter, for a planned stop. */
@@ -321,7 +323,7 @@
     private ClusterException notLeading() {
         return leads()
                 ? null
-                : new ClusterException.NotLeader(settings.self.member(), leader(), state.era());
+                : new ClusterException.NotLeader(settings.self.member(), leader(), state.epoch());
     }
 
     private void beat() {
@@ -341,21 +343,22 @@
                                     3 * settings.missed);
                             raft.handle(message);
                         });
-        long now = reactor.nanos();
-        long span = counted.look(now);
+        long now = reactor.nanoTime();
+        long span = counted.advance(now);
         if (leads()) {
-            if (toldEra != state.era()) {
-                toldEra = state.era();
-                timekeepers.values().forEach(timekeeper -> timekeeper.eraBegan(toldEra, span));
+            if (toldEra != state.epoch()) {
+                toldEra = state.epoch();
+                timekeepers.values().forEach(timekeeper -> timekeeper.epochStarted(toldEra, span));
             }
-            for (ReplicatedEntry.Expire expire : keeper.due(now)) {
+            for (ReplicatedEntry.ExpireSession expire : keeper.expiredSessions(now)) {
                 propose(expire.encode(), outcome -> {});
             }
             timekeepers.forEach(
                     (name, timekeeper) -> {
-                        for (byte[] body : timekeeper.due(span)) {
+                        for (byte[] body : timekeeper.expiredCommands(span)) {
                             propose(
-                                    new ReplicatedEntry.Timed(state.era(), name, body).encode(),
+                                    new ReplicatedEntry.LeaderCommand(state.epoch(), name, body)
+                                            .encode(),
                                     outcome -> {});
                         }
                     });
@@ -365,7 +368,7 @@
             askId = nextId++;
             links.send(
                     leader(),
-                    new MemberMessage.Request(askId, MemberMessage.Ask.READ, "", new byte[0])
+                    new MemberMessage.Request(askId, MemberMessage.Operation.READ, "", new byte[0])
                             .encode());
         }
         reactor.schedule(this::beat, settings.heartbeatMillis * 1_000_000L);
@@ -376,8 +379,8 @@
      * once it got there.
      */
     private void fresh(CommandOutcome outcome, long sinceNanos) {
-        if (outcome.accepted()
-                && state.applied() >= outcome.index()
+        if (outcome.isAccepted()
+                && state.appliedIndex() >= outcome.index()
                 && (!fresh || sinceNanos - freshSince > 0)) {
             fresh = true;
             freshSince = sinceNanos;
@@ -385,7 +388,7 @@
     }
 
     @Override
-    public void received(int from, byte[] bytes) {
+    public void onFrame(int from, byte[] bytes) {
         if (isStopped()) {
             return;
         }
@@ -397,13 +400,13 @@
     }
 
     private void received(int from, MemberMessage frame) {
-        if (frame instanceof MemberMessage.Raft message) {
+        if (frame instanceof MemberMessage.RaftMessage message) {
             RaftMessage decoded = RaftMessageCodec.message(message.message());
             if (((Voter) decoded.getSender()).member() == from
                     && message.generation() == settings.self.generation()) {
                 silence.heard(decoded);
                 recall().ifPresent(recall -> recall.heard(decoded));
-                raft.handle(terms.trim(decoded, state.applied()));
+                raft.handle(terms.trim(decoded, state.appliedIndex()));
             }
         } else if (frame instanceof MemberMessage.Request request) {
             Consumer<CommandOutcome> reply =
@@ -414,11 +417,11 @@
                                     new MemberMessage.Reply(request.id(), 0, outcome).encode());
                         }
                     };
-            switch (request.ask()) {
-                case ENTRY -> proposeOf(request.body(), reply);
+            switch (request.operation()) {
+                case PROPOSE -> proposeOf(request.body(), reply);
                 case READ ->
                         read(new LogApplier.Question(request.machine(), request.body()), reply);
-                case LOCAL -> local(from, request);
+                case LOCAL_READ -> local(from, request);
             }
         } else if (frame instanceof MemberMessage.Reply reply && reply.id() == askId) {
             fresh(reply.outcome(), askAt);
@@ -428,7 +431,7 @@
     private void local(int from, MemberMessage.Request request) {
         Optional<Long> age = ageNanos();
         CommandOutcome outcome =
-                !state.knows(request.machine())
+                !state.hasMachine(request.machine())
                         ? CommandOutcome.failed(0, ClusterException.UnknownMachine.CODE)
                         : age.isEmpty()
                                 ? CommandOutcome.failed(
@@ -438,7 +441,7 @@
                                         0)
                                 : new CommandOutcome(
                                         CommandOutcome.Kind.ACCEPTED,
-                                        state.applied(),
+                                        state.appliedIndex(),
                                         "",
                                         state.query(request.machine(), request.body()));
         links.send(from, new MemberMessage.Reply(request.id(), age.orElse(0L), outcome).encode());
@@ -452,9 +455,10 @@
             reply.accept(CommandOutcome.failed(0, e.code()));
             return;
         }
-        if (entry.ofLeader()) {
+        if (entry.isLeaderOnly()) {
             reply.accept(CommandOutcome.failed(0, ClusterException.Malformed.CODE));
-        } else if (entry instanceof ReplicatedEntry.Run run && !state.knows(run.machine())) {
+        } else if (entry instanceof ReplicatedEntry.RunCommand run
+                && !state.hasMachine(run.machine())) {
             reply.accept(CommandOutcome.failed(0, ClusterException.UnknownMachine.CODE));
         } else {
             propose(bytes, reply);
@@ -482,7 +486,7 @@
     }
 
     private void read(LogApplier.Question question, Consumer<CommandOutcome> reply) {
-        if (!question.machine().isEmpty() && !state.knows(question.machine())) {
+        if (!question.machine().isEmpty() && !state.hasMachine(question.machine())) {
             reply.accept(CommandOutcome.failed(0, ClusterException.UnknownMachine.CODE));
             return;
         }
@@ -500,7 +504,7 @@
                     ClusterException.NotLeader.CODE,
                     settings.self.member(),
                     leader(),
-                    state.era());
+                    state.epoch());
         } else if (error instanceof CannotReplicateException) {
             return CommandOutcome.failed(
                     0,
@@ -522,9 +526,9 @@
                 + " "
                 + raft.getTerm()
                 + " applied "
-                + state.applied()
+                + state.appliedIndex()
                 + " era "
-                + state.era()
+                + state.epoch()
                 + " voters "
                 + voters()
                 + " of "
--- a/src/main/java/calicostream/cluster/raft/VoterRecoveryHandshake.java
+++ b/src/main/java/calicostream/cluster/raft/VoterRecoveryHandshake.java
@@ -133,7 +133,8 @@
         List<Send> sends = new ArrayList<>();
         if (error() == null && (beats <= patience || beats % patience == 0)) {
             byte[] frame =
-                    new MemberMessage.Recall(self.generation(), own.incarnation(), nonce).encode();
+                    new MemberMessage.RecoveryRequest(self.generation(), own.incarnation(), nonce)
+                            .encode();
             asked.stream()
                     .filter(member -> !names.containsKey(member))
                     .forEach(member -> sends.add(new Send(member, frame)));
@@ -144,12 +145,13 @@
     /**
      * @param grouped whether this voter's group has committed something
      */
-    List<Send> received(int from, MemberMessage.Recall ask, boolean grouped) throws IOException {
+    List<Send> received(int from, MemberMessage.RecoveryRequest ask, boolean grouped)
+            throws IOException {
         Seen seen = met(new Voter(from, ask.generation()), ask.incarnation(), ask.nonce(), grouped);
         return List.of(
                 new Send(
                         from,
-                        new MemberMessage.Recalled(
+                        new MemberMessage.RecoveryResponse(
                                         ask.nonce(),
                                         self.generation(),
                                         own.incarnation(),
@@ -162,8 +164,9 @@
                                 .encode()));
     }
 
-    void received(int from, MemberMessage.Recalled answer, boolean grouped) throws IOException {
-        if (answer.to() != nonce) {
+    void received(int from, MemberMessage.RecoveryResponse answer, boolean grouped)
+            throws IOException {
+        if (answer.requestNonce() != nonce) {
             return;
         }
         Voter peer = new Voter(from, answer.generation());
@@ -172,10 +175,10 @@
                 new Seen(
                         answer.seenIncarnation(),
                         answer.term(),
-                        answer.acknowledged(),
+                        answer.acknowledgedIndex(),
                         answer.voteTerm(),
                         false,
-                        answer.grouped());
+                        answer.groupHasCommitted());
         if (mayBegin()) {
             // It has spoken since, so of what a late one tells only the incarnation is from before.
             seen = new Seen(seen.incarnation(), 0, 0, 0, false, false);
--- a/src/main/java/calicostream/cluster/tcp/SelectorEventLoop.java
+++ b/src/main/java/calicostream/cluster/tcp/SelectorEventLoop.java
@@ -16,7 +16,7 @@
     }
 
     @Override
-    public long nanos() {
+    public long nanoTime() {
         return System.nanoTime();
     }
 
--- a/src/main/java/calicostream/cluster/tcp/TcpFrame.java
+++ b/src/main/java/calicostream/cluster/tcp/TcpFrame.java
@@ -68,9 +68,9 @@
         }
         ByteBuffer head = ByteBuffer.wrap(in.copy(0, HEAD));
         int length = head.getInt();
-        if (length < 0 || length > PeerTransport.MAX_FRAME) {
+        if (length < 0 || length > PeerTransport.MAX_FRAME_BYTES) {
             throw new BadInput(
-                    "a frame of " + length + " bytes, at most " + PeerTransport.MAX_FRAME);
+                    "a frame of " + length + " bytes, at most " + PeerTransport.MAX_FRAME_BYTES);
         }
         if (in.size() < HEAD + length) {
             return null;
--- a/src/main/java/calicostream/cluster/tcp/TcpTransport.java
+++ b/src/main/java/calicostream/cluster/tcp/TcpTransport.java
@@ -28,14 +28,15 @@
  */
 public final class TcpTransport implements PeerTransport {
     private static final Logger LOG = LoggerFactory.getLogger(TcpTransport.class);
-    private static final int ROOM = MAX_FRAME + (1 << 20);
+    private static final int ROOM = MAX_FRAME_BYTES + (1 << 20);
     private static final int LEAST_OPEN =
             64; // that may connect; where there are more peers, each and one in its place
     private static final long STUCK_NANOS = 2_000_000_000L;
     private static final long AGAIN_NANOS = 100_000_000L;
 
     /** What the links have done, for figures. */
-    public record Figures(long sent, long dropped, long received, long refused, int open) {}
+    public record Metrics(
+            long sent, long dropped, long received, long rejected, int openConnections) {}
 
     private final Loop loop;
     private final byte[] cluster;
@@ -94,7 +95,7 @@
     }
 
     /** A member is found there from now on. */
-    public void peer(int member, InetSocketAddress at) {
+    public void setPeerAddress(int member, InetSocketAddress at) {
         peers.put(member, at);
         Out out = outs.remove(member);
         if (out != null) {
@@ -102,8 +103,8 @@
         }
     }
 
-    public Figures figures() {
-        return new Figures(sent, dropped, received, refused, ins.size() + outs.size());
+    public Metrics metrics() {
+        return new Metrics(sent, dropped, received, refused, ins.size() + outs.size());
     }
 
     public void close() {
@@ -126,8 +127,8 @@
             loop.post(() -> deliver(self, frame));
             return;
         }
-        if (frame.length > MAX_FRAME) {
-            throw new ClusterException.TooLarge("frame", frame.length, MAX_FRAME);
+        if (frame.length > MAX_FRAME_BYTES) {
+            throw new ClusterException.TooLarge("frame", frame.length, MAX_FRAME_BYTES);
         }
         Out out = outs.get(member);
         if (out != null && out.isStuck()) {
@@ -167,7 +168,7 @@
         }
         received++;
         try {
-            receiver.received(from, frame);
+            receiver.onFrame(from, frame);
         } catch (ClusterException.Malformed e) {
             refused++;
             LOG.warn("member {}: {}; {}", from, e.getMessage(), e.remedy());
--- a/src/main/java/calicostream/daemon/ClusterPart.java
+++ b/src/main/java/calicostream/daemon/ClusterPart.java
@@ -39,7 +39,7 @@
                 config.budget()
                         .map(settings -> new BudgetService(settings, config.self().name()))
                         .orElse(null);
-        leases = new LeaseService(config.leaseTtl(), config.raft().heartbeat(), tokensAbove);
+        leases = new LeaseService(config.leaseTtl(), config.raft().heartbeatPeriod(), tokensAbove);
         LeasedTaskProvider.chosen().forEach(leases::add);
         layers.add(leases);
         if (budget != null) {
@@ -63,7 +63,7 @@
             return null;
         }
         int tokensAbove = file.section("lease").count("tokens_above", 0, 0, Integer.MAX_VALUE);
-        file.done();
+        file.requireAllKeysKnown();
         return new ClusterPart(config, tokensAbove);
     }
 
--- a/src/main/java/calicostream/lease/EjectionHints.java
+++ b/src/main/java/calicostream/lease/EjectionHints.java
@@ -156,7 +156,7 @@
         all.stream()
                 .limit(MOST)
                 .forEach(each -> out.i64(each.engine).u8(each.served ? 1 : 0).i32(each.ageMillis));
-        return out.done();
+        return out.toByteArray();
     }
 
     private static int millis(long nanos) {
@@ -172,13 +172,13 @@
     @Override
     public void heard(long of, byte[] payload, long now) {
         BinaryCodec.Reader in = new BinaryCodec.Reader("trials", payload);
-        in.version(VERSION);
+        in.requireVersion(VERSION);
         long word = in.i64();
         List<Said> all = new ArrayList<>();
         for (int left = in.count(ENTRY); left > 0; left--) {
             all.add(new Said(in.i64(), in.u8() != 0, in.i32()));
         }
-        in.end();
+        in.requireEnd();
         if (of < token || of == token && word <= heardNumber) {
             return; // Late, or there twice.
         }
--- a/src/main/java/calicostream/lease/LeaseAnswer.java
+++ b/src/main/java/calicostream/lease/LeaseAnswer.java
@@ -22,11 +22,11 @@
 
     default byte[] encode() {
         if (this instanceof Holds h) {
-            return new BinaryCodec.Writer().u8(1).i64(h.token).done();
+            return new BinaryCodec.Writer().u8(1).i64(h.token).toByteArray();
         }
         return this instanceof Waits w
-                ? new BinaryCodec.Writer().u8(2).i32(w.place).done()
-                : new BinaryCodec.Writer().u8(3).done();
+                ? new BinaryCodec.Writer().u8(2).i32(w.place).toByteArray()
+                : new BinaryCodec.Writer().u8(3).toByteArray();
     }
 
     /**
@@ -42,7 +42,7 @@
                     case 3 -> new Done();
                     default -> throw in.malformed("no answer has the kind " + kind);
                 };
-        in.end();
+        in.requireEnd();
         return answer;
     }
 }
--- a/src/main/java/calicostream/lease/LeaseClient.java
+++ b/src/main/java/calicostream/lease/LeaseClient.java
@@ -40,17 +40,17 @@
 
     /** What a task may do under that lease. */
     public FencedActions acts(LeaseHolder holder) {
-        return new FencedActions(holder, clock, machine, member::run);
+        return new FencedActions(holder, clock, machine, member::submit);
     }
 
     /** Sends what is due. */
     public void tick() {
         long now = clock.getAsLong();
-        if (member.session() != session) {
+        if (member.sessionId() != session) {
             if (session != 0) {
                 holders.forEach(holder -> holder.sessionEnded(now));
             }
-            session = member.session();
+            session = member.sessionId();
         }
         if (session == 0) {
             holders.forEach(holder -> holder.mayAct(now));
@@ -62,7 +62,7 @@
     private void send(LeaseHolder holder, long now) {
         LeaseHolder.Ask ask = holder.next(now);
         if (ask != null) {
-            member.run(machine, ask.command().encode(), outcome -> ended(holder, ask, outcome));
+            member.submit(machine, ask.command().encode(), outcome -> ended(holder, ask, outcome));
         }
     }
 
@@ -70,12 +70,12 @@
         long now = clock.getAsLong();
         switch (outcome.kind()) {
             case ACCEPTED ->
-                    holder.answered(now, ask.number(), LeaseAnswer.decode(outcome.answer()));
-            case REFUSED ->
+                    holder.answered(now, ask.number(), LeaseAnswer.decode(outcome.response()));
+            case REJECTED ->
                     holder.refused(
                             now,
                             ask.number(),
-                            LeaseRejection.decode(outcome.code(), outcome.answer()));
+                            LeaseRejection.decode(outcome.code(), outcome.response()));
             case FAILED -> holder.unsure(now, ask.number());
         }
         if (outcome.kind() != CommandOutcome.Kind.FAILED) {
@@ -90,7 +90,7 @@
     public void news(LeaseEvent event) {
         if (event instanceof LeaseEvent.Granted granted
                 && granted.session() == session
-                && session == member.session()) {
+                && session == member.sessionId()) {
             for (LeaseHolder holder : holders) {
                 if (holder.name().equals(granted.name())) {
                     holder.granted(clock.getAsLong(), granted.token());
--- a/src/main/java/calicostream/lease/LeaseCommand.java
+++ b/src/main/java/calicostream/lease/LeaseCommand.java
@@ -72,7 +72,7 @@
         } else if (this instanceof RaiseTokens r) {
             out.u8(8).i64(r.least);
         }
-        return out.done();
+        return out.toByteArray();
     }
 
     /**
@@ -98,7 +98,7 @@
                     case 8 -> new RaiseTokens(in.i64());
                     default -> throw in.malformed("no command has the kind " + kind);
                 };
-        in.end();
+        in.requireEnd();
         return command;
     }
 }
--- a/src/main/java/calicostream/lease/LeaseEvent.java
+++ b/src/main/java/calicostream/lease/LeaseEvent.java
@@ -39,13 +39,16 @@
     default CommandEffects.Event encode() {
         BinaryCodec.Writer out = new BinaryCodec.Writer().text(name()).i64(token());
         if (this instanceof Granted g) {
-            return new CommandEffects.Event("lease-granted", out.i64(g.session).done(), g.session);
+            return new CommandEffects.Event(
+                    "lease-granted", out.i64(g.session).toByteArray(), g.session);
         }
         if (this instanceof Freed f) {
-            return new CommandEffects.Event("lease-freed", out.u8(f.why.ordinal()).done());
+            return new CommandEffects.Event("lease-freed", out.u8(f.why.ordinal()).toByteArray());
         }
         return new CommandEffects.Event(
-                "lease-acted", out.blob(((Acted) this).payload).done(), CommandEffects.Event.ALL);
+                "lease-acted",
+                out.blob(((Acted) this).payload).toByteArray(),
+                CommandEffects.Event.ALL_MEMBERS);
     }
 
     /**
@@ -68,7 +71,7 @@
                     case "lease-acted" -> new Acted(name, token, in.blob(LeaseLimits.PAYLOAD));
                     default -> throw in.malformed("no event of a lease");
                 };
-        in.end();
+        in.requireEnd();
         return read;
     }
 }
--- a/src/main/java/calicostream/lease/LeaseExpiryMonitor.java
+++ b/src/main/java/calicostream/lease/LeaseExpiryMonitor.java
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public void eraBegan(long era, long nowNanos) {
+    public void epochStarted(long era, long nowNanos) {
         seen.clear();
         looked = false;
         for (LeaseMachine.View each : machine.held()) {
@@ -68,7 +68,7 @@
     }
 
     @Override
-    public List<byte[]> due(long nowNanos) {
+    public List<byte[]> expiredCommands(long nowNanos) {
         Map<String, Seen> before = new HashMap<>(seen);
         seen.clear();
         long jumped = looked && longest > 0 ? Math.max(0, nowNanos - lookedAt - longest) : 0;
--- a/src/main/java/calicostream/lease/LeaseMachine.java
+++ b/src/main/java/calicostream/lease/LeaseMachine.java
@@ -85,12 +85,12 @@
         try {
             said = LeaseCommand.decode(command.body());
         } catch (ClusterException.Malformed e) {
-            return CommandEffects.refused(
-                    e.code(), new BinaryCodec.Writer().text(e.getMessage()).done());
+            return CommandEffects.rejected(
+                    e.code(), new BinaryCodec.Writer().text(e.getMessage()).toByteArray());
         }
         boolean leaders =
                 said instanceof LeaseCommand.Expire || said instanceof LeaseCommand.RaiseTokens;
-        if (leaders != command.byLeader()) {
+        if (leaders != command.isFromLeader()) {
             return new LeaseRejection.NotItsToSay(said.name(), command.session()).refusal();
         }
         if (said instanceof LeaseCommand.Acquire a) {
@@ -118,7 +118,7 @@
             }
             lease = new Lease();
             leases.put(name, lease);
-            return CommandEffects.answer(
+            return CommandEffects.response(
                     new LeaseAnswer.Holds(lastToken + 1).encode(),
                     grant(name, lease, new Waiter(session, said.ttl())));
         }
@@ -135,7 +135,7 @@
             return new LeaseRejection.QueueFull(name, lease.waiting.size()).refusal();
         }
         lease.waiting.add(new Waiter(session, said.ttl()));
-        return CommandEffects.answer(new LeaseAnswer.Waits(lease.waiting.size()).encode());
+        return CommandEffects.response(new LeaseAnswer.Waits(lease.waiting.size()).encode());
     }
 
     private CommandEffects withdraw(long session, String name) {
@@ -156,7 +156,7 @@
         Lease lease = leases.get(name);
         if (said instanceof LeaseCommand.Act a) {
             return isHolder(name, a.token())
-                    ? CommandEffects.answer(
+                    ? CommandEffects.response(
                             new LeaseAnswer.Done().encode(),
                             new LeaseEvent.Acted(name, a.token(), a.payload()).encode())
                     : notHolder(name, a.token());
@@ -167,7 +167,7 @@
             }
             return renewedSince(lease.renewals, e.renewals())
                     ? new LeaseRejection.RenewedMeanwhile(name, e.token(), lease.renewals).refusal()
-                    : CommandEffects.answer(
+                    : CommandEffects.response(
                             new LeaseAnswer.Done().encode(),
                             free(name, lease, LeaseEvent.Why.EXPIRED));
         }
@@ -179,7 +179,7 @@
                 return new LeaseRejection.SessionEnded(name, r.token()).refusal();
             }
             lease.renewals++;
-            return CommandEffects.answer(new LeaseAnswer.Holds(r.token()).encode());
+            return CommandEffects.response(new LeaseAnswer.Holds(r.token()).encode());
         }
         if (said instanceof LeaseCommand.Transfer t) {
             return holds(lease, t.token()) && lease.session == session
@@ -188,7 +188,7 @@
         }
         LeaseCommand.Release r = (LeaseCommand.Release) said;
         return holds(lease, r.token()) && lease.session == session
-                ? CommandEffects.answer(
+                ? CommandEffects.response(
                         new LeaseAnswer.Done().encode(), free(name, lease, LeaseEvent.Why.RELEASED))
                 : notHolder(name, r.token());
     }
@@ -199,7 +199,7 @@
             return new LeaseRejection.NoSuccessor(said.name(), said.to()).refusal();
         }
         lease.waiting.add(0, lease.waiting.remove(place - 1));
-        return CommandEffects.answer(
+        return CommandEffects.response(
                 new LeaseAnswer.Done().encode(),
                 free(said.name(), lease, LeaseEvent.Why.TRANSFERRED));
     }
@@ -297,12 +297,12 @@
                         new BinaryCodec.Reader("lease question", question).text(LeaseLimits.NAME));
         BinaryCodec.Writer out = new BinaryCodec.Writer();
         return lease == null
-                ? out.i64(0).i64(0).i64(0).i32(0).done()
+                ? out.i64(0).i64(0).i64(0).i32(0).toByteArray()
                 : out.i64(lease.token)
                         .i64(lease.session)
                         .i64(lease.renewals)
                         .i32(lease.waiting.size())
-                        .done();
+                        .toByteArray();
     }
 
     private CommandEffects notHolder(String name, long token) {
@@ -311,7 +311,7 @@
     }
 
     private static CommandEffects done() {
-        return CommandEffects.answer(new LeaseAnswer.Done().encode());
+        return CommandEffects.response(new LeaseAnswer.Done().encode());
     }
 
     // ---- Snapshots
@@ -331,13 +331,13 @@
                     out.i32(lease.waiting.size());
                     lease.waiting.forEach(each -> out.i64(each.session).i64(each.ttl));
                 });
-        return out.done();
+        return out.toByteArray();
     }
 
     @Override
     public void restore(byte[] snapshot) {
         BinaryCodec.Reader in = new BinaryCodec.Reader("lease snapshot", snapshot);
-        in.version(VERSION);
+        in.requireVersion(VERSION);
         long last = in.i64();
         TreeMap<String, Lease> read = new TreeMap<>();
         for (int left = in.count(LEASE_BYTES); left > 0; left--) {
@@ -355,7 +355,7 @@
                 throw in.malformed("lease " + name + " twice, or a token of it after the last one");
             }
         }
-        in.end();
+        in.requireEnd();
         leases = read;
         lastToken = last;
     }
--- a/src/main/java/calicostream/lease/LeaseRejection.java
+++ b/src/main/java/calicostream/lease/LeaseRejection.java
@@ -275,7 +275,7 @@
         for (long each : numbers()) {
             out.i64(each);
         }
-        return CommandEffects.refused(code(), out.done());
+        return CommandEffects.rejected(code(), out.toByteArray());
     }
 
     private long[] numbers() {
@@ -331,7 +331,7 @@
                     case NotHeldHere.CODE -> new NotHeldHere(name, in.i64(), in.i64());
                     default -> throw in.malformed("no refusal of a lease");
                 };
-        in.end();
+        in.requireEnd();
         return read;
     }
 }
--- a/src/measure/java/calicostream/budget/BudgetSim.java
+++ b/src/measure/java/calicostream/budget/BudgetSim.java
@@ -227,8 +227,8 @@
     private CommandEffects apply(Command command) {
         commands++;
         CommandEffects effects = machine.apply(++index, command);
-        if (!effects.accepted()) {
-            refusals.merge(effects.refusal(), 1, Integer::sum);
+        if (!effects.isAccepted()) {
+            refusals.merge(effects.rejectionCode(), 1, Integer::sum);
         }
         for (String name : machine.books().engines.keySet()) {
             int committed = machine.books().committed(name);
@@ -299,12 +299,12 @@
     private void elect() {
         leader = new GrantExpiryMonitor(settings, machine);
         leaderRate = 1 + (random.nextDouble() * 2 - 1) * settings.driftPpm() / 1e6;
-        leader.eraBegan(++era, (long) (now * leaderRate));
+        leader.epochStarted(++era, (long) (now * leaderRate));
     }
 
     private void count() {
         if (quorum) {
-            leader.due((long) (now * leaderRate))
+            leader.expiredCommands((long) (now * leaderRate))
                     .forEach(body -> apply(new Command(0, 0, era, body)));
         }
     }
--- a/src/measure/java/calicostream/budget/SimProcess.java
+++ b/src/measure/java/calicostream/budget/SimProcess.java
@@ -113,7 +113,7 @@
                         here(
                                 mine,
                                 () -> {
-                                    if (effects.accepted() && !joined[0]) {
+                                    if (effects.isAccepted() && !joined[0]) {
                                         joined[0] = true;
                                         report(mine);
                                     }
@@ -164,9 +164,9 @@
     }
 
     private void answered(long mine, CommandEffects effects, boolean[] answered, long number) {
-        if (effects.accepted()) {
-            holdings.granted(BudgetCommand.Grants.decode(effects.answer()), clock());
-        } else if (effects.refusal().equals("budget-grant-over")) {
+        if (effects.isAccepted()) {
+            holdings.granted(BudgetCommand.Grants.decode(effects.response()), clock());
+        } else if (effects.rejectionCode().equals("budget-grant-over")) {
             holdings.lapse();
         }
         for (int e = 0; e < sim.engines.size(); e++) {
--- a/src/measure/java/calicostream/cluster/process/Count.java
+++ b/src/measure/java/calicostream/cluster/process/Count.java
@@ -34,14 +34,15 @@
 
     @Override
     public void tick() {
-        if (adds && session.waiting() == 0) {
-            session.run(
+        if (adds && session.pendingCommands() == 0) {
+            session.submit(
                     "count",
                     new byte[0],
                     outcome ->
                             answered =
-                                    outcome.accepted()
-                                            ? new BinaryCodec.Reader("sum", outcome.answer()).i64()
+                                    outcome.isAccepted()
+                                            ? new BinaryCodec.Reader("sum", outcome.response())
+                                                    .i64()
                                             : answered);
         }
     }
@@ -71,12 +72,12 @@
     @Override
     public CommandEffects apply(long index, Command command) {
         sum++;
-        return CommandEffects.answer(snapshot(), new CommandEffects.Event("added", new byte[0]));
+        return CommandEffects.response(snapshot(), new CommandEffects.Event("added", new byte[0]));
     }
 
     @Override
     public byte[] snapshot() {
-        return new BinaryCodec.Writer().i64(sum).done();
+        return new BinaryCodec.Writer().i64(sum).toByteArray();
     }
 
     @Override
--- a/src/measure/java/calicostream/cluster/raft/RecallGroup.java
+++ b/src/measure/java/calicostream/cluster/raft/RecallGroup.java
@@ -80,13 +80,14 @@
                         for (VoterRecoveryHandshake.Send told :
                                 peer.recall.received(
                                         member,
-                                        (MemberMessage.Recall) MemberMessage.decode(ask.frame()),
+                                        (MemberMessage.RecoveryRequest)
+                                                MemberMessage.decode(ask.frame()),
                                         peer.grouped)) {
                             sides.get(member)
                                     .recall
                                     .received(
                                             ask.member(),
-                                            (MemberMessage.Recalled)
+                                            (MemberMessage.RecoveryResponse)
                                                     MemberMessage.decode(told.frame()),
                                             sides.get(member).grouped);
                         }
--- a/src/measure/java/calicostream/cluster/sim/Lists.java
+++ b/src/measure/java/calicostream/cluster/sim/Lists.java
@@ -29,11 +29,11 @@
     }
 
     static byte[] append(int key, long value) {
-        return new BinaryCodec.Writer().i32(key).i64(value).done();
+        return new BinaryCodec.Writer().i32(key).i64(value).toByteArray();
     }
 
     static byte[] which(int key) {
-        return new BinaryCodec.Writer().i32(key).done();
+        return new BinaryCodec.Writer().i32(key).toByteArray();
     }
 
     static List<Long> list(byte[] answer) {
@@ -61,7 +61,7 @@
         BinaryCodec.Reader in = new BinaryCodec.Reader("append", command.body());
         List<Long> list = lists.get(in.i32());
         list.add(in.i64());
-        return CommandEffects.answer(new BinaryCodec.Writer().i32(list.size()).done());
+        return CommandEffects.response(new BinaryCodec.Writer().i32(list.size()).toByteArray());
     }
 
     @Override
@@ -71,7 +71,7 @@
     }
 
     @Override
-    public CommandEffects eraBegan(long index, long era) {
+    public CommandEffects epochStarted(long index, long era) {
         heard.accept(index, "era " + era);
         return CommandEffects.NONE;
     }
@@ -82,7 +82,7 @@
         List<Long> list = lists.get(new BinaryCodec.Reader("question", question).i32());
         out.i32(list.size());
         list.forEach(out::i64);
-        return out.done();
+        return out.toByteArray();
     }
 
     @Override
@@ -91,7 +91,7 @@
         for (int key = 0; key < KEYS; key++) {
             out.blob(query(which(key)));
         }
-        return out.done();
+        return out.toByteArray();
     }
 
     @Override
--- a/src/measure/java/calicostream/cluster/sim/SimCluster.java
+++ b/src/measure/java/calicostream/cluster/sim/SimCluster.java
@@ -130,7 +130,7 @@
                                 disk,
                                 marks,
                                 new LogIdentity("sim", name().toString()),
-                                new LogOptions(1 << 14, 1_000_000_000L, false, process::nanos));
+                                new LogOptions(1 << 14, 1_000_000_000L, false, process::nanoTime));
             } catch (DurableException e) {
                 failed(e);
                 return;
@@ -204,7 +204,7 @@
 
         void tick() {
             guest.tick(process.member);
-            for (MemberSession.Send send : member.tick(process.nanos())) {
+            for (MemberSession.OutgoingFrame send : member.tick(process.nanoTime())) {
                 send(process.member, send.voter(), send.frame());
             }
             process.schedule(this::tick, 25 * MILLI);
@@ -241,19 +241,19 @@
         }
 
         @Override
-        public void received(int from, byte[] bytes) {
+        public void onFrame(int from, byte[] bytes) {
             MemberMessage frame = MemberMessage.decode(bytes);
             world.trace("received " + process.member, bytes);
             if (frame instanceof MemberMessage.Reply reply && member != null) {
-                member.received(from, reply, process.nanos());
-            } else if (frame instanceof MemberMessage.News news && member != null) {
+                member.received(from, reply, process.nanoTime());
+            } else if (frame instanceof MemberMessage.Notification news && member != null) {
                 guest.news(
                         process.member,
                         new ReplicatedState.StateChange(
                                 news.machine(), news.index(), news.event()));
             }
             if (voter != null) {
-                voter.received(
+                voter.onFrame(
                         from,
                         mutants.contains(Mutant.RETRY_WITHOUT_NUMBER) && voter.leads()
                                 ? renumber(bytes)
@@ -407,21 +407,22 @@
             Host target = host(to);
             world.at(
                     world.now() + delay,
-                    () -> target.process.execute(() -> target.received(from, frame)));
+                    () -> target.process.execute(() -> target.onFrame(from, frame)));
         }
     }
 
     /** The mutant: each attempt of a command that gets to a leader has a number of its own. */
     private byte[] renumber(byte[] frame) {
         if (MemberMessage.decode(frame) instanceof MemberMessage.Request request
-                && request.ask() == MemberMessage.Ask.ENTRY
-                && ReplicatedEntry.decode(request.body()) instanceof ReplicatedEntry.Run run) {
+                && request.operation() == MemberMessage.Operation.PROPOSE
+                && ReplicatedEntry.decode(request.body())
+                        instanceof ReplicatedEntry.RunCommand run) {
             long number = renumbered.merge(run.session(), 1L, Long::sum);
             return new MemberMessage.Request(
                             request.id(),
-                            request.ask(),
+                            request.operation(),
                             "",
-                            new ReplicatedEntry.Run(
+                            new ReplicatedEntry.RunCommand(
                                             run.session(),
                                             number,
                                             number - 1,
@@ -439,14 +440,14 @@
         Judge.Op op = new Judge.Op(key, what < 5 ? ++values : 0, what < 5, world.now());
         judge.ops.add(op);
         if (op.append) {
-            host.member.run(
+            host.member.submit(
                     "lists",
                     Lists.append(key, op.value),
                     outcome -> {
                         op.ended = world.now();
-                        if (outcome.accepted()) {
+                        if (outcome.isAccepted()) {
                             op.end = Judge.End.OK;
-                            op.length = new BinaryCodec.Reader("length", outcome.answer()).i32();
+                            op.length = new BinaryCodec.Reader("length", outcome.response()).i32();
                             acknowledged++;
                         } else {
                             op.end =
@@ -457,21 +458,22 @@
                     });
             return;
         }
-        MemberMessage.Ask ask = what < 8 ? MemberMessage.Ask.READ : MemberMessage.Ask.LOCAL;
+        MemberMessage.Operation ask =
+                what < 8 ? MemberMessage.Operation.READ : MemberMessage.Operation.LOCAL_READ;
         host.member.read(
                 ask,
                 "lists",
                 Lists.which(key),
-                host.process.nanos(),
+                host.process.nanoTime(),
                 reply -> {
                     op.ended = world.now();
-                    if (reply.outcome().accepted()) {
+                    if (reply.outcome().isAccepted()) {
                         op.end = Judge.End.OK;
-                        op.seen = Lists.list(reply.outcome().answer());
+                        op.seen = Lists.list(reply.outcome().response());
                         op.length = op.seen.size();
                         // The age was counted by clocks that drift.
                         op.age =
-                                ask == MemberMessage.Ask.LOCAL
+                                ask == MemberMessage.Operation.LOCAL_READ
                                         ? reply.ageNanos() + reply.ageNanos() / 500 + 1
                                         : -1;
                     }
@@ -503,8 +505,8 @@
         }
         hold(guest.fault());
         Host host = host(process.member);
-        if (host.member != null && host.member.waiting() > MEMBER_QUEUE + 1) {
-            throw new Broken("a member's queue grew to " + host.member.waiting());
+        if (host.member != null && host.member.pendingCommands() > MEMBER_QUEUE + 1) {
+            throw new Broken("a member's queue grew to " + host.member.pendingCommands());
         }
         VoterNode voter = host.voter;
         if (voter == null) {
@@ -520,10 +522,10 @@
                         "term " + voter.term() + " is led by " + other + " and " + host.name());
             }
         }
-        List<ReplicatedState.StateChange> taken = voter.state().takeNews();
+        List<ReplicatedState.StateChange> taken = voter.state().drainStateChanges();
         if (guest.isTold()) {
             host.newsroom
-                    .tell(taken, voter.leads(), process.nanos())
+                    .publish(taken, voter.leads(), process.nanoTime())
                     .forEach(each -> send(process.member, each.member(), each.frame()));
         }
         for (ReplicatedState.StateChange news : taken) {
@@ -597,9 +599,9 @@
         for (Host host : hosts) {
             boolean alive =
                     host.member != null
-                            && host.member.session() == session
+                            && host.member.sessionId() == session
                             && host.member.isAlive(
-                                    host.process.nanos()
+                                    host.process.nanoTime()
                                             - (mutants.contains(Mutant.LATE_COUNT)
                                                     ? 200 * MILLI
                                                     : 0));
@@ -814,7 +816,7 @@
                             }
                             if (!leader.voter
                                     .state()
-                                    .mayAdd(host.process.member, host.generation)) {
+                                    .mayAddVoter(host.process.member, host.generation)) {
                                 comeBack(leader, host);
                                 return;
                             }
@@ -1029,8 +1031,8 @@
                         .allMatch(
                                 host ->
                                         host.member != null
-                                                && host.member.waiting() == 0
-                                                && host.member.session() != 0);
+                                                && host.member.pendingCommands() == 0
+                                                && host.member.sessionId() != 0);
     }
 
     private void end() {
@@ -1044,12 +1046,14 @@
             if (host.voter != null && leader.voter.voters().contains(host.name())) {
                 voters.add(host);
             }
-            if (host.member == null || host.member.waiting() > 0 || host.member.session() == 0) {
+            if (host.member == null
+                    || host.member.pendingCommands() > 0
+                    || host.member.sessionId() == 0) {
                 throw new Broken("member " + host.process.member + " still waits: " + host.member);
             }
         }
         for (Host host : voters) {
-            if (host.voter.state().applied() == leader.voter.state().applied()
+            if (host.voter.state().appliedIndex() == leader.voter.state().appliedIndex()
                     && !Arrays.equals(
                             host.voter.state().snapshot(), leader.voter.state().snapshot())) {
                 throw new Broken("copies at " + host.name() + " and " + leader.name() + " differ");
--- a/src/measure/java/calicostream/cluster/sim/World.java
+++ b/src/measure/java/calicostream/cluster/sim/World.java
@@ -96,7 +96,7 @@
         }
 
         void drift(long partsPerMillion) {
-            base = nanos();
+            base = nanoTime();
             since = now;
             ppm = partsPerMillion;
         }
@@ -110,7 +110,7 @@
         }
 
         @Override
-        public long nanos() {
+        public long nanoTime() {
             long passed = now - since;
             return base + passed + passed / 1_000_000 * ppm;
         }
--- a/src/measure/java/calicostream/lease/LeaseBook.java
+++ b/src/measure/java/calicostream/lease/LeaseBook.java
@@ -53,19 +53,19 @@
         }
         lastIndex = index;
         LeaseCommand said = LeaseCommand.decode(command.body());
-        if (said instanceof LeaseCommand.Transfer t && effects.accepted() && t.to() != 0) {
+        if (said instanceof LeaseCommand.Transfer t && effects.isAccepted() && t.to() != 0) {
             List<Long> queue = queues.get(t.name());
             queue.remove(t.to());
             queue.add(0, t.to());
         }
         events(command.session(), effects);
-        if (!effects.accepted()) {
+        if (!effects.isAccepted()) {
             return true;
         }
         if (said instanceof LeaseCommand.Withdraw) {
             queues.getOrDefault(said.name(), List.of()).remove(command.session());
         } else if (said instanceof LeaseCommand.Acquire
-                && LeaseAnswer.decode(effects.answer()) instanceof LeaseAnswer.Waits waits) {
+                && LeaseAnswer.decode(effects.response()) instanceof LeaseAnswer.Waits waits) {
             List<Long> queue = queues.computeIfAbsent(said.name(), any -> new ArrayList<>());
             queue.add(command.session());
             judge(waits.place() == queue.size(), "place " + waits.place() + " of " + queue);
--- a/src/measure/java/calicostream/lease/LeaseModel.java
+++ b/src/measure/java/calicostream/lease/LeaseModel.java
@@ -172,7 +172,7 @@
     private void leader() {
         byte[] s = from.clone();
         LeaseExpiryMonitor watch = watch(s);
-        List<byte[]> due = watch.due(NOW);
+        List<byte[]> due = watch.expiredCommands(NOW);
         keepWatch(s, watch);
         if (!due.isEmpty() && s[EXPIRE_TOKEN] == 0) {
             LeaseCommand.Expire expire = (LeaseCommand.Expire) LeaseCommand.decode(due.get(0));
@@ -205,7 +205,7 @@
             s[CHANGES_LEFT]--;
             s[LEADER] ^= 1;
             watch = watch(s);
-            watch.eraBegan(1, NOW);
+            watch.epochStarted(1, NOW);
             keepWatch(s, watch);
             to(CHANGE, 0, 0, s);
         }
--- a/src/measure/java/calicostream/lease/LeaseRuns.java
+++ b/src/measure/java/calicostream/lease/LeaseRuns.java
@@ -99,7 +99,7 @@
 
         void tick() {
             client.tick();
-            for (MemberSession.Send send : session.tick(process.nanos())) {
+            for (MemberSession.OutgoingFrame send : session.tick(process.nanos())) {
                 int life = process.life;
                 link(
                         id,
@@ -138,10 +138,10 @@
          */
         void act() {
             if (random.nextInt(3) == 0) {
-                byte[] number = new BinaryCodec.Writer().i64(++acted).done();
+                byte[] number = new BinaryCodec.Writer().i64(++acted).toByteArray();
                 FencedResource.FencedResult<LeaseCommand.Act> command = acts.inLog(number);
                 if (command.isDone()) {
-                    session.run("lease", command.result().encode(), outcome -> {});
+                    session.submit("lease", command.result().encode(), outcome -> {});
                 }
             } else {
                 acts.at(
--- a/src/measure/java/calicostream/lease/LeaseSteps.java
+++ b/src/measure/java/calicostream/lease/LeaseSteps.java
@@ -103,8 +103,8 @@
         }
         byte answer = DONE;
         byte answerToken = 0;
-        if (!effects.accepted()) {
-            LeaseRejection why = LeaseRejection.decode(effects.refusal(), effects.answer());
+        if (!effects.isAccepted()) {
+            LeaseRejection why = LeaseRejection.decode(effects.rejectionCode(), effects.response());
             answer =
                     why instanceof LeaseRejection.AlreadyHolds
                             ? ALREADY_HOLDS
@@ -115,7 +115,7 @@
                                             : REFUSED;
             answerToken = why instanceof LeaseRejection.AlreadyHolds held ? (byte) held.token() : 0;
         } else if (kind != END_OF_SESSION) {
-            LeaseAnswer said = LeaseAnswer.decode(effects.answer());
+            LeaseAnswer said = LeaseAnswer.decode(effects.response());
             answer =
                     said instanceof LeaseAnswer.Holds
                             ? HOLDS
--- a/src/measure/java/calicostream/lease/SimLeases.java
+++ b/src/measure/java/calicostream/lease/SimLeases.java
@@ -61,7 +61,7 @@
             this.id = id;
             this.process = process;
             this.session = session;
-            client = new LeaseClient(session, MACHINE, process::nanos);
+            client = new LeaseClient(session, MACHINE, process::nanoTime);
             for (String name : NAMES) {
                 long ttl = ttl(name);
                 LeaseHolder holder =
@@ -69,7 +69,7 @@
                                 parts.holder(
                                         name,
                                         ttl,
-                                        new LeaseHolder(name, ttl, process.nanos()).state()));
+                                        new LeaseHolder(name, ttl, process.nanoTime()).state()));
                 holders.add(holder);
                 if (!resting && (plan != Plan.KILLS_OUTSIDE || id > world.members() - OUTSIDE)) {
                     holder.want();
@@ -84,9 +84,9 @@
             FencedActions acts = client.acts(holder);
             if (world.random().nextInt(4) == 0) {
                 FencedResource.FencedResult<LeaseCommand.Act> command =
-                        acts.inLog(new BinaryCodec.Writer().i64(++acted).done());
+                        acts.inLog(new BinaryCodec.Writer().i64(++acted).toByteArray());
                 if (command.isDone()) {
-                    session.run(MACHINE, command.result().encode(), outcome -> {});
+                    session.submit(MACHINE, command.result().encode(), outcome -> {});
                 }
             } else {
                 acts.at(
@@ -114,7 +114,7 @@
                                     ttl(holder.name()),
                                     ClockDriftBound.BOUND,
                                     holder.state())
-                            .mayAct(process.nanos());
+                            .mayAct(process.nanoTime());
         }
     }
 
--- a/src/measure/java/calicostream/lease/TaskProcesses.java
+++ b/src/measure/java/calicostream/lease/TaskProcesses.java
@@ -61,7 +61,7 @@
                             }
                             acts.tell(
                                             new byte[] {7},
-                                            outcome -> acted += outcome.accepted() ? 1 : 0)
+                                            outcome -> acted += outcome.isAccepted() ? 1 : 0)
                                     .ifPresent(
                                             why -> {
                                                 throw new AssertionError(
@@ -89,10 +89,10 @@
 
         /** All that it wants to send and what comes of it, until it is quiet. */
         void exchange() {
-            for (List<MemberSession.Send> sends = session.tick(now);
+            for (List<MemberSession.OutgoingFrame> sends = session.tick(now);
                     !sends.isEmpty() && !isCut;
                     sends = session.tick(now)) {
-                for (MemberSession.Send send : sends) {
+                for (MemberSession.OutgoingFrame send : sends) {
                     MemberMessage.Request request =
                             (MemberMessage.Request) MemberMessage.decode(send.frame());
                     session.received(
@@ -100,7 +100,7 @@
                             new MemberMessage.Reply(
                                     request.id(), 0, state.apply(++index, request.body())),
                             now);
-                    for (ReplicatedState.StateChange news : state.takeNews()) {
+                    for (ReplicatedState.StateChange news : state.drainStateChanges()) {
                         if (news.machine().equals("lease")) {
                             processes.stream()
                                     .filter(each -> !each.isCut)
@@ -120,11 +120,11 @@
     private long index;
 
     TaskProcesses(int size) {
-        state.apply(++index, new ReplicatedEntry.Era(1, 5).encode());
+        state.apply(++index, new ReplicatedEntry.EpochStart(1, 5).encode());
         for (int member = 1; member <= size; member++) {
             processes.add(new Process(member));
         }
-        watch.eraBegan(state.era(), now);
+        watch.epochStarted(state.epoch(), now);
     }
 
     private void turn() {
@@ -133,8 +133,10 @@
                     each.tasks.tick();
                     each.exchange();
                 });
-        for (byte[] body : watch.due(now)) {
-            state.apply(++index, new ReplicatedEntry.Timed(state.era(), "lease", body).encode());
+        for (byte[] body : watch.expiredCommands(now)) {
+            state.apply(
+                    ++index,
+                    new ReplicatedEntry.LeaderCommand(state.epoch(), "lease", body).encode());
         }
     }
 
--- a/src/measure/java/calicostream/lease/VirtualLog.java
+++ b/src/measure/java/calicostream/lease/VirtualLog.java
@@ -85,10 +85,10 @@
     private void lead(int voter) {
         leader = voter;
         changes++;
-        apply(new Proposal(new ReplicatedEntry.Era(voter, changes).encode(), outcome -> {}));
+        apply(new Proposal(new ReplicatedEntry.EpochStart(voter, changes).encode(), outcome -> {}));
         watch = parts.watch(machine, Map.of(), 0);
         keeper = new SessionExpiryMonitor(state, PERIOD);
-        watch.eraBegan(state.era(), runs.process(voter).nanos());
+        watch.epochStarted(state.epoch(), runs.process(voter).nanos());
     }
 
     /** The leader's count of time, at its own clock, while it leads. */
@@ -97,10 +97,12 @@
             return;
         }
         long now = runs.process(leader).nanos();
-        for (byte[] body : watch.due(now)) {
-            propose(new ReplicatedEntry.Timed(state.era(), "lease", body).encode(), outcome -> {});
+        for (byte[] body : watch.expiredCommands(now)) {
+            propose(
+                    new ReplicatedEntry.LeaderCommand(state.epoch(), "lease", body).encode(),
+                    outcome -> {});
         }
-        for (ReplicatedEntry.Expire expire : keeper.due(now)) {
+        for (ReplicatedEntry.ExpireSession expire : keeper.expiredSessions(now)) {
             propose(expire.encode(), outcome -> {});
         }
         runs.process(leader).after(PERIOD, () -> count(since));
@@ -116,7 +118,7 @@
         } else {
             done.accept(
                     CommandOutcome.failed(
-                            0, ClusterException.NotLeader.CODE, voter, leader, state.era()));
+                            0, ClusterException.NotLeader.CODE, voter, leader, state.epoch()));
         }
     }
 
@@ -134,6 +136,6 @@
 
     private void apply(Proposal proposal) {
         proposal.done.accept(state.apply(++index, proposal.entry));
-        state.takeNews().forEach(heard);
+        state.drainStateChanges().forEach(heard);
     }
 }
--- a/src/test/java/calicostream/budget/GrantMachineTest.java
+++ b/src/test/java/calicostream/budget/GrantMachineTest.java
@@ -32,7 +32,7 @@
 
     private String refusal(long session, BudgetCommand command) {
         byte[] before = machine.snapshot();
-        String refusal = tell(session, command).refusal();
+        String refusal = tell(session, command).rejectionCode();
         byte[] after = machine.snapshot();
         Arrays.fill(before, 9, 17, (byte) 0); // the index alone may move on
         Arrays.fill(after, 9, 17, (byte) 0);
@@ -59,7 +59,7 @@
     void eachRefusalHasItsType() {
         assertEquals("budget-other-incarnation", refusal(1, divide(1, "a", 1, 1, 1)));
         start();
-        assertTrue(tell(1, divide(5, "a", 1, 1, 8)).accepted());
+        assertTrue(tell(1, divide(5, "a", 1, 1, 8)).isAccepted());
         assertEquals("budget-old-token", refusal(1, divide(4, "a", 1, 1, 1)));
         assertEquals("budget-over-cap", refusal(1, divide(5, "b", 2, 1, 3)));
         assertEquals("budget-grant-over", refusal(1, divide(5, "b", 7, 1, 1)));
@@ -78,7 +78,7 @@
                 "budget-no-proof",
                 refusal(2, new BudgetCommand.Count("e", 1, "a", 1, false, index, 0, false)));
         assertEquals("budget-not-due", refusal(2, new BudgetCommand.Expire("a", 1, false, 0)));
-        assertTrue(tell(1, new BudgetCommand.Renew(1, 1, List.of(), List.of())).accepted());
+        assertTrue(tell(1, new BudgetCommand.Renew(1, 1, List.of(), List.of())).isAccepted());
         assertEquals(
                 "budget-old-report",
                 refusal(1, new BudgetCommand.Renew(1, 1, List.of(), List.of())));
@@ -86,7 +86,7 @@
         assertEquals("budget-cap-lowered", refusal(1, divide(5, "b", 2, 1, 1)));
         assertEquals(
                 "cluster-malformed",
-                machine.apply(++index, new Command(1, 1, 0, new byte[] {1, 99})).refusal());
+                machine.apply(++index, new Command(1, 1, 0, new byte[] {1, 99})).rejectionCode());
     }
 
     @Test
--- a/src/test/java/calicostream/budget/SafeguardsTest.java
+++ b/src/test/java/calicostream/budget/SafeguardsTest.java
@@ -77,7 +77,7 @@
                                                     1,
                                                     "tenant",
                                                     sessions))))
-                    .accepted();
+                    .isAccepted();
         }
 
         void count(Process process, boolean former, long seen, int sessions) {
@@ -121,7 +121,7 @@
             }
 
             void hears(CommandEffects effects, long now) {
-                holdings.granted(BudgetCommand.Grants.decode(effects.answer()), now);
+                holdings.granted(BudgetCommand.Grants.decode(effects.response()), now);
             }
 
             /** Begins all that it may; the engine has each at once. */
--- a/src/test/java/calicostream/cluster/CountedTimeTest.java
+++ b/src/test/java/calicostream/cluster/CountedTimeTest.java
@@ -21,7 +21,7 @@
         BoundedElapsedTime time = new BoundedElapsedTime(PERIOD);
         long clock = random.nextLong();
         long passed = 0;
-        long first = time.look(clock);
+        long first = time.advance(clock);
         long before = first;
         long jumps = 0;
         for (int i = 0; i < 10_000; i++) {
@@ -30,7 +30,7 @@
             passed += span;
             clock += span + jump;
             jumps += jump > 0 ? 1 : 0;
-            long now = time.look(clock);
+            long now = time.advance(clock);
             assertTrue(now >= before && now - first <= passed, "seed " + SEED);
             before = now;
         }
@@ -41,9 +41,9 @@
     @Test
     void looksThatComeSoonerCountAsTheyCame() {
         BoundedElapsedTime time = new BoundedElapsedTime(PERIOD);
-        long first = time.look(5);
-        assertEquals(7, time.look(12) - first);
-        assertEquals(7, time.look(3) - first, "a clock that goes back counts nothing");
-        assertEquals(17, time.look(13) - first);
+        long first = time.advance(5);
+        assertEquals(7, time.advance(12) - first);
+        assertEquals(7, time.advance(3) - first, "a clock that goes back counts nothing");
+        assertEquals(17, time.advance(13) - first);
     }
 }
--- a/src/test/java/calicostream/cluster/NewsroomTest.java
+++ b/src/test/java/calicostream/cluster/NewsroomTest.java
@@ -20,7 +20,7 @@
     private long index;
 
     private long open(int member) {
-        state.apply(++index, new ReplicatedEntry.Open(member, 7, 1000).encode());
+        state.apply(++index, new ReplicatedEntry.OpenSession(member, 7, 1000).encode());
         return index;
     }
 
@@ -29,8 +29,8 @@
                 "leases", ++index, new CommandEffects.Event("lease-acted", new byte[bytes], to));
     }
 
-    private static List<Integer> members(List<StatePublisher.Telling> told) {
-        return told.stream().map(StatePublisher.Telling::member).sorted().toList();
+    private static List<Integer> members(List<StatePublisher.OutgoingFrame> told) {
+        return told.stream().map(StatePublisher.OutgoingFrame::member).sorted().toList();
     }
 
     @Test
@@ -43,18 +43,19 @@
         List<ReplicatedState.StateChange> news =
                 List.of(
                         news(second, 5),
-                        news(CommandEffects.Event.NOBODY, 5),
-                        news(CommandEffects.Event.ALL, 5));
-        assertEquals(List.of(), room.tell(news, false, 0));
-        List<StatePublisher.Telling> told = room.tell(news, true, 0);
+                        news(CommandEffects.Event.NO_MEMBER, 5),
+                        news(CommandEffects.Event.ALL_MEMBERS, 5));
+        assertEquals(List.of(), room.publish(news, false, 0));
+        List<StatePublisher.OutgoingFrame> told = room.publish(news, true, 0);
         assertEquals(List.of(2, 2, 3), members(told));
-        MemberMessage.News first = (MemberMessage.News) MemberMessage.decode(told.get(0).frame());
+        MemberMessage.Notification first =
+                (MemberMessage.Notification) MemberMessage.decode(told.get(0).frame());
         assertEquals("leases", first.machine());
         assertEquals(news.get(0).index(), first.index());
-        assertEquals(second, first.event().to());
+        assertEquals(second, first.event().recipient());
         assertArrayEquals(news.get(0).event().body(), first.event().body());
-        state.apply(++index, new ReplicatedEntry.Close(second).encode());
-        assertEquals(List.of(), room.tell(List.of(news(second, 5)), true, 0));
+        state.apply(++index, new ReplicatedEntry.CloseSession(second).encode());
+        assertEquals(List.of(), room.publish(List.of(news(second, 5)), true, 0));
     }
 
     @Test
@@ -71,28 +72,34 @@
         Set<Integer> heard = new HashSet<>();
         for (int i = 0; i < 2_000; i++) {
             asked += 19;
-            for (StatePublisher.Telling each :
-                    room.tell(List.of(news(CommandEffects.Event.ALL, 30_000)), true, now)) {
+            for (StatePublisher.OutgoingFrame each :
+                    room.publish(
+                            List.of(news(CommandEffects.Event.ALL_MEMBERS, 30_000)), true, now)) {
                 sent += each.frame().length;
                 heard.add(each.member());
             }
             now += random.nextInt(20_000_000);
             assertTrue(
                     sent
-                            <= StatePublisher.ROOM
-                                    + (now - began) / 1000 * StatePublisher.PER_SECOND / 1_000_000
+                            <= StatePublisher.BURST_BYTES
+                                    + (now - began)
+                                            / 1000
+                                            * StatePublisher.BYTES_PER_SECOND
+                                            / 1_000_000
                                     + 1,
                     "seed " + SEED);
         }
-        assertEquals(asked, room.told() + room.dropped());
-        assertTrue(room.dropped() > 0);
+        assertEquals(asked, room.publishedFrames() + room.droppedFrames());
+        assertTrue(room.droppedFrames() > 0);
         assertEquals(19, heard.size());
         // Room that was not used does not add up.
         now += 3_600_000_000_000L;
         long after =
-                room.tell(List.of(news(CommandEffects.Event.ALL, 30_000)), true, now).stream()
+                room
+                        .publish(List.of(news(CommandEffects.Event.ALL_MEMBERS, 30_000)), true, now)
+                        .stream()
                         .mapToLong(each -> each.frame().length)
                         .sum();
-        assertTrue(after > StatePublisher.ROOM / 2 && after <= StatePublisher.ROOM);
+        assertTrue(after > StatePublisher.BURST_BYTES / 2 && after <= StatePublisher.BURST_BYTES);
     }
 }
