--- a/src/test/java/calicostream/cluster/ReplicatedTest.java
+++ b/src/test/java/calicostream/cluster/ReplicatedTest.java
@@ -28,8 +28,8 @@
         public CommandEffects apply(long index, Command command) {
             all.add(new String(command.body()));
             return command.body().length == 0
-                    ? CommandEffects.refused("heard-nothing", new byte[] {1})
-                    : CommandEffects.answer(
+                    ? CommandEffects.rejected("heard-nothing", new byte[] {1})
+                    : CommandEffects.response(
                             command.body(), new CommandEffects.Event("heard", command.body()));
         }
 
@@ -43,7 +43,7 @@
         public byte[] snapshot() {
             BinaryCodec.Writer out = new BinaryCodec.Writer().i32(all.size());
             all.forEach(out::text);
-            return out.done();
+            return out.toByteArray();
         }
 
         @Override
@@ -67,12 +67,13 @@
     }
 
     private CommandOutcome run(long session, long sequence, long acked, String body) {
-        return apply(new ReplicatedEntry.Run(session, sequence, acked, "heard", body.getBytes()));
+        return apply(
+                new ReplicatedEntry.RunCommand(session, sequence, acked, "heard", body.getBytes()));
     }
 
     private long open() {
         return new BinaryCodec.Reader(
-                        "session", apply(new ReplicatedEntry.Open(7, 1, 1000)).answer())
+                        "session", apply(new ReplicatedEntry.OpenSession(7, 1, 1000)).response())
                 .i64();
     }
 
@@ -88,37 +89,37 @@
         assertInstanceOf(ClusterException.OutOfOrder.class, run(session, 1, 0, "a").error());
         assertInstanceOf(ClusterException.OutOfOrder.class, run(session, 4, 2, "d").error());
         assertInstanceOf(ClusterException.OutOfOrder.class, run(session, 3, 3, "c").error());
-        for (int sequence = 3; sequence < 3 + SessionTable.WINDOW - 1; sequence++) {
-            assertTrue(run(session, sequence, 1, "x").accepted());
+        for (int sequence = 3; sequence < 3 + SessionTable.MAX_KEPT_OUTCOMES - 1; sequence++) {
+            assertTrue(run(session, sequence, 1, "x").isAccepted());
         }
         assertInstanceOf(
                 ClusterException.TooManyOpen.class,
-                run(session, 2 + SessionTable.WINDOW, 1, "x").error());
-        assertTrue(run(session, 2 + SessionTable.WINDOW, 2, "x").accepted());
+                run(session, 2 + SessionTable.MAX_KEPT_OUTCOMES, 1, "x").error());
+        assertTrue(run(session, 2 + SessionTable.MAX_KEPT_OUTCOMES, 2, "x").isAccepted());
     }
 
     @Test
     void aGenerationThatWasRemovedIsNeverAddedAgain() {
-        assertTrue(apply(new ReplicatedEntry.AddVoter(4, 0)).accepted());
-        assertTrue(apply(new ReplicatedEntry.AddVoter(4, 0)).accepted(), "a retry");
-        assertTrue(apply(new ReplicatedEntry.RemoveVoter(4, 0)).accepted());
+        assertTrue(apply(new ReplicatedEntry.AddVoter(4, 0)).isAccepted());
+        assertTrue(apply(new ReplicatedEntry.AddVoter(4, 0)).isAccepted(), "a retry");
+        assertTrue(apply(new ReplicatedEntry.RemoveVoter(4, 0)).isAccepted());
         assertInstanceOf(
                 ClusterException.GenerationOver.class,
                 apply(new ReplicatedEntry.AddVoter(4, 0)).error());
         assertEquals(1, state.nextGeneration(4));
-        assertTrue(apply(new ReplicatedEntry.AddVoter(4, 3)).accepted());
+        assertTrue(apply(new ReplicatedEntry.AddVoter(4, 3)).isAccepted());
         assertInstanceOf(
                 ClusterException.GenerationOver.class,
                 apply(new ReplicatedEntry.AddVoter(4, 2)).error(),
                 "older than one that was added");
         assertTrue(
-                apply(new ReplicatedEntry.RemoveVoter(5, 0)).accepted(),
+                apply(new ReplicatedEntry.RemoveVoter(5, 0)).isAccepted(),
                 "one of the first voters, which nobody added");
         ReplicatedState copy = new ReplicatedState(Map.of("heard", new Heard()));
         copy.restore(state.snapshot());
         assertArrayEquals(state.snapshot(), copy.snapshot());
-        assertFalse(copy.mayAdd(5, 0) || copy.mayAdd(4, 0));
-        assertTrue(copy.mayAdd(5, 1) && copy.mayAdd(4, 3) && copy.mayAdd(6, 0));
+        assertFalse(copy.mayAddVoter(5, 0) || copy.mayAddVoter(4, 0));
+        assertTrue(copy.mayAddVoter(5, 1) && copy.mayAddVoter(4, 3) && copy.mayAddVoter(6, 0));
         assertEquals(4, copy.nextGeneration(4));
     }
 
@@ -126,65 +127,66 @@
     void theSameNonceOpensTheSameSession() {
         long session = open();
         assertEquals(session, open());
-        assertTrue(apply(new ReplicatedEntry.Close(session)).accepted());
+        assertTrue(apply(new ReplicatedEntry.CloseSession(session)).isAccepted());
         assertFalse(state.isAlive(session));
         assertTrue(open() > session);
-        for (int nonce = 2; nonce <= SessionTable.MAX_OF_MEMBER; nonce++) {
-            assertTrue(apply(new ReplicatedEntry.Open(7, nonce, 1000)).accepted());
+        for (int nonce = 2; nonce <= SessionTable.MAX_SESSIONS_PER_MEMBER; nonce++) {
+            assertTrue(apply(new ReplicatedEntry.OpenSession(7, nonce, 1000)).isAccepted());
         }
         assertInstanceOf(
                 ClusterException.TooManySessions.class,
-                apply(new ReplicatedEntry.Open(7, 99, 1000)).error());
+                apply(new ReplicatedEntry.OpenSession(7, 99, 1000)).error());
         assertInstanceOf(
-                ClusterException.BadTtl.class, apply(new ReplicatedEntry.Open(8, 1, 0)).error());
+                ClusterException.BadTtl.class,
+                apply(new ReplicatedEntry.OpenSession(8, 1, 0)).error());
     }
 
     @Test
     void anExpiryCountsOnlyInItsEraAndForTheLastSignOfLife() {
-        apply(new ReplicatedEntry.Era(1, 11));
+        apply(new ReplicatedEntry.EpochStart(1, 11));
         long session = open();
-        long era = state.era();
-        assertTrue(apply(new ReplicatedEntry.Keep(session)).accepted());
-        apply(new ReplicatedEntry.Expire(era, session, session));
+        long era = state.epoch();
+        assertTrue(apply(new ReplicatedEntry.KeepAlive(session)).isAccepted());
+        apply(new ReplicatedEntry.ExpireSession(era, session, session));
         assertTrue(state.isAlive(session), "heard since");
         long renewed = index - 1;
-        apply(new ReplicatedEntry.Era(2, 12));
-        apply(new ReplicatedEntry.Expire(era, session, renewed));
+        apply(new ReplicatedEntry.EpochStart(2, 12));
+        apply(new ReplicatedEntry.ExpireSession(era, session, renewed));
         assertTrue(state.isAlive(session), "counted by a former leader");
         assertEquals(
                 ClusterException.OldEra.CODE,
-                apply(new ReplicatedEntry.Timed(era, "heard", new byte[1])).code());
-        apply(new ReplicatedEntry.Expire(state.era(), session, renewed));
+                apply(new ReplicatedEntry.LeaderCommand(era, "heard", new byte[1])).code());
+        apply(new ReplicatedEntry.ExpireSession(state.epoch(), session, renewed));
         assertFalse(state.isAlive(session));
         assertInstanceOf(ClusterException.SessionOver.class, run(session, 1, 0, "late").error());
         assertInstanceOf(
                 ClusterException.SessionOver.class,
-                apply(new ReplicatedEntry.Keep(session)).error());
+                apply(new ReplicatedEntry.KeepAlive(session)).error());
         assertEquals(List.of("ended " + session), heard.all);
-        assertEquals("session-expired", state.takeNews().get(0).event().kind());
+        assertEquals("session-expired", state.drainStateChanges().get(0).event().kind());
     }
 
     @Test
     void theKeeperCountsFromTheLastSignOfLifeAndNotItsOwnSilence() {
-        apply(new ReplicatedEntry.Era(1, 11));
+        apply(new ReplicatedEntry.EpochStart(1, 11));
         long session = open();
         SessionExpiryMonitor keeper = new SessionExpiryMonitor(state, 50_000_000);
         long now = -100;
         for (long end = now + 800_000_000; now < end; now += 50_000_000) {
-            assertEquals(List.of(), keeper.due(now));
+            assertEquals(List.of(), keeper.expiredSessions(now));
         }
         // Stopped for a minute, in which nobody could be heard.
         now += 60_000_000_000L;
-        assertEquals(List.of(), keeper.due(now));
+        assertEquals(List.of(), keeper.expiredSessions(now));
         now += 90_000_000;
-        assertEquals(List.of(), keeper.due(now));
+        assertEquals(List.of(), keeper.expiredSessions(now));
         now += 90_000_000;
-        ReplicatedEntry.Expire expire = keeper.due(now).get(0);
-        assertEquals(new ReplicatedEntry.Expire(state.era(), session, session), expire);
-        apply(new ReplicatedEntry.Keep(session));
-        assertEquals(List.of(), keeper.due(now));
-        apply(new ReplicatedEntry.Era(2, 12));
-        assertEquals(List.of(), keeper.due(now + 1_100_000_000L));
+        ReplicatedEntry.ExpireSession expire = keeper.expiredSessions(now).get(0);
+        assertEquals(new ReplicatedEntry.ExpireSession(state.epoch(), session, session), expire);
+        apply(new ReplicatedEntry.KeepAlive(session));
+        assertEquals(List.of(), keeper.expiredSessions(now));
+        apply(new ReplicatedEntry.EpochStart(2, 12));
+        assertEquals(List.of(), keeper.expiredSessions(now + 1_100_000_000L));
     }
 
     @Test
@@ -199,12 +201,12 @@
             byte[] entry =
                     (switch (random.nextInt(4)) {
                                 case 0 ->
-                                        new ReplicatedEntry.Open(
+                                        new ReplicatedEntry.OpenSession(
                                                 random.nextInt(3), random.nextInt(5), 1000);
-                                case 1 -> new ReplicatedEntry.Keep(random.nextInt(20));
-                                case 2 -> new ReplicatedEntry.Close(2 + random.nextInt(100));
+                                case 1 -> new ReplicatedEntry.KeepAlive(random.nextInt(20));
+                                case 2 -> new ReplicatedEntry.CloseSession(2 + random.nextInt(100));
                                 default ->
-                                        new ReplicatedEntry.Run(
+                                        new ReplicatedEntry.RunCommand(
                                                 session,
                                                 i,
                                                 Math.max(0, i - 5),
@@ -213,7 +215,7 @@
                             })
                             .encode();
             index++;
-            if (copy.applied() < index - 1) {
+            if (copy.appliedIndex() < index - 1) {
                 copy.restore(state.snapshot());
             }
             assertEquals(state.apply(index, entry).kind(), copy.apply(index, entry).kind());
@@ -229,8 +231,10 @@
         List<byte[]> right =
                 List.of(
                         state.snapshot(),
-                        new ReplicatedEntry.Run(session, 2, 1, "heard", new byte[9]).encode(),
-                        new MemberMessage.Request(5, MemberMessage.Ask.READ, "heard", new byte[3])
+                        new ReplicatedEntry.RunCommand(session, 2, 1, "heard", new byte[9])
+                                .encode(),
+                        new MemberMessage.Request(
+                                        5, MemberMessage.Operation.READ, "heard", new byte[3])
                                 .encode(),
                         new MemberMessage.Reply(
                                         5,
@@ -238,7 +242,7 @@
                                         CommandOutcome.failed(
                                                 3, ClusterException.QueueFull.CODE, 1, 2, 3))
                                 .encode(),
-                        new MemberMessage.News(
+                        new MemberMessage.Notification(
                                         "heard",
                                         3,
                                         new CommandEffects.Event("heard", new byte[3], 2))
@@ -269,7 +273,7 @@
         long session = open();
         assertThrows(
                 ClusterException.UnknownMachine.class,
-                () -> apply(new ReplicatedEntry.Run(session, 1, 0, "absent", new byte[0])));
+                () -> apply(new ReplicatedEntry.RunCommand(session, 1, 0, "absent", new byte[0])));
         assertThrows(ClusterException.Malformed.class, () -> state.apply(++index, new byte[] {9}));
     }
 }
--- a/src/test/java/calicostream/cluster/SnapshotFormatTest.java
+++ b/src/test/java/calicostream/cluster/SnapshotFormatTest.java
@@ -21,7 +21,7 @@
         @Override
         public CommandEffects apply(long index, Command command) {
             text += new String(command.body());
-            return CommandEffects.answer(text.getBytes());
+            return CommandEffects.response(text.getBytes());
         }
 
         @Override
@@ -37,12 +37,12 @@
 
     private static ReplicatedState written() {
         ReplicatedState state = new ReplicatedState(Map.of("text", new Text()));
-        state.apply(1, new ReplicatedEntry.Era(2, 77).encode());
-        state.apply(3, new ReplicatedEntry.Open(1, 5, 1500).encode());
-        state.apply(4, new ReplicatedEntry.Run(3, 1, 0, "text", "a".getBytes()).encode());
-        state.apply(6, new ReplicatedEntry.Open(4, 9, 2000).encode());
-        state.apply(7, new ReplicatedEntry.Run(3, 2, 1, "text", "b".getBytes()).encode());
-        state.apply(8, new ReplicatedEntry.Keep(6).encode());
+        state.apply(1, new ReplicatedEntry.EpochStart(2, 77).encode());
+        state.apply(3, new ReplicatedEntry.OpenSession(1, 5, 1500).encode());
+        state.apply(4, new ReplicatedEntry.RunCommand(3, 1, 0, "text", "a".getBytes()).encode());
+        state.apply(6, new ReplicatedEntry.OpenSession(4, 9, 2000).encode());
+        state.apply(7, new ReplicatedEntry.RunCommand(3, 2, 1, "text", "b".getBytes()).encode());
+        state.apply(8, new ReplicatedEntry.KeepAlive(6).encode());
         state.apply(9, new ReplicatedEntry.AddVoter(4, 2).encode());
         state.apply(10, new ReplicatedEntry.RemoveVoter(3, 0).encode());
         return state;
@@ -56,30 +56,31 @@
     private static ReplicatedState read(String name) throws Exception {
         ReplicatedState state = new ReplicatedState(Map.of("text", new Text()));
         state.restore(Files.readAllBytes(GOLDEN.resolve(name)));
-        assertEquals(1, state.era());
-        assertEquals(new ReplicatedEntry.Era(2, 77), state.leader());
+        assertEquals(1, state.epoch());
+        assertEquals(new ReplicatedEntry.EpochStart(2, 77), state.epochStart());
         assertTrue(state.isAlive(3) && state.isAlive(6));
         assertEquals(
                 "ab",
                 new String(
                         state.apply(
                                         11,
-                                        new ReplicatedEntry.Run(3, 2, 1, "text", "b".getBytes())
+                                        new ReplicatedEntry.RunCommand(
+                                                        3, 2, 1, "text", "b".getBytes())
                                                 .encode())
-                                .answer()),
+                                .response()),
                 "a retry");
         return state;
     }
 
     @Test
     void theFirstVersionIsReadAndKnowsNoGenerations() throws Exception {
-        assertTrue(read("replicated-v1.snapshot").mayAdd(3, 0));
+        assertTrue(read("replicated-v1.snapshot").mayAddVoter(3, 0));
     }
 
     @Test
     void thePresentVersionIsWhatIsWritten() throws Exception {
         ReplicatedState state = read("replicated-v2.snapshot");
-        assertFalse(state.mayAdd(3, 0) || state.mayAdd(4, 1));
+        assertFalse(state.mayAddVoter(3, 0) || state.mayAddVoter(4, 1));
         assertArrayEquals(
                 Files.readAllBytes(GOLDEN.resolve("replicated-v2.snapshot")), written().snapshot());
     }
--- a/src/test/java/calicostream/cluster/config/BudgetConfigTest.java
+++ b/src/test/java/calicostream/cluster/config/BudgetConfigTest.java
@@ -53,10 +53,10 @@
         assertEquals(1, told.settings().tenants().get(1).weight());
         assertEquals(5_000_000_000L, told.settings().ttlNanos());
         assertEquals(500, told.settings().driftPpm());
-        assertEquals(Optional.of("core"), told.pool(0));
-        assertEquals(Optional.of("scatter"), told.pool(7));
-        assertEquals(16, told.engines().get("scatter").cap());
-        assertEquals(Duration.ofMillis(300), told.patience());
+        assertEquals(Optional.of("core"), told.poolOfEngineKind(0));
+        assertEquals(Optional.of("scatter"), told.poolOfEngineKind(7));
+        assertEquals(16, told.enginePools().get("scatter").engineCap());
+        assertEquals(Duration.ofMillis(300), told.maxQueueDelay());
         int east = 0;
         int others = 1;
         InetAddress inside = InetAddress.getByName("10.1.255.3");
--- a/src/test/java/calicostream/cluster/config/ClusterConfigTest.java
+++ b/src/test/java/calicostream/cluster/config/ClusterConfigTest.java
@@ -57,19 +57,19 @@
         String least = pattern().substring(0, pattern().indexOf("[raft]"));
         assertEquals(told, read(least));
         assertEquals(
-                new ClusterConfig.Raft(
+                new ClusterConfig.RaftConfig(
                         Duration.ofMillis(250), 4, Duration.ofSeconds(1), 1024, 10_000),
                 told.raft());
         assertEquals(
-                new ClusterConfig.Session(Duration.ofSeconds(10), Duration.ofSeconds(1), 256),
+                new ClusterConfig.SessionConfig(Duration.ofSeconds(10), Duration.ofSeconds(1), 256),
                 told.session());
-        assertEquals(new ClusterConfig.Disk(4 << 20, Duration.ofMillis(500)), told.disk());
+        assertEquals(new ClusterConfig.DiskConfig(4 << 20, Duration.ofMillis(500)), told.disk());
         assertEquals(500, told.driftPpm());
         assertEquals(Duration.ofSeconds(5), told.leaseTtl());
         assertEquals(
                 List.of(1, 2, 3),
-                told.voters().stream().map(ClusterConfig.Member::number).toList());
-        assertTrue(told.isVoter());
+                told.voters().stream().map(ClusterConfig.MemberAddress::number).toList());
+        assertTrue(told.isInitialVoter());
         assertEquals(7501, told.self().address().getPort());
     }
 
@@ -84,9 +84,9 @@
                                                 + "number = 7\n"
                                                 + "listen = \"127.0.0.1:7507\"\n"
                                                 + "data = \"seven\""));
-        assertFalse(told.isVoter());
+        assertFalse(told.isInitialVoter());
         assertEquals(7, told.self().number());
-        assertEquals(folder.resolve("seven"), told.data());
+        assertEquals(folder.resolve("seven"), told.dataFolder());
     }
 
     private static final String MORE =
@@ -106,11 +106,11 @@
         ClusterConfig told = read(pattern() + MORE);
         assertEquals(
                 Map.of(2, 7602, 3, 7503, 4, 7604),
-                told.peers().entrySet().stream()
+                told.peerAddresses().entrySet().stream()
                         .collect(
                                 Collectors.toMap(
                                         Map.Entry::getKey, each -> each.getValue().getPort())));
-        assertEquals(told.data(), told.marks());
+        assertEquals(told.dataFolder(), told.markersFolder());
         String fourth =
                 pattern()
                         .replaceFirst(
@@ -118,12 +118,12 @@
                                 "name = \"m4\"\ngeneration = 2\nmarks = \"other\"");
         ClusterConfig four = read(fourth + MORE.substring(0, MORE.lastIndexOf("[[links]]")));
         assertEquals(
-                new ClusterConfig.Member("m4", 4, new InetSocketAddress("127.0.0.1", 7504)),
+                new ClusterConfig.MemberAddress("m4", 4, new InetSocketAddress("127.0.0.1", 7504)),
                 four.self());
-        assertFalse(four.isVoter());
+        assertFalse(four.isInitialVoter());
         assertEquals(2, four.generation());
-        assertEquals(folder.resolve("other"), four.marks());
-        assertEquals(Set.of(1, 2, 3), four.peers().keySet());
+        assertEquals(folder.resolve("other"), four.markersFolder());
+        assertEquals(Set.of(1, 2, 3), four.peerAddresses().keySet());
     }
 
     @ParameterizedTest
@@ -297,7 +297,8 @@
                                 () -> teams.section("west").count("weight", null, 1, 100))
                         .key());
         assertEquals(1, teams.section("west").count("weight", 1, 1, 100));
-        ClusterConfigException left = assertThrows(ClusterConfigException.class, file::done);
+        ClusterConfigException left =
+                assertThrows(ClusterConfigException.class, file::requireAllKeysKnown);
         assertEquals("teams.west.wieght", left.key());
         assertEquals(
                 (int)
--- a/src/test/java/calicostream/cluster/process/DecisionsTest.java
+++ b/src/test/java/calicostream/cluster/process/DecisionsTest.java
@@ -62,7 +62,7 @@
                 0,
                 new LogStatus(disk, 0, trouble, 1, false, 0, 0, 0, 0, 0),
                 0,
-                new TcpTransport.Figures(0, 0, 0, 0, 0),
+                new TcpTransport.Metrics(0, 0, 0, 0, 0),
                 "",
                 Map.of());
     }
--- a/src/test/java/calicostream/cluster/raft/CodecTest.java
+++ b/src/test/java/calicostream/cluster/raft/CodecTest.java
@@ -75,7 +75,7 @@
                         .createLogEntryBuilder()
                         .setIndex(3)
                         .setTerm(1)
-                        .setOperation(new ReplicatedEntry.Keep(4).encode())
+                        .setOperation(new ReplicatedEntry.KeepAlive(4).encode())
                         .build();
         return List.of(
                 RaftMessageCodec.MODEL
@@ -271,7 +271,7 @@
         private long nanos;
 
         @Override
-        public long nanos() {
+        public long nanoTime() {
             return nanos;
         }
 
@@ -310,7 +310,7 @@
                 new TreeMap<>(
                         Map.of(
                                 "self",
-                                self.u8(1).done(),
+                                self.u8(1).toByteArray(),
                                 "first-voters",
                                 RaftMessageCodec.view(first)));
         RecoveredState found =
@@ -336,7 +336,8 @@
                         new VoterNode.Settings(ONE, List.of(ONE, TWO, THREE), 50, 5, 200, 8, 100),
                         steps,
                         (to, frame) -> {
-                            if (MemberMessage.decode(frame) instanceof MemberMessage.Raft raft) {
+                            if (MemberMessage.decode(frame)
+                                    instanceof MemberMessage.RaftMessage raft) {
                                 asked.add(RaftMessageCodec.message(raft.message()));
                             }
                         },
@@ -363,7 +364,7 @@
                         .createLogEntryBuilder()
                         .setIndex(1)
                         .setTerm(1)
-                        .setOperation(new ReplicatedEntry.Keep(4).encode())
+                        .setOperation(new ReplicatedEntry.KeepAlive(4).encode())
                         .build();
         assertTrue(!asked(List.of(before)).isEmpty());
         assertEquals(List.of(), asked(List.of(before, change(2, ONE, TWO, THREE))));
--- a/src/test/java/calicostream/cluster/raft/LeaderSilenceTest.java
+++ b/src/test/java/calicostream/cluster/raft/LeaderSilenceTest.java
@@ -44,7 +44,7 @@
         private long order;
 
         @Override
-        public long nanos() {
+        public long nanoTime() {
             return now;
         }
 
@@ -88,7 +88,8 @@
                                 100),
                         hand,
                         (to, frame) -> {
-                            if (MemberMessage.decode(frame) instanceof MemberMessage.Raft raft) {
+                            if (MemberMessage.decode(frame)
+                                    instanceof MemberMessage.RaftMessage raft) {
                                 sent.add(RaftMessageCodec.message(raft.message()));
                             }
                         },
@@ -106,9 +107,10 @@
     }
 
     private void receive(RaftMessage message, int generation) {
-        voter.received(
+        voter.onFrame(
                 LEADER.member(),
-                new MemberMessage.Raft(generation, RaftMessageCodec.message(message)).encode());
+                new MemberMessage.RaftMessage(generation, RaftMessageCodec.message(message))
+                        .encode());
         hand.pass(0);
     }
 
--- a/src/test/java/calicostream/cluster/tcp/TcpClusterTest.java
+++ b/src/test/java/calicostream/cluster/tcp/TcpClusterTest.java
@@ -55,7 +55,7 @@
         @Override
         public CommandEffects apply(long index, Command command) {
             sum += command.body()[0];
-            return CommandEffects.answer(snapshot());
+            return CommandEffects.response(snapshot());
         }
 
         @Override
@@ -135,20 +135,20 @@
 
         private void received(int from, byte[] bytes) {
             if (MemberMessage.decode(bytes) instanceof MemberMessage.Reply reply) {
-                member.received(from, reply, reactor.nanos());
+                member.received(from, reply, reactor.nanoTime());
             }
-            voter.received(from, bytes);
+            voter.onFrame(from, bytes);
         }
 
         private void tick() {
-            member.tick(reactor.nanos()).forEach(send -> links.send(send.voter(), send.frame()));
+            member.tick(reactor.nanoTime()).forEach(send -> links.send(send.voter(), send.frame()));
             reactor.schedule(this::tick, 10_000_000);
         }
 
         CommandOutcome add(int number)
                 throws InterruptedException, ExecutionException, TimeoutException {
             CompletableFuture<CommandOutcome> done = new CompletableFuture<>();
-            loop.post(() -> member.run("sum", new byte[] {(byte) number}, done::complete));
+            loop.post(() -> member.submit("sum", new byte[] {(byte) number}, done::complete));
             return done.get(30, TimeUnit.SECONDS);
         }
 
@@ -182,7 +182,7 @@
                 InetSocketAddress at =
                         new InetSocketAddress(
                                 InetAddress.getLoopbackAddress(), nodes.get(id - 1).links.port());
-                a.loop.post(() -> a.links.peer(peer, at));
+                a.loop.post(() -> a.links.setPeerAddress(peer, at));
             }
         }
         nodes.forEach(Node::start);
@@ -201,14 +201,14 @@
             nodes.add(new Node(id, folder));
         }
         connect();
-        assertEquals(1, nodes.get(0).add(1).answer()[0]);
-        assertEquals(3, nodes.get(1).add(2).answer()[0]);
+        assertEquals(1, nodes.get(0).add(1).response()[0]);
+        assertEquals(3, nodes.get(1).add(2).response()[0]);
         int leader = 0;
         while (!nodes.get(leader).leads()) {
             leader = (leader + 1) % 3;
         }
         nodes.get(leader).stop();
-        assertEquals(7, nodes.get((leader + 1) % 3).add(4).answer()[0]);
+        assertEquals(7, nodes.get((leader + 1) % 3).add(4).response()[0]);
         for (int i = 0; i < 3; i++) {
             if (i != leader) {
                 nodes.get(i).stop();
@@ -219,7 +219,7 @@
             nodes.add(new Node(id, folder));
         }
         connect();
-        assertEquals(15, nodes.get(2).add(8).answer()[0]);
+        assertEquals(15, nodes.get(2).add(8).response()[0]);
     }
 
     @Test
@@ -241,7 +241,7 @@
         ends(at, TcpFrame.greeting("other".getBytes(), 2, 1));
         ends(at, TcpFrame.greeting("test".getBytes(), 2, 3));
         ends(at, "GET / HTTP/1.1\r\n\r\n".getBytes());
-        assertTrue(nodes.get(0).add(1).accepted());
+        assertTrue(nodes.get(0).add(1).isAccepted());
     }
 
     private static void ends(InetSocketAddress at, byte[]... said) throws IOException {
--- a/src/test/java/calicostream/lease/LeaseMachineTest.java
+++ b/src/test/java/calicostream/lease/LeaseMachineTest.java
@@ -34,13 +34,13 @@
 
     private LeaseAnswer ask(long session, LeaseCommand command) {
         CommandEffects effects = say(session, command);
-        assertTrue(effects.accepted(), () -> refusal(effects).facts());
-        return LeaseAnswer.decode(effects.answer());
+        assertTrue(effects.isAccepted(), () -> refusal(effects).facts());
+        return LeaseAnswer.decode(effects.response());
     }
 
     private static LeaseRejection refusal(CommandEffects effects) {
-        assertFalse(effects.accepted());
-        return LeaseRejection.decode(effects.refusal(), effects.answer());
+        assertFalse(effects.isAccepted());
+        return LeaseRejection.decode(effects.rejectionCode(), effects.response());
     }
 
     private LeaseAnswer acquire(long session) {
@@ -204,7 +204,7 @@
         for (int cut = 0; cut < good.length; cut++) {
             CommandEffects effects =
                     machine.apply(++index, new Command(7, index, 0, Arrays.copyOf(good, cut)));
-            assertEquals("cluster-malformed", effects.refusal());
+            assertEquals("cluster-malformed", effects.rejectionCode());
         }
         assertArrayEquals(before, machine.snapshot());
     }
