--- a/src/main/java/calicostream/Main.java
+++ b/src/main/java/calicostream/Main.java
@@ -50,25 +50,25 @@
         System.setProperty("slf4j.provider", "org.slf4j.simple.SimpleServiceProvider");
         System.setProperty("slf4j.internal.verbosity", "WARN");
         try {
-            ReloadSignal hangup = ReloadSignal.taken();
+            ReloadSignal hangup = ReloadSignal.install();
             String path = System.getenv("NODE_CONFIG");
             if (path == null) {
                 throw new SettingsException("bad configuration: NODE_CONFIG is not set");
             }
             Path file = Path.of(path);
             ConfigFileWatcher watch =
-                    hangup.isDeaf()
+                    hangup.isIgnored()
                             ? new ConfigFileWatcher(file)
                             : null; // Before the file is read.
             Path deploy = Path.of(System.getProperty("calicostream.deploy", "deploy"));
             FrontEndServer node =
-                    ServerAssembly.node(
+                    ServerAssembly.assemble(
                             FrontEndConfig.read(file),
                             deploy,
                             named("TMPDIR"),
                             named("NODE_CLUSTER")); // TMPDIR: where processes of this front end
             // find each other
-            hangup.tell(() -> node.reload(file));
+            hangup.setHandler(() -> node.reload(file));
             if (watch != null) {
                 node.follow(watch);
             }
--- a/src/main/java/calicostream/adapter/WireException.java
+++ b/src/main/java/calicostream/adapter/MalformedFrameException.java
@@ -2,10 +2,10 @@
 package calicostream.adapter;
 
 /** Input that is not the wire; its message is shown to the operator as it is. */
-final class WireException extends RuntimeException {
+final class MalformedFrameException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    WireException(String message) {
+    MalformedFrameException(String message) {
         super(message);
     }
 }
--- a/src/main/java/calicostream/adapter/RouterInstance.java
+++ b/src/main/java/calicostream/adapter/RouterInstance.java
@@ -11,16 +11,16 @@
 final class RouterInstance implements RouterActions {
     final QueryRouter router;
     final List<String> columns;
-    final boolean tellsCost;
+    final boolean reportsCost;
     private final long number;
-    private final SimulatorFrame.Reply reply;
+    private final SimulatorFrame.ActionReply reply;
     private boolean failed;
 
-    RouterInstance(long number, SettingsParser parser, SimulatorFrame.Reply reply) {
+    RouterInstance(long number, SettingsParser parser, SimulatorFrame.ActionReply reply) {
         this.number = number;
         this.reply = reply;
         columns = parser.columns();
-        tellsCost = parser.tellsCost();
+        reportsCost = parser.tellsCost();
         router = new AffinityRouter(parser.settings(), this);
     }
 
--- a/src/main/java/calicostream/adapter/SimulatorAdapter.java
+++ b/src/main/java/calicostream/adapter/SimulatorAdapter.java
@@ -28,7 +28,7 @@
     private static final double MEMORY_UNIT_MB = 4;
     private final Map<Long, RouterInstance> instances = new HashMap<>();
     private final Map<Integer, List<EngineEndpoint>> lists = new HashMap<>();
-    private final SimulatorFrame.Reply reply = new SimulatorFrame.Reply();
+    private final SimulatorFrame.ActionReply reply = new SimulatorFrame.ActionReply();
 
     /** Serves until the input ends; the exit code. */
     public static int run(InputStream input, OutputStream output, PrintStream errors)
@@ -37,7 +37,7 @@
         OutputStream out = new BufferedOutputStream(output, BUFFER);
         SimulatorAdapter adapter = new SimulatorAdapter();
         try {
-            for (SimulatorFrame.Batch batch = SimulatorFrame.read(in);
+            for (SimulatorFrame.EventBatch batch = SimulatorFrame.read(in);
                     batch != null;
                     batch = SimulatorFrame.read(in)) {
                 for (long i = 0; i < batch.records; i++) {
@@ -47,20 +47,20 @@
                 adapter.reply.send(out);
             }
             return 0;
-        } catch (WireException | SettingsException e) {
+        } catch (MalformedFrameException | SettingsException e) {
             errors.println("calicostream: " + e.getMessage());
             return 1;
         }
     }
 
-    private void event(SimulatorFrame.Batch in) {
+    private void event(SimulatorFrame.EventBatch in) {
         int code = in.u16();
         if (code == RecordCodes.MANIFEST) {
             manifest(in);
             return;
         }
         if (!RecordCodes.EVENTS.contains(code)) {
-            throw new WireException("unknown event " + code);
+            throw new MalformedFrameException("unknown event " + code);
         }
         long number = in.u32();
         if (code == RecordCodes.UP) {
@@ -77,14 +77,14 @@
             return;
         }
         if (to == null) {
-            throw new WireException(
+            throw new MalformedFrameException(
                     "event " + code + " for instance " + number + ", which is not up");
         }
         Runnable call = decode(code, in, to);
         to.guard(call);
     }
 
-    private Runnable decode(int code, SimulatorFrame.Batch in, RouterInstance to) {
+    private Runnable decode(int code, SimulatorFrame.EventBatch in, RouterInstance to) {
         long now = in.clock;
         switch (code) {
             case RecordCodes.BACKENDS_CHANGED:
@@ -143,7 +143,7 @@
         }
     }
 
-    private void manifest(SimulatorFrame.Batch in) {
+    private void manifest(SimulatorFrame.EventBatch in) {
         int number = in.u16();
         long count = in.u32();
         List<EngineEndpoint> entries = new ArrayList<>();
@@ -159,23 +159,23 @@
         lists.put(number, List.copyOf(entries));
     }
 
-    private Runnable roster(SimulatorFrame.Batch in, RouterInstance to) {
+    private Runnable roster(SimulatorFrame.EventBatch in, RouterInstance to) {
         in.u64();
         int number = in.u16();
         int form = in.u8();
         if (form >= EndpointUpdate.values().length) {
-            throw new WireException("unknown form of list " + form);
+            throw new MalformedFrameException("unknown form of list " + form);
         }
         EndpointUpdate kind = EndpointUpdate.values()[form];
         List<EngineEndpoint> entries =
                 kind == EndpointUpdate.FAILED ? List.of() : lists.get(number);
         if (entries == null) {
-            throw new WireException("list " + number + " was never sent");
+            throw new MalformedFrameException("list " + number + " was never sent");
         }
         return () -> to.router.endpointsChanged(in.clock, kind, entries);
     }
 
-    private static Runnable query(SimulatorFrame.Batch in, RouterInstance to) {
+    private static Runnable query(SimulatorFrame.EventBatch in, RouterInstance to) {
         long id = in.u32();
         int queryClass = in.u8();
         int tenant = in.u16();
@@ -201,7 +201,7 @@
                                 (bits & 2) != 0));
     }
 
-    private static Runnable result(SimulatorFrame.Batch in, RouterInstance to) {
+    private static Runnable result(SimulatorFrame.EventBatch in, RouterInstance to) {
         long id = in.u32();
         long elapsed = in.u32();
         boolean over = in.u8() != 0;
@@ -210,7 +210,7 @@
         int attempt = in.u16();
         long engine = in.engine();
         LoadReport report = report(in, to);
-        boolean told = to.tellsCost && outcome == AttemptOutcome.OK;
+        boolean told = to.reportsCost && outcome == AttemptOutcome.OK;
         double work = told ? Math.floor(note / MS_SHIFT) : 0;
         double memory = told ? note % MS_SHIFT * MEMORY_UNIT_MB : 0;
         return () ->
@@ -220,7 +220,7 @@
                                 id, attempt, engine, outcome, over, elapsed, work, memory, report));
     }
 
-    private static LoadReport report(SimulatorFrame.Batch in, RouterInstance to) {
+    private static LoadReport report(SimulatorFrame.EventBatch in, RouterInstance to) {
         int count = in.u8();
         LoadReport report = count == 0 ? null : LoadReport.EMPTY;
         for (int i = 0; i < count; i++) {
@@ -232,7 +232,7 @@
 
     private static EngineLifecycle state(int code) {
         if (code >= EngineLifecycle.values().length) {
-            throw new WireException("unknown state of an engine " + code);
+            throw new MalformedFrameException("unknown state of an engine " + code);
         }
         return EngineLifecycle.values()[code];
     }
@@ -253,7 +253,7 @@
     private static AttemptOutcome outcome(int code) {
         AttemptOutcome outcome = RecordCodes.OUTCOMES.get(code);
         if (outcome == null) {
-            throw new WireException("unknown outcome " + code);
+            throw new MalformedFrameException("unknown outcome " + code);
         }
         return outcome;
     }
--- a/src/main/java/calicostream/adapter/SimulatorFrame.java
+++ b/src/main/java/calicostream/adapter/SimulatorFrame.java
@@ -19,12 +19,12 @@
     static final int LONGEST = 1 << 30;
 
     /** One batch of events; fields are read in order. */
-    static final class Batch {
+    static final class EventBatch {
         final long records;
         final long clock;
         private final ByteBuffer body;
 
-        Batch(long records, long clock, byte[] body) {
+        EventBatch(long records, long clock, byte[] body) {
             this.records = records;
             this.clock = clock;
             this.body = ByteBuffer.wrap(body);
@@ -89,20 +89,21 @@
 
         void end() {
             if (body.hasRemaining()) {
-                throw new WireException(
+                throw new MalformedFrameException(
                         "bad frame: " + body.remaining() + " bytes follow the last record");
             }
         }
 
-        private static WireException cut() {
-            return new WireException("bad frame: a record runs past the end of its frame");
+        private static MalformedFrameException cut() {
+            return new MalformedFrameException(
+                    "bad frame: a record runs past the end of its frame");
         }
     }
 
     private SimulatorFrame() {}
 
     /** The next batch, or null at the end of input. */
-    static Batch read(DataInputStream in) throws IOException {
+    static EventBatch read(DataInputStream in) throws IOException {
         int first = in.read();
         if (first < 0) {
             return null;
@@ -113,52 +114,52 @@
             long length = in.readInt() & 0xffffffffL;
             long clock = in.readLong();
             if (length < BATCH_HEADER || length > LONGEST) {
-                throw new WireException("bad frame: a length of " + length + " bytes");
+                throw new MalformedFrameException("bad frame: a length of " + length + " bytes");
             }
             byte[] body = new byte[(int) length - BATCH_HEADER];
             in.readFully(body);
-            return new Batch(records, clock, body);
+            return new EventBatch(records, clock, body);
         } catch (EOFException e) {
-            throw new WireException("bad frame: input ended inside a frame");
+            throw new MalformedFrameException("bad frame: input ended inside a frame");
         }
     }
 
     /** Collects the actions of one reply. */
-    static final class Reply {
+    static final class ActionReply {
         private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         private final DataOutputStream out = new DataOutputStream(bytes);
         private int records;
 
-        Reply record(int code, long instance) {
+        ActionReply record(int code, long instance) {
             records++;
             return u16(code).u32(instance);
         }
 
-        Reply u8(int value) {
+        ActionReply u8(int value) {
             return put(() -> out.writeByte(value));
         }
 
-        Reply u16(int value) {
+        ActionReply u16(int value) {
             return put(() -> out.writeShort(value));
         }
 
-        Reply u32(long value) {
+        ActionReply u32(long value) {
             return put(() -> out.writeInt((int) value));
         }
 
-        Reply u64(long value) {
+        ActionReply u64(long value) {
             return put(() -> out.writeLong(value));
         }
 
-        Reply f32(double value) {
+        ActionReply f32(double value) {
             return put(() -> out.writeFloat((float) value));
         }
 
-        Reply engine(long id) {
+        ActionReply engine(long id) {
             return u32(id >>> 16).u16((int) (id & 0xffff));
         }
 
-        Reply text(String text) {
+        ActionReply text(String text) {
             byte[] raw = text.getBytes(StandardCharsets.UTF_8);
             int length = Math.min(raw.length, 0xffff);
             return u16(length).put(() -> out.write(raw, 0, length));
@@ -174,7 +175,7 @@
             records = 0;
         }
 
-        private Reply put(Write write) {
+        private ActionReply put(Write write) {
             try {
                 write.run();
             } catch (IOException e) {
--- a/src/main/java/calicostream/admin/AdminOperations.java
+++ b/src/main/java/calicostream/admin/AdminOperations.java
@@ -7,14 +7,14 @@
     boolean isReady();
 
     /** The figures as a JSON object. */
-    String figures();
+    String metricsJson();
 
     /**
      * Leaves an engine out, or puts it back, before this returns; false where no engine has the id.
      */
-    boolean disable(String engine);
+    boolean disableEngine(String engine);
 
-    boolean enable(String engine);
+    boolean enableEngine(String engine);
 
     /**
      * What a part that is on tells of itself, as a JSON object; null where none that is on has this
@@ -26,5 +26,5 @@
      * Words to a part that is on: null where there is none that knows them, empty where it took
      * them, else why not.
      */
-    String administer(String part, String words);
+    String executeCommand(String part, String words);
 }
--- a/src/main/java/calicostream/admin/AdminServer.java
+++ b/src/main/java/calicostream/admin/AdminServer.java
@@ -3,8 +3,8 @@
 
 import calicostream.net.Connection;
 import calicostream.net.Listener;
-import calicostream.net.Loop;
-import calicostream.net.Ring;
+import calicostream.net.RingBuffer;
+import calicostream.net.SelectorLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.URLDecoder;
@@ -19,9 +19,9 @@
  * The operators' address: HTTP/1.1, one call a connection. The loop serves it before all else, so
  * that a call is answered in time however busy the front end is.
  */
-public final class AdminServer implements Listener.Taker {
+public final class AdminServer implements Listener.Acceptor {
     /** Descriptors kept for callers. */
-    public static final int MOST = 16;
+    public static final int MAX_CONNECTIONS = 16;
 
     private static final int LONGEST_HEAD = 4096;
     private static final int BOUND_OUT = 64 * 1024;
@@ -31,18 +31,18 @@
     private static final Pattern LINE = Pattern.compile("([A-Z]+) (/\\S*) HTTP/1\\.\\d");
     private static final Pattern ENGINE = Pattern.compile("/-/engines/([^/]+)/(disable|enable)");
     private static final Pattern PART = Pattern.compile("/-/([a-z]+)(?:/(.+))?");
-    private final Loop loop;
+    private final SelectorLoop loop;
     private final AdminOperations operator;
     private final Set<Caller> callers = new LinkedHashSet<>(); // the oldest first
     private Listener listener;
 
-    public AdminServer(Loop loop, AdminOperations operator) {
+    public AdminServer(SelectorLoop loop, AdminOperations operator) {
         this.loop = loop;
         this.operator = operator;
     }
 
     public void listen(InetSocketAddress at) throws IOException {
-        listener = Listener.urgent(loop, at, MOST, this);
+        listener = Listener.urgent(loop, at, MAX_CONNECTIONS, this);
     }
 
     public int port() throws IOException {
@@ -56,7 +56,7 @@
 
     /** Who has its answer goes first, then who keeps silent for longest. */
     @Override
-    public boolean spareOne() {
+    public boolean evictOne() {
         long now = loop.clock().now();
         Caller spared =
                 callers.stream()
@@ -117,7 +117,7 @@
             return notAllowed("GET");
         }
         if (path.equals("/-/metrics")) {
-            return new Reply(200, "OK", "application/json", operator.figures() + "\n", "");
+            return new Reply(200, "OK", "application/json", operator.metricsJson() + "\n", "");
         }
         return operator.isReady() ? Reply.text(200, "OK") : Reply.text(503, "Service Unavailable");
     }
@@ -137,7 +137,7 @@
         if (!method.equals("POST")) {
             return notAllowed("POST");
         }
-        String refusal = operator.administer(part.group(1), part.group(2));
+        String refusal = operator.executeCommand(part.group(1), part.group(2));
         return refusal == null
                 ? Reply.text(404, "Not Found")
                 : refusal.isEmpty()
@@ -161,7 +161,8 @@
         } catch (IllegalArgumentException e) {
             return Reply.text(400, "Bad Request");
         }
-        boolean known = how.equals("disable") ? operator.disable(id) : operator.enable(id);
+        boolean known =
+                how.equals("disable") ? operator.disableEngine(id) : operator.enableEngine(id);
         return known ? Reply.text(200, "OK") : Reply.text(404, "Not Found");
     }
 
@@ -172,7 +173,7 @@
         boolean answered;
 
         Caller(SocketChannel channel) throws IOException {
-            connection = Connection.urgent(loop, channel, this, LONGEST_HEAD, BOUND_OUT);
+            connection = Connection.ofAcceptedUrgent(loop, channel, this, LONGEST_HEAD, BOUND_OUT);
             callers.add(this);
             loop.deadlines()
                     .add(
@@ -186,7 +187,7 @@
         }
 
         private void late() {
-            if (connection.in().size() > 0) {
+            if (connection.input().size() > 0) {
                 answer(Reply.text(408, "Request Timeout"));
             } else {
                 connection.close();
@@ -195,9 +196,9 @@
 
         @Override
         public void received(Connection c) {
-            Ring in = c.in();
+            RingBuffer in = c.input();
             int lineEnd = in.indexOf((byte) '\n', 0);
-            if (answered || lineEnd < 0 && in.room() > 0) {
+            if (answered || lineEnd < 0 && in.remainingCapacity() > 0) {
                 return;
             }
             if (lineEnd >= 0 && hasEnded(in)) {
@@ -205,18 +206,18 @@
                         reply(
                                 new String(in.copy(0, lineEnd), StandardCharsets.ISO_8859_1)
                                         .stripTrailing()));
-            } else if (in.room() == 0) {
+            } else if (in.remainingCapacity() == 0) {
                 answer(Reply.text(431, "Request Header Fields Too Large"));
             }
         }
 
         /** Whether an empty line has come. */
-        private boolean hasEnded(Ring in) {
+        private boolean hasEnded(RingBuffer in) {
             for (int at = in.indexOf((byte) '\n', 0);
                     at >= 0;
                     at = in.indexOf((byte) '\n', at + 1)) {
-                int next = at + 1 < in.size() && in.at(at + 1) == '\r' ? at + 2 : at + 1;
-                if (next < in.size() && in.at(next) == '\n') {
+                int next = at + 1 < in.size() && in.get(at + 1) == '\r' ? at + 2 : at + 1;
+                if (next < in.size() && in.get(next) == '\n') {
                     return true;
                 }
             }
@@ -227,13 +228,13 @@
             answered = true;
             connection.write(reply.bytes());
             connection.flushNow();
-            connection.finish();
+            connection.closeGracefully();
         }
 
         @Override
         public void closed(Connection c) {
             callers.remove(this);
-            listener.released();
+            listener.connectionClosed();
         }
     }
 }
--- a/src/main/java/calicostream/budget/process/BudgetGate.java
+++ b/src/main/java/calicostream/budget/process/BudgetGate.java
@@ -12,7 +12,7 @@
 import calicostream.core.EngineClient;
 import calicostream.core.Gateway;
 import calicostream.core.RequestListener;
-import calicostream.net.Loop;
+import calicostream.net.SelectorLoop;
 import calicostream.routing.AttemptOutcome;
 import calicostream.routing.EngineEndpoint;
 import calicostream.routing.EngineLifecycle;
@@ -39,7 +39,7 @@
 
     private record Asked(BudgetMailbox.Ask ask, long at) {}
 
-    private final Loop loop;
+    private final SelectorLoop loop;
     private final EngineClient engines;
     private final BudgetConfig config;
     private final BudgetSettings settings;
@@ -69,7 +69,7 @@
      * @param process the member's name; @param engines what it stands before
      */
     BudgetGate(
-            Loop loop,
+            SelectorLoop loop,
             EngineClient engines,
             BudgetConfig config,
             String process,
@@ -293,7 +293,7 @@
     private void soon() {
         if (!serving && !kept.isEmpty()) {
             serving = true;
-            loop.soon(
+            loop.runBeforeSelect(
                     () -> {
                         serving = false;
                         serve();
--- a/src/main/java/calicostream/budget/process/BudgetService.java
+++ b/src/main/java/calicostream/budget/process/BudgetService.java
@@ -13,7 +13,7 @@
 import calicostream.cluster.process.ReplicatedService;
 import calicostream.core.EngineClient;
 import calicostream.lease.LeasedTask;
-import calicostream.net.Loop;
+import calicostream.net.SelectorLoop;
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
 import java.util.Optional;
@@ -54,7 +54,7 @@
     }
 
     /** What stands before the front end's engine side; once, before the member starts. */
-    public BudgetGate gate(Loop loop, EngineClient engines) {
+    public BudgetGate gate(SelectorLoop loop, EngineClient engines) {
         return new BudgetGate(loop, engines, config, process, wire);
     }
 
--- a/src/main/java/calicostream/cluster/config/SettingsFile.java
+++ b/src/main/java/calicostream/cluster/config/SettingsFile.java
@@ -2,8 +2,8 @@
 package calicostream.cluster.config;
 
 import calicostream.cluster.config.ClusterConfigException.Code;
-import calicostream.net.Address;
-import calicostream.net.BadInput;
+import calicostream.net.InvalidInputException;
+import calicostream.net.NumericSocketAddress;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.CharacterCodingException;
@@ -324,7 +324,7 @@
 
         private InetSocketAddress reachable(String key, String value) {
             try {
-                InetSocketAddress out = Address.of(value);
+                InetSocketAddress out = NumericSocketAddress.parse(value);
                 if (out.isUnresolved()
                         || out.getPort() == 0
                         || out.getAddress().isAnyLocalAddress()) {
@@ -334,7 +334,7 @@
                             "'" + value + "', others can't reach a member there");
                 }
                 return out;
-            } catch (BadInput e) {
+            } catch (InvalidInputException e) {
                 throw wrong(Code.WRONG_TYPE, key, e.getMessage());
             }
         }
--- a/src/main/java/calicostream/cluster/process/Member.java
+++ b/src/main/java/calicostream/cluster/process/Member.java
@@ -20,7 +20,7 @@
 import calicostream.core.Deadlines;
 import calicostream.durable.DurableException;
 import calicostream.durable.DurableLog;
-import calicostream.net.Loop;
+import calicostream.net.SelectorLoop;
 import java.io.IOException;
 import java.security.SecureRandom;
 import java.util.ArrayList;
@@ -55,7 +55,7 @@
     private final Voter self;
     private final List<ReplicatedService> layers;
     private final Map<String, ReplicatedService> layersByName = new TreeMap<>();
-    private final Loop loop;
+    private final SelectorLoop loop;
     private final SelectorEventLoop reactor;
     private final DurableLog log;
     private final TcpTransport links;
@@ -88,7 +88,7 @@
         this.layers = List.copyOf(layers);
         layers.forEach(layer -> layersByName.put(layer.name(), layer));
         self = new Voter(config.self().number(), config.generation());
-        loop = new Loop(new Clock(), new Deadlines());
+        loop = new SelectorLoop(new Clock(), new Deadlines());
         reactor = new SelectorEventLoop(loop);
         quorum = new QuorumMonitor(reactor.nanos());
         tickNanos =
--- a/src/main/java/calicostream/cluster/tcp/SelectorEventLoop.java
+++ b/src/main/java/calicostream/cluster/tcp/SelectorEventLoop.java
@@ -2,16 +2,16 @@
 package calicostream.cluster.tcp;
 
 import calicostream.cluster.EventLoop;
-import calicostream.net.Loop;
+import calicostream.net.SelectorLoop;
 
 /**
  * A loop as the thread and clock of a voter or member. {@link #execute} may be called by any
  * thread.
  */
 public final class SelectorEventLoop implements EventLoop {
-    private final Loop loop;
+    private final SelectorLoop loop;
 
-    public SelectorEventLoop(Loop loop) {
+    public SelectorEventLoop(SelectorLoop loop) {
         this.loop = loop;
     }
 
--- a/src/main/java/calicostream/cluster/tcp/TcpFrame.java
+++ b/src/main/java/calicostream/cluster/tcp/TcpFrame.java
@@ -2,8 +2,8 @@
 package calicostream.cluster.tcp;
 
 import calicostream.cluster.PeerTransport;
-import calicostream.net.BadInput;
-import calicostream.net.Ring;
+import calicostream.net.InvalidInputException;
+import calicostream.net.RingBuffer;
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32C;
 
@@ -38,16 +38,16 @@
     }
 
     /** Null if it is not whole yet. */
-    static Greeting greeting(byte[] cluster, Ring in) throws BadInput {
+    static Greeting greeting(byte[] cluster, RingBuffer in) throws InvalidInputException {
         if (in.size() < GREETING) {
             return null;
         }
         ByteBuffer bytes = ByteBuffer.wrap(in.copy(0, GREETING));
         if (bytes.getInt() != MAGIC) {
-            throw new BadInput("not the cluster's protocol, or another version of it");
+            throw new InvalidInputException("not the cluster's protocol, or another version of it");
         }
         if (bytes.getInt() != crc(cluster)) {
-            throw new BadInput("of another cluster");
+            throw new InvalidInputException("of another cluster");
         }
         in.skip(GREETING);
         return new Greeting(bytes.getInt(), bytes.getInt());
@@ -62,14 +62,14 @@
     }
 
     /** Null if it is not whole yet. */
-    static byte[] frame(Ring in) throws BadInput {
+    static byte[] frame(RingBuffer in) throws InvalidInputException {
         if (in.size() < HEAD) {
             return null;
         }
         ByteBuffer head = ByteBuffer.wrap(in.copy(0, HEAD));
         int length = head.getInt();
         if (length < 0 || length > PeerTransport.MAX_FRAME) {
-            throw new BadInput(
+            throw new InvalidInputException(
                     "a frame of " + length + " bytes, at most " + PeerTransport.MAX_FRAME);
         }
         if (in.size() < HEAD + length) {
@@ -77,7 +77,8 @@
         }
         byte[] bytes = in.copy(HEAD, length);
         if (crc(bytes) != head.getInt()) {
-            throw new BadInput("a frame of " + length + " bytes does not match its checksum");
+            throw new InvalidInputException(
+                    "a frame of " + length + " bytes does not match its checksum");
         }
         in.skip(HEAD + length);
         return bytes;
--- a/src/main/java/calicostream/cluster/tcp/TcpTransport.java
+++ b/src/main/java/calicostream/cluster/tcp/TcpTransport.java
@@ -3,10 +3,10 @@
 
 import calicostream.cluster.ClusterException;
 import calicostream.cluster.PeerTransport;
-import calicostream.net.BadInput;
 import calicostream.net.Connection;
+import calicostream.net.InvalidInputException;
 import calicostream.net.Listener;
-import calicostream.net.Loop;
+import calicostream.net.SelectorLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.SocketChannel;
@@ -37,7 +37,7 @@
     /** What the links have done, for figures. */
     public record Figures(long sent, long dropped, long received, long refused, int open) {}
 
-    private final Loop loop;
+    private final SelectorLoop loop;
     private final byte[] cluster;
     private final int self;
     private final Map<Integer, InetSocketAddress> peers;
@@ -56,7 +56,7 @@
      * @param at where the others find this member; port 0 for any
      */
     public TcpTransport(
-            Loop loop,
+            SelectorLoop loop,
             String cluster,
             int self,
             InetSocketAddress at,
@@ -73,17 +73,18 @@
                         loop,
                         at,
                         Math.max(LEAST_OPEN, 2 * peers.size()),
-                        new Listener.Taker() {
+                        new Listener.Acceptor() {
                             @Override
                             public void accepted(SocketChannel channel) throws IOException {
                                 In in = new In();
                                 in.connection =
-                                        Connection.accepted(loop, channel, in, ROOM, TcpFrame.HEAD);
+                                        Connection.ofAccepted(
+                                                loop, channel, in, ROOM, TcpFrame.HEAD);
                                 ins.add(in);
                             }
 
                             @Override
-                            public boolean spareOne() {
+                            public boolean evictOne() {
                                 return false;
                             }
                         });
@@ -151,7 +152,7 @@
         }
         Out out = new Out(member);
         try {
-            out.connection = Connection.to(loop, at, out, TcpFrame.HEAD, ROOM);
+            out.connection = Connection.connect(loop, at, out, TcpFrame.HEAD, ROOM);
         } catch (IOException e) {
             LOG.warn("no connection to member {}: {}", member, e.toString());
             return null;
@@ -192,9 +193,9 @@
             if (ended) {
                 return false;
             }
-            if (connection.written() != written
-                    || connection.unsent() == 0 && connection.isConnected()) {
-                written = connection.written();
+            if (connection.writtenBytes() != written
+                    || connection.unsentBytes() == 0 && connection.isConnected()) {
+                written = connection.writtenBytes();
                 movedAt = now;
             }
             return now - movedAt > STUCK_NANOS;
@@ -232,12 +233,12 @@
         public void received(Connection of) {
             try {
                 if (from == 0) {
-                    TcpFrame.Greeting greeting = TcpFrame.greeting(cluster, of.in());
+                    TcpFrame.Greeting greeting = TcpFrame.greeting(cluster, of.input());
                     if (greeting == null) {
                         return;
                     }
                     if (greeting.to() != self || greeting.from() <= 0 || greeting.from() == self) {
-                        throw new BadInput(
+                        throw new InvalidInputException(
                                 "member "
                                         + greeting.from()
                                         + " greets member "
@@ -247,12 +248,12 @@
                     }
                     from = greeting.from();
                 }
-                for (byte[] frame = TcpFrame.frame(of.in());
+                for (byte[] frame = TcpFrame.frame(of.input());
                         frame != null;
-                        frame = TcpFrame.frame(of.in())) {
+                        frame = TcpFrame.frame(of.input())) {
                     deliver(from, frame);
                 }
-            } catch (BadInput e) {
+            } catch (InvalidInputException e) {
                 refused++;
                 LOG.warn(
                         "connection of member {} ended: {}",
@@ -265,7 +266,7 @@
         @Override
         public void closed(Connection of) {
             ins.remove(this);
-            listener.released();
+            listener.connectionClosed();
         }
     }
 }
--- a/src/main/java/calicostream/config/ConfigFile.java
+++ b/src/main/java/calicostream/config/ConfigFile.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.config;
 
-import calicostream.net.BadInput;
+import calicostream.net.InvalidInputException;
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.ParseException;
@@ -17,16 +17,16 @@
 
     /** Reads a configuration out of the file's object. */
     public interface Reader<T> {
-        T read(JsonObject root) throws BadInput;
+        T read(JsonObject root) throws InvalidInputException;
     }
 
     /** Whether there is such a file and it turns its part on. */
-    public static boolean isOn(Path path) {
-        return enabled(path, root -> true) != null;
+    public static boolean isEnabled(Path path) {
+        return readIfEnabled(path, root -> true) != null;
     }
 
     /** Null where there is no such file or it leaves its part off. */
-    public static <T> T enabled(Path path, Reader<T> reader) {
+    public static <T> T readIfEnabled(Path path, Reader<T> reader) {
         if (!Files.exists(path)) {
             return null;
         }
@@ -34,7 +34,7 @@
             JsonObject root = Json.parse(Files.readString(path)).asObject();
             return root.getBoolean("enabled", false) ? reader.read(root) : null;
         } catch (IOException
-                | BadInput
+                | InvalidInputException
                 | ParseException
                 | UnsupportedOperationException
                 | NumberFormatException e) {
--- a/src/main/java/calicostream/daemon/ClusterPart.java
+++ b/src/main/java/calicostream/daemon/ClusterComponent.java
@@ -15,7 +15,7 @@
 import calicostream.lease.EjectionHints;
 import calicostream.lease.process.LeaseService;
 import calicostream.lease.process.LeasedTaskProvider;
-import calicostream.net.Loop;
+import calicostream.net.SelectorLoop;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -25,7 +25,7 @@
  * The cluster as a part of the program: its settings, the layers on it, and its member, which runs
  * from the start of the program until the front end has served out.
  */
-final class ClusterPart implements Service {
+final class ClusterComponent implements Service {
     private static final String LIBRARY = "org/tomlj/Toml.class";
     private final ClusterConfig config;
     private final LeaseService leases;
@@ -33,7 +33,7 @@
     private final BudgetService budget; // null where the file has none
     private Member member;
 
-    private ClusterPart(ClusterConfig config, long tokensAbove) {
+    private ClusterComponent(ClusterConfig config, long tokensAbove) {
         this.config = config;
         budget =
                 config.budget()
@@ -49,8 +49,8 @@
     }
 
     /** Null where the file leaves the cluster off. */
-    static ClusterPart read(Path path) {
-        if (ClusterPart.class.getClassLoader().getResource(LIBRARY) == null) {
+    static ClusterComponent read(Path path) {
+        if (ClusterComponent.class.getClassLoader().getResource(LIBRARY) == null) {
             throw new SettingsException(
                     "bad configuration: NODE_CLUSTER names "
                             + path
@@ -64,11 +64,11 @@
         }
         int tokensAbove = file.section("lease").count("tokens_above", 0, 0, Integer.MAX_VALUE);
         file.done();
-        return new ClusterPart(config, tokensAbove);
+        return new ClusterComponent(config, tokensAbove);
     }
 
     /** The engine side with what stands before it, which hears of the list among the watchers. */
-    EngineClient gated(Loop loop, EngineClient engines, List<RequestListener> watchers) {
+    EngineClient gated(SelectorLoop loop, EngineClient engines, List<RequestListener> watchers) {
         if (budget == null) {
             return engines;
         }
@@ -78,7 +78,7 @@
     }
 
     /** Before anybody is served: what ends the program must do so now. */
-    void join(Loop loop, Gateway gateway) throws IOException {
+    void join(SelectorLoop loop, Gateway gateway) throws IOException {
         leases.add(new EjectionHints(new EjectionHintBridge(loop, gateway)));
         // The library tells each vote and heartbeat that it misses; what matters of it the member
         // says itself.
--- a/src/main/java/calicostream/daemon/EjectionHintBridge.java
+++ b/src/main/java/calicostream/daemon/EjectionHintBridge.java
@@ -3,7 +3,7 @@
 
 import calicostream.core.Gateway;
 import calicostream.lease.EjectionHints;
-import calicostream.net.Loop;
+import calicostream.net.SelectorLoop;
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
@@ -14,12 +14,12 @@
 final class EjectionHintBridge implements EjectionHints.FrontEnd {
     private static final long LOOK = 100_000; // us between two looks
     private static final int MOST_WAITING = 4 * 1024;
-    private final Loop loop;
+    private final SelectorLoop loop;
     private final Gateway gateway;
     private final AtomicInteger waiting = new AtomicInteger();
     private volatile EjectionHints.View view = new EjectionHints.View(new long[0], new long[0]);
 
-    EjectionHintBridge(Loop loop, Gateway gateway) {
+    EjectionHintBridge(SelectorLoop loop, Gateway gateway) {
         this.loop = loop;
         this.gateway = gateway;
         loop.post(this::look);
--- a/src/main/java/calicostream/daemon/FlightPart.java
+++ b/src/main/java/calicostream/daemon/FlightComponent.java
@@ -10,20 +10,20 @@
 import calicostream.flight.engine.FlightEngineClient;
 import calicostream.flight.front.FlightSqlServer;
 import calicostream.flight.state.Admission;
-import calicostream.net.Loop;
+import calicostream.net.SelectorLoop;
 import calicostream.routing.EngineEndpoint;
 import calicostream.routing.SettingsParser;
 import java.util.function.Function;
 
 /** Flight SQL as a part of the program: its front and, where engines speak it, its engine side. */
-final class FlightPart {
-    private final Loop loop;
+final class FlightComponent {
+    private final SelectorLoop loop;
     private final SettingsParser settings;
     private final FlightConfig config;
     private final Admission admission;
     private final FlightEngineClient engines;
 
-    FlightPart(Loop loop, SettingsParser settings, FlightConfig config) {
+    FlightComponent(SelectorLoop loop, SettingsParser settings, FlightConfig config) {
         this.loop = loop;
         this.settings = settings;
         this.config = config;
--- a/src/main/java/calicostream/daemon/ReloadSignal.java
+++ b/src/main/java/calicostream/daemon/ReloadSignal.java
@@ -18,7 +18,7 @@
 
     private ReloadSignal() {}
 
-    public static ReloadSignal taken() {
+    public static ReloadSignal install() {
         ReloadSignal hangup = new ReloadSignal();
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
@@ -50,7 +50,7 @@
      * Whether whoever started the program had the signal ignored (nohup does). A virtual machine
      * leaves it so, whatever it is asked, and the program never hears of it.
      */
-    public boolean isDeaf() {
+    public boolean isIgnored() {
         return deaf;
     }
 
@@ -63,7 +63,7 @@
     }
 
     /** From now on it is told here, on the signal's own thread. */
-    public synchronized void tell(Runnable to) {
+    public synchronized void setHandler(Runnable to) {
         told = to;
         if (missed) {
             to.run();
--- a/src/main/java/calicostream/daemon/ServerAssembly.java
+++ b/src/main/java/calicostream/daemon/ServerAssembly.java
@@ -9,7 +9,7 @@
 import calicostream.core.RequestListener;
 import calicostream.core.Service;
 import calicostream.flight.FlightConfig;
-import calicostream.net.Loop;
+import calicostream.net.SelectorLoop;
 import calicostream.platform.Descriptors;
 import calicostream.platform.FrontEndConfig;
 import calicostream.platform.FrontEndServer;
@@ -38,20 +38,20 @@
      * shared} is the folder that this front end's processes have in common, or null. {@code
      * clusterFile} has the cluster's settings, or is null.
      */
-    public static FrontEndServer node(
+    public static FrontEndServer assemble(
             FrontEndConfig config, Path deploy, Path shared, Path clusterFile) throws IOException {
         FlightConfig flightConfig = flight(deploy.resolve("flight.json"));
         SyslogConfig syslogConfig = syslog(deploy.resolve("syslog.json"));
-        ClusterPart cluster = clusterFile == null ? null : ClusterPart.read(clusterFile);
+        ClusterComponent cluster = clusterFile == null ? null : ClusterComponent.read(clusterFile);
         Descriptors descriptors =
                 Descriptors.of(config.sockets()); // Counts what is open: before anything else is.
         if (cluster != null) {
             descriptors = descriptors.beside(config.sockets(), cluster.descriptors());
         }
-        Loop loop = new Loop(new Clock(), new Deadlines());
+        SelectorLoop loop = new SelectorLoop(new Clock(), new Deadlines());
         SettingsParser settings = config.settings();
-        FlightPart flight =
-                flightConfig == null ? null : new FlightPart(loop, settings, flightConfig);
+        FlightComponent flight =
+                flightConfig == null ? null : new FlightComponent(loop, settings, flightConfig);
 
         EngineClient engines = flight == null ? null : flight.engines();
         boolean wide = engines != null;
@@ -87,15 +87,15 @@
     }
 
     private static FlightConfig flight(Path file) {
-        return ConfigFile.isOn(file) ? FlightConfig.read(file) : null;
+        return ConfigFile.isEnabled(file) ? FlightConfig.read(file) : null;
     }
 
     private static SyslogConfig syslog(Path file) {
-        return ConfigFile.isOn(file) ? SyslogConfig.read(file) : null;
+        return ConfigFile.isEnabled(file) ? SyslogConfig.read(file) : null;
     }
 
     private static List<RequestListener> watchers(
-            Loop loop, FrontEndConfig config, FlightPart flight, SyslogConfig syslog)
+            SelectorLoop loop, FrontEndConfig config, FlightComponent flight, SyslogConfig syslog)
             throws IOException {
         List<RequestListener> out = new ArrayList<>();
         if (flight != null) {
--- a/src/main/java/calicostream/discovery/WatchBackoff.java
+++ b/src/main/java/calicostream/discovery/WatchBackoff.java
@@ -28,19 +28,19 @@
     }
 
     /** A call goes out. */
-    public void asked(long now) {
+    public void requestStarted(long now) {
         askedAt = now;
     }
 
     /** The source answers: the next end of it is a first one. */
-    public void answered() {
+    public void responseStarted() {
         pause = 0;
     }
 
     /**
      * Whether a source last heard at that time, whose answer has begun or not, is to be given up.
      */
-    public boolean isSilent(long now, long heardAt, boolean begun) {
+    public boolean isStalled(long now, long heardAt, boolean begun) {
         return now - heardAt > (begun ? SILENT : UNBEGUN);
     }
 
@@ -49,7 +49,7 @@
      * where the source had answered; else within the second half of a pause that doubles, so that
      * it neither meets the whole tier at once nor waits long when it is back.
      */
-    public long next(long now) {
+    public long nextRequestAt(long now) {
         long wait = pause == 0 ? random.nextLong(SPREAD) : pause / 2 + random.nextLong(pause / 2);
         pause = pause == 0 ? SPREAD : Math.min(LONGEST_PAUSE, pause * 2);
         return Math.max(now + wait, askedAt + APART);
--- a/src/main/java/calicostream/flight/FlightConfig.java
+++ b/src/main/java/calicostream/flight/FlightConfig.java
@@ -2,8 +2,8 @@
 package calicostream.flight;
 
 import calicostream.config.ConfigFile;
-import calicostream.net.Address;
-import calicostream.net.BadInput;
+import calicostream.net.InvalidInputException;
+import calicostream.net.NumericSocketAddress;
 import com.eclipsesource.json.JsonObject;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -60,7 +60,7 @@
 
     /** Null where there is no such file or it leaves Flight SQL off. */
     public static FlightConfig read(Path path) {
-        return ConfigFile.enabled(path, root -> new Reader(root, path).read());
+        return ConfigFile.readIfEnabled(path, root -> new Reader(root, path).read());
     }
 
     /** Reads each key once, so that what is left over is known to be a mistake. */
@@ -79,24 +79,26 @@
             return root.getString(key, without);
         }
 
-        private long number(String key, long without, long least, long most) throws BadInput {
+        private long number(String key, long without, long least, long most)
+                throws InvalidInputException {
             known.add(key);
             long value = root.getLong(key, without);
             if (value < least || value > most) {
-                throw new BadInput(
+                throw new InvalidInputException(
                         key + " is " + value + ", " + least + " to " + most + " allowed");
             }
             return value;
         }
 
-        private int count(String key, int without) throws BadInput {
+        private int count(String key, int without) throws InvalidInputException {
             return (int) number(key, without, 1, 1 << 20);
         }
 
-        private boolean choice(String key, String without, String yes, String no) throws BadInput {
+        private boolean choice(String key, String without, String yes, String no)
+                throws InvalidInputException {
             String value = text(key, without);
             if (!value.equals(yes) && !value.equals(no)) {
-                throw new BadInput(
+                throw new InvalidInputException(
                         key + " is '" + value + "', '" + yes + "' or '" + no + "' allowed");
             }
             return value.equals(yes);
@@ -107,13 +109,13 @@
             return root.getBoolean(key, false);
         }
 
-        FlightConfig read() throws BadInput {
+        FlightConfig read() throws InvalidInputException {
             long most = Long.MAX_VALUE / 4;
             String queryClass = text("query_class", "lookup");
             String users = text("users", "");
             FlightConfig out =
                     new FlightConfig(
-                            Address.of(text("listen", "127.0.0.1:32010")),
+                            NumericSocketAddress.parse(text("listen", "127.0.0.1:32010")),
                             choice("engines", "flight", "flight", "platform"),
                             queryClass,
                             text("update_class", "stat-load"),
@@ -154,7 +156,7 @@
                             (int) number("threads", 2, 1, 64));
             for (String key : root.names()) {
                 if (!known.contains(key)) {
-                    throw new BadInput("unknown key '" + key + "'");
+                    throw new InvalidInputException("unknown key '" + key + "'");
                 }
             }
             return out;
--- a/src/main/java/calicostream/flight/engine/FlightEngineClient.java
+++ b/src/main/java/calicostream/flight/engine/FlightEngineClient.java
@@ -8,7 +8,7 @@
 import calicostream.flight.wire.FlightWire;
 import calicostream.grpc.EngineChannels;
 import calicostream.grpc.GrpcEngineClient;
-import calicostream.net.Loop;
+import calicostream.net.SelectorLoop;
 import calicostream.routing.EngineEndpoint;
 import calicostream.routing.EngineLifecycle;
 import calicostream.routing.SettingsParser;
@@ -47,7 +47,7 @@
     }
 
     private static final long HOUSEKEEPING_MS = 2_000;
-    final Loop loop;
+    final SelectorLoop loop;
     final FlightConfig config;
     final SettingsParser settings;
     final Admission admission;
@@ -57,7 +57,7 @@
     private Listener listener;
 
     public FlightEngineClient(
-            Loop loop, SettingsParser settings, FlightConfig config, Admission admission) {
+            SelectorLoop loop, SettingsParser settings, FlightConfig config, Admission admission) {
         this(
                 loop,
                 settings,
@@ -68,7 +68,7 @@
     }
 
     private FlightEngineClient(
-            Loop loop,
+            SelectorLoop loop,
             SettingsParser settings,
             FlightConfig config,
             Admission admission,
@@ -223,7 +223,7 @@
 
     private void tell(Runnable what) {
         if (listener != null) {
-            loop.soon(what); // The core is in the middle of its own changes.
+            loop.runBeforeSelect(what); // The core is in the middle of its own changes.
         }
     }
 
@@ -252,7 +252,7 @@
     public void act(long engine, String action, ByteString body, Consumer<Status> then) {
         ManagedChannel channel = channels.ready(engine);
         if (channel == null) {
-            loop.soon(() -> then.accept(Status.UNAVAILABLE));
+            loop.runBeforeSelect(() -> then.accept(Status.UNAVAILABLE));
             return;
         }
         FlightServiceGrpc.newStub(channel)
--- a/src/main/java/calicostream/flight/front/FlightSqlServer.java
+++ b/src/main/java/calicostream/flight/front/FlightSqlServer.java
@@ -9,7 +9,7 @@
 import calicostream.flight.state.Admission;
 import calicostream.flight.wire.FlightFrame;
 import calicostream.flight.wire.FlightWire;
-import calicostream.net.Loop;
+import calicostream.net.SelectorLoop;
 import calicostream.routing.SettingsParser;
 import io.grpc.Context;
 import io.grpc.Server;
@@ -65,7 +65,7 @@
 
     /** {@code engines} is null where engines are reached by another protocol. */
     public FlightSqlServer(
-            Loop loop,
+            SelectorLoop loop,
             Gateway gateway,
             FlightConfig config,
             SettingsParser settings,
--- a/src/main/java/calicostream/flight/front/RequestDispatcher.java
+++ b/src/main/java/calicostream/flight/front/RequestDispatcher.java
@@ -11,10 +11,10 @@
 import calicostream.flight.wire.EngineOperation;
 import calicostream.flight.wire.EngineResult;
 import calicostream.flight.wire.FlightWire;
-import calicostream.net.Loop;
+import calicostream.net.SelectorLoop;
 import calicostream.routing.QueryClass;
 import calicostream.routing.SettingsParser;
-import calicostream.sql.Statement;
+import calicostream.sql.TableGroupScanner;
 import io.grpc.Metadata;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -27,7 +27,7 @@
 /** Where the parts of the front hand requests to the core, and get their answers. The loop's. */
 final class RequestDispatcher implements ResponseHandler {
     private static final int NAME_BYTES = 16;
-    final Loop loop;
+    final SelectorLoop loop;
     final Gateway gateway;
     final FlightConfig config;
     final Admission admission;
@@ -40,7 +40,7 @@
     private final ByteBuffer unused = ByteBuffer.allocate(256 * NAME_BYTES).limit(0);
 
     RequestDispatcher(
-            Loop loop,
+            SelectorLoop loop,
             Gateway gateway,
             FlightConfig config,
             SettingsParser settings,
@@ -196,7 +196,7 @@
             long pinned,
             ResponseCallback reply) {
         byte[] text = sql.getBytes(StandardCharsets.UTF_8);
-        int group = Math.max(0, Statement.tableGroup(text));
+        int group = Math.max(0, TableGroupScanner.tableGroup(text));
         String id =
                 named != null
                         ? named
--- a/src/main/java/calicostream/grpc/BalancingChannel.java
+++ b/src/main/java/calicostream/grpc/BalancingChannel.java
@@ -6,7 +6,7 @@
 import calicostream.core.Gateway;
 import calicostream.core.RequestListener;
 import calicostream.core.ResponseHandler;
-import calicostream.net.Loop;
+import calicostream.net.SelectorLoop;
 import calicostream.routing.AttemptOutcome;
 import calicostream.routing.EndpointUpdate;
 import calicostream.routing.EngineEndpoint;
@@ -47,7 +47,7 @@
             CallOptions.Key.createWithDefault("table-group", 0);
     private static final Logger LOG = LoggerFactory.getLogger(BalancingChannel.class);
     private static final byte[] NO_BODY = {};
-    private final Loop loop;
+    private final SelectorLoop loop;
     private final Gateway gateway;
     private final EngineChannels channels;
     private final List<String> classNames;
@@ -65,7 +65,7 @@
             RequestListener watcher)
             throws IOException {
         Clock clock = new Clock();
-        loop = new Loop(clock, new Deadlines());
+        loop = new SelectorLoop(clock, new Deadlines());
         classNames = settings.classNames();
         classes = settings.settings().classes();
         channels = new EngineChannels(loop, settings.connectionSettings(), dial);
--- a/src/main/java/calicostream/grpc/EngineChannels.java
+++ b/src/main/java/calicostream/grpc/EngineChannels.java
@@ -2,7 +2,7 @@
 package calicostream.grpc;
 
 import calicostream.core.Gateway;
-import calicostream.net.Loop;
+import calicostream.net.SelectorLoop;
 import calicostream.routing.AttemptOutcome;
 import calicostream.routing.SettingsParser.ConnectionSettings;
 import io.grpc.ConnectivityState;
@@ -21,7 +21,7 @@
  * it back.
  */
 public final class EngineChannels {
-    private final Loop loop;
+    private final SelectorLoop loop;
     private final ConnectionSettings wiring;
     private final Function<InetSocketAddress, ManagedChannel> dial;
     private final Map<Long, Peer> peers = new HashMap<>();
@@ -43,7 +43,7 @@
 
     /** The channels dialled must leave further attempts to the module: {@code disableRetry()}. */
     public EngineChannels(
-            Loop loop,
+            SelectorLoop loop,
             ConnectionSettings wiring,
             Function<InetSocketAddress, ManagedChannel> dial) {
         this.loop = loop;
--- a/src/main/java/calicostream/handover/FileKeyOwnership.java
+++ b/src/main/java/calicostream/handover/FileKeyOwnership.java
@@ -65,7 +65,7 @@
     @Override
     public int otherProcesses() {
         try {
-            return file.living();
+            return file.countOthers();
         } catch (IOException e) {
             LOG.debug("keys: {}", e.toString());
             return 0;
--- a/src/main/java/calicostream/handover/HotRestart.java
+++ b/src/main/java/calicostream/handover/HotRestart.java
@@ -27,9 +27,9 @@
  */
 public final class HotRestart {
     /** What the operators said last of an engine, and when, in Unix milliseconds. */
-    public record Word(long at, boolean out) {}
+    public record EngineOverride(long changedAtUnixMillis, boolean disabled) {}
 
-    private record Peer(long generation, boolean listening, long seq, double[] learned) {}
+    private record Peer(long generation, boolean listening, long eventSequence, double[] learned) {}
 
     private static final Logger LOG = LoggerFactory.getLogger(HotRestart.class);
     private static final int VERSION = 1;
@@ -41,22 +41,22 @@
     private static final double LONGEST_RUN =
             600e6; // us: what a query is said to run for longer is no run time
     private final Path path;
-    private final BiConsumer<String, Word> heard;
-    private final Map<String, Word> words = new HashMap<>();
-    private final Peer[] peers = new Peer[ProcessSlotFile.SLOTS];
-    private final long[] known = new long[ProcessSlotFile.SLOTS];
+    private final BiConsumer<String, EngineOverride> heard;
+    private final Map<String, EngineOverride> words = new HashMap<>();
+    private final Peer[] peers = new Peer[ProcessSlotFile.SLOT_COUNT];
+    private final long[] known = new long[ProcessSlotFile.SLOT_COUNT];
     private ProcessSlotFile file;
     private String trouble = "";
     private long generation = 1;
     private long seq;
     private boolean listening;
-    private double[] learned = {};
+    private double[] publishLearnedRunTimes = {};
 
     /**
      * Without a folder there is nobody to tell. {@code heard} is told of words that came later than
      * all before.
      */
-    public HotRestart(Path folder, String name, BiConsumer<String, Word> heard) {
+    public HotRestart(Path folder, String name, BiConsumer<String, EngineOverride> heard) {
         this.heard = heard;
         path =
                 folder == null
@@ -78,13 +78,13 @@
             LOG.warn("no hand-over: {}", e.toString());
             return;
         }
-        look();
+        poll();
         generation = 1 + living().mapToLong(p -> p.generation).max().orElse(0);
         write();
     }
 
     /** How the processes of this front end share out keys, from {@link #join} on. */
-    public KeyOwnership turns() {
+    public KeyOwnership keyOwnership() {
         return file == null ? KeyOwnership.ALONE : new FileKeyOwnership(file);
     }
 
@@ -97,14 +97,14 @@
         Peer peer = peers[slot];
         return peer != null
                 && (peer.generation < generation
-                        || peer.generation == generation && slot < file.own());
+                        || peer.generation == generation && slot < file.ownSlot());
     }
 
     private Stream<Peer> elders() {
         return IntStream.range(0, peers.length).filter(this::isElder).mapToObj(slot -> peers[slot]);
     }
 
-    public boolean hasElder() {
+    public boolean hasPredecessor() {
         return elders().findAny().isPresent();
     }
 
@@ -115,25 +115,25 @@
     }
 
     /** Processes that live, this one included, and its place among them, the oldest at 0. */
-    public int processes() {
+    public int processCount() {
         return 1 + (int) living().count();
     }
 
-    public int place() {
+    public int rankByAge() {
         return (int) elders().count();
     }
 
     /** The last event of the change log that any other process has seen. */
-    public long seen() {
-        return living().mapToLong(p -> p.seq).max().orElse(0);
+    public long newestPeerEventSequence() {
+        return living().mapToLong(p -> p.eventSequence).max().orElse(0);
     }
 
-    public void listens(boolean now) {
+    public void publishListening(boolean now) {
         listening = now;
         write();
     }
 
-    public void saw(long event) {
+    public void publishEventSequence(long event) {
         if (event != seq) {
             seq = event;
             write();
@@ -141,13 +141,13 @@
     }
 
     /** What this process's module has learned; a process that starts reads it. */
-    public void learned(double[] values) {
-        learned = values;
+    public void publishLearnedRunTimes(double[] values) {
+        publishLearnedRunTimes = values;
         write();
     }
 
     /** What the elder's module had learned, empty where there is none. */
-    public double[] before() {
+    public double[] predecessorRunTimes() {
         return elders().map(Peer::learned)
                 .filter(values -> values.length > 0)
                 .findFirst()
@@ -155,27 +155,30 @@
     }
 
     /** An operator has said something new of an engine to this process. */
-    public void say(String engine, boolean out) {
-        Word last = words.get(engine);
+    public void publishEngineOverride(String engine, boolean out) {
+        EngineOverride last = words.get(engine);
         long now = System.currentTimeMillis();
-        words.values().removeIf(w -> !w.out && now - w.at > REMEMBERED);
+        words.values().removeIf(w -> !w.disabled && now - w.changedAtUnixMillis > REMEMBERED);
         if (words.size() < MOST_WORDS) {
-            words.put(engine, new Word(last == null ? now : Math.max(now, last.at + 1), out));
+            words.put(
+                    engine,
+                    new EngineOverride(
+                            last == null ? now : Math.max(now, last.changedAtUnixMillis + 1), out));
             write();
         }
     }
 
     /** Reads what the others have written since the last look. */
-    public void look() {
+    public void poll() {
         if (file == null) {
             return;
         }
         try {
             boolean[] alive = new boolean[peers.length];
-            for (ProcessSlotFile.Slot slot : file.others(known)) {
+            for (ProcessSlotFile.Slot slot : file.readOthers(known)) {
                 alive[slot.number()] = true;
                 if (slot.content() != null) {
-                    known[slot.number()] = slot.write();
+                    known[slot.number()] = slot.writeNumber();
                     peers[slot.number()] = read(new String(slot.content(), StandardCharsets.UTF_8));
                 }
             }
@@ -207,13 +210,13 @@
                             root.getLong("generation", 0),
                             root.getBoolean("listening", false),
                             root.getLong("seq", 0),
-                            learned(root.get("learned")));
-            Map<String, Word> told = new HashMap<>();
+                            publishLearnedRunTimes(root.get("learned")));
+            Map<String, EngineOverride> told = new HashMap<>();
             for (JsonObject.Member member : root.get("engines").asObject()) {
                 JsonObject word = member.getValue().asObject();
                 told.put(
                         member.getName(),
-                        new Word(word.getLong("at", 0), word.getBoolean("out", false)));
+                        new EngineOverride(word.getLong("at", 0), word.getBoolean("out", false)));
             }
             told.forEach(this::hear);
             return peer;
@@ -226,7 +229,7 @@
         }
     }
 
-    private static double[] learned(JsonValue values) {
+    private static double[] publishLearnedRunTimes(JsonValue values) {
         double[] read = new double[values == null ? 0 : values.asArray().size()];
         for (int i = 0; i < read.length; i++) {
             double value = values.asArray().get(i).asDouble();
@@ -235,15 +238,17 @@
         return read;
     }
 
-    private void hear(String engine, Word word) {
-        Word last = words.get(engine);
+    private void hear(String engine, EngineOverride word) {
+        EngineOverride last = words.get(engine);
         long now = System.currentTimeMillis();
-        boolean useful = word.out || now - word.at <= REMEMBERED;
+        boolean useful = word.disabled || now - word.changedAtUnixMillis <= REMEMBERED;
         boolean credible =
                 engine.length() <= LONGEST_NAME
-                        && word.at <= now + AHEAD
+                        && word.changedAtUnixMillis <= now + AHEAD
                         && words.size() < MOST_WORDS;
-        if (useful && credible && (last == null || word.at > last.at)) {
+        if (useful
+                && credible
+                && (last == null || word.changedAtUnixMillis > last.changedAtUnixMillis)) {
             words.put(engine, word);
             heard.accept(engine, word);
         }
@@ -256,14 +261,18 @@
         JsonObject engines = Json.object();
         words.forEach(
                 (name, word) ->
-                        engines.add(name, Json.object().add("at", word.at).add("out", word.out)));
+                        engines.add(
+                                name,
+                                Json.object()
+                                        .add("at", word.changedAtUnixMillis)
+                                        .add("out", word.disabled)));
         String text =
                 Json.object()
                         .add("version", VERSION)
                         .add("generation", generation)
                         .add("listening", listening)
                         .add("seq", seq)
-                        .add("learned", Json.array(learned))
+                        .add("learned", Json.array(publishLearnedRunTimes))
                         .add("engines", engines)
                         .toString();
         try {
--- a/src/main/java/calicostream/handover/ProcessSlotFile.java
+++ b/src/main/java/calicostream/handover/ProcessSlotFile.java
@@ -26,21 +26,21 @@
  */
 final class ProcessSlotFile implements AutoCloseable {
     /** A slot of another living process; {@code content} is null where it could not be read. */
-    record Slot(int number, long write, byte[] content) {}
+    record Slot(int number, long writeNumber, byte[] content) {}
 
     private record Head(long write, int length, int sum) {
         static final Head NONE = new Head(0, 0, 0);
     }
 
-    static final int SLOTS = 4;
-    static final int LONGEST = 256 * 1024;
+    static final int SLOT_COUNT = 4;
+    static final int MAX_CONTENT_BYTES = 256 * 1024;
     private static final int HEAD = 64;
     private static final int SUMMED = 24; // bytes of a head before its own checksum
     private static final int MARK = 0xCA11C001;
     private static final int HALVES = 4096;
     private final FileChannel file;
-    private final int own;
-    private final ByteBuffer heads = ByteBuffer.allocate(HEAD * SLOTS);
+    private final int ownSlot;
+    private final ByteBuffer heads = ByteBuffer.allocate(HEAD * SLOT_COUNT);
     private long writes =
             System.currentTimeMillis() << 12; // so that no two processes of one slot count alike
 
@@ -55,7 +55,7 @@
                         LinkOption.NOFOLLOW_LINKS);
         int taken = -1;
         try {
-            for (int slot = 0; slot < SLOTS && taken < 0; slot++) {
+            for (int slot = 0; slot < SLOT_COUNT && taken < 0; slot++) {
                 taken = lock(slot) == null ? -1 : slot;
             }
             if (taken >= 0) {
@@ -65,24 +65,25 @@
             file.close();
             throw e;
         }
-        own = taken;
-        if (own < 0) {
+        ownSlot = taken;
+        if (ownSlot < 0) {
             file.close();
-            throw new IOException("all " + SLOTS + " slots of " + path.getFileName() + " are held");
+            throw new IOException(
+                    "all " + SLOT_COUNT + " slots of " + path.getFileName() + " are held");
         }
     }
 
-    int own() {
-        return own;
+    int ownSlot() {
+        return ownSlot;
     }
 
     /** Puts a new content in place of this process's last one. */
     void write(byte[] content) throws IOException {
-        if (content.length > LONGEST) {
+        if (content.length > MAX_CONTENT_BYTES) {
             throw new IOException("a content of " + content.length + " bytes");
         }
         long next = writes + 1;
-        put(ByteBuffer.wrap(content), half(own, next));
+        put(ByteBuffer.wrap(content), half(ownSlot, next));
         ByteBuffer head =
                 ByteBuffer.allocate(HEAD)
                         .putInt(MARK)
@@ -91,7 +92,7 @@
                         .putInt(sum(content, content.length))
                         .putInt(0);
         head.putInt(sum(head.array(), SUMMED));
-        put(head.clear(), (long) own * HEAD);
+        put(head.clear(), (long) ownSlot * HEAD);
         writes = next;
     }
 
@@ -99,11 +100,11 @@
      * The slots of other living processes; {@code known[slot]} is the write last read, whose
      * content is not read again.
      */
-    List<Slot> others(long[] known) throws IOException {
+    List<Slot> readOthers(long[] known) throws IOException {
         readHeads();
         List<Slot> living = new ArrayList<>();
-        for (int slot = 0; slot < SLOTS; slot++) {
-            Head head = slot == own ? Head.NONE : head(slot);
+        for (int slot = 0; slot < SLOT_COUNT; slot++) {
+            Head head = slot == ownSlot ? Head.NONE : head(slot);
             if (head != Head.NONE && isHeld(slot)) {
                 living.add(
                         new Slot(
@@ -116,11 +117,11 @@
     }
 
     /** How many other processes live. */
-    int living() throws IOException {
+    int countOthers() throws IOException {
         readHeads();
         int living = 0;
-        for (int slot = 0; slot < SLOTS; slot++) {
-            living += slot != own && head(slot) != Head.NONE && isHeld(slot) ? 1 : 0;
+        for (int slot = 0; slot < SLOT_COUNT; slot++) {
+            living += slot != ownSlot && head(slot) != Head.NONE && isHeld(slot) ? 1 : 0;
         }
         return living;
     }
@@ -174,7 +175,7 @@
         boolean whole =
                 heads.getInt(at) == MARK && heads.getInt(at + SUMMED) == sum(summed, SUMMED);
         int length = heads.getInt(at + 12);
-        return whole && length >= 0 && length <= LONGEST
+        return whole && length >= 0 && length <= MAX_CONTENT_BYTES
                 ? new Head(heads.getLong(at + 4), length, heads.getInt(at + 16))
                 : Head.NONE;
     }
@@ -192,7 +193,7 @@
     }
 
     private static long half(int slot, long write) {
-        return HALVES + (2L * slot + (write & 1)) * LONGEST;
+        return HALVES + (2L * slot + (write & 1)) * MAX_CONTENT_BYTES;
     }
 
     private static int sum(byte[] bytes, int length) {
@@ -211,7 +212,7 @@
     @Override
     public void close() throws IOException {
         try {
-            clear(own);
+            clear(ownSlot);
         } finally {
             file.close();
         }
--- a/src/main/java/calicostream/net/Connection.java
+++ b/src/main/java/calicostream/net/Connection.java
@@ -10,7 +10,7 @@
 import java.nio.channels.SocketChannel;
 
 /** One TCP connection with a bounded ring a direction; its handler is told what happens on it. */
-public final class Connection implements Loop.Ready {
+public final class Connection implements SelectorLoop.ChannelHandler {
     private static final long LINGER =
             1_000_000; // us for the other side to read on, or to close once it has all
 
@@ -30,29 +30,29 @@
         void closed(Connection connection);
     }
 
-    private final Loop loop;
+    private final SelectorLoop loop;
     private final SocketChannel channel;
     private final Handler handler;
-    private final Ring in;
-    private final Ring out;
+    private final RingBuffer input;
+    private final RingBuffer out;
     private SelectionKey key;
-    private boolean connecting, closed, paused, flushing, urgent;
+    private boolean connecting, closed, paused, flushing, ofAcceptedUrgent;
     private boolean closeWhenFlushed, lingering, reset;
     private boolean ended, readAhead; // by the other side; bytes wait to be handled
-    private long queued, written; // bytes since it was opened
+    private long queuedBytes, writtenBytes; // bytes since it was opened
 
     private Connection(
-            Loop loop, SocketChannel channel, Handler handler, int boundIn, int boundOut) {
+            SelectorLoop loop, SocketChannel channel, Handler handler, int boundIn, int boundOut) {
         this.loop = loop;
         this.channel = channel;
         this.handler = handler;
-        in = new Ring(boundIn, loop.held());
-        out = new Ring(boundOut, loop.held());
+        input = new RingBuffer(boundIn, loop.bufferMemory());
+        out = new RingBuffer(boundOut, loop.bufferMemory());
     }
 
     /** Takes over an accepted channel. */
-    public static Connection accepted(
-            Loop loop, SocketChannel channel, Handler handler, int boundIn, int boundOut)
+    public static Connection ofAccepted(
+            SelectorLoop loop, SocketChannel channel, Handler handler, int boundIn, int boundOut)
             throws IOException {
         Connection c = new Connection(loop, channel, handler, boundIn, boundOut);
         c.key = loop.register(channel, SelectionKey.OP_READ, c);
@@ -60,11 +60,11 @@
     }
 
     /** The same, served before all that is not urgent. */
-    public static Connection urgent(
-            Loop loop, SocketChannel channel, Handler handler, int boundIn, int boundOut)
+    public static Connection ofAcceptedUrgent(
+            SelectorLoop loop, SocketChannel channel, Handler handler, int boundIn, int boundOut)
             throws IOException {
-        Connection c = accepted(loop, channel, handler, boundIn, boundOut);
-        c.urgent = true;
+        Connection c = ofAccepted(loop, channel, handler, boundIn, boundOut);
+        c.ofAcceptedUrgent = true;
         return c;
     }
 
@@ -72,8 +72,12 @@
      * Starts to connect; a failure, also one at once, is told as {@link Handler#closed}, never from
      * in here.
      */
-    public static Connection to(
-            Loop loop, InetSocketAddress address, Handler handler, int boundIn, int boundOut)
+    public static Connection connect(
+            SelectorLoop loop,
+            InetSocketAddress address,
+            Handler handler,
+            int boundIn,
+            int boundOut)
             throws IOException {
         Connection c = new Connection(loop, SocketChannel.open(), handler, boundIn, boundOut);
         c.connecting = true;
@@ -83,40 +87,44 @@
             c.channel.connect(address);
             c.key = loop.register(c.channel, SelectionKey.OP_CONNECT, c);
         } catch (IOException e) {
-            loop.soon(c::close);
+            loop.runBeforeSelect(c::close);
         }
         return c;
     }
 
     /** The same, served before all that is not urgent. */
-    public static Connection urgentTo(
-            Loop loop, InetSocketAddress address, Handler handler, int boundIn, int boundOut)
+    public static Connection connectUrgent(
+            SelectorLoop loop,
+            InetSocketAddress address,
+            Handler handler,
+            int boundIn,
+            int boundOut)
             throws IOException {
-        Connection c = to(loop, address, handler, boundIn, boundOut);
-        c.urgent = true;
+        Connection c = connect(loop, address, handler, boundIn, boundOut);
+        c.ofAcceptedUrgent = true;
         return c;
     }
 
-    public Ring in() {
-        return in;
+    public RingBuffer input() {
+        return input;
     }
 
     /** Bytes queued since it was opened, and those of them that the socket has taken. */
-    public long queued() {
-        return queued;
+    public long queuedBytes() {
+        return queuedBytes;
     }
 
-    public long written() {
-        return written;
+    public long writtenBytes() {
+        return writtenBytes;
     }
 
     /** Bytes queued that the socket has not taken. */
-    public int unsent() {
+    public int unsentBytes() {
         return out.size();
     }
 
     /** Who is at the other end; null once it is closed. */
-    public InetSocketAddress remote() {
+    public InetSocketAddress remoteAddress() {
         try {
             return (InetSocketAddress) channel.getRemoteAddress();
         } catch (IOException closed) {
@@ -125,7 +133,7 @@
     }
 
     /** The address of this end; null once it is closed. */
-    public InetSocketAddress local() {
+    public InetSocketAddress localAddress() {
         try {
             return (InetSocketAddress) channel.getLocalAddress();
         } catch (IOException closed) {
@@ -146,11 +154,11 @@
         if (closed || !out.put(bytes)) {
             return false;
         }
-        queued += bytes.length;
+        queuedBytes += bytes.length;
         if (!connecting
                 && !flushing) { // One write for all that is queued in this turn of the loop.
             flushing = true;
-            loop.soon(this::flush);
+            loop.runBeforeSelect(this::flush);
         }
         return true;
     }
@@ -165,17 +173,17 @@
     }
 
     /** Goes on with what is in the ring once every other channel has had its turn. */
-    public void again() {
-        loop.nextTurn(() -> handle(in.size() > 0));
+    public void processNextIteration() {
+        loop.runNextIteration(() -> handle(input.size() > 0));
     }
 
     /** Back-pressure: stops or resumes reading. */
-    public void pause(boolean on) {
+    public void setReadPaused(boolean on) {
         if (paused != on && (on || !closeWhenFlushed)) {
             paused = on;
             interest();
             if (!on) {
-                loop.soon(() -> handle(in.size() > 0));
+                loop.runBeforeSelect(() -> handle(input.size() > 0));
             }
         }
     }
@@ -184,14 +192,14 @@
      * Sends what is queued, then closes; takes no more input. What still comes is read and dropped
      * for a while: closing on unread bytes would reset the connection, and the last answer with it.
      */
-    public void finish() {
+    public void closeGracefully() {
         if (connecting) {
             close();
         } else if (!closeWhenFlushed && !closed) {
             closeWhenFlushed = true;
-            pause(true);
-            awaitFlushed(written);
-            loop.soon(this::flush);
+            setReadPaused(true);
+            awaitFlushed(writtenBytes);
+            loop.runBeforeSelect(this::flush);
         }
     }
 
@@ -204,8 +212,8 @@
                 .add(
                         loop.clock().now() + LINGER,
                         (now, ref) -> {
-                            if (!lingering && written > writtenBefore) {
-                                awaitFlushed(written);
+                            if (!lingering && writtenBytes > writtenBefore) {
+                                awaitFlushed(writtenBytes);
                             } else if (!lingering) {
                                 close();
                             }
@@ -218,13 +226,13 @@
      * where reading is paused, and handled in the loop's next turn. Safe to call while this
      * connection's bytes are being handled.
      */
-    public boolean hasEnded() {
+    public boolean hasPeerClosed() {
         if (closed || ended || connecting || lingering) {
             return closed || ended;
         }
         try {
-            for (int count = 1; count > 0 && in.room() > 0; ) {
-                count = in.fill(channel, loop.through());
+            for (int count = 1; count > 0 && input.remainingCapacity() > 0; ) {
+                count = input.readFrom(channel, loop.transferBuffer());
                 ended = count < 0;
                 readAhead(count != 0);
             }
@@ -239,30 +247,30 @@
     private void readAhead(boolean any) {
         if (any && !readAhead) {
             readAhead = true;
-            loop.nextTurn(
+            loop.runNextIteration(
                     () -> {
                         readAhead = false;
                         if (ended) { // What it asked for last is of no use to anybody.
                             close();
                         } else {
-                            handle(in.size() > 0);
+                            handle(input.size() > 0);
                         }
                     });
         }
     }
 
     /** Takes what has come and was not read yet; whether there was nothing. */
-    public boolean isQuiet() {
+    public boolean readAndCheckIdle() {
         if (closed || connecting || paused) {
             return false;
         }
         try {
-            int count = in.fill(channel, loop.through());
+            int count = input.readFrom(channel, loop.transferBuffer());
             handle(count > 0);
             if (count < 0) {
                 close();
             }
-            return count == 0 && in.size() == 0 && !closed;
+            return count == 0 && input.size() == 0 && !closed;
         } catch (IOException e) {
             close();
             return false;
@@ -270,7 +278,7 @@
     }
 
     /** Whether it has ended, or only waits for the other side to see its end. */
-    public boolean isFinishing() {
+    public boolean isClosing() {
         return closeWhenFlushed || closed || ended;
     }
 
@@ -289,16 +297,16 @@
         } catch (IOException e) {
             // The descriptor is gone either way.
         }
-        in.skip(in.size());
+        input.skip(input.size());
         out.skip(out.size());
         handler.closed(this);
     }
 
     @Override
-    public void ready() {
+    public void onReady() {
         try {
             if (connecting) {
-                connect();
+                finishConnect();
                 return;
             }
             if (key.isWritable()) {
@@ -306,12 +314,12 @@
             }
             if (!closed && key.isReadable()) {
                 if (lingering) {
-                    if (channel.read(loop.through().clear()) < 0) {
+                    if (channel.read(loop.transferBuffer().clear()) < 0) {
                         close();
                     }
                     return;
                 }
-                int count = in.fill(channel, loop.through());
+                int count = input.readFrom(channel, loop.transferBuffer());
                 handle(count > 0);
                 if (count < 0) {
                     close();
@@ -324,15 +332,15 @@
 
     @Override
     public boolean isUrgent() {
-        return urgent;
+        return ofAcceptedUrgent;
     }
 
     @Override
-    public void moved(SelectionKey to) {
+    public void onKeyReplaced(SelectionKey to) {
         key = to;
     }
 
-    private void connect() throws IOException {
+    private void finishConnect() throws IOException {
         try {
             if (channel.finishConnect()) {
                 connecting = false;
@@ -348,7 +356,7 @@
     }
 
     @Override
-    public void broken() {
+    public void onFailure() {
         close();
     }
 
@@ -365,14 +373,14 @@
             return;
         }
         try {
-            int count = out.drain(channel, loop.through());
-            written += count;
+            int count = out.writeTo(channel, loop.transferBuffer());
+            writtenBytes += count;
             if (count > 0) {
                 handler.drained(this);
             }
             if (out.size() == 0 && closeWhenFlushed && !lingering && !closed) {
                 lingering = true;
-                in.skip(in.size());
+                input.skip(input.size());
                 channel.shutdownOutput();
                 loop.deadlines().add(loop.clock().now() + LINGER, (now, ref) -> close(), 0);
             }
@@ -385,7 +393,9 @@
     private void interest() {
         if (!closed && !connecting && key != null && key.isValid()) {
             int wanted =
-                    (paused && !lingering || in.room() == 0 ? 0 : SelectionKey.OP_READ)
+                    (paused && !lingering || input.remainingCapacity() == 0
+                                    ? 0
+                                    : SelectionKey.OP_READ)
                             | (out.size() > 0 ? SelectionKey.OP_WRITE : 0);
             if (key.interestOps() != wanted) {
                 key.interestOps(wanted);
--- a/src/main/java/calicostream/net/BadInput.java
+++ b/src/main/java/calicostream/net/InvalidInputException.java
@@ -2,10 +2,10 @@
 package calicostream.net;
 
 /** Bytes that break the protocol of the connection they came on. */
-public final class BadInput extends Exception {
+public final class InvalidInputException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    public BadInput(String message) {
+    public InvalidInputException(String message) {
         super(message);
     }
 }
--- a/src/main/java/calicostream/net/Listener.java
+++ b/src/main/java/calicostream/net/Listener.java
@@ -11,34 +11,35 @@
 import org.slf4j.LoggerFactory;
 
 /** Accepts connections on one address, up to a number open at once. */
-public final class Listener implements Loop.Ready {
+public final class Listener implements SelectorLoop.ChannelHandler {
     /** Who takes the connections. */
-    public interface Taker {
+    public interface Acceptor {
         void accepted(SocketChannel channel) throws IOException;
 
         /** All that may be open are: ends one that can be spared, or says that there is none. */
-        boolean spareOne();
+        boolean evictOne();
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(Listener.class);
     private static final int BACKLOG = 512;
     private static final int A_TURN = 64; // connections taken before the open ones have a turn
     private static final long PAUSE = 20_000;
-    private final Loop loop;
+    private final SelectorLoop loop;
     private final ServerSocketChannel channel;
     private SelectionKey key;
     private final boolean urgent;
-    private int most;
-    private final Taker taker;
+    private int setMaxConnections;
+    private final Acceptor taker;
     private int open;
 
-    public Listener(Loop loop, InetSocketAddress at, int most, Taker taker) throws IOException {
+    public Listener(SelectorLoop loop, InetSocketAddress at, int most, Acceptor taker)
+            throws IOException {
         this(loop, at, most, taker, false);
     }
 
     /** How many may be open from now on. */
-    public void most(int count) {
-        most = count;
+    public void setMaxConnections(int count) {
+        setMaxConnections = count;
     }
 
     /**
@@ -46,10 +47,10 @@
      * comes later is refused. The system listens on for as long as the selector knows the channel,
      * so it is let go before the last look.
      */
-    public void takeAllAndClose() throws IOException {
+    public void acceptPendingAndClose() throws IOException {
         try {
             takeAll();
-            loop.release(key);
+            loop.deregister(key);
             takeAll();
         } finally {
             channel.close();
@@ -64,16 +65,17 @@
     }
 
     /** One whose connections are taken before all that is not urgent. */
-    public static Listener urgent(Loop loop, InetSocketAddress at, int most, Taker taker)
+    public static Listener urgent(SelectorLoop loop, InetSocketAddress at, int most, Acceptor taker)
             throws IOException {
         return new Listener(loop, at, most, taker, true);
     }
 
-    private Listener(Loop loop, InetSocketAddress at, int most, Taker taker, boolean urgent)
+    private Listener(
+            SelectorLoop loop, InetSocketAddress at, int most, Acceptor taker, boolean urgent)
             throws IOException {
         this.loop = loop;
         this.urgent = urgent;
-        this.most = most;
+        this.setMaxConnections = most;
         this.taker = taker;
         channel = ServerSocketChannel.open();
         channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
@@ -89,7 +91,7 @@
     }
 
     /** A connection that this listener accepted has ended. */
-    public void released() {
+    public void connectionClosed() {
         open--;
         resume();
     }
@@ -105,7 +107,7 @@
     }
 
     @Override
-    public void moved(SelectionKey to) {
+    public void onKeyReplaced(SelectionKey to) {
         key = to;
     }
 
@@ -115,11 +117,11 @@
     }
 
     @Override
-    public void ready() {
+    public void onReady() {
         try {
             for (int i = 0; i < A_TURN; i++) {
-                if (open >= most && !taker.spareOne()) {
-                    broken(); // Full: more wait in the backlog for a while.
+                if (open >= setMaxConnections && !taker.evictOne()) {
+                    onFailure(); // Full: more wait in the backlog for a while.
                     return;
                 }
                 SocketChannel next = channel.accept();
@@ -132,7 +134,7 @@
         } catch (IOException e) { // Out of descriptors, most likely: a spinning acceptor would help
             // nobody.
             LOG.warn("accept: {}", e.toString());
-            broken();
+            onFailure();
         }
     }
 
@@ -148,7 +150,7 @@
 
     /** Rests for a moment. */
     @Override
-    public void broken() {
+    public void onFailure() {
         if (key.isValid() && key.interestOps() != 0) {
             key.interestOps(0);
             loop.deadlines().add(loop.clock().now() + PAUSE, (now, ref) -> resume(), 0);
--- a/src/main/java/calicostream/net/Address.java
+++ b/src/main/java/calicostream/net/NumericSocketAddress.java
@@ -4,11 +4,11 @@
 import java.net.InetSocketAddress;
 
 /** Addresses as every configuration and the change log write them. */
-public final class Address {
-    private Address() {}
+public final class NumericSocketAddress {
+    private NumericSocketAddress() {}
 
     /** A numeric address and port; names are not looked up, as there is no DNS. */
-    public static InetSocketAddress of(String text) throws BadInput {
+    public static InetSocketAddress parse(String text) throws InvalidInputException {
         int colon = text.lastIndexOf(':');
         String host = colon < 1 ? "" : text.substring(0, colon);
         try {
@@ -19,6 +19,6 @@
         } catch (IllegalArgumentException e) {
             // Told below, with the text itself.
         }
-        throw new BadInput("'" + text + "' is not an address and port");
+        throw new InvalidInputException("'" + text + "' is not an address and port");
     }
 }
--- a/src/main/java/calicostream/net/Ring.java
+++ b/src/main/java/calicostream/net/RingBuffer.java
@@ -12,17 +12,17 @@
  * are open and most of them rest. Bytes pass between it and a channel through the loop's one direct
  * buffer.
  */
-public final class Ring {
+public final class RingBuffer {
     private static final int FIRST = 512;
     private static final byte[] NONE = {};
     private final int bound;
-    private final Held held;
+    private final MemoryUsage allocatedBytes;
     private byte[] bytes = NONE;
     private int head;
     private int size;
 
     /** Bytes of memory that many rings, and what waits for room in them, take together. */
-    public static final class Held {
+    public static final class MemoryUsage {
         private long bytes;
 
         public void add(long count) {
@@ -35,37 +35,37 @@
     }
 
     /** The bound is a power of two of at least 512. */
-    public Ring(int bound) {
-        this(bound, new Held());
+    public RingBuffer(int bound) {
+        this(bound, new MemoryUsage());
     }
 
     /** The same, counted with others. */
-    public Ring(int bound, Held held) {
+    public RingBuffer(int bound, MemoryUsage held) {
         this.bound = bound;
-        this.held = held;
+        this.allocatedBytes = held;
     }
 
     public int size() {
         return size;
     }
 
-    public int room() {
+    public int remainingCapacity() {
         return bound - size;
     }
 
     /** Bytes of memory that it takes now. */
-    public int held() {
+    public int allocatedBytes() {
         return bytes.length;
     }
 
-    public byte at(int i) {
+    public byte get(int i) {
         return bytes[head + i & bytes.length - 1];
     }
 
     /** Where this byte comes first at or after {@code from}, or -1. */
     public int indexOf(byte wanted, int from) {
         for (int i = from; i < size; i++) {
-            if (at(i) == wanted) {
+            if (get(i) == wanted) {
                 return i;
             }
         }
@@ -92,13 +92,13 @@
     }
 
     private void take(byte[] memory) {
-        held.add(memory.length - bytes.length);
+        allocatedBytes.add(memory.length - bytes.length);
         bytes = memory;
     }
 
     /** Takes all of it or, where the bound leaves no room, nothing. */
     public boolean put(byte[] from) {
-        if (from.length > room()) {
+        if (from.length > remainingCapacity()) {
             return false;
         }
         append(ByteBuffer.wrap(from));
@@ -120,14 +120,15 @@
     }
 
     /** Reads once what there is and fits; the count, or -1 at the end of the stream. */
-    int fill(ReadableByteChannel from, ByteBuffer through) throws IOException {
-        int count = from.read(through.clear().limit(Math.min(room(), through.capacity())));
+    int readFrom(ReadableByteChannel from, ByteBuffer through) throws IOException {
+        int count =
+                from.read(through.clear().limit(Math.min(remainingCapacity(), through.capacity())));
         append(through.flip());
         return count;
     }
 
     /** Writes as much as the channel takes. */
-    int drain(WritableByteChannel to, ByteBuffer through) throws IOException {
+    int writeTo(WritableByteChannel to, ByteBuffer through) throws IOException {
         int total = 0;
         while (size > 0) {
             int part = Math.min(Math.min(size, bytes.length - head), through.capacity());
--- a/src/main/java/calicostream/net/Loop.java
+++ b/src/main/java/calicostream/net/SelectorLoop.java
@@ -19,8 +19,8 @@
 import org.slf4j.LoggerFactory;
 
 /** The one thread that owns all state: sockets, deadlines, and what other threads hand over. */
-public final class Loop {
-    private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
+public final class SelectorLoop {
+    private static final Logger LOG = LoggerFactory.getLogger(SelectorLoop.class);
     private static final int THROUGH =
             32 * 1024; // bytes that pass in one go: also the most read in one turn
 
@@ -31,8 +31,8 @@
             5_000_000; // ns of work after which urgent channels are served again
 
     /** What a selection key's attachment does when its channel is ready. */
-    interface Ready {
-        void ready() throws IOException;
+    interface ChannelHandler {
+        void onReady() throws IOException;
 
         /** Whether it is served before all that is not. */
         default boolean isUrgent() {
@@ -40,37 +40,37 @@
         }
 
         /** It could not go on: what it was doing is given up, so that it does not spin. */
-        void broken();
+        void onFailure();
 
         /** Its key has been replaced by this one, which waits for the same. */
-        void moved(SelectionKey to);
+        void onKeyReplaced(SelectionKey to);
     }
 
     /**
      * How a selector is waited on: for at most so many milliseconds, or 0 for as long as it takes,
      * or not at all where negative.
      */
-    interface Wait {
-        void on(Selector selector, Consumer<SelectionKey> ready, long ms) throws IOException;
+    interface SelectStrategy {
+        void select(Selector selector, Consumer<SelectionKey> ready, long ms) throws IOException;
     }
 
     private final Clock clock;
     private final Deadlines deadlines;
-    private final Wait waiting;
+    private final SelectStrategy waiting;
     private volatile Selector selector;
     private final long mostHeld = Runtime.getRuntime().maxMemory() / 4;
-    private final Ring.Held held = new Ring.Held();
-    private final ByteBuffer through = ByteBuffer.allocateDirect(THROUGH);
+    private final RingBuffer.MemoryUsage bufferMemory = new RingBuffer.MemoryUsage();
+    private final ByteBuffer transferBuffer = ByteBuffer.allocateDirect(THROUGH);
     private final ConcurrentLinkedQueue<Runnable> posted = new ConcurrentLinkedQueue<>();
     private final Set<SelectionKey> ready =
             new LinkedHashSet<>(); // in the system's order: who has waited longest first
-    private final ArrayDeque<Runnable> soon = new ArrayDeque<>();
-    private List<Runnable> nextTurn = new ArrayList<>();
+    private final ArrayDeque<Runnable> runBeforeSelect = new ArrayDeque<>();
+    private List<Runnable> runNextIteration = new ArrayList<>();
     private boolean stopped;
     private int failures; // of the selector, one after another
     private long lookedAt; // ns: when urgent channels were last looked for
 
-    public Loop(Clock clock, Deadlines deadlines) throws IOException {
+    public SelectorLoop(Clock clock, Deadlines deadlines) throws IOException {
         this(
                 clock,
                 deadlines,
@@ -83,7 +83,7 @@
                 });
     }
 
-    Loop(Clock clock, Deadlines deadlines, Wait waiting) throws IOException {
+    SelectorLoop(Clock clock, Deadlines deadlines, SelectStrategy waiting) throws IOException {
         this.waiting = waiting;
         this.clock = clock;
         this.deadlines = deadlines;
@@ -102,18 +102,18 @@
      * The buffer through which bytes pass between rings and channels; empty outside of one such
      * call.
      */
-    ByteBuffer through() {
-        return through;
+    ByteBuffer transferBuffer() {
+        return transferBuffer;
     }
 
     /** What all rings of this loop take, and what waits for room in them. */
-    public Ring.Held held() {
-        return held;
+    public RingBuffer.MemoryUsage bufferMemory() {
+        return bufferMemory;
     }
 
     /** Whether they take so much that who holds more than a little must give it up. */
-    public boolean isCrowded() {
-        return held.bytes() > mostHeld;
+    public boolean isUnderMemoryPressure() {
+        return bufferMemory.bytes() > mostHeld;
     }
 
     /** From any thread: runs on the loop's thread. */
@@ -125,20 +125,21 @@
     /**
      * From the loop's thread: runs before the loop next waits, after what runs now has returned.
      */
-    public void soon(Runnable work) {
-        soon.add(work);
+    public void runBeforeSelect(Runnable work) {
+        runBeforeSelect.add(work);
     }
 
     /** From the loop's thread: runs once every other channel has had its turn. */
-    public void nextTurn(Runnable work) {
-        nextTurn.add(work);
+    public void runNextIteration(Runnable work) {
+        runNextIteration.add(work);
     }
 
     public void stop() {
         stopped = true;
     }
 
-    SelectionKey register(SelectableChannel channel, int interest, Ready ready) throws IOException {
+    SelectionKey register(SelectableChannel channel, int interest, ChannelHandler ready)
+            throws IOException {
         channel.configureBlocking(false);
         return channel.register(selector, interest, ready);
     }
@@ -147,7 +148,7 @@
      * From the loop's thread: the selector lets go of a channel now, so that closing it takes hold
      * at once and not with its next turn.
      */
-    void release(SelectionKey key) throws IOException {
+    void deregister(SelectionKey key) throws IOException {
         key.cancel();
         select(NOT_AT_ALL);
     }
@@ -157,7 +158,7 @@
      */
     private void select(long ms) throws IOException {
         try {
-            waiting.on(selector, ready::add, ms);
+            waiting.select(selector, ready::add, ms);
             failures = 0;
         } catch (IOException e) {
             if (++failures > MOST_FAILURES) {
@@ -171,10 +172,10 @@
             selector = Selector.open();
             for (SelectionKey key : failed.keys()) {
                 if (key.isValid()) {
-                    Ready ready = (Ready) key.attachment();
+                    ChannelHandler ready = (ChannelHandler) key.attachment();
                     int interest = key.interestOps();
                     key.cancel();
-                    ready.moved(key.channel().register(selector, interest, ready));
+                    ready.onKeyReplaced(key.channel().register(selector, interest, ready));
                 }
             }
             failed.close();
@@ -185,7 +186,7 @@
     public void run() throws IOException {
         while (!stopped) {
             long wait = deadlines.next() - clock.now();
-            if (!posted.isEmpty() || !nextTurn.isEmpty() || wait <= 0 || !ready.isEmpty()) {
+            if (!posted.isEmpty() || !runNextIteration.isEmpty() || wait <= 0 || !ready.isEmpty()) {
                 select(NOT_AT_ALL);
             } else {
                 select(wait == Deadlines.NEVER ? 0 : Math.max(1, Math.min(wait / 1000, 1000)));
@@ -195,12 +196,12 @@
             ready.clear();
             for (SelectionKey key : keys) {
                 if (key.isValid()) {
-                    ready((Ready) key.attachment());
+                    ready((ChannelHandler) key.attachment());
                     lookAgain();
                 }
             }
-            List<Runnable> turn = nextTurn;
-            nextTurn = new ArrayList<>();
+            List<Runnable> turn = runNextIteration;
+            runNextIteration = new ArrayList<>();
             for (Runnable work : turn) {
                 guarded(work);
                 lookAgain();
@@ -209,7 +210,9 @@
                 guarded(work);
             }
             guarded(() -> deadlines.run(clock.now()));
-            for (Runnable work = soon.poll(); work != null; work = soon.poll()) {
+            for (Runnable work = runBeforeSelect.poll();
+                    work != null;
+                    work = runBeforeSelect.poll()) {
                 guarded(work);
             }
         }
@@ -218,9 +221,9 @@
 
     private void serveUrgent() {
         for (SelectionKey key : List.copyOf(ready)) {
-            if (key.isValid() && ((Ready) key.attachment()).isUrgent()) {
+            if (key.isValid() && ((ChannelHandler) key.attachment()).isUrgent()) {
                 ready.remove(key);
-                ready((Ready) key.attachment());
+                ready((ChannelHandler) key.attachment());
             }
         }
         lookedAt = System.nanoTime();
@@ -234,15 +237,15 @@
         }
     }
 
-    private static void ready(Ready channel) {
+    private static void ready(ChannelHandler channel) {
         try {
-            channel.ready();
+            channel.onReady();
         } catch (IOException e) {
             LOG.warn("channel: {}", e.toString());
-            guarded(channel::broken);
+            guarded(channel::onFailure);
         } catch (RuntimeException | OutOfMemoryError e) {
             guarded(() -> LOG.error("unexpected", e));
-            guarded(channel::broken);
+            guarded(channel::onFailure);
         }
     }
 
--- a/src/main/java/calicostream/platform/Descriptors.java
+++ b/src/main/java/calicostream/platform/Descriptors.java
@@ -10,7 +10,9 @@
     private static final int LATER =
             6; // selector, hand-over, listeners: what comes after the count
     private static final int SPARE =
-            12 + AdminServer.MOST; // log and successor, files read anew, sockets being closed
+            12 + AdminServer.MAX_CONNECTIONS; // log and successor, files read anew, sockets being
+
+    // closed
 
     /**
      * Usual clients hold a third of the limit at most. They get two fifths, so that others can be
--- a/src/main/java/calicostream/platform/EndpointListDecoder.java
+++ b/src/main/java/calicostream/platform/EndpointListDecoder.java
@@ -3,8 +3,8 @@
 
 import calicostream.config.SettingsException;
 import calicostream.core.Clock;
-import calicostream.net.Address;
-import calicostream.net.BadInput;
+import calicostream.net.InvalidInputException;
+import calicostream.net.NumericSocketAddress;
 import calicostream.routing.EndpointUpdate;
 import calicostream.routing.EngineEndpoint;
 import calicostream.routing.EngineLifecycle;
@@ -63,7 +63,7 @@
             engines.values().removeIf(e -> e.lifecycle() == EngineLifecycle.REMOVED);
             return new Change(
                     last, EndpointUpdate.CACHED, List.copyOf(engines.values()), addresses, began);
-        } catch (BadInput | RuntimeException e) {
+        } catch (InvalidInputException | RuntimeException e) {
             throw new SettingsException(
                     "bad configuration: 'known' can't be read: " + e.getMessage());
         }
@@ -72,22 +72,22 @@
     /**
      * An event that can't be read changes nothing of what is known: its stream is asked for anew.
      */
-    public Change parse(String event) throws BadInput {
+    public Change parse(String event) throws InvalidInputException {
         Map<Long, Start> before = Map.copyOf(starts);
         try {
             return change(Json.parse(event).asObject());
-        } catch (BadInput
+        } catch (InvalidInputException
                 | RuntimeException
                         e) { // RuntimeException: no JSON, or a member missing or of another kind
             starts.clear();
             starts.putAll(before);
-            throw e instanceof BadInput known
+            throw e instanceof InvalidInputException known
                     ? known
-                    : new BadInput("an event of the change log can't be read: " + e);
+                    : new InvalidInputException("an event of the change log can't be read: " + e);
         }
     }
 
-    private Change change(JsonObject event) throws BadInput {
+    private Change change(JsonObject event) throws InvalidInputException {
         JsonObject fleet = event.get("fleet").asObject();
         boolean whole = fleet.getBoolean("snapshot", false);
         Map<Long, Start> before = Map.copyOf(starts);
@@ -116,9 +116,9 @@
             }
             String address = entry.getString("address", "");
             if (!address.isEmpty()) {
-                addresses.put(id, Address.of(address));
+                addresses.put(id, NumericSocketAddress.parse(address));
             } else if (state == EngineLifecycle.READY) {
-                throw new BadInput("an engine without an address");
+                throw new InvalidInputException("an engine without an address");
             }
         }
         return new Change(
@@ -154,7 +154,7 @@
         return at < 0 ? names.size() : at;
     }
 
-    private static EngineLifecycle state(String status) throws BadInput {
+    private static EngineLifecycle state(String status) throws InvalidInputException {
         switch (status) {
             case "Ready":
                 return EngineLifecycle.READY;
@@ -163,7 +163,7 @@
             case "Gone":
                 return EngineLifecycle.REMOVED;
             default:
-                throw new BadInput("an unknown state of an engine");
+                throw new InvalidInputException("an unknown state of an engine");
         }
     }
 }
--- a/src/main/java/calicostream/platform/EndpointWatch.java
+++ b/src/main/java/calicostream/platform/EndpointWatch.java
@@ -2,9 +2,9 @@
 package calicostream.platform;
 
 import calicostream.discovery.WatchBackoff;
-import calicostream.net.BadInput;
 import calicostream.net.Connection;
-import calicostream.net.Loop;
+import calicostream.net.InvalidInputException;
+import calicostream.net.SelectorLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -22,7 +22,7 @@
     private static final long SETTLED =
             25_000; // us without a byte after which what it held has come
     private static final long LOOK = 100_000; // us between looks for silence
-    private final Loop loop;
+    private final SelectorLoop loop;
     private final EndpointListDecoder roster;
     private final Consumer<EndpointListDecoder.Change> changed;
     private final WatchBackoff asking;
@@ -31,7 +31,7 @@
     private long seq;
 
     EndpointWatch(
-            Loop loop,
+            SelectorLoop loop,
             InetSocketAddress address,
             EndpointListDecoder roster,
             long seq,
@@ -58,7 +58,7 @@
         return follower != null
                 && follower.events.hasBegun()
                 && follower.events.isBetweenEvents()
-                && follower.connection.in().size() == 0
+                && follower.connection.input().size() == 0
                 && now - follower.heardAt >= SETTLED;
     }
 
@@ -73,7 +73,7 @@
             return;
         }
         address = to;
-        asking.answered();
+        asking.responseStarted();
         Follower old = follower;
         connect();
         if (old != null) {
@@ -83,12 +83,12 @@
 
     private void connect() {
         follower = null;
-        asking.asked(loop.clock().now());
+        asking.requestStarted(loop.clock().now());
         try {
             follower = new Follower();
         } catch (IOException e) {
             LOG.warn("change log: {}", e.toString());
-            loop.deadlines().add(asking.next(loop.clock().now()), this::connectAgain, 0);
+            loop.deadlines().add(asking.nextRequestAt(loop.clock().now()), this::connectAgain, 0);
         }
     }
 
@@ -103,7 +103,7 @@
      */
     private void watch(long now, long ref) {
         if (follower != null
-                && asking.isSilent(now, follower.heardAt, follower.events.hasBegun())) {
+                && asking.isStalled(now, follower.heardAt, follower.events.hasBegun())) {
             LOG.info("change log: silent");
             follower.connection.close();
         }
@@ -119,7 +119,8 @@
                 seq = change.seq();
                 changed.accept(change);
             }
-        } catch (BadInput e) { // The rest of the stream may be as bad: ask for it anew.
+        } catch (
+                InvalidInputException e) { // The rest of the stream may be as bad: ask for it anew.
             LOG.warn("change log: {}", e.getMessage());
             follower.connection.close();
         }
@@ -132,7 +133,7 @@
         long heardAt = loop.clock().now();
 
         Follower() throws IOException {
-            connection = Connection.urgentTo(loop, address, this, BOUND, 4096);
+            connection = Connection.connectUrgent(loop, address, this, BOUND, 4096);
             connection.write(
                     ("GET /changes HTTP/1.1\r\nHost: "
                                     + address.getHostString()
@@ -159,11 +160,11 @@
         public void received(Connection c) {
             heardAt = loop.clock().now();
             try {
-                events.take(c.in());
+                events.take(c.input());
                 if (events.hasBegun()) {
-                    asking.answered();
+                    asking.responseStarted();
                 }
-            } catch (BadInput e) {
+            } catch (InvalidInputException e) {
                 LOG.warn("change log: {}", e.getMessage());
                 c.close();
             }
@@ -174,7 +175,10 @@
             if (follower == this) {
                 follower = null;
                 loop.deadlines()
-                        .add(asking.next(loop.clock().now()), EndpointWatch.this::connectAgain, 0);
+                        .add(
+                                asking.nextRequestAt(loop.clock().now()),
+                                EndpointWatch.this::connectAgain,
+                                0);
             }
         }
     }
--- a/src/main/java/calicostream/platform/EventStream.java
+++ b/src/main/java/calicostream/platform/EventStream.java
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.platform;
 
-import calicostream.net.BadInput;
-import calicostream.net.Ring;
+import calicostream.net.InvalidInputException;
+import calicostream.net.RingBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 import java.util.function.Consumer;
@@ -35,21 +35,21 @@
     }
 
     /** Takes all that can be used. */
-    void take(Ring in) throws BadInput {
+    void take(RingBuffer in) throws InvalidInputException {
         while (step(in)) {
             if (line.length() > LONGEST || data.length() > LONGEST) {
-                throw new BadInput("an event is too long");
+                throw new InvalidInputException("an event is too long");
             }
         }
-        if (in.room() == 0) {
-            throw new BadInput("a line of the head is too long");
+        if (in.remainingCapacity() == 0) {
+            throw new InvalidInputException("a line of the head is too long");
         }
     }
 
     /**
      * Takes what it can use next, one line or one chunk's edge; false where more bytes are needed.
      */
-    private boolean step(Ring in) throws BadInput {
+    private boolean step(RingBuffer in) throws InvalidInputException {
         if (inBody && chunked && chunkLeft == 0) {
             return chunkHead(in);
         }
@@ -83,7 +83,7 @@
         return true;
     }
 
-    private boolean chunkHead(Ring in) throws BadInput {
+    private boolean chunkHead(RingBuffer in) throws InvalidInputException {
         int end = in.indexOf((byte) '\n', 0);
         if (end < 0) {
             return false;
@@ -97,19 +97,19 @@
         try {
             chunkLeft = Long.parseLong(text, 16);
         } catch (NumberFormatException e) {
-            throw new BadInput("a chunk's length can't be read");
+            throw new InvalidInputException("a chunk's length can't be read");
         }
         if (chunkLeft <= 0) {
-            throw new BadInput("the stream ended");
+            throw new InvalidInputException("the stream ended");
         }
         return true;
     }
 
-    private void head(String header) throws BadInput {
+    private void head(String header) throws InvalidInputException {
         if (status == null) {
             status = header;
             if (!header.startsWith("HTTP/1.") || !header.contains(" 200")) {
-                throw new BadInput("answered '" + header + "'");
+                throw new InvalidInputException("answered '" + header + "'");
             }
         } else if (header.isEmpty()) {
             inBody = true;
--- a/src/main/java/calicostream/platform/FrontEndConfig.java
+++ b/src/main/java/calicostream/platform/FrontEndConfig.java
@@ -2,8 +2,8 @@
 package calicostream.platform;
 
 import calicostream.config.SettingsException;
-import calicostream.net.Address;
-import calicostream.net.BadInput;
+import calicostream.net.InvalidInputException;
+import calicostream.net.NumericSocketAddress;
 import calicostream.routing.SettingsParser;
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
@@ -81,8 +81,8 @@
 
     private static InetSocketAddress address(JsonObject root, String name) {
         try {
-            return Address.of(root.getString(name, ""));
-        } catch (BadInput e) {
+            return NumericSocketAddress.parse(root.getString(name, ""));
+        } catch (InvalidInputException e) {
             throw new SettingsException("bad configuration: " + name + ": " + e.getMessage());
         }
     }
--- a/src/main/java/calicostream/platform/FrontEndServer.java
+++ b/src/main/java/calicostream/platform/FrontEndServer.java
@@ -9,7 +9,7 @@
 import calicostream.core.Gateway;
 import calicostream.core.Service;
 import calicostream.handover.HotRestart;
-import calicostream.net.Loop;
+import calicostream.net.SelectorLoop;
 import calicostream.routing.QueryClass;
 import calicostream.routing.SettingsParser;
 import java.io.IOException;
@@ -46,7 +46,7 @@
     private static final long REST_ON =
             700_000; // us in which most who rest ask once more, the other process beside
     private static final long LONGEST_END_S = 30;
-    private final Loop loop;
+    private final SelectorLoop loop;
     private final JsonRpcServer front;
     private final Gateway gateway;
     private final List<Service> services;
@@ -93,7 +93,7 @@
                             }
                         });
         handover.join();
-        gateway.attachKeyOwnership(handover.turns());
+        gateway.attachKeyOwnership(handover.keyOwnership());
         share();
         gateway.start(engines, known.engines());
         started = true;
@@ -163,7 +163,7 @@
         Runtime.getRuntime().addShutdownHook(new Thread(this::terminate, "terminate"));
         look(loop.clock().now(), 0);
         WarmUp warmUp = new WarmUp(config.settings().settings(), config.settings().classNames());
-        loop.nextTurn(() -> warm(warmUp));
+        loop.runNextIteration(() -> warm(warmUp));
         try {
             loop.run();
         } finally {
@@ -178,7 +178,7 @@
     /** In pieces between the loop's turns: meanwhile the change log tells what it holds. */
     private void warm(WarmUp warmUp) {
         if (warmUp.goesOn()) {
-            loop.nextTurn(() -> warm(warmUp));
+            loop.runNextIteration(() -> warm(warmUp));
             return;
         }
         LOG.info("{}, warmed up by {} requests", config.name(), warmUp.answers());
@@ -193,7 +193,7 @@
             return;
         }
         long now = loop.clock().now();
-        catchUp(now, handover.hasElder() ? now + CATCH_UP : startedAt + LIST_AWAITED);
+        catchUp(now, handover.hasPredecessor() ? now + CATCH_UP : startedAt + LIST_AWAITED);
     }
 
     /**
@@ -204,7 +204,7 @@
         if (ending) {
             return;
         }
-        boolean current = log.hasToldAll(now) && log.seq() >= handover.seen();
+        boolean current = log.hasToldAll(now) && log.seq() >= handover.newestPeerEventSequence();
         if (now < until && !current) {
             loop.deadlines().add(now + CATCH_UP_LOOK, this::catchUp, until);
             return;
@@ -221,7 +221,7 @@
     }
 
     private void listen() throws IOException {
-        gateway.learnedRunTimes(handover.before());
+        gateway.learnedRunTimes(handover.predecessorRunTimes());
         front.listen(config.listen());
         LOG.info("listens on port {}", front.port());
         for (Service each : services) {
@@ -229,7 +229,7 @@
             LOG.info("{} listens on port {}", each.name(), each.port());
         }
         listening = true;
-        handover.listens(true);
+        handover.publishListening(true);
     }
 
     /** On SIGTERM, off the loop's thread: the process ends when this returns. */
@@ -242,7 +242,7 @@
                         loop.stop();
                         return;
                     }
-                    handover.look();
+                    handover.poll();
                     long now = loop.clock().now();
                     if (handover.hasSuccessor()) {
                         LOG.info("another process of this front end listens: no more clients here");
@@ -272,44 +272,46 @@
 
     /** The other process may have been told a moment ago: that is heard first. */
     @Override
-    public boolean disable(String engine) {
-        handover.look();
+    public boolean disableEngine(String engine) {
+        handover.poll();
         long id = EndpointListDecoder.id(engine);
         if (gateway.isKnownEngine(id) && !gateway.isDisabled(id)) {
             gateway.disable(id);
-            handover.say(engine, true);
+            handover.publishEngineOverride(engine, true);
         }
         return gateway.isKnownEngine(id);
     }
 
     @Override
-    public boolean enable(String engine) {
-        handover.look();
+    public boolean enableEngine(String engine) {
+        handover.poll();
         long id = EndpointListDecoder.id(engine);
         boolean known = gateway.isKnownEngine(id);
         if (gateway.isDisabled(id)) {
             gateway.enable(id, loop.clock().now());
-            handover.say(engine, false);
+            handover.publishEngineOverride(engine, false);
         }
         return known;
     }
 
     /** What an operator said to the other process of this front end. */
-    private void heard(String engine, HotRestart.Word word) {
-        if (word.out()) {
+    private void heard(String engine, HotRestart.EngineOverride word) {
+        if (word.disabled()) {
             gateway.disable(EndpointListDecoder.id(engine));
         } else {
-            gateway.enable(EndpointListDecoder.id(engine), loop.clock().ofUnixMillis(word.at()));
+            gateway.enable(
+                    EndpointListDecoder.id(engine),
+                    loop.clock().ofUnixMillis(word.changedAtUnixMillis()));
         }
     }
 
     private void look(long now, long ref) {
-        int before = handover.processes();
-        handover.look();
-        handover.saw(log.seq());
-        if (handover.processes() != before) {
+        int before = handover.processCount();
+        handover.poll();
+        handover.publishEventSequence(log.seq());
+        if (handover.processCount() != before) {
             share();
-            handover.learned(gateway.learnedRunTimes());
+            handover.publishLearnedRunTimes(gateway.learnedRunTimes());
         }
         loop.deadlines().add(now + LOOK, this::look, 0);
     }
@@ -318,16 +320,16 @@
      * Of all that the limits and the rules allow this front end, its processes have equal parts.
      */
     private void share() {
-        LOG.info("processes of this front end: {}", handover.processes());
-        gateway.processesChanged(handover.processes(), handover.place());
+        LOG.info("processes of this front end: {}", handover.processCount());
+        gateway.processesChanged(handover.processCount(), handover.rankByAge());
         Descriptors part =
-                Descriptors.of(config.sockets() / handover.processes(), descriptors.own());
+                Descriptors.of(config.sockets() / handover.processCount(), descriptors.own());
         front.most(part.clients());
         engines.setMaxConnections(part.engines());
     }
 
     @Override
-    public String figures() {
+    public String metricsJson() {
         return MetricsJson.of(gateway, config.settings().classNames());
     }
 
@@ -342,7 +344,7 @@
     }
 
     @Override
-    public String administer(String name, String words) {
+    public String executeCommand(String name, String words) {
         Service part = part(name);
         return part == null ? null : part.administer(words);
     }
@@ -354,7 +356,7 @@
 
     /** No new clients from now on; those that are here are served, and let go at rest. */
     private void retire(long restsUntil, long last) {
-        handover.listens(false);
+        handover.publishListening(false);
         services.forEach(Service::stopListening);
         try {
             front.retire(restsUntil, last);
--- a/src/main/java/calicostream/platform/JsonRpcServer.java
+++ b/src/main/java/calicostream/platform/JsonRpcServer.java
@@ -6,10 +6,10 @@
 import calicostream.core.SlotTable;
 import calicostream.net.Connection;
 import calicostream.net.Listener;
-import calicostream.net.Loop;
-import calicostream.net.Ring;
+import calicostream.net.RingBuffer;
+import calicostream.net.SelectorLoop;
 import calicostream.routing.Query;
-import calicostream.sql.Statement;
+import calicostream.sql.TableGroupScanner;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -26,7 +26,7 @@
 import java.util.function.Function;
 
 /** The platform's clients: JSON-RPC 2.0, one message a line. */
-final class JsonRpcServer implements ResponseHandler, Listener.Taker {
+final class JsonRpcServer implements ResponseHandler, Listener.Acceptor {
     private static final int BOUND_IN = 128 * 1024;
     private static final int BOUND_OUT = 128 * 1024;
     private static final int MOST_OPEN = 32;
@@ -49,7 +49,7 @@
     private static final long MOST_PART = 10; // at most so little of a short time
     private static final long WAIT_FOLD =
             10; // of the longest deadline: no client waits for that long
-    private final Loop loop;
+    private final SelectorLoop loop;
     private final Gateway gateway;
     private final List<String> classNames;
     private final SlotTable<Pending> pending = new SlotTable<>();
@@ -77,7 +77,7 @@
 
     /** {@code text} turns a result, as the engine side gives it, into rows of text. */
     JsonRpcServer(
-            Loop loop,
+            SelectorLoop loop,
             Gateway gateway,
             List<String> classNames,
             long longestDeadlineUs,
@@ -98,7 +98,7 @@
     void most(int count) {
         mostClients = count;
         if (listener != null) {
-            listener.most(count);
+            listener.setMaxConnections(count);
         }
     }
 
@@ -113,7 +113,7 @@
                         restsUntil,
                         this::letGo,
                         0); // Also where no descriptor is left to take the rest with.
-        listener.takeAllAndClose();
+        listener.acceptPendingAndClose();
     }
 
     private void letGo(long now, long ref) {
@@ -126,15 +126,15 @@
         return clients.stream()
                 .map(
                         c ->
-                                (c.connection.isFinishing() ? "ended" : "open")
+                                (c.connection.isClosing() ? "ended" : "open")
                                         + " "
                                         + c.open.size()
                                         + "+"
                                         + c.waiting.size()
                                         + ","
-                                        + c.connection.in().size()
+                                        + c.connection.input().size()
                                         + ","
-                                        + c.connection.unsent()
+                                        + c.connection.unsentBytes()
                                         + ","
                                         + (loop.clock().now() - c.restsSince) / 1000)
                 .toList()
@@ -161,7 +161,7 @@
      * connection would be reset.
      */
     @Override
-    public boolean spareOne() {
+    public boolean evictOne() {
         long now = loop.clock().now();
         Comparator<JsonRpcClientConnection> order =
                 Comparator.comparingInt((JsonRpcClientConnection c) -> c.need(now))
@@ -218,13 +218,13 @@
     @Override
     public InetSocketAddress localAddress(long tag) {
         Pending p = pending.get(tag);
-        return p == null ? null : p.client.connection.local();
+        return p == null ? null : p.client.connection.localAddress();
     }
 
     @Override
     public InetAddress clientAddress(long tag) {
         Pending p = pending.get(tag);
-        InetSocketAddress remote = p == null ? null : p.client.connection.remote();
+        InetSocketAddress remote = p == null ? null : p.client.connection.remoteAddress();
         return remote == null ? null : remote.getAddress();
     }
 
@@ -248,7 +248,7 @@
             p.client.endIfServed();
             if (lastMoment
                     < Long.MAX_VALUE) { // Best closed with an answer: no request crosses that.
-                loop.soon(p.client::letGo);
+                loop.runBeforeSelect(p.client::letGo);
             }
         }
     }
@@ -268,8 +268,8 @@
         boolean served, refusesInput;
 
         JsonRpcClientConnection(SocketChannel channel) throws IOException {
-            connection = Connection.accepted(loop, channel, this, BOUND_IN, BOUND_OUT);
-            cancels = new PendingCancellations(connection.in());
+            connection = Connection.ofAccepted(loop, channel, this, BOUND_IN, BOUND_OUT);
+            cancels = new PendingCancellations(connection.input());
             clients.add(this);
         }
 
@@ -278,9 +278,9 @@
          * one.
          */
         int need(long now) {
-            boolean busy = !open.isEmpty() || !waiting.isEmpty() || connection.unsent() > 0;
+            boolean busy = !open.isEmpty() || !waiting.isEmpty() || connection.unsentBytes() > 0;
             long rested = now - restsSince;
-            boolean writes = connection.in().size() > 0 && now - heardAt < PIECES;
+            boolean writes = connection.input().size() > 0 && now - heardAt < PIECES;
             return busy || rested < HEARD
                     ? NEEDED
                     : writes ? 2 : served ? 1 : rested > SAYS_SOON ? 0 : 2;
@@ -290,11 +290,12 @@
         void write(byte[] answer) {
             if (!connection.isClosed() && (!waiting.isEmpty() || !connection.write(answer))) {
                 waiting.add(answer);
-                loop.held().add(answer.length);
-                connection.pause(true);
-                if (loop.isCrowded()) { // It will not read what it is owed, and others need the
+                loop.bufferMemory().add(answer.length);
+                connection.setReadPaused(true);
+                if (loop.isUnderMemoryPressure()) { // It will not read what it is owed, and others
+                    // need the
                     // room.
-                    loop.soon(connection::close);
+                    loop.runBeforeSelect(connection::close);
                 }
             }
         }
@@ -302,10 +303,10 @@
         @Override
         public void drained(Connection c) {
             while (!waiting.isEmpty() && c.write(waiting.peek())) {
-                loop.held().add(-waiting.poll().length);
+                loop.bufferMemory().add(-waiting.poll().length);
             }
             if (waiting.isEmpty()) {
-                c.pause(false);
+                c.setReadPaused(false);
             }
         }
 
@@ -314,7 +315,7 @@
          */
         @Override
         public void received(Connection c) {
-            Ring in = c.in();
+            RingBuffer in = c.input();
             if (refusesInput) {
                 skip(in, in.size());
                 return;
@@ -322,7 +323,7 @@
             heardAt = loop.clock().now();
             lineSince = scanned == 0 ? loop.clock().now() : lineSince;
             for (int i = 0;
-                    i < LINES_A_TURN && waiting.isEmpty() && !c.isClosed() && !c.isFinishing();
+                    i < LINES_A_TURN && waiting.isEmpty() && !c.isClosed() && !c.isClosing();
                     i++) {
                 int end = in.indexOf((byte) '\n', scanned);
                 scanned = end < 0 ? in.size() : 0;
@@ -335,8 +336,9 @@
                 line(line);
             }
             if (scanned < in.size()) {
-                c.again();
-            } else if (in.room() == 0 || in.size() > LITTLE && loop.isCrowded()) {
+                c.processNextIteration();
+            } else if (in.remainingCapacity() == 0
+                    || in.size() > LITTLE && loop.isUnderMemoryPressure()) {
                 end("the line is too long");
             }
             if (served) { // Who sends nothing that can be used has rested since it came.
@@ -344,7 +346,7 @@
             }
         }
 
-        private void skip(Ring in, int count) {
+        private void skip(RingBuffer in, int count) {
             in.skip(count);
             cancels.taken(count);
         }
@@ -353,14 +355,14 @@
         private void end(String why) {
             write(JsonRpc.error("null", JsonRpc.INVALID_REQUEST, why));
             refusesInput = true;
-            skip(connection.in(), connection.in().size());
+            skip(connection.input(), connection.input().size());
             scanned = 0;
             endIfServed();
         }
 
         void endIfServed() {
             if (refusesInput && open.isEmpty()) {
-                connection.finish();
+                connection.closeGracefully();
             }
         }
 
@@ -369,7 +371,7 @@
          * wait behind other requests.
          */
         boolean hasLeft(Pending p) {
-            return connection.hasEnded() || cancels.name(p.id, p.requestId);
+            return connection.hasPeerClosed() || cancels.name(p.id, p.requestId);
         }
 
         /**
@@ -377,8 +379,10 @@
          * this is no more likely to be.
          */
         boolean saysNothing(long now) {
-            int known = connection.in().size();
-            return connection.hasEnded() || connection.in().size() == known || isUseless(now);
+            int known = connection.input().size();
+            return connection.hasPeerClosed()
+                    || connection.input().size() == known
+                    || isUseless(now);
         }
 
         /**
@@ -400,11 +404,11 @@
         void letGo() {
             if (open.isEmpty()
                     && waiting.isEmpty()
-                    && !connection.isFinishing()
-                    && connection.in().size() == 0
-                    && connection.isQuiet()
+                    && !connection.isClosing()
+                    && connection.input().size() == 0
+                    && connection.readAndCheckIdle()
                     && open.isEmpty()) {
-                connection.finish();
+                connection.closeGracefully();
             }
         }
 
@@ -413,14 +417,14 @@
          * stay.
          */
         void look(long now) {
-            boolean half = connection.in().size() > 0 && scanned == connection.in().size();
-            if (connection.isFinishing() || !open.isEmpty() || !waiting.isEmpty()) {
+            boolean half = connection.input().size() > 0 && scanned == connection.input().size();
+            if (connection.isClosing() || !open.isEmpty() || !waiting.isEmpty()) {
                 return;
             }
             if (half && now - (served ? lineSince : restsSince) > HALF_LINE) {
                 end("the line did not end in time");
             } else if (isUseless(now)) {
-                connection.finish();
+                connection.closeGracefully();
             } else if (now - restsSince > (served ? REST : SPEAKS)) {
                 letGo();
             }
@@ -428,10 +432,10 @@
 
         @Override
         public void closed(Connection c) {
-            waiting.forEach(each -> loop.held().add(-each.length));
+            waiting.forEach(each -> loop.bufferMemory().add(-each.length));
             waiting.clear();
             clients.remove(this);
-            listener.released();
+            listener.connectionClosed();
             for (long tag : List.copyOf(open.values())) {
                 Pending p = pending.remove(tag);
                 openIds.remove(p.requestId);
@@ -509,7 +513,7 @@
             long tag = pending.add(p);
             open.put(id, tag);
             long left = Math.min(timeLeft(message), untilLast);
-            int group = Math.max(0, Statement.tableGroup(body));
+            int group = Math.max(0, TableGroupScanner.tableGroup(body));
             Query asked =
                     new Query(
                             0,
--- a/src/main/java/calicostream/platform/PendingCancellations.java
+++ b/src/main/java/calicostream/platform/PendingCancellations.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.platform;
 
-import calicostream.net.Ring;
+import calicostream.net.RingBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.HashSet;
 import java.util.Set;
@@ -12,11 +12,11 @@
  * byte is looked through once.
  */
 final class PendingCancellations {
-    private final Ring in;
+    private final RingBuffer in;
     private final Set<Object> ahead = new HashSet<>(); // numbers and ids
     private int searched; // bytes from the ring's head on
 
-    PendingCancellations(Ring in) {
+    PendingCancellations(RingBuffer in) {
         this.in = in;
     }
 
--- a/src/main/java/calicostream/platform/Resp.java
+++ b/src/main/java/calicostream/platform/Resp.java
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.platform;
 
-import calicostream.net.BadInput;
-import calicostream.net.Ring;
+import calicostream.net.InvalidInputException;
+import calicostream.net.RingBuffer;
 import java.nio.charset.StandardCharsets;
 
 /** RESP arrays of bulk strings. */
@@ -10,15 +10,15 @@
     private static final int MOST_ITEMS = 8;
     private static final int LONGEST_ITEM = 128 * 1024;
     private static final int LONGEST_COUNT = 12;
-    private final Ring ring;
+    private final RingBuffer ring;
     private int at;
 
-    private Resp(Ring ring) {
+    private Resp(RingBuffer ring) {
         this.ring = ring;
     }
 
     /** Takes the next whole array out of the ring, or null where more bytes are needed. */
-    static byte[][] take(Ring ring) throws BadInput {
+    static byte[][] take(RingBuffer ring) throws InvalidInputException {
         Resp reader = new Resp(ring);
         int count = reader.count('*', MOST_ITEMS);
         if (count < 0) {
@@ -32,8 +32,8 @@
             }
             items[i] = ring.copy(reader.at, length);
             reader.at += length;
-            if (ring.at(reader.at) != '\r' || ring.at(reader.at + 1) != '\n') {
-                throw new BadInput("a bulk string runs past its length");
+            if (ring.get(reader.at) != '\r' || ring.get(reader.at + 1) != '\n') {
+                throw new InvalidInputException("a bulk string runs past its length");
             }
             reader.at += 2;
         }
@@ -42,30 +42,30 @@
     }
 
     /** A type byte, a count and CR LF; -1 where more bytes are needed. */
-    private int count(char type, int most) throws BadInput {
+    private int count(char type, int most) throws InvalidInputException {
         int end = ring.indexOf((byte) '\n', at);
         if (end < 0 ? ring.size() - at > LONGEST_COUNT : end - at > LONGEST_COUNT) {
-            throw new BadInput("a count is too long");
+            throw new InvalidInputException("a count is too long");
         }
-        if (ring.size() > at && ring.at(at) != type) {
-            throw new BadInput("not an array of bulk strings");
+        if (ring.size() > at && ring.get(at) != type) {
+            throw new InvalidInputException("not an array of bulk strings");
         }
         if (end < 0) {
             return -1;
         }
         int value = 0;
         for (int i = at + 1; i < end - 1; i++) {
-            int digit = ring.at(i) - '0';
+            int digit = ring.get(i) - '0';
             if (digit < 0 || digit > 9) {
-                throw new BadInput("a count is not a number");
+                throw new InvalidInputException("a count is not a number");
             }
             value = value * 10 + digit;
             if (value > most) {
-                throw new BadInput("a count is too large");
+                throw new InvalidInputException("a count is too large");
             }
         }
-        if (end - at < 3 || ring.at(end - 1) != '\r') {
-            throw new BadInput("a count is cut");
+        if (end - at < 3 || ring.get(end - 1) != '\r') {
+            throw new InvalidInputException("a count is cut");
         }
         at = end + 1;
         return value;
--- a/src/main/java/calicostream/platform/RespEngineClient.java
+++ b/src/main/java/calicostream/platform/RespEngineClient.java
@@ -3,9 +3,9 @@
 
 import calicostream.core.EngineClient;
 import calicostream.core.Gateway;
-import calicostream.net.BadInput;
 import calicostream.net.Connection;
-import calicostream.net.Loop;
+import calicostream.net.InvalidInputException;
+import calicostream.net.SelectorLoop;
 import calicostream.routing.AttemptOutcome;
 import calicostream.routing.LoadReport;
 import calicostream.routing.ProgressKind;
@@ -74,7 +74,7 @@
         boolean isOver() {
             return stopEnd == 0
                     || link.connection.isClosed()
-                    || link.connection.written() >= stopEnd;
+                    || link.connection.writtenBytes() >= stopEnd;
         }
     }
 
@@ -99,7 +99,7 @@
     /** An attempt in a connection's ring, and the count of bytes at which it has gone out whole. */
     private record GoingOut(long end, Gateway.Attempt attempt) {}
 
-    private final Loop loop;
+    private final SelectorLoop loop;
     private final List<String> classNames;
     private final SettingsParser.ConnectionSettings wiring;
     private final long reportIdleUs;
@@ -113,7 +113,7 @@
 
     /** At most so many connections to all engines together. */
     public RespEngineClient(
-            Loop loop,
+            SelectorLoop loop,
             List<String> classNames,
             SettingsParser.ConnectionSettings wiring,
             int mostLinks) {
@@ -228,7 +228,7 @@
 
     private static RespConnection toAsk(Engine e, long now) {
         return e.links.stream()
-                .filter(l -> !l.connection.isFinishing() && !l.doubtful && !l.silent(now))
+                .filter(l -> !l.connection.isClosing() && !l.doubtful && !l.silent(now))
                 .min(
                         Comparator.comparing((RespConnection l) -> !l.connection.isConnected())
                                 .thenComparingInt(l -> l.calls.size()))
@@ -273,7 +273,7 @@
     private static void closeBlocked(Engine e) {
         if (e.draining) {
             List.copyOf(e.links).stream()
-                    .filter(l -> l.connection.unsent() > 0)
+                    .filter(l -> l.connection.unsentBytes() > 0)
                     .forEach(l -> l.connection.close());
         }
     }
@@ -332,7 +332,7 @@
         RespConnection best = null;
         for (RespConnection link : e.links) {
             boolean usable =
-                    !link.connection.isFinishing()
+                    !link.connection.isClosing()
                             && link.calls.size() < wiring.maxStreamsPerConnection()
                             && !link.doubtful
                             && !link.silent(now)
@@ -370,7 +370,7 @@
 
         RespConnection(Engine engine) throws IOException {
             this.engine = engine;
-            connection = Connection.to(loop, engine.address, this, BOUND, BOUND);
+            connection = Connection.connect(loop, engine.address, this, BOUND, BOUND);
             engine.links.add(this);
             links++;
             loop.deadlines()
@@ -412,7 +412,7 @@
          * request ran.
          */
         boolean restsEnded() {
-            return calls.isEmpty() && connection.hasEnded();
+            return calls.isEmpty() && connection.hasPeerClosed();
         }
 
         /** Closed by our own choice, it tells nothing of its engine. */
@@ -466,7 +466,7 @@
                     engine.address,
                     number);
             if (sent) {
-                goingOut.add(new GoingOut(connection.queued(), a));
+                goingOut.add(new GoingOut(connection.queuedBytes(), a));
             } else { // The ring is full: not a byte of it went out.
                 end(call, AttemptOutcome.OVERLOADED, null);
             }
@@ -474,7 +474,7 @@
 
         @Override
         public void drained(Connection c) {
-            while (!goingOut.isEmpty() && goingOut.peek().end <= c.written()) {
+            while (!goingOut.isEmpty() && goingOut.peek().end <= c.writtenBytes()) {
                 gateway.attemptWritten(goingOut.poll().attempt);
             }
         }
@@ -489,7 +489,7 @@
          */
         void callOff(RespCall call) {
             boolean told = tell("STOP", call.attempt.request.id);
-            call.stopEnd = connection.queued();
+            call.stopEnd = connection.queuedBytes();
             connection.flushNow();
             if (!told) {
                 connection.close();
@@ -555,7 +555,7 @@
         void rested() {
             restedAt = loop.clock().now();
             if (calls.isEmpty() && (doubtful || engine.draining)) {
-                connection.finish();
+                connection.closeGracefully();
             } else if (calls.isEmpty() && !watched && !connection.isClosed()) {
                 watched = true;
                 loop.deadlines().add(restedAt + reportIdleUs, this::idle, 0);
@@ -593,21 +593,21 @@
         public void received(Connection c) {
             heardAt = loop.clock().now();
             try {
-                for (byte[][] answer = Resp.take(c.in());
+                for (byte[][] answer = Resp.take(c.input());
                         answer != null;
-                        answer = Resp.take(c.in())) {
+                        answer = Resp.take(c.input())) {
                     partSince = heardAt;
                     answer(answer);
                 }
-                if (c.in().room() == 0) {
-                    throw new BadInput("an answer is too long");
+                if (c.input().remainingCapacity() == 0) {
+                    throw new InvalidInputException("an answer is too long");
                 }
-                if (c.in().size() > 0 && !partWatched) {
+                if (c.input().size() > 0 && !partWatched) {
                     partWatched = true;
                     partSince = heardAt;
                     loop.deadlines().add(heardAt + HALF_ANSWER, this::part, 0);
                 }
-            } catch (BadInput e) {
+            } catch (InvalidInputException e) {
                 spoilt(e.getMessage());
             }
         }
@@ -622,7 +622,7 @@
         /** An answer that stopped half-way holds up all behind it for good. */
         private void part(long now, long ref) {
             partWatched = false;
-            if (!connection.isClosed() && connection.in().size() > 0) {
+            if (!connection.isClosed() && connection.input().size() > 0) {
                 if (now - partSince >= HALF_ANSWER) {
                     spoilt("an answer stopped half-way");
                 } else {
@@ -632,9 +632,9 @@
             }
         }
 
-        private void answer(byte[][] answer) throws BadInput {
+        private void answer(byte[][] answer) throws InvalidInputException {
             if (answer.length != 4) {
-                throw new BadInput("an answer of " + answer.length + " parts");
+                throw new InvalidInputException("an answer of " + answer.length + " parts");
             }
             String id = new String(answer[0], StandardCharsets.ISO_8859_1);
             Probe probe = probes.remove(id);
@@ -672,15 +672,15 @@
                     note(call, fields);
                     break;
                 default:
-                    throw new BadInput("an answer of an unknown kind");
+                    throw new InvalidInputException("an answer of an unknown kind");
             }
         }
 
         /** Who is unfit says so by its own word, and its report may still tell why. */
-        private void probed(Probe probe, byte[][] answer) throws BadInput {
+        private void probed(Probe probe, byte[][] answer) throws InvalidInputException {
             String word = new String(answer[1], StandardCharsets.ISO_8859_1);
             if (!word.equals("FIT") && !word.equals("UNFIT")) {
-                throw new BadInput("an answer to a probe of an unknown kind");
+                throw new InvalidInputException("an answer to a probe of an unknown kind");
             }
             Map<String, String> fields =
                     RespFields.parse(new String(answer[2], StandardCharsets.ISO_8859_1));
@@ -693,12 +693,12 @@
          * The first page. The rest is fetched before anything goes out: a result is passed on whole
          * or not.
          */
-        private void done(RespCall call, int pages, byte[] first) throws BadInput {
+        private void done(RespCall call, int pages, byte[] first) throws InvalidInputException {
             if (call.pages != null) { // A second copy, while the other pages are on their way.
                 return;
             }
             if (pages < 1) {
-                throw new BadInput("a result that can't be");
+                throw new InvalidInputException("a result that can't be");
             }
             if (pages == 1) {
                 end(call, AttemptOutcome.OK, rows(first));
@@ -730,9 +730,9 @@
                             0);
         }
 
-        private void more(RespCall call, int page, byte[] rows) throws BadInput {
+        private void more(RespCall call, int page, byte[] rows) throws InvalidInputException {
             if (call.pages == null || page < 0 || page >= call.pages.length) {
-                throw new BadInput("a page that was not asked for");
+                throw new InvalidInputException("a page that was not asked for");
             }
             if (call.pages[page] != null) {
                 return;
@@ -745,7 +745,7 @@
                     length += each.length;
                 }
                 if (length > LONGEST_RESULT) {
-                    throw new BadInput("a result is too long");
+                    throw new InvalidInputException("a result is too long");
                 }
                 byte[] whole = new byte[length];
                 int at = 0;
@@ -758,9 +758,9 @@
         }
 
         /** A page of whole rows; one that is cut would pass for whole further on. */
-        private byte[] rows(byte[] page) throws BadInput {
+        private byte[] rows(byte[] page) throws InvalidInputException {
             if (page.length > LONGEST_PAGE || page.length > 0 && page[page.length - 1] != '\n') {
-                throw new BadInput("a page that does not hold whole rows");
+                throw new InvalidInputException("a page that does not hold whole rows");
             }
             return page;
         }
--- a/src/main/java/calicostream/platform/RespFields.java
+++ b/src/main/java/calicostream/platform/RespFields.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.platform;
 
-import calicostream.net.BadInput;
+import calicostream.net.InvalidInputException;
 import calicostream.routing.LoadReport;
 import java.util.HashMap;
 import java.util.Map;
@@ -12,7 +12,7 @@
 
     private RespFields() {}
 
-    static Map<String, String> parse(String text) throws BadInput {
+    static Map<String, String> parse(String text) throws InvalidInputException {
         if (text.equals("-") || text.isEmpty()) {
             return Map.of();
         }
@@ -20,7 +20,7 @@
         for (String field : text.split(",")) {
             int at = field.indexOf('=');
             if (at < 1) {
-                throw new BadInput("a field without a name");
+                throw new InvalidInputException("a field without a name");
             }
             out.put(field.substring(0, at), field.substring(at + 1));
         }
@@ -54,11 +54,11 @@
     }
 
     static int whole(Map<String, String> fields, String name, int without, int most)
-            throws BadInput {
+            throws InvalidInputException {
         String text = fields.get(name);
         double value = text == null ? without : number(text);
         if (!(value <= most) || value != Math.rint(value)) {
-            throw new BadInput("the field " + name + " can't be used");
+            throw new InvalidInputException("the field " + name + " can't be used");
         }
         return (int) value;
     }
--- a/src/main/java/calicostream/platform/ServerComponents.java
+++ b/src/main/java/calicostream/platform/ServerComponents.java
@@ -4,7 +4,7 @@
 import calicostream.core.EngineClient;
 import calicostream.core.Gateway;
 import calicostream.core.Service;
-import calicostream.net.Loop;
+import calicostream.net.SelectorLoop;
 import java.util.List;
 import java.util.function.Function;
 
@@ -15,7 +15,7 @@
  */
 public record ServerComponents(
         Descriptors descriptors,
-        Loop loop,
+        SelectorLoop loop,
         Gateway gateway,
         EngineClient engines,
         Function<Object, byte[]> text,
--- a/src/main/java/calicostream/platform/WarmUp.java
+++ b/src/main/java/calicostream/platform/WarmUp.java
@@ -7,13 +7,13 @@
 import calicostream.core.Gateway;
 import calicostream.core.RequestListener;
 import calicostream.core.ResponseHandler;
-import calicostream.net.BadInput;
-import calicostream.net.Ring;
+import calicostream.net.InvalidInputException;
+import calicostream.net.RingBuffer;
 import calicostream.routing.AttemptOutcome;
 import calicostream.routing.EngineEndpoint;
 import calicostream.routing.EngineLifecycle;
 import calicostream.routing.RouterSettings;
-import calicostream.sql.Statement;
+import calicostream.sql.TableGroupScanner;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
@@ -32,7 +32,7 @@
     private static final long ENGINE = 1;
     private static final String STATEMENT =
             "select a.name, count(*) from sales_17.orders a where a.note = 'x_1.y'";
-    private final Ring ring = new Ring(1 << 16);
+    private final RingBuffer ring = new RingBuffer(1 << 16);
     private final Deadlines deadlines = new Deadlines();
     private final Clock clock = new Clock();
     private final Gateway gateway;
@@ -68,7 +68,7 @@
                 request(JsonRpc.read(line), made % classNames.size());
                 deadlines.run(clock.now());
             } while (made < REQUESTS && clock.now() < Math.min(end, now + PIECE));
-        } catch (JsonRpc.NotJson | BadInput e) {
+        } catch (JsonRpc.NotJson | InvalidInputException e) {
             throw new IllegalStateException(e);
         }
         return made < REQUESTS && clock.now() < end;
@@ -79,14 +79,14 @@
         return answers;
     }
 
-    private void request(JsonRpc message, int queryClass) throws BadInput {
+    private void request(JsonRpc message, int queryClass) throws InvalidInputException {
         byte[] body = Base64.getDecoder().decode(message.content);
         gateway.accept(
                 this,
                 (long) message.id,
                 message.requestId,
                 queryClass,
-                Statement.tableGroup(body),
+                TableGroupScanner.tableGroup(body),
                 (long) (message.wait * 1000),
                 body);
         for (Gateway.Attempt attempt = out.poll(); attempt != null; attempt = out.poll()) {
--- a/src/main/java/calicostream/sql/Statement.java
+++ b/src/main/java/calicostream/sql/TableGroupScanner.java
@@ -11,7 +11,7 @@
  * schema that it reads or writes. Strings and comments are passed over, and so is the schema {@code
  * staging}.
  */
-public final class Statement {
+public final class TableGroupScanner {
     private static final Set<String> BEFORE_TABLE =
             Set.of(
                     "from",
@@ -54,13 +54,13 @@
     private int inTable = -1;
     private int elsewhere = -1;
 
-    private Statement(byte[] sql) {
+    private TableGroupScanner(byte[] sql) {
         this.sql = sql;
     }
 
     /** The number of the group, or -1 where the statement names none. */
     public static int tableGroup(byte[] sql) {
-        Statement s = new Statement(sql);
+        TableGroupScanner s = new TableGroupScanner(sql);
         while (s.at < sql.length && s.inTable < 0) {
             s.step();
         }
--- a/src/main/java/calicostream/syslog/SyslogSender.java
+++ b/src/main/java/calicostream/syslog/SyslogSender.java
@@ -3,7 +3,7 @@
 
 import calicostream.core.RequestListener;
 import calicostream.net.Connection;
-import calicostream.net.Loop;
+import calicostream.net.SelectorLoop;
 import calicostream.routing.EngineEndpoint;
 import calicostream.routing.EngineLifecycle;
 import java.io.IOException;
@@ -24,16 +24,17 @@
     private static final Logger LOG = LoggerFactory.getLogger(SyslogSender.class);
     private static final int BOUND = 256 * 1024;
     private static final long PAUSE = 1_000_000;
-    private final Loop loop;
+    private final SelectorLoop loop;
     private final SyslogConfig config;
     private final String host;
     private final List<String> classNames;
     private final String process = Long.toString(ProcessHandle.current().pid());
     private DatagramChannel datagrams;
     private Connection stream;
-    private long dropped;
+    private long droppedRecords;
 
-    public SyslogSender(Loop loop, SyslogConfig config, String host, List<String> classNames)
+    public SyslogSender(
+            SelectorLoop loop, SyslogConfig config, String host, List<String> classNames)
             throws IOException {
         this.loop = loop;
         this.config = config;
@@ -76,8 +77,8 @@
     }
 
     /** Records that were not sent. */
-    public long dropped() {
-        return dropped;
+    public long droppedRecords() {
+        return droppedRecords;
     }
 
     private SyslogRecord record(int severity, String messageId, String element) {
@@ -88,7 +89,7 @@
                 host,
                 process,
                 messageId,
-                element + "@" + config.enterprise());
+                element + "@" + config.enterpriseNumber());
     }
 
     private void send(SyslogRecord record) {
@@ -107,22 +108,22 @@
             }
         }
         if (!sent
-                && Long.bitCount(++dropped)
+                && Long.bitCount(++droppedRecords)
                         == 1) { // At 1, 2, 4, 8 ...: a collector that is away is no flood.
-            LOG.warn("{} records not sent to the collector", dropped);
+            LOG.warn("{} records not sent to the collector", droppedRecords);
         }
     }
 
     private void connect(long now, long ref) {
         try {
             stream =
-                    Connection.to(
+                    Connection.connect(
                             loop,
                             config.collector(),
                             new Connection.Handler() {
                                 @Override
                                 public void received(Connection c) {
-                                    c.in().skip(c.in().size());
+                                    c.input().skip(c.input().size());
                                 }
 
                                 @Override
--- a/src/measure/java/calicostream/mass/ListSource.java
+++ b/src/measure/java/calicostream/mass/ListSource.java
@@ -30,7 +30,7 @@
         private Reader(long seed, Consumer<List<EngineEndpoint>> to) {
             asking = new WatchBackoff(seed);
             this.to = to;
-            asking.answered();
+            asking.responseStarted();
         }
 
         void close() {
@@ -39,14 +39,14 @@
 
         private void lost() {
             following = false;
-            time.after(asking.next(time.now()) - time.now(), this::ask);
+            time.after(asking.nextRequestAt(time.now()) - time.now(), this::ask);
         }
 
         private void ask() {
             if (closed) {
                 return;
             }
-            asking.asked(time.now());
+            asking.requestStarted(time.now());
             calls.add(time.now());
             time.after(
                     CALL,
@@ -55,7 +55,7 @@
                             lost();
                         } else {
                             following = true;
-                            asking.answered();
+                            asking.responseStarted();
                             List.copyOf(changes.subList((int) seen, changes.size()))
                                     .forEach(this::take);
                         }
--- a/src/test/java/calicostream/adapter/WireTest.java
+++ b/src/test/java/calicostream/adapter/SimulatorAdapterTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The codec, the settings, and what becomes of bad input. */
-class WireTest {
+class SimulatorAdapterTest {
     private static final String OPTIONS =
             "balancers=2\n"
                     + "lanes.count=1\n"
@@ -157,13 +157,13 @@
             long query = random.nextLong() & 0xffffffffL;
             long token = random.nextLong();
             float number = random.nextFloat();
-            SimulatorFrame.Reply reply = new SimulatorFrame.Reply();
+            SimulatorFrame.ActionReply reply = new SimulatorFrame.ActionReply();
             reply.record(1000, query).engine(engine).u64(token).f32(number).u8(200).text("wörd");
             ByteArrayOutputStream out = new ByteArrayOutputStream();
             reply.send(out);
             byte[] body =
                     Arrays.copyOfRange(out.toByteArray(), SimulatorFrame.REPLY_HEADER, out.size());
-            SimulatorFrame.Batch in =
+            SimulatorFrame.EventBatch in =
                     SimulatorFrame.read(
                             new DataInputStream(
                                     new ByteArrayInputStream(frame(1, 9, o -> o.write(body)))));
@@ -248,7 +248,7 @@
 
     @Test
     void exceptionInADecisionBecomesTheFaultActionWithItsCause() throws IOException {
-        SimulatorFrame.Reply reply = new SimulatorFrame.Reply();
+        SimulatorFrame.ActionReply reply = new SimulatorFrame.ActionReply();
         RouterInstance instance = new RouterInstance(3, SettingsParser.ofLines(OPTIONS), reply);
         instance.guard(
                 () -> {
@@ -276,7 +276,7 @@
                                     out.writeShort(RecordCodes.DOWN);
                                     out.writeInt(3);
                                 }),
-                        frame(1, 1001, WireTest::query));
+                        frame(1, 1001, SimulatorAdapterTest::query));
         assertEquals(1, ran.code);
         assertTrue(ran.errors.contains("not up"));
     }
--- a/src/test/java/calicostream/cluster/tcp/TcpClusterTest.java
+++ b/src/test/java/calicostream/cluster/tcp/TcpClusterTest.java
@@ -20,7 +20,7 @@
 import calicostream.durable.FileDisk;
 import calicostream.durable.LogIdentity;
 import calicostream.durable.LogOptions;
-import calicostream.net.Loop;
+import calicostream.net.SelectorLoop;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -75,7 +75,7 @@
     }
 
     private final class Node {
-        private final Loop loop = new Loop(new Clock(), new Deadlines());
+        private final SelectorLoop loop = new SelectorLoop(new Clock(), new Deadlines());
         private final SelectorEventLoop reactor = new SelectorEventLoop(loop);
         private final DurableLog log;
         private final VoterNode voter;
--- a/src/test/java/calicostream/discovery/AskingTest.java
+++ b/src/test/java/calicostream/discovery/WatchBackoffTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class AskingTest {
+class WatchBackoffTest {
     private static final long MS = 1_000;
     private static final long S = 1_000_000;
     private static final int TIER = 100;
@@ -19,10 +19,10 @@
         List<Long> calls = new ArrayList<>();
         for (int i = 0; i < TIER; i++) {
             WatchBackoff asking = new WatchBackoff(i);
-            asking.asked(-10 * S);
-            asking.answered();
-            for (long at = asking.next(0); at < until; at = asking.next(at)) {
-                asking.asked(at);
+            asking.requestStarted(-10 * S);
+            asking.responseStarted();
+            for (long at = asking.nextRequestAt(0); at < until; at = asking.nextRequestAt(at)) {
+                asking.requestStarted(at);
                 calls.add(at);
             }
         }
@@ -56,16 +56,16 @@
             WatchBackoff asking = new WatchBackoff(i);
             long at = 0;
             for (int tries = 0; tries < 50; tries++) {
-                asking.asked(at);
-                long next = asking.next(at);
+                asking.requestStarted(at);
+                long next = asking.nextRequestAt(at);
                 assertTrue(
                         next >= at + 50 * MS && next <= at + 640 * MS,
                         "seed " + i + ": after " + (next - at) + " us");
                 at = next;
             }
-            asking.answered();
+            asking.responseStarted();
             assertTrue(
-                    asking.next(at + S) < at + S + 100 * MS,
+                    asking.nextRequestAt(at + S) < at + S + 100 * MS,
                     "seed " + i + ": one that had answered is asked soon");
         }
     }
@@ -73,9 +73,12 @@
     @Test
     void silenceEndsACallSoonerBeforeItsAnswerHasBegun() {
         WatchBackoff asking = new WatchBackoff(1);
-        assertFalse(asking.isSilent(S, 0, true));
-        assertTrue(asking.isSilent(S, 0, false));
-        assertTrue(asking.isSilent(3 * S, 0, true));
-        assertEquals(new WatchBackoff(7).next(5), new WatchBackoff(7).next(5), "the seed decides");
+        assertFalse(asking.isStalled(S, 0, true));
+        assertTrue(asking.isStalled(S, 0, false));
+        assertTrue(asking.isStalled(3 * S, 0, true));
+        assertEquals(
+                new WatchBackoff(7).nextRequestAt(5),
+                new WatchBackoff(7).nextRequestAt(5),
+                "the seed decides");
     }
 }
--- a/src/test/java/calicostream/flight/suite/Rig.java
+++ b/src/test/java/calicostream/flight/suite/Rig.java
@@ -9,7 +9,7 @@
 import calicostream.flight.engine.FlightEngineClient;
 import calicostream.flight.front.FlightSqlServer;
 import calicostream.flight.state.Admission;
-import calicostream.net.Loop;
+import calicostream.net.SelectorLoop;
 import calicostream.routing.EndpointUpdate;
 import calicostream.routing.EngineEndpoint;
 import calicostream.routing.EngineLifecycle;
@@ -71,7 +71,7 @@
                     + "rules.fall_us=2000000\n"
                     + "rules.warm_up_us=14000000\n";
     private final BufferAllocator allocator = new RootAllocator();
-    private final Loop loop;
+    private final SelectorLoop loop;
     private final FlightEngineClient side;
     private final FlightSqlServer front;
     final Admission admission;
@@ -93,7 +93,7 @@
                 FlightConfig.read(Files.writeString(folder.resolve("flight.json"), json));
         SettingsParser settings = SettingsParser.ofLines(String.format(SETTINGS, cores));
         Clock clock = new Clock();
-        loop = new Loop(clock, new Deadlines());
+        loop = new SelectorLoop(clock, new Deadlines());
         admission =
                 new Admission(
                         config.calls(),
--- a/src/test/java/calicostream/handover/HandoverTest.java
+++ b/src/test/java/calicostream/handover/HotRestartTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class HandoverTest {
+class HotRestartTest {
     private static final String STATE =
             "{\"version\":1,\"generation\":0,\"listening\":true,\"seq\":9,"
                     + "\"engines\":{\"e1\":{\"at\":1,\"out\":false}}}";
@@ -34,7 +34,8 @@
                         folder,
                         "n1",
                         (engine, word) ->
-                                heard.add(who + " " + engine + (word.out() ? " out" : " back")));
+                                heard.add(
+                                        who + " " + engine + (word.disabled() ? " out" : " back")));
         handover.join();
         return handover;
     }
@@ -42,26 +43,26 @@
     @Test
     void theLaterWordHoldsInBothWhoeverWasTold() {
         HotRestart elder = joined("elder");
-        elder.say("e1", true);
+        elder.publishEngineOverride("e1", true);
         HotRestart younger = joined("younger");
         assertEquals(List.of("younger e1 out"), heard);
-        assertTrue(younger.hasElder());
-        elder.look();
+        assertTrue(younger.hasPredecessor());
+        elder.poll();
         assertFalse(elder.hasSuccessor(), "it does not listen yet");
-        elder.learned(new double[] {40_000, 0, -1, 1e300});
-        younger.look();
-        assertArrayEquals(new double[] {40_000, 0, 0, 0}, younger.before());
-        younger.listens(true);
-        younger.say("e1", false);
-        elder.look();
+        elder.publishLearnedRunTimes(new double[] {40_000, 0, -1, 1e300});
+        younger.poll();
+        assertArrayEquals(new double[] {40_000, 0, 0, 0}, younger.predecessorRunTimes());
+        younger.publishListening(true);
+        younger.publishEngineOverride("e1", false);
+        elder.poll();
         assertTrue(elder.hasSuccessor());
-        assertEquals(2, elder.processes());
+        assertEquals(2, elder.processCount());
         assertEquals(List.of("younger e1 out", "elder e1 back"), heard);
-        younger.look();
-        elder.look();
+        younger.poll();
+        elder.poll();
         assertEquals(2, heard.size(), "old words are heard once");
         younger.leave();
-        elder.look();
+        elder.poll();
         assertFalse(elder.hasSuccessor());
     }
 
@@ -73,14 +74,17 @@
         try (ProcessSlotFile free = new ProcessSlotFile(path);
                 ProcessSlotFile dead = new ProcessSlotFile(path)) {
             dead.write(STATE.getBytes(StandardCharsets.UTF_8));
-            assertEquals(1, free.others(new long[ProcessSlotFile.SLOTS]).size(), "while it lives");
+            assertEquals(
+                    1,
+                    free.readOthers(new long[ProcessSlotFile.SLOT_COUNT]).size(),
+                    "while it lives");
             left = Files.readAllBytes(path);
         }
         Files.write(path, left);
         HotRestart first = joined("first");
-        assertFalse(first.hasSuccessor() || first.hasElder());
+        assertFalse(first.hasSuccessor() || first.hasPredecessor());
         assertEquals(List.of(), heard);
-        assertEquals(1, first.processes());
+        assertEquals(1, first.processCount());
         assertEquals(0, Files.readAllBytes(path)[64], "the head of the dead slot");
     }
 
@@ -101,7 +105,7 @@
             odd.write(text.getBytes(StandardCharsets.UTF_8));
             HotRestart handover = joined("new");
             assertFalse(handover.hasSuccessor());
-            assertEquals(1, handover.processes());
+            assertEquals(1, handover.processCount());
             assertEquals(List.of(), heard);
         }
     }
@@ -115,15 +119,15 @@
         try (ProcessSlotFile elder = new ProcessSlotFile(path)) {
             elder.write(STATE.getBytes(StandardCharsets.UTF_8));
             HotRestart younger = joined("younger");
-            assertEquals(9, younger.seen());
+            assertEquals(9, younger.newestPeerEventSequence());
             elder.write(STATE.replace("\"seq\":9", "\"seq\":12").getBytes(StandardCharsets.UTF_8));
             damage(path, "\"seq\":12");
-            younger.look();
-            assertTrue(younger.hasElder());
-            assertEquals(9, younger.seen());
+            younger.poll();
+            assertTrue(younger.hasPredecessor());
+            assertEquals(9, younger.newestPeerEventSequence());
             elder.write(STATE.replace("\"seq\":9", "\"seq\":14").getBytes(StandardCharsets.UTF_8));
-            younger.look();
-            assertEquals(14, younger.seen());
+            younger.poll();
+            assertEquals(14, younger.newestPeerEventSequence());
         }
     }
 
@@ -140,24 +144,24 @@
     void withoutASlotThereIsNoHandOverAndNoFailure() throws IOException {
         Path path = folder.resolve("calicostream-n1.handover");
         List<ProcessSlotFile> held = new ArrayList<>();
-        for (int i = 0; i < ProcessSlotFile.SLOTS; i++) {
+        for (int i = 0; i < ProcessSlotFile.SLOT_COUNT; i++) {
             held.add(new ProcessSlotFile(path));
         }
         assertThrows(IOException.class, () -> new ProcessSlotFile(path));
         HotRestart fifth = joined("fifth");
-        fifth.say("e1", true);
-        fifth.listens(true);
-        fifth.look();
-        assertEquals(1, fifth.processes());
+        fifth.publishEngineOverride("e1", true);
+        fifth.publishListening(true);
+        fifth.poll();
+        assertEquals(1, fifth.processCount());
         fifth.leave();
         held.get(2).close();
-        assertEquals(2, new ProcessSlotFile(path).own());
+        assertEquals(2, new ProcessSlotFile(path).ownSlot());
         HotRestart nowhere =
                 new HotRestart(
                         folder.resolve("missing"), "n1", (engine, word) -> heard.add(engine));
         nowhere.join();
-        nowhere.look();
-        assertFalse(nowhere.hasElder());
+        nowhere.poll();
+        assertFalse(nowhere.hasPredecessor());
         assertEquals(List.of(), heard);
     }
 
@@ -166,14 +170,14 @@
     void aSlotTakenAnewIsReadAnew() {
         HotRestart watching = joined("watching");
         HotRestart first = joined("first");
-        first.listens(true);
-        watching.look();
+        first.publishListening(true);
+        watching.poll();
         assertTrue(watching.hasSuccessor());
         first.leave();
         HotRestart second = joined("second");
-        watching.look();
+        watching.poll();
         assertFalse(watching.hasSuccessor(), "the second does not listen yet");
-        assertEquals(2, watching.processes());
+        assertEquals(2, watching.processCount());
         second.leave();
     }
 }
--- a/src/test/java/calicostream/net/ConnectionTest.java
+++ b/src/test/java/calicostream/net/ConnectionTest.java
@@ -33,8 +33,8 @@
     private static final long LINGERS = 1_100_000;
     private final AtomicLong ahead = new AtomicLong();
     private final CompletableFuture<Connection> accepted = new CompletableFuture<>();
-    private Loop loop;
-    private LoopThread thread;
+    private SelectorLoop loop;
+    private SelectorLoopThread thread;
     private Socket client;
     private Connection connection;
 
@@ -47,18 +47,18 @@
                         return super.now() + ahead.get();
                     }
                 };
-        loop = new Loop(clock, new Deadlines());
+        loop = new SelectorLoop(clock, new Deadlines());
         Listener listener =
                 new Listener(
                         loop,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         8,
-                        new Listener.Taker() {
+                        new Listener.Acceptor() {
                             @Override
                             public void accepted(SocketChannel channel) throws IOException {
                                 channel.setOption(StandardSocketOptions.SO_SNDBUF, SOCKET_TAKES);
                                 accepted.complete(
-                                        Connection.accepted(
+                                        Connection.ofAccepted(
                                                 loop,
                                                 channel,
                                                 new Connection.Handler() {
@@ -73,11 +73,11 @@
                             }
 
                             @Override
-                            public boolean spareOne() {
+                            public boolean evictOne() {
                                 return false;
                             }
                         });
-        thread = new LoopThread(loop);
+        thread = new SelectorLoopThread(loop);
         client = new Socket();
         client.setReceiveBufferSize(8 * 1024);
         client.setSoTimeout(PATIENCE_S * 1000);
@@ -92,26 +92,26 @@
     }
 
     private <T> T on(Callable<T> work) throws Exception {
-        return thread.on(work);
+        return thread.call(work);
     }
 
     /** Writes until the socket takes no more and half of the ring is full; the bytes queued. */
     private long fill() throws Exception {
         return on(
                 () -> {
-                    while (connection.unsent() < BOUND / 2) {
+                    while (connection.unsentBytes() < BOUND / 2) {
                         connection.write(new byte[1024]);
                         connection.flushNow();
                     }
-                    return connection.queued();
+                    return connection.queuedBytes();
                 });
     }
 
     /** Reads until so many bytes more have gone into the socket. */
     private long readUntilWritten(InputStream in, long count) throws Exception {
-        long before = on(connection::written);
+        long before = on(connection::writtenBytes);
         long read = 0;
-        for (byte[] some = new byte[4096]; on(connection::written) < before + count; ) {
+        for (byte[] some = new byte[4096]; on(connection::writtenBytes) < before + count; ) {
             int more = in.read(some);
             assertTrue(more > 0, "it ended after " + read + " bytes more");
             read += more;
@@ -129,7 +129,7 @@
         long queued = fill();
         on(
                 () -> {
-                    connection.finish();
+                    connection.closeGracefully();
                     return null;
                 });
         InputStream in = client.getInputStream();
@@ -146,15 +146,15 @@
         fill();
         on(
                 () -> {
-                    connection.finish();
+                    connection.closeGracefully();
                     return null;
                 });
         // The system itself may take some more, which can't be told from reading; of two seconds
         // without, one is a whole one.
         for (int quiet = 0; quiet < 2; ) {
-            long before = on(connection::written);
+            long before = on(connection::writtenBytes);
             passASecond();
-            quiet = on(connection::written) > before ? 0 : quiet + 1;
+            quiet = on(connection::writtenBytes) > before ? 0 : quiet + 1;
         }
         assertTrue(on(connection::isClosed));
     }
--- a/src/test/java/calicostream/net/LoopTest.java
+++ b/src/test/java/calicostream/net/SelectorLoopTest.java
@@ -19,15 +19,15 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-class LoopTest {
+class SelectorLoopTest {
     private static final int PATIENCE_S = 20;
 
     /** Connections and the listener go on; only the selector was at fault. */
     @Test
     void aSelectorThatFailsIsReplacedUnderItsChannels() throws Exception {
         AtomicInteger failing = new AtomicInteger();
-        Loop loop =
-                new Loop(
+        SelectorLoop loop =
+                new SelectorLoop(
                         new Clock(),
                         new Deadlines(),
                         (selector, ready, ms) -> {
@@ -72,18 +72,18 @@
         }
     }
 
-    private static Listener.Taker echo(Loop loop) {
-        return new Listener.Taker() {
+    private static Listener.Acceptor echo(SelectorLoop loop) {
+        return new Listener.Acceptor() {
             @Override
             public void accepted(SocketChannel channel) throws IOException {
-                Connection.accepted(
+                Connection.ofAccepted(
                         loop,
                         channel,
                         new Connection.Handler() {
                             @Override
                             public void received(Connection c) {
-                                byte[] all = c.in().copy(0, c.in().size());
-                                c.in().skip(all.length);
+                                byte[] all = c.input().copy(0, c.input().size());
+                                c.input().skip(all.length);
                                 c.write(all);
                             }
 
@@ -95,7 +95,7 @@
             }
 
             @Override
-            public boolean spareOne() {
+            public boolean evictOne() {
                 return false;
             }
         };
--- a/src/test/java/calicostream/net/LoopThread.java
+++ b/src/test/java/calicostream/net/SelectorLoopThread.java
@@ -8,11 +8,11 @@
 import java.util.concurrent.TimeUnit;
 
 /** A loop on a thread of its own, and work that a test does on it, in one turn. */
-public final class LoopThread {
+public final class SelectorLoopThread {
     private static final int PATIENCE_S = 20;
-    private final Loop loop;
+    private final SelectorLoop loop;
 
-    public LoopThread(Loop loop) {
+    public SelectorLoopThread(SelectorLoop loop) {
         this.loop = loop;
         Thread thread =
                 new Thread(
@@ -33,7 +33,7 @@
      */
     public void awaitDue() throws Exception {
         CompletableFuture<Void> due = new CompletableFuture<>();
-        on(
+        call(
                 () -> {
                     loop.deadlines().add(loop.clock().now(), (now, ref) -> due.complete(null), 0);
                     return null;
@@ -41,7 +41,7 @@
         due.get(PATIENCE_S, TimeUnit.SECONDS);
     }
 
-    public <T> T on(Callable<T> work) throws Exception {
+    public <T> T call(Callable<T> work) throws Exception {
         FutureTask<T> task = new FutureTask<>(work);
         loop.post(task);
         return task.get(PATIENCE_S, TimeUnit.SECONDS);
--- a/src/test/java/calicostream/packaged/PackagedTest.java
+++ b/src/test/java/calicostream/packaged/PackagedTest.java
@@ -44,8 +44,8 @@
                     "calicostream.lease.",
                     "calicostream.budget.",
                     "calicostream.booking.",
-                    "calicostream.daemon.FlightPart",
-                    "calicostream.daemon.ClusterPart",
+                    "calicostream.daemon.FlightComponent",
+                    "calicostream.daemon.ClusterComponent",
                     "calicostream.daemon.LeaseLayer",
                     "io.grpc.",
                     "io.netty.",
@@ -114,7 +114,7 @@
                 List.of(
                         "calicostream.syslog.",
                         "calicostream.flight.",
-                        "calicostream.daemon.FlightPart",
+                        "calicostream.daemon.FlightComponent",
                         "io.grpc.",
                         "io.netty.")) {
             assertTrue(loaded.stream().anyMatch(c -> c.startsWith(part)), "nothing of " + part);
--- a/src/test/java/calicostream/platform/CrossingsTest.java
+++ b/src/test/java/calicostream/platform/CrossingsTest.java
@@ -471,7 +471,7 @@
                 () -> {
                     client.sendUnread("\n\n");
                     rig.clock.advance(5_000_000);
-                    assertTrue(rig.front.spareOne(), "it keeps nobody out");
+                    assertTrue(rig.front.evictOne(), "it keeps nobody out");
                     return null;
                 });
         assertNull(client.line());
@@ -499,7 +499,7 @@
                     rig.clock.advance(1_000_000);
                     first.sendUnread(request("look", 901));
                     second.sendUnread(request("look", 902));
-                    assertFalse(rig.front.spareOne(), "both have asked");
+                    assertFalse(rig.front.evictOne(), "both have asked");
                     return null;
                 });
         for (int i = 0; i < 2; i++) {
@@ -511,7 +511,7 @@
         rig.on(
                 () -> {
                     rig.clock.advance(1_000_000);
-                    assertTrue(rig.front.spareOne(), "one that rests");
+                    assertTrue(rig.front.evictOne(), "one that rests");
                     return null;
                 });
     }
--- a/src/test/java/calicostream/platform/FrontRig.java
+++ b/src/test/java/calicostream/platform/FrontRig.java
@@ -6,8 +6,8 @@
 import calicostream.core.Gateway;
 import calicostream.core.RequestListener;
 import calicostream.core.ResponseHandler;
-import calicostream.net.Loop;
-import calicostream.net.LoopThread;
+import calicostream.net.SelectorLoop;
+import calicostream.net.SelectorLoopThread;
 import calicostream.routing.EndpointUpdate;
 import calicostream.routing.EngineEndpoint;
 import calicostream.routing.EngineLifecycle;
@@ -62,8 +62,8 @@
                     + "\n";
     final SettingsParser settings = SettingsParser.ofLines(SETTINGS);
     final SetClock clock = new SetClock();
-    final Loop loop;
-    private final LoopThread thread;
+    final SelectorLoop loop;
+    private final SelectorLoopThread thread;
     final RespEngineClient side;
     final Gateway gateway;
     final JsonRpcServer front;
@@ -109,13 +109,13 @@
     }
 
     FrontRig() throws Exception {
-        loop = new Loop(clock, new Deadlines());
+        loop = new SelectorLoop(clock, new Deadlines());
         side = new RespEngineClient(loop, settings.classNames(), settings.connectionSettings(), 16);
         gateway = new Gateway(clock, loop.deadlines(), settings.settings(), RequestListener.NONE);
         front =
                 new JsonRpcServer(
                         loop, gateway, settings.classNames(), 9_000_000, rows -> (byte[]) rows);
-        thread = new LoopThread(loop);
+        thread = new SelectorLoopThread(loop);
         on(
                 () -> {
                     gateway.start(side, List.of());
@@ -127,7 +127,7 @@
 
     /** Does the work in one turn of the loop. */
     <T> T on(Callable<T> work) throws Exception {
-        return thread.on(work);
+        return thread.call(work);
     }
 
     /** Waits until all that is due has been done, and what it wrote has gone out. */
--- a/src/test/java/calicostream/platform/ProbesTest.java
+++ b/src/test/java/calicostream/platform/ProbesTest.java
@@ -7,8 +7,8 @@
 import calicostream.core.Deadlines;
 import calicostream.core.Gateway;
 import calicostream.core.RequestListener;
-import calicostream.net.Loop;
-import calicostream.net.LoopThread;
+import calicostream.net.SelectorLoop;
+import calicostream.net.SelectorLoopThread;
 import calicostream.routing.EndpointUpdate;
 import calicostream.routing.EngineEndpoint;
 import calicostream.routing.EngineLifecycle;
@@ -45,18 +45,18 @@
     private final FrontRig.SetClock clock = new FrontRig.SetClock();
     private final SettingsParser settings = SettingsParser.ofLines(SETTINGS);
     private RespStand stand;
-    private Loop loop;
-    private LoopThread thread;
+    private SelectorLoop loop;
+    private SelectorLoopThread thread;
     private RespEngineClient side;
     private Gateway gateway;
 
     @BeforeEach
     void start() throws Exception {
         stand = new RespStand();
-        loop = new Loop(clock, new Deadlines());
+        loop = new SelectorLoop(clock, new Deadlines());
         side = new RespEngineClient(loop, settings.classNames(), settings.connectionSettings(), 16);
         gateway = new Gateway(clock, loop.deadlines(), settings.settings(), RequestListener.NONE);
-        thread = new LoopThread(loop);
+        thread = new SelectorLoopThread(loop);
         on(
                 () -> {
                     side.setAddress(ID, stand.address());
@@ -74,7 +74,7 @@
     }
 
     private <T> T on(Callable<T> work) throws Exception {
-        return thread.on(work);
+        return thread.call(work);
     }
 
     private String probe() throws Exception {
--- a/src/test/java/calicostream/platform/RespTest.java
+++ b/src/test/java/calicostream/platform/RespTest.java
@@ -7,8 +7,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicostream.net.BadInput;
-import calicostream.net.Ring;
+import calicostream.net.InvalidInputException;
+import calicostream.net.RingBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
@@ -22,8 +22,8 @@
     }
 
     @Test
-    void arraysComeOutWholeWhereverTheyAreCut() throws BadInput {
-        Ring ring = new Ring(1 << 14);
+    void arraysComeOutWholeWhereverTheyAreCut() throws InvalidInputException {
+        RingBuffer ring = new RingBuffer(1 << 14);
         Random random = new Random(5);
         for (int round = 0; round < 300; round++) {
             byte[] body = new byte[random.nextInt(3000)];
@@ -44,7 +44,7 @@
 
     @Test
     void aRingTakesAllOfSomethingOrNothing() {
-        Ring ring = new Ring(4096);
+        RingBuffer ring = new RingBuffer(4096);
         assertTrue(ring.put(new byte[4000]));
         assertFalse(ring.put(new byte[97]));
         assertEquals(4000, ring.size());
@@ -57,17 +57,17 @@
 
     @Test
     void aRingTakesMemoryOnlyWhileItHoldsBytes() {
-        Ring ring = new Ring(1 << 17);
-        assertEquals(0, ring.held());
+        RingBuffer ring = new RingBuffer(1 << 17);
+        assertEquals(0, ring.allocatedBytes());
         assertTrue(ring.put(new byte[70_000]));
-        assertTrue(ring.held() >= 70_000 && ring.held() <= 1 << 17);
+        assertTrue(ring.allocatedBytes() >= 70_000 && ring.allocatedBytes() <= 1 << 17);
         ring.skip(70_000);
-        assertEquals(0, ring.held());
-        Ring.Held all = new Ring.Held();
-        Ring one = new Ring(4096, all);
-        Ring other = new Ring(4096, all);
+        assertEquals(0, ring.allocatedBytes());
+        RingBuffer.MemoryUsage all = new RingBuffer.MemoryUsage();
+        RingBuffer one = new RingBuffer(4096, all);
+        RingBuffer other = new RingBuffer(4096, all);
         assertTrue(one.put(new byte[600]) && other.put(new byte[3000]));
-        assertEquals(one.held() + other.held(), all.bytes());
+        assertEquals(one.allocatedBytes() + other.allocatedBytes(), all.bytes());
         one.skip(600);
         other.skip(3000);
         assertEquals(0, all.bytes());
@@ -88,8 +88,8 @@
                 "*1\r\n$\r\n"
             })
     void whatIsNotAnArrayOfBulkStringsIsBad(String text) {
-        Ring ring = new Ring(4096);
+        RingBuffer ring = new RingBuffer(4096);
         ring.put(bytes(text));
-        assertThrows(BadInput.class, () -> Resp.take(ring));
+        assertThrows(InvalidInputException.class, () -> Resp.take(ring));
     }
 }
--- a/src/test/java/calicostream/platform/RosterTest.java
+++ b/src/test/java/calicostream/platform/RosterTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import calicostream.core.Clock;
-import calicostream.net.BadInput;
+import calicostream.net.InvalidInputException;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -42,14 +42,14 @@
                 "{\"seq\":3,\"fleet\":{\"snapshot\":true,\"endpoints\":[{\"name\":\"e1\",\"status\":\"Gone\"},7]}}",
                 "{\"seq\":3,\"fleet\":{\"snapshot\":true}}"
             })
-    void aWholeListThatCantBeReadForgetsNothing(String bad) throws BadInput {
+    void aWholeListThatCantBeReadForgetsNothing(String bad) throws InvalidInputException {
         long born = roster.parse(GOOD.formatted("false")).engines().get(0).startedAtUs();
-        assertThrows(BadInput.class, () -> roster.parse(bad));
+        assertThrows(InvalidInputException.class, () -> roster.parse(bad));
         assertEquals(born, roster.parse(GOOD.formatted("false")).engines().get(0).startedAtUs());
     }
 
     @Test
-    void aWholeListKeepsTheStartsItNames() throws BadInput {
+    void aWholeListKeepsTheStartsItNames() throws InvalidInputException {
         long born = roster.parse(GOOD.formatted("false")).engines().get(0).startedAtUs();
         assertEquals(born, roster.parse(GOOD.formatted("true")).engines().get(0).startedAtUs());
     }
--- a/src/test/java/calicostream/sql/StatementTest.java
+++ b/src/test/java/calicostream/sql/TableGroupScannerTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class StatementTest {
+class TableGroupScannerTest {
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -37,7 +37,7 @@
         String[] parts = groupAndSql.split(" \\| ", 2);
         assertEquals(
                 Integer.parseInt(parts[0]),
-                Statement.tableGroup(parts[1].getBytes(StandardCharsets.UTF_8)));
+                TableGroupScanner.tableGroup(parts[1].getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
@@ -48,6 +48,6 @@
         }
         byte[] text =
                 sql.append(" from sales_17.orders").toString().getBytes(StandardCharsets.UTF_8);
-        assertTimeout(Duration.ofSeconds(2), () -> Statement.tableGroup(text));
+        assertTimeout(Duration.ofSeconds(2), () -> TableGroupScanner.tableGroup(text));
     }
 }
--- a/src/test/java/calicostream/syslog/SyslogTest.java
+++ b/src/test/java/calicostream/syslog/SyslogSenderTest.java
@@ -7,7 +7,7 @@
 import calicostream.core.Clock;
 import calicostream.core.Deadlines;
 import calicostream.core.RequestListener.RequestOutcome;
-import calicostream.net.Loop;
+import calicostream.net.SelectorLoop;
 import calicostream.routing.EngineEndpoint;
 import calicostream.routing.EngineLifecycle;
 import java.io.DataInputStream;
@@ -23,12 +23,12 @@
 import org.junit.jupiter.api.Test;
 
 /** Records against stand-in collectors on loopback. */
-class SyslogTest {
+class SyslogSenderTest {
     private static final String HEAD =
             "1 \\d{4}-\\d\\d-\\d\\dT\\d\\d:\\d\\d:\\d\\d(\\.\\d{1,6})?Z n1 calicostream \\d+ ";
 
-    private static Loop loop() throws Exception {
-        return new Loop(new Clock(), new Deadlines());
+    private static SelectorLoop loop() throws Exception {
+        return new SelectorLoop(new Clock(), new Deadlines());
     }
 
     private static SyslogConfig config(int port, boolean tcp) {
@@ -60,14 +60,14 @@
                             + "ENGINE \\[engine@32473 id=\"a\" state=\"draining\" zone=\"0\" "
                             + "kind=\"1\"\\]",
                     receive(collector));
-            assertEquals(0, syslog.dropped());
+            assertEquals(0, syslog.droppedRecords());
         }
     }
 
     @Test
     void countedOctetsOverTcp() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Loop loop = loop();
+            SelectorLoop loop = loop();
             SyslogSender syslog =
                     new SyslogSender(
                             loop, config(server.getLocalPort(), true), "n1", List.of("look"));
