--- a/src/main/java/calicostream/admin/MetricsJson.java
+++ b/src/main/java/calicostream/admin/MetricsJson.java
@@ -2,8 +2,8 @@
 package calicostream.admin;
 
 import calicostream.core.Gateway;
-import calicostream.core.RequestListener.RequestOutcome;
 import calicostream.core.RequestMetrics;
+import calicostream.core.RequestOutcome;
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
 import java.util.List;
--- a/src/main/java/calicostream/core/EngineClient.java
+++ b/src/main/java/calicostream/core/EngineClient.java
@@ -18,10 +18,9 @@
 
     /**
      * Whether the module may hear of a request now. If not, it is kept here until {@link
-     * Gateway#admit} or {@link Gateway#reject}, or until it {@link Gateway.Request#isAnswered is
-     * over}.
+     * Gateway#admit} or {@link Gateway#reject}, or until it {@link Request#isAnswered is over}.
      */
-    default boolean admits(Gateway.Request request) {
+    default boolean admits(Request request) {
         return true;
     }
 
@@ -29,7 +28,7 @@
      * Whether the tenant of a request has room at an engine now; answered from memory, many times a
      * request.
      */
-    default boolean hasTenantCapacity(Gateway.Request request, long engine) {
+    default boolean hasTenantCapacity(Request request, long engine) {
         return true;
     }
 
@@ -37,7 +36,7 @@
      * An attempt is over, whoever ended it; told before the module hears of it. The report is null
      * where none came.
      */
-    default void attemptEnded(Gateway.Attempt attempt, AttemptOutcome outcome, LoadReport report) {}
+    default void attemptEnded(Attempt attempt, AttemptOutcome outcome, LoadReport report) {}
 
     /**
      * When the engine's process began by the list's own word, the same for all that read it; told
@@ -46,16 +45,16 @@
     default void engineStarted(long engine, long unixMillis) {}
 
     /** News of an attempt: its engine has it. */
-    default void attemptAcknowledged(Gateway.Attempt attempt) {}
+    default void attemptAcknowledged(Attempt attempt) {}
 
     /** An engine's answer how it fares; the report is null where none came. */
     default void loadReported(long engine, LoadReport report) {}
 
     /** Starts an attempt; nothing of it may go out after a {@link #withdrawn} for its engine. */
-    void send(Gateway.Attempt attempt);
+    void send(Attempt attempt);
 
     /** Gives the attempt up; nothing more need be told of it. */
-    void stop(Gateway.Attempt attempt);
+    void stop(Attempt attempt);
 
     /**
      * Asks an engine how it fares, which ends in one {@link Gateway#probeCompleted}, later; false:
@@ -72,7 +71,7 @@
     default void setMaxConnections(int connections) {}
 
     /** A new priority for an attempt that is out. */
-    void priorityChanged(Gateway.Attempt attempt);
+    void priorityChanged(Attempt attempt);
 
     /** The engine drains: what has not gone out to it must not. */
     void engineDraining(long engine);
--- a/src/main/java/calicostream/core/Gateway.java
+++ b/src/main/java/calicostream/core/Gateway.java
@@ -1,20 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.core;
 
-import calicostream.core.RequestListener.RequestOutcome;
-import calicostream.core.ResponseHandler.Failure;
 import calicostream.routing.AffinityRouter;
 import calicostream.routing.AttemptOutcome;
 import calicostream.routing.AttemptResult;
 import calicostream.routing.EndpointUpdate;
 import calicostream.routing.EngineEndpoint;
 import calicostream.routing.EngineLifecycle;
-import calicostream.routing.Idempotency;
-import calicostream.routing.IdempotencyScope;
 import calicostream.routing.LoadReport;
 import calicostream.routing.ProgressKind;
 import calicostream.routing.Query;
-import calicostream.routing.QueryClass;
 import calicostream.routing.QueryProgress;
 import calicostream.routing.QueryRouter;
 import calicostream.routing.RouterActions;
@@ -47,155 +42,18 @@
      */
     public static final long CANCEL_DELIVERY_MICROS = 10_000;
 
-    /** A request in hand. */
-    public static final class Request {
-        final ResponseHandler responseHandler;
-        final long tag;
-        final QueryClass queryClassSettings;
-        final long acceptedAt;
-        public final String id;
-        public final int queryClass;
-        public final byte[] body;
-
-        /**
-         * What to do where the body's text does not say it all; it belongs to the front and the
-         * engine side.
-         */
-        public final Object operation;
-
-        /** The one engine that may run it, or 0. */
-        public final long stickyEngine;
-
-        public final long deadline;
-
-        /** Belongs to the engine side, which may tell tenants apart. */
-        public int tenant;
-
-        long handle;
-        int attempts;
-        long firstRiskySendAt; // when the first attempt that may have run was sent
-        boolean answered, mayHaveRun, streaming, routed, leftKeyQueue;
-        Query query;
-        Attempt activeAttempt;
-        private Attempt previousAttempt;
-        int priority = 1;
-
-        private Request(
-                ResponseHandler front,
-                long tag,
-                String id,
-                int queryClass,
-                QueryClass spec,
-                byte[] body,
-                Object work,
-                long pinned,
-                long takenAt,
-                long deadline) {
-            this.responseHandler = front;
-            this.tag = tag;
-            this.id = id;
-            this.queryClass = queryClass;
-            this.queryClassSettings = spec;
-            this.body = body;
-            this.operation = work;
-            this.stickyEngine = pinned;
-            this.acceptedAt = takenAt;
-            this.deadline = deadline;
-        }
-
-        /** Whether it is a load, which engines take as an update and which holds its tables. */
-        public boolean isLoad() {
-            return queryClassSettings.load();
-        }
-
-        /** Whether it must not run twice: by its class, or as its engine holds what it changes. */
-        public boolean isNonIdempotent() {
-            return stickyEngine != 0
-                    || queryClassSettings.idempotency() == Idempotency.NON_IDEMPOTENT;
-        }
-
-        /**
-         * Whether its client may ask for it once more, at any front end, though it may have run.
-         */
-        private boolean isSafeToRetryByClient() {
-            return !isNonIdempotent()
-                    && (queryClassSettings.idempotency() == Idempotency.IDEMPOTENT
-                            || queryClassSettings.idempotencyScope() == IdempotencyScope.ALL);
-        }
-
-        /** Until when a further attempt may go out, as far as what may have run bounds that. */
-        private long retryableUntil() {
-            boolean bounded =
-                    mayHaveRun
-                            && queryClassSettings.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY;
-            return bounded ? firstRiskySendAt + queryClassSettings.retryWindowUs() : Long.MAX_VALUE;
-        }
-
-        /** Whether it keeps its turn among those of its key. */
-        boolean isOrderedByKey() {
-            return queryClassSettings.orderedByKey() && query.key() != 0;
-        }
-
-        /** Who asked, and under which tag. */
-        public ResponseHandler responseHandler() {
-            return responseHandler;
-        }
-
-        public long tag() {
-            return tag;
-        }
-
-        /** Nothing more is owed for it. */
-        public boolean isAnswered() {
-            return answered;
-        }
-
-        public int priority() {
-            return priority;
-        }
-
-        /**
-         * The attempt that ended last, or null: the engine side makes sure that its word goes
-         * before the next one.
-         */
-        public Attempt previousAttempt() {
-            return previousAttempt;
-        }
-    }
-
-    /** One send of a request. {@code link} belongs to the engine side. */
-    public static final class Attempt {
-        public final Request request;
-        public final int number;
-        public final long engine;
-        public final long sentAt;
-        public final long giveUpAt;
-        public Object link;
-        long handle;
-        private final long latestSendTime;
-        private boolean cancelled;
-
-        private Attempt(Request request, int number, long engine, long sentAt, long giveUpAt) {
-            this.request = request;
-            this.number = number;
-            this.engine = engine;
-            this.sentAt = sentAt;
-            this.giveUpAt = giveUpAt;
-            latestSendTime = Math.min(giveUpAt, request.retryableUntil());
-        }
-
-        public long handle() {
-            return handle;
-        }
-    }
-
-    /** {@code word}: the result is no result but a final word on the request. */
+    /**
+     * The end of an attempt that the router is still to hear of.
+     *
+     * @param result the complete result, or null
+     * @param status a final status of the request in place of a result, or null
+     */
     private record AttemptEnd(
             Attempt attempt,
             AttemptOutcome outcome,
             LoadReport report,
-            Object result,
-            boolean word) {}
+            RequestResult result,
+            FinalStatus status) {}
 
     private final Clock clock;
     private final Deadlines deadlines;
@@ -251,59 +109,20 @@
 
     // ---- From the fronts
     // ------------------------------------------------------------------------------
-    /** Takes a request; its answer goes to the front under this tag, maybe before this returns. */
-    public long accept(
-            ResponseHandler front,
-            long tag,
-            String id,
-            int queryClass,
-            int tableGroup,
-            long budgetUs,
-            byte[] body) {
-        return accept(front, tag, id, queryClass, tableGroup, budgetUs, body, null, 0);
-    }
-
-    /** The same with work that the text does not say, and the one engine that may run it, or 0. */
-    public long accept(
-            ResponseHandler front,
-            long tag,
-            String id,
-            int queryClass,
-            int tableGroup,
-            long budgetUs,
-            byte[] body,
-            Object work,
-            long pinned) {
-        return accept(
-                front,
-                tag,
-                id,
-                new Query(0, queryClass, 0, 0, budgetUs, 0, 0, tableGroup, false, pinned),
-                body,
-                work);
-    }
-
-    /** The same with all that the client says of it; its id as a query is given here. */
-    public long accept(
-            ResponseHandler front, long tag, String id, Query asked, byte[] body, Object work) {
-        long now = clock.now();
+    /**
+     * Accepts a request. Its answer goes to its response handler, maybe before this returns.
+     *
+     * @return its handle
+     */
+    public long accept(IncomingRequest incoming) {
+        Query query = incoming.query();
         Request request =
-                new Request(
-                        front,
-                        tag,
-                        id,
-                        asked.queryClass(),
-                        settings.classes().get(asked.queryClass()),
-                        body,
-                        work,
-                        asked.stickyEngine(),
-                        now,
-                        now + asked.timeLeftUs());
+                new Request(incoming, settings.classes().get(query.queryClass()), clock.now());
         request.handle = requests.add(request);
-        deadlines.add(request.deadline, requestDue, request.handle);
-        request.query = asked.withId(request.handle);
+        deadlines.add(request.deadline(), requestDue, request.handle);
+        request.query = query.withId(request.handle);
         if (request.isOrderedByKey()) {
-            keyLines.add(asked.key(), request);
+            keyLines.add(query.key(), request);
         } else {
             arrive(request);
         }
@@ -325,7 +144,7 @@
         long now = clock.now();
         if (!request.answered && !request.routed) {
             request.routed = true;
-            tell(r -> r.queryAccepted(now, request.query.withTimeLeft(request.deadline - now)));
+            tell(r -> r.queryAccepted(now, request.query.withTimeLeft(request.deadline() - now)));
         }
     }
 
@@ -377,7 +196,8 @@
                         if (request.streaming) { // A part of its result has gone out: its client
                             // can tell that no more comes.
                             close(request, RequestOutcome.FAILED);
-                            request.responseHandler.failed(request.tag, Failure.STREAM_BROKEN);
+                            request.responseHandler()
+                                    .failed(request.tag(), FailureReason.STREAM_BROKEN);
                         } else {
                             reject(request.handle, 0);
                         }
@@ -517,7 +337,7 @@
      * false.
      */
     public boolean attemptEnded(
-            Attempt attempt, AttemptOutcome outcome, LoadReport report, Object result) {
+            Attempt attempt, AttemptOutcome outcome, LoadReport report, RequestResult result) {
         return isOut(attempt) && end(attempt, outcome, report, result);
     }
 
@@ -526,11 +346,12 @@
         return !attempt.cancelled && attempts.get(attempt.handle) != null;
     }
 
-    private boolean end(Attempt attempt, AttemptOutcome outcome, LoadReport report, Object result) {
+    private boolean end(
+            Attempt attempt, AttemptOutcome outcome, LoadReport report, RequestResult result) {
         if (attempts.remove(attempt.handle) == null) {
             return false;
         }
-        ends.add(new AttemptEnd(attempt, outcome, report, result, false));
+        ends.add(new AttemptEnd(attempt, outcome, report, result, null));
         settle();
         return true;
     }
@@ -539,10 +360,10 @@
      * An attempt ended with a word that is final for its request and says nothing of its engine:
      * the statement can't be run by any, or what it brings is more than the front end passes on.
      */
-    public void attemptConcluded(Attempt attempt, LoadReport report, Object word) {
+    public void attemptConcluded(Attempt attempt, LoadReport report, FinalStatus status) {
         if (isOut(attempt)) {
             attempts.remove(attempt.handle);
-            ends.add(new AttemptEnd(attempt, AttemptOutcome.CANCELLED, report, word, true));
+            ends.add(new AttemptEnd(attempt, AttemptOutcome.CANCELLED, report, null, status));
             settle();
         }
     }
@@ -551,12 +372,12 @@
      * The first of an attempt's result goes to the client before its end is known: no deadline of
      * ours ends it from now on, and its end is the request's, whole or not.
      */
-    public void streamBegan(Attempt attempt, Object stream) {
-        Request request = attempt.request;
+    public void streamBegan(Attempt attempt, ResultStreamHandle stream) {
+        Request request = attempt.request();
         if (isOut(attempt) && !request.answered) {
             request.streaming = true;
-            request.responseHandler.streamBegan(request.tag, stream);
-            tell(r -> r.streamStarted(clock.now(), request.handle, attempt.number));
+            request.responseHandler().streamBegan(request.tag(), stream);
+            tell(r -> r.streamStarted(clock.now(), request.handle, attempt.number()));
         }
     }
 
@@ -582,8 +403,8 @@
      * is to be ended there as one that never ran. Not to be asked while the module acts.
      */
     public boolean maySend(Attempt attempt) {
-        Request request = attempt.request;
-        if (isOut(attempt) && request.responseHandler.isClientGone(request.tag)) {
+        Request request = attempt.request();
+        if (isOut(attempt) && request.responseHandler().isClientGone(request.tag())) {
             abandon(request.handle);
         }
         return isOut(attempt) && clock.now() < attempt.latestSendTime;
@@ -598,8 +419,8 @@
                             r.progress(
                                     clock.now(),
                                     new QueryProgress(
-                                            attempt.request.handle,
-                                            attempt.number,
+                                            attempt.request().handle,
+                                            attempt.number(),
                                             notice,
                                             amount)));
         }
@@ -651,7 +472,7 @@
             LOG.error("send for a request that is over");
             return;
         }
-        long until = giveUpAt > 0 ? Math.min(giveUpAt, request.deadline) : request.deadline;
+        long until = giveUpAt > 0 ? Math.min(giveUpAt, request.deadline()) : request.deadline();
         Attempt attempt = new Attempt(request, request.attempts, engine, now, until);
         EngineEndpoint listed = endpointsChanged.get(engine);
         boolean ready = listed != null && usable(listed).lifecycle() == EngineLifecycle.READY;
@@ -668,8 +489,10 @@
             attemptEnded(attempt, AttemptOutcome.NOT_STARTED, null, null);
             return;
         }
-        if (request.responseHandler.isClientGone(
-                request.tag)) { // What the client said last is still unread: the module hears it by
+        if (request.responseHandler()
+                .isClientGone(
+                        request.tag())) { // What the client said last is still unread: the module
+            // hears it by
             // this end.
             close(request, RequestOutcome.ABANDONED);
             attemptEnded(attempt, AttemptOutcome.NOT_STARTED, null, null);
@@ -695,7 +518,7 @@
         Request request = requests.get(query);
         if (request != null
                 && request.activeAttempt != null
-                && request.activeAttempt.number == number
+                && request.activeAttempt.number() == number
                 && isOut(request.activeAttempt)) {
             Attempt out = request.activeAttempt;
             engines.stop(out);
@@ -713,7 +536,7 @@
         boolean neverRan = !request.mayHaveRun && request.activeAttempt == null;
         if (neverRan || request.isSafeToRetryByClient()) {
             close(request, RequestOutcome.REJECTED);
-            request.responseHandler.rejected(request.tag, retryAfterUs / 1000);
+            request.responseHandler().rejected(request.tag(), retryAfterUs / 1000);
         } else { // "Trying again is harmless" would be untrue: say no more than that it failed.
             fail(query);
         }
@@ -725,9 +548,10 @@
         if (request != null && !request.answered) {
             long slack =
                     4 * settings.tickUs(); // The module ends a query a little before its deadline.
-            boolean late = clock.now() + slack >= request.deadline;
+            boolean late = clock.now() + slack >= request.deadline();
             close(request, RequestOutcome.FAILED);
-            request.responseHandler.failed(request.tag, late ? Failure.DEADLINE : Failure.ENGINE);
+            request.responseHandler()
+                    .failed(request.tag(), late ? FailureReason.DEADLINE : FailureReason.ENGINE);
         }
     }
 
@@ -777,10 +601,10 @@
      */
     private void close(Request request, RequestOutcome ending) {
         request.answered = true;
-        metrics.requestEnded(request.queryClass, ending);
+        metrics.requestEnded(request.queryClass(), ending);
         watcher.requestEnded(
-                request.id,
-                request.queryClass,
+                request.id(),
+                request.queryClass(),
                 ending,
                 request.attempts,
                 clock.now() - request.acceptedAt);
@@ -809,7 +633,7 @@
 
     private void attemptDue(long now, long handle) {
         Attempt attempt = attempts.get(handle);
-        if (attempt != null && !attempt.request.streaming) {
+        if (attempt != null && !attempt.request().streaming) {
             giveUp(attempt, AttemptOutcome.TIMEOUT);
         }
     }
@@ -850,7 +674,7 @@
 
     private void settle(AttemptEnd end) {
         Attempt attempt = end.attempt;
-        Request request = attempt.request;
+        Request request = attempt.request();
         if (request.activeAttempt == attempt) {
             request.activeAttempt = null;
             request.previousAttempt = attempt;
@@ -861,22 +685,22 @@
         request.firstRiskySendAt =
                 request.mayHaveRun || !end.outcome.mayHaveRun
                         ? request.firstRiskySendAt
-                        : attempt.sentAt;
+                        : attempt.sentAt();
         request.mayHaveRun |= end.outcome.mayHaveRun;
         engines.attemptEnded(attempt, end.outcome, end.report);
         boolean serves = end.outcome == AttemptOutcome.OK && !request.answered;
         long now = clock.now();
-        if (end.word && !request.answered) {
+        if (end.status != null && !request.answered) {
             close(request, RequestOutcome.FAILED);
-            request.responseHandler.concluded(request.tag, end.result);
+            request.responseHandler().concluded(request.tag(), end.status);
         } else if (request.streaming
                 && !serves
                 && !request.answered) { // The client has seen a part: no other attempt.
             close(request, RequestOutcome.FAILED);
-            request.responseHandler.failed(request.tag, Failure.STREAM_BROKEN);
+            request.responseHandler().failed(request.tag(), FailureReason.STREAM_BROKEN);
         } else if (serves) {
             close(request, RequestOutcome.SERVED);
-            request.responseHandler.served(request.tag, end.result);
+            request.responseHandler().served(request.tag(), end.result);
         }
         tell(
                 r ->
@@ -884,11 +708,11 @@
                                 now,
                                 new AttemptResult(
                                         request.handle,
-                                        attempt.number,
-                                        attempt.engine,
+                                        attempt.number(),
+                                        attempt.engine(),
                                         end.outcome,
                                         request.answered,
-                                        now - attempt.sentAt,
+                                        now - attempt.sentAt(),
                                         0,
                                         0,
                                         end.report)));
--- a/src/main/java/calicostream/core/RequestListener.java
+++ b/src/main/java/calicostream/core/RequestListener.java
@@ -8,14 +8,6 @@
     /** A watcher that records nothing. */
     RequestListener NONE = new RequestListener() {};
 
-    /** How a request ended: served, refused, failed, or abandoned by its client. */
-    enum RequestOutcome {
-        SERVED,
-        REJECTED,
-        FAILED,
-        ABANDONED
-    }
-
     /** One final answer, or the end of a request that its client left. */
     default void requestEnded(
             String id, int queryClass, RequestOutcome ending, int attempts, long elapsedUs) {}
--- a/src/main/java/calicostream/core/RequestMetrics.java
+++ b/src/main/java/calicostream/core/RequestMetrics.java
@@ -1,8 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.core;
 
-import calicostream.core.RequestListener.RequestOutcome;
-
 /**
  * What became of requests and attempts from the start of the process on. The one place where it is
  * counted.
--- a/src/main/java/calicostream/core/ResponseHandler.java
+++ b/src/main/java/calicostream/core/ResponseHandler.java
@@ -13,26 +13,26 @@
      * All of the result in the engine side's form, text unless the front asked for work; after
      * {@link #begun} its end.
      */
-    void served(long tag, Object result);
+    void served(long tag, RequestResult result);
 
     /**
      * The result begins and goes on as the client takes it; its end is told by one of the other
      * calls.
      */
-    default void streamBegan(long tag, Object stream) {
+    default void streamBegan(long tag, ResultStreamHandle stream) {
         throw new IllegalStateException("this front takes whole results only");
     }
 
     /** A final word on the request itself in the engine side's form, for fronts that know it. */
-    default void concluded(long tag, Object word) {
-        failed(tag, Failure.ENGINE);
+    default void concluded(long tag, FinalStatus status) {
+        failed(tag, FailureReason.ENGINE);
     }
 
     /** Turned away; trying again is harmless, best after this time. */
     void rejected(long tag, long retryAfterMs);
 
     /** Failed, with nothing promised about its effect. */
-    void failed(long tag, Failure why);
+    void failed(long tag, FailureReason why);
 
     /**
      * Whether the client has cancelled this request or gone, also by what it sent that was not
@@ -60,11 +60,4 @@
     default InetAddress clientAddress(long tag) {
         return null;
     }
-
-    /** Why a request failed; {@code CUT}: after its result had begun. */
-    enum Failure {
-        DEADLINE,
-        ENGINE,
-        STREAM_BROKEN
-    }
 }
--- a/src/main/java/calicostream/daemon/CompositeListener.java
+++ b/src/main/java/calicostream/daemon/CompositeListener.java
@@ -2,6 +2,7 @@
 package calicostream.daemon;
 
 import calicostream.core.RequestListener;
+import calicostream.core.RequestOutcome;
 import calicostream.routing.EngineEndpoint;
 import java.util.List;
 
--- a/src/main/java/calicostream/daemon/FlightComponent.java
+++ b/src/main/java/calicostream/daemon/FlightComponent.java
@@ -4,6 +4,7 @@
 import calicostream.core.EngineClient;
 import calicostream.core.Gateway;
 import calicostream.core.RequestListener;
+import calicostream.core.RequestResult;
 import calicostream.core.Service;
 import calicostream.flight.ArrowRows;
 import calicostream.flight.FlightConfig;
@@ -56,7 +57,7 @@
                 };
     }
 
-    Function<Object, byte[]> text() {
+    Function<RequestResult, byte[]> text() {
         return ArrowRows::text;
     }
 
--- a/src/main/java/calicostream/daemon/ServerAssembly.java
+++ b/src/main/java/calicostream/daemon/ServerAssembly.java
@@ -7,7 +7,9 @@
 import calicostream.core.EngineClient;
 import calicostream.core.Gateway;
 import calicostream.core.RequestListener;
+import calicostream.core.RequestResult;
 import calicostream.core.Service;
+import calicostream.core.TextResult;
 import calicostream.flight.FlightConfig;
 import calicostream.net.SelectorLoop;
 import calicostream.platform.Descriptors;
@@ -75,7 +77,8 @@
         if (flight != null) {
             services.add(flight.front(gateway));
         }
-        Function<Object, byte[]> text = flight == null ? rows -> (byte[]) rows : flight.text();
+        Function<RequestResult, byte[]> text =
+                flight == null ? result -> ((TextResult) result).text() : flight.text();
         if (cluster != null) {
             cluster.join(loop, gateway);
             services.add(cluster);
--- a/src/main/java/calicostream/flight/ArrowRows.java
+++ b/src/main/java/calicostream/flight/ArrowRows.java
@@ -1,6 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight;
 
+import calicostream.core.RequestResult;
+import calicostream.core.TextResult;
 import calicostream.flight.wire.EngineResult;
 import calicostream.flight.wire.FlightFrame;
 import calicostream.flight.wire.FlightWire;
@@ -107,11 +109,11 @@
     /**
      * An engine's result, or the count of an update, as rows of text; what it holds is given back.
      */
-    public static byte[] text(Object result) {
+    public static byte[] text(RequestResult result) {
         if (result instanceof EngineResult.Counted counted) {
             return (counted.rows() + "\n").getBytes(StandardCharsets.UTF_8);
         } else if (!(result instanceof EngineResult.Held held)) {
-            return (byte[]) result;
+            return ((TextResult) result).text();
         } else {
             try {
                 return text(ipc(held.frames()));
--- a/src/main/java/calicostream/flight/engine/EngineCall.java
+++ b/src/main/java/calicostream/flight/engine/EngineCall.java
@@ -1,7 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.engine;
 
-import calicostream.core.Gateway;
+import calicostream.core.Attempt;
+import calicostream.core.AttemptContext;
+import calicostream.core.RequestResult;
 import calicostream.flight.wire.EngineResult;
 import calicostream.flight.wire.FlightWire;
 import calicostream.grpc.GrpcStatuses;
@@ -28,7 +30,7 @@
  * One attempt at an engine. It begins on the loop; gRPC's threads use it one after another; its end
  * is told on the loop.
  */
-abstract class EngineCall {
+abstract class EngineCall implements AttemptContext {
     /** Words that engines have for a statement that none of them can run. */
     private static final Set<Status.Code> OWN_WORDS =
             Set.of(
@@ -44,7 +46,7 @@
     private static final String LOCAL_BOUND =
             "gRPC message exceeds maximum size"; // how gRPC says it of what it reads
     final FlightEngineClient engines;
-    final Gateway.Attempt attempt;
+    final Attempt attempt;
     final Context.CancellableContext context = Context.ROOT.withCancellation();
     final AtomicReference<Metadata> headers = new AtomicReference<>();
     final AtomicReference<Metadata> trailers = new AtomicReference<>();
@@ -52,13 +54,15 @@
     private final Metadata sent = new Metadata();
     private Channel channel;
 
-    EngineCall(FlightEngineClient engines, Gateway.Attempt attempt, Metadata with) {
+    EngineCall(FlightEngineClient engines, Attempt attempt, Metadata with) {
         this.engines = engines;
         this.attempt = attempt;
         sent.merge(with);
-        sent.put(GrpcStatuses.CLASS, engines.settings.classNames().get(attempt.request.queryClass));
-        sent.put(GrpcStatuses.REQUEST, attempt.request.id);
-        sent.put(GrpcStatuses.URGENCY, Integer.toString(attempt.request.priority()));
+        sent.put(
+                GrpcStatuses.CLASS,
+                engines.settings.classNames().get(attempt.request().queryClass()));
+        sent.put(GrpcStatuses.REQUEST, attempt.request().id());
+        sent.put(GrpcStatuses.URGENCY, Integer.toString(attempt.request().priority()));
     }
 
     final void begin(ManagedChannel up) {
@@ -83,12 +87,12 @@
 
     /** Options of a call that ends with the attempt's time. */
     final CallOptions timed() {
-        long left = Math.max(1, attempt.giveUpAt - engines.loop.clock().now());
+        long left = Math.max(1, attempt.giveUpAt() - engines.loop.clock().now());
         return CallOptions.DEFAULT.withDeadlineAfter(left, TimeUnit.MICROSECONDS);
     }
 
     final FlightServiceGrpc.FlightServiceStub stub() {
-        long left = Math.max(1, attempt.giveUpAt - engines.loop.clock().now());
+        long left = Math.max(1, attempt.giveUpAt() - engines.loop.clock().now());
         return FlightServiceGrpc.newStub(channel).withDeadlineAfter(left, TimeUnit.MICROSECONDS);
     }
 
@@ -108,7 +112,7 @@
     }
 
     /** The attempt has ended; the first end told counts. */
-    final void finish(AttemptOutcome outcome, Object result) {
+    final void finish(AttemptOutcome outcome, RequestResult result) {
         if (over.compareAndSet(false, true)) {
             LoadReport report = GrpcStatuses.report(headers.get(), trailers.get());
             engines.loop.post(
@@ -116,7 +120,7 @@
                         ended(outcome);
                         if (outcome == AttemptOutcome.RESET
                                 || outcome == AttemptOutcome.CONNECT_FAILED) {
-                            engines.lost(attempt.engine);
+                            engines.lost(attempt.engine());
                         }
                         if (!engines.gateway().attemptEnded(attempt, outcome, report, result)
                                 && result instanceof EngineResult.Held held) {
@@ -159,7 +163,7 @@
     }
 
     AttemptOutcome outcome(Status status) {
-        return GrpcStatuses.outcome(status, trailers.get(), attempt.request.isNonIdempotent());
+        return GrpcStatuses.outcome(status, trailers.get(), attempt.request().isNonIdempotent());
     }
 
     final boolean isOwnWord(Status status) {
--- a/src/main/java/calicostream/flight/engine/FlightEngineClient.java
+++ b/src/main/java/calicostream/flight/engine/FlightEngineClient.java
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.engine;
 
+import calicostream.core.Attempt;
 import calicostream.core.Gateway;
 import calicostream.flight.FlightConfig;
 import calicostream.flight.state.Admission;
@@ -122,15 +123,15 @@
     }
 
     @Override
-    public void send(Gateway.Attempt attempt) {
+    public void send(Attempt attempt) {
         EngineCall call = callFor(attempt);
-        attempt.link = call;
+        attempt.setContext(call);
         channels.start(attempt, call::begin);
     }
 
-    private EngineCall callFor(Gateway.Attempt attempt) {
+    private EngineCall callFor(Attempt attempt) {
         EngineOperation.Job job =
-                attempt.request.operation instanceof EngineOperation.Job given
+                attempt.request().operation() instanceof EngineOperation.Job given
                         ? given
                         : plain(attempt);
         EngineOperation work = job.work();
@@ -150,10 +151,10 @@
     }
 
     /** The work of a request that is just text: a query that must be whole, or an update. */
-    private static EngineOperation.Job plain(Gateway.Attempt attempt) {
-        ByteString sql = ByteString.copyFrom(attempt.request.body);
+    private static EngineOperation.Job plain(Attempt attempt) {
+        ByteString sql = ByteString.copyFrom(attempt.request().body());
         EngineOperation work =
-                attempt.request.isLoad()
+                attempt.request().isLoad()
                         ? new EngineOperation.Update(
                                 FlightWire.packed(
                                         FlightSql.CommandStatementUpdate.newBuilder()
@@ -171,8 +172,8 @@
     }
 
     @Override
-    protected void cancel(Gateway.Attempt attempt) {
-        if (attempt.link instanceof EngineCall call) {
+    protected void cancel(Attempt attempt) {
+        if (attempt.context() instanceof EngineCall call) {
             call.context.cancel(null);
         }
     }
--- a/src/main/java/calicostream/flight/engine/IngestCall.java
+++ b/src/main/java/calicostream/flight/engine/IngestCall.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.engine;
 
-import calicostream.core.Gateway;
+import calicostream.core.Attempt;
 import calicostream.flight.wire.EngineOperation;
 import calicostream.flight.wire.EngineResult;
 import calicostream.flight.wire.FlightFrame;
@@ -34,7 +34,7 @@
 
     IngestCall(
             FlightEngineClient engines,
-            Gateway.Attempt attempt,
+            Attempt attempt,
             Metadata with,
             EngineOperation.Ingest work) {
         super(engines, attempt, with);
--- a/src/main/java/calicostream/flight/engine/PollCall.java
+++ b/src/main/java/calicostream/flight/engine/PollCall.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.engine;
 
-import calicostream.core.Gateway;
+import calicostream.core.Attempt;
 import calicostream.flight.wire.EngineOperation;
 import calicostream.flight.wire.EngineResult;
 import calicostream.flight.wire.FlightWire;
@@ -24,10 +24,7 @@
     private long askedAt;
 
     PollCall(
-            FlightEngineClient engines,
-            Gateway.Attempt attempt,
-            Metadata with,
-            EngineOperation.Poll work) {
+            FlightEngineClient engines, Attempt attempt, Metadata with, EngineOperation.Poll work) {
         super(engines, attempt, with);
         this.work = work;
     }
@@ -73,7 +70,7 @@
                                 last == null ? AttemptOutcome.CONNECTION_BROKEN : AttemptOutcome.OK,
                                 last == null
                                         ? null
-                                        : new EngineResult.Planned(attempt.engine, last));
+                                        : new EngineResult.Planned(attempt.engine(), last));
                     }
                 });
     }
@@ -82,7 +79,7 @@
         if (told == null) {
             finish(AttemptOutcome.CONNECTION_BROKEN, null);
         } else if (!told.hasFlightDescriptor()) {
-            finish(AttemptOutcome.OK, new EngineResult.Planned(attempt.engine, told.getInfo()));
+            finish(AttemptOutcome.OK, new EngineResult.Planned(attempt.engine(), told.getInfo()));
         } else {
             next = told.getFlightDescriptor();
             double to = told.hasProgress() ? told.getProgress() : 0;
--- a/src/main/java/calicostream/flight/engine/PreparedStatementLease.java
+++ b/src/main/java/calicostream/flight/engine/PreparedStatementLease.java
@@ -34,7 +34,7 @@
 
     /** On the loop: finds or makes a handle, then runs this with it, on any thread. */
     void take(Consumer<ByteString> then) {
-        handle = bound.statement().lend(call.attempt.engine);
+        handle = bound.statement().lend(call.attempt.engine());
         if (handle != null) {
             then.accept(handle);
         } else {
@@ -134,10 +134,10 @@
         }
         boolean good =
                 outcome == AttemptOutcome.OK
-                        && bound.statement().giveBack(call.attempt.engine, handle);
+                        && bound.statement().giveBack(call.attempt.engine(), handle);
         if (!good && outcome != AttemptOutcome.RESET) {
             call.engines.tidy(
-                    call.attempt.engine, FlightWire.CLOSE_PREPARED, closing(handle), false);
+                    call.attempt.engine(), FlightWire.CLOSE_PREPARED, closing(handle), false);
         }
     }
 
--- a/src/main/java/calicostream/flight/engine/QueryCall.java
+++ b/src/main/java/calicostream/flight/engine/QueryCall.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.engine;
 
-import calicostream.core.Gateway;
+import calicostream.core.Attempt;
 import calicostream.flight.state.ResultBuffer;
 import calicostream.flight.wire.EngineOperation;
 import calicostream.flight.wire.EngineResult;
@@ -41,7 +41,7 @@
 
     QueryCall(
             FlightEngineClient engines,
-            Gateway.Attempt attempt,
+            Attempt attempt,
             Metadata with,
             EngineOperation.Query work) {
         this(engines, attempt, with, work.command(), work.bound(), work.streams());
@@ -49,7 +49,7 @@
 
     QueryCall(
             FlightEngineClient engines,
-            Gateway.Attempt attempt,
+            Attempt attempt,
             Metadata with,
             EngineOperation.Fetch work) {
         this(engines, attempt, with, null, null, work.streams());
@@ -58,7 +58,7 @@
 
     private QueryCall(
             FlightEngineClient engines,
-            Gateway.Attempt attempt,
+            Attempt attempt,
             Metadata with,
             ByteString command,
             EngineOperation.Bound bound,
--- a/src/main/java/calicostream/flight/engine/UnaryCall.java
+++ b/src/main/java/calicostream/flight/engine/UnaryCall.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.engine;
 
-import calicostream.core.Gateway;
+import calicostream.core.Attempt;
 import calicostream.flight.wire.EngineOperation;
 import calicostream.flight.wire.EngineResult;
 import calicostream.flight.wire.FlightWire;
@@ -19,11 +19,7 @@
     private static final int MOST_RESULTS = 64;
     private final EngineOperation work;
 
-    UnaryCall(
-            FlightEngineClient engines,
-            Gateway.Attempt attempt,
-            Metadata with,
-            EngineOperation work) {
+    UnaryCall(FlightEngineClient engines, Attempt attempt, Metadata with, EngineOperation work) {
         super(engines, attempt, with);
         this.work = work;
     }
@@ -48,7 +44,7 @@
                             if (results.stream().allMatch(UnaryCall::isPacked)) {
                                 finish(
                                         AttemptOutcome.OK,
-                                        new EngineResult.Acted(attempt.engine, results));
+                                        new EngineResult.Acted(attempt.engine(), results));
                             } else {
                                 finish(AttemptOutcome.CONNECTION_BROKEN, null);
                             }
@@ -85,7 +81,7 @@
                                             : AttemptOutcome.OK,
                                     last == null
                                             ? null
-                                            : new EngineResult.Planned(attempt.engine, last));
+                                            : new EngineResult.Planned(attempt.engine(), last));
                         }
                     });
         }
--- a/src/main/java/calicostream/flight/front/CatalogHandler.java
+++ b/src/main/java/calicostream/flight/front/CatalogHandler.java
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.front;
 
-import calicostream.core.ResponseHandler;
+import calicostream.core.FailureReason;
+import calicostream.core.RequestResult;
 import calicostream.flight.state.SharedAnswers;
 import calicostream.flight.wire.EngineOperation;
 import calicostream.flight.wire.EngineResult;
@@ -122,7 +123,7 @@
                         0,
                         new ResponseCallback() {
                             @Override
-                            public void served(Object result) {
+                            public void served(RequestResult result) {
                                 Object answer = result;
                                 long size = 0;
                                 if (result instanceof EngineResult.Held held) {
@@ -157,7 +158,7 @@
                             }
 
                             @Override
-                            public void failed(ResponseHandler.Failure why) {
+                            public void failed(FailureReason why) {
                                 over(new Told(null, FlightStatuses.failure(why), -1));
                             }
 
--- a/src/main/java/calicostream/flight/front/DoPutHandler.java
+++ b/src/main/java/calicostream/flight/front/DoPutHandler.java
@@ -1,6 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.front;
 
+import calicostream.core.FailureReason;
+import calicostream.core.RequestResult;
 import calicostream.flight.state.CatalogChangeDetector;
 import calicostream.flight.state.Transactions.Purpose;
 import calicostream.flight.state.Transactions.Txn;
@@ -333,7 +335,7 @@
         }
 
         @Override
-        public void served(Object result) {
+        public void served(RequestResult result) {
             long rows =
                     result instanceof EngineResult.Counted counted
                             ? counted.rows()
@@ -383,7 +385,7 @@
         ResponseCallback answer =
                 new Counting() {
                     @Override
-                    public void failed(calicostream.core.ResponseHandler.Failure why) {
+                    public void failed(FailureReason why) {
                         call.fail(
                                 rows.isDrawn()
                                         ? Upload.unknown("the upload broke off")
@@ -411,7 +413,7 @@
                     }
 
                     @Override
-                    public void served(Object result) {
+                    public void served(RequestResult result) {
                         super.served(result);
                         rows.drop();
                         catalogs.changed(request.getCatalog());
--- a/src/main/java/calicostream/flight/front/FlightStatuses.java
+++ b/src/main/java/calicostream/flight/front/FlightStatuses.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.front;
 
-import calicostream.core.ResponseHandler;
+import calicostream.core.FailureReason;
 import calicostream.flight.state.Transactions;
 import io.grpc.Status;
 
@@ -21,7 +21,7 @@
         return Status.UNAVAILABLE.withDescription("refused; stay away for " + stayAwayMs + " ms");
     }
 
-    static Status failure(ResponseHandler.Failure why) {
+    static Status failure(FailureReason why) {
         switch (why) {
             case DEADLINE:
                 return TIMED_OUT;
--- a/src/main/java/calicostream/flight/front/PollHandler.java
+++ b/src/main/java/calicostream/flight/front/PollHandler.java
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.front;
 
-import calicostream.core.ResponseHandler;
+import calicostream.core.FailureReason;
+import calicostream.core.RequestResult;
 import calicostream.flight.state.HandleTable;
 import calicostream.flight.state.Progress;
 import calicostream.flight.wire.EngineOperation;
@@ -113,7 +114,7 @@
                         0,
                         new ResponseCallback() {
                             @Override
-                            public void served(Object result) {
+                            public void served(RequestResult result) {
                                 EngineResult.Planned planned = (EngineResult.Planned) result;
                                 query.engine = planned.engine();
                                 query.engineInfo = planned.info();
@@ -142,7 +143,7 @@
                             }
 
                             @Override
-                            public void failed(ResponseHandler.Failure why) {
+                            public void failed(FailureReason why) {
                                 end(FlightStatuses.failure(why), -1);
                             }
 
--- a/src/main/java/calicostream/flight/front/PreparedStatementHandler.java
+++ b/src/main/java/calicostream/flight/front/PreparedStatementHandler.java
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.front;
 
+import calicostream.core.RequestResult;
 import calicostream.flight.engine.PreparedStatementLease;
 import calicostream.flight.state.HandleTable;
 import calicostream.flight.state.PreparedStatements;
@@ -154,7 +155,7 @@
         ResponseCallback answer =
                 new ResponseCallback.To<>(call) {
                     @Override
-                    public void served(Object result) {
+                    public void served(RequestResult result) {
                         made(call, (EngineResult.Acted) result, action, packed, sql, transaction);
                     }
                 };
--- a/src/main/java/calicostream/flight/front/QueryHandler.java
+++ b/src/main/java/calicostream/flight/front/QueryHandler.java
@@ -1,7 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.front;
 
-import calicostream.core.ResponseHandler;
+import calicostream.core.FailureReason;
+import calicostream.core.RequestResult;
+import calicostream.core.TextResult;
 import calicostream.flight.ArrowRows;
 import calicostream.flight.state.CatalogChangeDetector;
 import calicostream.flight.state.HandleTable;
@@ -222,7 +224,7 @@
             ResponseCallback answer =
                     new ResponseCallback.To<>(call) {
                         @Override
-                        public void served(Object result) {
+                        public void served(RequestResult result) {
                             reply(
                                     call,
                                     descriptor,
@@ -282,7 +284,7 @@
                 0,
                 new ResponseCallback.To<>(call) {
                     @Override
-                    public void served(Object result) {
+                    public void served(RequestResult result) {
                         EngineResult.Planned planned = (EngineResult.Planned) result;
                         Flight.FlightInfo.Builder out =
                                 planned.info().toBuilder()
@@ -382,7 +384,7 @@
                                                 true,
                                                 new ResponseCallback.To<>(call) {
                                                     @Override
-                                                    public void served(Object result) {
+                                                    public void served(RequestResult result) {
                                                         call.reply(
                                                                 schemaOf(
                                                                         ((EngineResult.Described)
@@ -495,8 +497,8 @@
                                 }
 
                                 @Override
-                                public void failed(ResponseHandler.Failure why) {
-                                    if (why == ResponseHandler.Failure.ENGINE) {
+                                public void failed(FailureReason why) {
+                                    if (why == FailureReason.ENGINE) {
                                         anew();
                                     } else {
                                         super.failed(why);
@@ -623,12 +625,12 @@
 
         @Override
         public void refused(long stayAwayMs) {
-            failed(ResponseHandler.Failure.ENGINE);
+            failed(FailureReason.ENGINE);
         }
 
         @Override
-        public void failed(ResponseHandler.Failure why) {
-            if (why == ResponseHandler.Failure.ENGINE) {
+        public void failed(FailureReason why) {
+            if (why == FailureReason.ENGINE) {
                 fail(PART_LOST);
             } else {
                 super.failed(why);
@@ -650,11 +652,11 @@
         }
 
         @Override
-        public void served(Object result) {
+        public void served(RequestResult result) {
             if (result instanceof EngineResult.Held held) {
                 outlet.send(held.frames(), held.room());
-            } else if (result instanceof byte[] text) {
-                outlet.send(ArrowRows.frames(text), () -> {});
+            } else if (result instanceof TextResult text) {
+                outlet.send(ArrowRows.frames(text.text()), () -> {});
             } else {
                 outlet.complete();
             }
@@ -666,7 +668,7 @@
         }
 
         @Override
-        public void failed(ResponseHandler.Failure why) {
+        public void failed(FailureReason why) {
             outlet.fail(FlightStatuses.failure(why), -1);
         }
 
--- a/src/main/java/calicostream/flight/front/RequestDispatcher.java
+++ b/src/main/java/calicostream/flight/front/RequestDispatcher.java
@@ -1,8 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.front;
 
+import calicostream.core.FailureReason;
+import calicostream.core.FinalStatus;
 import calicostream.core.Gateway;
+import calicostream.core.IncomingRequest;
+import calicostream.core.RequestResult;
 import calicostream.core.ResponseHandler;
+import calicostream.core.ResultStreamHandle;
 import calicostream.core.SlotTable;
 import calicostream.flight.FlightConfig;
 import calicostream.flight.engine.FlightEngineClient;
@@ -157,7 +162,7 @@
             ResponseCallback reply) {
         long budget = CallContext.left(call.deadline, mostUs);
         if (budget <= 0) {
-            reply.failed(Failure.DEADLINE);
+            reply.failed(FailureReason.DEADLINE);
             return new Submitted(0, 0);
         }
         Submitted out =
@@ -204,15 +209,8 @@
         long tag = replies.add(reply);
         long handle =
                 gateway.accept(
-                        this,
-                        tag,
-                        id,
-                        queryClass,
-                        group,
-                        budgetUs,
-                        text,
-                        new EngineOperation.Job(work, headers),
-                        pinned);
+                        IncomingRequest.of(this, tag, id, queryClass, group, budgetUs, text)
+                                .withOperation(new EngineOperation.Job(work, headers), pinned));
         return new Submitted(tag, handle);
     }
 
@@ -266,12 +264,12 @@
     }
 
     @Override
-    public void served(long tag, Object result) {
+    public void served(long tag, RequestResult result) {
         answer(tag, reply -> reply.served(result));
     }
 
     @Override
-    public void streamBegan(long tag, Object stream) {
+    public void streamBegan(long tag, ResultStreamHandle stream) {
         ResponseCallback reply = replies.get(tag);
         if (reply != null) {
             reply.begun((EngineResult.Stream) stream);
@@ -279,8 +277,8 @@
     }
 
     @Override
-    public void concluded(long tag, Object word) {
-        answer(tag, reply -> reply.word(((EngineResult.Word) word).status()));
+    public void concluded(long tag, FinalStatus status) {
+        answer(tag, reply -> reply.word(((EngineResult.Word) status).status()));
     }
 
     @Override
@@ -289,7 +287,7 @@
     }
 
     @Override
-    public void failed(long tag, Failure why) {
+    public void failed(long tag, FailureReason why) {
         answer(tag, reply -> reply.failed(why));
     }
 }
--- a/src/main/java/calicostream/flight/front/ResponseCallback.java
+++ b/src/main/java/calicostream/flight/front/ResponseCallback.java
@@ -1,17 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.front;
 
-import calicostream.core.ResponseHandler;
+import calicostream.core.FailureReason;
+import calicostream.core.RequestResult;
 import calicostream.flight.wire.EngineResult;
 import io.grpc.Status;
 
 /** Where the one answer of a request goes, on the loop. */
 interface ResponseCallback {
-    void served(Object result);
+    void served(RequestResult result);
 
     void refused(long stayAwayMs);
 
-    void failed(ResponseHandler.Failure why);
+    void failed(FailureReason why);
 
     /** The engine's own word on the statement. */
     void word(Status status);
@@ -37,7 +38,7 @@
         }
 
         @Override
-        public void failed(ResponseHandler.Failure why) {
+        public void failed(FailureReason why) {
             to.fail(FlightStatuses.failure(why));
         }
 
--- a/src/main/java/calicostream/flight/front/TransactionHandler.java
+++ b/src/main/java/calicostream/flight/front/TransactionHandler.java
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.front;
 
-import calicostream.core.ResponseHandler;
+import calicostream.core.FailureReason;
+import calicostream.core.RequestResult;
 import calicostream.flight.state.Transactions;
 import calicostream.flight.state.Transactions.Purpose;
 import calicostream.flight.state.Transactions.Result;
@@ -67,7 +68,7 @@
     ResponseCallback within(Txn<ByteString> txn, boolean reads, ResponseCallback reply) {
         return new ResponseCallback() {
             @Override
-            public void served(Object result) {
+            public void served(RequestResult result) {
                 done(txn, Result.DONE);
                 reply.served(result);
             }
@@ -84,7 +85,7 @@
             }
 
             @Override
-            public void failed(ResponseHandler.Failure why) {
+            public void failed(FailureReason why) {
                 done(txn, Result.LOST);
                 reply.failed(why);
             }
@@ -126,12 +127,12 @@
         ResponseCallback answer =
                 new ResponseCallback.To<>(call) {
                     @Override
-                    public void served(Object result) {
+                    public void served(RequestResult result) {
                         then.accept((EngineResult.Acted) result);
                     }
 
                     @Override
-                    public void failed(ResponseHandler.Failure why) {
+                    public void failed(FailureReason why) {
                         Status told = FlightStatuses.transaction(all.standing(txn), txn);
                         call.fail(told == null ? FlightStatuses.failure(why) : told);
                     }
@@ -167,7 +168,7 @@
                 0,
                 new ResponseCallback.To<>(call) {
                     @Override
-                    public void served(Object result) {
+                    public void served(RequestResult result) {
                         EngineResult.Acted acted = (EngineResult.Acted) result;
                         ByteString handle =
                                 first(
@@ -201,7 +202,7 @@
                     }
 
                     @Override
-                    public void failed(ResponseHandler.Failure why) {
+                    public void failed(FailureReason why) {
                         all.notBegun(owner);
                         super.failed(why);
                     }
--- a/src/main/java/calicostream/flight/wire/EngineOperation.java
+++ b/src/main/java/calicostream/flight/wire/EngineOperation.java
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.wire;
 
+import calicostream.core.RequestOperation;
 import calicostream.flight.state.PreparedStatements;
 import com.google.protobuf.ByteString;
 import io.grpc.Metadata;
@@ -10,7 +11,7 @@
 /** What an engine is asked to do for one request; commands are packed messages of Flight SQL. */
 public sealed interface EngineOperation {
     /** Work with the headers that go with it to the engine. */
-    record Job(EngineOperation work, Metadata headers) {}
+    record Job(EngineOperation work, Metadata headers) implements RequestOperation {}
 
     /** A prepared statement to run: how to make it at an engine, and what is bound to it. */
     record Bound(
--- a/src/main/java/calicostream/flight/wire/EngineResult.java
+++ b/src/main/java/calicostream/flight/wire/EngineResult.java
@@ -1,6 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.flight.wire;
 
+import calicostream.core.FinalStatus;
+import calicostream.core.RequestResult;
+import calicostream.core.ResultStreamHandle;
 import com.google.protobuf.ByteString;
 import io.grpc.Status;
 import java.util.List;
@@ -14,7 +17,7 @@
      * A whole result; {@code room} gives back what it holds, once, when its frames have gone out or
      * been dropped.
      */
-    public record Held(List<FlightFrame> frames, Runnable room) {
+    public record Held(List<FlightFrame> frames, Runnable room) implements RequestResult {
         /** Nobody takes it. */
         public void drop() {
             frames.forEach(FlightFrame::release);
@@ -23,21 +26,21 @@
     }
 
     /** The rows that an update changed, -1 where the engine does not know. */
-    public record Counted(long rows) {}
+    public record Counted(long rows) implements RequestResult {}
 
     /** What an action brought, and where. */
-    public record Acted(long engine, List<ByteString> results) {}
+    public record Acted(long engine, List<ByteString> results) implements RequestResult {}
 
-    public record Described(ByteString schema) {}
+    public record Described(ByteString schema) implements RequestResult {}
 
     /** Where the parts of a result are. */
-    public record Planned(long engine, Flight.FlightInfo info) {}
+    public record Planned(long engine, Flight.FlightInfo info) implements RequestResult {}
 
     /** A final word on the request, which says nothing of its engine. */
-    public record Word(Status status) {}
+    public record Word(Status status) implements FinalStatus {}
 
     /** A result that flows: from engine to sink, no faster than the sink takes it. */
-    public interface Stream {
+    public interface Stream extends ResultStreamHandle {
         /** Begins to flow; called once, on the loop. */
         void flow(Sink sink);
 
--- a/src/main/java/calicostream/grpc/BalancingChannel.java
+++ b/src/main/java/calicostream/grpc/BalancingChannel.java
@@ -1,10 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.grpc;
 
+import calicostream.core.Attempt;
+import calicostream.core.AttemptContext;
 import calicostream.core.Clock;
 import calicostream.core.Deadlines;
+import calicostream.core.FailureReason;
 import calicostream.core.Gateway;
+import calicostream.core.IncomingRequest;
 import calicostream.core.RequestListener;
+import calicostream.core.RequestResult;
 import calicostream.core.ResponseHandler;
 import calicostream.net.SelectorLoop;
 import calicostream.routing.AttemptOutcome;
@@ -134,19 +139,22 @@
         }
 
         @Override
-        public void send(Gateway.Attempt attempt) {
-            Call<?, ?> call = calls.get(attempt.request.id);
+        public void send(Attempt attempt) {
+            Call<?, ?> call = calls.get(attempt.request().id());
             channels.start(attempt, channel -> call.attempt(attempt, channel));
         }
 
         @Override
-        protected void cancel(Gateway.Attempt attempt) {
-            if (attempt.link instanceof ClientCall<?, ?> out) {
-                out.cancel("given up", null);
+        protected void cancel(Attempt attempt) {
+            if (attempt.context() instanceof EngineCall out) {
+                out.call().cancel("given up", null);
             }
         }
     }
 
+    /** The call to an engine that an attempt consists of. */
+    private record EngineCall(ClientCall<?, ?> call) implements AttemptContext {}
+
     /** One call of the application's. */
     private final class Call<Q, R> extends ClientCall<Q, R> implements ResponseHandler {
         private final MethodDescriptor<Q, R> method;
@@ -213,13 +221,14 @@
             calls.put(id, this);
             handle =
                     gateway.accept(
-                            this,
-                            0,
-                            id,
-                            queryClass,
-                            options.getOption(TABLE_GROUP),
-                            budget,
-                            NO_BODY);
+                            IncomingRequest.of(
+                                    this,
+                                    0,
+                                    id,
+                                    queryClass,
+                                    options.getOption(TABLE_GROUP),
+                                    budget,
+                                    NO_BODY));
         }
 
         @Override
@@ -241,21 +250,21 @@
             }
         }
 
-        void attempt(Gateway.Attempt attempt, ManagedChannel channel) {
+        void attempt(Attempt attempt, ManagedChannel channel) {
             Received<R> into = new Received<>(attempt);
             Metadata sent = new Metadata();
             sent.merge(headers);
-            sent.put(GrpcStatuses.CLASS, classNames.get(attempt.request.queryClass));
+            sent.put(GrpcStatuses.CLASS, classNames.get(attempt.request().queryClass()));
             sent.put(GrpcStatuses.REQUEST, id);
-            sent.put(GrpcStatuses.URGENCY, Integer.toString(attempt.request.priority()));
-            long left = Math.max(1, attempt.giveUpAt - loop.clock().now());
+            sent.put(GrpcStatuses.URGENCY, Integer.toString(attempt.request().priority()));
+            long left = Math.max(1, attempt.giveUpAt() - loop.clock().now());
             ClientCall<Q, R> out =
                     channel.newCall(
                             method,
                             options.withDeadlineAfter(left, TimeUnit.MICROSECONDS)
                                     .withoutWaitForReady()
                                     .withExecutor(Runnable::run));
-            attempt.link = out;
+            attempt.setContext(new EngineCall(out));
             received = into;
             out.start(into, sent);
             out.request(Integer.MAX_VALUE);
@@ -264,7 +273,7 @@
         }
 
         @Override
-        public void served(long tag, Object result) {
+        public void served(long tag, RequestResult result) {
             Received<R> whole = received;
             calls.remove(id);
             over = true;
@@ -287,10 +296,11 @@
         }
 
         @Override
-        public void failed(long tag, Failure why) {
-            boolean told = why == Failure.ENGINE && received != null && received.status != null;
+        public void failed(long tag, FailureReason why) {
+            boolean told =
+                    why == FailureReason.ENGINE && received != null && received.status != null;
             end(
-                    why == Failure.DEADLINE
+                    why == FailureReason.DEADLINE
                             ? Status.DEADLINE_EXCEEDED.withDescription("not answered in time")
                             : told
                                     ? received.status
@@ -301,13 +311,13 @@
 
     /** What an attempt has answered so far; its end is told on the loop. */
     private final class Received<R> extends ClientCall.Listener<R> {
-        final Gateway.Attempt attempt;
+        final Attempt attempt;
         final List<R> messages = new ArrayList<>();
         Metadata headers = new Metadata();
         Metadata trailers = new Metadata();
         Status status;
 
-        Received(Gateway.Attempt attempt) {
+        Received(Attempt attempt) {
             this.attempt = attempt;
         }
 
@@ -331,7 +341,7 @@
                                 ended.isOk()
                                         ? AttemptOutcome.OK
                                         : GrpcStatuses.outcome(
-                                                ended, told, attempt.request.isNonIdempotent());
+                                                ended, told, attempt.request().isNonIdempotent());
                         gateway.attemptEnded(
                                 attempt, outcome, GrpcStatuses.report(headers, told), null);
                     });
--- a/src/main/java/calicostream/grpc/EngineChannels.java
+++ b/src/main/java/calicostream/grpc/EngineChannels.java
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.grpc;
 
+import calicostream.core.Attempt;
 import calicostream.core.Gateway;
 import calicostream.net.SelectorLoop;
 import calicostream.routing.AttemptOutcome;
@@ -27,7 +28,7 @@
     private final Map<Long, Peer> peers = new HashMap<>();
     private Gateway gateway;
 
-    private record Waiting(Gateway.Attempt attempt, Consumer<ManagedChannel> begin) {}
+    private record Waiting(Attempt attempt, Consumer<ManagedChannel> begin) {}
 
     private static final class Peer {
         final InetSocketAddress address;
@@ -79,8 +80,8 @@
     }
 
     /** Runs {@code begin} once the engine's channel is up, or ends the attempt as never sent. */
-    public void start(Gateway.Attempt attempt, Consumer<ManagedChannel> begin) {
-        Peer peer = peers.get(attempt.engine);
+    public void start(Attempt attempt, Consumer<ManagedChannel> begin) {
+        Peer peer = peers.get(attempt.engine());
         if (peer == null) {
             gateway.attemptEnded(attempt, AttemptOutcome.CONNECT_FAILED, null, null);
         } else if (peer.channel.getState(true) == ConnectivityState.READY) {
@@ -104,8 +105,8 @@
     }
 
     /** Whether the attempt had not gone out, and now will not. */
-    public boolean takeBack(Gateway.Attempt attempt) {
-        Peer peer = peers.get(attempt.engine);
+    public boolean takeBack(Attempt attempt) {
+        Peer peer = peers.get(attempt.engine());
         return peer != null && peer.waiting.removeIf(each -> each.attempt == attempt);
     }
 
@@ -132,7 +133,7 @@
         peers.values().forEach(peer -> peer.channel.shutdownNow());
     }
 
-    private void begin(Peer peer, Gateway.Attempt attempt, Consumer<ManagedChannel> begin) {
+    private void begin(Peer peer, Attempt attempt, Consumer<ManagedChannel> begin) {
         begin.accept(peer.channel);
         gateway.attemptWritten(
                 attempt); // gRPC tells no more than that the call went to a channel which is up.
--- a/src/main/java/calicostream/grpc/GrpcEngineClient.java
+++ b/src/main/java/calicostream/grpc/GrpcEngineClient.java
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.grpc;
 
+import calicostream.core.Attempt;
 import calicostream.core.EngineClient;
 import calicostream.core.Gateway;
 import java.net.InetSocketAddress;
@@ -15,7 +16,7 @@
     }
 
     /** Calls an attempt off that has gone out. */
-    protected abstract void cancel(Gateway.Attempt attempt);
+    protected abstract void cancel(Attempt attempt);
 
     @Override
     public void attach(Gateway to) {
@@ -29,14 +30,14 @@
     }
 
     @Override
-    public void stop(Gateway.Attempt attempt) {
+    public void stop(Attempt attempt) {
         if (!channels.takeBack(attempt)) {
             cancel(attempt);
         }
     }
 
     @Override
-    public void priorityChanged(Gateway.Attempt attempt) {
+    public void priorityChanged(Attempt attempt) {
         // gRPC has no word for the priority of a call that runs; the next attempt carries it.
     }
 
--- a/src/main/java/calicostream/platform/JsonRpcServer.java
+++ b/src/main/java/calicostream/platform/JsonRpcServer.java
@@ -1,7 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.platform;
 
+import calicostream.core.FailureReason;
 import calicostream.core.Gateway;
+import calicostream.core.IncomingRequest;
+import calicostream.core.RequestResult;
 import calicostream.core.ResponseHandler;
 import calicostream.core.SlotTable;
 import calicostream.net.Connection;
@@ -55,7 +58,7 @@
     private final SlotTable<Pending> pending = new SlotTable<>();
     private final Set<JsonRpcClientConnection> clients = new HashSet<>();
     private final Set<String> openIds = new HashSet<>();
-    private final Function<Object, byte[]> text;
+    private final Function<RequestResult, byte[]> text;
     private final double longestWaitMs;
     private Listener listener;
     private int mostClients = 1;
@@ -81,7 +84,7 @@
             Gateway gateway,
             List<String> classNames,
             long longestDeadlineUs,
-            Function<Object, byte[]> text) {
+            Function<RequestResult, byte[]> text) {
         this.text = text;
         longestWaitMs = WAIT_FOLD * Math.max(1000, longestDeadlineUs / 1000);
         this.loop = loop;
@@ -189,7 +192,7 @@
     // ---- Answers from the core
     // ---------------------------------------------------------------------------
     @Override
-    public void served(long tag, Object result) {
+    public void served(long tag, RequestResult result) {
         Pending p = pending.get(tag);
         if (p != null) {
             p.client.served = true;
@@ -203,14 +206,14 @@
     }
 
     @Override
-    public void failed(long tag, Failure why) {
+    public void failed(long tag, FailureReason why) {
         answer(
                 tag,
                 p ->
                         JsonRpc.error(
                                 Long.toString(p.id),
                                 JsonRpc.FAILED,
-                                why == Failure.DEADLINE
+                                why == FailureReason.DEADLINE
                                         ? "not answered in time"
                                         : "failed; it may have run"));
     }
@@ -527,12 +530,15 @@
                             message.retry == 1);
             p.handle =
                     gateway.accept(
-                            JsonRpcServer.this,
-                            tag,
-                            message.requestId,
-                            asked,
-                            body,
-                            message.repeatKey);
+                            new IncomingRequest(
+                                    JsonRpcServer.this,
+                                    tag,
+                                    message.requestId,
+                                    asked,
+                                    body,
+                                    message.repeatKey == null
+                                            ? null
+                                            : new IdempotencyKey(message.repeatKey)));
         }
 
         /**
--- a/src/main/java/calicostream/platform/ServerComponents.java
+++ b/src/main/java/calicostream/platform/ServerComponents.java
@@ -3,6 +3,7 @@
 
 import calicostream.core.EngineClient;
 import calicostream.core.Gateway;
+import calicostream.core.RequestResult;
 import calicostream.core.Service;
 import calicostream.net.SelectorLoop;
 import java.util.List;
@@ -18,7 +19,7 @@
         SelectorLoop loop,
         Gateway gateway,
         EngineClient engines,
-        Function<Object, byte[]> text,
+        Function<RequestResult, byte[]> text,
         List<Service> services) {
     public ServerComponents {
         services = List.copyOf(services);
--- a/src/main/java/calicostream/syslog/SyslogSender.java
+++ b/src/main/java/calicostream/syslog/SyslogSender.java
@@ -2,6 +2,7 @@
 package calicostream.syslog;
 
 import calicostream.core.RequestListener;
+import calicostream.core.RequestOutcome;
 import calicostream.net.Connection;
 import calicostream.net.SelectorLoop;
 import calicostream.routing.EngineEndpoint;
--- a/src/measure/java/calicostream/core/Sides.java
+++ b/src/measure/java/calicostream/core/Sides.java
@@ -46,7 +46,7 @@
     public final Gateway gateway;
 
     /** In the order in which they were sent. */
-    public final List<Gateway.Attempt> sent = new ArrayList<>();
+    public final List<Attempt> sent = new ArrayList<>();
 
     /** What either side was told, a line each. */
     public final List<String> told = new ArrayList<>();
@@ -55,7 +55,7 @@
     public final List<String> overs = new ArrayList<>();
 
     /** What was not admitted, while {@link #keeps}. */
-    public final List<Gateway.Request> kept = new ArrayList<>();
+    public final List<Request> kept = new ArrayList<>();
 
     /** Engines where no request has room. */
     public final Set<Long> full = new HashSet<>();
@@ -111,7 +111,7 @@
     public void setAddress(long engine, InetSocketAddress address) {}
 
     @Override
-    public void send(Gateway.Attempt attempt) {
+    public void send(Attempt attempt) {
         sent.add(attempt);
         if (atOnce != null) {
             gateway.attemptEnded(attempt, atOnce, null, null);
@@ -119,12 +119,12 @@
     }
 
     @Override
-    public void stop(Gateway.Attempt attempt) {
-        told.add("stop " + attempt.number);
+    public void stop(Attempt attempt) {
+        told.add("stop " + attempt.number());
     }
 
     @Override
-    public boolean admits(Gateway.Request request) {
+    public boolean admits(Request request) {
         if (keeps) {
             kept.add(request);
         }
@@ -132,17 +132,17 @@
     }
 
     @Override
-    public boolean hasTenantCapacity(Gateway.Request request, long engine) {
+    public boolean hasTenantCapacity(Request request, long engine) {
         return !full.contains(engine);
     }
 
     @Override
-    public void attemptEnded(Gateway.Attempt attempt, AttemptOutcome outcome, LoadReport report) {
-        overs.add(attempt.engine + " " + outcome);
+    public void attemptEnded(Attempt attempt, AttemptOutcome outcome, LoadReport report) {
+        overs.add(attempt.engine() + " " + outcome);
     }
 
     @Override
-    public void priorityChanged(Gateway.Attempt attempt) {}
+    public void priorityChanged(Attempt attempt) {}
 
     @Override
     public void engineDraining(long engine) {
@@ -165,21 +165,21 @@
     }
 
     @Override
-    public void served(long tag, Object result) {
+    public void served(long tag, RequestResult result) {
         told.add(
                 result == null
                         ? "whole " + tag
-                        : "served " + tag + " " + new String((byte[]) result));
+                        : "served " + tag + " " + new String(((TextResult) result).text()));
     }
 
     @Override
-    public void streamBegan(long tag, Object stream) {
+    public void streamBegan(long tag, ResultStreamHandle stream) {
         told.add("begun " + tag + " " + stream);
     }
 
     @Override
-    public void concluded(long tag, Object word) {
-        told.add("concluded " + tag + " " + word);
+    public void concluded(long tag, FinalStatus status) {
+        told.add("concluded " + tag + " " + status);
     }
 
     @Override
@@ -188,7 +188,7 @@
     }
 
     @Override
-    public void failed(long tag, Failure why) {
+    public void failed(long tag, FailureReason why) {
         told.add("failed " + tag + " " + why);
     }
 }
--- a/src/measure/java/calicostream/lease/TrialsFleet.java
+++ b/src/measure/java/calicostream/lease/TrialsFleet.java
@@ -1,8 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.lease;
 
-import calicostream.core.Gateway;
+import calicostream.core.Attempt;
+import calicostream.core.IncomingRequest;
 import calicostream.core.Sides;
+import calicostream.core.TextResult;
 import calicostream.routing.AttemptOutcome;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -53,12 +55,14 @@
         void turn() {
             sides.time = time;
             sides.deadlines.run(time);
-            sides.gateway.accept(sides, time, "q", 0, random.nextInt(8), 1_000_000, new byte[0]);
+            sides.gateway.accept(
+                    IncomingRequest.of(
+                            sides, time, "q", 0, random.nextInt(8), 1_000_000, new byte[0]));
             while (!sides.sent.isEmpty()) {
-                Gateway.Attempt each = sides.sent.remove(0);
-                boolean fails = each.engine == DOWN && time < BACK_AT;
+                Attempt each = sides.sent.remove(0);
+                boolean fails = each.engine() == DOWN && time < BACK_AT;
                 trialsMade += fails ? 1 : 0;
-                if (each.engine == DOWN && !fails && !used) {
+                if (each.engine() == DOWN && !fails && !used) {
                     used = true;
                     backAfter.add(time - BACK_AT);
                 }
@@ -66,7 +70,7 @@
                         each,
                         fails ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK,
                         null,
-                        new byte[0]);
+                        new TextResult(new byte[0]));
             }
         }
 
--- a/src/test/java/calicostream/core/GatewayTest.java
+++ b/src/test/java/calicostream/core/GatewayTest.java
@@ -21,14 +21,32 @@
  * What the core promises whatever its two sides and the module do, on a clock that the tests turn.
  */
 class GatewayTest {
+    private static final RequestOperation OPERATION = new RequestOperation() {};
+
+    private static final ResultStreamHandle STREAM =
+            new ResultStreamHandle() {
+                @Override
+                public String toString() {
+                    return "stream";
+                }
+            };
+
+    private record Status(String text) implements FinalStatus {
+        @Override
+        public String toString() {
+            return text;
+        }
+    }
+
     private final Sides sides = new Sides(Sides.TWO_LANES);
     private final Gateway gateway = sides.gateway;
-    private final List<Gateway.Attempt> sent = sides.sent;
+    private final List<Attempt> sent = sides.sent;
     private final List<String> told = sides.told;
-    private final List<Gateway.Request> kept = sides.kept;
+    private final List<Request> kept = sides.kept;
 
     private long ask(int queryClass, long tag, long budgetUs) {
-        return gateway.accept(sides, tag, "id" + tag, queryClass, 1, budgetUs, new byte[0]);
+        return gateway.accept(
+                IncomingRequest.of(sides, tag, "id" + tag, queryClass, 1, budgetUs, new byte[0]));
     }
 
     private void pass(long us) {
@@ -47,8 +65,8 @@
         assertEquals(List.of(), sent, "held where none has room");
         sides.full.remove(8L);
         pass(100_000);
-        assertEquals(List.of(8L), sent.stream().map(attempt -> attempt.engine).toList());
-        gateway.attemptEnded(sent.get(0), AttemptOutcome.OK, null, new byte[0]);
+        assertEquals(List.of(8L), sent.stream().map(attempt -> attempt.engine()).toList());
+        gateway.attemptEnded(sent.get(0), AttemptOutcome.OK, null, new TextResult(new byte[0]));
         assertEquals(List.of("8 OK"), sides.overs);
     }
 
@@ -76,8 +94,8 @@
     @Test
     void lateAndSecondEndsAreIgnored() {
         ask(0, 1, 4_000_000);
-        gateway.attemptEnded(sent.get(0), AttemptOutcome.OK, null, "a".getBytes());
-        gateway.attemptEnded(sent.get(0), AttemptOutcome.OK, null, "b".getBytes());
+        gateway.attemptEnded(sent.get(0), AttemptOutcome.OK, null, new TextResult("a".getBytes()));
+        gateway.attemptEnded(sent.get(0), AttemptOutcome.OK, null, new TextResult("b".getBytes()));
         gateway.attemptEnded(sent.get(0), AttemptOutcome.RESET, null, null);
         pass(5_000_000);
         assertEquals(List.of("served 1 a"), told);
@@ -100,7 +118,7 @@
     void aLoadThatMayHaveRunIsNeitherSentAgainNorRefused() {
         ask(1, 1, 20_000_000);
         gateway.attemptEnded(sent.get(0), AttemptOutcome.RESET, null, null);
-        gateway.startAttempt(sent.get(0).request.handle, 8, 0);
+        gateway.startAttempt(sent.get(0).request().handle(), 8, 0);
         pass(21_000_000);
         assertEquals(1, sent.size());
         assertEquals(List.of("failed 1 ENGINE"), told);
@@ -108,16 +126,16 @@
 
     @Test
     void aStreamThatHasBegunIsNeverTriedAgainAndHasNoDeadline() {
-        gateway.accept(sides, 1, "a", 0, 1, 4_000_000, new byte[0]);
-        gateway.streamBegan(sent.get(0), "stream");
+        gateway.accept(IncomingRequest.of(sides, 1, "a", 0, 1, 4_000_000, new byte[0]));
+        gateway.streamBegan(sent.get(0), STREAM);
         pass(60_000_000);
         assertEquals(List.of("begun 1 stream"), told, "no deadline of ours ends it");
         gateway.attemptEnded(sent.get(0), AttemptOutcome.RESET, null, null);
         pass(10_000_000);
         assertEquals(List.of("begun 1 stream", "failed 1 STREAM_BROKEN"), told);
         assertEquals(1, sent.size());
-        gateway.accept(sides, 2, "b", 0, 1, 4_000_000, new byte[0]);
-        gateway.streamBegan(sent.get(1), "stream");
+        gateway.accept(IncomingRequest.of(sides, 2, "b", 0, 1, 4_000_000, new byte[0]));
+        gateway.streamBegan(sent.get(1), STREAM);
         gateway.attemptEnded(sent.get(1), AttemptOutcome.OK, null, null);
         assertEquals("whole 2", told.get(3));
         assertEquals(0, gateway.openRequests());
@@ -127,24 +145,27 @@
     @Test
     void aFinalWordOnTheRequestIsNoFaultOfItsEngine() {
         for (int i = 0; i < 20; i++) {
-            gateway.accept(sides, i, "a", 0, 1, 4_000_000, new byte[0]);
-            gateway.attemptConcluded(sent.get(i), null, "too long");
+            gateway.accept(IncomingRequest.of(sides, i, "a", 0, 1, 4_000_000, new byte[0]));
+            gateway.attemptConcluded(sent.get(i), null, new Status("too long"));
             assertEquals("concluded " + i + " too long", told.get(i));
-            assertEquals(sent.get(0).engine, sent.get(i).engine);
+            assertEquals(sent.get(0).engine(), sent.get(i).engine());
         }
         assertEquals(20, sent.size());
         assertEquals(0, gateway.excludedEngines());
         assertFalse(
-                gateway.attemptEnded(sent.get(0), AttemptOutcome.OK, null, "late"),
+                gateway.attemptEnded(
+                        sent.get(0), AttemptOutcome.OK, null, new TextResult(new byte[0])),
                 "the one end was told");
     }
 
     @Test
     void aPinnedRequestIsNeitherTriedElsewhereNorRefusedOnceItMayHaveRun() {
         for (long pin : new long[] {7, 8}) {
-            gateway.accept(sides, pin, "a", 0, 1, 4_000_000, new byte[0], "work", pin);
-            assertEquals(pin, sent.get(sent.size() - 1).engine);
-            assertTrue(sent.get(sent.size() - 1).request.isNonIdempotent());
+            gateway.accept(
+                    IncomingRequest.of(sides, pin, "a", 0, 1, 4_000_000, new byte[0])
+                            .withOperation(OPERATION, pin));
+            assertEquals(pin, sent.get(sent.size() - 1).engine());
+            assertTrue(sent.get(sent.size() - 1).request().isNonIdempotent());
             gateway.attemptEnded(sent.get(sent.size() - 1), AttemptOutcome.ERROR, null, null);
         }
         pass(5_000_000);
@@ -163,19 +184,19 @@
         gateway.attemptEnded(sent.get(0), AttemptOutcome.CANCELLED, null, null);
         gateway.streamBegan(
                 sent.get(0),
-                "late"); // On its way when it was called off: the client must not see any of it.
+                STREAM); // On its way when it was called off: the client must not see any of it.
         gateway.startAttempt(handle, 8, 0);
         pass(Gateway.CANCEL_DELIVERY_MICROS - 1);
         assertEquals(1, sent.size(), "neither by the module nor in spite of it");
         pass(1);
         assertEquals(2, sent.size());
-        gateway.cancelAttempt(handle, sent.get(1).number);
+        gateway.cancelAttempt(handle, sent.get(1).number());
         gateway.abandon(handle);
         assertEquals(0, gateway.openRequests(), "a final end waits for nothing");
         pass(1_000_000);
         assertEquals(2, sent.size());
         assertEquals(
-                List.of("stop 0", "stop " + sent.get(1).number, "stop " + sent.get(1).number),
+                List.of("stop 0", "stop " + sent.get(1).number(), "stop " + sent.get(1).number()),
                 told);
     }
 
@@ -206,7 +227,7 @@
                                             + scope
                                             + "\nlanes.0.window_us=500000"));
             keyed.start(7, 8);
-            keyed.gateway.accept(keyed, 1, "id1", 0, 1, 4_000_000, new byte[0]);
+            keyed.gateway.accept(IncomingRequest.of(keyed, 1, "id1", 0, 1, 4_000_000, new byte[0]));
             assertEquals(1, keyed.sent.size());
             keyed.gateway.terminateAll();
             assertEquals(
@@ -228,7 +249,9 @@
                                         + "lanes.0.key_scope=all\n"
                                         + "lanes.0.window_us=500000"));
         keyed.start(7, 8);
-        long handle = keyed.gateway.accept(keyed, 1, "id1", 0, 1, 4_000_000, new byte[0]);
+        long handle =
+                keyed.gateway.accept(
+                        IncomingRequest.of(keyed, 1, "id1", 0, 1, 4_000_000, new byte[0]));
         keyed.pass(400_000);
         keyed.full.addAll(Set.of(7L, 8L));
         keyed.gateway.attemptEnded(keyed.sent.get(0), AttemptOutcome.RESET, null, null);
@@ -266,7 +289,7 @@
         sides.left.add(1L);
         sides.full.clear();
         pass(100_000);
-        assertEquals(List.of(2L), sent.stream().map(attempt -> attempt.request.tag()).toList());
+        assertEquals(List.of(2L), sent.stream().map(attempt -> attempt.request().tag()).toList());
         sides.left.add(2L);
         gateway.attemptEnded(sent.get(0), AttemptOutcome.OVERLOADED, null, null);
         pass(5_000_000);
@@ -298,7 +321,7 @@
         assertEquals(2, gateway.listedEngines());
         assertEquals(1, gateway.excludedEngines());
         gateway.enable(7, sides.time);
-        assertEquals(7, sent.get(0).engine);
+        assertEquals(7, sent.get(0).engine());
         assertFalse(gateway.isKnownEngine(9), "nobody has this id");
     }
 
@@ -309,17 +332,19 @@
             each.run();
             ask(0, sides.time, 1_000_000);
             while (sent.size() > ended) {
-                Gateway.Attempt attempt = sent.get(ended++);
+                Attempt attempt = sent.get(ended++);
                 gateway.attemptEnded(
                         attempt,
-                        attempt.engine == down ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK,
+                        attempt.engine() == down
+                                ? AttemptOutcome.CONNECT_FAILED
+                                : AttemptOutcome.OK,
                         null,
-                        new byte[0]);
+                        new TextResult(new byte[0]));
             }
         }
         return (int)
                 sent.subList(before, sent.size()).stream()
-                        .filter(attempt -> attempt.engine == home)
+                        .filter(attempt -> attempt.engine() == home)
                         .count();
     }
 
@@ -336,7 +361,7 @@
                         engine(8, EngineLifecycle.READY),
                         engine(9, EngineLifecycle.READY)));
         sentToDown(1_000_000, () -> {});
-        home = down = sent.get(0).engine;
+        home = down = sent.get(0).engine();
         assertTrue(sentToDown(30_000_000, () -> {}) >= 3, "without hints it tries for itself");
         assertEquals(List.of(down), Arrays.stream(gateway.readyEngines(true)).boxed().toList());
         assertEquals(2, gateway.readyEngines(false).length);
@@ -366,7 +391,7 @@
     @Test
     void anAbandonedRequestGetsNoAnswerAndFreesTheEngine() {
         gateway.abandon(ask(0, 1, 4_000_000));
-        gateway.attemptEnded(sent.get(0), AttemptOutcome.OK, null, "a".getBytes());
+        gateway.attemptEnded(sent.get(0), AttemptOutcome.OK, null, new TextResult("a".getBytes()));
         pass(5_000_000);
         assertEquals(List.of("stop 0"), told);
     }
@@ -388,8 +413,8 @@
         for (int i = 1; i <= 10; i++) {
             ask(0, i, 4_000_000);
         }
-        assertTrue(sent.stream().allMatch(a -> a.engine == 8));
-        long handle = sent.get(0).request.handle;
+        assertTrue(sent.stream().allMatch(a -> a.engine() == 8));
+        long handle = sent.get(0).request().handle();
         gateway.attemptEnded(sent.get(0), AttemptOutcome.OVERLOADED, null, null);
         int before = sent.size();
         gateway.startAttempt(handle, 7, 0);
--- a/src/test/java/calicostream/flight/suite/ClientsTest.java
+++ b/src/test/java/calicostream/flight/suite/ClientsTest.java
@@ -7,6 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import calicostream.config.SettingsException;
+import calicostream.core.RequestOutcome;
 import calicostream.flight.FlightConfig;
 import calicostream.flight.wire.FlightWire;
 import com.google.protobuf.ByteString;
@@ -317,14 +318,7 @@
         }
         assertEquals(
                 1,
-                rig.onLoop(
-                        () ->
-                                rig.gateway
-                                        .metrics()
-                                        .requestEnded(
-                                                calicostream.core.RequestListener.RequestOutcome
-                                                        .SERVED,
-                                                1)),
+                rig.onLoop(() -> rig.gateway.metrics().requestEnded(RequestOutcome.SERVED, 1)),
                 "the session's class");
         client.closeSession(new CloseSessionRequest());
         assertEquals(
--- a/src/test/java/calicostream/flight/suite/HardCasesTest.java
+++ b/src/test/java/calicostream/flight/suite/HardCasesTest.java
@@ -5,6 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import calicostream.core.FailureReason;
+import calicostream.core.IncomingRequest;
+import calicostream.core.RequestResult;
 import calicostream.core.ResponseHandler;
 import calicostream.flight.suite.Script.Act;
 import calicostream.flight.wire.FlightWire;
@@ -937,33 +940,37 @@
         rig.onLoop(
                 () ->
                         rig.gateway.accept(
-                                new ResponseHandler() {
-                                    @Override
-                                    public void served(long tag, Object result) {
-                                        other.add("served");
-                                        ((calicostream.flight.wire.EngineResult.Held) result)
-                                                .drop();
-                                        done.complete(null);
-                                    }
+                                IncomingRequest.of(
+                                        new ResponseHandler() {
+                                            @Override
+                                            public void served(long tag, RequestResult result) {
+                                                other.add("served");
+                                                ((calicostream.flight.wire.EngineResult.Held)
+                                                                result)
+                                                        .drop();
+                                                done.complete(null);
+                                            }
 
-                                    @Override
-                                    public void rejected(long tag, long retryAfterMs) {
-                                        other.add("refused");
-                                        done.complete(null);
-                                    }
+                                            @Override
+                                            public void rejected(long tag, long retryAfterMs) {
+                                                other.add("refused");
+                                                done.complete(null);
+                                            }
 
-                                    @Override
-                                    public void failed(long tag, Failure why) {
-                                        other.add("failed");
-                                        done.complete(null);
-                                    }
-                                },
-                                1,
-                                "same-id",
-                                0,
-                                0,
-                                4_000_000,
-                                "select rows=1".getBytes(java.nio.charset.StandardCharsets.UTF_8)));
+                                            @Override
+                                            public void failed(long tag, FailureReason why) {
+                                                other.add("failed");
+                                                done.complete(null);
+                                            }
+                                        },
+                                        1,
+                                        "same-id",
+                                        0,
+                                        0,
+                                        4_000_000,
+                                        "select rows=1"
+                                                .getBytes(
+                                                        java.nio.charset.StandardCharsets.UTF_8))));
         List<Flight.FlightData> got = new ArrayList<>();
         stub.doGet(ticket).forEachRemaining(got::add);
         done.get(PATIENCE_S, TimeUnit.SECONDS);
