--- a/src/main/java/calicostream/budget/process/BudgetService.java
+++ b/src/main/java/calicostream/budget/process/BudgetService.java
@@ -64,23 +64,23 @@
     }
 
     @Override
-    public StateMachine machine() {
+    public StateMachine stateMachine() {
         return machine;
     }
 
     @Override
-    public Optional<ExpiryMonitor> timekeeper() {
+    public Optional<ExpiryMonitor> expiryMonitor() {
         return Optional.of(times);
     }
 
     @Override
-    public void joins(MemberSession own, LongSupplier clock) {
+    public void onStart(MemberSession own, LongSupplier clock) {
         session = own;
         arbiter.joins(own);
     }
 
     @Override
-    public void tick() {
+    public void onTick() {
         long present = session.session();
         if (present == 0 || leaving) {
             return;
@@ -127,7 +127,7 @@
 
     /** What runs on is not over: only a process that is idle may say that it leaves. */
     @Override
-    public void stopping() {
+    public void onStopping() {
         if (joined != 0 && joined == session.session() && wire.isIdle()) {
             leaving = true;
             session.run(name(), new BudgetCommand.Leave().encode(), outcome -> {});
@@ -135,7 +135,7 @@
     }
 
     @Override
-    public String figures() {
+    public String metricsJson() {
         JsonObject out =
                 Json.object()
                         .add("process", process)
--- a/src/main/java/calicostream/cluster/process/DiskProvider.java
+++ b/src/main/java/calicostream/cluster/process/DiskProvider.java
@@ -20,7 +20,7 @@
     Disk open(Path folder) throws DurableException;
 
     /** Those that the property names; without it no service is looked for. */
-    static DiskProvider chosen() {
+    static DiskProvider fromSystemProperty() {
         String name = System.getProperty(PROPERTY);
         if (name == null) {
             return FileDisk::new;
--- a/src/main/java/calicostream/cluster/process/Member.java
+++ b/src/main/java/calicostream/cluster/process/Member.java
@@ -80,7 +80,7 @@
     private MembershipCommandRunner wish;
     private PlannedStop stop;
     private boolean closed; // the session, for good: it would open another one
-    private volatile MemberStatus signs;
+    private volatile MemberStatus statusJson;
 
     private Member(ClusterConfig config, List<ReplicatedService> layers, DiskProvider disks)
             throws IOException {
@@ -94,11 +94,11 @@
         tickNanos =
                 Math.max(5 * MILLI, Math.min(50 * MILLI, config.session().retry().toNanos() / 10));
         SecureRandom random = new SecureRandom();
-        log = MemberDirectory.open(config, disks);
+        log = MemberDirectory.openLog(config, disks);
         boolean open = false;
         try {
             store = new DurableRaftStore(log);
-            var restored = DurableRaftStore.restored(log.recovered());
+            var restored = DurableRaftStore.restoredState(log.recovered());
             start =
                     StartupRole.of(
                             config.isVoter(),
@@ -121,8 +121,8 @@
             Map<String, ExpiryMonitor> timekeepers = new TreeMap<>();
             layersByName.forEach(
                     (name, layer) -> {
-                        machines.put(name, layer.machine());
-                        layer.timekeeper()
+                        machines.put(name, layer.stateMachine());
+                        layer.expiryMonitor()
                                 .ifPresent(timekeeper -> timekeepers.put(name, timekeeper));
                     });
             state = new ReplicatedState(machines);
@@ -155,7 +155,7 @@
                 log.close();
             }
         }
-        barred = start.runsVoter() ? "" : start.why();
+        barred = start.runsVoter() ? "" : start.reason();
         known =
                 new VoterDirectory(
                         config.voters().stream()
@@ -169,9 +169,9 @@
                                 (int) config.session().ttl().toMillis(),
                                 (int) config.session().retry().toMillis(),
                                 config.session().queue()),
-                        known.numbers(),
+                        known.members(),
                         random.nextLong());
-        signs = look(reactor.nanos());
+        statusJson = look(reactor.nanos());
         thread = new Thread(this::run, "cluster-" + config.self().name());
         thread.setDaemon(true);
     }
@@ -185,7 +185,7 @@
             throws IOException {
         Member member;
         try {
-            member = new Member(config, layers, DiskProvider.chosen());
+            member = new Member(config, layers, DiskProvider.fromSystemProperty());
         } catch (DurableException e) {
             throw MemberException.of(e);
         } catch (java.net.BindException e) {
@@ -203,13 +203,13 @@
      * How many descriptors it takes at most: files of both folders, its address, and links each
      * way, also to be replaced.
      */
-    public static int descriptors(ClusterConfig config) {
+    public static int maxFileDescriptors(ClusterConfig config) {
         return 24 + 3 * config.peers().size();
     }
 
     /** The signs as a JSON object; as of some moments ago. */
-    public String signs() {
-        return MemberStatusJson.of(config, signs);
+    public String statusJson() {
+        return MemberStatusJson.of(config, statusJson);
     }
 
     /** The port of the cluster's address. */
@@ -223,13 +223,14 @@
      */
     public String tell(String words) {
         try {
-            MembershipCommand wanted = MembershipCommand.of(words, signs).orElse(null);
+            MembershipCommand wanted = MembershipCommand.parse(words, statusJson).orElse(null);
             if (wanted == null) {
                 return null;
             }
-            if (!signs.wish().isEmpty() && signs.wish().contains(": under way")) {
+            if (!statusJson.commandProgress().isEmpty()
+                    && statusJson.commandProgress().contains(": under way")) {
                 throw new ClusterException.BadChange(
-                        words, "another wish is under way: " + signs.wish());
+                        words, "another wish is under way: " + statusJson.commandProgress());
             }
             LOG.info("{}: operators ask for {}", self, words);
             loop.post(
@@ -249,13 +250,13 @@
                 () -> {
                     if (stop == null) {
                         stop = new PlannedStop(reactor.nanos(), GRACE, LAST_WORDS);
-                        layers.forEach(layer -> guarded(layer, ReplicatedService::stopping));
+                        layers.forEach(layer -> guarded(layer, ReplicatedService::onStopping));
                     }
                 });
     }
 
     /** Waits until the planned stop is over, for a bounded time. */
-    public void awaitEnd() throws InterruptedException {
+    public void awaitTermination() throws InterruptedException {
         thread.join(2 * GRACE / MILLI);
     }
 
@@ -265,12 +266,12 @@
                     log.recovered()
                             .findings()
                             .forEach(finding -> LOG.warn("{}: {}", self, finding));
-                    tell(null, signs);
+                    tell(null, statusJson);
                     layers.forEach(
-                            layer -> guarded(layer, each -> each.joins(session, reactor::nanos)));
+                            layer -> guarded(layer, each -> each.onStart(session, reactor::nanos)));
                     if (voter != null) {
                         voter.start(
-                                store.recall(
+                                store.recoveryHandshake(
                                         self,
                                         first,
                                         new SecureRandom().nextLong(),
@@ -284,9 +285,9 @@
             LOG.error("{}: its thread ended", self, e);
             failure = e.toString();
         } finally {
-            MemberStatus last = signs.as(MemberStatus.State.DOWN, failure);
-            tell(signs, last);
-            signs = last;
+            MemberStatus last = statusJson.withState(MemberStatus.State.DOWN, failure);
+            tell(statusJson, last);
+            statusJson = last;
             log.close();
         }
     }
@@ -297,12 +298,12 @@
         heardAt.put(from, now);
         if (frame instanceof MemberMessage.Reply reply) {
             if (reply.outcome().accepted() && reply.ageNanos() == 0) {
-                quorum.heard(now);
+                quorum.onQuorumContact(now);
                 heardLeader = from;
             } else if (reply.outcome().kind() == CommandOutcome.Kind.FAILED
                     && reply.outcome().error() instanceof ClusterException.NotLeader other
-                    && known.named(other.leader())) {
-                session.voters(known.numbers());
+                    && known.addLeader(other.leader())) {
+                session.voters(known.members());
             }
             session.received(from, reply, now);
             if (!closed) {
@@ -322,7 +323,7 @@
     private void heard(ReplicatedState.StateChange news) {
         ReplicatedService layer = layersByName.get(news.machine());
         if (layer != null) {
-            guarded(layer, each -> each.news(news.index(), news.event()));
+            guarded(layer, each -> each.onEvent(news.index(), news.event()));
         }
     }
 
@@ -338,14 +339,14 @@
         reactor.schedule(this::tick, stop == null ? tickNanos : 5 * MILLI);
         List<ReplicatedState.StateChange> taken = state.takeNews();
         taken.forEach(this::heard);
-        newsroom.tell(taken, voter != null && voter.leads(), now)
+        newsroom.tell(taken, voter != null && voter.isLeader(), now)
                 .forEach(each -> links.send(each.member(), each.frame()));
         if (!closed) {
-            layers.forEach(layer -> guarded(layer, ReplicatedService::tick));
+            layers.forEach(layer -> guarded(layer, ReplicatedService::onTick));
             flush(now);
         }
         if (voter != null) {
-            voter.ageNanos().ifPresent(age -> quorum.heard(now - age));
+            voter.stateAgeNanos().ifPresent(age -> quorum.onQuorumContact(now - age));
             granted(now);
         }
         if (session.session() != sessionSeen) {
@@ -360,12 +361,12 @@
 
     private void publish(long now) {
         MemberStatus next = look(now);
-        tell(signs, next);
-        signs = next;
+        tell(statusJson, next);
+        statusJson = next;
         if ((next.state() == MemberStatus.State.VOTER || next.state() == MemberStatus.State.LEARNER)
                 && next.applied() > 0
-                && known.are(next.voters().stream().map(Voter::member).sorted().toList())) {
-            session.voters(known.numbers());
+                && known.replaceWith(next.voters().stream().map(Voter::member).sorted().toList())) {
+            session.voters(known.members());
         }
     }
 
@@ -381,23 +382,24 @@
 
     /** Takes the next step of what operators wish. */
     private void granted(long now) {
-        if (wish == null || !wish.isDue(now, voter.leads(), voter.leader(), Membership.of(voter))) {
+        if (wish == null
+                || !wish.isDue(now, voter.isLeader(), voter.leader(), Membership.of(voter))) {
             return;
         }
         MembershipCommandRunner run = wish;
-        if (run.wish() instanceof MembershipCommand.Voters change) {
-            voter.towards(
-                    change.wanted(),
-                    error -> run.stepEnded(error == null ? "" : error.getMessage()));
-        } else if (run.wish() instanceof MembershipCommand.Lead lead) {
-            voter.handOver(lead.to());
+        if (run.command() instanceof MembershipCommand.ChangeVoters change) {
+            voter.stepTowards(
+                    change.wantedVoters(),
+                    error -> run.onStepCompleted(error == null ? "" : error.getMessage()));
+        } else if (run.command() instanceof MembershipCommand.TransferLeadership lead) {
+            voter.transferLeadership(lead.target());
         }
     }
 
     /** Whether the planned stop is over. */
     private boolean stopped(long now) {
-        boolean leads = voter != null && voter.leads();
-        List<Integer> others = new ArrayList<>(known.numbers());
+        boolean leads = voter != null && voter.isLeader();
+        List<Integer> others = new ArrayList<>(known.members());
         others.remove((Integer) self.member());
         others.sort(
                 Comparator.comparingLong(
@@ -408,11 +410,11 @@
                 flush(now);
                 closed = true;
             }
-            case HAND_OVER ->
+            case TRANSFER_LEADERSHIP ->
                     Membership.of(voter).voters().stream()
-                            .filter(each -> each.member() == stop.to())
+                            .filter(each -> each.member() == stop.transferTarget())
                             .findFirst()
-                            .ifPresent(voter::handOver);
+                            .ifPresent(voter::transferLeadership);
             case END -> {
                 end();
                 return true;
@@ -450,8 +452,11 @@
 
     private boolean isAsking() {
         return voter != null
-                && voter.recall()
-                        .map(recall -> recall.state() == VoterRecoveryHandshake.State.ASKING)
+                && voter.recoveryHandshake()
+                        .map(
+                                recall ->
+                                        recall.state()
+                                                == VoterRecoveryHandshake.State.WAITING_FOR_PEERS)
                         .orElse(true);
     }
 
@@ -469,7 +474,7 @@
                         group,
                         voter == null ? 0 : voter.leader(),
                         session.isAlive(now),
-                        voter == null ? 0 : voter.ageNanos().orElse(0L),
+                        voter == null ? 0 : voter.stateAgeNanos().orElse(0L),
                         MemberStateEvaluator.silenceNanos(config));
         long limit =
                 standing.follows()
@@ -477,21 +482,22 @@
                         : MemberStateEvaluator.silenceNanos(config);
         int leader = standing.follows() ? voter.leader() : session.isAlive(now) ? heardLeader : 0;
         Map<String, String> figures = new TreeMap<>();
-        layers.forEach(layer -> guarded(layer, each -> figures.put(each.name(), each.figures())));
+        layers.forEach(
+                layer -> guarded(layer, each -> figures.put(each.name(), each.metricsJson())));
         return new MemberStatus(
                 standing.state(),
-                standing.why(),
+                standing.reason(),
                 self,
                 leader,
-                voter != null && voter.leads(),
+                voter != null && voter.isLeader(),
                 voter == null ? 0 : voter.term(),
                 state.era(),
                 state.applied(),
                 group.voters(),
                 group.learners(),
                 quorum.missingMillis(now, limit),
-                voter == null ? -1 : voter.ageNanos().map(age -> age / MILLI).orElse(-1L),
-                voter == null ? 0 : voter.proposed(),
+                voter == null ? -1 : voter.stateAgeNanos().map(age -> age / MILLI).orElse(-1L),
+                voter == null ? 0 : voter.pendingProposals(),
                 session.waiting(),
                 session.session(),
                 session.isAlive(now),
@@ -499,7 +505,7 @@
                 disk,
                 (now - disk.sinceNanos()) / MILLI,
                 links.figures(),
-                wish == null ? "" : wish.words(),
+                wish == null ? "" : wish.progress(),
                 Map.copyOf(figures));
     }
 
--- a/src/main/java/calicostream/cluster/process/MemberDirectory.java
+++ b/src/main/java/calicostream/cluster/process/MemberDirectory.java
@@ -15,7 +15,7 @@
 final class MemberDirectory {
     private MemberDirectory() {}
 
-    static DurableLog open(ClusterConfig config, DiskProvider disks) throws DurableException {
+    static DurableLog openLog(ClusterConfig config, DiskProvider disks) throws DurableException {
         String part = "generation-" + config.generation();
         Disk data = disks.open(config.data().resolve(part));
         Disk marks =
--- a/src/main/java/calicostream/cluster/process/MemberStateEvaluator.java
+++ b/src/main/java/calicostream/cluster/process/MemberStateEvaluator.java
@@ -5,7 +5,7 @@
 import calicostream.cluster.raft.Voter;
 
 /** Where a member stands, of what is known at one moment; pure. */
-record MemberStateEvaluator(MemberStatus.State state, String why) {
+record MemberStateEvaluator(MemberStatus.State state, String reason) {
     /**
      * @param failure why the voter stopped by itself; empty if it did not
      * @param barred why it must not vote; empty if it may
--- a/src/main/java/calicostream/cluster/process/MemberStatus.java
+++ b/src/main/java/calicostream/cluster/process/MemberStatus.java
@@ -26,27 +26,27 @@
  */
 record MemberStatus(
         State state,
-        String why,
+        String reason,
         Voter self,
         int leader,
-        boolean leads,
+        boolean isLeader,
         int term,
         long era,
         long applied,
         List<Voter> voters,
         List<Voter> learners,
-        long noQuorumMillis,
-        long readAgeMillis,
-        int proposed,
-        int waiting,
+        long quorumMissingMillis,
+        long stateAgeMillis,
+        int pendingProposals,
+        int pendingCommands,
         long session,
         boolean sessionAlive,
         long sessionAgeMillis,
         LogStatus disk,
         long diskSinceMillis,
         TcpTransport.Figures links,
-        String wish,
-        Map<String, String> layers) {
+        String commandProgress,
+        Map<String, String> serviceMetrics) {
     /** Where a member stands in its group. */
     enum State {
         /**
@@ -78,7 +78,7 @@
         DOWN
     }
 
-    MemberStatus as(State other, String because) {
+    MemberStatus withState(State other, String because) {
         return new MemberStatus(
                 other,
                 because,
@@ -90,17 +90,17 @@
                 applied,
                 voters,
                 learners,
-                noQuorumMillis,
-                readAgeMillis,
+                quorumMissingMillis,
+                stateAgeMillis,
                 0,
-                waiting,
+                pendingCommands,
                 0,
                 false,
                 0,
                 disk,
                 diskSinceMillis,
                 links,
-                wish,
-                layers);
+                commandProgress,
+                serviceMetrics);
     }
 }
--- a/src/main/java/calicostream/cluster/process/MemberStatusJson.java
+++ b/src/main/java/calicostream/cluster/process/MemberStatusJson.java
@@ -16,25 +16,25 @@
 
     static String of(ClusterConfig config, MemberStatus signs) {
         JsonObject layers = Json.object();
-        signs.layers().forEach((name, figures) -> layers.add(name, parsed(figures)));
+        signs.serviceMetrics().forEach((name, figures) -> layers.add(name, parsed(figures)));
         return Json.object()
                 .add("cluster", config.cluster())
                 .add("member", config.self().name())
                 .add("number", config.self().number())
                 .add("generation", config.generation())
                 .add("state", word(signs.state()))
-                .add("why", signs.why())
+                .add("why", signs.reason())
                 .add("leader", signs.leader())
-                .add("leads", signs.leads())
+                .add("leads", signs.isLeader())
                 .add("term", signs.term())
                 .add("era", signs.era())
                 .add("applied", signs.applied())
                 .add("voters", names(signs.voters()))
                 .add("learners", names(signs.learners()))
-                .add("no_quorum_ms", signs.noQuorumMillis())
-                .add("read_age_ms", signs.readAgeMillis())
-                .add("proposed", signs.proposed())
-                .add("waiting", signs.waiting())
+                .add("no_quorum_ms", signs.quorumMissingMillis())
+                .add("read_age_ms", signs.stateAgeMillis())
+                .add("proposed", signs.pendingProposals())
+                .add("waiting", signs.pendingCommands())
                 .add("session", signs.session())
                 .add("session_alive", signs.sessionAlive())
                 .add("session_age_ms", signs.sessionAgeMillis())
@@ -47,7 +47,7 @@
                                 .add("received", signs.links().received())
                                 .add("refused", signs.links().refused())
                                 .add("open", signs.links().open()))
-                .add("wish", signs.wish())
+                .add("wish", signs.commandProgress())
                 .add("layers", layers)
                 .toString();
     }
--- a/src/main/java/calicostream/cluster/process/MembershipCommand.java
+++ b/src/main/java/calicostream/cluster/process/MembershipCommand.java
@@ -21,23 +21,23 @@
                             .replace("VOTER", "\\d{1,7}\\.\\d{1,7}"));
 
     /** These are to be the voters. */
-    record Voters(String words, List<Voter> wanted) implements MembershipCommand {}
+    record ChangeVoters(String text, List<Voter> wantedVoters) implements MembershipCommand {}
 
     /** That one is to lead. */
-    record Lead(String words, Voter to) implements MembershipCommand {}
+    record TransferLeadership(String text, Voter target) implements MembershipCommand {}
 
-    String words();
+    String text();
 
     /**
      * Empty where the words are none of ours; otherwise the wish or why it can't be begun, by a
      * member with these signs.
      */
-    static Optional<MembershipCommand> of(String words, MemberStatus signs) {
+    static Optional<MembershipCommand> parse(String words, MemberStatus signs) {
         Matcher said = WORDS.matcher(words);
         if (!said.matches()) {
             return Optional.empty();
         }
-        if (signs.state() != MemberStatus.State.VOTER || !signs.leads()) {
+        if (signs.state() != MemberStatus.State.VOTER || !signs.isLeader()) {
             throw new ClusterException.NotLeader(
                     signs.self().member(), signs.leader(), signs.era());
         }
@@ -75,7 +75,7 @@
             throw new ClusterException.BadChange(words, "too few voters would be left");
         }
         wanted.sort(Comparator.comparingInt(Voter::member));
-        return Optional.of(new Voters(words, List.copyOf(wanted)));
+        return Optional.of(new ChangeVoters(words, List.copyOf(wanted)));
     }
 
     private static MembershipCommand lead(String words, Voter to, MemberStatus signs) {
@@ -86,7 +86,7 @@
         if (to.equals(signs.self())) {
             throw new ClusterException.BadChange(words, "it leads already");
         }
-        return new Lead(words, to);
+        return new TransferLeadership(words, to);
     }
 
     private static Voter voter(String text) {
--- a/src/main/java/calicostream/cluster/process/MembershipCommandRunner.java
+++ b/src/main/java/calicostream/cluster/process/MembershipCommandRunner.java
@@ -7,7 +7,7 @@
  * thread, monotonic nanoseconds.
  */
 final class MembershipCommandRunner {
-    private final MembershipCommand wish;
+    private final MembershipCommand command;
     private final long sinceNanos;
     private final long stepNanos;
     private final long longestNanos;
@@ -21,18 +21,18 @@
      */
     MembershipCommandRunner(
             MembershipCommand wish, long nowNanos, long stepNanos, long longestNanos) {
-        this.wish = wish;
+        this.command = wish;
         sinceNanos = nowNanos;
         stepAt = nowNanos;
         this.stepNanos = stepNanos;
         this.longestNanos = longestNanos;
     }
 
-    MembershipCommand wish() {
-        return wish;
+    MembershipCommand command() {
+        return command;
     }
 
-    boolean isOver() {
+    boolean isFinished() {
         return !end.isEmpty();
     }
 
@@ -41,14 +41,15 @@
      * none.
      */
     boolean isDue(long nowNanos, boolean leads, int leader, Membership group) {
-        if (isOver()) {
+        if (isFinished()) {
             return false;
         }
-        if (wish instanceof MembershipCommand.Voters change
-                        && group.voters().size() == change.wanted().size()
-                        && group.voters().containsAll(change.wanted())
+        if (command instanceof MembershipCommand.ChangeVoters change
+                        && group.voters().size() == change.wantedVoters().size()
+                        && group.voters().containsAll(change.wantedVoters())
                         && group.learners().isEmpty()
-                || wish instanceof MembershipCommand.Lead lead && leader == lead.to().member()) {
+                || command instanceof MembershipCommand.TransferLeadership lead
+                        && leader == lead.target().member()) {
             end = "done";
         } else if (!leads && leader != 0) {
             end = "member " + leader + " leads now: see what holds there, and say it there again";
@@ -57,7 +58,7 @@
         } else if (leads
                 && (!out || nowNanos - stepAt > 10 * stepNanos)
                 && nowNanos - stepAt >= 0) {
-            out = wish instanceof MembershipCommand.Voters;
+            out = command instanceof MembershipCommand.ChangeVoters;
             stepAt = nowNanos + stepNanos;
             return true;
         }
@@ -65,15 +66,15 @@
     }
 
     /** A step ended; {@code error} is empty if it went well. */
-    void stepEnded(String error) {
+    void onStepCompleted(String error) {
         out = false;
         last = error;
     }
 
     /** For operators, one line. */
-    String words() {
-        return wish.words()
+    String progress() {
+        return command.text()
                 + ": "
-                + (isOver() ? end : "under way" + (last.isEmpty() ? "" : ", last: " + last));
+                + (isFinished() ? end : "under way" + (last.isEmpty() ? "" : ", last: " + last));
     }
 }
--- a/src/main/java/calicostream/cluster/process/PlannedStop.java
+++ b/src/main/java/calicostream/cluster/process/PlannedStop.java
@@ -13,7 +13,7 @@
     enum Step {
         WAIT,
         CLOSE_SESSION,
-        HAND_OVER,
+        TRANSFER_LEADERSHIP,
         END
     }
 
@@ -32,7 +32,7 @@
     private Phase phase = Phase.ANSWERS;
     private long phaseSince;
     private int tries;
-    private int to;
+    private int transferTarget;
 
     /**
      * @param lastWordsNanos for what was said last to go out
@@ -70,8 +70,8 @@
                 if (!leads || others.isEmpty()) {
                     go(Phase.LAST_WORDS, nowNanos);
                 } else if (nowNanos - phaseSince >= tries * (graceNanos / 2 / TRIES)) {
-                    to = others.get(tries++ % others.size());
-                    return Step.HAND_OVER;
+                    transferTarget = others.get(tries++ % others.size());
+                    return Step.TRANSFER_LEADERSHIP;
                 }
             }
             case LAST_WORDS -> {
@@ -83,9 +83,9 @@
         return Step.WAIT;
     }
 
-    /** Whom the last {@link Step#HAND_OVER} is to. */
-    int to() {
-        return to;
+    /** Whom the last {@link Step#TRANSFER_LEADERSHIP} is to. */
+    int transferTarget() {
+        return transferTarget;
     }
 
     private void go(Phase next, long nowNanos) {
--- a/src/main/java/calicostream/cluster/process/QuorumMonitor.java
+++ b/src/main/java/calicostream/cluster/process/QuorumMonitor.java
@@ -13,7 +13,7 @@
     }
 
     /** There was a quorum at that moment or after it. */
-    void heard(long atNanos) {
+    void onQuorumContact(long atNanos) {
         if (atNanos - lastNanos > 0) {
             lastNanos = atNanos;
         }
--- a/src/main/java/calicostream/cluster/process/ReplicatedService.java
+++ b/src/main/java/calicostream/cluster/process/ReplicatedService.java
@@ -22,10 +22,10 @@
     String name();
 
     /** The same object at each call. */
-    StateMachine machine();
+    StateMachine stateMachine();
 
     /** The leader's count of time for the machine, if it needs one. */
-    default Optional<ExpiryMonitor> timekeeper() {
+    default Optional<ExpiryMonitor> expiryMonitor() {
         return Optional.empty();
     }
 
@@ -36,29 +36,29 @@
      *     it is lost and opened anew by itself
      * @param clock monotonic, nanoseconds, the one that the session is told
      */
-    default void joins(MemberSession session, LongSupplier clock) {}
+    default void onStart(MemberSession session, LongSupplier clock) {}
 
     /**
      * Called some ten times in {@code session.retry} and as often as there may be news; what it
      * gives to the session goes out.
      */
-    default void tick() {}
+    default void onTick() {}
 
     /**
      * The copy at hand applied something, or the leader told of what concerns this member; the
      * first not for what a restart finds. Perhaps late, lost, or told twice: a reason to ask or to
      * hurry, never an order.
      */
-    default void news(long index, CommandEffects.Event event) {}
+    default void onEvent(long index, CommandEffects.Event event) {}
 
     /**
      * The process ends as planned: gives back what it holds, by the session, which is closed once
      * nothing waits in it.
      */
-    default void stopping() {}
+    default void onStopping() {}
 
     /** What operators see of it: a JSON object. */
-    default String figures() {
+    default String metricsJson() {
         return "{}";
     }
 }
--- a/src/main/java/calicostream/cluster/process/StartupRole.java
+++ b/src/main/java/calicostream/cluster/process/StartupRole.java
@@ -10,9 +10,9 @@
  * generation's, so that a member whose folder forgot is somebody new with an empty one once its
  * generation is raised.
  */
-record StartupRole(As as, String why) {
+record StartupRole(Role role, String reason) {
     /** The ways to start. */
-    enum As {
+    enum Role {
         /** One of the first voters, and it has promised nothing yet. */
         FOUNDER,
         /** It was in the group, or was to be, and remembers all that it promised. */
@@ -39,16 +39,16 @@
         }
         if (own.doubt() != StateLossDetector.Doubt.NONE
                 || own.standing() == StateLossDetector.Standing.BARRED) {
-            return new StartupRole(As.BARRED, own.facts());
+            return new StartupRole(Role.BARRED, own.facts());
         }
         if (stored.isPresent()) {
-            return new StartupRole(As.RETURNING, "");
+            return new StartupRole(Role.RETURNING, "");
         }
         if (own.term() > 0
                 || own.lastIndex() > 0
                 || own.standing() != StateLossDetector.Standing.FRESH) {
             return new StartupRole(
-                    As.BARRED,
+                    Role.BARRED,
                     "the folder has a log, term "
                             + own.term()
                             + " up to "
@@ -56,11 +56,11 @@
                             + ", and does not say whose");
         }
         return founder && self.generation() == 0
-                ? new StartupRole(As.FOUNDER, "")
-                : new StartupRole(As.JOINER, "");
+                ? new StartupRole(Role.FOUNDER, "")
+                : new StartupRole(Role.JOINER, "");
     }
 
     boolean runsVoter() {
-        return as != As.BARRED;
+        return role != Role.BARRED;
     }
 }
--- a/src/main/java/calicostream/cluster/process/StatusChangeLogger.java
+++ b/src/main/java/calicostream/cluster/process/StatusChangeLogger.java
@@ -23,7 +23,7 @@
             boolean bad =
                     switch (now.state()) {
                         case BARRED, BEHIND, REMOVED, FAILED -> true;
-                        case DOWN -> !now.why().isEmpty();
+                        case DOWN -> !now.reason().isEmpty();
                         case ASKING, SPARE, LEARNER, VOTER, STOPPING -> false;
                     };
             out.add(
@@ -32,7 +32,7 @@
                             now.self()
                                     + " is "
                                     + now.state().name().toLowerCase(Locale.ROOT)
-                                    + (now.why().isEmpty() ? "" : ": " + now.why())));
+                                    + (now.reason().isEmpty() ? "" : ": " + now.reason())));
         }
         if (before == null || now.state() == MemberStatus.State.DOWN) {
             return out;
@@ -45,14 +45,14 @@
                                     ? "no leader is known, term " + now.term()
                                     : "member " + now.leader() + " leads, term " + now.term()));
         }
-        if (before.noQuorumMillis() == 0 && now.noQuorumMillis() > 0) {
+        if (before.quorumMissingMillis() == 0 && now.quorumMissingMillis() > 0) {
             out.add(
                     new Line(
                             true,
                             "no quorum was heard for "
-                                    + now.noQuorumMillis()
+                                    + now.quorumMissingMillis()
                                     + " ms: changes wait, the front end serves on"));
-        } else if (before.noQuorumMillis() > 0 && now.noQuorumMillis() == 0) {
+        } else if (before.quorumMissingMillis() > 0 && now.quorumMissingMillis() == 0) {
             out.add(new Line(false, "a quorum is heard again"));
         }
         if (before.session() != now.session()) {
@@ -77,8 +77,9 @@
                                             ? ""
                                             : ": " + now.disk().trouble().getMessage())));
         }
-        if (!before.wish().equals(now.wish()) && !now.wish().isEmpty()) {
-            out.add(new Line(false, "operators: " + now.wish()));
+        if (!before.commandProgress().equals(now.commandProgress())
+                && !now.commandProgress().isEmpty()) {
+            out.add(new Line(false, "operators: " + now.commandProgress()));
         }
         return out;
     }
--- a/src/main/java/calicostream/cluster/process/VoterDirectory.java
+++ b/src/main/java/calicostream/cluster/process/VoterDirectory.java
@@ -10,33 +10,33 @@
  * that a member finds a group whose first voters are all gone but one.
  */
 final class VoterDirectory {
-    private List<Integer> numbers;
+    private List<Integer> members;
 
     VoterDirectory(List<Integer> first) {
-        numbers = List.copyOf(first);
+        members = List.copyOf(first);
     }
 
-    List<Integer> numbers() {
-        return numbers;
+    List<Integer> members() {
+        return members;
     }
 
     /** True if it was not known. */
-    boolean named(int leader) {
-        if (leader <= 0 || numbers.contains(leader)) {
+    boolean addLeader(int leader) {
+        if (leader <= 0 || members.contains(leader)) {
             return false;
         }
-        List<Integer> more = new ArrayList<>(numbers);
+        List<Integer> more = new ArrayList<>(members);
         more.add(leader);
-        numbers = List.copyOf(more);
+        members = List.copyOf(more);
         return true;
     }
 
     /** True if these are not the known ones. */
-    boolean are(List<Integer> present) {
-        if (present.isEmpty() || numbers.equals(present)) {
+    boolean replaceWith(List<Integer> present) {
+        if (present.isEmpty() || members.equals(present)) {
             return false;
         }
-        numbers = List.copyOf(present);
+        members = List.copyOf(present);
         return true;
     }
 }
--- a/src/main/java/calicostream/cluster/raft/DurableRaftStore.java
+++ b/src/main/java/calicostream/cluster/raft/DurableRaftStore.java
@@ -23,7 +23,7 @@
  * The library's store over a {@link DurableLog}; one thread, no state of its own. Every call that
  * the library says is to be flushed syncs before it returns.
  */
-public final class DurableRaftStore implements RaftStore, VoterRecoveryHandshake.Keeper {
+public final class DurableRaftStore implements RaftStore, VoterRecoveryHandshake.RecoveryStore {
     private static final String SELF = "self";
     private static final String FIRST = "first-voters";
     private static final String PEERS = "peers";
@@ -35,7 +35,7 @@
     }
 
     /** Empty if the log has never been a voter's. */
-    public static Optional<RestoredRaftState> restored(RecoveredState found) {
+    public static Optional<RestoredRaftState> restoredState(RecoveredState found) {
         byte[] self = found.notes().get(SELF);
         byte[] first = found.notes().get(FIRST);
         if (self == null || first == null) {
@@ -43,13 +43,13 @@
         }
         BinaryCodec.Reader in = new BinaryCodec.Reader("own name", self);
         RaftEndpointPersistentState me =
-                RaftMessageCodec.MODEL
+                RaftMessageCodec.MODEL_FACTORY
                         .createRaftEndpointPersistentStateBuilder()
                         .setLocalEndpoint(RaftMessageCodec.voter(in))
                         .setVoting(in.u8() != 0)
                         .build();
         RaftTermPersistentState term =
-                RaftMessageCodec.MODEL
+                RaftMessageCodec.MODEL_FACTORY
                         .createRaftTermPersistentStateBuilder()
                         .setTerm((int) found.term())
                         .setVotedFor(voted(found.votedFor()))
@@ -61,7 +61,7 @@
         var snapshot =
                 chunks.isEmpty()
                         ? null
-                        : RaftMessageCodec.MODEL
+                        : RaftMessageCodec.MODEL_FACTORY
                                 .createSnapshotEntryBuilder()
                                 .setIndex(chunks.get(0).getIndex())
                                 .setTerm(chunks.get(0).getTerm())
@@ -81,10 +81,11 @@
      * @param nonce drawn at random for this process
      * @param patience in heartbeats, for voters that don't answer
      */
-    public VoterRecoveryHandshake recall(Voter self, List<Voter> first, long nonce, int patience) {
+    public VoterRecoveryHandshake recoveryHandshake(
+            Voter self, List<Voter> first, long nonce, int patience) {
         RecoveredState found = log.recovered();
         Collection<RaftEndpoint> voters = new ArrayList<>(first);
-        Optional<RestoredRaftState> restored = restored(found);
+        Optional<RestoredRaftState> restored = restoredState(found);
         if (restored.isPresent()) {
             RestoredRaftState state = restored.get();
             voters =
@@ -111,7 +112,7 @@
     }
 
     @Override
-    public void memory(byte[] memory) throws IOException {
+    public void savePeerState(byte[] memory) throws IOException {
         log.saveNote(PEERS, memory);
         log.sync();
     }
--- a/src/main/java/calicostream/cluster/raft/FailStopStore.java
+++ b/src/main/java/calicostream/cluster/raft/FailStopStore.java
@@ -22,13 +22,13 @@
 
     private final RaftStore store;
     private final Consumer<Throwable> failed;
-    private final LogTerms terms;
+    private final LogTermIndex terms;
     private IOException failure;
 
     /**
      * @param terms follows what is in the log
      */
-    FailStopStore(RaftStore store, LogTerms terms, Consumer<Throwable> failed) {
+    FailStopStore(RaftStore store, LogTermIndex terms, Consumer<Throwable> failed) {
         this.store = store;
         this.terms = terms;
         this.failed = failed;
--- a/src/main/java/calicostream/cluster/raft/LeaderSilence.java
+++ b/src/main/java/calicostream/cluster/raft/LeaderHeartbeatTimeout.java
@@ -15,7 +15,7 @@
  * pre-vote of its own is open, and it leaves one open that a leader's first word overtook: such a
  * voter names a dead leader for ever and stands in no election.
  */
-final class LeaderSilence {
+final class LeaderHeartbeatTimeout {
     private final RaftEndpoint self;
     private final int bound;
     private RaftEndpoint leader;
@@ -24,7 +24,7 @@
     /**
      * @param bound in beats; above what the library waits for, so that it goes first where it can
      */
-    LeaderSilence(RaftEndpoint self, int bound) {
+    LeaderHeartbeatTimeout(RaftEndpoint self, int bound) {
         this.self = self;
         this.bound = bound;
     }
@@ -33,7 +33,7 @@
      * Only what a leader alone sends counts: one that was restarted asks for votes, and that is no
      * sign of a leader.
      */
-    void heard(RaftMessage message) {
+    void onMessage(RaftMessage message) {
         if ((message instanceof AppendEntriesRequest || message instanceof InstallSnapshotRequest)
                 && message.getSender().equals(leader)) {
             beats = 0;
@@ -48,7 +48,7 @@
      * empty it gives its vote of that term, of which nobody makes use; no log is behind an empty
      * one.)
      */
-    Optional<RaftMessage> beat(RaftTerm term) {
+    Optional<RaftMessage> onHeartbeat(RaftTerm term) {
         RaftEndpoint known =
                 self.equals(term.getLeaderEndpoint()) ? null : term.getLeaderEndpoint();
         if (known == null || !Objects.equals(known, leader)) {
@@ -61,9 +61,9 @@
         }
         beats = 0;
         return Optional.of(
-                RaftMessageCodec.MODEL
+                RaftMessageCodec.MODEL_FACTORY
                         .createVoteRequestBuilder()
-                        .setGroupId(RaftMessageCodec.GROUP)
+                        .setGroupId(RaftMessageCodec.GROUP_ID)
                         .setSender(known)
                         .setTerm(term.getTerm() + 1)
                         .setLastLogTerm(0)
--- a/src/main/java/calicostream/cluster/raft/LogApplier.java
+++ b/src/main/java/calicostream/cluster/raft/LogApplier.java
@@ -19,7 +19,7 @@
     private static final int CHUNK = 256 * 1024;
 
     /** A read; {@code machine} is "" to hear just how far the log was. */
-    record Question(String machine, byte[] question) {}
+    record StateQuery(String machine, byte[] question) {}
 
     private final int member;
     private final ReplicatedState state;
@@ -36,7 +36,7 @@
     }
 
     /** The present era was begun by this voter in this life. */
-    boolean ownEra() {
+    boolean startedCurrentEra() {
         return nonce != 0 && state.leader().nonce() == nonce && state.leader().member() == member;
     }
 
@@ -46,7 +46,7 @@
             throw new IllegalStateException("this copy has ended", broken);
         }
         try {
-            if (operation instanceof Question question) {
+            if (operation instanceof StateQuery question) {
                 byte[] answer =
                         question.machine.isEmpty()
                                 ? new byte[0]
--- a/src/main/java/calicostream/cluster/raft/LogTerms.java
+++ b/src/main/java/calicostream/cluster/raft/LogTermIndex.java
@@ -13,7 +13,7 @@
  * begins right after that one, as it does behind a snapshot that a leader sent: if the leader then
  * misses the answers to what it sent next, it sends the same again for ever.
  */
-final class LogTerms {
+final class LogTermIndex {
     private final TreeMap<Long, Integer> terms = new TreeMap<>();
 
     void append(List<LogEntry> entries) {
@@ -33,7 +33,7 @@
      * are the same, and so is all before them; so are those that were applied. Any other message,
      * and an append whose entry before the first is known, is as it was.
      */
-    RaftMessage trim(RaftMessage message, long applied) {
+    RaftMessage skipKnownEntries(RaftMessage message, long applied) {
         if (!(message instanceof AppendEntriesRequest append)
                 || terms.containsKey(append.getPreviousLogIndex())) {
             return message;
@@ -50,7 +50,7 @@
             return message;
         }
         LogEntry before = entries.get(known - 1);
-        return RaftMessageCodec.MODEL
+        return RaftMessageCodec.MODEL_FACTORY
                 .createAppendEntriesRequestBuilder()
                 .setGroupId(append.getGroupId())
                 .setSender(append.getSender())
--- a/src/main/java/calicostream/cluster/raft/PeerRecoveryState.java
+++ b/src/main/java/calicostream/cluster/raft/PeerRecoveryState.java
@@ -56,7 +56,7 @@
      *
      * @param grouped whether this voter's group had committed something before
      */
-    Seen met(Voter who, long incarnation, long nonce, boolean grouped) {
+    Seen recordIncarnation(Voter who, long incarnation, long nonce, boolean grouped) {
         Known one = known.computeIfAbsent(who, any -> new Known());
         if (incarnation > one.incarnation) {
             one.before = one.now(grouped);
@@ -69,7 +69,7 @@
     }
 
     /** Only what its sender had synced before it said so. */
-    void heard(RaftMessage message) {
+    void onRaftMessage(RaftMessage message) {
         boolean vote = message instanceof VoteResponse response && response.isGranted();
         if (!vote && !(message instanceof AppendEntriesSuccessResponse)) {
             return;
@@ -88,13 +88,13 @@
     }
 
     /** Once after an incarnation was met that is to be kept. */
-    boolean takeChanged() {
+    boolean takeUnsavedChange() {
         boolean was = changed;
         changed = false;
         return was;
     }
 
-    byte[] write() {
+    byte[] encode() {
         BinaryCodec.Writer out = new BinaryCodec.Writer().u8(VERSION).i32(known.size());
         known.forEach(
                 (who, one) -> {
@@ -107,7 +107,7 @@
         return out.done();
     }
 
-    static PeerRecoveryState read(byte[] bytes) {
+    static PeerRecoveryState decode(byte[] bytes) {
         PeerRecoveryState read = new PeerRecoveryState();
         BinaryCodec.Reader in = new BinaryCodec.Reader("memory of peers", bytes);
         in.version(VERSION);
--- a/src/main/java/calicostream/cluster/raft/RaftMessageCodec.java
+++ b/src/main/java/calicostream/cluster/raft/RaftMessageCodec.java
@@ -34,8 +34,8 @@
  * sender and the term.
  */
 public final class RaftMessageCodec {
-    static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
-    static final Object GROUP = "calicostream";
+    static final RaftModelFactory MODEL_FACTORY = new DefaultRaftModelFactory();
+    static final Object GROUP_ID = "calicostream";
     private static final int VERSION = 1;
 
     private RaftMessageCodec() {}
@@ -125,8 +125,9 @@
                 switch (kind) {
                     case 1 -> {
                         var m =
-                                MODEL.createAppendEntriesRequestBuilder()
-                                        .setGroupId(GROUP)
+                                MODEL_FACTORY
+                                        .createAppendEntriesRequestBuilder()
+                                        .setGroupId(GROUP_ID)
                                         .setSender(sender)
                                         .setTerm(term)
                                         .setPreviousLogTerm(in.i32())
@@ -141,8 +142,9 @@
                         yield m.setLogEntries(entries).build();
                     }
                     case 2 ->
-                            MODEL.createAppendEntriesSuccessResponseBuilder()
-                                    .setGroupId(GROUP)
+                            MODEL_FACTORY
+                                    .createAppendEntriesSuccessResponseBuilder()
+                                    .setGroupId(GROUP_ID)
                                     .setSender(sender)
                                     .setTerm(term)
                                     .setLastLogIndex(in.i64())
@@ -150,8 +152,9 @@
                                     .setFlowControlSequenceNumber(in.i64())
                                     .build();
                     case 3 ->
-                            MODEL.createAppendEntriesFailureResponseBuilder()
-                                    .setGroupId(GROUP)
+                            MODEL_FACTORY
+                                    .createAppendEntriesFailureResponseBuilder()
+                                    .setGroupId(GROUP_ID)
                                     .setSender(sender)
                                     .setTerm(term)
                                     .setExpectedNextIndex(in.i64())
@@ -160,8 +163,9 @@
                                     .build();
                     case 4 -> {
                         var m =
-                                MODEL.createInstallSnapshotRequestBuilder()
-                                        .setGroupId(GROUP)
+                                MODEL_FACTORY
+                                        .createInstallSnapshotRequestBuilder()
+                                        .setGroupId(GROUP_ID)
                                         .setSender(sender)
                                         .setTerm(term)
                                         .setSenderLeader(in.u8() != 0)
@@ -177,8 +181,9 @@
                                 .build();
                     }
                     case 5 ->
-                            MODEL.createInstallSnapshotResponseBuilder()
-                                    .setGroupId(GROUP)
+                            MODEL_FACTORY
+                                    .createInstallSnapshotResponseBuilder()
+                                    .setGroupId(GROUP_ID)
                                     .setSender(sender)
                                     .setTerm(term)
                                     .setSnapshotIndex(in.i64())
@@ -187,23 +192,26 @@
                                     .setFlowControlSequenceNumber(in.i64())
                                     .build();
                     case 6 ->
-                            MODEL.createPreVoteRequestBuilder()
-                                    .setGroupId(GROUP)
+                            MODEL_FACTORY
+                                    .createPreVoteRequestBuilder()
+                                    .setGroupId(GROUP_ID)
                                     .setSender(sender)
                                     .setTerm(term)
                                     .setLastLogTerm(in.i32())
                                     .setLastLogIndex(in.i64())
                                     .build();
                     case 7 ->
-                            MODEL.createPreVoteResponseBuilder()
-                                    .setGroupId(GROUP)
+                            MODEL_FACTORY
+                                    .createPreVoteResponseBuilder()
+                                    .setGroupId(GROUP_ID)
                                     .setSender(sender)
                                     .setTerm(term)
                                     .setGranted(in.u8() != 0)
                                     .build();
                     case 8 ->
-                            MODEL.createVoteRequestBuilder()
-                                    .setGroupId(GROUP)
+                            MODEL_FACTORY
+                                    .createVoteRequestBuilder()
+                                    .setGroupId(GROUP_ID)
                                     .setSender(sender)
                                     .setTerm(term)
                                     .setLastLogTerm(in.i32())
@@ -211,15 +219,17 @@
                                     .setSticky(in.u8() != 0)
                                     .build();
                     case 9 ->
-                            MODEL.createVoteResponseBuilder()
-                                    .setGroupId(GROUP)
+                            MODEL_FACTORY
+                                    .createVoteResponseBuilder()
+                                    .setGroupId(GROUP_ID)
                                     .setSender(sender)
                                     .setTerm(term)
                                     .setGranted(in.u8() != 0)
                                     .build();
                     case 10 ->
-                            MODEL.createTriggerLeaderElectionRequestBuilder()
-                                    .setGroupId(GROUP)
+                            MODEL_FACTORY
+                                    .createTriggerLeaderElectionRequestBuilder()
+                                    .setGroupId(GROUP_ID)
                                     .setSender(sender)
                                     .setTerm(term)
                                     .setLastLogTerm(in.i32())
@@ -252,13 +262,14 @@
     static LogEntry entry(byte[] bytes) {
         BinaryCodec.Reader in = new BinaryCodec.Reader("log entry", bytes);
         in.version(VERSION);
-        var entry = MODEL.createLogEntryBuilder().setIndex(in.i64()).setTerm(in.i32());
+        var entry = MODEL_FACTORY.createLogEntryBuilder().setIndex(in.i64()).setTerm(in.i32());
         int kind = in.u8();
         if (kind == 1) {
             entry.setOperation(in.blob(PeerTransport.MAX_FRAME));
         } else if (kind == 2) {
             var op =
-                    MODEL.createUpdateRaftGroupMembersOpBuilder()
+                    MODEL_FACTORY
+                            .createUpdateRaftGroupMembersOpBuilder()
                             .setMembers(voters(in))
                             .setVotingMembers(voters(in))
                             .setEndpoint(voter(in));
@@ -297,7 +308,8 @@
         BinaryCodec.Reader in = new BinaryCodec.Reader("snapshot chunk", bytes);
         in.version(VERSION);
         SnapshotChunk chunk =
-                MODEL.createSnapshotChunkBuilder()
+                MODEL_FACTORY
+                        .createSnapshotChunkBuilder()
                         .setIndex(in.i64())
                         .setTerm(in.i32())
                         .setSnapshotChunkIndex(in.i32())
@@ -320,7 +332,8 @@
         BinaryCodec.Reader in = new BinaryCodec.Reader("list of voters", bytes);
         in.version(VERSION);
         RaftGroupMembersView view =
-                MODEL.createRaftGroupMembersViewBuilder()
+                MODEL_FACTORY
+                        .createRaftGroupMembersViewBuilder()
                         .setLogIndex(in.i64())
                         .setMembers(voters(in))
                         .setVotingMembers(voters(in))
--- a/src/main/java/calicostream/cluster/raft/RecoveryHandshakeTransport.java
+++ b/src/main/java/calicostream/cluster/raft/RecoveryHandshakeTransport.java
@@ -25,7 +25,7 @@
             Consumer<Throwable> fail) {}
 
     private interface Step {
-        List<VoterRecoveryHandshake.Send> run() throws IOException;
+        List<VoterRecoveryHandshake.OutgoingFrame> run() throws IOException;
     }
 
     /** A line of the log so many beats. */
@@ -63,7 +63,7 @@
 
     void beat() {
         if (!hooks.isStopped.getAsBoolean()) {
-            step(recall::beat);
+            step(recall::onHeartbeat);
             if (!begun && ++beats % LINE == 0) {
                 LOG.warn("voter {} waits for its peers' word: {}", self, recall.reason());
             }
@@ -88,7 +88,7 @@
         try {
             step.run().forEach(send -> links.send(send.member(), send.frame()));
             if (begun && hooks.isVoter.getAsBoolean()) {
-                recall.isVoter();
+                recall.onAdmitted();
             }
         } catch (IOException e) {
             hooks.fail.accept(e);
@@ -96,7 +96,7 @@
         }
         if (recall.error() != null) {
             hooks.fail.accept(recall.error());
-        } else if (!begun && recall.mayBegin()) {
+        } else if (!begun && recall.mayStart()) {
             begun = true;
             hooks.begin.run();
         }
--- a/src/main/java/calicostream/cluster/raft/VoterChange.java
+++ b/src/main/java/calicostream/cluster/raft/VoterChange.java
@@ -3,15 +3,30 @@
 
 import io.microraft.MembershipChangeMode;
 
-/** A change of one voter: it learns, is promoted to a voter, or goes. */
+/** A change of one voter's place in the group; immutable. */
 public enum VoterChange {
-    LEARN(MembershipChangeMode.ADD_LEARNER),
-    PROMOTE(MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER),
-    REMOVE(MembershipChangeMode.REMOVE_MEMBER);
+    /** The voter joins as a learner: it receives the log and does not vote. */
+    ADD_LEARNER("LEARN", MembershipChangeMode.ADD_LEARNER),
+    /** The learner becomes a voter. */
+    PROMOTE("PROMOTE", MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER),
+    /** The voter or learner leaves the group. */
+    REMOVE("REMOVE", MembershipChangeMode.REMOVE_MEMBER);
 
-    final MembershipChangeMode mode;
+    private final String operatorName;
+    private final MembershipChangeMode mode;
 
-    VoterChange(MembershipChangeMode mode) {
+    VoterChange(String operatorName, MembershipChangeMode mode) {
+        this.operatorName = operatorName;
         this.mode = mode;
     }
+
+    /** The name that operators see in error messages and in the member's status; stable. */
+    String operatorName() {
+        return operatorName;
+    }
+
+    /** The consensus library's mode of this change. */
+    MembershipChangeMode mode() {
+        return mode;
+    }
 }
--- a/src/main/java/calicostream/cluster/raft/VoterChanges.java
+++ b/src/main/java/calicostream/cluster/raft/VoterChangeExecutor.java
@@ -19,7 +19,7 @@
  * change. While one runs no other starts here, and what a former leader noted is applied before
  * this one leads, so the second entry never overtakes a removal of the same voter.
  */
-final class VoterChanges {
+final class VoterChangeExecutor {
     private final RaftNode raft;
     private final Voter self;
     private final ReplicatedState state;
@@ -30,7 +30,7 @@
 
     private boolean running;
 
-    VoterChanges(
+    VoterChangeExecutor(
             RaftNode raft,
             Voter self,
             ReplicatedState state,
@@ -116,7 +116,7 @@
                                         who.generation(),
                                         state.nextGeneration(who.member())));
                     } else {
-                        raft.changeMembership(who, change.mode, since)
+                        raft.changeMembership(who, change.mode(), since)
                                 .whenComplete(
                                         (ok, error) ->
                                                 end.accept(
@@ -133,10 +133,10 @@
     }
 
     private static ClusterException bad(VoterChange change, Voter who, String why) {
-        return new ClusterException.BadChange(change + " " + who, why);
+        return new ClusterException.BadChange(change.operatorName() + " " + who, why);
     }
 
-    /** As {@link VoterNode#towards}. */
+    /** As {@link VoterNode#stepTowards}. */
     void towards(Collection<Voter> wanted, Consumer<ClusterException> done) {
         ClusterException refused = notLeading.get();
         if (refused != null) {
@@ -152,16 +152,15 @@
                         .map(Voter.class::cast)
                         .filter(who -> !voters.contains(who))
                         .toList();
-        VoterPlan.next(wanted, voters, learners, self)
+        VoterChangePlan.next(wanted, voters, learners, self)
                 .ifPresent(
                         step -> {
                             switch (step.kind()) {
-                                case LEARN, PROMOTE, REMOVE ->
-                                        change(
-                                                VoterChange.valueOf(step.kind().name()),
-                                                step.who(),
-                                                done);
-                                case HAND_OVER -> raft.transferLeadership(step.who());
+                                case ADD_LEARNER ->
+                                        change(VoterChange.ADD_LEARNER, step.voter(), done);
+                                case PROMOTE -> change(VoterChange.PROMOTE, step.voter(), done);
+                                case REMOVE -> change(VoterChange.REMOVE, step.voter(), done);
+                                case TRANSFER_LEADERSHIP -> raft.transferLeadership(step.voter());
                             }
                         });
     }
--- a/src/main/java/calicostream/cluster/raft/VoterPlan.java
+++ b/src/main/java/calicostream/cluster/raft/VoterChangePlan.java
@@ -13,22 +13,22 @@
  * voter is replaced while a quorum still stands; a leader that is to go hands over first. Asked
  * again after each step, by whoever leads then, it needs no memory.
  */
-public final class VoterPlan {
+public final class VoterChangePlan {
     /** A step and whom it is about; a hand-over names who is to lead. */
-    public record Step(Kind kind, Voter who) {}
+    public record Step(Kind kind, Voter voter) {}
 
     /** What a step does. */
     public enum Kind {
-        LEARN,
+        ADD_LEARNER,
         PROMOTE,
-        HAND_OVER,
+        TRANSFER_LEADERSHIP,
         REMOVE
     }
 
     private static final Comparator<Voter> ORDER =
             Comparator.comparingInt(Voter::member).thenComparingInt(Voter::generation);
 
-    private VoterPlan() {}
+    private VoterChangePlan() {}
 
     /**
      * @param voters and learners as they are committed
@@ -43,7 +43,7 @@
         for (Voter who : sorted(wanted)) {
             if (!voters.contains(who)) {
                 return Optional.of(
-                        new Step(learners.contains(who) ? Kind.PROMOTE : Kind.LEARN, who));
+                        new Step(learners.contains(who) ? Kind.PROMOTE : Kind.ADD_LEARNER, who));
             }
         }
         SortedSet<Voter> unwanted = sorted(voters);
@@ -53,7 +53,7 @@
             return Optional.empty();
         }
         if (unwanted.remove(leader) && unwanted.isEmpty()) {
-            return Optional.of(new Step(Kind.HAND_OVER, sorted(wanted).first()));
+            return Optional.of(new Step(Kind.TRANSFER_LEADERSHIP, sorted(wanted).first()));
         }
         return Optional.of(new Step(Kind.REMOVE, unwanted.first()));
     }
--- a/src/main/java/calicostream/cluster/raft/VoterNode.java
+++ b/src/main/java/calicostream/cluster/raft/VoterNode.java
@@ -53,12 +53,12 @@
      */
     public record Settings(
             Voter self,
-            List<Voter> first,
+            List<Voter> initialVoters,
             int heartbeatMillis,
-            int missed,
+            int missedHeartbeats,
             int electionMillis,
-            int queue,
-            int snapshotEvery) {}
+            int proposalQueueLimit,
+            int snapshotIntervalEntries) {}
 
     /** Entries of one append: of the largest ones, half a frame. */
     private static final int BATCH = PeerTransport.MAX_FRAME / (2 * Command.MAX_BODY) / 2;
@@ -73,9 +73,9 @@
     private final SessionExpiryMonitor keeper;
     private final BoundedElapsedTime counted;
     private final LogApplier stepper;
-    private final LeaderSilence silence;
-    private final VoterChanges changes;
-    private final LogTerms terms = new LogTerms();
+    private final LeaderHeartbeatTimeout silence;
+    private final VoterChangeExecutor changes;
+    private final LogTermIndex terms = new LogTermIndex();
     private final RaftNode raft;
     private final Consumer<Throwable> failed;
     private boolean stopped;
@@ -83,7 +83,7 @@
     private RecoveryHandshakeTransport firstWord; // null where nobody is asked
     private boolean begun;
     private long toldEra;
-    private int proposed;
+    private int pendingProposals;
     private long freshSince;
     private boolean fresh;
     private long nextId;
@@ -114,24 +114,25 @@
         this.keeper = new SessionExpiryMonitor(state, settings.heartbeatMillis * 1_000_000L);
         this.counted = new BoundedElapsedTime(settings.heartbeatMillis * 1_000_000L);
         this.stepper = new LogApplier(settings.self.member(), state, random, this::fail);
-        this.silence = new LeaderSilence(settings.self, 3 * settings.missed);
+        this.silence = new LeaderHeartbeatTimeout(settings.self, 3 * settings.missedHeartbeats);
         this.nextId = random.nextLong();
         RaftExecutor pace = new RaftExecutor(reactor, settings.heartbeatMillis);
         RaftNode.RaftNodeBuilder builder =
                 RaftNode.newBuilder()
-                        .setGroupId(RaftMessageCodec.GROUP)
+                        .setGroupId(RaftMessageCodec.GROUP_ID)
                         .setConfig(
                                 RaftConfig.newBuilder()
                                         .setLeaderHeartbeatPeriodSecs(1)
-                                        .setLeaderHeartbeatTimeoutSecs(settings.missed)
+                                        .setLeaderHeartbeatTimeoutSecs(settings.missedHeartbeats)
                                         .setAppendEntriesRequestBatchSize(BATCH)
                                         .setLeaderElectionTimeoutMillis(
                                                 Math.max(
                                                         100,
                                                         pace.raftMillis(settings.electionMillis)))
-                                        .setCommitCountToTakeSnapshot(settings.snapshotEvery)
+                                        .setCommitCountToTakeSnapshot(
+                                                settings.snapshotIntervalEntries)
                                         .setMaxPendingLogEntryCount(
-                                                Math.max(2 * settings.queue, 128))
+                                                Math.max(2 * settings.proposalQueueLimit, 128))
                                         .setTransferSnapshotsFromFollowersEnabled(false)
                                         .build())
                         .setExecutor(pace)
@@ -140,18 +141,18 @@
                         .setStore(new FailStopStore(store, terms, this::fail))
                         .setStateMachine(stepper)
                         .setTransport(new Sender())
-                        .setModelFactory(RaftMessageCodec.MODEL);
+                        .setModelFactory(RaftMessageCodec.MODEL_FACTORY);
         wasRestored = restored.isPresent() && !restored.get().getLogEntries().isEmpty();
         restored.ifPresent(found -> terms.append(found.getLogEntries()));
         if (restored.isPresent()) {
             builder.setRestoredState(restored.get());
         } else {
             builder.setLocalEndpoint(settings.self)
-                    .setInitialGroupMembers(new ArrayList<RaftEndpoint>(settings.first));
+                    .setInitialGroupMembers(new ArrayList<RaftEndpoint>(settings.initialVoters));
         }
         this.raft = builder.build();
         this.changes =
-                new VoterChanges(
+                new VoterChangeExecutor(
                         raft,
                         settings.self,
                         state,
@@ -217,7 +218,7 @@
     }
 
     /** Where this voter stands before its first word; empty if it was started without asking. */
-    public Optional<VoterRecoveryHandshake> recall() {
+    public Optional<VoterRecoveryHandshake> recoveryHandshake() {
         return Optional.ofNullable(firstWord).map(RecoveryHandshakeTransport::recall);
     }
 
@@ -253,10 +254,10 @@
     }
 
     /** This voter leads as far as it knows, and its copy has all that its predecessors left. */
-    public boolean leads() {
+    public boolean isLeader() {
         return !stopped
                 && settings.self.equals(raft.getTerm().getLeaderEndpoint())
-                && stepper.ownEra();
+                && stepper.startedCurrentEra();
     }
 
     /** The leader's member as far as is known here; 0 if not. */
@@ -282,17 +283,17 @@
     }
 
     /** How many proposals wait for a decision here. */
-    public int proposed() {
-        return proposed;
+    public int pendingProposals() {
+        return pendingProposals;
     }
 
     /** How old this copy is at most; empty until a leader was heard of once. */
-    public Optional<Long> ageNanos() {
+    public Optional<Long> stateAgeNanos() {
         return fresh ? Optional.of(reactor.nanos() - freshSince) : Optional.empty();
     }
 
     /** Hands the lead to another voter, for a planned stop. */
-    public void handOver(Voter to) {
+    public void transferLeadership(Voter to) {
         if (!stopped) {
             raft.transferLeadership(to);
         }
@@ -305,7 +306,7 @@
      * acknowledged the present voters and learners is not promoted: one that is gone for good would
      * count into a quorum that then may never be.
      */
-    public void change(VoterChange change, Voter who, Consumer<ClusterException> done) {
+    public void changeVoter(VoterChange change, Voter who, Consumer<ClusterException> done) {
         changes.change(change, who, done);
     }
 
@@ -314,12 +315,12 @@
      * until {@link #voters()} are the wanted ones. {@code done} hears of a step as with {@link
      * #change}.
      */
-    public void towards(Collection<Voter> wanted, Consumer<ClusterException> done) {
+    public void stepTowards(Collection<Voter> wanted, Consumer<ClusterException> done) {
         changes.towards(wanted, done);
     }
 
     private ClusterException notLeading() {
-        return leads()
+        return isLeader()
                 ? null
                 : new ClusterException.NotLeader(settings.self.member(), leader(), state.era());
     }
@@ -328,7 +329,7 @@
         if (isStopped()) {
             return;
         }
-        silence.beat(raft.getTerm())
+        silence.onHeartbeat(raft.getTerm())
                 .filter(message -> mayLead())
                 .ifPresent(
                         message -> {
@@ -338,12 +339,12 @@
                                     settings.self,
                                     leader(),
                                     term(),
-                                    3 * settings.missed);
+                                    3 * settings.missedHeartbeats);
                             raft.handle(message);
                         });
         long now = reactor.nanos();
         long span = counted.look(now);
-        if (leads()) {
+        if (isLeader()) {
             if (toldEra != state.era()) {
                 toldEra = state.era();
                 timekeepers.values().forEach(timekeeper -> timekeeper.eraBegan(toldEra, span));
@@ -359,7 +360,7 @@
                                     outcome -> {});
                         }
                     });
-            read(new LogApplier.Question("", new byte[0]), outcome -> fresh(outcome, now));
+            read(new LogApplier.StateQuery("", new byte[0]), outcome -> fresh(outcome, now));
         } else if (leader() != 0 && leader() != settings.self.member()) {
             askAt = now;
             askId = nextId++;
@@ -401,9 +402,9 @@
             RaftMessage decoded = RaftMessageCodec.message(message.message());
             if (((Voter) decoded.getSender()).member() == from
                     && message.generation() == settings.self.generation()) {
-                silence.heard(decoded);
-                recall().ifPresent(recall -> recall.heard(decoded));
-                raft.handle(terms.trim(decoded, state.applied()));
+                silence.onMessage(decoded);
+                recoveryHandshake().ifPresent(recall -> recall.onRaftMessage(decoded));
+                raft.handle(terms.skipKnownEntries(decoded, state.applied()));
             }
         } else if (frame instanceof MemberMessage.Request request) {
             Consumer<CommandOutcome> reply =
@@ -417,7 +418,7 @@
             switch (request.ask()) {
                 case ENTRY -> proposeOf(request.body(), reply);
                 case READ ->
-                        read(new LogApplier.Question(request.machine(), request.body()), reply);
+                        read(new LogApplier.StateQuery(request.machine(), request.body()), reply);
                 case LOCAL -> local(from, request);
             }
         } else if (frame instanceof MemberMessage.Reply reply && reply.id() == askId) {
@@ -426,7 +427,7 @@
     }
 
     private void local(int from, MemberMessage.Request request) {
-        Optional<Long> age = ageNanos();
+        Optional<Long> age = stateAgeNanos();
         CommandOutcome outcome =
                 !state.knows(request.machine())
                         ? CommandOutcome.failed(0, ClusterException.UnknownMachine.CODE)
@@ -462,26 +463,26 @@
     }
 
     private void propose(byte[] entry, Consumer<CommandOutcome> reply) {
-        if (proposed >= settings.queue) {
+        if (pendingProposals >= settings.proposalQueueLimit) {
             reply.accept(
                     CommandOutcome.failed(
                             0,
                             ClusterException.QueueFull.CODE,
                             settings.self.member(),
-                            proposed,
-                            settings.queue));
+                            pendingProposals,
+                            settings.proposalQueueLimit));
             return;
         }
-        proposed++;
+        pendingProposals++;
         raft.<CommandOutcome>replicate(entry)
                 .whenComplete(
                         (ok, error) -> {
-                            proposed--;
+                            pendingProposals--;
                             reply.accept(error == null ? ok.getResult() : failure(error));
                         });
     }
 
-    private void read(LogApplier.Question question, Consumer<CommandOutcome> reply) {
+    private void read(LogApplier.StateQuery question, Consumer<CommandOutcome> reply) {
         if (!question.machine().isEmpty() && !state.knows(question.machine())) {
             reply.accept(CommandOutcome.failed(0, ClusterException.UnknownMachine.CODE));
             return;
@@ -506,8 +507,8 @@
                     0,
                     ClusterException.QueueFull.CODE,
                     settings.self.member(),
-                    proposed,
-                    settings.queue);
+                    pendingProposals,
+                    settings.proposalQueueLimit);
         }
         return CommandOutcome.failed(0, ClusterException.Unsure.CODE, settings.self.member(), 0, 0);
     }
--- a/src/main/java/calicostream/cluster/raft/VoterRecoveryHandshake.java
+++ b/src/main/java/calicostream/cluster/raft/VoterRecoveryHandshake.java
@@ -21,29 +21,29 @@
 
 /**
  * Whether a voter may say its first word: it asks its peers what they remember of it, and answers
- * when they ask. No I/O but through its {@link Keeper}, no clock, one thread. It waits for all
- * other voters for some beats and for a majority of them without end, as it could not be elected by
- * fewer; {@link StateLossDetector} is the judge. What has forgotten is barred for good under its
- * generation and says why; it comes back as a learner under the next.
+ * when they ask. No I/O but through its {@link RecoveryStore}, no clock, one thread. It waits for
+ * all other voters for some beats and for a majority of them without end, as it could not be
+ * elected by fewer; {@link StateLossDetector} is the judge. What has forgotten is barred for good
+ * under its generation and says why; it comes back as a learner under the next.
  */
 public final class VoterRecoveryHandshake {
     /** Where it stands. */
     public enum State {
         /** It neither votes nor acknowledges yet. */
-        ASKING,
+        WAITING_FOR_PEERS,
         /** It remembers all that it promised. */
-        VOTES,
+        VOTER,
         /** It promised nothing yet, and follows until the group promotes it. */
-        LEARNS,
+        LEARNER,
         /** It forgot: this generation is over. */
-        FORGOT,
+        STATE_LOST,
         /** Another process of its name lives. */
-        REFUSED
+        DUPLICATE_PROCESS
     }
 
     /** Where what must outlive a crash is kept; each call is on the disk on return. */
-    public interface Keeper {
-        void memory(byte[] memory) throws IOException;
+    public interface RecoveryStore {
+        void savePeerState(byte[] memory) throws IOException;
 
         void bar(String why) throws IOException;
 
@@ -51,7 +51,7 @@
     }
 
     /** A frame for a member. */
-    record Send(int member, byte[] frame) {}
+    record OutgoingFrame(int member, byte[] frame) {}
 
     private final Voter self;
     private final boolean founder;
@@ -60,12 +60,12 @@
     private final Own own;
     private final long nonce;
     private final int patience;
-    private final Keeper keeper;
+    private final RecoveryStore keeper;
     private final PeerRecoveryState memory;
     private final Map<String, Seen> told = new TreeMap<>();
     private final Map<Integer, String> names = new TreeMap<>();
     private boolean admitted;
-    private State state = State.ASKING;
+    private State state = State.WAITING_FOR_PEERS;
     private String reason = "";
     private int beats;
 
@@ -84,7 +84,7 @@
             byte[] memory,
             long nonce,
             int patience,
-            Keeper keeper) {
+            RecoveryStore keeper) {
         this.self = self;
         this.founder = first.contains(self);
         this.others = members(voters);
@@ -94,7 +94,7 @@
         asked.remove(self.member());
         this.own = own;
         this.admitted = own.standing() == Standing.ADMITTED;
-        this.memory = memory == null ? new PeerRecoveryState() : PeerRecoveryState.read(memory);
+        this.memory = memory == null ? new PeerRecoveryState() : PeerRecoveryState.decode(memory);
         this.nonce = nonce;
         this.patience = patience;
         this.keeper = keeper;
@@ -113,30 +113,30 @@
         return reason;
     }
 
-    boolean mayBegin() {
-        return state == State.VOTES || state == State.LEARNS;
+    boolean mayStart() {
+        return state == State.VOTER || state == State.LEARNER;
     }
 
     /** Of a state that is the end of this process's voter; else null. */
     ClusterException error() {
-        return state == State.FORGOT
+        return state == State.STATE_LOST
                 ? new ClusterException.VoterForgot(self.member(), self.generation(), reason)
-                : state == State.REFUSED
+                : state == State.DUPLICATE_PROCESS
                         ? new ClusterException.VoterStopped(self.member(), reason)
                         : null;
     }
 
     /** At each beat: whom to ask (again). Peers that are silent for long are asked seldom. */
-    List<Send> beat() throws IOException {
+    List<OutgoingFrame> onHeartbeat() throws IOException {
         beats++;
         decide();
-        List<Send> sends = new ArrayList<>();
+        List<OutgoingFrame> sends = new ArrayList<>();
         if (error() == null && (beats <= patience || beats % patience == 0)) {
             byte[] frame =
                     new MemberMessage.Recall(self.generation(), own.incarnation(), nonce).encode();
             asked.stream()
                     .filter(member -> !names.containsKey(member))
-                    .forEach(member -> sends.add(new Send(member, frame)));
+                    .forEach(member -> sends.add(new OutgoingFrame(member, frame)));
         }
         return sends;
     }
@@ -144,10 +144,11 @@
     /**
      * @param grouped whether this voter's group has committed something
      */
-    List<Send> received(int from, MemberMessage.Recall ask, boolean grouped) throws IOException {
+    List<OutgoingFrame> received(int from, MemberMessage.Recall ask, boolean grouped)
+            throws IOException {
         Seen seen = met(new Voter(from, ask.generation()), ask.incarnation(), ask.nonce(), grouped);
         return List.of(
-                new Send(
+                new OutgoingFrame(
                         from,
                         new MemberMessage.Recalled(
                                         ask.nonce(),
@@ -176,7 +177,7 @@
                         answer.voteTerm(),
                         false,
                         answer.grouped());
-        if (mayBegin()) {
+        if (mayStart()) {
             // It has spoken since, so of what a late one tells only the incarnation is from before.
             seen = new Seen(seen.incarnation(), 0, 0, 0, false, false);
         }
@@ -188,20 +189,20 @@
     /** The peer is remembered on the disk before anything rests on its word. */
     private Seen met(Voter peer, long incarnation, long itsNonce, boolean grouped)
             throws IOException {
-        Seen seen = memory.met(peer, incarnation, itsNonce, grouped);
-        if (memory.takeChanged()) {
-            keeper.memory(memory.write());
+        Seen seen = memory.recordIncarnation(peer, incarnation, itsNonce, grouped);
+        if (memory.takeUnsavedChange()) {
+            keeper.savePeerState(memory.encode());
         }
         return seen;
     }
 
-    void heard(RaftMessage message) {
-        memory.heard(message);
+    void onRaftMessage(RaftMessage message) {
+        memory.onRaftMessage(message);
     }
 
     /** The group has it among its voters, committed: from now on its promises count. */
-    void isVoter() throws IOException {
-        if (!admitted && mayBegin()) {
+    void onAdmitted() throws IOException {
+        if (!admitted && mayStart()) {
             admitted = true;
             keeper.admit();
         }
@@ -213,27 +214,27 @@
         }
         StateLossDetector.Answer answer = StateLossDetector.judge(own, founder, named(), told);
         boolean forgot = StateLossDetector.hasForgotten(own, told);
-        if (mayBegin() && !forgot) {
+        if (mayStart() && !forgot) {
             return;
         }
         reason = answer.reason();
         long heard = others.stream().filter(names::containsKey).count();
         boolean waited = heard == others.size() || beats >= patience;
         if (answer.verdict() == RecoveryVerdict.REFUSE) {
-            state = State.REFUSED;
+            state = State.DUPLICATE_PROCESS;
         } else if (forgot || answer.verdict() == RecoveryVerdict.LEARNER && founder) {
-            state = State.FORGOT;
+            state = State.STATE_LOST;
             keeper.bar(reason);
         } else if (answer.verdict() == RecoveryVerdict.VOTER && waited) {
             if (!admitted) {
                 admitted = true;
                 keeper.admit();
             }
-            state = State.VOTES;
+            state = State.VOTER;
         } else if (answer.verdict() == RecoveryVerdict.LEARNER
                 && waited
                 && heard >= (others.size() + 1) / 2) {
-            state = State.LEARNS;
+            state = State.LEARNER;
         }
     }
 
--- a/src/main/java/calicostream/daemon/ClusterPart.java
+++ b/src/main/java/calicostream/daemon/ClusterPart.java
@@ -90,7 +90,7 @@
 
     /** How many the member takes at most. */
     int descriptors() {
-        return Member.descriptors(config);
+        return Member.maxFileDescriptors(config);
     }
 
     @Override
@@ -115,12 +115,12 @@
     @Override
     public void awaitTermination() throws InterruptedException {
         member.stop();
-        member.awaitEnd();
+        member.awaitTermination();
     }
 
     @Override
     public String statusJson() {
-        return member.signs();
+        return member.statusJson();
     }
 
     @Override
--- a/src/main/java/calicostream/lease/process/LeaseService.java
+++ b/src/main/java/calicostream/lease/process/LeaseService.java
@@ -54,7 +54,7 @@
      * For a machine beside this one in the same log, which asks whether a token is the holder's.
      */
     @Override
-    public LeaseMachine machine() {
+    public LeaseMachine stateMachine() {
         return machine;
     }
 
@@ -64,12 +64,12 @@
     }
 
     @Override
-    public Optional<ExpiryMonitor> timekeeper() {
+    public Optional<ExpiryMonitor> expiryMonitor() {
         return Optional.of(watch);
     }
 
     @Override
-    public void joins(MemberSession session, LongSupplier clock) {
+    public void onStart(MemberSession session, LongSupplier clock) {
         tasks = new LeasedTaskRunner(session, name(), clock, LeaseService::tell);
         added.forEach(task -> tasks.add(task, ttl.toNanos()));
     }
@@ -88,17 +88,17 @@
     }
 
     @Override
-    public void tick() {
+    public void onTick() {
         tasks.tick();
     }
 
     @Override
-    public void news(long index, CommandEffects.Event event) {
+    public void onEvent(long index, CommandEffects.Event event) {
         tasks.news(event);
     }
 
     @Override
-    public void stopping() {
+    public void onStopping() {
         tasks.stop();
         tasks.tick();
     }
@@ -108,7 +108,7 @@
      * has none of these.
      */
     @Override
-    public String figures() {
+    public String metricsJson() {
         if (tasks == null) {
             return "{}";
         }
--- a/src/measure/java/calicostream/cluster/process/Count.java
+++ b/src/measure/java/calicostream/cluster/process/CountingService.java
@@ -9,7 +9,7 @@
 import java.util.function.LongSupplier;
 
 /** Adds one at each look while it may; what its session answered last is its figure. */
-final class Count implements ReplicatedService, StateMachine {
+final class CountingService implements ReplicatedService, StateMachine {
     volatile boolean adds;
     private MemberSession session;
     private long sum;
@@ -23,17 +23,17 @@
     }
 
     @Override
-    public StateMachine machine() {
+    public StateMachine stateMachine() {
         return this;
     }
 
     @Override
-    public void joins(MemberSession of, LongSupplier clock) {
+    public void onStart(MemberSession of, LongSupplier clock) {
         session = of;
     }
 
     @Override
-    public void tick() {
+    public void onTick() {
         if (adds && session.waiting() == 0) {
             session.run(
                     "count",
@@ -47,18 +47,18 @@
     }
 
     @Override
-    public void news(long index, CommandEffects.Event event) {
+    public void onEvent(long index, CommandEffects.Event event) {
         heard++;
     }
 
     @Override
-    public void stopping() {
+    public void onStopping() {
         adds = false;
         stoppedAt = answered;
     }
 
     @Override
-    public String figures() {
+    public String metricsJson() {
         return "{\"answered\":"
                 + answered
                 + ",\"heard\":"
--- a/src/measure/java/calicostream/cluster/process/Folders.java
+++ b/src/measure/java/calicostream/cluster/process/DirectoryCopy.java
@@ -8,8 +8,8 @@
 import java.util.stream.Stream;
 
 /** Members' folders as somebody may bring them back from elsewhere, or lose them. */
-public final class Folders {
-    private Folders() {}
+public final class DirectoryCopy {
+    private DirectoryCopy() {}
 
     /** All that is in it, to a place that is not there yet. */
     public static void copy(Path from, Path to) throws IOException {
--- a/src/measure/java/calicostream/cluster/process/MembersHere.java
+++ b/src/measure/java/calicostream/cluster/process/InProcessMembers.java
@@ -14,16 +14,17 @@
 import java.util.function.Predicate;
 
 /**
- * Three voters with threads, sockets and folders in this process, each with a {@link Count} and
- * without a front end. One thread uses it; {@link #close} stops all of them, whatever they do.
+ * Three voters with threads, sockets and folders in this process, each with a {@link
+ * CountingService} and without a front end. One thread uses it; {@link #close} stops all of them,
+ * whatever they do.
  */
-final class MembersHere implements AutoCloseable {
-    final Map<Integer, Count> counts = new HashMap<>();
+final class InProcessMembers implements AutoCloseable {
+    final Map<Integer, CountingService> services = new HashMap<>();
     private final Map<Integer, Member> members = new HashMap<>();
     private final Path folder;
     private final List<Integer> ports = MemberProcess.ports(3);
 
-    MembersHere(Path folder) throws IOException {
+    InProcessMembers(Path folder) throws IOException {
         this.folder = folder;
         System.setProperty("org.slf4j.simpleLogger.log.io.microraft", "off");
         System.setProperty("org.slf4j.simpleLogger.log.calicostream.cluster.process", "error");
@@ -39,11 +40,11 @@
         Path settings =
                 Files.createDirectories(folder.resolve("m" + number)).resolve("cluster.toml");
         Files.writeString(settings, MemberProcess.settings(number, ports, ""));
-        counts.put(number, new Count());
+        services.put(number, new CountingService());
         members.put(
                 number,
                 Member.start(
-                        ClusterConfig.read(settings).orElseThrow(), List.of(counts.get(number))));
+                        ClusterConfig.read(settings).orElseThrow(), List.of(services.get(number))));
     }
 
     /** Returns when each of the three votes. */
@@ -52,34 +53,34 @@
             start(number);
         }
         for (int number = 1; number <= 3; number++) {
-            await(number, MembersHere::votes);
+            await(number, InProcessMembers::isSettledVoter);
         }
     }
 
     /** A planned stop, and its end. */
     void stop(int number) throws InterruptedException {
         members.get(number).stop();
-        members.get(number).awaitEnd();
+        members.get(number).awaitTermination();
     }
 
-    JsonObject signs(int number) {
-        return Json.parse(members.get(number).signs()).asObject();
+    JsonObject status(int number) {
+        return Json.parse(members.get(number).statusJson()).asObject();
     }
 
     /** What the member says once the condition holds. */
     JsonObject await(int number, Predicate<JsonObject> condition) {
         for (long end = System.nanoTime() + MemberProcess.PATIENCE_S * 1_000_000_000L;
                 System.nanoTime() < end; ) {
-            JsonObject signs = signs(number);
+            JsonObject signs = status(number);
             if (condition.test(signs)) {
                 return signs;
             }
             LockSupport.parkNanos(5_000_000);
         }
-        throw new AssertionError("not in time: " + signs(number));
+        throw new AssertionError("not in time: " + status(number));
     }
 
-    static boolean votes(JsonObject signs) {
+    static boolean isSettledVoter(JsonObject signs) {
         return signs.get("state").asString().equals("voter")
                 && signs.get("session_alive").asBoolean()
                 && signs.get("no_quorum_ms").asLong() == 0
@@ -87,7 +88,7 @@
     }
 
     /** One of its count's figures. */
-    static long figure(JsonObject signs, String name) {
+    static long metric(JsonObject signs, String name) {
         return signs.get("layers").asObject().get("count").asObject().get(name).asLong();
     }
 
@@ -95,7 +96,7 @@
     public void close() throws InterruptedException {
         members.values().forEach(Member::stop);
         for (Member each : members.values()) {
-            each.awaitEnd();
+            each.awaitTermination();
         }
     }
 }
--- a/src/measure/java/calicostream/cluster/raft/RecallGroup.java
+++ b/src/measure/java/calicostream/cluster/raft/FakeVoterGroup.java
@@ -12,29 +12,29 @@
 /**
  * Voters that ask each other before their first word; frames are handed over by hand. One thread.
  */
-final class RecallGroup {
+final class FakeVoterGroup {
     static final int PATIENCE = 4;
     private static final List<Voter> FIRST =
             List.of(new Voter(1, 0), new Voter(2, 0), new Voter(3, 0));
 
     /** A voter's process and what it kept. */
-    final class Side implements VoterRecoveryHandshake.Keeper {
-        final VoterRecoveryHandshake recall;
+    final class VoterProcess implements VoterRecoveryHandshake.RecoveryStore {
+        final VoterRecoveryHandshake handshake;
         private final boolean grouped;
         private byte[] memory;
         String barred = "";
         int admissions;
 
-        Side(Voter self, Own own, byte[] memory, boolean grouped) {
+        VoterProcess(Voter self, Own own, byte[] memory, boolean grouped) {
             this.grouped = grouped;
             this.memory = memory;
-            recall =
+            handshake =
                     new VoterRecoveryHandshake(
                             self, FIRST, FIRST, own, memory, ++nonces, PATIENCE, this);
         }
 
         @Override
-        public void memory(byte[] bytes) {
+        public void savePeerState(byte[] bytes) {
             memory = bytes;
         }
 
@@ -50,14 +50,14 @@
     }
 
     private long nonces;
-    private final Map<Integer, Side> sides = new TreeMap<>();
+    private final Map<Integer, VoterProcess> sides = new TreeMap<>();
 
     /** Again, with what it remembers of its peers, if it has run here before. */
-    Side start(int member, Own own) {
-        Side before = sides.get(member);
+    VoterProcess start(int member, Own own) {
+        VoterProcess before = sides.get(member);
         sides.put(
                 member,
-                new Side(
+                new VoterProcess(
                         new Voter(member, 0),
                         own,
                         before == null ? null : before.memory,
@@ -72,18 +72,18 @@
         List<Integer> there = List.of(up);
         for (int i = 0; i < rounds; i++) {
             for (int member : there) {
-                List<VoterRecoveryHandshake.Send> asks =
-                        new ArrayList<>(sides.get(member).recall.beat());
-                for (VoterRecoveryHandshake.Send ask : asks) {
+                List<VoterRecoveryHandshake.OutgoingFrame> asks =
+                        new ArrayList<>(sides.get(member).handshake.onHeartbeat());
+                for (VoterRecoveryHandshake.OutgoingFrame ask : asks) {
                     if (there.contains(ask.member())) {
-                        Side peer = sides.get(ask.member());
-                        for (VoterRecoveryHandshake.Send told :
-                                peer.recall.received(
+                        VoterProcess peer = sides.get(ask.member());
+                        for (VoterRecoveryHandshake.OutgoingFrame told :
+                                peer.handshake.received(
                                         member,
                                         (MemberMessage.Recall) MemberMessage.decode(ask.frame()),
                                         peer.grouped)) {
                             sides.get(member)
-                                    .recall
+                                    .handshake
                                     .received(
                                             ask.member(),
                                             (MemberMessage.Recalled)
@@ -97,16 +97,16 @@
     }
 
     /** One that is none of the first voters, and has kept nothing. */
-    Side join(int member, Own own) {
-        sides.put(member, new Side(new Voter(member, 0), own, null, false));
+    VoterProcess join(int member, Own own) {
+        sides.put(member, new VoterProcess(new Voter(member, 0), own, null, false));
         return sides.get(member);
     }
 
-    Side get(int member) {
+    VoterProcess get(int member) {
         return sides.get(member);
     }
 
     VoterRecoveryHandshake.State state(int member) {
-        return sides.get(member).recall.state();
+        return sides.get(member).handshake.state();
     }
 }
--- a/src/measure/java/calicostream/cluster/sim/SimCluster.java
+++ b/src/measure/java/calicostream/cluster/sim/SimCluster.java
@@ -149,7 +149,7 @@
                                 machines.put(name, part.machine());
                                 timekeepers.put(name, part.timekeeper());
                             });
-            Optional<RestoredRaftState> restored = DurableRaftStore.restored(log.recovered());
+            Optional<RestoredRaftState> restored = DurableRaftStore.restoredState(log.recovered());
             voter =
                     new VoterNode(
                             new VoterNode.Settings(name(), first, 50, 5, 200, QUEUE, 40),
@@ -165,7 +165,8 @@
             if (mutants.contains(Mutant.VOTE_AFTER_AMNESIA) || mutants.contains(Mutant.SYNC_LIES)) {
                 voter.start();
             } else {
-                voter.start(store.recall(name(), first, world.random.nextLong(), PATIENCE));
+                voter.start(
+                        store.recoveryHandshake(name(), first, world.random.nextLong(), PATIENCE));
             }
         }
 
@@ -255,7 +256,7 @@
             if (voter != null) {
                 voter.received(
                         from,
-                        mutants.contains(Mutant.RETRY_WITHOUT_NUMBER) && voter.leads()
+                        mutants.contains(Mutant.RETRY_WITHOUT_NUMBER) && voter.isLeader()
                                 ? renumber(bytes)
                                 : bytes);
             }
@@ -510,8 +511,8 @@
         if (voter == null) {
             return;
         }
-        if (voter.proposed() > QUEUE) {
-            throw new Broken("a voter's queue grew to " + voter.proposed());
+        if (voter.pendingProposals() > QUEUE) {
+            throw new Broken("a voter's queue grew to " + voter.pendingProposals());
         }
         if (voter.leader() == process.member && !voter.isStopped()) {
             Voter other = leaders.putIfAbsent(voter.term(), host.name());
@@ -523,7 +524,7 @@
         List<ReplicatedState.StateChange> taken = voter.state().takeNews();
         if (guest.isTold()) {
             host.newsroom
-                    .tell(taken, voter.leads(), process.nanos())
+                    .tell(taken, voter.isLeader(), process.nanos())
                     .forEach(each -> send(process.member, each.member(), each.frame()));
         }
         for (ReplicatedState.StateChange news : taken) {
@@ -711,7 +712,7 @@
                             .ifPresent(
                                     host -> {
                                         if (!host.name().equals(voter.name())) {
-                                            host.voter.handOver(voter.name());
+                                            host.voter.transferLeadership(voter.name());
                                         }
                                     });
             case ADD_VOTER -> addVoter(voter);
@@ -787,11 +788,13 @@
     }
 
     private Optional<Host> leading() {
-        return hosts.stream().filter(host -> host.voter != null && host.voter.leads()).findFirst();
+        return hosts.stream()
+                .filter(host -> host.voter != null && host.voter.isLeader())
+                .findFirst();
     }
 
     private void change(Host leader, VoterChange change, Voter who, Runnable then) {
-        leader.voter.change(
+        leader.voter.changeVoter(
                 change,
                 who,
                 error -> {
@@ -831,7 +834,7 @@
         if (leader.voter.votersAndLearners().contains(host.name())) {
             promote.run();
         } else {
-            change(leader, VoterChange.LEARN, host.name(), promote);
+            change(leader, VoterChange.ADD_LEARNER, host.name(), promote);
         }
     }
 
@@ -841,8 +844,8 @@
      */
     private void comeBack(Host leader, Host host) {
         Voter old = host.name();
-        leader.voter.change(
-                VoterChange.LEARN,
+        leader.voter.changeVoter(
+                VoterChange.ADD_LEARNER,
                 old,
                 error -> {
                     if (error == null) {
@@ -866,7 +869,7 @@
         leading()
                 .ifPresent(
                         leader ->
-                                leader.voter.change(
+                                leader.voter.changeVoter(
                                         VoterChange.PROMOTE,
                                         who,
                                         error -> {
@@ -989,7 +992,7 @@
                             // An earlier one of its generations may still be there.
                             if (wanted.removeIf(each -> each.member() == by.member())) {
                                 wanted.add(by);
-                                leader.voter.towards(
+                                leader.voter.stepTowards(
                                         wanted, error -> changes += error == null ? 1 : 0);
                             }
                         });
--- a/src/test/java/calicostream/cluster/process/DecisionsTest.java
+++ b/src/test/java/calicostream/cluster/process/DecisionsTest.java
@@ -8,8 +8,7 @@
 
 import calicostream.cluster.ClusterException;
 import calicostream.cluster.raft.Voter;
-import calicostream.cluster.raft.VoterChange;
-import calicostream.cluster.raft.VoterPlan;
+import calicostream.cluster.raft.VoterChangePlan;
 import calicostream.cluster.tcp.TcpTransport;
 import calicostream.durable.DurableException;
 import calicostream.durable.LogStatus;
@@ -87,27 +86,30 @@
         StateLossDetector.Own blank = own(StateLossDetector.Standing.FRESH, 0, Doubt.NONE);
         Voter next = new Voter(1, 1);
         assertEquals(
-                StartupRole.As.FOUNDER, StartupRole.of(true, ONE, Optional.empty(), blank).as());
+                StartupRole.Role.FOUNDER,
+                StartupRole.of(true, ONE, Optional.empty(), blank).role());
         assertEquals(
-                StartupRole.As.JOINER, StartupRole.of(true, next, Optional.empty(), blank).as());
+                StartupRole.Role.JOINER,
+                StartupRole.of(true, next, Optional.empty(), blank).role());
         assertEquals(
-                StartupRole.As.JOINER, StartupRole.of(false, FOUR, Optional.empty(), blank).as());
+                StartupRole.Role.JOINER,
+                StartupRole.of(false, FOUR, Optional.empty(), blank).role());
         assertEquals(
-                StartupRole.As.RETURNING,
+                StartupRole.Role.RETURNING,
                 StartupRole.of(
                                 true,
                                 ONE,
                                 Optional.of(ONE),
                                 own(StateLossDetector.Standing.ADMITTED, 9, Doubt.NONE))
-                        .as());
+                        .role());
         assertEquals(
-                StartupRole.As.BARRED,
+                StartupRole.Role.BARRED,
                 StartupRole.of(
                                 true,
                                 ONE,
                                 Optional.empty(),
                                 own(StateLossDetector.Standing.FRESH, 9, Doubt.NONE))
-                        .as());
+                        .role());
         for (Doubt doubt : Doubt.values()) {
             StartupRole start =
                     StartupRole.of(
@@ -124,7 +126,7 @@
                         Optional.of(ONE),
                         own(StateLossDetector.Standing.BARRED, 9, Doubt.NONE));
         assertFalse(barred.runsVoter());
-        assertEquals("the facts", barred.why());
+        assertEquals("the facts", barred.reason());
         assertEquals(
                 "member-folder-of-another",
                 assertThrows(
@@ -190,17 +192,19 @@
         "voters/1.0/replace/4.0,2.0 3.0 4.0"
     })
     void wishNamesWhoAreToBeVoters(String words, String wanted) {
-        MembershipCommand.Voters wish =
-                (MembershipCommand.Voters) MembershipCommand.of(words, LEADS).orElseThrow();
+        MembershipCommand.ChangeVoters wish =
+                (MembershipCommand.ChangeVoters)
+                        MembershipCommand.parse(words, LEADS).orElseThrow();
         assertEquals(
-                wanted, String.join(" ", wish.wanted().stream().map(Voter::toString).toList()));
+                wanted,
+                String.join(" ", wish.wantedVoters().stream().map(Voter::toString).toList()));
     }
 
     @Test
     void wishThatCannotBeIsRefusedAtOnce() {
         assertEquals(
-                new MembershipCommand.Lead("lead/2.0", TWO),
-                MembershipCommand.of("lead/2.0", LEADS).orElseThrow());
+                new MembershipCommand.TransferLeadership("lead/2.0", TWO),
+                MembershipCommand.parse("lead/2.0", LEADS).orElseThrow());
         for (String none :
                 List.of(
                         "",
@@ -210,7 +214,7 @@
                         "voters/2.0",
                         "voters/2.0/adds",
                         "voters/99999999.0/add")) {
-            assertTrue(MembershipCommand.of(none, LEADS).isEmpty(), none);
+            assertTrue(MembershipCommand.parse(none, LEADS).isEmpty(), none);
         }
         for (String bad :
                 List.of(
@@ -223,13 +227,15 @@
                         "lead/4.0",
                         "lead/1.0")) {
             assertThrows(
-                    ClusterException.BadChange.class, () -> MembershipCommand.of(bad, LEADS), bad);
+                    ClusterException.BadChange.class,
+                    () -> MembershipCommand.parse(bad, LEADS),
+                    bad);
         }
         MemberStatus two =
                 signs(MemberStatus.State.VOTER, true, 1, List.of(ONE), 0, 5, LogStatus.State.READY);
         assertThrows(
                 ClusterException.BadChange.class,
-                () -> MembershipCommand.of("voters/1.0/remove", two));
+                () -> MembershipCommand.parse("voters/1.0/remove", two));
         MemberStatus follows =
                 signs(
                         MemberStatus.State.VOTER,
@@ -243,9 +249,9 @@
                 2,
                 assertThrows(
                                 ClusterException.NotLeader.class,
-                                () -> MembershipCommand.of("voters/4.0/add", follows))
+                                () -> MembershipCommand.parse("voters/4.0/add", follows))
                         .leader());
-        assertTrue(MembershipCommand.of("nonsense", follows).isEmpty());
+        assertTrue(MembershipCommand.parse("nonsense", follows).isEmpty());
     }
 
     /**
@@ -262,7 +268,7 @@
             List<Voter> learners = new ArrayList<>();
             MembershipCommandRunner wish =
                     new MembershipCommandRunner(
-                            MembershipCommand.of(
+                            MembershipCommand.parse(
                                             random.nextBoolean()
                                                     ? "voters/2.0/replace/4.0"
                                                     : "voters/3.0/remove",
@@ -271,11 +277,13 @@
                             0,
                             200 * MILLI,
                             60_000 * MILLI);
-            List<Voter> wanted = ((MembershipCommand.Voters) wish.wish()).wanted();
+            List<Voter> wanted = ((MembershipCommand.ChangeVoters) wish.command()).wantedVoters();
             int loses = random.nextInt(3);
             int leader = 1;
             long now = 0;
-            for (; !wish.isOver() && now < 100_000 * MILLI; now += random.nextInt(300) * MILLI) {
+            for (;
+                    !wish.isFinished() && now < 100_000 * MILLI;
+                    now += random.nextInt(300) * MILLI) {
                 leader = random.nextInt(2000) == 0 ? 2 : leader;
                 if (!wish.isDue(
                         now,
@@ -284,26 +292,28 @@
                         new Membership(List.copyOf(voters), List.copyOf(learners)))) {
                     continue;
                 }
-                VoterPlan.Step step = VoterPlan.next(wanted, voters, learners, ONE).orElseThrow();
+                VoterChangePlan.Step step =
+                        VoterChangePlan.next(wanted, voters, learners, ONE).orElseThrow();
                 switch (loses == 0 ? 0 : random.nextInt(loses + 1)) {
                     case 0 -> {
-                        switch (VoterChange.valueOf(step.kind().name())) {
-                            case LEARN -> learners.add(step.who());
+                        switch (step.kind()) {
+                            case ADD_LEARNER -> learners.add(step.voter());
                             case PROMOTE -> {
-                                learners.remove(step.who());
-                                voters.add(step.who());
+                                learners.remove(step.voter());
+                                voters.add(step.voter());
                             }
-                            case REMOVE -> voters.remove(step.who());
+                            case REMOVE -> voters.remove(step.voter());
+                            default -> throw new AssertionError(step);
                         }
-                        wish.stepEnded("");
+                        wish.onStepCompleted("");
                     }
-                    case 1 -> wish.stepEnded("refused");
+                    case 1 -> wish.onStepCompleted("refused");
                     default -> {}
                 }
             }
-            assertTrue(wish.isOver(), "seed " + seed + " run " + run);
+            assertTrue(wish.isFinished(), "seed " + seed + " run " + run);
             assertTrue(now <= 61_000 * MILLI, "seed " + seed + " run " + run);
-            if (wish.words().endsWith(": done")) {
+            if (wish.progress().endsWith(": done")) {
                 done++;
                 assertTrue(
                         voters.size() == wanted.size()
@@ -312,8 +322,8 @@
                         "seed " + seed);
             } else {
                 assertTrue(
-                        wish.words().contains("given up") || leader != 1,
-                        "seed " + seed + ": " + wish.words());
+                        wish.progress().contains("given up") || leader != 1,
+                        "seed " + seed + ": " + wish.progress());
             }
         }
         assertTrue(done > 1000, "seed " + seed + ": " + done);
@@ -342,9 +352,9 @@
                 step = stop.next(now, waiting, leads, others);
                 if (step == PlannedStop.Step.CLOSE_SESSION) {
                     closes++;
-                } else if (step == PlannedStop.Step.HAND_OVER) {
+                } else if (step == PlannedStop.Step.TRANSFER_LEADERSHIP) {
                     assertEquals(1, closes, "seed " + seed);
-                    assertTrue(others.contains(stop.to()), "seed " + seed);
+                    assertTrue(others.contains(stop.transferTarget()), "seed " + seed);
                     leads = !handsOver || random.nextInt(3) == 0;
                     handOvers++;
                 }
@@ -415,21 +425,21 @@
                                 LogStatus.State.READY)));
         assertEquals(
                 List.of(new StatusChangeLogger.Line(false, "1.0 is down")),
-                StatusChangeLogger.of(LEADS, LEADS.as(MemberStatus.State.DOWN, "")));
+                StatusChangeLogger.of(LEADS, LEADS.withState(MemberStatus.State.DOWN, "")));
         assertEquals(
                 List.of(new StatusChangeLogger.Line(true, "1.0 is down: broken")),
-                StatusChangeLogger.of(LEADS, LEADS.as(MemberStatus.State.DOWN, "broken")));
+                StatusChangeLogger.of(LEADS, LEADS.withState(MemberStatus.State.DOWN, "broken")));
     }
 
     @Test
     void votersAreKnownByTheSettingsByNameAndByTheCopy() {
         VoterDirectory known = new VoterDirectory(List.of(1, 2, 3));
-        assertFalse(known.named(0) || known.named(2));
-        assertTrue(known.named(4));
-        assertEquals(List.of(1, 2, 3, 4), known.numbers());
-        assertFalse(known.are(List.of()) || known.are(List.of(1, 2, 3, 4)));
-        assertTrue(known.are(List.of(2, 3, 4)));
-        assertEquals(List.of(2, 3, 4), known.numbers());
+        assertFalse(known.addLeader(0) || known.addLeader(2));
+        assertTrue(known.addLeader(4));
+        assertEquals(List.of(1, 2, 3, 4), known.members());
+        assertFalse(known.replaceWith(List.of()) || known.replaceWith(List.of(1, 2, 3, 4)));
+        assertTrue(known.replaceWith(List.of(2, 3, 4)));
+        assertEquals(List.of(2, 3, 4), known.members());
     }
 
     @Test
@@ -439,8 +449,8 @@
         long now = Long.MAX_VALUE - MILLI + 800 * MILLI;
         assertEquals(0, watch.missingMillis(now, 800 * MILLI));
         assertEquals(801, watch.missingMillis(now + MILLI, 800 * MILLI));
-        watch.heard(now);
-        watch.heard(now - 700 * MILLI);
+        watch.onQuorumContact(now);
+        watch.onQuorumContact(now - 700 * MILLI);
         assertEquals(0, watch.missingMillis(now + 800 * MILLI, 800 * MILLI));
         assertEquals(801, watch.missingMillis(now + 801 * MILLI, 800 * MILLI));
     }
--- a/src/test/java/calicostream/cluster/process/MemberTest.java
+++ b/src/test/java/calicostream/cluster/process/MemberTest.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.cluster.process;
 
-import static calicostream.cluster.process.MembersHere.figure;
+import static calicostream.cluster.process.InProcessMembers.metric;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -19,35 +19,35 @@
     @Test
     void plannedStopAnswersWhatWaitsHandsOverTheLeadAndClosesTheSession(@TempDir Path folder)
             throws Exception {
-        try (MembersHere members = new MembersHere(folder)) {
+        try (InProcessMembers members = new InProcessMembers(folder)) {
             members.startAll();
-            int leader = members.signs(1).get("leader").asInt();
-            members.counts.values().forEach(each -> each.adds = true);
+            int leader = members.status(1).get("leader").asInt();
+            members.services.values().forEach(each -> each.adds = true);
             JsonObject before =
                     members.await(
                             leader,
-                            signs -> figure(signs, "answered") > 3 && figure(signs, "heard") > 3);
+                            signs -> metric(signs, "answered") > 3 && metric(signs, "heard") > 3);
             members.stop(leader);
-            JsonObject last = members.signs(leader);
+            JsonObject last = members.status(leader);
             assertEquals("down", last.get("state").asString());
             assertEquals("", last.get("why").asString());
             assertEquals(0, last.get("session").asLong());
-            assertTrue(figure(last, "stopped_at") >= figure(before, "answered"), last.toString());
+            assertTrue(metric(last, "stopped_at") >= metric(before, "answered"), last.toString());
             int other = 1 + leader % 3;
-            long answered = figure(members.signs(other), "answered");
+            long answered = metric(members.status(other), "answered");
             JsonObject after =
                     members.await(
                             other,
                             signs ->
-                                    figure(signs, "answered") > answered
-                                            && MembersHere.votes(signs));
+                                    metric(signs, "answered") > answered
+                                            && InProcessMembers.isSettledVoter(signs));
             assertTrue(
                     after.get("leader").asInt() != leader
                             && after.get("term").asInt() > before.get("term").asInt());
             members.start(leader);
             assertEquals(
                     2,
-                    members.await(leader, MembersHere::votes)
+                    members.await(leader, InProcessMembers::isSettledVoter)
                             .get("disk")
                             .asObject()
                             .get("incarnation")
@@ -58,18 +58,18 @@
     /** Marks beside the log are as old as it, or as lost: then the others remember. */
     @Test
     void peersRememberWhatAFolderDoesNot(@TempDir Path folder) throws Exception {
-        try (MembersHere members = new MembersHere(folder)) {
+        try (InProcessMembers members = new InProcessMembers(folder)) {
             members.startAll();
             members.stop(3);
             Path old = folder.resolve("old");
-            Folders.copy(members.data(3), old);
+            DirectoryCopy.copy(members.data(3), old);
             members.start(3);
-            members.await(3, MembersHere::votes);
-            members.counts.get(3).adds = true;
-            members.await(3, signs -> figure(signs, "answered") > 3);
+            members.await(3, InProcessMembers::isSettledVoter);
+            members.services.get(3).adds = true;
+            members.await(3, signs -> metric(signs, "answered") > 3);
             members.stop(3);
             Files.move(members.data(3), folder.resolve("newer"));
-            Folders.copy(old, members.data(3));
+            DirectoryCopy.copy(old, members.data(3));
             members.start(3);
             JsonObject older =
                     members.await(3, each -> each.get("state").asString().equals("barred"));
@@ -89,7 +89,7 @@
                     lost.get("why").asString().startsWith("cluster-voter-forgot: "),
                     lost.toString());
             for (int number = 1; number <= 2; number++) {
-                members.await(number, MembersHere::votes);
+                members.await(number, InProcessMembers::isSettledVoter);
             }
         }
     }
--- a/src/test/java/calicostream/cluster/raft/LeaderSilenceTest.java
+++ b/src/test/java/calicostream/cluster/raft/LeaderHeartbeatTimeoutTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 
 /** One voter with the library under it, whose peers are the test. */
-class LeaderSilenceTest {
+class LeaderHeartbeatTimeoutTest {
     private static final int BEAT = 50;
     private static final Voter SELF = new Voter(1, 0);
     private static final Voter LEADER = new Voter(2, 0);
@@ -113,9 +113,9 @@
     }
 
     private static VoteRequest asksForVotes() {
-        return RaftMessageCodec.MODEL
+        return RaftMessageCodec.MODEL_FACTORY
                 .createVoteRequestBuilder()
-                .setGroupId(RaftMessageCodec.GROUP)
+                .setGroupId(RaftMessageCodec.GROUP_ID)
                 .setSender(LEADER)
                 .setTerm(1)
                 .setLastLogTerm(0)
@@ -125,9 +125,9 @@
     }
 
     private static AppendEntriesRequest heartbeat() {
-        return RaftMessageCodec.MODEL
+        return RaftMessageCodec.MODEL_FACTORY
                 .createAppendEntriesRequestBuilder()
-                .setGroupId(RaftMessageCodec.GROUP)
+                .setGroupId(RaftMessageCodec.GROUP_ID)
                 .setSender(LEADER)
                 .setTerm(1)
                 .setPreviousLogTerm(0)
@@ -184,12 +184,12 @@
     /** Its requests for votes, of whatever term, are no sign of a leader. */
     @Test
     void onlyWhatALeaderSendsCounts() {
-        LeaderSilence silence = new LeaderSilence(SELF, 3);
+        LeaderHeartbeatTimeout silence = new LeaderHeartbeatTimeout(SELF, 3);
         List<Boolean> due = new ArrayList<>();
         for (RaftMessage message :
                 List.of(heartbeat(), heartbeat(), heartbeat(), asksForVotes(), asksForVotes())) {
-            silence.heard(message);
-            due.add(silence.beat(voterTerm()).isPresent());
+            silence.onMessage(message);
+            due.add(silence.onHeartbeat(voterTerm()).isPresent());
         }
         assertEquals(List.of(false, false, false, false, true), due);
     }
--- a/src/test/java/calicostream/cluster/raft/CodecTest.java
+++ b/src/test/java/calicostream/cluster/raft/RaftMessageCodecTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The library's messages as bytes, and what a restored voter says. */
-class CodecTest {
+class RaftMessageCodecTest {
     private static final long SEED = 7;
     private static final Voter ONE = new Voter(1, 0);
     private static final Voter TWO = new Voter(2, 3);
@@ -37,12 +37,12 @@
 
     private static LogEntry change(long index, Voter removed, Voter... left) {
         List<RaftEndpoint> rest = List.of(left);
-        return RaftMessageCodec.MODEL
+        return RaftMessageCodec.MODEL_FACTORY
                 .createLogEntryBuilder()
                 .setIndex(index)
                 .setTerm(2)
                 .setOperation(
-                        RaftMessageCodec.MODEL
+                        RaftMessageCodec.MODEL_FACTORY
                                 .createUpdateRaftGroupMembersOpBuilder()
                                 .setMembers(rest)
                                 .setVotingMembers(rest)
@@ -54,14 +54,14 @@
 
     private static List<RaftMessage> messages() {
         var view =
-                RaftMessageCodec.MODEL
+                RaftMessageCodec.MODEL_FACTORY
                         .createRaftGroupMembersViewBuilder()
                         .setLogIndex(5)
                         .setMembers(List.of(ONE, TWO, THREE))
                         .setVotingMembers(List.of(ONE, TWO))
                         .build();
         var chunk =
-                RaftMessageCodec.MODEL
+                RaftMessageCodec.MODEL_FACTORY
                         .createSnapshotChunkBuilder()
                         .setIndex(9)
                         .setTerm(2)
@@ -71,16 +71,16 @@
                         .setOperation(new byte[] {1, 2})
                         .build();
         var plain =
-                RaftMessageCodec.MODEL
+                RaftMessageCodec.MODEL_FACTORY
                         .createLogEntryBuilder()
                         .setIndex(3)
                         .setTerm(1)
                         .setOperation(new ReplicatedEntry.Keep(4).encode())
                         .build();
         return List.of(
-                RaftMessageCodec.MODEL
+                RaftMessageCodec.MODEL_FACTORY
                         .createAppendEntriesRequestBuilder()
-                        .setGroupId(RaftMessageCodec.GROUP)
+                        .setGroupId(RaftMessageCodec.GROUP_ID)
                         .setSender(TWO)
                         .setTerm(2)
                         .setPreviousLogTerm(1)
@@ -90,27 +90,27 @@
                         .setQuerySequenceNumber(8)
                         .setFlowControlSequenceNumber(9)
                         .build(),
-                RaftMessageCodec.MODEL
+                RaftMessageCodec.MODEL_FACTORY
                         .createAppendEntriesSuccessResponseBuilder()
-                        .setGroupId(RaftMessageCodec.GROUP)
+                        .setGroupId(RaftMessageCodec.GROUP_ID)
                         .setSender(ONE)
                         .setTerm(2)
                         .setLastLogIndex(4)
                         .setQuerySequenceNumber(5)
                         .setFlowControlSequenceNumber(6)
                         .build(),
-                RaftMessageCodec.MODEL
+                RaftMessageCodec.MODEL_FACTORY
                         .createAppendEntriesFailureResponseBuilder()
-                        .setGroupId(RaftMessageCodec.GROUP)
+                        .setGroupId(RaftMessageCodec.GROUP_ID)
                         .setSender(ONE)
                         .setTerm(2)
                         .setExpectedNextIndex(4)
                         .setQuerySequenceNumber(5)
                         .setFlowControlSequenceNumber(6)
                         .build(),
-                RaftMessageCodec.MODEL
+                RaftMessageCodec.MODEL_FACTORY
                         .createInstallSnapshotRequestBuilder()
-                        .setGroupId(RaftMessageCodec.GROUP)
+                        .setGroupId(RaftMessageCodec.GROUP_ID)
                         .setSender(ONE)
                         .setTerm(2)
                         .setSenderLeader(true)
@@ -123,9 +123,9 @@
                         .setQuerySequenceNumber(1)
                         .setFlowControlSequenceNumber(2)
                         .build(),
-                RaftMessageCodec.MODEL
+                RaftMessageCodec.MODEL_FACTORY
                         .createInstallSnapshotResponseBuilder()
-                        .setGroupId(RaftMessageCodec.GROUP)
+                        .setGroupId(RaftMessageCodec.GROUP_ID)
                         .setSender(ONE)
                         .setTerm(2)
                         .setSnapshotIndex(9)
@@ -133,40 +133,40 @@
                         .setQuerySequenceNumber(1)
                         .setFlowControlSequenceNumber(2)
                         .build(),
-                RaftMessageCodec.MODEL
+                RaftMessageCodec.MODEL_FACTORY
                         .createPreVoteRequestBuilder()
-                        .setGroupId(RaftMessageCodec.GROUP)
+                        .setGroupId(RaftMessageCodec.GROUP_ID)
                         .setSender(ONE)
                         .setTerm(2)
                         .setLastLogTerm(1)
                         .setLastLogIndex(8)
                         .build(),
-                RaftMessageCodec.MODEL
+                RaftMessageCodec.MODEL_FACTORY
                         .createPreVoteResponseBuilder()
-                        .setGroupId(RaftMessageCodec.GROUP)
+                        .setGroupId(RaftMessageCodec.GROUP_ID)
                         .setSender(ONE)
                         .setTerm(2)
                         .setGranted(true)
                         .build(),
-                RaftMessageCodec.MODEL
+                RaftMessageCodec.MODEL_FACTORY
                         .createVoteRequestBuilder()
-                        .setGroupId(RaftMessageCodec.GROUP)
+                        .setGroupId(RaftMessageCodec.GROUP_ID)
                         .setSender(ONE)
                         .setTerm(2)
                         .setLastLogTerm(1)
                         .setLastLogIndex(8)
                         .setSticky(true)
                         .build(),
-                RaftMessageCodec.MODEL
+                RaftMessageCodec.MODEL_FACTORY
                         .createVoteResponseBuilder()
-                        .setGroupId(RaftMessageCodec.GROUP)
+                        .setGroupId(RaftMessageCodec.GROUP_ID)
                         .setSender(ONE)
                         .setTerm(2)
                         .setGranted(false)
                         .build(),
-                RaftMessageCodec.MODEL
+                RaftMessageCodec.MODEL_FACTORY
                         .createTriggerLeaderElectionRequestBuilder()
-                        .setGroupId(RaftMessageCodec.GROUP)
+                        .setGroupId(RaftMessageCodec.GROUP_ID)
                         .setSender(ONE)
                         .setTerm(2)
                         .setLastLogTerm(1)
@@ -205,11 +205,11 @@
 
     @Test
     void anAppendBeginsAfterWhatTheLogHas() {
-        LogTerms terms = new LogTerms();
+        LogTermIndex terms = new LogTermIndex();
         List<LogEntry> sent = new ArrayList<>();
         for (long index = 81; index <= 86; index++) {
             sent.add(
-                    RaftMessageCodec.MODEL
+                    RaftMessageCodec.MODEL_FACTORY
                             .createLogEntryBuilder()
                             .setIndex(index)
                             .setTerm(index < 85 ? 1 : 2)
@@ -217,9 +217,9 @@
                             .build());
         }
         var append =
-                RaftMessageCodec.MODEL
+                RaftMessageCodec.MODEL_FACTORY
                         .createAppendEntriesRequestBuilder()
-                        .setGroupId(RaftMessageCodec.GROUP)
+                        .setGroupId(RaftMessageCodec.GROUP_ID)
                         .setSender(TWO)
                         .setTerm(2)
                         .setPreviousLogTerm(1)
@@ -229,9 +229,11 @@
                         .setQuerySequenceNumber(8)
                         .setFlowControlSequenceNumber(9)
                         .build();
-        assertEquals(append, terms.trim(append, 80), "nothing of it is here");
+        assertEquals(append, terms.skipKnownEntries(append, 80), "nothing of it is here");
         terms.append(sent.subList(0, 3));
-        var trimmed = (io.microraft.model.message.AppendEntriesRequest) terms.trim(append, 80);
+        var trimmed =
+                (io.microraft.model.message.AppendEntriesRequest)
+                        terms.skipKnownEntries(append, 80);
         assertEquals(
                 List.of(83L, 3, 84L),
                 List.of(
@@ -242,24 +244,27 @@
         terms.truncateFrom(82);
         assertEquals(
                 81,
-                ((io.microraft.model.message.AppendEntriesRequest) terms.trim(append, 80))
+                ((io.microraft.model.message.AppendEntriesRequest)
+                                terms.skipKnownEntries(append, 80))
                         .getPreviousLogIndex());
         terms.truncateUntil(81);
-        assertEquals(append, terms.trim(append, 80));
+        assertEquals(append, terms.skipKnownEntries(append, 80));
         assertEquals(
                 84,
-                ((io.microraft.model.message.AppendEntriesRequest) terms.trim(append, 84))
+                ((io.microraft.model.message.AppendEntriesRequest)
+                                terms.skipKnownEntries(append, 84))
                         .getPreviousLogIndex(),
                 "what was applied is the same");
         terms.append(
                 List.of(
-                        RaftMessageCodec.MODEL
+                        RaftMessageCodec.MODEL_FACTORY
                                 .createLogEntryBuilder()
                                 .setIndex(80)
                                 .setTerm(1)
                                 .setOperation(new byte[1])
                                 .build()));
-        assertEquals(append, terms.trim(append, 84), "the library can compare by itself");
+        assertEquals(
+                append, terms.skipKnownEntries(append, 84), "the library can compare by itself");
     }
 
     /** Time goes on from task to task. */
@@ -300,7 +305,7 @@
         BinaryCodec.Writer self = new BinaryCodec.Writer();
         RaftMessageCodec.voter(self, ONE);
         var first =
-                RaftMessageCodec.MODEL
+                RaftMessageCodec.MODEL_FACTORY
                         .createRaftGroupMembersViewBuilder()
                         .setLogIndex(0)
                         .setMembers(List.of(ONE, TWO, THREE))
@@ -341,7 +346,7 @@
                             }
                         },
                         new NopRaftStore(),
-                        DurableRaftStore.restored(found),
+                        DurableRaftStore.restoredState(found),
                         new ReplicatedState(Map.of()),
                         Map.of(),
                         new Random(SEED),
@@ -359,7 +364,7 @@
     @Test
     void whoseLogSaysThatItWasRemovedAsksForNoVotes() {
         LogEntry before =
-                RaftMessageCodec.MODEL
+                RaftMessageCodec.MODEL_FACTORY
                         .createLogEntryBuilder()
                         .setIndex(1)
                         .setTerm(1)
--- a/src/test/java/calicostream/cluster/raft/VoterPlanTest.java
+++ b/src/test/java/calicostream/cluster/raft/VoterChangePlanTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Steps from any voters to any others. */
-class VoterPlanTest {
+class VoterChangePlanTest {
     private static List<Voter> of(int bits) {
         List<Voter> voters = new ArrayList<>();
         for (int member = 0; member < 5; member++) {
@@ -32,19 +32,19 @@
                 Voter leader = of(from).get(0);
                 int least = Math.min(voters.size(), of(to).size());
                 int steps = 0;
-                for (Optional<VoterPlan.Step> step =
-                                VoterPlan.next(of(to), voters, learners, leader);
+                for (Optional<VoterChangePlan.Step> step =
+                                VoterChangePlan.next(of(to), voters, learners, leader);
                         step.isPresent();
-                        step = VoterPlan.next(of(to), voters, learners, leader)) {
-                    Voter who = step.get().who();
+                        step = VoterChangePlan.next(of(to), voters, learners, leader)) {
+                    Voter who = step.get().voter();
                     switch (step.get().kind()) {
-                        case LEARN -> assertTrue(learners.add(who));
+                        case ADD_LEARNER -> assertTrue(learners.add(who));
                         case PROMOTE -> assertTrue(learners.remove(who) && voters.add(who));
                         case REMOVE ->
                                 assertTrue(
                                         !who.equals(leader)
                                                 && (voters.remove(who) | learners.remove(who)));
-                        case HAND_OVER -> {
+                        case TRANSFER_LEADERSHIP -> {
                             assertTrue(voters.contains(who));
                             leader = who;
                         }
--- a/src/test/java/calicostream/cluster/raft/RecallTest.java
+++ b/src/test/java/calicostream/cluster/raft/VoterRecoveryHandshakeTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.api.Test;
 
 /** What a voter makes of its peers' words on its former life. */
-class RecallTest {
-    private static final int PATIENCE = RecallGroup.PATIENCE;
-    private final RecallGroup group = new RecallGroup();
+class VoterRecoveryHandshakeTest {
+    private static final int PATIENCE = FakeVoterGroup.PATIENCE;
+    private final FakeVoterGroup group = new FakeVoterGroup();
 
     private static Own admitted(long incarnation, long term, long last) {
         return new Own(incarnation, term, "", last, Standing.ADMITTED, Doubt.NONE, "");
@@ -42,10 +42,10 @@
             group.start(member, blank());
         }
         group.rounds(20, 1, 2);
-        assertEquals(VoterRecoveryHandshake.State.ASKING, group.state(1));
+        assertEquals(VoterRecoveryHandshake.State.WAITING_FOR_PEERS, group.state(1));
         group.rounds(PATIENCE, 1, 2, 3);
         for (int member = 1; member <= 3; member++) {
-            assertEquals(VoterRecoveryHandshake.State.VOTES, group.state(member));
+            assertEquals(VoterRecoveryHandshake.State.VOTER, group.state(member));
             assertEquals(1, group.get(member).admissions);
         }
     }
@@ -55,13 +55,16 @@
         running();
         group.start(3, admitted(5, 7, 100));
         group.rounds(1, 3, 2);
-        assertEquals(VoterRecoveryHandshake.State.ASKING, group.state(3), "one has not answered");
+        assertEquals(
+                VoterRecoveryHandshake.State.WAITING_FOR_PEERS,
+                group.state(3),
+                "one has not answered");
         group.rounds(PATIENCE, 3, 2);
-        assertEquals(VoterRecoveryHandshake.State.VOTES, group.state(3));
+        assertEquals(VoterRecoveryHandshake.State.VOTER, group.state(3));
         group.start(3, admitted(6, 7, 100));
         group.rounds(10 * PATIENCE, 3);
-        assertEquals(VoterRecoveryHandshake.State.ASKING, group.state(3));
-        assertNull(group.get(3).recall.error());
+        assertEquals(VoterRecoveryHandshake.State.WAITING_FOR_PEERS, group.state(3));
+        assertNull(group.get(3).handshake.error());
     }
 
     @Test
@@ -70,14 +73,14 @@
         group.start(1, admitted(5, 7, 100));
         group.start(2, admitted(5, 7, 100));
         for (Own own : List.of(blank(), admitted(4, 7, 100), admitted(3, 6, 90))) {
-            RecallGroup.Side three = group.start(3, own);
+            FakeVoterGroup.VoterProcess three = group.start(3, own);
             group.rounds(1, 3, 1);
-            assertEquals(VoterRecoveryHandshake.State.FORGOT, group.state(3));
+            assertEquals(VoterRecoveryHandshake.State.STATE_LOST, group.state(3));
             assertTrue(three.barred.contains("incarnation"), three.barred);
             assertTrue(
-                    three.recall.error() instanceof ClusterException.VoterForgot,
-                    three.recall.reason());
-            assertFalse(three.recall.mayBegin());
+                    three.handshake.error() instanceof ClusterException.VoterForgot,
+                    three.handshake.reason());
+            assertFalse(three.handshake.mayStart());
         }
     }
 
@@ -89,11 +92,11 @@
     void twoFoldersOfOneInstantAreToldByPeersAlone() throws IOException {
         running();
         group.get(1)
-                .recall
-                .heard(
-                        RaftMessageCodec.MODEL
+                .handshake
+                .onRaftMessage(
+                        RaftMessageCodec.MODEL_FACTORY
                                 .createAppendEntriesSuccessResponseBuilder()
-                                .setGroupId(RaftMessageCodec.GROUP)
+                                .setGroupId(RaftMessageCodec.GROUP_ID)
                                 .setSender(new Voter(3, 0))
                                 .setTerm(7)
                                 .setLastLogIndex(120)
@@ -101,11 +104,11 @@
         group.start(3, admitted(5, 7, 100));
         group.rounds(1, 3, 2);
         assertEquals(
-                VoterRecoveryHandshake.State.ASKING,
+                VoterRecoveryHandshake.State.WAITING_FOR_PEERS,
                 group.state(3),
                 "the one that was acknowledged is waited for");
         group.rounds(1, 3, 1, 2);
-        assertEquals(VoterRecoveryHandshake.State.FORGOT, group.state(3));
+        assertEquals(VoterRecoveryHandshake.State.STATE_LOST, group.state(3));
         assertTrue(group.get(3).barred.contains("acknowledged 120"), group.get(3).barred);
     }
 
@@ -113,29 +116,29 @@
     void aVoteThatIsGoneIsToldByWhoGotIt() throws IOException {
         running();
         group.get(2)
-                .recall
-                .heard(
-                        RaftMessageCodec.MODEL
+                .handshake
+                .onRaftMessage(
+                        RaftMessageCodec.MODEL_FACTORY
                                 .createVoteResponseBuilder()
-                                .setGroupId(RaftMessageCodec.GROUP)
+                                .setGroupId(RaftMessageCodec.GROUP_ID)
                                 .setSender(new Voter(3, 0))
                                 .setTerm(8)
                                 .setGranted(true)
                                 .build());
         group.start(3, admitted(5, 7, 100));
         group.rounds(1, 3, 1, 2);
-        assertEquals(VoterRecoveryHandshake.State.FORGOT, group.state(3));
+        assertEquals(VoterRecoveryHandshake.State.STATE_LOST, group.state(3));
     }
 
     @Test
     void whoJoinsFollowsAndCountsOnceItWasPromoted() throws IOException {
         running();
-        RecallGroup.Side four = group.join(4, blank());
+        FakeVoterGroup.VoterProcess four = group.join(4, blank());
         group.rounds(2, 4, 1, 2, 3);
-        assertEquals(VoterRecoveryHandshake.State.LEARNS, group.state(4));
+        assertEquals(VoterRecoveryHandshake.State.LEARNER, group.state(4));
         assertEquals(0, four.admissions);
-        four.recall.isVoter();
-        four.recall.isVoter();
+        four.handshake.onAdmitted();
+        four.handshake.onAdmitted();
         assertEquals(1, four.admissions);
     }
 
@@ -143,16 +146,17 @@
     void framesOfAFormerIncarnationThatComeLateChangeNothing() {
         PeerRecoveryState memory = new PeerRecoveryState();
         Voter one = new Voter(1, 0);
-        assertEquals(Seen.NOTHING, memory.met(one, 5, 50, false));
-        assertEquals(5, memory.met(one, 6, 60, true).incarnation());
-        assertEquals(6, memory.met(one, 5, 50, true).incarnation(), "it is over");
-        assertEquals(5, memory.met(one, 6, 60, true).incarnation(), "the same as before");
+        assertEquals(Seen.NOTHING, memory.recordIncarnation(one, 5, 50, false));
+        assertEquals(5, memory.recordIncarnation(one, 6, 60, true).incarnation());
+        assertEquals(6, memory.recordIncarnation(one, 5, 50, true).incarnation(), "it is over");
+        assertEquals(
+                5, memory.recordIncarnation(one, 6, 60, true).incarnation(), "the same as before");
         assertEquals(
                 6,
-                memory.met(one, 6, 61, true).incarnation(),
+                memory.recordIncarnation(one, 6, 61, true).incarnation(),
                 "another process of this incarnation");
-        PeerRecoveryState kept = PeerRecoveryState.read(memory.write());
-        assertEquals(5, kept.met(one, 6, 60, true).incarnation());
-        assertEquals(6, kept.met(one, 7, 70, true).incarnation());
+        PeerRecoveryState kept = PeerRecoveryState.decode(memory.encode());
+        assertEquals(5, kept.recordIncarnation(one, 6, 60, true).incarnation());
+        assertEquals(6, kept.recordIncarnation(one, 7, 70, true).incarnation());
     }
 }
--- a/src/test/java/calicostream/cluster/tcp/TcpClusterTest.java
+++ b/src/test/java/calicostream/cluster/tcp/TcpClusterTest.java
@@ -102,7 +102,7 @@
                             reactor,
                             links,
                             new DurableRaftStore(log),
-                            DurableRaftStore.restored(log.recovered()),
+                            DurableRaftStore.restoredState(log.recovered()),
                             new ReplicatedState(Map.of("sum", new Sum())),
                             Map.of(),
                             new Random(id),
@@ -154,7 +154,7 @@
 
         boolean leads() throws InterruptedException, ExecutionException, TimeoutException {
             CompletableFuture<Boolean> leads = new CompletableFuture<>();
-            loop.post(() -> leads.complete(voter.leads()));
+            loop.post(() -> leads.complete(voter.isLeader()));
             return leads.get(30, TimeUnit.SECONDS);
         }
 
--- a/src/test/java/calicostream/rig/MembersTest.java
+++ b/src/test/java/calicostream/rig/MembersTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicostream.cluster.process.Folders;
+import calicostream.cluster.process.DirectoryCopy;
 import com.eclipsesource.json.JsonObject;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -238,13 +238,13 @@
         int voter = others(VOTERS, leader).get(0);
         Path older = fleet.data(voter).resolveSibling("older");
         fleet.proc(voter).signal("STOP");
-        Folders.copy(fleet.data(voter), older); // As it would be found after a crash.
+        DirectoryCopy.copy(fleet.data(voter), older); // As it would be found after a crash.
         fleet.proc(voter).signal("CONT");
         long seen = fleet.signs(voter).getLong("applied", 0);
         fleet.awaitSigns(voter, "more of the log", signs -> signs.getLong("applied", 0) > seen + 3);
         fleet.kill(voter);
-        Folders.delete(fleet.data(voter));
-        Folders.copy(older, fleet.data(voter));
+        DirectoryCopy.delete(fleet.data(voter));
+        DirectoryCopy.copy(older, fleet.data(voter));
         fleet.start(voter);
         readmit(voter);
         assertServedThroughout(others(voter));
