--- a/src/main/java/calicostream/budget/BoundedFlowNetwork.java
+++ b/src/main/java/calicostream/budget/BoundedFlowNetwork.java
@@ -17,7 +17,7 @@
     // by edge, at its even number
     private int[] most = new int[64];
     private int[] least = new int[64];
-    private int[] carried = new int[64];
+    private int[] flow = new int[64];
     private int edges;
 
     BoundedFlowNetwork(int nodes) {
@@ -29,13 +29,13 @@
     /**
      * @return the edge's number, always even
      */
-    int edge(int from, int toNode, int capacity) {
+    int addEdge(int from, int toNode, int capacity) {
         if (edges == to.length) {
             next = Arrays.copyOf(next, edges * 2);
             to = Arrays.copyOf(to, edges * 2);
             most = Arrays.copyOf(most, edges * 2);
             least = Arrays.copyOf(least, edges * 2);
-            carried = Arrays.copyOf(carried, edges * 2);
+            flow = Arrays.copyOf(flow, edges * 2);
         }
         int edge = edges;
         most[edge] = Math.max(0, capacity);
@@ -51,28 +51,28 @@
     }
 
     /** What the half edge still takes: more of it forward, back what it carries above its least. */
-    int free(int half) {
-        return (half & 1) == 0 ? most[half] - carried[half] : carried[half - 1] - least[half - 1];
+    int residual(int half) {
+        return (half & 1) == 0 ? most[half] - flow[half] : flow[half - 1] - least[half - 1];
     }
 
-    int carried(int edge) {
-        return carried[edge];
+    int flow(int edge) {
+        return flow[edge];
     }
 
     /** So much of what the edge carries, now or later, is not taken back. */
-    void keep(int edge, int sessions) {
+    void setLowerBound(int edge, int sessions) {
         least[edge] = sessions;
     }
 
     void push(int half, int amount) {
-        carried[half & ~1] += (half & 1) == 0 ? amount : -amount;
+        flow[half & ~1] += (half & 1) == 0 ? amount : -amount;
     }
 
     /**
      * Leads one unit from one node to another, over any edges that take it, by taking back
      * elsewhere where needed; false if none does.
      */
-    boolean lead(int from, int target) {
+    boolean augment(int from, int target) {
         Arrays.fill(by, -1);
         ArrayDeque<Integer> reached = new ArrayDeque<>();
         reached.add(from);
@@ -81,7 +81,7 @@
             int node = reached.poll();
             for (int half = first[node]; half >= 0; half = next[half]) {
                 int end = to[half];
-                if (by[end] == -1 && free(half) > 0) {
+                if (by[end] == -1 && residual(half) > 0) {
                     by[end] = half;
                     if (end == target) {
                         for (int at = target; at != from; at = to[by[at] ^ 1]) {
--- a/src/main/java/calicostream/budget/BudgetCommand.java
+++ b/src/main/java/calicostream/budget/BudgetCommand.java
@@ -13,10 +13,10 @@
  */
 public sealed interface BudgetCommand {
     /** The longest name of a process, tenant, engine or pool, in bytes. */
-    int NAME = 256;
+    int MAX_NAME_BYTES = 256;
 
     /** More than any engine has, and the most sessions that any number here says. */
-    int UNKNOWN = 1_000_000;
+    int UNKNOWN_SESSIONS = 1_000_000;
 
     /** A process starts: whatever an earlier start of it holds is no longer its own. */
     record Join(String process) implements BudgetCommand {}
@@ -32,11 +32,15 @@
      * @param number grows with each report of a session
      * @param version of the grants that it goes by; 0 if it goes by none
      */
-    record Renew(long number, long version, List<Use> uses, List<Want> wants)
+    record Renew(
+            long reportNumber,
+            long grantVersion,
+            List<EngineUsage> usages,
+            List<TenantDemand> demands)
             implements BudgetCommand {
         public Renew {
-            uses = List.copyOf(uses);
-            wants = List.copyOf(wants);
+            usages = List.copyOf(usages);
+            demands = List.copyOf(demands);
         }
     }
 
@@ -47,23 +51,23 @@
      * @param left the most that its earlier starts may have left running; {@link #UNKNOWN} if it
      *     does not know
      */
-    record Use(String engine, long incarnation, int sessions, int left) {}
+    record EngineUsage(String engine, long incarnation, int sessions, int orphaned) {}
 
     /** Demand of a tenant for an engine, as estimated at the process. */
-    record Want(String engine, String tenant, int sessions) {}
+    record TenantDemand(String engine, String tenant, int sessions) {}
 
     /**
      * The arbiter's division, or a part of it: shares that are not named stay. Taken whole or
      * refused whole.
      */
-    record Divide(long token, List<Share> shares) implements BudgetCommand {
-        public Divide {
-            shares = List.copyOf(shares);
+    record Allocate(long fencingToken, List<Grant> grants) implements BudgetCommand {
+        public Allocate {
+            grants = List.copyOf(grants);
         }
     }
 
     /** Sessions of a tenant at an engine for the process that joined under that session. */
-    record Share(
+    record Grant(
             String process,
             long session,
             String engine,
@@ -72,10 +76,11 @@
             int sessions) {}
 
     /** An engine is there, was replaced (a larger incarnation), or its cap has changed. */
-    record Engine(String engine, long incarnation, String pool, int cap) implements BudgetCommand {}
+    record UpdateEngine(String engine, long incarnation, String pool, int cap)
+            implements BudgetCommand {}
 
     /** An engine is no more. */
-    record Gone(String engine, long incarnation) implements BudgetCommand {}
+    record RemoveEngine(String engine, long incarnation) implements BudgetCommand {}
 
     /**
      * An engine's own count of a process's sessions.
@@ -86,45 +91,47 @@
      * @param closed the engine had no connection left from those starts, so nothing can be on its
      *     way
      */
-    record Count(
+    record EngineCount(
             String engine,
             long incarnation,
             String process,
             long session,
-            boolean former,
-            long seen,
+            boolean ofPredecessors,
+            long knownIndex,
             int running,
-            boolean closed)
+            boolean allConnectionsClosed)
             implements BudgetCommand {}
 
     /**
      * The leader has counted a whole lease since that report, or, for former starts, since the
      * process joined.
      */
-    record Expire(String process, long session, boolean former, long number)
+    record Expire(String process, long session, boolean ofPredecessors, long reportNumber)
             implements BudgetCommand {}
 
     /**
      * Answer to {@link Renew}: all that is granted to the process, and what its former starts may
      * have left running.
      */
-    record Grants(long number, long version, List<Share> shares, List<Use> left) {
-        public Grants {
-            shares = List.copyOf(shares);
-            left = List.copyOf(left);
+    record RenewalReply(
+            long reportNumber, long grantVersion, List<Grant> grants, List<EngineUsage> usages) {
+        public RenewalReply {
+            grants = List.copyOf(grants);
+            usages = List.copyOf(usages);
         }
 
         public byte[] encode() {
-            BinaryCodec.Writer out = new BinaryCodec.Writer().u8(1).i64(number).i64(version);
-            put(out, shares);
-            putUses(out, left);
+            BinaryCodec.Writer out =
+                    new BinaryCodec.Writer().u8(1).i64(reportNumber).i64(grantVersion);
+            put(out, grants);
+            putUses(out, usages);
             return out.done();
         }
 
-        public static Grants decode(byte[] bytes) {
+        public static RenewalReply decode(byte[] bytes) {
             BinaryCodec.Reader in = new BinaryCodec.Reader("grants", bytes);
             in.version(1);
-            Grants grants = new Grants(in.i64(), in.i64(), sharesOf(in), usesOf(in));
+            RenewalReply grants = new RenewalReply(in.i64(), in.i64(), sharesOf(in), usesOf(in));
             in.end();
             return grants;
         }
@@ -137,33 +144,34 @@
         } else if (this instanceof Leave) {
             out.u8(2);
         } else if (this instanceof Renew renew) {
-            out.u8(3).i64(renew.number).i64(renew.version);
-            putUses(out, renew.uses);
-            out.i32(renew.wants.size());
-            renew.wants.forEach(want -> out.text(want.engine).text(want.tenant).i32(want.sessions));
-        } else if (this instanceof Divide divide) {
-            out.u8(4).i64(divide.token);
-            put(out, divide.shares);
-        } else if (this instanceof Engine engine) {
+            out.u8(3).i64(renew.reportNumber).i64(renew.grantVersion);
+            putUses(out, renew.usages);
+            out.i32(renew.demands.size());
+            renew.demands.forEach(
+                    want -> out.text(want.engine).text(want.tenant).i32(want.sessions));
+        } else if (this instanceof Allocate divide) {
+            out.u8(4).i64(divide.fencingToken);
+            put(out, divide.grants);
+        } else if (this instanceof UpdateEngine engine) {
             out.u8(5).text(engine.engine).i64(engine.incarnation).text(engine.pool).i32(engine.cap);
-        } else if (this instanceof Gone gone) {
+        } else if (this instanceof RemoveEngine gone) {
             out.u8(6).text(gone.engine).i64(gone.incarnation);
-        } else if (this instanceof Count count) {
+        } else if (this instanceof EngineCount count) {
             out.u8(7)
                     .text(count.engine)
                     .i64(count.incarnation)
                     .text(count.process)
                     .i64(count.session)
-                    .u8(count.former ? 1 : 0)
-                    .i64(count.seen)
+                    .u8(count.ofPredecessors ? 1 : 0)
+                    .i64(count.knownIndex)
                     .i32(count.running)
-                    .u8(count.closed ? 1 : 0);
+                    .u8(count.allConnectionsClosed ? 1 : 0);
         } else if (this instanceof Expire expire) {
             out.u8(8)
                     .text(expire.process)
                     .i64(expire.session)
-                    .u8(expire.former ? 1 : 0)
-                    .i64(expire.number);
+                    .u8(expire.ofPredecessors ? 1 : 0)
+                    .i64(expire.reportNumber);
         }
         return out.done();
     }
@@ -174,7 +182,7 @@
         int kind = in.u8();
         BudgetCommand command =
                 switch (kind) {
-                    case 1 -> new Join(in.text(NAME));
+                    case 1 -> new Join(in.text(MAX_NAME_BYTES));
                     case 2 -> new Leave();
                     case 3 ->
                             new Renew(
@@ -185,31 +193,36 @@
                                             in,
                                             12,
                                             () ->
-                                                    new Want(
-                                                            in.text(NAME),
-                                                            in.text(NAME),
+                                                    new TenantDemand(
+                                                            in.text(MAX_NAME_BYTES),
+                                                            in.text(MAX_NAME_BYTES),
                                                             sessions(in))));
-                    case 4 -> new Divide(in.i64(), sharesOf(in));
-                    case 5 -> new Engine(in.text(NAME), in.i64(), in.text(NAME), sessions(in));
-                    case 6 -> new Gone(in.text(NAME), in.i64());
+                    case 4 -> new Allocate(in.i64(), sharesOf(in));
+                    case 5 ->
+                            new UpdateEngine(
+                                    in.text(MAX_NAME_BYTES),
+                                    in.i64(),
+                                    in.text(MAX_NAME_BYTES),
+                                    sessions(in));
+                    case 6 -> new RemoveEngine(in.text(MAX_NAME_BYTES), in.i64());
                     case 7 ->
-                            new Count(
-                                    in.text(NAME),
+                            new EngineCount(
+                                    in.text(MAX_NAME_BYTES),
                                     in.i64(),
-                                    in.text(NAME),
+                                    in.text(MAX_NAME_BYTES),
                                     in.i64(),
                                     in.u8() == 1,
                                     in.i64(),
                                     sessions(in),
                                     in.u8() == 1);
-                    case 8 -> new Expire(in.text(NAME), in.i64(), in.u8() == 1, in.i64());
+                    case 8 -> new Expire(in.text(MAX_NAME_BYTES), in.i64(), in.u8() == 1, in.i64());
                     default -> throw in.malformed("kind " + kind);
                 };
         in.end();
         return command;
     }
 
-    private static void put(BinaryCodec.Writer out, List<Share> shares) {
+    private static void put(BinaryCodec.Writer out, List<Grant> shares) {
         out.i32(shares.size());
         shares.forEach(
                 share ->
@@ -221,33 +234,42 @@
                                 .i32(share.sessions));
     }
 
-    private static List<Share> sharesOf(BinaryCodec.Reader in) {
+    private static List<Grant> sharesOf(BinaryCodec.Reader in) {
         return list(
                 in,
                 32,
                 () ->
-                        new Share(
-                                in.text(NAME),
+                        new Grant(
+                                in.text(MAX_NAME_BYTES),
                                 in.i64(),
-                                in.text(NAME),
+                                in.text(MAX_NAME_BYTES),
                                 in.i64(),
-                                in.text(NAME),
+                                in.text(MAX_NAME_BYTES),
                                 sessions(in)));
     }
 
-    private static void putUses(BinaryCodec.Writer out, List<Use> uses) {
+    private static void putUses(BinaryCodec.Writer out, List<EngineUsage> uses) {
         out.i32(uses.size());
         uses.forEach(
-                use -> out.text(use.engine).i64(use.incarnation).i32(use.sessions).i32(use.left));
+                use ->
+                        out.text(use.engine)
+                                .i64(use.incarnation)
+                                .i32(use.sessions)
+                                .i32(use.orphaned));
     }
 
-    private static List<Use> usesOf(BinaryCodec.Reader in) {
-        return list(in, 20, () -> new Use(in.text(NAME), in.i64(), sessions(in), sessions(in)));
+    private static List<EngineUsage> usesOf(BinaryCodec.Reader in) {
+        return list(
+                in,
+                20,
+                () ->
+                        new EngineUsage(
+                                in.text(MAX_NAME_BYTES), in.i64(), sessions(in), sessions(in)));
     }
 
     private static int sessions(BinaryCodec.Reader in) {
         int sessions = in.i32();
-        if (sessions < 0 || sessions > UNKNOWN) {
+        if (sessions < 0 || sessions > UNKNOWN_SESSIONS) {
             throw in.malformed(sessions + " sessions");
         }
         return sessions;
--- a/src/main/java/calicostream/budget/BudgetSettings.java
+++ b/src/main/java/calicostream/budget/BudgetSettings.java
@@ -24,9 +24,9 @@
         List<String> processes,
         long ttlNanos,
         int driftPpm,
-        int inHand) {
+        int maxUnacknowledged) {
     /** In place of a pool's name: all pools together. */
-    public static final String FLEET = "*";
+    public static final String ALL_POOLS = "*";
 
     private static final int MOST = 1_000_000;
 
@@ -39,22 +39,22 @@
     /**
      * @param shares by the pool's name or {@link #FLEET}; none is no guarantee and no ceiling
      */
-    public record Tenant(String name, int weight, Map<String, Share> shares) {
+    public record Tenant(String name, int weight, Map<String, Quota> quotas) {
         public Tenant {
-            shares = Map.copyOf(shares);
+            quotas = Map.copyOf(quotas);
         }
 
         /** Sessions guaranteed and sessions at most, in one pool or in all. */
-        public Share share(String pool) {
-            return shares.getOrDefault(pool, Share.NONE);
+        public Quota quota(String pool) {
+            return quotas.getOrDefault(pool, Quota.NONE);
         }
     }
 
     /**
      * @param ceiling sessions at most
      */
-    public record Share(int guarantee, int ceiling) {
-        static final Share NONE = new Share(0, MOST);
+    public record Quota(int guarantee, int ceiling) {
+        static final Quota NONE = new Quota(0, MOST);
     }
 
     public BudgetSettings {
@@ -64,7 +64,7 @@
         Set<String> names = new HashSet<>();
         for (Pool pool : pools) {
             need(
-                    names.add(pool.name()) && !pool.name().equals(FLEET),
+                    names.add(pool.name()) && !pool.name().equals(ALL_POOLS),
                     "pools." + pool.name(),
                     "the name is taken");
             need(
@@ -76,13 +76,13 @@
                     "pools." + pool.name() + ".cap",
                     "not in 0.." + MOST);
             long guaranteed =
-                    tenants.stream().mapToLong(each -> each.share(pool.name()).guarantee()).sum();
+                    tenants.stream().mapToLong(each -> each.quota(pool.name()).guarantee()).sum();
             need(
                     guaranteed <= pool.cap(),
                     "pools." + pool.name() + ".cap",
                     "tenants are guaranteed " + guaranteed);
         }
-        names.add(FLEET);
+        names.add(ALL_POOLS);
         Set<String> seen = new HashSet<>();
         for (Tenant tenant : tenants) {
             String key = "tenants." + tenant.name();
@@ -91,7 +91,7 @@
                     tenant.weight() > 0 && tenant.weight() <= MOST,
                     key + ".weight",
                     "not in 1.." + MOST);
-            tenant.shares()
+            tenant.quotas()
                     .forEach(
                             (pool, share) -> {
                                 need(names.contains(pool), key + "." + pool, "no such pool");
@@ -106,7 +106,7 @@
                                                 + share.ceiling()
                                                 + " are not in order");
                                 need(
-                                        share.guarantee() <= tenant.share(FLEET).ceiling(),
+                                        share.guarantee() <= tenant.quota(ALL_POOLS).ceiling(),
                                         key + "." + pool + ".guarantee",
                                         "over the ceiling of all pools");
                             });
@@ -117,7 +117,7 @@
                 "a name comes twice");
         need(ttlNanos >= 1_000_000, "ttl", "under 1 ms");
         need(driftPpm >= 0 && driftPpm < 100_000, "drift_ppm", "not in 0..100000");
-        need(inHand > 0, "in_hand", "not over 0");
+        need(maxUnacknowledged > 0, "in_hand", "not over 0");
     }
 
     private static void need(boolean holds, String key, String why) {
@@ -146,7 +146,7 @@
                 .orElseThrow(() -> new BudgetException.Unknown("pool", name));
     }
 
-    int tenant(String name) {
+    int tenantIndex(String name) {
         for (int i = 0; i < tenants.size(); i++) {
             if (tenants.get(i).name().equals(name)) {
                 return i;
--- a/src/main/java/calicostream/budget/GrantCoordinator.java
+++ b/src/main/java/calicostream/budget/GrantCoordinator.java
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.budget;
 
-import calicostream.budget.GrantLedger.EngineBook;
-import calicostream.budget.GrantLedger.Held;
-import calicostream.budget.GrantLedger.Line;
-import calicostream.budget.GrantLedger.ProcessBook;
+import calicostream.budget.GrantLedger.EngineAllocation;
+import calicostream.budget.GrantLedger.EngineEntry;
+import calicostream.budget.GrantLedger.ProcessEntry;
+import calicostream.budget.GrantLedger.TenantAllocation;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -30,16 +30,16 @@
      * @param machine any copy; the newer, the less is refused
      * @param token of the arbiter's lease
      */
-    public List<BudgetCommand.Divide> divide(GrantMachine machine, long token) {
-        GrantLedger books = machine.books();
+    public List<BudgetCommand.Allocate> allocate(GrantStateMachine machine, long token) {
+        GrantLedger books = machine.ledger();
         String[] engines = books.engines.keySet().toArray(String[]::new);
         int[][] fair = fair(books, engines);
-        List<BudgetCommand.Divide> commands = new ArrayList<>();
-        List<BudgetCommand.Share> shares = new ArrayList<>();
+        List<BudgetCommand.Allocate> commands = new ArrayList<>();
+        List<BudgetCommand.Grant> shares = new ArrayList<>();
         for (int e = 0; e < engines.length; e++) {
             shares.addAll(new EngineShares(books, engines[e], column(fair, e)).changes());
             if (shares.size() >= SHARES || e == engines.length - 1 && !shares.isEmpty()) {
-                commands.add(new BudgetCommand.Divide(token, shares));
+                commands.add(new BudgetCommand.Allocate(token, shares));
                 shares = new ArrayList<>();
             }
         }
@@ -54,7 +54,7 @@
         int[][] wanted = new int[tenants][engines.length];
         int[][] previous = new int[tenants][engines.length];
         for (int e = 0; e < engines.length; e++) {
-            EngineBook engine = books.engines.get(engines[e]);
+            EngineEntry engine = books.engines.get(engines[e]);
             tierOf[e] = settings.pools().indexOf(settings.pool(engine.pool));
             caps[e] = grantable(books, engines[e], engine, wanted, e);
             int[] before = last.getOrDefault(engines[e], new int[tenants]);
@@ -66,14 +66,14 @@
         int[][] ceilings = new int[tenants][tiers];
         for (int t = 0; t < tenants; t++) {
             for (int k = 0; k < tiers; k++) {
-                BudgetSettings.Share share =
-                        settings.tenants().get(t).share(settings.pools().get(k).name());
+                BudgetSettings.Quota share =
+                        settings.tenants().get(t).quota(settings.pools().get(k).name());
                 guarantees[t][k] = share.guarantee();
                 ceilings[t][k] = share.ceiling();
             }
         }
         int[][] fair =
-                MaxMinFairAllocator.divide(
+                MaxMinFairAllocator.allocate(
                         new MaxMinFairAllocator.Problem(
                                 caps,
                                 tierOf,
@@ -89,13 +89,13 @@
                                 settings.tenants().stream()
                                         .mapToInt(
                                                 tenant ->
-                                                        tenant.share(BudgetSettings.FLEET)
+                                                        tenant.quota(BudgetSettings.ALL_POOLS)
                                                                 .guarantee())
                                         .toArray(),
                                 settings.tenants().stream()
                                         .mapToInt(
                                                 tenant ->
-                                                        tenant.share(BudgetSettings.FLEET)
+                                                        tenant.quota(BudgetSettings.ALL_POOLS)
                                                                 .ceiling())
                                         .toArray()),
                         previous);
@@ -111,29 +111,29 @@
      * silent processes may have in use.
      */
     private int grantable(
-            GrantLedger books, String name, EngineBook engine, int[][] wanted, int e) {
-        int rest = Math.min(engine.cap, engine.target);
-        for (Map.Entry<String, ProcessBook> each : books.processes.entrySet()) {
+            GrantLedger books, String name, EngineEntry engine, int[][] wanted, int e) {
+        int rest = Math.min(engine.cap, engine.requestedCap);
+        for (Map.Entry<String, ProcessEntry> each : books.processes.entrySet()) {
             int floor = books.floor(each.getKey(), name);
-            Held held = each.getValue().held.get(name);
+            EngineAllocation held = each.getValue().allocations.get(name);
             if (held == null) {
                 rest -= floor;
             } else if (!takes(each.getValue())) {
                 rest -= held.committed(floor);
             } else {
                 int wants = 0;
-                for (Map.Entry<String, Line> line : held.lines.entrySet()) {
-                    wanted[settings.tenant(line.getKey())][e] += line.getValue().wanted;
-                    wants += line.getValue().wanted;
+                for (Map.Entry<String, TenantAllocation> line : held.tenants.entrySet()) {
+                    wanted[settings.tenantIndex(line.getKey())][e] += line.getValue().demand;
+                    wants += line.getValue().demand;
                 }
-                rest -= Math.max(floor - wants, held.left);
+                rest -= Math.max(floor - wants, held.orphaned);
             }
         }
         return Math.max(0, rest);
     }
 
-    private static boolean takes(ProcessBook process) {
-        return process.session != 0 && process.expiredAt == 0;
+    private static boolean takes(ProcessEntry process) {
+        return process.session != 0 && process.expiredAtIndex == 0;
     }
 
     private static int[] column(int[][] fair, int engine) {
@@ -144,13 +144,13 @@
     private final class EngineShares {
         private final GrantLedger books;
         private final String name;
-        private final EngineBook engine;
+        private final EngineEntry engine;
         private final String[] processes;
         private final int[][] wanted;
         private final int[][] given;
         private final int[] sums;
         private final int[] fair;
-        private final Held[] held;
+        private final EngineAllocation[] held;
         private final int[] floor;
         private final int[] granted;
 
@@ -164,26 +164,28 @@
                             .filter(
                                     each ->
                                             takes(each.getValue())
-                                                    && each.getValue().held.containsKey(name))
+                                                    && each.getValue()
+                                                            .allocations
+                                                            .containsKey(name))
                             .map(Map.Entry::getKey)
                             .toArray(String[]::new);
             wanted = new int[processes.length][fair.length];
             given = new int[processes.length][fair.length];
             sums = new int[processes.length];
-            held = new Held[processes.length];
+            held = new EngineAllocation[processes.length];
             floor = new int[processes.length];
             granted = new int[processes.length];
             for (int p = 0; p < processes.length; p++) {
                 int row = p;
-                held[p] = books.processes.get(processes[p]).held.get(name);
+                held[p] = books.processes.get(processes[p]).allocations.get(name);
                 floor[p] = books.floor(processes[p], name);
                 granted[p] = held[p].granted();
-                held[p].lines.forEach(
-                        (tenant, line) -> wanted[row][settings.tenant(tenant)] = line.wanted);
+                held[p].tenants.forEach(
+                        (tenant, line) -> wanted[row][settings.tenantIndex(tenant)] = line.demand);
             }
         }
 
-        List<BudgetCommand.Share> changes() {
+        List<BudgetCommand.Grant> changes() {
             spread();
             return towards();
         }
@@ -236,23 +238,23 @@
          * Lowered shares as they shall be, raised ones as far as room is free; least for its weight
          * first.
          */
-        private List<BudgetCommand.Share> towards() {
+        private List<BudgetCommand.Grant> towards() {
             int[][] now = new int[processes.length][fair.length];
             int[][] then = new int[processes.length][fair.length];
             int[] have = new int[fair.length];
             int[] most = new int[processes.length];
             int[] sum = new int[processes.length];
             for (int p = 0; p < processes.length; p++) {
-                most[p] = Math.max(held[p].most(), held[p].used);
+                most[p] = Math.max(held[p].maxUsableSum(), held[p].inUse);
                 for (int t = 0; t < fair.length; t++) {
-                    Line line = held[p].lines.get(settings.tenants().get(t).name());
+                    TenantAllocation line = held[p].tenants.get(settings.tenants().get(t).name());
                     now[p][t] = line == null ? 0 : line.granted;
                     then[p][t] = Math.min(now[p][t], given[p][t]);
                     have[t] += then[p][t];
                     sum[p] += then[p][t];
                 }
             }
-            int free = engine.target < engine.cap ? 0 : engine.cap - books.committed(name);
+            int free = engine.requestedCap < engine.cap ? 0 : engine.cap - books.committed(name);
             for (int[] next = next(then, have, sum, most, free);
                     next != null;
                     next = next(then, have, sum, most, free)) {
@@ -262,12 +264,12 @@
                 then[p][next[1]]++;
                 have[next[1]]++;
             }
-            List<BudgetCommand.Share> changes = new ArrayList<>();
+            List<BudgetCommand.Grant> changes = new ArrayList<>();
             for (int p = 0; p < processes.length; p++) {
                 for (int t = 0; t < fair.length; t++) {
                     if (then[p][t] != now[p][t]) {
                         changes.add(
-                                new BudgetCommand.Share(
+                                new BudgetCommand.Grant(
                                         processes[p],
                                         books.processes.get(processes[p]).session,
                                         name,
@@ -285,7 +287,7 @@
             for (int p = 0; p < processes.length; p++) {
                 int cost = cost(p, sum[p], most[p]);
                 boolean raises = sum[p] >= granted[p];
-                if (cost > free || raises && engine.target < engine.cap) {
+                if (cost > free || raises && engine.requestedCap < engine.cap) {
                     continue;
                 }
                 for (int t = 0; t < fair.length; t++) {
@@ -306,7 +308,7 @@
          * may be in use anyway.
          */
         private int cost(int p, int sum, int most) {
-            int left = held[p].left;
+            int left = held[p].orphaned;
             return Math.max(floor[p], left + Math.max(most, sum + 1))
                     - Math.max(floor[p], left + Math.max(most, sum));
         }
--- a/src/main/java/calicostream/budget/GrantExpiryMonitor.java
+++ b/src/main/java/calicostream/budget/GrantExpiryMonitor.java
@@ -14,13 +14,13 @@
  */
 public final class GrantExpiryMonitor implements ExpiryMonitor {
     private final BudgetSettings settings;
-    private final GrantMachine machine;
+    private final GrantStateMachine machine;
     private final Map<String, Long> since = new HashMap<>();
 
     /**
      * @param machine the copy beside it
      */
-    public GrantExpiryMonitor(BudgetSettings settings, GrantMachine machine) {
+    public GrantExpiryMonitor(BudgetSettings settings, GrantStateMachine machine) {
         this.settings = settings;
         this.machine = machine;
     }
@@ -34,19 +34,20 @@
     public List<byte[]> due(long nowNanos) {
         List<byte[]> due = new ArrayList<>();
         Map<String, Long> present = new HashMap<>();
-        machine.books()
+        machine.ledger()
                 .processes
                 .forEach(
                         (name, process) -> {
-                            if (process.session != 0 && process.expiredAt == 0) {
+                            if (process.session != 0 && process.expiredAtIndex == 0) {
                                 look(
                                         new BudgetCommand.Expire(
-                                                name, process.session, false, process.number),
+                                                name, process.session, false, process.reportNumber),
                                         nowNanos,
                                         present,
                                         due);
                             }
-                            if (process.hasFormer && process.formerExpiredAt == 0) {
+                            if (process.hasPredecessors
+                                    && process.predecessorsExpiredAtIndex == 0) {
                                 look(
                                         new BudgetCommand.Expire(name, process.session, true, 0),
                                         nowNanos,
--- a/src/main/java/calicostream/budget/GrantLedger.java
+++ b/src/main/java/calicostream/budget/GrantLedger.java
@@ -22,57 +22,57 @@
      * An engine in its present incarnation; a target under the cap is a lowered cap that is not yet
      * in force.
      */
-    static final class EngineBook {
+    static final class EngineEntry {
         long incarnation;
         String pool;
         int cap;
-        int target;
+        int requestedCap;
 
         /** Of each named process; follows from the pool. */
         int floor;
     }
 
     /** A process by its name. */
-    static final class ProcessBook {
+    static final class ProcessEntry {
         long session;
-        long number;
-        long version;
+        long reportNumber;
+        long grantVersion;
 
         /**
          * Index at which the leader had counted this start's grants out; 0 while they may be used.
          */
-        long expiredAt;
+        long expiredAtIndex;
 
         /** The same for its earlier starts together. */
-        long formerExpiredAt;
+        long predecessorsExpiredAtIndex;
 
-        boolean hasFormer;
-        final SortedMap<String, Held> held = new TreeMap<>();
+        boolean hasPredecessors;
+        final SortedMap<String, EngineAllocation> allocations = new TreeMap<>();
 
-        Held held(String engine) {
-            return held.computeIfAbsent(engine, name -> new Held());
+        EngineAllocation allocations(String engine) {
+            return allocations.computeIfAbsent(engine, name -> new EngineAllocation());
         }
     }
 
     /** What a process may have in use at one engine's present incarnation. */
-    static final class Held {
+    static final class EngineAllocation {
         /** Sessions that earlier starts may have left running. */
-        int left;
+        int orphaned;
 
         /** Sessions at the last report, or the bound on them where the process fell silent. */
-        int used;
+        int inUse;
 
-        final SortedMap<String, Line> lines = new TreeMap<>();
+        final SortedMap<String, TenantAllocation> tenants = new TreeMap<>();
 
         /** Sums granted, by version: those that the process may still go by. */
         private final List<long[]> sums = new ArrayList<>();
 
         int granted() {
-            return lines.values().stream().mapToInt(line -> line.granted).sum();
+            return tenants.values().stream().mapToInt(line -> line.granted).sum();
         }
 
         /** The most that a version which the process may go by allows. */
-        int most() {
+        int maxUsableSum() {
             long most = 0;
             for (long[] sum : sums) {
                 most = Math.max(most, sum[1]);
@@ -89,44 +89,44 @@
         }
 
         /** The process goes by that version: what it went by before is over. */
-        void adopted(long version) {
+        void acknowledge(long version) {
             while (sums.size() > 1 && sums.get(1)[0] <= version) {
                 sums.remove(0);
             }
         }
 
-        void forgetGrants() {
+        void revokeGrants() {
             sums.clear();
-            lines.values().forEach(line -> line.granted = 0);
+            tenants.values().forEach(line -> line.granted = 0);
         }
 
         /**
          * What may be in use by this start and those before, given what the process may always use.
          */
         int committed(int floor) {
-            return Math.max(floor, left + Math.max(most(), used));
+            return Math.max(floor, orphaned + Math.max(maxUsableSum(), inUse));
         }
     }
 
     /** A tenant's part. */
-    static final class Line {
+    static final class TenantAllocation {
         int granted;
-        int wanted;
+        int demand;
     }
 
     private final Set<String> named;
-    final SortedMap<String, EngineBook> engines = new TreeMap<>();
-    final SortedMap<String, ProcessBook> processes = new TreeMap<>();
+    final SortedMap<String, EngineEntry> engines = new TreeMap<>();
+    final SortedMap<String, ProcessEntry> processes = new TreeMap<>();
 
     /** Last incarnations of engines that are no more: none of them may come back. */
-    final SortedMap<String, Long> past = new TreeMap<>();
+    final SortedMap<String, Long> removedEngines = new TreeMap<>();
 
-    long token;
-    long index;
+    long fencingToken;
+    long appliedIndex;
 
     GrantLedger(BudgetSettings settings) {
         named = Set.copyOf(settings.processes());
-        named.forEach(name -> processes.put(name, new ProcessBook()));
+        named.forEach(name -> processes.put(name, new ProcessEntry()));
     }
 
     int floor(String process, String engine) {
@@ -143,52 +143,58 @@
     /** The same with further sums granted, by process. */
     int committed(String engine, Map<String, Integer> sums) {
         long total = 0;
-        for (Map.Entry<String, ProcessBook> each : processes.entrySet()) {
+        for (Map.Entry<String, ProcessEntry> each : processes.entrySet()) {
             int floor = floor(each.getKey(), engine);
-            Held held = each.getValue().held.get(engine);
+            EngineAllocation held = each.getValue().allocations.get(engine);
             int sum = sums.getOrDefault(each.getKey(), 0);
             total +=
                     held == null
                             ? Math.max(floor, sum)
-                            : Math.max(held.committed(floor), held.left + Math.max(sum, held.used));
+                            : Math.max(
+                                    held.committed(floor),
+                                    held.orphaned + Math.max(sum, held.inUse));
         }
         return (int) Math.min(total, Integer.MAX_VALUE);
     }
 
     byte[] snapshot() {
         BinaryCodec.Writer out =
-                new BinaryCodec.Writer().u8(FORMAT).i64(token).i64(index).i32(engines.size());
+                new BinaryCodec.Writer()
+                        .u8(FORMAT)
+                        .i64(fencingToken)
+                        .i64(appliedIndex)
+                        .i32(engines.size());
         engines.forEach(
                 (name, engine) ->
                         out.text(name)
                                 .i64(engine.incarnation)
                                 .text(engine.pool)
                                 .i32(engine.cap)
-                                .i32(engine.target));
-        out.i32(past.size());
-        past.forEach((name, incarnation) -> out.text(name).i64(incarnation));
+                                .i32(engine.requestedCap));
+        out.i32(removedEngines.size());
+        removedEngines.forEach((name, incarnation) -> out.text(name).i64(incarnation));
         out.i32(processes.size());
         processes.forEach(
                 (name, process) -> {
                     out.text(name)
                             .i64(process.session)
-                            .i64(process.number)
-                            .i64(process.version)
-                            .i64(process.expiredAt)
-                            .i64(process.formerExpiredAt)
-                            .u8(process.hasFormer ? 1 : 0)
-                            .i32(process.held.size());
-                    process.held.forEach(
+                            .i64(process.reportNumber)
+                            .i64(process.grantVersion)
+                            .i64(process.expiredAtIndex)
+                            .i64(process.predecessorsExpiredAtIndex)
+                            .u8(process.hasPredecessors ? 1 : 0)
+                            .i32(process.allocations.size());
+                    process.allocations.forEach(
                             (engine, held) -> {
                                 out.text(engine)
-                                        .i32(held.left)
-                                        .i32(held.used)
-                                        .i32(held.lines.size());
-                                held.lines.forEach(
+                                        .i32(held.orphaned)
+                                        .i32(held.inUse)
+                                        .i32(held.tenants.size());
+                                held.tenants.forEach(
                                         (tenant, line) ->
                                                 out.text(tenant)
                                                         .i32(line.granted)
-                                                        .i32(line.wanted));
+                                                        .i32(line.demand));
                                 out.i32(held.sums.size());
                                 held.sums.forEach(sum -> out.i64(sum[0]).i64(sum[1]));
                             });
@@ -200,15 +206,15 @@
         BinaryCodec.Reader in = new BinaryCodec.Reader("budget snapshot", snapshot);
         in.version(FORMAT);
         GrantLedger books = new GrantLedger(settings);
-        books.token = in.i64();
-        books.index = in.i64();
+        books.fencingToken = in.i64();
+        books.appliedIndex = in.i64();
         for (int i = in.count(20); i > 0; i--) {
-            EngineBook engine = new EngineBook();
-            books.engines.put(in.text(BudgetCommand.NAME), engine);
+            EngineEntry engine = new EngineEntry();
+            books.engines.put(in.text(BudgetCommand.MAX_NAME_BYTES), engine);
             engine.incarnation = in.i64();
-            engine.pool = in.text(BudgetCommand.NAME);
+            engine.pool = in.text(BudgetCommand.MAX_NAME_BYTES);
             engine.cap = in.i32();
-            engine.target = in.i32();
+            engine.requestedCap = in.i32();
             try {
                 engine.floor = settings.pool(engine.pool).floor();
             } catch (BudgetException.Unknown other) {
@@ -216,33 +222,33 @@
             }
         }
         for (int i = in.count(12); i > 0; i--) {
-            books.past.put(in.text(BudgetCommand.NAME), in.i64());
+            books.removedEngines.put(in.text(BudgetCommand.MAX_NAME_BYTES), in.i64());
         }
         for (int i = in.count(40); i > 0; i--) {
-            ProcessBook process = new ProcessBook();
-            books.processes.put(in.text(BudgetCommand.NAME), process);
+            ProcessEntry process = new ProcessEntry();
+            books.processes.put(in.text(BudgetCommand.MAX_NAME_BYTES), process);
             process.session = in.i64();
-            process.number = in.i64();
-            process.version = in.i64();
-            process.expiredAt = in.i64();
-            process.formerExpiredAt = in.i64();
-            process.hasFormer = in.u8() == 1;
+            process.reportNumber = in.i64();
+            process.grantVersion = in.i64();
+            process.expiredAtIndex = in.i64();
+            process.predecessorsExpiredAtIndex = in.i64();
+            process.hasPredecessors = in.u8() == 1;
             for (int j = in.count(16); j > 0; j--) {
-                held(in, process.held(in.text(BudgetCommand.NAME)));
+                held(in, process.allocations(in.text(BudgetCommand.MAX_NAME_BYTES)));
             }
         }
         in.end();
         return books;
     }
 
-    private static void held(BinaryCodec.Reader in, Held held) {
-        held.left = in.i32();
-        held.used = in.i32();
+    private static void held(BinaryCodec.Reader in, EngineAllocation held) {
+        held.orphaned = in.i32();
+        held.inUse = in.i32();
         for (int i = in.count(12); i > 0; i--) {
-            Line line = new Line();
-            held.lines.put(in.text(BudgetCommand.NAME), line);
+            TenantAllocation line = new TenantAllocation();
+            held.tenants.put(in.text(BudgetCommand.MAX_NAME_BYTES), line);
             line.granted = in.i32();
-            line.wanted = in.i32();
+            line.demand = in.i32();
         }
         for (int i = in.count(16); i > 0; i--) {
             held.sums.add(new long[] {in.i64(), in.i64()});
--- a/src/main/java/calicostream/budget/GrantMachine.java
+++ b/src/main/java/calicostream/budget/GrantStateMachine.java
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.budget;
 
-import calicostream.budget.GrantLedger.EngineBook;
-import calicostream.budget.GrantLedger.Held;
-import calicostream.budget.GrantLedger.Line;
-import calicostream.budget.GrantLedger.ProcessBook;
+import calicostream.budget.GrantLedger.EngineAllocation;
+import calicostream.budget.GrantLedger.EngineEntry;
+import calicostream.budget.GrantLedger.ProcessEntry;
+import calicostream.budget.GrantLedger.TenantAllocation;
 import calicostream.cluster.BinaryCodec;
 import calicostream.cluster.ClusterException;
 import calicostream.cluster.Command;
@@ -26,31 +26,31 @@
  * have left running. That falls only by the process's own word, by the engine's own count taken
  * after the leader has counted the grants out, or with the engine's incarnation.
  */
-public final class GrantMachine implements StateMachine {
+public final class GrantStateMachine implements StateMachine {
     /** The name under which it is composed. */
     public static final String NAME = "budget";
 
     private final BudgetSettings settings;
     private final Set<Safeguard> out;
-    private GrantLedger books;
+    private GrantLedger ledger;
 
-    public GrantMachine(BudgetSettings settings) {
+    public GrantStateMachine(BudgetSettings settings) {
         this(settings, EnumSet.noneOf(Safeguard.class));
     }
 
-    GrantMachine(BudgetSettings settings, Set<Safeguard> out) {
+    GrantStateMachine(BudgetSettings settings, Set<Safeguard> out) {
         this.settings = settings;
         this.out = out;
-        this.books = new GrantLedger(settings);
+        this.ledger = new GrantLedger(settings);
     }
 
-    GrantLedger books() {
-        return books;
+    GrantLedger ledger() {
+        return ledger;
     }
 
     /** What this copy knows now; as of the call, and not to be kept over the next command. */
     public GrantView view() {
-        return new GrantView(books);
+        return new GrantView(ledger);
     }
 
     /** The whole state, for an arbiter at a member that has no copy. */
@@ -61,7 +61,7 @@
 
     @Override
     public CommandEffects apply(long index, Command command) {
-        books.index = index;
+        ledger.appliedIndex = index;
         try {
             return apply(index, command, BudgetCommand.decode(command.body()));
         } catch (BudgetException refused) { // every check comes before the first change
@@ -80,17 +80,17 @@
             return leave(sender.session());
         } else if (command instanceof BudgetCommand.Renew renew) {
             return renew(sender.session(), renew);
-        } else if (command instanceof BudgetCommand.Divide divide) {
+        } else if (command instanceof BudgetCommand.Allocate divide) {
             return divide(divide);
-        } else if (command instanceof BudgetCommand.Engine engine) {
+        } else if (command instanceof BudgetCommand.UpdateEngine engine) {
             return engine(engine);
-        } else if (command instanceof BudgetCommand.Gone gone) {
+        } else if (command instanceof BudgetCommand.RemoveEngine gone) {
             present(gone.engine(), gone.incarnation());
             forget(gone.engine());
-            books.engines.remove(gone.engine());
-            books.past.put(gone.engine(), gone.incarnation());
+            ledger.engines.remove(gone.engine());
+            ledger.removedEngines.put(gone.engine(), gone.incarnation());
             return CommandEffects.NONE;
-        } else if (command instanceof BudgetCommand.Count count) {
+        } else if (command instanceof BudgetCommand.EngineCount count) {
             return count(count);
         }
         return expire(index, sender, (BudgetCommand.Expire) command);
@@ -100,135 +100,144 @@
         if (session == 0) {
             throw new BudgetException.Unknown("session of process", join.process());
         }
-        ProcessBook known = bySession(session);
+        ProcessEntry known = bySession(session);
         if (known != null) {
-            if (known != books.processes.get(join.process())) {
+            if (known != ledger.processes.get(join.process())) {
                 throw new BudgetException.Unknown(
                         "process", join.process() + " under another's session " + session);
             }
             return CommandEffects.NONE;
         }
-        ProcessBook process =
-                books.processes.computeIfAbsent(join.process(), name -> new ProcessBook());
+        ProcessEntry process =
+                ledger.processes.computeIfAbsent(join.process(), name -> new ProcessEntry());
         if (session < process.session) {
             throw new BudgetException.GrantOver(join.process(), session);
         }
         if (process.session != 0) {
-            process.held.forEach(
+            process.allocations.forEach(
                     (engine, held) -> {
-                        held.left =
-                                out.contains(Safeguard.LEFT_RUNNING_COUNTS)
+                        held.orphaned =
+                                out.contains(Safeguard.ORPHANED_SESSIONS_COUNT)
                                         ? 0
-                                        : held.committed(books.floor(join.process(), engine));
-                        held.used = 0;
-                        held.forgetGrants();
-                        held.lines.clear();
+                                        : held.committed(ledger.floor(join.process(), engine));
+                        held.inUse = 0;
+                        held.revokeGrants();
+                        held.tenants.clear();
                     });
             // at engines that it never said anything of, it may have used its floor
-            books.engines.keySet().stream()
-                    .filter(engine -> !process.held.containsKey(engine))
+            ledger.engines.keySet().stream()
+                    .filter(engine -> !process.allocations.containsKey(engine))
                     .forEach(
                             engine ->
-                                    process.held(engine).left =
-                                            books.floor(join.process(), engine));
-            process.hasFormer = true;
-            process.formerExpiredAt = 0;
+                                    process.allocations(engine).orphaned =
+                                            ledger.floor(join.process(), engine));
+            process.hasPredecessors = true;
+            process.predecessorsExpiredAtIndex = 0;
         }
         process.session = session;
-        process.number = 0;
-        process.version = 0;
-        process.expiredAt = 0;
+        process.reportNumber = 0;
+        process.grantVersion = 0;
+        process.expiredAtIndex = 0;
         return CommandEffects.NONE;
     }
 
     private CommandEffects leave(long session) {
-        ProcessBook process = mine(session);
-        process.held
+        ProcessEntry process = mine(session);
+        process.allocations
                 .values()
                 .forEach(
                         held -> {
-                            held.used = 0;
-                            held.forgetGrants();
-                            held.lines.clear();
+                            held.inUse = 0;
+                            held.revokeGrants();
+                            held.tenants.clear();
                         });
-        if (!process.hasFormer) {
-            process.held.clear();
+        if (!process.hasPredecessors) {
+            process.allocations.clear();
         }
         process.session = 0;
         return CommandEffects.answer(new byte[0], settle());
     }
 
     private CommandEffects renew(long session, BudgetCommand.Renew renew) {
-        ProcessBook process = mine(session);
-        if (renew.number() <= process.number) {
-            throw new BudgetException.OldReport(nameOf(process), renew.number(), process.number);
+        ProcessEntry process = mine(session);
+        if (renew.reportNumber() <= process.reportNumber) {
+            throw new BudgetException.OldReport(
+                    nameOf(process), renew.reportNumber(), process.reportNumber);
         }
-        if (renew.version() > process.version || process.expiredAt != 0 && renew.version() != 0) {
+        if (renew.grantVersion() > process.grantVersion
+                || process.expiredAtIndex != 0 && renew.grantVersion() != 0) {
             throw new BudgetException.GrantOver(
                     nameOf(process),
                     session); // sent before its grants were over: it must say that it knows
         }
-        for (BudgetCommand.Want want : renew.wants()) {
-            settings.tenant(want.tenant());
+        for (BudgetCommand.TenantDemand want : renew.demands()) {
+            settings.tenantIndex(want.tenant());
         }
         String sender = nameOf(process);
         Map<String, Integer> bounds = new TreeMap<>();
-        process.number = renew.number();
-        process.expiredAt = 0;
-        process.held.forEach(
+        process.reportNumber = renew.reportNumber();
+        process.expiredAtIndex = 0;
+        process.allocations.forEach(
                 (engine, held) -> {
                     bounds.put(
                             engine,
                             Math.max(
-                                    Math.max(books.floor(sender, engine) - held.left, held.most()),
-                                    held.used));
-                    held.used = 0;
-                    held.adopted(renew.version() == 0 ? process.version : renew.version());
-                    held.lines.values().forEach(line -> line.wanted = 0);
+                                    Math.max(
+                                            ledger.floor(sender, engine) - held.orphaned,
+                                            held.maxUsableSum()),
+                                    held.inUse));
+                    held.inUse = 0;
+                    held.acknowledge(
+                            renew.grantVersion() == 0
+                                    ? process.grantVersion
+                                    : renew.grantVersion());
+                    held.tenants.values().forEach(line -> line.demand = 0);
                 });
-        for (BudgetCommand.Use use : renew.uses()) {
+        for (BudgetCommand.EngineUsage use : renew.usages()) {
             if (isPresent(use.engine(), use.incarnation())) {
-                Held held = process.held(use.engine());
+                EngineAllocation held = process.allocations(use.engine());
                 // a report that was long on its way may be older than what has been learned since
-                held.used =
+                held.inUse =
                         Math.min(
                                 use.sessions(),
                                 bounds.getOrDefault(use.engine(), Integer.MAX_VALUE));
-                held.left =
-                        Math.min(held.left, use.left()); // the engine told it: no connection of its
+                held.orphaned =
+                        Math.min(
+                                held.orphaned,
+                                use.orphaned()); // the engine told it: no connection of its
                 // earlier starts is left there
             }
         }
-        for (BudgetCommand.Want want : renew.wants()) {
-            if (books.engines.containsKey(want.engine())) {
-                process.held(want.engine())
-                                .lines
-                                .computeIfAbsent(want.tenant(), name -> new Line())
-                                .wanted =
+        for (BudgetCommand.TenantDemand want : renew.demands()) {
+            if (ledger.engines.containsKey(want.engine())) {
+                process.allocations(want.engine())
+                                .tenants
+                                .computeIfAbsent(want.tenant(), name -> new TenantAllocation())
+                                .demand =
                         want.sessions();
             }
         }
         return CommandEffects.answer(grants(process).encode(), settle());
     }
 
-    private BudgetCommand.Grants grants(ProcessBook process) {
-        List<BudgetCommand.Share> shares = new ArrayList<>();
-        List<BudgetCommand.Use> left = new ArrayList<>();
-        books.engines.forEach(
+    private BudgetCommand.RenewalReply grants(ProcessEntry process) {
+        List<BudgetCommand.Grant> shares = new ArrayList<>();
+        List<BudgetCommand.EngineUsage> left = new ArrayList<>();
+        ledger.engines.forEach(
                 (name, engine) -> {
-                    Held held = process.held.get(name);
+                    EngineAllocation held = process.allocations.get(name);
                     left.add(
-                            new BudgetCommand.Use(
+                            new BudgetCommand.EngineUsage(
                                     name,
                                     engine.incarnation,
-                                    held == null ? 0 : held.used,
-                                    held == null ? 0 : held.left));
+                                    held == null ? 0 : held.inUse,
+                                    held == null ? 0 : held.orphaned));
                     if (held != null) {
-                        held.lines.forEach(
+                        held.tenants.forEach(
                                 (tenant, line) -> {
                                     if (line.granted > 0) {
                                         shares.add(
-                                                new BudgetCommand.Share(
+                                                new BudgetCommand.Grant(
                                                         "",
                                                         process.session,
                                                         name,
@@ -239,23 +248,24 @@
                                 });
                     }
                 });
-        return new BudgetCommand.Grants(process.number, process.version, shares, left);
+        return new BudgetCommand.RenewalReply(
+                process.reportNumber, process.grantVersion, shares, left);
     }
 
-    private CommandEffects divide(BudgetCommand.Divide divide) {
-        if (divide.token() < books.token) {
-            throw new BudgetException.OldToken(divide.token(), books.token);
+    private CommandEffects divide(BudgetCommand.Allocate divide) {
+        if (divide.fencingToken() < ledger.fencingToken) {
+            throw new BudgetException.OldToken(divide.fencingToken(), ledger.fencingToken);
         }
         Map<String, Map<String, Map<String, Integer>>> asked =
                 new TreeMap<>(); // engine, process, tenant
-        for (BudgetCommand.Share share : divide.shares()) {
+        for (BudgetCommand.Grant share : divide.grants()) {
             present(share.engine(), share.incarnation());
-            settings.tenant(share.tenant());
-            ProcessBook process = books.processes.get(share.process());
+            settings.tenantIndex(share.tenant());
+            ProcessEntry process = ledger.processes.get(share.process());
             if (process == null
                     || process.session != share.session()
                     || process.session == 0
-                    || process.expiredAt != 0 && share.sessions() > 0) {
+                    || process.expiredAtIndex != 0 && share.sessions() > 0) {
                 throw new BudgetException.GrantOver(share.process(), share.session());
             }
             asked.computeIfAbsent(share.engine(), name -> new TreeMap<>())
@@ -264,27 +274,29 @@
         }
         Map<String, Map<String, Integer>> sums = new TreeMap<>();
         asked.forEach((engine, processes) -> sums.put(engine, check(engine, processes)));
-        books.token = divide.token();
-        Set<ProcessBook> changed = new LinkedHashSet<>();
+        ledger.fencingToken = divide.fencingToken();
+        Set<ProcessEntry> changed = new LinkedHashSet<>();
         asked.forEach(
                 (engine, processes) ->
                         processes.forEach(
                                 (name, tenants) -> {
-                                    ProcessBook process = books.processes.get(name);
+                                    ProcessEntry process = ledger.processes.get(name);
                                     if (changed.add(process)) {
-                                        process.version++;
+                                        process.grantVersion++;
                                     }
-                                    Held held = process.held(engine);
+                                    EngineAllocation held = process.allocations(engine);
                                     tenants.forEach(
                                             (tenant, sessions) ->
-                                                    held.lines.computeIfAbsent(
+                                                    held.tenants.computeIfAbsent(
                                                                             tenant,
-                                                                            key -> new Line())
+                                                                            key ->
+                                                                                    new TenantAllocation())
                                                                     .granted =
                                                             sessions);
-                                    held.granted(process.version, sums.get(engine).get(name));
-                                    if (out.contains(Safeguard.LOWERED_COUNTS_UNTIL_KNOWN)) {
-                                        held.adopted(process.version);
+                                    held.granted(process.grantVersion, sums.get(engine).get(name));
+                                    if (out.contains(
+                                            Safeguard.LOWERED_GRANT_COUNTS_UNTIL_ACKNOWLEDGED)) {
+                                        held.acknowledge(process.grantVersion);
                                     }
                                 }));
         return CommandEffects.NONE;
@@ -295,22 +307,22 @@
         Map<String, Integer> sums = new TreeMap<>();
         boolean raises = false;
         for (Map.Entry<String, Map<String, Integer>> each : processes.entrySet()) {
-            Held held = books.processes.get(each.getKey()).held.get(name);
+            EngineAllocation held = ledger.processes.get(each.getKey()).allocations.get(name);
             long sum = held == null ? 0 : held.granted();
             long before = sum;
             for (Map.Entry<String, Integer> tenant : each.getValue().entrySet()) {
-                Line line = held == null ? null : held.lines.get(tenant.getKey());
+                TenantAllocation line = held == null ? null : held.tenants.get(tenant.getKey());
                 sum += tenant.getValue() - (line == null ? 0 : line.granted);
             }
             raises |= sum > before;
             sums.put(each.getKey(), (int) Math.min(sum, 1_000_000));
         }
-        EngineBook engine = books.engines.get(name);
-        int now = books.committed(name);
-        int then = books.committed(name, sums);
-        if (raises && !out.contains(Safeguard.CAP_AT_APPLY)) {
-            if (engine.target < engine.cap) {
-                throw new BudgetException.CapLowered(name, engine.cap, engine.target, now);
+        EngineEntry engine = ledger.engines.get(name);
+        int now = ledger.committed(name);
+        int then = ledger.committed(name, sums);
+        if (raises && !out.contains(Safeguard.CAP_CHECKED_AT_APPLY)) {
+            if (engine.requestedCap < engine.cap) {
+                throw new BudgetException.CapLowered(name, engine.cap, engine.requestedCap, now);
             }
             if (then > engine.cap) {
                 throw new BudgetException.OverCap(name, engine.incarnation, engine.cap, now, then);
@@ -319,13 +331,13 @@
         return sums;
     }
 
-    private CommandEffects engine(BudgetCommand.Engine command) {
+    private CommandEffects engine(BudgetCommand.UpdateEngine command) {
         BudgetSettings.Pool pool = settings.pool(command.pool());
-        EngineBook known = books.engines.get(command.engine());
+        EngineEntry known = ledger.engines.get(command.engine());
         long least =
                 known != null
                         ? known.incarnation
-                        : books.past.getOrDefault(command.engine(), 0L) + 1;
+                        : ledger.removedEngines.getOrDefault(command.engine(), 0L) + 1;
         if (command.incarnation() < least) {
             throw new BudgetException.OtherIncarnation(
                     command.engine(), command.incarnation(), least);
@@ -336,17 +348,17 @@
         }
         if (known == null || command.incarnation() > known.incarnation) {
             forget(command.engine());
-            known = new EngineBook();
+            known = new EngineEntry();
             known.incarnation = command.incarnation();
             known.cap = command.cap();
-            books.engines.put(command.engine(), known);
-            books.past.remove(command.engine());
+            ledger.engines.put(command.engine(), known);
+            ledger.removedEngines.remove(command.engine());
         }
         known.pool = command.pool();
         known.floor = pool.floor();
-        known.target = command.cap();
+        known.requestedCap = command.cap();
         known.cap =
-                out.contains(Safeguard.LOWERED_CAP_WAITS)
+                out.contains(Safeguard.LOWERED_CAP_IS_DEFERRED)
                         ? command.cap()
                         : Math.max(known.cap, command.cap());
         return CommandEffects.answer(new byte[0], settle());
@@ -354,71 +366,79 @@
 
     /** What ran at an engine ended with it. */
     private void forget(String engine) {
-        books.processes.values().forEach(process -> process.held.remove(engine));
+        ledger.processes.values().forEach(process -> process.allocations.remove(engine));
     }
 
-    private CommandEffects count(BudgetCommand.Count count) {
+    private CommandEffects count(BudgetCommand.EngineCount count) {
         present(count.engine(), count.incarnation());
-        ProcessBook process = books.processes.get(count.process());
+        ProcessEntry process = ledger.processes.get(count.process());
         if (process == null || process.session != count.session()) {
             throw new BudgetException.GrantOver(count.process(), count.session());
         }
-        long over = count.former() ? process.formerExpiredAt : process.expiredAt;
+        long over =
+                count.ofPredecessors()
+                        ? process.predecessorsExpiredAtIndex
+                        : process.expiredAtIndex;
         if (over == 0 && !out.contains(Safeguard.GRANT_HELD_TO_EXPIRY)) {
             throw new BudgetException.NoProof(
                     count.engine(), count.session(), "its grants are not counted out");
         }
-        if (count.seen() < over && !out.contains(Safeguard.PROOF_AFTER_EXPIRY)) {
+        if (count.knownIndex() < over && !out.contains(Safeguard.PROOF_AFTER_EXPIRY)) {
             throw new BudgetException.NoProof(
                     count.engine(),
                     count.session(),
-                    "asked at index " + count.seen() + ", over since " + over);
+                    "asked at index " + count.knownIndex() + ", over since " + over);
         }
-        Held held = process.held(count.engine());
-        boolean none = count.former() && count.closed() || out.contains(Safeguard.IN_HAND_COUNTS);
-        int bound = count.running() + (none ? 0 : settings.inHand());
-        if (count.former()) {
-            held.left = Math.min(held.left, bound);
-            process.hasFormer = process.held.values().stream().anyMatch(each -> each.left > 0);
+        EngineAllocation held = process.allocations(count.engine());
+        boolean none =
+                count.ofPredecessors() && count.allConnectionsClosed()
+                        || out.contains(Safeguard.UNACKNOWLEDGED_COUNTS);
+        int bound = count.running() + (none ? 0 : settings.maxUnacknowledged());
+        if (count.ofPredecessors()) {
+            held.orphaned = Math.min(held.orphaned, bound);
+            process.hasPredecessors =
+                    process.allocations.values().stream().anyMatch(each -> each.orphaned > 0);
         } else {
-            held.used = Math.min(Math.max(held.used, held.most()), bound);
-            held.forgetGrants();
+            held.inUse = Math.min(Math.max(held.inUse, held.maxUsableSum()), bound);
+            held.revokeGrants();
         }
         return CommandEffects.answer(new byte[0], settle());
     }
 
     private CommandEffects expire(long index, Command sender, BudgetCommand.Expire expire) {
-        ProcessBook process = books.processes.get(expire.process());
+        ProcessEntry process = ledger.processes.get(expire.process());
         String why =
                 !sender.byLeader() && !out.contains(Safeguard.GRANT_HELD_TO_EXPIRY)
                         ? "not counted by the leader"
                         : process == null || process.session != expire.session()
                                 ? "another start of the process has joined"
-                                : expire.former()
-                                        ? process.formerExpiredAt != 0 ? "already over" : null
-                                        : process.expiredAt != 0
+                                : expire.ofPredecessors()
+                                        ? process.predecessorsExpiredAtIndex != 0
+                                                ? "already over"
+                                                : null
+                                        : process.expiredAtIndex != 0
                                                 ? "already over"
-                                                : process.number != expire.number()
+                                                : process.reportNumber != expire.reportNumber()
                                                         ? "renewed since"
                                                         : null;
         if (why != null) {
-            throw new BudgetException.NotDue(expire.session(), expire.number(), why);
+            throw new BudgetException.NotDue(expire.session(), expire.reportNumber(), why);
         }
-        if (expire.former()) {
-            process.formerExpiredAt = index;
+        if (expire.ofPredecessors()) {
+            process.predecessorsExpiredAtIndex = index;
             return CommandEffects.NONE;
         }
-        process.expiredAt = index;
-        process.version++; // no answer given before counts as the present one
-        process.held
+        process.expiredAtIndex = index;
+        process.grantVersion++; // no answer given before counts as the present one
+        process.allocations
                 .values()
                 .forEach(
                         held -> {
-                            held.used =
-                                    out.contains(Safeguard.LEFT_RUNNING_COUNTS)
+                            held.inUse =
+                                    out.contains(Safeguard.ORPHANED_SESSIONS_COUNT)
                                             ? 0
-                                            : Math.max(held.used, held.most());
-                            held.forgetGrants();
+                                            : Math.max(held.inUse, held.maxUsableSum());
+                            held.revokeGrants();
                         });
         return CommandEffects.NONE;
     }
@@ -426,10 +446,11 @@
     /** Lowered caps come in force once no more than they may be in use. */
     private CommandEffects.Event[] settle() {
         List<CommandEffects.Event> events = new ArrayList<>();
-        books.engines.forEach(
+        ledger.engines.forEach(
                 (name, engine) -> {
-                    if (engine.target < engine.cap && books.committed(name) <= engine.target) {
-                        engine.cap = engine.target;
+                    if (engine.requestedCap < engine.cap
+                            && ledger.committed(name) <= engine.requestedCap) {
+                        engine.cap = engine.requestedCap;
                         events.add(
                                 new CommandEffects.Event(
                                         "budget-cap-in-force",
@@ -444,37 +465,37 @@
     }
 
     private boolean isPresent(String engine, long incarnation) {
-        EngineBook book = books.engines.get(engine);
+        EngineEntry book = ledger.engines.get(engine);
         return book != null && book.incarnation == incarnation;
     }
 
     private void present(String engine, long incarnation) {
         if (!isPresent(engine, incarnation)) {
-            EngineBook book = books.engines.get(engine);
+            EngineEntry book = ledger.engines.get(engine);
             throw new BudgetException.OtherIncarnation(
                     engine, incarnation, book == null ? 0 : book.incarnation);
         }
     }
 
-    private ProcessBook bySession(long session) {
+    private ProcessEntry bySession(long session) {
         return session == 0
                 ? null
-                : books.processes.values().stream()
+                : ledger.processes.values().stream()
                         .filter(each -> each.session == session)
                         .findFirst()
                         .orElse(null);
     }
 
-    private ProcessBook mine(long session) {
-        ProcessBook process = bySession(session);
+    private ProcessEntry mine(long session) {
+        ProcessEntry process = bySession(session);
         if (process == null) {
             throw new BudgetException.GrantOver("a process", session);
         }
         return process;
     }
 
-    private String nameOf(ProcessBook process) {
-        return books.processes.entrySet().stream()
+    private String nameOf(ProcessEntry process) {
+        return ledger.processes.entrySet().stream()
                 .filter(each -> each.getValue() == process)
                 .findFirst()
                 .orElseThrow()
@@ -483,11 +504,11 @@
 
     @Override
     public byte[] snapshot() {
-        return books.snapshot();
+        return ledger.snapshot();
     }
 
     @Override
     public void restore(byte[] snapshot) {
-        books = GrantLedger.restore(settings, snapshot);
+        ledger = GrantLedger.restore(settings, snapshot);
     }
 }
--- a/src/main/java/calicostream/budget/GrantView.java
+++ b/src/main/java/calicostream/budget/GrantView.java
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.budget;
 
-import calicostream.budget.GrantLedger.Held;
-import calicostream.budget.GrantLedger.Line;
-import calicostream.budget.GrantLedger.ProcessBook;
+import calicostream.budget.GrantLedger.EngineAllocation;
+import calicostream.budget.GrantLedger.ProcessEntry;
+import calicostream.budget.GrantLedger.TenantAllocation;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -13,24 +13,29 @@
  */
 public final class GrantView {
     /** An engine; {@code target} is under {@code cap} while a lowered cap is not in force. */
-    public record Engine(
+    public record EngineTotals(
             String name,
             long incarnation,
             String pool,
             int cap,
-            int target,
+            int requestedCap,
             int committed,
             int granted) {}
 
     /** A tenant in the whole fleet. */
-    public record Sum(int granted, int wanted) {}
+    public record TenantTotals(int granted, int demand) {}
 
     /**
      * Sessions that count until the engine tells; {@code over} is the index from which its word is
      * proof.
      */
-    public record Unproven(
-            String engine, String process, long session, boolean former, long over, int sessions) {}
+    public record UnconfirmedUsage(
+            String engine,
+            String process,
+            long session,
+            boolean ofPredecessors,
+            long expiredAtIndex,
+            int sessions) {}
 
     private final GrantLedger books;
 
@@ -39,78 +44,84 @@
     }
 
     /** Index of the last command that the copy has applied; 0 if none. */
-    public long index() {
-        return books.index;
+    public long appliedIndex() {
+        return books.appliedIndex;
     }
 
-    public List<Engine> engines() {
-        List<Engine> out = new ArrayList<>();
+    public List<EngineTotals> engines() {
+        List<EngineTotals> out = new ArrayList<>();
         books.engines.forEach(
                 (name, engine) ->
                         out.add(
-                                new Engine(
+                                new EngineTotals(
                                         name,
                                         engine.incarnation,
                                         engine.pool,
                                         engine.cap,
-                                        engine.target,
+                                        engine.requestedCap,
                                         books.committed(name),
                                         books.processes.values().stream()
-                                                .filter(process -> process.held.containsKey(name))
+                                                .filter(
+                                                        process ->
+                                                                process.allocations.containsKey(
+                                                                        name))
                                                 .mapToInt(
-                                                        process -> process.held.get(name).granted())
+                                                        process ->
+                                                                process.allocations
+                                                                        .get(name)
+                                                                        .granted())
                                                 .sum())));
         return out;
     }
 
-    public Sum sum(String tenant) {
+    public TenantTotals tenantTotals(String tenant) {
         int granted = 0;
         int wanted = 0;
-        for (ProcessBook process : books.processes.values()) {
-            for (Held held : process.held.values()) {
-                Line line = held.lines.get(tenant);
+        for (ProcessEntry process : books.processes.values()) {
+            for (EngineAllocation held : process.allocations.values()) {
+                TenantAllocation line = held.tenants.get(tenant);
                 granted += line == null ? 0 : line.granted;
-                wanted += line == null ? 0 : line.wanted;
+                wanted += line == null ? 0 : line.demand;
             }
         }
-        return new Sum(granted, wanted);
+        return new TenantTotals(granted, wanted);
     }
 
     /**
      * What silent processes, and starts before the present ones, may have in use and no longer may
      * begin.
      */
-    public List<Unproven> unproven() {
-        List<Unproven> out = new ArrayList<>();
+    public List<UnconfirmedUsage> unconfirmedUsages() {
+        List<UnconfirmedUsage> out = new ArrayList<>();
         books.processes.forEach(
                 (name, process) ->
-                        process.held.forEach(
+                        process.allocations.forEach(
                                 (engine, held) -> {
-                                    int sessions = Math.max(held.used, held.most());
+                                    int sessions = Math.max(held.inUse, held.maxUsableSum());
                                     if (process.session != 0
-                                            && process.expiredAt != 0
+                                            && process.expiredAtIndex != 0
                                             && sessions > 0) {
                                         out.add(
-                                                new Unproven(
+                                                new UnconfirmedUsage(
                                                         engine,
                                                         name,
                                                         process.session,
                                                         false,
-                                                        process.expiredAt,
+                                                        process.expiredAtIndex,
                                                         sessions));
                                     }
                                     if (process.session != 0
-                                            && process.hasFormer
-                                            && process.formerExpiredAt != 0
-                                            && held.left > 0) {
+                                            && process.hasPredecessors
+                                            && process.predecessorsExpiredAtIndex != 0
+                                            && held.orphaned > 0) {
                                         out.add(
-                                                new Unproven(
+                                                new UnconfirmedUsage(
                                                         engine,
                                                         name,
                                                         process.session,
                                                         true,
-                                                        process.formerExpiredAt,
-                                                        held.left));
+                                                        process.predecessorsExpiredAtIndex,
+                                                        held.orphaned));
                                     }
                                 }));
         return out;
--- a/src/main/java/calicostream/budget/GrantedSessions.java
+++ b/src/main/java/calicostream/budget/GrantedSessions.java
@@ -30,12 +30,12 @@
     private long[] incarnation = new long[0];
     private int[] floor = new int[0];
     private int[] left = new int[0];
-    private int[] total = new int[0];
+    private int[] totalSessions = new int[0];
     private int[] sum = new int[0];
-    private int[] room = new int[0];
+    private int[] capacity = new int[0];
     private int[] inHand = new int[0];
     // by engine and tenant
-    private int[] limit = new int[0];
+    private int[] granted = new int[0];
     private int[] use = new int[0];
     private boolean live;
     private long ends;
@@ -57,7 +57,7 @@
     }
 
     /** The slot of an engine; a new one if it was not met before. */
-    public int engine(String name, String pool) {
+    public int registerEngine(String name, String pool) {
         Integer known = slots.get(name);
         if (known != null) {
             return known;
@@ -68,13 +68,16 @@
         wide[slot] = settings.floor(process, pool);
         incarnation = Arrays.copyOf(incarnation, engines);
         left = Arrays.copyOf(left, engines);
-        total = Arrays.copyOf(total, engines);
+        totalSessions = Arrays.copyOf(totalSessions, engines);
         sum = Arrays.copyOf(sum, engines);
-        room = Arrays.copyOf(room, engines);
+        capacity = Arrays.copyOf(capacity, engines);
         inHand = Arrays.copyOf(inHand, engines);
-        limit = Arrays.copyOf(limit, engines * tenants);
+        granted = Arrays.copyOf(granted, engines * tenants);
         use = Arrays.copyOf(use, engines * tenants);
-        left[slot] = out.contains(Safeguard.FLOOR_AFTER_LEFT_KNOWN) ? 0 : BudgetCommand.UNKNOWN;
+        left[slot] =
+                out.contains(Safeguard.FLOOR_AFTER_ORPHANS_KNOWN)
+                        ? 0
+                        : BudgetCommand.UNKNOWN_SESSIONS;
         names.add(name);
         pools.add(pool);
         slots.put(name, slot);
@@ -86,48 +89,50 @@
      * Whether this tenant has room at this engine now. Sessions that are on their way to the engine
      * are bounded too.
      */
-    public boolean mayUse(int tenant, int engine, long now) {
+    public boolean mayStart(int tenant, int engine, long now) {
         if (live && now >= ends) {
-            lapse();
+            expire();
         }
-        int in = total[engine];
+        int in = totalSessions[engine];
         int slot = engine * tenants + tenant;
-        return in < room[engine]
-                && inHand[engine] < settings.inHand()
-                && (use[slot] < limit[slot] || in + left[engine] < floor[engine]);
+        return in < capacity[engine]
+                && inHand[engine] < settings.maxUnacknowledged()
+                && (use[slot] < granted[slot] || in + left[engine] < floor[engine]);
     }
 
     /** How many sessions the tenant may begin now, at all engines together. */
-    public int free(int tenant, long now) {
+    public int headroom(int tenant, long now) {
         if (live && now >= ends) {
-            lapse();
+            expire();
         }
         int free = 0;
         for (int engine = 0; engine < names.size(); engine++) {
             int slot = engine * tenants + tenant;
             int own =
-                    Math.max(limit[slot] - use[slot], floor[engine] - left[engine] - total[engine]);
+                    Math.max(
+                            granted[slot] - use[slot],
+                            floor[engine] - left[engine] - totalSessions[engine]);
             free +=
                     Math.max(
                             0,
                             Math.min(
                                     Math.min(
-                                            room[engine] - total[engine],
-                                            settings.inHand() - inHand[engine]),
+                                            capacity[engine] - totalSessions[engine],
+                                            settings.maxUnacknowledged() - inHand[engine]),
                                     own));
         }
         return free;
     }
 
     /** A session is sent, in the same turn in which it was found to have room. */
-    public void begun(int tenant, int engine) {
-        total[engine]++;
+    public void sessionStarted(int tenant, int engine) {
+        totalSessions[engine]++;
         use[engine * tenants + tenant]++;
         inHand[engine]++;
     }
 
     /** The engine's word that it has a session, or its end, which says the same. */
-    public void arrived(int engine, long atIncarnation) {
+    public void sessionAcknowledged(int engine, long atIncarnation) {
         if (incarnation[engine] == atIncarnation && inHand[engine] > 0) {
             inHand[engine]--;
         }
@@ -137,9 +142,9 @@
      * A session is known to have ended at that incarnation, or never to have begun; a broken
      * connection alone does not tell that.
      */
-    public void ended(int tenant, int engine, long atIncarnation) {
+    public void sessionEnded(int tenant, int engine, long atIncarnation) {
         if (incarnation[engine] == atIncarnation) {
-            total[engine]--;
+            totalSessions[engine]--;
             use[engine * tenants + tenant]--;
         }
     }
@@ -148,21 +153,21 @@
      * The incarnation of the engine that new sessions go to, as its connection tells: what was
      * known here before has ended.
      */
-    public void connected(int engine, long at) {
-        connected(engine, at, true);
+    public void engineConnected(int engine, long at) {
+        engineConnected(engine, at, true);
     }
 
     /**
      * @param latest whether the incarnation known until now was the latest that an earlier process
      *     of this name can have met
      */
-    void connected(int engine, long at, boolean latest) {
+    void engineConnected(int engine, long at, boolean latest) {
         if (at > incarnation[engine]) {
             boolean replaced = incarnation[engine] != 0;
             incarnation[engine] = at;
             Arrays.fill(use, engine * tenants, (engine + 1) * tenants, 0);
-            Arrays.fill(limit, engine * tenants, (engine + 1) * tenants, 0);
-            total[engine] = 0;
+            Arrays.fill(granted, engine * tenants, (engine + 1) * tenants, 0);
+            totalSessions[engine] = 0;
             inHand[engine] = 0;
             sum[engine] = 0;
             if (replaced) {
@@ -170,7 +175,8 @@
                         latest
                                 ? 0
                                 : BudgetCommand
-                                        .UNKNOWN; // what earlier starts had there ended with the
+                                        .UNKNOWN_SESSIONS; // what earlier starts had there ended
+                // with the
                 // older incarnation
             }
             refresh(engine);
@@ -181,7 +187,7 @@
      * The engine itself says how many sessions earlier starts of this process have at most, with
      * nothing of theirs on its way: floors without a quorum.
      */
-    public void leftRunning(int engine, long at, int sessions) {
+    public void boundOrphaned(int engine, long at, int sessions) {
         if (at == incarnation[engine] && at != 0) {
             left[engine] = Math.min(left[engine], sessions);
             refresh(engine);
@@ -193,24 +199,26 @@
      * old one counts as left running, which it knows to the last. The old object hears of those
      * ends, and this one by {@link #leftBy}; of what arrives only this one need hear.
      */
-    public GrantedSessions anew() {
+    public GrantedSessions forNewClusterSession() {
         GrantedSessions next = new GrantedSessions(settings, process, out);
         for (int engine = 0; engine < names.size(); engine++) {
-            next.engine(names.get(engine), pools.get(engine));
-            next.connected(engine, incarnation[engine]);
+            next.registerEngine(names.get(engine), pools.get(engine));
+            next.engineConnected(engine, incarnation[engine]);
             next.inHand[engine] = inHand[engine]; // on its way whatever it counts as
-            next.leftBy(this, engine);
+            next.updateOrphanedFrom(this, engine);
         }
         return next;
     }
 
     /** Fewer of this process's own earlier sessions run at the engine. */
-    public void leftBy(GrantedSessions before, int engine) {
+    public void updateOrphanedFrom(GrantedSessions before, int engine) {
         if (before.incarnation[engine] == incarnation[engine]) {
-            leftRunning(
+            boundOrphaned(
                     engine,
                     incarnation[engine],
-                    Math.min(BudgetCommand.UNKNOWN, before.total[engine] + before.left[engine]));
+                    Math.min(
+                            BudgetCommand.UNKNOWN_SESSIONS,
+                            before.totalSessions[engine] + before.left[engine]));
         }
     }
 
@@ -218,40 +226,40 @@
      * Whether what earlier starts have left running at the engine, or may have for all that is
      * known, takes of its floor.
      */
-    public boolean isFloorNarrowed(int engine) {
+    public boolean isFloorReduced(int engine) {
         return left[engine] > 0 && floor[engine] > 0 && incarnation[engine] != 0;
     }
 
     /** The report to send now; its answer counts from this moment, on whichever try it is given. */
-    public BudgetCommand.Renew report(long now, DemandEstimator demand) {
+    public BudgetCommand.Renew nextReport(long now, DemandEstimator demand) {
         if (live && now >= ends) {
-            lapse();
+            expire();
         }
         asked.put(++number, now);
         calledBack = false;
         if (asked.size() > 64) {
             asked.pollFirstEntry();
         }
-        if (!live && !out.contains(Safeguard.NO_ANSWER_BEFORE_LAPSE)) {
+        if (!live && !out.contains(Safeguard.NO_REPLY_FROM_BEFORE_EXPIRY)) {
             oldest = number; // this report says that nothing is granted: no earlier answer may make
             // that untrue
         }
-        List<BudgetCommand.Use> uses = new ArrayList<>();
-        List<BudgetCommand.Want> wants = new ArrayList<>();
+        List<BudgetCommand.EngineUsage> uses = new ArrayList<>();
+        List<BudgetCommand.TenantDemand> wants = new ArrayList<>();
         for (int engine = 0; engine < names.size(); engine++) {
             if (incarnation[engine] != 0) {
                 uses.add(
-                        new BudgetCommand.Use(
+                        new BudgetCommand.EngineUsage(
                                 names.get(engine),
                                 incarnation[engine],
-                                total[engine],
+                                totalSessions[engine],
                                 left[engine]));
             }
             for (int tenant = 0; tenant < tenants; tenant++) {
                 int wanted = demand.estimate(tenant, engine);
                 if (wanted > 0) {
                     wants.add(
-                            new BudgetCommand.Want(
+                            new BudgetCommand.TenantDemand(
                                     names.get(engine),
                                     settings.tenants().get(tenant).name(),
                                     wanted));
@@ -262,43 +270,44 @@
     }
 
     /** The answer to a report; one that is late, or comes after a newer one, changes nothing. */
-    public void granted(BudgetCommand.Grants grants, long now) {
-        Long from = asked.get(grants.number());
+    public void applyReply(BudgetCommand.RenewalReply grants, long now) {
+        Long from = asked.get(grants.reportNumber());
         if (live && now >= ends) {
-            lapse();
+            expire();
         }
-        if (from == null || grants.number() < oldest || grants.number() <= adopted) {
+        if (from == null || grants.reportNumber() < oldest || grants.reportNumber() <= adopted) {
             return;
         }
         long until =
-                (out.contains(Safeguard.TIME_FROM_ASKING) ? now : from) + settings.usableNanos();
+                (out.contains(Safeguard.LEASE_TIMED_FROM_REQUEST) ? now : from)
+                        + settings.usableNanos();
         if (now >= until) {
             return;
         }
-        adopted = grants.number();
+        adopted = grants.reportNumber();
         asked.headMap(adopted, true).clear();
         live = true;
         ends = until;
-        version = grants.version();
+        version = grants.grantVersion();
         int[] before = sum;
         sum = new int[before.length];
-        Arrays.fill(limit, 0);
-        for (BudgetCommand.Use use : grants.left()) {
+        Arrays.fill(granted, 0);
+        for (BudgetCommand.EngineUsage use : grants.usages()) {
             Integer slot = slots.get(use.engine());
             if (slot != null) {
-                connected(
+                engineConnected(
                         slot,
                         use.incarnation(),
                         false); // the machine may have known it before this process began
                 if (incarnation[slot] == use.incarnation()) {
-                    left[slot] = Math.min(left[slot], use.left());
+                    left[slot] = Math.min(left[slot], use.orphaned());
                 }
             }
         }
-        for (BudgetCommand.Share share : grants.shares()) {
+        for (BudgetCommand.Grant share : grants.grants()) {
             Integer slot = slots.get(share.engine());
             if (slot != null && incarnation[slot] == share.incarnation()) {
-                limit[slot * tenants + settings.tenant(share.tenant())] = share.sessions();
+                granted[slot * tenants + settings.tenantIndex(share.tenant())] = share.sessions();
                 sum[slot] += share.sessions();
             }
         }
@@ -312,7 +321,7 @@
      * Something was called back: the sooner the next report says that this is known, the sooner
      * another may use it.
      */
-    public boolean isCalledBack() {
+    public boolean isReclaimed() {
         return calledBack;
     }
 
@@ -320,10 +329,10 @@
      * Refused, or known otherwise to be over: only floors from here on, and the next report says
      * so.
      */
-    public void lapse() {
+    public void expire() {
         live = false;
-        oldest = out.contains(Safeguard.NO_ANSWER_BEFORE_LAPSE) ? oldest : number + 1;
-        Arrays.fill(limit, 0);
+        oldest = out.contains(Safeguard.NO_REPLY_FROM_BEFORE_EXPIRY) ? oldest : number + 1;
+        Arrays.fill(granted, 0);
         Arrays.fill(sum, 0);
         for (int engine = 0; engine < names.size(); engine++) {
             refresh(engine);
@@ -331,11 +340,11 @@
     }
 
     private void refresh(int engine) {
-        room[engine] = Math.max(floor[engine] - left[engine], sum[engine]);
+        capacity[engine] = Math.max(floor[engine] - left[engine], sum[engine]);
     }
 
     /** Whether grants are in force here; if not, floors are all there is. */
-    public boolean isLive() {
+    public boolean hasActiveGrants() {
         return live;
     }
 
@@ -346,7 +355,7 @@
 
     /** Nothing of this process is in use anywhere. */
     public boolean isIdle() {
-        return Arrays.stream(total).allMatch(sessions -> sessions == 0);
+        return Arrays.stream(totalSessions).allMatch(sessions -> sessions == 0);
     }
 
     /** Of the tenant at the engine, those on their way included. */
@@ -364,16 +373,16 @@
     }
 
     /** Of all tenants at the engine, and what may be at most. */
-    public int total(int engine) {
-        return total[engine];
+    public int totalSessions(int engine) {
+        return totalSessions[engine];
     }
 
-    public int room(int engine) {
-        return room[engine];
+    public int capacity(int engine) {
+        return capacity[engine];
     }
 
     /** Sessions granted to the tenant at the engine. */
-    public int limit(int tenant, int engine) {
-        return limit[engine * tenants + tenant];
+    public int granted(int tenant, int engine) {
+        return granted[engine * tenants + tenant];
     }
 }
--- a/src/main/java/calicostream/budget/MaxMinFairAllocator.java
+++ b/src/main/java/calicostream/budget/MaxMinFairAllocator.java
@@ -22,12 +22,12 @@
      */
     public record Problem(
             int[] caps,
-            int[] tierOf,
-            int[] tierCaps,
+            int[] poolOf,
+            int[] poolCaps,
             int[] weights,
-            int[][] wanted,
-            int[][] tierGuarantees,
-            int[][] tierCeilings,
+            int[][] demand,
+            int[][] poolGuarantees,
+            int[][] poolCeilings,
             int[] guarantees,
             int[] ceilings) {
         int tenants() {
@@ -38,8 +38,8 @@
             return caps.length;
         }
 
-        int tiers() {
-            return tierCaps.length;
+        int pools() {
+            return poolCaps.length;
         }
     }
 
@@ -55,7 +55,7 @@
     private MaxMinFairAllocator(Problem problem) {
         this.problem = problem;
         int tenants = problem.tenants();
-        int tiers = problem.tiers();
+        int tiers = problem.pools();
         int engines = problem.engines();
         sink = tenants + tenants * tiers + engines + tiers;
         flow = new BoundedFlowNetwork(sink + 1);
@@ -66,34 +66,34 @@
         fromTier = new int[tiers];
         for (int t = 0; t < tenants; t++) {
             for (int k = 0; k < tiers; k++) {
-                toTier[t][k] = flow.edge(t, tierNode(t, k), problem.tierCeilings[t][k]);
+                toTier[t][k] = flow.addEdge(t, tierNode(t, k), problem.poolCeilings[t][k]);
             }
             for (int e = 0; e < engines; e++) {
                 toEngine[t][e] =
-                        flow.edge(
-                                tierNode(t, problem.tierOf[e]),
+                        flow.addEdge(
+                                tierNode(t, problem.poolOf[e]),
                                 engineNode(e),
-                                problem.wanted[t][e]);
+                                problem.demand[t][e]);
             }
         }
         for (int e = 0; e < engines; e++) {
             fromEngine[e] =
-                    flow.edge(
+                    flow.addEdge(
                             engineNode(e),
-                            engineNode(engines) + problem.tierOf[e],
+                            engineNode(engines) + problem.poolOf[e],
                             problem.caps[e]);
         }
         for (int k = 0; k < tiers; k++) {
-            fromTier[k] = flow.edge(engineNode(engines) + k, sink, problem.tierCaps[k]);
+            fromTier[k] = flow.addEdge(engineNode(engines) + k, sink, problem.poolCaps[k]);
         }
     }
 
     private int tierNode(int tenant, int tier) {
-        return problem.tenants() + tenant * problem.tiers() + tier;
+        return problem.tenants() + tenant * problem.pools() + tier;
     }
 
     private int engineNode(int engine) {
-        return problem.tenants() * (1 + problem.tiers()) + engine;
+        return problem.tenants() * (1 + problem.pools()) + engine;
     }
 
     /**
@@ -101,7 +101,7 @@
      *     was none
      * @return sessions by tenant and engine
      */
-    public static int[][] divide(Problem problem, int[][] previous) {
+    public static int[][] allocate(Problem problem, int[][] previous) {
         MaxMinFairAllocator fair = new MaxMinFairAllocator(problem);
         int[][] kept = fair.guarantee();
         fair.fill(problem.weights, problem.ceilings);
@@ -117,7 +117,7 @@
         int[][] placed = new int[problem.tenants()][problem.engines()];
         for (int t = 0; t < placed.length; t++) {
             for (int e = 0; e < placed[t].length; e++) {
-                placed[t][e] = flow.carried(toEngine[t][e]);
+                placed[t][e] = flow.flow(toEngine[t][e]);
             }
         }
         return placed;
@@ -128,10 +128,10 @@
      * proportion to what is guaranteed.
      */
     private int[][] guarantee() {
-        int tiers = problem.tiers();
+        int tiers = problem.pools();
         int[] promised = new int[problem.tenants() * tiers];
         for (int i = 0; i < promised.length; i++) {
-            promised[i] = problem.tierGuarantees[i / tiers][i % tiers];
+            promised[i] = problem.poolGuarantees[i / tiers][i % tiers];
         }
         raise(
                 promised,
@@ -144,14 +144,14 @@
                         return false;
                     }
                     totals[tenant]++;
-                    flow.keep(edge, flow.carried(edge));
+                    flow.setLowerBound(edge, flow.flow(edge));
                     return true;
                 });
         int[][] kept = new int[problem.tenants()][tiers];
         int[] most = new int[problem.tenants()];
         for (int t = 0; t < most.length; t++) {
             for (int k = 0; k < tiers; k++) {
-                kept[t][k] = flow.carried(toTier[t][k]);
+                kept[t][k] = flow.flow(toTier[t][k]);
             }
             most[t] = Math.min(problem.guarantees[t], problem.ceilings[t]);
         }
@@ -160,18 +160,18 @@
     }
 
     private void fill(int[] weights, int[] most) {
-        raise(weights, most, totals, t -> direct(t, -1) || flow.lead(t, sink));
+        raise(weights, most, totals, t -> direct(t, -1) || flow.augment(t, sink));
     }
 
     /** One more for the tenant within a tier. */
     private boolean one(int tenant, int tier) {
-        if (flow.free(toTier[tenant][tier]) <= 0) {
+        if (flow.residual(toTier[tenant][tier]) <= 0) {
             return false;
         }
         if (direct(tenant, tier)) {
             return true;
         }
-        if (!flow.lead(tierNode(tenant, tier), sink)) {
+        if (!flow.augment(tierNode(tenant, tier), sink)) {
             return false;
         }
         flow.push(toTier[tenant][tier], 1);
@@ -185,17 +185,17 @@
     private boolean direct(int tenant, int tier) {
         int best = -1;
         for (int e = 0; e < problem.engines(); e++) {
-            int k = problem.tierOf[e];
+            int k = problem.poolOf[e];
             int edge = toEngine[tenant][e];
             if ((tier < 0 || tier == k)
-                    && flow.free(edge) > 0
-                    && flow.free(fromEngine[e]) > 0
-                    && flow.free(fromTier[k]) > 0
-                    && flow.free(toTier[tenant][k]) > 0
+                    && flow.residual(edge) > 0
+                    && flow.residual(fromEngine[e]) > 0
+                    && flow.residual(fromTier[k]) > 0
+                    && flow.residual(toTier[tenant][k]) > 0
                     && (best < 0
-                            || (long) flow.carried(edge) * problem.wanted[tenant][best]
-                                    < (long) flow.carried(toEngine[tenant][best])
-                                            * problem.wanted[tenant][e])) {
+                            || (long) flow.flow(edge) * problem.demand[tenant][best]
+                                    < (long) flow.flow(toEngine[tenant][best])
+                                            * problem.demand[tenant][e])) {
                 best = e;
             }
         }
@@ -206,10 +206,10 @@
     }
 
     private void place(int tenant, int engine, int sessions) {
-        flow.push(toTier[tenant][problem.tierOf[engine]], sessions);
+        flow.push(toTier[tenant][problem.poolOf[engine]], sessions);
         flow.push(toEngine[tenant][engine], sessions);
         flow.push(fromEngine[engine], sessions);
-        flow.push(fromTier[problem.tierOf[engine]], sessions);
+        flow.push(fromTier[problem.poolOf[engine]], sessions);
     }
 
     /**
@@ -245,37 +245,37 @@
     private void follow(int[][] previous, int[][] kept, int[] wanted) {
         for (int t = 0; t < problem.tenants(); t++) {
             for (int e = 0; e < problem.engines(); e++) {
-                int tier = problem.tierOf[e];
+                int tier = problem.poolOf[e];
                 int sessions =
                         Math.min(
                                 Math.min(
-                                        Math.min(previous[t][e], flow.free(toEngine[t][e])),
+                                        Math.min(previous[t][e], flow.residual(toEngine[t][e])),
                                         Math.min(
-                                                flow.free(fromEngine[e]),
-                                                flow.free(fromTier[tier]))),
-                                Math.min(flow.free(toTier[t][tier]), wanted[t] - totals[t]));
+                                                flow.residual(fromEngine[e]),
+                                                flow.residual(fromTier[tier]))),
+                                Math.min(flow.residual(toTier[t][tier]), wanted[t] - totals[t]));
                 if (sessions > 0) {
                     place(t, e, sessions);
                     totals[t] += sessions;
                 }
             }
-            for (int k = 0; k < problem.tiers(); k++) {
-                flow.keep(toTier[t][k], Math.min(kept[t][k], flow.carried(toTier[t][k])));
+            for (int k = 0; k < problem.pools(); k++) {
+                flow.setLowerBound(toTier[t][k], Math.min(kept[t][k], flow.flow(toTier[t][k])));
             }
         }
         for (int t = 0; t < problem.tenants(); t++) {
-            for (int k = 0; k < problem.tiers(); k++) {
+            for (int k = 0; k < problem.pools(); k++) {
                 int edge = toTier[t][k];
-                while (flow.carried(edge) < kept[t][k]) {
+                while (flow.flow(edge) < kept[t][k]) {
                     if (totals[t] < wanted[t] && one(t, k)) {
                         totals[t]++;
-                    } else if (flow.lead(
+                    } else if (flow.augment(
                             tierNode(t, k), t)) { // from another tier of the same tenant
                         flow.push(edge, 1);
                     } else {
                         break;
                     }
-                    flow.keep(edge, flow.carried(edge));
+                    flow.setLowerBound(edge, flow.flow(edge));
                 }
             }
         }
--- a/src/main/java/calicostream/budget/QueuedDemand.java
+++ b/src/main/java/calicostream/budget/QueuedDemand.java
@@ -9,7 +9,7 @@
      * In parts by the engines' caps, whole, and together just what waits; engines without a cap
      * have none.
      */
-    public static int[] spread(int waiting, int[] caps) {
+    public static int[] distribute(int waiting, int[] caps) {
         long sum = 0;
         for (int cap : caps) {
             sum += cap;
--- a/src/main/java/calicostream/budget/Safeguard.java
+++ b/src/main/java/calicostream/budget/Safeguard.java
@@ -15,25 +15,25 @@
     /**
      * A lowered grant counts at its old size until its process has said that it knows the new one.
      */
-    LOWERED_COUNTS_UNTIL_KNOWN,
+    LOWERED_GRANT_COUNTS_UNTIL_ACKNOWLEDGED,
     /**
      * What a process that fell silent may have left running counts until it is known to have ended.
      */
-    LEFT_RUNNING_COUNTS,
+    ORPHANED_SESSIONS_COUNT,
     /** An engine's count is proof only if it was asked for after the expiry was seen. */
     PROOF_AFTER_EXPIRY,
     /** Sessions that are sent and not yet at the engine count beside the engine's own count. */
-    IN_HAND_COUNTS,
+    UNACKNOWLEDGED_COUNTS,
     /** Sums are checked against the cap where a division is applied. */
-    CAP_AT_APPLY,
+    CAP_CHECKED_AT_APPLY,
     /** A lowered cap is in force only once no more than it may be in use. */
-    LOWERED_CAP_WAITS,
+    LOWERED_CAP_IS_DEFERRED,
     /** A process counts its grants' time from before it asked. */
-    TIME_FROM_ASKING,
+    LEASE_TIMED_FROM_REQUEST,
     /** A process that has said that its grants are over takes no answer to an older report. */
-    NO_ANSWER_BEFORE_LAPSE,
+    NO_REPLY_FROM_BEFORE_EXPIRY,
     /**
      * A started process uses no floor before it knows what its former start may have left running.
      */
-    FLOOR_AFTER_LEFT_KNOWN
+    FLOOR_AFTER_ORPHANS_KNOWN
 }
--- a/src/main/java/calicostream/budget/SessionLedger.java
+++ b/src/main/java/calicostream/budget/SessionLedger.java
@@ -39,7 +39,7 @@
     private final long travelNanos;
     private final UnconfirmedSessions doubts;
     private final Map<Integer, Long> looks = new HashMap<>();
-    private GrantedSessions holdings;
+    private GrantedSessions grantedSessions;
     private GrantedSessions former;
     private int start;
     private long startedAt;
@@ -54,20 +54,20 @@
     }
 
     SessionLedger(GrantedSessions holdings, long travelNanos, long now) {
-        this.holdings = holdings;
+        this.grantedSessions = holdings;
         this.travelNanos = travelNanos;
         this.startedAt = now;
         doubts = new UnconfirmedSessions(travelNanos);
     }
 
     /** The same process, but known to be the only one of its name only from now on. */
-    public void alone(long now) {
+    public void exclusiveSince(long now) {
         startedAt = now;
     }
 
     /** What it goes by now; another object after {@link #joined}. */
-    public GrantedSessions holdings() {
-        return holdings;
+    public GrantedSessions grantedSessions() {
+        return grantedSessions;
     }
 
     /**
@@ -75,8 +75,8 @@
      */
     public void joined() {
         if (start++ > 0) {
-            former = holdings;
-            holdings = former.anew();
+            former = grantedSessions;
+            grantedSessions = former.forNewClusterSession();
         }
     }
 
@@ -89,24 +89,24 @@
      * start may have been behind, so that the earlier process has met this incarnation too: for a
      * travel time nothing is known of what it left there.
      */
-    public void connected(int engine, long incarnation, long now) {
-        if (incarnation > holdings.incarnation(engine)) {
-            doubts.replaced(engine);
-            holdings.connected(engine, incarnation, now - startedAt >= travelNanos);
+    public void engineConnected(int engine, long incarnation, long now) {
+        if (incarnation > grantedSessions.incarnation(engine)) {
+            doubts.engineReplaced(engine);
+            grantedSessions.engineConnected(engine, incarnation, now - startedAt >= travelNanos);
         }
     }
 
     /** Sent, in the turn in which it was found to have room. */
-    public Session begun(int tenant, int engine) {
-        holdings.begun(tenant, engine);
-        return new Session(start, tenant, engine, holdings.incarnation(engine));
+    public Session sessionStarted(int tenant, int engine) {
+        grantedSessions.sessionStarted(tenant, engine);
+        return new Session(start, tenant, engine, grantedSessions.incarnation(engine));
     }
 
     /** The engine has it; said any number of times. */
-    public void arrived(Session session) {
+    public void sessionAcknowledged(Session session) {
         if (!session.arrived) {
             session.arrived = true;
-            holdings.arrived(
+            grantedSessions.sessionAcknowledged(
                     session.engine,
                     session.incarnation); // which has taken over what was on its way before the
             // last join
@@ -119,13 +119,13 @@
      * @param known that it is over at the engine too, or never came there
      * @return whether a place is free for it; if not, its engine's counts will tell
      */
-    public boolean over(Session session, boolean known, long now) {
-        arrived(session); // at the engine or nowhere: it is in hand no longer
+    public boolean sessionEnded(Session session, boolean known, long now) {
+        sessionAcknowledged(session); // at the engine or nowhere: it is in hand no longer
         if (known) {
             ended(session.start, session.tenant, session.engine, session.incarnation);
         } else {
             doubts.add(
-                    new UnconfirmedSessions.Doubt(
+                    new UnconfirmedSessions.UnconfirmedSession(
                             session.start,
                             session.tenant,
                             session.engine,
@@ -140,16 +140,17 @@
      *
      * @return the tenants of the sessions in doubt that have ended by this, one for each
      */
-    public List<Integer> counted(int engine, long askedAt, int running) {
+    public List<Integer> engineCounted(int engine, long askedAt, int running) {
         List<Integer> tenants = new ArrayList<>();
-        for (UnconfirmedSessions.Doubt each : doubts.counted(engine, askedAt, running)) {
-            ended(each.start(), each.tenant(), engine, each.incarnation());
+        for (UnconfirmedSessions.UnconfirmedSession each :
+                doubts.engineCounted(engine, askedAt, running)) {
+            ended(each.joinNumber(), each.tenant(), engine, each.incarnation());
             tenants.add(each.tenant());
         }
         // Under a later join what counts as left is this living process's own too, which is on its
         // way as well.
         if (former == null && askedAt - startedAt >= travelNanos) {
-            holdings.leftRunning(engine, holdings.incarnation(engine), running);
+            grantedSessions.boundOrphaned(engine, grantedSessions.incarnation(engine), running);
         }
         return tenants;
     }
@@ -159,10 +160,10 @@
      * more. Yes is said once for each time that it is due: in the moment from which a count is
      * proof, and then five times in a travel time.
      */
-    public boolean isDue(int engine, long now) {
+    public boolean isCountDue(int engine, long now) {
         if (former != null
-                || holdings.isLive()
-                || !holdings.isFloorNarrowed(engine)
+                || grantedSessions.hasActiveGrants()
+                || !grantedSessions.isFloorReduced(engine)
                 || now < looks.getOrDefault(engine, startedAt + travelNanos)) {
             return false;
         }
@@ -171,7 +172,7 @@
     }
 
     /** Sessions given up whose end no engine has told. */
-    public int inDoubt() {
+    public int unconfirmed() {
         return doubts.size();
     }
 
@@ -180,15 +181,15 @@
      * engines tell.
      */
     private GrantedSessions by(int number) {
-        return number == start ? holdings : number == start - 1 ? former : null;
+        return number == start ? grantedSessions : number == start - 1 ? former : null;
     }
 
     private void ended(int number, int tenant, int engine, long incarnation) {
         GrantedSessions by = by(number);
         if (by != null) {
-            by.ended(tenant, engine, incarnation);
+            by.sessionEnded(tenant, engine, incarnation);
             if (by == former) {
-                holdings.leftBy(former, engine);
+                grantedSessions.updateOrphanedFrom(former, engine);
             }
         }
     }
--- a/src/main/java/calicostream/budget/TenantQueues.java
+++ b/src/main/java/calicostream/budget/TenantQueues.java
@@ -21,7 +21,7 @@
     private final List<ArrayDeque<Waiting>> queues = new ArrayList<>();
     private final long[] lastEnd;
     private final long[] gap;
-    private final int[][] waiting;
+    private final int[][] queued;
     private int lastTenant;
 
     /**
@@ -37,11 +37,11 @@
         }
         lastEnd = new long[tenants];
         gap = new long[tenants];
-        waiting = new int[tenants][engines];
+        queued = new int[tenants][engines];
     }
 
     /** A session of the tenant has ended: a place, in time. */
-    public void ended(int tenant, long now) {
+    public void sessionEnded(int tenant, long now) {
         if (lastEnd[tenant] != 0) {
             long since = now - lastEnd[tenant];
             gap[tenant] = gap[tenant] == 0 ? since : gap[tenant] + (since - gap[tenant]) / 8;
@@ -61,26 +61,26 @@
             throw noRoom(tenant, ahead, Math.max(wait - patienceNanos, pause(tenant, now)));
         }
         queues.get(tenant).add(new Waiting(request, engine, now + patienceNanos));
-        waiting[tenant][engine]++;
+        queued[tenant][engine]++;
     }
 
     /**
      * Of the tenants that may use the engine now and wait for it, the one with least in use for its
      * weight: its longest waiting request, or -1.
      */
-    public long next(int engine, long now, GrantedSessions holdings) {
-        return next(
-                engine, t -> holdings.mayUse(t, engine, now), t -> holdings.sessions(t, engine));
+    public long poll(int engine, long now, GrantedSessions holdings) {
+        return poll(
+                engine, t -> holdings.mayStart(t, engine, now), t -> holdings.sessions(t, engine));
     }
 
     /**
      * The same where the slot stands for several engines together: who may be admitted there, and
      * with how many sessions.
      */
-    public long next(int engine, IntPredicate may, IntUnaryOperator sessions) {
+    public long poll(int engine, IntPredicate may, IntUnaryOperator sessions) {
         int best = -1;
-        for (int t = 0; t < waiting.length; t++) {
-            if (waiting[t][engine] > 0
+        for (int t = 0; t < queued.length; t++) {
+            if (queued[t][engine] > 0
                     && may.test(t)
                     && (best < 0
                             || (long) sessions.applyAsInt(t) * weight(best)
@@ -96,7 +96,7 @@
             Waiting first = each.next();
             if (first.engine == engine) {
                 each.remove();
-                waiting[best][engine]--;
+                queued[best][engine]--;
                 return first.request;
             }
         }
@@ -113,13 +113,13 @@
     }
 
     /** Whoever's patience is over, of one tenant. */
-    public List<Long> impatient(int tenant, long now) {
+    public List<Long> removeTimedOut(int tenant, long now) {
         List<Long> over = new ArrayList<>();
         for (Iterator<Waiting> each = queues.get(tenant).iterator(); each.hasNext(); ) {
             Waiting waits = each.next();
             if (waits.until <= now) {
                 each.remove();
-                waiting[tenant][waits.engine]--;
+                queued[tenant][waits.engine]--;
                 over.add(waits.request);
             }
         }
@@ -127,14 +127,14 @@
     }
 
     /** What to tell a request whose patience is over. */
-    public BudgetException.NoRoom refusal(int tenant, long now) {
+    public BudgetException.NoRoom rejection(int tenant, long now) {
         int ahead = queues.get(tenant).size();
         return noRoom(
                 tenant, ahead, Math.max(expected(tenant, ahead + 1, now), pause(tenant, now)));
     }
 
-    public int waiting(int tenant, int engine) {
-        return waiting[tenant][engine];
+    public int queued(int tenant, int engine) {
+        return queued[tenant][engine];
     }
 
     /**
--- a/src/main/java/calicostream/budget/TenantRules.java
+++ b/src/main/java/calicostream/budget/TenantRules.java
@@ -19,37 +19,38 @@
  */
 public final class TenantRules {
     /** What is known of a request; null where its wire has no such word. */
-    public record Told(
+    public record RequestAttributes(
             String option,
             String login,
             String catalog,
-            InetSocketAddress listening,
-            InetAddress client) {
-        public static final Told NOTHING = new Told(null, null, null, null, null);
+            InetSocketAddress localAddress,
+            InetAddress clientAddress) {
+        public static final RequestAttributes NONE =
+                new RequestAttributes(null, null, null, null, null);
     }
 
     /** By what a tenant is known; each may be empty. */
-    public record Known(
+    public record TenantMatchers(
             List<String> logins,
             List<String> catalogs,
-            List<InetSocketAddress> listening,
-            List<Range> clients) {
-        public Known {
+            List<InetSocketAddress> localAddresses,
+            List<AddressRange> clientRanges) {
+        public TenantMatchers {
             logins = List.copyOf(logins);
             catalogs = List.copyOf(catalogs);
-            listening = List.copyOf(listening);
-            clients = List.copyOf(clients);
+            localAddresses = List.copyOf(localAddresses);
+            clientRanges = List.copyOf(clientRanges);
         }
     }
 
     /** Addresses that begin with the same bits; a single one has all of them. */
-    public static final class Range {
+    public static final class AddressRange {
         private static final Pattern FORM =
                 Pattern.compile("([0-9.]+|[0-9A-Fa-f:.]*:[0-9A-Fa-f:.]*)(/([0-9]{1,3}))?");
         private final byte[] address;
         private final int bits;
 
-        private Range(byte[] address, int bits) {
+        private AddressRange(byte[] address, int bits) {
             this.address = address;
             this.bits = bits;
         }
@@ -58,7 +59,7 @@
          * Such as 10.1.0.0/16 or fd00::/8; null where the text is none, or has bits beyond its
          * length.
          */
-        public static Range parse(String text) {
+        public static AddressRange parse(String text) {
             Matcher form = FORM.matcher(text);
             if (!form.matches()
                     || text.indexOf(':') < 0
@@ -73,7 +74,7 @@
                         form.group(3) == null
                                 ? address.length * 8
                                 : Integer.parseInt(form.group(3));
-                Range range = new Range(address, bits);
+                AddressRange range = new AddressRange(address, bits);
                 return bits > address.length * 8 || !range.isAligned() ? null : range;
             } catch (UnknownHostException none) {
                 return null;
@@ -90,12 +91,12 @@
         }
 
         /** Whether some address is in both. */
-        public boolean meets(Range other) {
+        public boolean overlaps(AddressRange other) {
             return address.length == other.address.length
                     && same(address, other.address, Math.min(bits, other.bits));
         }
 
-        boolean has(byte[] client) {
+        boolean contains(byte[] client) {
             return address.length == client.length && same(address, client, bits);
         }
 
@@ -123,7 +124,7 @@
     private final Map<String, Integer> logins = new HashMap<>();
     private final Map<String, Integer> catalogs = new HashMap<>();
     private final Map<InetSocketAddress, Integer> listening = new HashMap<>();
-    private final List<Range> ranges = new ArrayList<>();
+    private final List<AddressRange> ranges = new ArrayList<>();
     private final List<Integer> rangeOf = new ArrayList<>();
     private final int fallback;
 
@@ -132,19 +133,19 @@
      * @param without the tenant of requests of which nothing tells
      * @throws BudgetException.BadSetting if two tenants are known by the same
      */
-    public TenantRules(BudgetSettings settings, Map<String, Known> known, String without) {
-        fallback = settings.tenant(without);
+    public TenantRules(BudgetSettings settings, Map<String, TenantMatchers> known, String without) {
+        fallback = settings.tenantIndex(without);
         for (int t = 0; t < settings.tenants().size(); t++) {
             String name = settings.tenants().get(t).name();
             names.put(name, t);
-            Known by = known.get(name);
+            TenantMatchers by = known.get(name);
             if (by != null) {
                 put(name, "logins", logins, by.logins, t);
                 put(name, "catalogs", catalogs, by.catalogs, t);
-                put(name, "listen", listening, by.listening, t);
-                for (Range range : by.clients) {
+                put(name, "listen", listening, by.localAddresses, t);
+                for (AddressRange range : by.clientRanges) {
                     for (int i = 0; i < ranges.size(); i++) {
-                        if (ranges.get(i).meets(range) && rangeOf.get(i) != t) {
+                        if (ranges.get(i).overlaps(range) && rangeOf.get(i) != t) {
                             throw shared(
                                     name,
                                     "clients",
@@ -186,14 +187,14 @@
      * An option that names no tenant is passed over: it decides nothing that the client's operators
      * have not set.
      */
-    public int tenant(Told told) {
+    public int tenantOf(RequestAttributes told) {
         Integer out = look(names, told.option);
         out = out != null ? out : look(logins, told.login);
         out = out != null ? out : look(catalogs, told.catalog);
-        out = out != null ? out : look(listening, told.listening);
+        out = out != null ? out : look(listening, told.localAddress);
         return out != null
                 ? out
-                : told.client == null ? fallback : byRange(told.client.getAddress());
+                : told.clientAddress == null ? fallback : byRange(told.clientAddress.getAddress());
     }
 
     private static <T> Integer look(Map<T, Integer> in, T word) {
@@ -202,7 +203,7 @@
 
     private int byRange(byte[] client) {
         for (int i = 0; i < ranges.size(); i++) {
-            if (ranges.get(i).has(client)) {
+            if (ranges.get(i).contains(client)) {
                 return rangeOf.get(i);
             }
         }
--- a/src/main/java/calicostream/budget/UnconfirmedSessions.java
+++ b/src/main/java/calicostream/budget/UnconfirmedSessions.java
@@ -16,10 +16,11 @@
     /**
      * @param start under which of this process's sessions at the cluster it was begun, by number
      */
-    public record Doubt(int start, int tenant, int engine, long incarnation, long since) {}
+    public record UnconfirmedSession(
+            int joinNumber, int tenant, int engine, long incarnation, long abandonedAt) {}
 
     private final long travelNanos;
-    private final Map<Integer, ArrayDeque<Doubt>> byEngine = new HashMap<>();
+    private final Map<Integer, ArrayDeque<UnconfirmedSession>> byEngine = new HashMap<>();
 
     /**
      * @param travelNanos after which what was given up is no longer on its way: its connection is
@@ -29,7 +30,7 @@
         this.travelNanos = travelNanos;
     }
 
-    public void add(Doubt doubt) {
+    public void add(UnconfirmedSession doubt) {
         byEngine.computeIfAbsent(doubt.engine, engine -> new ArrayDeque<>()).add(doubt);
     }
 
@@ -38,10 +39,11 @@
      *
      * @return those that have ended by now for sure; each is told once
      */
-    public List<Doubt> counted(int engine, long askedAt, int running) {
-        ArrayDeque<Doubt> doubts = byEngine.getOrDefault(engine, new ArrayDeque<>());
-        List<Doubt> ended = new ArrayList<>();
-        long old = doubts.stream().filter(doubt -> askedAt - doubt.since >= travelNanos).count();
+    public List<UnconfirmedSession> engineCounted(int engine, long askedAt, int running) {
+        ArrayDeque<UnconfirmedSession> doubts = byEngine.getOrDefault(engine, new ArrayDeque<>());
+        List<UnconfirmedSession> ended = new ArrayList<>();
+        long old =
+                doubts.stream().filter(doubt -> askedAt - doubt.abandonedAt >= travelNanos).count();
         for (;
                 old > running;
                 old--) { // Which of them runs on is not known, and does not matter: the oldest are
@@ -52,7 +54,7 @@
     }
 
     /** The engine was replaced: nothing runs on. */
-    public void replaced(int engine) {
+    public void engineReplaced(int engine) {
         byEngine.remove(engine);
     }
 
--- a/src/main/java/calicostream/budget/process/BudgetGate.java
+++ b/src/main/java/calicostream/budget/process/BudgetGate.java
@@ -37,7 +37,7 @@
     private static final int REPORTS = 5; // a lease
     private static final long TICK = 20_000; // us: no longer than what a request may notice
 
-    private record Asked(BudgetMailbox.Ask ask, long at) {}
+    private record Asked(BudgetMailbox.CountRequest ask, long at) {}
 
     private final Loop loop;
     private final EngineClient engines;
@@ -87,7 +87,7 @@
         queues = new TenantQueues(settings, config.queue(), 1);
         demand = new DemandEstimator(tenants, settings.ttlNanos() / 2);
         reportMicros = Math.max(10_000, settings.ttlNanos() / MICRO / REPORTS);
-        wire.gate(
+        wire.attachGate(
                 () -> loop.post(this::joined),
                 answer -> loop.post(() -> answered(answer)),
                 ask -> loop.post(() -> ask(ask)));
@@ -127,24 +127,27 @@
         if (pool.isPresent() && engine.lifecycle() != EngineLifecycle.REMOVED) {
             Integer known = slots.get(engine.id());
             int slot =
-                    known != null ? known : ledger.holdings().engine(name(engine.id()), pool.get());
+                    known != null
+                            ? known
+                            : ledger.grantedSessions()
+                                    .registerEngine(name(engine.id()), pool.get());
             if (known == null) {
                 slots.put(engine.id(), slot);
                 ids.add(engine.id());
             }
-            ledger.connected(slot, incarnation(engine.id()), now());
+            ledger.engineConnected(slot, incarnation(engine.id()), now());
         }
         uncounted =
                 (int)
                         listed.values().stream()
                                 .filter(each -> config.pool(each.kind()).isEmpty())
                                 .count();
-        wire.list(
+        wire.publishEngines(
                 listed.values().stream()
                         .filter(each -> config.pool(each.kind()).isPresent())
                         .map(
                                 each ->
-                                        new BudgetMailbox.Listed(
+                                        new BudgetMailbox.ListedEngine(
                                                 name(each.id()),
                                                 incarnation(each.id()),
                                                 config.pool(each.kind()).get(),
@@ -170,14 +173,14 @@
     public boolean admits(Gateway.Request request) {
         request.tenant =
                 config.tenants()
-                        .tenant(
-                                new TenantRules.Told(
+                        .tenantOf(
+                                new TenantRules.RequestAttributes(
                                         null,
                                         request.responseHandler().login(request.tag()),
                                         request.responseHandler().catalog(request.tag()),
                                         request.responseHandler().localAddress(request.tag()),
                                         request.responseHandler().clientAddress(request.tag())));
-        if (queues.waiting(request.tenant, 0) == 0 && mayAdmit(request.tenant)) {
+        if (queues.queued(request.tenant, 0) == 0 && mayAdmit(request.tenant)) {
             admitted.get(request.tenant).add(request);
             return true;
         }
@@ -198,7 +201,10 @@
      */
     private boolean mayAdmit(int tenant) {
         Set<Gateway.Request> with = admitted.get(tenant);
-        int free = uncounted > 0 ? Integer.MAX_VALUE : ledger.holdings().free(tenant, now());
+        int free =
+                uncounted > 0
+                        ? Integer.MAX_VALUE
+                        : ledger.grantedSessions().headroom(tenant, now());
         if (with.size() >= free) {
             with.removeIf(Gateway.Request::isAnswered);
         }
@@ -208,7 +214,7 @@
     @Override
     public boolean hasTenantCapacity(Gateway.Request request, long engine) {
         Integer slot = slots.get(engine);
-        return slot == null || ledger.holdings().mayUse(request.tenant, slot, now());
+        return slot == null || ledger.grantedSessions().mayStart(request.tenant, slot, now());
     }
 
     @Override
@@ -216,12 +222,12 @@
         Integer slot = slots.get(attempt.engine);
         admitted.get(attempt.request.tenant).remove(attempt.request);
         if (slot != null) {
-            if (!ledger.holdings()
-                    .mayUse(attempt.request.tenant, slot, now())) { // whatever the module asks
+            if (!ledger.grantedSessions()
+                    .mayStart(attempt.request.tenant, slot, now())) { // whatever the module asks
                 gateway.attemptEnded(attempt, AttemptOutcome.OVERLOADED, null, null);
                 return;
             }
-            begun.put(attempt, ledger.begun(attempt.request.tenant, slot));
+            begun.put(attempt, ledger.sessionStarted(attempt.request.tenant, slot));
         }
         engines.send(attempt);
     }
@@ -230,7 +236,7 @@
     public void attemptAcknowledged(Gateway.Attempt attempt) {
         SessionLedger.Session session = begun.get(attempt);
         if (session != null) {
-            ledger.arrived(session);
+            ledger.sessionAcknowledged(session);
         }
     }
 
@@ -244,8 +250,8 @@
                 outcome != AttemptOutcome.TIMEOUT
                         && outcome != AttemptOutcome.CANCELLED
                         && outcome != AttemptOutcome.CONNECTION_BROKEN;
-        if (ledger.over(session, known, now())) {
-            queues.ended(attempt.request.tenant, now());
+        if (ledger.sessionEnded(session, known, now())) {
+            queues.sessionEnded(attempt.request.tenant, now());
         }
         if (report != null) {
             counted(attempt.engine, report, attempt.sentAt * MICRO);
@@ -271,16 +277,19 @@
             return;
         }
         int running = (int) Math.ceil(report.running());
-        ledger.counted(slot, askedAt, running).forEach(tenant -> queues.ended(tenant, now()));
+        ledger.engineCounted(slot, askedAt, running)
+                .forEach(tenant -> queues.sessionEnded(tenant, now()));
         Asked asked = asks.get(engine);
         if (asked != null
                 && askedAt
                         >= asked.at) { // A question from before proves nothing of what began since.
             asks.remove(engine);
-            wire.count(
+            wire.publishCount(
                     name(engine),
-                    new BudgetMailbox.Counted(
-                            ledger.holdings().incarnation(slot), running, asked.ask.seen()));
+                    new BudgetMailbox.EngineCount(
+                            ledger.grantedSessions().incarnation(slot),
+                            running,
+                            asked.ask.knownIndex()));
         }
     }
 
@@ -312,15 +321,15 @@
     }
 
     private long next() {
-        return queues.next(0, this::mayAdmit, tenant -> ledger.holdings().sessions(tenant));
+        return queues.poll(0, this::mayAdmit, tenant -> ledger.grantedSessions().sessions(tenant));
     }
 
     private void turnAwayTheImpatient() {
         for (int t = 0; t < settings.tenants().size(); t++) {
-            for (long number : queues.impatient(t, now())) {
+            for (long number : queues.removeTimedOut(t, now())) {
                 refused++;
                 gateway.reject(
-                        kept.remove(number), queues.refusal(t, now()).returnAfterNanos() / MICRO);
+                        kept.remove(number), queues.rejection(t, now()).returnAfterNanos() / MICRO);
             }
         }
     }
@@ -331,7 +340,7 @@
     public void attach(Gateway to) {
         gateway = to;
         engines.attach(to);
-        ledger.alone(now()); // the member has its folder, and with it the name
+        ledger.exclusiveSince(now()); // the member has its folder, and with it the name
         tick(loop.clock().now(), 0);
     }
 
@@ -344,17 +353,17 @@
         if (now >= reportAt) {
             reportAt = now + reportMicros;
             if (ledger.hasJoined()) {
-                wire.report(ledger.holdings().report(now(), demand));
+                wire.publishReport(ledger.grantedSessions().nextReport(now(), demand));
             }
-            wire.figures(
+            wire.publishMetrics(
                     BudgetMetrics.of(
                             settings,
-                            ledger.holdings(),
+                            ledger.grantedSessions(),
                             queues,
                             ids.stream().map(BudgetGate::name).toList(),
-                            ledger.inDoubt(),
+                            ledger.unconfirmed(),
                             refused),
-                    begun.isEmpty() && ledger.inDoubt() == 0);
+                    begun.isEmpty() && ledger.unconfirmed() == 0);
         }
     }
 
@@ -374,9 +383,10 @@
         for (int t = 0; t < settings.tenants().size(); t++) {
             admitted.get(t).removeIf(Gateway.Request::isAnswered);
             int[] waiting =
-                    QueuedDemand.spread(queues.waiting(t, 0) + admitted.get(t).size(), caps);
+                    QueuedDemand.distribute(queues.queued(t, 0) + admitted.get(t).size(), caps);
             for (int slot = 0; slot < caps.length; slot++) {
-                demand.observe(t, slot, ledger.holdings().sessions(t, slot), waiting[slot], now());
+                demand.observe(
+                        t, slot, ledger.grantedSessions().sessions(t, slot), waiting[slot], now());
             }
         }
     }
@@ -384,7 +394,7 @@
     /** Without a quorum only the engines themselves can tell what an earlier start left there. */
     private void lookAtNarrowedFloors() {
         for (int slot = 0; slot < ids.size(); slot++) {
-            if (listed.containsKey(ids.get(slot)) && ledger.isDue(slot, now())) {
+            if (listed.containsKey(ids.get(slot)) && ledger.isCountDue(slot, now())) {
                 probe(ids.get(slot));
             }
         }
@@ -396,15 +406,15 @@
         reportAt = 0;
     }
 
-    private void answered(BudgetMailbox.Answer answer) {
-        if (answer.grants() != null) {
-            ledger.holdings().granted(answer.grants(), now());
+    private void answered(BudgetMailbox.ReportOutcome answer) {
+        if (answer.reply() != null) {
+            ledger.grantedSessions().applyReply(answer.reply(), now());
             reportAt =
-                    ledger.holdings().isCalledBack()
+                    ledger.grantedSessions().isReclaimed()
                             ? 0
                             : reportAt; // the sooner that is known, the sooner another may use it
-        } else if (answer.over()) {
-            ledger.holdings().lapse();
+        } else if (answer.isExpired()) {
+            ledger.grantedSessions().expire();
         }
         serve();
     }
@@ -413,7 +423,7 @@
      * The arbiter wants the engines' own counts: those that can be asked are, the others tell with
      * an answer that goes out from now on.
      */
-    private void ask(BudgetMailbox.Ask ask) {
+    private void ask(BudgetMailbox.CountRequest ask) {
         for (Map.Entry<Long, Integer> each : slots.entrySet()) {
             if (ask.engines().contains(name(each.getKey()))) {
                 asks.put(each.getKey(), new Asked(ask, now()));
--- a/src/main/java/calicostream/budget/process/BudgetMailbox.java
+++ b/src/main/java/calicostream/budget/process/BudgetMailbox.java
@@ -14,38 +14,39 @@
  */
 final class BudgetMailbox {
     /** An engine as the list names it here. */
-    record Listed(String name, long incarnation, String pool, int cap) {}
+    record ListedEngine(String name, long incarnation, String pool, int cap) {}
 
     /**
      * An engine's own count of all its sessions, asked for when the machine was known up to that
      * index.
      */
-    record Counted(long incarnation, int running, long seen) {}
+    record EngineCount(long incarnation, int running, long knownIndex) {}
 
     /**
      * Engines that the arbiter wants a count of, and the index up to which it knew the machine when
      * it asked.
      */
-    record Ask(List<String> engines, long seen) {}
+    record CountRequest(List<String> engines, long knownIndex) {}
 
     /**
      * What happened to a report: {@code grants} is null where none came, {@code over} where grants
      * are known to be over.
      */
-    record Answer(BudgetCommand.Grants grants, boolean over) {}
+    record ReportOutcome(BudgetCommand.RenewalReply reply, boolean isExpired) {}
 
-    private final AtomicReference<BudgetCommand.Renew> report = new AtomicReference<>();
-    private final Map<String, Counted> counts = new ConcurrentHashMap<>();
-    private volatile List<Listed> listed = List.of();
-    private volatile Map<String, Long> gone = Map.of();
-    private volatile String figures = "{}";
+    private final AtomicReference<BudgetCommand.Renew> publishReport = new AtomicReference<>();
+    private final Map<String, EngineCount> counts = new ConcurrentHashMap<>();
+    private volatile List<ListedEngine> listedEngines = List.of();
+    private volatile Map<String, Long> removedEngines = Map.of();
+    private volatile String publishMetrics = "{}";
     private volatile boolean idle;
     // What the gate does on its own thread; set before the member starts.
-    private volatile Consumer<Answer> answered = answer -> {};
+    private volatile Consumer<ReportOutcome> answered = answer -> {};
     private volatile Runnable joined = () -> {};
-    private volatile Consumer<Ask> asked = ask -> {};
+    private volatile Consumer<CountRequest> asked = ask -> {};
 
-    void gate(Runnable onJoined, Consumer<Answer> onAnswer, Consumer<Ask> onAsk) {
+    void attachGate(
+            Runnable onJoined, Consumer<ReportOutcome> onAnswer, Consumer<CountRequest> onAsk) {
         joined = onJoined;
         answered = onAnswer;
         asked = onAsk;
@@ -53,61 +54,61 @@
 
     // ---- From the gate
     /** A newer report takes the place of one that has not gone. */
-    void report(BudgetCommand.Renew next) {
-        report.set(next);
+    void publishReport(BudgetCommand.Renew next) {
+        publishReport.set(next);
     }
 
     /**
      * @param over engines that the list has told to be gone, with the incarnation that is over
      */
-    void list(List<Listed> now, Map<String, Long> over) {
-        listed = List.copyOf(now);
-        gone = Map.copyOf(over);
+    void publishEngines(List<ListedEngine> now, Map<String, Long> over) {
+        listedEngines = List.copyOf(now);
+        removedEngines = Map.copyOf(over);
     }
 
-    void count(String engine, Counted counted) {
+    void publishCount(String engine, EngineCount counted) {
         counts.put(engine, counted);
     }
 
-    void figures(String now, boolean isIdle) {
-        figures = now;
+    void publishMetrics(String now, boolean isIdle) {
+        publishMetrics = now;
         idle = isIdle;
     }
 
     // ---- From the layer
     /** This session may report from now on; what was reported before is void. */
     void joined() {
-        report.set(null);
+        publishReport.set(null);
         joined.run();
     }
 
     BudgetCommand.Renew takeReport() {
-        return report.getAndSet(null);
+        return publishReport.getAndSet(null);
     }
 
-    void answer(Answer answer) {
+    void completeReport(ReportOutcome answer) {
         answered.accept(answer);
     }
 
-    void ask(Ask ask) {
+    void requestCounts(CountRequest ask) {
         asked.accept(ask);
     }
 
-    List<Listed> listed() {
-        return listed;
+    List<ListedEngine> listedEngines() {
+        return listedEngines;
     }
 
-    Map<String, Long> gone() {
-        return gone;
+    Map<String, Long> removedEngines() {
+        return removedEngines;
     }
 
     /** Taken once. */
-    Counted takeCount(String engine) {
+    EngineCount takeCount(String engine) {
         return counts.remove(engine);
     }
 
-    String figures() {
-        return figures;
+    String publishMetrics() {
+        return publishMetrics;
     }
 
     boolean isIdle() {
--- a/src/main/java/calicostream/budget/process/BudgetMetrics.java
+++ b/src/main/java/calicostream/budget/process/BudgetMetrics.java
@@ -26,25 +26,25 @@
             engines.add(
                     names.get(slot),
                     Json.object()
-                            .add("in_use", holdings.total(slot))
-                            .add("room", Math.max(0, holdings.room(slot)))
+                            .add("in_use", holdings.totalSessions(slot))
+                            .add("room", Math.max(0, holdings.capacity(slot)))
                             .add("incarnation", holdings.incarnation(slot)));
         }
         JsonObject tenants = Json.object();
         for (int t = 0; t < settings.tenants().size(); t++) {
             int granted = 0;
             for (int slot = 0; slot < names.size(); slot++) {
-                granted += holdings.limit(t, slot);
+                granted += holdings.granted(t, slot);
             }
             tenants.add(
                     settings.tenants().get(t).name(),
                     Json.object()
                             .add("in_use", holdings.sessions(t))
                             .add("granted", granted)
-                            .add("waiting", queues.waiting(t, 0)));
+                            .add("waiting", queues.queued(t, 0)));
         }
         return Json.object()
-                .add("live", holdings.isLive())
+                .add("live", holdings.hasActiveGrants())
                 .add("in_doubt", doubts)
                 .add("refused", refused)
                 .add("engines", engines)
@@ -58,13 +58,13 @@
      */
     static JsonObject fleet(BudgetSettings settings, GrantView view) {
         JsonObject engines = Json.object();
-        for (GrantView.Engine each : view.engines()) {
+        for (GrantView.EngineTotals each : view.engines()) {
             engines.add(
                     each.name(),
                     Json.object()
                             .add("pool", each.pool())
                             .add("cap", each.cap())
-                            .add("cap_wanted", each.target())
+                            .add("cap_wanted", each.requestedCap())
                             .add("may_be_in_use", each.committed())
                             .add("granted", each.granted())
                             .add("incarnation", each.incarnation()));
@@ -72,13 +72,13 @@
         JsonObject tenants = Json.object();
         for (int t = 0; t < settings.tenants().size(); t++) {
             String name = settings.tenants().get(t).name();
-            GrantView.Sum sum = view.sum(name);
+            GrantView.TenantTotals sum = view.tenantTotals(name);
             tenants.add(
                     name,
                     Json.object()
                             .add("weight", settings.tenants().get(t).weight())
                             .add("granted", sum.granted())
-                            .add("wanted", sum.wanted()));
+                            .add("wanted", sum.demand()));
         }
         return Json.object().add("engines", engines).add("tenants", tenants);
     }
--- a/src/main/java/calicostream/budget/process/BudgetService.java
+++ b/src/main/java/calicostream/budget/process/BudgetService.java
@@ -4,7 +4,7 @@
 import calicostream.budget.BudgetCommand;
 import calicostream.budget.BudgetException;
 import calicostream.budget.GrantExpiryMonitor;
-import calicostream.budget.GrantMachine;
+import calicostream.budget.GrantStateMachine;
 import calicostream.cluster.CommandOutcome;
 import calicostream.cluster.ExpiryMonitor;
 import calicostream.cluster.MemberSession;
@@ -27,9 +27,9 @@
     private final BudgetConfig config;
     private final String process;
     private final BudgetMailbox wire = new BudgetMailbox();
-    private final GrantMachine machine;
+    private final GrantStateMachine machine;
     private final GrantExpiryMonitor times;
-    private final GrantCoordinatorTask arbiter;
+    private final GrantCoordinatorTask coordinatorTask;
     private MemberSession session;
     private long joined;
     private long joining;
@@ -43,14 +43,14 @@
     public BudgetService(BudgetConfig config, String process) {
         this.config = config;
         this.process = process;
-        machine = new GrantMachine(config.settings());
+        machine = new GrantStateMachine(config.settings());
         times = new GrantExpiryMonitor(config.settings(), machine);
-        arbiter = new GrantCoordinatorTask(config, machine, wire);
+        coordinatorTask = new GrantCoordinatorTask(config, machine, wire);
     }
 
     /** To run under the arbiter's lease. */
-    public LeasedTask arbiter() {
-        return arbiter;
+    public LeasedTask coordinatorTask() {
+        return coordinatorTask;
     }
 
     /** What stands before the front end's engine side; once, before the member starts. */
@@ -60,7 +60,7 @@
 
     @Override
     public String name() {
-        return GrantMachine.NAME;
+        return GrantStateMachine.NAME;
     }
 
     @Override
@@ -76,7 +76,7 @@
     @Override
     public void joins(MemberSession own, LongSupplier clock) {
         session = own;
-        arbiter.joins(own);
+        coordinatorTask.joins(own);
     }
 
     @Override
@@ -115,12 +115,13 @@
         }
         reporting = false;
         if (outcome.accepted()) {
-            wire.answer(
-                    new BudgetMailbox.Answer(BudgetCommand.Grants.decode(outcome.answer()), false));
+            wire.completeReport(
+                    new BudgetMailbox.ReportOutcome(
+                            BudgetCommand.RenewalReply.decode(outcome.answer()), false));
         } else {
             failed++;
-            wire.answer(
-                    new BudgetMailbox.Answer(
+            wire.completeReport(
+                    new BudgetMailbox.ReportOutcome(
                             null, outcome.code().equals(BudgetException.GrantOver.CODE)));
         }
     }
@@ -143,7 +144,7 @@
                                 "joined",
                                 joined != 0 && session != null && joined == session.session())
                         .add("reports_failed", failed)
-                        .add("here", Json.parse(wire.figures()));
+                        .add("here", Json.parse(wire.publishMetrics()));
         return out.add("fleet", BudgetMetrics.fleet(config.settings(), machine.view())).toString();
     }
 }
--- a/src/main/java/calicostream/budget/process/GrantCoordinatorTask.java
+++ b/src/main/java/calicostream/budget/process/GrantCoordinatorTask.java
@@ -3,7 +3,7 @@
 
 import calicostream.budget.BudgetCommand;
 import calicostream.budget.GrantCoordinator;
-import calicostream.budget.GrantMachine;
+import calicostream.budget.GrantStateMachine;
 import calicostream.budget.GrantView;
 import calicostream.cluster.MemberMessage;
 import calicostream.cluster.MemberSession;
@@ -22,7 +22,7 @@
 final class GrantCoordinatorTask implements LeasedTask {
     private static final int ROUNDS = 10; // a lease of grants
     private final BudgetConfig config;
-    private final GrantMachine machine;
+    private final GrantStateMachine machine;
     private final BudgetMailbox wire;
     private final long everyNanos;
     private MemberSession session;
@@ -33,7 +33,7 @@
     private long refused;
     private String lastRefusal = "";
 
-    GrantCoordinatorTask(BudgetConfig config, GrantMachine machine, BudgetMailbox wire) {
+    GrantCoordinatorTask(BudgetConfig config, GrantStateMachine machine, BudgetMailbox wire) {
         this.config = config;
         this.machine = machine;
         this.wire = wire;
@@ -61,21 +61,21 @@
             return;
         }
         due = nowNanos + everyNanos;
-        if (machine.view().index() > 0) {
-            GrantMachine view = new GrantMachine(config.settings());
+        if (machine.view().appliedIndex() > 0) {
+            GrantStateMachine view = new GrantStateMachine(config.settings());
             view.restore(machine.snapshot());
             round(acts, view);
         } else {
             session.read(
                     MemberMessage.Ask.LOCAL,
-                    GrantMachine.NAME,
+                    GrantStateMachine.NAME,
                     new byte[0],
                     nowNanos,
                     reply -> {
                         if (reply.outcome().accepted()
                                 && reply.outcome().answer().length > 0
                                 && acts.isHeld()) {
-                            GrantMachine view = new GrantMachine(config.settings());
+                            GrantStateMachine view = new GrantStateMachine(config.settings());
                             view.restore(reply.outcome().answer());
                             round(acts, view);
                         }
@@ -83,12 +83,12 @@
         }
     }
 
-    private void round(FencedActions acts, GrantMachine copy) {
+    private void round(FencedActions acts, GrantStateMachine copy) {
         rounds++;
         GrantView view = copy.view();
-        List<BudgetMailbox.Listed> listed = wire.listed();
-        List<GrantView.Engine> known = view.engines();
-        for (BudgetMailbox.Listed each : listed) {
+        List<BudgetMailbox.ListedEngine> listed = wire.listedEngines();
+        List<GrantView.EngineTotals> known = view.engines();
+        for (BudgetMailbox.ListedEngine each : listed) {
             boolean same =
                     known.stream()
                             .anyMatch(
@@ -96,26 +96,26 @@
                                             engine.name().equals(each.name())
                                                     && engine.incarnation() >= each.incarnation()
                                                     && (engine.incarnation() > each.incarnation()
-                                                            || engine.target() == each.cap()
+                                                            || engine.requestedCap() == each.cap()
                                                                     && engine.pool()
                                                                             .equals(each.pool())));
             if (!same) {
                 run(
-                        new BudgetCommand.Engine(
+                        new BudgetCommand.UpdateEngine(
                                 each.name(), each.incarnation(), each.pool(), each.cap()));
             }
         }
-        for (GrantView.Engine each : known) {
-            if (wire.gone().getOrDefault(each.name(), 0L) == each.incarnation()) {
-                run(new BudgetCommand.Gone(each.name(), each.incarnation()));
+        for (GrantView.EngineTotals each : known) {
+            if (wire.removedEngines().getOrDefault(each.name(), 0L) == each.incarnation()) {
+                run(new BudgetCommand.RemoveEngine(each.name(), each.incarnation()));
             }
         }
         count(view);
-        for (BudgetCommand.Divide each : arbiter.divide(copy, 0)) {
+        for (BudgetCommand.Allocate each : arbiter.allocate(copy, 0)) {
             divisions++;
             acts.command(
-                    GrantMachine.NAME,
-                    token -> new BudgetCommand.Divide(token, each.shares()).encode(),
+                    GrantStateMachine.NAME,
+                    token -> new BudgetCommand.Allocate(token, each.grants()).encode(),
                     this::heard);
         }
     }
@@ -125,43 +125,47 @@
      * each one's.
      */
     private void count(GrantView view) {
-        List<GrantView.Unproven> unproven = view.unproven();
-        for (GrantView.Engine each : view.engines()) {
-            BudgetMailbox.Counted counted = wire.takeCount(each.name());
+        List<GrantView.UnconfirmedUsage> unproven = view.unconfirmedUsages();
+        for (GrantView.EngineTotals each : view.engines()) {
+            BudgetMailbox.EngineCount counted = wire.takeCount(each.name());
             if (counted != null && counted.incarnation() == each.incarnation()) {
                 unproven.stream()
                         .filter(
                                 open ->
                                         open.engine().equals(each.name())
-                                                && open.over() <= counted.seen())
+                                                && open.expiredAtIndex() <= counted.knownIndex())
                         .filter(
                                 open ->
                                         open.sessions()
-                                                > counted.running() + config.settings().inHand())
+                                                > counted.running()
+                                                        + config.settings().maxUnacknowledged())
                         .forEach(
                                 open ->
                                         run(
-                                                new BudgetCommand.Count(
+                                                new BudgetCommand.EngineCount(
                                                         each.name(),
                                                         each.incarnation(),
                                                         open.process(),
                                                         open.session(),
-                                                        open.former(),
-                                                        counted.seen(),
+                                                        open.ofPredecessors(),
+                                                        counted.knownIndex(),
                                                         counted.running(),
                                                         false)));
             }
         }
         if (!unproven.isEmpty()) {
-            wire.ask(
-                    new BudgetMailbox.Ask(
-                            unproven.stream().map(GrantView.Unproven::engine).distinct().toList(),
-                            view.index()));
+            wire.requestCounts(
+                    new BudgetMailbox.CountRequest(
+                            unproven.stream()
+                                    .map(GrantView.UnconfirmedUsage::engine)
+                                    .distinct()
+                                    .toList(),
+                            view.appliedIndex()));
         }
     }
 
     private void run(BudgetCommand command) {
-        session.run(GrantMachine.NAME, command.encode(), this::heard);
+        session.run(GrantStateMachine.NAME, command.encode(), this::heard);
     }
 
     private void heard(calicostream.cluster.CommandOutcome outcome) {
--- a/src/main/java/calicostream/cluster/config/BudgetConfig.java
+++ b/src/main/java/calicostream/cluster/config/BudgetConfig.java
@@ -4,11 +4,11 @@
 import calicostream.budget.BudgetException;
 import calicostream.budget.BudgetSettings;
 import calicostream.budget.BudgetSettings.Pool;
-import calicostream.budget.BudgetSettings.Share;
+import calicostream.budget.BudgetSettings.Quota;
 import calicostream.budget.BudgetSettings.Tenant;
 import calicostream.budget.TenantRules;
-import calicostream.budget.TenantRules.Known;
-import calicostream.budget.TenantRules.Range;
+import calicostream.budget.TenantRules.AddressRange;
+import calicostream.budget.TenantRules.TenantMatchers;
 import calicostream.cluster.config.ClusterConfigException.Code;
 import calicostream.cluster.config.SettingsFile.Section;
 import java.time.Duration;
@@ -96,7 +96,7 @@
                             "a budget needs one pool at least, such as [pools.all]");
         }
         Section section = file.section("tenants");
-        Map<String, Known> known = new HashMap<>();
+        Map<String, TenantMatchers> known = new HashMap<>();
         List<Tenant> tenants = tenants(section, pools, known);
         String without = budget.text("default");
         if (!known.containsKey(without)) {
@@ -174,13 +174,13 @@
     }
 
     private static List<Tenant> tenants(
-            Section section, List<Pool> pools, Map<String, Known> known) {
+            Section section, List<Pool> pools, Map<String, TenantMatchers> known) {
         List<Tenant> out = new ArrayList<>();
         for (String name : section.names()) {
             Section each = section.section(ClusterConfig.name(section, name, name));
-            Map<String, Share> shares = new HashMap<>();
-            Share all = share(each);
-            shares.put(BudgetSettings.FLEET, all);
+            Map<String, Quota> shares = new HashMap<>();
+            Quota all = share(each);
+            shares.put(BudgetSettings.ALL_POOLS, all);
             Section byPool = each.section("pools");
             long guarantees = 0;
             for (String pool : byPool.names()) {
@@ -194,7 +194,7 @@
                                     + String.join(", ", pools.stream().map(Pool::name).toList()));
                 }
                 Section one = byPool.section(pool);
-                Share share = share(one);
+                Quota share = share(one);
                 guarantees += share.guarantee();
                 if (guarantees > all.ceiling()) {
                     throw one.wrong(
@@ -214,9 +214,9 @@
         return out;
     }
 
-    private static Share share(Section section) {
-        Share out =
-                new Share(
+    private static Quota share(Section section) {
+        Quota out =
+                new Quota(
                         section.count("guarantee", 0, 0, MOST),
                         section.count("ceiling", NO_CAP, 0, MOST));
         if (out.guarantee() > out.ceiling()) {
@@ -228,10 +228,10 @@
         return out;
     }
 
-    private static Known known(Section section) {
-        List<Range> clients = new ArrayList<>();
+    private static TenantMatchers known(Section section) {
+        List<AddressRange> clients = new ArrayList<>();
         for (String each : section.texts("clients")) {
-            Range range = Range.parse(each);
+            AddressRange range = AddressRange.parse(each);
             if (range == null) {
                 throw section.wrong(
                         Code.WRONG_TYPE,
@@ -243,7 +243,7 @@
             }
             clients.add(range);
         }
-        return new Known(
+        return new TenantMatchers(
                 section.texts("logins"),
                 section.texts("catalogs"),
                 section.addresses("listen"),
@@ -257,7 +257,7 @@
     private static void guaranteesFit(Section section, List<Pool> pools, List<Tenant> tenants) {
         for (Pool pool : pools) {
             long sum =
-                    tenants.stream().mapToLong(each -> each.share(pool.name()).guarantee()).sum();
+                    tenants.stream().mapToLong(each -> each.quota(pool.name()).guarantee()).sum();
             if (sum > pool.cap()) {
                 throw section.section(pool.name())
                         .wrong(
@@ -272,7 +272,7 @@
         long caps = pools.stream().mapToLong(Pool::cap).sum();
         long sum =
                 tenants.stream()
-                        .mapToLong(each -> each.share(BudgetSettings.FLEET).guarantee())
+                        .mapToLong(each -> each.quota(BudgetSettings.ALL_POOLS).guarantee())
                         .sum();
         if (sum > caps) {
             throw section.section(pools.get(0).name())
@@ -288,7 +288,10 @@
     }
 
     private static TenantRules rules(
-            Section section, BudgetSettings settings, Map<String, Known> known, String without) {
+            Section section,
+            BudgetSettings settings,
+            Map<String, TenantMatchers> known,
+            String without) {
         try {
             return new TenantRules(settings, known, without);
         } catch (BudgetException.BadSetting shared) {
--- a/src/main/java/calicostream/daemon/ClusterPart.java
+++ b/src/main/java/calicostream/daemon/ClusterPart.java
@@ -43,7 +43,7 @@
         LeasedTaskProvider.chosen().forEach(leases::add);
         layers.add(leases);
         if (budget != null) {
-            leases.add(budget.arbiter());
+            leases.add(budget.coordinatorTask());
             layers.add(budget);
         }
     }
--- a/src/measure/java/calicostream/budget/BudgetRuns.java
+++ b/src/measure/java/calicostream/budget/BudgetRuns.java
@@ -52,15 +52,17 @@
                 List.of(
                         new BudgetSettings.Tenant("north", 1, Map.of()),
                         new BudgetSettings.Tenant(
-                                "south", 2, Map.of("core", new BudgetSettings.Share(4, 200))),
+                                "south", 2, Map.of("core", new BudgetSettings.Quota(4, 200))),
                         new BudgetSettings.Tenant(
                                 "east",
                                 3,
-                                Map.of(BudgetSettings.FLEET, new BudgetSettings.Share(0, 40))),
+                                Map.of(BudgetSettings.ALL_POOLS, new BudgetSettings.Quota(0, 40))),
                         new BudgetSettings.Tenant(
                                 "west",
                                 1,
-                                Map.of(BudgetSettings.FLEET, new BudgetSettings.Share(30, 300)))),
+                                Map.of(
+                                        BudgetSettings.ALL_POOLS,
+                                        new BudgetSettings.Quota(30, 300)))),
                 processes,
                 SECOND,
                 500,
@@ -254,8 +256,8 @@
         for (int t = 0; t < tenants; t++) {
             Arrays.fill(wanted[t], clients[t] * settings.processes().size());
             for (int k = 0; k < tiers; k++) {
-                BudgetSettings.Share share =
-                        settings.tenants().get(t).share(settings.pools().get(k).name());
+                BudgetSettings.Quota share =
+                        settings.tenants().get(t).quota(settings.pools().get(k).name());
                 guarantees[t][k] = share.guarantee();
                 ceilings[t][k] = share.ceiling();
             }
@@ -269,10 +271,10 @@
                 guarantees,
                 ceilings,
                 settings.tenants().stream()
-                        .mapToInt(each -> each.share(BudgetSettings.FLEET).guarantee())
+                        .mapToInt(each -> each.quota(BudgetSettings.ALL_POOLS).guarantee())
                         .toArray(),
                 settings.tenants().stream()
-                        .mapToInt(each -> each.share(BudgetSettings.FLEET).ceiling())
+                        .mapToInt(each -> each.quota(BudgetSettings.ALL_POOLS).ceiling())
                         .toArray());
     }
 }
--- a/src/measure/java/calicostream/budget/BudgetSim.java
+++ b/src/measure/java/calicostream/budget/BudgetSim.java
@@ -51,7 +51,7 @@
     final SplittableRandom random;
     final List<SimEngine> engines = new ArrayList<>();
     final List<SimProcess> processes = new ArrayList<>();
-    final GrantMachine machine;
+    final GrantStateMachine machine;
     final TreeMap<String, Integer> refusals = new TreeMap<>();
     final TreeMap<String, Integer> injected = new TreeMap<>();
 
@@ -95,7 +95,7 @@
         this.faults = faults;
         this.out = out;
         this.random = new SplittableRandom(seed);
-        this.machine = new GrantMachine(settings, out);
+        this.machine = new GrantStateMachine(settings, out);
         for (int i = 0; i < caps.length; i++) {
             engines.add(
                     new SimEngine(
@@ -130,7 +130,7 @@
     }
 
     private void check(SimEngine engine) {
-        GrantLedger.EngineBook book = machine.books().engines.get(engine.name);
+        GrantLedger.EngineEntry book = machine.ledger().engines.get(engine.name);
         if (book != null && book.incarnation == engine.incarnation) {
             engine.inForce = book.cap;
         }
@@ -230,9 +230,9 @@
         if (!effects.accepted()) {
             refusals.merge(effects.refusal(), 1, Integer::sum);
         }
-        for (String name : machine.books().engines.keySet()) {
-            int committed = machine.books().committed(name);
-            GrantLedger.EngineBook book = machine.books().engines.get(name);
+        for (String name : machine.ledger().engines.keySet()) {
+            int committed = machine.ledger().committed(name);
+            GrantLedger.EngineEntry book = machine.ledger().engines.get(name);
             if (out.isEmpty() && committed > book.cap) {
                 violation =
                         name
@@ -249,31 +249,31 @@
     }
 
     private void lookAtReclaims() {
-        machine.books()
+        machine.ledger()
                 .processes
                 .forEach(
                         (name, process) ->
-                                process.held.forEach(
+                                process.allocations.forEach(
                                         (engine, held) -> {
                                             int granted = held.granted();
                                             look(
                                                     name + "@" + engine,
-                                                    held.most() > granted,
+                                                    held.maxUsableSum() > granted,
                                                     reclaims);
                                             look(
                                                     name + "@" + engine + " room",
-                                                    held.most() > granted
+                                                    held.maxUsableSum() > granted
                                                             || calledBack.containsKey(
                                                                             name + "@" + engine
                                                                                     + " room")
-                                                                    && held.used
+                                                                    && held.inUse
                                                                             > Math.max(
                                                                                     granted,
-                                                                                    machine.books()
+                                                                                    machine.ledger()
                                                                                                     .floor(
                                                                                                             name,
                                                                                                             engine)
-                                                                                            - held.left),
+                                                                                            - held.orphaned),
                                                     freed);
                                         }));
     }
@@ -321,36 +321,36 @@
         if (seat.isStopped() || !seat.isUp()) {
             return;
         }
-        GrantMachine view = new GrantMachine(settings, out);
+        GrantStateMachine view = new GrantStateMachine(settings, out);
         view.restore(machine.snapshot());
-        for (BudgetCommand.Divide divide : arbiter.divide(view, sent)) {
+        for (BudgetCommand.Allocate divide : arbiter.allocate(view, sent)) {
             submit(seat.session(), divide.encode(), effects -> {});
         }
         if (faults.on) {
             if (random.nextInt(20) == 0) {
                 mad(view, sent, seat.session());
             }
-            view.books()
+            view.ledger()
                     .processes
                     .forEach(
                             (name, process) -> {
                                 engines.forEach(engine -> ask(view, seat, name, process, engine));
-                                seenNumber.put(name, process.number);
+                                seenNumber.put(name, process.reportNumber);
                             });
         }
     }
 
     /** An arbiter that gives whatever it likes. */
-    private void mad(GrantMachine view, long sent, long session) {
+    private void mad(GrantStateMachine view, long sent, long session) {
         injected("mad division");
-        List<BudgetCommand.Share> shares = new ArrayList<>();
-        view.books()
+        List<BudgetCommand.Grant> shares = new ArrayList<>();
+        view.ledger()
                 .processes
                 .forEach(
                         (name, process) -> {
                             SimEngine engine = engines.get(random.nextInt(engines.size()));
                             shares.add(
-                                    new BudgetCommand.Share(
+                                    new BudgetCommand.Grant(
                                             name,
                                             process.session,
                                             engine.name,
@@ -360,7 +360,7 @@
                                                     .name(),
                                             random.nextInt(engine.cap + 1)));
                         });
-        submit(session, new BudgetCommand.Divide(sent, shares).encode(), effects -> {});
+        submit(session, new BudgetCommand.Allocate(sent, shares).encode(), effects -> {});
     }
 
     /**
@@ -368,30 +368,30 @@
      * then of one that is neither.
      */
     private void ask(
-            GrantMachine view,
+            GrantStateMachine view,
             SimProcess seat,
             String name,
-            GrantLedger.ProcessBook process,
+            GrantLedger.ProcessEntry process,
             SimEngine engine) {
-        boolean former = process.hasFormer && random.nextBoolean();
-        long over = former ? process.formerExpiredAt : process.expiredAt;
-        boolean silent = seenNumber.getOrDefault(name, -1L) == process.number;
+        boolean former = process.hasPredecessors && random.nextBoolean();
+        long over = former ? process.predecessorsExpiredAtIndex : process.expiredAtIndex;
+        boolean silent = seenNumber.getOrDefault(name, -1L) == process.reportNumber;
         if (process.session == 0 || over == 0 && random.nextInt(silent ? 2 : 20) != 0) {
             return; // the impatient ask before it is time
         }
-        long seen = view.books().index;
+        long seen = view.ledger().appliedIndex;
         if (random.nextInt(silent ? 3 : 60) == 0) { // a member without the right to
             submit(
                     seat.session(),
-                    new BudgetCommand.Expire(name, process.session, former, process.number)
+                    new BudgetCommand.Expire(name, process.session, former, process.reportNumber)
                             .encode(),
                     effects -> {});
         }
         at(
                 now + delay(),
                 () -> {
-                    BudgetCommand.Count count =
-                            new BudgetCommand.Count(
+                    BudgetCommand.EngineCount count =
+                            new BudgetCommand.EngineCount(
                                     engine.name,
                                     engine.incarnation,
                                     name,
@@ -413,17 +413,17 @@
         int cap = engine.cap;
         submit(
                 1_000_000,
-                new BudgetCommand.Engine(engine.name, incarnation, engine.pool, cap).encode(),
+                new BudgetCommand.UpdateEngine(engine.name, incarnation, engine.pool, cap).encode(),
                 effects -> {});
         at(
                 now + 500 * MS,
                 () -> { // until the machine has it
-                    GrantLedger.EngineBook book = machine.books().engines.get(engine.name);
+                    GrantLedger.EngineEntry book = machine.ledger().engines.get(engine.name);
                     if (engine.incarnation == incarnation
                             && engine.cap == cap
                             && (book == null
                                     || book.incarnation != incarnation
-                                    || book.target != cap)) {
+                                    || book.requestedCap != cap)) {
                         tell(engine);
                     }
                 });
--- a/src/measure/java/calicostream/budget/MaxMinOracle.java
+++ b/src/measure/java/calicostream/budget/MaxMinOracle.java
@@ -27,18 +27,18 @@
     }
 
     private double[] totals() {
-        double[][] kept = new double[tenants][problem.tiers()];
+        double[][] kept = new double[tenants][problem.pools()];
         double[] lower = new double[tenants];
-        for (int k = 0; k < problem.tiers(); k++) {
+        for (int k = 0; k < problem.pools(); k++) {
             int tier = k;
             double[] promised =
                     fill(
-                            i -> problem.tierGuarantees()[i][tier],
+                            i -> problem.poolGuarantees()[i][tier],
                             new double[tenants],
                             i ->
                                     Math.min(
-                                            problem.tierGuarantees()[i][tier],
-                                            problem.tierCeilings()[i][tier]),
+                                            problem.poolGuarantees()[i][tier],
+                                            problem.poolCeilings()[i][tier]),
                             ranks(set -> within(tier, set)),
                             EXACT[0]);
             for (int t = 0; t < tenants; t++) {
@@ -70,15 +70,15 @@
     private double within(int tier, int set) {
         double engines = 0;
         for (int e = 0; e < problem.engines(); e++) {
-            if (problem.tierOf()[e] == tier) {
+            if (problem.poolOf()[e] == tier) {
                 double wanted = 0;
                 for (int t = 0; t < tenants; t++) {
-                    wanted += (set >> t & 1) == 1 ? problem.wanted()[t][e] : 0;
+                    wanted += (set >> t & 1) == 1 ? problem.demand()[t][e] : 0;
                 }
                 engines += Math.min(problem.caps()[e], wanted);
             }
         }
-        return Math.min(engines, problem.tierCaps()[tier]);
+        return Math.min(engines, problem.poolCaps()[tier]);
     }
 
     /**
@@ -87,7 +87,7 @@
      */
     private double rank(int set, double[][] kept) {
         double rank = 0;
-        for (int k = 0; k < problem.tiers(); k++) {
+        for (int k = 0; k < problem.pools(); k++) {
             double least = Double.MAX_VALUE;
             for (int reached = 0; reached < 1 << tenants; reached++) {
                 double cut = within(k, reached);
@@ -96,7 +96,7 @@
                     boolean reaches = (reached >> t & 1) == 1;
                     cut +=
                             in && !reaches
-                                    ? problem.tierCeilings()[t][k]
+                                    ? problem.poolCeilings()[t][k]
                                     : !in && reaches ? -kept[t][k] : 0;
                 }
                 least = Math.min(least, cut);
--- a/src/measure/java/calicostream/budget/SimProcess.java
+++ b/src/measure/java/calicostream/budget/SimProcess.java
@@ -87,7 +87,7 @@
         areaSince = sim.now;
         long mine = session;
         for (SimEngine engine : sim.engines) {
-            holdings.engine(engine.name, engine.pool);
+            holdings.registerEngine(engine.name, engine.pool);
             connect(engine, mine);
         }
         join(mine);
@@ -142,7 +142,7 @@
         boolean[] answered = new boolean[1];
         sim.submit(
                 mine,
-                holdings.report(clock(), demand).encode(),
+                holdings.nextReport(clock(), demand).encode(),
                 effects -> here(mine, () -> answered(mine, effects, answered, number)),
                 dumbUntil,
                 deafUntil);
@@ -165,9 +165,9 @@
 
     private void answered(long mine, CommandEffects effects, boolean[] answered, long number) {
         if (effects.accepted()) {
-            holdings.granted(BudgetCommand.Grants.decode(effects.answer()), clock());
+            holdings.applyReply(BudgetCommand.RenewalReply.decode(effects.answer()), clock());
         } else if (effects.refusal().equals("budget-grant-over")) {
-            holdings.lapse();
+            holdings.expire();
         }
         for (int e = 0; e < sim.engines.size(); e++) {
             serve(e);
@@ -175,7 +175,7 @@
         if (!answered[0]) {
             answered[0] = true;
             sim.at(
-                    sim.now + (holdings.isCalledBack() ? 1 : 200) * BudgetSim.MS,
+                    sim.now + (holdings.isReclaimed() ? 1 : 200) * BudgetSim.MS,
                     () ->
                             here(
                                     mine,
@@ -190,12 +190,15 @@
     /** What is used and waits, for the demand; and who has waited too long. */
     private void look() {
         for (int t = 0; t < load.clients.length; t++) {
-            for (long request : queues.impatient(t, clock())) {
-                refused(t, waiting.remove(request), queues.refusal(t, clock()).returnAfterNanos());
+            for (long request : queues.removeTimedOut(t, clock())) {
+                refused(
+                        t,
+                        waiting.remove(request),
+                        queues.rejection(t, clock()).returnAfterNanos());
             }
             for (int e = 0; e < sim.engines.size(); e++) {
                 demand.observe(
-                        t, e, holdings.sessions(t, e), queues.waiting(t, e) + idle[e][t], clock());
+                        t, e, holdings.sessions(t, e), queues.queued(t, e) + idle[e][t], clock());
             }
         }
     }
@@ -225,9 +228,9 @@
                                         here(
                                                 mine,
                                                 () -> {
-                                                    holdings.connected(slot, incarnation);
+                                                    holdings.engineConnected(slot, incarnation);
                                                     if (closed && engine.tellsByProcess) {
-                                                        holdings.leftRunning(
+                                                        holdings.boundOrphaned(
                                                                 slot, incarnation, left);
                                                     }
                                                     if (first) {
@@ -264,7 +267,7 @@
         int slot = sim.engines.indexOf(engine);
         long incarnation = holdings.incarnation(slot);
         long asked = clock();
-        if (incarnation != 0 && ledger.isDue(slot, asked)) {
+        if (incarnation != 0 && ledger.isCountDue(slot, asked)) {
             sim.at(
                     sim.now + sim.delay(),
                     () -> {
@@ -276,7 +279,7 @@
                                                 mine,
                                                 () -> {
                                                     if (holdings.incarnation(slot) == incarnation) {
-                                                        ledger.counted(slot, asked, running);
+                                                        ledger.engineCounted(slot, asked, running);
                                                         serve(slot);
                                                     }
                                                 }));
@@ -304,7 +307,7 @@
             sim.at(quietUntil[tenant], () -> here(mine, () -> arrive(tenant, slot, mine)));
             return;
         }
-        if (holdings.mayUse(tenant, slot, clock())) {
+        if (holdings.mayStart(tenant, slot, clock())) {
             begin(tenant, slot);
             return;
         }
@@ -338,7 +341,7 @@
     }
 
     private long next(int slot) {
-        long request = queues.next(slot, clock(), holdings);
+        long request = queues.poll(slot, clock(), holdings);
         if (request >= 0) {
             begin(queues.lastTenant(), slot);
         }
@@ -357,7 +360,7 @@
     private void begin(int tenant, int slot) {
         area();
         begun++;
-        holdings.begun(tenant, slot);
+        holdings.sessionStarted(tenant, slot);
         SimEngine engine = sim.engines.get(slot);
         long incarnation = holdings.incarnation(slot);
         long mine = session;
@@ -399,7 +402,7 @@
                                     here(
                                             mine,
                                             () -> {
-                                                holdings.arrived(slot, incarnation);
+                                                holdings.sessionAcknowledged(slot, incarnation);
                                                 serve(slot);
                                             }));
                     long ends = sim.now + Math.max(lasts, 1);
@@ -415,9 +418,10 @@
                                                             mine,
                                                             () -> {
                                                                 area();
-                                                                holdings.ended(
+                                                                holdings.sessionEnded(
                                                                         tenant, slot, incarnation);
-                                                                queues.ended(tenant, clock());
+                                                                queues.sessionEnded(
+                                                                        tenant, clock());
                                                                 serve(slot);
                                                                 arrive(tenant, slot, mine);
                                                             }));
@@ -433,7 +437,7 @@
         } else if (up && !isStopped()) {
             for (int t = 0; t < load.clients.length; t++) {
                 for (int slot = 0; slot < sim.engines.size(); slot++) {
-                    while (holdings.mayUse(t, slot, clock())) {
+                    while (holdings.mayStart(t, slot, clock())) {
                         begin(t, slot);
                     }
                 }
@@ -494,6 +498,6 @@
     }
 
     boolean isLive() {
-        return holdings.isLive();
+        return holdings.hasActiveGrants();
     }
 }
--- a/src/measure/java/calicostream/measure/BudgetMeasure.java
+++ b/src/measure/java/calicostream/measure/BudgetMeasure.java
@@ -41,16 +41,16 @@
     /** Grants for all tenants at all engines. */
     private static GrantedSessions holdings() {
         GrantedSessions holdings = new GrantedSessions(SETTINGS, "p");
-        List<BudgetCommand.Share> shares = new ArrayList<>();
+        List<BudgetCommand.Grant> shares = new ArrayList<>();
         for (int e = 0; e < ENGINES; e++) {
-            holdings.connected(holdings.engine("e" + e, "pool"), 1);
+            holdings.engineConnected(holdings.registerEngine("e" + e, "pool"), 1);
             for (int t = 0; t < TENANTS; t++) {
-                shares.add(new BudgetCommand.Share("p", 1, "e" + e, 1, "t" + t, (e + t) % 3));
+                shares.add(new BudgetCommand.Grant("p", 1, "e" + e, 1, "t" + t, (e + t) % 3));
             }
         }
-        holdings.granted(
-                new BudgetCommand.Grants(
-                        holdings.report(0, new DemandEstimator(TENANTS, 1)).number(),
+        holdings.applyReply(
+                new BudgetCommand.RenewalReply(
+                        holdings.nextReport(0, new DemandEstimator(TENANTS, 1)).reportNumber(),
                         1,
                         shares,
                         List.of()),
@@ -140,14 +140,14 @@
             int tenant = i % TENANTS;
             long from = System.nanoTime();
             int chosen = -1;
-            if (queues.waiting(tenant, 0) == 0 && holdings.free(tenant, 1) > 0) {
+            if (queues.queued(tenant, 0) == 0 && holdings.headroom(tenant, 1) > 0) {
                 for (int e = 0; e < ENGINES; e++) {
-                    chosen = holdings.mayUse(tenant, e, 1) ? e : chosen;
+                    chosen = holdings.mayStart(tenant, e, 1) ? e : chosen;
                 }
-                holdings.begun(tenant, chosen);
-                holdings.arrived(chosen, 1);
-                holdings.ended(tenant, chosen, 1);
-                queues.ended(tenant, i);
+                holdings.sessionStarted(tenant, chosen);
+                holdings.sessionAcknowledged(chosen, 1);
+                holdings.sessionEnded(tenant, chosen, 1);
+                queues.sessionEnded(tenant, i);
             }
             if (i >= 100_000) {
                 requests.recordValue(System.nanoTime() - from);
@@ -167,7 +167,7 @@
         for (int i = 0; i < 400_000; i++) {
             long from = System.nanoTime();
             for (int j = 0; j < 100; j++) {
-                yes += holdings.mayUse((i + j * 7) % TENANTS, (i * 13 + j) % ENGINES, 1) ? 1 : 0;
+                yes += holdings.mayStart((i + j * 7) % TENANTS, (i * 13 + j) % ENGINES, 1) ? 1 : 0;
             }
             if (i >= 100_000) {
                 batches.recordValue(System.nanoTime() - from);
--- a/src/test/java/calicostream/budget/BudgetRunsTest.java
+++ b/src/test/java/calicostream/budget/BudgetRunsTest.java
@@ -56,10 +56,10 @@
     void theCheckerSeesWhatIsTakenOut() {
         for (Safeguard safeguard :
                 Set.of(
-                        Safeguard.CAP_AT_APPLY,
-                        Safeguard.LOWERED_CAP_WAITS,
-                        Safeguard.LOWERED_COUNTS_UNTIL_KNOWN,
-                        Safeguard.LEFT_RUNNING_COUNTS)) {
+                        Safeguard.CAP_CHECKED_AT_APPLY,
+                        Safeguard.LOWERED_CAP_IS_DEFERRED,
+                        Safeguard.LOWERED_GRANT_COUNTS_UNTIL_ACKNOWLEDGED,
+                        Safeguard.ORPHANED_SESSIONS_COUNT)) {
             long found = BudgetRuns.found(safeguard, SEED, 60);
             System.out.println(safeguard + " taken out: found at seed " + found);
             assertTrue(found >= 0, safeguard + " is not found from seed " + SEED);
