--- a/src/test/java/calicostream/budget/GrantMachineTest.java
+++ b/src/test/java/calicostream/budget/GrantStateMachineTest.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class GrantMachineTest {
+class GrantStateMachineTest {
     private static final BudgetSettings SETTINGS =
             new BudgetSettings(
                     List.of(new BudgetSettings.Pool("pool", 2, 100)),
@@ -23,7 +23,7 @@
                     1_000_000_000,
                     500,
                     2);
-    private final GrantMachine machine = new GrantMachine(SETTINGS);
+    private final GrantStateMachine machine = new GrantStateMachine(SETTINGS);
     private long index;
 
     private CommandEffects tell(long session, BudgetCommand command) {
@@ -40,17 +40,17 @@
         return refusal;
     }
 
-    private static BudgetCommand.Divide divide(
+    private static BudgetCommand.Allocate divide(
             long token, String process, long session, long incarnation, int sessions) {
-        return new BudgetCommand.Divide(
+        return new BudgetCommand.Allocate(
                 token,
                 List.of(
-                        new BudgetCommand.Share(
+                        new BudgetCommand.Grant(
                                 process, session, "e", incarnation, "t", sessions)));
     }
 
     private void start() {
-        tell(9, new BudgetCommand.Engine("e", 1, "pool", 10));
+        tell(9, new BudgetCommand.UpdateEngine("e", 1, "pool", 10));
         tell(1, new BudgetCommand.Join("a"));
         tell(2, new BudgetCommand.Join("b"));
     }
@@ -67,22 +67,23 @@
                 "budget-unknown",
                 refusal(
                         1,
-                        new BudgetCommand.Divide(
-                                5, List.of(new BudgetCommand.Share("a", 1, "e", 1, "x", 1)))));
+                        new BudgetCommand.Allocate(
+                                5, List.of(new BudgetCommand.Grant("a", 1, "e", 1, "x", 1)))));
         assertEquals(
-                "budget-floors-over-cap", refusal(1, new BudgetCommand.Engine("e", 1, "pool", 3)));
+                "budget-floors-over-cap",
+                refusal(1, new BudgetCommand.UpdateEngine("e", 1, "pool", 3)));
         assertEquals(
                 "budget-other-incarnation",
-                refusal(1, new BudgetCommand.Engine("e", 0, "pool", 10)));
+                refusal(1, new BudgetCommand.UpdateEngine("e", 0, "pool", 10)));
         assertEquals(
                 "budget-no-proof",
-                refusal(2, new BudgetCommand.Count("e", 1, "a", 1, false, index, 0, false)));
+                refusal(2, new BudgetCommand.EngineCount("e", 1, "a", 1, false, index, 0, false)));
         assertEquals("budget-not-due", refusal(2, new BudgetCommand.Expire("a", 1, false, 0)));
         assertTrue(tell(1, new BudgetCommand.Renew(1, 1, List.of(), List.of())).accepted());
         assertEquals(
                 "budget-old-report",
                 refusal(1, new BudgetCommand.Renew(1, 1, List.of(), List.of())));
-        tell(9, new BudgetCommand.Engine("e", 1, "pool", 6));
+        tell(9, new BudgetCommand.UpdateEngine("e", 1, "pool", 6));
         assertEquals("budget-cap-lowered", refusal(1, divide(5, "b", 2, 1, 1)));
         assertEquals(
                 "cluster-malformed",
@@ -93,29 +94,32 @@
     void aLoweredCapIsRecordedUntilItIsInForce() {
         start();
         tell(1, divide(1, "a", 1, 1, 8));
-        assertTrue(tell(9, new BudgetCommand.Engine("e", 1, "pool", 5)).events().isEmpty());
+        assertTrue(tell(9, new BudgetCommand.UpdateEngine("e", 1, "pool", 5)).events().isEmpty());
         tell(1, divide(1, "a", 1, 1, 3));
-        assertEquals(10, machine.books().engines.get("e").cap);
+        assertEquals(10, machine.ledger().engines.get("e").cap);
         CommandEffects known =
                 tell(
                         1,
                         new BudgetCommand.Renew(
-                                1, 2, List.of(new BudgetCommand.Use("e", 1, 3, 0)), List.of()));
+                                1,
+                                2,
+                                List.of(new BudgetCommand.EngineUsage("e", 1, 3, 0)),
+                                List.of()));
         assertEquals("budget-cap-in-force", known.events().get(0).kind());
-        assertEquals(5, machine.books().engines.get("e").cap);
+        assertEquals(5, machine.ledger().engines.get("e").cap);
     }
 
     @Test
     void aReplacedEngineOwesNothingToItsFormerIncarnation() {
         start();
         tell(1, divide(1, "a", 1, 1, 8));
-        tell(9, new BudgetCommand.Engine("e", 2, "pool", 10));
-        assertEquals(4, machine.books().committed("e"));
+        tell(9, new BudgetCommand.UpdateEngine("e", 2, "pool", 10));
+        assertEquals(4, machine.ledger().committed("e"));
         assertEquals("budget-other-incarnation", refusal(1, divide(1, "a", 1, 1, 1)));
-        tell(9, new BudgetCommand.Gone("e", 2));
+        tell(9, new BudgetCommand.RemoveEngine("e", 2));
         assertEquals(
                 "budget-other-incarnation",
-                refusal(9, new BudgetCommand.Engine("e", 2, "pool", 10)),
+                refusal(9, new BudgetCommand.UpdateEngine("e", 2, "pool", 10)),
                 "none comes back");
     }
 
@@ -124,7 +128,7 @@
         start();
         tell(1, divide(1, "a", 1, 1, 5));
         byte[] snapshot = machine.snapshot();
-        GrantMachine copy = new GrantMachine(SETTINGS);
+        GrantStateMachine copy = new GrantStateMachine(SETTINGS);
         copy.restore(snapshot);
         assertArrayEquals(snapshot, copy.snapshot());
         for (int length = 0; length < snapshot.length; length++) {
@@ -148,7 +152,7 @@
                                                                 1,
                                                                 Map.of(
                                                                         "p",
-                                                                        new BudgetSettings.Share(
+                                                                        new BudgetSettings.Quota(
                                                                                 6, 8)))),
                                                 List.of("a"),
                                                 1_000_000_000,
--- a/src/test/java/calicostream/budget/HoldingsTest.java
+++ b/src/test/java/calicostream/budget/GrantedSessionsTest.java
@@ -12,7 +12,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class HoldingsTest {
+class GrantedSessionsTest {
     private static final long MS = 1_000_000;
     private static final BudgetSettings SETTINGS =
             new BudgetSettings(
@@ -25,42 +25,42 @@
                     500,
                     4);
     private final GrantedSessions holdings = new GrantedSessions(SETTINGS, "a");
-    private final int e = holdings.engine("e", "pool");
+    private final int e = holdings.registerEngine("e", "pool");
 
     private int begins(int tenant, long now) {
         int begun = 0;
-        while (holdings.mayUse(tenant, e, now)) {
-            holdings.begun(tenant, e);
-            holdings.arrived(e, 1);
+        while (holdings.mayStart(tenant, e, now)) {
+            holdings.sessionStarted(tenant, e);
+            holdings.sessionAcknowledged(e, 1);
             begun++;
         }
         return begun;
     }
 
     private void granted(long now, int s, int t) {
-        long number = holdings.report(now, new DemandEstimator(2, MS)).number();
-        holdings.granted(
-                new BudgetCommand.Grants(
+        long number = holdings.nextReport(now, new DemandEstimator(2, MS)).reportNumber();
+        holdings.applyReply(
+                new BudgetCommand.RenewalReply(
                         number,
                         number,
                         List.of(
-                                new BudgetCommand.Share("", 1, "e", 1, "s", s),
-                                new BudgetCommand.Share("", 1, "e", 1, "t", t)),
-                        List.of(new BudgetCommand.Use("e", 1, 0, 0))),
+                                new BudgetCommand.Grant("", 1, "e", 1, "s", s),
+                                new BudgetCommand.Grant("", 1, "e", 1, "t", t)),
+                        List.of(new BudgetCommand.EngineUsage("e", 1, 0, 0))),
                 now);
     }
 
     @Test
     void floorsRemainWhenGrantsHaveEnded() {
-        holdings.connected(e, 1);
+        holdings.engineConnected(e, 1);
         assertEquals(0, begins(0, 0), "what former starts left is not known");
         granted(0, 3, 5);
         assertEquals(3, begins(0, 0));
         assertFalse(
-                holdings.mayUse(1, e, SETTINGS.usableNanos()), "three run over the floor of two");
-        assertFalse(holdings.isLive());
-        holdings.ended(0, e, 1);
-        holdings.ended(0, e, 1);
+                holdings.mayStart(1, e, SETTINGS.usableNanos()), "three run over the floor of two");
+        assertFalse(holdings.hasActiveGrants());
+        holdings.sessionEnded(0, e, 1);
+        holdings.sessionEnded(0, e, 1);
         assertEquals(1, begins(1, 2_000 * MS));
     }
 
@@ -74,7 +74,7 @@
 
     @Test
     void aDecisionAllocatesNothing() {
-        holdings.connected(e, 1);
+        holdings.engineConnected(e, 1);
         granted(0, 3, 5);
         com.sun.management.ThreadMXBean threads =
                 (com.sun.management.ThreadMXBean)
@@ -83,7 +83,7 @@
         long before = threads.getCurrentThreadAllocatedBytes();
         int yes = 0;
         for (int i = 0; i < 100_000; i++) {
-            yes += holdings.mayUse(i & 1, e, i) ? 1 : 0;
+            yes += holdings.mayStart(i & 1, e, i) ? 1 : 0;
         }
         long allocated = threads.getCurrentThreadAllocatedBytes() - before;
         assertEquals(100_000, yes);
@@ -92,35 +92,35 @@
 
     @Test
     void aReplacedEngineStartsFromFloors() {
-        holdings.connected(e, 1);
+        holdings.engineConnected(e, 1);
         granted(0, 3, 5);
         begins(0, 0);
-        holdings.connected(e, 2);
+        holdings.engineConnected(e, 2);
         assertEquals(0, holdings.sessions(0, e));
-        holdings.ended(0, e, 1);
+        holdings.sessionEnded(0, e, 1);
         assertEquals(0, holdings.sessions(0, e), "a late word of the former incarnation");
-        assertTrue(holdings.mayUse(0, e, 0));
-        holdings.begun(0, e);
-        holdings.begun(0, e);
-        assertFalse(holdings.mayUse(0, e, 0));
+        assertTrue(holdings.mayStart(0, e, 0));
+        holdings.sessionStarted(0, e);
+        holdings.sessionStarted(0, e);
+        assertFalse(holdings.mayStart(0, e, 0));
     }
 
     @Test
     void whoHasLeastForItsWeightIsNextAndRefusalsTellWhenToReturn() {
         TenantQueues queues = new TenantQueues(SETTINGS, 10, 1);
-        holdings.connected(e, 1);
+        holdings.engineConnected(e, 1);
         granted(0, 4, 4);
         for (long request = 0; request < 4; request++) {
             queues.offer((int) request % 2, e, request, 0, 100 * MS);
         }
-        assertEquals(0, queues.next(e, 0, holdings));
-        holdings.begun(0, e);
-        assertEquals(1, queues.next(e, 0, holdings));
-        holdings.begun(1, e);
-        assertEquals(3, queues.next(e, 0, holdings), "a third of the load for its weight");
-        assertEquals(List.of(2L), queues.impatient(0, 100 * MS));
-        queues.ended(0, 100 * MS);
-        queues.ended(0, 150 * MS);
+        assertEquals(0, queues.poll(e, 0, holdings));
+        holdings.sessionStarted(0, e);
+        assertEquals(1, queues.poll(e, 0, holdings));
+        holdings.sessionStarted(1, e);
+        assertEquals(3, queues.poll(e, 0, holdings), "a third of the load for its weight");
+        assertEquals(List.of(2L), queues.removeTimedOut(0, 100 * MS));
+        queues.sessionEnded(0, 100 * MS);
+        queues.sessionEnded(0, 150 * MS);
         BudgetException.NoRoom refusal =
                 assertThrows(
                         BudgetException.NoRoom.class,
@@ -130,44 +130,46 @@
 
     @Test
     void underANewSessionWhatRunsCountsAsLeftAndTheFloorOpensAsItEnds() {
-        holdings.connected(e, 1);
+        holdings.engineConnected(e, 1);
         granted(0, 3, 5);
-        assertEquals(4, holdings.free(1, 0), "no more may be on their way");
+        assertEquals(4, holdings.headroom(1, 0), "no more may be on their way");
         assertEquals(3, begins(0, 0));
-        assertEquals(0, holdings.free(0, 0));
-        GrantedSessions anew = holdings.anew();
-        assertEquals(0, anew.free(0, 0), "three run over the floor of two");
-        assertEquals(3, anew.report(0, new DemandEstimator(2, MS)).uses().get(0).left());
-        holdings.ended(0, e, 1);
-        anew.leftBy(holdings, e);
-        assertEquals(0, anew.free(0, 0));
-        holdings.ended(0, e, 1);
-        anew.leftBy(holdings, e);
-        assertEquals(1, anew.free(0, 0));
-        assertTrue(anew.mayUse(0, e, 0));
-        anew.connected(e, 2);
-        anew.leftBy(holdings, e);
-        assertEquals(2, anew.free(0, 0), "the other incarnation's have ended with it");
+        assertEquals(0, holdings.headroom(0, 0));
+        GrantedSessions anew = holdings.forNewClusterSession();
+        assertEquals(0, anew.headroom(0, 0), "three run over the floor of two");
+        assertEquals(3, anew.nextReport(0, new DemandEstimator(2, MS)).usages().get(0).orphaned());
+        holdings.sessionEnded(0, e, 1);
+        anew.updateOrphanedFrom(holdings, e);
+        assertEquals(0, anew.headroom(0, 0));
+        holdings.sessionEnded(0, e, 1);
+        anew.updateOrphanedFrom(holdings, e);
+        assertEquals(1, anew.headroom(0, 0));
+        assertTrue(anew.mayStart(0, e, 0));
+        anew.engineConnected(e, 2);
+        anew.updateOrphanedFrom(holdings, e);
+        assertEquals(2, anew.headroom(0, 0), "the other incarnation's have ended with it");
     }
 
     @Test
     void aSessionInDoubtEndsOnceItsEngineRunsFewerInAll() {
         UnconfirmedSessions doubts = new UnconfirmedSessions(100 * MS);
         for (int i = 0; i < 3; i++) {
-            doubts.add(new UnconfirmedSessions.Doubt(1, i, e, 1, i * 10 * MS));
+            doubts.add(new UnconfirmedSessions.UnconfirmedSession(1, i, e, 1, i * 10 * MS));
         }
-        assertEquals(List.of(), doubts.counted(e, 90 * MS, 0), "may still be on their way");
+        assertEquals(List.of(), doubts.engineCounted(e, 90 * MS, 0), "may still be on their way");
         assertEquals(
-                List.of(), doubts.counted(e, 115 * MS, 2), "two are old enough, and two may run");
+                List.of(),
+                doubts.engineCounted(e, 115 * MS, 2),
+                "two are old enough, and two may run");
         assertEquals(
                 List.of(0),
-                doubts.counted(e, 115 * MS, 1).stream()
-                        .map(UnconfirmedSessions.Doubt::tenant)
+                doubts.engineCounted(e, 115 * MS, 1).stream()
+                        .map(UnconfirmedSessions.UnconfirmedSession::tenant)
                         .toList());
         assertEquals(
                 List.of(1, 2),
-                doubts.counted(e, 500 * MS, 0).stream()
-                        .map(UnconfirmedSessions.Doubt::tenant)
+                doubts.engineCounted(e, 500 * MS, 0).stream()
+                        .map(UnconfirmedSessions.UnconfirmedSession::tenant)
                         .toList());
         assertEquals(0, doubts.size());
     }
@@ -178,7 +180,7 @@
         for (int run = 0; run < 2_000; run++) {
             int[] caps = random.ints(random.nextInt(1, 9), 0, 40).toArray();
             int waiting = random.nextInt(0, 100);
-            int[] parts = QueuedDemand.spread(waiting, caps);
+            int[] parts = QueuedDemand.distribute(waiting, caps);
             long sum = Arrays.stream(caps).sum();
             assertEquals(sum == 0 ? 0 : waiting, Arrays.stream(parts).sum(), "run " + run);
             for (int i = 0; i < caps.length && sum > 0; i++) {
--- a/src/test/java/calicostream/budget/DividerTest.java
+++ b/src/test/java/calicostream/budget/MaxMinFairAllocatorTest.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class DividerTest {
+class MaxMinFairAllocatorTest {
     private static final long SEED = 20261202;
     private static final int CASES = 4_000;
 
@@ -59,25 +59,25 @@
 
     private static void assertLawful(
             MaxMinFairAllocator.Problem problem, int[][] placed, String what) {
-        int[] tier = new int[problem.tiers()];
-        int[][] own = new int[problem.tenants()][problem.tiers()];
+        int[] tier = new int[problem.pools()];
+        int[][] own = new int[problem.tenants()][problem.pools()];
         for (int e = 0; e < problem.engines(); e++) {
             int sum = 0;
             for (int t = 0; t < problem.tenants(); t++) {
                 assertTrue(
-                        placed[t][e] >= 0 && placed[t][e] <= problem.wanted()[t][e],
+                        placed[t][e] >= 0 && placed[t][e] <= problem.demand()[t][e],
                         what + ": more than wanted");
                 sum += placed[t][e];
-                own[t][problem.tierOf()[e]] += placed[t][e];
+                own[t][problem.poolOf()[e]] += placed[t][e];
             }
-            tier[problem.tierOf()[e]] += sum;
+            tier[problem.poolOf()[e]] += sum;
             assertTrue(sum <= problem.caps()[e], what + ": over the cap of engine " + e);
         }
         for (int k = 0; k < tier.length; k++) {
-            assertTrue(tier[k] <= problem.tierCaps()[k], what + ": over tier " + k);
+            assertTrue(tier[k] <= problem.poolCaps()[k], what + ": over tier " + k);
             for (int t = 0; t < problem.tenants(); t++) {
                 assertTrue(
-                        own[t][k] <= problem.tierCeilings()[t][k],
+                        own[t][k] <= problem.poolCeilings()[t][k],
                         what + ": over a tenant's ceiling in tier " + k);
             }
         }
@@ -94,7 +94,7 @@
         double relative = 0;
         for (int i = 0; i < CASES; i++) {
             MaxMinFairAllocator.Problem problem = problem(new SplittableRandom(SEED + i));
-            int[][] placed = MaxMinFairAllocator.divide(problem, null);
+            int[][] placed = MaxMinFairAllocator.allocate(problem, null);
             assertLawful(problem, placed, "seed " + (SEED + i));
             int[] has = totals(placed);
             double[] fair = MaxMinOracle.totals(problem);
@@ -137,7 +137,7 @@
                         new int[][] {{40}, {40}},
                         new int[] {12, 0},
                         new int[] {40, 40});
-        assertArrayEquals(new int[] {12, 28}, totals(MaxMinFairAllocator.divide(problem, null)));
+        assertArrayEquals(new int[] {12, 28}, totals(MaxMinFairAllocator.allocate(problem, null)));
     }
 
     @Test
@@ -145,16 +145,16 @@
         for (int i = 0; i < CASES / 4; i++) {
             SplittableRandom random = new SplittableRandom(SEED + i);
             MaxMinFairAllocator.Problem problem = problem(random);
-            int[] before = totals(MaxMinFairAllocator.divide(problem, null));
+            int[] before = totals(MaxMinFairAllocator.allocate(problem, null));
             int t = random.nextInt(problem.tenants());
             int e = random.nextInt(problem.engines());
-            problem.wanted()[t][e] += random.nextInt(1, 10);
-            int[] more = totals(MaxMinFairAllocator.divide(problem, null));
+            problem.demand()[t][e] += random.nextInt(1, 10);
+            int[] more = totals(MaxMinFairAllocator.allocate(problem, null));
             assertTrue(
                     more[t] >= before[t],
                     "seed " + (SEED + i) + ": wants more, has " + more[t] + " after " + before[t]);
             problem.weights()[t] *= 3;
-            int[] heavier = totals(MaxMinFairAllocator.divide(problem, null));
+            int[] heavier = totals(MaxMinFairAllocator.allocate(problem, null));
             assertTrue(
                     heavier[t] >= more[t],
                     "seed "
@@ -173,15 +173,15 @@
         for (int i = 0; i < CASES / 4; i++) {
             SplittableRandom random = new SplittableRandom(SEED + i);
             MaxMinFairAllocator.Problem problem = problem(random);
-            int[][] before = MaxMinFairAllocator.divide(problem, null);
+            int[][] before = MaxMinFairAllocator.allocate(problem, null);
             assertArrayEquals(
                     before,
-                    MaxMinFairAllocator.divide(problem, before),
+                    MaxMinFairAllocator.allocate(problem, before),
                     "seed " + (SEED + i) + ": nothing changed");
-            problem.wanted()[random.nextInt(problem.tenants())][
+            problem.demand()[random.nextInt(problem.tenants())][
                     random.nextInt(problem.engines())]++;
-            int[][] after = MaxMinFairAllocator.divide(problem, before);
-            int[][] afresh = MaxMinFairAllocator.divide(problem, null);
+            int[][] after = MaxMinFairAllocator.allocate(problem, before);
+            int[][] afresh = MaxMinFairAllocator.allocate(problem, null);
             assertLawful(problem, after, "seed " + (SEED + i));
             assertArrayEquals(
                     totals(afresh),
--- a/src/test/java/calicostream/budget/SafeguardsTest.java
+++ b/src/test/java/calicostream/budget/SafeguardsTest.java
@@ -31,7 +31,7 @@
     /** One engine, which runs what it is sent, and two processes. */
     private static final class World {
         private final Set<Safeguard> out;
-        private final GrantMachine machine;
+        private final GrantStateMachine machine;
         private long index;
         private int running;
         private boolean over;
@@ -40,8 +40,8 @@
 
         World(Safeguard without) {
             out = without == null ? EnumSet.noneOf(Safeguard.class) : EnumSet.of(without);
-            machine = new GrantMachine(SETTINGS, out);
-            tell(9, new BudgetCommand.Engine("e", 1, "pool", CAP));
+            machine = new GrantStateMachine(SETTINGS, out);
+            tell(9, new BudgetCommand.UpdateEngine("e", 1, "pool", CAP));
             a = new Process("a", 1);
             b = new Process("b", 2);
             a.open();
@@ -53,7 +53,7 @@
         }
 
         void look() {
-            over |= running > machine.books().engines.get("e").cap;
+            over |= running > machine.ledger().engines.get("e").cap;
         }
 
         /** As many as the machine lets the process have. */
@@ -67,10 +67,10 @@
         boolean grant(Process process, int sessions) {
             return tell(
                             2,
-                            new BudgetCommand.Divide(
+                            new BudgetCommand.Allocate(
                                     1,
                                     List.of(
-                                            new BudgetCommand.Share(
+                                            new BudgetCommand.Grant(
                                                     process.name,
                                                     process.session,
                                                     "e",
@@ -83,7 +83,7 @@
         void count(Process process, boolean former, long seen, int sessions) {
             tell(
                     2,
-                    new BudgetCommand.Count(
+                    new BudgetCommand.EngineCount(
                             "e", 1, process.name, process.session, former, seen, sessions, false));
         }
 
@@ -94,7 +94,7 @@
                             process.name,
                             process.session,
                             false,
-                            machine.books().processes.get(process.name).number));
+                            machine.ledger().processes.get(process.name).reportNumber));
         }
 
         final class Process {
@@ -107,28 +107,28 @@
                 this.name = name;
                 this.session = session;
                 holdings = new GrantedSessions(SETTINGS, name, out);
-                holdings.engine("e", "pool");
-                holdings.connected(0, 1);
+                holdings.registerEngine("e", "pool");
+                holdings.engineConnected(0, 1);
                 tell(session, new BudgetCommand.Join(name));
             }
 
             void open() {
-                holdings.leftRunning(0, 1, 0);
+                holdings.boundOrphaned(0, 1, 0);
             }
 
             CommandEffects asks(long now) {
-                return tell(session, holdings.report(now, demand));
+                return tell(session, holdings.nextReport(now, demand));
             }
 
             void hears(CommandEffects effects, long now) {
-                holdings.granted(BudgetCommand.Grants.decode(effects.answer()), now);
+                holdings.applyReply(BudgetCommand.RenewalReply.decode(effects.answer()), now);
             }
 
             /** Begins all that it may; the engine has each at once. */
             void begins(long now) {
-                while (holdings.mayUse(0, 0, now)) {
-                    holdings.begun(0, 0);
-                    holdings.arrived(0, 1);
+                while (holdings.mayStart(0, 0, now)) {
+                    holdings.sessionStarted(0, 0);
+                    holdings.sessionAcknowledged(0, 1);
                     running++;
                 }
                 look();
@@ -176,7 +176,7 @@
     @Test
     void loweredGrantsCountUntilTheyAreKnown() {
         assertGuards(
-                Safeguard.LOWERED_COUNTS_UNTIL_KNOWN,
+                Safeguard.LOWERED_GRANT_COUNTS_UNTIL_ACKNOWLEDGED,
                 world -> {
                     eight(world, world.a);
                     assertTrue(world.grant(world.a, 1));
@@ -188,7 +188,7 @@
     @Test
     void whatASilentProcessLeftRunningCounts() {
         assertGuards(
-                Safeguard.LEFT_RUNNING_COUNTS,
+                Safeguard.ORPHANED_SESSIONS_COUNT,
                 world -> {
                     eight(world, world.a);
                     world.a.begins(0);
@@ -214,15 +214,15 @@
     @Test
     void whatWasDecidedBeforeAStopIsSentAfterIt() {
         assertGuards(
-                Safeguard.IN_HAND_COUNTS,
+                Safeguard.UNACKNOWLEDGED_COUNTS,
                 world -> {
                     eight(world, world.a);
                     int decided = 0;
-                    while (world.a.holdings.mayUse(0, 0, 0)) {
-                        world.a.holdings.begun(0, 0);
+                    while (world.a.holdings.mayStart(0, 0, 0)) {
+                        world.a.holdings.sessionStarted(0, 0);
                         decided++;
                     }
-                    assertEquals(SETTINGS.inHand(), decided);
+                    assertEquals(SETTINGS.maxUnacknowledged(), decided);
                     world.expire(world.a);
                     world.count(world.a, false, world.index, 0);
                     theOtherTakesTheRest(world, 1_100 * MS);
@@ -234,7 +234,7 @@
     @Test
     void aDivisionOverTheCapIsRefused() {
         assertGuards(
-                Safeguard.CAP_AT_APPLY,
+                Safeguard.CAP_CHECKED_AT_APPLY,
                 world -> {
                     eight(world, world.a);
                     world.a.begins(0);
@@ -245,11 +245,11 @@
     @Test
     void aLoweredCapIsInForceOnceItIsTrue() {
         assertGuards(
-                Safeguard.LOWERED_CAP_WAITS,
+                Safeguard.LOWERED_CAP_IS_DEFERRED,
                 world -> {
                     eight(world, world.a);
                     world.a.begins(0);
-                    world.tell(9, new BudgetCommand.Engine("e", 1, "pool", 4));
+                    world.tell(9, new BudgetCommand.UpdateEngine("e", 1, "pool", 4));
                     world.look();
                 });
     }
@@ -257,7 +257,7 @@
     @Test
     void grantsCountFromBeforeTheyWereAskedFor() {
         assertGuards(
-                Safeguard.TIME_FROM_ASKING,
+                Safeguard.LEASE_TIMED_FROM_REQUEST,
                 world -> {
                     assertTrue(world.grant(world.a, 8));
                     CommandEffects late = world.a.asks(0);
@@ -272,7 +272,7 @@
     @Test
     void whoSaidThatItsGrantsAreOverTakesNoOlderAnswer() {
         assertGuards(
-                Safeguard.NO_ANSWER_BEFORE_LAPSE,
+                Safeguard.NO_REPLY_FROM_BEFORE_EXPIRY,
                 world -> {
                     eight(world, world.a);
                     CommandEffects late = world.a.asks(900 * MS);
@@ -287,7 +287,7 @@
     @Test
     void aStartedProcessUsesNoFloorBeforeItKnowsWhatItLeftRunning() {
         assertGuards(
-                Safeguard.FLOOR_AFTER_LEFT_KNOWN,
+                Safeguard.FLOOR_AFTER_ORPHANS_KNOWN,
                 world -> {
                     world.grantMost(world.a);
                     world.a.hears(world.a.asks(0), 0);
--- a/src/test/java/calicostream/budget/LedgerTest.java
+++ b/src/test/java/calicostream/budget/SessionLedgerTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class LedgerTest {
+class SessionLedgerTest {
     private static final long MS = 1_000_000;
     private static final long TRAVEL = 1_000 * MS;
     private static final int CAP = 6;
@@ -29,8 +29,8 @@
 
     private static SessionLedger ledger(int floor, int inHand, long now) {
         SessionLedger ledger = new SessionLedger(settings(floor, inHand), "a", TRAVEL, now);
-        ledger.holdings().engine("e", "pool");
-        ledger.connected(0, 1, now);
+        ledger.grantedSessions().registerEngine("e", "pool");
+        ledger.engineConnected(0, 1, now);
         return ledger;
     }
 
@@ -38,34 +38,38 @@
     void aFloorOpensWithTheFirstCountThatIsAskedForATravelTimeAfterTheStart() {
         SessionLedger ledger = ledger(2, 8, 5 * MS);
         List<Long> asked = new ArrayList<>();
-        ledger.counted(0, TRAVEL + 4 * MS, 0);
+        ledger.engineCounted(0, TRAVEL + 4 * MS, 0);
         for (long now = 5 * MS;
-                now < 3 * TRAVEL && ledger.holdings().free(0, now) == 0;
+                now < 3 * TRAVEL && ledger.grantedSessions().headroom(0, now) == 0;
                 now += MS) {
-            if (ledger.isDue(0, now)) {
+            if (ledger.isCountDue(0, now)) {
                 asked.add(now / MS);
-                ledger.counted(0, now, asked.size() == 1 ? 2 : 0);
+                ledger.engineCounted(0, now, asked.size() == 1 ? 2 : 0);
             }
         }
         assertEquals(List.of(1005L, 1205L), asked);
-        assertEquals(2, ledger.holdings().free(0, 2 * TRAVEL));
-        assertFalse(ledger.isDue(0, 9 * TRAVEL), "there is nothing more to learn");
+        assertEquals(2, ledger.grantedSessions().headroom(0, 2 * TRAVEL));
+        assertFalse(ledger.isCountDue(0, 9 * TRAVEL), "there is nothing more to learn");
     }
 
     @Test
     void whatTheMachineSaysOpensItAtOnce() {
         SessionLedger ledger = ledger(2, 8, 0);
         ledger.joined();
-        long number = ledger.holdings().report(MS, new DemandEstimator(2, MS)).number();
-        ledger.holdings()
-                .granted(
-                        new BudgetCommand.Grants(
-                                number, 1, List.of(), List.of(new BudgetCommand.Use("e", 1, 0, 0))),
+        long number =
+                ledger.grantedSessions().nextReport(MS, new DemandEstimator(2, MS)).reportNumber();
+        ledger.grantedSessions()
+                .applyReply(
+                        new BudgetCommand.RenewalReply(
+                                number,
+                                1,
+                                List.of(),
+                                List.of(new BudgetCommand.EngineUsage("e", 1, 0, 0))),
                         MS);
-        assertEquals(2, ledger.holdings().free(0, MS));
+        assertEquals(2, ledger.grantedSessions().headroom(0, MS));
         assertEquals(
                 2,
-                ledger.holdings().free(0, 9 * TRAVEL),
+                ledger.grantedSessions().headroom(0, 9 * TRAVEL),
                 "and it stays open when the grants have ended");
     }
 
@@ -73,9 +77,9 @@
     void whereOthersKeepTheEngineBusyTheFewestEverCountedOpenIt() {
         SessionLedger ledger = ledger(2, 8, 0);
         for (int running : new int[] {5, 1, 7}) {
-            ledger.counted(0, TRAVEL, running);
+            ledger.engineCounted(0, TRAVEL, running);
         }
-        assertEquals(1, ledger.holdings().free(0, TRAVEL));
+        assertEquals(1, ledger.grantedSessions().headroom(0, TRAVEL));
     }
 
     /**
@@ -94,11 +98,11 @@
                                 new GrantedSessions(settings(CAP, 4), "a"),
                                 start == 0 ? 0 : travel,
                                 start * MS);
-                next.holdings().engine("e", "pool");
-                next.connected(0, 1, start * MS);
-                next.counted(0, start * MS, 0);
-                while (next.holdings().mayUse(0, 0, start * MS)) {
-                    next.begun(0, 0);
+                next.grantedSessions().registerEngine("e", "pool");
+                next.engineConnected(0, 1, start * MS);
+                next.engineCounted(0, start * MS, 0);
+                while (next.grantedSessions().mayStart(0, 0, start * MS)) {
+                    next.sessionStarted(0, 0);
                     onTheWay++;
                 }
             }
@@ -111,55 +115,65 @@
     void underANewJoinACountSaysNothingOfWhatThisProcessItselfHasOnTheWay() {
         SessionLedger ledger = ledger(2, 8, 0);
         ledger.joined();
-        ledger.counted(0, TRAVEL, 0);
-        SessionLedger.Session one = ledger.begun(0, 0);
-        SessionLedger.Session other = ledger.begun(1, 0);
+        ledger.engineCounted(0, TRAVEL, 0);
+        SessionLedger.Session one = ledger.sessionStarted(0, 0);
+        SessionLedger.Session other = ledger.sessionStarted(1, 0);
         ledger.joined();
-        assertFalse(ledger.isDue(0, 3 * TRAVEL));
-        ledger.counted(0, 3 * TRAVEL, 0);
-        assertEquals(0, ledger.holdings().free(0, 3 * TRAVEL));
-        assertTrue(ledger.over(one, true, 3 * TRAVEL));
-        assertEquals(1, ledger.holdings().free(0, 3 * TRAVEL));
-        assertFalse(ledger.over(other, false, 3 * TRAVEL));
-        assertEquals(1, ledger.inDoubt());
-        assertEquals(List.of(), ledger.counted(0, 3 * TRAVEL, 0));
+        assertFalse(ledger.isCountDue(0, 3 * TRAVEL));
+        ledger.engineCounted(0, 3 * TRAVEL, 0);
+        assertEquals(0, ledger.grantedSessions().headroom(0, 3 * TRAVEL));
+        assertTrue(ledger.sessionEnded(one, true, 3 * TRAVEL));
+        assertEquals(1, ledger.grantedSessions().headroom(0, 3 * TRAVEL));
+        assertFalse(ledger.sessionEnded(other, false, 3 * TRAVEL));
+        assertEquals(1, ledger.unconfirmed());
+        assertEquals(List.of(), ledger.engineCounted(0, 3 * TRAVEL, 0));
         assertEquals(
                 List.of(1),
-                ledger.counted(0, 4 * TRAVEL, 0),
+                ledger.engineCounted(0, 4 * TRAVEL, 0),
                 "its place comes with a count from a travel time later");
-        assertEquals(2, ledger.holdings().free(0, 4 * TRAVEL));
+        assertEquals(2, ledger.grantedSessions().headroom(0, 4 * TRAVEL));
     }
 
     @Test
     void aReplacementIsNoProofWhereTheListMayHaveBeenBehindAtTheStart() {
         SessionLedger young = ledger(2, 8, 0);
-        young.connected(0, 2, TRAVEL - 1);
-        assertEquals(0, young.holdings().free(0, TRAVEL), "the earlier process may have met it");
+        young.engineConnected(0, 2, TRAVEL - 1);
+        assertEquals(
+                0,
+                young.grantedSessions().headroom(0, TRAVEL),
+                "the earlier process may have met it");
         SessionLedger told = ledger(2, 8, 0);
-        long number = told.holdings().report(0, new DemandEstimator(2, MS)).number();
-        told.holdings()
-                .granted(
-                        new BudgetCommand.Grants(
-                                number, 1, List.of(), List.of(new BudgetCommand.Use("e", 2, 0, 1))),
+        long number =
+                told.grantedSessions().nextReport(0, new DemandEstimator(2, MS)).reportNumber();
+        told.grantedSessions()
+                .applyReply(
+                        new BudgetCommand.RenewalReply(
+                                number,
+                                1,
+                                List.of(),
+                                List.of(new BudgetCommand.EngineUsage("e", 2, 0, 1))),
                         0);
-        assertEquals(1, told.holdings().free(0, 0), "the machine says what it had left there");
+        assertEquals(
+                1,
+                told.grantedSessions().headroom(0, 0),
+                "the machine says what it had left there");
         SessionLedger old = ledger(2, 8, 0);
-        old.connected(0, 2, TRAVEL);
-        assertEquals(2, old.holdings().free(0, TRAVEL));
+        old.engineConnected(0, 2, TRAVEL);
+        assertEquals(2, old.grantedSessions().headroom(0, TRAVEL));
     }
 
     @Test
     void joiningAnewLetsNoMoreBeOnTheWayToAnEngine() {
         SessionLedger ledger = ledger(9, 2, 0);
         ledger.joined();
-        ledger.counted(0, TRAVEL, 0);
-        SessionLedger.Session one = ledger.begun(0, 0);
-        ledger.begun(0, 0);
+        ledger.engineCounted(0, TRAVEL, 0);
+        SessionLedger.Session one = ledger.sessionStarted(0, 0);
+        ledger.sessionStarted(0, 0);
         ledger.joined();
-        assertEquals(0, ledger.holdings().free(0, TRAVEL));
+        assertEquals(0, ledger.grantedSessions().headroom(0, TRAVEL));
         ledger.joined();
-        ledger.arrived(one);
-        ledger.arrived(one);
-        assertEquals(1, ledger.holdings().free(0, TRAVEL));
+        ledger.sessionAcknowledged(one);
+        ledger.sessionAcknowledged(one);
+        assertEquals(1, ledger.grantedSessions().headroom(0, TRAVEL));
     }
 }
--- a/src/test/java/calicostream/cluster/config/BudgetConfigTest.java
+++ b/src/test/java/calicostream/cluster/config/BudgetConfigTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import calicostream.budget.BudgetSettings;
-import calicostream.budget.TenantRules.Told;
+import calicostream.budget.TenantRules.RequestAttributes;
 import calicostream.cluster.config.ClusterConfigException.Code;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -46,10 +46,10 @@
                         new BudgetSettings.Pool("scatter", 1, 1_000_000)),
                 told.settings().pools());
         assertEquals(
-                new BudgetSettings.Share(20, 300), told.settings().tenants().get(0).share("core"));
+                new BudgetSettings.Quota(20, 300), told.settings().tenants().get(0).quota("core"));
         assertEquals(
-                new BudgetSettings.Share(40, 400),
-                told.settings().tenants().get(0).share(BudgetSettings.FLEET));
+                new BudgetSettings.Quota(40, 400),
+                told.settings().tenants().get(0).quota(BudgetSettings.ALL_POOLS));
         assertEquals(1, told.settings().tenants().get(1).weight());
         assertEquals(5_000_000_000L, told.settings().ttlNanos());
         assertEquals(500, told.settings().driftPpm());
@@ -61,30 +61,38 @@
         int others = 1;
         InetAddress inside = InetAddress.getByName("10.1.255.3");
         InetAddress outside = InetAddress.getByName("10.2.0.0");
-        assertEquals(others, told.tenants().tenant(Told.NOTHING));
-        assertEquals(east, told.tenants().tenant(new Told(null, "east-app", null, null, null)));
+        assertEquals(others, told.tenants().tenantOf(RequestAttributes.NONE));
         assertEquals(
-                east, told.tenants().tenant(new Told(null, "somebody", "east", null, outside)));
+                east,
+                told.tenants().tenantOf(new RequestAttributes(null, "east-app", null, null, null)));
+        assertEquals(
+                east,
+                told.tenants()
+                        .tenantOf(new RequestAttributes(null, "somebody", "east", null, outside)));
         assertEquals(
                 east,
                 told.tenants()
-                        .tenant(
-                                new Told(
+                        .tenantOf(
+                                new RequestAttributes(
                                         null,
                                         null,
                                         null,
                                         new InetSocketAddress("127.0.0.1", 7601),
                                         outside)));
-        assertEquals(east, told.tenants().tenant(new Told(null, null, null, null, inside)));
+        assertEquals(
+                east,
+                told.tenants().tenantOf(new RequestAttributes(null, null, null, null, inside)));
         assertEquals(
                 others,
-                told.tenants().tenant(new Told("others", "east-app", "east", null, inside)),
+                told.tenants()
+                        .tenantOf(
+                                new RequestAttributes("others", "east-app", "east", null, inside)),
                 "the call's own word counts first");
         assertEquals(
                 others,
                 told.tenants()
-                        .tenant(
-                                new Told(
+                        .tenantOf(
+                                new RequestAttributes(
                                         "nobody", null, null, null, InetAddress.getByName("::1"))));
     }
 
