--- a/src/main/java/calicostream/budget/process/BudgetService.java
+++ b/src/main/java/calicostream/budget/process/BudgetService.java
@@ -3,7 +3,7 @@
 import calicostream.budget.BudgetCommand;
 import calicostream.budget.BudgetException;
 import calicostream.budget.GrantExpiryMonitor;
-import calicostream.budget.GrantMachine;
+import calicostream.budget.GrantStateMachine;
 import calicostream.cluster.CommandOutcome;
 import calicostream.cluster.ExpiryMonitor;
 import calicostream.cluster.MemberSession;
@@ -25,9 +25,9 @@
 private final BudgetConfig config;
 private final String process;
 private final BudgetMailbox wire = new BudgetMailbox();
-private final GrantMachine machine;
+private final GrantStateMachine machine;
 private final GrantExpiryMonitor times;
-private final GrantCoordinatorTask arbiter;
+private final GrantCoordinatorTask coordinatorTask;
 private MemberSession session;
 private long joined;
 private long joining;
@@ -40,13 +40,13 @@
 public BudgetService(BudgetConfig config, String process) {
 this.config = config;
 this.process = process;
-machine = new GrantMachine(config.settings());
+machine = new GrantStateMachine(config.settings());
 times = new GrantExpiryMonitor(config.settings(), machine);
-arbiter = new GrantCoordinatorTask(config, machine, wire);
+coordinatorTask = new GrantCoordinatorTask(config, machine, wire);
 }
 /** To run under the arbiter's lease. */
-public LeasedTask arbiter() {
-return arbiter;
+public LeasedTask coordinatorTask() {
+return coordinatorTask;
 }
 /** What stands before the front end's engine side; once, before the member starts. */
 public BudgetGate gate(SelectorLoop loop, EngineClient engines) {
@@ -54,7 +54,7 @@
 }
 @Override
 public String name() {
-return GrantMachine.NAME;
+return GrantStateMachine.NAME;
 }
 @Override
 public StateMachine stateMachine() {
@@ -67,7 +67,7 @@
 @Override
 public void onStart(MemberSession own, LongSupplier clock) {
 session = own;
-arbiter.joins(own);
+coordinatorTask.joins(own);
 }
 @Override
 public void onTick() {
@@ -103,13 +103,13 @@
 }
 reporting = false;
 if (outcome.isAccepted()) {
-wire.answer(
-new BudgetMailbox.Answer(
-BudgetCommand.Grants.decode(outcome.response()), false));
+wire.completeReport(
+new BudgetMailbox.ReportOutcome(
+BudgetCommand.RenewalReply.decode(outcome.response()), false));
 } else {
 failed++;
-wire.answer(
-new BudgetMailbox.Answer(
+wire.completeReport(
+new BudgetMailbox.ReportOutcome(
 null, outcome.code().equals(BudgetException.GrantOver.CODE)));
 }
 }
@@ -130,7 +130,7 @@
 "joined",
 joined != 0 && session != null && joined == session.sessionId())
 .add("reports_failed", failed)
-.add("here", Json.parse(wire.figures()));
+.add("here", Json.parse(wire.publishMetrics()));
 return out.add("fleet", BudgetMetrics.fleet(config.settings(), machine.view())).toString();
 }
 }
