--- /dev/null
+++ b/src/main/java/calicostream/routing/RetryPolicy.java
@@ -0,0 +1,73 @@
+// SPDX-License-Identifier: Apache-2.0
+package calicostream.routing;
+
+/**
+ * Decides whether a query may be attempted again, and where, by its idempotency, the attempts made
+ * and the time left.
+ */
+final class RetryPolicy {
+    private final AttemptLimits limits;
+    private final RetryBudget budget;
+    private final WorkEstimator work;
+
+    RetryPolicy(AttemptLimits limits, RetryBudget budget, WorkEstimator work) {
+        this.limits = limits;
+        this.budget = budget;
+        this.work = work;
+    }
+
+    /** Returns whether a query whose attempt failed so may have another one. */
+    boolean mayRetry(long now, QueryState query, AttemptOutcome outcome) {
+        boolean exhausted =
+                query.attempts() >= limits.maxAttempts()
+                        || outcome == AttemptOutcome.NOT_STARTED
+                        || query.isErroneous();
+        return !exhausted && mayRunAgain(now, query) && now < query.deadline();
+    }
+
+    private static boolean mayRunAgain(long now, QueryState query) {
+        if (!query.mayHaveRun()) {
+            return true;
+        }
+        return switch (query.queryClass().idempotency()) {
+            case IDEMPOTENT -> true;
+            case IDEMPOTENT_WITH_KEY -> now < query.retryWindowEnd();
+            case NON_IDEMPOTENT -> false;
+        };
+    }
+
+    /** Returns whether a query may run on an engine, given where it may have run before. */
+    boolean mayRunOn(long now, QueryState query, EngineEndpoint endpoint) {
+        if (!query.mayHaveRun() || query.isIdempotent()) {
+            return true;
+        }
+        return mayRunAgain(now, query) && discardsRepeats(query, endpoint);
+    }
+
+    private static boolean discardsRepeats(QueryState query, EngineEndpoint endpoint) {
+        return switch (query.queryClass().idempotencyScope()) {
+            case ALL -> true;
+            case ZONE -> endpoint.zone() == query.firstRunAt().zone();
+            case CELL -> endpoint.cell() == query.firstRunAt().cell();
+        };
+    }
+
+    /** Returns whether a running query may be cancelled to start again elsewhere. */
+    boolean mayMigrate(long now, QueryState query) {
+        return limits.cancel()
+                && query.isIdempotent()
+                && query.attempts() < limits.maxAttempts()
+                && budget.allowsRetry(now)
+                && now + work.freshRunMicros(query) < query.deadline();
+    }
+
+    /** Returns whether a client that repeats the query by itself does no harm. */
+    boolean isRepeatHarmless(QueryState query) {
+        if (query.isIdempotent() || !query.hasAttempt() && !query.mayHaveRun()) {
+            return true;
+        }
+        return query.queryClass().idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                && query.queryClass().idempotencyScope() == IdempotencyScope.ALL
+                && !query.hasAttempt();
+    }
+}
--- a/src/test/java/calicostream/routing/BehaviourTest.java
+++ b/src/test/java/calicostream/routing/BehaviourTest.java
@@ -69,12 +69,12 @@
             r.ask(i, 0, 0, 0, i, 100 * MS);
             r.end(r.last(), AttemptOutcome.OK, 100, 50);
         }
-        for (int i = 0; i <= AffinityRouter.W1; i++) {
+        for (int i = 0; i <= AffinitySelector.MAX_AFFINITY_RANK; i++) {
             r.ask(i, 0);
             r.now += 1;
         }
         long home = r.lastOf(0).engine();
-        for (int i = 0; i < AffinityRouter.W1; i++) {
+        for (int i = 0; i < AffinitySelector.MAX_AFFINITY_RANK; i++) {
             assertEquals(home, r.lastOf(i).engine());
         }
         assertNotEquals(home, r.last().engine());
@@ -326,7 +326,10 @@
         int back = 0;
         for (int i = 10; i < 60; i++) {
             r.ask(i, 0);
-            back += r.logged.get(0).startsWith("bench " + r.last().engine() + " ") ? 1 : 0;
+            back +=
+                    r.logged.get(0).startsWith("engine " + r.last().engine() + " ejected: ")
+                            ? 1
+                            : 0;
             r.end(r.last(), AttemptOutcome.OK, 100, 50);
             r.pass(100 * MS);
         }
@@ -373,7 +376,9 @@
             }
             r.pass(10 * MS);
         }
-        assertTrue(onBad <= AffinityRouter.STRIKES, onBad + " queries went to the failing engine");
+        assertTrue(
+                onBad <= OutlierDetector.EJECTION_SCORE,
+                onBad + " queries went to the failing engine");
     }
 
     @Test
@@ -475,7 +480,8 @@
             r.end(r.last(), AttemptOutcome.OK, 100, 50);
             r.pass(100 * MS);
         }
-        assertTrue(r.logic.groupsKept() <= 1300, r.logic.groupsKept() + " of 3000 in five minutes");
+        assertTrue(
+                r.logic.tableGroups() <= 1300, r.logic.tableGroups() + " of 3000 in five minutes");
     }
 
     @Test
@@ -504,7 +510,7 @@
         still.ask(1, 0, 0, 0, 1, 4 * S);
         awake.ask(1, 0, 0, 0, 1, 4 * S);
         still.now += 1500 * MS;
-        still.logic.timerFired(still.now, AffinityRouter.TICK_TOKEN);
+        still.logic.timerFired(still.now, RouterTimers.TICK_TOKEN);
         awake.pass(1500 * MS);
         assertTrue(still.cancelled.isEmpty(), "notes are overdue by its own fault");
         assertEquals(1, awake.cancelled.size());
@@ -643,8 +649,8 @@
                     (int)
                             (8
                                     * (Double.isNaN(busy)
-                                            ? AffinityRouter.BLIND_ROOM
-                                            : AffinityRouter.ROOM)),
+                                            ? CapacityEstimator.THREADS_PER_UNREPORTED_CORE
+                                            : CapacityEstimator.THREADS_PER_CORE)),
                     r.sent.size());
         }
     }
@@ -699,7 +705,7 @@
                     EndpointUpdate.COMPLETE,
                     engine(1, 0, EngineLifecycle.READY),
                     engine(2, 0, EngineLifecycle.READY));
-            r.logic.timerFired(r.now, AffinityRouter.TICK_TOKEN);
+            r.logic.timerFired(r.now, RouterTimers.TICK_TOKEN);
             r.ask(i, 0);
             r.end(r.last(), AttemptOutcome.OK, 100, 50);
         }
@@ -717,7 +723,8 @@
         }
         long most = r.sent.stream().filter(s -> s.engine() == 1).count();
         assertTrue(
-                most > 0 && most <= AffinityRouter.BLIND_ROOM * 8 + 1, most + " queries at once");
+                most > 0 && most <= CapacityEstimator.THREADS_PER_UNREPORTED_CORE * 8 + 1,
+                most + " queries at once");
     }
 
     @Test
--- a/src/test/java/calicostream/routing/RulesTest.java
+++ b/src/test/java/calicostream/routing/RulesTest.java
@@ -290,8 +290,8 @@
         assertTrue(most > 0 && most <= limit, most / S + " of " + limit / S + " core-seconds");
         double all = sent.values().stream().mapToDouble(Double::doubleValue).sum();
         double budget =
-                AffinityRouter.COLD_PART
-                        * AffinityRouter.CORE_YIELD
+                SlowStartLimiter.USED_SHARE
+                        * SlowStartLimiter.CORE_YIELD
                         * limit
                         * 9
                         * S
@@ -407,8 +407,8 @@
     @Test
     void lightClassesShareTheirPartOfAColdEngine() {
         double both =
-                AffinityRouter.COLD_PART
-                        * AffinityRouter.CORE_YIELD
+                SlowStartLimiter.USED_SHARE
+                        * SlowStartLimiter.CORE_YIELD
                         * 2.5
                         * 0.3
                         * 8
@@ -426,7 +426,7 @@
      */
     @Test
     void runTimesBoundRoughEstimatesAtAColdEngine() {
-        double most = AffinityRouter.COLD_PART * AffinityRouter.CORE_YIELD * 2.5 * 0.3 * 8 * 2;
+        double most = SlowStartLimiter.USED_SHARE * SlowStartLimiter.CORE_YIELD * 2.5 * 0.3 * 8 * 2;
         int taken = lightOnesToColdEngine(false, 3 * S, 3 * S);
         assertTrue(
                 taken * 0.1 > 0.9 * most && taken * 0.1 <= most,
--- a/src/test/java/calicostream/routing/UntoldTest.java
+++ b/src/test/java/calicostream/routing/UntoldTest.java
@@ -17,7 +17,7 @@
  */
 class UntoldTest {
     private static final QueryClass LOOK = Recorder.look(Idempotency.IDEMPOTENT);
-    private static final int FULL = (int) (8 * AffinityRouter.BLIND_ROOM);
+    private static final int FULL = (int) (8 * CapacityEstimator.THREADS_PER_UNREPORTED_CORE);
 
     private static int sentOf(Recorder r, int asked) {
         for (int i = 0; i < asked; i++) {
@@ -124,7 +124,7 @@
                 r.end(r.lastOf(i), AttemptOutcome.OK, 100, 50);
             }
         }
-        int most = 2 * (int) (1 + 10 * AffinityRouter.PROBES * 8 / gateways);
+        int most = 2 * (int) (1 + 10 * LoadProber.PROBES_PER_CORE_AND_SECOND * 8 / gateways);
         assertTrue(heard >= 2 && heard <= most, heard + " of " + most);
     }
 
