--- a/src/main/java/calicostream/cluster/process/Member.java
+++ b/src/main/java/calicostream/cluster/process/Member.java
@@ -96,7 +96,7 @@
 boolean open = false;
 try {
 store = new DurableRaftStore(log);
-var restored = DurableRaftStore.restoredState(log.recovered());
+var restored = DurableRaftStore.restoredState(log.recoveredState());
 start =
 StartupRole.of(
 config.isInitialVoter(),
@@ -106,7 +106,7 @@
 (Voter)
 found.getLocalEndpointPersistentState()
 .getLocalEndpoint()),
-log.recovered().own());
+log.recoveredState().localState());
 links =
 new TcpTransport(
 loop,
@@ -253,7 +253,7 @@
 private void run() {
 loop.post(
 () -> {
-log.recovered()
+log.recoveredState()
 .findings()
 .forEach(finding -> LOG.warn("{}: {}", self, finding));
 tell(null, statusJson);
--- a/src/main/java/calicostream/cluster/process/StatusChangeLogger.java
+++ b/src/main/java/calicostream/cluster/process/StatusChangeLogger.java
@@ -70,12 +70,12 @@
         if (before.disk().state() != now.disk().state()) {
             out.add(
                     new Line(
-                            now.disk().trouble() != null,
+                            now.disk().fault() != null,
                             "disk is "
                                     + now.disk().state().name().toLowerCase(Locale.ROOT)
-                                    + (now.disk().trouble() == null
+                                    + (now.disk().fault() == null
                                             ? ""
-                                            : ": " + now.disk().trouble().getMessage())));
+                                            : ": " + now.disk().fault().getMessage())));
         }
         if (!before.commandProgress().equals(now.commandProgress())
                 && !now.commandProgress().isEmpty()) {
--- a/src/main/java/calicostream/cluster/raft/VoterRecoveryHandshake.java
+++ b/src/main/java/calicostream/cluster/raft/VoterRecoveryHandshake.java
@@ -4,9 +4,9 @@
 import calicostream.cluster.MemberMessage;
 import calicostream.durable.RecoveryVerdict;
 import calicostream.durable.StateLossDetector;
-import calicostream.durable.StateLossDetector.Own;
-import calicostream.durable.StateLossDetector.Seen;
-import calicostream.durable.StateLossDetector.Standing;
+import calicostream.durable.StateLossDetector.LocalState;
+import calicostream.durable.StateLossDetector.PeerObservation;
+import calicostream.durable.StateLossDetector.VotingStatus;
 import io.microraft.model.message.RaftMessage;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -50,12 +50,12 @@
 private final boolean founder;
 private final Set<Integer> others;
 private final Set<Integer> asked;
-private final Own own;
+private final LocalState own;
 private final long nonce;
 private final int patience;
 private final RecoveryStore keeper;
 private final PeerRecoveryState memory;
-private final Map<String, Seen> told = new TreeMap<>();
+private final Map<String, PeerObservation> told = new TreeMap<>();
 private final Map<Integer, String> names = new TreeMap<>();
 private boolean admitted;
 private State state = State.WAITING_FOR_PEERS;
@@ -72,7 +72,7 @@
 Voter self,
 Collection<Voter> first,
 Collection<Voter> voters,
-Own own,
+LocalState own,
 byte[] memory,
 long nonce,
 int patience,
@@ -85,7 +85,7 @@
 others.remove(self.member());
 asked.remove(self.member());
 this.own = own;
-this.admitted = own.standing() == Standing.ADMITTED;
+this.admitted = own.votingStatus() == VotingStatus.ADMITTED;
 this.memory = memory == null ? new PeerRecoveryState() : PeerRecoveryState.decode(memory);
 this.nonce = nonce;
 this.patience = patience;
@@ -132,7 +132,8 @@
 */
 List<OutgoingFrame> received(int from, MemberMessage.RecoveryRequest ask, boolean grouped)
 throws IOException {
-Seen seen = met(new Voter(from, ask.generation()), ask.incarnation(), ask.nonce(), grouped);
+PeerObservation seen =
+met(new Voter(from, ask.generation()), ask.incarnation(), ask.nonce(), grouped);
 return List.of(
 new OutgoingFrame(
 from,
@@ -143,9 +144,9 @@
 nonce,
 seen.incarnation(),
 seen.term(),
-seen.acknowledged(),
+seen.acknowledgedIndex(),
 seen.voteTerm(),
-seen.grouped())
+seen.groupFormed())
 .encode()));
 }
 void received(int from, MemberMessage.RecoveryResponse answer, boolean grouped)
@@ -155,8 +156,8 @@
 }
 Voter peer = new Voter(from, answer.generation());
 met(peer, answer.incarnation(), answer.nonce(), grouped);
-Seen seen =
-new Seen(
+PeerObservation seen =
+new PeerObservation(
 answer.seenIncarnation(),
 answer.term(),
 answer.acknowledgedIndex(),
@@ -165,16 +166,16 @@
 answer.groupHasCommitted());
 if (mayStart()) {
 // It has spoken since, so of what a late one tells only the incarnation is from before.
-seen = new Seen(seen.incarnation(), 0, 0, 0, false, false);
+seen = new PeerObservation(seen.incarnation(), 0, 0, 0, false, false);
 }
 names.put(from, peer.toString());
 told.put(peer.toString(), seen);
 decide();
 }
 /** The peer is remembered on the disk before anything rests on its word. */
-private Seen met(Voter peer, long incarnation, long itsNonce, boolean grouped)
+private PeerObservation met(Voter peer, long incarnation, long itsNonce, boolean grouped)
 throws IOException {
-Seen seen = memory.recordIncarnation(peer, incarnation, itsNonce, grouped);
+PeerObservation seen = memory.recordIncarnation(peer, incarnation, itsNonce, grouped);
 if (memory.takeUnsavedChange()) {
 keeper.savePeerState(memory.encode());
 }
@@ -194,8 +195,8 @@
 if (error() != null) {
 return;
 }
-StateLossDetector.Answer answer = StateLossDetector.judge(own, founder, named(), told);
-boolean forgot = StateLossDetector.hasForgotten(own, told);
+StateLossDetector.Assessment answer = StateLossDetector.assess(own, founder, named(), told);
+boolean forgot = StateLossDetector.hasLostState(own, told);
 if (mayStart() && !forgot) {
 return;
 }
--- a/src/main/java/calicostream/durable/Disk.java
+++ b/src/main/java/calicostream/durable/Disk.java
@@ -11,7 +11,7 @@
 public interface Disk extends AutoCloseable {
 
     /** Where it is, as operators know it; for messages only. */
-    String place();
+    String location();
 
     /**
      * Takes the folder for this process until {@link #close()}, or throws {@link
@@ -22,7 +22,7 @@
     /** The names of all files, sorted. */
     java.util.List<String> list() throws DurableException;
 
-    /** All of the file's bytes, or {@link DurableException.Missing}. */
+    /** All of the file's bytes, or {@link DurableException.FileMissing}. */
     byte[] read(String name) throws DurableException;
 
     /** Adds the buffer's remaining bytes at the file's end; the file is made when there is none. */
@@ -32,7 +32,7 @@
     void sync(String name) throws DurableException;
 
     /** Returns when the names in the folder are on the disk. */
-    void syncFolder() throws DurableException;
+    void syncDirectory() throws DurableException;
 
     /** Puts {@code to} in place of what stands there, at once or not at all. */
     void rename(String from, String to) throws DurableException;
--- a/src/main/java/calicostream/durable/DurabilityMarkers.java
+++ b/src/main/java/calicostream/durable/DurabilityMarkers.java
@@ -20,7 +20,7 @@
     private long seq;
     private int crc;
     private int size;
-    private LogRecord.Mark last;
+    private LogRecord.DurabilityMarker last;
     private boolean unreadable;
 
     private DurabilityMarkers(Disk disk) {
@@ -31,30 +31,30 @@
     static DurabilityMarkers read(Disk disk, LogIdentity who, List<String> findings)
             throws DurableException {
         DurabilityMarkers marks = new DurabilityMarkers(disk);
-        List<String> files = SegmentNames.of(SegmentNames.MARK, disk.list());
+        List<String> files = LogFileNames.filesOfKind(LogFileNames.MARKER_PREFIX, disk.list());
         for (int i = files.size() - 1; i >= 0 && marks.last == null; i--) {
             String name = files.get(i);
-            marks.number = Math.max(marks.number, SegmentNames.number(name));
+            marks.number = Math.max(marks.number, LogFileNames.number(name));
             byte[] bytes = disk.read(name);
             int end = 0;
             for (Frame frame = RecordFraming.find(bytes, 0, name);
                     frame != null;
                     frame = RecordFraming.find(bytes, frame.end(), name)) {
-                if (frame.record() instanceof LogRecord.Mark mark) marks.last = mark;
+                if (frame.record() instanceof LogRecord.DurabilityMarker mark) marks.last = mark;
                 end = frame.end();
             }
             if (end < bytes.length)
                 findings.add(name + ": its last " + (bytes.length - end) + " bytes are no mark");
         }
-        LogRecord.Mark mark = marks.last;
+        LogRecord.DurabilityMarker mark = marks.last;
         marks.unreadable = mark == null && !files.isEmpty();
         if (mark != null && !mark.who().equals(who))
-            throw new DurableException.Foreign(
-                    disk.place() + " has the marks of " + mark.who() + ", this is " + who);
+            throw new DurableException.ForeignDirectory(
+                    disk.location() + " has the marks of " + mark.who() + ", this is " + who);
         return marks;
     }
 
-    LogRecord.Mark last() {
+    LogRecord.DurabilityMarker last() {
         return last;
     }
 
@@ -68,22 +68,22 @@
     }
 
     /** Begins a new file with this mark, in place of those that were. */
-    void begin(LogRecord.Mark mark) throws DurableException {
+    void begin(LogRecord.DurabilityMarker mark) throws DurableException {
         number++;
         out.clear();
         seq = 1;
         crc = RecordFraming.write(out, mark, seq, 0, 0);
-        String name = SegmentNames.mark(number);
+        String name = LogFileNames.markerFile(number);
         place(disk, name, out.view());
         size = out.size();
         file = name;
         last = mark;
-        for (String old : SegmentNames.of(SegmentNames.MARK, disk.list()))
+        for (String old : LogFileNames.filesOfKind(LogFileNames.MARKER_PREFIX, disk.list()))
             if (!old.equals(name)) disk.delete(old);
     }
 
     /** On the disk on return. */
-    void put(LogRecord.Mark mark) throws DurableException {
+    void put(LogRecord.DurabilityMarker mark) throws DurableException {
         if (size > ROLL) {
             begin(mark);
             return;
@@ -99,11 +99,11 @@
 
     /** Puts a whole file there, or none. */
     static void place(Disk disk, String name, ByteBuffer bytes) throws DurableException {
-        String part = name + SegmentNames.PART;
+        String part = name + LogFileNames.PARTIAL_SUFFIX;
         disk.delete(part);
         disk.append(part, bytes);
         disk.sync(part);
         disk.rename(part, name);
-        disk.syncFolder();
+        disk.syncDirectory();
     }
 }
--- a/src/main/java/calicostream/durable/DurableException.java
+++ b/src/main/java/calicostream/durable/DurableException.java
@@ -41,11 +41,11 @@
     }
 
     /** No room, or no quota, for what was to be written. */
-    public static final class Full extends DurableException {
+    public static final class DiskFull extends DurableException {
         private static final long serialVersionUID = 1;
         public static final String CODE = "disk-full";
 
-        public Full(String facts, Throwable cause) {
+        public DiskFull(String facts, Throwable cause) {
             super(
                     CODE,
                     facts,
@@ -61,11 +61,11 @@
     }
 
     /** The folder or the file system takes no writes. */
-    public static final class ReadOnly extends DurableException {
+    public static final class ReadOnlyFileSystem extends DurableException {
         private static final long serialVersionUID = 1;
         public static final String CODE = "disk-read-only";
 
-        public ReadOnly(String facts, Throwable cause) {
+        public ReadOnlyFileSystem(String facts, Throwable cause) {
             super(
                     CODE,
                     facts,
@@ -101,11 +101,11 @@
      * A sync takes or took longer than the bound. Not thrown: it is the trouble of a {@link
      * LogStatus} in SLOW.
      */
-    public static final class Slow extends DurableException {
+    public static final class SlowSync extends DurableException {
         private static final long serialVersionUID = 1;
         public static final String CODE = "disk-slow";
 
-        public Slow(String facts) {
+        public SlowSync(String facts) {
             super(
                     CODE,
                     facts,
@@ -116,11 +116,11 @@
     }
 
     /** Any other failure of a read or a write. */
-    public static final class Failed extends DurableException {
+    public static final class DiskFailed extends DurableException {
         private static final long serialVersionUID = 1;
         public static final String CODE = "disk-failed";
 
-        public Failed(String facts, Throwable cause) {
+        public DiskFailed(String facts, Throwable cause) {
             super(
                     CODE,
                     facts,
@@ -130,11 +130,11 @@
     }
 
     /** A file that is needed is not there. */
-    public static final class Missing extends DurableException {
+    public static final class FileMissing extends DurableException {
         private static final long serialVersionUID = 1;
         public static final String CODE = "file-missing";
 
-        public Missing(String facts) {
+        public FileMissing(String facts) {
             super(
                     CODE,
                     facts,
@@ -145,11 +145,11 @@
     }
 
     /** Another process has the folder. */
-    public static final class InUse extends DurableException {
+    public static final class DirectoryInUse extends DurableException {
         private static final long serialVersionUID = 1;
         public static final String CODE = "folder-in-use";
 
-        public InUse(String facts) {
+        public DirectoryInUse(String facts) {
             super(
                     CODE,
                     facts,
@@ -160,11 +160,11 @@
     }
 
     /** The folder is another member's, or another cluster's. */
-    public static final class Foreign extends DurableException {
+    public static final class ForeignDirectory extends DurableException {
         private static final long serialVersionUID = 1;
         public static final String CODE = "folder-foreign";
 
-        public Foreign(String facts) {
+        public ForeignDirectory(String facts) {
             super(
                     CODE,
                     facts,
@@ -189,11 +189,11 @@
     }
 
     /** A record that was promised can be found and not be read. */
-    public static final class Corrupt extends DurableException {
+    public static final class CorruptRecord extends DurableException {
         private static final long serialVersionUID = 1;
         public static final String CODE = "log-rotten";
 
-        public Corrupt(String facts) {
+        public CorruptRecord(String facts) {
             super(
                     CODE,
                     facts,
--- a/src/main/java/calicostream/durable/DurableLog.java
+++ b/src/main/java/calicostream/durable/DurableLog.java
@@ -29,8 +29,11 @@
         return SegmentedLog.open(disk, marks, who, options);
     }
 
-    /** What was found at the opening; its entries are let go by {@link RecoveredState#release}. */
-    RecoveredState recovered();
+    /**
+     * What was found at the opening; its entries are let go by {@link
+     * RecoveredState#withoutLogData}.
+     */
+    RecoveredState recoveredState();
 
     /**
      * {@code index} is the one after the last entry or after the newest snapshot, whichever is
@@ -52,13 +55,13 @@
      * {@code votedFor} is empty for no vote. The term never falls, and a vote in a term is never
      * changed.
      */
-    void saveTerm(long term, String votedFor) throws DurableException;
+    void saveTermAndVote(long term, String votedFor) throws DurableException;
 
     /**
      * A small named value, such as this member's endpoint or the first voters; {@code null} removes
      * it. All together below 64 KB.
      */
-    void saveNote(String name, byte[] value) throws DurableException;
+    void saveMetadata(String name, byte[] value) throws DurableException;
 
     /**
      * One of {@code of} chunks of the snapshot that stands for all entries up to {@code index}; in
@@ -67,18 +70,18 @@
      * until then a crash leaves nothing of it. Chunks of another snapshot drop those of an
      * unfinished one.
      */
-    void snapshotChunk(long index, long term, int chunk, int of, byte[] bytes)
+    void saveSnapshotChunk(long index, long term, int chunk, int of, byte[] bytes)
             throws DurableException;
 
-    default void snapshot(long index, long term, byte[] bytes) throws DurableException {
-        snapshotChunk(index, term, 0, 1, bytes);
+    default void saveSnapshot(long index, long term, byte[] bytes) throws DurableException {
+        saveSnapshotChunk(index, term, 0, 1, bytes);
     }
 
     /**
      * Drops the chunks of an unfinished snapshot; whole ones are kept and dropped by generation,
      * two of them stay.
      */
-    void dropUnfinishedSnapshot() throws DurableException;
+    void discardUnfinishedSnapshot() throws DurableException;
 
     /** Returns when all that was written before is on the disk and the mark that says so is too. */
     void sync() throws DurableException;
@@ -88,7 +91,7 @@
      * with it: from now on, after any number of starts, it is {@link RecoveryVerdict#LEARNER} until
      * {@link #admit()}. Synced on return.
      */
-    void bar(String why) throws DurableException;
+    void suspendVoting(String why) throws DurableException;
 
     /**
      * The group has admitted this member (anew), and what it promised is in this log. Synced on
--- a/src/main/java/calicostream/durable/FieldBuffer.java
+++ b/src/main/java/calicostream/durable/FieldBuffer.java
@@ -45,29 +45,29 @@
         return at;
     }
 
-    void u8(int value) {
+    void writeByte(int value) {
         array[grow(1)] = (byte) value;
     }
 
-    void u32(int value) {
+    void writeInt(int value) {
         int at = grow(4);
-        u32At(at, value);
+        writeIntAt(at, value);
     }
 
-    void u32At(int at, int value) {
+    void writeIntAt(int at, int value) {
         array[at] = (byte) (value >>> 24);
         array[at + 1] = (byte) (value >>> 16);
         array[at + 2] = (byte) (value >>> 8);
         array[at + 3] = (byte) value;
     }
 
-    void u64(long value) {
-        u32((int) (value >>> 32));
-        u32((int) value);
+    void writeLong(long value) {
+        writeInt((int) (value >>> 32));
+        writeInt((int) value);
     }
 
     void bytes(byte[] value) {
-        u32(value.length);
+        writeInt(value.length);
         System.arraycopy(value, 0, array, grow(value.length), value.length);
     }
 
--- a/src/main/java/calicostream/durable/FileDisk.java
+++ b/src/main/java/calicostream/durable/FileDisk.java
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public String place() {
+    public String location() {
         return folder.toString();
     }
 
@@ -64,7 +64,8 @@
             Path real = folder.toRealPath();
             synchronized (TAKEN) {
                 if (!TAKEN.add(real))
-                    throw new DurableException.InUse(folder + " is in use by this process already");
+                    throw new DurableException.DirectoryInUse(
+                            folder + " is in use by this process already");
             }
             taken = real;
             lockFile =
@@ -77,7 +78,7 @@
             if (lock == null) {
                 String owner = owner();
                 close();
-                throw new DurableException.InUse(folder + " is in use by " + owner);
+                throw new DurableException.DirectoryInUse(folder + " is in use by " + owner);
             }
             ByteBuffer words =
                     ByteBuffer.wrap(
@@ -158,7 +159,7 @@
     }
 
     @Override
-    public void syncFolder() throws DurableException {
+    public void syncDirectory() throws DurableException {
         try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
             channel.force(true);
         } catch (IOException e) {
@@ -199,7 +200,7 @@
      */
     private DurableException named(IOException e, String what) {
         String facts = "could not " + what + " in " + folder + ": " + e;
-        if (e instanceof NoSuchFileException) return new DurableException.Missing(facts);
+        if (e instanceof NoSuchFileException) return new DurableException.FileMissing(facts);
         String words = String.valueOf(e.getMessage());
         boolean full =
                 words.contains("No space left")
@@ -215,9 +216,9 @@
         } catch (IOException | ReadOnlyFileSystemException unknown) {
             // Then the first failure's own words are all there is.
         }
-        if (readOnly) return new DurableException.ReadOnly(facts, e);
-        if (full) return new DurableException.Full(facts, e);
-        return new DurableException.Failed(facts, e);
+        if (readOnly) return new DurableException.ReadOnlyFileSystem(facts, e);
+        if (full) return new DurableException.DiskFull(facts, e);
+        return new DurableException.DiskFailed(facts, e);
     }
 
     @Override
--- a/src/main/java/calicostream/durable/SegmentNames.java
+++ b/src/main/java/calicostream/durable/LogFileNames.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.durable;
 
-import calicostream.durable.LogRecord.Ref;
+import calicostream.durable.LogRecord.SnapshotId;
 import java.util.ArrayList;
 import java.util.HexFormat;
 import java.util.List;
@@ -11,30 +11,30 @@
  * The names of files: {@code log-}, {@code mark-} and {@code snap-} with numbers of 16 hexadecimal
  * digits, so that names sort as numbers do.
  */
-final class SegmentNames {
+final class LogFileNames {
 
-    static final String LOG = "log-";
-    static final String MARK = "mark-";
-    static final String SNAPSHOT = "snap-";
-    static final String PART = ".part";
-    static final String ASIDE = "aside-";
+    static final String SEGMENT_PREFIX = "log-";
+    static final String MARKER_PREFIX = "mark-";
+    static final String SNAPSHOT_PREFIX = "snap-";
+    static final String PARTIAL_SUFFIX = ".part";
+    static final String SET_ASIDE_PREFIX = "aside-";
 
     private static final Pattern ONE = Pattern.compile("[0-9a-f]{16}");
     private static final Pattern TWO = Pattern.compile("[0-9a-f]{16}-[0-9a-f]{16}");
     private static final HexFormat HEX = HexFormat.of();
 
-    private SegmentNames() {}
+    private LogFileNames() {}
 
-    static String log(long number) {
-        return LOG + hex(number);
+    static String segment(long number) {
+        return SEGMENT_PREFIX + hex(number);
     }
 
-    static String mark(long number) {
-        return MARK + hex(number);
+    static String markerFile(long number) {
+        return MARKER_PREFIX + hex(number);
     }
 
-    static String snapshot(Ref ref) {
-        return SNAPSHOT + hex(ref.index()) + "-" + hex(ref.term());
+    static String snapshot(SnapshotId ref) {
+        return SNAPSHOT_PREFIX + hex(ref.index()) + "-" + hex(ref.term());
     }
 
     private static String hex(long number) {
@@ -46,8 +46,8 @@
     }
 
     /** Whole files of one kind; other names, such as an editor's leavings, are let be. */
-    static List<String> of(String kind, List<String> names) {
-        Pattern numbers = kind.equals(SNAPSHOT) ? TWO : ONE;
+    static List<String> filesOfKind(String kind, List<String> names) {
+        Pattern numbers = kind.equals(SNAPSHOT_PREFIX) ? TWO : ONE;
         List<String> found = new ArrayList<>();
         for (String name : names)
             if (name.startsWith(kind) && numbers.matcher(name.substring(kind.length())).matches())
@@ -57,7 +57,9 @@
     }
 
     static boolean isPart(String name) {
-        return name.endsWith(PART)
-                && (name.startsWith(LOG) || name.startsWith(MARK) || name.startsWith(SNAPSHOT));
+        return name.endsWith(PARTIAL_SUFFIX)
+                && (name.startsWith(SEGMENT_PREFIX)
+                        || name.startsWith(MARKER_PREFIX)
+                        || name.startsWith(SNAPSHOT_PREFIX));
     }
 }
--- a/src/main/java/calicostream/durable/LogHealth.java
+++ b/src/main/java/calicostream/durable/LogHealth.java
@@ -9,12 +9,12 @@
  */
 final class LogHealth {
 
-    static final int CALM = 8;
+    static final int FAST_SYNCS_TO_RECOVER = 8;
 
     private final long slowNanos;
     private State state = State.READY;
     private long since;
-    private DurableException trouble;
+    private DurableException fault;
     private boolean syncing;
     private long began;
     private int calm;
@@ -27,7 +27,7 @@
         this.since = now;
     }
 
-    void syncBegan(long now) {
+    void syncStarted(long now) {
         syncing = true;
         began = now;
     }
@@ -42,10 +42,10 @@
             slow++;
             calm = 0;
             if (state == State.READY) go(State.SLOW, now);
-            if (state == State.SLOW) trouble = slow(took);
-        } else if (state == State.SLOW && ++calm >= CALM) {
+            if (state == State.SLOW) fault = slow(took);
+        } else if (state == State.SLOW && ++calm >= FAST_SYNCS_TO_RECOVER) {
             go(State.READY, now);
-            trouble = null;
+            fault = null;
         }
     }
 
@@ -53,7 +53,7 @@
     void failed(DurableException first, long now) {
         if (state != State.READY && state != State.SLOW) return;
         go(first.state(), now);
-        trouble = first;
+        fault = first;
     }
 
     void closed(long now) {
@@ -66,7 +66,7 @@
     }
 
     private DurableException slow(long took) {
-        return new DurableException.Slow(
+        return new DurableException.SlowSync(
                 "a sync took "
                         + took / 1_000_000
                         + " ms, "
@@ -78,8 +78,8 @@
         return state;
     }
 
-    DurableException trouble() {
-        return trouble;
+    DurableException fault() {
+        return fault;
     }
 
     /** A sync that still runs past the bound is seen as slow before it ends. */
@@ -97,6 +97,6 @@
                     lastIndex,
                     bytes);
         return new LogStatus(
-                state, since, trouble, incarnation, barred, syncs, slow, longest, lastIndex, bytes);
+                state, since, fault, incarnation, barred, syncs, slow, longest, lastIndex, bytes);
     }
 }
--- a/src/main/java/calicostream/durable/LogOpener.java
+++ b/src/main/java/calicostream/durable/LogOpener.java
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.durable;
 
-import calicostream.durable.StateLossDetector.Doubt;
-import calicostream.durable.StateLossDetector.Standing;
+import calicostream.durable.StateLossDetector.StateLoss;
+import calicostream.durable.StateLossDetector.VotingStatus;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -40,9 +40,9 @@
     }
 
     private void resume() throws DurableException {
-        LogRecord.Mark mark = marks.last();
+        LogRecord.DurabilityMarker mark = marks.last();
         List<LogScanner.Segment> files = new ArrayList<>();
-        for (String name : SegmentNames.of(SegmentNames.LOG, disk.list()))
+        for (String name : LogFileNames.filesOfKind(LogFileNames.SEGMENT_PREFIX, disk.list()))
             files.add(new LogScanner.Segment(name, disk.read(name)));
         LogScanner.Result scan = LogScanner.run(who, files, mark);
         files.clear();
@@ -51,15 +51,15 @@
         List<LogRecord> tail = tail(scan);
         LogState whole = contents.copy();
         for (LogRecord record : tail) whole.apply(record);
-        Standing standing =
+        VotingStatus standing =
                 worse(mark == null ? whole.standing() : mark.standing(), whole.standing());
         String why = mark == null ? "" : mark.why();
-        Doubt doubt =
-                scan.doubt() == Doubt.NONE && mark == null && marks.isUnreadable()
-                        ? Doubt.MARKS_FORGOT
+        StateLoss doubt =
+                scan.doubt() == StateLoss.NONE && mark == null && marks.isUnreadable()
+                        ? StateLoss.MARKER_BEHIND_LOG
                         : scan.doubt();
-        if (doubt != Doubt.NONE) {
-            standing = Standing.BARRED;
+        if (doubt != StateLoss.NONE) {
+            standing = VotingStatus.SUSPENDED;
             why = scan.facts().isEmpty() ? "no mark can be read" : scan.facts();
         }
         contents.stand(standing);
@@ -68,13 +68,15 @@
         RecoveredState.Snapshot snapshot = generations.newest(whole, findings);
         generations.unreadable().forEach(contents::drop);
 
-        marks.begin(new LogRecord.Mark(who, incarnation, scan.seq(), scan.crc(), standing, why));
+        marks.begin(
+                new LogRecord.DurabilityMarker(
+                        who, incarnation, scan.seq(), scan.crc(), standing, why));
         deleteParts();
         segments = new SegmentWriter(disk, who, incarnation, scan.nextSegment(), scan.reach());
         segments.vouched(scan.seq());
         segments.begin(contents, scan.seq(), scan.crc(), tail);
         marks.put(
-                new LogRecord.Mark(
+                new LogRecord.DurabilityMarker(
                         who, incarnation, segments.seq(), segments.crc(), standing, why));
         segments.marked();
         for (String name : scan.stale()) disk.delete(name);
@@ -87,32 +89,34 @@
     private List<LogRecord> tail(LogScanner.Result scan) throws DurableException {
         List<LogRecord> tail = new ArrayList<>();
         for (LogRecord record : scan.tail()) {
-            if (record instanceof LogRecord.Snapshot snapshot
+            if (record instanceof LogRecord.SnapshotCompleted snapshot
                     && generations.load(snapshot.ref()) == null) break;
             // The worse of log and mark holds: a bar past the mark may have been answered for, an
             // admission was not.
-            if (!(record instanceof LogRecord.Stands stands)
-                    || stands.standing() == Standing.BARRED) tail.add(record);
+            if (!(record instanceof LogRecord.VotingStatusChange stands)
+                    || stands.standing() == VotingStatus.SUSPENDED) tail.add(record);
         }
         return tail;
     }
 
-    private static Standing worse(Standing a, Standing b) {
-        if (a == Standing.BARRED || b == Standing.BARRED) return Standing.BARRED;
-        return a == Standing.FRESH ? a : b;
+    private static VotingStatus worse(VotingStatus a, VotingStatus b) {
+        if (a == VotingStatus.SUSPENDED || b == VotingStatus.SUSPENDED)
+            return VotingStatus.SUSPENDED;
+        return a == VotingStatus.NEW ? a : b;
     }
 
     private void startOver() throws DurableException {
-        LogRecord.Mark mark = marks.last();
+        LogRecord.DurabilityMarker mark = marks.last();
         long before = mark == null ? 0 : mark.incarnation();
         long number = 0;
         List<String> names = disk.list();
-        for (String name : SegmentNames.of(SegmentNames.LOG, names)) {
-            number = SegmentNames.number(name);
+        for (String name : LogFileNames.filesOfKind(LogFileNames.SEGMENT_PREFIX, names)) {
+            number = LogFileNames.number(name);
             RecordFraming.Frame frame = RecordFraming.read(disk.read(name), 0, name);
-            if (frame == null || !(frame.record() instanceof LogRecord.Head head)) continue;
+            if (frame == null || !(frame.record() instanceof LogRecord.SegmentHeader head))
+                continue;
             if (!head.who().equals(who))
-                throw new DurableException.Foreign(
+                throw new DurableException.ForeignDirectory(
                         name + " belongs to " + head.who() + ", this is " + who);
             before = Math.max(before, head.incarnation());
         }
@@ -120,33 +124,43 @@
         long seq = mark == null ? 0 : mark.seq();
         int crc = mark == null ? 0 : mark.crc();
         String why = "started over at incarnation " + incarnation;
-        marks.begin(new LogRecord.Mark(who, incarnation, seq, crc, Standing.BARRED, why));
+        marks.begin(
+                new LogRecord.DurabilityMarker(
+                        who, incarnation, seq, crc, VotingStatus.SUSPENDED, why));
         deleteParts();
-        for (String name : names) if (name.startsWith(SegmentNames.ASIDE)) disk.delete(name);
-        List<String> old = new ArrayList<>(SegmentNames.of(SegmentNames.LOG, names));
-        old.addAll(SegmentNames.of(SegmentNames.SNAPSHOT, names));
-        for (String name : old) disk.rename(name, SegmentNames.ASIDE + incarnation + "-" + name);
-        disk.syncFolder();
+        for (String name : names)
+            if (name.startsWith(LogFileNames.SET_ASIDE_PREFIX)) disk.delete(name);
+        List<String> old =
+                new ArrayList<>(LogFileNames.filesOfKind(LogFileNames.SEGMENT_PREFIX, names));
+        old.addAll(LogFileNames.filesOfKind(LogFileNames.SNAPSHOT_PREFIX, names));
+        for (String name : old)
+            disk.rename(name, LogFileNames.SET_ASIDE_PREFIX + incarnation + "-" + name);
+        disk.syncDirectory();
         if (!old.isEmpty()) findings.add("set aside: " + old);
         contents = new LogState();
-        contents.stand(Standing.BARRED);
+        contents.stand(VotingStatus.SUSPENDED);
         segments = new SegmentWriter(disk, who, incarnation, number + 1, java.util.Map.of());
         segments.vouched(seq);
         segments.begin(contents, seq, crc, List.of());
         marks.put(
-                new LogRecord.Mark(
-                        who, incarnation, segments.seq(), segments.crc(), Standing.BARRED, why));
+                new LogRecord.DurabilityMarker(
+                        who,
+                        incarnation,
+                        segments.seq(),
+                        segments.crc(),
+                        VotingStatus.SUSPENDED,
+                        why));
         segments.marked();
-        finish(Doubt.NONE, why, null);
+        finish(StateLoss.NONE, why, null);
     }
 
     private void deleteParts() throws DurableException {
-        for (String name : disk.list()) if (SegmentNames.isPart(name)) disk.delete(name);
+        for (String name : disk.list()) if (LogFileNames.isPart(name)) disk.delete(name);
         if (marksDisk == disk) return;
-        for (String name : marksDisk.list()) if (SegmentNames.isPart(name)) marksDisk.delete(name);
+        for (String name : marksDisk.list()) if (LogFileNames.isPart(name)) marksDisk.delete(name);
     }
 
-    private void finish(Doubt doubt, String facts, RecoveredState.Snapshot snapshot) {
+    private void finish(StateLoss doubt, String facts, RecoveredState.Snapshot snapshot) {
         long from = snapshot == null ? 0 : snapshot.index();
         recovered =
                 new RecoveredState(
@@ -155,7 +169,7 @@
                         contents.notes(),
                         snapshot,
                         contents.entriesAbove(from),
-                        new StateLossDetector.Own(
+                        new StateLossDetector.LocalState(
                                 incarnation,
                                 contents.term(),
                                 contents.votedFor(),
--- a/src/main/java/calicostream/durable/LogOptions.java
+++ b/src/main/java/calicostream/durable/LogOptions.java
@@ -21,7 +21,7 @@
         if (slowSyncNanos <= 0) throw new IllegalArgumentException("a sync takes time");
     }
 
-    public LogOptions startingOver() {
+    public LogOptions withStartOver() {
         return new LogOptions(segmentBytes, slowSyncNanos, true, clock);
     }
 }
--- a/src/main/java/calicostream/durable/LogRecord.java
+++ b/src/main/java/calicostream/durable/LogRecord.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.durable;
 
-import calicostream.durable.StateLossDetector.Standing;
+import calicostream.durable.StateLossDetector.VotingStatus;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,24 +19,24 @@
     void write(FieldBuffer out);
 
     /** A snapshot as the log names it. */
-    record Ref(long index, long term) {}
+    record SnapshotId(long index, long term) {}
 
     /**
      * The first record of a segment: whose it is, after which record of the segment before it goes
      * on, and all small state, so that the segments before it may go. {@code first} is the place of
      * the log's first entry less one, if all before it are gone.
      */
-    record Head(
+    record SegmentHeader(
             LogIdentity who,
             long segment,
             long incarnation,
             long afterSeq,
             int afterCrc,
-            Standing standing,
+            VotingStatus standing,
             long term,
             String votedFor,
             long lastIndex,
-            List<Ref> snapshots,
+            List<SnapshotId> snapshots,
             Map<String, byte[]> notes)
             implements LogRecord {
         @Override
@@ -48,20 +48,20 @@
         public void write(FieldBuffer out) {
             out.text(who.cluster());
             out.text(who.member());
-            out.u64(segment);
-            out.u64(incarnation);
-            out.u64(afterSeq);
-            out.u32(afterCrc);
-            out.u8(standing.ordinal());
-            out.u64(term);
+            out.writeLong(segment);
+            out.writeLong(incarnation);
+            out.writeLong(afterSeq);
+            out.writeInt(afterCrc);
+            out.writeByte(standing.ordinal());
+            out.writeLong(term);
             out.text(votedFor);
-            out.u64(lastIndex);
-            out.u8(snapshots.size());
-            for (Ref ref : snapshots) {
-                out.u64(ref.index());
-                out.u64(ref.term());
+            out.writeLong(lastIndex);
+            out.writeByte(snapshots.size());
+            for (SnapshotId ref : snapshots) {
+                out.writeLong(ref.index());
+                out.writeLong(ref.term());
             }
-            out.u32(notes.size());
+            out.writeInt(notes.size());
             notes.forEach(
                     (name, value) -> {
                         out.text(name);
@@ -69,23 +69,23 @@
                     });
         }
 
-        private static Head read(ByteBuffer in) {
+        private static SegmentHeader read(ByteBuffer in) {
             LogIdentity who = new LogIdentity(FieldBuffer.text(in), FieldBuffer.text(in));
             long segment = in.getLong();
             long incarnation = in.getLong();
             long afterSeq = in.getLong();
             int afterCrc = in.getInt();
-            Standing standing = Standing.values()[in.get()];
+            VotingStatus standing = VotingStatus.values()[in.get()];
             long term = in.getLong();
             String votedFor = FieldBuffer.text(in);
             long lastIndex = in.getLong();
-            List<Ref> snapshots = new ArrayList<>();
+            List<SnapshotId> snapshots = new ArrayList<>();
             for (int left = in.get(); left > 0; left--)
-                snapshots.add(new Ref(in.getLong(), in.getLong()));
+                snapshots.add(new SnapshotId(in.getLong(), in.getLong()));
             Map<String, byte[]> notes = new TreeMap<>();
             for (int left = in.getInt(); left > 0; left--)
                 notes.put(FieldBuffer.text(in), FieldBuffer.bytes(in));
-            return new Head(
+            return new SegmentHeader(
                     who,
                     segment,
                     incarnation,
@@ -108,13 +108,13 @@
 
         @Override
         public void write(FieldBuffer out) {
-            out.u64(index);
-            out.u64(term);
+            out.writeLong(index);
+            out.writeLong(term);
             out.bytes(bytes);
         }
     }
 
-    record CutFrom(long index) implements LogRecord {
+    record SuffixTruncation(long index) implements LogRecord {
         @Override
         public int kind() {
             return 3;
@@ -122,11 +122,11 @@
 
         @Override
         public void write(FieldBuffer out) {
-            out.u64(index);
+            out.writeLong(index);
         }
     }
 
-    record Term(long term, String votedFor) implements LogRecord {
+    record TermAndVote(long term, String votedFor) implements LogRecord {
         @Override
         public int kind() {
             return 4;
@@ -134,13 +134,13 @@
 
         @Override
         public void write(FieldBuffer out) {
-            out.u64(term);
+            out.writeLong(term);
             out.text(votedFor);
         }
     }
 
     /** {@code value} is null where the note is removed. */
-    record Note(String name, byte[] value) implements LogRecord {
+    record MetadataEntry(String name, byte[] value) implements LogRecord {
         @Override
         public int kind() {
             return 5;
@@ -149,13 +149,13 @@
         @Override
         public void write(FieldBuffer out) {
             out.text(name);
-            out.u8(value == null ? 0 : 1);
+            out.writeByte(value == null ? 0 : 1);
             if (value != null) out.bytes(value);
         }
     }
 
     /** From here on the log rests on this snapshot, whose file was whole before. */
-    record Snapshot(Ref ref) implements LogRecord {
+    record SnapshotCompleted(SnapshotId ref) implements LogRecord {
         @Override
         public int kind() {
             return 6;
@@ -163,12 +163,12 @@
 
         @Override
         public void write(FieldBuffer out) {
-            out.u64(ref.index());
-            out.u64(ref.term());
+            out.writeLong(ref.index());
+            out.writeLong(ref.term());
         }
     }
 
-    record Stands(Standing standing) implements LogRecord {
+    record VotingStatusChange(VotingStatus standing) implements LogRecord {
         @Override
         public int kind() {
             return 7;
@@ -176,7 +176,7 @@
 
         @Override
         public void write(FieldBuffer out) {
-            out.u8(standing.ordinal());
+            out.writeByte(standing.ordinal());
         }
     }
 
@@ -184,7 +184,8 @@
      * The mark: {@code seq} and {@code crc} are of the last record of the log that was synced;
      * {@code why} is of a member that is barred.
      */
-    record Mark(LogIdentity who, long incarnation, long seq, int crc, Standing standing, String why)
+    record DurabilityMarker(
+            LogIdentity who, long incarnation, long seq, int crc, VotingStatus standing, String why)
             implements LogRecord {
         @Override
         public int kind() {
@@ -195,15 +196,15 @@
         public void write(FieldBuffer out) {
             out.text(who.cluster());
             out.text(who.member());
-            out.u64(incarnation);
-            out.u64(seq);
-            out.u32(crc);
-            out.u8(standing.ordinal());
+            out.writeLong(incarnation);
+            out.writeLong(seq);
+            out.writeInt(crc);
+            out.writeByte(standing.ordinal());
             out.text(why);
         }
     }
 
-    record SnapshotHead(LogIdentity who, Ref ref, int chunks) implements LogRecord {
+    record SnapshotHeader(LogIdentity who, SnapshotId ref, int chunks) implements LogRecord {
         @Override
         public int kind() {
             return 9;
@@ -213,13 +214,13 @@
         public void write(FieldBuffer out) {
             out.text(who.cluster());
             out.text(who.member());
-            out.u64(ref.index());
-            out.u64(ref.term());
-            out.u32(chunks);
+            out.writeLong(ref.index());
+            out.writeLong(ref.term());
+            out.writeInt(chunks);
         }
     }
 
-    record Chunk(int number, byte[] bytes) implements LogRecord {
+    record SnapshotChunk(int number, byte[] bytes) implements LogRecord {
         @Override
         public int kind() {
             return 10;
@@ -227,12 +228,12 @@
 
         @Override
         public void write(FieldBuffer out) {
-            out.u32(number);
+            out.writeInt(number);
             out.bytes(bytes);
         }
     }
 
-    record SnapshotEnd(int chunks) implements LogRecord {
+    record SnapshotTrailer(int chunks) implements LogRecord {
         @Override
         public int kind() {
             return 11;
@@ -240,7 +241,7 @@
 
         @Override
         public void write(FieldBuffer out) {
-            out.u32(chunks);
+            out.writeInt(chunks);
         }
     }
 
@@ -249,28 +250,30 @@
      */
     static LogRecord read(int kind, ByteBuffer in) {
         return switch (kind) {
-            case 1 -> Head.read(in);
+            case 1 -> SegmentHeader.read(in);
             case 2 -> new Entry(in.getLong(), in.getLong(), FieldBuffer.bytes(in));
-            case 3 -> new CutFrom(in.getLong());
-            case 4 -> new Term(in.getLong(), FieldBuffer.text(in));
-            case 5 -> new Note(FieldBuffer.text(in), in.get() == 0 ? null : FieldBuffer.bytes(in));
-            case 6 -> new Snapshot(new Ref(in.getLong(), in.getLong()));
-            case 7 -> new Stands(Standing.values()[in.get()]);
+            case 3 -> new SuffixTruncation(in.getLong());
+            case 4 -> new TermAndVote(in.getLong(), FieldBuffer.text(in));
+            case 5 ->
+                    new MetadataEntry(
+                            FieldBuffer.text(in), in.get() == 0 ? null : FieldBuffer.bytes(in));
+            case 6 -> new SnapshotCompleted(new SnapshotId(in.getLong(), in.getLong()));
+            case 7 -> new VotingStatusChange(VotingStatus.values()[in.get()]);
             case 8 ->
-                    new Mark(
+                    new DurabilityMarker(
                             new LogIdentity(FieldBuffer.text(in), FieldBuffer.text(in)),
                             in.getLong(),
                             in.getLong(),
                             in.getInt(),
-                            Standing.values()[in.get()],
+                            VotingStatus.values()[in.get()],
                             FieldBuffer.text(in));
             case 9 ->
-                    new SnapshotHead(
+                    new SnapshotHeader(
                             new LogIdentity(FieldBuffer.text(in), FieldBuffer.text(in)),
-                            new Ref(in.getLong(), in.getLong()),
+                            new SnapshotId(in.getLong(), in.getLong()),
                             in.getInt());
-            case 10 -> new Chunk(in.getInt(), FieldBuffer.bytes(in));
-            case 11 -> new SnapshotEnd(in.getInt());
+            case 10 -> new SnapshotChunk(in.getInt(), FieldBuffer.bytes(in));
+            case 11 -> new SnapshotTrailer(in.getInt());
             default -> null;
         };
     }
--- a/src/main/java/calicostream/durable/LogScanner.java
+++ b/src/main/java/calicostream/durable/LogScanner.java
@@ -2,7 +2,7 @@
 package calicostream.durable;
 
 import calicostream.durable.RecordFraming.Frame;
-import calicostream.durable.StateLossDetector.Doubt;
+import calicostream.durable.StateLossDetector.StateLoss;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -30,14 +30,14 @@
             List<LogRecord> tail,
             long incarnation,
             long nextSegment,
-            Doubt doubt,
+            StateLoss doubt,
             String facts,
             Map<String, Long> reach,
             List<String> stale,
             List<String> findings) {}
 
     private final LogIdentity who;
-    private final LogRecord.Mark mark;
+    private final LogRecord.DurabilityMarker mark;
     private final List<String> findings = new ArrayList<>();
     private final Map<String, Long> reach = new TreeMap<>();
     private final List<String> stale = new ArrayList<>();
@@ -53,15 +53,15 @@
     private boolean metMark;
     private int crcAtMark;
     private final List<LogRecord> tail = new ArrayList<>();
-    private Doubt doubt = Doubt.NONE;
+    private StateLoss doubt = StateLoss.NONE;
 
-    private LogScanner(LogIdentity who, LogRecord.Mark mark) {
+    private LogScanner(LogIdentity who, LogRecord.DurabilityMarker mark) {
         this.who = who;
         this.mark = mark;
     }
 
     /** {@code segments} by number; {@code mark} is null without one. */
-    static Result run(LogIdentity who, List<Segment> segments, LogRecord.Mark mark)
+    static Result run(LogIdentity who, List<Segment> segments, LogRecord.DurabilityMarker mark)
             throws DurableException {
         return new LogScanner(who, mark).run(segments);
     }
@@ -72,7 +72,7 @@
         long next =
                 segments.isEmpty()
                         ? 1
-                        : SegmentNames.number(segments.get(segments.size() - 1).name()) + 1;
+                        : LogFileNames.number(segments.get(segments.size() - 1).name()) + 1;
         // From the last one back: what a later head goes on before is superseded, whole segments
         // too.
         List<Segment> chain = new ArrayList<>();
@@ -80,24 +80,27 @@
         long limit = Long.MAX_VALUE;
         for (int i = segments.size() - 1; i >= 0; i--) {
             if (i + 1 < segments.size()
-                    && SegmentNames.number(segments.get(i).name()) + 1
-                            != SegmentNames.number(segments.get(i + 1).name())) {
+                    && LogFileNames.number(segments.get(i).name()) + 1
+                            != LogFileNames.number(segments.get(i + 1).name())) {
                 for (int old = 0; old <= i; old++) stale.add(segments.get(old).name());
                 break;
             }
             Frame head = heads.get(i);
-            incarnation = Math.max(incarnation, ((LogRecord.Head) head.record()).incarnation());
+            incarnation =
+                    Math.max(incarnation, ((LogRecord.SegmentHeader) head.record()).incarnation());
             reach.put(segments.get(i).name(), 0L);
             if (head.seq() > limit) continue;
             chain.add(0, segments.get(i));
             chainHeads.add(0, head);
-            limit = ((LogRecord.Head) head.record()).afterSeq();
+            limit = ((LogRecord.SegmentHeader) head.record()).afterSeq();
         }
         for (int i = 0; i < chain.size(); i++)
             segment(
                     chain.get(i),
                     chainHeads.get(i),
-                    i + 1 < chain.size() ? (LogRecord.Head) chainHeads.get(i + 1).record() : null);
+                    i + 1 < chain.size()
+                            ? (LogRecord.SegmentHeader) chainHeads.get(i + 1).record()
+                            : null);
         if (contents == null) contents = new LogState();
         if (contents.base() > contents.snapshotIndex())
             throw new DurableException.MissingRecords(
@@ -114,7 +117,7 @@
                                             + " is not there"));
         if (!stale.isEmpty()) findings.add("deleted segments were there again: " + stale);
         String facts = doubt(chain);
-        if (doubt != Doubt.NONE || vouched == null) {
+        if (doubt != StateLoss.NONE || vouched == null) {
             // Nothing is vouched for beyond what could be read, and nothing of it may be taken for
             // a tail.
             return new Result(
@@ -153,7 +156,7 @@
         for (int i = 0; i < segments.size(); i++) {
             Segment segment = segments.get(i);
             Frame head = RecordFraming.read(segment.bytes(), 0, segment.name());
-            if (head == null || !(head.record() instanceof LogRecord.Head)) {
+            if (head == null || !(head.record() instanceof LogRecord.SegmentHeader)) {
                 Frame later = RecordFraming.find(segment.bytes(), 0, segment.name());
                 if (i + 1 < segments.size() || later != null) throw rotten(segment, 0, "its head");
                 findings.add(
@@ -161,18 +164,18 @@
                 segments.remove(i);
                 break;
             }
-            LogIdentity found = ((LogRecord.Head) head.record()).who();
+            LogIdentity found = ((LogRecord.SegmentHeader) head.record()).who();
             if (!found.equals(who))
-                throw new DurableException.Foreign(
+                throw new DurableException.ForeignDirectory(
                         segment.name() + " belongs to " + found + ", this is " + who);
             heads.add(head);
         }
         return heads;
     }
 
-    private void segment(Segment segment, Frame first, LogRecord.Head next)
+    private void segment(Segment segment, Frame first, LogRecord.SegmentHeader next)
             throws DurableException {
-        LogRecord.Head head = (LogRecord.Head) first.record();
+        LogRecord.SegmentHeader head = (LogRecord.SegmentHeader) first.record();
         if (contents == null) {
             contents =
                     head.afterSeq() == 0 && head.lastIndex() == 0
@@ -232,7 +235,8 @@
      * No sound record follows in this segment: its honest end, a torn tail, forgotten records, rot
      * or a hole.
      */
-    private void ended(Segment segment, int at, LogRecord.Head next) throws DurableException {
+    private void ended(Segment segment, int at, LogRecord.SegmentHeader next)
+            throws DurableException {
         byte[] bytes = segment.bytes();
         if (next == null && at == bytes.length) return;
         boolean blank = RecordFraming.isBlank(bytes, at);
@@ -274,7 +278,7 @@
     }
 
     private static DurableException rotten(Segment segment, int at, String what) {
-        return new DurableException.Corrupt(
+        return new DurableException.CorruptRecord(
                 segment.name()
                         + " at byte "
                         + at
@@ -287,16 +291,16 @@
     private String doubt(List<Segment> chain) {
         if (mark == null) {
             if (chain.isEmpty()) return "";
-            doubt = Doubt.MARKS_FORGOT;
+            doubt = StateLoss.MARKER_BEHIND_LOG;
             return "no mark is there, and the log ends at record " + seq;
         }
         if (chain.isEmpty() && mark.seq() == 0) return "";
         if (mark.seq() > seq) {
-            doubt = Doubt.LOG_FORGOT;
+            doubt = StateLoss.LOG_BEHIND_MARKER;
             return "record " + mark.seq() + " was synced, the log ends at " + seq;
         }
         if (maxSynced > mark.seq() || incarnation > mark.incarnation() || !metMark) {
-            doubt = Doubt.MARKS_FORGOT;
+            doubt = StateLoss.MARKER_BEHIND_LOG;
             return "the marks end at record "
                     + mark.seq()
                     + " of incarnation "
@@ -307,7 +311,7 @@
                     + incarnation;
         }
         if (crcAtMark != mark.crc()) {
-            doubt = Doubt.HISTORIES_DIFFER;
+            doubt = StateLoss.HISTORIES_DIVERGED;
             return "record " + mark.seq() + " is another one than was marked";
         }
         return "";
--- a/src/main/java/calicostream/durable/LogState.java
+++ b/src/main/java/calicostream/durable/LogState.java
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.durable;
 
-import calicostream.durable.LogRecord.Ref;
-import calicostream.durable.StateLossDetector.Standing;
+import calicostream.durable.LogRecord.SnapshotId;
+import calicostream.durable.StateLossDetector.VotingStatus;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -19,11 +19,11 @@
 
     private long term;
     private String votedFor = "";
-    private Standing standing = Standing.FRESH;
+    private VotingStatus standing = VotingStatus.NEW;
     private final TreeMap<String, byte[]> notes = new TreeMap<>();
 
     /** Oldest first, two at most. */
-    private final List<Ref> snapshots = new ArrayList<>();
+    private final List<SnapshotId> snapshots = new ArrayList<>();
 
     /** Entries are held from the one after {@code base} to {@code last}. */
     private long base;
@@ -32,7 +32,7 @@
     private List<LogRecord.Entry> entries = new ArrayList<>();
 
     /** The state at a segment's head, where all before it is gone. */
-    static LogState of(LogRecord.Head head) {
+    static LogState of(LogRecord.SegmentHeader head) {
         LogState contents = new LogState();
         contents.term = head.term();
         contents.votedFor = head.votedFor();
@@ -50,9 +50,9 @@
         return copy;
     }
 
-    LogRecord.Head head(
+    LogRecord.SegmentHeader head(
             LogIdentity who, long segment, long incarnation, long afterSeq, int afterCrc) {
-        return new LogRecord.Head(
+        return new LogRecord.SegmentHeader(
                 who,
                 segment,
                 incarnation,
@@ -67,7 +67,7 @@
     }
 
     /** Whether a head tells the same as the records before it did. */
-    boolean agrees(LogRecord.Head head) {
+    boolean agrees(LogRecord.SegmentHeader head) {
         return head.term() == term
                 && head.votedFor().equals(votedFor)
                 && head.lastIndex() == last
@@ -78,7 +78,7 @@
     String check(LogRecord record) {
         if (record instanceof LogRecord.Entry entry) {
             if (entry.index() != last + 1) return "entry " + entry.index() + " after " + last;
-        } else if (record instanceof LogRecord.CutFrom cut) {
+        } else if (record instanceof LogRecord.SuffixTruncation cut) {
             if (cut.index() <= snapshotIndex() || cut.index() > last + 1)
                 return "cut from "
                         + cut.index()
@@ -86,7 +86,7 @@
                         + snapshotIndex()
                         + " and a last entry "
                         + last;
-        } else if (record instanceof LogRecord.Term vote) {
+        } else if (record instanceof LogRecord.TermAndVote vote) {
             if (vote.term() < term) return "term " + vote.term() + " after " + term;
             if (vote.term() == term && !votedFor.isEmpty() && !votedFor.equals(vote.votedFor()))
                 return "a vote for '"
@@ -95,17 +95,17 @@
                         + term
                         + " after one for "
                         + votedFor;
-        } else if (record instanceof LogRecord.Note note) {
+        } else if (record instanceof LogRecord.MetadataEntry note) {
             int size = note.value() == null ? 0 : note.name().length() + note.value().length;
             for (Map.Entry<String, byte[]> other : notes.entrySet())
                 if (!other.getKey().equals(note.name()))
                     size += other.getKey().length() + other.getValue().length;
             if (size > NOTES_LIMIT)
                 return "notes of " + size + " bytes, " + NOTES_LIMIT + " at most";
-        } else if (record instanceof LogRecord.Snapshot snapshot) {
+        } else if (record instanceof LogRecord.SnapshotCompleted snapshot) {
             if (snapshot.ref().index() <= snapshotIndex())
                 return "snapshot of " + snapshot.ref().index() + " after " + snapshotIndex();
-        } else if (!(record instanceof LogRecord.Stands)) {
+        } else if (!(record instanceof LogRecord.VotingStatusChange)) {
             return "no record of a log: " + record.getClass().getSimpleName();
         }
         return null;
@@ -115,17 +115,17 @@
         if (record instanceof LogRecord.Entry entry) {
             last = entry.index();
             if (entries != null) entries.add(entry);
-        } else if (record instanceof LogRecord.CutFrom cut) {
+        } else if (record instanceof LogRecord.SuffixTruncation cut) {
             last = cut.index() - 1;
             base = Math.min(base, last);
             if (entries != null) entries.subList((int) (last - base), entries.size()).clear();
-        } else if (record instanceof LogRecord.Term vote) {
+        } else if (record instanceof LogRecord.TermAndVote vote) {
             term = vote.term();
             votedFor = vote.votedFor();
-        } else if (record instanceof LogRecord.Note note) {
+        } else if (record instanceof LogRecord.MetadataEntry note) {
             if (note.value() == null) notes.remove(note.name());
             else notes.put(note.name(), note.value());
-        } else if (record instanceof LogRecord.Snapshot snapshot) {
+        } else if (record instanceof LogRecord.SnapshotCompleted snapshot) {
             snapshots.add(snapshot.ref());
             if (snapshots.size() > 2) snapshots.remove(0);
             if (snapshot.ref().index() > last) {
@@ -134,7 +134,7 @@
                 base = last = snapshot.ref().index();
                 if (entries != null) entries.clear();
             }
-        } else if (record instanceof LogRecord.Stands stands) {
+        } else if (record instanceof LogRecord.VotingStatusChange stands) {
             standing = stands.standing();
         }
     }
@@ -143,18 +143,18 @@
      * What a head says beyond the records before it: a standing that was changed and generations
      * that were passed over at an opening.
      */
-    void adopt(LogRecord.Head head) {
+    void adopt(LogRecord.SegmentHeader head) {
         standing = head.standing();
         snapshots.clear();
         snapshots.addAll(head.snapshots());
     }
 
     /** Passes over a generation that can't be read. */
-    void drop(Ref ref) {
+    void drop(SnapshotId ref) {
         snapshots.remove(ref);
     }
 
-    void stand(Standing now) {
+    void stand(VotingStatus now) {
         standing = now;
     }
 
@@ -182,7 +182,7 @@
         return snapshots.isEmpty() ? 0 : snapshots.get(snapshots.size() - 1).index();
     }
 
-    List<Ref> snapshots() {
+    List<SnapshotId> snapshots() {
         return List.copyOf(snapshots);
     }
 
@@ -198,7 +198,7 @@
         return new TreeMap<>(notes);
     }
 
-    Standing standing() {
+    VotingStatus standing() {
         return standing;
     }
 
--- a/src/main/java/calicostream/durable/LogStatus.java
+++ b/src/main/java/calicostream/durable/LogStatus.java
@@ -8,9 +8,9 @@
 public record LogStatus(
         State state,
         long sinceNanos,
-        DurableException trouble,
+        DurableException fault,
         long incarnation,
-        boolean barred,
+        boolean votingSuspended,
         long syncs,
         long slowSyncs,
         long longestSyncNanos,
--- a/src/main/java/calicostream/durable/RecordFraming.java
+++ b/src/main/java/calicostream/durable/RecordFraming.java
@@ -23,19 +23,19 @@
     /** Appends the frame of {@code record} and returns its CRC. */
     static int write(FieldBuffer out, LogRecord record, long seq, long synced, int prev) {
         int start = out.size();
-        out.u64(0);
-        out.u8(VERSION);
-        out.u8(record.kind());
-        out.u64(seq);
-        out.u64(synced);
-        out.u32(prev);
+        out.writeLong(0);
+        out.writeByte(VERSION);
+        out.writeByte(record.kind());
+        out.writeLong(seq);
+        out.writeLong(synced);
+        out.writeInt(prev);
         record.write(out);
-        out.u32At(start, out.size() - start - BODY);
+        out.writeIntAt(start, out.size() - start - BODY);
         CRC32C crc = new CRC32C();
         crc.update(out.array(), start, 4);
         crc.update(out.array(), start + BODY, out.size() - start - BODY);
         int value = (int) crc.getValue();
-        out.u32At(start + 4, value);
+        out.writeIntAt(start + 4, value);
         return value;
     }
 
--- a/src/main/java/calicostream/durable/RecoveredState.java
+++ b/src/main/java/calicostream/durable/RecoveredState.java
@@ -14,10 +14,10 @@
 public record RecoveredState(
         long term,
         String votedFor,
-        Map<String, byte[]> notes,
+        Map<String, byte[]> metadata,
         Snapshot snapshot,
         List<Entry> entries,
-        StateLossDetector.Own own,
+        StateLossDetector.LocalState localState,
         List<String> findings) {
 
     public record Entry(long index, long term, byte[] bytes) {}
@@ -32,7 +32,7 @@
     }
 
     /** The same without entries and snapshot, for a log that has been read. */
-    public RecoveredState release() {
-        return new RecoveredState(term, votedFor, notes, null, List.of(), own, findings);
+    public RecoveredState withoutLogData() {
+        return new RecoveredState(term, votedFor, metadata, null, List.of(), localState, findings);
     }
 }
--- a/src/main/java/calicostream/durable/SegmentWriter.java
+++ b/src/main/java/calicostream/durable/SegmentWriter.java
@@ -44,7 +44,7 @@
     void begin(LogState state, long afterSeq, int afterCrc, List<LogRecord> first)
             throws DurableException {
         out.clear();
-        String name = SegmentNames.log(next);
+        String name = LogFileNames.segment(next);
         reach.put(name, 0L);
         seq = afterSeq + 1;
         crc =
--- a/src/main/java/calicostream/durable/SegmentedLog.java
+++ b/src/main/java/calicostream/durable/SegmentedLog.java
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.durable;
 
-import calicostream.durable.LogRecord.Ref;
-import calicostream.durable.StateLossDetector.Standing;
+import calicostream.durable.LogRecord.SnapshotId;
+import calicostream.durable.StateLossDetector.VotingStatus;
 import java.util.List;
 
 /**
@@ -70,7 +70,7 @@
     }
 
     @Override
-    public RecoveredState recovered() {
+    public RecoveredState recoveredState() {
         return recovered;
     }
 
@@ -86,7 +86,7 @@
     @Override
     public void truncateFrom(long index) throws DurableException {
         if (index == contents.last() + 1) return;
-        write(new LogRecord.CutFrom(index));
+        write(new LogRecord.SuffixTruncation(index));
     }
 
     @Override
@@ -103,14 +103,14 @@
     }
 
     @Override
-    public void saveTerm(long term, String votedFor) throws DurableException {
+    public void saveTermAndVote(long term, String votedFor) throws DurableException {
         if (term == contents.term() && votedFor.equals(contents.votedFor())) return;
-        write(new LogRecord.Term(term, votedFor));
+        write(new LogRecord.TermAndVote(term, votedFor));
     }
 
     @Override
-    public void saveNote(String name, byte[] value) throws DurableException {
-        write(new LogRecord.Note(name, value));
+    public void saveMetadata(String name, byte[] value) throws DurableException {
+        write(new LogRecord.MetadataEntry(name, value));
     }
 
     private void write(LogRecord record) throws DurableException {
@@ -123,7 +123,7 @@
     }
 
     @Override
-    public void snapshotChunk(long index, long term, int chunk, int of, byte[] bytes)
+    public void saveSnapshotChunk(long index, long term, int chunk, int of, byte[] bytes)
             throws DurableException {
         usable();
         if (of < 1 || chunk < 0 || chunk >= of)
@@ -132,11 +132,11 @@
             throw new IllegalArgumentException(
                     "a chunk of " + bytes.length + " bytes, " + LARGEST + " at most");
         if (index <= contents.snapshotIndex()) return;
-        guarded(() -> generations.chunk(new Ref(index, term), chunk, of, bytes));
+        guarded(() -> generations.chunk(new SnapshotId(index, term), chunk, of, bytes));
     }
 
     @Override
-    public void dropUnfinishedSnapshot() throws DurableException {
+    public void discardUnfinishedSnapshot() throws DurableException {
         usable();
         guarded(generations::drop);
     }
@@ -149,9 +149,9 @@
     }
 
     private void syncAll() throws DurableException {
-        Ref whole = generations.finish();
+        SnapshotId whole = generations.finish();
         if (whole != null) {
-            LogRecord.Snapshot record = new LogRecord.Snapshot(whole);
+            LogRecord.SnapshotCompleted record = new LogRecord.SnapshotCompleted(whole);
             // Chunks may have waited while an entry was cut that they stand for, or a later
             // snapshot was taken.
             if (contents.check(record) == null) {
@@ -172,7 +172,7 @@
 
     private void timed() throws DurableException {
         synchronized (health) {
-            health.syncBegan(options.clock().getAsLong());
+            health.syncStarted(options.clock().getAsLong());
         }
         try {
             segments.sync();
@@ -186,7 +186,7 @@
 
     private void mark() throws DurableException {
         marks.put(
-                new LogRecord.Mark(
+                new LogRecord.DurabilityMarker(
                         who,
                         incarnation,
                         segments.seq(),
@@ -196,17 +196,17 @@
     }
 
     @Override
-    public void bar(String reason) throws DurableException {
-        stand(Standing.BARRED, reason);
+    public void suspendVoting(String reason) throws DurableException {
+        stand(VotingStatus.SUSPENDED, reason);
     }
 
     @Override
     public void admit() throws DurableException {
-        stand(Standing.ADMITTED, "");
+        stand(VotingStatus.ADMITTED, "");
     }
 
-    private void stand(Standing standing, String reason) throws DurableException {
-        write(new LogRecord.Stands(standing));
+    private void stand(VotingStatus standing, String reason) throws DurableException {
+        write(new LogRecord.VotingStatusChange(standing));
         why = reason;
         sync();
     }
@@ -223,7 +223,7 @@
             throw e;
         } catch (RuntimeException | Error e) {
             // Half a step may have been done, and a second try would do it twice.
-            fail(new DurableException.Failed(who + " at " + disk.place() + ": " + e, e));
+            fail(new DurableException.DiskFailed(who + " at " + disk.location() + ": " + e, e));
             throw e;
         }
     }
@@ -238,16 +238,16 @@
         synchronized (health) {
             switch (health.state()) {
                 case READY, SLOW -> {}
-                case CLOSED -> throw new DurableException.LogClosed(who + " at " + disk.place());
+                case CLOSED -> throw new DurableException.LogClosed(who + " at " + disk.location());
                 case FULL, READ_ONLY, FAILED ->
-                        throw new DurableException.LogFailed(health.trouble());
+                        throw new DurableException.LogFailed(health.fault());
             }
         }
     }
 
     private void signs() {
         lastIndex = contents.last();
-        barred = contents.standing() == Standing.BARRED;
+        barred = contents.standing() == VotingStatus.SUSPENDED;
         bytes = segments.size() + marks.bytes();
     }
 
--- a/src/main/java/calicostream/durable/SnapshotFiles.java
+++ b/src/main/java/calicostream/durable/SnapshotFiles.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.durable;
 
-import calicostream.durable.LogRecord.Ref;
+import calicostream.durable.LogRecord.SnapshotId;
 import calicostream.durable.RecordFraming.Frame;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -13,8 +13,8 @@
     private final Disk disk;
     private final LogIdentity who;
     private final FieldBuffer out = new FieldBuffer(1 << 16);
-    private final List<Ref> unreadable = new ArrayList<>();
-    private Ref pending;
+    private final List<SnapshotId> unreadable = new ArrayList<>();
+    private SnapshotId pending;
     private BitSet got;
     private int of;
     private long seq;
@@ -29,18 +29,20 @@
      * The chunks in order, or null when the file is not whole. A sound file of another member is an
      * error.
      */
-    static List<byte[]> decode(LogIdentity who, Ref ref, byte[] file, String name)
+    static List<byte[]> decode(LogIdentity who, SnapshotId ref, byte[] file, String name)
             throws DurableException {
         Frame frame = RecordFraming.read(file, 0, name);
-        if (frame == null || !(frame.record() instanceof LogRecord.SnapshotHead head)) return null;
+        if (frame == null || !(frame.record() instanceof LogRecord.SnapshotHeader head))
+            return null;
         if (!head.who().equals(who))
-            throw new DurableException.Foreign(
+            throw new DurableException.ForeignDirectory(
                     name + " belongs to " + head.who() + ", this is " + who);
         if (!head.ref().equals(ref)) return null;
         byte[][] chunks = new byte[head.chunks()][];
         for (int left = head.chunks(); left > 0; left--) {
             Frame next = next(file, frame, name);
-            if (next == null || !(next.record() instanceof LogRecord.Chunk chunk)) return null;
+            if (next == null || !(next.record() instanceof LogRecord.SnapshotChunk chunk))
+                return null;
             if (chunk.number() < 0
                     || chunk.number() >= chunks.length
                     || chunks[chunk.number()] != null) return null;
@@ -49,7 +51,7 @@
         }
         Frame end = next(file, frame, name);
         if (end == null
-                || !(end.record() instanceof LogRecord.SnapshotEnd)
+                || !(end.record() instanceof LogRecord.SnapshotTrailer)
                 || end.end() != file.length) return null;
         return List.of(chunks);
     }
@@ -68,10 +70,10 @@
      */
     RecoveredState.Snapshot newest(LogState contents, List<String> findings)
             throws DurableException {
-        List<Ref> refs = new ArrayList<>(contents.snapshots());
+        List<SnapshotId> refs = new ArrayList<>(contents.snapshots());
         unreadable.clear();
         for (int i = refs.size() - 1; i >= 0; i--) {
-            Ref ref = refs.get(i);
+            SnapshotId ref = refs.get(i);
             List<byte[]> chunks = load(ref);
             if (chunks != null && contents.base() <= ref.index()) {
                 if (!unreadable.isEmpty())
@@ -79,7 +81,7 @@
                             "snapshots that can't be read: "
                                     + unreadable
                                     + "; "
-                                    + SegmentNames.snapshot(ref)
+                                    + LogFileNames.snapshot(ref)
                                     + " and the log stand in");
                 return new RecoveredState.Snapshot(ref.index(), ref.term(), chunks);
             }
@@ -103,21 +105,21 @@
     }
 
     /** What {@link #newest} passed over. */
-    List<Ref> unreadable() {
+    List<SnapshotId> unreadable() {
         return unreadable;
     }
 
     /** Null where the file is not there or not whole. */
-    List<byte[]> load(Ref ref) throws DurableException {
-        String name = SegmentNames.snapshot(ref);
+    List<byte[]> load(SnapshotId ref) throws DurableException {
+        String name = LogFileNames.snapshot(ref);
         try {
             return decode(who, ref, disk.read(name), name);
-        } catch (DurableException.Missing e) {
+        } catch (DurableException.FileMissing e) {
             return null;
         }
     }
 
-    void chunk(Ref ref, int number, int count, byte[] bytes) throws DurableException {
+    void chunk(SnapshotId ref, int number, int count, byte[] bytes) throws DurableException {
         if (pending == null || !pending.equals(ref) || of != count) {
             drop();
             pending = ref;
@@ -125,22 +127,22 @@
             got = new BitSet(count);
             seq = 0;
             crc = 0;
-            write(new LogRecord.SnapshotHead(who, ref, count));
+            write(new LogRecord.SnapshotHeader(who, ref, count));
         }
         if (got.get(number)) return;
-        write(new LogRecord.Chunk(number, bytes));
+        write(new LogRecord.SnapshotChunk(number, bytes));
         got.set(number);
     }
 
     private void write(LogRecord record) throws DurableException {
         out.clear();
         crc = RecordFraming.write(out, record, ++seq, 0, crc);
-        disk.append(SegmentNames.snapshot(pending) + SegmentNames.PART, out.view());
+        disk.append(LogFileNames.snapshot(pending) + LogFileNames.PARTIAL_SUFFIX, out.view());
     }
 
     void drop() throws DurableException {
         if (pending == null) return;
-        disk.delete(SegmentNames.snapshot(pending) + SegmentNames.PART);
+        disk.delete(LogFileNames.snapshot(pending) + LogFileNames.PARTIAL_SUFFIX);
         pending = null;
     }
 
@@ -151,22 +153,22 @@
     /**
      * Makes the collected snapshot a whole file and names it; null as long as chunks are missing.
      */
-    Ref finish() throws DurableException {
+    SnapshotId finish() throws DurableException {
         if (!isWhole()) return null;
-        Ref done = pending;
-        write(new LogRecord.SnapshotEnd(of));
-        String name = SegmentNames.snapshot(done);
-        disk.sync(name + SegmentNames.PART);
-        disk.rename(name + SegmentNames.PART, name);
-        disk.syncFolder();
+        SnapshotId done = pending;
+        write(new LogRecord.SnapshotTrailer(of));
+        String name = LogFileNames.snapshot(done);
+        disk.sync(name + LogFileNames.PARTIAL_SUFFIX);
+        disk.rename(name + LogFileNames.PARTIAL_SUFFIX, name);
+        disk.syncDirectory();
         pending = null;
         return done;
     }
 
     /** Deletes whole files that the log does not name. */
-    void deleteBut(List<Ref> named) throws DurableException {
-        List<String> kept = named.stream().map(SegmentNames::snapshot).toList();
-        for (String name : SegmentNames.of(SegmentNames.SNAPSHOT, disk.list()))
+    void deleteBut(List<SnapshotId> named) throws DurableException {
+        List<String> kept = named.stream().map(LogFileNames::snapshot).toList();
+        for (String name : LogFileNames.filesOfKind(LogFileNames.SNAPSHOT_PREFIX, disk.list()))
             if (!kept.contains(name)) disk.delete(name);
     }
 }
--- a/src/main/java/calicostream/durable/StateLossDetector.java
+++ b/src/main/java/calicostream/durable/StateLossDetector.java
@@ -16,40 +16,40 @@
     private StateLossDetector() {}
 
     /** How this member stands in its group by its own marks. */
-    public enum Standing {
+    public enum VotingStatus {
         /** It never promised anything to a group that had admitted it. */
-        FRESH,
+        NEW,
         /** It is admitted, and its promises are in its log. */
         ADMITTED,
         /** It has once forgotten, and was not admitted anew. */
-        BARRED
+        SUSPENDED
     }
 
     /** What its log and its marks, written apart, say of each other. */
-    public enum Doubt {
+    public enum StateLoss {
         NONE,
         /**
          * The log ends before what the marks say was synced: an older copy, a lost sync, an empty
          * folder.
          */
-        LOG_FORGOT,
+        LOG_BEHIND_MARKER,
         /** The marks are older than the log, or gone: then nothing vouches for the log's end. */
-        MARKS_FORGOT,
+        MARKER_BEHIND_LOG,
         /** Both tell of other records at one place: two histories were mixed. */
-        HISTORIES_DIFFER
+        HISTORIES_DIVERGED
     }
 
     /**
      * What a member finds at its opening. {@code incarnation} is this opening's, which no peer can
      * have seen before.
      */
-    public record Own(
+    public record LocalState(
             long incarnation,
             long term,
             String votedFor,
             long lastIndex,
-            Standing standing,
-            Doubt doubt,
+            VotingStatus votingStatus,
+            StateLoss stateLoss,
             String facts) {}
 
     /**
@@ -60,57 +60,61 @@
      * {@code grouped}: the peer is a voter of a group that has committed something. All zero and
      * false: it remembers nothing.
      */
-    public record Seen(
+    public record PeerObservation(
             long incarnation,
             long term,
-            long acknowledged,
+            long acknowledgedIndex,
             long voteTerm,
-            boolean alive,
-            boolean grouped) {
-        public static final Seen NOTHING = new Seen(0, 0, 0, 0, false, false);
+            boolean connectedElsewhere,
+            boolean groupFormed) {
+        public static final PeerObservation NONE = new PeerObservation(0, 0, 0, 0, false, false);
     }
 
-    public record Answer(RecoveryVerdict verdict, String reason) {}
+    public record Assessment(RecoveryVerdict verdict, String reason) {}
 
     /**
      * {@code others} are the voters beside it that it knows of, {@code founder} whether its
      * settings name it among the first voters.
      */
-    public static Answer judge(
-            Own own, boolean founder, Set<String> others, Map<String, Seen> told) {
-        for (Map.Entry<String, Seen> peer : told.entrySet()) {
-            if (peer.getValue().alive())
-                return new Answer(
+    public static Assessment assess(
+            LocalState own,
+            boolean founder,
+            Set<String> others,
+            Map<String, PeerObservation> told) {
+        for (Map.Entry<String, PeerObservation> peer : told.entrySet()) {
+            if (peer.getValue().connectedElsewhere())
+                return new Assessment(
                         RecoveryVerdict.REFUSE,
                         peer.getKey() + " is connected to another process of this member");
         }
-        if (own.doubt() != Doubt.NONE) return new Answer(RecoveryVerdict.LEARNER, own.facts());
-        if (own.standing() == Standing.BARRED)
-            return new Answer(
+        if (own.stateLoss() != StateLoss.NONE)
+            return new Assessment(RecoveryVerdict.LEARNER, own.facts());
+        if (own.votingStatus() == VotingStatus.SUSPENDED)
+            return new Assessment(
                     RecoveryVerdict.LEARNER,
                     "forgot before and was not admitted anew: " + own.facts());
-        for (Map.Entry<String, Seen> peer : told.entrySet()) {
+        for (Map.Entry<String, PeerObservation> peer : told.entrySet()) {
             String forgotten = forgotten(own, peer.getKey(), peer.getValue());
-            if (forgotten != null) return new Answer(RecoveryVerdict.LEARNER, forgotten);
+            if (forgotten != null) return new Assessment(RecoveryVerdict.LEARNER, forgotten);
         }
         long heard = others.stream().filter(told::containsKey).count();
-        if (own.standing() == Standing.ADMITTED) {
+        if (own.votingStatus() == VotingStatus.ADMITTED) {
             return heard >= (others.size() + 1) / 2
-                    ? new Answer(RecoveryVerdict.VOTER, "marks and " + heard + " peers agree")
-                    : new Answer(
+                    ? new Assessment(RecoveryVerdict.VOTER, "marks and " + heard + " peers agree")
+                    : new Assessment(
                             RecoveryVerdict.WAIT,
                             "heard " + heard + " of " + others.size() + " peers");
         }
-        if (told.values().stream().anyMatch(Seen::grouped))
-            return new Answer(
+        if (told.values().stream().anyMatch(PeerObservation::groupFormed))
+            return new Assessment(
                     RecoveryVerdict.LEARNER, "the group is founded and has not admitted it");
         if (!founder || own.term() > 0 || own.lastIndex() > 0)
-            return new Answer(RecoveryVerdict.LEARNER, "not admitted by a group yet");
+            return new Assessment(RecoveryVerdict.LEARNER, "not admitted by a group yet");
         // A new group begins only once in its life; a majority of blank voters could found a second
         // one beside a voter that is cut off.
         return heard == others.size()
-                ? new Answer(RecoveryVerdict.VOTER, "all first voters are new")
-                : new Answer(
+                ? new Assessment(RecoveryVerdict.VOTER, "all first voters are new")
+                : new Assessment(
                         RecoveryVerdict.WAIT,
                         "a new group needs all its first voters: heard "
                                 + heard
@@ -122,14 +126,14 @@
      * Whether own marks or a peer say so; a member that merely was not admitted yet has forgotten
      * nothing.
      */
-    public static boolean hasForgotten(Own own, Map<String, Seen> told) {
-        return own.doubt() != Doubt.NONE
-                || own.standing() == Standing.BARRED
+    public static boolean hasLostState(LocalState own, Map<String, PeerObservation> told) {
+        return own.stateLoss() != StateLoss.NONE
+                || own.votingStatus() == VotingStatus.SUSPENDED
                 || told.entrySet().stream()
                         .anyMatch(peer -> forgotten(own, peer.getKey(), peer.getValue()) != null);
     }
 
-    private static String forgotten(Own own, String peer, Seen seen) {
+    private static String forgotten(LocalState own, String peer, PeerObservation seen) {
         if (seen.incarnation() >= own.incarnation())
             return peer
                     + " has seen incarnation "
@@ -140,10 +144,10 @@
             return peer + " has seen term " + seen.term() + ", the log knows " + own.term();
         // Later leaders may cut what an earlier one was acknowledged; within one term an
         // acknowledged entry stays.
-        if (seen.term() == own.term() && seen.acknowledged() > own.lastIndex())
+        if (seen.term() == own.term() && seen.acknowledgedIndex() > own.lastIndex())
             return peer
                     + " was acknowledged "
-                    + seen.acknowledged()
+                    + seen.acknowledgedIndex()
                     + " in term "
                     + seen.term()
                     + ", the log ends at "
--- a/src/main/java/calicostream/durable/package-info.java
+++ b/src/main/java/calicostream/durable/package-info.java
@@ -4,6 +4,6 @@
  * rot, fill up and lie, with the marks by which a member notices that its disk has forgotten. It
  * knows bytes and indexes, not commands, consensus, sockets or peers: what peers remember is handed
  * in. Read {@link calicostream.durable.DurableLog} first, then {@link
- * calicostream.durable.Amnesia}.
+ * calicostream.durable.StateLossDetector}.
  */
 package calicostream.durable;
--- a/src/measure/java/calicostream/cluster/sim/SimCluster.java
+++ b/src/measure/java/calicostream/cluster/sim/SimCluster.java
@@ -120,10 +120,11 @@
 failed(e);
 return;
 }
-if (log.recovered().own().doubt() != StateLossDetector.Doubt.NONE
+if (log.recoveredState().localState().stateLoss() != StateLossDetector.StateLoss.NONE
 && !lied
 && mutants.isEmpty()) {
-throw new Broken(name() + " doubts an honest disk: " + log.recovered().own());
+throw new Broken(
+name() + " doubts an honest disk: " + log.recoveredState().localState());
 }
 DurableRaftStore store = new DurableRaftStore(log);
 Map<String, StateMachine> machines = new TreeMap<>(Map.of("lists", lists));
@@ -134,7 +135,7 @@
 machines.put(name, part.machine());
 timekeepers.put(name, part.timekeeper());
 });
-Optional<RestoredRaftState> restored = DurableRaftStore.restoredState(log.recovered());
+Optional<RestoredRaftState> restored = DurableRaftStore.restoredState(log.recoveredState());
 voter =
 new VoterNode(
 new VoterNode.Settings(name(), first, 50, 5, 200, QUEUE, 40),
--- a/src/measure/java/calicostream/cluster/sim/SimDisk.java
+++ b/src/measure/java/calicostream/cluster/sim/SimDisk.java
@@ -70,7 +70,7 @@
     }
 
     private DurableException died() {
-        return new DurableException.Failed(place + " died", null);
+        return new DurableException.DiskFailed(place + " died", null);
     }
 
     private interface Call {
@@ -124,14 +124,14 @@
     }
 
     @Override
-    public String place() {
+    public String location() {
         return place;
     }
 
     @Override
     public void lock() throws DurableException {
         if (locked) {
-            throw new DurableException.InUse(place);
+            throw new DurableException.DirectoryInUse(place);
         }
         locked = true;
     }
@@ -145,7 +145,7 @@
     public byte[] read(String name) throws DurableException {
         File file = now.get(name);
         if (file == null) {
-            throw new DurableException.Missing(place + "/" + name);
+            throw new DurableException.FileMissing(place + "/" + name);
         }
         return Arrays.copyOf(file.bytes, file.length);
     }
@@ -170,7 +170,7 @@
                 part -> {
                     File file = now.get(name);
                     if (file == null) {
-                        throw new DurableException.Missing(place + "/" + name);
+                        throw new DurableException.FileMissing(place + "/" + name);
                     }
                     file.kept =
                             lies ? file.kept : file.kept + (int) ((file.length - file.kept) * part);
@@ -178,7 +178,7 @@
     }
 
     @Override
-    public void syncFolder() throws DurableException {
+    public void syncDirectory() throws DurableException {
         call(part -> kept = lies || part < 0.5 ? kept : new TreeMap<>(now));
     }
 
--- a/src/measure/java/calicostream/durable/DurableMeasure.java
+++ b/src/measure/java/calicostream/durable/DurableMeasure.java
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.durable;
 
-import calicostream.durable.Trials.End;
-import calicostream.durable.Trials.Outcome;
+import calicostream.durable.CrashTrials.Outcome;
+import calicostream.durable.CrashTrials.Verdict;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
@@ -64,17 +64,17 @@
         long began = System.nanoTime();
         long at = seed;
         for (; System.nanoTime() - began < 14_000_000_000L; at++) {
-            int calls = Trials.calls(at);
+            int calls = CrashTrials.countDiskCalls(at);
             for (int call = 1; call <= calls; call++, crashPoints++)
-                count(Trials.crash(at, call, call % 4));
+                count(CrashTrials.runCrash(at, call, call % 4));
         }
         long lies = seed;
         for (; System.nanoTime() - began < 24_000_000_000L; lies++)
-            for (Trials.Lie lie : Trials.Lie.values()) {
-                Outcome outcome = Trials.lie(lies, lie);
-                if (outcome.end() == End.INTACT) harmless++;
+            for (CrashTrials.SilentFault lie : CrashTrials.SilentFault.values()) {
+                Outcome outcome = CrashTrials.runSilentFault(lies, lie);
+                if (outcome.verdict() == Verdict.INTACT) harmless++;
                 else told++;
-                if (outcome.end() == End.NOTICED) noticed++;
+                if (outcome.verdict() == Verdict.DETECTED) noticed++;
                 count(outcome);
             }
         System.out.println(
@@ -122,15 +122,15 @@
     }
 
     private void count(Outcome outcome) {
-        switch (outcome.end()) {
-            case INTACT, NOTICED -> {
+        switch (outcome.verdict()) {
+            case INTACT, DETECTED -> {
                 return;
             }
             case LOST -> lost++;
-            case INVENTED -> invented++;
+            case FABRICATED -> invented++;
             case FALSE_ALARM -> falseAlarms++;
         }
-        System.out.println(outcome.end() + " " + outcome.what());
+        System.out.println(outcome.verdict() + " " + outcome.description());
     }
 
     /**
@@ -163,7 +163,7 @@
         return DurableLog.open(
                 new FileDisk(folder.resolve(name)),
                 new FileDisk(folder.resolve(name + "-marks")),
-                Play.WHO,
+                CrashScenario.IDENTITY,
                 LogOptions.DEFAULT);
     }
 
@@ -208,7 +208,7 @@
             began = System.nanoTime();
             try (DurableLog log = log("long")) {
                 took[i] = System.nanoTime() - began;
-                List<RecoveredState.Entry> entries = log.recovered().entries();
+                List<RecoveredState.Entry> entries = log.recoveredState().entries();
                 if (entries.size() != LOG_MB * ((1 << 20) / ENTRY))
                     throw new IllegalStateException(
                             "entries " + entries.size() + " of " + bytes + " bytes");
--- a/src/measure/java/calicostream/durable/FaultyDisk.java
+++ b/src/measure/java/calicostream/durable/FaultyDisk.java
@@ -17,13 +17,13 @@
  */
 final class FaultyDisk implements Disk {
 
-    static final int SECTOR = 32;
+    static final int SECTOR_BYTES = 32;
 
     /** The power is cut, or the process killed, in the middle of a call. */
-    static final class Crash extends RuntimeException {
+    static final class SimulatedCrash extends RuntimeException {
         private static final long serialVersionUID = 1;
 
-        Crash(int call) {
+        SimulatedCrash(int call) {
             super("crash at disk call " + call, null, false, false);
         }
     }
@@ -40,165 +40,169 @@
      * What all disks of one machine share: the count of calls, where they break, the seed and the
      * clock.
      */
-    static final class Power {
+    static final class SimulatedMachine {
         final Random random;
-        int calls;
-        int crashAt = -1;
-        int faultAt = -1;
+        int callCount;
+        int crashAtCall = -1;
+        int faultAtCall = -1;
         Fault fault;
-        boolean faulted;
-        long now;
+        boolean isFaultInjected;
+        long nowNanos;
 
-        Power(long seed) {
+        SimulatedMachine(long seed) {
             random = new Random(seed);
         }
 
-        private boolean isCrash() {
-            return ++calls == crashAt;
+        private boolean isCrashDue() {
+            return ++callCount == crashAtCall;
         }
 
-        private boolean is(Fault kind) {
-            if (fault != kind || faultAt < 0 || calls < faultAt || faulted) return false;
-            faulted = true;
+        private boolean shouldInject(Fault kind) {
+            if (fault != kind || faultAtCall < 0 || callCount < faultAtCall || isFaultInjected)
+                return false;
+            isFaultInjected = true;
             return true;
         }
     }
 
-    private static final class File {
-        byte[] now = new byte[0];
-        byte[] kept = new byte[0];
-        BitSet dirty = new BitSet();
+    private static final class StoredFile {
+        byte[] cachedBytes = new byte[0];
+        byte[] durableBytes = new byte[0];
+        BitSet dirtySectors = new BitSet();
 
-        File copy() {
-            File copy = new File();
-            copy.now = now.clone();
-            copy.kept = kept.clone();
-            copy.dirty = (BitSet) dirty.clone();
+        StoredFile copy() {
+            StoredFile copy = new StoredFile();
+            copy.cachedBytes = cachedBytes.clone();
+            copy.durableBytes = durableBytes.clone();
+            copy.dirtySectors = (BitSet) dirtySectors.clone();
             return copy;
         }
 
         /** Brings a sector to the disk; what lies between is blank until it comes too. */
-        void keep(int sector, int upTo) {
-            int from = sector * SECTOR;
-            int to = Math.min(upTo, Math.min(now.length, from + SECTOR));
+        void persistSector(int sector, int upTo) {
+            int from = sector * SECTOR_BYTES;
+            int to = Math.min(upTo, Math.min(cachedBytes.length, from + SECTOR_BYTES));
             if (to <= from) return;
-            if (kept.length < to) kept = Arrays.copyOf(kept, to);
-            System.arraycopy(now, from, kept, from, to - from);
+            if (durableBytes.length < to) durableBytes = Arrays.copyOf(durableBytes, to);
+            System.arraycopy(cachedBytes, from, durableBytes, from, to - from);
         }
     }
 
     private final String place;
-    private final Power power;
-    private TreeMap<String, File> names = new TreeMap<>();
-    private TreeMap<String, File> keptNames = new TreeMap<>();
-    private final List<Consumer<TreeMap<String, File>>> changes = new ArrayList<>();
-    private boolean locked;
+    private final SimulatedMachine machine;
+    private TreeMap<String, StoredFile> directory = new TreeMap<>();
+    private TreeMap<String, StoredFile> durableDirectory = new TreeMap<>();
+    private final List<Consumer<TreeMap<String, StoredFile>>> unsyncedDirectoryChanges =
+            new ArrayList<>();
+    private boolean isLocked;
 
     /** Says yes to every sync and keeps nothing. */
-    boolean losing;
+    boolean isDroppingSyncs;
 
-    boolean readOnly;
-    boolean full;
+    boolean isReadOnly;
+    boolean isFull;
 
-    FaultyDisk(String place, Power power) {
+    FaultyDisk(String place, SimulatedMachine power) {
         this.place = place;
-        this.power = power;
+        this.machine = power;
     }
 
     @Override
-    public String place() {
+    public String location() {
         return place;
     }
 
     @Override
     public void lock() throws DurableException {
-        if (locked) throw new DurableException.InUse(place + " is in use");
-        locked = true;
+        if (isLocked) throw new DurableException.DirectoryInUse(place + " is in use");
+        isLocked = true;
     }
 
-    private void step() {
-        if (power.isCrash()) throw new Crash(power.calls);
+    private void countCall() {
+        if (machine.isCrashDue()) throw new SimulatedCrash(machine.callCount);
     }
 
     @Override
     public List<String> list() {
-        step();
-        return List.copyOf(names.keySet());
+        countCall();
+        return List.copyOf(directory.keySet());
     }
 
     @Override
     public byte[] read(String name) throws DurableException {
-        step();
-        File file = names.get(name);
-        if (file == null) throw new DurableException.Missing(place + "/" + name);
-        return file.now.clone();
+        countCall();
+        StoredFile file = directory.get(name);
+        if (file == null) throw new DurableException.FileMissing(place + "/" + name);
+        return file.cachedBytes.clone();
     }
 
-    private void writable(String what) throws DurableException {
-        if (power.is(Fault.READ_ONLY)) readOnly = true;
-        if (readOnly) throw new DurableException.ReadOnly(place + ": " + what, null);
-        if (power.is(Fault.WRITE_FAILS))
-            throw new DurableException.Failed(place + ": " + what, null);
+    private void checkWritable(String what) throws DurableException {
+        if (machine.shouldInject(Fault.READ_ONLY)) isReadOnly = true;
+        if (isReadOnly) throw new DurableException.ReadOnlyFileSystem(place + ": " + what, null);
+        if (machine.shouldInject(Fault.WRITE_FAILS))
+            throw new DurableException.DiskFailed(place + ": " + what, null);
     }
 
     @Override
     public void append(String name, ByteBuffer bytes) throws DurableException {
-        boolean crash = power.isCrash();
-        writable("append to " + name);
-        if (power.is(Fault.FULL)) full = true;
+        boolean crash = machine.isCrashDue();
+        checkWritable("append to " + name);
+        if (machine.shouldInject(Fault.FULL)) isFull = true;
         int length =
-                crash || full ? power.random.nextInt(bytes.remaining() + 1) : bytes.remaining();
-        File file = names.get(name);
+                crash || isFull ? machine.random.nextInt(bytes.remaining() + 1) : bytes.remaining();
+        StoredFile file = directory.get(name);
         if (file == null) {
-            file = new File();
-            File made = file;
-            change(folder -> folder.put(name, made));
+            file = new StoredFile();
+            StoredFile made = file;
+            changeDirectory(folder -> folder.put(name, made));
         }
-        int at = file.now.length;
-        file.now = Arrays.copyOf(file.now, at + length);
-        bytes.get(file.now, at, length);
-        if (length > 0) file.dirty.set(at / SECTOR, (at + length - 1) / SECTOR + 1);
-        if (crash) throw new Crash(power.calls);
-        if (full) throw new DurableException.Full(place + ": append to " + name, null);
+        int at = file.cachedBytes.length;
+        file.cachedBytes = Arrays.copyOf(file.cachedBytes, at + length);
+        bytes.get(file.cachedBytes, at, length);
+        if (length > 0)
+            file.dirtySectors.set(at / SECTOR_BYTES, (at + length - 1) / SECTOR_BYTES + 1);
+        if (crash) throw new SimulatedCrash(machine.callCount);
+        if (isFull) throw new DurableException.DiskFull(place + ": append to " + name, null);
     }
 
-    private void change(Consumer<TreeMap<String, File>> change) {
-        change.accept(names);
-        changes.add(change);
+    private void changeDirectory(Consumer<TreeMap<String, StoredFile>> change) {
+        change.accept(directory);
+        unsyncedDirectoryChanges.add(change);
     }
 
     @Override
     public void sync(String name) throws DurableException {
-        step();
-        if (power.is(Fault.SLOW)) power.now += 3_000_000_000L;
-        File file = names.get(name);
-        if (file == null) throw new DurableException.Missing(place + "/" + name);
-        if (power.is(Fault.SYNC_FAILS)) {
-            file.dirty.clear();
+        countCall();
+        if (machine.shouldInject(Fault.SLOW)) machine.nowNanos += 3_000_000_000L;
+        StoredFile file = directory.get(name);
+        if (file == null) throw new DurableException.FileMissing(place + "/" + name);
+        if (machine.shouldInject(Fault.SYNC_FAILS)) {
+            file.dirtySectors.clear();
             throw new DurableException.SyncFailed(place + ": sync of " + name, null);
         }
-        if (losing) return;
-        for (int sector = file.dirty.nextSetBit(0);
+        if (isDroppingSyncs) return;
+        for (int sector = file.dirtySectors.nextSetBit(0);
                 sector >= 0;
-                sector = file.dirty.nextSetBit(sector + 1)) file.keep(sector, Integer.MAX_VALUE);
-        file.dirty.clear();
+                sector = file.dirtySectors.nextSetBit(sector + 1))
+            file.persistSector(sector, Integer.MAX_VALUE);
+        file.dirtySectors.clear();
     }
 
     @Override
-    public void syncFolder() throws DurableException {
-        step();
-        if (losing) return;
-        keptNames = new TreeMap<>(names);
-        changes.clear();
+    public void syncDirectory() throws DurableException {
+        countCall();
+        if (isDroppingSyncs) return;
+        durableDirectory = new TreeMap<>(directory);
+        unsyncedDirectoryChanges.clear();
     }
 
     @Override
     public void rename(String from, String to) throws DurableException {
-        step();
-        writable("rename " + from);
-        File file = names.get(from);
-        if (file == null) throw new DurableException.Missing(place + "/" + from);
-        change(
+        countCall();
+        checkWritable("rename " + from);
+        StoredFile file = directory.get(from);
+        if (file == null) throw new DurableException.FileMissing(place + "/" + from);
+        changeDirectory(
                 folder -> {
                     folder.remove(from);
                     folder.put(to, file);
@@ -207,102 +211,109 @@
 
     @Override
     public void delete(String name) throws DurableException {
-        step();
-        writable("delete " + name);
-        if (names.containsKey(name)) change(folder -> folder.remove(name));
+        countCall();
+        checkWritable("delete " + name);
+        if (directory.containsKey(name)) changeDirectory(folder -> folder.remove(name));
     }
 
     @Override
     public void close() {
-        locked = false;
+        isLocked = false;
     }
 
     /**
      * The power was cut: of what was not synced, a part drawn at random is there. {@code kind} 0
      * keeps nothing, 1 all, else some.
      */
-    void cut(int kind) {
-        for (Consumer<TreeMap<String, File>> change : changes)
-            if (isKept(kind)) change.accept(keptNames);
-        changes.clear();
-        names = keptNames;
-        keptNames = new TreeMap<>(names);
-        for (File file : names.values()) {
+    void cutPower(int kind) {
+        for (Consumer<TreeMap<String, StoredFile>> change : unsyncedDirectoryChanges)
+            if (survivesPowerCut(kind)) change.accept(durableDirectory);
+        unsyncedDirectoryChanges.clear();
+        directory = durableDirectory;
+        durableDirectory = new TreeMap<>(directory);
+        for (StoredFile file : directory.values()) {
             int upTo =
                     kind == 1
-                            ? file.now.length
-                            : file.kept.length
-                                    + power.random.nextInt(
-                                            Math.max(1, file.now.length - file.kept.length + 1));
-            for (int sector = file.dirty.nextSetBit(0);
+                            ? file.cachedBytes.length
+                            : file.durableBytes.length
+                                    + machine.random.nextInt(
+                                            Math.max(
+                                                    1,
+                                                    file.cachedBytes.length
+                                                            - file.durableBytes.length
+                                                            + 1));
+            for (int sector = file.dirtySectors.nextSetBit(0);
                     sector >= 0;
-                    sector = file.dirty.nextSetBit(sector + 1))
-                if (isKept(kind)) file.keep(sector, upTo);
-            file.now = file.kept.clone();
-            file.dirty.clear();
+                    sector = file.dirtySectors.nextSetBit(sector + 1))
+                if (survivesPowerCut(kind)) file.persistSector(sector, upTo);
+            file.cachedBytes = file.durableBytes.clone();
+            file.dirtySectors.clear();
         }
-        locked = false;
-        losing = readOnly = full = false;
+        isLocked = false;
+        isDroppingSyncs = isReadOnly = isFull = false;
     }
 
-    private boolean isKept(int kind) {
-        return kind == 1 || kind != 0 && power.random.nextBoolean();
+    private boolean survivesPowerCut(int kind) {
+        return kind == 1 || kind != 0 && machine.random.nextBoolean();
     }
 
     /** The process was killed and the system lives: all that was written can still be read. */
-    void killed() {
-        locked = false;
+    void killProcess() {
+        isLocked = false;
     }
 
     /** All files as they are, for {@link #restore}. */
     FaultyDisk copy() {
-        FaultyDisk copy = new FaultyDisk(place, power);
-        names.forEach((name, file) -> copy.names.put(name, file.copy()));
-        copy.keptNames = new TreeMap<>(copy.names);
+        FaultyDisk copy = new FaultyDisk(place, machine);
+        directory.forEach((name, file) -> copy.directory.put(name, file.copy()));
+        copy.durableDirectory = new TreeMap<>(copy.directory);
         return copy;
     }
 
     /** An operator puts a copy in place of the folder. */
     void restore(FaultyDisk older) {
         FaultyDisk copy = older.copy();
-        names = copy.names;
-        keptNames = copy.keptNames;
-        changes.clear();
-        locked = false;
+        directory = copy.directory;
+        durableDirectory = copy.durableDirectory;
+        unsyncedDirectoryChanges.clear();
+        isLocked = false;
     }
 
     /** Flips one bit. */
-    boolean rot(String prefix, Random random) {
+    boolean flipBit(String prefix, Random random) {
         List<String> files =
-                names.keySet().stream()
-                        .filter(name -> name.startsWith(prefix) && names.get(name).now.length > 0)
+                directory.keySet().stream()
+                        .filter(
+                                name ->
+                                        name.startsWith(prefix)
+                                                && directory.get(name).cachedBytes.length > 0)
                         .toList();
         if (files.isEmpty()) return false;
-        File file = names.get(files.get(random.nextInt(files.size())));
-        int at = random.nextInt(file.now.length);
-        file.now[at] ^= (byte) (1 << random.nextInt(8));
-        file.kept = file.now.clone();
+        StoredFile file = directory.get(files.get(random.nextInt(files.size())));
+        int at = random.nextInt(file.cachedBytes.length);
+        file.cachedBytes[at] ^= (byte) (1 << random.nextInt(8));
+        file.durableBytes = file.cachedBytes.clone();
         return true;
     }
 
-    void remove(String name) {
-        names.remove(name);
-        keptNames.remove(name);
+    void removeFile(String name) {
+        directory.remove(name);
+        durableDirectory.remove(name);
     }
 
-    void put(String name, byte[] bytes) {
-        File file = new File();
-        file.now = bytes.clone();
-        file.kept = bytes.clone();
-        names.put(name, file);
-        keptNames.put(name, file);
+    void putFile(String name, byte[] bytes) {
+        StoredFile file = new StoredFile();
+        file.cachedBytes = bytes.clone();
+        file.durableBytes = bytes.clone();
+        directory.put(name, file);
+        durableDirectory.put(name, file);
     }
 
-    byte[] bytes(String name) {
-        return names.get(name).now.clone();
+    byte[] fileBytes(String name) {
+        return directory.get(name).cachedBytes.clone();
     }
 
-    List<String> files() {
-        return List.copyOf(names.keySet());
+    List<String> fileNames() {
+        return List.copyOf(directory.keySet());
     }
 }
--- a/src/measure/java/calicostream/rig/RigDisks.java
+++ b/src/measure/java/calicostream/rig/RigDisks.java
@@ -84,18 +84,18 @@
         private void write() throws DurableException {
             switch (now().lie) {
                 case FULL ->
-                        throw new DurableException.Full(
-                                place(), new IOException("no space left, says the rig"));
+                        throw new DurableException.DiskFull(
+                                location(), new IOException("no space left, says the rig"));
                 case READ_ONLY ->
-                        throw new DurableException.ReadOnly(
-                                place(), new IOException("read-only, says the rig"));
+                        throw new DurableException.ReadOnlyFileSystem(
+                                location(), new IOException("read-only, says the rig"));
                 default -> {}
             }
         }
 
         @Override
-        public String place() {
-            return real.place();
+        public String location() {
+            return real.location();
         }
 
         @Override
@@ -149,7 +149,7 @@
         }
 
         @Override
-        public void syncFolder() throws DurableException {
+        public void syncDirectory() throws DurableException {
             write();
         }
 
--- a/src/test/java/calicostream/durable/FileDiskTest.java
+++ b/src/test/java/calicostream/durable/FileDiskTest.java
@@ -41,8 +41,9 @@
                         new FileDisk(folder.resolve("marks")),
                         WHO,
                         LogOptions.DEFAULT);
-        if (log.recovered().own().standing() == StateLossDetector.Standing.FRESH) log.admit();
-        for (long index = log.recovered().lastIndex() + 1; ; index++) {
+        if (log.recoveredState().localState().votingStatus() == StateLossDetector.VotingStatus.NEW)
+            log.admit();
+        for (long index = log.recoveredState().lastIndex() + 1; ; index++) {
             log.appendEntry(index, 1, Long.toString(index).getBytes(StandardCharsets.UTF_8));
             log.sync();
             System.out.println(index);
@@ -69,8 +70,8 @@
                             new InputStreamReader(
                                     process.getInputStream(), StandardCharsets.UTF_8))) {
                 for (int i = 0; i < 20; i++) last = Long.parseLong(out.readLine());
-                DurableException.InUse inUse =
-                        assertThrows(DurableException.InUse.class, this::open);
+                DurableException.DirectoryInUse inUse =
+                        assertThrows(DurableException.DirectoryInUse.class, this::open);
                 assertTrue(inUse.facts().contains("process " + process.pid()), inUse.facts());
                 process.toHandle().destroyForcibly();
                 for (String line = out.readLine(); line != null; line = out.readLine())
@@ -79,8 +80,11 @@
                 process.destroyForcibly().waitFor();
             }
             DurableLog log = open();
-            RecoveredState found = log.recovered();
-            assertEquals(StateLossDetector.Doubt.NONE, found.own().doubt(), found.own().facts());
+            RecoveredState found = log.recoveredState();
+            assertEquals(
+                    StateLossDetector.StateLoss.NONE,
+                    found.localState().stateLoss(),
+                    found.localState().facts());
             assertTrue(
                     found.lastIndex() >= last && found.lastIndex() <= last + 1,
                     found.lastIndex() + " after " + last);
@@ -95,9 +99,9 @@
     @Test
     void oneProcessHasAFolderOnceAndGivesItBack() throws Exception {
         DurableLog log = open();
-        assertThrows(DurableException.InUse.class, this::open);
+        assertThrows(DurableException.DirectoryInUse.class, this::open);
         assertThrows(
-                DurableException.InUse.class,
+                DurableException.DirectoryInUse.class,
                 this::open,
                 "the first refusal must not give the lock away");
         log.close();
@@ -108,14 +112,14 @@
     @Test
     void namesFailuresOfTheSystem() throws Exception {
         try (FileDisk disk = new FileDisk(folder)) {
-            assertThrows(DurableException.Missing.class, () -> disk.read("nothing"));
-            assertThrows(DurableException.Missing.class, () -> disk.rename("nothing", "else"));
+            assertThrows(DurableException.FileMissing.class, () -> disk.read("nothing"));
+            assertThrows(DurableException.FileMissing.class, () -> disk.rename("nothing", "else"));
             Files.writeString(folder.resolve("file"), "x");
             assertThrows(DurableException.class, () -> new FileDisk(folder.resolve("file")));
             assumeTrue(Files.exists(Path.of("/dev/full")));
             Files.createSymbolicLink(folder.resolve("full"), Path.of("/dev/full"));
             assertThrows(
-                    DurableException.Full.class,
+                    DurableException.DiskFull.class,
                     () -> disk.append("full", ByteBuffer.wrap(new byte[10])));
             disk.delete("full");
         }
@@ -130,7 +134,7 @@
             disk.rename("file0", "file1");
             disk.append("file1", ByteBuffer.wrap(new byte[] {8}));
             disk.sync("file1");
-            disk.syncFolder();
+            disk.syncDirectory();
             assertArrayEquals(new byte[] {0, 9, 8}, disk.read("file1"));
             disk.delete("file1");
             disk.delete("file1");
--- a/src/test/java/calicostream/durable/FormatTest.java
+++ b/src/test/java/calicostream/durable/FileFormatTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Files written by version 1 are read for ever, and are what is written today. */
-class FormatTest {
+class FileFormatTest {
 
     private static final Path GOLDEN = Path.of("src/test/resources/durable/v1");
     private static final LogIdentity WHO = new LogIdentity("site", "a");
@@ -25,20 +25,20 @@
      * vote, a note, a cut.
      */
     private static FaultyDisk write() throws DurableException {
-        FaultyDisk disk = new FaultyDisk("disk", new FaultyDisk.Power(1));
+        FaultyDisk disk = new FaultyDisk("disk", new FaultyDisk.SimulatedMachine(1));
         DurableLog log = DurableLog.open(disk, disk, WHO, LogOptions.DEFAULT);
         log.admit();
-        log.saveNote("endpoint", "a:4100".getBytes(StandardCharsets.UTF_8));
-        log.saveNote("gone", new byte[1]);
-        log.saveNote("gone", null);
-        log.saveTerm(3, "b");
+        log.saveMetadata("endpoint", "a:4100".getBytes(StandardCharsets.UTF_8));
+        log.saveMetadata("gone", new byte[1]);
+        log.saveMetadata("gone", null);
+        log.saveTermAndVote(3, "b");
         for (int i = 1; i <= 5; i++)
             log.appendEntry(i, 3, ("entry " + i).getBytes(StandardCharsets.UTF_8));
         log.sync();
-        log.snapshotChunk(2, 3, 1, 2, "second half".getBytes(StandardCharsets.UTF_8));
-        log.snapshotChunk(2, 3, 0, 2, "first half".getBytes(StandardCharsets.UTF_8));
+        log.saveSnapshotChunk(2, 3, 1, 2, "second half".getBytes(StandardCharsets.UTF_8));
+        log.saveSnapshotChunk(2, 3, 0, 2, "first half".getBytes(StandardCharsets.UTF_8));
         log.sync();
-        log.saveTerm(4, "");
+        log.saveTermAndVote(4, "");
         log.truncateFrom(5);
         log.appendEntry(5, 4, "entry 5 of term 4".getBytes(StandardCharsets.UTF_8));
         log.close();
@@ -51,14 +51,15 @@
     /** Writes the golden files anew: for a version 2, beside those of version 1. */
     public static void main(String[] args) throws IOException {
         FaultyDisk disk = write();
-        for (String name : disk.files()) Files.write(Path.of(args[0], name), disk.bytes(name));
+        for (String name : disk.fileNames())
+            Files.write(Path.of(args[0], name), disk.fileBytes(name));
     }
 
     private static FaultyDisk golden() throws IOException {
-        FaultyDisk disk = new FaultyDisk("disk", new FaultyDisk.Power(1));
+        FaultyDisk disk = new FaultyDisk("disk", new FaultyDisk.SimulatedMachine(1));
         try (Stream<Path> files = Files.list(GOLDEN)) {
             for (Path file : files.toList())
-                disk.put(file.getFileName().toString(), Files.readAllBytes(file));
+                disk.putFile(file.getFileName().toString(), Files.readAllBytes(file));
         }
         return disk;
     }
@@ -67,11 +68,12 @@
     void goldenFilesAreRead() throws Exception {
         FaultyDisk disk = golden();
         DurableLog log = DurableLog.open(disk, disk, WHO, LogOptions.DEFAULT);
-        RecoveredState found = log.recovered();
+        RecoveredState found = log.recoveredState();
         assertEquals(4, found.term());
         assertEquals("", found.votedFor());
-        assertEquals(List.of("endpoint"), List.copyOf(found.notes().keySet()));
-        assertEquals("a:4100", new String(found.notes().get("endpoint"), StandardCharsets.UTF_8));
+        assertEquals(List.of("endpoint"), List.copyOf(found.metadata().keySet()));
+        assertEquals(
+                "a:4100", new String(found.metadata().get("endpoint"), StandardCharsets.UTF_8));
         assertEquals(2, found.snapshot().index());
         assertEquals(3, found.snapshot().term());
         assertEquals(
@@ -89,30 +91,31 @@
                 "entry 5 of term 4",
                 new String(found.entries().get(2).bytes(), StandardCharsets.UTF_8));
         assertEquals(
-                new StateLossDetector.Own(
+                new StateLossDetector.LocalState(
                         3,
                         4,
                         "",
                         6,
-                        StateLossDetector.Standing.ADMITTED,
-                        StateLossDetector.Doubt.NONE,
+                        StateLossDetector.VotingStatus.ADMITTED,
+                        StateLossDetector.StateLoss.NONE,
                         ""),
-                found.own());
+                found.localState());
     }
 
     @Test
     void whatIsWrittenTodayIsTheSameToTheByte() throws Exception {
         FaultyDisk golden = golden();
         FaultyDisk today = write();
-        assertEquals(golden.files(), today.files());
-        for (String name : golden.files())
-            assertArrayEquals(golden.bytes(name), today.bytes(name), name);
+        assertEquals(golden.fileNames(), today.fileNames());
+        for (String name : golden.fileNames())
+            assertArrayEquals(golden.fileBytes(name), today.fileBytes(name), name);
     }
 
     @Test
     void aLaterVersionIsNamedAndNotGuessedAt() throws Exception {
         FieldBuffer out = new FieldBuffer(64);
-        RecordFraming.write(out, new LogRecord.Stands(StateLossDetector.Standing.FRESH), 1, 0, 0);
+        RecordFraming.write(
+                out, new LogRecord.VotingStatusChange(StateLossDetector.VotingStatus.NEW), 1, 0, 0);
         for (int place : new int[] {8, 9}) {
             byte[] frame = out.copy();
             frame[place] = 99;
@@ -135,18 +138,19 @@
         FaultyDisk whole = golden();
         int noticed = 0;
         int bytes = 0;
-        for (String name : SegmentNames.of(SegmentNames.LOG, whole.files())) {
-            for (int at = 0; at < whole.bytes(name).length; at++, bytes++) {
+        for (String name :
+                LogFileNames.filesOfKind(LogFileNames.SEGMENT_PREFIX, whole.fileNames())) {
+            for (int at = 0; at < whole.fileBytes(name).length; at++, bytes++) {
                 FaultyDisk disk = golden();
-                byte[] flipped = disk.bytes(name);
+                byte[] flipped = disk.fileBytes(name);
                 flipped[at] ^= 0x10;
-                disk.put(name, flipped);
+                disk.putFile(name, flipped);
                 try {
                     if (DurableLog.open(disk, disk, WHO, LogOptions.DEFAULT)
-                                    .recovered()
-                                    .own()
-                                    .doubt()
-                            != StateLossDetector.Doubt.NONE) noticed++;
+                                    .recoveredState()
+                                    .localState()
+                                    .stateLoss()
+                            != StateLossDetector.StateLoss.NONE) noticed++;
                 } catch (DurableException e) {
                     assertTrue(
                             List.of("log-rotten", "log-hole").contains(e.code()),
