--- a/src/test/java/calicostream/deployments/DeploymentsTest.java
+++ b/src/test/java/calicostream/deployments/DeploymentsTest.java
@@ -286,7 +286,7 @@
         return proxy(
                 QueryRouter.class,
                 (proxy, method, args) -> {
-                    if (method.getName().equals("roster")
+                    if (method.getName().equals("endpointsChanged")
                             && args[1] == EndpointUpdate.INCREMENTAL) {
                         List<EngineEndpoint> ready = new ArrayList<>();
                         ((List<?>) args[2])
@@ -310,7 +310,7 @@
                 (proxy, method, args) -> {
                     boolean fails = method.getName().equals("fail");
                     if (fails && rule.equals("answer")
-                            || method.getName().equals("subscribeRoster") && rule.equals("list")) {
+                            || method.getName().equals("watchEndpoints") && rule.equals("list")) {
                         return null;
                     }
                     if (fails && rule.equals("untrue refusal")) {
@@ -318,7 +318,7 @@
                         return null;
                     }
                     Object out = call(method, to, args);
-                    if (method.getName().equals("send")) {
+                    if (method.getName().equals("startAttempt")) {
                         sentTo.put(args[0], args[1]);
                         if (rule.equals("two at once")) {
                             to.startAttempt((Long) args[0], (Long) args[1], 0);
