--- a/src/main/java/calicostream/durable/DurabilityMarkers.java
+++ b/src/main/java/calicostream/durable/DurabilityMarkers.java
@@ -1,109 +1,122 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.durable;
 
+import calicostream.durable.LogRecord.DurabilityMarker;
 import calicostream.durable.RecordFraming.Frame;
-import java.nio.ByteBuffer;
 import java.util.List;
 
 /**
- * The marks of a member, in files of their own, best on another device than the log. Each file
- * begins with a whole mark and grows by one at each sync; the last sound one holds. One thread.
+ * Reads and writes the durability markers of a member, in files of their own, best on another
+ * device than the log. Each file begins with a complete marker and grows by one with each sync; the
+ * last valid one counts. One thread.
  */
 final class DurabilityMarkers {
-
-    private static final int ROLL = 64 << 10;
+    private static final int MAX_FILE_BYTES = 64 << 10;
+    private static final int BUFFER_BYTES = 512;
 
     private final Disk disk;
-    private final FieldBuffer out = new FieldBuffer(512);
-    private long number;
-    private String file;
-    private long seq;
-    private int crc;
-    private int size;
-    private LogRecord.DurabilityMarker last;
-    private boolean unreadable;
+    private final FieldBuffer buffer = new FieldBuffer(BUFFER_BYTES);
+    private long fileNumber;
+    private String fileName;
+    private long sequence;
+    private int checksum;
+    private int fileBytes;
+    private DurabilityMarker last;
+    private boolean isUnreadable;
 
     private DurabilityMarkers(Disk disk) {
         this.disk = disk;
     }
 
-    /** Reads the marks that are there; {@link #last} is null without any. */
-    static DurabilityMarkers read(Disk disk, LogIdentity who, List<String> findings)
+    /**
+     * Reads the markers that exist.
+     *
+     * @param findings to which remarks for operators are added
+     * @throws DurableException.ForeignDirectory if they are another member's
+     */
+    static DurabilityMarkers read(Disk disk, LogIdentity identity, List<String> findings)
             throws DurableException {
-        DurabilityMarkers marks = new DurabilityMarkers(disk);
+        DurabilityMarkers markers = new DurabilityMarkers(disk);
         List<String> files = LogFileNames.filesOfKind(LogFileNames.MARKER_PREFIX, disk.list());
-        for (int i = files.size() - 1; i >= 0 && marks.last == null; i--) {
-            String name = files.get(i);
-            marks.number = Math.max(marks.number, LogFileNames.number(name));
-            byte[] bytes = disk.read(name);
-            int end = 0;
-            for (Frame frame = RecordFraming.find(bytes, 0, name);
-                    frame != null;
-                    frame = RecordFraming.find(bytes, frame.end(), name)) {
-                if (frame.record() instanceof LogRecord.DurabilityMarker mark) marks.last = mark;
-                end = frame.end();
-            }
-            if (end < bytes.length)
-                findings.add(name + ": its last " + (bytes.length - end) + " bytes are no mark");
+        for (int i = files.size() - 1; i >= 0 && markers.last == null; i--) {
+            markers.readFile(files.get(i), findings);
         }
-        LogRecord.DurabilityMarker mark = marks.last;
-        marks.unreadable = mark == null && !files.isEmpty();
-        if (mark != null && !mark.who().equals(who))
+        DurabilityMarker last = markers.last;
+        markers.isUnreadable = last == null && !files.isEmpty();
+        if (last != null && !last.identity().equals(identity)) {
             throw new DurableException.ForeignDirectory(
-                    disk.location() + " has the marks of " + mark.who() + ", this is " + who);
-        return marks;
+                    disk.location()
+                            + " has the markers of "
+                            + last.identity()
+                            + ", this is "
+                            + identity);
+        }
+        return markers;
+    }
+
+    private void readFile(String name, List<String> findings) throws DurableException {
+        fileNumber = Math.max(fileNumber, LogFileNames.number(name));
+        byte[] bytes = disk.read(name);
+        int endOffset = 0;
+        Frame frame = RecordFraming.find(bytes, 0, name);
+        while (frame != null) {
+            if (frame.record() instanceof DurabilityMarker marker) {
+                last = marker;
+            }
+            endOffset = frame.endOffset();
+            frame = RecordFraming.find(bytes, endOffset, name);
+        }
+        if (endOffset < bytes.length) {
+            int unreadBytes = bytes.length - endOffset;
+            findings.add(name + ": its last " + unreadBytes + " bytes are no marker");
+        }
     }
 
-    LogRecord.DurabilityMarker last() {
+    /** The last valid marker; null without any. */
+    DurabilityMarker last() {
         return last;
     }
 
-    /** Files are there and none holds a mark, which no crash does. */
+    /** Whether files exist and none holds a marker, which no crash causes. */
     boolean isUnreadable() {
-        return unreadable;
+        return isUnreadable;
     }
 
-    long bytes() {
-        return size;
+    /** Size of the file that is being written. */
+    long fileBytes() {
+        return fileBytes;
     }
 
-    /** Begins a new file with this mark, in place of those that were. */
-    void begin(LogRecord.DurabilityMarker mark) throws DurableException {
-        number++;
-        out.clear();
-        seq = 1;
-        crc = RecordFraming.write(out, mark, seq, 0, 0);
-        String name = LogFileNames.markerFile(number);
-        place(disk, name, out.view());
-        size = out.size();
-        file = name;
-        last = mark;
-        for (String old : LogFileNames.filesOfKind(LogFileNames.MARKER_PREFIX, disk.list()))
-            if (!old.equals(name)) disk.delete(old);
+    /** Begins a new file with this marker and deletes the earlier ones. */
+    void beginFile(DurabilityMarker marker) throws DurableException {
+        fileNumber++;
+        buffer.clear();
+        sequence = 1;
+        checksum = RecordFraming.write(buffer, marker, sequence, 0, 0);
+        String name = LogFileNames.markerFile(fileNumber);
+        AtomicFileCreation.create(disk, name, buffer.view());
+        fileBytes = buffer.size();
+        fileName = name;
+        last = marker;
+        for (String old : LogFileNames.filesOfKind(LogFileNames.MARKER_PREFIX, disk.list())) {
+            if (!old.equals(name)) {
+                disk.delete(old);
+            }
+        }
     }
 
-    /** On the disk on return. */
-    void put(LogRecord.DurabilityMarker mark) throws DurableException {
-        if (size > ROLL) {
-            begin(mark);
+    /** Writes a marker, which is on the disk on return. */
+    void append(DurabilityMarker marker) throws DurableException {
+        if (fileBytes > MAX_FILE_BYTES) {
+            beginFile(marker);
             return;
         }
-        out.clear();
-        int prev = crc;
-        crc = RecordFraming.write(out, mark, ++seq, 0, prev);
-        size += out.size();
-        disk.append(file, out.view());
-        disk.sync(file);
-        last = mark;
-    }
-
-    /** Puts a whole file there, or none. */
-    static void place(Disk disk, String name, ByteBuffer bytes) throws DurableException {
-        String part = name + LogFileNames.PARTIAL_SUFFIX;
-        disk.delete(part);
-        disk.append(part, bytes);
-        disk.sync(part);
-        disk.rename(part, name);
-        disk.syncDirectory();
+        buffer.clear();
+        sequence++;
+        checksum = RecordFraming.write(buffer, marker, sequence, 0, checksum);
+        fileBytes += buffer.size();
+        disk.append(fileName, buffer.view());
+        disk.sync(fileName);
+        last = marker;
     }
 }
--- a/src/main/java/calicostream/durable/DurableException.java
+++ b/src/main/java/calicostream/durable/DurableException.java
@@ -7,17 +7,17 @@
 import java.io.IOException;
 
 /**
- * Every way in which a disk fails, lies or belongs to somebody else. Each has a code that never
- * changes, the facts as they were found, and what an operator can do; {@code
+ * Every way in which a disk fails, loses data or belongs to another member. Each type has a code
+ * that never changes, the facts that were found, and what an operator can do; {@code
  * docs/operate/durable.md} has a row for each code. It is an {@link IOException}, so that it passes
- * through stores that know only that.
+ * through callers that know only that. Immutable.
  */
 @OperatorDocumentation(
         value = "durable.md",
         prefixes = {"disk-", "file-", "folder-", "format-", "log-", "snapshot-"})
 public abstract sealed class DurableException extends IOException implements OperationalError {
 
-    private static final long serialVersionUID = 1;
+    private static final long serialVersionUID = 1L;
 
     private final ErrorDetails details;
 
@@ -35,16 +35,22 @@
         return details;
     }
 
-    /** What the log is in once a call has thrown this. */
-    LogStatus.State state() {
+    /** The state of a log after a call has thrown this. */
+    LogStatus.State resultingState() {
         return LogStatus.State.FAILED;
     }
 
-    /** No room, or no quota, for what was to be written. */
+    /** There is no space, or no quota, for what was to be written. */
     public static final class DiskFull extends DurableException {
-        private static final long serialVersionUID = 1;
+        private static final long serialVersionUID = 1L;
+
+        /** The stable code. */
         public static final String CODE = "disk-full";
 
+        /**
+         * @param facts what was to be written, and where
+         * @param cause the failure of the system; may be null
+         */
         public DiskFull(String facts, Throwable cause) {
             super(
                     CODE,
@@ -55,16 +61,22 @@
         }
 
         @Override
-        LogStatus.State state() {
+        LogStatus.State resultingState() {
             return LogStatus.State.FULL;
         }
     }
 
-    /** The folder or the file system takes no writes. */
+    /** The directory or its file system accepts no writes. */
     public static final class ReadOnlyFileSystem extends DurableException {
-        private static final long serialVersionUID = 1;
+        private static final long serialVersionUID = 1L;
+
+        /** The stable code. */
         public static final String CODE = "disk-read-only";
 
+        /**
+         * @param facts what was to be written, and where
+         * @param cause the failure of the system; may be null
+         */
         public ReadOnlyFileSystem(String facts, Throwable cause) {
             super(
                     CODE,
@@ -75,19 +87,25 @@
         }
 
         @Override
-        LogStatus.State state() {
+        LogStatus.State resultingState() {
             return LogStatus.State.READ_ONLY;
         }
     }
 
     /**
-     * A sync failed: what was written since the one before may be gone although it can still be
+     * A sync failed: what was written since the one before may be lost, although it can still be
      * read.
      */
     public static final class SyncFailed extends DurableException {
-        private static final long serialVersionUID = 1;
+        private static final long serialVersionUID = 1L;
+
+        /** The stable code. */
         public static final String CODE = "disk-sync-failed";
 
+        /**
+         * @param facts what was to be synced
+         * @param cause the failure of the system; may be null
+         */
         public SyncFailed(String facts, Throwable cause) {
             super(
                     CODE,
@@ -98,13 +116,18 @@
     }
 
     /**
-     * A sync takes or took longer than the bound. Not thrown: it is the trouble of a {@link
+     * A sync takes or took longer than the bound. It is never thrown: it is the fault of a {@link
      * LogStatus} in SLOW.
      */
     public static final class SlowSync extends DurableException {
-        private static final long serialVersionUID = 1;
+        private static final long serialVersionUID = 1L;
+
+        /** The stable code. */
         public static final String CODE = "disk-slow";
 
+        /**
+         * @param facts how long the sync took, and the bound
+         */
         public SlowSync(String facts) {
             super(
                     CODE,
@@ -117,9 +140,15 @@
 
     /** Any other failure of a read or a write. */
     public static final class DiskFailed extends DurableException {
-        private static final long serialVersionUID = 1;
+        private static final long serialVersionUID = 1L;
+
+        /** The stable code. */
         public static final String CODE = "disk-failed";
 
+        /**
+         * @param facts the call that failed, and where
+         * @param cause the failure of the system; may be null
+         */
         public DiskFailed(String facts, Throwable cause) {
             super(
                     CODE,
@@ -129,11 +158,16 @@
         }
     }
 
-    /** A file that is needed is not there. */
+    /** A file that is needed does not exist. */
     public static final class FileMissing extends DurableException {
-        private static final long serialVersionUID = 1;
+        private static final long serialVersionUID = 1L;
+
+        /** The stable code. */
         public static final String CODE = "file-missing";
 
+        /**
+         * @param facts the file
+         */
         public FileMissing(String facts) {
             super(
                     CODE,
@@ -144,11 +178,16 @@
         }
     }
 
-    /** Another process has the folder. */
+    /** Another process, or another log of this process, uses the directory. */
     public static final class DirectoryInUse extends DurableException {
-        private static final long serialVersionUID = 1;
+        private static final long serialVersionUID = 1L;
+
+        /** The stable code. */
         public static final String CODE = "folder-in-use";
 
+        /**
+         * @param facts the directory and its user
+         */
         public DirectoryInUse(String facts) {
             super(
                     CODE,
@@ -159,11 +198,16 @@
         }
     }
 
-    /** The folder is another member's, or another cluster's. */
+    /** The directory belongs to another member or another cluster. */
     public static final class ForeignDirectory extends DurableException {
-        private static final long serialVersionUID = 1;
+        private static final long serialVersionUID = 1L;
+
+        /** The stable code. */
         public static final String CODE = "folder-foreign";
 
+        /**
+         * @param facts the owner that was found and the one that was expected
+         */
         public ForeignDirectory(String facts) {
             super(
                     CODE,
@@ -174,11 +218,16 @@
         }
     }
 
-    /** Written by a later version of the program, or no file of ours. */
+    /** A later version of the program wrote the file, or another program did. */
     public static final class UnknownFormat extends DurableException {
-        private static final long serialVersionUID = 1;
+        private static final long serialVersionUID = 1L;
+
+        /** The stable code. */
         public static final String CODE = "format-unknown";
 
+        /**
+         * @param facts the place in the file and what is unknown
+         */
         public UnknownFormat(String facts) {
             super(
                     CODE,
@@ -188,11 +237,16 @@
         }
     }
 
-    /** A record that was promised can be found and not be read. */
+    /** A record that was synced exists and can't be read. */
     public static final class CorruptRecord extends DurableException {
-        private static final long serialVersionUID = 1;
+        private static final long serialVersionUID = 1L;
+
+        /** The stable code. */
         public static final String CODE = "log-rotten";
 
+        /**
+         * @param facts the place in the file
+         */
         public CorruptRecord(String facts) {
             super(
                     CODE,
@@ -203,11 +257,16 @@
         }
     }
 
-    /** Records that were promised are not there, and later ones are. */
+    /** Records that were synced are missing, and later ones exist. */
     public static final class MissingRecords extends DurableException {
-        private static final long serialVersionUID = 1;
+        private static final long serialVersionUID = 1L;
+
+        /** The stable code. */
         public static final String CODE = "log-hole";
 
+        /**
+         * @param facts the place of the gap
+         */
         public MissingRecords(String facts) {
             super(
                     CODE,
@@ -218,11 +277,16 @@
         }
     }
 
-    /** No generation of the snapshot that the log rests on can be read. */
+    /** No snapshot that the log rests on can be read. */
     public static final class CorruptSnapshot extends DurableException {
-        private static final long serialVersionUID = 1;
+        private static final long serialVersionUID = 1L;
+
+        /** The stable code. */
         public static final String CODE = "snapshot-rotten";
 
+        /**
+         * @param facts the snapshots that were tried
+         */
         public CorruptSnapshot(String facts) {
             super(
                     CODE,
@@ -232,11 +296,16 @@
         }
     }
 
-    /** An earlier call failed, and this log takes nothing until it is opened anew. */
+    /** An earlier call failed, and the log accepts nothing until it is opened again. */
     public static final class LogFailed extends DurableException {
-        private static final long serialVersionUID = 1;
+        private static final long serialVersionUID = 1L;
+
+        /** The stable code. */
         public static final String CODE = "log-failed";
 
+        /**
+         * @param first the failure of the earlier call
+         */
         public LogFailed(DurableException first) {
             super(CODE, "since " + first.code() + ": " + first.facts(), first.remedy(), first);
         }
@@ -244,9 +313,14 @@
 
     /** The log was closed. */
     public static final class LogClosed extends DurableException {
-        private static final long serialVersionUID = 1;
+        private static final long serialVersionUID = 1L;
+
+        /** The stable code. */
         public static final String CODE = "log-closed";
 
+        /**
+         * @param facts the log
+         */
         public LogClosed(String facts) {
             super(CODE, facts, "none is needed while the program ends; else report it", null);
         }
--- a/src/main/java/calicostream/durable/DurableLog.java
+++ b/src/main/java/calicostream/durable/DurableLog.java
@@ -2,107 +2,124 @@
 package calicostream.durable;
 
 /**
- * The log, term, vote, notes and snapshots of one member, in bytes. One thread at a time calls it,
- * but {@link #status()}, which any thread may ask. Whatever was written before {@link #sync()}
- * returned is there after any crash, or the next {@link #open} says that it is not; what was
- * written since may be there or not, always as a prefix of the calls.
+ * The write-ahead log of one member: its entries, term, vote, metadata and snapshots, as bytes. It
+ * is used by one thread at a time, but for {@link #status()}, which any thread may call. Whatever
+ * was written before {@link #sync()} returned is there after any crash, or the next {@link #open}
+ * reports that it is not; of what was written since, any prefix of the calls may be there.
  *
- * <p>Every failure is a {@link DurableException}. After one that is thrown by a writing call or by
- * {@code sync} the log has failed: every later call but {@code status} and {@code close} throws
- * {@link DurableException.LogFailed}, and the way back is to close it and open it anew, which reads
- * and checks all of it again. Nothing written since the last {@code sync} may be taken as kept
- * then. A call against the rules of a log (an index that is not the next one, a lower term, a
- * second vote in a term) is a mistake of the caller: {@link IllegalArgumentException}, and the log
+ * <p>Every failure is a {@link DurableException}. After a writing call or {@code sync} has thrown
+ * one, the log has failed: every later call but {@code status} and {@code close} throws {@link
+ * DurableException.LogFailed}. The way back is to close the log and open it again, which reads and
+ * checks all of it; nothing written since the last {@code sync} may then be taken as kept. A call
+ * that violates the rules of a log (an index that is not the next one, a lower term, a second vote
+ * in a term) is a mistake of the caller: it throws {@link IllegalArgumentException}, and the log
  * stays as it was.
  */
 public interface DurableLog extends AutoCloseable {
-
     /**
-     * Locks both places, reads and checks everything, makes the next incarnation known and only
-     * then returns. {@code disk} and {@code marks} may be the same place; apart from each other,
-     * best on two devices, each tells when the other forgets. Throws what an operator has to decide
-     * on: another process, another member's folder, a hole or a rotten record that had been
-     * promised.
+     * Locks both disks, reads and checks everything, writes the marker of the next incarnation and
+     * only then returns. The two disks may be the same. If they are two, best on two devices, each
+     * shows when the other one has lost state.
+     *
+     * @param disk for segments and snapshots
+     * @param markers for the durability markers
+     * @throws DurableException if an operator has to decide: another process or another member uses
+     *     the directory, or records that were synced are missing or corrupt
      */
-    static DurableLog open(Disk disk, Disk marks, LogIdentity who, LogOptions options)
+    static DurableLog open(Disk disk, Disk markers, LogIdentity identity, LogOptions options)
             throws DurableException {
-        return SegmentedLog.open(disk, marks, who, options);
+        return SegmentedLog.open(disk, markers, identity, options);
     }
 
     /**
-     * What was found at the opening; its entries are let go by {@link
-     * RecoveredState#withoutLogData}.
+     * What was found when the log was opened. Callers that hold it for long keep {@link
+     * RecoveredState#withoutLogData} instead.
      */
     RecoveredState recoveredState();
 
     /**
-     * {@code index} is the one after the last entry or after the newest snapshot, whichever is
-     * further.
+     * Appends an entry.
+     *
+     * @param index the one after the last entry or after the newest snapshot, whichever is greater
+     * @param bytes its content, 64 MB at most
      */
     void appendEntry(long index, long term, byte[] bytes) throws DurableException;
 
-    /** Forgets the entries from {@code index} on. They are above the newest snapshot. */
+    /** Removes the entries from {@code index} on, all of which are above the newest snapshot. */
     void truncateFrom(long index) throws DurableException;
 
     /**
-     * The entries up to and including {@code index}, none above the newest snapshot, are no longer
-     * wanted. They stay on the disk while the older generation of snapshots needs them, and are not
-     * handed out any more.
+     * Declares that the entries up to and including {@code index}, none above the newest snapshot,
+     * are no longer needed. They stay on the disk while the older snapshot needs them, and are not
+     * returned any more.
      */
     void truncateUntil(long index) throws DurableException;
 
     /**
-     * {@code votedFor} is empty for no vote. The term never falls, and a vote in a term is never
-     * changed.
+     * Saves the term and the vote in it. The term never decreases, and a vote in a term never
+     * changes.
+     *
+     * @param votedFor the candidate; empty for no vote
      */
     void saveTermAndVote(long term, String votedFor) throws DurableException;
 
     /**
-     * A small named value, such as this member's endpoint or the first voters; {@code null} removes
-     * it. All together below 64 KB.
+     * Saves a small named value, such as this member's endpoint or the first voters. All values
+     * together are at most 64 KB.
+     *
+     * @param value null to remove it
      */
     void saveMetadata(String name, byte[] value) throws DurableException;
 
     /**
-     * One of {@code of} chunks of the snapshot that stands for all entries up to {@code index}; in
-     * any order, a second copy does nothing. The snapshot exists from the first {@link #sync()}
-     * after its last chunk on, which the next entry or {@link #truncateUntil} calls by itself;
-     * until then a crash leaves nothing of it. Chunks of another snapshot drop those of an
-     * unfinished one.
+     * Saves a chunk of the snapshot that replaces all entries up to {@code index}. Chunks come in
+     * any order, and a second copy of one has no effect. The snapshot exists from the first {@link
+     * #sync()} after its last chunk on, which the next entry or {@link #truncateUntil} calls by
+     * itself; until then a crash leaves nothing of it. A chunk of another snapshot discards those
+     * of an unfinished one.
+     *
+     * @param index the last entry that the snapshot covers
+     * @param term the term of that entry
+     * @param position place of this chunk, from 0
+     * @param chunkCount number of chunks of the snapshot
+     * @param bytes the chunk, 64 MB at most
      */
-    void saveSnapshotChunk(long index, long term, int chunk, int of, byte[] bytes)
+    void saveSnapshotChunk(long index, long term, int position, int chunkCount, byte[] bytes)
             throws DurableException;
 
+    /** Saves a snapshot of one chunk. */
     default void saveSnapshot(long index, long term, byte[] bytes) throws DurableException {
         saveSnapshotChunk(index, term, 0, 1, bytes);
     }
 
-    /**
-     * Drops the chunks of an unfinished snapshot; whole ones are kept and dropped by generation,
-     * two of them stay.
-     */
+    /** Discards the chunks of an unfinished snapshot. The two latest complete ones are kept. */
     void discardUnfinishedSnapshot() throws DurableException;
 
-    /** Returns when all that was written before is on the disk and the mark that says so is too. */
+    /** Returns when all that was written before, and the marker of it, is on the disk. */
     void sync() throws DurableException;
 
     /**
-     * Makes it known for good that this member's disk has forgotten, before anything else is done
-     * with it: from now on, after any number of starts, it is {@link RecoveryVerdict#LEARNER} until
-     * {@link #admit()}. Synced on return.
+     * Suspends this member's voting because state was lost, before the log is used for anything
+     * else: after any number of restarts it is {@link RecoveryVerdict#LEARNER} until {@link
+     * #admit()}. Synced on return.
+     *
+     * @param reason for operators
      */
-    void suspendVoting(String why) throws DurableException;
+    void suspendVoting(String reason) throws DurableException;
 
     /**
-     * The group has admitted this member (anew), and what it promised is in this log. Synced on
-     * return.
+     * Records that the group has admitted this member, for the first time or again, and that what
+     * the member acknowledged is in this log. Synced on return.
      */
     void admit() throws DurableException;
 
-    /** What operators see. */
+    /** The present status; any thread. */
     LogStatus status();
 
-    /** Syncs what can be synced, unlocks. Never throws; a log that had failed just unlocks. */
+    /**
+     * Syncs what can be synced and releases the disks. Never throws; of a log that has failed, it
+     * only releases the disks.
+     */
     @Override
     void close();
 }
--- a/src/main/java/calicostream/durable/FileDisk.java
+++ b/src/main/java/calicostream/durable/FileDisk.java
@@ -2,6 +2,7 @@
 package calicostream.durable;
 
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
 import java.nio.channels.FileLock;
@@ -15,6 +16,7 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 import java.util.HashSet;
+import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -22,104 +24,122 @@
 import java.util.stream.Stream;
 
 /**
- * A folder of the file system as a {@link Disk}. The thread that calls it is not to be interrupted:
- * an interrupt closes the channel, which counts as a failed write. A folder that is not there is
- * made.
+ * A directory of the file system as a {@link Disk}; it is created if it does not exist. The calling
+ * thread must not be interrupted: an interrupt closes the channel, which counts as a failed write.
  */
 public final class FileDisk implements Disk {
+    private static final String LOCK_FILE = "lock";
+    private static final int MAX_LOCK_TEXT_BYTES = 64;
 
-    private static final String LOCK = "lock";
-
-    /** More than are ever written at once: segment, mark, and a new file of each kind. */
-    private static final int OPEN = 6;
+    /** More than are ever written at once: segment, marker file, and a new file of each kind. */
+    private static final int MAX_OPEN_CHANNELS = 6;
 
     /**
-     * The kernel's lock is the process's, and lost when any channel to the file closes: folders of
-     * this process are told apart here.
+     * The directories that this process has locked. The system's lock belongs to the process and is
+     * lost when any channel to the file closes, so it can't separate two users within the process.
      */
-    private static final Set<Path> TAKEN = new HashSet<>();
+    private static final Set<Path> LOCKED_DIRECTORIES = new HashSet<>();
+
+    private final Path directory;
 
-    private final Path folder;
+    /** Open channels by file name, least recently used first. */
     private final Map<String, FileChannel> channels = new LinkedHashMap<>(8, 0.75f, true);
-    private Path taken;
-    private FileChannel lockFile;
 
-    public FileDisk(Path folder) throws DurableException {
-        this.folder = folder;
+    private Path lockedDirectory;
+    private FileChannel lockChannel;
+
+    /**
+     * Creates the directory if it does not exist; it is not locked yet.
+     *
+     * @throws DurableException if it can't be created
+     */
+    public FileDisk(Path directory) throws DurableException {
+        this.directory = directory;
         try {
-            Files.createDirectories(folder);
+            Files.createDirectories(directory);
         } catch (IOException e) {
-            throw named(e, "make the folder");
+            throw classify(e, "make the folder");
         }
     }
 
     @Override
     public String location() {
-        return folder.toString();
+        return directory.toString();
     }
 
     @Override
     public void lock() throws DurableException {
         try {
-            Path real = folder.toRealPath();
-            synchronized (TAKEN) {
-                if (!TAKEN.add(real))
+            Path realDirectory = directory.toRealPath();
+            synchronized (LOCKED_DIRECTORIES) {
+                if (!LOCKED_DIRECTORIES.add(realDirectory)) {
                     throw new DurableException.DirectoryInUse(
-                            folder + " is in use by this process already");
-            }
-            taken = real;
-            lockFile =
-                    FileChannel.open(
-                            folder.resolve(LOCK),
-                            StandardOpenOption.CREATE,
-                            StandardOpenOption.READ,
-                            StandardOpenOption.WRITE);
-            FileLock lock = lockFile.tryLock();
-            if (lock == null) {
-                String owner = owner();
-                close();
-                throw new DurableException.DirectoryInUse(folder + " is in use by " + owner);
+                            directory + " is in use by this process already");
+                }
             }
-            ByteBuffer words =
-                    ByteBuffer.wrap(
-                            ("process " + ProcessHandle.current().pid())
-                                    .getBytes(StandardCharsets.UTF_8));
-            lockFile.truncate(0);
-            while (words.hasRemaining()) lockFile.write(words, words.position());
-        } catch (IOException | OverlappingFileLockException e) {
-            if (e instanceof DurableException known) throw known;
+            lockedDirectory = realDirectory;
+            lockFile();
+        } catch (DurableException e) {
+            throw e;
+        } catch (IOException e) {
             close();
-            throw named(e instanceof IOException io ? io : new IOException(e), "lock");
+            throw classify(e, "lock");
+        } catch (OverlappingFileLockException e) {
+            close();
+            throw classify(new IOException(e), "lock");
+        }
+    }
+
+    private void lockFile() throws IOException {
+        lockChannel =
+                FileChannel.open(
+                        directory.resolve(LOCK_FILE),
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.READ,
+                        StandardOpenOption.WRITE);
+        FileLock lock = lockChannel.tryLock();
+        if (lock == null) {
+            String owner = lockOwner();
+            close();
+            throw new DurableException.DirectoryInUse(directory + " is in use by " + owner);
+        }
+        String text = "process " + ProcessHandle.current().pid();
+        ByteBuffer bytes = ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
+        lockChannel.truncate(0);
+        while (bytes.hasRemaining()) {
+            lockChannel.write(bytes, bytes.position());
         }
     }
 
-    private String owner() throws IOException {
-        ByteBuffer words = ByteBuffer.allocate(64);
-        lockFile.read(words, 0);
-        return words.position() == 0
+    private String lockOwner() throws IOException {
+        ByteBuffer bytes = ByteBuffer.allocate(MAX_LOCK_TEXT_BYTES);
+        lockChannel.read(bytes, 0);
+        return bytes.position() == 0
                 ? "another process"
-                : new String(words.array(), 0, words.position(), StandardCharsets.UTF_8);
+                : new String(bytes.array(), 0, bytes.position(), StandardCharsets.UTF_8);
     }
 
     @Override
     public List<String> list() throws DurableException {
-        try (Stream<Path> files = Files.list(folder)) {
+        try (Stream<Path> files = Files.list(directory)) {
             return files.filter(Files::isRegularFile)
                     .map(file -> file.getFileName().toString())
-                    .filter(name -> !name.equals(LOCK))
+                    .filter(name -> !name.equals(LOCK_FILE))
                     .sorted()
                     .toList();
-        } catch (IOException | java.io.UncheckedIOException e) {
-            throw named(e instanceof IOException io ? io : (IOException) e.getCause(), "list");
+        } catch (IOException e) {
+            throw classify(e, "list");
+        } catch (UncheckedIOException e) {
+            throw classify(e.getCause(), "list");
         }
     }
 
     @Override
     public byte[] read(String name) throws DurableException {
         try {
-            return Files.readAllBytes(folder.resolve(name));
+            return Files.readAllBytes(directory.resolve(name));
         } catch (IOException e) {
-            throw named(e, "read " + name);
+            throw classify(e, "read " + name);
         }
     }
 
@@ -127,23 +147,30 @@
     public void append(String name, ByteBuffer bytes) throws DurableException {
         try {
             FileChannel channel = channel(name);
-            while (bytes.hasRemaining()) channel.write(bytes);
+            while (bytes.hasRemaining()) {
+                channel.write(bytes);
+            }
         } catch (IOException e) {
-            throw named(e, "append to " + name);
+            throw classify(e, "append to " + name);
         }
     }
 
+    /** The channel of a file; the least recently used one is closed if there are too many. */
     private FileChannel channel(String name) throws IOException {
         FileChannel channel = channels.get(name);
-        if (channel != null) return channel;
-        if (channels.size() >= OPEN) {
-            var eldest = channels.entrySet().iterator();
-            eldest.next().getValue().close();
-            eldest.remove();
+        if (channel != null) {
+            return channel;
+        }
+        if (channels.size() >= MAX_OPEN_CHANNELS) {
+            Iterator<FileChannel> leastRecentlyUsed = channels.values().iterator();
+            leastRecentlyUsed.next().close();
+            leastRecentlyUsed.remove();
         }
         channel =
                 FileChannel.open(
-                        folder.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+                        directory.resolve(name),
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.APPEND);
         channels.put(name, channel);
         return channel;
     }
@@ -153,92 +180,112 @@
         try {
             channel(name).force(false);
         } catch (IOException e) {
-            throw new DurableException.SyncFailed(
-                    "sync of " + folder.resolve(name) + ": " + e.getMessage(), e);
+            throw syncFailed(directory.resolve(name), e);
         }
     }
 
     @Override
     public void syncDirectory() throws DurableException {
-        try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
+        try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
             channel.force(true);
         } catch (IOException e) {
-            throw new DurableException.SyncFailed("sync of " + folder + ": " + e.getMessage(), e);
+            throw syncFailed(directory, e);
         }
     }
 
+    private static DurableException syncFailed(Path path, IOException e) {
+        return new DurableException.SyncFailed("sync of " + path + ": " + e.getMessage(), e);
+    }
+
     @Override
     public void rename(String from, String to) throws DurableException {
         try {
-            forget(to);
-            Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE);
+            closeChannel(to);
+            Files.move(
+                    directory.resolve(from), directory.resolve(to), StandardCopyOption.ATOMIC_MOVE);
             FileChannel channel = channels.remove(from);
-            if (channel != null) channels.put(to, channel);
+            if (channel != null) {
+                channels.put(to, channel);
+            }
         } catch (IOException e) {
-            throw named(e, "rename " + from + " to " + to);
+            throw classify(e, "rename " + from + " to " + to);
         }
     }
 
     @Override
     public void delete(String name) throws DurableException {
         try {
-            forget(name);
-            Files.deleteIfExists(folder.resolve(name));
+            closeChannel(name);
+            Files.deleteIfExists(directory.resolve(name));
         } catch (IOException e) {
-            throw named(e, "delete " + name);
+            throw classify(e, "delete " + name);
         }
     }
 
-    private void forget(String name) throws IOException {
+    private void closeChannel(String name) throws IOException {
         FileChannel channel = channels.remove(name);
-        if (channel != null) channel.close();
+        if (channel != null) {
+            channel.close();
+        }
     }
 
     /**
-     * The system's words differ between platforms and languages, so the state of the file system is
-     * asked too.
+     * The type of a failure. The system's messages differ between platforms and languages, so the
+     * state of the file system is checked too.
      */
-    private DurableException named(IOException e, String what) {
-        String facts = "could not " + what + " in " + folder + ": " + e;
-        if (e instanceof NoSuchFileException) return new DurableException.FileMissing(facts);
-        String words = String.valueOf(e.getMessage());
-        boolean full =
-                words.contains("No space left")
-                        || words.contains("quota exceeded")
-                        || words.contains("not enough space");
-        boolean readOnly =
-                e instanceof AccessDeniedException
-                        || words.contains("Read-only file system")
-                        || words.contains("Permission denied");
+    private DurableException classify(IOException failure, String operation) {
+        String facts = "could not " + operation + " in " + directory + ": " + failure;
+        if (failure instanceof NoSuchFileException) {
+            return new DurableException.FileMissing(facts);
+        }
+        String message = String.valueOf(failure.getMessage());
+        boolean isFull =
+                message.contains("No space left")
+                        || message.contains("quota exceeded")
+                        || message.contains("not enough space");
+        boolean isReadOnly =
+                failure instanceof AccessDeniedException
+                        || message.contains("Read-only file system")
+                        || message.contains("Permission denied");
         try {
-            full |= Files.getFileStore(folder).getUsableSpace() == 0;
-            readOnly |= Files.getFileStore(folder).isReadOnly();
-        } catch (IOException | ReadOnlyFileSystemException unknown) {
-            // Then the first failure's own words are all there is.
+            isFull |= Files.getFileStore(directory).getUsableSpace() == 0;
+            isReadOnly |= Files.getFileStore(directory).isReadOnly();
+        } catch (IOException | ReadOnlyFileSystemException e) {
+            // The message of the first failure has to do.
+        }
+        if (isReadOnly) {
+            return new DurableException.ReadOnlyFileSystem(facts, failure);
+        }
+        if (isFull) {
+            return new DurableException.DiskFull(facts, failure);
         }
-        if (readOnly) return new DurableException.ReadOnlyFileSystem(facts, e);
-        if (full) return new DurableException.DiskFull(facts, e);
-        return new DurableException.DiskFailed(facts, e);
+        return new DurableException.DiskFailed(facts, failure);
     }
 
     @Override
     public void close() {
-        for (FileChannel channel : channels.values()) quietly(channel);
+        for (FileChannel channel : channels.values()) {
+            closeQuietly(channel);
+        }
         channels.clear();
-        if (lockFile != null) quietly(lockFile);
-        lockFile = null;
-        if (taken == null) return;
-        synchronized (TAKEN) {
-            TAKEN.remove(taken);
+        if (lockChannel != null) {
+            closeQuietly(lockChannel);
+        }
+        lockChannel = null;
+        if (lockedDirectory == null) {
+            return;
+        }
+        synchronized (LOCKED_DIRECTORIES) {
+            LOCKED_DIRECTORIES.remove(lockedDirectory);
         }
-        taken = null;
+        lockedDirectory = null;
     }
 
-    private static void quietly(FileChannel channel) {
+    private static void closeQuietly(FileChannel channel) {
         try {
             channel.close();
         } catch (IOException e) {
-            // Nothing that was promised hangs on it: it was synced before.
+            // Nothing that was acknowledged depends on it: that was synced before.
         }
     }
 }
--- a/src/main/java/calicostream/durable/LogFileNames.java
+++ b/src/main/java/calicostream/durable/LogFileNames.java
@@ -8,55 +8,75 @@
 import java.util.regex.Pattern;
 
 /**
- * The names of files: {@code log-}, {@code mark-} and {@code snap-} with numbers of 16 hexadecimal
- * digits, so that names sort as numbers do.
+ * The names of segments, marker files and snapshots: a prefix and numbers of 16 hexadecimal digits,
+ * so that names sort as their numbers do.
  */
 final class LogFileNames {
-
     static final String SEGMENT_PREFIX = "log-";
     static final String MARKER_PREFIX = "mark-";
     static final String SNAPSHOT_PREFIX = "snap-";
-    static final String PARTIAL_SUFFIX = ".part";
     static final String SET_ASIDE_PREFIX = "aside-";
 
-    private static final Pattern ONE = Pattern.compile("[0-9a-f]{16}");
-    private static final Pattern TWO = Pattern.compile("[0-9a-f]{16}-[0-9a-f]{16}");
-    private static final HexFormat HEX = HexFormat.of();
+    private static final String PARTIAL_SUFFIX = ".part";
+    private static final int NUMBER_DIGITS = 16;
+    private static final int HEXADECIMAL = 16;
+    private static final Pattern ONE_NUMBER = Pattern.compile("[0-9a-f]{16}");
+    private static final Pattern TWO_NUMBERS = Pattern.compile("[0-9a-f]{16}-[0-9a-f]{16}");
+    private static final HexFormat HEX_FORMAT = HexFormat.of();
 
     private LogFileNames() {}
 
     static String segment(long number) {
-        return SEGMENT_PREFIX + hex(number);
+        return SEGMENT_PREFIX + toHex(number);
     }
 
     static String markerFile(long number) {
-        return MARKER_PREFIX + hex(number);
+        return MARKER_PREFIX + toHex(number);
+    }
+
+    static String snapshot(SnapshotId id) {
+        return SNAPSHOT_PREFIX + toHex(id.index()) + "-" + toHex(id.term());
+    }
+
+    /** The name of a file while it is being written. */
+    static String partial(String name) {
+        return name + PARTIAL_SUFFIX;
     }
 
-    static String snapshot(SnapshotId ref) {
-        return SNAPSHOT_PREFIX + hex(ref.index()) + "-" + hex(ref.term());
+    /** The name of a file that was set aside when {@code incarnation} started over. */
+    static String setAside(long incarnation, String name) {
+        return SET_ASIDE_PREFIX + incarnation + "-" + name;
     }
 
-    private static String hex(long number) {
-        return HEX.toHexDigits(number);
+    private static String toHex(long number) {
+        return HEX_FORMAT.toHexDigits(number);
     }
 
+    /** The number of a segment or marker file. */
     static long number(String name) {
-        return Long.parseUnsignedLong(name.substring(name.length() - 16), 16);
+        String digits = name.substring(name.length() - NUMBER_DIGITS);
+        return Long.parseUnsignedLong(digits, HEXADECIMAL);
     }
 
-    /** Whole files of one kind; other names, such as an editor's leavings, are let be. */
-    static List<String> filesOfKind(String kind, List<String> names) {
-        Pattern numbers = kind.equals(SNAPSHOT_PREFIX) ? TWO : ONE;
+    /**
+     * The complete files of one kind, sorted; other files, such as an editor's backup copies, are
+     * ignored.
+     */
+    static List<String> filesOfKind(String prefix, List<String> names) {
+        Pattern numbers = prefix.equals(SNAPSHOT_PREFIX) ? TWO_NUMBERS : ONE_NUMBER;
         List<String> found = new ArrayList<>();
-        for (String name : names)
-            if (name.startsWith(kind) && numbers.matcher(name.substring(kind.length())).matches())
+        for (String name : names) {
+            if (name.startsWith(prefix)
+                    && numbers.matcher(name.substring(prefix.length())).matches()) {
                 found.add(name);
+            }
+        }
         found.sort(null);
         return found;
     }
 
-    static boolean isPart(String name) {
+    /** Whether this is a partial file of any kind. */
+    static boolean isPartial(String name) {
         return name.endsWith(PARTIAL_SUFFIX)
                 && (name.startsWith(SEGMENT_PREFIX)
                         || name.startsWith(MARKER_PREFIX)
--- a/src/main/java/calicostream/durable/LogHealth.java
+++ b/src/main/java/calicostream/durable/LogHealth.java
@@ -4,74 +4,92 @@
 import calicostream.durable.LogStatus.State;
 
 /**
- * The state of a log as operators see it: a machine that takes what happened and when. It reads no
- * clock. Its caller holds the lock that makes it safe to be asked by any thread.
+ * The state machine behind {@link LogStatus}: it is told what happened and when, in nanoseconds,
+ * and reads no clock. Not thread-safe; its owner guards it with a lock.
  */
 final class LogHealth {
-
     static final int FAST_SYNCS_TO_RECOVER = 8;
 
-    private final long slowNanos;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+
+    private final long slowSyncNanos;
     private State state = State.READY;
-    private long since;
+    private long stateSinceNanos;
     private DurableException fault;
-    private boolean syncing;
-    private long began;
-    private int calm;
+    private boolean isSyncing;
+    private long syncStartNanos;
+    private int fastSyncsInARow;
     private long syncs;
-    private long slow;
-    private long longest;
+    private long slowSyncs;
+    private long longestSyncNanos;
 
-    LogHealth(long slowNanos, long now) {
-        this.slowNanos = slowNanos;
-        this.since = now;
+    LogHealth(long slowSyncNanos, long nowNanos) {
+        this.slowSyncNanos = slowSyncNanos;
+        this.stateSinceNanos = nowNanos;
     }
 
-    void syncStarted(long now) {
-        syncing = true;
-        began = now;
+    void syncStarted(long nowNanos) {
+        isSyncing = true;
+        syncStartNanos = nowNanos;
     }
 
-    /** Also called where the sync failed: its time counts. */
-    void syncEnded(long now) {
-        long took = now - began;
-        syncing = false;
+    /** Also called after a failed sync: its duration counts. */
+    void syncEnded(long nowNanos) {
+        long durationNanos = nowNanos - syncStartNanos;
+        isSyncing = false;
         syncs++;
-        longest = Math.max(longest, took);
-        if (took > slowNanos) {
-            slow++;
-            calm = 0;
-            if (state == State.READY) go(State.SLOW, now);
-            if (state == State.SLOW) fault = slow(took);
-        } else if (state == State.SLOW && ++calm >= FAST_SYNCS_TO_RECOVER) {
-            go(State.READY, now);
-            fault = null;
+        longestSyncNanos = Math.max(longestSyncNanos, durationNanos);
+        if (durationNanos > slowSyncNanos) {
+            recordSlowSync(durationNanos, nowNanos);
+        } else if (state == State.SLOW) {
+            fastSyncsInARow++;
+            if (fastSyncsInARow >= FAST_SYNCS_TO_RECOVER) {
+                enter(State.READY, nowNanos);
+                fault = null;
+            }
+        }
+    }
+
+    private void recordSlowSync(long durationNanos, long nowNanos) {
+        slowSyncs++;
+        fastSyncsInARow = 0;
+        if (state == State.READY) {
+            enter(State.SLOW, nowNanos);
+        }
+        if (state == State.SLOW) {
+            fault = slowSync(durationNanos);
         }
     }
 
-    /** The first failure stays: those that follow from it say less. */
-    void failed(DurableException first, long now) {
-        if (state != State.READY && state != State.SLOW) return;
-        go(first.state(), now);
-        fault = first;
+    /** Records a failure. The first one is kept, as those that follow from it say less. */
+    void failed(DurableException failure, long nowNanos) {
+        if (!acceptsWrites()) {
+            return;
+        }
+        enter(failure.resultingState(), nowNanos);
+        fault = failure;
     }
 
-    void closed(long now) {
-        go(State.CLOSED, now);
+    void closed(long nowNanos) {
+        enter(State.CLOSED, nowNanos);
     }
 
-    private void go(State next, long now) {
+    private void enter(State next, long nowNanos) {
         state = next;
-        since = now;
+        stateSinceNanos = nowNanos;
     }
 
-    private DurableException slow(long took) {
+    private DurableException slowSync(long durationNanos) {
         return new DurableException.SlowSync(
                 "a sync took "
-                        + took / 1_000_000
-                        + " ms, "
-                        + slowNanos / 1_000_000
-                        + " are the bound");
+                        + durationNanos / NANOS_PER_MILLI
+                        + " ms, the bound is "
+                        + slowSyncNanos / NANOS_PER_MILLI
+                        + " ms");
+    }
+
+    boolean acceptsWrites() {
+        return state == State.READY || state == State.SLOW;
     }
 
     State state() {
@@ -82,21 +100,30 @@
         return fault;
     }
 
-    /** A sync that still runs past the bound is seen as slow before it ends. */
-    LogStatus status(long now, long incarnation, boolean barred, long lastIndex, long bytes) {
-        if (syncing && state == State.READY && now - began > slowNanos)
-            return new LogStatus(
-                    State.SLOW,
-                    began,
-                    slow(now - began),
-                    incarnation,
-                    barred,
-                    syncs,
-                    slow,
-                    Math.max(longest, now - began),
-                    lastIndex,
-                    bytes);
+    /** The status now. A running sync counts as slow once it has passed the bound. */
+    LogStatus status(
+            long nowNanos, long incarnation, boolean votingSuspended, long lastIndex, long bytes) {
+        State shownState = state;
+        long shownSinceNanos = stateSinceNanos;
+        DurableException shownFault = fault;
+        long shownLongestNanos = longestSyncNanos;
+        long runningNanos = nowNanos - syncStartNanos;
+        if (isSyncing && state == State.READY && runningNanos > slowSyncNanos) {
+            shownState = State.SLOW;
+            shownSinceNanos = syncStartNanos;
+            shownFault = slowSync(runningNanos);
+            shownLongestNanos = Math.max(longestSyncNanos, runningNanos);
+        }
         return new LogStatus(
-                state, since, fault, incarnation, barred, syncs, slow, longest, lastIndex, bytes);
+                shownState,
+                shownSinceNanos,
+                shownFault,
+                incarnation,
+                votingSuspended,
+                syncs,
+                slowSyncs,
+                shownLongestNanos,
+                lastIndex,
+                bytes);
     }
 }
--- a/src/main/java/calicostream/durable/LogIdentity.java
+++ b/src/main/java/calicostream/durable/LogIdentity.java
@@ -2,16 +2,23 @@
 package calicostream.durable;
 
 /**
- * Whose folder it is: both names are written into every file, so that a folder put in another's
- * place is known as such.
+ * The owner of a log. Both names are written into every file, so that a directory that was put in
+ * the place of another one is recognized.
+ *
+ * @param cluster the cluster's name, 1 to 200 characters
+ * @param member the member's name within the cluster, 1 to 200 characters
  */
 public record LogIdentity(String cluster, String member) {
+    private static final int MAX_NAME_LENGTH = 200;
 
+    /** Checks both names. */
     public LogIdentity {
-        if (cluster.isBlank() || member.isBlank())
+        if (cluster.isBlank() || member.isBlank()) {
             throw new IllegalArgumentException("cluster and member need a name each");
-        if (cluster.length() > 200 || member.length() > 200)
+        }
+        if (cluster.length() > MAX_NAME_LENGTH || member.length() > MAX_NAME_LENGTH) {
             throw new IllegalArgumentException("names of 200 characters at most");
+        }
     }
 
     @Override
--- a/src/main/java/calicostream/durable/LogOpener.java
+++ b/src/main/java/calicostream/durable/LogOpener.java
@@ -1,183 +1,297 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.durable;
 
+import calicostream.durable.LogRecord.DurabilityMarker;
+import calicostream.durable.StateLossDetector.LocalState;
 import calicostream.durable.StateLossDetector.StateLoss;
 import calicostream.durable.StateLossDetector.VotingStatus;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Map;
 
 /**
- * One opening of a log. The order of its writes is what keeps a doubt from being lost by a crash:
- * the mark of the new incarnation, with the doubt if there is one, comes before anything else is
- * changed.
+ * Opens a log: reads it, or sets it aside and begins an empty one, and starts a new incarnation. A
+ * crash can't make it forget a loss of state, because of the order of its writes: the marker of the
+ * new incarnation, with the loss if there is one, comes before any other change. For one use.
  */
 final class LogOpener {
-
     private final Disk disk;
-    private final Disk marksDisk;
-    private final LogIdentity who;
-    private final LogOptions options;
-    private final List<String> findings = new ArrayList<>();
-    LogState contents;
-    DurabilityMarkers marks;
-    SnapshotFiles generations;
-    SegmentWriter segments;
-    long incarnation;
-    RecoveredState recovered;
-
-    LogOpener(Disk disk, Disk marksDisk, LogIdentity who, LogOptions options) {
+    private final Disk markerDisk;
+    private final LogIdentity identity;
+    private final DurabilityMarkers markers;
+    private final SnapshotReader snapshots;
+    private final List<String> findings;
+
+    /** The marker of the incarnation before; null without one. */
+    private final DurabilityMarker previousMarker;
+
+    private LogOpener(
+            Disk disk,
+            Disk markerDisk,
+            LogIdentity identity,
+            DurabilityMarkers markers,
+            List<String> findings) {
         this.disk = disk;
-        this.marksDisk = marksDisk;
-        this.who = who;
-        this.options = options;
+        this.markerDisk = markerDisk;
+        this.identity = identity;
+        this.markers = markers;
+        this.snapshots = new SnapshotReader(disk, identity);
+        this.findings = findings;
+        this.previousMarker = markers.last();
     }
 
-    void run() throws DurableException {
-        marks = DurabilityMarkers.read(marksDisk, who, findings);
-        generations = new SnapshotFiles(disk, who);
-        if (options.startOver()) startOver();
-        else resume();
+    /** The parts of an opened log. */
+    record OpenedLog(
+            LogState state,
+            DurabilityMarkers markers,
+            SnapshotReader snapshots,
+            SegmentWriter segments,
+            long incarnation,
+            RecoveredState recoveredState) {}
+
+    /**
+     * Opens the log on two locked disks, which may be the same.
+     *
+     * @param startOver whether to set an existing log aside
+     */
+    static OpenedLog open(Disk disk, Disk markerDisk, LogIdentity identity, boolean startOver)
+            throws DurableException {
+        List<String> findings = new ArrayList<>();
+        DurabilityMarkers markers = DurabilityMarkers.read(markerDisk, identity, findings);
+        LogOpener opener = new LogOpener(disk, markerDisk, identity, markers, findings);
+        return startOver ? opener.startOver() : opener.resume();
     }
 
-    private void resume() throws DurableException {
-        LogRecord.DurabilityMarker mark = marks.last();
-        List<LogScanner.Segment> files = new ArrayList<>();
-        for (String name : LogFileNames.filesOfKind(LogFileNames.SEGMENT_PREFIX, disk.list()))
-            files.add(new LogScanner.Segment(name, disk.read(name)));
-        LogScanner.Result scan = LogScanner.run(who, files, mark);
-        files.clear();
+    private OpenedLog resume() throws DurableException {
+        LogScanner.Result scan = LogScanner.scan(identity, readSegments(), previousMarker);
         findings.addAll(scan.findings());
-        contents = scan.vouched();
-        List<LogRecord> tail = tail(scan);
-        LogState whole = contents.copy();
-        for (LogRecord record : tail) whole.apply(record);
-        VotingStatus standing =
-                worse(mark == null ? whole.standing() : mark.standing(), whole.standing());
-        String why = mark == null ? "" : mark.why();
-        StateLoss doubt =
-                scan.doubt() == StateLoss.NONE && mark == null && marks.isUnreadable()
-                        ? StateLoss.MARKER_BEHIND_LOG
-                        : scan.doubt();
-        if (doubt != StateLoss.NONE) {
-            standing = VotingStatus.SUSPENDED;
-            why = scan.facts().isEmpty() ? "no mark can be read" : scan.facts();
+        LogState confirmedState = scan.confirmedState();
+        List<LogRecord> unconfirmed = recoverableRecords(scan.unconfirmedRecords());
+        LogState state = confirmedState.copy();
+        unconfirmed.forEach(state::apply);
+
+        StateLoss stateLoss = stateLoss(scan);
+        VotingStatus votingStatus = votingStatus(stateLoss, state.votingStatus());
+        String reason = reason(stateLoss, scan);
+        confirmedState.setVotingStatus(votingStatus);
+        state.setVotingStatus(votingStatus);
+        long incarnation = 1 + Math.max(scan.incarnation(), previousIncarnation());
+        SnapshotReader.Selection selection = snapshots.newestUsable(state, findings);
+        selection.unreadable().forEach(state::dropSnapshot);
+        selection.unreadable().forEach(confirmedState::dropSnapshot);
+
+        markers.beginFile(
+                new DurabilityMarker(
+                        identity,
+                        incarnation,
+                        scan.sequence(),
+                        scan.checksum(),
+                        votingStatus,
+                        reason));
+        deletePartialFiles();
+        SegmentWriter segments =
+                new SegmentWriter(
+                        disk,
+                        identity,
+                        incarnation,
+                        scan.nextSegmentNumber(),
+                        scan.highestIndexBySegment(),
+                        scan.sequence());
+        // What may not be on the disk is written again, to a new file: after a failed sync the
+        // old one can be read back from memory and is lost with the power.
+        segments.beginSegment(confirmedState, scan.sequence(), scan.checksum(), unconfirmed);
+        writeMarker(segments, incarnation, votingStatus, reason);
+        for (String name : scan.reappearedSegments()) {
+            disk.delete(name);
+        }
+        snapshots.deleteAllBut(state.snapshots());
+        return opened(state, segments, incarnation, selection.snapshot(), stateLoss, reason);
+    }
+
+    private List<SegmentChain.Segment> readSegments() throws DurableException {
+        List<SegmentChain.Segment> segments = new ArrayList<>();
+        for (String name : LogFileNames.filesOfKind(LogFileNames.SEGMENT_PREFIX, disk.list())) {
+            segments.add(new SegmentChain.Segment(name, disk.read(name)));
         }
-        contents.stand(standing);
-        whole.stand(standing);
-        incarnation = 1 + Math.max(scan.incarnation(), mark == null ? 0 : mark.incarnation());
-        RecoveredState.Snapshot snapshot = generations.newest(whole, findings);
-        generations.unreadable().forEach(contents::drop);
-
-        marks.begin(
-                new LogRecord.DurabilityMarker(
-                        who, incarnation, scan.seq(), scan.crc(), standing, why));
-        deleteParts();
-        segments = new SegmentWriter(disk, who, incarnation, scan.nextSegment(), scan.reach());
-        segments.vouched(scan.seq());
-        segments.begin(contents, scan.seq(), scan.crc(), tail);
-        marks.put(
-                new LogRecord.DurabilityMarker(
-                        who, incarnation, segments.seq(), segments.crc(), standing, why));
-        segments.marked();
-        for (String name : scan.stale()) disk.delete(name);
-        contents = whole;
-        generations.deleteBut(contents.snapshots());
-        finish(doubt, why, snapshot);
-    }
-
-    /** The sound records past the mark, up to one whose snapshot never became whole. */
-    private List<LogRecord> tail(LogScanner.Result scan) throws DurableException {
-        List<LogRecord> tail = new ArrayList<>();
-        for (LogRecord record : scan.tail()) {
+        return segments;
+    }
+
+    /** The unconfirmed records, up to the first whose snapshot was never completed. */
+    private List<LogRecord> recoverableRecords(List<LogRecord> unconfirmed)
+            throws DurableException {
+        List<LogRecord> recoverable = new ArrayList<>();
+        for (LogRecord record : unconfirmed) {
             if (record instanceof LogRecord.SnapshotCompleted snapshot
-                    && generations.load(snapshot.ref()) == null) break;
-            // The worse of log and mark holds: a bar past the mark may have been answered for, an
-            // admission was not.
-            if (!(record instanceof LogRecord.VotingStatusChange stands)
-                    || stands.standing() == VotingStatus.SUSPENDED) tail.add(record);
+                    && snapshots.load(snapshot.id()).isEmpty()) {
+                break;
+            }
+            // The worse status of log and marker counts: peers may have been told of a suspension
+            // that no marker covers, but nobody of such an admission.
+            boolean isAdmission =
+                    record instanceof LogRecord.VotingStatusChange change
+                            && change.votingStatus() != VotingStatus.SUSPENDED;
+            if (!isAdmission) {
+                recoverable.add(record);
+            }
+        }
+        return recoverable;
+    }
+
+    private StateLoss stateLoss(LogScanner.Result scan) {
+        boolean markersAreUnreadable = previousMarker == null && markers.isUnreadable();
+        if (scan.stateLoss() == StateLoss.NONE && markersAreUnreadable) {
+            return StateLoss.MARKER_BEHIND_LOG;
         }
-        return tail;
+        return scan.stateLoss();
     }
 
-    private static VotingStatus worse(VotingStatus a, VotingStatus b) {
-        if (a == VotingStatus.SUSPENDED || b == VotingStatus.SUSPENDED)
+    private VotingStatus votingStatus(StateLoss stateLoss, VotingStatus statusOfLog) {
+        if (stateLoss != StateLoss.NONE) {
             return VotingStatus.SUSPENDED;
-        return a == VotingStatus.NEW ? a : b;
+        }
+        return previousMarker == null
+                ? statusOfLog
+                : worseOf(previousMarker.votingStatus(), statusOfLog);
+    }
+
+    private static VotingStatus worseOf(VotingStatus first, VotingStatus second) {
+        if (first == VotingStatus.SUSPENDED || second == VotingStatus.SUSPENDED) {
+            return VotingStatus.SUSPENDED;
+        }
+        return first == VotingStatus.NEW ? first : second;
     }
 
-    private void startOver() throws DurableException {
-        LogRecord.DurabilityMarker mark = marks.last();
-        long before = mark == null ? 0 : mark.incarnation();
-        long number = 0;
+    /** Why voting is suspended; empty if it is not. */
+    private String reason(StateLoss stateLoss, LogScanner.Result scan) {
+        if (stateLoss != StateLoss.NONE) {
+            return scan.facts().isEmpty() ? "no mark can be read" : scan.facts();
+        }
+        return previousMarker == null ? "" : previousMarker.reason();
+    }
+
+    private long previousIncarnation() {
+        return previousMarker == null ? 0 : previousMarker.incarnation();
+    }
+
+    private OpenedLog startOver() throws DurableException {
         List<String> names = disk.list();
-        for (String name : LogFileNames.filesOfKind(LogFileNames.SEGMENT_PREFIX, names)) {
-            number = LogFileNames.number(name);
+        List<String> oldSegments = LogFileNames.filesOfKind(LogFileNames.SEGMENT_PREFIX, names);
+        long incarnation = 1 + latestIncarnation(oldSegments);
+        long sequence = previousMarker == null ? 0 : previousMarker.sequence();
+        int checksum = previousMarker == null ? 0 : previousMarker.checksum();
+        String reason = "started over at incarnation " + incarnation;
+        markers.beginFile(
+                new DurabilityMarker(
+                        identity, incarnation, sequence, checksum, VotingStatus.SUSPENDED, reason));
+        deletePartialFiles();
+        setAside(names, incarnation);
+
+        LogState state = new LogState();
+        state.setVotingStatus(VotingStatus.SUSPENDED);
+        long lastSegmentNumber =
+                oldSegments.isEmpty()
+                        ? 0
+                        : LogFileNames.number(oldSegments.get(oldSegments.size() - 1));
+        SegmentWriter segments =
+                new SegmentWriter(
+                        disk, identity, incarnation, lastSegmentNumber + 1, Map.of(), sequence);
+        segments.beginSegment(state, sequence, checksum, List.of());
+        writeMarker(segments, incarnation, VotingStatus.SUSPENDED, reason);
+        return opened(state, segments, incarnation, null, StateLoss.NONE, reason);
+    }
+
+    /** The latest incarnation that the marker or a readable header of a segment names. */
+    private long latestIncarnation(List<String> segmentNames) throws DurableException {
+        long latest = previousIncarnation();
+        for (String name : segmentNames) {
             RecordFraming.Frame frame = RecordFraming.read(disk.read(name), 0, name);
-            if (frame == null || !(frame.record() instanceof LogRecord.SegmentHeader head))
+            if (frame == null || !(frame.record() instanceof LogRecord.SegmentHeader header)) {
                 continue;
-            if (!head.who().equals(who))
+            }
+            if (!header.identity().equals(identity)) {
                 throw new DurableException.ForeignDirectory(
-                        name + " belongs to " + head.who() + ", this is " + who);
-            before = Math.max(before, head.incarnation());
+                        name + " belongs to " + header.identity() + ", this is " + identity);
+            }
+            latest = Math.max(latest, header.incarnation());
+        }
+        return latest;
+    }
+
+    /** Renames the segments and snapshots among {@code names}; deletes those set aside before. */
+    private void setAside(List<String> names, long incarnation) throws DurableException {
+        for (String name : names) {
+            if (name.startsWith(LogFileNames.SET_ASIDE_PREFIX)) {
+                disk.delete(name);
+            }
         }
-        incarnation = before + 1;
-        long seq = mark == null ? 0 : mark.seq();
-        int crc = mark == null ? 0 : mark.crc();
-        String why = "started over at incarnation " + incarnation;
-        marks.begin(
-                new LogRecord.DurabilityMarker(
-                        who, incarnation, seq, crc, VotingStatus.SUSPENDED, why));
-        deleteParts();
-        for (String name : names)
-            if (name.startsWith(LogFileNames.SET_ASIDE_PREFIX)) disk.delete(name);
         List<String> old =
                 new ArrayList<>(LogFileNames.filesOfKind(LogFileNames.SEGMENT_PREFIX, names));
         old.addAll(LogFileNames.filesOfKind(LogFileNames.SNAPSHOT_PREFIX, names));
-        for (String name : old)
-            disk.rename(name, LogFileNames.SET_ASIDE_PREFIX + incarnation + "-" + name);
+        for (String name : old) {
+            disk.rename(name, LogFileNames.setAside(incarnation, name));
+        }
         disk.syncDirectory();
-        if (!old.isEmpty()) findings.add("set aside: " + old);
-        contents = new LogState();
-        contents.stand(VotingStatus.SUSPENDED);
-        segments = new SegmentWriter(disk, who, incarnation, number + 1, java.util.Map.of());
-        segments.vouched(seq);
-        segments.begin(contents, seq, crc, List.of());
-        marks.put(
-                new LogRecord.DurabilityMarker(
-                        who,
+        if (!old.isEmpty()) {
+            findings.add("set aside: " + old);
+        }
+    }
+
+    private void writeMarker(
+            SegmentWriter segments, long incarnation, VotingStatus votingStatus, String reason)
+            throws DurableException {
+        markers.append(
+                new DurabilityMarker(
+                        identity,
                         incarnation,
-                        segments.seq(),
-                        segments.crc(),
-                        VotingStatus.SUSPENDED,
-                        why));
-        segments.marked();
-        finish(StateLoss.NONE, why, null);
+                        segments.sequence(),
+                        segments.checksum(),
+                        votingStatus,
+                        reason));
+        segments.markerSynced();
     }
 
-    private void deleteParts() throws DurableException {
-        for (String name : disk.list()) if (LogFileNames.isPart(name)) disk.delete(name);
-        if (marksDisk == disk) return;
-        for (String name : marksDisk.list()) if (LogFileNames.isPart(name)) marksDisk.delete(name);
+    private void deletePartialFiles() throws DurableException {
+        deletePartialFiles(disk);
+        if (markerDisk != disk) {
+            deletePartialFiles(markerDisk);
+        }
     }
 
-    private void finish(StateLoss doubt, String facts, RecoveredState.Snapshot snapshot) {
-        long from = snapshot == null ? 0 : snapshot.index();
-        recovered =
+    private static void deletePartialFiles(Disk disk) throws DurableException {
+        for (String name : disk.list()) {
+            if (LogFileNames.isPartial(name)) {
+                disk.delete(name);
+            }
+        }
+    }
+
+    private OpenedLog opened(
+            LogState state,
+            SegmentWriter segments,
+            long incarnation,
+            RecoveredState.Snapshot snapshot,
+            StateLoss stateLoss,
+            String facts) {
+        LocalState localState =
+                new LocalState(
+                        incarnation,
+                        state.term(),
+                        state.votedFor(),
+                        state.lastIndex(),
+                        state.votingStatus(),
+                        stateLoss,
+                        facts);
+        long snapshotIndex = snapshot == null ? 0 : snapshot.index();
+        RecoveredState recoveredState =
                 new RecoveredState(
-                        contents.term(),
-                        contents.votedFor(),
-                        contents.notes(),
+                        state.term(),
+                        state.votedFor(),
+                        state.metadata(),
                         snapshot,
-                        contents.entriesAbove(from),
-                        new StateLossDetector.LocalState(
-                                incarnation,
-                                contents.term(),
-                                contents.votedFor(),
-                                contents.last(),
-                                contents.standing(),
-                                doubt,
-                                facts),
+                        state.entriesAbove(snapshotIndex),
+                        localState,
                         List.copyOf(findings));
-        contents.forgetEntries();
+        state.releaseEntries();
+        return new OpenedLog(state, markers, snapshots, segments, incarnation, recoveredState);
     }
 }
--- a/src/main/java/calicostream/durable/LogRecord.java
+++ b/src/main/java/calicostream/durable/LogRecord.java
@@ -2,279 +2,248 @@
 package calicostream.durable;
 
 import calicostream.durable.StateLossDetector.VotingStatus;
-import java.nio.ByteBuffer;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
 
 /**
- * What a frame holds, in each of the three kinds of files. The numbers of kinds and the order of
- * fields never change.
+ * The content of one frame of a segment, marker file or snapshot. The order of fields in {@link
+ * #writeFields} never changes; {@link RecordDecoder} reads them back, and {@code
+ * docs/operate/durable-format.md} lists them.
  */
 sealed interface LogRecord {
+    RecordType type();
 
-    int kind();
+    /** Appends the fields to {@code out}, without the frame. */
+    void writeFields(FieldBuffer out);
 
-    void write(FieldBuffer out);
-
-    /** A snapshot as the log names it. */
-    record SnapshotId(long index, long term) {}
+    /**
+     * Identifies a snapshot.
+     *
+     * @param index the last entry that it covers
+     * @param term the term of that entry
+     */
+    record SnapshotId(long index, long term) {
+        void writeTo(FieldBuffer out) {
+            out.writeLong(index);
+            out.writeLong(term);
+        }
+    }
 
     /**
-     * The first record of a segment: whose it is, after which record of the segment before it goes
-     * on, and all small state, so that the segments before it may go. {@code first} is the place of
-     * the log's first entry less one, if all before it are gone.
+     * The first record of a segment: its owner, the record of the previous segment that it follows,
+     * and all small state, so that earlier segments can be deleted.
+     *
+     * @param segmentNumber the number in the segment's file name
+     * @param incarnation the opening of the log that wrote the segment
+     * @param previousSequence number of the record that it follows; records of earlier segments
+     *     after that one are superseded
+     * @param previousChecksum checksum of the record that it follows
+     * @param lastIndex index of the last entry before this segment
+     * @param snapshots the snapshots that the log rests on, oldest first
      */
     record SegmentHeader(
-            LogIdentity who,
-            long segment,
+            LogIdentity identity,
+            long segmentNumber,
             long incarnation,
-            long afterSeq,
-            int afterCrc,
-            VotingStatus standing,
+            long previousSequence,
+            int previousChecksum,
+            VotingStatus votingStatus,
             long term,
             String votedFor,
             long lastIndex,
             List<SnapshotId> snapshots,
-            Map<String, byte[]> notes)
+            Map<String, byte[]> metadata)
             implements LogRecord {
         @Override
-        public int kind() {
-            return 1;
+        public RecordType type() {
+            return RecordType.SEGMENT_HEADER;
         }
 
         @Override
-        public void write(FieldBuffer out) {
-            out.text(who.cluster());
-            out.text(who.member());
-            out.writeLong(segment);
+        public void writeFields(FieldBuffer out) {
+            out.writeIdentity(identity);
+            out.writeLong(segmentNumber);
             out.writeLong(incarnation);
-            out.writeLong(afterSeq);
-            out.writeInt(afterCrc);
-            out.writeByte(standing.ordinal());
+            out.writeLong(previousSequence);
+            out.writeInt(previousChecksum);
+            out.writeByte(votingStatus.code());
             out.writeLong(term);
-            out.text(votedFor);
+            out.writeText(votedFor);
             out.writeLong(lastIndex);
             out.writeByte(snapshots.size());
-            for (SnapshotId ref : snapshots) {
-                out.writeLong(ref.index());
-                out.writeLong(ref.term());
+            for (SnapshotId snapshot : snapshots) {
+                snapshot.writeTo(out);
+            }
+            out.writeInt(metadata.size());
+            for (Map.Entry<String, byte[]> value : metadata.entrySet()) {
+                out.writeText(value.getKey());
+                out.writeBytes(value.getValue());
             }
-            out.writeInt(notes.size());
-            notes.forEach(
-                    (name, value) -> {
-                        out.text(name);
-                        out.bytes(value);
-                    });
-        }
-
-        private static SegmentHeader read(ByteBuffer in) {
-            LogIdentity who = new LogIdentity(FieldBuffer.text(in), FieldBuffer.text(in));
-            long segment = in.getLong();
-            long incarnation = in.getLong();
-            long afterSeq = in.getLong();
-            int afterCrc = in.getInt();
-            VotingStatus standing = VotingStatus.values()[in.get()];
-            long term = in.getLong();
-            String votedFor = FieldBuffer.text(in);
-            long lastIndex = in.getLong();
-            List<SnapshotId> snapshots = new ArrayList<>();
-            for (int left = in.get(); left > 0; left--)
-                snapshots.add(new SnapshotId(in.getLong(), in.getLong()));
-            Map<String, byte[]> notes = new TreeMap<>();
-            for (int left = in.getInt(); left > 0; left--)
-                notes.put(FieldBuffer.text(in), FieldBuffer.bytes(in));
-            return new SegmentHeader(
-                    who,
-                    segment,
-                    incarnation,
-                    afterSeq,
-                    afterCrc,
-                    standing,
-                    term,
-                    votedFor,
-                    lastIndex,
-                    snapshots,
-                    notes);
         }
     }
 
+    /** An entry of the replicated log. */
     record Entry(long index, long term, byte[] bytes) implements LogRecord {
         @Override
-        public int kind() {
-            return 2;
+        public RecordType type() {
+            return RecordType.ENTRY;
         }
 
         @Override
-        public void write(FieldBuffer out) {
+        public void writeFields(FieldBuffer out) {
             out.writeLong(index);
             out.writeLong(term);
-            out.bytes(bytes);
+            out.writeBytes(bytes);
         }
     }
 
+    /** The entries from {@code index} on are removed. */
     record SuffixTruncation(long index) implements LogRecord {
         @Override
-        public int kind() {
-            return 3;
+        public RecordType type() {
+            return RecordType.SUFFIX_TRUNCATION;
         }
 
         @Override
-        public void write(FieldBuffer out) {
+        public void writeFields(FieldBuffer out) {
             out.writeLong(index);
         }
     }
 
+    /** The current term and the vote in it; {@code votedFor} is empty for no vote. */
     record TermAndVote(long term, String votedFor) implements LogRecord {
         @Override
-        public int kind() {
-            return 4;
+        public RecordType type() {
+            return RecordType.TERM_AND_VOTE;
         }
 
         @Override
-        public void write(FieldBuffer out) {
+        public void writeFields(FieldBuffer out) {
             out.writeLong(term);
-            out.text(votedFor);
+            out.writeText(votedFor);
         }
     }
 
-    /** {@code value} is null where the note is removed. */
+    /** A small named value; {@code value} is null where it is removed. */
     record MetadataEntry(String name, byte[] value) implements LogRecord {
+        static final int REMOVED = 0;
+        static final int PRESENT = 1;
+
         @Override
-        public int kind() {
-            return 5;
+        public RecordType type() {
+            return RecordType.METADATA_ENTRY;
         }
 
         @Override
-        public void write(FieldBuffer out) {
-            out.text(name);
-            out.writeByte(value == null ? 0 : 1);
-            if (value != null) out.bytes(value);
+        public void writeFields(FieldBuffer out) {
+            out.writeText(name);
+            if (value == null) {
+                out.writeByte(REMOVED);
+            } else {
+                out.writeByte(PRESENT);
+                out.writeBytes(value);
+            }
         }
     }
 
-    /** From here on the log rests on this snapshot, whose file was whole before. */
-    record SnapshotCompleted(SnapshotId ref) implements LogRecord {
+    /** From here on the log rests on this snapshot, whose file was complete before. */
+    record SnapshotCompleted(SnapshotId id) implements LogRecord {
         @Override
-        public int kind() {
-            return 6;
+        public RecordType type() {
+            return RecordType.SNAPSHOT_COMPLETED;
         }
 
         @Override
-        public void write(FieldBuffer out) {
-            out.writeLong(ref.index());
-            out.writeLong(ref.term());
+        public void writeFields(FieldBuffer out) {
+            id.writeTo(out);
         }
     }
 
-    record VotingStatusChange(VotingStatus standing) implements LogRecord {
+    /** The member's voting status changes. */
+    record VotingStatusChange(VotingStatus votingStatus) implements LogRecord {
         @Override
-        public int kind() {
-            return 7;
+        public RecordType type() {
+            return RecordType.VOTING_STATUS_CHANGE;
         }
 
         @Override
-        public void write(FieldBuffer out) {
-            out.writeByte(standing.ordinal());
+        public void writeFields(FieldBuffer out) {
+            out.writeByte(votingStatus.code());
         }
     }
 
     /**
-     * The mark: {@code seq} and {@code crc} are of the last record of the log that was synced;
-     * {@code why} is of a member that is barred.
+     * Says how far the log was synced. It is kept apart from the log, so that each of the two shows
+     * whether the other one lost something.
+     *
+     * @param sequence number of the last record of the log that was synced
+     * @param checksum checksum of that record
+     * @param reason why voting is suspended, if it is
      */
     record DurabilityMarker(
-            LogIdentity who, long incarnation, long seq, int crc, VotingStatus standing, String why)
+            LogIdentity identity,
+            long incarnation,
+            long sequence,
+            int checksum,
+            VotingStatus votingStatus,
+            String reason)
             implements LogRecord {
         @Override
-        public int kind() {
-            return 8;
+        public RecordType type() {
+            return RecordType.DURABILITY_MARKER;
         }
 
         @Override
-        public void write(FieldBuffer out) {
-            out.text(who.cluster());
-            out.text(who.member());
+        public void writeFields(FieldBuffer out) {
+            out.writeIdentity(identity);
             out.writeLong(incarnation);
-            out.writeLong(seq);
-            out.writeInt(crc);
-            out.writeByte(standing.ordinal());
-            out.text(why);
+            out.writeLong(sequence);
+            out.writeInt(checksum);
+            out.writeByte(votingStatus.code());
+            out.writeText(reason);
         }
     }
 
-    record SnapshotHeader(LogIdentity who, SnapshotId ref, int chunks) implements LogRecord {
+    /** The first record of a snapshot file. */
+    record SnapshotHeader(LogIdentity identity, SnapshotId id, int chunkCount)
+            implements LogRecord {
         @Override
-        public int kind() {
-            return 9;
+        public RecordType type() {
+            return RecordType.SNAPSHOT_HEADER;
         }
 
         @Override
-        public void write(FieldBuffer out) {
-            out.text(who.cluster());
-            out.text(who.member());
-            out.writeLong(ref.index());
-            out.writeLong(ref.term());
-            out.writeInt(chunks);
+        public void writeFields(FieldBuffer out) {
+            out.writeIdentity(identity);
+            id.writeTo(out);
+            out.writeInt(chunkCount);
         }
     }
 
-    record SnapshotChunk(int number, byte[] bytes) implements LogRecord {
+    /** A chunk of a snapshot; {@code position} is its place among the chunks, from 0. */
+    record SnapshotChunk(int position, byte[] bytes) implements LogRecord {
         @Override
-        public int kind() {
-            return 10;
+        public RecordType type() {
+            return RecordType.SNAPSHOT_CHUNK;
         }
 
         @Override
-        public void write(FieldBuffer out) {
-            out.writeInt(number);
-            out.bytes(bytes);
+        public void writeFields(FieldBuffer out) {
+            out.writeInt(position);
+            out.writeBytes(bytes);
         }
     }
 
-    record SnapshotTrailer(int chunks) implements LogRecord {
+    /** The last record of a snapshot file, which shows that the file is complete. */
+    record SnapshotTrailer(int chunkCount) implements LogRecord {
         @Override
-        public int kind() {
-            return 11;
+        public RecordType type() {
+            return RecordType.SNAPSHOT_TRAILER;
         }
 
         @Override
-        public void write(FieldBuffer out) {
-            out.writeInt(chunks);
+        public void writeFields(FieldBuffer out) {
+            out.writeInt(chunkCount);
         }
     }
-
-    /**
-     * Null for a kind that this version does not know; runtime exceptions for fields that can't be.
-     */
-    static LogRecord read(int kind, ByteBuffer in) {
-        return switch (kind) {
-            case 1 -> SegmentHeader.read(in);
-            case 2 -> new Entry(in.getLong(), in.getLong(), FieldBuffer.bytes(in));
-            case 3 -> new SuffixTruncation(in.getLong());
-            case 4 -> new TermAndVote(in.getLong(), FieldBuffer.text(in));
-            case 5 ->
-                    new MetadataEntry(
-                            FieldBuffer.text(in), in.get() == 0 ? null : FieldBuffer.bytes(in));
-            case 6 -> new SnapshotCompleted(new SnapshotId(in.getLong(), in.getLong()));
-            case 7 -> new VotingStatusChange(VotingStatus.values()[in.get()]);
-            case 8 ->
-                    new DurabilityMarker(
-                            new LogIdentity(FieldBuffer.text(in), FieldBuffer.text(in)),
-                            in.getLong(),
-                            in.getLong(),
-                            in.getInt(),
-                            VotingStatus.values()[in.get()],
-                            FieldBuffer.text(in));
-            case 9 ->
-                    new SnapshotHeader(
-                            new LogIdentity(FieldBuffer.text(in), FieldBuffer.text(in)),
-                            new SnapshotId(in.getLong(), in.getLong()),
-                            in.getInt());
-            case 10 -> new SnapshotChunk(in.getInt(), FieldBuffer.bytes(in));
-            case 11 -> new SnapshotTrailer(in.getInt());
-            default -> null;
-        };
-    }
 }
--- a/src/main/java/calicostream/durable/LogState.java
+++ b/src/main/java/calicostream/durable/LogState.java
@@ -6,159 +6,229 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 
 /**
- * What a log says, as a machine that takes its records one by one. Pure. The same rules hold for
- * records that a caller wants to write ({@link #check}) and for those that are read back. Entries
- * are kept until {@link #forgetEntries}: a running log needs bounds only.
+ * The content of a log as a state machine that applies its records one by one. Pure, one thread.
+ * The same rules hold for records that a caller wants to write ({@link #violation}) and for those
+ * that are read back. Entries are kept in memory until {@link #releaseEntries}: a log that was
+ * opened needs only their bounds.
  */
 final class LogState {
-
-    static final int NOTES_LIMIT = 64 << 10;
+    private static final int MAX_METADATA_BYTES = 64 << 10;
+    private static final int RETAINED_SNAPSHOTS = 2;
 
     private long term;
     private String votedFor = "";
-    private VotingStatus standing = VotingStatus.NEW;
-    private final TreeMap<String, byte[]> notes = new TreeMap<>();
+    private VotingStatus votingStatus = VotingStatus.NEW;
+    private final TreeMap<String, byte[]> metadata = new TreeMap<>();
 
-    /** Oldest first, two at most. */
+    /** Oldest first. */
     private final List<SnapshotId> snapshots = new ArrayList<>();
 
-    /** Entries are held from the one after {@code base} to {@code last}. */
-    private long base;
+    /** Entries are available from the one after this index up to {@code lastIndex}. */
+    private long baseIndex;
+
+    private long lastIndex;
 
-    private long last;
+    /** Null once they were released. */
     private List<LogRecord.Entry> entries = new ArrayList<>();
 
-    /** The state at a segment's head, where all before it is gone. */
-    static LogState of(LogRecord.SegmentHeader head) {
-        LogState contents = new LogState();
-        contents.term = head.term();
-        contents.votedFor = head.votedFor();
-        contents.standing = head.standing();
-        contents.notes.putAll(head.notes());
-        contents.snapshots.addAll(head.snapshots());
-        contents.base = contents.last = head.lastIndex();
-        return contents;
+    /** The state at the header of a segment, if all before it is gone. */
+    static LogState of(LogRecord.SegmentHeader header) {
+        LogState state = new LogState();
+        state.term = header.term();
+        state.votedFor = header.votedFor();
+        state.votingStatus = header.votingStatus();
+        state.metadata.putAll(header.metadata());
+        state.snapshots.addAll(header.snapshots());
+        state.baseIndex = header.lastIndex();
+        state.lastIndex = header.lastIndex();
+        return state;
     }
 
     LogState copy() {
-        LogState copy = of(head(new LogIdentity("-", "-"), 0, 0, 0, 0));
-        copy.base = base;
+        LogState copy = new LogState();
+        copy.term = term;
+        copy.votedFor = votedFor;
+        copy.votingStatus = votingStatus;
+        copy.metadata.putAll(metadata);
+        copy.snapshots.addAll(snapshots);
+        copy.baseIndex = baseIndex;
+        copy.lastIndex = lastIndex;
         copy.entries = entries == null ? null : new ArrayList<>(entries);
         return copy;
     }
 
-    LogRecord.SegmentHeader head(
-            LogIdentity who, long segment, long incarnation, long afterSeq, int afterCrc) {
+    /** The header of a segment that begins with this state. */
+    LogRecord.SegmentHeader header(
+            LogIdentity identity,
+            long segmentNumber,
+            long incarnation,
+            long previousSequence,
+            int previousChecksum) {
         return new LogRecord.SegmentHeader(
-                who,
-                segment,
+                identity,
+                segmentNumber,
                 incarnation,
-                afterSeq,
-                afterCrc,
-                standing,
+                previousSequence,
+                previousChecksum,
+                votingStatus,
                 term,
                 votedFor,
-                last,
+                lastIndex,
                 List.copyOf(snapshots),
-                new TreeMap<>(notes));
+                new TreeMap<>(metadata));
     }
 
-    /** Whether a head tells the same as the records before it did. */
-    boolean agrees(LogRecord.SegmentHeader head) {
-        return head.term() == term
-                && head.votedFor().equals(votedFor)
-                && head.lastIndex() == last
-                && head.notes().keySet().equals(notes.keySet());
+    /** Whether a header agrees with the records before it. */
+    boolean agreesWith(LogRecord.SegmentHeader header) {
+        return header.term() == term
+                && header.votedFor().equals(votedFor)
+                && header.lastIndex() == lastIndex
+                && header.metadata().keySet().equals(metadata.keySet());
     }
 
-    /** Why the record breaks the rules of a log here; null when it does not. */
-    String check(LogRecord record) {
+    /** Which rule of a log the record would violate here; empty if none. */
+    Optional<String> violation(LogRecord record) {
         if (record instanceof LogRecord.Entry entry) {
-            if (entry.index() != last + 1) return "entry " + entry.index() + " after " + last;
-        } else if (record instanceof LogRecord.SuffixTruncation cut) {
-            if (cut.index() <= snapshotIndex() || cut.index() > last + 1)
-                return "cut from "
-                        + cut.index()
+            return entry.index() == lastIndex + 1
+                    ? Optional.empty()
+                    : Optional.of("entry " + entry.index() + " after " + lastIndex);
+        } else if (record instanceof LogRecord.SuffixTruncation truncation) {
+            return truncationViolation(truncation);
+        } else if (record instanceof LogRecord.TermAndVote vote) {
+            return voteViolation(vote);
+        } else if (record instanceof LogRecord.MetadataEntry value) {
+            return metadataViolation(value);
+        } else if (record instanceof LogRecord.SnapshotCompleted snapshot) {
+            long index = snapshot.id().index();
+            return index > snapshotIndex()
+                    ? Optional.empty()
+                    : Optional.of("snapshot of " + index + " after " + snapshotIndex());
+        } else if (record instanceof LogRecord.VotingStatusChange) {
+            return Optional.empty();
+        }
+        return Optional.of("a record of type " + record.type() + " in a log");
+    }
+
+    private Optional<String> truncationViolation(LogRecord.SuffixTruncation truncation) {
+        if (truncation.index() > snapshotIndex() && truncation.index() <= lastIndex + 1) {
+            return Optional.empty();
+        }
+        return Optional.of(
+                "truncation from "
+                        + truncation.index()
                         + " with a snapshot of "
                         + snapshotIndex()
                         + " and a last entry "
-                        + last;
-        } else if (record instanceof LogRecord.TermAndVote vote) {
-            if (vote.term() < term) return "term " + vote.term() + " after " + term;
-            if (vote.term() == term && !votedFor.isEmpty() && !votedFor.equals(vote.votedFor()))
-                return "a vote for '"
-                        + vote.votedFor()
-                        + "' in term "
-                        + term
-                        + " after one for "
-                        + votedFor;
-        } else if (record instanceof LogRecord.MetadataEntry note) {
-            int size = note.value() == null ? 0 : note.name().length() + note.value().length;
-            for (Map.Entry<String, byte[]> other : notes.entrySet())
-                if (!other.getKey().equals(note.name()))
-                    size += other.getKey().length() + other.getValue().length;
-            if (size > NOTES_LIMIT)
-                return "notes of " + size + " bytes, " + NOTES_LIMIT + " at most";
-        } else if (record instanceof LogRecord.SnapshotCompleted snapshot) {
-            if (snapshot.ref().index() <= snapshotIndex())
-                return "snapshot of " + snapshot.ref().index() + " after " + snapshotIndex();
-        } else if (!(record instanceof LogRecord.VotingStatusChange)) {
-            return "no record of a log: " + record.getClass().getSimpleName();
+                        + lastIndex);
+    }
+
+    private Optional<String> voteViolation(LogRecord.TermAndVote vote) {
+        if (vote.term() < term) {
+            return Optional.of("term " + vote.term() + " after " + term);
+        }
+        boolean changesVote =
+                vote.term() == term && !votedFor.isEmpty() && !votedFor.equals(vote.votedFor());
+        if (changesVote) {
+            return Optional.of(
+                    "a vote for '"
+                            + vote.votedFor()
+                            + "' in term "
+                            + term
+                            + " after one for "
+                            + votedFor);
+        }
+        return Optional.empty();
+    }
+
+    private Optional<String> metadataViolation(LogRecord.MetadataEntry changed) {
+        int size = changed.value() == null ? 0 : size(changed.name(), changed.value());
+        for (Map.Entry<String, byte[]> other : metadata.entrySet()) {
+            if (!other.getKey().equals(changed.name())) {
+                size += size(other.getKey(), other.getValue());
+            }
         }
-        return null;
+        return size <= MAX_METADATA_BYTES
+                ? Optional.empty()
+                : Optional.of("metadata of " + size + " bytes, " + MAX_METADATA_BYTES + " at most");
+    }
+
+    private static int size(String name, byte[] value) {
+        return name.length() + value.length;
     }
 
+    /** Applies a record that violates no rule. */
     void apply(LogRecord record) {
         if (record instanceof LogRecord.Entry entry) {
-            last = entry.index();
-            if (entries != null) entries.add(entry);
-        } else if (record instanceof LogRecord.SuffixTruncation cut) {
-            last = cut.index() - 1;
-            base = Math.min(base, last);
-            if (entries != null) entries.subList((int) (last - base), entries.size()).clear();
+            lastIndex = entry.index();
+            if (entries != null) {
+                entries.add(entry);
+            }
+        } else if (record instanceof LogRecord.SuffixTruncation truncation) {
+            truncateFrom(truncation.index());
         } else if (record instanceof LogRecord.TermAndVote vote) {
             term = vote.term();
             votedFor = vote.votedFor();
-        } else if (record instanceof LogRecord.MetadataEntry note) {
-            if (note.value() == null) notes.remove(note.name());
-            else notes.put(note.name(), note.value());
+        } else if (record instanceof LogRecord.MetadataEntry value) {
+            if (value.value() == null) {
+                metadata.remove(value.name());
+            } else {
+                metadata.put(value.name(), value.value());
+            }
         } else if (record instanceof LogRecord.SnapshotCompleted snapshot) {
-            snapshots.add(snapshot.ref());
-            if (snapshots.size() > 2) snapshots.remove(0);
-            if (snapshot.ref().index() > last) {
-                // Sent by a leader far ahead: what is held ends before it, so nothing older can
-                // stand in for it.
-                base = last = snapshot.ref().index();
-                if (entries != null) entries.clear();
+            addSnapshot(snapshot.id());
+        } else if (record instanceof LogRecord.VotingStatusChange change) {
+            votingStatus = change.votingStatus();
+        }
+    }
+
+    private void truncateFrom(long index) {
+        lastIndex = index - 1;
+        baseIndex = Math.min(baseIndex, lastIndex);
+        if (entries != null) {
+            entries.subList((int) (lastIndex - baseIndex), entries.size()).clear();
+        }
+    }
+
+    private void addSnapshot(SnapshotId id) {
+        snapshots.add(id);
+        if (snapshots.size() > RETAINED_SNAPSHOTS) {
+            snapshots.remove(0);
+        }
+        if (id.index() > lastIndex) {
+            // Sent by a leader far ahead: the local entries end before it, so neither they nor an
+            // older snapshot can replace it.
+            baseIndex = id.index();
+            lastIndex = id.index();
+            if (entries != null) {
+                entries.clear();
             }
-        } else if (record instanceof LogRecord.VotingStatusChange stands) {
-            standing = stands.standing();
         }
     }
 
     /**
-     * What a head says beyond the records before it: a standing that was changed and generations
-     * that were passed over at an opening.
+     * Takes over what a header says beyond the records before it: a voting status that was changed
+     * and snapshots that were dropped when the log was opened.
      */
-    void adopt(LogRecord.SegmentHeader head) {
-        standing = head.standing();
+    void adopt(LogRecord.SegmentHeader header) {
+        votingStatus = header.votingStatus();
         snapshots.clear();
-        snapshots.addAll(head.snapshots());
+        snapshots.addAll(header.snapshots());
     }
 
-    /** Passes over a generation that can't be read. */
-    void drop(SnapshotId ref) {
-        snapshots.remove(ref);
+    /** Drops a snapshot that can't be read. */
+    void dropSnapshot(SnapshotId id) {
+        snapshots.remove(id);
     }
 
-    void stand(VotingStatus now) {
-        standing = now;
+    void setVotingStatus(VotingStatus status) {
+        votingStatus = status;
     }
 
-    void forgetEntries() {
+    void releaseEntries() {
         entries = null;
     }
 
@@ -166,18 +236,23 @@
     List<RecoveredState.Entry> entriesAbove(long index) {
         List<RecoveredState.Entry> above = new ArrayList<>();
         for (LogRecord.Entry entry : entries) {
-            if (entry.index() > index)
+            if (entry.index() > index) {
                 above.add(new RecoveredState.Entry(entry.index(), entry.term(), entry.bytes()));
+            }
         }
         return above;
     }
 
-    /** Up to where no generation that is kept needs entries. */
-    long floor() {
-        if (snapshots.isEmpty() || snapshots.size() == 1 && base == 0) return 0;
+    /** Entries up to this index are needed by none of the retained snapshots; 0 if all are. */
+    long deletableIndex() {
+        boolean canReplayFromFirstEntry = snapshots.size() == 1 && baseIndex == 0;
+        if (snapshots.isEmpty() || canReplayFromFirstEntry) {
+            return 0;
+        }
         return snapshots.get(0).index();
     }
 
+    /** Index of the newest snapshot, or 0. */
     long snapshotIndex() {
         return snapshots.isEmpty() ? 0 : snapshots.get(snapshots.size() - 1).index();
     }
@@ -194,19 +269,19 @@
         return votedFor;
     }
 
-    Map<String, byte[]> notes() {
-        return new TreeMap<>(notes);
+    Map<String, byte[]> metadata() {
+        return new TreeMap<>(metadata);
     }
 
-    VotingStatus standing() {
-        return standing;
+    VotingStatus votingStatus() {
+        return votingStatus;
     }
 
-    long base() {
-        return base;
+    long baseIndex() {
+        return baseIndex;
     }
 
-    long last() {
-        return last;
+    long lastIndex() {
+        return lastIndex;
     }
 }
--- a/src/main/java/calicostream/durable/LogStatus.java
+++ b/src/main/java/calicostream/durable/LogStatus.java
@@ -2,8 +2,18 @@
 package calicostream.durable;
 
 /**
- * What operators see of a log. {@code trouble} is null in READY; {@code sinceNanos} is on the clock
- * of {@link LogOptions}; {@code bytes} are in the files that are written now.
+ * The state of a log as operators see it, at one moment. Immutable.
+ *
+ * @param state the present state
+ * @param sinceNanos when the state began, on the clock of {@link LogOptions}
+ * @param fault why the log is in this state; null in READY
+ * @param incarnation the number of this opening; it grows with each one
+ * @param votingSuspended whether this member lost state and was not admitted again
+ * @param syncs syncs since the log was opened
+ * @param slowSyncs those of them that took longer than the bound
+ * @param longestSyncNanos duration of the longest sync
+ * @param lastIndex index of the last entry
+ * @param bytes size of the files that are being written now
  */
 public record LogStatus(
         State state,
@@ -16,22 +26,22 @@
         long longestSyncNanos,
         long lastIndex,
         long bytes) {
-
+    /** States of a log. Their names are rows of the operators' page. */
     public enum State {
-        /** It takes entries. */
+        /** The log accepts entries. */
         READY,
         /**
-         * It takes entries, but a sync takes or took longer than the bound; ends after eight syncs
-         * in a row within it.
+         * The log accepts entries, but a sync takes or took longer than the bound. Ends after eight
+         * syncs in a row within the bound.
          */
         SLOW,
-        /** An append found no room; to be opened anew once there is. */
+        /** A write found no space; reopen the log once there is some. */
         FULL,
-        /** The disk takes no writes; to be opened anew once it does. */
+        /** The disk accepts no writes; reopen the log once it does. */
         READ_ONLY,
-        /** A sync, a write or a read failed: nothing unsynced is trusted; to be opened anew. */
+        /** A sync, a write or a read failed: nothing unsynced is trusted; reopen the log. */
         FAILED,
-        /** Closed. */
+        /** The log was closed. */
         CLOSED
     }
 }
--- a/src/main/java/calicostream/durable/RecoveryVerdict.java
+++ b/src/main/java/calicostream/durable/RecoveryVerdict.java
@@ -1,20 +1,20 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.durable;
 
-/** What a member may do with the log that it found. */
+/** What a member may do with the log that it found at its start. */
 public enum RecoveryVerdict {
-    /** It remembers all that it promised: it may vote, and its acknowledgements count. */
+    /** Nothing was lost: the member may vote, and its acknowledgements count. */
     VOTER,
     /**
-     * Too few peers have told what they remember of it: it neither votes nor acknowledges until
-     * they have.
+     * Too few peers have reported what they observed of the member: it neither votes nor
+     * acknowledges until they have.
      */
     WAIT,
     /**
-     * It has forgotten, or may have: it neither votes nor counts until the group has admitted it
-     * anew.
+     * State was lost, or may have been: the member neither votes nor counts until the group has
+     * admitted it again.
      */
     LEARNER,
-    /** This folder must not be used at all: an operator decides. */
+    /** The directory must not be used at all: an operator decides. */
     REFUSE
 }
--- a/src/main/java/calicostream/durable/SegmentWriter.java
+++ b/src/main/java/calicostream/durable/SegmentWriter.java
@@ -6,118 +6,146 @@
 import java.util.TreeMap;
 
 /**
- * The segment that is written, and which older ones may go. Records wait in memory until they are
- * many or the log is synced. One thread.
+ * Writes the current segment of a log and deletes segments that are no longer needed. Records are
+ * buffered in memory until there are many or the log is synced. One thread.
  */
 final class SegmentWriter {
-
-    private static final int FLUSH = 64 << 10;
+    private static final int FLUSH_BYTES = 64 << 10;
 
     private final Disk disk;
-    private final LogIdentity who;
+    private final LogIdentity identity;
     private final long incarnation;
-    private final FieldBuffer out = new FieldBuffer(FLUSH * 2);
+    private final FieldBuffer buffer = new FieldBuffer(FLUSH_BYTES * 2);
 
-    /** The highest entry in each segment, by name, the oldest first. */
-    private final TreeMap<String, Long> reach = new TreeMap<>();
+    /** By segment name, the oldest first; 0 for a segment without entries. */
+    private final TreeMap<String, Long> highestIndexBySegment = new TreeMap<>();
 
-    private String file;
-    private long next;
-    private long size;
-    private long seq;
-    private int crc;
-    private long synced;
+    private String segmentName;
+    private long nextSegmentNumber;
+    private long flushedBytes;
+    private long sequence;
+    private int checksum;
+    private long syncedSequence;
 
+    /**
+     * Creates a writer without a segment; {@link #beginSegment} is to be called first.
+     *
+     * @param nextSegmentNumber number of the first segment to write
+     * @param highestIndexBySegment the highest entry in each segment that exists
+     * @param syncedSequence sequence number up to which the log is known to be synced
+     */
     SegmentWriter(
-            Disk disk, LogIdentity who, long incarnation, long next, Map<String, Long> reach) {
+            Disk disk,
+            LogIdentity identity,
+            long incarnation,
+            long nextSegmentNumber,
+            Map<String, Long> highestIndexBySegment,
+            long syncedSequence) {
         this.disk = disk;
-        this.who = who;
+        this.identity = identity;
         this.incarnation = incarnation;
-        this.next = next;
-        this.reach.putAll(reach);
+        this.nextSegmentNumber = nextSegmentNumber;
+        this.highestIndexBySegment.putAll(highestIndexBySegment);
+        this.syncedSequence = syncedSequence;
+    }
+
+    /** Begins a new segment after the last record of the current one; it is synced on return. */
+    void beginNextSegment(LogState state) throws DurableException {
+        beginSegment(state, sequence, checksum, List.of());
     }
 
     /**
-     * Begins a segment that goes on after record {@code afterSeq}; it is there, with {@code first}
-     * in it, on return.
+     * Begins a segment that follows the record {@code previousSequence}. On return it is synced,
+     * with {@code firstRecords} in it.
      */
-    void begin(LogState state, long afterSeq, int afterCrc, List<LogRecord> first)
+    void beginSegment(
+            LogState state,
+            long previousSequence,
+            int previousChecksum,
+            List<LogRecord> firstRecords)
             throws DurableException {
-        out.clear();
-        String name = LogFileNames.segment(next);
-        reach.put(name, 0L);
-        seq = afterSeq + 1;
-        crc =
-                RecordFraming.write(
-                        out,
-                        state.head(who, next, incarnation, afterSeq, afterCrc),
-                        seq,
-                        synced,
-                        afterCrc);
-        file = name;
-        for (LogRecord record : first) add(record);
-        DurabilityMarkers.place(disk, name, out.view());
-        size = out.size();
-        out.clear();
-        next++;
+        buffer.clear();
+        String name = LogFileNames.segment(nextSegmentNumber);
+        highestIndexBySegment.put(name, 0L);
+        sequence = previousSequence + 1;
+        LogRecord header =
+                state.header(
+                        identity,
+                        nextSegmentNumber,
+                        incarnation,
+                        previousSequence,
+                        previousChecksum);
+        checksum = RecordFraming.write(buffer, header, sequence, syncedSequence, previousChecksum);
+        segmentName = name;
+        for (LogRecord record : firstRecords) {
+            addToBuffer(record);
+        }
+        AtomicFileCreation.create(disk, name, buffer.view());
+        flushedBytes = buffer.size();
+        buffer.clear();
+        nextSegmentNumber++;
     }
 
     void write(LogRecord record) throws DurableException {
-        add(record);
-        if (out.size() >= FLUSH) flush();
+        addToBuffer(record);
+        if (buffer.size() >= FLUSH_BYTES) {
+            flush();
+        }
     }
 
-    private void add(LogRecord record) {
-        crc = RecordFraming.write(out, record, ++seq, synced, crc);
-        if (record instanceof LogRecord.Entry entry) reach.merge(file, entry.index(), Math::max);
+    private void addToBuffer(LogRecord record) {
+        sequence++;
+        checksum = RecordFraming.write(buffer, record, sequence, syncedSequence, checksum);
+        if (record instanceof LogRecord.Entry entry) {
+            highestIndexBySegment.merge(segmentName, entry.index(), Math::max);
+        }
     }
 
-    void flush() throws DurableException {
-        if (out.size() == 0) return;
-        disk.append(file, out.view());
-        size += out.size();
-        out.clear();
+    private void flush() throws DurableException {
+        if (buffer.size() == 0) {
+            return;
+        }
+        disk.append(segmentName, buffer.view());
+        flushedBytes += buffer.size();
+        buffer.clear();
     }
 
     void sync() throws DurableException {
         flush();
-        disk.sync(file);
-    }
-
-    /** The mark of record {@code seq} is on the disk: from here on records say so. */
-    void marked() {
-        synced = seq;
-    }
-
-    void vouched(long upTo) {
-        synced = upTo;
+        disk.sync(segmentName);
     }
 
-    long synced() {
-        return synced;
+    /** The marker of the last record is on the disk: later records say that it was synced. */
+    void markerSynced() {
+        syncedSequence = sequence;
     }
 
+    /** Whether there are records that no marker covers. */
     boolean isDirty() {
-        return seq > synced;
+        return sequence > syncedSequence;
     }
 
-    long seq() {
-        return seq;
+    /** Sequence number of the last record. */
+    long sequence() {
+        return sequence;
     }
 
-    int crc() {
-        return crc;
+    /** Checksum of the last record. */
+    int checksum() {
+        return checksum;
     }
 
-    long size() {
-        return size + out.size();
+    /** Size of the current segment, with what is buffered. */
+    long segmentBytes() {
+        return flushedBytes + buffer.size();
     }
 
-    /** Deletes the oldest segments whose entries are all at or below {@code floor}. */
-    void deleteUpTo(long floor) throws DurableException {
-        while (!reach.firstKey().equals(file) && reach.firstEntry().getValue() <= floor) {
-            disk.delete(reach.firstKey());
-            reach.pollFirstEntry();
+    /** Deletes the oldest segments whose entries are all at or below {@code index}. */
+    void deleteSegmentsUpTo(long index) throws DurableException {
+        while (!highestIndexBySegment.firstKey().equals(segmentName)
+                && highestIndexBySegment.firstEntry().getValue() <= index) {
+            disk.delete(highestIndexBySegment.firstKey());
+            highestIndexBySegment.pollFirstEntry();
         }
     }
 }
--- a/src/main/java/calicostream/durable/SegmentedLog.java
+++ b/src/main/java/calicostream/durable/SegmentedLog.java
@@ -3,108 +3,141 @@
 
 import calicostream.durable.LogRecord.SnapshotId;
 import calicostream.durable.StateLossDetector.VotingStatus;
-import java.util.List;
+import java.util.Optional;
 
 /**
- * The log of {@link DurableLog} on two {@link Disk}s. It makes no judgement: {@link LogOpener}
- * reads, {@link LogState} has the rules.
+ * The {@link DurableLog} on two {@link Disk}s. It performs the writes in their order and keeps the
+ * status; {@link LogOpener} reads a log, and {@link LogState} has the rules.
  */
 final class SegmentedLog implements DurableLog {
-
-    private static final int LARGEST = 64 << 20;
+    private static final int MAX_RECORD_BYTES = 64 << 20;
 
     private final Disk disk;
-    private final Disk marksDisk;
-    private final LogIdentity who;
+    private final Disk markerDisk;
+    private final LogIdentity identity;
     private final LogOptions options;
-    private final LogState contents;
-    private final DurabilityMarkers marks;
-    private final SnapshotFiles generations;
+    private final LogState state;
+    private final DurabilityMarkers markers;
+    private final SnapshotReader snapshots;
+    private final SnapshotWriter snapshotWriter;
     private final SegmentWriter segments;
     private final long incarnation;
-    private final RecoveredState recovered;
+    private final RecoveredState recoveredState;
 
-    /** Guarded by itself, as operators ask from any thread. */
+    /** Guarded by itself, as any thread may ask for the status. */
     private final LogHealth health;
 
-    private String why;
-    private long wantedAfter;
+    private String suspensionReason;
+    private long unneededUpToIndex;
+
+    // Copies for the status, which any thread may ask for.
     private volatile long lastIndex;
-    private volatile boolean barred;
-    private volatile long bytes;
+    private volatile boolean isVotingSuspended;
+    private volatile long writtenBytes;
 
     private SegmentedLog(
-            Disk disk, Disk marksDisk, LogIdentity who, LogOptions options, LogOpener opening) {
+            Disk disk,
+            Disk markerDisk,
+            LogIdentity identity,
+            LogOptions options,
+            LogOpener.OpenedLog opened) {
         this.disk = disk;
-        this.marksDisk = marksDisk;
-        this.who = who;
+        this.markerDisk = markerDisk;
+        this.identity = identity;
         this.options = options;
-        this.contents = opening.contents;
-        this.marks = opening.marks;
-        this.generations = opening.generations;
-        this.segments = opening.segments;
-        this.incarnation = opening.incarnation;
-        this.recovered = opening.recovered;
-        this.why = opening.marks.last().why();
-        this.health = new LogHealth(options.slowSyncNanos(), options.clock().getAsLong());
-        signs();
+        this.state = opened.state();
+        this.markers = opened.markers();
+        this.snapshots = opened.snapshots();
+        this.snapshotWriter = new SnapshotWriter(disk, identity);
+        this.segments = opened.segments();
+        this.incarnation = opened.incarnation();
+        this.recoveredState = opened.recoveredState();
+        this.suspensionReason = opened.markers().last().reason();
+        this.health = new LogHealth(options.slowSyncNanos(), now());
+        publishStatus();
     }
 
-    static DurableLog open(Disk disk, Disk marks, LogIdentity who, LogOptions options)
+    static DurableLog open(Disk disk, Disk markerDisk, LogIdentity identity, LogOptions options)
             throws DurableException {
         disk.lock();
-        boolean open = false;
+        boolean isOpen = false;
         try {
-            if (marks != disk) marks.lock();
-            LogOpener opening = new LogOpener(disk, marks, who, options);
-            opening.run();
-            SegmentedLog store = new SegmentedLog(disk, marks, who, options, opening);
-            open = true;
-            return store;
+            if (markerDisk != disk) {
+                markerDisk.lock();
+            }
+            LogOpener.OpenedLog opened =
+                    LogOpener.open(disk, markerDisk, identity, options.startOver());
+            SegmentedLog log = new SegmentedLog(disk, markerDisk, identity, options, opened);
+            isOpen = true;
+            return log;
         } finally {
-            if (!open) {
-                disk.close();
-                if (marks != disk) marks.close();
+            if (!isOpen) {
+                release(disk, markerDisk);
             }
         }
     }
 
+    private static void release(Disk disk, Disk markerDisk) {
+        disk.close();
+        if (markerDisk != disk) {
+            markerDisk.close();
+        }
+    }
+
+    private long now() {
+        return options.clock().getAsLong();
+    }
+
     @Override
     public RecoveredState recoveredState() {
-        return recovered;
+        return recoveredState;
     }
 
     @Override
     public void appendEntry(long index, long term, byte[] bytes) throws DurableException {
-        if (bytes.length > LARGEST)
-            throw new IllegalArgumentException(
-                    "an entry of " + bytes.length + " bytes, " + LARGEST + " at most");
-        if (generations.isWhole()) sync();
+        checkSize("an entry", bytes);
+        if (snapshotWriter.isComplete()) {
+            sync();
+        }
         write(new LogRecord.Entry(index, term, bytes));
     }
 
+    private static void checkSize(String what, byte[] bytes) {
+        if (bytes.length > MAX_RECORD_BYTES) {
+            throw new IllegalArgumentException(
+                    what + " of " + bytes.length + " bytes, " + MAX_RECORD_BYTES + " at most");
+        }
+    }
+
     @Override
     public void truncateFrom(long index) throws DurableException {
-        if (index == contents.last() + 1) return;
+        if (index == state.lastIndex() + 1) {
+            return;
+        }
         write(new LogRecord.SuffixTruncation(index));
     }
 
     @Override
     public void truncateUntil(long index) throws DurableException {
-        usable();
-        if (generations.isWhole()) sync();
-        if (index > contents.snapshotIndex())
+        checkUsable();
+        if (snapshotWriter.isComplete()) {
+            sync();
+        }
+        if (index > state.snapshotIndex()) {
             throw new IllegalArgumentException(
                     "entries up to "
                             + index
-                            + " are wanted: the newest snapshot ends at "
-                            + contents.snapshotIndex());
-        wantedAfter = Math.max(wantedAfter, index);
+                            + " are needed: the newest snapshot ends at "
+                            + state.snapshotIndex());
+        }
+        unneededUpToIndex = Math.max(unneededUpToIndex, index);
     }
 
     @Override
     public void saveTermAndVote(long term, String votedFor) throws DurableException {
-        if (term == contents.term() && votedFor.equals(contents.votedFor())) return;
+        if (term == state.term() && votedFor.equals(state.votedFor())) {
+            return;
+        }
         write(new LogRecord.TermAndVote(term, votedFor));
     }
 
@@ -114,166 +147,181 @@
     }
 
     private void write(LogRecord record) throws DurableException {
-        usable();
-        String wrong = contents.check(record);
-        if (wrong != null) throw new IllegalArgumentException(wrong);
-        guarded(() -> segments.write(record));
-        contents.apply(record);
-        signs();
+        checkUsable();
+        Optional<String> violation = state.violation(record);
+        if (violation.isPresent()) {
+            throw new IllegalArgumentException(violation.get());
+        }
+        runOrFail(() -> segments.write(record));
+        state.apply(record);
+        publishStatus();
     }
 
     @Override
-    public void saveSnapshotChunk(long index, long term, int chunk, int of, byte[] bytes)
+    public void saveSnapshotChunk(long index, long term, int position, int chunkCount, byte[] bytes)
             throws DurableException {
-        usable();
-        if (of < 1 || chunk < 0 || chunk >= of)
-            throw new IllegalArgumentException("chunk " + chunk + " of " + of);
-        if (bytes.length > LARGEST)
-            throw new IllegalArgumentException(
-                    "a chunk of " + bytes.length + " bytes, " + LARGEST + " at most");
-        if (index <= contents.snapshotIndex()) return;
-        guarded(() -> generations.chunk(new SnapshotId(index, term), chunk, of, bytes));
+        checkUsable();
+        if (chunkCount < 1 || position < 0 || position >= chunkCount) {
+            throw new IllegalArgumentException("chunk " + position + " of " + chunkCount);
+        }
+        checkSize("a chunk", bytes);
+        if (index <= state.snapshotIndex()) {
+            return;
+        }
+        SnapshotId id = new SnapshotId(index, term);
+        runOrFail(() -> snapshotWriter.addChunk(id, position, chunkCount, bytes));
     }
 
     @Override
     public void discardUnfinishedSnapshot() throws DurableException {
-        usable();
-        guarded(generations::drop);
+        checkUsable();
+        runOrFail(snapshotWriter::discard);
     }
 
     @Override
     public void sync() throws DurableException {
-        usable();
-        guarded(this::syncAll);
-        signs();
+        checkUsable();
+        runOrFail(this::syncAll);
+        publishStatus();
     }
 
     private void syncAll() throws DurableException {
-        SnapshotId whole = generations.finish();
-        if (whole != null) {
-            LogRecord.SnapshotCompleted record = new LogRecord.SnapshotCompleted(whole);
-            // Chunks may have waited while an entry was cut that they stand for, or a later
-            // snapshot was taken.
-            if (contents.check(record) == null) {
-                segments.write(record);
-                contents.apply(record);
-            }
+        Optional<SnapshotId> finished = snapshotWriter.finish();
+        if (finished.isPresent()) {
+            recordSnapshot(finished.get());
         }
         if (segments.isDirty()) {
-            timed();
-            segments.marked();
+            syncSegmentAndMarker();
+            segments.markerSynced();
+        }
+        // Only now, as the log on the disk has needed the older files until here.
+        if (finished.isPresent()) {
+            snapshots.deleteAllBut(state.snapshots());
+        }
+        if (unneededUpToIndex > 0) {
+            long deletableIndex = Math.min(unneededUpToIndex, state.deletableIndex());
+            segments.deleteSegmentsUpTo(deletableIndex);
+        }
+        if (segments.segmentBytes() > options.segmentBytes()) {
+            segments.beginNextSegment(state);
         }
-        // Only now, as the files named until here might have been needed again.
-        if (whole != null) generations.deleteBut(contents.snapshots());
-        if (wantedAfter > 0) segments.deleteUpTo(Math.min(wantedAfter, contents.floor()));
-        if (segments.size() > options.segmentBytes())
-            segments.begin(contents, segments.seq(), segments.crc(), List.of());
     }
 
-    private void timed() throws DurableException {
+    private void recordSnapshot(SnapshotId id) throws DurableException {
+        LogRecord record = new LogRecord.SnapshotCompleted(id);
+        // While the chunks were collected, a later snapshot may have been taken.
+        if (state.violation(record).isEmpty()) {
+            segments.write(record);
+            state.apply(record);
+        }
+    }
+
+    private void syncSegmentAndMarker() throws DurableException {
         synchronized (health) {
-            health.syncStarted(options.clock().getAsLong());
+            health.syncStarted(now());
         }
         try {
             segments.sync();
-            mark();
+            markers.append(
+                    new LogRecord.DurabilityMarker(
+                            identity,
+                            incarnation,
+                            segments.sequence(),
+                            segments.checksum(),
+                            state.votingStatus(),
+                            suspensionReason));
         } finally {
             synchronized (health) {
-                health.syncEnded(options.clock().getAsLong());
+                health.syncEnded(now());
             }
         }
     }
 
-    private void mark() throws DurableException {
-        marks.put(
-                new LogRecord.DurabilityMarker(
-                        who,
-                        incarnation,
-                        segments.seq(),
-                        segments.crc(),
-                        contents.standing(),
-                        why));
-    }
-
     @Override
     public void suspendVoting(String reason) throws DurableException {
-        stand(VotingStatus.SUSPENDED, reason);
+        changeVotingStatus(VotingStatus.SUSPENDED, reason);
     }
 
     @Override
     public void admit() throws DurableException {
-        stand(VotingStatus.ADMITTED, "");
+        changeVotingStatus(VotingStatus.ADMITTED, "");
     }
 
-    private void stand(VotingStatus standing, String reason) throws DurableException {
-        write(new LogRecord.VotingStatusChange(standing));
-        why = reason;
+    private void changeVotingStatus(VotingStatus votingStatus, String reason)
+            throws DurableException {
+        write(new LogRecord.VotingStatusChange(votingStatus));
+        suspensionReason = reason;
         sync();
     }
 
-    private interface Step {
+    private interface DiskOperation {
         void run() throws DurableException;
     }
 
-    private void guarded(Step step) throws DurableException {
+    /** Runs an operation; if it fails, the log has failed. */
+    private void runOrFail(DiskOperation operation) throws DurableException {
         try {
-            step.run();
+            operation.run();
         } catch (DurableException e) {
             fail(e);
             throw e;
         } catch (RuntimeException | Error e) {
-            // Half a step may have been done, and a second try would do it twice.
-            fail(new DurableException.DiskFailed(who + " at " + disk.location() + ": " + e, e));
+            // A part may have been done already, and a second attempt would do it twice.
+            fail(new DurableException.DiskFailed(description() + ": " + e, e));
             throw e;
         }
     }
 
-    private void fail(DurableException e) {
+    private String description() {
+        return identity + " at " + disk.location();
+    }
+
+    private void fail(DurableException failure) {
         synchronized (health) {
-            health.failed(e, options.clock().getAsLong());
+            health.failed(failure, now());
         }
     }
 
-    private void usable() throws DurableException {
+    private void checkUsable() throws DurableException {
         synchronized (health) {
-            switch (health.state()) {
-                case READY, SLOW -> {}
-                case CLOSED -> throw new DurableException.LogClosed(who + " at " + disk.location());
-                case FULL, READ_ONLY, FAILED ->
-                        throw new DurableException.LogFailed(health.fault());
+            if (health.state() == LogStatus.State.CLOSED) {
+                throw new DurableException.LogClosed(description());
+            }
+            if (!health.acceptsWrites()) {
+                throw new DurableException.LogFailed(health.fault());
             }
         }
     }
 
-    private void signs() {
-        lastIndex = contents.last();
-        barred = contents.standing() == VotingStatus.SUSPENDED;
-        bytes = segments.size() + marks.bytes();
+    private void publishStatus() {
+        lastIndex = state.lastIndex();
+        isVotingSuspended = state.votingStatus() == VotingStatus.SUSPENDED;
+        writtenBytes = segments.segmentBytes() + markers.fileBytes();
     }
 
     @Override
     public LogStatus status() {
         synchronized (health) {
-            return health.status(
-                    options.clock().getAsLong(), incarnation, barred, lastIndex, bytes);
+            return health.status(now(), incarnation, isVotingSuspended, lastIndex, writtenBytes);
         }
     }
 
     @Override
     public void close() {
         synchronized (health) {
-            if (health.state() == LogStatus.State.CLOSED) return;
+            if (health.state() == LogStatus.State.CLOSED) {
+                return;
+            }
         }
         try {
             sync();
         } catch (DurableException e) {
-            // What was not synced was not promised; the state says why.
+            // What was not synced was not acknowledged; the status has the cause.
         } finally {
             synchronized (health) {
-                health.closed(options.clock().getAsLong());
+                health.closed(now());
             }
-            disk.close();
-            if (marksDisk != disk) marksDisk.close();
+            release(disk, markerDisk);
         }
     }
 }
--- a/src/main/java/calicostream/durable/StateLossDetector.java
+++ b/src/main/java/calicostream/durable/StateLossDetector.java
@@ -2,46 +2,81 @@
 package calicostream.durable;
 
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 
 /**
- * Whether a member still knows all that it promised. Pure: what it found in its own marks and what
- * peers remember of it goes in, the verdict and its reason come out. A member asks before its first
- * vote and before its first acknowledgement, and again whenever a peer tells more, until the answer
- * is not {@link RecoveryVerdict#WAIT}. Waiting costs nothing: without word from a majority no vote
- * can win anyhow.
+ * Decides whether a member still has all state that it acknowledged to its peers. Pure: the input
+ * is what the member finds in its own files and what peers observed of it before; the output is a
+ * verdict with its reason. A member asks before its first vote and its first acknowledgement, and
+ * again whenever another peer reports, until the verdict is not {@link RecoveryVerdict#WAIT}.
+ * Waiting costs nothing: without answers from a majority it can't win an election anyway.
  */
 public final class StateLossDetector {
-
     private StateLossDetector() {}
 
-    /** How this member stands in its group by its own marks. */
+    /** Whether a member may vote, by its own files. */
     public enum VotingStatus {
-        /** It never promised anything to a group that had admitted it. */
-        NEW,
-        /** It is admitted, and its promises are in its log. */
-        ADMITTED,
-        /** It has once forgotten, and was not admitted anew. */
-        SUSPENDED
+        /** It never acknowledged anything to a group that had admitted it. */
+        NEW(0),
+        /** It is admitted, and what it acknowledged is in its log. */
+        ADMITTED(1),
+        /** It lost state, and was not admitted again since. */
+        SUSPENDED(2);
+
+        private static final VotingStatus[] STATUSES = values();
+
+        private final int code;
+
+        VotingStatus(int code) {
+            this.code = code;
+        }
+
+        /** The number that stands for this status in files; it never changes. */
+        int code() {
+            return code;
+        }
+
+        /**
+         * The status of a number in a file.
+         *
+         * @throws IllegalArgumentException if there is none
+         */
+        static VotingStatus ofCode(int code) {
+            for (VotingStatus status : STATUSES) {
+                if (status.code == code) {
+                    return status;
+                }
+            }
+            throw new IllegalArgumentException("no voting status " + code);
+        }
     }
 
-    /** What its log and its marks, written apart, say of each other. */
+    /** What the comparison of the log with the separately written marker shows. */
     public enum StateLoss {
+        /** Log and marker agree. */
         NONE,
         /**
-         * The log ends before what the marks say was synced: an older copy, a lost sync, an empty
-         * folder.
+         * The log ends before the record that the marker names as synced: an older copy, a lost
+         * sync or an empty directory.
          */
         LOG_BEHIND_MARKER,
-        /** The marks are older than the log, or gone: then nothing vouches for the log's end. */
+        /** The marker is older than the log, or missing: nothing proves where the log ended. */
         MARKER_BEHIND_LOG,
-        /** Both tell of other records at one place: two histories were mixed. */
+        /** Log and marker have different records of the same number: two histories were mixed. */
         HISTORIES_DIVERGED
     }
 
     /**
-     * What a member finds at its opening. {@code incarnation} is this opening's, which no peer can
-     * have seen before.
+     * What a member finds when it opens its log.
+     *
+     * @param incarnation the number of this opening, which no peer can have seen before
+     * @param term the latest term in the log
+     * @param votedFor the candidate that got its vote in {@code term}; empty for none
+     * @param lastIndex index of the last entry
+     * @param votingStatus its voting status
+     * @param stateLoss what the comparison of log and marker shows
+     * @param facts why state is lost or voting is suspended; for operators
      */
     public record LocalState(
             long incarnation,
@@ -53,12 +88,16 @@
             String facts) {}
 
     /**
-     * What a peer remembers of this member from before this contact. {@code term} is the latest in
-     * which this member answered it, {@code acknowledged} the highest index that it acknowledged to
-     * it in that term, or 0, {@code voteTerm} the latest term in which it voted for that peer, or
-     * 0. {@code alive}: another process of this member's name is connected to the peer right now.
-     * {@code grouped}: the peer is a voter of a group that has committed something. All zero and
-     * false: it remembers nothing.
+     * What a peer observed of this member before the present contact.
+     *
+     * @param incarnation the latest incarnation that it met
+     * @param term the latest term in which this member answered it
+     * @param acknowledgedIndex the highest index that this member acknowledged to it in {@code
+     *     term}, or 0
+     * @param voteTerm the latest term in which this member voted for that peer, or 0
+     * @param connectedElsewhere whether another process of this member's name is connected to the
+     *     peer right now
+     * @param groupFormed whether the peer is a voter of a group that has committed something
      */
     public record PeerObservation(
             long incarnation,
@@ -67,102 +106,148 @@
             long voteTerm,
             boolean connectedElsewhere,
             boolean groupFormed) {
+        /** The peer observed nothing. */
         public static final PeerObservation NONE = new PeerObservation(0, 0, 0, 0, false, false);
     }
 
+    /** A verdict and its reason, for operators. */
     public record Assessment(RecoveryVerdict verdict, String reason) {}
 
     /**
-     * {@code others} are the voters beside it that it knows of, {@code founder} whether its
-     * settings name it among the first voters.
+     * Assesses a member.
+     *
+     * @param local what the member found in its own files
+     * @param founder whether its settings name it among the first voters
+     * @param otherVoters names of the other voters that it knows of
+     * @param observations what peers reported, by their names
      */
     public static Assessment assess(
-            LocalState own,
+            LocalState local,
             boolean founder,
-            Set<String> others,
-            Map<String, PeerObservation> told) {
-        for (Map.Entry<String, PeerObservation> peer : told.entrySet()) {
-            if (peer.getValue().connectedElsewhere())
+            Set<String> otherVoters,
+            Map<String, PeerObservation> observations) {
+        for (Map.Entry<String, PeerObservation> peer : observations.entrySet()) {
+            if (peer.getValue().connectedElsewhere()) {
                 return new Assessment(
                         RecoveryVerdict.REFUSE,
                         peer.getKey() + " is connected to another process of this member");
+            }
         }
-        if (own.stateLoss() != StateLoss.NONE)
-            return new Assessment(RecoveryVerdict.LEARNER, own.facts());
-        if (own.votingStatus() == VotingStatus.SUSPENDED)
-            return new Assessment(
-                    RecoveryVerdict.LEARNER,
-                    "forgot before and was not admitted anew: " + own.facts());
-        for (Map.Entry<String, PeerObservation> peer : told.entrySet()) {
-            String forgotten = forgotten(own, peer.getKey(), peer.getValue());
-            if (forgotten != null) return new Assessment(RecoveryVerdict.LEARNER, forgotten);
-        }
-        long heard = others.stream().filter(told::containsKey).count();
-        if (own.votingStatus() == VotingStatus.ADMITTED) {
-            return heard >= (others.size() + 1) / 2
-                    ? new Assessment(RecoveryVerdict.VOTER, "marks and " + heard + " peers agree")
-                    : new Assessment(
-                            RecoveryVerdict.WAIT,
-                            "heard " + heard + " of " + others.size() + " peers");
-        }
-        if (told.values().stream().anyMatch(PeerObservation::groupFormed))
+        Optional<String> loss = lossByOwnFiles(local).or(() -> lossByPeers(local, observations));
+        if (loss.isPresent()) {
+            return new Assessment(RecoveryVerdict.LEARNER, loss.get());
+        }
+        long heard = otherVoters.stream().filter(observations::containsKey).count();
+        return local.votingStatus() == VotingStatus.ADMITTED
+                ? assessAdmitted(heard, otherVoters.size())
+                : assessNew(local, founder, observations, heard, otherVoters.size());
+    }
+
+    private static Assessment assessAdmitted(long heard, int otherVoters) {
+        if (heard >= (otherVoters + 1) / 2) {
+            return new Assessment(RecoveryVerdict.VOTER, "marks and " + heard + " peers agree");
+        }
+        return new Assessment(
+                RecoveryVerdict.WAIT, "heard " + heard + " of " + otherVoters + " peers");
+    }
+
+    private static Assessment assessNew(
+            LocalState local,
+            boolean founder,
+            Map<String, PeerObservation> observations,
+            long heard,
+            int otherVoters) {
+        if (observations.values().stream().anyMatch(PeerObservation::groupFormed)) {
             return new Assessment(
                     RecoveryVerdict.LEARNER, "the group is founded and has not admitted it");
-        if (!founder || own.term() > 0 || own.lastIndex() > 0)
+        }
+        if (!founder || local.term() > 0 || local.lastIndex() > 0) {
             return new Assessment(RecoveryVerdict.LEARNER, "not admitted by a group yet");
-        // A new group begins only once in its life; a majority of blank voters could found a second
-        // one beside a voter that is cut off.
-        return heard == others.size()
-                ? new Assessment(RecoveryVerdict.VOTER, "all first voters are new")
-                : new Assessment(
-                        RecoveryVerdict.WAIT,
-                        "a new group needs all its first voters: heard "
-                                + heard
-                                + " of "
-                                + others.size());
+        }
+        // A group is founded only once in its life; a majority of empty voters could found a
+        // second one beside a voter that is cut off.
+        if (heard == otherVoters) {
+            return new Assessment(RecoveryVerdict.VOTER, "all first voters are new");
+        }
+        return new Assessment(
+                RecoveryVerdict.WAIT,
+                "a new group needs all its first voters: heard " + heard + " of " + otherVoters);
     }
 
     /**
-     * Whether own marks or a peer say so; a member that merely was not admitted yet has forgotten
-     * nothing.
+     * Whether the member's own files or a peer show that it lost state. A member that merely was
+     * not admitted yet has lost nothing.
      */
-    public static boolean hasLostState(LocalState own, Map<String, PeerObservation> told) {
-        return own.stateLoss() != StateLoss.NONE
-                || own.votingStatus() == VotingStatus.SUSPENDED
-                || told.entrySet().stream()
-                        .anyMatch(peer -> forgotten(own, peer.getKey(), peer.getValue()) != null);
+    public static boolean hasLostState(
+            LocalState local, Map<String, PeerObservation> observations) {
+        return lossByOwnFiles(local).isPresent() || lossByPeers(local, observations).isPresent();
     }
 
-    private static String forgotten(LocalState own, String peer, PeerObservation seen) {
-        if (seen.incarnation() >= own.incarnation())
-            return peer
-                    + " has seen incarnation "
-                    + seen.incarnation()
-                    + ", this is "
-                    + own.incarnation();
-        if (seen.term() > own.term())
-            return peer + " has seen term " + seen.term() + ", the log knows " + own.term();
-        // Later leaders may cut what an earlier one was acknowledged; within one term an
+    private static Optional<String> lossByOwnFiles(LocalState local) {
+        if (local.stateLoss() != StateLoss.NONE) {
+            return Optional.of(local.facts());
+        }
+        if (local.votingStatus() == VotingStatus.SUSPENDED) {
+            return Optional.of("forgot before and was not admitted anew: " + local.facts());
+        }
+        return Optional.empty();
+    }
+
+    private static Optional<String> lossByPeers(
+            LocalState local, Map<String, PeerObservation> observations) {
+        for (Map.Entry<String, PeerObservation> peer : observations.entrySet()) {
+            Optional<String> loss = lossByPeer(local, peer.getKey(), peer.getValue());
+            if (loss.isPresent()) {
+                return loss;
+            }
+        }
+        return Optional.empty();
+    }
+
+    private static Optional<String> lossByPeer(
+            LocalState local, String peer, PeerObservation observed) {
+        if (observed.incarnation() >= local.incarnation()) {
+            return Optional.of(
+                    peer
+                            + " has seen incarnation "
+                            + observed.incarnation()
+                            + ", this is "
+                            + local.incarnation());
+        }
+        if (observed.term() > local.term()) {
+            return Optional.of(
+                    peer + " has seen term " + observed.term() + ", the log knows " + local.term());
+        }
+        // A later leader may truncate what was acknowledged to an earlier one; within one term an
         // acknowledged entry stays.
-        if (seen.term() == own.term() && seen.acknowledgedIndex() > own.lastIndex())
-            return peer
-                    + " was acknowledged "
-                    + seen.acknowledgedIndex()
-                    + " in term "
-                    + seen.term()
-                    + ", the log ends at "
-                    + own.lastIndex();
-        if (seen.voteTerm() > own.term()
-                || seen.voteTerm() == own.term()
-                        && seen.voteTerm() > 0
-                        && !own.votedFor().equals(peer))
-            return peer
-                    + " was given the vote of term "
-                    + seen.voteTerm()
-                    + ", the log knows term "
-                    + own.term()
-                    + " and a vote for "
-                    + (own.votedFor().isEmpty() ? "nobody" : own.votedFor());
-        return null;
+        if (observed.term() == local.term() && observed.acknowledgedIndex() > local.lastIndex()) {
+            return Optional.of(
+                    peer
+                            + " was acknowledged "
+                            + observed.acknowledgedIndex()
+                            + " in term "
+                            + observed.term()
+                            + ", the log ends at "
+                            + local.lastIndex());
+        }
+        return hasLostVote(local, peer, observed)
+                ? Optional.of(
+                        peer
+                                + " was given the vote of term "
+                                + observed.voteTerm()
+                                + ", the log knows term "
+                                + local.term()
+                                + " and a vote for "
+                                + (local.votedFor().isEmpty() ? "nobody" : local.votedFor()))
+                : Optional.empty();
+    }
+
+    private static boolean hasLostVote(LocalState local, String peer, PeerObservation observed) {
+        if (observed.voteTerm() > local.term()) {
+            return true;
+        }
+        return observed.voteTerm() > 0
+                && observed.voteTerm() == local.term()
+                && !local.votedFor().equals(peer);
     }
 }
--- a/src/main/java/calicostream/durable/package-info.java
+++ b/src/main/java/calicostream/durable/package-info.java
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
+
 /**
- * What a voter must not forget: its log, term and vote, and snapshots, kept on disks that tear,
- * rot, fill up and lie, with the marks by which a member notices that its disk has forgotten. It
- * knows bytes and indexes, not commands, consensus, sockets or peers: what peers remember is handed
- * in. Read {@link calicostream.durable.DurableLog} first, then {@link
+ * Owns the write-ahead log of a voter: entries, term, vote and snapshots, on disks that may tear
+ * writes, corrupt bits, fill up or drop syncs, with durability markers by which a member detects
+ * that it has lost state. It knows bytes and indexes, but no commands, consensus, sockets or peers:
+ * what peers observed is passed in. Read {@link calicostream.durable.DurableLog} first, then {@link
  * calicostream.durable.StateLossDetector}.
  */
 package calicostream.durable;
