--- a/src/main/java/calicostream/cluster/BoundedElapsedTime.java
+++ b/src/main/java/calicostream/cluster/BoundedElapsedTime.java
@@ -2,31 +2,38 @@
 package calicostream.cluster;
 
 /**
- * Time as a leader may count it against others: of each span between two looks no more than the
- * looks' own period counts. Whatever a clock does between them, a jump ahead or a stop of this
- * process, nothing is taken for over that may not be; a look that comes late makes things last
- * longer. Pure, one thread; nanoseconds.
+ * Elapsed time with an upper bound per update, as a leader may safely count it against others. Of
+ * the time between two calls of {@link #advance} at most one update period is counted. So neither a
+ * clock that jumps ahead nor a pause of this process makes anything expire early; a late call only
+ * makes things last longer. Pure; used by one thread; nanoseconds.
  */
 public final class BoundedElapsedTime {
-    private final long periodNanos;
-    private long counted;
+    private final long maxStepNanos;
+    private long elapsedNanos;
     private long lastNanos;
     private boolean started;
 
     /**
-     * @param periodNanos that passes between two looks at least
+     * Starts at zero.
+     *
+     * @param updatePeriodNanos the least time between two regular calls of {@link #advance}
      */
-    public BoundedElapsedTime(long periodNanos) {
-        this.periodNanos = periodNanos;
+    public BoundedElapsedTime(long updatePeriodNanos) {
+        this.maxStepNanos = updatePeriodNanos;
     }
 
     /**
-     * The time that is counted at a look; differences alone mean something, and it never goes back.
+     * Counts the time since the last call, up to one period.
+     *
+     * @param nowNanos of a monotonic clock; a time before the last one counts as no time
+     * @return the bounded elapsed time; only differences are meaningful, and it never decreases
      */
     public long advance(long nowNanos) {
-        counted += started ? Math.max(0, Math.min(periodNanos, nowNanos - lastNanos)) : 0;
+        if (started) {
+            elapsedNanos += Math.max(0, Math.min(maxStepNanos, nowNanos - lastNanos));
+        }
         started = true;
         lastNanos = nowNanos;
-        return counted;
+        return elapsedNanos;
     }
 }
--- a/src/main/java/calicostream/cluster/EventLoop.java
+++ b/src/main/java/calicostream/cluster/EventLoop.java
@@ -2,13 +2,18 @@
 package calicostream.cluster;
 
 /**
- * The one thread that owns a voter's or a member's state, and its clock. Any thread may call it;
- * what it is given runs on the one thread, in order of {@link #execute} or at its time. Time is of
- * a monotonic clock, in nanoseconds, and means something only as a difference within this process.
+ * The single thread that owns the state of a voter or a member, and its clock. All methods may be
+ * called by any thread; tasks run on the owning thread, in the order of {@link #execute} or at
+ * their scheduled time.
  */
 public interface EventLoop {
+    /**
+     * The time of a monotonic clock in nanoseconds; only differences within this process are
+     * meaningful.
+     */
     long nanoTime();
 
+    /** Runs {@code task} on the owning thread, after the tasks given before. */
     void execute(Runnable task);
 
     /** Runs {@code task} once, not before {@code delayNanos} from now. */
--- a/src/main/java/calicostream/cluster/ExpiryMonitor.java
+++ b/src/main/java/calicostream/cluster/ExpiryMonitor.java
@@ -4,23 +4,24 @@
 import java.util.List;
 
 /**
- * The leader's count of time for one {@link StateMachine}; pure, called by one thread, only at the
- * leader and only while the copy there has applied all that older leaders left. It reads the
- * machine beside it and proposes what has run out as commands of session 0; nothing is over until
- * such a command is applied. Of a former era it must remember nothing: at {@link #eraBegan} every
- * span starts anew at its full length, which makes things last longer, never shorter.
+ * The leader's time-keeping for one {@link StateMachine}. It runs beside the state machine, only at
+ * the leader, and only once that copy has applied everything that earlier leaders left. It reads
+ * the state machine and proposes what has expired as commands of session 0; nothing has expired
+ * until such a command is applied. It carries nothing over from an earlier epoch: at {@link
+ * #epochStarted} every time span starts anew at full length, so things may last longer, never
+ * shorter. Pure; called by one thread.
  */
 public interface ExpiryMonitor {
-    /** This process leads from now on. */
-    void epochStarted(long era, long nowNanos);
+    /** This process is the leader from now on. */
+    void epochStarted(long epoch, long nowNanos);
 
     /**
-     * Called at least every {@code period} of the node while this process leads.
+     * Finds what has expired; called at least once per expiry period while this process leads.
      *
-     * @param nowNanos as {@link BoundedElapsedTime} counts by a monotonic clock of this process
-     *     that may drift by 500 ppm; differences alone mean something
-     * @return bodies of commands to propose, oldest need first; may repeat what was proposed and is
-     *     not yet applied
+     * @param nowNanos time as {@link BoundedElapsedTime} counts it, by a monotonic clock that may
+     *     drift by 500 ppm; only differences are meaningful
+     * @return bodies of commands to propose, the most overdue first; may repeat commands that were
+     *     proposed and are not applied yet
      */
     List<byte[]> expiredCommands(long nowNanos);
 }
--- a/src/main/java/calicostream/cluster/MemberSession.java
+++ b/src/main/java/calicostream/cluster/MemberSession.java
@@ -9,190 +9,202 @@
 import java.util.function.Consumer;
 
 /**
- * A member's side of its session: decides what to send to which voter and when to send it again;
- * pure, one thread, no clock, no randomness but what is handed in. Commands go out one after the
- * other under their number, so a retry counts once; a lost session takes its unanswered commands
- * with it, told as {@link ClusterException.Unsure} for the one that was out and {@link
- * ClusterException.SessionOver} for those that were not. The time of a session counts from before
- * the sending of what was answered, so {@link #isAlive} ends before the leader can expire it.
+ * A member's client session with exactly-once commands: decides what to send to which voter and
+ * when to retry. Commands are sent one at a time under their sequence number, so a retry is applied
+ * once. When the session is lost, its unanswered commands fail: with {@link
+ * ClusterException.Unsure} the one that was sent, with {@link ClusterException.SessionOver} the
+ * ones that were queued. The lifetime of the session is measured from before the request that was
+ * answered, so {@link #isAlive} ends before the leader can expire the session. Pure: used by one
+ * thread, with time as a parameter and no randomness.
  */
 public final class MemberSession {
-    /** What to send. */
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+
+    /** After a redirect the retry comes sooner: the fraction of the retry delay. */
+    private static final int REDIRECT_DELAY_DIVISOR = 8;
+
+    /** The session is renewed after this fraction of its time to live. */
+    private static final int KEEP_ALIVE_DIVISOR = 4;
+
+    /** A read without a reply fails after this many retry delays. */
+    private static final int READ_TIMEOUT_RETRIES = 2;
+
+    /**
+     * A frame to send.
+     *
+     * @param voter number of the recipient
+     */
     public record OutgoingFrame(int voter, byte[] frame) {}
 
     /**
-     * @param ttlMillis of the session
-     * @param retryMillis until another voter is tried
-     * @param queue of commands that wait; more are refused
+     * Fixed parameters.
+     *
+     * @param member number of this member
+     * @param ttlMillis the session's time to live
+     * @param retryMillis delay until a request without a reply is sent to another voter
+     * @param maxQueued commands that wait, and reads without a reply; more are rejected
      */
     public record Settings(int member, int ttlMillis, int retryMillis, int maxQueued) {}
 
-    private record Waiting(String machine, byte[] body, Consumer<CommandOutcome> done) {}
+    private record PendingCommand(
+            String machine, byte[] body, Consumer<CommandOutcome> completion) {}
 
-    private record Attempt(long id, ReplicatedEntry entry, long sentNanos) {}
+    private record Attempt(long requestId, ReplicatedEntry entry, long sentNanos) {}
 
-    private record Read(
-            MemberMessage.Operation ask,
-            String machine,
-            byte[] question,
-            long sinceNanos,
-            Consumer<MemberMessage.Reply> done) {}
+    private record PendingRead(
+            MemberMessage.Operation operation,
+            long sentNanos,
+            Consumer<MemberMessage.Reply> completion) {}
 
     private final Settings settings;
-    private final ArrayDeque<Waiting> queue = new ArrayDeque<>();
-    private final Map<Long, Read> reads = new HashMap<>();
-    private final List<OutgoingFrame> out = new ArrayList<>();
-    private List<Integer> updateVoters;
-    private int turn;
-    private long nextId;
+    private final VoterSelector voters;
+    private final ArrayDeque<PendingCommand> queue = new ArrayDeque<>();
+    private final Map<Long, PendingRead> reads = new HashMap<>();
+    private final List<OutgoingFrame> outgoing = new ArrayList<>();
+    private long nextRequestId;
     private long nonce;
     private long sessionId;
     private long sequence;
     private boolean started;
-    private long aliveUntil;
-    private Waiting running;
+    private long aliveUntilNanos;
+    private PendingCommand running;
     private Attempt attempt;
     private boolean redirected;
-    private long lastHeard;
+    private long lastReplyNanos;
     private boolean closed;
 
     /**
-     * @param mark unlike that of any other process of this member, ever; request ids and nonces
-     *     start at it
+     * Starts without a session; the first {@link #tick} asks for one.
+     *
+     * @param voters numbers of the voters
+     * @param firstNonce unlike that of any other process of this member, ever; request ids and
+     *     session nonces count up from it
      */
-    public MemberSession(Settings settings, List<Integer> voters, long mark) {
+    public MemberSession(Settings settings, List<Integer> voters, long firstNonce) {
         this.settings = settings;
-        this.updateVoters = List.copyOf(voters);
-        this.nextId = mark;
-        this.nonce = mark;
+        this.voters = new VoterSelector(voters);
+        this.nextRequestId = firstNonce;
+        this.nonce = firstNonce;
     }
 
-    /** The voters changed. */
-    public void updateVoters(List<Integer> now) {
-        updateVoters = List.copyOf(now);
+    /** Replaces the voters that requests are sent to. */
+    public void updateVoters(List<Integer> newVoters) {
+        voters.update(newVoters);
     }
 
-    /** 0 if there is none. */
+    /** The number of the session; 0 without one. */
     public long sessionId() {
         return sessionId;
     }
 
-    /** The session is alive for sure: nobody has expired it, nor can within this call. */
+    /** Whether the session is certainly alive: nobody can have expired it at {@code nowNanos}. */
     public boolean isAlive(long nowNanos) {
-        return sessionId != 0 && aliveUntil - nowNanos > 0;
+        return sessionId != 0 && aliveUntilNanos - nowNanos > 0;
     }
 
+    /** The number of commands that are queued or running. */
     public int pendingCommands() {
         return queue.size() + (running == null ? 0 : 1);
     }
 
-    /** Runs a command once; {@code done} hears how it went, exactly once. */
-    public void submit(String machine, byte[] body, Consumer<CommandOutcome> done) {
+    /**
+     * Queues a command that is applied at most once.
+     *
+     * @param machine name of the state machine
+     * @param body at most {@link Command#MAX_BODY_BYTES} bytes
+     * @param completion called exactly once with the outcome, on the owning thread
+     */
+    public void submit(String machine, byte[] body, Consumer<CommandOutcome> completion) {
         if (queue.size() >= settings.maxQueued) {
-            done.accept(
-                    CommandOutcome.failed(
-                            0,
-                            ClusterException.QueueFull.CODE,
-                            settings.member,
-                            queue.size(),
-                            settings.maxQueued));
+            completion.accept(queueFull(queue.size()));
         } else if (body.length > Command.MAX_BODY_BYTES) {
-            done.accept(
+            completion.accept(
                     CommandOutcome.failed(
                             0,
                             ClusterException.TooLarge.CODE,
                             body.length,
                             Command.MAX_BODY_BYTES));
         } else {
-            queue.add(new Waiting(machine, body, done));
+            queue.add(new PendingCommand(machine, body, completion));
         }
     }
 
+    private CommandOutcome queueFull(int queued) {
+        return CommandOutcome.failed(
+                0, ClusterException.QueueFull.CODE, settings.member, queued, settings.maxQueued);
+    }
+
     /**
-     * Reads once, without retry; {@code done} hears of it exactly once, of {@link
-     * ClusterException.NoQuorum} in time.
+     * Sends a read once, without a retry.
+     *
+     * @param operation {@link MemberMessage.Operation#READ} or {@link
+     *     MemberMessage.Operation#LOCAL_READ}
+     * @param completion called exactly once on the owning thread; without a reply in time with
+     *     {@link ClusterException.NoQuorum}
      */
     public void read(
-            MemberMessage.Operation ask,
+            MemberMessage.Operation operation,
             String machine,
             byte[] question,
             long nowNanos,
-            Consumer<MemberMessage.Reply> done) {
+            Consumer<MemberMessage.Reply> completion) {
         if (reads.size() >= settings.maxQueued) {
-            done.accept(
-                    new MemberMessage.Reply(
-                            0,
-                            0,
-                            CommandOutcome.failed(
-                                    0,
-                                    ClusterException.QueueFull.CODE,
-                                    settings.member,
-                                    reads.size(),
-                                    settings.maxQueued)));
+            completion.accept(new MemberMessage.Reply(0, 0, queueFull(reads.size())));
             return;
         }
-        long id = nextId++;
-        reads.put(id, new Read(ask, machine, question, nowNanos, done));
-        out.add(
-                new OutgoingFrame(
-                        voter(), new MemberMessage.Request(id, ask, machine, question).encode()));
+        long requestId = nextRequestId++;
+        reads.put(requestId, new PendingRead(operation, nowNanos, completion));
+        sendRequest(new MemberMessage.Request(requestId, operation, machine, question));
     }
 
-    /** Gives the session back; nothing may be run after this. */
+    /** Ends the session; no command may be submitted afterwards. */
     public void close() {
         closed = true;
         if (sessionId != 0) {
-            out.add(
-                    new OutgoingFrame(
-                            voter(),
-                            new MemberMessage.Request(
-                                            nextId++,
-                                            MemberMessage.Operation.PROPOSE,
-                                            "",
-                                            new ReplicatedEntry.CloseSession(sessionId).encode())
-                                    .encode()));
-            lose();
+            sendEntry(nextRequestId++, new ReplicatedEntry.CloseSession(sessionId));
+            loseSession();
         }
     }
 
     /**
-     * Called at least every tenth of {@code retryMillis}, and after what may have made something to
-     * send.
+     * Makes progress: sends what is due and fails reads that timed out. Called at least every tenth
+     * of the retry delay, and after every call that may have something to send.
+     *
+     * @return frames to send
      */
     public List<OutgoingFrame> tick(long nowNanos) {
         if (!started) {
             started = true;
-            lastHeard = nowNanos;
-        }
-        long retry = settings.retryMillis * 1_000_000L;
-        if (attempt != null && nowNanos - attempt.sentNanos > (redirected ? retry / 8 : retry)) {
-            turn += redirected ? 0 : 1;
-            send(attempt.entry, nowNanos);
+            lastReplyNanos = nowNanos;
         }
+        retryAttempt(nowNanos);
         if (attempt == null && !closed) {
-            next(nowNanos);
+            sendNext(nowNanos);
         }
-        List<Read> late = new ArrayList<>();
-        reads.values().removeIf(read -> nowNanos - read.sinceNanos > 2 * retry && late.add(read));
-        for (Read read : late) {
-            read.done.accept(
-                    new MemberMessage.Reply(
-                            0,
-                            0,
-                            CommandOutcome.failed(
-                                    0,
-                                    ClusterException.NoQuorum.CODE,
-                                    settings.member,
-                                    (nowNanos - lastHeard) / 1_000_000)));
+        failLateReads(nowNanos);
+        List<OutgoingFrame> frames = List.copyOf(outgoing);
+        outgoing.clear();
+        return frames;
+    }
+
+    private long retryNanos() {
+        return settings.retryMillis * NANOS_PER_MILLI;
+    }
+
+    private void retryAttempt(long nowNanos) {
+        long delayNanos = redirected ? retryNanos() / REDIRECT_DELAY_DIVISOR : retryNanos();
+        if (attempt == null || nowNanos - attempt.sentNanos <= delayNanos) {
+            return;
+        }
+        if (!redirected) {
+            voters.advance();
         }
-        List<OutgoingFrame> taken = List.copyOf(out);
-        out.clear();
-        return taken;
+        sendAttempt(attempt.entry, nowNanos);
     }
 
-    private void next(long nowNanos) {
+    private void sendNext(long nowNanos) {
         if (sessionId == 0) {
-            send(
+            sendAttempt(
                     new ReplicatedEntry.OpenSession(settings.member, nonce, settings.ttlMillis),
                     nowNanos);
         } else if (running != null || !queue.isEmpty()) {
@@ -200,123 +212,155 @@
                 running = queue.poll();
                 sequence++;
             }
-            send(
+            sendAttempt(
                     new ReplicatedEntry.RunCommand(
                             sessionId, sequence, sequence - 1, running.machine, running.body),
                     nowNanos);
-        } else if (nowNanos
-                        - (aliveUntil - SessionExpiryMonitor.safeLifetimeNanos(settings.ttlMillis))
-                > settings.ttlMillis * 1_000_000L / 4) {
-            send(new ReplicatedEntry.KeepAlive(sessionId), nowNanos);
+        } else if (isRenewalDue(nowNanos)) {
+            sendAttempt(new ReplicatedEntry.KeepAlive(sessionId), nowNanos);
+        }
+    }
+
+    private boolean isRenewalDue(long nowNanos) {
+        long renewedNanos =
+                aliveUntilNanos - SessionExpiryMonitor.safeLifetimeNanos(settings.ttlMillis);
+        return nowNanos - renewedNanos > settings.ttlMillis * NANOS_PER_MILLI / KEEP_ALIVE_DIVISOR;
+    }
+
+    private void failLateReads(long nowNanos) {
+        List<PendingRead> late = new ArrayList<>();
+        reads.values()
+                .removeIf(
+                        read ->
+                                nowNanos - read.sentNanos > READ_TIMEOUT_RETRIES * retryNanos()
+                                        && late.add(read));
+        for (PendingRead read : late) {
+            CommandOutcome noQuorum =
+                    CommandOutcome.failed(
+                            0,
+                            ClusterException.NoQuorum.CODE,
+                            settings.member,
+                            (nowNanos - lastReplyNanos) / NANOS_PER_MILLI);
+            read.completion.accept(new MemberMessage.Reply(0, 0, noQuorum));
         }
     }
 
-    private void send(ReplicatedEntry entry, long nowNanos) {
-        attempt = new Attempt(nextId++, entry, nowNanos);
+    private void sendAttempt(ReplicatedEntry entry, long nowNanos) {
+        attempt = new Attempt(nextRequestId++, entry, nowNanos);
         redirected = false;
-        out.add(
-                new OutgoingFrame(
-                        voter(),
-                        new MemberMessage.Request(
-                                        attempt.id,
-                                        MemberMessage.Operation.PROPOSE,
-                                        "",
-                                        entry.encode())
-                                .encode()));
+        sendEntry(attempt.requestId, entry);
     }
 
-    private int voter() {
-        return updateVoters.get(Math.floorMod(turn, updateVoters.size()));
+    private void sendEntry(long requestId, ReplicatedEntry entry) {
+        sendRequest(
+                new MemberMessage.Request(
+                        requestId, MemberMessage.Operation.PROPOSE, "", entry.encode()));
     }
 
-    /** A voter answered. What is not, or no longer, asked for is left alone. */
+    private void sendRequest(MemberMessage.Request request) {
+        outgoing.add(new OutgoingFrame(voters.current(), request.encode()));
+    }
+
+    /**
+     * Handles a voter's reply; replies to requests that are no longer pending are ignored.
+     *
+     * @param from number of the voter
+     */
     public void received(int from, MemberMessage.Reply reply, long nowNanos) {
-        lastHeard = nowNanos;
-        Read read = reads.remove(reply.id());
+        lastReplyNanos = nowNanos;
+        PendingRead read = reads.remove(reply.id());
         if (read != null) {
-            // The answer is as old as the copy was, and then some: it may have been asked as soon
-            // as it was sent.
-            long age =
-                    read.ask == MemberMessage.Operation.LOCAL_READ
-                            ? reply.ageNanos() + (nowNanos - read.sinceNanos)
-                            : 0;
-            follow(from, reply.outcome());
-            read.done.accept(new MemberMessage.Reply(reply.id(), age, reply.outcome()));
+            completeRead(read, from, reply, nowNanos);
         }
-        if (attempt == null || attempt.id != reply.id()) {
-            return;
+        if (attempt != null && attempt.requestId == reply.id()) {
+            handleAttemptReply(from, reply.outcome());
         }
-        CommandOutcome outcome = reply.outcome();
-        String code = outcome.kind() == CommandOutcome.Kind.FAILED ? outcome.code() : "";
-        switch (code) {
+    }
+
+    private void completeRead(
+            PendingRead read, int from, MemberMessage.Reply reply, long nowNanos) {
+        // The copy may have been read as soon as the request was sent, so the round trip counts.
+        long ageNanos =
+                read.operation == MemberMessage.Operation.LOCAL_READ
+                        ? reply.ageNanos() + (nowNanos - read.sentNanos)
+                        : 0;
+        followRedirect(from, reply.outcome());
+        read.completion.accept(new MemberMessage.Reply(reply.id(), ageNanos, reply.outcome()));
+    }
+
+    private void handleAttemptReply(int from, CommandOutcome outcome) {
+        String failureCode = outcome.kind() == CommandOutcome.Kind.FAILED ? outcome.code() : "";
+        switch (failureCode) {
             case ClusterException.NotLeader.CODE -> {
-                // Soon, not at once: two voters that each take the other for the leader would be
-                // flooded.
-                follow(from, outcome);
+                // Retried soon, not at once: two voters that each take the other for the leader
+                // would be flooded.
+                followRedirect(from, outcome);
                 redirected = true;
             }
             case ClusterException.QueueFull.CODE,
                     ClusterException.Unsure.CODE,
                     ClusterException.NoQuorum.CODE,
                     ClusterException.VoterStopped.CODE -> {
-                // Told by time: the retry goes out with the same number.
+                // The retry goes out after the usual delay, with the same sequence number.
             }
-            case ClusterException.SessionOver.CODE, ClusterException.OutOfOrder.CODE -> lose();
+            case ClusterException.SessionOver.CODE, ClusterException.OutOfOrder.CODE ->
+                    loseSession();
             case ClusterException.UnknownMachine.CODE,
                     ClusterException.Malformed.CODE,
                     ClusterException.TooLarge.CODE -> {
-                // Refused before it got into the log: its number is free.
-                sequence -= attempt.entry instanceof ReplicatedEntry.RunCommand ? 1 : 0;
-                answered(attempt, outcome);
+                // Rejected before it got into the log: its sequence number is still unused.
+                if (attempt.entry instanceof ReplicatedEntry.RunCommand) {
+                    sequence--;
+                }
+                completeAttempt(outcome);
             }
-            default -> answered(attempt, outcome);
+            default -> completeAttempt(outcome);
         }
     }
 
-    private void answered(Attempt to, CommandOutcome outcome) {
+    private void completeAttempt(CommandOutcome outcome) {
+        Attempt completed = attempt;
+        boolean isOpening = completed.entry instanceof ReplicatedEntry.OpenSession;
+        if (isOpening && !outcome.isAccepted()) {
+            return; // Retried after the usual delay.
+        }
         attempt = null;
-        if (to.entry instanceof ReplicatedEntry.OpenSession) {
-            if (!outcome.isAccepted()) {
-                attempt = to;
-                return;
-            }
+        if (isOpening) {
             sessionId = new BinaryCodec.Reader("session", outcome.response()).i64();
             sequence = 0;
         }
-        aliveUntil = to.sentNanos + SessionExpiryMonitor.safeLifetimeNanos(settings.ttlMillis);
-        if (to.entry instanceof ReplicatedEntry.RunCommand) {
-            Waiting done = running;
+        aliveUntilNanos =
+                completed.sentNanos + SessionExpiryMonitor.safeLifetimeNanos(settings.ttlMillis);
+        if (completed.entry instanceof ReplicatedEntry.RunCommand) {
+            PendingCommand command = running;
             running = null;
-            done.done.accept(outcome);
+            command.completion.accept(outcome);
         }
     }
 
-    private void follow(int from, CommandOutcome outcome) {
-        if (outcome.kind() == CommandOutcome.Kind.FAILED
-                && outcome.code().equals(ClusterException.NotLeader.CODE)) {
-            int leader = ((ClusterException.NotLeader) outcome.error()).leader();
-            int at = updateVoters.indexOf(leader);
-            turn = at >= 0 && leader != from ? at : turn + 1;
+    private void followRedirect(int from, CommandOutcome outcome) {
+        if (outcome.isFailure(ClusterException.NotLeader.CODE)) {
+            voters.redirect(from, ((ClusterException.NotLeader) outcome.error()).leader());
         }
     }
 
-    private void lose() {
-        long lost = sessionId;
+    private void loseSession() {
+        long lostId = sessionId;
         sessionId = 0;
         attempt = null;
         nonce++;
-        List<Waiting> unsent = new ArrayList<>(queue);
+        List<PendingCommand> unsent = new ArrayList<>(queue);
         queue.clear();
-        Waiting unsure = running;
+        PendingCommand sent = running;
         running = null;
-        if (unsure != null) {
-            unsure.done.accept(
+        if (sent != null) {
+            sent.completion.accept(
                     CommandOutcome.failed(
-                            0, ClusterException.Unsure.CODE, settings.member, lost, sequence));
+                            0, ClusterException.Unsure.CODE, settings.member, lostId, sequence));
         }
-        for (Waiting waiting : unsent) {
-            waiting.done.accept(
-                    CommandOutcome.failed(0, ClusterException.SessionOver.CODE, lost, 0));
+        for (PendingCommand command : unsent) {
+            command.completion.accept(
+                    CommandOutcome.failed(0, ClusterException.SessionOver.CODE, lostId, 0));
         }
     }
 
@@ -328,10 +372,10 @@
                 + sessionId
                 + " command "
                 + sequence
-                + " waiting "
+                + " pending "
                 + pendingCommands()
                 + " at voter "
-                + voter()
+                + voters.current()
                 + (attempt == null ? "" : " for " + attempt.entry);
     }
 }
--- a/src/main/java/calicostream/cluster/PeerTransport.java
+++ b/src/main/java/calicostream/cluster/PeerTransport.java
@@ -2,22 +2,32 @@
 package calicostream.cluster;
 
 /**
- * Carries frames between members, best effort: a frame may be lost, come late, twice or after a
- * later one, but never changed. {@code send} never blocks and never throws for a peer's fault;
- * {@link Receiver} is called on the thread that owns the receiver's state. Frames are at most
- * {@link #MAX_FRAME} bytes.
+ * Best-effort transport of frames between members. A frame may be lost, delayed, duplicated or
+ * reordered, but is never corrupted. Implementations neither block nor throw for a peer's fault.
  */
 public interface PeerTransport {
     /**
-     * Entries of one append and chunks of a snapshot are bounded so that their frames stay far
-     * below this.
+     * The largest frame. Entries of one append and chunks of a snapshot are bounded so that their
+     * frames stay far below this.
      */
     int MAX_FRAME_BYTES = 8 << 20;
 
-    /** Gets what the others sent to this member. */
+    /** Receives the frames that others sent to this member. */
     interface Receiver {
+        /**
+         * Handles a frame; called on the thread that owns the receiver's state.
+         *
+         * @param from number of the sending member
+         * @param frame owned by the receiver
+         */
         void onFrame(int from, byte[] frame);
     }
 
+    /**
+     * Sends a frame if that is possible without blocking, else drops it.
+     *
+     * @param member number of the receiving member
+     * @param frame at most {@link #MAX_FRAME_BYTES}; not changed by the caller afterwards
+     */
     void send(int member, byte[] frame);
 }
--- a/src/main/java/calicostream/cluster/ReplicatedState.java
+++ b/src/main/java/calicostream/cluster/ReplicatedState.java
@@ -8,185 +8,219 @@
 import java.util.TreeMap;
 
 /**
- * The one machine that all voters apply alike: sessions, eras, and the named {@link StateMachine}s
- * composed into it. Pure, one thread; it reads no clock, and a leader's entry counts only in the
- * era in which the leader counted. What throws here ({@link ClusterException.Malformed}, {@link
- * ClusterException.UnknownMachine}, a machine's fault) has to stop the voter, since its copy would
- * differ from then on.
+ * The complete replicated state of a cluster, which every voter builds from the log: sessions,
+ * leader epochs, retired voters, and the named {@link StateMachine}s composed into it. It reads no
+ * clock; what a leader measured counts only in that leader's epoch. An exception thrown from {@link
+ * #apply} or {@link #restore} ({@link ClusterException.Malformed}, {@link
+ * ClusterException.UnknownMachine}, a fault of a state machine) has to stop the voter, since its
+ * copy would diverge from then on. Pure; used by one thread.
  */
 public final class ReplicatedState {
-    /** Of a snapshot; the first had no generations of voters, and is still read. */
+    /** Of the snapshot format; version 1 had no voter generations and is still read. */
     private static final int VERSION = 2;
 
-    private static final int MAX_PART = 1 << 28;
+    private static final int VERSION_WITH_VOTER_GENERATIONS = 2;
 
-    /** An event and the machine it is of; "" for this layer's own. */
+    /** The largest snapshot of one state machine. */
+    private static final int MAX_MACHINE_SNAPSHOT_BYTES = 1 << 28;
+
+    /** The least encoded size of a state machine's part of a snapshot: two lengths. */
+    private static final int MIN_MACHINE_BYTES = 2 * Integer.BYTES;
+
+    /** Name of the state machine in events of this layer itself. */
+    private static final String SESSION_LAYER = "";
+
+    private static final String SESSION_CLOSED = "session-closed";
+    private static final String SESSION_EXPIRED = "session-expired";
+
+    /**
+     * An event and where it happened.
+     *
+     * @param machine name of the state machine; empty for the session layer's own events
+     * @param index of the log entry that caused it
+     */
     public record StateChange(String machine, long index, CommandEffects.Event event) {}
 
     private final SortedMap<String, StateMachine> machines;
     private SessionTable sessions = new SessionTable();
-    private VoterGenerations voters = new VoterGenerations();
+    private VoterGenerations voterGenerations = new VoterGenerations();
     private long appliedIndex;
     private long epoch;
     private ReplicatedEntry.EpochStart epochStart = new ReplicatedEntry.EpochStart(0, 0);
-    private List<StateChange> news = new ArrayList<>();
+    private List<StateChange> stateChanges = new ArrayList<>();
 
     /**
-     * @param machines by name; the same at all voters, names of at most {@link
-     *     ReplicatedEntry#MAX_NAME_BYTES} bytes
+     * Starts with the empty state.
+     *
+     * @param machines by name, the same at all voters; owned by this object from now on. Names have
+     *     at most {@link ReplicatedEntry#MAX_NAME_BYTES} bytes
      */
     public ReplicatedState(Map<String, StateMachine> machines) {
         this.machines = new TreeMap<>(machines);
     }
 
-    /** The last index applied; 0 at first. */
+    /** The index of the last applied entry; 0 at first. */
     public long appliedIndex() {
         return appliedIndex;
     }
 
-    /** The present leader's era; 0 before the first. */
+    /** The epoch of the present leader; 0 before the first. */
     public long epoch() {
         return epoch;
     }
 
-    /** Who began the present era, and its mark. */
+    /** The entry that started the present epoch: its leader and that one's nonce. */
     public ReplicatedEntry.EpochStart epochStart() {
         return epochStart;
     }
 
+    /** Whether a state machine of that name is part of this build. */
     public boolean hasMachine(String machine) {
         return machines.containsKey(machine);
     }
 
+    /** Whether a session is alive as of the last applied entry. */
     public boolean isAlive(long session) {
         return sessions.isAlive(session);
     }
 
-    /** Whether this generation of a member may be added to the voters, by what is applied here. */
+    /** Whether this generation of a member may be added to the voters. */
     public boolean mayAddVoter(int member, int generation) {
-        return voters.mayAdd(member, generation);
+        return voterGenerations.mayAdd(member, generation);
     }
 
-    /** The least generation under which a member may come back as somebody new. */
+    /** The least generation under which a member may come back as a new voter. */
     public int nextGeneration(int member) {
-        return voters.next(member);
+        return voterGenerations.next(member);
     }
 
     SessionTable sessions() {
         return sessions;
     }
 
-    /** What happened since this was last called; empty after a restart, so news are no orders. */
+    /** Removes and returns the events since the last call; empty after a restart. */
     public List<StateChange> drainStateChanges() {
-        List<StateChange> taken = news;
-        news = new ArrayList<>();
-        return taken;
+        List<StateChange> drained = stateChanges;
+        stateChanges = new ArrayList<>();
+        return drained;
     }
 
-    /** Applies one entry of the log. */
+    /**
+     * Applies one entry of the log.
+     *
+     * @param index greater than {@link #appliedIndex}
+     * @param bytes an encoded {@link ReplicatedEntry}
+     * @return the outcome for the entry's sender
+     */
     public CommandOutcome apply(long index, byte[] bytes) {
         if (index <= appliedIndex) {
             throw new IllegalStateException("index " + index + " after " + appliedIndex);
         }
         ReplicatedEntry entry = ReplicatedEntry.decode(bytes);
         appliedIndex = index;
+        return entry.isLeaderOnly()
+                ? applyLeaderEntry(index, entry)
+                : applyMemberEntry(index, entry);
+    }
+
+    private CommandOutcome applyMemberEntry(long index, ReplicatedEntry entry) {
         if (entry instanceof ReplicatedEntry.RunCommand run) {
-            StateMachine machine = machine(run.machine());
-            return sessions.run(
-                    index,
-                    run,
-                    () ->
-                            told(
-                                    run.machine(),
-                                    index,
-                                    machine.apply(
-                                            index,
-                                            new Command(
-                                                    run.session(),
-                                                    run.sequence(),
-                                                    0,
-                                                    run.body()))));
-        } else if (entry instanceof ReplicatedEntry.KeepAlive keep) {
-            return sessions.keep(index, keep.session());
+            return runCommand(index, run);
+        } else if (entry instanceof ReplicatedEntry.KeepAlive keepAlive) {
+            return sessions.renew(index, keepAlive.session());
         } else if (entry instanceof ReplicatedEntry.OpenSession open) {
             return sessions.open(index, open);
         } else if (entry instanceof ReplicatedEntry.CloseSession close) {
             if (sessions.close(close.session())) {
-                ended(index, close.session(), "session-closed");
+                sessionEnded(index, close.session(), SESSION_CLOSED);
             }
-            return done(index);
-        } else if (entry instanceof ReplicatedEntry.EpochStart began) {
-            epoch = index;
-            epochStart = began;
-            machines.forEach(
-                    (name, machine) -> told(name, index, machine.epochStarted(index, epoch)));
-            return done(index);
+            return CommandOutcome.accepted(index);
+        }
+        throw new IllegalStateException("unhandled entry " + entry);
+    }
+
+    private CommandOutcome applyLeaderEntry(long index, ReplicatedEntry entry) {
+        if (entry instanceof ReplicatedEntry.EpochStart start) {
+            startEpoch(index, start);
+            return CommandOutcome.accepted(index);
         } else if (entry instanceof ReplicatedEntry.ExpireSession expire) {
             if (expire.epoch() == epoch && sessions.expire(expire)) {
-                ended(index, expire.session(), "session-expired");
-            }
-            return done(index);
-        } else if (entry instanceof ReplicatedEntry.LeaderCommand timed) {
-            if (timed.epoch() != epoch) {
-                return CommandOutcome.failed(
-                        index, ClusterException.OldEra.CODE, timed.epoch(), epoch);
+                sessionEnded(index, expire.session(), SESSION_EXPIRED);
             }
-            StateMachine machine = machine(timed.machine());
-            return told(
-                    timed.machine(),
-                    index,
-                    machine.apply(index, new Command(0, 0, epoch, timed.body())));
-        }
-        if (entry instanceof ReplicatedEntry.AddVoter add) {
-            return voters.add(index, add);
+            return CommandOutcome.accepted(index);
+        } else if (entry instanceof ReplicatedEntry.LeaderCommand command) {
+            return runLeaderCommand(index, command);
+        } else if (entry instanceof ReplicatedEntry.AddVoter add) {
+            return voterGenerations.add(index, add);
         } else if (entry instanceof ReplicatedEntry.RemoveVoter remove) {
-            return voters.remove(index, remove);
+            return voterGenerations.remove(index, remove);
         }
-        throw new IllegalStateException("an entry of no kind: " + entry);
+        throw new IllegalStateException("unhandled entry " + entry);
     }
 
-    /** Asks a machine; changes nothing. */
-    public byte[] query(String machine, byte[] question) {
-        return machine(machine).query(question);
+    private CommandOutcome runCommand(long index, ReplicatedEntry.RunCommand run) {
+        // Looked up even for a retry: a voter without the state machine has to stop.
+        StateMachine machine = machine(run.machine());
+        Command command = new Command(run.session(), run.sequence(), 0, run.body());
+        return sessions.run(
+                index, run, () -> publish(run.machine(), index, machine.apply(index, command)));
     }
 
-    private StateMachine machine(String name) {
-        StateMachine machine = machines.get(name);
-        if (machine == null) {
-            throw new ClusterException.UnknownMachine(name);
+    private CommandOutcome runLeaderCommand(long index, ReplicatedEntry.LeaderCommand entry) {
+        if (entry.epoch() != epoch) {
+            return CommandOutcome.failed(index, ClusterException.OldEra.CODE, entry.epoch(), epoch);
         }
-        return machine;
+        StateMachine machine = machine(entry.machine());
+        Command command = new Command(0, 0, epoch, entry.body());
+        return publish(entry.machine(), index, machine.apply(index, command));
+    }
+
+    private void startEpoch(long index, ReplicatedEntry.EpochStart start) {
+        epoch = index;
+        epochStart = start;
+        machines.forEach(
+                (name, machine) -> publish(name, index, machine.epochStarted(index, epoch)));
     }
 
-    private void ended(long index, long session, String kind) {
-        news.add(
-                new StateChange(
-                        "",
-                        index,
-                        new CommandEffects.Event(
-                                kind, new BinaryCodec.Writer().i64(session).toByteArray())));
+    private void sessionEnded(long index, long session, String eventKind) {
+        byte[] body = new BinaryCodec.Writer().i64(session).toByteArray();
+        CommandEffects.Event event = new CommandEffects.Event(eventKind, body);
+        stateChanges.add(new StateChange(SESSION_LAYER, index, event));
         machines.forEach(
-                (name, machine) -> told(name, index, machine.sessionEnded(index, session)));
+                (name, machine) -> publish(name, index, machine.sessionEnded(index, session)));
     }
 
-    private CommandOutcome told(String name, long index, CommandEffects effects) {
+    private CommandOutcome publish(String machine, long index, CommandEffects effects) {
         if (effects.response().length > CommandOutcome.MAX_RESPONSE_BYTES) {
             throw new ClusterException.TooLarge(
-                    "answer of " + name,
+                    "response of " + machine,
                     effects.response().length,
                     CommandOutcome.MAX_RESPONSE_BYTES);
         }
         for (CommandEffects.Event event : effects.events()) {
-            news.add(new StateChange(name, index, event));
+            stateChanges.add(new StateChange(machine, index, event));
         }
         return CommandOutcome.of(index, effects);
     }
 
-    private static CommandOutcome done(long index) {
-        return new CommandOutcome(CommandOutcome.Kind.ACCEPTED, index, "", new byte[0]);
+    /**
+     * Queries a state machine without any change.
+     *
+     * @throws ClusterException.UnknownMachine if there is none of that name
+     */
+    public byte[] query(String machine, byte[] question) {
+        return machine(machine).query(question);
+    }
+
+    private StateMachine machine(String name) {
+        StateMachine machine = machines.get(name);
+        if (machine == null) {
+            throw new ClusterException.UnknownMachine(name);
+        }
+        return machine;
     }
 
-    /** Equal states give equal bytes. */
+    /** Encodes the complete state; equal states give equal bytes. */
     public byte[] snapshot() {
         BinaryCodec.Writer out =
                 new BinaryCodec.Writer()
@@ -196,19 +230,19 @@
                         .i32(epochStart.member())
                         .i64(epochStart.nonce());
         sessions.write(out);
-        voters.write(out);
+        voterGenerations.write(out);
         out.i32(machines.size());
         machines.forEach((name, machine) -> out.text(name).blob(machine.snapshot()));
         return out.toByteArray();
     }
 
     /**
-     * Replaces the whole state. A machine that the snapshot does not know was new since then and
-     * stays as it is, for there was no command for it.
+     * Replaces the complete state. A state machine that the snapshot does not contain is newer than
+     * the snapshot and keeps its state, since there was no command for it yet.
      *
-     * @throws ClusterException.Malformed if the bytes are no snapshot; this voter has to stop, its
-     *     state may be mixed
-     * @throws ClusterException.UnknownMachine if it has a machine that this build has not
+     * @throws ClusterException.Malformed if the bytes are not a snapshot; this voter has to stop,
+     *     its state may be inconsistent
+     * @throws ClusterException.UnknownMachine if it has a state machine that this build has not
      */
     public void restore(byte[] snapshot) {
         BinaryCodec.Reader in = new BinaryCodec.Reader("snapshot", snapshot);
@@ -216,25 +250,33 @@
         if (version < 1 || version > VERSION) {
             throw in.malformed("version " + version + " is not in 1.." + VERSION);
         }
-        long at = in.i64();
-        long eraThen = in.i64();
-        ReplicatedEntry.EpochStart leaderThen = new ReplicatedEntry.EpochStart(in.i32(), in.i64());
-        SessionTable sessionsThen = SessionTable.read(in);
-        VoterGenerations votersThen =
-                version < 2 ? new VoterGenerations() : VoterGenerations.read(in);
-        Map<String, byte[]> parts = new TreeMap<>();
-        for (int left = in.count(8); left > 0; left--) {
+        long newAppliedIndex = in.i64();
+        long newEpoch = in.i64();
+        ReplicatedEntry.EpochStart newEpochStart =
+                new ReplicatedEntry.EpochStart(in.i32(), in.i64());
+        SessionTable newSessions = SessionTable.read(in);
+        VoterGenerations newGenerations =
+                version < VERSION_WITH_VOTER_GENERATIONS
+                        ? new VoterGenerations()
+                        : VoterGenerations.read(in);
+        Map<String, byte[]> machineSnapshots = readMachineSnapshots(in);
+        in.requireEnd();
+        machineSnapshots.forEach((name, bytes) -> machine(name).restore(bytes));
+        appliedIndex = newAppliedIndex;
+        epoch = newEpoch;
+        epochStart = newEpochStart;
+        sessions = newSessions;
+        voterGenerations = newGenerations;
+        stateChanges = new ArrayList<>();
+    }
+
+    private Map<String, byte[]> readMachineSnapshots(BinaryCodec.Reader in) {
+        Map<String, byte[]> snapshots = new TreeMap<>();
+        for (int remaining = in.count(MIN_MACHINE_BYTES); remaining > 0; remaining--) {
             String name = in.text(ReplicatedEntry.MAX_NAME_BYTES);
             machine(name);
-            parts.put(name, in.blob(MAX_PART));
+            snapshots.put(name, in.blob(MAX_MACHINE_SNAPSHOT_BYTES));
         }
-        in.requireEnd();
-        parts.forEach((name, part) -> machine(name).restore(part));
-        appliedIndex = at;
-        epoch = eraThen;
-        epochStart = leaderThen;
-        sessions = sessionsThen;
-        voters = votersThen;
-        news = new ArrayList<>();
+        return snapshots;
     }
 }
--- a/src/main/java/calicostream/cluster/SessionExpiryMonitor.java
+++ b/src/main/java/calicostream/cluster/SessionExpiryMonitor.java
@@ -7,25 +7,32 @@
 import java.util.Map;
 
 /**
- * The leader's count of the members' silence; pure, one thread, beside a {@link ReplicatedState}.
- * It starts each count when it sees that a member was heard, which is never before the member
- * spoke, and adds a bound on drift: so it comes to an end after the member's own count ({@link
- * #surelyAliveNanos}) did. A new era forgets all counts.
+ * Finds, at the leader, the sessions whose members were silent for their time to live. The monitor
+ * measures from when it sees a renewal, which is never before the member sent it, and adds a bound
+ * on clock drift. So its measurement ends after the member's own ({@link #safeLifetimeNanos}) has
+ * ended. A new epoch discards all measurements. Pure; used by one thread, beside a {@link
+ * ReplicatedState}.
  */
 public final class SessionExpiryMonitor {
-    /** Clocks differ by at most 500 ppm; both sides set aside twice that. */
-    private static final long DRIFT = 1000;
+    /** Clocks drift by at most 500 ppm; each side sets aside twice that, a 1000th. */
+    private static final long DRIFT_DIVISOR = 1000;
 
-    private record Count(long renewed, long sinceNanos) {}
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+
+    /** Time since the renewal at {@code renewedIndex} was first seen. */
+    private record Silence(long renewedIndex, long sinceNanos) {}
 
     private final ReplicatedState state;
     private final long periodNanos;
-    private final Map<Long, Count> counts = new HashMap<>();
-    private long era;
+    private final Map<Long, Silence> silences = new HashMap<>();
+    private long epoch;
     private long lastNanos;
 
     /**
-     * @param periodNanos at which {@link #due} is called when this process is not stopped
+     * Starts without measurements.
+     *
+     * @param state read only
+     * @param periodNanos at which {@link #expiredSessions} is called unless this process is paused
      */
     public SessionExpiryMonitor(ReplicatedState state, long periodNanos) {
         this.state = state;
@@ -33,44 +40,52 @@
     }
 
     /**
-     * For how long after it sent what was then answered a member may take its session for alive.
+     * For how long a member may rely on its session, measured from when it sent the request that
+     * was then answered.
      */
     public static long safeLifetimeNanos(int ttlMillis) {
-        long ttl = ttlMillis * 1_000_000L;
-        return ttl - ttl / DRIFT;
+        long ttlNanos = ttlMillis * NANOS_PER_MILLI;
+        return ttlNanos - ttlNanos / DRIFT_DIVISOR;
     }
 
     /**
-     * What to propose now: sessions whose members were silent for all of their time. May repeat
-     * itself.
+     * Finds the sessions that have expired.
+     *
+     * @param nowNanos of a monotonic clock
+     * @return entries to propose; may repeat ones that are not applied yet
      */
     public List<ReplicatedEntry.ExpireSession> expiredSessions(long nowNanos) {
-        if (era != state.epoch()) {
-            era = state.epoch();
-            counts.clear();
+        if (epoch != state.epoch()) {
+            epoch = state.epoch();
+            silences.clear();
             lastNanos = nowNanos;
         }
-        // While this process was stopped nobody could be heard by it; its own silence is not
-        // theirs.
-        long stopped = Math.max(0, nowNanos - lastNanos - 2 * periodNanos);
+        // While this process was paused it could receive no renewal: its own silence is not theirs.
+        long pausedNanos = Math.max(0, nowNanos - lastNanos - 2 * periodNanos);
         lastNanos = nowNanos;
-        List<ReplicatedEntry.ExpireSession> due = new ArrayList<>();
-        counts.keySet().removeIf(id -> !state.isAlive(id));
+        silences.keySet().removeIf(id -> !state.isAlive(id));
+        List<ReplicatedEntry.ExpireSession> expired = new ArrayList<>();
         for (SessionTable.Session session : state.sessions().alive()) {
-            Count count = counts.get(session.id);
-            if (count == null || count.renewed != session.renewed()) {
-                counts.put(session.id, new Count(session.renewed(), nowNanos));
-                continue;
-            }
-            if (stopped > 0) {
-                count = new Count(count.renewed, count.sinceNanos + stopped);
-                counts.put(session.id, count);
-            }
-            long ttl = session.ttlMillis * 1_000_000L;
-            if (nowNanos - count.sinceNanos > ttl + ttl / DRIFT) {
-                due.add(new ReplicatedEntry.ExpireSession(era, session.id, session.renewed()));
+            if (isExpired(session, nowNanos, pausedNanos)) {
+                expired.add(
+                        new ReplicatedEntry.ExpireSession(
+                                epoch, session.id(), session.renewedIndex()));
             }
         }
-        return due;
+        return expired;
+    }
+
+    private boolean isExpired(SessionTable.Session session, long nowNanos, long pausedNanos) {
+        Silence silence = silences.get(session.id());
+        if (silence == null || silence.renewedIndex != session.renewedIndex()) {
+            silences.put(session.id(), new Silence(session.renewedIndex(), nowNanos));
+            return false;
+        }
+        if (pausedNanos > 0) {
+            silence = new Silence(silence.renewedIndex, silence.sinceNanos + pausedNanos);
+            silences.put(session.id(), silence);
+        }
+        long ttlNanos = session.ttlMillis() * NANOS_PER_MILLI;
+        return nowNanos - silence.sinceNanos > ttlNanos + ttlNanos / DRIFT_DIVISOR;
     }
 }
--- a/src/main/java/calicostream/cluster/SessionTable.java
+++ b/src/main/java/calicostream/cluster/SessionTable.java
@@ -9,31 +9,37 @@
 import java.util.function.Supplier;
 
 /**
- * The members' sessions: pure, a part of {@link ReplicatedState}, one thread. A session's number is
- * the index of the entry that opened it; its commands count once each, by number, and their
- * outcomes are kept until the member no longer needs them. It has a time to live but no clock: that
- * the time ran out is told by {@link #expire}.
+ * The sessions of all members, a part of {@link ReplicatedState}. A session's number is the index
+ * of the entry that opened it. Its commands are applied once each, by sequence number, and their
+ * outcomes are kept until the member has acknowledged them. The table has no clock: {@link #expire}
+ * tells it that a time to live is over. Pure; used by one thread.
  */
 final class SessionTable {
-    /** Commands of one session whose outcomes are kept. */
+    /** The unacknowledged outcomes that are kept for one session. */
     static final int MAX_KEPT_OUTCOMES = 64;
 
-    /** Of one fleet; a member that opens without end must not fill the voters' memory. */
+    /** Of all members: one that opens sessions without end must not fill the voters' memory. */
     static final int MAX_SESSIONS = 4096;
 
     static final int MAX_SESSIONS_PER_MEMBER = 16;
     static final int MIN_TTL_MILLIS = 10;
     static final int MAX_TTL_MILLIS = 3_600_000;
 
-    /** One session; read-only outside. */
+    /** The encoded size of a session without its outcomes. */
+    private static final int MIN_SESSION_BYTES = 52;
+
+    /** The least encoded size of a sequence number with its outcome. */
+    private static final int MIN_OUTCOME_BYTES = 25;
+
+    /** One session; not changed outside of the table. */
     static final class Session {
-        final long id;
-        final int member;
-        final long nonce;
-        final int ttlMillis;
-        private long renewed;
-        private long last;
-        private long acked;
+        private final long id;
+        private final int member;
+        private final long nonce;
+        private final int ttlMillis;
+        private long renewedIndex;
+        private long lastSequence;
+        private long acknowledgedSequence;
         private final TreeMap<Long, CommandOutcome> outcomes = new TreeMap<>();
 
         Session(long id, int member, long nonce, int ttlMillis) {
@@ -41,17 +47,30 @@
             this.member = member;
             this.nonce = nonce;
             this.ttlMillis = ttlMillis;
-            this.renewed = id;
+            this.renewedIndex = id;
+        }
+
+        long id() {
+            return id;
+        }
+
+        int member() {
+            return member;
+        }
+
+        int ttlMillis() {
+            return ttlMillis;
         }
 
-        /** The index at which the member was last heard. */
-        long renewed() {
-            return renewed;
+        /** The index of the member's latest entry, each of which renews the session. */
+        long renewedIndex() {
+            return renewedIndex;
         }
     }
 
     private final TreeMap<Long, Session> alive = new TreeMap<>();
 
+    /** A read-only view of the sessions that are alive, in the order they were opened. */
     Collection<Session> alive() {
         return Collections.unmodifiableCollection(alive.values());
     }
@@ -64,6 +83,7 @@
         return alive.containsKey(session);
     }
 
+    /** Opens a session, or renews the one that the same nonce opened before. */
     CommandOutcome open(long index, ReplicatedEntry.OpenSession open) {
         if (open.ttlMillis() < MIN_TTL_MILLIS || open.ttlMillis() > MAX_TTL_MILLIS) {
             return CommandOutcome.failed(
@@ -73,22 +93,22 @@
                     MIN_TTL_MILLIS,
                     MAX_TTL_MILLIS);
         }
-        int ofMember = 0;
+        int sessionsOfMember = 0;
         for (Session session : alive.values()) {
             if (session.member == open.member()) {
                 if (session.nonce == open.nonce()) {
-                    session.renewed = index;
+                    session.renewedIndex = index;
                     return opened(index, session);
                 }
-                ofMember++;
+                sessionsOfMember++;
             }
         }
-        if (ofMember >= MAX_SESSIONS_PER_MEMBER || alive.size() >= MAX_SESSIONS) {
+        if (sessionsOfMember >= MAX_SESSIONS_PER_MEMBER || alive.size() >= MAX_SESSIONS) {
             return CommandOutcome.failed(
                     index,
                     ClusterException.TooManySessions.CODE,
                     open.member(),
-                    ofMember,
+                    sessionsOfMember,
                     alive.size());
         }
         Session session = new Session(index, open.member(), open.nonce(), open.ttlMillis());
@@ -97,51 +117,43 @@
     }
 
     private static CommandOutcome opened(long index, Session session) {
-        return new CommandOutcome(
-                CommandOutcome.Kind.ACCEPTED,
-                index,
-                "",
-                new BinaryCodec.Writer().i64(session.id).toByteArray());
+        return CommandOutcome.accepted(
+                index, new BinaryCodec.Writer().i64(session.id).toByteArray());
     }
 
-    CommandOutcome keep(long index, long id) {
+    CommandOutcome renew(long index, long id) {
         Session session = alive.get(id);
         if (session == null) {
-            return over(index, id);
+            return sessionOver(index, id);
         }
-        session.renewed = index;
-        return new CommandOutcome(CommandOutcome.Kind.ACCEPTED, index, "", new byte[0]);
+        session.renewedIndex = index;
+        return CommandOutcome.accepted(index);
     }
 
     /**
-     * Runs {@code apply} if this command's turn is now; else answers what was answered, or why not.
+     * Applies the next command of a session; a retry gets the stored outcome instead.
+     *
+     * @param apply the command's application, called at most once
      */
     CommandOutcome run(long index, ReplicatedEntry.RunCommand run, Supplier<CommandOutcome> apply) {
         Session session = alive.get(run.session());
         if (session == null) {
-            return over(index, run.session());
+            return sessionOver(index, run.session());
         }
-        session.renewed = index;
+        session.renewedIndex = index;
         long sequence = run.sequence();
-        if (sequence <= session.acked
-                || sequence > session.last + 1
-                || run.acknowledgedSequence() >= sequence) {
+        if (isOutOfOrder(session, run)) {
             return CommandOutcome.failed(
                     index,
                     ClusterException.OutOfOrder.CODE,
                     session.id,
                     sequence,
-                    session.last + 1);
+                    session.lastSequence + 1);
         }
-        // A late copy of an older packet acknowledges less than is known: the larger of the two
-        // holds.
-        if (run.acknowledgedSequence() > session.acked) {
-            session.acked = run.acknowledgedSequence();
-            session.outcomes.headMap(session.acked, true).clear();
-        }
-        CommandOutcome known = session.outcomes.get(sequence);
-        if (known != null) {
-            return known;
+        acknowledge(session, run.acknowledgedSequence());
+        CommandOutcome stored = session.outcomes.get(sequence);
+        if (stored != null) {
+            return stored;
         }
         if (session.outcomes.size() >= MAX_KEPT_OUTCOMES) {
             return CommandOutcome.failed(
@@ -152,12 +164,28 @@
                     MAX_KEPT_OUTCOMES);
         }
         CommandOutcome outcome = apply.get();
-        session.last = sequence;
+        session.lastSequence = sequence;
         session.outcomes.put(sequence, outcome);
         return outcome;
     }
 
+    private static boolean isOutOfOrder(Session session, ReplicatedEntry.RunCommand run) {
+        return run.sequence() <= session.acknowledgedSequence
+                || run.sequence() > session.lastSequence + 1
+                || run.acknowledgedSequence() >= run.sequence();
+    }
+
+    /** A delayed copy of an older request acknowledges less than is known: the larger one holds. */
+    private static void acknowledge(Session session, long sequence) {
+        if (sequence > session.acknowledgedSequence) {
+            session.acknowledgedSequence = sequence;
+            session.outcomes.headMap(sequence, true).clear();
+        }
+    }
+
     /**
+     * Ends a session at its member's request.
+     *
      * @return whether it was alive
      */
     boolean close(long id) {
@@ -165,34 +193,35 @@
     }
 
     /**
-     * @return whether it is over by this; not if the member was heard after what the leader had
-     *     counted from
+     * Ends a session unless it was renewed after the renewal that the leader measured from.
+     *
+     * @return whether this ended it
      */
     boolean expire(ReplicatedEntry.ExpireSession expire) {
         Session session = alive.get(expire.session());
-        if (session == null || session.renewed != expire.renewedIndex()) {
+        if (session == null || session.renewedIndex != expire.renewedIndex()) {
             return false;
         }
         alive.remove(session.id);
         return true;
     }
 
-    private static CommandOutcome over(long index, long id) {
+    private static CommandOutcome sessionOver(long index, long id) {
         return CommandOutcome.failed(index, ClusterException.SessionOver.CODE, id, index);
     }
 
     void write(BinaryCodec.Writer out) {
         out.i32(alive.size());
-        for (Session s : alive.values()) {
-            out.i64(s.id)
-                    .i32(s.member)
-                    .i64(s.nonce)
-                    .i32(s.ttlMillis)
-                    .i64(s.renewed)
-                    .i64(s.last)
-                    .i64(s.acked);
-            out.i32(s.outcomes.size());
-            for (Map.Entry<Long, CommandOutcome> outcome : s.outcomes.entrySet()) {
+        for (Session session : alive.values()) {
+            out.i64(session.id)
+                    .i32(session.member)
+                    .i64(session.nonce)
+                    .i32(session.ttlMillis)
+                    .i64(session.renewedIndex)
+                    .i64(session.lastSequence)
+                    .i64(session.acknowledgedSequence);
+            out.i32(session.outcomes.size());
+            for (Map.Entry<Long, CommandOutcome> outcome : session.outcomes.entrySet()) {
                 out.i64(outcome.getKey());
                 outcome.getValue().encode(out);
             }
@@ -200,17 +229,22 @@
     }
 
     static SessionTable read(BinaryCodec.Reader in) {
-        SessionTable read = new SessionTable();
-        for (int left = in.count(52); left > 0; left--) {
-            Session s = new Session(in.i64(), in.i32(), in.i64(), in.i32());
-            s.renewed = in.i64();
-            s.last = in.i64();
-            s.acked = in.i64();
-            for (int outcomes = in.count(25); outcomes > 0; outcomes--) {
-                s.outcomes.put(in.i64(), CommandOutcome.decode(in));
-            }
-            read.alive.put(s.id, s);
+        SessionTable table = new SessionTable();
+        for (int remaining = in.count(MIN_SESSION_BYTES); remaining > 0; remaining--) {
+            Session session = readSession(in);
+            table.alive.put(session.id, session);
+        }
+        return table;
+    }
+
+    private static Session readSession(BinaryCodec.Reader in) {
+        Session session = new Session(in.i64(), in.i32(), in.i64(), in.i32());
+        session.renewedIndex = in.i64();
+        session.lastSequence = in.i64();
+        session.acknowledgedSequence = in.i64();
+        for (int remaining = in.count(MIN_OUTCOME_BYTES); remaining > 0; remaining--) {
+            session.outcomes.put(in.i64(), CommandOutcome.decode(in));
         }
-        return read;
+        return session;
     }
 }
--- a/src/main/java/calicostream/cluster/StateMachine.java
+++ b/src/main/java/calicostream/cluster/StateMachine.java
@@ -2,61 +2,59 @@
 package calicostream.cluster;
 
 /**
- * A pure state machine that is replicated under a name. Every voter applies the same calls in the
- * same order, one thread at a time, so an implementation must be a function of its calls alone: no
+ * A deterministic state machine that is replicated under a name. Every voter applies the same calls
+ * in the same order on one thread, so an implementation must be a function of its calls alone: no
  * clock, no randomness, no I/O, no order taken from identity hashes. Time reaches it only as
- * commands of the leader ({@link Command#isFromLeader}), which a {@link ExpiryMonitor} beside it
- * proposes. It must not throw for bad input: what it does not accept it answers with {@link
- * CommandEffects#rejected}; an exception stops the voter, since copies that go on differently are
- * worse than one less.
+ * commands of the leader ({@link Command#isFromLeader}), which an {@link ExpiryMonitor} proposes.
+ * Invalid input is answered with {@link CommandEffects#rejected}. An exception stops the voter: one
+ * copy less is better than copies that diverge.
  */
 public interface StateMachine {
     /**
-     * Applies one command, once: a retry with the same session and sequence number is answered by
-     * the layer above from what was answered first and does not get here.
+     * Applies one command exactly once: the layer above answers a retry with the same session and
+     * sequence number from the stored outcome.
      *
-     * @param index of the log; grows by at least one with each call, so it may serve as a fencing
-     *     token
+     * @param index of the log; strictly increasing, so it may serve as a fencing token
      */
     CommandEffects apply(long index, Command command);
 
     /**
-     * A session is over, closed by its member or expired by the leader; its number never comes
-     * back.
+     * A session has ended, closed by its member or expired by the leader; its number is never used
+     * again.
      */
     default CommandEffects sessionEnded(long index, long session) {
         return CommandEffects.NONE;
     }
 
     /**
-     * A leader starts; its era is larger than all before. What an older leader counted is void from
-     * here on.
+     * A new leader has started. Its epoch is larger than all before; what an earlier leader
+     * measured is void from here on.
      */
-    default CommandEffects epochStarted(long index, long era) {
+    default CommandEffects epochStarted(long index, long epoch) {
         return CommandEffects.NONE;
     }
 
     /**
-     * Answers a question without changing anything, from a copy that may be behind; the caller was
-     * told how far.
+     * Answers a query without any change, from a copy that may be stale; the caller knows how
+     * stale.
      *
-     * @return an answer in the machine's own encoding
+     * @return a response in the state machine's own encoding
      */
     default byte[] query(byte[] question) {
         return new byte[0];
     }
 
     /**
-     * The whole state; equal states give equal bytes on every copy. Starts with a version of its
-     * format.
+     * Encodes the complete state, starting with the version of its format. Equal states give equal
+     * bytes on every copy.
      */
     byte[] snapshot();
 
     /**
-     * Replaces the whole state.
+     * Replaces the complete state.
      *
-     * @throws ClusterException.Malformed if the bytes are no snapshot of this machine; the state is
-     *     then as before
+     * @throws ClusterException.Malformed if the bytes are not a snapshot of this state machine; the
+     *     state is then unchanged
      */
     void restore(byte[] snapshot);
 }
--- a/src/main/java/calicostream/cluster/VoterGenerations.java
+++ b/src/main/java/calicostream/cluster/VoterGenerations.java
@@ -5,28 +5,35 @@
 import java.util.TreeMap;
 
 /**
- * Which generation of a member may be added to the voters: never one that was removed, nor one
- * older than another that was added. A part of the replicated state, so every leader refuses alike,
- * now and after any snapshot. A removal is noted before the voter is removed and an addition before
- * it is added, so a leader that stops in between leaves the stricter word. Pure, one thread.
+ * The generations of each member that were added to the voters and removed from them. A generation
+ * that was removed, or is older than one that was added, is retired and never added again. As part
+ * of the replicated state this holds for every leader, also after a snapshot. A leader records a
+ * removal before it removes the voter and an addition before it adds it, so a leader that stops in
+ * between leaves the stricter record. Pure; used by one thread.
  */
 final class VoterGenerations {
-    /** By member: the greatest that was added, and the greatest that was removed. */
+    private static final int NONE = -1;
+
+    /** The encoded size of a member with its generation. */
+    private static final int ENTRY_BYTES = 2 * Integer.BYTES;
+
+    /** The greatest generation that was added, by member. */
     private final SortedMap<Integer, Integer> added = new TreeMap<>();
 
+    /** The greatest generation that was removed, by member. */
     private final SortedMap<Integer, Integer> removed = new TreeMap<>();
 
     boolean mayAdd(int member, int generation) {
-        return generation > removed.getOrDefault(member, -1)
+        return generation > removed.getOrDefault(member, NONE)
                 && generation >= added.getOrDefault(member, 0);
     }
 
-    /** The least that may be added as somebody new. */
+    /** The least generation that may be added as a new voter. */
     int next(int member) {
-        return 1 + Math.max(removed.getOrDefault(member, -1), added.getOrDefault(member, -1));
+        return 1 + Math.max(removed.getOrDefault(member, NONE), added.getOrDefault(member, NONE));
     }
 
-    /** The same again is accepted, as its sender may not have heard. */
+    /** Records an addition; a repetition is accepted, since its sender may have got no reply. */
     CommandOutcome add(long index, ReplicatedEntry.AddVoter entry) {
         if (!mayAdd(entry.member(), entry.generation())) {
             return CommandOutcome.failed(
@@ -37,12 +44,12 @@
                     next(entry.member()));
         }
         added.put(entry.member(), entry.generation());
-        return new CommandOutcome(CommandOutcome.Kind.ACCEPTED, index, "", new byte[0]);
+        return CommandOutcome.accepted(index);
     }
 
     CommandOutcome remove(long index, ReplicatedEntry.RemoveVoter entry) {
         removed.merge(entry.member(), entry.generation(), Math::max);
-        return new CommandOutcome(CommandOutcome.Kind.ACCEPTED, index, "", new byte[0]);
+        return CommandOutcome.accepted(index);
     }
 
     void write(BinaryCodec.Writer out) {
@@ -56,14 +63,14 @@
     }
 
     static VoterGenerations read(BinaryCodec.Reader in) {
-        VoterGenerations read = new VoterGenerations();
-        read(in, read.added);
-        read(in, read.removed);
-        return read;
+        VoterGenerations generations = new VoterGenerations();
+        read(in, generations.added);
+        read(in, generations.removed);
+        return generations;
     }
 
     private static void read(BinaryCodec.Reader in, SortedMap<Integer, Integer> generations) {
-        for (int left = in.count(8); left > 0; left--) {
+        for (int remaining = in.count(ENTRY_BYTES); remaining > 0; remaining--) {
             generations.put(in.i32(), in.i32());
         }
     }
--- a/src/main/java/calicostream/cluster/tcp/SelectorEventLoop.java
+++ b/src/main/java/calicostream/cluster/tcp/SelectorEventLoop.java
@@ -4,13 +4,16 @@
 import calicostream.cluster.EventLoop;
 import calicostream.net.SelectorLoop;
 
-/**
- * A loop as the thread and clock of a voter or member. {@link #execute} may be called by any
- * thread.
- */
+/** The {@link EventLoop} of a real member: a selector loop's thread and the system's clock. */
 public final class SelectorEventLoop implements EventLoop {
+    private static final long NANOS_PER_MICRO = 1000;
     private final SelectorLoop loop;
 
+    /**
+     * Wraps a loop; whoever created it runs and stops it.
+     *
+     * @param loop whose thread owns the state of the member
+     */
     public SelectorEventLoop(SelectorLoop loop) {
         this.loop = loop;
     }
@@ -26,11 +29,13 @@
     }
 
     /**
-     * A task may ask for itself again with no delay; the loop's other work has its turn in between.
+     * Schedules {@code task} at least one microsecond from now, so that a task which reschedules
+     * itself without a delay lets other work run in between.
      */
     @Override
     public void schedule(Runnable task, long delayNanos) {
-        long at = loop.clock().now() + Math.max(1, (delayNanos + 999) / 1000);
-        loop.post(() -> loop.deadlines().add(at, (now, ref) -> task.run(), 0));
+        long delayMicros = (delayNanos + NANOS_PER_MICRO - 1) / NANOS_PER_MICRO;
+        long dueMicros = loop.clock().now() + Math.max(1, delayMicros);
+        loop.post(() -> loop.deadlines().add(dueMicros, (now, ref) -> task.run(), 0));
     }
 }
--- a/src/main/java/calicostream/cluster/tcp/TcpTransport.java
+++ b/src/main/java/calicostream/cluster/tcp/TcpTransport.java
@@ -19,22 +19,38 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Links over TCP, owned by a loop's thread, on which all of it is called. What this member sends
- * goes over a connection that it opens; what it hears comes over those that the others opened, so
- * each direction may fail by itself. A frame that finds no room, or no connection, is dropped; a
- * connection that takes nothing for {@link #STUCK_NANOS} is closed and opened anew, so that a peer
- * which goes on after a stop is not given what was meant for a minute ago. {@link #close} ends all
- * connections and says nothing more.
+ * The members' transport over TCP. A member sends over connections that it opened and receives over
+ * connections that its peers opened, so each direction may fail independently. A frame for which
+ * there is no connection or no buffer space is dropped. A connection without progress for {@link
+ * #STALL_TIMEOUT_NANOS} is closed and reopened, so that a peer that resumes after a pause does not
+ * receive outdated frames. All methods are called on the thread of the event loop, which owns this
+ * object; {@link #close} ends all connections.
  */
 public final class TcpTransport implements PeerTransport {
     private static final Logger LOG = LoggerFactory.getLogger(TcpTransport.class);
-    private static final int ROOM = MAX_FRAME_BYTES + (1 << 20);
-    private static final int LEAST_OPEN =
-            64; // that may connect; where there are more peers, each and one in its place
-    private static final long STUCK_NANOS = 2_000_000_000L;
-    private static final long AGAIN_NANOS = 100_000_000L;
 
-    /** What the links have done, for figures. */
+    /** Buffered in each direction of a connection. */
+    private static final int MAX_BUFFERED_BYTES = MAX_FRAME_BYTES + (1 << 20);
+
+    /** Inbound connections accepted at least; else two per peer, so that each can reconnect. */
+    private static final int MIN_INBOUND_CONNECTIONS = 64;
+
+    private static final long STALL_TIMEOUT_NANOS = 2_000_000_000L;
+
+    private static final long NANOS_PER_MICRO = 1000;
+
+    /** Least time between two connection attempts to one peer. */
+    private static final long RECONNECT_DELAY_NANOS = 100_000_000L;
+
+    /**
+     * Counters since the start.
+     *
+     * @param sent frames given to a connection
+     * @param dropped frames without a connection or without buffer space
+     * @param received frames delivered to the receiver
+     * @param rejected malformed frames and connections
+     * @param openConnections at present, in both directions
+     */
     public record Metrics(
             long sent, long dropped, long received, long rejected, int openConnections) {}
 
@@ -43,24 +59,30 @@
     private final int self;
     private final Map<Integer, InetSocketAddress> peers;
     private final Receiver receiver;
-    private final Map<Integer, Out> outs = new HashMap<>();
-    private final Set<In> ins = new HashSet<>();
+    private final Map<Integer, OutgoingConnection> outgoing = new HashMap<>();
+    private final Set<IncomingConnection> incoming = new HashSet<>();
     private final Listener listener;
     private long sent;
     private long dropped;
     private long received;
-    private long refused;
+    private long rejected;
     private boolean closed;
 
     /**
-     * @param cluster its name; peers of another name are refused
-     * @param at where the others find this member; port 0 for any
+     * Binds the address and starts to accept connections.
+     *
+     * @param loop whose thread owns this transport
+     * @param cluster name of the cluster; connections of another cluster are rejected
+     * @param self number of this member
+     * @param address where peers connect to this member; port 0 for any
+     * @param peers addresses by member number
+     * @param receiver called on the loop's thread
      */
     public TcpTransport(
             SelectorLoop loop,
             String cluster,
             int self,
-            InetSocketAddress at,
+            InetSocketAddress address,
             Map<Integer, InetSocketAddress> peers,
             Receiver receiver)
             throws IOException {
@@ -72,16 +94,12 @@
         this.listener =
                 Listener.urgent(
                         loop,
-                        at,
-                        Math.max(LEAST_OPEN, 2 * peers.size()),
+                        address,
+                        Math.max(MIN_INBOUND_CONNECTIONS, 2 * peers.size()),
                         new Listener.Acceptor() {
                             @Override
                             public void accepted(SocketChannel channel) throws IOException {
-                                In in = new In();
-                                in.connection =
-                                        Connection.ofAccepted(
-                                                loop, channel, in, ROOM, TcpFrame.HEAD);
-                                ins.add(in);
+                                accept(channel);
                             }
 
                             @Override
@@ -91,32 +109,43 @@
                         });
     }
 
+    private void accept(SocketChannel channel) throws IOException {
+        IncomingConnection accepted = new IncomingConnection();
+        accepted.connection =
+                Connection.ofAccepted(
+                        loop, channel, accepted, MAX_BUFFERED_BYTES, TcpFrame.HEADER_BYTES);
+        incoming.add(accepted);
+    }
+
+    /** The port that is bound. */
     public int port() throws IOException {
         return listener.port();
     }
 
-    /** A member is found there from now on. */
-    public void setPeerAddress(int member, InetSocketAddress at) {
-        peers.put(member, at);
-        Out out = outs.remove(member);
-        if (out != null) {
-            out.connection.close();
+    /** Replaces the address of a member, and closes the connection to the former one. */
+    public void setPeerAddress(int member, InetSocketAddress address) {
+        peers.put(member, address);
+        OutgoingConnection former = outgoing.remove(member);
+        if (former != null) {
+            former.connection.close();
         }
     }
 
+    /** The present values of the counters. */
     public Metrics metrics() {
-        return new Metrics(sent, dropped, received, refused, ins.size() + outs.size());
+        return new Metrics(sent, dropped, received, rejected, incoming.size() + outgoing.size());
     }
 
+    /** Closes the address and all connections; frames sent or received later are dropped. */
     public void close() {
         closed = true;
         try {
             listener.close();
         } catch (IOException e) {
-            LOG.warn("closing the cluster's address: {}", e.toString());
+            LOG.warn("cluster address not closed: {}", e.toString());
         }
-        Set.copyOf(outs.values()).forEach(out -> out.connection.close());
-        Set.copyOf(ins).forEach(in -> in.connection.close());
+        Set.copyOf(outgoing.values()).forEach(peer -> peer.connection.close());
+        Set.copyOf(incoming).forEach(peer -> peer.connection.close());
     }
 
     @Override
@@ -131,36 +160,41 @@
         if (frame.length > MAX_FRAME_BYTES) {
             throw new ClusterException.TooLarge("frame", frame.length, MAX_FRAME_BYTES);
         }
-        Out out = outs.get(member);
-        if (out != null && out.isStuck()) {
-            out.connection.close();
-            out = outs.get(member);
-        }
-        if (out == null) {
-            out = open(member);
-        }
-        if (out != null && out.connection.write(TcpFrame.frame(frame))) {
+        OutgoingConnection peer = connectionTo(member);
+        if (peer != null && peer.connection.write(TcpFrame.encode(frame))) {
             sent++;
         } else {
             dropped++;
         }
     }
 
-    private Out open(int member) {
-        InetSocketAddress at = peers.get(member);
-        if (at == null) {
+    /** The connection to a member, opened or reopened if needed; null if that is not possible. */
+    private OutgoingConnection connectionTo(int member) {
+        OutgoingConnection peer = outgoing.get(member);
+        if (peer != null && peer.isStalled()) {
+            peer.connection.close();
+            peer = outgoing.get(member);
+        }
+        return peer != null ? peer : connect(member);
+    }
+
+    private OutgoingConnection connect(int member) {
+        InetSocketAddress address = peers.get(member);
+        if (address == null) {
             return null;
         }
-        Out out = new Out(member);
+        OutgoingConnection peer = new OutgoingConnection(member);
         try {
-            out.connection = Connection.connect(loop, at, out, TcpFrame.HEAD, ROOM);
+            peer.connection =
+                    Connection.connect(
+                            loop, address, peer, TcpFrame.HEADER_BYTES, MAX_BUFFERED_BYTES);
         } catch (IOException e) {
-            LOG.warn("no connection to member {}: {}", member, e.toString());
+            LOG.warn("connection to member {} failed: {}", member, e.toString());
             return null;
         }
-        outs.put(member, out);
-        out.connection.write(TcpFrame.greeting(cluster, self, member));
-        return out;
+        outgoing.put(member, peer);
+        peer.connection.write(TcpFrame.encodeGreeting(cluster, self, member));
+        return peer;
     }
 
     private void deliver(int from, byte[] frame) {
@@ -171,35 +205,35 @@
         try {
             receiver.onFrame(from, frame);
         } catch (ClusterException.Malformed e) {
-            refused++;
-            LOG.warn("member {}: {}; {}", from, e.getMessage(), e.remedy());
+            rejected++;
+            LOG.warn("malformed frame from member {}: {}; {}", from, e.getMessage(), e.remedy());
         }
     }
 
-    /** To a peer; says the greeting and frames, hears nothing. */
-    private final class Out implements Connection.Handler {
+    /** A connection to a peer: sends the greeting and frames, receives nothing. */
+    private final class OutgoingConnection implements Connection.Handler {
         private final int member;
-        private final long opened = System.nanoTime();
+        private final long openedNanos = System.nanoTime();
         private Connection connection;
-        private boolean ended;
-        private long written = -1;
-        private long movedAt = opened;
+        private boolean disconnected;
+        private long writtenBytes = -1;
+        private long progressNanos = openedNanos;
 
-        Out(int member) {
+        OutgoingConnection(int member) {
             this.member = member;
         }
 
-        boolean isStuck() {
-            long now = System.nanoTime();
-            if (ended) {
+        boolean isStalled() {
+            long nowNanos = System.nanoTime();
+            if (disconnected) {
                 return false;
             }
-            if (connection.writtenBytes() != written
-                    || connection.unsentBytes() == 0 && connection.isConnected()) {
-                written = connection.writtenBytes();
-                movedAt = now;
+            boolean isIdle = connection.unsentBytes() == 0 && connection.isConnected();
+            if (connection.writtenBytes() != writtenBytes || isIdle) {
+                writtenBytes = connection.writtenBytes();
+                progressNanos = nowNanos;
             }
-            return now - movedAt > STUCK_NANOS;
+            return nowNanos - progressNanos > STALL_TIMEOUT_NANOS;
         }
 
         @Override
@@ -209,64 +243,69 @@
 
         @Override
         public void closed(Connection of) {
-            // Kept for a while although it is closed: a peer that refuses is not asked for each
-            // frame.
-            ended = true;
-            long rest = AGAIN_NANOS - (System.nanoTime() - opened);
-            if (rest <= 0) {
-                outs.remove(member, this);
-            } else {
-                loop.deadlines()
-                        .add(
-                                loop.clock().now() + rest / 1000,
-                                (now, ref) -> outs.remove(member, this),
-                                0);
+            // Stays in the map until the reconnect delay is over: a peer that rejects connections
+            // must not get a new one for each frame.
+            disconnected = true;
+            long delayNanos = RECONNECT_DELAY_NANOS - (System.nanoTime() - openedNanos);
+            if (delayNanos <= 0) {
+                outgoing.remove(member, this);
+                return;
             }
+            long dueMicros = loop.clock().now() + delayNanos / NANOS_PER_MICRO;
+            loop.deadlines().add(dueMicros, (now, ref) -> outgoing.remove(member, this), 0);
         }
     }
 
-    /** From a peer; hears the greeting and frames, says nothing. */
-    private final class In implements Connection.Handler {
+    /** A connection from a peer: receives the greeting and frames, sends nothing. */
+    private final class IncomingConnection implements Connection.Handler {
+        private static final int NO_GREETING_YET = 0;
+
         private Connection connection;
-        private int from;
+        private int from = NO_GREETING_YET;
 
         @Override
         public void received(Connection of) {
             try {
-                if (from == 0) {
-                    TcpFrame.Greeting greeting = TcpFrame.greeting(cluster, of.input());
-                    if (greeting == null) {
-                        return;
-                    }
-                    if (greeting.to() != self || greeting.from() <= 0 || greeting.from() == self) {
-                        throw new InvalidInputException(
-                                "member "
-                                        + greeting.from()
-                                        + " greets member "
-                                        + greeting.to()
-                                        + ", this is "
-                                        + self);
-                    }
-                    from = greeting.from();
+                if (from == NO_GREETING_YET && !readGreeting(of)) {
+                    return;
                 }
-                for (byte[] frame = TcpFrame.frame(of.input());
-                        frame != null;
-                        frame = TcpFrame.frame(of.input())) {
+                byte[] frame = TcpFrame.decode(of.input());
+                while (frame != null) {
                     deliver(from, frame);
+                    frame = TcpFrame.decode(of.input());
                 }
             } catch (InvalidInputException e) {
-                refused++;
+                rejected++;
                 LOG.warn(
-                        "connection of member {} ended: {}",
-                        from == 0 ? "?" : from,
+                        "connection from member {} closed: {}",
+                        from == NO_GREETING_YET ? "?" : from,
                         e.getMessage());
                 of.close();
             }
         }
 
+        /** Returns false as long as the greeting is incomplete. */
+        private boolean readGreeting(Connection of) throws InvalidInputException {
+            TcpFrame.Greeting greeting = TcpFrame.decodeGreeting(cluster, of.input());
+            if (greeting == null) {
+                return false;
+            }
+            if (greeting.to() != self || greeting.from() <= 0 || greeting.from() == self) {
+                throw new InvalidInputException(
+                        "greeting from member "
+                                + greeting.from()
+                                + " to member "
+                                + greeting.to()
+                                + ", this is "
+                                + self);
+            }
+            from = greeting.from();
+            return true;
+        }
+
         @Override
         public void closed(Connection of) {
-            ins.remove(this);
+            incoming.remove(this);
             listener.connectionClosed();
         }
     }
--- a/src/main/java/calicostream/cluster/tcp/package-info.java
+++ b/src/main/java/calicostream/cluster/tcp/package-info.java
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /**
- * Owns the cluster's links over TCP and the loop that a real member runs on: bytes in checked
- * frames, one connection a direction, nothing kept for a peer that does not take it. It does not
- * know what the frames say, nor who votes. Read {@link calicostream.cluster.tcp.TcpTransport}
- * first.
+ * Owns the transport of a real member over TCP and the event loop that it runs on: checksummed
+ * frames, one connection for each direction, frames dropped rather than queued without bound. It
+ * does not know what the frames contain, nor which members vote. Read {@link
+ * calicostream.cluster.tcp.TcpTransport} first.
  */
 package calicostream.cluster.tcp;
--- a/src/measure/java/calicostream/cluster/sim/Lists.java
+++ b/src/measure/java/calicostream/cluster/sim/Lists.java
@@ -72,7 +72,7 @@
 
     @Override
     public CommandEffects epochStarted(long index, long era) {
-        heard.accept(index, "era " + era);
+        heard.accept(index, "epoch " + era);
         return CommandEffects.NONE;
     }
 
--- a/src/test/java/calicostream/cluster/tcp/TcpClusterTest.java
+++ b/src/test/java/calicostream/cluster/tcp/TcpClusterTest.java
@@ -229,16 +229,16 @@
         connect();
         InetSocketAddress at =
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), nodes.get(0).links.port());
-        byte[] greeting = TcpFrame.greeting("test".getBytes(), 2, 1);
-        byte[] rotten = TcpFrame.frame(new byte[] {1, 2, 3});
-        rotten[TcpFrame.HEAD] ^= 1;
-        byte[] huge = new byte[TcpFrame.HEAD];
+        byte[] greeting = TcpFrame.encodeGreeting("test".getBytes(), 2, 1);
+        byte[] rotten = TcpFrame.encode(new byte[] {1, 2, 3});
+        rotten[TcpFrame.HEADER_BYTES] ^= 1;
+        byte[] huge = new byte[TcpFrame.HEADER_BYTES];
         huge[0] = 0x7f;
         for (byte[] bad : List.of(rotten, huge)) {
             ends(at, greeting, bad);
         }
-        ends(at, TcpFrame.greeting("other".getBytes(), 2, 1));
-        ends(at, TcpFrame.greeting("test".getBytes(), 2, 3));
+        ends(at, TcpFrame.encodeGreeting("other".getBytes(), 2, 1));
+        ends(at, TcpFrame.encodeGreeting("test".getBytes(), 2, 3));
         ends(at, "GET / HTTP/1.1\r\n\r\n".getBytes());
         assertTrue(nodes.get(0).add(1).isAccepted());
     }
