--- a/src/main/java/calicostream/cluster/ClusterException.java
+++ b/src/main/java/calicostream/cluster/ClusterException.java
@@ -6,10 +6,9 @@
 import calicostream.errors.OperatorDocumentation;
 
 /**
- * What can go wrong in the cluster, as one sealed family: each type has a stable code, the facts in
- * its message, and what an operator can do. None of them reaches a client of a front end; the
- * request path never waits for the cluster. Instances are immutable and carry no stack trace unless
- * one helps to find a fault of the program.
+ * The errors of the cluster, as one sealed family: each type has a stable code, its facts, and a
+ * remedy for operators. None of them reaches a client of a front end, since the request path never
+ * waits for the cluster. Instances are immutable and carry no stack trace.
  */
 @OperatorDocumentation(value = "cluster.md", prefixes = "cluster-")
 public abstract sealed class ClusterException extends OperationalException {
@@ -19,11 +18,14 @@
         super(new ErrorDetails(code, facts, remedy));
     }
 
-    /** Bytes of a peer, a client or a disk are not what they should be. */
+    /** Bytes from a peer, a client or a disk can't be decoded. */
     public static final class Malformed extends ClusterException {
         private static final long serialVersionUID = 1L;
+
+        /** Stable code of this error. */
         public static final String CODE = "cluster-malformed";
 
+        /** Tells what could not be decoded, at which byte, and why. */
         public Malformed(String what, int position, String why) {
             super(
                     CODE,
@@ -33,16 +35,23 @@
         }
     }
 
-    /** This process does not lead; nothing was proposed. */
+    /** This process is not the leader; nothing was proposed. */
     public static final class NotLeader extends ClusterException {
         private static final long serialVersionUID = 1L;
+
+        /** Stable code of this error. */
         public static final String CODE = "cluster-not-leader";
+
         private final int leader;
 
         /**
-         * @param leader as far as is known here; 0 if not
+         * Names the leader, for a redirect.
+         *
+         * @param member that was asked
+         * @param leader as far as it is known to that member; 0 if not
+         * @param epoch of the leader
          */
-        public NotLeader(int member, int leader, long era) {
+        public NotLeader(int member, int leader, long epoch) {
             super(
                     CODE,
                     "member "
@@ -50,25 +59,29 @@
                             + " does not lead"
                             + (leader == 0
                                     ? ", nor is a leader known"
-                                    : ", member " + leader + " does, era " + era),
+                                    : ", member " + leader + " does, epoch " + epoch),
                     "Nothing, if it lasts under some election time-outs; else see which voters miss"
                             + " each other.");
             this.leader = leader;
         }
 
+        /** The leader's member number; 0 if it is not known. */
         public int leader() {
             return leader;
         }
     }
 
     /**
-     * The bounded queue of commands is full; nothing was proposed, a retry with the same number is
-     * safe.
+     * The bounded queue of commands is full; nothing was proposed, so a retry with the same
+     * sequence number is safe.
      */
     public static final class QueueFull extends ClusterException {
         private static final long serialVersionUID = 1L;
+
+        /** Stable code of this error. */
         public static final String CODE = "cluster-queue-full";
 
+        /** Tells how many commands wait at a member, of how many allowed. */
         public QueueFull(int member, int waiting, int limit) {
             super(
                     CODE,
@@ -79,14 +92,17 @@
     }
 
     /**
-     * The outcome is not known: it may have been applied or still be. Retry with the same session
-     * and number.
+     * The outcome of a command is not known: it may have been applied or may still be. A retry with
+     * the same session and sequence number is safe.
      */
-    public static final class Unsure extends ClusterException {
+    public static final class OutcomeUnknown extends ClusterException {
         private static final long serialVersionUID = 1L;
+
+        /** Stable code of this error. */
         public static final String CODE = "cluster-unsure";
 
-        public Unsure(int member, long session, long sequence, String why) {
+        /** Tells which command, by its session and sequence number. */
+        public OutcomeUnknown(int member, long session, long sequence, String why) {
             super(
                     CODE,
                     "member "
@@ -101,12 +117,15 @@
         }
     }
 
-    /** The session is not, or no longer, known; whatever depended on it is over. */
-    public static final class SessionOver extends ClusterException {
+    /** The session is not, or no longer, alive; whatever depended on it has ended. */
+    public static final class SessionEnded extends ClusterException {
         private static final long serialVersionUID = 1L;
+
+        /** Stable code of this error. */
         public static final String CODE = "cluster-session-over";
 
-        public SessionOver(long session, long index) {
+        /** Tells which session, and the index at which it was not alive. */
+        public SessionEnded(long session, long index) {
             super(
                     CODE,
                     "session " + session + " is not alive at index " + index,
@@ -116,13 +135,16 @@
     }
 
     /**
-     * The command's number was already used and its answer acknowledged, or numbers were skipped.
+     * The command's sequence number was used and its outcome acknowledged, or numbers were skipped.
      */
-    public static final class OutOfOrder extends ClusterException {
+    public static final class SequenceOutOfOrder extends ClusterException {
         private static final long serialVersionUID = 1L;
+
+        /** Stable code of this error. */
         public static final String CODE = "cluster-out-of-order";
 
-        public OutOfOrder(long session, long sequence, long expected) {
+        /** Tells the sequence number that was sent and the next valid one. */
+        public SequenceOutOfOrder(long session, long sequence, long expected) {
             super(
                     CODE,
                     "session " + session + " sent command " + sequence + ", expected " + expected,
@@ -131,12 +153,15 @@
         }
     }
 
-    /** The sender has more commands without acknowledgement than are remembered for it. */
-    public static final class TooManyOpen extends ClusterException {
+    /** The sender has more unacknowledged commands than outcomes are kept. */
+    public static final class TooManyUnacknowledged extends ClusterException {
         private static final long serialVersionUID = 1L;
+
+        /** Stable code of this error. */
         public static final String CODE = "cluster-too-many-open";
 
-        public TooManyOpen(long session, long open, int limit) {
+        /** Tells how many commands are unacknowledged, of how many allowed. */
+        public TooManyUnacknowledged(long session, long open, int limit) {
             super(
                     CODE,
                     "session " + session + " has " + open + " unacknowledged, limit " + limit,
@@ -144,40 +169,49 @@
         }
     }
 
-    /** A larger command than the log takes. */
+    /** A command, response or frame exceeds its size limit. */
     public static final class TooLarge extends ClusterException {
         private static final long serialVersionUID = 1L;
+
+        /** Stable code of this error. */
         public static final String CODE = "cluster-too-large";
 
+        /** Tells what was too large, its size and the limit in bytes. */
         public TooLarge(String what, long bytes, long limit) {
             super(
                     CODE,
                     what + " of " + bytes + " bytes, limit " + limit,
-                    "Report it: a machine of the program makes commands that are larger than the"
-                            + " log takes.");
+                    "Report it: a state machine of the program makes commands that are larger than"
+                            + " the log takes.");
         }
     }
 
-    /** A machine of that name is not composed into this build or not configured. */
-    public static final class UnknownMachine extends ClusterException {
+    /** A state machine of that name is not part of this build or not configured. */
+    public static final class UnknownStateMachine extends ClusterException {
         private static final long serialVersionUID = 1L;
+
+        /** Stable code of this error. */
         public static final String CODE = "cluster-unknown-machine";
 
-        public UnknownMachine(String machine) {
+        /** Tells the name that is unknown. */
+        public UnknownStateMachine(String machine) {
             super(
                     CODE,
-                    "no machine is named " + machine,
+                    "no state machine is named " + machine,
                     "Bring all voters to one version of the program before its new parts are"
                             + " configured.");
         }
     }
 
     /** A session's time to live is out of bounds. */
-    public static final class BadTtl extends ClusterException {
+    public static final class InvalidSessionTtl extends ClusterException {
         private static final long serialVersionUID = 1L;
+
+        /** Stable code of this error. */
         public static final String CODE = "cluster-bad-ttl";
 
-        public BadTtl(long millis, long least, long most) {
+        /** Tells the requested time and its bounds, in milliseconds. */
+        public InvalidSessionTtl(long millis, long least, long most) {
             super(
                     CODE,
                     "a session of " + millis + " ms, allowed " + least + ".." + most,
@@ -185,11 +219,14 @@
         }
     }
 
-    /** A member, or the fleet, has more sessions than are kept. */
+    /** A member, or the cluster, has more sessions than are kept. */
     public static final class TooManySessions extends ClusterException {
         private static final long serialVersionUID = 1L;
+
+        /** Stable code of this error. */
         public static final String CODE = "cluster-too-many-sessions";
 
+        /** Tells the sessions of the member and of all members. */
         public TooManySessions(long member, long ofMember, long all) {
             super(
                     CODE,
@@ -199,24 +236,30 @@
         }
     }
 
-    /** A leader proposed what it had counted, and another leads since. Nothing was changed. */
-    public static final class OldEra extends ClusterException {
+    /** A leader's command of an earlier epoch: another leads since. Nothing was changed. */
+    public static final class StaleEpoch extends ClusterException {
         private static final long serialVersionUID = 1L;
+
+        /** Stable code of this error. */
         public static final String CODE = "cluster-old-era";
 
-        public OldEra(long era, long now) {
+        /** Tells the command's epoch and the current one. */
+        public StaleEpoch(long epoch, long currentEpoch) {
             super(
                     CODE,
-                    "counted in era " + era + ", now is era " + now,
+                    "proposed in epoch " + epoch + ", the current one is " + currentEpoch,
                     "Nothing: the new leader counts by itself.");
         }
     }
 
-    /** No answer from a quorum in time; the request changed nothing. */
+    /** No response from a quorum in time; the request changed nothing. */
     public static final class NoQuorum extends ClusterException {
         private static final long serialVersionUID = 1L;
+
+        /** Stable code of this error. */
         public static final String CODE = "cluster-no-quorum";
 
+        /** Tells for how many milliseconds no quorum has responded. */
         public NoQuorum(long member, long sinceMillis) {
             super(
                     CODE,
@@ -231,13 +274,16 @@
     }
 
     /**
-     * This voter has stopped by itself, since going on could make its copy differ or break its
-     * word.
+     * This voter has stopped, since going on could make its copy diverge or contradict what it had
+     * acknowledged.
      */
     public static final class VoterStopped extends ClusterException {
         private static final long serialVersionUID = 1L;
+
+        /** Stable code of this error. */
         public static final String CODE = "cluster-voter-stopped";
 
+        /** Tells why the voter stopped. */
         public VoterStopped(int member, String why) {
             super(
                     CODE,
@@ -248,14 +294,17 @@
     }
 
     /**
-     * This voter's disk, or a peer, shows that it has forgotten what it promised; it neither votes
-     * nor acknowledges any more.
+     * This voter's disk, or a peer, shows that it has lost persistent state; it neither votes nor
+     * acknowledges any more.
      */
-    public static final class VoterForgot extends ClusterException {
+    public static final class VoterStateLost extends ClusterException {
         private static final long serialVersionUID = 1L;
+
+        /** Stable code of this error. */
         public static final String CODE = "cluster-voter-forgot";
 
-        public VoterForgot(int member, int generation, String why) {
+        /** Tells which voter, and how the loss was detected. */
+        public VoterStateLost(int member, int generation, String why) {
             super(
                     CODE,
                     "voter " + member + " of generation " + generation + " is barred: " + why,
@@ -264,12 +313,15 @@
         }
     }
 
-    /** The change of voters was not started: another one runs, or it would leave too few. */
-    public static final class BadChange extends ClusterException {
+    /** A change of voters was rejected: another one runs, or it would leave too few. */
+    public static final class InvalidVoterChange extends ClusterException {
         private static final long serialVersionUID = 1L;
+
+        /** Stable code of this error. */
         public static final String CODE = "cluster-bad-change";
 
-        public BadChange(String change, String why) {
+        /** Tells which change, and why it was rejected. */
+        public InvalidVoterChange(String change, String why) {
             super(
                     CODE,
                     change + ": " + why,
@@ -278,14 +330,16 @@
     }
 
     /**
-     * A generation of a voter that was removed, or is older than one that was added, must not come
-     * back.
+     * The generation of a voter is retired: it was removed, or is older than one that was added.
      */
-    public static final class GenerationOver extends ClusterException {
+    public static final class GenerationRetired extends ClusterException {
         private static final long serialVersionUID = 1L;
+
+        /** Stable code of this error. */
         public static final String CODE = "cluster-generation-over";
 
-        public GenerationOver(int member, int generation, int next) {
+        /** Tells the retired generation and the next valid one. */
+        public GenerationRetired(int member, int generation, int next) {
             super(
                     CODE,
                     "generation "
@@ -299,28 +353,27 @@
         }
     }
 
-    /**
-     * The error that was sent as a code and its facts; an unknown code becomes {@link Malformed}.
-     */
+    /** Decodes an error from its code and facts; an unknown code becomes {@link Malformed}. */
     static ClusterException of(String code, BinaryCodec.Reader in) {
         return switch (code) {
             case NotLeader.CODE -> new NotLeader((int) in.i64(), (int) in.i64(), in.i64());
             case QueueFull.CODE -> new QueueFull((int) in.i64(), (int) in.i64(), (int) in.i64());
-            case SessionOver.CODE -> new SessionOver(in.i64(), in.i64());
-            case OutOfOrder.CODE -> new OutOfOrder(in.i64(), in.i64(), in.i64());
-            case TooManyOpen.CODE -> new TooManyOpen(in.i64(), in.i64(), (int) in.i64());
-            case BadTtl.CODE -> new BadTtl(in.i64(), in.i64(), in.i64());
+            case SessionEnded.CODE -> new SessionEnded(in.i64(), in.i64());
+            case SequenceOutOfOrder.CODE -> new SequenceOutOfOrder(in.i64(), in.i64(), in.i64());
+            case TooManyUnacknowledged.CODE ->
+                    new TooManyUnacknowledged(in.i64(), in.i64(), (int) in.i64());
+            case InvalidSessionTtl.CODE -> new InvalidSessionTtl(in.i64(), in.i64(), in.i64());
             case TooManySessions.CODE -> new TooManySessions(in.i64(), in.i64(), in.i64());
-            case OldEra.CODE -> new OldEra(in.i64(), in.i64());
+            case StaleEpoch.CODE -> new StaleEpoch(in.i64(), in.i64());
             case NoQuorum.CODE -> new NoQuorum(in.i64(), in.i64());
-            case GenerationOver.CODE ->
-                    new GenerationOver((int) in.i64(), (int) in.i64(), (int) in.i64());
+            case GenerationRetired.CODE ->
+                    new GenerationRetired((int) in.i64(), (int) in.i64(), (int) in.i64());
             case TooLarge.CODE -> new TooLarge("request", in.i64(), in.i64());
-            case UnknownMachine.CODE -> new UnknownMachine("(of a request)");
-            case Malformed.CODE -> in.malformed("so said the peer of what was sent to it");
-            case Unsure.CODE ->
-                    new Unsure((int) in.i64(), in.i64(), in.i64(), "the leader changed");
-            default -> in.malformed("no error has this code");
+            case UnknownStateMachine.CODE -> new UnknownStateMachine("(of a request)");
+            case Malformed.CODE -> in.malformed("reported by the peer for what was sent to it");
+            case OutcomeUnknown.CODE ->
+                    new OutcomeUnknown((int) in.i64(), in.i64(), in.i64(), "the leader changed");
+            default -> in.malformed("unknown code of an error");
         };
     }
 }
--- a/src/main/java/calicostream/cluster/MemberSession.java
+++ b/src/main/java/calicostream/cluster/MemberSession.java
@@ -12,7 +12,7 @@
  * A member's client session with exactly-once commands: decides what to send to which voter and
  * when to retry. Commands are sent one at a time under their sequence number, so a retry is applied
  * once. When the session is lost, its unanswered commands fail: with {@link
- * ClusterException.Unsure} the one that was sent, with {@link ClusterException.SessionOver} the
+ * ClusterException.Unsure} the one that was sent, with {@link ClusterException.SessionEnded} the
  * ones that were queued. The lifetime of the session is measured from before the request that was
  * answered, so {@link #isAlive} ends before the leader can expire the session. Pure: used by one
  * thread, with time as a parameter and no randomness.
@@ -298,14 +298,14 @@
                 redirected = true;
             }
             case ClusterException.QueueFull.CODE,
-                    ClusterException.Unsure.CODE,
+                    ClusterException.OutcomeUnknown.CODE,
                     ClusterException.NoQuorum.CODE,
                     ClusterException.VoterStopped.CODE -> {
                 // The retry goes out after the usual delay, with the same sequence number.
             }
-            case ClusterException.SessionOver.CODE, ClusterException.OutOfOrder.CODE ->
+            case ClusterException.SessionEnded.CODE, ClusterException.SequenceOutOfOrder.CODE ->
                     loseSession();
-            case ClusterException.UnknownMachine.CODE,
+            case ClusterException.UnknownStateMachine.CODE,
                     ClusterException.Malformed.CODE,
                     ClusterException.TooLarge.CODE -> {
                 // Rejected before it got into the log: its sequence number is still unused.
@@ -356,11 +356,15 @@
         if (sent != null) {
             sent.completion.accept(
                     CommandOutcome.failed(
-                            0, ClusterException.Unsure.CODE, settings.member, lostId, sequence));
+                            0,
+                            ClusterException.OutcomeUnknown.CODE,
+                            settings.member,
+                            lostId,
+                            sequence));
         }
         for (PendingCommand command : unsent) {
             command.completion.accept(
-                    CommandOutcome.failed(0, ClusterException.SessionOver.CODE, lostId, 0));
+                    CommandOutcome.failed(0, ClusterException.SessionEnded.CODE, lostId, 0));
         }
     }
 
--- a/src/main/java/calicostream/cluster/ReplicatedState.java
+++ b/src/main/java/calicostream/cluster/ReplicatedState.java
@@ -168,7 +168,8 @@
 
     private CommandOutcome runLeaderCommand(long index, ReplicatedEntry.LeaderCommand entry) {
         if (entry.epoch() != epoch) {
-            return CommandOutcome.failed(index, ClusterException.OldEra.CODE, entry.epoch(), epoch);
+            return CommandOutcome.failed(
+                    index, ClusterException.StaleEpoch.CODE, entry.epoch(), epoch);
         }
         StateMachine machine = machine(entry.machine());
         Command command = new Command(0, 0, epoch, entry.body());
@@ -215,7 +216,7 @@
     private StateMachine machine(String name) {
         StateMachine machine = machines.get(name);
         if (machine == null) {
-            throw new ClusterException.UnknownMachine(name);
+            throw new ClusterException.UnknownStateMachine(name);
         }
         return machine;
     }
--- a/src/main/java/calicostream/cluster/SessionTable.java
+++ b/src/main/java/calicostream/cluster/SessionTable.java
@@ -88,7 +88,7 @@
         if (open.ttlMillis() < MIN_TTL_MILLIS || open.ttlMillis() > MAX_TTL_MILLIS) {
             return CommandOutcome.failed(
                     index,
-                    ClusterException.BadTtl.CODE,
+                    ClusterException.InvalidSessionTtl.CODE,
                     open.ttlMillis(),
                     MIN_TTL_MILLIS,
                     MAX_TTL_MILLIS);
@@ -145,7 +145,7 @@
         if (isOutOfOrder(session, run)) {
             return CommandOutcome.failed(
                     index,
-                    ClusterException.OutOfOrder.CODE,
+                    ClusterException.SequenceOutOfOrder.CODE,
                     session.id,
                     sequence,
                     session.lastSequence + 1);
@@ -158,7 +158,7 @@
         if (session.outcomes.size() >= MAX_KEPT_OUTCOMES) {
             return CommandOutcome.failed(
                     index,
-                    ClusterException.TooManyOpen.CODE,
+                    ClusterException.TooManyUnacknowledged.CODE,
                     session.id,
                     session.outcomes.size(),
                     MAX_KEPT_OUTCOMES);
@@ -207,7 +207,7 @@
     }
 
     private static CommandOutcome sessionOver(long index, long id) {
-        return CommandOutcome.failed(index, ClusterException.SessionOver.CODE, id, index);
+        return CommandOutcome.failed(index, ClusterException.SessionEnded.CODE, id, index);
     }
 
     void write(BinaryCodec.Writer out) {
--- a/src/main/java/calicostream/cluster/VoterGenerations.java
+++ b/src/main/java/calicostream/cluster/VoterGenerations.java
@@ -38,7 +38,7 @@
         if (!mayAdd(entry.member(), entry.generation())) {
             return CommandOutcome.failed(
                     index,
-                    ClusterException.GenerationOver.CODE,
+                    ClusterException.GenerationRetired.CODE,
                     entry.member(),
                     entry.generation(),
                     next(entry.member()));
--- a/src/main/java/calicostream/cluster/process/MembershipCommand.java
+++ b/src/main/java/calicostream/cluster/process/MembershipCommand.java
@@ -51,17 +51,18 @@
                         ? voter(said.group(4))
                         : "add".equals(said.group(2)) ? one : null;
         if (said.group(4) != null && one.equals(more)) {
-            throw new ClusterException.BadChange(words, "a voter is replaced by another one");
+            throw new ClusterException.InvalidVoterChange(
+                    words, "a voter is replaced by another one");
         }
         if (one != more && !wanted.remove(one)) {
-            throw new ClusterException.BadChange(
+            throw new ClusterException.InvalidVoterChange(
                     words, one + " is no voter; voters are " + signs.voters());
         }
         if (more != null && wanted.contains(more)) {
-            throw new ClusterException.BadChange(words, more + " is a voter already");
+            throw new ClusterException.InvalidVoterChange(words, more + " is a voter already");
         }
         if (more != null && wanted.stream().anyMatch(each -> each.member() == more.member())) {
-            throw new ClusterException.BadChange(
+            throw new ClusterException.InvalidVoterChange(
                     words,
                     "member "
                             + more.member()
@@ -72,7 +73,7 @@
             wanted.add(more);
         }
         if (wanted.size() < 2) {
-            throw new ClusterException.BadChange(words, "too few voters would be left");
+            throw new ClusterException.InvalidVoterChange(words, "too few voters would be left");
         }
         wanted.sort(Comparator.comparingInt(Voter::member));
         return Optional.of(new ChangeVoters(words, List.copyOf(wanted)));
@@ -80,11 +81,11 @@
 
     private static MembershipCommand lead(String words, Voter to, MemberStatus signs) {
         if (!signs.voters().contains(to)) {
-            throw new ClusterException.BadChange(
+            throw new ClusterException.InvalidVoterChange(
                     words, to + " is no voter; voters are " + signs.voters());
         }
         if (to.equals(signs.self())) {
-            throw new ClusterException.BadChange(words, "it leads already");
+            throw new ClusterException.InvalidVoterChange(words, "it leads already");
         }
         return new TransferLeadership(words, to);
     }
--- a/src/main/java/calicostream/cluster/raft/VoterNode.java
+++ b/src/main/java/calicostream/cluster/raft/VoterNode.java
@@ -432,7 +432,7 @@
         Optional<Long> age = stateAgeNanos();
         CommandOutcome outcome =
                 !state.hasMachine(request.machine())
-                        ? CommandOutcome.failed(0, ClusterException.UnknownMachine.CODE)
+                        ? CommandOutcome.failed(0, ClusterException.UnknownStateMachine.CODE)
                         : age.isEmpty()
                                 ? CommandOutcome.failed(
                                         0,
@@ -459,7 +459,7 @@
             reply.accept(CommandOutcome.failed(0, ClusterException.Malformed.CODE));
         } else if (entry instanceof ReplicatedEntry.RunCommand run
                 && !state.hasMachine(run.machine())) {
-            reply.accept(CommandOutcome.failed(0, ClusterException.UnknownMachine.CODE));
+            reply.accept(CommandOutcome.failed(0, ClusterException.UnknownStateMachine.CODE));
         } else {
             propose(bytes, reply);
         }
@@ -487,7 +487,7 @@
 
     private void read(LogApplier.StateQuery question, Consumer<CommandOutcome> reply) {
         if (!question.machine().isEmpty() && !state.hasMachine(question.machine())) {
-            reply.accept(CommandOutcome.failed(0, ClusterException.UnknownMachine.CODE));
+            reply.accept(CommandOutcome.failed(0, ClusterException.UnknownStateMachine.CODE));
             return;
         }
         raft.<CommandOutcome>query(
@@ -513,7 +513,8 @@
                     pendingProposals,
                     settings.proposalQueueLimit);
         }
-        return CommandOutcome.failed(0, ClusterException.Unsure.CODE, settings.self.member(), 0, 0);
+        return CommandOutcome.failed(
+                0, ClusterException.OutcomeUnknown.CODE, settings.self.member(), 0, 0);
     }
 
     @Override
--- a/src/measure/java/calicostream/cluster/sim/SimCluster.java
+++ b/src/measure/java/calicostream/cluster/sim/SimCluster.java
@@ -184,7 +184,7 @@
                             }
                         });
             } else if (lied
-                    && (why instanceof ClusterException.VoterForgot
+                    && (why instanceof ClusterException.VoterStateLost
                             || why instanceof DurableException)) {
                 noticed++;
                 world.at(world.now(), () -> rebirth(this));
@@ -454,7 +454,7 @@
                             acknowledged++;
                         } else {
                             op.end =
-                                    outcome.code().equals(ClusterException.Unsure.CODE)
+                                    outcome.code().equals(ClusterException.OutcomeUnknown.CODE)
                                             ? Judge.End.UNKNOWN
                                             : Judge.End.NEVER;
                         }
@@ -854,7 +854,7 @@
                 error -> {
                     if (error == null) {
                         broken = new Broken(old + " was removed and added again");
-                    } else if (error instanceof ClusterException.GenerationOver
+                    } else if (error instanceof ClusterException.GenerationRetired
                             && !host.down
                             && host.name().equals(old)) {
                         refused++;
--- a/src/test/java/calicostream/cluster/ReplicatedTest.java
+++ b/src/test/java/calicostream/cluster/ReplicatedTest.java
@@ -86,14 +86,17 @@
         assertEquals("heard-nothing", run(session, 2, 0, "").code());
         assertEquals("heard-nothing", run(session, 2, 1, "").code());
         assertEquals(List.of("a", ""), heard.all);
-        assertInstanceOf(ClusterException.OutOfOrder.class, run(session, 1, 0, "a").error());
-        assertInstanceOf(ClusterException.OutOfOrder.class, run(session, 4, 2, "d").error());
-        assertInstanceOf(ClusterException.OutOfOrder.class, run(session, 3, 3, "c").error());
+        assertInstanceOf(
+                ClusterException.SequenceOutOfOrder.class, run(session, 1, 0, "a").error());
+        assertInstanceOf(
+                ClusterException.SequenceOutOfOrder.class, run(session, 4, 2, "d").error());
+        assertInstanceOf(
+                ClusterException.SequenceOutOfOrder.class, run(session, 3, 3, "c").error());
         for (int sequence = 3; sequence < 3 + SessionTable.MAX_KEPT_OUTCOMES - 1; sequence++) {
             assertTrue(run(session, sequence, 1, "x").isAccepted());
         }
         assertInstanceOf(
-                ClusterException.TooManyOpen.class,
+                ClusterException.TooManyUnacknowledged.class,
                 run(session, 2 + SessionTable.MAX_KEPT_OUTCOMES, 1, "x").error());
         assertTrue(run(session, 2 + SessionTable.MAX_KEPT_OUTCOMES, 2, "x").isAccepted());
     }
@@ -104,12 +107,12 @@
         assertTrue(apply(new ReplicatedEntry.AddVoter(4, 0)).isAccepted(), "a retry");
         assertTrue(apply(new ReplicatedEntry.RemoveVoter(4, 0)).isAccepted());
         assertInstanceOf(
-                ClusterException.GenerationOver.class,
+                ClusterException.GenerationRetired.class,
                 apply(new ReplicatedEntry.AddVoter(4, 0)).error());
         assertEquals(1, state.nextGeneration(4));
         assertTrue(apply(new ReplicatedEntry.AddVoter(4, 3)).isAccepted());
         assertInstanceOf(
-                ClusterException.GenerationOver.class,
+                ClusterException.GenerationRetired.class,
                 apply(new ReplicatedEntry.AddVoter(4, 2)).error(),
                 "older than one that was added");
         assertTrue(
@@ -137,7 +140,7 @@
                 ClusterException.TooManySessions.class,
                 apply(new ReplicatedEntry.OpenSession(7, 99, 1000)).error());
         assertInstanceOf(
-                ClusterException.BadTtl.class,
+                ClusterException.InvalidSessionTtl.class,
                 apply(new ReplicatedEntry.OpenSession(8, 1, 0)).error());
     }
 
@@ -154,13 +157,13 @@
         apply(new ReplicatedEntry.ExpireSession(era, session, renewed));
         assertTrue(state.isAlive(session), "counted by a former leader");
         assertEquals(
-                ClusterException.OldEra.CODE,
+                ClusterException.StaleEpoch.CODE,
                 apply(new ReplicatedEntry.LeaderCommand(era, "heard", new byte[1])).code());
         apply(new ReplicatedEntry.ExpireSession(state.epoch(), session, renewed));
         assertFalse(state.isAlive(session));
-        assertInstanceOf(ClusterException.SessionOver.class, run(session, 1, 0, "late").error());
+        assertInstanceOf(ClusterException.SessionEnded.class, run(session, 1, 0, "late").error());
         assertInstanceOf(
-                ClusterException.SessionOver.class,
+                ClusterException.SessionEnded.class,
                 apply(new ReplicatedEntry.KeepAlive(session)).error());
         assertEquals(List.of("ended " + session), heard.all);
         assertEquals("session-expired", state.drainStateChanges().get(0).event().kind());
@@ -262,7 +265,7 @@
                     case 1 -> ReplicatedEntry.decode(wrong);
                     default -> MemberMessage.decode(wrong);
                 }
-            } catch (ClusterException.Malformed | ClusterException.UnknownMachine e) {
+            } catch (ClusterException.Malformed | ClusterException.UnknownStateMachine e) {
                 assertFalse(e.remedy().isEmpty());
             }
         }
@@ -272,7 +275,7 @@
     void anEntryForAMachineThatIsNotHereStopsTheVoter() {
         long session = open();
         assertThrows(
-                ClusterException.UnknownMachine.class,
+                ClusterException.UnknownStateMachine.class,
                 () -> apply(new ReplicatedEntry.RunCommand(session, 1, 0, "absent", new byte[0])));
         assertThrows(ClusterException.Malformed.class, () -> state.apply(++index, new byte[] {9}));
     }
