--- a/src/main/java/calicostream/budget/GrantExpiryMonitor.java
+++ b/src/main/java/calicostream/budget/GrantExpiryMonitor.java
@@ -4,20 +4,25 @@
 import calicostream.cluster.ExpiryMonitor;
 import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 
 /**
- * The leader's count of leases: a report that has not been followed by another for the whole time
- * is over, and so are the grants of a process's earlier starts once it has joined for as long. It
- * counts from when it sees a report applied, which is after the process asked.
+ * Proposes the expiry of leases at the leader: of a process's grants when no report has followed
+ * the last one for the whole lease time, and of its predecessors' grants once it has joined for as
+ * long. It counts from when it sees a report applied, which is after the process sent it. Same
+ * thread as its state machine.
  */
 public final class GrantExpiryMonitor implements ExpiryMonitor {
     private final BudgetSettings settings;
     private final GrantStateMachine machine;
-    private final Map<String, Long> since = new HashMap<>();
+    private final Map<BudgetCommand.Expire, Long> firstSeenNanos = new HashMap<>();
 
     /**
+     * A monitor that has seen no report yet.
+     *
      * @param machine the copy beside it
      */
     public GrantExpiryMonitor(BudgetSettings settings, GrantStateMachine machine) {
@@ -27,46 +32,37 @@
 
     @Override
     public void epochStarted(long era, long nowNanos) {
-        since.clear();
+        firstSeenNanos.clear();
     }
 
     @Override
     public List<byte[]> expiredCommands(long nowNanos) {
+        Set<BudgetCommand.Expire> pending = pendingExpiries();
+        firstSeenNanos.keySet().retainAll(pending);
         List<byte[]> due = new ArrayList<>();
-        Map<String, Long> present = new HashMap<>();
-        machine.ledger()
-                .processes
-                .forEach(
-                        (name, process) -> {
-                            if (process.session != 0 && process.expiredAtIndex == 0) {
-                                look(
-                                        new BudgetCommand.Expire(
-                                                name, process.session, false, process.reportNumber),
-                                        nowNanos,
-                                        present,
-                                        due);
-                            }
-                            if (process.hasPredecessors
-                                    && process.predecessorsExpiredAtIndex == 0) {
-                                look(
-                                        new BudgetCommand.Expire(name, process.session, true, 0),
-                                        nowNanos,
-                                        present,
-                                        due);
-                            }
-                        });
-        since.clear();
-        since.putAll(present);
+        for (BudgetCommand.Expire expire : pending) {
+            long since = firstSeenNanos.computeIfAbsent(expire, key -> nowNanos);
+            if (nowNanos - since >= settings.ttlNanos()) {
+                due.add(expire.encode());
+            }
+        }
         return due;
     }
 
-    private void look(
-            BudgetCommand.Expire expire, long now, Map<String, Long> present, List<byte[]> due) {
-        String key = expire.toString();
-        long from = since.getOrDefault(key, now);
-        present.put(key, from);
-        if (now - from >= settings.ttlNanos()) {
-            due.add(expire.encode());
+    /** The expiry of every lease that is valid now. */
+    private Set<BudgetCommand.Expire> pendingExpiries() {
+        Set<BudgetCommand.Expire> pending = new LinkedHashSet<>();
+        for (ProcessEntry process : machine.ledger().processes().values()) {
+            String name = process.name();
+            if (process.isActive()) {
+                pending.add(
+                        new BudgetCommand.Expire(
+                                name, process.session(), false, process.reportNumber()));
+            }
+            if (process.hasPredecessors() && process.predecessorsExpiredAtIndex() == 0) {
+                pending.add(new BudgetCommand.Expire(name, process.session(), true, 0));
+            }
         }
+        return pending;
     }
 }
--- a/src/main/java/calicostream/budget/GrantView.java
+++ b/src/main/java/calicostream/budget/GrantView.java
@@ -1,18 +1,21 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.budget;
 
-import calicostream.budget.GrantLedger.EngineAllocation;
-import calicostream.budget.GrantLedger.ProcessEntry;
-import calicostream.budget.GrantLedger.TenantAllocation;
 import java.util.ArrayList;
 import java.util.List;
 
 /**
- * What a copy of the grant machine knows, for arbiters and operators. Same thread as its machine;
- * changes nothing.
+ * Read-only view of a {@link GrantStateMachine}'s copy, for coordinators and operators. Used on the
+ * thread of its state machine.
  */
 public final class GrantView {
-    /** An engine; {@code target} is under {@code cap} while a lowered cap is not in force. */
+    /**
+     * An engine.
+     *
+     * @param requestedCap lower than {@code cap} while a lowered cap is not in force
+     * @param committed the most sessions that may be in use
+     * @param granted sessions granted to all processes
+     */
     public record EngineTotals(
             String name,
             long incarnation,
@@ -22,12 +25,15 @@
             int committed,
             int granted) {}
 
-    /** A tenant in the whole fleet. */
+    /** Sessions of a tenant in the whole fleet. */
     public record TenantTotals(int granted, int demand) {}
 
     /**
-     * Sessions that count until the engine tells; {@code over} is the index from which its word is
-     * proof.
+     * Sessions that may be in use until the engine's own count shows otherwise.
+     *
+     * @param session that the process's present incarnation joined under
+     * @param ofPredecessors whether they are of earlier incarnations of the process
+     * @param expiredAtIndex index from which a count is proof
      */
     public record UnconfirmedUsage(
             String engine,
@@ -37,93 +43,97 @@
             long expiredAtIndex,
             int sessions) {}
 
-    private final GrantLedger books;
+    private final GrantLedger ledger;
 
-    GrantView(GrantLedger books) {
-        this.books = books;
+    GrantView(GrantLedger ledger) {
+        this.ledger = ledger;
     }
 
     /** Index of the last command that the copy has applied; 0 if none. */
     public long appliedIndex() {
-        return books.appliedIndex;
+        return ledger.appliedIndex();
     }
 
+    /** All engines, sorted by name. */
     public List<EngineTotals> engines() {
-        List<EngineTotals> out = new ArrayList<>();
-        books.engines.forEach(
-                (name, engine) ->
-                        out.add(
-                                new EngineTotals(
-                                        name,
-                                        engine.incarnation,
-                                        engine.pool,
-                                        engine.cap,
-                                        engine.requestedCap,
-                                        books.committed(name),
-                                        books.processes.values().stream()
-                                                .filter(
-                                                        process ->
-                                                                process.allocations.containsKey(
-                                                                        name))
-                                                .mapToInt(
-                                                        process ->
-                                                                process.allocations
-                                                                        .get(name)
-                                                                        .granted())
-                                                .sum())));
-        return out;
+        List<EngineTotals> totals = new ArrayList<>();
+        ledger.engines()
+                .forEach(
+                        (name, engine) ->
+                                totals.add(
+                                        new EngineTotals(
+                                                name,
+                                                engine.incarnation(),
+                                                engine.pool(),
+                                                engine.cap(),
+                                                engine.requestedCap(),
+                                                ledger.committed(name),
+                                                grantedAt(name))));
+        return totals;
+    }
+
+    private int grantedAt(String engine) {
+        int granted = 0;
+        for (ProcessEntry process : ledger.processes().values()) {
+            EngineAllocation allocation = process.allocations().get(engine);
+            granted += allocation == null ? 0 : allocation.granted();
+        }
+        return granted;
     }
 
+    /** What the tenant is granted and demands at all engines. */
     public TenantTotals tenantTotals(String tenant) {
         int granted = 0;
-        int wanted = 0;
-        for (ProcessEntry process : books.processes.values()) {
-            for (EngineAllocation held : process.allocations.values()) {
-                TenantAllocation line = held.tenants.get(tenant);
-                granted += line == null ? 0 : line.granted;
-                wanted += line == null ? 0 : line.demand;
+        int demand = 0;
+        for (ProcessEntry process : ledger.processes().values()) {
+            for (EngineAllocation allocation : process.allocations().values()) {
+                TenantAllocation each = allocation.tenants().get(tenant);
+                granted += each == null ? 0 : each.granted();
+                demand += each == null ? 0 : each.demand();
             }
         }
-        return new TenantTotals(granted, wanted);
+        return new TenantTotals(granted, demand);
     }
 
-    /**
-     * What silent processes, and starts before the present ones, may have in use and no longer may
-     * begin.
-     */
+    /** What silent processes, and earlier incarnations, may have in use and can no longer start. */
     public List<UnconfirmedUsage> unconfirmedUsages() {
-        List<UnconfirmedUsage> out = new ArrayList<>();
-        books.processes.forEach(
-                (name, process) ->
-                        process.allocations.forEach(
-                                (engine, held) -> {
-                                    int sessions = Math.max(held.inUse, held.maxUsableSum());
-                                    if (process.session != 0
-                                            && process.expiredAtIndex != 0
-                                            && sessions > 0) {
-                                        out.add(
-                                                new UnconfirmedUsage(
-                                                        engine,
-                                                        name,
-                                                        process.session,
-                                                        false,
-                                                        process.expiredAtIndex,
-                                                        sessions));
-                                    }
-                                    if (process.session != 0
-                                            && process.hasPredecessors
-                                            && process.predecessorsExpiredAtIndex != 0
-                                            && held.orphaned > 0) {
-                                        out.add(
-                                                new UnconfirmedUsage(
-                                                        engine,
-                                                        name,
-                                                        process.session,
-                                                        true,
-                                                        process.predecessorsExpiredAtIndex,
-                                                        held.orphaned));
-                                    }
-                                }));
-        return out;
+        List<UnconfirmedUsage> usages = new ArrayList<>();
+        for (ProcessEntry process : ledger.processes().values()) {
+            if (process.hasSession()) {
+                process.allocations()
+                        .forEach((engine, allocation) -> add(usages, process, engine, allocation));
+            }
+        }
+        return usages;
+    }
+
+    private static void add(
+            List<UnconfirmedUsage> usages,
+            ProcessEntry process,
+            String engine,
+            EngineAllocation allocation) {
+        int sessions = Math.max(allocation.inUse(), allocation.maxUsableSum());
+        if (process.isExpired() && sessions > 0) {
+            usages.add(
+                    new UnconfirmedUsage(
+                            engine,
+                            process.name(),
+                            process.session(),
+                            false,
+                            process.expiredAtIndex(),
+                            sessions));
+        }
+        boolean havePredecessorsExpired =
+                process.hasPredecessors() && process.predecessorsExpiredAtIndex() != 0;
+        if (havePredecessorsExpired && allocation.orphaned() > 0) {
+            usages.add(
+                    new UnconfirmedUsage(
+                            engine,
+                            process.name(),
+                            process.session(),
+                            true,
+                            process.predecessorsExpiredAtIndex(),
+                            allocation.orphaned()));
+        }
     }
 }
--- a/src/main/java/calicostream/budget/GrantedSessions.java
+++ b/src/main/java/calicostream/budget/GrantedSessions.java
@@ -2,387 +2,305 @@
 package calicostream.budget;
 
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.EnumSet;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
 
 /**
- * What this process may use now, in memory: the request path asks {@link #mayUse} and never the
- * cluster. Owned by one thread; times are nanoseconds of a monotonic clock of this process, which
- * goes on while the process is stopped. Grants end by themselves, counted from before they were
- * asked for; what remains then, and with no quorum, are the floors. Sessions are whole numbers,
- * tenants and engines are slots.
+ * The sessions that this process may use and uses, in memory: the request path asks {@link
+ * #mayStart} and never the cluster. Owned by one thread; reads no clock: times are nanoseconds of a
+ * monotonic clock of this process, which goes on while the process is stopped.
+ *
+ * <p>Grants expire by themselves, counted from before they were asked for; what remains then, and
+ * without a quorum, are the floors. Sessions are whole numbers; tenants are indexes of the
+ * settings, engines are slots in order of their registration.
  */
 public final class GrantedSessions {
     private final BudgetSettings settings;
     private final String process;
-    private final Set<Safeguard> out;
-    private final int tenants;
-    private final List<String> names = new ArrayList<>();
-    private final List<String> pools = new ArrayList<>();
-    private final Map<String, Integer> slots = new HashMap<>();
-    private final TreeMap<Long, Long> asked = new TreeMap<>();
-    // by engine
-    private long[] incarnation = new long[0];
-    private int[] floor = new int[0];
-    private int[] left = new int[0];
-    private int[] totalSessions = new int[0];
-    private int[] sum = new int[0];
-    private int[] capacity = new int[0];
-    private int[] inHand = new int[0];
-    // by engine and tenant
-    private int[] granted = new int[0];
-    private int[] use = new int[0];
-    private boolean live;
-    private long ends;
-    private long number;
-    private long adopted;
-    private long oldest;
-    private long version;
-    private boolean calledBack;
+    private final Set<Safeguard> disabledSafeguards;
+    private final GrantLease lease;
+    private final List<EngineSlot> engines = new ArrayList<>();
+    private final Map<String, Integer> slotByName = new HashMap<>();
+    private boolean isReclaimed;
 
+    /**
+     * The sessions of a process that has been granted nothing.
+     *
+     * @param process this process's name, by which the settings may give it floors
+     */
     public GrantedSessions(BudgetSettings settings, String process) {
         this(settings, process, EnumSet.noneOf(Safeguard.class));
     }
 
-    GrantedSessions(BudgetSettings settings, String process, Set<Safeguard> out) {
+    GrantedSessions(BudgetSettings settings, String process, Set<Safeguard> disabledSafeguards) {
         this.settings = settings;
         this.process = process;
-        this.out = out;
-        this.tenants = settings.tenants().size();
+        this.disabledSafeguards = disabledSafeguards;
+        this.lease = new GrantLease(settings, disabledSafeguards);
     }
 
-    /** The slot of an engine; a new one if it was not met before. */
+    /** The slot of an engine; a new one if it was not registered before. */
     public int registerEngine(String name, String pool) {
-        Integer known = slots.get(name);
+        Integer known = slotByName.get(name);
         if (known != null) {
             return known;
         }
-        int slot = names.size();
-        int engines = slot + 1;
-        int[] wide = floor = Arrays.copyOf(floor, engines);
-        wide[slot] = settings.floor(process, pool);
-        incarnation = Arrays.copyOf(incarnation, engines);
-        left = Arrays.copyOf(left, engines);
-        totalSessions = Arrays.copyOf(totalSessions, engines);
-        sum = Arrays.copyOf(sum, engines);
-        capacity = Arrays.copyOf(capacity, engines);
-        inHand = Arrays.copyOf(inHand, engines);
-        granted = Arrays.copyOf(granted, engines * tenants);
-        use = Arrays.copyOf(use, engines * tenants);
-        left[slot] =
-                out.contains(Safeguard.FLOOR_AFTER_ORPHANS_KNOWN)
+        int slot = engines.size();
+        int orphaned =
+                disabledSafeguards.contains(Safeguard.FLOOR_AFTER_ORPHANS_KNOWN)
                         ? 0
                         : BudgetCommand.UNKNOWN_SESSIONS;
-        names.add(name);
-        pools.add(pool);
-        slots.put(name, slot);
-        refresh(slot);
+        engines.add(
+                new EngineSlot(
+                        name,
+                        pool,
+                        settings.floor(process, pool),
+                        orphaned,
+                        settings.tenants().size()));
+        slotByName.put(name, slot);
         return slot;
     }
 
     /**
-     * Whether this tenant has room at this engine now. Sessions that are on their way to the engine
-     * are bounded too.
+     * Whether this tenant may start a session at this engine now. Sessions that the engine has not
+     * acknowledged are bounded too.
      */
     public boolean mayStart(int tenant, int engine, long now) {
-        if (live && now >= ends) {
-            expire();
-        }
-        int in = totalSessions[engine];
-        int slot = engine * tenants + tenant;
-        return in < capacity[engine]
-                && inHand[engine] < settings.maxUnacknowledged()
-                && (use[slot] < granted[slot] || in + left[engine] < floor[engine]);
+        expireIfOver(now);
+        return engines.get(engine).mayStart(tenant, settings.maxUnacknowledged());
     }
 
-    /** How many sessions the tenant may begin now, at all engines together. */
+    /** How many sessions the tenant may start now, at all engines together. */
     public int headroom(int tenant, long now) {
-        if (live && now >= ends) {
-            expire();
-        }
-        int free = 0;
-        for (int engine = 0; engine < names.size(); engine++) {
-            int slot = engine * tenants + tenant;
-            int own =
-                    Math.max(
-                            granted[slot] - use[slot],
-                            floor[engine] - left[engine] - totalSessions[engine]);
-            free +=
-                    Math.max(
-                            0,
-                            Math.min(
-                                    Math.min(
-                                            capacity[engine] - totalSessions[engine],
-                                            settings.maxUnacknowledged() - inHand[engine]),
-                                    own));
+        expireIfOver(now);
+        int headroom = 0;
+        for (EngineSlot engine : engines) {
+            headroom += engine.headroom(tenant, settings.maxUnacknowledged());
         }
-        return free;
+        return headroom;
     }
 
-    /** A session is sent, in the same turn in which it was found to have room. */
+    /** A session is sent, in the same turn in which {@link #mayStart} said yes. */
     public void sessionStarted(int tenant, int engine) {
-        totalSessions[engine]++;
-        use[engine * tenants + tenant]++;
-        inHand[engine]++;
+        engines.get(engine).sessionStarted(tenant);
     }
 
-    /** The engine's word that it has a session, or its end, which says the same. */
+    /** The engine has acknowledged a session, or the session has ended there. */
     public void sessionAcknowledged(int engine, long atIncarnation) {
-        if (incarnation[engine] == atIncarnation && inHand[engine] > 0) {
-            inHand[engine]--;
-        }
+        engines.get(engine).sessionAcknowledged(atIncarnation);
     }
 
     /**
-     * A session is known to have ended at that incarnation, or never to have begun; a broken
-     * connection alone does not tell that.
+     * A session is known to have ended at that incarnation, or never to have started; a broken
+     * connection alone does not prove that.
      */
     public void sessionEnded(int tenant, int engine, long atIncarnation) {
-        if (incarnation[engine] == atIncarnation) {
-            totalSessions[engine]--;
-            use[engine * tenants + tenant]--;
-        }
+        engines.get(engine).sessionEnded(tenant, atIncarnation);
     }
 
     /**
-     * The incarnation of the engine that new sessions go to, as its connection tells: what was
-     * known here before has ended.
+     * The incarnation of the engine that new sessions go to: what was known of an older one has
+     * ended.
      */
-    public void engineConnected(int engine, long at) {
-        engineConnected(engine, at, true);
+    public void engineConnected(int engine, long incarnation) {
+        engineConnected(engine, incarnation, true);
     }
 
     /**
-     * @param latest whether the incarnation known until now was the latest that an earlier process
-     *     of this name can have met
+     * The same, where an earlier incarnation of this process may have used this one of the engine.
+     *
+     * @param wasLatestKnown whether the incarnation known until now was the latest that an earlier
+     *     process of this name can have used
      */
-    void engineConnected(int engine, long at, boolean latest) {
-        if (at > incarnation[engine]) {
-            boolean replaced = incarnation[engine] != 0;
-            incarnation[engine] = at;
-            Arrays.fill(use, engine * tenants, (engine + 1) * tenants, 0);
-            Arrays.fill(granted, engine * tenants, (engine + 1) * tenants, 0);
-            totalSessions[engine] = 0;
-            inHand[engine] = 0;
-            sum[engine] = 0;
-            if (replaced) {
-                left[engine] =
-                        latest
-                                ? 0
-                                : BudgetCommand
-                                        .UNKNOWN_SESSIONS; // what earlier starts had there ended
-                // with the
-                // older incarnation
-            }
-            refresh(engine);
+    void engineConnected(int engine, long incarnation, boolean wasLatestKnown) {
+        EngineSlot slot = engines.get(engine);
+        if (incarnation > slot.incarnation()) {
+            slot.replaceIncarnation(
+                    incarnation, wasLatestKnown ? 0 : BudgetCommand.UNKNOWN_SESSIONS);
         }
     }
 
     /**
-     * The engine itself says how many sessions earlier starts of this process have at most, with
-     * nothing of theirs on its way: floors without a quorum.
+     * The engine itself says how many sessions earlier incarnations of this process have at most,
+     * with nothing of theirs in transit: this opens floors without a quorum.
      */
-    public void boundOrphaned(int engine, long at, int sessions) {
-        if (at == incarnation[engine] && at != 0) {
-            left[engine] = Math.min(left[engine], sessions);
-            refresh(engine);
+    public void boundOrphaned(int engine, long atIncarnation, int sessions) {
+        EngineSlot slot = engines.get(engine);
+        if (atIncarnation == slot.incarnation() && atIncarnation != 0) {
+            slot.boundOrphaned(sessions);
         }
     }
 
     /**
-     * What this process goes by under a new session: nothing granted, and what it began under the
-     * old one counts as left running, which it knows to the last. The old object hears of those
-     * ends, and this one by {@link #leftBy}; of what arrives only this one need hear.
+     * What this process may use under a new cluster session: nothing granted, and what it started
+     * under the old one counts as orphaned, which it knows exactly. Ends of those sessions go to
+     * this object, from where {@link #updateOrphanedFrom} takes them; acknowledgements go to the
+     * new one.
      */
     public GrantedSessions forNewClusterSession() {
-        GrantedSessions next = new GrantedSessions(settings, process, out);
-        for (int engine = 0; engine < names.size(); engine++) {
-            next.registerEngine(names.get(engine), pools.get(engine));
-            next.engineConnected(engine, incarnation[engine]);
-            next.inHand[engine] = inHand[engine]; // on its way whatever it counts as
+        GrantedSessions next = new GrantedSessions(settings, process, disabledSafeguards);
+        for (int engine = 0; engine < engines.size(); engine++) {
+            EngineSlot slot = engines.get(engine);
+            next.registerEngine(slot.name(), slot.pool());
+            next.engineConnected(engine, slot.incarnation());
+            next.engines.get(engine).setUnacknowledged(slot.unacknowledged());
             next.updateOrphanedFrom(this, engine);
         }
         return next;
     }
 
-    /** Fewer of this process's own earlier sessions run at the engine. */
-    public void updateOrphanedFrom(GrantedSessions before, int engine) {
-        if (before.incarnation[engine] == incarnation[engine]) {
+    /** Fewer sessions of this process's previous cluster session run at the engine. */
+    public void updateOrphanedFrom(GrantedSessions previous, int engine) {
+        EngineSlot before = previous.engines.get(engine);
+        if (before.incarnation() == incarnation(engine)) {
+            int sessions = before.totalSessions() + before.orphaned();
             boundOrphaned(
                     engine,
-                    incarnation[engine],
-                    Math.min(
-                            BudgetCommand.UNKNOWN_SESSIONS,
-                            before.totalSessions[engine] + before.left[engine]));
+                    before.incarnation(),
+                    Math.min(BudgetCommand.UNKNOWN_SESSIONS, sessions));
         }
     }
 
     /**
-     * Whether what earlier starts have left running at the engine, or may have for all that is
-     * known, takes of its floor.
+     * Whether sessions that earlier incarnations have left running at the engine, or may have for
+     * all that is known, reduce its floor.
      */
     public boolean isFloorReduced(int engine) {
-        return left[engine] > 0 && floor[engine] > 0 && incarnation[engine] != 0;
+        return engines.get(engine).isFloorReduced();
     }
 
-    /** The report to send now; its answer counts from this moment, on whichever try it is given. */
+    /** The report to send now; its reply counts from this moment, whenever it is received. */
     public BudgetCommand.Renew nextReport(long now, DemandEstimator demand) {
-        if (live && now >= ends) {
-            expire();
-        }
-        asked.put(++number, now);
-        calledBack = false;
-        if (asked.size() > 64) {
-            asked.pollFirstEntry();
-        }
-        if (!live && !out.contains(Safeguard.NO_REPLY_FROM_BEFORE_EXPIRY)) {
-            oldest = number; // this report says that nothing is granted: no earlier answer may make
-            // that untrue
-        }
-        List<BudgetCommand.EngineUsage> uses = new ArrayList<>();
-        List<BudgetCommand.TenantDemand> wants = new ArrayList<>();
-        for (int engine = 0; engine < names.size(); engine++) {
-            if (incarnation[engine] != 0) {
-                uses.add(
+        expireIfOver(now);
+        isReclaimed = false;
+        long number = lease.beginReport(now);
+        List<BudgetCommand.EngineUsage> usages = new ArrayList<>();
+        List<BudgetCommand.TenantDemand> demands = new ArrayList<>();
+        for (int engine = 0; engine < engines.size(); engine++) {
+            EngineSlot slot = engines.get(engine);
+            if (slot.incarnation() != 0) {
+                usages.add(
                         new BudgetCommand.EngineUsage(
-                                names.get(engine),
-                                incarnation[engine],
-                                totalSessions[engine],
-                                left[engine]));
+                                slot.name(),
+                                slot.incarnation(),
+                                slot.totalSessions(),
+                                slot.orphaned()));
             }
-            for (int tenant = 0; tenant < tenants; tenant++) {
-                int wanted = demand.estimate(tenant, engine);
-                if (wanted > 0) {
-                    wants.add(
+            for (int tenant = 0; tenant < settings.tenants().size(); tenant++) {
+                int sessions = demand.estimate(tenant, engine);
+                if (sessions > 0) {
+                    demands.add(
                             new BudgetCommand.TenantDemand(
-                                    names.get(engine),
-                                    settings.tenants().get(tenant).name(),
-                                    wanted));
+                                    slot.name(), settings.tenants().get(tenant).name(), sessions));
                 }
             }
         }
-        return new BudgetCommand.Renew(number, live ? version : 0, uses, wants);
+        return new BudgetCommand.Renew(number, lease.usedVersion(), usages, demands);
     }
 
-    /** The answer to a report; one that is late, or comes after a newer one, changes nothing. */
-    public void applyReply(BudgetCommand.RenewalReply grants, long now) {
-        Long from = asked.get(grants.reportNumber());
-        if (live && now >= ends) {
-            expire();
-        }
-        if (from == null || grants.reportNumber() < oldest || grants.reportNumber() <= adopted) {
+    /** The reply to a report; one that is late, or received after a newer one, changes nothing. */
+    public void applyReply(BudgetCommand.RenewalReply reply, long now) {
+        expireIfOver(now);
+        if (!lease.renew(reply, now)) {
             return;
         }
-        long until =
-                (out.contains(Safeguard.LEASE_TIMED_FROM_REQUEST) ? now : from)
-                        + settings.usableNanos();
-        if (now >= until) {
-            return;
+        int[] sumsBefore = engines.stream().mapToInt(EngineSlot::grantedSum).toArray();
+        engines.forEach(EngineSlot::revokeGrants);
+        for (BudgetCommand.EngineUsage usage : reply.usages()) {
+            applyUsage(usage);
         }
-        adopted = grants.reportNumber();
-        asked.headMap(adopted, true).clear();
-        live = true;
-        ends = until;
-        version = grants.grantVersion();
-        int[] before = sum;
-        sum = new int[before.length];
-        Arrays.fill(granted, 0);
-        for (BudgetCommand.EngineUsage use : grants.usages()) {
-            Integer slot = slots.get(use.engine());
-            if (slot != null) {
-                engineConnected(
-                        slot,
-                        use.incarnation(),
-                        false); // the machine may have known it before this process began
-                if (incarnation[slot] == use.incarnation()) {
-                    left[slot] = Math.min(left[slot], use.orphaned());
-                }
+        for (BudgetCommand.Grant grant : reply.grants()) {
+            Integer engine = slotByName.get(grant.engine());
+            if (engine != null && incarnation(engine) == grant.incarnation()) {
+                engines.get(engine)
+                        .addGrant(settings.tenantIndex(grant.tenant()), grant.sessions());
             }
         }
-        for (BudgetCommand.Grant share : grants.grants()) {
-            Integer slot = slots.get(share.engine());
-            if (slot != null && incarnation[slot] == share.incarnation()) {
-                granted[slot * tenants + settings.tenantIndex(share.tenant())] = share.sessions();
-                sum[slot] += share.sessions();
-            }
+        for (int engine = 0; engine < sumsBefore.length; engine++) {
+            isReclaimed |= engines.get(engine).grantedSum() < sumsBefore[engine];
+        }
+    }
+
+    private void applyUsage(BudgetCommand.EngineUsage usage) {
+        Integer engine = slotByName.get(usage.engine());
+        if (engine == null) {
+            return;
         }
-        for (int engine = 0; engine < names.size(); engine++) {
-            calledBack |= sum[engine] < before[engine];
-            refresh(engine);
+        // The state machine may have known this incarnation before this process started.
+        engineConnected(engine, usage.incarnation(), false);
+        EngineSlot slot = engines.get(engine);
+        if (slot.incarnation() == usage.incarnation()) {
+            slot.boundOrphaned(usage.orphaned());
         }
     }
 
     /**
-     * Something was called back: the sooner the next report says that this is known, the sooner
-     * another may use it.
+     * Whether the last reply lowered a grant: the sooner the next report acknowledges that, the
+     * sooner another process may use it.
      */
     public boolean isReclaimed() {
-        return calledBack;
+        return isReclaimed;
     }
 
-    /**
-     * Refused, or known otherwise to be over: only floors from here on, and the next report says
-     * so.
-     */
-    public void expire() {
-        live = false;
-        oldest = out.contains(Safeguard.NO_REPLY_FROM_BEFORE_EXPIRY) ? oldest : number + 1;
-        Arrays.fill(granted, 0);
-        Arrays.fill(sum, 0);
-        for (int engine = 0; engine < names.size(); engine++) {
-            refresh(engine);
+    private void expireIfOver(long now) {
+        if (lease.isOver(now)) {
+            expire();
         }
     }
 
-    private void refresh(int engine) {
-        capacity[engine] = Math.max(floor[engine] - left[engine], sum[engine]);
+    /**
+     * The grants are over, by time or because a report was refused: only floors from here on, and
+     * the next report says so.
+     */
+    public void expire() {
+        lease.expire();
+        engines.forEach(EngineSlot::revokeGrants);
     }
 
     /** Whether grants are in force here; if not, floors are all there is. */
     public boolean hasActiveGrants() {
-        return live;
+        return lease.isActive();
     }
 
     /** The incarnation that new sessions at the engine go to; 0 if none is known. */
     public long incarnation(int engine) {
-        return incarnation[engine];
+        return engines.get(engine).incarnation();
     }
 
-    /** Nothing of this process is in use anywhere. */
+    /** Whether no session of this process is in use anywhere. */
     public boolean isIdle() {
-        return Arrays.stream(totalSessions).allMatch(sessions -> sessions == 0);
+        return engines.stream().allMatch(engine -> engine.totalSessions() == 0);
     }
 
-    /** Of the tenant at the engine, those on their way included. */
+    /** Sessions of the tenant at the engine, unacknowledged ones included. */
     public int sessions(int tenant, int engine) {
-        return use[engine * tenants + tenant];
+        return engines.get(engine).sessions(tenant);
     }
 
-    /** Of the tenant at all engines. */
+    /** Sessions of the tenant at all engines. */
     public int sessions(int tenant) {
         int sum = 0;
-        for (int engine = 0; engine < names.size(); engine++) {
-            sum += use[engine * tenants + tenant];
+        for (EngineSlot engine : engines) {
+            sum += engine.sessions(tenant);
         }
         return sum;
     }
 
-    /** Of all tenants at the engine, and what may be at most. */
+    /** Sessions of all tenants at the engine. */
     public int totalSessions(int engine) {
-        return totalSessions[engine];
+        return engines.get(engine).totalSessions();
     }
 
+    /** The most sessions of all tenants at the engine; negative if orphaned ones pass the floor. */
     public int capacity(int engine) {
-        return capacity[engine];
+        return engines.get(engine).capacity();
     }
 
     /** Sessions granted to the tenant at the engine. */
     public int granted(int tenant, int engine) {
-        return granted[engine * tenants + tenant];
+        return engines.get(engine).granted(tenant);
     }
 }
--- a/src/main/java/calicostream/budget/MaxMinFairAllocator.java
+++ b/src/main/java/calicostream/budget/MaxMinFairAllocator.java
@@ -1,284 +1,351 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.budget;
 
-import java.util.PriorityQueue;
-import java.util.function.IntPredicate;
+import java.util.List;
 
 /**
- * Weighted max-min fairness with guarantees and ceilings, over engines, tiers and the fleet
- * together: first every guarantee that can be met, then the tenant with the least sessions for its
- * weight gets the next one, as long as any way of placing all sessions leaves it room. What can be
- * granted to sets of tenants is a polymatroid, so a tenant that can't have one more now never can
- * later, and the greedy order is exact up to single sessions. A pure function: the same problem and
- * previous division give the same division.
+ * Weighted max-min fair allocation of sessions to tenants, with guarantees and ceilings, over
+ * engines, pools and the fleet together: first every guarantee that can be met, then the tenant
+ * with the least sessions for its weight gets the next one, as long as any placement of all
+ * sessions leaves it capacity.
+ *
+ * <p>What can be granted to sets of tenants is a polymatroid, so a tenant that can't have one more
+ * session now never can later, and the greedy order is exact up to single sessions. A pure
+ * function: the same problem and previous allocation give the same allocation.
  */
 public final class MaxMinFairAllocator {
+    private static final int ANY_POOL = -1;
+    private static final int NONE = -1;
+
+    /**
+     * What one tenant demands and is entitled to, in sessions.
+     *
+     * @param weight its share relative to other tenants
+     * @param demand by engine
+     * @param poolGuarantees by pool
+     * @param poolCeilings by pool
+     * @param guarantee over all pools
+     * @param ceiling over all pools
+     */
+    public record TenantClaim(
+            int weight,
+            int[] demand,
+            int[] poolGuarantees,
+            int[] poolCeilings,
+            int guarantee,
+            int ceiling) {}
+
     /**
+     * What is to be allocated, in sessions.
+     *
      * @param caps by engine
-     * @param tierOf by engine: its tier
-     * @param tierCaps by tier
-     * @param weights by tenant
-     * @param wanted by tenant and engine
+     * @param poolOf by engine: the index of its pool
+     * @param poolCaps by pool
+     * @param tenants who shares the engines
      */
-    public record Problem(
-            int[] caps,
-            int[] poolOf,
-            int[] poolCaps,
-            int[] weights,
-            int[][] demand,
-            int[][] poolGuarantees,
-            int[][] poolCeilings,
-            int[] guarantees,
-            int[] ceilings) {
-        int tenants() {
-            return weights.length;
+    public record Problem(int[] caps, int[] poolOf, int[] poolCaps, List<TenantClaim> tenants) {
+        /** Copies the list, not the arrays. */
+        public Problem {
+            tenants = List.copyOf(tenants);
+        }
+
+        int tenantCount() {
+            return tenants.size();
         }
 
-        int engines() {
+        int engineCount() {
             return caps.length;
         }
 
-        int pools() {
+        int poolCount() {
             return poolCaps.length;
         }
+
+        TenantClaim tenant(int tenant) {
+            return tenants.get(tenant);
+        }
     }
 
     private final Problem problem;
-    private final BoundedFlowNetwork flow;
+    private final BoundedFlowNetwork network;
     private final int sink;
-    private final int[][] toTier;
-    private final int[][] toEngine;
-    private final int[] fromEngine;
-    private final int[] fromTier;
+
+    /** Edges by tenant and pool: sessions of the tenant in the pool. */
+    private final int[][] tenantPoolEdges;
+
+    /** Edges by tenant and engine: sessions of the tenant at the engine. */
+    private final int[][] tenantEngineEdges;
+
+    /** Edges by engine: sessions at the engine. */
+    private final int[] engineEdges;
+
+    /** Edges by pool: sessions in the pool. */
+    private final int[] poolEdges;
+
+    /** Sessions placed, by tenant. */
     private final int[] totals;
 
     private MaxMinFairAllocator(Problem problem) {
         this.problem = problem;
-        int tenants = problem.tenants();
-        int tiers = problem.pools();
-        int engines = problem.engines();
-        sink = tenants + tenants * tiers + engines + tiers;
-        flow = new BoundedFlowNetwork(sink + 1);
+        int tenants = problem.tenantCount();
+        int pools = problem.poolCount();
+        int engines = problem.engineCount();
+        sink = tenants + tenants * pools + engines + pools;
+        network = new BoundedFlowNetwork(sink + 1);
         totals = new int[tenants];
-        toTier = new int[tenants][tiers];
-        toEngine = new int[tenants][engines];
-        fromEngine = new int[engines];
-        fromTier = new int[tiers];
-        for (int t = 0; t < tenants; t++) {
-            for (int k = 0; k < tiers; k++) {
-                toTier[t][k] = flow.addEdge(t, tierNode(t, k), problem.poolCeilings[t][k]);
-            }
-            for (int e = 0; e < engines; e++) {
-                toEngine[t][e] =
-                        flow.addEdge(
-                                tierNode(t, problem.poolOf[e]),
-                                engineNode(e),
-                                problem.demand[t][e]);
-            }
+        tenantPoolEdges = new int[tenants][pools];
+        tenantEngineEdges = new int[tenants][engines];
+        engineEdges = new int[engines];
+        poolEdges = new int[pools];
+        for (int tenant = 0; tenant < tenants; tenant++) {
+            addTenantEdges(tenant);
         }
-        for (int e = 0; e < engines; e++) {
-            fromEngine[e] =
-                    flow.addEdge(
-                            engineNode(e),
-                            engineNode(engines) + problem.poolOf[e],
-                            problem.caps[e]);
+        for (int engine = 0; engine < engines; engine++) {
+            engineEdges[engine] =
+                    network.addEdge(
+                            engineNode(engine),
+                            poolNode(problem.poolOf()[engine]),
+                            problem.caps()[engine]);
         }
-        for (int k = 0; k < tiers; k++) {
-            fromTier[k] = flow.addEdge(engineNode(engines) + k, sink, problem.poolCaps[k]);
+        for (int pool = 0; pool < pools; pool++) {
+            poolEdges[pool] = network.addEdge(poolNode(pool), sink, problem.poolCaps()[pool]);
         }
     }
 
-    private int tierNode(int tenant, int tier) {
-        return problem.tenants() + tenant * problem.pools() + tier;
+    private void addTenantEdges(int tenant) {
+        TenantClaim claim = problem.tenant(tenant);
+        for (int pool = 0; pool < problem.poolCount(); pool++) {
+            tenantPoolEdges[tenant][pool] =
+                    network.addEdge(
+                            tenant, tenantPoolNode(tenant, pool), claim.poolCeilings()[pool]);
+        }
+        for (int engine = 0; engine < problem.engineCount(); engine++) {
+            tenantEngineEdges[tenant][engine] =
+                    network.addEdge(
+                            tenantPoolNode(tenant, problem.poolOf()[engine]),
+                            engineNode(engine),
+                            claim.demand()[engine]);
+        }
+    }
+
+    private int tenantPoolNode(int tenant, int pool) {
+        return problem.tenantCount() + tenant * problem.poolCount() + pool;
     }
 
     private int engineNode(int engine) {
-        return problem.tenants() * (1 + problem.pools()) + engine;
+        return problem.tenantCount() * (1 + problem.poolCount()) + engine;
+    }
+
+    private int poolNode(int pool) {
+        return engineNode(problem.engineCount()) + pool;
     }
 
     /**
-     * @param previous the last division, from which as little as possible is moved; null if there
+     * Allocates sessions to tenants at engines.
+     *
+     * @param previous the last allocation, from which as little as possible is moved; null if there
      *     was none
      * @return sessions by tenant and engine
      */
     public static int[][] allocate(Problem problem, int[][] previous) {
         MaxMinFairAllocator fair = new MaxMinFairAllocator(problem);
-        int[][] kept = fair.guarantee();
-        fair.fill(problem.weights, problem.ceilings);
+        int[][] guaranteed = fair.meetGuarantees();
+        fair.fillByWeight(ceilings(problem));
         if (previous == null) {
-            return fair.placed();
+            return fair.placements();
         }
         MaxMinFairAllocator near = new MaxMinFairAllocator(problem);
-        near.follow(previous, kept, fair.totals);
-        return near.placed();
+        near.placeNear(previous, guaranteed, fair.totals);
+        return near.placements();
+    }
+
+    private static int[] ceilings(Problem problem) {
+        return problem.tenants().stream().mapToInt(TenantClaim::ceiling).toArray();
     }
 
-    private int[][] placed() {
-        int[][] placed = new int[problem.tenants()][problem.engines()];
-        for (int t = 0; t < placed.length; t++) {
-            for (int e = 0; e < placed[t].length; e++) {
-                placed[t][e] = flow.flow(toEngine[t][e]);
+    private int[][] placements() {
+        int[][] placements = new int[problem.tenantCount()][problem.engineCount()];
+        for (int tenant = 0; tenant < placements.length; tenant++) {
+            for (int engine = 0; engine < placements[tenant].length; engine++) {
+                placements[tenant][engine] = network.flow(tenantEngineEdges[tenant][engine]);
             }
         }
-        return placed;
+        return placements;
     }
 
     /**
-     * In each tier first, which is kept there and told, then over all; where not all can be met, in
-     * proportion to what is guaranteed.
+     * Places the sessions that are guaranteed: in each pool first, where they must stay, then over
+     * all pools. Where not all can be met, each gets its proportion.
+     *
+     * @return what was placed for the pools' guarantees, by tenant and pool
      */
-    private int[][] guarantee() {
-        int tiers = problem.pools();
-        int[] promised = new int[problem.tenants() * tiers];
-        for (int i = 0; i < promised.length; i++) {
-            promised[i] = problem.poolGuarantees[i / tiers][i % tiers];
-        }
-        raise(
-                promised,
-                promised,
-                new int[promised.length],
-                i -> {
-                    int tenant = i / tiers;
-                    int edge = toTier[tenant][i % tiers];
-                    if (totals[tenant] >= problem.ceilings[tenant] || !one(tenant, i % tiers)) {
-                        return false;
-                    }
-                    totals[tenant]++;
-                    flow.setLowerBound(edge, flow.flow(edge));
-                    return true;
-                });
-        int[][] kept = new int[problem.tenants()][tiers];
-        int[] most = new int[problem.tenants()];
-        for (int t = 0; t < most.length; t++) {
-            for (int k = 0; k < tiers; k++) {
-                kept[t][k] = flow.flow(toTier[t][k]);
+    private int[][] meetGuarantees() {
+        meetPoolGuarantees();
+        int[][] guaranteed = new int[problem.tenantCount()][problem.poolCount()];
+        int[] weights = new int[problem.tenantCount()];
+        int[] limits = new int[problem.tenantCount()];
+        for (int tenant = 0; tenant < guaranteed.length; tenant++) {
+            for (int pool = 0; pool < problem.poolCount(); pool++) {
+                guaranteed[tenant][pool] = network.flow(tenantPoolEdges[tenant][pool]);
             }
-            most[t] = Math.min(problem.guarantees[t], problem.ceilings[t]);
+            TenantClaim claim = problem.tenant(tenant);
+            weights[tenant] = claim.guarantee();
+            limits[tenant] = Math.min(claim.guarantee(), claim.ceiling());
+        }
+        fill(weights, limits);
+        return guaranteed;
+    }
+
+    private void meetPoolGuarantees() {
+        int pools = problem.poolCount();
+        int[] guarantees = new int[problem.tenantCount() * pools];
+        for (int i = 0; i < guarantees.length; i++) {
+            guarantees[i] = problem.tenant(i / pools).poolGuarantees()[i % pools];
         }
-        fill(problem.guarantees, most);
-        return kept;
+        WaterFilling.fill(
+                guarantees,
+                guarantees,
+                new int[guarantees.length],
+                i -> placeGuaranteed(i / pools, i % pools));
+    }
+
+    private boolean placeGuaranteed(int tenant, int pool) {
+        if (totals[tenant] >= problem.tenant(tenant).ceiling() || !placeInPool(tenant, pool)) {
+            return false;
+        }
+        totals[tenant]++;
+        int edge = tenantPoolEdges[tenant][pool];
+        network.setLowerBound(edge, network.flow(edge));
+        return true;
+    }
+
+    private void fillByWeight(int[] limits) {
+        int[] weights = problem.tenants().stream().mapToInt(TenantClaim::weight).toArray();
+        fill(weights, limits);
     }
 
-    private void fill(int[] weights, int[] most) {
-        raise(weights, most, totals, t -> direct(t, -1) || flow.augment(t, sink));
+    private void fill(int[] weights, int[] limits) {
+        WaterFilling.fill(
+                weights,
+                limits,
+                totals,
+                tenant -> placeDirectly(tenant, ANY_POOL) || network.augment(tenant, sink));
     }
 
-    /** One more for the tenant within a tier. */
-    private boolean one(int tenant, int tier) {
-        if (flow.residual(toTier[tenant][tier]) <= 0) {
+    /** Places one more session of the tenant within a pool; false if that can't be. */
+    private boolean placeInPool(int tenant, int pool) {
+        int edge = tenantPoolEdges[tenant][pool];
+        if (network.residual(edge) <= 0) {
             return false;
         }
-        if (direct(tenant, tier)) {
+        if (placeDirectly(tenant, pool)) {
             return true;
         }
-        if (!flow.augment(tierNode(tenant, tier), sink)) {
+        if (!network.augment(tenantPoolNode(tenant, pool), sink)) {
             return false;
         }
-        flow.push(toTier[tenant][tier], 1);
+        network.push(edge, 1);
         return true;
     }
 
     /**
-     * One session, if that moves nobody, at the engine where the tenant has least of what it wants,
-     * in the tier or in any.
+     * Places one session without moving any other, at the engine where the tenant has least of its
+     * demand; false if there is none.
+     *
+     * @param pool in which to place it, or {@link #ANY_POOL}
      */
-    private boolean direct(int tenant, int tier) {
-        int best = -1;
-        for (int e = 0; e < problem.engines(); e++) {
-            int k = problem.poolOf[e];
-            int edge = toEngine[tenant][e];
-            if ((tier < 0 || tier == k)
-                    && flow.residual(edge) > 0
-                    && flow.residual(fromEngine[e]) > 0
-                    && flow.residual(fromTier[k]) > 0
-                    && flow.residual(toTier[tenant][k]) > 0
-                    && (best < 0
-                            || (long) flow.flow(edge) * problem.demand[tenant][best]
-                                    < (long) flow.flow(toEngine[tenant][best])
-                                            * problem.demand[tenant][e])) {
-                best = e;
+    private boolean placeDirectly(int tenant, int pool) {
+        int best = NONE;
+        for (int engine = 0; engine < problem.engineCount(); engine++) {
+            boolean isInPool = pool == ANY_POOL || pool == problem.poolOf()[engine];
+            if (isInPool
+                    && hasCapacity(tenant, engine)
+                    && (best == NONE || hasLessOfItsDemand(tenant, engine, best))) {
+                best = engine;
             }
         }
-        if (best >= 0) {
-            place(tenant, best, 1);
+        if (best == NONE) {
+            return false;
         }
-        return best >= 0;
+        place(tenant, best, 1);
+        return true;
+    }
+
+    private boolean hasCapacity(int tenant, int engine) {
+        int pool = problem.poolOf()[engine];
+        return network.residual(tenantEngineEdges[tenant][engine]) > 0
+                && network.residual(engineEdges[engine]) > 0
+                && network.residual(poolEdges[pool]) > 0
+                && network.residual(tenantPoolEdges[tenant][pool]) > 0;
+    }
+
+    /** Whether the tenant has a smaller part of its demand at the engine than at the other one. */
+    private boolean hasLessOfItsDemand(int tenant, int engine, int other) {
+        int[] demand = problem.tenant(tenant).demand();
+        long placed = network.flow(tenantEngineEdges[tenant][engine]);
+        long placedAtOther = network.flow(tenantEngineEdges[tenant][other]);
+        return placed * demand[other] < placedAtOther * demand[engine];
     }
 
     private void place(int tenant, int engine, int sessions) {
-        flow.push(toTier[tenant][problem.poolOf[engine]], sessions);
-        flow.push(toEngine[tenant][engine], sessions);
-        flow.push(fromEngine[engine], sessions);
-        flow.push(fromTier[problem.poolOf[engine]], sessions);
+        int pool = problem.poolOf()[engine];
+        network.push(tenantPoolEdges[tenant][pool], sessions);
+        network.push(tenantEngineEdges[tenant][engine], sessions);
+        network.push(engineEdges[engine], sessions);
+        network.push(poolEdges[pool], sessions);
     }
 
     /**
-     * Again and again the one with least for its weight takes one more; who can't is out for good.
+     * Places the given totals and guarantees as near to the previous allocation as they allow.
+     *
+     * @param guaranteed by tenant and pool
+     * @param fairTotals by tenant
      */
-    private static void raise(int[] weights, int[] most, int[] given, IntPredicate takesOne) {
-        PriorityQueue<Integer> order =
-                new PriorityQueue<>(
-                        (a, b) -> {
-                            int by =
-                                    Long.compare(
-                                            (2L * given[a] + 1) * weights[b],
-                                            (2L * given[b] + 1) * weights[a]);
-                            return by != 0 ? by : Integer.compare(a, b);
-                        });
-        for (int i = 0; i < weights.length; i++) {
-            if (weights[i] > 0 && given[i] < most[i]) {
-                order.add(i);
+    private void placeNear(int[][] previous, int[][] guaranteed, int[] fairTotals) {
+        for (int tenant = 0; tenant < problem.tenantCount(); tenant++) {
+            for (int engine = 0; engine < problem.engineCount(); engine++) {
+                keepPrevious(tenant, engine, previous[tenant][engine], fairTotals[tenant]);
+            }
+            for (int pool = 0; pool < problem.poolCount(); pool++) {
+                int edge = tenantPoolEdges[tenant][pool];
+                network.setLowerBound(edge, Math.min(guaranteed[tenant][pool], network.flow(edge)));
             }
         }
-        while (!order.isEmpty()) {
-            int least = order.poll();
-            if (takesOne.test(least)) {
-                given[least]++;
-                if (given[least] < most[least]) {
-                    order.add(least);
-                }
+        for (int tenant = 0; tenant < problem.tenantCount(); tenant++) {
+            for (int pool = 0; pool < problem.poolCount(); pool++) {
+                restoreGuarantee(tenant, pool, guaranteed[tenant][pool], fairTotals[tenant]);
             }
         }
+        fillByWeight(fairTotals);
     }
 
-    /** The same totals and guarantees, placed as near to the previous division as they allow. */
-    private void follow(int[][] previous, int[][] kept, int[] wanted) {
-        for (int t = 0; t < problem.tenants(); t++) {
-            for (int e = 0; e < problem.engines(); e++) {
-                int tier = problem.poolOf[e];
-                int sessions =
-                        Math.min(
-                                Math.min(
-                                        Math.min(previous[t][e], flow.residual(toEngine[t][e])),
-                                        Math.min(
-                                                flow.residual(fromEngine[e]),
-                                                flow.residual(fromTier[tier]))),
-                                Math.min(flow.residual(toTier[t][tier]), wanted[t] - totals[t]));
-                if (sessions > 0) {
-                    place(t, e, sessions);
-                    totals[t] += sessions;
-                }
-            }
-            for (int k = 0; k < problem.pools(); k++) {
-                flow.setLowerBound(toTier[t][k], Math.min(kept[t][k], flow.flow(toTier[t][k])));
-            }
+    /** Places as many of the tenant's previous sessions at the engine as still have capacity. */
+    private void keepPrevious(int tenant, int engine, int previous, int fairTotal) {
+        int pool = problem.poolOf()[engine];
+        int sessions = Math.min(previous, fairTotal - totals[tenant]);
+        sessions = Math.min(sessions, network.residual(tenantEngineEdges[tenant][engine]));
+        sessions = Math.min(sessions, network.residual(engineEdges[engine]));
+        sessions = Math.min(sessions, network.residual(poolEdges[pool]));
+        sessions = Math.min(sessions, network.residual(tenantPoolEdges[tenant][pool]));
+        if (sessions > 0) {
+            place(tenant, engine, sessions);
+            totals[tenant] += sessions;
         }
-        for (int t = 0; t < problem.tenants(); t++) {
-            for (int k = 0; k < problem.pools(); k++) {
-                int edge = toTier[t][k];
-                while (flow.flow(edge) < kept[t][k]) {
-                    if (totals[t] < wanted[t] && one(t, k)) {
-                        totals[t]++;
-                    } else if (flow.augment(
-                            tierNode(t, k), t)) { // from another tier of the same tenant
-                        flow.push(edge, 1);
-                    } else {
-                        break;
-                    }
-                    flow.setLowerBound(edge, flow.flow(edge));
-                }
+    }
+
+    /** Raises the tenant's sessions in the pool to what is guaranteed, as far as that can be. */
+    private void restoreGuarantee(int tenant, int pool, int guaranteed, int fairTotal) {
+        int edge = tenantPoolEdges[tenant][pool];
+        while (network.flow(edge) < guaranteed) {
+            if (totals[tenant] < fairTotal && placeInPool(tenant, pool)) {
+                totals[tenant]++;
+            } else if (network.augment(tenantPoolNode(tenant, pool), tenant)) {
+                // Moved here from another pool of the same tenant.
+                network.push(edge, 1);
+            } else {
+                break;
             }
+            network.setLowerBound(edge, network.flow(edge));
         }
-        fill(problem.weights, wanted);
     }
 }
--- a/src/main/java/calicostream/budget/QueuedDemand.java
+++ b/src/main/java/calicostream/budget/QueuedDemand.java
@@ -1,28 +1,35 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.budget;
 
-/** What waits for no engine in particular, as demand at each of them. Stateless. */
+/**
+ * Attributes requests that are queued for no particular engine to engines, as demand. Stateless.
+ */
 public final class QueuedDemand {
     private QueuedDemand() {}
 
     /**
-     * In parts by the engines' caps, whole, and together just what waits; engines without a cap
-     * have none.
+     * Distributes queued requests in proportion to the engines' caps, as whole numbers that sum up
+     * to just what is queued.
+     *
+     * @param caps by engine; one without a cap gets none, and if no engine has one, none does
+     * @return requests by engine
      */
-    public static int[] distribute(int waiting, int[] caps) {
-        long sum = 0;
+    public static int[] distribute(int queued, int[] caps) {
+        long capSum = 0;
         for (int cap : caps) {
-            sum += cap;
+            capSum += cap;
         }
-        int[] out = new int[caps.length];
+        int[] distributed = new int[caps.length];
+        if (capSum == 0) {
+            return distributed;
+        }
+        // Differences of rounded running sums leave no remainder to distribute.
         long before = 0;
-        for (int e = 0;
-                e < caps.length && sum > 0;
-                e++) { // Differences of rounded running sums: no remainder to place.
-            long until = before + caps[e];
-            out[e] = (int) (waiting * until / sum - waiting * before / sum);
+        for (int engine = 0; engine < caps.length; engine++) {
+            long until = before + caps[engine];
+            distributed[engine] = (int) (queued * until / capSum - queued * before / capSum);
             before = until;
         }
-        return out;
+        return distributed;
     }
 }
--- a/src/main/java/calicostream/budget/Safeguard.java
+++ b/src/main/java/calicostream/budget/Safeguard.java
@@ -2,38 +2,29 @@
 package calicostream.budget;
 
 /**
- * Rules that keep engines under their caps, by name, so that runs can take one out and show that
- * the checker finds what it guards against. The program itself never takes one out: only this
- * package's constructors for tests do.
+ * The rules that keep engines within their caps, by name, so that simulations can disable one and
+ * show that their checker finds what it guards against. Only this package's constructors for tests
+ * disable any.
  */
 enum Safeguard {
-    /**
-     * Nothing that may be in use is counted as free before the leader has counted the grant's whole
-     * time.
-     */
+    /** What may be in use counts until the leader has counted the grant's whole lease time. */
     GRANT_HELD_TO_EXPIRY,
-    /**
-     * A lowered grant counts at its old size until its process has said that it knows the new one.
-     */
+    /** A lowered grant counts at its old size until its process has acknowledged the new one. */
     LOWERED_GRANT_COUNTS_UNTIL_ACKNOWLEDGED,
-    /**
-     * What a process that fell silent may have left running counts until it is known to have ended.
-     */
+    /** Sessions that an expired or earlier process may have left running count. */
     ORPHANED_SESSIONS_COUNT,
-    /** An engine's count is proof only if it was asked for after the expiry was seen. */
+    /** An engine's count is proof only if it was asked for after the expiry was known. */
     PROOF_AFTER_EXPIRY,
-    /** Sessions that are sent and not yet at the engine count beside the engine's own count. */
+    /** Sessions that are sent and not yet at the engine count in addition to its own count. */
     UNACKNOWLEDGED_COUNTS,
-    /** Sums are checked against the cap where a division is applied. */
+    /** Sums are checked against the cap where an allocation is applied. */
     CAP_CHECKED_AT_APPLY,
     /** A lowered cap is in force only once no more than it may be in use. */
     LOWERED_CAP_IS_DEFERRED,
-    /** A process counts its grants' time from before it asked. */
+    /** A process counts the lease time from before it sent its report. */
     LEASE_TIMED_FROM_REQUEST,
-    /** A process that has said that its grants are over takes no answer to an older report. */
+    /** A process that has reported its grants as expired applies no reply to an older report. */
     NO_REPLY_FROM_BEFORE_EXPIRY,
-    /**
-     * A started process uses no floor before it knows what its former start may have left running.
-     */
+    /** A started process uses no floor before it knows what its predecessor left running. */
     FLOOR_AFTER_ORPHANS_KNOWN
 }
--- a/src/main/java/calicostream/budget/SessionLedger.java
+++ b/src/main/java/calicostream/budget/SessionLedger.java
@@ -7,190 +7,196 @@
 import java.util.Map;
 
 /**
- * What this process has begun, what of it has ended, is on its way or in doubt, and what its
- * engines' counts say of that and of what an earlier process of its name may have left running.
- * Owned by one thread; reads no clock: times are nanoseconds of this process's monotonic one.
+ * Accounts for the sessions that this process has started: which have ended, are in transit or
+ * unconfirmed, and what the engines' counts prove about them and about sessions that an earlier
+ * process of the same name left running. Owned by one thread; reads no clock: times are nanoseconds
+ * of this process's monotonic one.
  *
- * <p>An engine counts all that it runs, whoever sent it. Earlier processes of the name are dead, so
- * nothing of them begins any more; what they had sent is at the engine, or its connection closed,
- * once the travel time is over. A count asked for then bounds what they left. One asked for before
- * bounds nothing: each of those that died within that time may have had as many on the way as one
- * may have.
+ * <p>An engine counts all sessions that it runs, of whatever process. Earlier processes of the name
+ * are dead, so they start nothing any more; what they had sent is at the engine, or its connection
+ * closed, once the transit time is over. A count asked for then bounds what they left. One asked
+ * for before bounds nothing: each process that died within that time may have had as many sessions
+ * in transit as one may have.
  */
 public final class SessionLedger {
-    private static final int LOOKS = 5; // in a travel time
+    private static final int COUNTS_PER_TRANSIT_TIME = 5;
 
-    /** A session begun by this process; it knows under which of the process's joins. */
+    /** A session started by this process; it knows under which of the process's joins. */
     public static final class Session {
-        private final int start;
+        private final int joinNumber;
         private final int tenant;
         private final int engine;
         private final long incarnation;
-        private boolean arrived;
+        private boolean isAcknowledged;
 
-        private Session(int start, int tenant, int engine, long incarnation) {
-            this.start = start;
+        private Session(int joinNumber, int tenant, int engine, long incarnation) {
+            this.joinNumber = joinNumber;
             this.tenant = tenant;
             this.engine = engine;
             this.incarnation = incarnation;
         }
     }
 
-    private final long travelNanos;
-    private final UnconfirmedSessions doubts;
-    private final Map<Integer, Long> looks = new HashMap<>();
-    private GrantedSessions grantedSessions;
-    private GrantedSessions former;
-    private int start;
+    private final long maxTransitNanos;
+    private final UnconfirmedSessions unconfirmed;
+
+    /** By engine: when its count is to be asked for next. */
+    private final Map<Integer, Long> nextCountAt = new HashMap<>();
+
+    private GrantedSessions current;
+
+    /** Of the join before the present one; null if there was none. */
+    private GrantedSessions previous;
+
+    private int joinNumber;
     private long startedAt;
 
     /**
-     * @param travelNanos after which nothing that was sent, by a process that is dead or by a
-     *     connection that is closed, is on its way
+     * A ledger without sessions.
+     *
+     * @param maxTransitNanos after which nothing that was sent, by a process that is dead or by a
+     *     connection that is closed, is in transit
      * @param now since when no other process of this name runs, or later
      */
-    public SessionLedger(BudgetSettings settings, String process, long travelNanos, long now) {
-        this(new GrantedSessions(settings, process), travelNanos, now);
+    public SessionLedger(BudgetSettings settings, String process, long maxTransitNanos, long now) {
+        this(new GrantedSessions(settings, process), maxTransitNanos, now);
     }
 
-    SessionLedger(GrantedSessions holdings, long travelNanos, long now) {
-        this.grantedSessions = holdings;
-        this.travelNanos = travelNanos;
+    SessionLedger(GrantedSessions grantedSessions, long maxTransitNanos, long now) {
+        this.current = grantedSessions;
+        this.maxTransitNanos = maxTransitNanos;
         this.startedAt = now;
-        doubts = new UnconfirmedSessions(travelNanos);
+        this.unconfirmed = new UnconfirmedSessions(maxTransitNanos);
     }
 
-    /** The same process, but known to be the only one of its name only from now on. */
+    /** This process is known to be the only one of its name only from now on. */
     public void exclusiveSince(long now) {
         startedAt = now;
     }
 
-    /** What it goes by now; another object after {@link #joined}. */
+    /** What the process may use now; another object after {@link #joined}. */
     public GrantedSessions grantedSessions() {
-        return grantedSessions;
+        return current;
     }
 
     /**
-     * Under a new session at the cluster: what runs counts as left running, and nothing is granted.
+     * The process has joined under a new cluster session: what runs counts as orphaned, and nothing
+     * is granted.
      */
     public void joined() {
-        if (start++ > 0) {
-            former = grantedSessions;
-            grantedSessions = former.forNewClusterSession();
+        if (joinNumber > 0) {
+            previous = current;
+            current = previous.forNewClusterSession();
         }
+        joinNumber++;
     }
 
+    /** Whether the process has joined at least once. */
     public boolean hasJoined() {
-        return start > 0;
+        return joinNumber > 0;
     }
 
     /**
-     * The engine's incarnation by the list; an older one is no news. A list that was read at the
-     * start may have been behind, so that the earlier process has met this incarnation too: for a
-     * travel time nothing is known of what it left there.
+     * The engine's incarnation by the endpoint list; an older one changes nothing. A list that was
+     * read at the start may have been behind, so that an earlier process has used this incarnation
+     * too: for a transit time nothing is known of what it left there.
      */
     public void engineConnected(int engine, long incarnation, long now) {
-        if (incarnation > grantedSessions.incarnation(engine)) {
-            doubts.engineReplaced(engine);
-            grantedSessions.engineConnected(engine, incarnation, now - startedAt >= travelNanos);
+        if (incarnation > current.incarnation(engine)) {
+            unconfirmed.engineReplaced(engine);
+            current.engineConnected(engine, incarnation, now - startedAt >= maxTransitNanos);
         }
     }
 
-    /** Sent, in the turn in which it was found to have room. */
+    /** A session is sent, in the turn in which it was found to have capacity. */
     public Session sessionStarted(int tenant, int engine) {
-        grantedSessions.sessionStarted(tenant, engine);
-        return new Session(start, tenant, engine, grantedSessions.incarnation(engine));
+        current.sessionStarted(tenant, engine);
+        return new Session(joinNumber, tenant, engine, current.incarnation(engine));
     }
 
-    /** The engine has it; said any number of times. */
+    /** The engine has the session; may be called any number of times. */
     public void sessionAcknowledged(Session session) {
-        if (!session.arrived) {
-            session.arrived = true;
-            grantedSessions.sessionAcknowledged(
-                    session.engine,
-                    session.incarnation); // which has taken over what was on its way before the
-            // last join
+        if (!session.isAcknowledged) {
+            session.isAcknowledged = true;
+            // The present object has taken over what was unacknowledged before the last join.
+            current.sessionAcknowledged(session.engine, session.incarnation);
         }
     }
 
     /**
-     * It is over here.
+     * The session is over here.
      *
-     * @param known that it is over at the engine too, or never came there
-     * @return whether a place is free for it; if not, its engine's counts will tell
+     * @param isConfirmed whether it is known to be over at the engine too, or never arrived there
+     * @return whether its place is free; if not, the engine's counts will tell
      */
-    public boolean sessionEnded(Session session, boolean known, long now) {
-        sessionAcknowledged(session); // at the engine or nowhere: it is in hand no longer
-        if (known) {
-            ended(session.start, session.tenant, session.engine, session.incarnation);
+    public boolean sessionEnded(Session session, boolean isConfirmed, long now) {
+        sessionAcknowledged(session); // At the engine or nowhere: in transit no longer.
+        if (isConfirmed) {
+            release(session.joinNumber, session.tenant, session.engine, session.incarnation);
         } else {
-            doubts.add(
+            unconfirmed.add(
                     new UnconfirmedSessions.UnconfirmedSession(
-                            session.start,
+                            session.joinNumber,
                             session.tenant,
                             session.engine,
                             session.incarnation,
                             now));
         }
-        return known;
+        return isConfirmed;
     }
 
     /**
-     * How many sessions the engine runs of all processes together, as of that time or later.
+     * An engine's count of the sessions of all processes together.
      *
-     * @return the tenants of the sessions in doubt that have ended by this, one for each
+     * @param askedAt time at which the count was asked for, or earlier
+     * @return the tenants of the unconfirmed sessions that have ended by this, one for each
      */
     public List<Integer> engineCounted(int engine, long askedAt, int running) {
         List<Integer> tenants = new ArrayList<>();
-        for (UnconfirmedSessions.UnconfirmedSession each :
-                doubts.engineCounted(engine, askedAt, running)) {
-            ended(each.joinNumber(), each.tenant(), engine, each.incarnation());
-            tenants.add(each.tenant());
+        for (UnconfirmedSessions.UnconfirmedSession ended :
+                unconfirmed.engineCounted(engine, askedAt, running)) {
+            release(ended.joinNumber(), ended.tenant(), engine, ended.incarnation());
+            tenants.add(ended.tenant());
         }
-        // Under a later join what counts as left is this living process's own too, which is on its
-        // way as well.
-        if (former == null && askedAt - startedAt >= travelNanos) {
-            grantedSessions.boundOrphaned(engine, grantedSessions.incarnation(engine), running);
+        // Under a later join the orphaned sessions are this living process's own too, which may be
+        // in transit as well.
+        if (previous == null && askedAt - startedAt >= maxTransitNanos) {
+            current.boundOrphaned(engine, current.incarnation(engine), running);
         }
         return tenants;
     }
 
     /**
-     * Whether to ask the engine for its count now, since its floor is not whole and no grant says
-     * more. Yes is said once for each time that it is due: in the moment from which a count is
-     * proof, and then five times in a travel time.
+     * Whether to ask the engine for its count now, since its floor is reduced and no grant says
+     * more. Returns true once for each time that it is due: at the moment from which a count is
+     * proof, and then five times in a transit time.
      */
     public boolean isCountDue(int engine, long now) {
-        if (former != null
-                || grantedSessions.hasActiveGrants()
-                || !grantedSessions.isFloorReduced(engine)
-                || now < looks.getOrDefault(engine, startedAt + travelNanos)) {
+        if (previous != null
+                || current.hasActiveGrants()
+                || !current.isFloorReduced(engine)
+                || now < nextCountAt.getOrDefault(engine, startedAt + maxTransitNanos)) {
             return false;
         }
-        looks.put(engine, now + travelNanos / LOOKS);
+        nextCountAt.put(engine, now + maxTransitNanos / COUNTS_PER_TRANSIT_TIME);
         return true;
     }
 
-    /** Sessions given up whose end no engine has told. */
+    /** How many sessions were given up whose end no engine has confirmed. */
     public int unconfirmed() {
-        return doubts.size();
+        return unconfirmed.size();
     }
 
     /**
-     * Of this join, or of the one before, which counts as left running; older ones count until the
-     * engines tell.
+     * Releases the place of a session of the present join, or of the one before, whose sessions
+     * count as orphaned; those of older joins count until the engines tell.
      */
-    private GrantedSessions by(int number) {
-        return number == start ? grantedSessions : number == start - 1 ? former : null;
-    }
-
-    private void ended(int number, int tenant, int engine, long incarnation) {
-        GrantedSessions by = by(number);
-        if (by != null) {
-            by.sessionEnded(tenant, engine, incarnation);
-            if (by == former) {
-                grantedSessions.updateOrphanedFrom(former, engine);
-            }
+    private void release(int ofJoin, int tenant, int engine, long incarnation) {
+        if (ofJoin == joinNumber) {
+            current.sessionEnded(tenant, engine, incarnation);
+        } else if (ofJoin == joinNumber - 1 && previous != null) {
+            previous.sessionEnded(tenant, engine, incarnation);
+            current.updateOrphanedFrom(previous, engine);
         }
     }
 }
--- a/src/main/java/calicostream/budget/TenantQueues.java
+++ b/src/main/java/calicostream/budget/TenantQueues.java
@@ -9,152 +9,197 @@
 import java.util.function.IntUnaryOperator;
 
 /**
- * Requests that wait for room, by tenant. Owned by one thread; nanoseconds of the process's clock.
- * Who waits longer than its patience is refused, and who would have to is refused at once, each
- * with a time to return that rests on the rate at which the tenant's sessions end here.
+ * Queues of requests that wait for capacity, one for each tenant. Owned by one thread; nanoseconds
+ * of the process's clock.
+ *
+ * <p>A request that waits longer than its patience is rejected, and one that would have to is
+ * rejected at once, each with a retry-after time from the rate at which the tenant's sessions end
+ * here.
  */
 public final class TenantQueues {
-    private record Waiting(long request, int engine, long until) {}
+    /** Returned where there is no request. */
+    private static final long NO_REQUEST = -1;
+
+    private record QueuedRequest(long request, int engine, long deadline) {}
 
     private final BudgetSettings settings;
-    private final int most;
-    private final List<ArrayDeque<Waiting>> queues = new ArrayList<>();
-    private final long[] lastEnd;
-    private final long[] gap;
-    private final int[][] queued;
+    private final int maxQueued;
+    private final List<TenantQueue> queues = new ArrayList<>();
     private int lastTenant;
 
     /**
-     * @param most requests that wait of one tenant
-     * @param engines the most engine slots
+     * Empty queues.
+     *
+     * @param maxQueued requests that may be queued for one tenant
+     * @param engines the number of engine slots
      */
-    public TenantQueues(BudgetSettings settings, int most, int engines) {
+    public TenantQueues(BudgetSettings settings, int maxQueued, int engines) {
         this.settings = settings;
-        this.most = most;
-        int tenants = settings.tenants().size();
-        for (int i = 0; i < tenants; i++) {
-            queues.add(new ArrayDeque<>());
+        this.maxQueued = maxQueued;
+        for (BudgetSettings.Tenant tenant : settings.tenants()) {
+            queues.add(new TenantQueue(tenant, engines));
         }
-        lastEnd = new long[tenants];
-        gap = new long[tenants];
-        queued = new int[tenants][engines];
     }
 
-    /** A session of the tenant has ended: a place, in time. */
-    public void sessionEnded(int tenant, long now) {
-        if (lastEnd[tenant] != 0) {
-            long since = now - lastEnd[tenant];
-            gap[tenant] = gap[tenant] == 0 ? since : gap[tenant] + (since - gap[tenant]) / 8;
+    /** One tenant's queue, and the rate at which its sessions end. */
+    private static final class TenantQueue {
+        /** Weight of the newest interval in the moving average is one part in this. */
+        private static final int AVERAGE_DIVISOR = 8;
+
+        private final BudgetSettings.Tenant tenant;
+        private final ArrayDeque<QueuedRequest> requests = new ArrayDeque<>();
+        private final int[] queuedByEngine;
+        private long lastEndAt;
+
+        /** Moving average of the time between two ends; 0 if there were not two. */
+        private long meanInterval;
+
+        private TenantQueue(BudgetSettings.Tenant tenant, int engines) {
+            this.tenant = tenant;
+            queuedByEngine = new int[engines];
+        }
+
+        private void sessionEnded(long now) {
+            if (lastEndAt != 0) {
+                long interval = now - lastEndAt;
+                meanInterval =
+                        meanInterval == 0
+                                ? interval
+                                : meanInterval + (interval - meanInterval) / AVERAGE_DIVISOR;
+            }
+            lastEndAt = now;
+        }
+
+        private void add(QueuedRequest request) {
+            requests.add(request);
+            queuedByEngine[request.engine()]++;
+        }
+
+        private long pollFor(int engine) {
+            for (Iterator<QueuedRequest> each = requests.iterator(); each.hasNext(); ) {
+                QueuedRequest first = each.next();
+                if (first.engine() == engine) {
+                    each.remove();
+                    queuedByEngine[engine]--;
+                    return first.request();
+                }
+            }
+            return NO_REQUEST;
+        }
+
+        private List<Long> removeTimedOut(long now) {
+            List<Long> timedOut = new ArrayList<>();
+            for (Iterator<QueuedRequest> each = requests.iterator(); each.hasNext(); ) {
+                QueuedRequest queued = each.next();
+                if (queued.deadline() <= now) {
+                    each.remove();
+                    queuedByEngine[queued.engine()]--;
+                    timedOut.add(queued.request());
+                }
+            }
+            return timedOut;
+        }
+
+        /**
+         * Expected time until so many sessions have ended. Where that rate is not known it is the
+         * lease time, in which grants are allocated anew for sure.
+         */
+        private long expectedWait(int sessions, long now, long leaseNanos) {
+            if (meanInterval == 0) {
+                return leaseNanos;
+            }
+            long sinceLastEnd = Math.min(now - lastEndAt, leaseNanos);
+            return sessions * Math.max(meanInterval, sinceLastEnd / 4);
         }
-        lastEnd[tenant] = now;
+    }
+
+    /** A session of the tenant has ended, which frees capacity for another. */
+    public void sessionEnded(int tenant, long now) {
+        queues.get(tenant).sessionEnded(now);
     }
 
     /**
-     * The request waits for room at that engine, until its patience is over.
+     * Queues a request for capacity at that engine, until its patience is over.
      *
-     * @throws BudgetException.NoRoom if it would wait longer, or too many do; it does not wait then
+     * @throws BudgetException.NoRoom if it would wait longer, or too many are queued; it is not
+     *     queued then
      */
     public void offer(int tenant, int engine, long request, long now, long patienceNanos) {
-        int ahead = queues.get(tenant).size();
-        long wait = expected(tenant, ahead + 1, now);
-        if (ahead >= most || gap[tenant] != 0 && wait > patienceNanos) {
-            throw noRoom(tenant, ahead, Math.max(wait - patienceNanos, pause(tenant, now)));
+        TenantQueue queue = queues.get(tenant);
+        int ahead = queue.requests.size();
+        long wait = expectedWait(queue, ahead + 1, now);
+        if (ahead >= maxQueued || queue.meanInterval != 0 && wait > patienceNanos) {
+            long retryAfter = Math.max(wait - patienceNanos, expectedWait(queue, 1, now));
+            throw new BudgetException.NoRoom(queue.tenant.name(), ahead, retryAfter);
         }
-        queues.get(tenant).add(new Waiting(request, engine, now + patienceNanos));
-        queued[tenant][engine]++;
+        queue.add(new QueuedRequest(request, engine, now + patienceNanos));
     }
 
     /**
-     * Of the tenants that may use the engine now and wait for it, the one with least in use for its
-     * weight: its longest waiting request, or -1.
+     * Polls the longest queued request of the tenant that uses least for its weight, among those
+     * that have a request for the engine and may start a session there.
+     *
+     * @return the request, or -1
      */
-    public long poll(int engine, long now, GrantedSessions holdings) {
+    public long poll(int engine, long now, GrantedSessions grantedSessions) {
         return poll(
-                engine, t -> holdings.mayStart(t, engine, now), t -> holdings.sessions(t, engine));
+                engine,
+                tenant -> grantedSessions.mayStart(tenant, engine, now),
+                tenant -> grantedSessions.sessions(tenant, engine));
     }
 
     /**
-     * The same where the slot stands for several engines together: who may be admitted there, and
-     * with how many sessions.
+     * The same where the slot stands for several engines together.
+     *
+     * @param mayStart whether the tenant may start a session there
+     * @param sessions how many the tenant uses there
      */
-    public long poll(int engine, IntPredicate may, IntUnaryOperator sessions) {
+    public long poll(int engine, IntPredicate mayStart, IntUnaryOperator sessions) {
         int best = -1;
-        for (int t = 0; t < queued.length; t++) {
-            if (queued[t][engine] > 0
-                    && may.test(t)
-                    && (best < 0
-                            || (long) sessions.applyAsInt(t) * weight(best)
-                                    < (long) sessions.applyAsInt(best) * weight(t))) {
-                best = t;
+        for (int tenant = 0; tenant < queues.size(); tenant++) {
+            if (queued(tenant, engine) > 0
+                    && mayStart.test(tenant)
+                    && (best < 0 || usesLessForItsWeight(tenant, best, sessions))) {
+                best = tenant;
             }
         }
         if (best < 0) {
-            return -1;
+            return NO_REQUEST;
         }
         lastTenant = best;
-        for (Iterator<Waiting> each = queues.get(best).iterator(); each.hasNext(); ) {
-            Waiting first = each.next();
-            if (first.engine == engine) {
-                each.remove();
-                queued[best][engine]--;
-                return first.request;
-            }
-        }
-        return -1;
+        return queues.get(best).pollFor(engine);
     }
 
-    /** Whose request {@link #next} gave last. */
-    public int lastTenant() {
-        return lastTenant;
+    private boolean usesLessForItsWeight(int tenant, int other, IntUnaryOperator sessions) {
+        return (long) sessions.applyAsInt(tenant) * queues.get(other).tenant.weight()
+                < (long) sessions.applyAsInt(other) * queues.get(tenant).tenant.weight();
     }
 
-    private int weight(int tenant) {
-        return settings.tenants().get(tenant).weight();
+    /** The tenant whose request {@link #poll} returned last. */
+    public int lastTenant() {
+        return lastTenant;
     }
 
-    /** Whoever's patience is over, of one tenant. */
+    /** Removes the requests of a tenant whose patience is over, and returns them. */
     public List<Long> removeTimedOut(int tenant, long now) {
-        List<Long> over = new ArrayList<>();
-        for (Iterator<Waiting> each = queues.get(tenant).iterator(); each.hasNext(); ) {
-            Waiting waits = each.next();
-            if (waits.until <= now) {
-                each.remove();
-                queued[tenant][waits.engine]--;
-                over.add(waits.request);
-            }
-        }
-        return over;
+        return queues.get(tenant).removeTimedOut(now);
     }
 
-    /** What to tell a request whose patience is over. */
+    /** The error for a request of the tenant whose patience is over. */
     public BudgetException.NoRoom rejection(int tenant, long now) {
-        int ahead = queues.get(tenant).size();
-        return noRoom(
-                tenant, ahead, Math.max(expected(tenant, ahead + 1, now), pause(tenant, now)));
+        TenantQueue queue = queues.get(tenant);
+        int ahead = queue.requests.size();
+        long retryAfter =
+                Math.max(expectedWait(queue, ahead + 1, now), expectedWait(queue, 1, now));
+        return new BudgetException.NoRoom(queue.tenant.name(), ahead, retryAfter);
     }
 
+    /** Requests of the tenant that are queued for the engine. */
     public int queued(int tenant, int engine) {
-        return queued[tenant][engine];
-    }
-
-    /**
-     * Until so many places have come free; where none has yet, the time in which grants are divided
-     * anew for sure.
-     */
-    private long expected(int tenant, int places, long now) {
-        return gap[tenant] == 0
-                ? settings.ttlNanos()
-                : places
-                        * Math.max(
-                                gap[tenant],
-                                Math.min(now - lastEnd[tenant], settings.ttlNanos()) / 4);
-    }
-
-    private long pause(int tenant, long now) {
-        return expected(tenant, 1, now);
+        return queues.get(tenant).queuedByEngine[engine];
     }
 
-    private BudgetException.NoRoom noRoom(int tenant, int ahead, long after) {
-        return new BudgetException.NoRoom(settings.tenants().get(tenant).name(), ahead, after);
+    private long expectedWait(TenantQueue queue, int sessions, long now) {
+        return queue.expectedWait(sessions, now, settings.ttlNanos());
     }
 }
--- a/src/main/java/calicostream/budget/UnconfirmedSessions.java
+++ b/src/main/java/calicostream/budget/UnconfirmedSessions.java
@@ -8,56 +8,65 @@
 import java.util.Map;
 
 /**
- * Sessions given up without their engine's word that they have ended: they count until it tells.
- * Engines that can't tell sessions by process tell how many run in all, which is more than any
+ * Sessions that were given up without their engine's confirmation that they have ended: they count
+ * until its counts prove it. Engines tell how many sessions they run in all, which is at least any
  * process's own. Owned by one thread; nanoseconds of the process's clock.
  */
 public final class UnconfirmedSessions {
     /**
-     * @param start under which of this process's sessions at the cluster it was begun, by number
+     * A session that was given up.
+     *
+     * @param joinNumber under which of this process's joins it was started
+     * @param abandonedAt when it was given up
      */
     public record UnconfirmedSession(
             int joinNumber, int tenant, int engine, long incarnation, long abandonedAt) {}
 
-    private final long travelNanos;
+    private final long maxTransitNanos;
+
+    /** Oldest first, by engine. */
     private final Map<Integer, ArrayDeque<UnconfirmedSession>> byEngine = new HashMap<>();
 
     /**
-     * @param travelNanos after which what was given up is no longer on its way: its connection is
-     *     closed or carried the word before then
+     * No unconfirmed sessions.
+     *
+     * @param maxTransitNanos after which what was given up is no longer in transit: its connection
+     *     is closed or has delivered the session before then
      */
-    public UnconfirmedSessions(long travelNanos) {
-        this.travelNanos = travelNanos;
+    public UnconfirmedSessions(long maxTransitNanos) {
+        this.maxTransitNanos = maxTransitNanos;
     }
 
-    public void add(UnconfirmedSession doubt) {
-        byEngine.computeIfAbsent(doubt.engine, engine -> new ArrayDeque<>()).add(doubt);
+    /** Adds a session; those of one engine are added in the order of their times. */
+    public void add(UnconfirmedSession session) {
+        byEngine.computeIfAbsent(session.engine(), engine -> new ArrayDeque<>()).add(session);
     }
 
     /**
      * The engine counted that many sessions of all processes, in answer to a question of that time.
      *
-     * @return those that have ended by now for sure; each is told once
+     * @return the sessions that are known by this to have ended; each is returned once
      */
     public List<UnconfirmedSession> engineCounted(int engine, long askedAt, int running) {
-        ArrayDeque<UnconfirmedSession> doubts = byEngine.getOrDefault(engine, new ArrayDeque<>());
+        ArrayDeque<UnconfirmedSession> sessions = byEngine.getOrDefault(engine, new ArrayDeque<>());
+        long notInTransit =
+                sessions.stream()
+                        .filter(each -> askedAt - each.abandonedAt() >= maxTransitNanos)
+                        .count();
         List<UnconfirmedSession> ended = new ArrayList<>();
-        long old =
-                doubts.stream().filter(doubt -> askedAt - doubt.abandonedAt >= travelNanos).count();
-        for (;
-                old > running;
-                old--) { // Which of them runs on is not known, and does not matter: the oldest are
-            // taken first.
-            ended.add(doubts.poll());
+        // Which of them still run is not known and makes no difference: the oldest are returned.
+        for (long excess = notInTransit - running; excess > 0; excess--) {
+            ended.add(sessions.poll());
         }
         return ended;
     }
 
-    /** The engine was replaced: nothing runs on. */
+    /** The engine was replaced: none of its sessions run any more. */
     public void engineReplaced(int engine) {
         byEngine.remove(engine);
     }
 
+    /** How many sessions are unconfirmed, at all engines. */
     public int size() {
         return byEngine.values().stream().mapToInt(ArrayDeque::size).sum();
     }
--- a/src/main/java/calicostream/cluster/config/BudgetConfig.java
+++ b/src/main/java/calicostream/cluster/config/BudgetConfig.java
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.cluster.config;
 
+import calicostream.budget.AddressRange;
 import calicostream.budget.BudgetException;
 import calicostream.budget.BudgetSettings;
 import calicostream.budget.BudgetSettings.Pool;
 import calicostream.budget.BudgetSettings.Quota;
 import calicostream.budget.BudgetSettings.Tenant;
 import calicostream.budget.TenantRules;
-import calicostream.budget.TenantRules.AddressRange;
 import calicostream.budget.TenantRules.TenantMatchers;
 import calicostream.cluster.config.ClusterConfigException.Code;
 import calicostream.cluster.config.SettingsFile.Section;
--- a/src/measure/java/calicostream/budget/BudgetRuns.java
+++ b/src/measure/java/calicostream/budget/BudgetRuns.java
@@ -244,37 +244,20 @@
 
     private static MaxMinFairAllocator.Problem problem(
             BudgetSettings settings, int[] caps, int[] clients) {
-        int tenants = clients.length;
-        int tiers = settings.pools().size();
-        int[][] wanted = new int[tenants][caps.length];
-        int[][] guarantees = new int[tenants][tiers];
-        int[][] ceilings = new int[tenants][tiers];
-        int[] tierOf = new int[caps.length];
-        for (int e = 0; e < caps.length; e++) {
-            tierOf[e] = e % tiers;
+        int[] poolOf = new int[caps.length];
+        for (int engine = 0; engine < caps.length; engine++) {
+            poolOf[engine] = engine % settings.pools().size();
         }
-        for (int t = 0; t < tenants; t++) {
-            Arrays.fill(wanted[t], clients[t] * settings.processes().size());
-            for (int k = 0; k < tiers; k++) {
-                BudgetSettings.Quota share =
-                        settings.tenants().get(t).quota(settings.pools().get(k).name());
-                guarantees[t][k] = share.guarantee();
-                ceilings[t][k] = share.ceiling();
-            }
+        List<MaxMinFairAllocator.TenantClaim> claims = new ArrayList<>();
+        for (int tenant = 0; tenant < clients.length; tenant++) {
+            int[] demand = new int[caps.length];
+            Arrays.fill(demand, clients[tenant] * settings.processes().size());
+            claims.add(AllocationProblem.claim(settings, tenant, demand));
         }
         return new MaxMinFairAllocator.Problem(
                 caps,
-                tierOf,
+                poolOf,
                 settings.pools().stream().mapToInt(BudgetSettings.Pool::cap).toArray(),
-                settings.tenants().stream().mapToInt(BudgetSettings.Tenant::weight).toArray(),
-                wanted,
-                guarantees,
-                ceilings,
-                settings.tenants().stream()
-                        .mapToInt(each -> each.quota(BudgetSettings.ALL_POOLS).guarantee())
-                        .toArray(),
-                settings.tenants().stream()
-                        .mapToInt(each -> each.quota(BudgetSettings.ALL_POOLS).ceiling())
-                        .toArray());
+                claims);
     }
 }
--- a/src/measure/java/calicostream/budget/BudgetSim.java
+++ b/src/measure/java/calicostream/budget/BudgetSim.java
@@ -130,9 +130,9 @@
     }
 
     private void check(SimEngine engine) {
-        GrantLedger.EngineEntry book = machine.ledger().engines.get(engine.name);
-        if (book != null && book.incarnation == engine.incarnation) {
-            engine.inForce = book.cap;
+        EngineEntry book = machine.ledger().engines().get(engine.name);
+        if (book != null && book.incarnation() == engine.incarnation) {
+            engine.inForce = book.cap();
         }
         if (engine.running > engine.inForce && violation == null) {
             violation =
@@ -230,16 +230,16 @@
         if (!effects.isAccepted()) {
             refusals.merge(effects.rejectionCode(), 1, Integer::sum);
         }
-        for (String name : machine.ledger().engines.keySet()) {
+        for (String name : machine.ledger().engines().keySet()) {
             int committed = machine.ledger().committed(name);
-            GrantLedger.EngineEntry book = machine.ledger().engines.get(name);
-            if (out.isEmpty() && committed > book.cap) {
+            EngineEntry book = machine.ledger().engines().get(name);
+            if (out.isEmpty() && committed > book.cap()) {
                 violation =
                         name
                                 + " has "
                                 + committed
                                 + " committed of "
-                                + book.cap
+                                + book.cap()
                                 + " at index "
                                 + index;
             }
@@ -250,32 +250,35 @@
 
     private void lookAtReclaims() {
         machine.ledger()
-                .processes
+                .processes()
                 .forEach(
                         (name, process) ->
-                                process.allocations.forEach(
-                                        (engine, held) -> {
-                                            int granted = held.granted();
-                                            look(
-                                                    name + "@" + engine,
-                                                    held.maxUsableSum() > granted,
-                                                    reclaims);
-                                            look(
-                                                    name + "@" + engine + " room",
-                                                    held.maxUsableSum() > granted
-                                                            || calledBack.containsKey(
-                                                                            name + "@" + engine
-                                                                                    + " room")
-                                                                    && held.inUse
-                                                                            > Math.max(
-                                                                                    granted,
-                                                                                    machine.ledger()
-                                                                                                    .floor(
-                                                                                                            name,
-                                                                                                            engine)
-                                                                                            - held.orphaned),
-                                                    freed);
-                                        }));
+                                process.allocations()
+                                        .forEach(
+                                                (engine, held) -> {
+                                                    int granted = held.granted();
+                                                    look(
+                                                            name + "@" + engine,
+                                                            held.maxUsableSum() > granted,
+                                                            reclaims);
+                                                    look(
+                                                            name + "@" + engine + " room",
+                                                            held.maxUsableSum() > granted
+                                                                    || calledBack.containsKey(
+                                                                                    name + "@"
+                                                                                            + engine
+                                                                                            + " room")
+                                                                            && held.inUse()
+                                                                                    > Math.max(
+                                                                                            granted,
+                                                                                            machine.ledger()
+                                                                                                            .floor(
+                                                                                                                    name,
+                                                                                                                    engine)
+                                                                                                    - held
+                                                                                                            .orphaned()),
+                                                            freed);
+                                                }));
     }
 
     private void look(String key, boolean owes, List<Long> into) {
@@ -331,11 +334,11 @@
                 mad(view, sent, seat.session());
             }
             view.ledger()
-                    .processes
+                    .processes()
                     .forEach(
                             (name, process) -> {
                                 engines.forEach(engine -> ask(view, seat, name, process, engine));
-                                seenNumber.put(name, process.reportNumber);
+                                seenNumber.put(name, process.reportNumber());
                             });
         }
     }
@@ -345,14 +348,14 @@
         injected("mad division");
         List<BudgetCommand.Grant> shares = new ArrayList<>();
         view.ledger()
-                .processes
+                .processes()
                 .forEach(
                         (name, process) -> {
                             SimEngine engine = engines.get(random.nextInt(engines.size()));
                             shares.add(
                                     new BudgetCommand.Grant(
                                             name,
-                                            process.session,
+                                            process.session(),
                                             engine.name,
                                             engine.incarnation,
                                             settings.tenants()
@@ -371,19 +374,20 @@
             GrantStateMachine view,
             SimProcess seat,
             String name,
-            GrantLedger.ProcessEntry process,
+            ProcessEntry process,
             SimEngine engine) {
-        boolean former = process.hasPredecessors && random.nextBoolean();
-        long over = former ? process.predecessorsExpiredAtIndex : process.expiredAtIndex;
-        boolean silent = seenNumber.getOrDefault(name, -1L) == process.reportNumber;
-        if (process.session == 0 || over == 0 && random.nextInt(silent ? 2 : 20) != 0) {
+        boolean former = process.hasPredecessors() && random.nextBoolean();
+        long over = former ? process.predecessorsExpiredAtIndex() : process.expiredAtIndex();
+        boolean silent = seenNumber.getOrDefault(name, -1L) == process.reportNumber();
+        if (process.session() == 0 || over == 0 && random.nextInt(silent ? 2 : 20) != 0) {
             return; // the impatient ask before it is time
         }
-        long seen = view.ledger().appliedIndex;
+        long seen = view.ledger().appliedIndex();
         if (random.nextInt(silent ? 3 : 60) == 0) { // a member without the right to
             submit(
                     seat.session(),
-                    new BudgetCommand.Expire(name, process.session, former, process.reportNumber)
+                    new BudgetCommand.Expire(
+                                    name, process.session(), former, process.reportNumber())
                             .encode(),
                     effects -> {});
         }
@@ -395,11 +399,11 @@
                                     engine.name,
                                     engine.incarnation,
                                     name,
-                                    process.session,
+                                    process.session(),
                                     former,
                                     seen,
-                                    engine.count(name, process.session, former),
-                                    former && engine.closed(name, process.session));
+                                    engine.count(name, process.session(), former),
+                                    former && engine.closed(name, process.session()));
                     long kept =
                             random.nextInt(4) == 0
                                     ? random.nextLong(2_000 * MS)
@@ -418,12 +422,12 @@
         at(
                 now + 500 * MS,
                 () -> { // until the machine has it
-                    GrantLedger.EngineEntry book = machine.ledger().engines.get(engine.name);
+                    EngineEntry book = machine.ledger().engines().get(engine.name);
                     if (engine.incarnation == incarnation
                             && engine.cap == cap
                             && (book == null
-                                    || book.incarnation != incarnation
-                                    || book.requestedCap != cap)) {
+                                    || book.incarnation() != incarnation
+                                    || book.requestedCap() != cap)) {
                         tell(engine);
                     }
                 });
--- a/src/measure/java/calicostream/budget/MaxMinOracle.java
+++ b/src/measure/java/calicostream/budget/MaxMinOracle.java
@@ -18,7 +18,7 @@
 
     private MaxMinOracle(MaxMinFairAllocator.Problem problem) {
         this.problem = problem;
-        this.tenants = problem.tenants();
+        this.tenants = problem.tenantCount();
     }
 
     /** What each tenant has in all. */
@@ -27,18 +27,18 @@
     }
 
     private double[] totals() {
-        double[][] kept = new double[tenants][problem.pools()];
+        double[][] kept = new double[tenants][problem.poolCount()];
         double[] lower = new double[tenants];
-        for (int k = 0; k < problem.pools(); k++) {
+        for (int k = 0; k < problem.poolCount(); k++) {
             int tier = k;
             double[] promised =
                     fill(
-                            i -> problem.poolGuarantees()[i][tier],
+                            i -> problem.tenant(i).poolGuarantees()[tier],
                             new double[tenants],
                             i ->
                                     Math.min(
-                                            problem.poolGuarantees()[i][tier],
-                                            problem.poolCeilings()[i][tier]),
+                                            problem.tenant(i).poolGuarantees()[tier],
+                                            problem.tenant(i).poolCeilings()[tier]),
                             ranks(set -> within(tier, set)),
                             EXACT[0]);
             for (int t = 0; t < tenants; t++) {
@@ -49,13 +49,17 @@
         double[] ranks = ranks(set -> rank(set, kept));
         double[] guaranteed =
                 fill(
-                        t -> problem.guarantees()[t],
+                        t -> problem.tenant(t).guarantee(),
                         lower,
-                        t -> Math.min(problem.guarantees()[t], problem.ceilings()[t]),
+                        t -> Math.min(problem.tenant(t).guarantee(), problem.tenant(t).ceiling()),
                         ranks,
                         EXACT[1]);
         return fill(
-                t -> problem.weights()[t], guaranteed, t -> problem.ceilings()[t], ranks, EXACT[2]);
+                t -> problem.tenant(t).weight(),
+                guaranteed,
+                t -> problem.tenant(t).ceiling(),
+                ranks,
+                EXACT[2]);
     }
 
     private double[] ranks(IntToDoubleFunction rank) {
@@ -69,11 +73,11 @@
     /** What the engines of a tier have for these tenants. */
     private double within(int tier, int set) {
         double engines = 0;
-        for (int e = 0; e < problem.engines(); e++) {
+        for (int e = 0; e < problem.engineCount(); e++) {
             if (problem.poolOf()[e] == tier) {
                 double wanted = 0;
                 for (int t = 0; t < tenants; t++) {
-                    wanted += (set >> t & 1) == 1 ? problem.demand()[t][e] : 0;
+                    wanted += (set >> t & 1) == 1 ? problem.tenant(t).demand()[e] : 0;
                 }
                 engines += Math.min(problem.caps()[e], wanted);
             }
@@ -87,7 +91,7 @@
      */
     private double rank(int set, double[][] kept) {
         double rank = 0;
-        for (int k = 0; k < problem.pools(); k++) {
+        for (int k = 0; k < problem.poolCount(); k++) {
             double least = Double.MAX_VALUE;
             for (int reached = 0; reached < 1 << tenants; reached++) {
                 double cut = within(k, reached);
@@ -96,7 +100,7 @@
                     boolean reaches = (reached >> t & 1) == 1;
                     cut +=
                             in && !reaches
-                                    ? problem.poolCeilings()[t][k]
+                                    ? problem.tenant(t).poolCeilings()[k]
                                     : !in && reaches ? -kept[t][k] : 0;
                 }
                 least = Math.min(least, cut);
--- a/src/test/java/calicostream/budget/GrantStateMachineTest.java
+++ b/src/test/java/calicostream/budget/GrantStateMachineTest.java
@@ -96,7 +96,7 @@
         tell(1, divide(1, "a", 1, 1, 8));
         assertTrue(tell(9, new BudgetCommand.UpdateEngine("e", 1, "pool", 5)).events().isEmpty());
         tell(1, divide(1, "a", 1, 1, 3));
-        assertEquals(10, machine.ledger().engines.get("e").cap);
+        assertEquals(10, machine.ledger().engines().get("e").cap());
         CommandEffects known =
                 tell(
                         1,
@@ -106,7 +106,7 @@
                                 List.of(new BudgetCommand.EngineUsage("e", 1, 3, 0)),
                                 List.of()));
         assertEquals("budget-cap-in-force", known.events().get(0).kind());
-        assertEquals(5, machine.ledger().engines.get("e").cap);
+        assertEquals(5, machine.ledger().engines().get("e").cap());
     }
 
     @Test
--- a/src/test/java/calicostream/budget/MaxMinFairAllocatorTest.java
+++ b/src/test/java/calicostream/budget/MaxMinFairAllocatorTest.java
@@ -4,8 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import calicostream.budget.MaxMinFairAllocator.Problem;
+import calicostream.budget.MaxMinFairAllocator.TenantClaim;
+import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.List;
 import java.util.SplittableRandom;
+import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
 class MaxMinFairAllocatorTest {
@@ -13,105 +18,123 @@
     private static final int CASES = 4_000;
 
     /**
-     * Up to 6 tenants, 10 engines and 3 tiers, guarantees under ceilings, caps that bind or do not.
+     * Up to 6 tenants, 10 engines and 3 pools, guarantees under ceilings, caps that bind or do not.
      */
-    static MaxMinFairAllocator.Problem problem(SplittableRandom random) {
+    static Problem problem(SplittableRandom random) {
         int tenants = random.nextInt(1, 7);
         int engines = random.nextInt(1, 11);
-        int tiers = random.nextInt(1, 4);
+        int pools = random.nextInt(1, 4);
         int[] caps = random.ints(engines, 0, 41).toArray();
-        int[] tierOf = random.ints(engines, 0, tiers).toArray();
-        int[] tierCaps = new int[tiers];
-        for (int k = 0; k < tiers; k++) {
-            int tier = k;
+        int[] poolOf = random.ints(engines, 0, pools).toArray();
+        int[] poolCaps = new int[pools];
+        for (int i = 0; i < pools; i++) {
+            int pool = i;
             int sum =
-                    java.util.stream.IntStream.range(0, engines)
-                            .filter(e -> tierOf[e] == tier)
-                            .map(e -> caps[e])
+                    IntStream.range(0, engines)
+                            .filter(engine -> poolOf[engine] == pool)
+                            .map(engine -> caps[engine])
                             .sum();
-            tierCaps[k] = random.nextInt(3) == 0 ? sum / 2 : sum + 10;
+            poolCaps[pool] = random.nextInt(3) == 0 ? sum / 2 : sum + 10;
         }
         int[] weights = random.ints(tenants, 1, 11).toArray();
-        int[][] wanted = new int[tenants][];
-        int[][] guarantees = new int[tenants][tiers];
-        int[][] ceilings = new int[tenants][tiers];
-        int[] overall = new int[tenants];
-        int[] ceiling = new int[tenants];
-        for (int t = 0; t < tenants; t++) {
-            int most = random.nextInt(1, 60);
-            wanted[t] = random.ints(engines, 0, most).toArray();
-            for (int k = 0; k < tiers; k++) {
-                guarantees[t][k] = random.nextInt(3) == 0 ? random.nextInt(30) : 0;
-                ceilings[t][k] = guarantees[t][k] + random.nextInt(random.nextBoolean() ? 30 : 500);
-            }
-            int sum = Arrays.stream(guarantees[t]).sum();
-            overall[t] = random.nextInt(3) == 0 ? random.nextInt(60) : 0;
-            ceiling[t] =
-                    Math.max(sum, overall[t]) + random.nextInt(random.nextBoolean() ? 60 : 500);
+        List<TenantClaim> claims = new ArrayList<>();
+        for (int weight : weights) {
+            claims.add(claim(random, weight, engines, pools));
+        }
+        return new Problem(caps, poolOf, poolCaps, claims);
+    }
+
+    private static TenantClaim claim(SplittableRandom random, int weight, int engines, int pools) {
+        int maxDemand = random.nextInt(1, 60);
+        int[] demand = random.ints(engines, 0, maxDemand).toArray();
+        int[] poolGuarantees = new int[pools];
+        int[] poolCeilings = new int[pools];
+        for (int pool = 0; pool < pools; pool++) {
+            poolGuarantees[pool] = random.nextInt(3) == 0 ? random.nextInt(30) : 0;
+            poolCeilings[pool] =
+                    poolGuarantees[pool] + random.nextInt(random.nextBoolean() ? 30 : 500);
         }
-        return new MaxMinFairAllocator.Problem(
-                caps, tierOf, tierCaps, weights, wanted, guarantees, ceilings, overall, ceiling);
+        int sum = Arrays.stream(poolGuarantees).sum();
+        int guarantee = random.nextInt(3) == 0 ? random.nextInt(60) : 0;
+        int ceiling = Math.max(sum, guarantee) + random.nextInt(random.nextBoolean() ? 60 : 500);
+        return new TenantClaim(weight, demand, poolGuarantees, poolCeilings, guarantee, ceiling);
+    }
+
+    private static Problem withWeight(Problem problem, int tenant, int weight) {
+        List<TenantClaim> claims = new ArrayList<>(problem.tenants());
+        TenantClaim claim = claims.get(tenant);
+        claims.set(
+                tenant,
+                new TenantClaim(
+                        weight,
+                        claim.demand(),
+                        claim.poolGuarantees(),
+                        claim.poolCeilings(),
+                        claim.guarantee(),
+                        claim.ceiling()));
+        return new Problem(problem.caps(), problem.poolOf(), problem.poolCaps(), claims);
     }
 
     static int[] totals(int[][] placed) {
         return Arrays.stream(placed).mapToInt(row -> Arrays.stream(row).sum()).toArray();
     }
 
-    private static void assertLawful(
-            MaxMinFairAllocator.Problem problem, int[][] placed, String what) {
-        int[] tier = new int[problem.pools()];
-        int[][] own = new int[problem.tenants()][problem.pools()];
-        for (int e = 0; e < problem.engines(); e++) {
+    private static void assertWithinBounds(Problem problem, int[][] placed, String run) {
+        int[] inPool = new int[problem.poolCount()];
+        int[][] byTenant = new int[problem.tenantCount()][problem.poolCount()];
+        for (int engine = 0; engine < problem.engineCount(); engine++) {
+            int pool = problem.poolOf()[engine];
             int sum = 0;
-            for (int t = 0; t < problem.tenants(); t++) {
+            for (int tenant = 0; tenant < problem.tenantCount(); tenant++) {
+                int sessions = placed[tenant][engine];
                 assertTrue(
-                        placed[t][e] >= 0 && placed[t][e] <= problem.demand()[t][e],
-                        what + ": more than wanted");
-                sum += placed[t][e];
-                own[t][problem.poolOf()[e]] += placed[t][e];
+                        sessions >= 0 && sessions <= problem.tenant(tenant).demand()[engine],
+                        run + ": over the demand");
+                sum += sessions;
+                byTenant[tenant][pool] += sessions;
             }
-            tier[problem.poolOf()[e]] += sum;
-            assertTrue(sum <= problem.caps()[e], what + ": over the cap of engine " + e);
+            inPool[pool] += sum;
+            assertTrue(sum <= problem.caps()[engine], run + ": over the cap of engine " + engine);
         }
-        for (int k = 0; k < tier.length; k++) {
-            assertTrue(tier[k] <= problem.poolCaps()[k], what + ": over tier " + k);
-            for (int t = 0; t < problem.tenants(); t++) {
+        for (int pool = 0; pool < inPool.length; pool++) {
+            assertTrue(inPool[pool] <= problem.poolCaps()[pool], run + ": over pool " + pool);
+            for (int tenant = 0; tenant < problem.tenantCount(); tenant++) {
                 assertTrue(
-                        own[t][k] <= problem.poolCeilings()[t][k],
-                        what + ": over a tenant's ceiling in tier " + k);
+                        byTenant[tenant][pool] <= problem.tenant(tenant).poolCeilings()[pool],
+                        run + ": over a tenant's ceiling in pool " + pool);
             }
         }
-        for (int t = 0; t < problem.tenants(); t++) {
+        for (int tenant = 0; tenant < problem.tenantCount(); tenant++) {
             assertTrue(
-                    Arrays.stream(own[t]).sum() <= problem.ceilings()[t],
-                    what + ": over a tenant's ceiling");
+                    Arrays.stream(byTenant[tenant]).sum() <= problem.tenant(tenant).ceiling(),
+                    run + ": over a tenant's ceiling");
         }
     }
 
     @Test
-    void isAsNearToTheAllSeeingDivisionAsWholeSessionsAllow() {
+    void isAsNearToTheExactAllocationAsWholeSessionsAllow() {
         double largest = 0;
         double relative = 0;
         for (int i = 0; i < CASES; i++) {
-            MaxMinFairAllocator.Problem problem = problem(new SplittableRandom(SEED + i));
+            String run = "seed " + (SEED + i);
+            Problem problem = problem(new SplittableRandom(SEED + i));
             int[][] placed = MaxMinFairAllocator.allocate(problem, null);
-            assertLawful(problem, placed, "seed " + (SEED + i));
-            int[] has = totals(placed);
+            assertWithinBounds(problem, placed, run);
+            int[] totals = totals(placed);
             double[] fair = MaxMinOracle.totals(problem);
-            for (int t = 0; t < has.length; t++) {
-                double apart = Math.abs(has[t] - fair[t]);
+            for (int tenant = 0; tenant < totals.length; tenant++) {
+                double distance = Math.abs(totals[tenant] - fair[tenant]);
                 assertTrue(
-                        apart < 1.5,
-                        "seed "
-                                + (SEED + i)
+                        distance < 1.5,
+                        run
                                 + ": tenant "
-                                + t
+                                + tenant
                                 + " has "
-                                + has[t]
+                                + totals[tenant]
                                 + ", fair are "
-                                + fair[t]);
-                largest = Math.max(largest, apart);
-                relative = Math.max(relative, apart / Math.max(fair[t], 20));
+                                + fair[tenant]);
+                largest = Math.max(largest, distance);
+                relative = Math.max(relative, distance / Math.max(fair[tenant], 20));
             }
         }
         System.out.println(
@@ -126,85 +149,91 @@
 
     @Test
     void guaranteesThatCanBeMetAreMetBeforeWeightsCount() {
-        MaxMinFairAllocator.Problem problem =
-                new MaxMinFairAllocator.Problem(
+        Problem problem =
+                new Problem(
                         new int[] {20, 20},
                         new int[] {0, 0},
                         new int[] {40},
-                        new int[] {1, 1_000},
-                        new int[][] {{20, 20}, {20, 20}},
-                        new int[][] {{0}, {0}},
-                        new int[][] {{40}, {40}},
-                        new int[] {12, 0},
-                        new int[] {40, 40});
+                        List.of(
+                                new TenantClaim(
+                                        1,
+                                        new int[] {20, 20},
+                                        new int[] {0},
+                                        new int[] {40},
+                                        12,
+                                        40),
+                                new TenantClaim(
+                                        1_000,
+                                        new int[] {20, 20},
+                                        new int[] {0},
+                                        new int[] {40},
+                                        0,
+                                        40)));
         assertArrayEquals(new int[] {12, 28}, totals(MaxMinFairAllocator.allocate(problem, null)));
     }
 
     @Test
-    void whoWantsOrWeighsMoreHasNoLess() {
+    void moreDemandOrWeightGivesNoLess() {
         for (int i = 0; i < CASES / 4; i++) {
+            String run = "seed " + (SEED + i);
             SplittableRandom random = new SplittableRandom(SEED + i);
-            MaxMinFairAllocator.Problem problem = problem(random);
+            Problem problem = problem(random);
             int[] before = totals(MaxMinFairAllocator.allocate(problem, null));
-            int t = random.nextInt(problem.tenants());
-            int e = random.nextInt(problem.engines());
-            problem.demand()[t][e] += random.nextInt(1, 10);
+            int tenant = random.nextInt(problem.tenantCount());
+            int engine = random.nextInt(problem.engineCount());
+            problem.tenant(tenant).demand()[engine] += random.nextInt(1, 10);
             int[] more = totals(MaxMinFairAllocator.allocate(problem, null));
             assertTrue(
-                    more[t] >= before[t],
-                    "seed " + (SEED + i) + ": wants more, has " + more[t] + " after " + before[t]);
-            problem.weights()[t] *= 3;
-            int[] heavier = totals(MaxMinFairAllocator.allocate(problem, null));
+                    more[tenant] >= before[tenant],
+                    run + ": demands more, has " + more[tenant] + " after " + before[tenant]);
+            Problem weighted = withWeight(problem, tenant, problem.tenant(tenant).weight() * 3);
+            int[] heavier = totals(MaxMinFairAllocator.allocate(weighted, null));
             assertTrue(
-                    heavier[t] >= more[t],
-                    "seed "
-                            + (SEED + i)
-                            + ": weighs more, has "
-                            + heavier[t]
-                            + " after "
-                            + more[t]);
+                    heavier[tenant] >= more[tenant],
+                    run + ": weighs more, has " + heavier[tenant] + " after " + more[tenant]);
         }
     }
 
     @Test
-    void aSmallChangeMovesLittle() {
+    void aSmallChangeMovesFewSessions() {
         int worst = 0;
         int worstAfresh = 0;
         for (int i = 0; i < CASES / 4; i++) {
+            String run = "seed " + (SEED + i);
             SplittableRandom random = new SplittableRandom(SEED + i);
-            MaxMinFairAllocator.Problem problem = problem(random);
+            Problem problem = problem(random);
             int[][] before = MaxMinFairAllocator.allocate(problem, null);
             assertArrayEquals(
                     before,
                     MaxMinFairAllocator.allocate(problem, before),
-                    "seed " + (SEED + i) + ": nothing changed");
-            problem.demand()[random.nextInt(problem.tenants())][
-                    random.nextInt(problem.engines())]++;
+                    run + ": nothing changed");
+            int tenant = random.nextInt(problem.tenantCount());
+            problem.tenant(tenant).demand()[random.nextInt(problem.engineCount())]++;
             int[][] after = MaxMinFairAllocator.allocate(problem, before);
             int[][] afresh = MaxMinFairAllocator.allocate(problem, null);
-            assertLawful(problem, after, "seed " + (SEED + i));
+            assertWithinBounds(problem, after, run);
             assertArrayEquals(
                     totals(afresh),
                     totals(after),
-                    "seed " + (SEED + i) + ": the same shares, wherever they are placed");
+                    run + ": the same totals, wherever they are placed");
             worst = Math.max(worst, moved(before, after));
             worstAfresh = Math.max(worstAfresh, moved(before, afresh));
         }
         System.out.println(
                 "seed "
                         + SEED
-                        + ": one more wanted moves at most "
+                        + ": one more session of demand moves at most "
                         + worst
-                        + " sessions, divided afresh "
+                        + " sessions, allocated afresh "
                         + worstAfresh);
         assertTrue(worst <= 12, "moves " + worst);
     }
 
     private static int moved(int[][] before, int[][] after) {
         int moved = 0;
-        for (int t = 0; t < before.length; t++) {
-            for (int e = 0; e < before[t].length; e++) {
-                moved += Math.abs(before[t][e] - after[t][e]);
+        for (int tenant = 0; tenant < before.length; tenant++) {
+            for (int engine = 0; engine < before[tenant].length; engine++) {
+                moved += Math.abs(before[tenant][engine] - after[tenant][engine]);
             }
         }
         return moved;
