--- a/src/main/java/calicostream/platform/FrontEndServer.java
+++ b/src/main/java/calicostream/platform/FrontEndServer.java
@@ -8,7 +8,8 @@
 import calicostream.core.EngineClient;
 import calicostream.core.Gateway;
 import calicostream.core.Service;
-import calicostream.handover.HotRestart;
+import calicostream.hotrestart.EngineOverride;
+import calicostream.hotrestart.HotRestart;
 import calicostream.net.SelectorLoop;
 import calicostream.routing.QueryClass;
 import calicostream.routing.SettingsParser;
@@ -295,7 +296,7 @@
     }
 
     /** What an operator said to the other process of this front end. */
-    private void heard(String engine, HotRestart.EngineOverride word) {
+    private void heard(String engine, EngineOverride word) {
         if (word.disabled()) {
             gateway.disable(EndpointListDecoder.id(engine));
         } else {
--- a/src/test/java/calicostream/LayoutTest.java
+++ b/src/test/java/calicostream/LayoutTest.java
@@ -31,7 +31,7 @@
     private static final String[] SHELLS = {
         "calicostream.platform..",
         "calicostream.admin..",
-        "calicostream.handover..",
+        "calicostream.hotrestart..",
         "calicostream.flight..",
         "calicostream.grpc..",
         "calicostream.syslog..",
@@ -61,7 +61,7 @@
     void platformKnowsNoOptionalPart() {
         for (String each :
                 new String[] {
-                    "calicostream.platform..", "calicostream.admin..", "calicostream.handover.."
+                    "calicostream.platform..", "calicostream.admin..", "calicostream.hotrestart.."
                 }) {
             not(each, OPTIONAL).check(CLASSES);
         }
--- a/src/test/java/calicostream/discovery/WatchBackoffTest.java
+++ b/src/test/java/calicostream/discovery/WatchBackoffTest.java
@@ -9,31 +9,32 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** The spread of retries over a fleet whose source fails, in virtual time. */
 class WatchBackoffTest {
-    private static final long MS = 1_000;
-    private static final long S = 1_000_000;
-    private static final int TIER = 100;
+    private static final long MILLISECOND = 1_000;
+    private static final long SECOND = 1_000_000;
+    private static final int SERVERS = 100;
 
-    /** The calls of a tier whose source ended at 0 and refuses until the given time. */
-    private static List<Long> calls(long until) {
-        List<Long> calls = new ArrayList<>();
-        for (int i = 0; i < TIER; i++) {
-            WatchBackoff asking = new WatchBackoff(i);
-            asking.requestStarted(-10 * S);
-            asking.responseStarted();
-            for (long at = asking.nextRequestAt(0); at < until; at = asking.nextRequestAt(at)) {
-                asking.requestStarted(at);
-                calls.add(at);
+    /** Request times of a fleet whose source ends at 0 and rejects until the given time. */
+    private static List<Long> requestTimes(long until) {
+        List<Long> times = new ArrayList<>();
+        for (int i = 0; i < SERVERS; i++) {
+            WatchBackoff backoff = new WatchBackoff(i);
+            backoff.requestStarted(-10 * SECOND);
+            backoff.responseStarted();
+            for (long at = backoff.nextRequestAt(0); at < until; at = backoff.nextRequestAt(at)) {
+                backoff.requestStarted(at);
+                times.add(at);
             }
         }
-        return calls;
+        return times;
     }
 
-    private static long busiest(List<Long> calls, long window) {
-        return calls.stream()
+    private static long maxInWindow(List<Long> times, long window) {
+        return times.stream()
                 .mapToLong(
                         from ->
-                                calls.stream()
+                                times.stream()
                                         .filter(at -> at >= from && at < from + window)
                                         .count())
                 .max()
@@ -41,41 +42,44 @@
     }
 
     @Test
-    void aTierDoesNotAskInTheSameMoment() {
-        assertTrue(busiest(calls(100 * MS), 5 * MS) < TIER / 5, "right after the end");
-        List<Long> later = calls(10 * S).stream().filter(at -> at > 2 * S).toList();
-        double even = later.size() * 5.0 * MS / (8 * S);
+    void retriesOfAFleetAreSpread() {
         assertTrue(
-                busiest(later, 5 * MS) < 10 * even,
-                busiest(later, 5 * MS) + " in 5 ms against " + even);
+                maxInWindow(requestTimes(100 * MILLISECOND), 5 * MILLISECOND) < SERVERS / 5,
+                "right after the end");
+        List<Long> later =
+                requestTimes(10 * SECOND).stream().filter(at -> at > 2 * SECOND).toList();
+        double even = later.size() * 5.0 * MILLISECOND / (8 * SECOND);
+        assertTrue(
+                maxInWindow(later, 5 * MILLISECOND) < 10 * even,
+                maxInWindow(later, 5 * MILLISECOND) + " in 5 ms against " + even);
     }
 
     @Test
-    void aSourceThatIsBackIsAskedByAllInTime() {
-        for (int i = 0; i < TIER; i++) {
-            WatchBackoff asking = new WatchBackoff(i);
+    void everyServerRetriesSoonAfterTheSourceIsBack() {
+        for (int i = 0; i < SERVERS; i++) {
+            WatchBackoff backoff = new WatchBackoff(i);
             long at = 0;
-            for (int tries = 0; tries < 50; tries++) {
-                asking.requestStarted(at);
-                long next = asking.nextRequestAt(at);
+            for (int attempt = 0; attempt < 50; attempt++) {
+                backoff.requestStarted(at);
+                long next = backoff.nextRequestAt(at);
                 assertTrue(
-                        next >= at + 50 * MS && next <= at + 640 * MS,
+                        next >= at + 50 * MILLISECOND && next <= at + 640 * MILLISECOND,
                         "seed " + i + ": after " + (next - at) + " us");
                 at = next;
             }
-            asking.responseStarted();
+            backoff.responseStarted();
             assertTrue(
-                    asking.nextRequestAt(at + S) < at + S + 100 * MS,
-                    "seed " + i + ": one that had answered is asked soon");
+                    backoff.nextRequestAt(at + SECOND) < at + SECOND + 100 * MILLISECOND,
+                    "seed " + i + ": one that had responded is retried soon");
         }
     }
 
     @Test
-    void silenceEndsACallSoonerBeforeItsAnswerHasBegun() {
-        WatchBackoff asking = new WatchBackoff(1);
-        assertFalse(asking.isStalled(S, 0, true));
-        assertTrue(asking.isStalled(S, 0, false));
-        assertTrue(asking.isStalled(3 * S, 0, true));
+    void aRequestTimesOutSoonerBeforeItsResponseStarts() {
+        WatchBackoff backoff = new WatchBackoff(1);
+        assertFalse(backoff.isStalled(SECOND, 0, true));
+        assertTrue(backoff.isStalled(SECOND, 0, false));
+        assertTrue(backoff.isStalled(3 * SECOND, 0, true));
         assertEquals(
                 new WatchBackoff(7).nextRequestAt(5),
                 new WatchBackoff(7).nextRequestAt(5),
--- a/src/test/java/calicostream/handover/HotRestartTest.java
+++ b/src/test/java/calicostream/hotrestart/HotRestartTest.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package calicostream.handover;
+package calicostream.hotrestart;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -21,56 +21,62 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** State shared between processes of one server, and damaged or missing slots. */
 class HotRestartTest {
     private static final String STATE =
             "{\"version\":1,\"generation\":0,\"listening\":true,\"seq\":9,"
                     + "\"engines\":{\"e1\":{\"at\":1,\"out\":false}}}";
     @TempDir Path folder;
-    private final List<String> heard = new ArrayList<>();
+    private final List<String> notifications = new ArrayList<>();
 
-    private HotRestart joined(String who) {
-        HotRestart handover =
+    private HotRestart joined(String process) {
+        HotRestart hotRestart =
                 new HotRestart(
                         folder,
                         "n1",
-                        (engine, word) ->
-                                heard.add(
-                                        who + " " + engine + (word.disabled() ? " out" : " back")));
-        handover.join();
-        return handover;
+                        (engine, override) ->
+                                notifications.add(
+                                        process
+                                                + " "
+                                                + engine
+                                                + (override.disabled()
+                                                        ? " disabled"
+                                                        : " enabled")));
+        hotRestart.join();
+        return hotRestart;
     }
 
     @Test
-    void theLaterWordHoldsInBothWhoeverWasTold() {
-        HotRestart elder = joined("elder");
-        elder.publishEngineOverride("e1", true);
-        HotRestart younger = joined("younger");
-        assertEquals(List.of("younger e1 out"), heard);
-        assertTrue(younger.hasPredecessor());
-        elder.poll();
-        assertFalse(elder.hasSuccessor(), "it does not listen yet");
-        elder.publishLearnedRunTimes(new double[] {40_000, 0, -1, 1e300});
-        younger.poll();
-        assertArrayEquals(new double[] {40_000, 0, 0, 0}, younger.predecessorRunTimes());
-        younger.publishListening(true);
-        younger.publishEngineOverride("e1", false);
-        elder.poll();
-        assertTrue(elder.hasSuccessor());
-        assertEquals(2, elder.processCount());
-        assertEquals(List.of("younger e1 out", "elder e1 back"), heard);
-        younger.poll();
-        elder.poll();
-        assertEquals(2, heard.size(), "old words are heard once");
-        younger.leave();
-        elder.poll();
-        assertFalse(elder.hasSuccessor());
+    void theLaterOverrideWinsInBothProcesses() {
+        HotRestart predecessor = joined("predecessor");
+        predecessor.publishEngineOverride("e1", true);
+        HotRestart successor = joined("successor");
+        assertEquals(List.of("successor e1 disabled"), notifications);
+        assertTrue(successor.hasPredecessor());
+        predecessor.poll();
+        assertFalse(predecessor.hasSuccessor(), "it does not listen yet");
+        predecessor.publishLearnedRunTimes(new double[] {40_000, 0, -1, 1e300});
+        successor.poll();
+        assertArrayEquals(new double[] {40_000, 0, 0, 0}, successor.predecessorRunTimes());
+        successor.publishListening(true);
+        successor.publishEngineOverride("e1", false);
+        predecessor.poll();
+        assertTrue(predecessor.hasSuccessor());
+        assertEquals(2, predecessor.processCount());
+        assertEquals(List.of("successor e1 disabled", "predecessor e1 enabled"), notifications);
+        successor.poll();
+        predecessor.poll();
+        assertEquals(2, notifications.size(), "each override is notified once");
+        successor.leave();
+        predecessor.poll();
+        assertFalse(predecessor.hasSuccessor());
     }
 
-    /** A slot that nobody holds is what a killed process leaves. */
+    /** A killed process leaves a slot that nobody holds. */
     @Test
-    void whatTheDeadLeftIsNotReadAndClearedAway() throws IOException {
+    void theSlotOfADeadProcessIsClearedUnread() throws IOException {
         Path path = folder.resolve("calicostream-n1.handover");
-        byte[] left;
+        byte[] leftByDead;
         try (ProcessSlotFile free = new ProcessSlotFile(path);
                 ProcessSlotFile dead = new ProcessSlotFile(path)) {
             dead.write(STATE.getBytes(StandardCharsets.UTF_8));
@@ -78,12 +84,12 @@
                     1,
                     free.readOthers(new long[ProcessSlotFile.SLOT_COUNT]).size(),
                     "while it lives");
-            left = Files.readAllBytes(path);
+            leftByDead = Files.readAllBytes(path);
         }
-        Files.write(path, left);
+        Files.write(path, leftByDead);
         HotRestart first = joined("first");
         assertFalse(first.hasSuccessor() || first.hasPredecessor());
-        assertEquals(List.of(), heard);
+        assertEquals(List.of(), notifications);
         assertEquals(1, first.processCount());
         assertEquals(0, Files.readAllBytes(path)[64], "the head of the dead slot");
     }
@@ -99,49 +105,51 @@
                 "{\"version\":1,\"generation\":9,\"listening\":true,\"engines\":{\"e1\":7}}",
                 "{\"version\":1,\"generation\":\"x\",\"listening\":true,\"engines\":{}}"
             })
-    void aStateThatCannotBeReadIsNotUsed(String text) throws IOException {
+    void anUnreadableStateIsIgnored(String text) throws IOException {
         try (ProcessSlotFile odd =
                 new ProcessSlotFile(folder.resolve("calicostream-n1.handover"))) {
             odd.write(text.getBytes(StandardCharsets.UTF_8));
-            HotRestart handover = joined("new");
-            assertFalse(handover.hasSuccessor());
-            assertEquals(1, handover.processCount());
-            assertEquals(List.of(), heard);
+            HotRestart hotRestart = joined("new");
+            assertFalse(hotRestart.hasSuccessor());
+            assertEquals(1, hotRestart.processCount());
+            assertEquals(List.of(), notifications);
         }
     }
 
     /**
-     * It was half written, or written over while it was read: what was known of that process stays.
+     * A state that was partly written, or overwritten while it was read: the last known one stays.
      */
     @Test
-    void aHalfWrittenStateChangesNothing() throws IOException {
+    void aPartlyWrittenStateChangesNothing() throws IOException {
         Path path = folder.resolve("calicostream-n1.handover");
-        try (ProcessSlotFile elder = new ProcessSlotFile(path)) {
-            elder.write(STATE.getBytes(StandardCharsets.UTF_8));
-            HotRestart younger = joined("younger");
-            assertEquals(9, younger.newestPeerEventSequence());
-            elder.write(STATE.replace("\"seq\":9", "\"seq\":12").getBytes(StandardCharsets.UTF_8));
+        try (ProcessSlotFile predecessor = new ProcessSlotFile(path)) {
+            predecessor.write(STATE.getBytes(StandardCharsets.UTF_8));
+            HotRestart successor = joined("successor");
+            assertEquals(9, successor.newestPeerEventSequence());
+            predecessor.write(
+                    STATE.replace("\"seq\":9", "\"seq\":12").getBytes(StandardCharsets.UTF_8));
             damage(path, "\"seq\":12");
-            younger.poll();
-            assertTrue(younger.hasPredecessor());
-            assertEquals(9, younger.newestPeerEventSequence());
-            elder.write(STATE.replace("\"seq\":9", "\"seq\":14").getBytes(StandardCharsets.UTF_8));
-            younger.poll();
-            assertEquals(14, younger.newestPeerEventSequence());
+            successor.poll();
+            assertTrue(successor.hasPredecessor());
+            assertEquals(9, successor.newestPeerEventSequence());
+            predecessor.write(
+                    STATE.replace("\"seq\":9", "\"seq\":14").getBytes(StandardCharsets.UTF_8));
+            successor.poll();
+            assertEquals(14, successor.newestPeerEventSequence());
         }
     }
 
-    private static void damage(Path path, String what) throws IOException {
-        int at = new String(Files.readAllBytes(path), StandardCharsets.ISO_8859_1).indexOf(what);
+    private static void damage(Path path, String text) throws IOException {
+        int at = new String(Files.readAllBytes(path), StandardCharsets.ISO_8859_1).indexOf(text);
         assertTrue(at > 0);
         try (FileChannel file = FileChannel.open(path, StandardOpenOption.WRITE)) {
             file.write(ByteBuffer.wrap(new byte[] {'!'}), at);
         }
     }
 
-    /** One that finds no slot, or no folder, serves by itself. */
+    /** A process that finds no slot, or no folder, serves by itself. */
     @Test
-    void withoutASlotThereIsNoHandOverAndNoFailure() throws IOException {
+    void withoutASlotAProcessServesAlone() throws IOException {
         Path path = folder.resolve("calicostream-n1.handover");
         List<ProcessSlotFile> held = new ArrayList<>();
         for (int i = 0; i < ProcessSlotFile.SLOT_COUNT; i++) {
@@ -158,16 +166,20 @@
         assertEquals(2, new ProcessSlotFile(path).ownSlot());
         HotRestart nowhere =
                 new HotRestart(
-                        folder.resolve("missing"), "n1", (engine, word) -> heard.add(engine));
+                        folder.resolve("missing"),
+                        "n1",
+                        (engine, override) -> notifications.add(engine));
         nowhere.join();
         nowhere.poll();
         assertFalse(nowhere.hasPredecessor());
-        assertEquals(List.of(), heard);
+        assertEquals(List.of(), notifications);
     }
 
-    /** A process that takes the slot of one that died between two looks is not taken for it. */
+    /**
+     * A process that reuses the slot of one that ended between two polls is not mistaken for it.
+     */
     @Test
-    void aSlotTakenAnewIsReadAnew() {
+    void aReusedSlotIsReadAgain() {
         HotRestart watching = joined("watching");
         HotRestart first = joined("first");
         first.publishListening(true);
