--- a/src/main/java/calicostream/admin/AdminOperations.java
+++ b/src/main/java/calicostream/admin/AdminOperations.java
@@ -1,30 +1,40 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.admin;
 
-/** What the operators may ask of a front end. Called on the loop's thread. */
+/** The administrative operations of a server. All methods are called on the event loop's thread. */
 public interface AdminOperations {
-    /** Whether this process can serve now. */
+    /** Whether this process can serve requests now. */
     boolean isReady();
 
-    /** The figures as a JSON object. */
+    /** The metrics as a JSON object. */
     String metricsJson();
 
     /**
-     * Leaves an engine out, or puts it back, before this returns; false where no engine has the id.
+     * Disables an engine before it returns: no further requests are sent to it.
+     *
+     * @return false where no engine has the id
      */
     boolean disableEngine(String engine);
 
+    /**
+     * Enables a disabled engine before it returns.
+     *
+     * @return false where no engine has the id
+     */
     boolean enableEngine(String engine);
 
     /**
-     * What a part that is on tells of itself, as a JSON object; null where none that is on has this
-     * name, or it tells nothing.
+     * The status of an optional component.
+     *
+     * @return a JSON object; null where no component that runs has the name, or it has no status
      */
-    String statusJson(String part);
+    String statusJson(String component);
 
     /**
-     * Words to a part that is on: null where there is none that knows them, empty where it took
-     * them, else why not.
+     * Passes an administrative command to an optional component.
+     *
+     * @return null where no component that runs knows the command, an empty text where it was
+     *     accepted, else the reason of its rejection in one line
      */
-    String executeCommand(String part, String words);
+    String executeCommand(String component, String command);
 }
--- a/src/main/java/calicostream/admin/MetricsJson.java
+++ b/src/main/java/calicostream/admin/MetricsJson.java
@@ -7,33 +7,34 @@
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
 import java.util.List;
-import java.util.function.IntToLongFunction;
 
-/** The figures under the names that the operators know them by. */
+/** Writes the metrics as JSON, under member names that operators' tools rely on. */
 public final class MetricsJson {
     private MetricsJson() {}
 
+    /**
+     * The metrics as the text of a JSON object.
+     *
+     * @param classNames the names of the query classes, in the order of their numbers
+     */
     public static String of(Gateway gateway, List<String> classNames) {
-        RequestMetrics figures = gateway.metrics();
+        RequestMetrics metrics = gateway.metrics();
         return Json.object()
-                .add("ok", byClass(classNames, c -> figures.requestEnded(RequestOutcome.SERVED, c)))
-                .add(
-                        "shed",
-                        byClass(classNames, c -> figures.requestEnded(RequestOutcome.REJECTED, c)))
-                .add(
-                        "errors",
-                        byClass(classNames, c -> figures.requestEnded(RequestOutcome.FAILED, c)))
-                .add("tries", figures.attemptsWritten())
+                .add("ok", countByClass(metrics, RequestOutcome.SERVED, classNames))
+                .add("shed", countByClass(metrics, RequestOutcome.REJECTED, classNames))
+                .add("errors", countByClass(metrics, RequestOutcome.FAILED, classNames))
+                .add("tries", metrics.attemptsWritten())
                 .add("active", gateway.openRequests())
                 .add("pool_size", gateway.listedEngines())
                 .add("pool_ejected", gateway.excludedEngines())
                 .toString();
     }
 
-    private static JsonObject byClass(List<String> classNames, IntToLongFunction count) {
+    private static JsonObject countByClass(
+            RequestMetrics metrics, RequestOutcome outcome, List<String> classNames) {
         JsonObject counts = Json.object();
-        for (int i = 0; i < classNames.size(); i++) {
-            counts.add(classNames.get(i), count.applyAsLong(i));
+        for (int queryClass = 0; queryClass < classNames.size(); queryClass++) {
+            counts.add(classNames.get(queryClass), metrics.requestEnded(outcome, queryClass));
         }
         return counts;
     }
--- a/src/main/java/calicostream/net/Connection.java
+++ b/src/main/java/calicostream/net/Connection.java
@@ -9,121 +9,149 @@
 import java.nio.channels.SelectionKey;
 import java.nio.channels.SocketChannel;
 
-/** One TCP connection with a bounded ring a direction; its handler is told what happens on it. */
+/**
+ * One TCP connection with a bounded buffer for each direction. It belongs to one event loop, whose
+ * thread makes all calls; its {@link Handler} is notified on that thread. The connection owns its
+ * channel. An I/O failure closes it and is not thrown.
+ */
 public final class Connection implements SelectorLoop.ChannelHandler {
-    private static final long LINGER =
-            1_000_000; // us for the other side to read on, or to close once it has all
+    /** Time for the peer to read on while bytes are unsent, or to close once it has them all. */
+    private static final long LINGER_MICROS = 1_000_000;
 
-    /**
-     * What a connection's owner is told. {@link #closed} comes once, also after {@link
-     * Connection#close}.
-     */
+    /** The events of a connection. */
     public interface Handler {
+        /** An outgoing connection is established. */
         default void connected(Connection connection) {}
 
-        /** New bytes are in the ring; take what is whole. */
+        /**
+         * New bytes are in {@link Connection#input()}; the handler removes what is complete. Also
+         * called with bytes that it has left there before.
+         */
         void received(Connection connection);
 
-        /** Bytes went out, so the ring out has room again. */
+        /** Queued bytes were written, so that there is capacity for more. */
         default void drained(Connection connection) {}
 
+        /** The connection is closed; called once, also after {@link Connection#close}. */
         void closed(Connection connection);
     }
 
     private final SelectorLoop loop;
     private final SocketChannel channel;
     private final Handler handler;
-    private final RingBuffer input;
-    private final RingBuffer out;
+    private final ConnectionInput input;
+    private final ConnectionOutput output;
     private SelectionKey key;
-    private boolean connecting, closed, paused, flushing, ofAcceptedUrgent;
-    private boolean closeWhenFlushed, lingering, reset;
-    private boolean ended, readAhead; // by the other side; bytes wait to be handled
-    private long queuedBytes, writtenBytes; // bytes since it was opened
+    private ConnectionState state = ConnectionState.CONNECTING;
+    private boolean urgent;
+    private boolean flushScheduled;
+    private boolean resetWhileConnecting;
 
     private Connection(
-            SelectorLoop loop, SocketChannel channel, Handler handler, int boundIn, int boundOut) {
+            SelectorLoop loop,
+            SocketChannel channel,
+            Handler handler,
+            int maxInput,
+            int maxOutput) {
         this.loop = loop;
         this.channel = channel;
         this.handler = handler;
-        input = new RingBuffer(boundIn, loop.bufferMemory());
-        out = new RingBuffer(boundOut, loop.bufferMemory());
+        RingBuffer received = new RingBuffer(maxInput, loop.bufferMemory());
+        input = new ConnectionInput(this, loop, channel, handler, received);
+        output = new ConnectionOutput(new RingBuffer(maxOutput, loop.bufferMemory()));
     }
 
-    /** Takes over an accepted channel. */
+    /**
+     * Creates the connection of an accepted channel, and owns the channel from then on.
+     *
+     * @param maxInput capacity of the buffer for received bytes, a power of two of at least 512
+     * @param maxOutput capacity of the buffer for queued bytes, likewise
+     * @throws IOException where the channel can't be registered; it stays the caller's
+     */
     public static Connection ofAccepted(
-            SelectorLoop loop, SocketChannel channel, Handler handler, int boundIn, int boundOut)
+            SelectorLoop loop, SocketChannel channel, Handler handler, int maxInput, int maxOutput)
             throws IOException {
-        Connection c = new Connection(loop, channel, handler, boundIn, boundOut);
-        c.key = loop.register(channel, SelectionKey.OP_READ, c);
-        return c;
+        return new Connection(loop, channel, handler, maxInput, maxOutput).startReading(false);
     }
 
-    /** The same, served before all that is not urgent. */
+    /** As {@link #ofAccepted}, for a connection that is served before those that are not urgent. */
     public static Connection ofAcceptedUrgent(
-            SelectorLoop loop, SocketChannel channel, Handler handler, int boundIn, int boundOut)
+            SelectorLoop loop, SocketChannel channel, Handler handler, int maxInput, int maxOutput)
             throws IOException {
-        Connection c = ofAccepted(loop, channel, handler, boundIn, boundOut);
-        c.ofAcceptedUrgent = true;
-        return c;
+        return new Connection(loop, channel, handler, maxInput, maxOutput).startReading(true);
+    }
+
+    private Connection startReading(boolean isUrgent) throws IOException {
+        urgent = isUrgent;
+        state = ConnectionState.OPEN;
+        key = loop.register(channel, SelectionKey.OP_READ, this);
+        return this;
     }
 
     /**
-     * Starts to connect; a failure, also one at once, is told as {@link Handler#closed}, never from
-     * in here.
+     * Starts to connect. A failure is notified by {@link Handler#closed}, never within this call.
+     *
+     * @throws IOException where no socket can be opened
      */
     public static Connection connect(
             SelectorLoop loop,
             InetSocketAddress address,
             Handler handler,
-            int boundIn,
-            int boundOut)
+            int maxInput,
+            int maxOutput)
             throws IOException {
-        Connection c = new Connection(loop, SocketChannel.open(), handler, boundIn, boundOut);
-        c.connecting = true;
-        try {
-            c.channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            c.channel.configureBlocking(false);
-            c.channel.connect(address);
-            c.key = loop.register(c.channel, SelectionKey.OP_CONNECT, c);
-        } catch (IOException e) {
-            loop.runBeforeSelect(c::close);
-        }
-        return c;
+        SocketChannel channel = SocketChannel.open();
+        return new Connection(loop, channel, handler, maxInput, maxOutput)
+                .startConnecting(address, false);
     }
 
-    /** The same, served before all that is not urgent. */
+    /** As {@link #connect}, for a connection that is served before those that are not urgent. */
     public static Connection connectUrgent(
             SelectorLoop loop,
             InetSocketAddress address,
             Handler handler,
-            int boundIn,
-            int boundOut)
+            int maxInput,
+            int maxOutput)
             throws IOException {
-        Connection c = connect(loop, address, handler, boundIn, boundOut);
-        c.ofAcceptedUrgent = true;
-        return c;
+        SocketChannel channel = SocketChannel.open();
+        return new Connection(loop, channel, handler, maxInput, maxOutput)
+                .startConnecting(address, true);
+    }
+
+    private Connection startConnecting(InetSocketAddress address, boolean isUrgent) {
+        urgent = isUrgent;
+        try {
+            channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+            channel.configureBlocking(false);
+            channel.connect(address);
+            key = loop.register(channel, SelectionKey.OP_CONNECT, this);
+        } catch (IOException e) {
+            loop.runBeforeSelect(this::close);
+        }
+        return this;
     }
 
+    /** The received bytes; the handler removes what it has processed. */
     public RingBuffer input() {
-        return input;
+        return input.buffer();
     }
 
-    /** Bytes queued since it was opened, and those of them that the socket has taken. */
+    /** Bytes queued since the connection was opened. */
     public long queuedBytes() {
-        return queuedBytes;
+        return output.queuedBytes();
     }
 
+    /** Bytes that the socket has accepted since the connection was opened. */
     public long writtenBytes() {
-        return writtenBytes;
+        return output.writtenBytes();
     }
 
-    /** Bytes queued that the socket has not taken. */
+    /** Bytes that are queued and not written. */
     public int unsentBytes() {
-        return out.size();
+        return output.unsentBytes();
     }
 
-    /** Who is at the other end; null once it is closed. */
+    /** The peer's address; null once the connection is closed. */
     public InetSocketAddress remoteAddress() {
         try {
             return (InetSocketAddress) channel.getRemoteAddress();
@@ -132,7 +160,7 @@
         }
     }
 
-    /** The address of this end; null once it is closed. */
+    /** The address of this end; null once the connection is closed. */
     public InetSocketAddress localAddress() {
         try {
             return (InetSocketAddress) channel.getLocalAddress();
@@ -141,265 +169,229 @@
         }
     }
 
+    /** Whether the connection is established and not closed. */
     public boolean isConnected() {
-        return !connecting && !closed;
+        return state.isConnected();
     }
 
+    /** Whether {@link Handler#closed} has been or is being called. */
     public boolean isClosed() {
-        return closed;
+        return state == ConnectionState.CLOSED;
     }
 
-    /** Queues bytes; false, and nothing is queued, where the ring has no room. */
+    /** Whether the connection is closed, or about to close from either side. */
+    public boolean isClosing() {
+        return state.isClosing() || input.isPeerClosed();
+    }
+
+    /** Whether a peer that was reachable reset the connection before it was established. */
+    public boolean wasReset() {
+        return resetWhileConnecting;
+    }
+
+    /**
+     * Queues bytes to be written before the loop next waits.
+     *
+     * @return false, and nothing is queued, where the connection is closed or has no capacity
+     */
     public boolean write(byte[] bytes) {
-        if (closed || !out.put(bytes)) {
+        if (isClosed() || !output.enqueue(bytes)) {
             return false;
         }
-        queuedBytes += bytes.length;
-        if (!connecting
-                && !flushing) { // One write for all that is queued in this turn of the loop.
-            flushing = true;
+        // One write to the socket for all that is queued in this iteration of the loop.
+        if (state != ConnectionState.CONNECTING && !flushScheduled) {
+            flushScheduled = true;
             loop.runBeforeSelect(this::flush);
         }
         return true;
     }
 
-    /**
-     * Writes what is queued now, as something else that goes out in this turn must come after it.
-     */
+    /** Writes what is queued now, ahead of other connections' output in this iteration. */
     public void flushNow() {
-        if (!connecting) {
+        if (state != ConnectionState.CONNECTING) {
             flush();
         }
     }
 
-    /** Goes on with what is in the ring once every other channel has had its turn. */
-    public void processNextIteration() {
-        loop.runNextIteration(() -> handle(input.size() > 0));
-    }
-
-    /** Back-pressure: stops or resumes reading. */
-    public void setReadPaused(boolean on) {
-        if (paused != on && (on || !closeWhenFlushed)) {
-            paused = on;
-            interest();
-            if (!on) {
-                loop.runBeforeSelect(() -> handle(input.size() > 0));
+    private void flush() {
+        flushScheduled = false;
+        if (isClosed()) {
+            return;
+        }
+        try {
+            if (output.writeTo(channel, loop.transferBuffer()) > 0) {
+                handler.drained(this);
+            }
+            if (state == ConnectionState.FLUSHING && output.unsentBytes() == 0) {
+                linger();
             }
+            updateInterest();
+        } catch (IOException e) {
+            close();
         }
     }
 
-    /**
-     * Sends what is queued, then closes; takes no more input. What still comes is read and dropped
-     * for a while: closing on unread bytes would reset the connection, and the last answer with it.
-     */
-    public void closeGracefully() {
-        if (connecting) {
-            close();
-        } else if (!closeWhenFlushed && !closed) {
-            closeWhenFlushed = true;
-            setReadPaused(true);
-            awaitFlushed(writtenBytes);
-            loop.runBeforeSelect(this::flush);
+    /** Applies back-pressure: pauses or resumes reading from the socket. */
+    public void setReadPaused(boolean paused) {
+        if (paused || !state.isClosing()) {
+            input.setPaused(paused);
         }
     }
 
-    /**
-     * Who reads slowly has all of it in the end; who has read nothing for a while is not waited
-     * for.
-     */
-    private void awaitFlushed(long writtenBefore) {
-        loop.deadlines()
-                .add(
-                        loop.clock().now() + LINGER,
-                        (now, ref) -> {
-                            if (!lingering && writtenBytes > writtenBefore) {
-                                awaitFlushed(writtenBytes);
-                            } else if (!lingering) {
-                                close();
-                            }
-                        },
-                        0);
+    /** Passes buffered input to the handler again once every other channel was served. */
+    public void processNextIteration() {
+        input.processNextIteration();
     }
 
     /**
-     * Whether the other side has ended it, as far as its bytes have come: these are read now, also
-     * where reading is paused, and handled in the loop's next turn. Safe to call while this
-     * connection's bytes are being handled.
+     * Whether the peer has closed the connection, as far as bytes have arrived. They are read now,
+     * even where reading is paused, and processed in the loop's next iteration, so that the handler
+     * may call this while it processes input.
      */
     public boolean hasPeerClosed() {
-        if (closed || ended || connecting || lingering) {
-            return closed || ended;
-        }
-        try {
-            for (int count = 1; count > 0 && input.remainingCapacity() > 0; ) {
-                count = input.readFrom(channel, loop.transferBuffer());
-                ended = count < 0;
-                readAhead(count != 0);
-            }
-        } catch (IOException e) {
-            ended = true;
-            readAhead(true);
-        }
-        return ended;
-    }
-
-    /** The selector won't tell of bytes that have been read. */
-    private void readAhead(boolean any) {
-        if (any && !readAhead) {
-            readAhead = true;
-            loop.runNextIteration(
-                    () -> {
-                        readAhead = false;
-                        if (ended) { // What it asked for last is of no use to anybody.
-                            close();
-                        } else {
-                            handle(input.size() > 0);
-                        }
-                    });
+        if (state == ConnectionState.OPEN || state == ConnectionState.FLUSHING) {
+            input.readAhead();
         }
+        return isClosed() || input.isPeerClosed();
     }
 
-    /** Takes what has come and was not read yet; whether there was nothing. */
+    /** Reads and processes what has arrived; returns whether the connection is open and idle. */
     public boolean readAndCheckIdle() {
-        if (closed || connecting || paused) {
+        if (!isConnected() || input.isPaused()) {
             return false;
         }
         try {
-            int count = input.readFrom(channel, loop.transferBuffer());
-            handle(count > 0);
-            if (count < 0) {
-                close();
-            }
-            return count == 0 && input.size() == 0 && !closed;
+            int count = input.readAndProcess();
+            return count == 0 && input.buffer().size() == 0 && !isClosed();
         } catch (IOException e) {
             close();
             return false;
         }
     }
 
-    /** Whether it has ended, or only waits for the other side to see its end. */
-    public boolean isClosing() {
-        return closeWhenFlushed || closed || ended;
+    /**
+     * Closes the connection once all queued bytes are written; no more input is processed. Input is
+     * still read and discarded for a while: closing a socket with unread input would reset the
+     * connection, and the peer would lose the last bytes written.
+     */
+    public void closeGracefully() {
+        if (state == ConnectionState.CONNECTING) {
+            close();
+        } else if (state == ConnectionState.OPEN) {
+            state = ConnectionState.FLUSHING;
+            input.setPaused(true);
+            closeUnlessWritten(output.writtenBytes());
+            loop.runBeforeSelect(this::flush);
+        }
     }
 
-    /** Whether the other side, which was there, ended it before it had come up. */
-    public boolean wasReset() {
-        return reset;
+    /** A peer that reads slowly receives everything; one that stopped reading is not awaited. */
+    private void closeUnlessWritten(long writtenBefore) {
+        loop.deadlines()
+                .add(
+                        loop.clock().now() + LINGER_MICROS,
+                        (now, reference) -> checkFlushProgress(writtenBefore),
+                        0);
     }
 
+    private void checkFlushProgress(long writtenBefore) {
+        if (state != ConnectionState.FLUSHING) {
+            return;
+        }
+        if (output.writtenBytes() > writtenBefore) {
+            closeUnlessWritten(output.writtenBytes());
+        } else {
+            close();
+        }
+    }
+
+    private void linger() throws IOException {
+        state = ConnectionState.LINGERING;
+        input.discard();
+        channel.shutdownOutput();
+        loop.deadlines().add(loop.clock().now() + LINGER_MICROS, (now, reference) -> close(), 0);
+    }
+
+    /** Closes the connection at once and discards unsent bytes; later calls do nothing. */
     public void close() {
-        if (closed) {
+        if (isClosed()) {
             return;
         }
-        closed = true;
+        state = ConnectionState.CLOSED;
         try {
             channel.close();
         } catch (IOException e) {
-            // The descriptor is gone either way.
+            // The file descriptor is released either way.
         }
-        input.skip(input.size());
-        out.skip(out.size());
+        input.discard();
+        output.discard();
         handler.closed(this);
     }
 
     @Override
     public void onReady() {
         try {
-            if (connecting) {
+            if (state == ConnectionState.CONNECTING) {
                 finishConnect();
                 return;
             }
             if (key.isWritable()) {
                 flush();
             }
-            if (!closed && key.isReadable()) {
-                if (lingering) {
-                    if (channel.read(loop.transferBuffer().clear()) < 0) {
-                        close();
-                    }
-                    return;
-                }
-                int count = input.readFrom(channel, loop.transferBuffer());
-                handle(count > 0);
-                if (count < 0) {
-                    close();
-                }
+            if (isClosed() || !key.isReadable()) {
+                return;
+            }
+            if (state == ConnectionState.LINGERING) {
+                input.readAndDiscard();
+            } else {
+                input.readAndProcess();
             }
         } catch (IOException e) {
             close();
         }
     }
 
-    @Override
-    public boolean isUrgent() {
-        return ofAcceptedUrgent;
-    }
-
-    @Override
-    public void onKeyReplaced(SelectionKey to) {
-        key = to;
-    }
-
     private void finishConnect() throws IOException {
         try {
             if (channel.finishConnect()) {
-                connecting = false;
-                interest();
+                state = ConnectionState.OPEN;
+                updateInterest();
                 handler.connected(this);
             }
-        } catch (ConnectException e) { // Refused: nobody is there.
+        } catch (ConnectException e) { // Rejected: no process listens there.
             close();
         } catch (SocketException e) {
-            reset = true;
+            resetWhileConnecting = true;
             close();
         }
     }
 
     @Override
-    public void onFailure() {
-        close();
+    public boolean isUrgent() {
+        return urgent;
     }
 
-    private void handle(boolean any) {
-        if (any && !closed && !paused) {
-            handler.received(this);
-            interest();
-        }
+    @Override
+    public void onKeyReplaced(SelectionKey replacement) {
+        key = replacement;
     }
 
-    private void flush() {
-        flushing = false;
-        if (closed) {
-            return;
-        }
-        try {
-            int count = out.writeTo(channel, loop.transferBuffer());
-            writtenBytes += count;
-            if (count > 0) {
-                handler.drained(this);
-            }
-            if (out.size() == 0 && closeWhenFlushed && !lingering && !closed) {
-                lingering = true;
-                input.skip(input.size());
-                channel.shutdownOutput();
-                loop.deadlines().add(loop.clock().now() + LINGER, (now, ref) -> close(), 0);
-            }
-            interest();
-        } catch (IOException e) {
-            close();
-        }
+    @Override
+    public void onFailure() {
+        close();
     }
 
-    private void interest() {
-        if (!closed && !connecting && key != null && key.isValid()) {
-            int wanted =
-                    (paused && !lingering || input.remainingCapacity() == 0
-                                    ? 0
-                                    : SelectionKey.OP_READ)
-                            | (out.size() > 0 ? SelectionKey.OP_WRITE : 0);
-            if (key.interestOps() != wanted) {
-                key.interestOps(wanted);
-            }
+    /** Tells the selector which events the connection waits for now. */
+    void updateInterest() {
+        if (!isConnected() || key == null || !key.isValid()) {
+            return;
+        }
+        boolean discards = state == ConnectionState.LINGERING;
+        boolean reads = (discards || !input.isPaused()) && input.buffer().remainingCapacity() > 0;
+        boolean writes = output.unsentBytes() > 0;
+        int interest = (reads ? SelectionKey.OP_READ : 0) | (writes ? SelectionKey.OP_WRITE : 0);
+        if (key.interestOps() != interest) {
+            key.interestOps(interest);
         }
     }
 }
--- a/src/main/java/calicostream/net/Listener.java
+++ b/src/main/java/calicostream/net/Listener.java
@@ -10,89 +10,97 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Accepts connections on one address, up to a number open at once. */
+/**
+ * Accepts connections on one address, up to a maximum number open at once. It belongs to one event
+ * loop, whose thread makes all calls.
+ */
 public final class Listener implements SelectorLoop.ChannelHandler {
-    /** Who takes the connections. */
+    /** Owns the connections that a listener accepts. */
     public interface Acceptor {
+        /**
+         * Takes ownership of an accepted channel. The acceptor calls {@link
+         * Listener#connectionClosed} once it has closed the channel.
+         *
+         * @throws IOException where the channel is closed already; it stays the listener's
+         */
         void accepted(SocketChannel channel) throws IOException;
 
-        /** All that may be open are: ends one that can be spared, or says that there is none. */
+        /** Closes a connection in favour of a new one; returns false where none may be closed. */
         boolean evictOne();
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(Listener.class);
     private static final int BACKLOG = 512;
-    private static final int A_TURN = 64; // connections taken before the open ones have a turn
-    private static final long PAUSE = 20_000;
+
+    /** Open connections are served after so many new ones. */
+    private static final int MAX_ACCEPTS_PER_ITERATION = 64;
+
+    private static final long ACCEPT_PAUSE_MICROS = 20_000;
+
     private final SelectorLoop loop;
     private final ServerSocketChannel channel;
-    private SelectionKey key;
+    private final Acceptor acceptor;
     private final boolean urgent;
-    private int setMaxConnections;
-    private final Acceptor taker;
-    private int open;
-
-    public Listener(SelectorLoop loop, InetSocketAddress at, int most, Acceptor taker)
-            throws IOException {
-        this(loop, at, most, taker, false);
-    }
-
-    /** How many may be open from now on. */
-    public void setMaxConnections(int count) {
-        setMaxConnections = count;
-    }
+    private SelectionKey key;
+    private int maxConnections;
+    private int openConnections;
 
     /**
-     * Takes all that have connected so far, as closing would reset them, and takes no more: who
-     * comes later is refused. The system listens on for as long as the selector knows the channel,
-     * so it is let go before the last look.
+     * Listens on an address; other processes may listen on it, too.
+     *
+     * @throws IOException where the address can't be bound
      */
-    public void acceptPendingAndClose() throws IOException {
-        try {
-            takeAll();
-            loop.deregister(key);
-            takeAll();
-        } finally {
-            channel.close();
-        }
-    }
-
-    private void takeAll() throws IOException {
-        for (SocketChannel next = channel.accept(); next != null; next = channel.accept()) {
-            open++;
-            take(next);
-        }
-    }
-
-    /** One whose connections are taken before all that is not urgent. */
-    public static Listener urgent(SelectorLoop loop, InetSocketAddress at, int most, Acceptor taker)
+    public Listener(
+            SelectorLoop loop, InetSocketAddress address, int maxConnections, Acceptor acceptor)
             throws IOException {
-        return new Listener(loop, at, most, taker, true);
+        this(loop, address, maxConnections, acceptor, false);
     }
 
     private Listener(
-            SelectorLoop loop, InetSocketAddress at, int most, Acceptor taker, boolean urgent)
+            SelectorLoop loop,
+            InetSocketAddress address,
+            int maxConnections,
+            Acceptor acceptor,
+            boolean urgent)
             throws IOException {
         this.loop = loop;
         this.urgent = urgent;
-        this.setMaxConnections = most;
-        this.taker = taker;
+        this.maxConnections = maxConnections;
+        this.acceptor = acceptor;
         channel = ServerSocketChannel.open();
         channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-        if (!urgent) { // Another process of the same front end may listen, too.
+        if (!urgent) { // During a hot restart, two processes of one server listen.
             channel.setOption(StandardSocketOptions.SO_REUSEPORT, true);
         }
-        channel.bind(at, BACKLOG);
+        channel.bind(address, BACKLOG);
         key = loop.register(channel, SelectionKey.OP_ACCEPT, this);
     }
 
+    /**
+     * Listens on an address that no other process may listen on; its connections are accepted
+     * before channels that are not urgent are served.
+     *
+     * @throws IOException where the address can't be bound
+     */
+    public static Listener urgent(
+            SelectorLoop loop, InetSocketAddress address, int maxConnections, Acceptor acceptor)
+            throws IOException {
+        return new Listener(loop, address, maxConnections, acceptor, true);
+    }
+
+    /** Changes the maximum number of open connections; those that are open stay so. */
+    public void setMaxConnections(int count) {
+        maxConnections = count;
+    }
+
+    /** The port that it listens on. */
     public int port() throws IOException {
         return ((InetSocketAddress) channel.getLocalAddress()).getPort();
     }
 
-    /** A connection that this listener accepted has ended. */
+    /** Tells the listener that a connection it has accepted is closed. */
     public void connectionClosed() {
-        open--;
+        openConnections--;
         resume();
     }
 
@@ -102,58 +110,90 @@
         }
     }
 
+    /** Stops listening; connections that are not accepted yet are reset. */
     public void close() throws IOException {
         channel.close();
     }
 
-    @Override
-    public void onKeyReplaced(SelectionKey to) {
-        key = to;
+    /**
+     * Accepts all connections that are established so far, as closing would reset them, then stops
+     * listening. The system goes on listening while the selector knows the channel: it is
+     * deregistered before the last connections are accepted.
+     */
+    public void acceptPendingAndClose() throws IOException {
+        try {
+            acceptPending();
+            loop.deregister(key);
+            acceptPending();
+        } finally {
+            channel.close();
+        }
     }
 
-    @Override
-    public boolean isUrgent() {
-        return urgent;
+    private void acceptPending() throws IOException {
+        SocketChannel next = channel.accept();
+        while (next != null) {
+            handOver(next);
+            next = channel.accept();
+        }
+    }
+
+    private void handOver(SocketChannel accepted) throws IOException {
+        openConnections++;
+        try {
+            accepted.setOption(StandardSocketOptions.TCP_NODELAY, true);
+            acceptor.accepted(accepted);
+        } catch (IOException e) { // The client has closed it; the listener itself is sound.
+            openConnections--;
+            accepted.close();
+        }
     }
 
     @Override
     public void onReady() {
         try {
-            for (int i = 0; i < A_TURN; i++) {
-                if (open >= setMaxConnections && !taker.evictOne()) {
-                    onFailure(); // Full: more wait in the backlog for a while.
-                    return;
-                }
-                SocketChannel next = channel.accept();
-                if (next == null) {
-                    return;
-                }
-                open++;
-                take(next);
-            }
-        } catch (IOException e) { // Out of descriptors, most likely: a spinning acceptor would help
-            // nobody.
-            LOG.warn("accept: {}", e.toString());
-            onFailure();
+            acceptSome();
+        } catch (IOException e) {
+            // Most likely no file descriptor is left: accepting again at once would fail again.
+            LOG.warn("accept failed: {}", e.toString());
+            pause();
         }
     }
 
-    private void take(SocketChannel next) throws IOException {
-        try {
-            next.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            taker.accepted(next);
-        } catch (IOException e) { // Gone before it was taken; the listener has no fault in it.
-            open--;
-            next.close();
+    private void acceptSome() throws IOException {
+        for (int i = 0; i < MAX_ACCEPTS_PER_ITERATION; i++) {
+            if (openConnections >= maxConnections && !acceptor.evictOne()) {
+                pause(); // Further connections wait in the backlog.
+                return;
+            }
+            SocketChannel next = channel.accept();
+            if (next == null) {
+                return;
+            }
+            handOver(next);
         }
     }
 
-    /** Rests for a moment. */
-    @Override
-    public void onFailure() {
+    private void pause() {
         if (key.isValid() && key.interestOps() != 0) {
             key.interestOps(0);
-            loop.deadlines().add(loop.clock().now() + PAUSE, (now, ref) -> resume(), 0);
+            loop.deadlines()
+                    .add(loop.clock().now() + ACCEPT_PAUSE_MICROS, (now, reference) -> resume(), 0);
         }
     }
+
+    @Override
+    public void onFailure() {
+        pause();
+    }
+
+    @Override
+    public void onKeyReplaced(SelectionKey replacement) {
+        key = replacement;
+    }
+
+    @Override
+    public boolean isUrgent() {
+        return urgent;
+    }
 }
--- a/src/main/java/calicostream/net/RingBuffer.java
+++ b/src/main/java/calicostream/net/RingBuffer.java
@@ -7,62 +7,79 @@
 import java.nio.channels.WritableByteChannel;
 
 /**
- * The bytes of one direction of a connection: a ring that grows by doubling up to a bound, past
- * which it takes no more. It has memory only while it holds bytes, since hundreds of connections
- * are open and most of them rest. Bytes pass between it and a channel through the loop's one direct
- * buffer.
+ * The bytes of one direction of a connection: a ring buffer that grows by doubling up to a maximum
+ * capacity and accepts no more beyond it. It has memory only while it holds bytes, since hundreds
+ * of connections are open and most of them are idle. Bytes pass between it and a channel through
+ * the event loop's one direct buffer. One thread uses an object.
  */
 public final class RingBuffer {
-    private static final int FIRST = 512;
-    private static final byte[] NONE = {};
-    private final int bound;
-    private final MemoryUsage allocatedBytes;
-    private byte[] bytes = NONE;
-    private int head;
-    private int size;
+    private static final int INITIAL_CAPACITY = 512;
+    private static final byte[] EMPTY = {};
 
-    /** Bytes of memory that many rings, and what waits for room in them, take together. */
+    /** Counts the bytes of memory that several buffers, and data that waits for them, take. */
     public static final class MemoryUsage {
         private long bytes;
 
+        /** Adds to the count; a negative number reduces it. */
         public void add(long count) {
             bytes += count;
         }
 
+        /** The bytes of memory in use. */
         public long bytes() {
             return bytes;
         }
     }
 
-    /** The bound is a power of two of at least 512. */
-    public RingBuffer(int bound) {
-        this(bound, new MemoryUsage());
+    private final int maxCapacity;
+    private final MemoryUsage memoryUsage;
+
+    /** Its length is 0 or a power of two, so that positions wrap by a mask. */
+    private byte[] bytes = EMPTY;
+
+    private int head;
+    private int size;
+
+    /**
+     * Creates an empty buffer.
+     *
+     * @param maxCapacity in bytes, a power of two of at least 512
+     */
+    public RingBuffer(int maxCapacity) {
+        this(maxCapacity, new MemoryUsage());
     }
 
-    /** The same, counted with others. */
-    public RingBuffer(int bound, MemoryUsage held) {
-        this.bound = bound;
-        this.allocatedBytes = held;
+    /** Creates an empty buffer whose memory is counted together with that of others. */
+    public RingBuffer(int maxCapacity, MemoryUsage memoryUsage) {
+        this.maxCapacity = maxCapacity;
+        this.memoryUsage = memoryUsage;
     }
 
+    /** The number of bytes in it. */
     public int size() {
         return size;
     }
 
+    /** How many bytes it accepts before it is full. */
     public int remainingCapacity() {
-        return bound - size;
+        return maxCapacity - size;
     }
 
-    /** Bytes of memory that it takes now. */
+    /** The bytes of memory that it takes now. */
     public int allocatedBytes() {
         return bytes.length;
     }
 
-    public byte get(int i) {
-        return bytes[head + i & bytes.length - 1];
+    private int position(int index) {
+        return head + index & bytes.length - 1;
+    }
+
+    /** The byte at an index, counted from the oldest one. */
+    public byte get(int index) {
+        return bytes[position(index)];
     }
 
-    /** Where this byte comes first at or after {@code from}, or -1. */
+    /** The first index at or after {@code from} that has this byte, or -1. */
     public int indexOf(byte wanted, int from) {
         for (int i = from; i < size; i++) {
             if (get(i) == wanted) {
@@ -72,80 +89,98 @@
         return -1;
     }
 
+    /** Copies {@code length} bytes from index {@code from} on; they stay in the buffer. */
     public byte[] copy(int from, int length) {
-        byte[] out = new byte[length];
+        byte[] target = new byte[length];
         if (length > 0) {
-            int start = head + from & bytes.length - 1;
-            int first = Math.min(length, bytes.length - start);
-            System.arraycopy(bytes, start, out, 0, first);
-            System.arraycopy(bytes, 0, out, first, length - first);
+            int start = position(from);
+            int untilWrap = Math.min(length, bytes.length - start);
+            System.arraycopy(bytes, start, target, 0, untilWrap);
+            System.arraycopy(bytes, 0, target, untilWrap, length - untilWrap);
         }
-        return out;
+        return target;
     }
 
+    /** Removes the oldest {@code count} bytes, which must be there. */
     public void skip(int count) {
         size -= count;
-        head = size == 0 ? 0 : head + count & bytes.length - 1;
         if (size == 0) {
-            take(NONE);
+            head = 0;
+            replaceMemory(EMPTY);
+        } else {
+            head = position(count);
         }
     }
 
-    private void take(byte[] memory) {
-        allocatedBytes.add(memory.length - bytes.length);
+    private void replaceMemory(byte[] memory) {
+        memoryUsage.add(memory.length - bytes.length);
         bytes = memory;
     }
 
-    /** Takes all of it or, where the bound leaves no room, nothing. */
-    public boolean put(byte[] from) {
-        if (from.length > remainingCapacity()) {
+    /**
+     * Appends all bytes or none.
+     *
+     * @return false where there is no capacity for all of them
+     */
+    public boolean put(byte[] source) {
+        if (source.length > remainingCapacity()) {
             return false;
         }
-        append(ByteBuffer.wrap(from));
+        append(ByteBuffer.wrap(source));
         return true;
     }
 
-    private void append(ByteBuffer from) {
-        int count = from.remaining();
+    private void append(ByteBuffer source) {
+        int count = source.remaining();
         if (count == 0) {
             return;
         }
         if (count > bytes.length - size) {
             grow(size + count);
         }
-        int tail = head + size & bytes.length - 1;
-        int first = Math.min(count, bytes.length - tail);
-        from.get(bytes, tail, first).get(bytes, 0, count - first);
+        int tail = position(size);
+        int untilWrap = Math.min(count, bytes.length - tail);
+        source.get(bytes, tail, untilWrap);
+        source.get(bytes, 0, count - untilWrap);
         size += count;
     }
 
-    /** Reads once what there is and fits; the count, or -1 at the end of the stream. */
-    int readFrom(ReadableByteChannel from, ByteBuffer through) throws IOException {
-        int count =
-                from.read(through.clear().limit(Math.min(remainingCapacity(), through.capacity())));
-        append(through.flip());
+    private void grow(int neededCapacity) {
+        int powerOfTwo = Integer.highestOneBit(neededCapacity - 1) * 2;
+        byte[] larger = new byte[Math.max(INITIAL_CAPACITY, powerOfTwo)];
+        System.arraycopy(copy(0, size), 0, larger, 0, size);
+        replaceMemory(larger);
+        head = 0;
+    }
+
+    /**
+     * Reads once from a channel, as much as is there and there is capacity for.
+     *
+     * @return the number of bytes, or -1 at the end of the stream
+     */
+    int readFrom(ReadableByteChannel channel, ByteBuffer transferBuffer) throws IOException {
+        int limit = Math.min(remainingCapacity(), transferBuffer.capacity());
+        int count = channel.read(transferBuffer.clear().limit(limit));
+        append(transferBuffer.flip());
         return count;
     }
 
-    /** Writes as much as the channel takes. */
-    int writeTo(WritableByteChannel to, ByteBuffer through) throws IOException {
+    /**
+     * Writes to a channel and removes as much as the channel accepts.
+     *
+     * @return the number of bytes
+     */
+    int writeTo(WritableByteChannel channel, ByteBuffer transferBuffer) throws IOException {
         int total = 0;
-        while (size > 0) {
-            int part = Math.min(Math.min(size, bytes.length - head), through.capacity());
-            int count = to.write(through.clear().put(bytes, head, part).flip());
+        boolean channelAccepts = true;
+        while (size > 0 && channelAccepts) {
+            int contiguous = Math.min(size, bytes.length - head);
+            int length = Math.min(contiguous, transferBuffer.capacity());
+            int count = channel.write(transferBuffer.clear().put(bytes, head, length).flip());
             skip(count);
             total += count;
-            if (count < part) {
-                break;
-            }
+            channelAccepts = count == length;
         }
         return total;
     }
-
-    private void grow(int wanted) {
-        byte[] larger = new byte[Math.max(FIRST, Integer.highestOneBit(wanted - 1) * 2)];
-        System.arraycopy(copy(0, size), 0, larger, 0, size);
-        take(larger);
-        head = 0;
-    }
 }
--- a/src/main/java/calicostream/net/SelectorLoop.java
+++ b/src/main/java/calicostream/net/SelectorLoop.java
@@ -12,252 +12,300 @@
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Queue;
 import java.util.Set;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The one thread that owns all state: sockets, deadlines, and what other threads hand over. */
+/**
+ * The server's event loop: one thread that owns all state and serves sockets, deadlines and tasks.
+ * Only {@link #post} may be called from other threads. A failure while one channel or task is
+ * served is logged and never ends the loop.
+ */
 public final class SelectorLoop {
     private static final Logger LOG = LoggerFactory.getLogger(SelectorLoop.class);
-    private static final int THROUGH =
-            32 * 1024; // bytes that pass in one go: also the most read in one turn
 
-    private static final int MOST_FAILURES =
-            10; // of the selector in a row, after which the system itself fails
-    private static final long NOT_AT_ALL = -1;
-    private static final long LOOK_AGAIN =
-            5_000_000; // ns of work after which urgent channels are served again
+    /** Bytes that pass between a channel and a buffer at once: the most read in one iteration. */
+    private static final int TRANSFER_BUFFER_BYTES = 32 * 1024;
 
-    /** What a selection key's attachment does when its channel is ready. */
+    /** After so many failures of the selector in a row, the system itself is at fault. */
+    private static final int MAX_SELECTOR_FAILURES = 10;
+
+    private static final long DO_NOT_WAIT = -1;
+    private static final long WAIT_FOR_EVENT = 0;
+    private static final long MAX_WAIT_MILLIS = 1000;
+    private static final long MICROS_PER_MILLI = 1000;
+
+    /** Urgent channels are served again after so much work on others. */
+    private static final long URGENT_INTERVAL_NANOS = 5_000_000;
+
+    /** The share of the heap that buffers may take: one part in so many. */
+    private static final int HEAP_PARTS_FOR_BUFFERS = 4;
+
+    /** Serves one registered channel. */
     interface ChannelHandler {
+        /** The channel is ready for an operation that its key waits for. */
         void onReady() throws IOException;
 
-        /** Whether it is served before all that is not. */
+        /** Whether the channel is served before those that are not urgent. */
         default boolean isUrgent() {
             return false;
         }
 
-        /** It could not go on: what it was doing is given up, so that it does not spin. */
+        /** {@link #onReady} has failed; the handler must not be ready again at once. */
         void onFailure();
 
-        /** Its key has been replaced by this one, which waits for the same. */
-        void onKeyReplaced(SelectionKey to);
+        /** The channel is registered with another selector, for the same operations. */
+        void onKeyReplaced(SelectionKey replacement);
     }
 
-    /**
-     * How a selector is waited on: for at most so many milliseconds, or 0 for as long as it takes,
-     * or not at all where negative.
-     */
+    /** How the loop waits for its selector; tests replace it to inject failures. */
     interface SelectStrategy {
-        void select(Selector selector, Consumer<SelectionKey> ready, long ms) throws IOException;
+        /**
+         * Waits for events and passes the keys of ready channels on.
+         *
+         * @param timeoutMillis how long to wait; 0 for as long as it takes, negative for not at all
+         */
+        void select(Selector selector, Consumer<SelectionKey> ready, long timeoutMillis)
+                throws IOException;
     }
 
     private final Clock clock;
     private final Deadlines deadlines;
-    private final SelectStrategy waiting;
-    private volatile Selector selector;
-    private final long mostHeld = Runtime.getRuntime().maxMemory() / 4;
+    private final SelectStrategy selectStrategy;
+    private final long maxBufferMemory = Runtime.getRuntime().maxMemory() / HEAP_PARTS_FOR_BUFFERS;
     private final RingBuffer.MemoryUsage bufferMemory = new RingBuffer.MemoryUsage();
-    private final ByteBuffer transferBuffer = ByteBuffer.allocateDirect(THROUGH);
-    private final ConcurrentLinkedQueue<Runnable> posted = new ConcurrentLinkedQueue<>();
-    private final Set<SelectionKey> ready =
-            new LinkedHashSet<>(); // in the system's order: who has waited longest first
-    private final ArrayDeque<Runnable> runBeforeSelect = new ArrayDeque<>();
-    private List<Runnable> runNextIteration = new ArrayList<>();
+    private final ByteBuffer transferBuffer = ByteBuffer.allocateDirect(TRANSFER_BUFFER_BYTES);
+    private final Queue<Runnable> postedTasks = new ConcurrentLinkedQueue<>();
+    private final Queue<Runnable> tasksBeforeSelect = new ArrayDeque<>();
+
+    /** In the system's order: the channel that has waited longest comes first. */
+    private final Set<SelectionKey> readyKeys = new LinkedHashSet<>();
+
+    private List<Runnable> nextIterationTasks = new ArrayList<>();
+    private volatile Selector selector;
     private boolean stopped;
-    private int failures; // of the selector, one after another
-    private long lookedAt; // ns: when urgent channels were last looked for
+    private int selectorFailures;
+    private long urgentServedAtNanos;
 
+    /**
+     * Creates a loop that does not run yet.
+     *
+     * @param clock the time of deadlines, in microseconds
+     * @param deadlines what is due when; used by the loop's thread alone
+     * @throws IOException where no selector can be opened
+     */
     public SelectorLoop(Clock clock, Deadlines deadlines) throws IOException {
-        this(
-                clock,
-                deadlines,
-                (on, ready, ms) -> {
-                    if (ms < 0) {
-                        on.selectNow(ready);
-                    } else {
-                        on.select(ready, ms);
-                    }
-                });
+        this(clock, deadlines, SelectorLoop::selectByTimeout);
     }
 
-    SelectorLoop(Clock clock, Deadlines deadlines, SelectStrategy waiting) throws IOException {
-        this.waiting = waiting;
+    SelectorLoop(Clock clock, Deadlines deadlines, SelectStrategy selectStrategy)
+            throws IOException {
+        this.selectStrategy = selectStrategy;
         this.clock = clock;
         this.deadlines = deadlines;
         selector = Selector.open();
     }
 
+    private static void selectByTimeout(
+            Selector selector, Consumer<SelectionKey> ready, long timeoutMillis)
+            throws IOException {
+        if (timeoutMillis < 0) {
+            selector.selectNow(ready);
+        } else {
+            selector.select(ready, timeoutMillis);
+        }
+    }
+
+    /** The time of deadlines. */
     public Clock clock() {
         return clock;
     }
 
+    /** The deadlines that this loop serves. */
     public Deadlines deadlines() {
         return deadlines;
     }
 
-    /**
-     * The buffer through which bytes pass between rings and channels; empty outside of one such
-     * call.
-     */
+    /** The direct buffer for transfers to and from channels; empty outside of one transfer. */
     ByteBuffer transferBuffer() {
         return transferBuffer;
     }
 
-    /** What all rings of this loop take, and what waits for room in them. */
+    /** The memory of all buffers of this loop, and of data that waits for room in them. */
     public RingBuffer.MemoryUsage bufferMemory() {
         return bufferMemory;
     }
 
-    /** Whether they take so much that who holds more than a little must give it up. */
+    /** Whether buffers take so much memory that connections with much of it must be closed. */
     public boolean isUnderMemoryPressure() {
-        return bufferMemory.bytes() > mostHeld;
+        return bufferMemory.bytes() > maxBufferMemory;
     }
 
-    /** From any thread: runs on the loop's thread. */
-    public void post(Runnable work) {
-        posted.add(work);
+    /** Runs a task on the loop's thread; may be called from any thread. */
+    public void post(Runnable task) {
+        postedTasks.add(task);
         selector.wakeup();
     }
 
-    /**
-     * From the loop's thread: runs before the loop next waits, after what runs now has returned.
-     */
-    public void runBeforeSelect(Runnable work) {
-        runBeforeSelect.add(work);
+    /** Runs a task before the loop next waits, after the current one has returned. */
+    public void runBeforeSelect(Runnable task) {
+        tasksBeforeSelect.add(task);
     }
 
-    /** From the loop's thread: runs once every other channel has had its turn. */
-    public void runNextIteration(Runnable work) {
-        runNextIteration.add(work);
+    /** Runs a task once every other channel that is ready was served. */
+    public void runNextIteration(Runnable task) {
+        nextIterationTasks.add(task);
     }
 
+    /** Ends {@link #run} after the current iteration. */
     public void stop() {
         stopped = true;
     }
 
-    SelectionKey register(SelectableChannel channel, int interest, ChannelHandler ready)
+    /** Makes a channel non-blocking and waits for its operations. */
+    SelectionKey register(SelectableChannel channel, int interest, ChannelHandler handler)
             throws IOException {
         channel.configureBlocking(false);
-        return channel.register(selector, interest, ready);
+        return channel.register(selector, interest, handler);
     }
 
-    /**
-     * From the loop's thread: the selector lets go of a channel now, so that closing it takes hold
-     * at once and not with its next turn.
-     */
+    /** Deregisters a channel at once, so that closing it does not wait for the next iteration. */
     void deregister(SelectionKey key) throws IOException {
         key.cancel();
-        select(NOT_AT_ALL);
+        select(DO_NOT_WAIT);
     }
 
-    /**
-     * A selector may fail by itself; the channels have no part in that and go on with another one.
-     */
-    private void select(long ms) throws IOException {
+    /** A selector may fail by itself; its channels are sound and go on with another one. */
+    private void select(long timeoutMillis) throws IOException {
         try {
-            waiting.select(selector, ready::add, ms);
-            failures = 0;
+            selectStrategy.select(selector, readyKeys::add, timeoutMillis);
+            selectorFailures = 0;
         } catch (IOException e) {
-            if (++failures > MOST_FAILURES) {
+            selectorFailures++;
+            if (selectorFailures > MAX_SELECTOR_FAILURES) {
                 throw e;
             }
-            LOG.error(
-                    "the selector failed, its {} channels move to another: {}",
-                    selector.keys().size(),
-                    e.toString());
-            Selector failed = selector;
-            selector = Selector.open();
-            for (SelectionKey key : failed.keys()) {
-                if (key.isValid()) {
-                    ChannelHandler ready = (ChannelHandler) key.attachment();
-                    int interest = key.interestOps();
-                    key.cancel();
-                    ready.onKeyReplaced(key.channel().register(selector, interest, ready));
-                }
+            replaceSelector(e);
+        }
+    }
+
+    private void replaceSelector(IOException cause) throws IOException {
+        Selector failed = selector;
+        LOG.error(
+                "selector failed, registering {} channels with another: {}",
+                failed.keys().size(),
+                cause.toString());
+        selector = Selector.open();
+        for (SelectionKey key : failed.keys()) {
+            if (key.isValid()) {
+                ChannelHandler handler = (ChannelHandler) key.attachment();
+                int interest = key.interestOps();
+                key.cancel();
+                handler.onKeyReplaced(key.channel().register(selector, interest, handler));
             }
-            failed.close();
         }
+        failed.close();
     }
 
-    /** Serves until stopped. What one channel's bytes bring about never ends the loop. */
+    /**
+     * Serves on the calling thread until {@link #stop}.
+     *
+     * @throws IOException where selecting keeps failing
+     */
     public void run() throws IOException {
         while (!stopped) {
-            long wait = deadlines.next() - clock.now();
-            if (!posted.isEmpty() || !runNextIteration.isEmpty() || wait <= 0 || !ready.isEmpty()) {
-                select(NOT_AT_ALL);
-            } else {
-                select(wait == Deadlines.NEVER ? 0 : Math.max(1, Math.min(wait / 1000, 1000)));
-            }
+            select(selectTimeoutMillis());
             serveUrgent();
-            List<SelectionKey> keys = List.copyOf(ready);
-            ready.clear();
-            for (SelectionKey key : keys) {
-                if (key.isValid()) {
-                    ready((ChannelHandler) key.attachment());
-                    lookAgain();
-                }
-            }
-            List<Runnable> turn = runNextIteration;
-            runNextIteration = new ArrayList<>();
-            for (Runnable work : turn) {
-                guarded(work);
-                lookAgain();
-            }
-            for (Runnable work = posted.poll(); work != null; work = posted.poll()) {
-                guarded(work);
-            }
-            guarded(() -> deadlines.run(clock.now()));
-            for (Runnable work = runBeforeSelect.poll();
-                    work != null;
-                    work = runBeforeSelect.poll()) {
-                guarded(work);
-            }
+            serveReady();
+            runNextIterationTasks();
+            runAll(postedTasks);
+            runGuarded(() -> deadlines.run(clock.now()));
+            runAll(tasksBeforeSelect);
         }
         selector.close();
     }
 
+    private long selectTimeoutMillis() {
+        long waitMicros = deadlines.next() - clock.now();
+        boolean hasWork =
+                !postedTasks.isEmpty() || !nextIterationTasks.isEmpty() || !readyKeys.isEmpty();
+        if (hasWork || waitMicros <= 0) {
+            return DO_NOT_WAIT;
+        }
+        if (waitMicros == Deadlines.NEVER) {
+            return WAIT_FOR_EVENT;
+        }
+        return Math.max(1, Math.min(waitMicros / MICROS_PER_MILLI, MAX_WAIT_MILLIS));
+    }
+
+    private void serveReady() throws IOException {
+        List<SelectionKey> keys = List.copyOf(readyKeys);
+        readyKeys.clear();
+        for (SelectionKey key : keys) {
+            if (key.isValid()) {
+                serve((ChannelHandler) key.attachment());
+                serveUrgentIfDue();
+            }
+        }
+    }
+
+    private void runNextIterationTasks() throws IOException {
+        List<Runnable> tasks = nextIterationTasks;
+        nextIterationTasks = new ArrayList<>();
+        for (Runnable task : tasks) {
+            runGuarded(task);
+            serveUrgentIfDue();
+        }
+    }
+
+    private static void runAll(Queue<Runnable> tasks) {
+        for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
+            runGuarded(task);
+        }
+    }
+
     private void serveUrgent() {
-        for (SelectionKey key : List.copyOf(ready)) {
+        for (SelectionKey key : List.copyOf(readyKeys)) {
             if (key.isValid() && ((ChannelHandler) key.attachment()).isUrgent()) {
-                ready.remove(key);
-                ready((ChannelHandler) key.attachment());
+                readyKeys.remove(key);
+                serve((ChannelHandler) key.attachment());
             }
         }
-        lookedAt = System.nanoTime();
+        urgentServedAtNanos = System.nanoTime();
     }
 
-    /** A turn may be long: what is urgent does not wait for its end. */
-    private void lookAgain() throws IOException {
-        if (System.nanoTime() - lookedAt > LOOK_AGAIN) {
-            select(NOT_AT_ALL);
+    /** An iteration may be long: urgent channels do not wait for its end. */
+    private void serveUrgentIfDue() throws IOException {
+        if (System.nanoTime() - urgentServedAtNanos > URGENT_INTERVAL_NANOS) {
+            select(DO_NOT_WAIT);
             serveUrgent();
         }
     }
 
-    private static void ready(ChannelHandler channel) {
+    private static void serve(ChannelHandler handler) {
         try {
-            channel.onReady();
+            handler.onReady();
         } catch (IOException e) {
-            LOG.warn("channel: {}", e.toString());
-            guarded(channel::onFailure);
+            LOG.warn("channel failed: {}", e.toString());
+            runGuarded(handler::onFailure);
         } catch (RuntimeException | OutOfMemoryError e) {
-            guarded(() -> LOG.error("unexpected", e));
-            guarded(channel::onFailure);
+            runGuarded(() -> LOG.error("unexpected failure of a channel", e));
+            runGuarded(handler::onFailure);
         }
     }
 
-    /** Memory may run short for one piece of work; the others must not end with it. */
-    private static void guarded(Runnable work) {
+    /** Memory may run short for one task; the others must not end with it. */
+    private static void runGuarded(Runnable task) {
         try {
-            work.run();
+            task.run();
         } catch (RuntimeException | OutOfMemoryError e) {
             try {
-                LOG.error("unexpected", e);
+                LOG.error("unexpected failure of a task", e);
             } catch (OutOfMemoryError again) {
-                // Not even the line could be written; the next piece of work may fare better.
+                // Not even the log line could be written; the next task may succeed.
             }
         }
     }
--- a/src/test/java/calicostream/net/ConnectionTest.java
+++ b/src/test/java/calicostream/net/ConnectionTest.java
@@ -21,17 +21,16 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/**
- * The end of a connection, against another side that reads as a test says and on a clock that it
- * turns.
- */
+/** Graceful close, against a peer that reads as the test says, and with a manual clock. */
 class ConnectionTest {
-    private static final int PATIENCE_S = 20;
-    private static final int BOUND = 128 * 1024;
-    private static final int SOCKET_TAKES =
-            4 * 1024; // far less than the ring: it empties in many steps
-    private static final long LINGERS = 1_100_000;
-    private final AtomicLong ahead = new AtomicLong();
+    private static final int TIMEOUT_SECONDS = 20;
+    private static final int BUFFER_BYTES = 128 * 1024;
+
+    /** Far less than the buffer, which so empties in many steps. */
+    private static final int SOCKET_SEND_BUFFER_BYTES = 4 * 1024;
+
+    private static final long LINGER_MICROS = 1_100_000;
+    private final AtomicLong advancedMicros = new AtomicLong();
     private final CompletableFuture<Connection> accepted = new CompletableFuture<>();
     private SelectorLoop loop;
     private SelectorLoopThread thread;
@@ -39,12 +38,12 @@
     private Connection connection;
 
     @BeforeEach
-    void start() throws Exception {
+    void connect() throws Exception {
         Clock clock =
                 new Clock() {
                     @Override
                     public long now() {
-                        return super.now() + ahead.get();
+                        return super.now() + advancedMicros.get();
                     }
                 };
         loop = new SelectorLoop(clock, new Deadlines());
@@ -56,20 +55,21 @@
                         new Listener.Acceptor() {
                             @Override
                             public void accepted(SocketChannel channel) throws IOException {
-                                channel.setOption(StandardSocketOptions.SO_SNDBUF, SOCKET_TAKES);
+                                channel.setOption(
+                                        StandardSocketOptions.SO_SNDBUF, SOCKET_SEND_BUFFER_BYTES);
                                 accepted.complete(
                                         Connection.ofAccepted(
                                                 loop,
                                                 channel,
                                                 new Connection.Handler() {
                                                     @Override
-                                                    public void received(Connection c) {}
+                                                    public void received(Connection connection) {}
 
                                                     @Override
-                                                    public void closed(Connection c) {}
+                                                    public void closed(Connection connection) {}
                                                 },
-                                                BOUND,
-                                                BOUND));
+                                                BUFFER_BYTES,
+                                                BUFFER_BYTES));
                             }
 
                             @Override
@@ -80,13 +80,13 @@
         thread = new SelectorLoopThread(loop);
         client = new Socket();
         client.setReceiveBufferSize(8 * 1024);
-        client.setSoTimeout(PATIENCE_S * 1000);
+        client.setSoTimeout(TIMEOUT_SECONDS * 1000);
         client.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.port()));
-        connection = accepted.get(PATIENCE_S, TimeUnit.SECONDS);
+        connection = accepted.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     @AfterEach
-    void end() throws IOException {
+    void disconnect() throws IOException {
         loop.post(loop::stop);
         client.close();
     }
@@ -95,11 +95,11 @@
         return thread.call(work);
     }
 
-    /** Writes until the socket takes no more and half of the ring is full; the bytes queued. */
-    private long fill() throws Exception {
+    /** Writes until the socket accepts no more and half of the buffer is full; the bytes queued. */
+    private long fillBuffer() throws Exception {
         return on(
                 () -> {
-                    while (connection.unsentBytes() < BOUND / 2) {
+                    while (connection.unsentBytes() < BUFFER_BYTES / 2) {
                         connection.write(new byte[1024]);
                         connection.flushNow();
                     }
@@ -107,26 +107,27 @@
                 });
     }
 
-    /** Reads until so many bytes more have gone into the socket. */
+    /** Reads until the connection has written so many more bytes to the socket. */
     private long readUntilWritten(InputStream in, long count) throws Exception {
         long before = on(connection::writtenBytes);
-        long read = 0;
-        for (byte[] some = new byte[4096]; on(connection::writtenBytes) < before + count; ) {
-            int more = in.read(some);
-            assertTrue(more > 0, "it ended after " + read + " bytes more");
-            read += more;
+        long total = 0;
+        byte[] chunk = new byte[4096];
+        while (on(connection::writtenBytes) < before + count) {
+            int length = in.read(chunk);
+            assertTrue(length > 0, "it ended after " + total + " bytes more");
+            total += length;
         }
-        return read;
+        return total;
     }
 
-    private void passASecond() throws Exception {
-        ahead.addAndGet(LINGERS);
+    private void advancePastLinger() throws Exception {
+        advancedMicros.addAndGet(LINGER_MICROS);
         thread.awaitDue();
     }
 
     @Test
-    void whoReadsSlowlyHasAllOfTheLastAnswer() throws Exception {
-        long queued = fill();
+    void aSlowReaderReceivesAllOfTheLastResponse() throws Exception {
+        long queued = fillBuffer();
         on(
                 () -> {
                     connection.closeGracefully();
@@ -134,27 +135,29 @@
                 });
         InputStream in = client.getInputStream();
         long read = 0;
-        for (int second = 0; second < 3; second++) {
+        for (int round = 0; round < 3; round++) {
             read += readUntilWritten(in, 1);
-            passASecond();
+            advancePastLinger();
         }
         assertEquals(queued, read + in.readAllBytes().length);
     }
 
     @Test
-    void whoReadsNothingIsNotWaitedFor() throws Exception {
-        fill();
+    void aPeerThatReadsNothingIsNotAwaited() throws Exception {
+        fillBuffer();
         on(
                 () -> {
                     connection.closeGracefully();
                     return null;
                 });
-        // The system itself may take some more, which can't be told from reading; of two seconds
-        // without, one is a whole one.
-        for (int quiet = 0; quiet < 2; ) {
+        // The system itself may accept some more, which looks like reading; of two timeouts
+        // without progress, one is a complete one.
+        int timeoutsWithoutProgress = 0;
+        while (timeoutsWithoutProgress < 2) {
             long before = on(connection::writtenBytes);
-            passASecond();
-            quiet = on(connection::writtenBytes) > before ? 0 : quiet + 1;
+            advancePastLinger();
+            boolean progress = on(connection::writtenBytes) > before;
+            timeoutsWithoutProgress = progress ? 0 : timeoutsWithoutProgress + 1;
         }
         assertTrue(on(connection::isClosed));
     }
--- a/src/test/java/calicostream/net/SelectorLoopTest.java
+++ b/src/test/java/calicostream/net/SelectorLoopTest.java
@@ -9,32 +9,35 @@
 import calicostream.core.Clock;
 import calicostream.core.Deadlines;
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.channels.SocketChannel;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
+/** Failures of the selector under open channels. */
 class SelectorLoopTest {
-    private static final int PATIENCE_S = 20;
+    private static final int TIMEOUT_SECONDS = 20;
 
-    /** Connections and the listener go on; only the selector was at fault. */
+    /** Connections and the listener are sound and go on. */
     @Test
-    void aSelectorThatFailsIsReplacedUnderItsChannels() throws Exception {
-        AtomicInteger failing = new AtomicInteger();
+    void aFailedSelectorIsReplacedUnderItsChannels() throws Exception {
+        AtomicInteger remainingFailures = new AtomicInteger();
         SelectorLoop loop =
                 new SelectorLoop(
                         new Clock(),
                         new Deadlines(),
-                        (selector, ready, ms) -> {
-                            if (failing.getAndUpdate(n -> Math.max(0, n - 1)) > 0) {
+                        (selector, ready, timeoutMillis) -> {
+                            if (remainingFailures.getAndUpdate(n -> Math.max(0, n - 1)) > 0) {
                                 throw new IOException("Bad file descriptor");
                             }
-                            selector.select(ready, ms < 0 ? 1 : ms);
+                            selector.select(ready, timeoutMillis < 0 ? 1 : timeoutMillis);
                         });
         Listener listener =
                 new Listener(
@@ -48,27 +51,27 @@
                             try {
                                 loop.run();
                             } catch (IOException e) {
-                                throw new java.io.UncheckedIOException(e);
+                                throw new UncheckedIOException(e);
                             }
                         });
         try (Socket early = new Socket(InetAddress.getLoopbackAddress(), listener.port())) {
             assertEchoes(early, "before");
             for (int round = 0; round < 5; round++) {
-                failing.set(3);
+                remainingFailures.set(3);
                 loop.post(() -> {});
                 assertEchoes(early, "after " + round);
                 try (Socket late = new Socket(InetAddress.getLoopbackAddress(), listener.port())) {
                     assertEchoes(late, "new " + round);
                 }
             }
-            failing.set(1000); // The system itself fails: one error, and no spinning.
+            remainingFailures.set(1000); // The system itself fails: the loop ends.
             loop.post(() -> {});
             Exception e =
                     assertThrows(
-                            java.util.concurrent.ExecutionException.class,
-                            () -> ended.get(PATIENCE_S, TimeUnit.SECONDS));
+                            ExecutionException.class,
+                            () -> ended.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
             assertEquals("Bad file descriptor", e.getCause().getCause().getMessage());
-            assertTrue(failing.get() > 900, "it gave up after a few");
+            assertTrue(remainingFailures.get() > 900, "it gave up after a few");
         }
     }
 
@@ -81,14 +84,14 @@
                         channel,
                         new Connection.Handler() {
                             @Override
-                            public void received(Connection c) {
-                                byte[] all = c.input().copy(0, c.input().size());
-                                c.input().skip(all.length);
-                                c.write(all);
+                            public void received(Connection connection) {
+                                byte[] all = connection.input().copy(0, connection.input().size());
+                                connection.input().skip(all.length);
+                                connection.write(all);
                             }
 
                             @Override
-                            public void closed(Connection c) {}
+                            public void closed(Connection connection) {}
                         },
                         4096,
                         4096);
@@ -103,7 +106,7 @@
 
     private static void assertEchoes(Socket socket, String text) throws IOException {
         byte[] bytes = text.getBytes(StandardCharsets.US_ASCII);
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
         socket.getOutputStream().write(bytes);
         assertArrayEquals(bytes, socket.getInputStream().readNBytes(bytes.length));
     }
--- a/src/test/java/calicostream/net/SelectorLoopThread.java
+++ b/src/test/java/calicostream/net/SelectorLoopThread.java
@@ -7,11 +7,12 @@
 import java.util.concurrent.FutureTask;
 import java.util.concurrent.TimeUnit;
 
-/** A loop on a thread of its own, and work that a test does on it, in one turn. */
+/** Runs a loop on a thread of its own, and a test's calls on that thread. */
 public final class SelectorLoopThread {
-    private static final int PATIENCE_S = 20;
+    private static final int TIMEOUT_SECONDS = 20;
     private final SelectorLoop loop;
 
+    /** Starts the thread, a daemon. */
     public SelectorLoopThread(SelectorLoop loop) {
         this.loop = loop;
         Thread thread =
@@ -28,8 +29,8 @@
     }
 
     /**
-     * Waits until all that is due has been done: it comes behind what a turn was given to do, and
-     * several pieces of that may share one turn.
+     * Waits until all deadlines that are due have run: deadlines run after posted tasks, and
+     * several tasks may share one iteration.
      */
     public void awaitDue() throws Exception {
         CompletableFuture<Void> due = new CompletableFuture<>();
@@ -38,12 +39,13 @@
                     loop.deadlines().add(loop.clock().now(), (now, ref) -> due.complete(null), 0);
                     return null;
                 });
-        due.get(PATIENCE_S, TimeUnit.SECONDS);
+        due.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    public <T> T call(Callable<T> work) throws Exception {
-        FutureTask<T> task = new FutureTask<>(work);
-        loop.post(task);
-        return task.get(PATIENCE_S, TimeUnit.SECONDS);
+    /** Calls on the loop's thread and waits for the result. */
+    public <T> T call(Callable<T> task) throws Exception {
+        FutureTask<T> future = new FutureTask<>(task);
+        loop.post(future);
+        return future.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 }
