--- a/src/main/java/calicostream/config/ConfigFile.java
+++ b/src/main/java/calicostream/config/ConfigFile.java
@@ -10,22 +10,37 @@
 import java.nio.file.Path;
 
 /**
- * A file of the deploy folder that enables something; what can't be used in it is told in one line.
+ * Reads the JSON file of an optional component, which enables it by the member {@code enabled}. A
+ * file that can't be used is reported in one line.
  */
 public final class ConfigFile {
     private ConfigFile() {}
 
-    /** Reads a configuration out of the file's object. */
+    /**
+     * Decodes a configuration from the object in the file.
+     *
+     * @param <T> the configuration
+     */
     public interface Reader<T> {
+        /** Decodes the object; where it throws, the file can't be used. */
         T read(JsonObject root) throws InvalidInputException;
     }
 
-    /** Whether there is such a file and it turns its part on. */
+    /**
+     * Whether the file exists and enables its component.
+     *
+     * @throws SettingsException where the file can't be used
+     */
     public static boolean isEnabled(Path path) {
         return readIfEnabled(path, root -> true) != null;
     }
 
-    /** Null where there is no such file or it leaves its part off. */
+    /**
+     * Reads the configuration of an enabled component.
+     *
+     * @return null where the file does not exist or does not enable its component
+     * @throws SettingsException where the file can't be used
+     */
     public static <T> T readIfEnabled(Path path, Reader<T> reader) {
         if (!Files.exists(path)) {
             return null;
--- a/src/main/java/calicostream/sql/TableGroupScanner.java
+++ b/src/main/java/calicostream/sql/TableGroupScanner.java
@@ -2,17 +2,20 @@
 package calicostream.sql;
 
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
 import java.util.Set;
 
 /**
- * Finds the group of tables in a statement: the number behind the underscore in the name of the
- * schema that it reads or writes. Strings and comments are passed over, and so is the schema {@code
- * staging}.
+ * Finds the table group of an SQL statement: the number after the underscore in the name of the
+ * schema that the statement reads or writes, as 17 in {@code sales_17.orders}. Strings and comments
+ * are skipped, and so are schemas without a number. The scanner accepts the dialects' differences
+ * by being lenient: it never rejects a text.
  */
 public final class TableGroupScanner {
-    private static final Set<String> BEFORE_TABLE =
+    /** Keywords that a table's name follows. */
+    private static final Set<String> TABLE_KEYWORDS =
             Set.of(
                     "from",
                     "join",
@@ -28,7 +31,9 @@
                     "exists",
                     "merge",
                     "overwrite");
-    private static final Set<String> AFTER_LIST =
+
+    /** Keywords that end a list of tables. */
+    private static final Set<String> CLAUSE_KEYWORDS =
             Set.of(
                     "select",
                     "where",
@@ -44,208 +49,284 @@
                     "intersect",
                     "returning",
                     "window");
+
+    private static final int NO_GROUP = -1;
+    private static final int END_OF_TEXT = -1;
+    private static final int NOT_QUOTED = 0;
+    private static final int MAX_GROUP_DIGITS = 9;
+
+    /** Each opening dollar quote may be searched for through all that follows: a bound on that. */
+    private static final int MAX_DOLLAR_QUOTES = 64;
+
     private final byte[] sql;
-    private int at;
-    private boolean tablePlace, inList;
-    private String lastWord = "";
-    private long selects =
-            1; // a bit for each open parenthesis, innermost lowest: whether it holds a SELECT
-    private int quotesToSeek = 64; // each may be sought through all that follows
-    private int inTable = -1;
-    private int elsewhere = -1;
+    private int position;
+
+    /** Whether a name at the current position is that of a table. */
+    private boolean expectsTable;
+
+    /** Whether a comma is followed by one more table. */
+    private boolean inTableList;
+
+    private String lastKeyword = "";
+
+    /** A bit for each open parenthesis, the innermost lowest: whether it contains a SELECT. */
+    private long selectByNesting = 1;
+
+    private int remainingDollarQuotes = MAX_DOLLAR_QUOTES;
+
+    /** The group of the first table. */
+    private int tableGroup = NO_GROUP;
+
+    /** The first group found where no table is expected, as in a function call. */
+    private int fallbackGroup = NO_GROUP;
 
     private TableGroupScanner(byte[] sql) {
         this.sql = sql;
     }
 
-    /** The number of the group, or -1 where the statement names none. */
+    /**
+     * Finds the table group of a statement.
+     *
+     * @param sql the statement in UTF-8 or another superset of ASCII; not changed
+     * @return the group's number, or -1 where the statement names none
+     */
     public static int tableGroup(byte[] sql) {
-        TableGroupScanner s = new TableGroupScanner(sql);
-        while (s.at < sql.length && s.inTable < 0) {
-            s.step();
+        TableGroupScanner scanner = new TableGroupScanner(sql);
+        while (scanner.position < sql.length && scanner.tableGroup == NO_GROUP) {
+            scanner.scanToken();
         }
-        return s.inTable >= 0 ? s.inTable : s.elsewhere;
+        return scanner.tableGroup != NO_GROUP ? scanner.tableGroup : scanner.fallbackGroup;
     }
 
     private int peek(int ahead) {
-        return at + ahead < sql.length ? sql[at + ahead] & 0xff : -1;
+        return position + ahead < sql.length ? sql[position + ahead] & 0xff : END_OF_TEXT;
     }
 
-    private void step() {
+    private boolean startsWith(char first, char second) {
+        return peek(0) == first && peek(1) == second;
+    }
+
+    private void scanToken() {
         int c = peek(0);
         if (c == '\'') {
-            string(false);
-        } else if (c == '-' && peek(1) == '-') {
-            while (at < sql.length && peek(0) != '\n') {
-                at++;
-            }
-        } else if (c == '/' && peek(1) == '*') {
-            comment();
-        } else if (c == '$' && dollarQuoted()) {
-            tablePlace = false;
+            skipString(false);
+        } else if (startsWith('-', '-')) {
+            skipLineComment();
+        } else if (startsWith('/', '*')) {
+            skipBlockComment();
+        } else if (c == '$' && skipDollarQuoted()) {
+            expectsTable = false;
+        } else if (startsWith('e', '\'') || startsWith('E', '\'')) {
+            position++;
+            skipString(true);
         } else if (startsName(c)) {
-            if ((c | 0x20) == 'e' && peek(1) == '\'') {
-                at++;
-                string(true);
-            } else {
-                names();
-            }
+            scanQualifiedName();
         } else {
-            other(c);
+            scanSymbol(c);
         }
     }
 
-    private void other(int c) {
+    private void scanSymbol(int c) {
         if (c == '(') {
-            selects <<= 1;
+            selectByNesting <<= 1;
         } else if (c == ')') {
-            selects >>>= 1;
+            selectByNesting >>>= 1;
+        }
+        boolean keepsExpectation = c <= ' ' || c == '(';
+        if (!keepsExpectation) {
+            expectsTable = c == ',' && inTableList;
         }
-        tablePlace = c <= ' ' || c == '(' ? tablePlace : c == ',' && inList;
-        at++;
+        position++;
     }
 
-    private void string(boolean escapes) {
-        for (at++; at < sql.length; at++) {
-            if (escapes && peek(0) == '\\') {
-                at++;
-            } else if (peek(0) == '\'' && peek(1) == '\'') {
-                at++;
-            } else if (peek(0) == '\'') {
-                at++;
-                break;
+    private void skipString(boolean hasEscapes) {
+        position++;
+        boolean closed = false;
+        while (position < sql.length && !closed) {
+            if (hasEscapes && peek(0) == '\\' || startsWith('\'', '\'')) {
+                position += 2;
+            } else {
+                closed = peek(0) == '\'';
+                position++;
             }
         }
-        tablePlace = false;
+        expectsTable = false;
     }
 
-    private void comment() {
+    private void skipLineComment() {
+        while (position < sql.length && peek(0) != '\n') {
+            position++;
+        }
+    }
+
+    /** Block comments nest. */
+    private void skipBlockComment() {
         int depth = 0;
         do {
-            boolean opens = peek(0) == '/' && peek(1) == '*';
-            boolean closes = peek(0) == '*' && peek(1) == '/';
-            depth += opens ? 1 : closes ? -1 : 0;
-            at += opens || closes ? 2 : 1;
-        } while (depth > 0 && at < sql.length);
+            if (startsWith('/', '*')) {
+                depth++;
+                position += 2;
+            } else if (startsWith('*', '/')) {
+                depth--;
+                position += 2;
+            } else {
+                position++;
+            }
+        } while (depth > 0 && position < sql.length);
     }
 
-    /** {@code $tag$ ... $tag$}; false, and nothing taken, where no such string starts here. */
-    private boolean dollarQuoted() {
-        int end = at + 1;
-        while (end < sql.length && (sql[end] == '_' || Character.isLetterOrDigit(sql[end]))) {
-            end++;
+    /** Skips {@code $tag$ ... $tag$}; false, and nothing is skipped, where there is none here. */
+    private boolean skipDollarQuoted() {
+        int tagEnd = position + 1;
+        while (tagEnd < sql.length
+                && (sql[tagEnd] == '_' || Character.isLetterOrDigit(sql[tagEnd]))) {
+            tagEnd++;
         }
-        if (end >= sql.length || sql[end] != '$' || quotesToSeek-- <= 0) {
+        if (tagEnd >= sql.length || sql[tagEnd] != '$') {
             return false;
         }
-        int length = end + 1 - at;
-        for (int i = end + 1; i + length <= sql.length; i++) {
-            if (java.util.Arrays.equals(sql, i, i + length, sql, at, at + length)) {
-                at = i + length;
+        if (remainingDollarQuotes <= 0) {
+            return false;
+        }
+        remainingDollarQuotes--;
+        int length = tagEnd + 1 - position;
+        for (int i = tagEnd + 1; i + length <= sql.length; i++) {
+            if (isSameText(i, position, length)) {
+                position = i + length;
                 return true;
             }
         }
         return false;
     }
 
+    private boolean isSameText(int first, int second, int length) {
+        return Arrays.equals(sql, first, first + length, sql, second, second + length);
+    }
+
     private static boolean startsName(int c) {
-        return c == '_' || c == '"' || c == '`' || c == '[' || c >= 0x80 || Character.isLetter(c);
+        return c == '_' || closingQuote(c) != NOT_QUOTED || c >= 0x80 || Character.isLetter(c);
     }
 
-    /** A name or keyword with all its parts, as in {@code catalog.sales_17.orders}. */
-    private void names() {
+    private static boolean continuesName(int c) {
+        return c == '_' || c == '$' || c >= 0x80 || Character.isLetterOrDigit(c);
+    }
+
+    /** A keyword, or a name with all its parts, as in {@code catalog.sales_17.orders}. */
+    private void scanQualifiedName() {
         List<String> parts = new ArrayList<>(3);
         boolean quoted = false;
-        while (startsName(peek(0))) {
-            quoted |= quoteEnd(peek(0)) > 0;
-            parts.add(name());
-            int back = at;
-            spaces();
-            if (peek(0) != '.') {
-                at = back;
-                break;
-            }
-            at++;
-            spaces();
+        boolean more = true;
+        while (more && startsName(peek(0))) {
+            quoted |= closingQuote(peek(0)) != NOT_QUOTED;
+            parts.add(scanNamePart());
+            more = skipDot();
         }
         if (parts.size() == 1) {
-            word(quoted ? "" : parts.get(0).toLowerCase(Locale.ROOT));
-            return;
-        }
-        for (int i = 0; i < parts.size() - 1; i++) {
-            int group = group(parts.get(i));
-            if (group >= 0 && tablePlace && i == parts.size() - 2) {
-                inTable = group;
-            } else if (group >= 0 && elsewhere < 0 && !tablePlace) {
-                elsewhere = group;
-            }
+            applyKeyword(quoted ? "" : parts.get(0).toLowerCase(Locale.ROOT));
+        } else {
+            applyQualifiedName(parts);
         }
-        tablePlace = false;
     }
 
-    /**
-     * 'from' opens a list of tables, but not in 'extract(year from x)' nor in 'is distinct from x'.
-     */
-    private void word(String word) {
-        boolean expression =
-                word.equals("from") && ((selects & 1) == 0 || lastWord.equals("distinct"));
-        tablePlace = BEFORE_TABLE.contains(word) && !expression;
-        if (tablePlace || AFTER_LIST.contains(word)) {
-            inList = tablePlace;
+    /** Skips a dot with spaces around it; false, and nothing is skipped, where there is none. */
+    private boolean skipDot() {
+        int start = position;
+        skipSpaces();
+        if (peek(0) != '.') {
+            position = start;
+            return false;
         }
-        if (word.equals("select") || word.equals("delete")) {
-            selects |= 1;
+        position++;
+        skipSpaces();
+        return true;
+    }
+
+    private void applyQualifiedName(List<String> parts) {
+        int schema = parts.size() - 2;
+        for (int i = 0; i <= schema; i++) {
+            int group = groupOf(parts.get(i));
+            if (group != NO_GROUP && expectsTable && i == schema) {
+                tableGroup = group;
+            } else if (group != NO_GROUP && !expectsTable && fallbackGroup == NO_GROUP) {
+                fallbackGroup = group;
+            }
         }
-        lastWord = word;
+        expectsTable = false;
     }
 
-    private void spaces() {
-        while (at < sql.length && peek(0) <= ' ') {
-            at++;
+    /** {@code from} starts no tables in {@code extract(year from x)} and {@code distinct from}. */
+    private void applyKeyword(String keyword) {
+        boolean inSelect = (selectByNesting & 1) != 0;
+        boolean fromInExpression =
+                keyword.equals("from") && (!inSelect || lastKeyword.equals("distinct"));
+        expectsTable = TABLE_KEYWORDS.contains(keyword) && !fromInExpression;
+        if (expectsTable || CLAUSE_KEYWORDS.contains(keyword)) {
+            inTableList = expectsTable;
+        }
+        if (keyword.equals("select") || keyword.equals("delete")) {
+            selectByNesting |= 1;
         }
+        lastKeyword = keyword;
     }
 
-    private static int quoteEnd(int c) {
-        return c == '"' ? '"' : c == '`' ? '`' : c == '[' ? ']' : 0;
+    private void skipSpaces() {
+        while (position < sql.length && peek(0) <= ' ') {
+            position++;
+        }
     }
 
-    private String name() {
-        int end = quoteEnd(peek(0));
-        StringBuilder out = new StringBuilder();
-        if (end == 0) {
-            while (at < sql.length
-                    && (Character.isLetterOrDigit(peek(0))
-                            || peek(0) == '_'
-                            || peek(0) >= 0x80
-                            || peek(0) == '$')) {
-                out.append((char) peek(0));
-                at++;
-            }
-            return out.toString();
-        }
-        for (at++; at < sql.length; at++) {
-            if (peek(0) == end && peek(1) == end) {
-                at++;
-            } else if (peek(0) == end) {
-                at++;
-                break;
-            }
-            out.append((char) peek(0));
+    private static int closingQuote(int openingQuote) {
+        switch (openingQuote) {
+            case '"':
+            case '`':
+                return openingQuote;
+            case '[':
+                return ']';
+            default:
+                return NOT_QUOTED;
         }
-        return out.toString();
     }
 
-    private static int group(String schema) {
-        int mark = schema.lastIndexOf('_');
-        int digits = schema.length() - mark - 1;
-        if (mark < 1 || digits < 1 || digits > 9) {
-            return -1;
+    private String scanNamePart() {
+        int closingQuote = closingQuote(peek(0));
+        return closingQuote == NOT_QUOTED ? scanPlainName() : scanQuotedName(closingQuote);
+    }
+
+    private String scanPlainName() {
+        StringBuilder name = new StringBuilder();
+        while (position < sql.length && continuesName(peek(0))) {
+            name.append((char) peek(0));
+            position++;
         }
-        for (int i = mark + 1; i < schema.length(); i++) {
-            if (schema.charAt(i) < '0' || schema.charAt(i) > '9') {
-                return -1;
+        return name.toString();
+    }
+
+    /** A quote within the name is doubled. */
+    private String scanQuotedName(int closingQuote) {
+        StringBuilder name = new StringBuilder();
+        position++;
+        boolean closed = false;
+        while (position < sql.length && !closed) {
+            boolean doubled = peek(0) == closingQuote && peek(1) == closingQuote;
+            closed = peek(0) == closingQuote && !doubled;
+            if (doubled) {
+                position++;
             }
+            if (!closed) {
+                name.append((char) peek(0));
+            }
+            position++;
         }
-        return Integer.parseInt(schema.substring(mark + 1));
+        return name.toString();
+    }
+
+    private static int groupOf(String schema) {
+        int underscore = schema.lastIndexOf('_');
+        String digits = schema.substring(underscore + 1);
+        boolean isNumber =
+                !digits.isEmpty()
+                        && digits.length() <= MAX_GROUP_DIGITS
+                        && digits.chars().allMatch(c -> c >= '0' && c <= '9');
+        return underscore >= 1 && isNumber ? Integer.parseInt(digits) : NO_GROUP;
     }
 }
--- a/src/main/java/calicostream/syslog/SyslogRecord.java
+++ b/src/main/java/calicostream/syslog/SyslogRecord.java
@@ -5,44 +5,56 @@
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
 
-/** One message of RFC 5424 with one element of structured data. */
+/** Builds one message of RFC 5424 with one element of structured data. */
 final class SyslogRecord {
-    static final int WARNING = 4;
-    static final int NOTICE = 5;
-    static final int INFO = 6;
-    private final StringBuilder text = new StringBuilder(256);
+    private static final String APP_NAME = "calicostream";
+    private static final int FACILITY_FACTOR = 8;
+    private static final int MAX_HOST_LENGTH = 255;
+    private static final int MAX_PROCESS_LENGTH = 128;
+    private static final int TYPICAL_LENGTH = 256;
+    private static final String NIL = "-";
 
+    private final StringBuilder text = new StringBuilder(TYPICAL_LENGTH);
+
+    /**
+     * Starts a record.
+     *
+     * @param element the structured data's name, with the enterprise number
+     */
     SyslogRecord(
             int facility,
-            int severity,
-            Instant at,
+            SyslogSeverity severity,
+            Instant time,
             String host,
             String process,
             String messageId,
             String element) {
         text.append('<')
-                .append(facility * 8 + severity)
+                .append(facility * FACILITY_FACTOR + severity.code())
                 .append(">1 ")
-                .append(at.truncatedTo(ChronoUnit.MICROS))
+                .append(time.truncatedTo(ChronoUnit.MICROS))
+                .append(' ')
+                .append(headerField(host, MAX_HOST_LENGTH))
+                .append(' ')
+                .append(APP_NAME)
                 .append(' ')
-                .append(name(host, 255))
-                .append(" calicostream ")
-                .append(name(process, 128))
+                .append(headerField(process, MAX_PROCESS_LENGTH))
                 .append(' ')
                 .append(messageId)
                 .append(" [")
                 .append(element);
     }
 
-    /**
-     * A parameter; quotes, backslashes and closing brackets in its value are escaped, as the RFC
-     * demands.
-     */
-    SyslogRecord with(String name, Object value) {
+    /** Adds a parameter with a number. */
+    SyslogRecord with(String name, long value) {
+        return with(name, Long.toString(value));
+    }
+
+    /** Adds a parameter; RFC 5424 demands that some characters of its value are escaped. */
+    SyslogRecord with(String name, String value) {
         text.append(' ').append(name).append("=\"");
-        String raw = value.toString();
-        for (int i = 0; i < raw.length(); i++) {
-            char c = raw.charAt(i);
+        for (int i = 0; i < value.length(); i++) {
+            char c = value.charAt(i);
             if (c == '"' || c == '\\' || c == ']') {
                 text.append('\\');
             }
@@ -52,15 +64,16 @@
         return this;
     }
 
-    byte[] bytes() {
+    byte[] toBytes() {
         return (text + "]").getBytes(StandardCharsets.UTF_8);
     }
 
-    /** A header field: printable ASCII without spaces, "-" where there is none. */
-    private static String name(String text, int most) {
-        String printable = text.replaceAll("[^!-~]", "_");
-        return printable.isEmpty()
-                ? "-"
-                : printable.substring(0, Math.min(most, printable.length()));
+    /** A header field is printable ASCII without spaces, and not empty. */
+    private static String headerField(String value, int maxLength) {
+        String printable = value.replaceAll("[^!-~]", "_");
+        if (printable.isEmpty()) {
+            return NIL;
+        }
+        return printable.substring(0, Math.min(maxLength, printable.length()));
     }
 }
--- a/src/main/java/calicostream/syslog/SyslogSender.java
+++ b/src/main/java/calicostream/syslog/SyslogSender.java
@@ -3,86 +3,77 @@
 
 import calicostream.core.RequestListener;
 import calicostream.core.RequestOutcome;
-import calicostream.net.Connection;
 import calicostream.net.SelectorLoop;
 import calicostream.routing.EngineEndpoint;
 import calicostream.routing.EngineLifecycle;
 import java.io.IOException;
-import java.nio.ByteBuffer;
-import java.nio.channels.DatagramChannel;
-import java.nio.charset.StandardCharsets;
 import java.time.Instant;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends a record of each final answer and each change of an engine to a collector, over UDP (RFC
- * 5426) or TCP with octet counting (RFC 6587). Records never hold a request up: what the collector
- * does not take is dropped and counted.
+ * Sends a record of each request's outcome and of each change of an engine to a syslog collector.
+ * Records never delay a request: what the collector does not accept is dropped and counted. The
+ * event loop's thread makes all calls.
  */
 public final class SyslogSender implements RequestListener {
     private static final Logger LOG = LoggerFactory.getLogger(SyslogSender.class);
-    private static final int BOUND = 256 * 1024;
-    private static final long PAUSE = 1_000_000;
-    private final SelectorLoop loop;
+
     private final SyslogConfig config;
     private final String host;
     private final List<String> classNames;
     private final String process = Long.toString(ProcessHandle.current().pid());
-    private DatagramChannel datagrams;
-    private Connection stream;
+    private final SyslogTransport transport;
     private long droppedRecords;
 
+    /**
+     * Opens the transport; a TCP connection comes about later.
+     *
+     * @param host the server's name in the records
+     * @param classNames the names of the query classes, in the order of their numbers
+     * @throws IOException where no socket can be opened
+     */
     public SyslogSender(
             SelectorLoop loop, SyslogConfig config, String host, List<String> classNames)
             throws IOException {
-        this.loop = loop;
         this.config = config;
         this.host = host;
         this.classNames = classNames;
-        if (config.tcp()) {
-            connect(0, 0);
-        } else {
-            datagrams = DatagramChannel.open();
-            datagrams.configureBlocking(false);
-        }
+        transport =
+                config.tcp()
+                        ? new TcpSyslogTransport(loop, config.collector())
+                        : new UdpSyslogTransport(config.collector());
     }
 
     @Override
     public void requestEnded(
-            String id, int queryClass, RequestOutcome ending, int attempts, long elapsedUs) {
-        int severity =
-                ending == RequestOutcome.FAILED
-                        ? SyslogRecord.WARNING
-                        : ending == RequestOutcome.REJECTED
-                                ? SyslogRecord.NOTICE
-                                : SyslogRecord.INFO;
+            String id, int queryClass, RequestOutcome outcome, int attempts, long elapsedMicros) {
         send(
-                record(severity, "ANSWER", "answer")
+                record(severityOf(outcome), "ANSWER", "answer")
                         .with("id", id)
                         .with("class", classNames.get(queryClass))
-                        .with("ending", outcomeWord(ending))
+                        .with("ending", outcomeParameter(outcome))
                         .with("attempts", attempts)
-                        .with("us", elapsedUs));
+                        .with("us", elapsedMicros));
     }
 
     @Override
     public void engineChanged(EngineEndpoint engine) {
         send(
-                record(SyslogRecord.NOTICE, "ENGINE", "engine")
+                record(SyslogSeverity.NOTICE, "ENGINE", "engine")
                         .with("id", Long.toHexString(engine.id()))
-                        .with("state", lifecycleWord(engine.lifecycle()))
+                        .with("state", lifecycleParameter(engine.lifecycle()))
                         .with("zone", engine.zone())
                         .with("kind", engine.kind()));
     }
 
-    /** Records that were not sent. */
+    /** How many records could not be sent. */
     public long droppedRecords() {
         return droppedRecords;
     }
 
-    private SyslogRecord record(int severity, String messageId, String element) {
+    private SyslogRecord record(SyslogSeverity severity, String messageId, String element) {
         return new SyslogRecord(
                 config.facility(),
                 severity,
@@ -94,58 +85,26 @@
     }
 
     private void send(SyslogRecord record) {
-        byte[] bytes = record.bytes();
-        boolean sent;
-        if (config.tcp()) {
-            byte[] lead = (bytes.length + " ").getBytes(StandardCharsets.US_ASCII);
-            byte[] framed = java.util.Arrays.copyOf(lead, lead.length + bytes.length);
-            System.arraycopy(bytes, 0, framed, lead.length, bytes.length);
-            sent = stream != null && stream.write(framed);
-        } else {
-            try {
-                sent = datagrams.send(ByteBuffer.wrap(bytes), config.collector()) > 0;
-            } catch (IOException e) {
-                sent = false;
-            }
+        if (transport.send(record.toBytes())) {
+            return;
         }
-        if (!sent
-                && Long.bitCount(++droppedRecords)
-                        == 1) { // At 1, 2, 4, 8 ...: a collector that is away is no flood.
-            LOG.warn("{} records not sent to the collector", droppedRecords);
+        droppedRecords++;
+        // Logged at 1, 2, 4, 8 and so on: a collector that is down does not flood the log.
+        if (Long.bitCount(droppedRecords) == 1) {
+            LOG.warn("{} syslog records dropped", droppedRecords);
         }
     }
 
-    private void connect(long now, long ref) {
-        try {
-            stream =
-                    Connection.connect(
-                            loop,
-                            config.collector(),
-                            new Connection.Handler() {
-                                @Override
-                                public void received(Connection c) {
-                                    c.input().skip(c.input().size());
-                                }
-
-                                @Override
-                                public void closed(Connection c) {
-                                    stream = null;
-                                    loop.deadlines()
-                                            .add(
-                                                    loop.clock().now() + PAUSE,
-                                                    SyslogSender.this::connect,
-                                                    0);
-                                }
-                            },
-                            BOUND,
-                            BOUND);
-        } catch (IOException e) {
-            loop.deadlines().add(loop.clock().now() + PAUSE, this::connect, 0);
-        }
+    private static SyslogSeverity severityOf(RequestOutcome outcome) {
+        return switch (outcome) {
+            case FAILED -> SyslogSeverity.WARNING;
+            case REJECTED -> SyslogSeverity.NOTICE;
+            case SERVED, ABANDONED -> SyslogSeverity.INFO;
+        };
     }
 
-    /** The value of the parameter {@code ending}, which collectors rely on. */
-    private static String outcomeWord(RequestOutcome outcome) {
+    /** The value of the parameter {@code ending}; collectors rely on it. */
+    private static String outcomeParameter(RequestOutcome outcome) {
         return switch (outcome) {
             case SERVED -> "served";
             case REJECTED -> "refused";
@@ -154,8 +113,8 @@
         };
     }
 
-    /** The value of the parameter {@code state}, which collectors rely on. */
-    private static String lifecycleWord(EngineLifecycle lifecycle) {
+    /** The value of the parameter {@code state}; collectors rely on it. */
+    private static String lifecycleParameter(EngineLifecycle lifecycle) {
         return switch (lifecycle) {
             case REMOVED -> "gone";
             case READY -> "ready";
--- a/src/test/java/calicostream/sql/TableGroupScannerTest.java
+++ b/src/test/java/calicostream/sql/TableGroupScannerTest.java
@@ -10,6 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Table groups of statements in several dialects, and the cost of odd ones. */
 class TableGroupScannerTest {
     @ParameterizedTest
     @ValueSource(
@@ -33,7 +34,7 @@
                 "-1 | select 'unfinished from x_1.t",
                 "-1 | select * from sales_99999999999.t"
             })
-    void findsTheGroup(String groupAndSql) {
+    void findsTheTableGroup(String groupAndSql) {
         String[] parts = groupAndSql.split(" \\| ", 2);
         assertEquals(
                 Integer.parseInt(parts[0]),
@@ -41,7 +42,7 @@
     }
 
     @Test
-    void quotesThatNeverEndCostNoMoreThanOthers() {
+    void unterminatedDollarQuotesTakeBoundedTime() {
         StringBuilder sql = new StringBuilder("select ");
         for (int i = 0; i < 30_000; i++) {
             sql.append("$a").append(i).append('$');
--- a/src/test/java/calicostream/syslog/SyslogSenderTest.java
+++ b/src/test/java/calicostream/syslog/SyslogSenderTest.java
@@ -11,6 +11,8 @@
 import calicostream.routing.EngineEndpoint;
 import calicostream.routing.EngineLifecycle;
 import java.io.DataInputStream;
+import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
@@ -22,9 +24,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Records against stand-in collectors on loopback. */
+/** Records sent to fake collectors on loopback. */
 class SyslogSenderTest {
-    private static final String HEAD =
+    private static final String HEADER_PATTERN =
             "1 \\d{4}-\\d\\d-\\d\\dT\\d\\d:\\d\\d:\\d\\d(\\.\\d{1,6})?Z n1 calicostream \\d+ ";
 
     private static SelectorLoop loop() throws Exception {
@@ -37,7 +39,7 @@
     }
 
     @Test
-    void answersAndEnginesOverUdp() throws Exception {
+    void outcomesAndEngineChangesOverUdp() throws Exception {
         try (DatagramSocket collector = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             collector.setSoTimeout(10_000);
             SyslogSender syslog =
@@ -50,13 +52,13 @@
             syslog.engineChanged(new EngineEndpoint(10, 1, 0, 0, 0, EngineLifecycle.DRAINING));
             assertMatches(
                     "<132>"
-                            + HEAD
+                            + HEADER_PATTERN
                             + "ANSWER \\[answer@32473 id=\"9b1f03aa5c7e2d41\" class=\"load\" "
                             + "ending=\"failed\" attempts=\"2\" us=\"1500\"\\]",
                     receive(collector));
             assertMatches(
                     "<133>"
-                            + HEAD
+                            + HEADER_PATTERN
                             + "ENGINE \\[engine@32473 id=\"a\" state=\"draining\" zone=\"0\" "
                             + "kind=\"1\"\\]",
                     receive(collector));
@@ -65,7 +67,7 @@
     }
 
     @Test
-    void countedOctetsOverTcp() throws Exception {
+    void octetCountingOverTcp() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             SelectorLoop loop = loop();
             SyslogSender syslog =
@@ -76,8 +78,8 @@
                             () -> {
                                 try {
                                     loop.run();
-                                } catch (java.io.IOException e) {
-                                    throw new java.io.UncheckedIOException(e);
+                                } catch (IOException e) {
+                                    throw new UncheckedIOException(e);
                                 }
                             });
             thread.start();
@@ -93,7 +95,7 @@
                 byte[] record = new byte[length];
                 in.readFully(record);
                 assertMatches(
-                        "<134>" + HEAD + "ANSWER \\[answer@32473 .* us=\"7\"\\]",
+                        "<134>" + HEADER_PATTERN + "ANSWER \\[answer@32473 .* us=\"7\"\\]",
                         new String(record, StandardCharsets.UTF_8));
             } finally {
                 loop.post(loop::stop);
@@ -108,14 +110,14 @@
                 new String(
                         new SyslogRecord(
                                         16,
-                                        SyslogRecord.INFO,
+                                        SyslogSeverity.INFO,
                                         Instant.EPOCH,
                                         "my host",
                                         "",
                                         "M",
                                         "e@1")
                                 .with("v", "a\"b\\c]d")
-                                .bytes(),
+                                .toBytes(),
                         StandardCharsets.UTF_8);
         assertEquals(
                 "<134>1 1970-01-01T00:00:00Z my_host calicostream - M [e@1 v=\"a\\\"b\\\\c\\]d\"]",
