--- a/src/main/java/calicostream/admin/MetricsJson.java
+++ b/src/main/java/calicostream/admin/MetricsJson.java
@@ -34,7 +34,7 @@
             RequestMetrics metrics, RequestOutcome outcome, List<String> classNames) {
         JsonObject counts = Json.object();
         for (int queryClass = 0; queryClass < classNames.size(); queryClass++) {
-            counts.add(classNames.get(queryClass), metrics.requestEnded(outcome, queryClass));
+            counts.add(classNames.get(queryClass), metrics.requestsEnded(outcome, queryClass));
         }
         return counts;
     }
--- a/src/main/java/calicostream/core/Attempt.java
+++ b/src/main/java/calicostream/core/Attempt.java
@@ -3,15 +3,14 @@
 
 /** One send of a {@link Request} to an engine. Times are the gateway's clock, in microseconds. */
 public final class Attempt {
-    final long latestSendTime;
-    long handle;
-    boolean cancelled;
-
     private final Request request;
     private final int number;
     private final long engine;
     private final long sentAt;
     private final long giveUpAt;
+    private final long latestSendTime;
+    private AttemptState state = AttemptState.CREATED;
+    private long handle;
     private AttemptContext context;
 
     Attempt(Request request, int number, long engine, long sentAt, long giveUpAt) {
@@ -23,6 +22,36 @@
         latestSendTime = Math.min(giveUpAt, request.retryableUntil());
     }
 
+    // ---- State, changed by AttemptLifecycle only
+
+    /** Passes to the next state; an illegal transition is a fault of the gateway. */
+    void become(AttemptState next) {
+        assert state.canBecome(next) : state + " cannot become " + next;
+        state = next;
+    }
+
+    /** Whether the engine client has it and what is reported of it counts. */
+    boolean isInFlight() {
+        return state == AttemptState.IN_FLIGHT;
+    }
+
+    /** Whether its end is known. */
+    boolean isEnded() {
+        return state == AttemptState.ENDED;
+    }
+
+    /** Sets its handle, once. */
+    void assignHandle(long newHandle) {
+        handle = newHandle;
+    }
+
+    /** From when on it must not go out any more. */
+    long latestSendTime() {
+        return latestSendTime;
+    }
+
+    // ---- What it is
+
     /** The request that it is an attempt of. */
     public Request request() {
         return request;
--- /dev/null
+++ b/src/main/java/calicostream/core/AttemptEnd.java
@@ -0,0 +1,19 @@
+// SPDX-License-Identifier: Apache-2.0
+package calicostream.core;
+
+import calicostream.routing.AttemptOutcome;
+import calicostream.routing.LoadReport;
+
+/**
+ * The end of an attempt, until the router has heard of it.
+ *
+ * @param report the engine's load report, or null
+ * @param result the complete result, or null
+ * @param status a final status of the request in place of a result, or null
+ */
+record AttemptEnd(
+        Attempt attempt,
+        AttemptOutcome outcome,
+        LoadReport report,
+        RequestResult result,
+        FinalStatus status) {}
--- a/src/main/java/calicostream/core/EngineClient.java
+++ b/src/main/java/calicostream/core/EngineClient.java
@@ -6,83 +6,87 @@
 import java.net.InetSocketAddress;
 
 /**
- * The way to the engines. Calls take effect at once or later; what becomes of an attempt is told by
- * {@link Gateway#attemptEnded}, once, unless {@link #stop} came first.
+ * The way to the engines. The gateway's thread makes all calls; they take effect at once or later.
+ * The end of an attempt is reported by {@link Gateway#attemptEnded}, once, unless {@link #stop}
+ * came first.
  */
 public interface EngineClient {
-    /** Called once, before anything else: where ends and news of attempts are told. */
+    /** Sets where ends and progress of attempts are reported; called once, before anything else. */
     void attach(Gateway gateway);
 
-    /** Where an engine listens, told before the engine is first sent to and when that changes. */
+    /** Where an engine listens; called before the first send to it and when that changes. */
     void setAddress(long engine, InetSocketAddress address);
 
     /**
-     * Whether the module may hear of a request now. If not, it is kept here until {@link
-     * Gateway#admit} or {@link Gateway#reject}, or until it {@link Request#isAnswered is over}.
+     * Whether the router may hear of a request now. If not, the engine client keeps it until {@link
+     * Gateway#admit} or {@link Gateway#reject}, or until it is {@linkplain Request#isAnswered
+     * answered}.
      */
     default boolean admits(Request request) {
         return true;
     }
 
     /**
-     * Whether the tenant of a request has room at an engine now; answered from memory, many times a
-     * request.
+     * Whether the tenant of a request has capacity at an engine now. Asked many times a request, so
+     * the answer comes from memory.
      */
     default boolean hasTenantCapacity(Request request, long engine) {
         return true;
     }
 
     /**
-     * An attempt is over, whoever ended it; told before the module hears of it. The report is null
-     * where none came.
+     * An attempt ended, whoever ended it; called before the router hears of it.
+     *
+     * @param report the engine's load report, or null
      */
     default void attemptEnded(Attempt attempt, AttemptOutcome outcome, LoadReport report) {}
 
     /**
-     * When the engine's process began by the list's own word, the same for all that read it; told
-     * with each word on the engine.
+     * When the engine's process started according to the endpoint list, which is the same for all
+     * that read it; called with each update of the engine.
      */
     default void engineStarted(long engine, long unixMillis) {}
 
-    /** News of an attempt: its engine has it. */
+    /** The engine has confirmed that it has the attempt. */
     default void attemptAcknowledged(Attempt attempt) {}
 
-    /** An engine's answer how it fares; the report is null where none came. */
+    /**
+     * A load probe of an engine ended.
+     *
+     * @param report the engine's load report, or null
+     */
     default void loadReported(long engine, LoadReport report) {}
 
-    /** Starts an attempt; nothing of it may go out after a {@link #withdrawn} for its engine. */
+    /** Starts an attempt; nothing of it may go out after {@link #engineDraining} for its engine. */
     void send(Attempt attempt);
 
-    /** Gives the attempt up; nothing more need be told of it. */
+    /** Stops an attempt; nothing more need be reported of it. */
     void stop(Attempt attempt);
 
     /**
-     * Asks an engine how it fares, which ends in one {@link Gateway#probeCompleted}, later; false:
-     * it can't be asked.
+     * Probes the load of an engine; the probe ends in one {@link Gateway#probeCompleted}, later.
+     *
+     * @return false: the engine cannot be probed, and no report follows
      */
     default boolean probe(long engine) {
         return false;
     }
 
     /**
-     * At most so many connections to all engines together from now on, where a bound on them is
-     * kept.
+     * Sets the largest number of connections to all engines together, where the client has such a
+     * bound.
      */
     default void setMaxConnections(int connections) {}
 
-    /** A new priority for an attempt that is out. */
+    /** The priority of an attempt in flight has changed. */
     void priorityChanged(Attempt attempt);
 
-    /** The engine drains: what has not gone out to it must not. */
+    /** The engine drains: what has not gone out to it must not go out. */
     void engineDraining(long engine);
 
-    /**
-     * The engine is put back after operators had it: nothing new may use a connection from before.
-     */
+    /** An operator has reinstated the engine: nothing new may use a connection from before. */
     void engineReinstated(long engine);
 
-    /**
-     * The engine's process has ended: attempts there end, and all that is kept for it is forgotten.
-     */
+    /** The engine's process has ended: attempts there end, and all its state is forgotten. */
     void engineRemoved(long engine);
 }
--- a/src/main/java/calicostream/core/Gateway.java
+++ b/src/main/java/calicostream/core/Gateway.java
@@ -3,740 +3,325 @@
 
 import calicostream.routing.AffinityRouter;
 import calicostream.routing.AttemptOutcome;
-import calicostream.routing.AttemptResult;
 import calicostream.routing.EndpointUpdate;
 import calicostream.routing.EngineEndpoint;
-import calicostream.routing.EngineLifecycle;
 import calicostream.routing.LoadReport;
 import calicostream.routing.ProgressKind;
-import calicostream.routing.Query;
-import calicostream.routing.QueryProgress;
-import calicostream.routing.QueryRouter;
 import calicostream.routing.RouterActions;
 import calicostream.routing.RouterSettings;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.Comparator;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Requests, attempts and outcomes between fronts and engines, whatever wires these speak. One
- * thread calls it. It carries out what the decision module asks and holds the promises that no
- * front or engine side may break: one final answer a request, one end an attempt, never two
- * attempts at once, and no second send or refusal of a query that must not run twice once it may
- * have run.
+ * Requests, attempts and outcomes between protocol servers and engine clients, whatever protocols
+ * these speak: the facade that both sides, the operators' tools and the router call. One thread.
+ *
+ * <p>It carries out what the router asks and keeps the promises that no protocol server or engine
+ * client may break: one final answer a request, one end an attempt, never two attempts at once, and
+ * neither a second send nor a rejection of a non-idempotent query once it may have run. {@link
+ * RequestLifecycle} and {@link AttemptLifecycle} hold these promises.
  */
 public final class Gateway implements RouterActions {
     private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
 
     /**
-     * us after word of it to an engine that an attempt called off still counts as out there. The
-     * next attempt goes by another connection, whose bytes may overtake that word. No final answer
-     * waits for this.
+     * How long a cancelled attempt still counts as in flight after its engine was sent the
+     * cancellation. The next attempt goes by another connection, whose bytes may overtake the
+     * cancellation. No final answer waits for this.
      */
     public static final long CANCEL_DELIVERY_MICROS = 10_000;
 
-    /**
-     * The end of an attempt that the router is still to hear of.
-     *
-     * @param result the complete result, or null
-     * @param status a final status of the request in place of a result, or null
-     */
-    private record AttemptEnd(
-            Attempt attempt,
-            AttemptOutcome outcome,
-            LoadReport report,
-            RequestResult result,
-            FinalStatus status) {}
-
     private final Clock clock;
     private final Deadlines deadlines;
-    private final RouterSettings settings;
-    private final QueryRouter router;
-    private final RequestListener watcher;
-    private final SlotTable<Request> requests = new SlotTable<>();
-    private final SlotTable<Attempt> attempts = new SlotTable<>();
-    private final Map<Long, EngineEndpoint> endpointsChanged = new HashMap<>();
-    private final Set<Long> disabled = new HashSet<>(); // by hand, whatever the list says
-    private final Map<Long, Long> restored =
-            new HashMap<>(); // engines put back, and when, until they are warm
-    private final ArrayDeque<AttemptEnd> ends = new ArrayDeque<>();
-    private final RequestMetrics metrics;
-    private final Deadlines.Target moduleTimer =
-            (now, token) -> tell(r -> r.timerFired(now, token));
-    private final Deadlines.Target attemptDue = this::attemptDue;
-    private final Deadlines.Target attemptCalledOff = this::attemptCalledOff;
-    private final Deadlines.Target requestDue = this::requestDue;
-    private final KeyedRequestQueue<Request> keyLines;
-    private EngineClient engines;
-    private boolean inModule, settling;
-    private long faults;
+    private final RouterDriver router;
+    private final EndpointTable endpoints;
+    private final EngineAdministration administration;
+    private final LoadProbes probes;
+    private final RequestLifecycle requests;
+    private final AttemptLifecycle attempts;
+    private final Deadlines.Target routerTimer;
 
+    /**
+     * A gateway that is not started.
+     *
+     * @param deadlines run by the thread that calls the gateway
+     * @param listener notified of final answers and of changes to engines
+     */
     public Gateway(
-            Clock clock, Deadlines deadlines, RouterSettings settings, RequestListener watcher) {
+            Clock clock, Deadlines deadlines, RouterSettings settings, RequestListener listener) {
         this.clock = clock;
         this.deadlines = deadlines;
-        this.settings = settings;
-        this.watcher = watcher;
-        router = new AffinityRouter(settings, this);
-        metrics = new RequestMetrics(settings.classes().size());
-        keyLines =
-                new KeyedRequestQueue<>(
-                        clock,
-                        deadlines,
-                        settings.protectionRules().keyQuietPeriodUs(),
-                        this::arrive);
-    }
-
-    /** How this front end's processes share out keys; before the start. */
-    public void attachKeyOwnership(KeyOwnership turns) {
-        keyLines.attach(turns);
-    }
-
-    /** Starts the module with the engines last known. */
-    public void start(EngineClient side, List<EngineEndpoint> known) {
-        engines = side;
+        router = new RouterDriver(new AffinityRouter(settings, this), this::deliverAttemptEnds);
+        endpoints = new EndpointTable(settings.protectionRules().warmUpUs());
+        administration = new EngineAdministration(clock, endpoints, router, listener);
+        probes = new LoadProbes(clock, deadlines, endpoints, router);
+        requests = new RequestLifecycle(clock, deadlines, settings, router, listener);
+        attempts = new AttemptLifecycle(clock, deadlines, settings, router, requests, endpoints);
+        requests.attach(attempts);
+        routerTimer = (now, token) -> router.deliver(r -> r.timerFired(now, token));
+    }
+
+    private void deliverAttemptEnds() {
+        attempts.deliverEnds();
+    }
+
+    /** Sets how the processes of this front end share keys; before the start. */
+    public void attachKeyOwnership(KeyOwnership ownership) {
+        requests.keyQueue().attach(ownership);
+    }
+
+    /**
+     * Starts the router.
+     *
+     * @param engines the way to the engines
+     * @param known the engines last known
+     */
+    public void start(EngineClient engines, List<EngineEndpoint> known) {
+        administration.attach(engines);
+        probes.attach(engines);
+        requests.attach(engines);
+        attempts.attach(engines);
         engines.attach(this);
-        tell(r -> r.start(clock.now()));
-        endpointsChanged(EndpointUpdate.CACHED, known);
+        router.deliver(r -> r.start(clock.now()));
+        administration.endpointsChanged(EndpointUpdate.CACHED, known);
     }
 
-    // ---- From the fronts
-    // ------------------------------------------------------------------------------
+    // ---- From protocol servers
+
     /**
      * Accepts a request. Its answer goes to its response handler, maybe before this returns.
      *
      * @return its handle
      */
     public long accept(IncomingRequest incoming) {
-        Query query = incoming.query();
-        Request request =
-                new Request(incoming, settings.classes().get(query.queryClass()), clock.now());
-        request.handle = requests.add(request);
-        deadlines.add(request.deadline(), requestDue, request.handle);
-        request.query = query.withId(request.handle);
-        if (request.isOrderedByKey()) {
-            keyLines.add(query.key(), request);
-        } else {
-            arrive(request);
-        }
-        return request.handle;
+        return requests.accept(incoming);
     }
 
     /**
-     * The module hears of it. It may have waited until another process of this front end was done
-     * with its key.
+     * The client has left or takes no answer any more: no answer is owed, and an attempt in flight
+     * is cancelled.
      */
-    private void arrive(Request request) {
-        if (engines.admits(request)) {
-            admit(request);
-        }
-    }
-
-    /** The engine side takes a request to the module that it had kept; it may be over by now. */
-    public void admit(Request request) {
-        long now = clock.now();
-        if (!request.answered && !request.routed) {
-            request.routed = true;
-            tell(r -> r.queryAccepted(now, request.query.withTimeLeft(request.deadline() - now)));
-        }
-    }
-
-    /** The engine side turns a request away that it has kept or was just asked to admit. */
-    public void reject(Request request, long retryAfterUs) {
-        if (!request.routed) {
-            reject(request.handle, retryAfterUs);
-        }
+    public void abandon(long handle) {
+        requests.abandon(handle);
     }
 
-    private void left(Request request) {
-        if (request.isOrderedByKey() && request.activeAttempt == null && !request.leftKeyQueue) {
-            request.leftKeyQueue = true;
-            keyLines.left(request.query.key(), request);
-        }
+    /** Counts a request that was rejected before it was accepted, for this front end's limits. */
+    public void recordRejection(int queryClass) {
+        requests.metrics().recordRequestEnd(queryClass, RequestOutcome.REJECTED);
     }
 
     /**
-     * The client has left or takes no answer any more: nothing is owed, and what is out is called
-     * off.
+     * Answers all open requests, as the process ends: those that may safely be sent again are
+     * rejected, the others fail.
      */
-    public void abandon(long handle) {
-        Request request = requests.get(handle);
-        if (request != null) {
-            tell(
-                    r -> {
-                        close(request, RequestOutcome.ABANDONED);
-                        r.queryAbandoned(clock.now(), handle);
-                    });
-        }
+    public void terminateAll() {
+        requests.terminateAll();
     }
 
-    /**
-     * The process ends: what it has in hand is turned away where trying again is harmless, else it
-     * has failed.
-     */
-    public void terminateAll() {
-        List<Request> open = new ArrayList<>();
-        requests.forEach(open::add);
-        open.sort(
-                Comparator.comparing(
-                        request ->
-                                request.activeAttempt
-                                        != null)); // Or what waits would take the room of what
-        // ends.
-        for (Request request : open) {
-            tell(
-                    r -> {
-                        if (request.streaming) { // A part of its result has gone out: its client
-                            // can tell that no more comes.
-                            close(request, RequestOutcome.FAILED);
-                            request.responseHandler()
-                                    .failed(request.tag(), FailureReason.STREAM_BROKEN);
-                        } else {
-                            reject(request.handle, 0);
-                        }
-                        r.queryAbandoned(clock.now(), request.handle);
-                    });
-        }
-    }
-
-    /** Requests that still wait for their final answer. */
+    /** The number of requests without a final answer. */
     public int openRequests() {
-        return requests.size();
+        return requests.openRequests();
     }
 
-    /**
-     * A request turned away before it could be taken, for what it asks of this front end at once.
-     */
-    public void recordRejection(int queryClass) {
-        metrics.requestEnded(queryClass, RequestOutcome.REJECTED);
-    }
+    // ---- From engine clients
 
-    // ---- For the operators
-    // ----------------------------------------------------------------------------
-    public RequestMetrics metrics() {
-        return metrics;
+    /** Passes a request on to the router that {@link EngineClient#admits} kept back. */
+    public void admit(Request request) {
+        requests.admit(request);
     }
 
-    /** Engines in the list, whatever their state. */
-    public int listedEngines() {
-        return endpointsChanged.size();
+    /** Rejects a request that {@link EngineClient#admits} kept back, or was just asked for. */
+    public void reject(Request request, long retryAfterUs) {
+        requests.rejectQueued(request, retryAfterUs);
     }
 
-    /** Of these, the ones left out now, by hand or by the module, each counted once. */
-    public int excludedEngines() {
-        return (int)
-                endpointsChanged.keySet().stream()
-                        .filter(id -> disabled.contains(id) || router.isEjected(id))
-                        .count();
+    /**
+     * An attempt ended.
+     *
+     * @param report the engine's load report, or null
+     * @param result the complete result, or null
+     * @return false: it had been cancelled or had ended before, and this end is ignored
+     */
+    public boolean attemptEnded(
+            Attempt attempt, AttemptOutcome outcome, LoadReport report, RequestResult result) {
+        return attempts.reportEnd(new AttemptEnd(attempt, outcome, report, result, null));
     }
 
     /**
-     * Engines that may be used: those that the module leaves out by its own choice, but for trials,
-     * or all others.
+     * An attempt ended with a status that is final for its request and says nothing of its engine:
+     * no engine can run the statement, or its result is larger than the front end forwards.
      */
-    public long[] readyEngines(boolean leftOut) {
-        return endpointsChanged.values().stream()
-                .filter(each -> usable(each).lifecycle() == EngineLifecycle.READY)
-                .mapToLong(EngineEndpoint::id)
-                .filter(id -> router.isEjected(id) == leftOut)
-                .sorted()
-                .toArray();
+    public void attemptConcluded(Attempt attempt, LoadReport report, FinalStatus status) {
+        attempts.reportEnd(new AttemptEnd(attempt, AttemptOutcome.CANCELLED, report, null, status));
     }
 
     /**
-     * Another front end tries an engine, and was served or not: a hint about when to try it here.
-     * It is nothing where the module uses the engine, and stops nothing from going there that would
-     * go there without it.
+     * The first part of an attempt's result goes to the client before its end is known: no deadline
+     * of the gateway's ends it from now on, and its end is the request's, complete or not.
      */
-    public void applyEjectionHint(long engine, boolean served) {
-        if (router.isEjected(engine) && served) {
-            tell(r -> r.engineReinstated(clock.now(), engine));
-        } else if (router.isEjected(engine)) {
-            tell(r -> r.probeCompleted(clock.now(), engine, AttemptOutcome.CANCELLED, null));
-        }
+    public void streamBegan(Attempt attempt, ResultStreamHandle stream) {
+        attempts.streamBegan(attempt, stream);
     }
 
-    /** Whether an engine has this id, or had it when it was taken out. */
-    public boolean isKnownEngine(long engine) {
-        return endpointsChanged.containsKey(engine) || disabled.contains(engine);
+    /** An attempt that still runs made progress. */
+    public void attemptProgressed(Attempt attempt, ProgressKind kind, double amount) {
+        attempts.progressed(attempt, kind, amount);
     }
 
-    public boolean isDisabled(long engine) {
-        return disabled.contains(engine);
+    /** The last byte of an attempt was written to its engine, whatever became of it since. */
+    public void attemptWritten(Attempt attempt) {
+        requests.metrics().recordAttemptWritten();
     }
 
-    /** Leaves an engine out, whatever the list says of it, until it is enabled. */
-    public void disable(long engine) {
-        if (disabled.add(engine)) {
-            LOG.info("engine {} disabled by hand", Long.toHexString(engine));
-            restored.remove(engine);
-            hear(endpointsChanged.get(engine));
-        }
+    /**
+     * Whether an attempt that has waited in the engine client may go out now. If not, it has ended,
+     * or the engine client ends it as one that never ran. Must not be called while the router acts.
+     */
+    public boolean maySend(Attempt attempt) {
+        return attempts.maySend(attempt);
     }
 
-    /** Puts an engine back as of this time; it has been restarted meanwhile, so it is cold. */
-    public void enable(long engine, long at) {
-        LOG.info("engine {} enabled by hand", Long.toHexString(engine));
-        disabled.remove(engine);
-        restored.values()
-                .removeIf(each -> clock.now() - each > settings.protectionRules().warmUpUs());
-        restored.put(engine, at);
-        engines.engineReinstated(engine);
-        hear(endpointsChanged.get(engine));
-        tell(r -> r.engineReinstated(clock.now(), engine));
+    /** A load probe ended; the report is null where none came. */
+    public void probeCompleted(long engine, AttemptOutcome outcome, LoadReport report) {
+        probes.completed(engine, outcome, report);
     }
 
+    // ---- From discovery and operators
+
     /**
-     * So many processes serve this front end's clients together; this one is number {@code place},
-     * from 0.
+     * The endpoint list changed. What has not gone out to an engine that drains is taken back
+     * before the router hears of the list.
      */
-    public void processesChanged(int processes, int place) {
-        keyLines.countOthers(clock.now());
-        tell(r -> r.processesChanged(clock.now(), processes, place));
+    public void endpointsChanged(EndpointUpdate kind, List<EngineEndpoint> list) {
+        administration.endpointsChanged(kind, list);
     }
 
-    /** What the module has learned that another process of this front end can start with. */
-    public double[] learnedRunTimes() {
-        return router.learnedRunTimes();
+    /** What has become of requests and attempts so far. */
+    public RequestMetrics metrics() {
+        return requests.metrics();
     }
 
-    public void learnedRunTimes(double[] before) {
-        tell(r -> r.learnedRunTimes(before));
+    /** The number of engines in the endpoint list, whatever their state. */
+    public int listedEngines() {
+        return endpoints.listed().size();
     }
 
-    private void hear(EngineEndpoint listed) {
-        if (listed != null) {
-            endpointsChanged(EndpointUpdate.INCREMENTAL, List.of(listed));
-        }
+    /** The number of these that are disabled or ejected now, each counted once. */
+    public int excludedEngines() {
+        return administration.excludedEngines();
     }
 
     /**
-     * An engine as module and engine side may use it: only where neither the list nor an operator
-     * forbids it.
+     * The ids of the engines that neither the list nor an operator forbids to use, ascending.
+     *
+     * @param ejected only those that the router has ejected, else only the others
      */
-    private EngineEndpoint usable(EngineEndpoint listed) {
-        boolean ready = listed.lifecycle() == EngineLifecycle.READY;
-        if (ready && disabled.contains(listed.id())) {
-            return listed.withLifecycle(EngineLifecycle.DRAINING);
-        }
-        long backAt = restored.getOrDefault(listed.id(), 0L);
-        return ready && backAt > listed.startedAtUs() ? listed.withStartTime(backAt) : listed;
+    public long[] readyEngines(boolean ejected) {
+        return administration.readyEngines(ejected);
     }
 
-    // ---- From the engine side
-    // -------------------------------------------------------------------------
     /**
-     * An attempt ended. Late word on one that had ended already is ignored, and the answer is
-     * false.
+     * Another front end probed an engine: a hint when to probe it here. It does nothing where the
+     * router has not ejected the engine, and keeps nothing away from the engine.
+     *
+     * @param served whether the engine served the other front end
      */
-    public boolean attemptEnded(
-            Attempt attempt, AttemptOutcome outcome, LoadReport report, RequestResult result) {
-        return isOut(attempt) && end(attempt, outcome, report, result);
+    public void applyEjectionHint(long engine, boolean served) {
+        administration.applyEjectionHint(engine, served);
     }
 
-    /** Whether word of it still counts: it has neither ended nor been called off. */
-    private boolean isOut(Attempt attempt) {
-        return !attempt.cancelled && attempts.get(attempt.handle) != null;
+    /** Whether an engine has this id, or had it when it was disabled. */
+    public boolean isKnownEngine(long engine) {
+        return endpoints.isKnown(engine);
     }
 
-    private boolean end(
-            Attempt attempt, AttemptOutcome outcome, LoadReport report, RequestResult result) {
-        if (attempts.remove(attempt.handle) == null) {
-            return false;
-        }
-        ends.add(new AttemptEnd(attempt, outcome, report, result, null));
-        settle();
-        return true;
+    /** Whether an operator has disabled the engine. */
+    public boolean isDisabled(long engine) {
+        return endpoints.isDisabled(engine);
     }
 
-    /**
-     * An attempt ended with a word that is final for its request and says nothing of its engine:
-     * the statement can't be run by any, or what it brings is more than the front end passes on.
-     */
-    public void attemptConcluded(Attempt attempt, LoadReport report, FinalStatus status) {
-        if (isOut(attempt)) {
-            attempts.remove(attempt.handle);
-            ends.add(new AttemptEnd(attempt, AttemptOutcome.CANCELLED, report, null, status));
-            settle();
-        }
+    /** Disables an engine, whatever the endpoint list says of it, until it is enabled. */
+    public void disable(long engine) {
+        administration.disable(engine);
     }
 
-    /**
-     * The first of an attempt's result goes to the client before its end is known: no deadline of
-     * ours ends it from now on, and its end is the request's, whole or not.
-     */
-    public void streamBegan(Attempt attempt, ResultStreamHandle stream) {
-        Request request = attempt.request();
-        if (isOut(attempt) && !request.answered) {
-            request.streaming = true;
-            request.responseHandler().streamBegan(request.tag(), stream);
-            tell(r -> r.streamStarted(clock.now(), request.handle, attempt.number()));
-        }
+    /** Enables an engine as of a time; it was restarted meanwhile, so it has to warm up. */
+    public void enable(long engine, long at) {
+        administration.enable(engine, at);
     }
 
-    /** A probe ended; the report is null where none came. */
-    public void probeCompleted(long engine, AttemptOutcome outcome, LoadReport report) {
-        if (inModule) { // It came of what the module asked for just now.
-            deadlines.add(clock.now(), (now, id) -> probeCompleted(id, outcome, report), engine);
-        } else {
-            engines.loadReported(engine, report);
-            tell(r -> r.probeCompleted(clock.now(), engine, outcome, report));
-        }
-    }
+    // ---- From the other processes of this front end
 
     /**
-     * The last byte of an attempt has been written to its engine, whatever has become of it since.
+     * So many processes serve this front end's clients together.
+     *
+     * @param place the number of this one among them, from 0
      */
-    public void attemptWritten(Attempt attempt) {
-        metrics.attemptWritten();
+    public void processesChanged(int processes, int place) {
+        requests.keyQueue().countOtherProcesses(clock.now());
+        router.deliver(r -> r.processesChanged(clock.now(), processes, place));
     }
 
-    /**
-     * Whether an attempt that has waited on the engine side may go out now. If not, it has ended or
-     * is to be ended there as one that never ran. Not to be asked while the module acts.
-     */
-    public boolean maySend(Attempt attempt) {
-        Request request = attempt.request();
-        if (isOut(attempt) && request.responseHandler().isClientGone(request.tag())) {
-            abandon(request.handle);
-        }
-        return isOut(attempt) && clock.now() < attempt.latestSendTime;
-    }
-
-    /** News of an attempt that still runs. */
-    public void attemptProgressed(Attempt attempt, ProgressKind notice, double amount) {
-        if (isOut(attempt)) {
-            engines.attemptAcknowledged(attempt);
-            tell(
-                    r ->
-                            r.progress(
-                                    clock.now(),
-                                    new QueryProgress(
-                                            attempt.request().handle,
-                                            attempt.number(),
-                                            notice,
-                                            amount)));
-        }
+    /** The run times by query class that the router has learned, for another process. */
+    public double[] learnedRunTimes() {
+        return router.learnedRunTimes();
     }
 
-    /**
-     * News of the list of engines. What has not yet gone out to an engine that drains is taken back
-     * first; the module hears of such ends after it has heard the list, so that it does not choose
-     * the same engine again.
-     */
-    public void endpointsChanged(EndpointUpdate kind, List<EngineEndpoint> list) {
-        inModule = true;
-        try {
-            if (kind != EndpointUpdate.INCREMENTAL) {
-                Map<Long, EngineEndpoint> old = new HashMap<>(endpointsChanged);
-                list.forEach(e -> old.remove(e.id()));
-                old.values().forEach(e -> list(e.withLifecycle(EngineLifecycle.REMOVED)));
-            }
-            list.forEach(this::list);
-        } finally {
-            inModule = false;
-        }
-        List<EngineEndpoint> usable = list.stream().map(this::usable).toList();
-        tell(r -> r.endpointsChanged(clock.now(), kind, usable));
-    }
-
-    private void list(EngineEndpoint engine) {
-        EngineEndpoint old =
-                engine.lifecycle() == EngineLifecycle.REMOVED
-                        ? endpointsChanged.remove(engine.id())
-                        : endpointsChanged.put(engine.id(), engine);
-        if (!engine.equals(old)) {
-            watcher.engineChanged(engine);
-        }
-        if (usable(engine).lifecycle() == EngineLifecycle.DRAINING) {
-            engines.engineDraining(engine.id());
-        } else if (engine.lifecycle() == EngineLifecycle.REMOVED) {
-            engines.engineRemoved(engine.id());
-        }
-    }
-
-    // ---- The module's actions
-    // -------------------------------------------------------------------------
+    /** The run times that another process has learned. */
+    public void learnedRunTimes(double[] byQueryClass) {
+        router.deliver(r -> r.learnedRunTimes(byQueryClass));
+    }
+
+    // ---- The router's actions
+
     @Override
     public void startAttempt(long query, long engine, long giveUpAt) {
-        long now = clock.now();
-        Request request = requests.get(query);
-        if (request == null) {
-            LOG.error("send for a request that is over");
-            return;
-        }
-        long until = giveUpAt > 0 ? Math.min(giveUpAt, request.deadline()) : request.deadline();
-        Attempt attempt = new Attempt(request, request.attempts, engine, now, until);
-        EngineEndpoint listed = endpointsChanged.get(engine);
-        boolean ready = listed != null && usable(listed).lifecycle() == EngineLifecycle.READY;
-        boolean again = (request.isNonIdempotent() || request.streaming) && request.mayHaveRun;
-        attempt.handle = attempts.add(attempt);
-        request.attempts++;
-        // Neither a second attempt beside one that is out, nor a second run, whatever the module
-        // asks.
-        if (request.answered
-                || request.activeAttempt != null
-                || again
-                || now >= attempt.latestSendTime
-                || request.attempts > settings.attemptLimits().maxAttempts()) {
-            attemptEnded(attempt, AttemptOutcome.NOT_STARTED, null, null);
-            return;
-        }
-        if (request.responseHandler()
-                .isClientGone(
-                        request.tag())) { // What the client said last is still unread: the module
-            // hears it by
-            // this end.
-            close(request, RequestOutcome.ABANDONED);
-            attemptEnded(attempt, AttemptOutcome.NOT_STARTED, null, null);
-            return;
-        }
-        if (!ready) {
-            attemptEnded(attempt, AttemptOutcome.CONNECT_FAILED, null, null);
-            return;
-        }
-        request.activeAttempt = attempt;
-        deadlines.add(until, attemptDue, attempt.handle);
-        engines.send(attempt);
+        attempts.start(query, engine, giveUpAt);
     }
 
     @Override
     public boolean hasTenantCapacity(long query, long engine) {
-        Request request = requests.get(query);
-        return request == null || engines.hasTenantCapacity(request, engine);
+        return requests.hasTenantCapacity(query, engine);
     }
 
     @Override
     public void cancelAttempt(long query, int number) {
-        Request request = requests.get(query);
-        if (request != null
-                && request.activeAttempt != null
-                && request.activeAttempt.number() == number
-                && isOut(request.activeAttempt)) {
-            Attempt out = request.activeAttempt;
-            engines.stop(out);
-            out.cancelled = true;
-            deadlines.add(clock.now() + CANCEL_DELIVERY_MICROS, attemptCalledOff, out.handle);
-        }
+        attempts.cancel(query, number);
     }
 
     @Override
     public void reject(long query, long retryAfterUs) {
-        Request request = requests.get(query);
-        if (request == null || request.answered) {
-            return;
-        }
-        boolean neverRan = !request.mayHaveRun && request.activeAttempt == null;
-        if (neverRan || request.isSafeToRetryByClient()) {
-            close(request, RequestOutcome.REJECTED);
-            request.responseHandler().rejected(request.tag(), retryAfterUs / 1000);
-        } else { // "Trying again is harmless" would be untrue: say no more than that it failed.
-            fail(query);
-        }
+        requests.reject(query, retryAfterUs);
     }
 
     @Override
     public void fail(long query) {
-        Request request = requests.get(query);
-        if (request != null && !request.answered) {
-            long slack =
-                    4 * settings.tickUs(); // The module ends a query a little before its deadline.
-            boolean late = clock.now() + slack >= request.deadline();
-            close(request, RequestOutcome.FAILED);
-            request.responseHandler()
-                    .failed(request.tag(), late ? FailureReason.DEADLINE : FailureReason.ENGINE);
-        }
+        requests.fail(query);
     }
 
     @Override
     public void assignResources(long query, double memoryMb, int priority) {
-        Request request = requests.get(query);
-        if (request != null && request.priority != priority) {
-            request.priority = priority;
-            if (request.activeAttempt != null && isOut(request.activeAttempt)) {
-                engines.priorityChanged(request.activeAttempt);
-            }
-        }
+        requests.setPriority(query, priority);
     }
 
     @Override
     public void scheduleTimer(long delayUs, long token) {
-        deadlines.add(clock.now() + delayUs, moduleTimer, token);
+        deadlines.add(clock.now() + delayUs, routerTimer, token);
     }
 
     @Override
     public void probeLoad(long engine) {
-        EngineEndpoint listed = endpointsChanged.get(engine);
-        boolean ready = listed != null && usable(listed).lifecycle() == EngineLifecycle.READY;
-        if (!ready || !engines.probe(engine)) { // Told later: the module must not be re-entered.
-            deadlines.add(
-                    clock.now(),
-                    (now, id) -> probeCompleted(id, AttemptOutcome.NOT_STARTED, null),
-                    engine);
-        }
+        probes.start(engine);
     }
 
     @Override
     public void watchEndpoints() {
-        // Changes come by themselves: the list of engines is followed from the start.
+        // Updates come unasked: discovery watches the endpoint list from the start.
     }
 
     @Override
     public void log(String text) {
         LOG.info("{}", text);
     }
-
-    // ---- Endings
-    // ---------------------------------------------------------------------------------------
-    /**
-     * Marks the one final answer; the slot lives on while an attempt is out, so that its end finds
-     * it.
-     */
-    private void close(Request request, RequestOutcome ending) {
-        request.answered = true;
-        metrics.requestEnded(request.queryClass(), ending);
-        watcher.requestEnded(
-                request.id(),
-                request.queryClass(),
-                ending,
-                request.attempts,
-                clock.now() - request.acceptedAt);
-        requests.remove(request.handle);
-        if (request.activeAttempt != null) {
-            giveUp(request.activeAttempt, AttemptOutcome.CANCELLED);
-        } else {
-            left(request);
-        }
-    }
-
-    private void giveUp(Attempt attempt, AttemptOutcome outcome) {
-        if (attempts.get(attempt.handle) != null) {
-            engines.stop(attempt);
-            end(attempt, outcome, null, null);
-        }
-    }
-
-    /** Its engine has heard by now that it was called off. */
-    private void attemptCalledOff(long now, long handle) {
-        Attempt attempt = attempts.get(handle);
-        if (attempt != null) {
-            end(attempt, AttemptOutcome.CANCELLED, null, null);
-        }
-    }
-
-    private void attemptDue(long now, long handle) {
-        Attempt attempt = attempts.get(handle);
-        if (attempt != null && !attempt.request().streaming) {
-            giveUp(attempt, AttemptOutcome.TIMEOUT);
-        }
-    }
-
-    /** The last guard against a lost request: the module normally answers just before this. */
-    private void requestDue(long now, long handle) {
-        Request request = requests.get(handle);
-        if (request != null && !request.streaming) {
-            tell(
-                    r -> {
-                        if (request.routed) {
-                            fail(handle);
-                        } else { // It has waited for its key or for room all the time.
-                            reject(handle, 0);
-                        }
-                        r.queryAbandoned(now, handle);
-                    });
-        }
-    }
-
-    /**
-     * Tells the module of ends in order; those that come while it acts wait, as it must not be
-     * re-entered.
-     */
-    private void settle() {
-        if (inModule || settling) {
-            return;
-        }
-        settling = true;
-        try {
-            for (AttemptEnd end = ends.poll(); end != null; end = ends.poll()) {
-                settle(end);
-            }
-        } finally {
-            settling = false;
-        }
-    }
-
-    private void settle(AttemptEnd end) {
-        Attempt attempt = end.attempt;
-        Request request = attempt.request();
-        if (request.activeAttempt == attempt) {
-            request.activeAttempt = null;
-            request.previousAttempt = attempt;
-        }
-        if (request.answered) { // It ended before its attempt did.
-            left(request);
-        }
-        request.firstRiskySendAt =
-                request.mayHaveRun || !end.outcome.mayHaveRun
-                        ? request.firstRiskySendAt
-                        : attempt.sentAt();
-        request.mayHaveRun |= end.outcome.mayHaveRun;
-        engines.attemptEnded(attempt, end.outcome, end.report);
-        boolean serves = end.outcome == AttemptOutcome.OK && !request.answered;
-        long now = clock.now();
-        if (end.status != null && !request.answered) {
-            close(request, RequestOutcome.FAILED);
-            request.responseHandler().concluded(request.tag(), end.status);
-        } else if (request.streaming
-                && !serves
-                && !request.answered) { // The client has seen a part: no other attempt.
-            close(request, RequestOutcome.FAILED);
-            request.responseHandler().failed(request.tag(), FailureReason.STREAM_BROKEN);
-        } else if (serves) {
-            close(request, RequestOutcome.SERVED);
-            request.responseHandler().served(request.tag(), end.result);
-        }
-        tell(
-                r ->
-                        r.attemptEnded(
-                                now,
-                                new AttemptResult(
-                                        request.handle,
-                                        attempt.number(),
-                                        attempt.engine(),
-                                        end.outcome,
-                                        request.answered,
-                                        now - attempt.sentAt(),
-                                        0,
-                                        0,
-                                        end.report)));
-    }
-
-    private interface Event {
-        void to(QueryRouter router);
-    }
-
-    /**
-     * One event to the module. A fault in it costs that event; the deadline still answers the
-     * request.
-     */
-    private void tell(Event event) {
-        inModule = true;
-        try {
-            event.to(router);
-        } catch (RuntimeException e) {
-            if (faults++ < 20) {
-                LOG.error("the decision module failed", e);
-            }
-        } finally {
-            inModule = false;
-        }
-        settle();
-    }
 }
--- a/src/main/java/calicostream/core/KeyOwnership.java
+++ b/src/main/java/calicostream/core/KeyOwnership.java
@@ -3,10 +3,10 @@
 
 /**
  * Which process of this front end runs the requests of a key, where two serve side by side. One
- * thread calls it, and no call waits.
+ * thread calls it, and no call blocks.
  */
 public interface KeyOwnership {
-    /** One process alone: every turn is its own. */
+    /** One process alone owns every key. */
     KeyOwnership ALONE =
             new KeyOwnership() {
                 @Override
@@ -24,17 +24,17 @@
             };
 
     /**
-     * Whether a further request of the key may run here now. False: another process has the key, or
-     * waits for it, and it is to be asked again soon; who asks first is next.
+     * Whether a further request of the key may run here now. If not, another process owns the key
+     * or is ahead in waiting for it, and the caller tries again soon; the first to try is next.
      */
     boolean tryAcquire(long key);
 
-    /** Nothing of the key is left here, neither running nor resting. */
+    /** Releases a key: no request of it runs here, and its quiet period is over. */
     void release(long key);
 
     /**
-     * How many other processes of this front end live now. The keys of one that has ended are free
-     * at once.
+     * The number of other processes of this front end that are alive. The keys of one that has
+     * ended are free at once.
      */
     int otherProcesses();
 }
--- a/src/main/java/calicostream/core/KeyedRequestQueue.java
+++ b/src/main/java/calicostream/core/KeyedRequestQueue.java
@@ -7,124 +7,135 @@
 import java.util.function.Consumer;
 
 /**
- * Requests of keys that another process of this front end has in hand, in the order taken. What is
- * let through here is kept in order by the decision module; a key goes back once nothing of it is
- * left and it has rested.
+ * Queues requests whose key another process of this front end owns, in the order accepted. The
+ * router keeps those in order that pass; a key is released once no request of it is left and its
+ * quiet period is over. One thread.
  */
 final class KeyedRequestQueue<R> {
-    static final long LOOK = 5_000; // us between looks at a key that another process has
-
-    private static final class Line<R> {
-        final ArrayDeque<R> waiting = new ArrayDeque<>();
-        int here;
-        long restUntil;
-        boolean watched, resting;
+    /** Time between two attempts to acquire a key that another process owns. */
+    static final long RETRY_INTERVAL_MICROS = 5_000;
+
+    /** The requests of one key. */
+    private static final class KeyState<R> {
+        private final ArrayDeque<R> waiting = new ArrayDeque<>();
+        private int running; // requests that have passed and not ended
+        private long quietUntil;
+        private boolean isRetryScheduled;
+        private boolean isQuiet;
     }
 
     private final Clock clock;
     private final Deadlines deadlines;
-    private final long restUs;
-    private final Consumer<R> through;
-    private final Map<Long, Line<R>> lines = new HashMap<>();
-    private final Deadlines.Target look = this::look;
-    private final Deadlines.Target rested = this::rested;
-    private KeyOwnership turns = KeyOwnership.ALONE;
-    private int others;
-    private long lostAt = Long.MIN_VALUE / 2;
+    private final long quietPeriodMicros;
+    private final Consumer<R> next;
+    private final Map<Long, KeyState<R>> keys = new HashMap<>();
+    private final Deadlines.Target retry = this::retry;
+    private final Deadlines.Target quietPeriodEnded = this::quietPeriodEnded;
+    private KeyOwnership ownership = KeyOwnership.ALONE;
+    private int otherProcesses;
+    private long processLostAt = Long.MIN_VALUE / 2;
 
-    KeyedRequestQueue(Clock clock, Deadlines deadlines, long restUs, Consumer<R> through) {
+    /**
+     * An empty queue.
+     *
+     * @param next gets each request that may run here
+     */
+    KeyedRequestQueue(Clock clock, Deadlines deadlines, long quietPeriodMicros, Consumer<R> next) {
         this.clock = clock;
         this.deadlines = deadlines;
-        this.restUs = restUs;
-        this.through = through;
+        this.quietPeriodMicros = quietPeriodMicros;
+        this.next = next;
     }
 
-    void attach(KeyOwnership to) {
-        turns = to;
+    /** Sets who says which process owns a key; before the first request. */
+    void attach(KeyOwnership keyOwnership) {
+        ownership = keyOwnership;
     }
 
-    /** Lets the request through, now or when its turn has come. */
+    /** Lets the request pass, now or when this process owns its key. */
     void add(long key, R request) {
-        Line<R> line = lines.computeIfAbsent(key, k -> new Line<>());
-        line.waiting.add(request);
-        if (line.waiting.size() == 1) {
-            advance(clock.now(), key, line);
+        KeyState<R> state = keys.computeIfAbsent(key, k -> new KeyState<>());
+        state.waiting.add(request);
+        if (state.waiting.size() == 1) {
+            advance(clock.now(), key, state);
         }
     }
 
-    private void advance(long now, long key, Line<R> line) {
-        while (!line.waiting.isEmpty() && mayTake(now, key, line)) {
-            line.here++;
-            through.accept(line.waiting.poll());
+    private void advance(long now, long key, KeyState<R> state) {
+        while (!state.waiting.isEmpty() && mayRun(now, key, state)) {
+            state.running++;
+            next.accept(state.waiting.poll());
         }
-        if (!line.waiting.isEmpty() && !line.watched) {
-            line.watched = true;
-            deadlines.add(now + LOOK, look, key);
+        if (!state.waiting.isEmpty() && !state.isRetryScheduled) {
+            state.isRetryScheduled = true;
+            deadlines.add(now + RETRY_INTERVAL_MICROS, retry, key);
         }
     }
 
-    private boolean mayTake(long now, long key, Line<R> line) {
-        countOthers(now);
-        boolean heldHere = line.here > 0 || line.resting;
-        return (heldHere || now - lostAt >= restUs) && turns.tryAcquire(key);
+    private boolean mayRun(long now, long key, KeyState<R> state) {
+        countOtherProcesses(now);
+        boolean isOwned = state.running > 0 || state.isQuiet;
+        return (isOwned || now - processLostAt >= quietPeriodMicros) && ownership.tryAcquire(key);
     }
 
     /**
-     * A process that ends gives its keys back at once, also one that ought to rest: none is taken
-     * over until it has.
+     * Counts the other processes. One that ends releases its keys at once, also those in their
+     * quiet period: no key is acquired until that would be over.
      */
-    void countOthers(long now) {
-        int living = turns.otherProcesses();
-        lostAt = living < others ? now : lostAt;
-        others = living;
-    }
-
-    private void look(long now, long key) {
-        Line<R> line = lines.get(key);
-        if (line != null) {
-            line.watched = false;
-            advance(now, key, line);
-            forget(key, line);
+    void countOtherProcesses(long now) {
+        int alive = ownership.otherProcesses();
+        if (alive < otherProcesses) {
+            processLostAt = now;
         }
+        otherProcesses = alive;
     }
 
-    /** It is answered and nothing of it is out: it leaves the line, or what runs. */
-    void left(long key, R request) {
-        Line<R> line = lines.get(key);
-        if (line != null && !line.waiting.remove(request) && --line.here == 0) {
-            line.restUntil = clock.now() + restUs;
-            rest(key, line);
+    private void retry(long now, long key) {
+        KeyState<R> state = keys.get(key);
+        if (state != null) {
+            state.isRetryScheduled = false;
+            advance(now, key, state);
+            forgetIfUnused(key, state);
         }
     }
 
-    private void rest(long key, Line<R> line) {
-        if (!line.resting) {
-            line.resting = true;
-            deadlines.add(line.restUntil, rested, key);
+    /** The request is answered and no attempt of it is in flight, whether it has passed or not. */
+    void requestEnded(long key, R request) {
+        KeyState<R> state = keys.get(key);
+        if (state == null || state.waiting.remove(request)) {
+            return;
+        }
+        state.running--;
+        if (state.running == 0) {
+            state.quietUntil = clock.now() + quietPeriodMicros;
+            beginQuietPeriod(key, state);
         }
     }
 
-    /** One that came meanwhile starts the rest anew when it leaves. */
-    private void rested(long now, long key) {
-        Line<R> line = lines.get(key);
-        line.resting = false;
-        if (line.here == 0 && now < line.restUntil) {
-            rest(key, line);
-        } else if (line.here == 0) {
-            turns.release(key);
-            advance(now, key, line);
-            forget(key, line);
+    private void beginQuietPeriod(long key, KeyState<R> state) {
+        if (!state.isQuiet) {
+            state.isQuiet = true;
+            deadlines.add(state.quietUntil, quietPeriodEnded, key);
         }
     }
 
-    private void forget(long key, Line<R> line) {
-        if (line.here == 0 && line.waiting.isEmpty() && !line.resting && !line.watched) {
-            lines.remove(key);
+    /** A request that ran meanwhile has prolonged the quiet period. */
+    private void quietPeriodEnded(long now, long key) {
+        KeyState<R> state = keys.get(key);
+        state.isQuiet = false;
+        if (state.running == 0 && now < state.quietUntil) {
+            beginQuietPeriod(key, state);
+        } else if (state.running == 0) {
+            ownership.release(key);
+            advance(now, key, state);
+            forgetIfUnused(key, state);
         }
     }
 
-    /** Keys that something is kept for. */
-    int kept() {
-        return lines.size();
+    private void forgetIfUnused(long key, KeyState<R> state) {
+        boolean isScheduled = state.isQuiet || state.isRetryScheduled;
+        if (state.running == 0 && state.waiting.isEmpty() && !isScheduled) {
+            keys.remove(key);
+        }
     }
 }
--- a/src/main/java/calicostream/core/Request.java
+++ b/src/main/java/calicostream/core/Request.java
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.core;
 
+import calicostream.routing.AttemptOutcome;
 import calicostream.routing.Idempotency;
 import calicostream.routing.IdempotencyScope;
 import calicostream.routing.Query;
@@ -13,24 +14,20 @@
 public final class Request {
     private static final int DEFAULT_PRIORITY = 1;
 
-    final QueryClass queryClassSettings;
-    final long acceptedAt;
-    long handle;
-    int attempts;
-    long firstRiskySendAt; // when the first attempt that may have run was sent
-    boolean answered;
-    boolean mayHaveRun;
-    boolean streaming;
-    boolean routed;
-    boolean leftKeyQueue;
-    Query query;
-    Attempt activeAttempt;
-    Attempt previousAttempt;
-    int priority = DEFAULT_PRIORITY;
-
     private final IncomingRequest incoming;
+    private final QueryClass queryClassSettings;
+    private final long acceptedAt;
     private final long deadline;
+    private RequestState state = RequestState.QUEUED;
+    private long handle;
     private int tenant;
+    private int priority = DEFAULT_PRIORITY;
+    private int attempts;
+    private boolean mayHaveRun;
+    private long firstRiskySendAt; // when the first attempt that may have run was sent
+    private boolean hasLeftKeyQueue;
+    private Attempt activeAttempt;
+    private Attempt previousAttempt;
 
     Request(IncomingRequest incoming, QueryClass queryClassSettings, long acceptedAt) {
         this.incoming = incoming;
@@ -39,6 +36,79 @@
         deadline = acceptedAt + incoming.query().timeLeftUs();
     }
 
+    // ---- State, changed by RequestLifecycle and AttemptLifecycle only
+
+    /** Where it stands between acceptance and answer. */
+    RequestState state() {
+        return state;
+    }
+
+    /** Passes to the next state; an illegal transition is a fault of the gateway. */
+    void become(RequestState next) {
+        assert state.canBecome(next) : id() + ": " + state + " cannot become " + next;
+        state = next;
+    }
+
+    /** Sets its handle, once. */
+    void assignHandle(long newHandle) {
+        handle = newHandle;
+    }
+
+    /** Sets its priority for this and further attempts. */
+    void setPriority(int newPriority) {
+        priority = newPriority;
+    }
+
+    /** Counts an attempt that the router asked for. */
+    void countAttempt() {
+        attempts++;
+    }
+
+    /** The number of attempts that the router asked for. */
+    int attempts() {
+        return attempts;
+    }
+
+    /** The attempt that has gone out and whose end the router has not heard of, or null. */
+    Attempt activeAttempt() {
+        return activeAttempt;
+    }
+
+    /** An attempt goes out. */
+    void activate(Attempt attempt) {
+        activeAttempt = attempt;
+    }
+
+    /** An attempt has ended; nothing happens where it had not gone out. */
+    void deactivate(Attempt attempt) {
+        if (activeAttempt == attempt) {
+            activeAttempt = null;
+            previousAttempt = attempt;
+        }
+    }
+
+    /** Notes whether the attempt may have run at its engine. */
+    void recordOutcome(Attempt attempt, AttemptOutcome outcome) {
+        if (outcome.mayHaveRun && !mayHaveRun) {
+            mayHaveRun = true;
+            firstRiskySendAt = attempt.sentAt();
+        }
+    }
+
+    /** Whether one of its attempts may have run. */
+    boolean mayHaveRun() {
+        return mayHaveRun;
+    }
+
+    /** Takes it out of its key's queue; false: that was done before. */
+    boolean leaveKeyQueue() {
+        boolean isFirst = !hasLeftKeyQueue;
+        hasLeftKeyQueue = true;
+        return isFirst;
+    }
+
+    // ---- What its class says of retries
+
     /** Whether it is a load, which engines take as an update and which locks its tables. */
     public boolean isLoad() {
         return queryClassSettings.load();
@@ -66,7 +136,24 @@
 
     /** Whether it runs in order with the other requests of its key. */
     boolean isOrderedByKey() {
-        return queryClassSettings.orderedByKey() && query.key() != 0;
+        return queryClassSettings.orderedByKey() && key() != 0;
+    }
+
+    // ---- What it is
+
+    /** The key whose requests run in order, or 0. */
+    long key() {
+        return incoming.query().key();
+    }
+
+    /** What the router decides by, with the time that is left. */
+    Query queryAt(long now) {
+        return incoming.query().withId(handle).withTimeLeft(deadline - now);
+    }
+
+    /** When it was accepted. */
+    long acceptedAt() {
+        return acceptedAt;
     }
 
     /** Its handle in the gateway's slot table. */
@@ -126,7 +213,7 @@
 
     /** Whether it has had its final answer or its client has left. */
     public boolean isAnswered() {
-        return answered;
+        return state == RequestState.ANSWERED;
     }
 
     /** How urgent it is to engines, as the router decided last. */
--- a/src/main/java/calicostream/core/RequestListener.java
+++ b/src/main/java/calicostream/core/RequestListener.java
@@ -3,15 +3,23 @@
 
 import calicostream.routing.EngineEndpoint;
 
-/** Told of final answers and of changes to engines, for the operators' records. */
+/**
+ * Notified of final answers and of changes to engines, for the operators' records. The gateway's
+ * thread calls it; it must not call the gateway.
+ */
 public interface RequestListener {
-    /** A watcher that records nothing. */
+    /** A listener that records nothing. */
     RequestListener NONE = new RequestListener() {};
 
-    /** One final answer, or the end of a request that its client left. */
+    /**
+     * A request had its one final answer, or its client left.
+     *
+     * @param attempts the number of attempts that the router asked for
+     * @param elapsedUs the time since the request was accepted, in microseconds
+     */
     default void requestEnded(
-            String id, int queryClass, RequestOutcome ending, int attempts, long elapsedUs) {}
+            String id, int queryClass, RequestOutcome outcome, int attempts, long elapsedUs) {}
 
-    /** An engine as the list now names it. */
+    /** The endpoint list names an engine in a new way; one that is gone is {@code REMOVED}. */
     default void engineChanged(EngineEndpoint engine) {}
 }
--- a/src/main/java/calicostream/core/RequestMetrics.java
+++ b/src/main/java/calicostream/core/RequestMetrics.java
@@ -1,34 +1,39 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.core;
 
+import java.util.EnumMap;
+import java.util.Map;
+
 /**
- * What became of requests and attempts from the start of the process on. The one place where it is
- * counted.
+ * What has become of requests and attempts since the process began. The one place where it is
+ * counted; one thread.
  */
 public final class RequestMetrics {
-    private final long[][] ends = new long[RequestOutcome.values().length][];
+    /** For each outcome, the number of requests by the index of their query class. */
+    private final Map<RequestOutcome, long[]> endedRequests = new EnumMap<>(RequestOutcome.class);
+
     private long attemptsWritten;
 
-    RequestMetrics(int classes) {
-        for (int i = 0; i < ends.length; i++) {
-            ends[i] = new long[classes];
+    RequestMetrics(int queryClasses) {
+        for (RequestOutcome outcome : RequestOutcome.values()) {
+            endedRequests.put(outcome, new long[queryClasses]);
         }
     }
 
-    void requestEnded(int queryClass, RequestOutcome how) {
-        ends[how.ordinal()][queryClass]++;
+    void recordRequestEnd(int queryClass, RequestOutcome outcome) {
+        endedRequests.get(outcome)[queryClass]++;
     }
 
-    void attemptWritten() {
+    void recordAttemptWritten() {
         attemptsWritten++;
     }
 
-    /** Requests of the class that ended so. */
-    public long requestEnded(RequestOutcome how, int queryClass) {
-        return ends[how.ordinal()][queryClass];
+    /** The number of requests of the class that ended so. */
+    public long requestsEnded(RequestOutcome outcome, int queryClass) {
+        return endedRequests.get(outcome)[queryClass];
     }
 
-    /** Attempts whose last byte has been written to an engine. */
+    /** The number of attempts whose last byte has been written to an engine. */
     public long attemptsWritten() {
         return attemptsWritten;
     }
--- a/src/measure/java/calicostream/core/Sides.java
+++ b/src/measure/java/calicostream/core/Sides.java
@@ -146,7 +146,7 @@
 
     @Override
     public void engineDraining(long engine) {
-        told.add("withdrawn " + engine);
+        told.add("draining " + engine);
     }
 
     @Override
--- a/src/test/java/calicostream/core/GatewayTest.java
+++ b/src/test/java/calicostream/core/GatewayTest.java
@@ -306,7 +306,7 @@
     void anEngineIsUsedOnlyWhereNeitherTheListNorAnOperatorForbidsIt() {
         pass(2_100_000); // A gateway that has just started sends cold engines nothing.
         gateway.disable(7);
-        assertEquals(List.of("withdrawn 7"), told);
+        assertEquals(List.of("draining 7"), told);
         gateway.endpointsChanged(
                 EndpointUpdate.INCREMENTAL,
                 List.of(engine(7, EngineLifecycle.DRAINING), engine(8, EngineLifecycle.DRAINING)));
@@ -409,7 +409,7 @@
     void nothingIsSentToAnEngineThatDrains() {
         gateway.endpointsChanged(
                 EndpointUpdate.INCREMENTAL, List.of(engine(7, EngineLifecycle.DRAINING)));
-        assertEquals(List.of("withdrawn 7"), told);
+        assertEquals(List.of("draining 7"), told);
         for (int i = 1; i <= 10; i++) {
             ask(0, i, 4_000_000);
         }
--- a/src/test/java/calicostream/flight/suite/ClientsTest.java
+++ b/src/test/java/calicostream/flight/suite/ClientsTest.java
@@ -318,7 +318,7 @@
         }
         assertEquals(
                 1,
-                rig.onLoop(() -> rig.gateway.metrics().requestEnded(RequestOutcome.SERVED, 1)),
+                rig.onLoop(() -> rig.gateway.metrics().requestsEnded(RequestOutcome.SERVED, 1)),
                 "the session's class");
         client.closeSession(new CloseSessionRequest());
         assertEquals(
