--- a/src/main/java/calicostream/budget/AllocationHandler.java
+++ b/src/main/java/calicostream/budget/AllocationHandler.java
@@ -39,7 +39,7 @@
 
     void allocate(BudgetCommand.Allocate allocate) {
         if (allocate.fencingToken() < ledger.fencingToken()) {
-            throw new BudgetException.OldToken(allocate.fencingToken(), ledger.fencingToken());
+            throw new BudgetException.StaleToken(allocate.fencingToken(), ledger.fencingToken());
         }
         SortedMap<String, EngineRequest> requests = new TreeMap<>();
         for (BudgetCommand.Grant grant : allocate.grants()) {
@@ -60,7 +60,7 @@
                 || process.session() != grant.session()
                 || !process.hasSession()
                 || process.isExpired() && grant.sessions() > 0) {
-            throw new BudgetException.GrantOver(grant.process(), grant.session());
+            throw new BudgetException.GrantExpired(grant.process(), grant.session());
         }
     }
 
--- a/src/main/java/calicostream/budget/BudgetException.java
+++ b/src/main/java/calicostream/budget/BudgetException.java
@@ -6,10 +6,10 @@
 import calicostream.errors.OperatorDocumentation;
 
 /**
- * What can go wrong with budgets, as one sealed family: each type has a stable code, the facts in
- * its message, and what an operator can do. The grant machine answers with code and facts where a
- * command is refused; only {@link NoRoom} concerns a request, and its front end words it. Instances
- * are immutable and carry no stack trace.
+ * The errors of session budgets, as one sealed family: each type has a stable code, the facts in
+ * its message, and a remedy for the operator. The grant state machine responds with code and facts
+ * where it refuses a command; only {@link NoCapacity} concerns a request, for which the front end
+ * has its own wording. Instances are immutable and carry no stack trace.
  */
 @OperatorDocumentation(value = "budget.md", prefixes = "budget-")
 public abstract sealed class BudgetException extends OperationalException {
@@ -19,38 +19,45 @@
         super(new ErrorDetails(code, facts, remedy));
     }
 
-    /** A setting that can't be kept; nothing of the file is used. */
-    public static final class BadSetting extends BudgetException {
+    /** A setting that is out of range or contradicts another one; nothing of the file is used. */
+    public static final class InvalidSetting extends BudgetException {
         private static final long serialVersionUID = 1L;
+
+        /** The stable code. */
         public static final String CODE = "budget-bad-setting";
+
         private final String key;
-        private final String why;
+        private final String reason;
 
-        public BadSetting(String key, String why) {
+        /** Names the setting by its dotted key. */
+        public InvalidSetting(String key, String why) {
             super(
                     CODE,
                     key + ": " + why,
                     "Correct the key that is named; the fleet goes on with the settings it has.");
             this.key = key;
-            this.why = why;
+            this.reason = why;
         }
 
-        /** Dotted, as in the file. */
+        /** The dotted key, as in the file. */
         public String key() {
             return key;
         }
 
-        /** What is wrong with it. */
-        public String why() {
-            return why;
+        /** What is wrong with the setting. */
+        public String reason() {
+            return reason;
         }
     }
 
-    /** The division would let more sessions be in use at an engine than its cap. */
+    /** An allocation would let more sessions be in use at an engine than its cap. */
     public static final class OverCap extends BudgetException {
         private static final long serialVersionUID = 1L;
+
+        /** The stable code. */
         public static final String CODE = "budget-over-cap";
 
+        /** Sessions that may be in use now, and with the allocation. */
         public OverCap(String engine, long incarnation, long cap, long committed, long asked) {
             super(
                     CODE,
@@ -70,13 +77,16 @@
     }
 
     /**
-     * A cap was lowered and is not in force yet: more than the new one may still be in use, so
-     * nothing new is granted there.
+     * A lowered cap is not in force yet: more sessions than it allows may still be in use, so no
+     * grant is raised there.
      */
     public static final class CapLowered extends BudgetException {
         private static final long serialVersionUID = 1L;
+
+        /** The stable code. */
         public static final String CODE = "budget-cap-lowered";
 
+        /** The caps in force and requested, and the sessions that may be in use. */
         public CapLowered(String engine, long cap, long target, long committed) {
             super(
                     CODE,
@@ -94,11 +104,14 @@
         }
     }
 
-    /** The floors that are set aside alone pass the cap of an engine. */
+    /** The floors of all processes exceed the cap of an engine. */
     public static final class FloorsOverCap extends BudgetException {
         private static final long serialVersionUID = 1L;
+
+        /** The stable code. */
         public static final String CODE = "budget-floors-over-cap";
 
+        /** The cap, and the sum of the floors. */
         public FloorsOverCap(String engine, long cap, long floors) {
             super(
                     CODE,
@@ -107,12 +120,15 @@
         }
     }
 
-    /** A division by an arbiter that has been replaced. */
-    public static final class OldToken extends BudgetException {
+    /** An allocation by a coordinator that has been replaced. */
+    public static final class StaleToken extends BudgetException {
         private static final long serialVersionUID = 1L;
+
+        /** The stable code. */
         public static final String CODE = "budget-old-token";
 
-        public OldToken(long token, long present) {
+        /** The token of the allocation, and the latest one. */
+        public StaleToken(long token, long present) {
             super(
                     CODE,
                     "token " + token + " where " + present + " was seen",
@@ -123,8 +139,11 @@
     /** The engine is not known, or another incarnation of it is. */
     public static final class OtherIncarnation extends BudgetException {
         private static final long serialVersionUID = 1L;
+
+        /** The stable code. */
         public static final String CODE = "budget-other-incarnation";
 
+        /** The incarnation that was named, and the present one; 0 if there is none. */
         public OtherIncarnation(String engine, long incarnation, long present) {
             super(
                     CODE,
@@ -141,11 +160,14 @@
     }
 
     /** A process, tenant or pool that the settings or the members do not have. */
-    public static final class Unknown extends BudgetException {
+    public static final class UnknownName extends BudgetException {
         private static final long serialVersionUID = 1L;
+
+        /** The stable code. */
         public static final String CODE = "budget-unknown";
 
-        public Unknown(String kind, String name) {
+        /** What kind of thing is not known, and its name. */
+        public UnknownName(String kind, String name) {
             super(
                     CODE,
                     kind + " " + name + " is not known",
@@ -153,12 +175,15 @@
         }
     }
 
-    /** What was granted to the process has expired, or a newer start of it has joined. */
-    public static final class GrantOver extends BudgetException {
+    /** What was granted to the process has expired, or a newer incarnation of it has joined. */
+    public static final class GrantExpired extends BudgetException {
         private static final long serialVersionUID = 1L;
+
+        /** The stable code. */
         public static final String CODE = "budget-grant-over";
 
-        public GrantOver(String process, long session) {
+        /** The process, and the session that it joined under. */
+        public GrantExpired(String process, long session) {
             super(
                     CODE,
                     "grants of " + process + " under session " + session + " are over",
@@ -168,11 +193,14 @@
     }
 
     /** A report that is older than one that was applied. */
-    public static final class OldReport extends BudgetException {
+    public static final class StaleReport extends BudgetException {
         private static final long serialVersionUID = 1L;
+
+        /** The stable code. */
         public static final String CODE = "budget-old-report";
 
-        public OldReport(String process, long number, long present) {
+        /** The number of the report, and of the last one applied. */
+        public StaleReport(String process, long number, long present) {
             super(
                     CODE,
                     process + " report " + number + " after " + present,
@@ -181,11 +209,14 @@
     }
 
     /** An expiry that is not, or no longer, due, or that was not counted by the leader. */
-    public static final class NotDue extends BudgetException {
+    public static final class ExpiryNotDue extends BudgetException {
         private static final long serialVersionUID = 1L;
+
+        /** The stable code. */
         public static final String CODE = "budget-not-due";
 
-        public NotDue(long session, long number, String why) {
+        /** The session and report that were to expire, and the reason why they did not. */
+        public ExpiryNotDue(long session, long number, String why) {
             super(
                     CODE,
                     "session " + session + " report " + number + ": " + why,
@@ -194,14 +225,17 @@
     }
 
     /**
-     * An engine's count of sessions that proves nothing, since it may be older than the end of the
-     * grants.
+     * An engine's count of sessions that proves nothing, since it may be older than the expiry of
+     * the grants.
      */
-    public static final class NoProof extends BudgetException {
+    public static final class StaleEngineCount extends BudgetException {
         private static final long serialVersionUID = 1L;
+
+        /** The stable code. */
         public static final String CODE = "budget-no-proof";
 
-        public NoProof(String engine, long session, String why) {
+        /** The engine, the session of the process, and the reason. */
+        public StaleEngineCount(String engine, long session, String why) {
             super(
                     CODE,
                     "count at engine " + engine + " for session " + session + ": " + why,
@@ -209,13 +243,17 @@
         }
     }
 
-    /** A request that is not taken: its tenant's queue is full or longer than its patience. */
-    public static final class NoRoom extends BudgetException {
+    /** A request that is rejected: its tenant's queue is full or longer than its patience. */
+    public static final class NoCapacity extends BudgetException {
         private static final long serialVersionUID = 1L;
+
+        /** The stable code. */
         public static final String CODE = "budget-no-room";
-        private final long returnAfterNanos;
 
-        public NoRoom(String tenant, int waiting, long returnAfterNanos) {
+        private final long retryAfterNanos;
+
+        /** The requests that are queued, and when to retry. */
+        public NoCapacity(String tenant, int waiting, long returnAfterNanos) {
             super(
                     CODE,
                     "tenant "
@@ -227,12 +265,14 @@
                             + " ms",
                     "Raise the tenant's guarantee or weight if this lasts, or add engines to the"
                             + " pool.");
-            this.returnAfterNanos = returnAfterNanos;
+            this.retryAfterNanos = returnAfterNanos;
         }
 
-        /** When a place should be free, from the rate at which the tenant's sessions end. */
-        public long returnAfterNanos() {
-            return returnAfterNanos;
+        /**
+         * After which capacity should be free, from the rate at which the tenant's sessions end.
+         */
+        public long retryAfterNanos() {
+            return retryAfterNanos;
         }
     }
 }
--- a/src/main/java/calicostream/budget/BudgetSettings.java
+++ b/src/main/java/calicostream/budget/BudgetSettings.java
@@ -154,7 +154,7 @@
 
     private static void require(boolean holds, String key, String reason) {
         if (!holds) {
-            throw new BudgetException.BadSetting(key, reason);
+            throw new BudgetException.InvalidSetting(key, reason);
         }
     }
 
@@ -180,7 +180,7 @@
         return pools.stream()
                 .filter(each -> each.name().equals(name))
                 .findFirst()
-                .orElseThrow(() -> new BudgetException.Unknown("pool", name));
+                .orElseThrow(() -> new BudgetException.UnknownName("pool", name));
     }
 
     /**
@@ -194,6 +194,6 @@
                 return tenant;
             }
         }
-        throw new BudgetException.Unknown("tenant", name);
+        throw new BudgetException.UnknownName("tenant", name);
     }
 }
--- a/src/main/java/calicostream/budget/EngineCommandHandler.java
+++ b/src/main/java/calicostream/budget/EngineCommandHandler.java
@@ -55,7 +55,7 @@
         ledger.requirePresent(count.engine(), count.incarnation());
         ProcessEntry process = ledger.processes().get(count.process());
         if (process == null || process.session() != count.session()) {
-            throw new BudgetException.GrantOver(count.process(), count.session());
+            throw new BudgetException.GrantExpired(count.process(), count.session());
         }
         checkProof(process, count);
         int bound = count.running() + maxInTransit(count);
@@ -73,12 +73,12 @@
                         ? process.predecessorsExpiredAtIndex()
                         : process.expiredAtIndex();
         if (expiredAtIndex == 0 && !disabledSafeguards.contains(Safeguard.GRANT_HELD_TO_EXPIRY)) {
-            throw new BudgetException.NoProof(
+            throw new BudgetException.StaleEngineCount(
                     count.engine(), count.session(), "its grants are not counted out");
         }
         if (count.knownIndex() < expiredAtIndex
                 && !disabledSafeguards.contains(Safeguard.PROOF_AFTER_EXPIRY)) {
-            throw new BudgetException.NoProof(
+            throw new BudgetException.StaleEngineCount(
                     count.engine(),
                     count.session(),
                     "asked at index " + count.knownIndex() + ", over since " + expiredAtIndex);
--- a/src/main/java/calicostream/budget/GrantLedger.java
+++ b/src/main/java/calicostream/budget/GrantLedger.java
@@ -109,7 +109,7 @@
     ProcessEntry requireProcess(long session) {
         ProcessEntry process = processBySession(session);
         if (process == null) {
-            throw new BudgetException.GrantOver("a process", session);
+            throw new BudgetException.GrantExpired("a process", session);
         }
         return process;
     }
--- a/src/main/java/calicostream/budget/GrantLedgerCodec.java
+++ b/src/main/java/calicostream/budget/GrantLedgerCodec.java
@@ -79,7 +79,7 @@
         try {
             ledger.putEngine(
                     name, new EngineEntry(incarnation, settings.pool(pool), cap, requestedCap));
-        } catch (BudgetException.Unknown unknown) {
+        } catch (BudgetException.UnknownName unknown) {
             throw in.malformed(unknown.getMessage());
         }
     }
--- a/src/main/java/calicostream/budget/ProcessCommandHandler.java
+++ b/src/main/java/calicostream/budget/ProcessCommandHandler.java
@@ -26,12 +26,12 @@
     void join(long session, BudgetCommand.Join join) {
         String name = join.process();
         if (session == 0) {
-            throw new BudgetException.Unknown("session of process", name);
+            throw new BudgetException.UnknownName("session of process", name);
         }
         ProcessEntry sameSession = ledger.processBySession(session);
         if (sameSession != null) {
             if (!sameSession.name().equals(name)) {
-                throw new BudgetException.Unknown(
+                throw new BudgetException.UnknownName(
                         "process", name + " under another's session " + session);
             }
             return;
@@ -41,7 +41,7 @@
             process = ledger.addProcess(name);
         }
         if (session < process.session()) {
-            throw new BudgetException.GrantOver(name, session);
+            throw new BudgetException.GrantExpired(name, session);
         }
         if (process.hasSession()) {
             orphanSessions(process);
@@ -92,13 +92,13 @@
 
     private void checkRenewal(ProcessEntry process, long session, BudgetCommand.Renew renew) {
         if (renew.reportNumber() <= process.reportNumber()) {
-            throw new BudgetException.OldReport(
+            throw new BudgetException.StaleReport(
                     process.name(), renew.reportNumber(), process.reportNumber());
         }
         // A process whose grants have expired must report first that it knows: version 0.
         boolean usesExpiredGrants = process.isExpired() && renew.grantVersion() != 0;
         if (renew.grantVersion() > process.grantVersion() || usesExpiredGrants) {
-            throw new BudgetException.GrantOver(process.name(), session);
+            throw new BudgetException.GrantExpired(process.name(), session);
         }
         for (BudgetCommand.TenantDemand demand : renew.demands()) {
             settings.tenantIndex(demand.tenant());
@@ -179,7 +179,8 @@
         ProcessEntry process = ledger.processes().get(expire.process());
         String objection = objectionTo(expire, process, isByLeader);
         if (objection != null) {
-            throw new BudgetException.NotDue(expire.session(), expire.reportNumber(), objection);
+            throw new BudgetException.ExpiryNotDue(
+                    expire.session(), expire.reportNumber(), objection);
         }
         if (expire.ofPredecessors()) {
             process.expirePredecessors(index);
--- a/src/main/java/calicostream/budget/TenantQueues.java
+++ b/src/main/java/calicostream/budget/TenantQueues.java
@@ -130,7 +130,7 @@
         long wait = expectedWait(queue, ahead + 1, now);
         if (ahead >= maxQueued || queue.meanInterval != 0 && wait > patienceNanos) {
             long retryAfter = Math.max(wait - patienceNanos, expectedWait(queue, 1, now));
-            throw new BudgetException.NoRoom(queue.tenant.name(), ahead, retryAfter);
+            throw new BudgetException.NoCapacity(queue.tenant.name(), ahead, retryAfter);
         }
         queue.add(new QueuedRequest(request, engine, now + patienceNanos));
     }
@@ -186,12 +186,12 @@
     }
 
     /** The error for a request of the tenant whose patience is over. */
-    public BudgetException.NoRoom rejection(int tenant, long now) {
+    public BudgetException.NoCapacity rejection(int tenant, long now) {
         TenantQueue queue = queues.get(tenant);
         int ahead = queue.requests.size();
         long retryAfter =
                 Math.max(expectedWait(queue, ahead + 1, now), expectedWait(queue, 1, now));
-        return new BudgetException.NoRoom(queue.tenant.name(), ahead, retryAfter);
+        return new BudgetException.NoCapacity(queue.tenant.name(), ahead, retryAfter);
     }
 
     /** Requests of the tenant that are queued for the engine. */
--- a/src/main/java/calicostream/budget/TenantRules.java
+++ b/src/main/java/calicostream/budget/TenantRules.java
@@ -98,7 +98,7 @@
     }
 
     private BudgetException shared(int tenant, String key, Object attribute, int other) {
-        return new BudgetException.BadSetting(
+        return new BudgetException.InvalidSetting(
                 "tenants." + settings.tenants().get(tenant).name() + "." + key,
                 "'" + attribute + "' is tenant " + settings.tenants().get(other).name() + "'s");
     }
--- a/src/main/java/calicostream/budget/process/BudgetMailbox.java
+++ b/src/main/java/calicostream/budget/process/BudgetMailbox.java
@@ -6,92 +6,119 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicReference;
-import java.util.function.Consumer;
 
 /**
- * Between a process's gate, on the front end's loop, and its layer, on the member's thread: the
- * newest word each way, and nobody waits. Any thread; all that passes is immutable.
+ * Passes the newest messages between a process's gate, on the front end's loop, and its service and
+ * coordinator's task, on the member's thread. Thread-safe and never blocks; all that is passed is
+ * immutable.
  */
 final class BudgetMailbox {
-    /** An engine as the list names it here. */
+    /** An engine as this process's endpoint list has it. */
     record ListedEngine(String name, long incarnation, String pool, int cap) {}
 
     /**
-     * An engine's own count of all its sessions, asked for when the machine was known up to that
-     * index.
+     * An engine's own count of all its sessions.
+     *
+     * @param knownIndex index up to which the state machine was known when it was asked for
      */
     record EngineCount(long incarnation, int running, long knownIndex) {}
 
     /**
-     * Engines that the arbiter wants a count of, and the index up to which it knew the machine when
-     * it asked.
+     * The coordinator wants engines to be counted.
+     *
+     * @param knownIndex index up to which it knew the state machine when it asked
      */
     record CountRequest(List<String> engines, long knownIndex) {}
 
-    /**
-     * What happened to a report: {@code grants} is null where none came, {@code over} where grants
-     * are known to be over.
-     */
-    record ReportOutcome(BudgetCommand.RenewalReply reply, boolean isExpired) {}
+    /** What the gate is told; called on the member's thread. */
+    interface GateListener {
+        /** The process has joined under a new cluster session. */
+        void joined();
+
+        /** A report was answered, or has failed. */
+        void reportCompleted(ReportOutcome outcome);
+
+        /** The coordinator wants engines to be counted. */
+        void countsRequested(CountRequest request);
+    }
 
-    private final AtomicReference<BudgetCommand.Renew> publishReport = new AtomicReference<>();
+    /** Stands in where the process has no gate. */
+    private static final GateListener NO_GATE =
+            new GateListener() {
+                @Override
+                public void joined() {
+                    // There is nothing to report.
+                }
+
+                @Override
+                public void reportCompleted(ReportOutcome outcome) {
+                    // There are no grants to update.
+                }
+
+                @Override
+                public void countsRequested(CountRequest request) {
+                    // There are no engines to ask.
+                }
+            };
+
+    private final AtomicReference<BudgetCommand.Renew> report = new AtomicReference<>();
     private final Map<String, EngineCount> counts = new ConcurrentHashMap<>();
     private volatile List<ListedEngine> listedEngines = List.of();
     private volatile Map<String, Long> removedEngines = Map.of();
-    private volatile String publishMetrics = "{}";
-    private volatile boolean idle;
-    // What the gate does on its own thread; set before the member starts.
-    private volatile Consumer<ReportOutcome> answered = answer -> {};
-    private volatile Runnable joined = () -> {};
-    private volatile Consumer<CountRequest> asked = ask -> {};
-
-    void attachGate(
-            Runnable onJoined, Consumer<ReportOutcome> onAnswer, Consumer<CountRequest> onAsk) {
-        joined = onJoined;
-        answered = onAnswer;
-        asked = onAsk;
+    private volatile String metricsJson = "{}";
+    private volatile boolean isIdle;
+    private volatile GateListener gate = NO_GATE;
+
+    /** Called once, before the member starts. */
+    void attachGate(GateListener listener) {
+        gate = listener;
     }
 
-    // ---- From the gate
-    /** A newer report takes the place of one that has not gone. */
+    /** From the gate: a report, in place of an earlier one that was not taken. */
     void publishReport(BudgetCommand.Renew next) {
-        publishReport.set(next);
+        report.set(next);
     }
 
     /**
-     * @param over engines that the list has told to be gone, with the incarnation that is over
+     * From the gate: the endpoint list.
+     *
+     * @param removed the last incarnations of engines that the list has removed, by name
      */
-    void publishEngines(List<ListedEngine> now, Map<String, Long> over) {
-        listedEngines = List.copyOf(now);
-        removedEngines = Map.copyOf(over);
+    void publishEngines(List<ListedEngine> listed, Map<String, Long> removed) {
+        listedEngines = List.copyOf(listed);
+        removedEngines = Map.copyOf(removed);
     }
 
-    void publishCount(String engine, EngineCount counted) {
-        counts.put(engine, counted);
+    /** From the gate: an engine's count, in place of an earlier one that was not taken. */
+    void publishCount(String engine, EngineCount count) {
+        counts.put(engine, count);
     }
 
-    void publishMetrics(String now, boolean isIdle) {
-        publishMetrics = now;
-        idle = isIdle;
+    /** From the gate: its metrics, and whether no session of this process runs anywhere. */
+    void publishMetrics(String json, boolean idle) {
+        metricsJson = json;
+        isIdle = idle;
     }
 
-    // ---- From the layer
-    /** This session may report from now on; what was reported before is void. */
+    /** To the gate: a new cluster session; what was reported before is void. */
     void joined() {
-        publishReport.set(null);
-        joined.run();
+        report.set(null);
+        gate.joined();
     }
 
-    BudgetCommand.Renew takeReport() {
-        return publishReport.getAndSet(null);
+    /** To the gate. */
+    void completeReport(ReportOutcome outcome) {
+        gate.reportCompleted(outcome);
     }
 
-    void completeReport(ReportOutcome answer) {
-        answered.accept(answer);
+    /** To the gate. */
+    void requestCounts(CountRequest request) {
+        gate.countsRequested(request);
     }
 
-    void requestCounts(CountRequest ask) {
-        asked.accept(ask);
+    /** The report to send, once; null if there is none. */
+    BudgetCommand.Renew takeReport() {
+        return report.getAndSet(null);
     }
 
     List<ListedEngine> listedEngines() {
@@ -102,16 +129,16 @@
         return removedEngines;
     }
 
-    /** Taken once. */
+    /** The engine's count, once; null if there is none. */
     EngineCount takeCount(String engine) {
         return counts.remove(engine);
     }
 
-    String publishMetrics() {
-        return publishMetrics;
+    String metricsJson() {
+        return metricsJson;
     }
 
     boolean isIdle() {
-        return idle;
+        return isIdle;
     }
 }
--- a/src/main/java/calicostream/budget/process/BudgetMetrics.java
+++ b/src/main/java/calicostream/budget/process/BudgetMetrics.java
@@ -4,81 +4,84 @@
 import calicostream.budget.BudgetSettings;
 import calicostream.budget.GrantView;
 import calicostream.budget.GrantedSessions;
-import calicostream.budget.TenantQueues;
+import calicostream.budget.SessionLedger;
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
 import java.util.List;
 
-/** The figures under the names that {@code docs/operate/budget.md} has. Stateless. */
+/** Writes metrics as JSON, under the names that {@code docs/operate/budget.md} has. Stateless. */
 final class BudgetMetrics {
     private BudgetMetrics() {}
 
-    /** What this process may use and uses. */
-    static String of(
+    /**
+     * What this process may use and uses.
+     *
+     * @param engineNames by slot
+     */
+    static String process(
             BudgetSettings settings,
-            GrantedSessions holdings,
-            TenantQueues queues,
-            List<String> names,
-            int doubts,
-            long refused) {
+            SessionLedger ledger,
+            List<String> engineNames,
+            TenantAdmission admission) {
+        GrantedSessions sessions = ledger.grantedSessions();
         JsonObject engines = Json.object();
-        for (int slot = 0; slot < names.size(); slot++) {
+        for (int engine = 0; engine < engineNames.size(); engine++) {
             engines.add(
-                    names.get(slot),
+                    engineNames.get(engine),
                     Json.object()
-                            .add("in_use", holdings.totalSessions(slot))
-                            .add("room", Math.max(0, holdings.capacity(slot)))
-                            .add("incarnation", holdings.incarnation(slot)));
+                            .add("in_use", sessions.totalSessions(engine))
+                            .add("room", Math.max(0, sessions.capacity(engine)))
+                            .add("incarnation", sessions.incarnation(engine)));
         }
         JsonObject tenants = Json.object();
-        for (int t = 0; t < settings.tenants().size(); t++) {
-            int granted = 0;
-            for (int slot = 0; slot < names.size(); slot++) {
-                granted += holdings.granted(t, slot);
-            }
+        for (int tenant = 0; tenant < settings.tenants().size(); tenant++) {
             tenants.add(
-                    settings.tenants().get(t).name(),
+                    settings.tenants().get(tenant).name(),
                     Json.object()
-                            .add("in_use", holdings.sessions(t))
-                            .add("granted", granted)
-                            .add("waiting", queues.queued(t, 0)));
+                            .add("in_use", sessions.sessions(tenant))
+                            .add("granted", granted(sessions, tenant, engineNames.size()))
+                            .add("waiting", admission.queued(tenant)));
         }
         return Json.object()
-                .add("live", holdings.hasActiveGrants())
-                .add("in_doubt", doubts)
-                .add("refused", refused)
+                .add("live", sessions.hasActiveGrants())
+                .add("in_doubt", ledger.unconfirmed())
+                .add("refused", admission.rejected())
                 .add("engines", engines)
                 .add("tenants", tenants)
                 .toString();
     }
 
-    /**
-     * What may be in use in the fleet by the copy at hand, against the caps, and how fairly it is
-     * granted.
-     */
+    private static int granted(GrantedSessions sessions, int tenant, int engines) {
+        int granted = 0;
+        for (int engine = 0; engine < engines; engine++) {
+            granted += sessions.granted(tenant, engine);
+        }
+        return granted;
+    }
+
+    /** What may be in use in the fleet, by the copy at hand, and what tenants are granted. */
     static JsonObject fleet(BudgetSettings settings, GrantView view) {
         JsonObject engines = Json.object();
-        for (GrantView.EngineTotals each : view.engines()) {
+        for (GrantView.EngineTotals engine : view.engines()) {
             engines.add(
-                    each.name(),
+                    engine.name(),
                     Json.object()
-                            .add("pool", each.pool())
-                            .add("cap", each.cap())
-                            .add("cap_wanted", each.requestedCap())
-                            .add("may_be_in_use", each.committed())
-                            .add("granted", each.granted())
-                            .add("incarnation", each.incarnation()));
+                            .add("pool", engine.pool())
+                            .add("cap", engine.cap())
+                            .add("cap_wanted", engine.requestedCap())
+                            .add("may_be_in_use", engine.committed())
+                            .add("granted", engine.granted())
+                            .add("incarnation", engine.incarnation()));
         }
         JsonObject tenants = Json.object();
-        for (int t = 0; t < settings.tenants().size(); t++) {
-            String name = settings.tenants().get(t).name();
-            GrantView.TenantTotals sum = view.tenantTotals(name);
+        for (BudgetSettings.Tenant tenant : settings.tenants()) {
+            GrantView.TenantTotals totals = view.tenantTotals(tenant.name());
             tenants.add(
-                    name,
+                    tenant.name(),
                     Json.object()
-                            .add("weight", settings.tenants().get(t).weight())
-                            .add("granted", sum.granted())
-                            .add("wanted", sum.demand()));
+                            .add("weight", tenant.weight())
+                            .add("granted", totals.granted())
+                            .add("wanted", totals.demand()));
         }
         return Json.object().add("engines", engines).add("tenants", tenants);
     }
--- a/src/main/java/calicostream/budget/process/BudgetService.java
+++ b/src/main/java/calicostream/budget/process/BudgetService.java
@@ -15,47 +15,52 @@
 import calicostream.lease.LeasedTask;
 import calicostream.net.SelectorLoop;
 import com.eclipsesource.json.Json;
-import com.eclipsesource.json.JsonObject;
 import java.util.Optional;
 import java.util.function.LongSupplier;
 
 /**
- * Session budgets as a layer of a member: joins under each session, sends the gate's reports one at
- * a time and hands it the answers. On the member's thread, but for {@link #gate}.
+ * Session budgets as a replicated service of a member: joins under each cluster session, submits
+ * the gate's reports one at a time and passes it their outcomes. Member's thread only, except for
+ * {@link #gate}.
  */
 public final class BudgetService implements ReplicatedService {
     private final BudgetConfig config;
     private final String process;
-    private final BudgetMailbox wire = new BudgetMailbox();
-    private final GrantStateMachine machine;
-    private final GrantExpiryMonitor times;
+    private final BudgetMailbox mailbox = new BudgetMailbox();
+    private final GrantStateMachine stateMachine;
+    private final GrantExpiryMonitor expiryMonitor;
     private final GrantCoordinatorTask coordinatorTask;
     private MemberSession session;
-    private long joined;
-    private long joining;
-    private boolean reporting;
-    private boolean leaving;
-    private long failed;
+
+    /** Ids of the cluster sessions that the process has joined, or is joining, under; 0 if none. */
+    private long joinedSession;
+
+    private long joiningSession;
+    private boolean isReporting;
+    private boolean isLeaving;
+    private long failedReports;
 
     /**
+     * The budgets of a member that has not started.
+     *
      * @param process this member's name, by which the settings may give it floors
      */
     public BudgetService(BudgetConfig config, String process) {
         this.config = config;
         this.process = process;
-        machine = new GrantStateMachine(config.settings());
-        times = new GrantExpiryMonitor(config.settings(), machine);
-        coordinatorTask = new GrantCoordinatorTask(config, machine, wire);
+        stateMachine = new GrantStateMachine(config.settings());
+        expiryMonitor = new GrantExpiryMonitor(config.settings(), stateMachine);
+        coordinatorTask = new GrantCoordinatorTask(config, stateMachine, mailbox);
     }
 
-    /** To run under the arbiter's lease. */
+    /** The task to run under the coordinator's lease. */
     public LeasedTask coordinatorTask() {
         return coordinatorTask;
     }
 
-    /** What stands before the front end's engine side; once, before the member starts. */
+    /** Creates the gate in front of the engine client; once, before the member starts. */
     public BudgetGate gate(SelectorLoop loop, EngineClient engines) {
-        return new BudgetGate(loop, engines, config, process, wire);
+        return new BudgetGate(loop, engines, config, process, mailbox);
     }
 
     @Override
@@ -65,86 +70,95 @@
 
     @Override
     public StateMachine stateMachine() {
-        return machine;
+        return stateMachine;
     }
 
     @Override
     public Optional<ExpiryMonitor> expiryMonitor() {
-        return Optional.of(times);
+        return Optional.of(expiryMonitor);
     }
 
     @Override
     public void onStart(MemberSession own, LongSupplier clock) {
         session = own;
-        coordinatorTask.joins(own);
+        coordinatorTask.attach(own);
     }
 
     @Override
     public void onTick() {
-        long present = session.sessionId();
-        if (present == 0 || leaving) {
+        long current = session.sessionId();
+        if (current == 0 || isLeaving) {
             return;
         }
-        if (present != joined && present != joining) {
-            joining = present;
-            reporting = false;
+        if (current != joinedSession && current != joiningSession) {
+            joiningSession = current;
+            isReporting = false;
             session.submit(
                     name(),
                     new BudgetCommand.Join(process).encode(),
-                    outcome -> joined(present, outcome));
+                    outcome -> joinCompleted(current, outcome));
+        }
+        if (current == joinedSession && !isReporting) {
+            submitReport(current);
         }
-        BudgetCommand.Renew report = present == joined && !reporting ? wire.takeReport() : null;
+    }
+
+    private void submitReport(long current) {
+        BudgetCommand.Renew report = mailbox.takeReport();
         if (report != null) {
-            reporting = true;
-            session.submit(name(), report.encode(), outcome -> answered(present, outcome));
+            isReporting = true;
+            session.submit(name(), report.encode(), outcome -> reportCompleted(current, outcome));
         }
     }
 
-    private void joined(long under, CommandOutcome outcome) {
-        if (outcome.isAccepted() && session.sessionId() == under) {
-            joined = under;
-            wire.joined();
-        } else if (joining == under) {
-            joining = 0; // again at the next tick
+    private void joinCompleted(long joining, CommandOutcome outcome) {
+        if (outcome.isAccepted() && session.sessionId() == joining) {
+            joinedSession = joining;
+            mailbox.joined();
+        } else if (joiningSession == joining) {
+            joiningSession = 0; // Retried at the next tick.
         }
     }
 
-    private void answered(long under, CommandOutcome outcome) {
-        if (under != joined) {
+    private void reportCompleted(long reporting, CommandOutcome outcome) {
+        if (reporting != joinedSession) {
             return;
         }
-        reporting = false;
+        isReporting = false;
+        mailbox.completeReport(reportOutcome(outcome));
+    }
+
+    private ReportOutcome reportOutcome(CommandOutcome outcome) {
         if (outcome.isAccepted()) {
-            wire.completeReport(
-                    new BudgetMailbox.ReportOutcome(
-                            BudgetCommand.RenewalReply.decode(outcome.response()), false));
-        } else {
-            failed++;
-            wire.completeReport(
-                    new BudgetMailbox.ReportOutcome(
-                            null, outcome.code().equals(BudgetException.GrantOver.CODE)));
+            return new ReportOutcome.Renewed(BudgetCommand.RenewalReply.decode(outcome.response()));
         }
+        failedReports++;
+        return outcome.code().equals(BudgetException.GrantExpired.CODE)
+                ? new ReportOutcome.Expired()
+                : new ReportOutcome.Failed();
     }
 
-    /** What runs on is not over: only a process that is idle may say that it leaves. */
+    /** Only a process that is idle may leave: otherwise its sessions go on and must count. */
     @Override
     public void onStopping() {
-        if (joined != 0 && joined == session.sessionId() && wire.isIdle()) {
-            leaving = true;
+        if (hasJoined() && mailbox.isIdle()) {
+            isLeaving = true;
             session.submit(name(), new BudgetCommand.Leave().encode(), outcome -> {});
         }
     }
 
+    private boolean hasJoined() {
+        return joinedSession != 0 && session != null && joinedSession == session.sessionId();
+    }
+
     @Override
     public String metricsJson() {
-        JsonObject out =
-                Json.object()
-                        .add("process", process)
-                        .add(
-                                "joined",
-                                joined != 0 && session != null && joined == session.sessionId())
-                        .add("reports_failed", failed)
-                        .add("here", Json.parse(wire.publishMetrics()));
-        return out.add("fleet", BudgetMetrics.fleet(config.settings(), machine.view())).toString();
+        return Json.object()
+                .add("process", process)
+                .add("joined", hasJoined())
+                .add("reports_failed", failedReports)
+                .add("here", Json.parse(mailbox.metricsJson()))
+                .add("fleet", BudgetMetrics.fleet(config.settings(), stateMachine.view()))
+                .toString();
     }
 }
--- a/src/main/java/calicostream/budget/process/GrantCoordinatorTask.java
+++ b/src/main/java/calicostream/budget/process/GrantCoordinatorTask.java
@@ -5,6 +5,7 @@
 import calicostream.budget.GrantCoordinator;
 import calicostream.budget.GrantStateMachine;
 import calicostream.budget.GrantView;
+import calicostream.cluster.CommandOutcome;
 import calicostream.cluster.MemberMessage;
 import calicostream.cluster.MemberSession;
 import calicostream.cluster.config.BudgetConfig;
@@ -14,33 +15,40 @@
 import java.util.List;
 
 /**
- * The arbiter, at whichever process holds its lease: a few times a lease of grants it tells the
- * machine of the engines that its list names, divides, and has engines counted where something
- * waits for proof. It goes by the copy at hand, or by one that it asks a voter for. The machine
- * checks all that it says. On the member's thread.
+ * The grant coordinator's task, at whichever process holds its lease: some times in a lease time of
+ * grants it submits changes of the endpoint list, allocates grants, and requests counts from
+ * engines where usage is unconfirmed. It uses the state machine's copy at hand, or reads one from a
+ * voter; the state machine checks all that it submits. Member's thread only.
  */
 final class GrantCoordinatorTask implements LeasedTask {
-    private static final int ROUNDS = 10; // a lease of grants
+    private static final int ROUNDS_PER_LEASE = 10;
+
+    /** The fencing token is put in where a command is submitted. */
+    private static final long NO_TOKEN = 0;
+
+    private static final long DUE_AT_ONCE = Long.MIN_VALUE;
+
     private final BudgetConfig config;
     private final GrantStateMachine machine;
-    private final BudgetMailbox wire;
-    private final long everyNanos;
+    private final BudgetMailbox mailbox;
+    private final long roundIntervalNanos;
     private MemberSession session;
-    private GrantCoordinator arbiter;
-    private long due;
+    private GrantCoordinator coordinator;
+    private long nextRoundAt;
     private long rounds;
-    private long divisions;
+    private long allocations;
     private long refused;
     private String lastRefusal = "";
 
-    GrantCoordinatorTask(BudgetConfig config, GrantStateMachine machine, BudgetMailbox wire) {
+    GrantCoordinatorTask(BudgetConfig config, GrantStateMachine machine, BudgetMailbox mailbox) {
         this.config = config;
         this.machine = machine;
-        this.wire = wire;
-        everyNanos = config.settings().ttlNanos() / ROUNDS;
+        this.mailbox = mailbox;
+        roundIntervalNanos = config.settings().ttlNanos() / ROUNDS_PER_LEASE;
     }
 
-    void joins(MemberSession own) {
+    /** Called once, before the task runs: the session to submit commands by. */
+    void attach(MemberSession own) {
         session = own;
     }
 
@@ -50,125 +58,127 @@
     }
 
     @Override
-    public void started(FencedActions acts) {
-        arbiter = new GrantCoordinator(config.settings());
-        due = Long.MIN_VALUE;
+    public void started(FencedActions actions) {
+        coordinator = new GrantCoordinator(config.settings());
+        nextRoundAt = DUE_AT_ONCE;
     }
 
     @Override
-    public void step(FencedActions acts, long nowNanos) {
-        if (due != Long.MIN_VALUE && nowNanos - due < 0) {
+    public void step(FencedActions actions, long nowNanos) {
+        if (nextRoundAt != DUE_AT_ONCE && nowNanos - nextRoundAt < 0) {
             return;
         }
-        due = nowNanos + everyNanos;
+        nextRoundAt = nowNanos + roundIntervalNanos;
         if (machine.view().appliedIndex() > 0) {
-            GrantStateMachine view = new GrantStateMachine(config.settings());
-            view.restore(machine.snapshot());
-            round(acts, view);
+            runRound(actions, machine.snapshot());
         } else {
             session.read(
                     MemberMessage.Operation.LOCAL_READ,
                     GrantStateMachine.NAME,
                     new byte[0],
                     nowNanos,
-                    reply -> {
-                        if (reply.outcome().isAccepted()
-                                && reply.outcome().response().length > 0
-                                && acts.isHeld()) {
-                            GrantStateMachine view = new GrantStateMachine(config.settings());
-                            view.restore(reply.outcome().response());
-                            round(acts, view);
-                        }
-                    });
+                    reply -> snapshotRead(actions, reply.outcome()));
+        }
+    }
+
+    private void snapshotRead(FencedActions actions, CommandOutcome outcome) {
+        if (outcome.isAccepted() && outcome.response().length > 0 && actions.isHeld()) {
+            runRound(actions, outcome.response());
         }
     }
 
-    private void round(FencedActions acts, GrantStateMachine copy) {
+    private void runRound(FencedActions actions, byte[] snapshot) {
         rounds++;
+        GrantStateMachine copy = new GrantStateMachine(config.settings());
+        copy.restore(snapshot);
         GrantView view = copy.view();
-        List<BudgetMailbox.ListedEngine> listed = wire.listedEngines();
+        submitEngineChanges(view);
+        submitCounts(view);
+        requestCounts(view);
+        for (BudgetCommand.Allocate allocate : coordinator.allocate(copy, NO_TOKEN)) {
+            allocations++;
+            actions.command(
+                    GrantStateMachine.NAME,
+                    token -> new BudgetCommand.Allocate(token, allocate.grants()).encode(),
+                    this::completed);
+        }
+    }
+
+    private void submitEngineChanges(GrantView view) {
         List<GrantView.EngineTotals> known = view.engines();
-        for (BudgetMailbox.ListedEngine each : listed) {
-            boolean same =
-                    known.stream()
-                            .anyMatch(
-                                    engine ->
-                                            engine.name().equals(each.name())
-                                                    && engine.incarnation() >= each.incarnation()
-                                                    && (engine.incarnation() > each.incarnation()
-                                                            || engine.requestedCap() == each.cap()
-                                                                    && engine.pool()
-                                                                            .equals(each.pool())));
-            if (!same) {
-                run(
+        for (BudgetMailbox.ListedEngine listed : mailbox.listedEngines()) {
+            if (known.stream().noneMatch(engine -> isUpToDate(engine, listed))) {
+                submit(
                         new BudgetCommand.UpdateEngine(
-                                each.name(), each.incarnation(), each.pool(), each.cap()));
+                                listed.name(), listed.incarnation(), listed.pool(), listed.cap()));
             }
         }
-        for (GrantView.EngineTotals each : known) {
-            if (wire.removedEngines().getOrDefault(each.name(), 0L) == each.incarnation()) {
-                run(new BudgetCommand.RemoveEngine(each.name(), each.incarnation()));
+        for (GrantView.EngineTotals engine : known) {
+            long removed = mailbox.removedEngines().getOrDefault(engine.name(), 0L);
+            if (removed == engine.incarnation()) {
+                submit(new BudgetCommand.RemoveEngine(engine.name(), engine.incarnation()));
             }
         }
-        count(view);
-        for (BudgetCommand.Allocate each : arbiter.allocate(copy, 0)) {
-            divisions++;
-            acts.command(
-                    GrantStateMachine.NAME,
-                    token -> new BudgetCommand.Allocate(token, each.grants()).encode(),
-                    this::heard);
+    }
+
+    /** Whether the state machine knows the listed engine as it is, or a later incarnation of it. */
+    private static boolean isUpToDate(
+            GrantView.EngineTotals engine, BudgetMailbox.ListedEngine listed) {
+        if (!engine.name().equals(listed.name()) || engine.incarnation() < listed.incarnation()) {
+            return false;
         }
+        return engine.incarnation() > listed.incarnation()
+                || engine.requestedCap() == listed.cap() && engine.pool().equals(listed.pool());
     }
 
-    /**
-     * Engines that tell their sessions by no process tell how many there are in all, which bounds
-     * each one's.
-     */
-    private void count(GrantView view) {
-        List<GrantView.UnconfirmedUsage> unproven = view.unconfirmedUsages();
-        for (GrantView.EngineTotals each : view.engines()) {
-            BudgetMailbox.EngineCount counted = wire.takeCount(each.name());
-            if (counted != null && counted.incarnation() == each.incarnation()) {
-                unproven.stream()
-                        .filter(
-                                open ->
-                                        open.engine().equals(each.name())
-                                                && open.expiredAtIndex() <= counted.knownIndex())
-                        .filter(
-                                open ->
-                                        open.sessions()
-                                                > counted.running()
-                                                        + config.settings().maxUnacknowledged())
-                        .forEach(
-                                open ->
-                                        run(
-                                                new BudgetCommand.EngineCount(
-                                                        each.name(),
-                                                        each.incarnation(),
-                                                        open.process(),
-                                                        open.session(),
-                                                        open.ofPredecessors(),
-                                                        counted.knownIndex(),
-                                                        counted.running(),
-                                                        false)));
+    /** An engine's count of all its sessions bounds those of each process. */
+    private void submitCounts(GrantView view) {
+        for (GrantView.EngineTotals engine : view.engines()) {
+            BudgetMailbox.EngineCount count = mailbox.takeCount(engine.name());
+            if (count != null && count.incarnation() == engine.incarnation()) {
+                for (GrantView.UnconfirmedUsage usage : view.unconfirmedUsages()) {
+                    if (usage.engine().equals(engine.name()) && isLoweredBy(count, usage)) {
+                        submit(engineCount(usage, count));
+                    }
+                }
             }
         }
-        if (!unproven.isEmpty()) {
-            wire.requestCounts(
-                    new BudgetMailbox.CountRequest(
-                            unproven.stream()
-                                    .map(GrantView.UnconfirmedUsage::engine)
-                                    .distinct()
-                                    .toList(),
-                            view.appliedIndex()));
+    }
+
+    private boolean isLoweredBy(BudgetMailbox.EngineCount count, GrantView.UnconfirmedUsage usage) {
+        return usage.expiredAtIndex() <= count.knownIndex()
+                && usage.sessions() > count.running() + config.settings().maxUnacknowledged();
+    }
+
+    private static BudgetCommand.EngineCount engineCount(
+            GrantView.UnconfirmedUsage usage, BudgetMailbox.EngineCount count) {
+        return new BudgetCommand.EngineCount(
+                usage.engine(),
+                count.incarnation(),
+                usage.process(),
+                usage.session(),
+                usage.ofPredecessors(),
+                count.knownIndex(),
+                count.running(),
+                false);
+    }
+
+    private void requestCounts(GrantView view) {
+        List<String> engines =
+                view.unconfirmedUsages().stream()
+                        .map(GrantView.UnconfirmedUsage::engine)
+                        .distinct()
+                        .toList();
+        if (!engines.isEmpty()) {
+            mailbox.requestCounts(new BudgetMailbox.CountRequest(engines, view.appliedIndex()));
         }
     }
 
-    private void run(BudgetCommand command) {
-        session.submit(GrantStateMachine.NAME, command.encode(), this::heard);
+    private void submit(BudgetCommand command) {
+        session.submit(GrantStateMachine.NAME, command.encode(), this::completed);
     }
 
-    private void heard(calicostream.cluster.CommandOutcome outcome) {
+    private void completed(CommandOutcome outcome) {
         if (!outcome.isAccepted()) {
             refused++;
             lastRefusal = outcome.code();
@@ -179,7 +189,7 @@
     public String figures() {
         return Json.object()
                 .add("rounds", rounds)
-                .add("divisions", divisions)
+                .add("divisions", allocations)
                 .add("refused", refused)
                 .add("last_refusal", lastRefusal)
                 .toString();
--- a/src/main/java/calicostream/cluster/config/BudgetConfig.java
+++ b/src/main/java/calicostream/cluster/config/BudgetConfig.java
@@ -294,11 +294,11 @@
             String without) {
         try {
             return new TenantRules(settings, known, without);
-        } catch (BudgetException.BadSetting shared) {
+        } catch (BudgetException.InvalidSetting shared) {
             int dot = shared.key().lastIndexOf('.'); // a tenant's name may have some
             String tenant = shared.key().substring("tenants.".length(), dot);
             throw section.section(tenant)
-                    .error(Code.OVERLAP, shared.key().substring(dot + 1), shared.why());
+                    .error(Code.OVERLAP, shared.key().substring(dot + 1), shared.reason());
         }
     }
 }
--- a/src/main/java/calicostream/daemon/ClusterComponent.java
+++ b/src/main/java/calicostream/daemon/ClusterComponent.java
@@ -73,7 +73,7 @@
             return engines;
         }
         BudgetGate gate = budget.gate(loop, engines);
-        watchers.add(gate.watcher());
+        watchers.add(gate.endpointListener());
         return gate;
     }
 
--- a/src/measure/java/calicostream/budget/SimProcess.java
+++ b/src/measure/java/calicostream/budget/SimProcess.java
@@ -191,10 +191,7 @@
     private void look() {
         for (int t = 0; t < load.clients.length; t++) {
             for (long request : queues.removeTimedOut(t, clock())) {
-                refused(
-                        t,
-                        waiting.remove(request),
-                        queues.rejection(t, clock()).returnAfterNanos());
+                refused(t, waiting.remove(request), queues.rejection(t, clock()).retryAfterNanos());
             }
             for (int e = 0; e < sim.engines.size(); e++) {
                 demand.observe(
@@ -314,8 +311,8 @@
         try {
             queues.offer(tenant, slot, ++requests, clock(), 300 * BudgetSim.MS);
             waiting.put(requests, slot);
-        } catch (BudgetException.NoRoom noRoom) {
-            refused(tenant, slot, noRoom.returnAfterNanos());
+        } catch (BudgetException.NoCapacity noCapacity) {
+            refused(tenant, slot, noCapacity.retryAfterNanos());
         }
     }
 
--- a/src/test/java/calicostream/budget/GrantStateMachineTest.java
+++ b/src/test/java/calicostream/budget/GrantStateMachineTest.java
@@ -142,7 +142,7 @@
     void impossibleSettingsNameTheirKey() {
         assertTrue(
                 assertThrows(
-                                BudgetException.BadSetting.class,
+                                BudgetException.InvalidSetting.class,
                                 () ->
                                         new BudgetSettings(
                                                 List.of(new BudgetSettings.Pool("p", 1, 5)),
--- a/src/test/java/calicostream/budget/GrantedSessionsTest.java
+++ b/src/test/java/calicostream/budget/GrantedSessionsTest.java
@@ -121,11 +121,11 @@
         assertEquals(List.of(2L), queues.removeTimedOut(0, 100 * MS));
         queues.sessionEnded(0, 100 * MS);
         queues.sessionEnded(0, 150 * MS);
-        BudgetException.NoRoom refusal =
+        BudgetException.NoCapacity refusal =
                 assertThrows(
-                        BudgetException.NoRoom.class,
+                        BudgetException.NoCapacity.class,
                         () -> queues.offer(0, e, 9, 150 * MS, 20 * MS));
-        assertEquals(50 * MS, refusal.returnAfterNanos(), "a session ends each 50 ms");
+        assertEquals(50 * MS, refusal.retryAfterNanos(), "a session ends each 50 ms");
     }
 
     @Test
