--- a/src/main/java/calicostream/budget/TenantQueues.java
+++ b/src/main/java/calicostream/budget/TenantQueues.java
@@ -121,7 +121,7 @@
     /**
      * Queues a request for capacity at that engine, until its patience is over.
      *
-     * @throws BudgetException.NoRoom if it would wait longer, or too many are queued; it is not
+     * @throws BudgetException.NoCapacity if it would wait longer, or too many are queued; it is not
      *     queued then
      */
     public void offer(int tenant, int engine, long request, long now, long patienceNanos) {
--- a/src/measure/java/calicostream/budget/BudgetRuns.java
+++ b/src/measure/java/calicostream/budget/BudgetSimulations.java
@@ -15,26 +15,26 @@
  * Runs of the fleet in virtual time: with faults, whose only question is the caps; and steady ones,
  * whose question is fairness and use.
  */
-public final class BudgetRuns {
-    private static final long MS = BudgetSim.MS;
+public final class BudgetSimulations {
+    private static final long MS = FleetSimulation.MS;
     private static final long SECOND = 1_000 * MS;
 
-    private BudgetRuns() {}
+    private BudgetSimulations() {}
 
     /** What a number of runs with faults came to. */
-    public record Faulty(
+    public record FaultyRuns(
             int runs,
             long steps,
             long commands,
             int faults,
-            int overCap,
-            String first,
+            int violations,
+            String firstViolation,
             List<Long> reclaims,
-            List<Long> freed,
+            List<Long> releases,
             Map<String, Integer> refusals) {}
 
     /** What a steady run came to. */
-    public record Steady(double distance, double use) {}
+    public record SteadyRun(double unfairness, double utilization) {}
 
     private static BudgetSettings settings(int floor, int inHand) {
         return settings(7, floor, inHand);
@@ -70,25 +70,26 @@
     }
 
     /** One run of ten seconds; null or what broke. */
-    static BudgetSim faulty(long seed, Set<Safeguard> out) {
-        return faulty(seed, BudgetSim.Faults.ALL, out);
+    static FleetSimulation faulty(long seed, Set<Safeguard> out) {
+        return faulty(seed, FleetSimulation.Faults.ALL, out);
     }
 
-    private static BudgetSim faulty(long seed, BudgetSim.Faults faults, Set<Safeguard> out) {
+    private static FleetSimulation faulty(
+            long seed, FleetSimulation.Faults faults, Set<Safeguard> out) {
         if (seed % 2 == 0) {
             return small(seed, faults, out);
         }
         SplittableRandom random = new SplittableRandom(seed * 31 + 7);
         int[] caps = random.ints(3, 21, random.nextBoolean() ? 30 : 60).toArray();
         int[] clients = random.ints(4, 1, 8).toArray();
-        BudgetSim sim =
-                new BudgetSim(
+        FleetSimulation sim =
+                new FleetSimulation(
                         settings(random.nextInt(1, 4), random.nextInt(1, 4)),
                         caps,
                         faults,
                         out,
                         seed,
-                        new SimProcess.Load(clients, random.nextInt(20, 200)));
+                        new SimulatedProcess.Load(clients, random.nextInt(20, 200)));
         sim.run(10 * SECOND);
         return sim;
     }
@@ -98,29 +99,30 @@
      * whoever is just using what it concerns. Which faults there are, and how much is late, differs
      * from run to run, as one that is rare among many hides what two of a kind would show.
      */
-    private static BudgetSim small(long seed, BudgetSim.Faults faults, Set<Safeguard> out) {
+    private static FleetSimulation small(
+            long seed, FleetSimulation.Faults faults, Set<Safeguard> out) {
         SplittableRandom random = new SplittableRandom(seed * 31 + 11);
         int count = random.nextInt(2, 4);
         int floor = random.nextInt(0, 2);
         int[] caps = random.ints(random.nextInt(1, 3), count + 1, count + 9).toArray();
         int[] clients = {random.nextInt(3, 12), random.nextInt(0, 6), 0, 0};
-        BudgetSim.Faults drawn =
-                new BudgetSim.Faults(
-                        faults.on(),
-                        faults.quorumLost(),
+        FleetSimulation.Faults drawn =
+                new FleetSimulation.Faults(
+                        faults.isEnabled(),
+                        faults.isQuorumLost(),
                         random.nextDouble() * 0.2,
                         random.nextDouble() * 0.2,
                         random.nextDouble() * 0.2,
-                        random.nextInt(1, 1 << BudgetSim.MISHAPS),
+                        random.nextInt(1, 1 << FleetSimulation.FAULT_KINDS),
                         random.nextInt(20, 150));
-        BudgetSim sim =
-                new BudgetSim(
+        FleetSimulation sim =
+                new FleetSimulation(
                         settings(count, floor, random.nextInt(1, 4)),
                         caps,
                         drawn,
                         out,
                         seed,
-                        new SimProcess.Load(clients, random.nextInt(20, 600)));
+                        new SimulatedProcess.Load(clients, random.nextInt(20, 600)));
         sim.run(20 * SECOND);
         return sim;
     }
@@ -129,7 +131,7 @@
      * Runs with all faults, from that seed on; fewer if the time is over, which {@link
      * System#nanoTime} tells.
      */
-    public static Faulty faulty(long seed, boolean quorumLost, int most, long until) {
+    public static FaultyRuns faulty(long seed, boolean quorumLost, int most, long until) {
         int runs = 0;
         long steps = 0;
         long commands = 0;
@@ -141,10 +143,12 @@
         Map<String, Integer> refusals = new TreeMap<>();
         for (int i = 0; i < most && System.nanoTime() < until; i++) {
             runs++;
-            BudgetSim sim =
+            FleetSimulation sim =
                     faulty(
                             seed + i,
-                            quorumLost ? BudgetSim.Faults.ALL : BudgetSim.Faults.WITH_QUORUM,
+                            quorumLost
+                                    ? FleetSimulation.Faults.ALL
+                                    : FleetSimulation.Faults.WITH_QUORUM,
                             EnumSet.noneOf(Safeguard.class));
             steps += sim.steps;
             commands += sim.commands;
@@ -154,21 +158,23 @@
                 first = first == null ? "seed " + (seed + i) + ": " + sim.violation : first;
             }
             reclaims.addAll(sim.reclaims);
-            freed.addAll(sim.freed);
+            freed.addAll(sim.releases);
             sim.refusals.forEach((code, count) -> refusals.merge(code, count, Integer::sum));
         }
         Collections.sort(reclaims);
         Collections.sort(freed);
-        return new Faulty(runs, steps, commands, faults, over, first, reclaims, freed, refusals);
+        return new FaultyRuns(
+                runs, steps, commands, faults, over, first, reclaims, freed, refusals);
     }
 
     /**
      * The first seed of a small fleet at which the checker finds a break with this safeguard taken
      * out, or -1.
      */
-    static long found(Safeguard safeguard, long seed, int runs) {
+    static long firstSeedViolating(Safeguard safeguard, long seed, int runs) {
         for (int i = 0; i < runs; i++) {
-            if (small(seed + i, BudgetSim.Faults.ALL, EnumSet.of(safeguard)).violation != null) {
+            if (small(seed + i, FleetSimulation.Faults.ALL, EnumSet.of(safeguard)).violation
+                    != null) {
                 return seed + i;
             }
         }
@@ -181,29 +187,29 @@
     }
 
     /** The same by name. */
-    public static long found(String safeguard, long seed, int runs) {
-        return found(Safeguard.valueOf(safeguard), seed, runs);
+    public static long firstSeedViolating(String safeguard, long seed, int runs) {
+        return firstSeedViolating(Safeguard.valueOf(safeguard), seed, runs);
     }
 
     /**
      * Ten seconds without faults and with enough demand, judged from the fourth on against the
      * all-seeing division of the whole caps.
      */
-    public static Steady steady(long seed) {
+    public static SteadyRun steady(long seed) {
         SplittableRandom random = new SplittableRandom(seed * 17 + 3);
         int[] caps = random.ints(4, 24, 49).toArray();
         int[] clients = {
             random.nextInt(1, 4), random.nextInt(4, 9), random.nextInt(4, 9), random.nextInt(2, 9)
         };
         BudgetSettings settings = settings(1, 8);
-        BudgetSim sim =
-                new BudgetSim(
+        FleetSimulation sim =
+                new FleetSimulation(
                         settings,
                         caps,
-                        BudgetSim.Faults.NONE,
+                        FleetSimulation.Faults.NONE,
                         EnumSet.noneOf(Safeguard.class),
                         seed,
-                        new SimProcess.Load(clients, 100));
+                        new SimulatedProcess.Load(clients, 100));
         sim.run(4 * SECOND);
         long[] before = areas(sim, clients.length);
         long[] ran = ran(sim);
@@ -224,22 +230,22 @@
         if (sim.violation != null) {
             throw new IllegalStateException("seed " + seed + ": " + sim.violation);
         }
-        return new Steady(distance, use / could);
+        return new SteadyRun(distance, use / could);
     }
 
-    private static long[] areas(BudgetSim sim, int tenants) {
+    private static long[] areas(FleetSimulation sim, int tenants) {
         long[] areas = new long[tenants];
         for (int t = 0; t < tenants; t++) {
-            for (SimProcess process : sim.processes) {
-                areas[t] += process.sessionsArea(t);
+            for (SimulatedProcess process : sim.processes) {
+                areas[t] += process.totalSessionNanos(t);
             }
         }
         return areas;
     }
 
-    private static long[] ran(BudgetSim sim) {
-        sim.engines.forEach(engine -> engine.add(sim.now, new SimEngine.Owner("", 0), 0));
-        return sim.engines.stream().mapToLong(engine -> engine.area).toArray();
+    private static long[] ran(FleetSimulation sim) {
+        sim.engines.forEach(engine -> engine.add(sim.now, new SimulatedEngine.Owner("", 0), 0));
+        return sim.engines.stream().mapToLong(engine -> engine.sessionNanos).toArray();
     }
 
     private static MaxMinFairAllocator.Problem problem(
--- a/src/measure/java/calicostream/budget/BudgetSim.java
+++ b/src/measure/java/calicostream/budget/FleetSimulation.java
@@ -16,12 +16,12 @@
  * the arbiter. The checker looks at the engines' own counts after each event and knows nothing of
  * grants but which cap is in force.
  */
-final class BudgetSim {
+final class FleetSimulation {
     static final long MS = 1_000_000;
 
     private record Event(long at, long order, Runnable run) {}
 
-    static final int MISHAPS = 11;
+    static final int FAULT_KINDS = 11;
 
     /**
      * What happens of itself.
@@ -30,27 +30,28 @@
      * @param everyMillis between two mishaps
      */
     record Faults(
-            boolean on,
-            boolean quorumLost,
-            double lost,
-            double doubled,
-            double stalled,
+            boolean isEnabled,
+            boolean isQuorumLost,
+            double lossProbability,
+            double duplicateProbability,
+            double stallProbability,
             int kinds,
-            int everyMillis) {
+            int intervalMillis) {
         static final Faults NONE = new Faults(false, false, 0, 0, 0, 0, 0);
-        static final Faults ALL = new Faults(true, true, 0.05, 0.05, 0.01, (1 << MISHAPS) - 1, 150);
+        static final Faults ALL =
+                new Faults(true, true, 0.05, 0.05, 0.01, (1 << FAULT_KINDS) - 1, 150);
 
         /** All but the log's: a bound on time holds only while there is one. */
         static final Faults WITH_QUORUM =
-                new Faults(true, false, 0.05, 0.05, 0.01, (1 << MISHAPS) - 1, 150);
+                new Faults(true, false, 0.05, 0.05, 0.01, (1 << FAULT_KINDS) - 1, 150);
     }
 
     final BudgetSettings settings;
     final Faults faults;
-    final Set<Safeguard> out;
+    final Set<Safeguard> disabledSafeguards;
     final SplittableRandom random;
-    final List<SimEngine> engines = new ArrayList<>();
-    final List<SimProcess> processes = new ArrayList<>();
+    final List<SimulatedEngine> engines = new ArrayList<>();
+    final List<SimulatedProcess> processes = new ArrayList<>();
     final GrantStateMachine machine;
     final TreeMap<String, Integer> refusals = new TreeMap<>();
     final TreeMap<String, Integer> injected = new TreeMap<>();
@@ -59,7 +60,7 @@
     final List<Long> reclaims = new ArrayList<>();
 
     /** From a call-back until the engine's room is free, with what ran on ended. */
-    final List<Long> freed = new ArrayList<>();
+    final List<Long> releases = new ArrayList<>();
 
     private final TreeMap<String, Long> seenNumber = new TreeMap<>();
     private final TreeMap<String, Long> calledBack = new TreeMap<>();
@@ -84,37 +85,37 @@
     long steps;
     String violation;
 
-    BudgetSim(
+    FleetSimulation(
             BudgetSettings settings,
             int[] caps,
             Faults faults,
             Set<Safeguard> out,
             long seed,
-            SimProcess.Load load) {
+            SimulatedProcess.Load load) {
         this.settings = settings;
         this.faults = faults;
-        this.out = out;
+        this.disabledSafeguards = out;
         this.random = new SplittableRandom(seed);
         this.machine = new GrantStateMachine(settings, out);
         for (int i = 0; i < caps.length; i++) {
             engines.add(
-                    new SimEngine(
+                    new SimulatedEngine(
                             "e" + i,
                             settings.pools().get(i % settings.pools().size()).name(),
                             caps[i],
                             (seed / 2 + i) % 2 == 0));
         }
         for (String name : settings.processes()) {
-            processes.add(new SimProcess(this, name, load));
+            processes.add(new SimulatedProcess(this, name, load));
         }
         elect();
         moveArbiter();
         engines.forEach(this::tell);
-        processes.forEach(SimProcess::start);
+        processes.forEach(SimulatedProcess::start);
         every(50 * MS, this::count);
         every(100 * MS, this::divide);
-        if (faults.on) {
-            every(faults.everyMillis * MS, this::mishap);
+        if (faults.isEnabled) {
+            every(faults.intervalMillis * MS, this::mishap);
         }
     }
 
@@ -129,30 +130,30 @@
         now = until;
     }
 
-    private void check(SimEngine engine) {
+    private void check(SimulatedEngine engine) {
         EngineEntry book = machine.ledger().engines().get(engine.name);
         if (book != null && book.incarnation() == engine.incarnation) {
-            engine.inForce = book.cap();
+            engine.capInForce = book.cap();
         }
-        if (engine.running > engine.inForce && violation == null) {
+        if (engine.running > engine.capInForce && violation == null) {
             violation =
                     engine.name
                             + " runs "
                             + engine.running
                             + " with cap "
-                            + engine.inForce
+                            + engine.capInForce
                             + " in force at "
                             + now / MS
                             + " ms";
         }
     }
 
-    void at(long when, Runnable run) {
+    void schedule(long when, Runnable run) {
         events.add(new Event(Math.max(when, now), order++, run));
     }
 
     private void every(long period, Runnable run) {
-        at(
+        schedule(
                 now + period,
                 () -> {
                     run.run();
@@ -161,10 +162,10 @@
     }
 
     long delay() {
-        if (!faults.on) {
+        if (!faults.isEnabled) {
             return random.nextLong(100_000, MS);
         }
-        return random.nextDouble() < faults.stalled
+        return random.nextDouble() < faults.stallProbability
                 ? random.nextLong(4_000 * MS)
                 : random.nextLong(100_000, 20 * MS);
     }
@@ -194,22 +195,25 @@
             return;
         }
         boolean[] applied = new boolean[1];
-        int copies = random.nextDouble() < faults.doubled ? 2 : 1;
+        int copies = random.nextDouble() < faults.duplicateProbability ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            if (random.nextDouble() >= faults.lost) {
-                at(
+            if (random.nextDouble() >= faults.lossProbability) {
+                schedule(
                         now + delay(),
                         () -> {
                             // the layer below applies what is numbered once
                             if (quorum && !applied[0]) {
                                 applied[0] = true;
                                 CommandEffects effects = apply(new Command(session, 1, 0, body));
-                                for (int j = random.nextDouble() < faults.doubled ? 2 : 1;
+                                for (int j =
+                                                random.nextDouble() < faults.duplicateProbability
+                                                        ? 2
+                                                        : 1;
                                         j > 0;
                                         j--) {
-                                    if (random.nextDouble() >= faults.lost
+                                    if (random.nextDouble() >= faults.lossProbability
                                             && (now >= deafUntil || random.nextBoolean())) {
-                                        at(
+                                        schedule(
                                                 (now >= deafUntil
                                                                 ? now
                                                                 : deafUntil
@@ -233,7 +237,7 @@
         for (String name : machine.ledger().engines().keySet()) {
             int committed = machine.ledger().committed(name);
             EngineEntry book = machine.ledger().engines().get(name);
-            if (out.isEmpty() && committed > book.cap()) {
+            if (disabledSafeguards.isEmpty() && committed > book.cap()) {
                 violation =
                         name
                                 + " has "
@@ -277,7 +281,7 @@
                                                                                                                     engine)
                                                                                                     - held
                                                                                                             .orphaned()),
-                                                            freed);
+                                                            releases);
                                                 }));
     }
 
@@ -291,7 +295,7 @@
 
     private void without(long nanos) {
         quorum = false;
-        at(
+        schedule(
                 now + nanos,
                 () -> {
                     quorum = true;
@@ -319,17 +323,17 @@
     }
 
     private void divide() {
-        SimProcess seat = processes.get(arbiterAt);
+        SimulatedProcess seat = processes.get(arbiterAt);
         long sent = token;
         if (seat.isStopped() || !seat.isUp()) {
             return;
         }
-        GrantStateMachine view = new GrantStateMachine(settings, out);
+        GrantStateMachine view = new GrantStateMachine(settings, disabledSafeguards);
         view.restore(machine.snapshot());
         for (BudgetCommand.Allocate divide : arbiter.allocate(view, sent)) {
             submit(seat.session(), divide.encode(), effects -> {});
         }
-        if (faults.on) {
+        if (faults.isEnabled) {
             if (random.nextInt(20) == 0) {
                 mad(view, sent, seat.session());
             }
@@ -351,7 +355,7 @@
                 .processes()
                 .forEach(
                         (name, process) -> {
-                            SimEngine engine = engines.get(random.nextInt(engines.size()));
+                            SimulatedEngine engine = engines.get(random.nextInt(engines.size()));
                             shares.add(
                                     new BudgetCommand.Grant(
                                             name,
@@ -372,10 +376,10 @@
      */
     private void ask(
             GrantStateMachine view,
-            SimProcess seat,
+            SimulatedProcess seat,
             String name,
             ProcessEntry process,
-            SimEngine engine) {
+            SimulatedEngine engine) {
         boolean former = process.hasPredecessors() && random.nextBoolean();
         long over = former ? process.predecessorsExpiredAtIndex() : process.expiredAtIndex();
         boolean silent = seenNumber.getOrDefault(name, -1L) == process.reportNumber();
@@ -391,7 +395,7 @@
                             .encode(),
                     effects -> {});
         }
-        at(
+        schedule(
                 now + delay(),
                 () -> {
                     BudgetCommand.EngineCount count =
@@ -403,23 +407,25 @@
                                     former,
                                     seen,
                                     engine.count(name, process.session(), former),
-                                    former && engine.closed(name, process.session()));
+                                    former && engine.allConnectionsClosed(name, process.session()));
                     long kept =
                             random.nextInt(4) == 0
                                     ? random.nextLong(2_000 * MS)
                                     : 0; // the asker may be stopped meanwhile
-                    at(now + kept, () -> submit(seat.session(), count.encode(), effects -> {}));
+                    schedule(
+                            now + kept,
+                            () -> submit(seat.session(), count.encode(), effects -> {}));
                 });
     }
 
-    private void tell(SimEngine engine) {
+    private void tell(SimulatedEngine engine) {
         long incarnation = engine.incarnation;
         int cap = engine.cap;
         submit(
                 1_000_000,
                 new BudgetCommand.UpdateEngine(engine.name, incarnation, engine.pool, cap).encode(),
                 effects -> {});
-        at(
+        schedule(
                 now + 500 * MS,
                 () -> { // until the machine has it
                     EngineEntry book = machine.ledger().engines().get(engine.name);
@@ -434,9 +440,9 @@
     }
 
     private void mishap() {
-        int kind = random.nextInt(MISHAPS);
-        switch ((faults.kinds >> kind & 1) == 0 ? MISHAPS : kind) {
-            case MISHAPS -> {}
+        int kind = random.nextInt(FAULT_KINDS);
+        switch ((faults.kinds >> kind & 1) == 0 ? FAULT_KINDS : kind) {
+            case FAULT_KINDS -> {}
             case 0, 9 -> {
                 injected("process stopped");
                 processes
@@ -454,15 +460,15 @@
             }
             case 2 -> {
                 if (random.nextInt(3) == 0) {
-                    SimEngine engine = engines.get(random.nextInt(engines.size()));
+                    SimulatedEngine engine = engines.get(random.nextInt(engines.size()));
                     injected("engine replaced");
-                    engine.replaced(now);
+                    engine.replace(now);
                     processes.forEach(process -> process.reset(engine));
                     tell(engine);
                 }
             }
             case 3 -> {
-                SimEngine engine = engines.get(random.nextInt(engines.size()));
+                SimulatedEngine engine = engines.get(random.nextInt(engines.size()));
                 injected("cap changed");
                 engine.cap =
                         settings.processes().size() * settings.pool(engine.pool).floor()
@@ -474,13 +480,13 @@
                 moveArbiter();
             }
             case 5 -> {
-                if (faults.quorumLost) {
+                if (faults.isQuorumLost) {
                     injected("leader moved");
                     without(random.nextLong(1_000 * MS));
                 }
             }
             case 6 -> {
-                if (faults.quorumLost && random.nextInt(6) == 0) {
+                if (faults.isQuorumLost && random.nextInt(6) == 0) {
                     injected("no quorum");
                     without(random.nextLong(4_000 * MS));
                 }
--- a/src/measure/java/calicostream/budget/SimEngine.java
+++ b/src/measure/java/calicostream/budget/SimulatedEngine.java
@@ -8,7 +8,7 @@
  * A stand-in engine, which runs what it is sent and counts it; it knows no grant and refuses
  * nothing.
  */
-final class SimEngine {
+final class SimulatedEngine {
     /** One start of a process, as the engine tells them apart. */
     record Owner(String process, long session) {}
 
@@ -19,51 +19,51 @@
      * Whether it tells a process what that process's earlier starts have there, or only how many
      * sessions it has in all.
      */
-    final boolean tellsByProcess;
+    final boolean countsByProcess;
 
     long incarnation = 1;
     int cap;
     int running;
 
     /** What the checker last saw to be in force. */
-    int inForce;
+    int capInForce;
 
-    long area;
-    long areaSince;
-    final Map<Owner, Integer> by = new HashMap<>();
+    long sessionNanos;
+    long sessionNanosAt;
+    final Map<Owner, Integer> sessionsByOwner = new HashMap<>();
 
     /**
      * Links that processes have to this incarnation: until when each is busy; gone once the engine
      * saw it closed.
      */
-    final Map<Owner, Long> links = new HashMap<>();
+    final Map<Owner, Long> connections = new HashMap<>();
 
-    SimEngine(String name, String pool, int cap, boolean tellsByProcess) {
+    SimulatedEngine(String name, String pool, int cap, boolean tellsByProcess) {
         this.name = name;
         this.pool = pool;
         this.cap = cap;
-        this.tellsByProcess = tellsByProcess;
-        this.inForce = cap;
+        this.countsByProcess = tellsByProcess;
+        this.capInForce = cap;
     }
 
     void add(long now, Owner owner, int sessions) {
-        area += (now - areaSince) * running;
-        areaSince = now;
+        sessionNanos += (now - sessionNanosAt) * running;
+        sessionNanosAt = now;
         running += sessions;
-        by.merge(owner, sessions, Integer::sum);
+        sessionsByOwner.merge(owner, sessions, Integer::sum);
     }
 
-    void replaced(long now) {
+    void replace(long now) {
         add(now, new Owner("", 0), 0);
         incarnation++;
         running = 0;
-        by.clear();
-        links.clear();
-        inForce = cap;
+        sessionsByOwner.clear();
+        connections.clear();
+        capInForce = cap;
     }
 
     int count(String process, long session, boolean former) {
-        return by.entrySet().stream()
+        return sessionsByOwner.entrySet().stream()
                 .filter(
                         each ->
                                 each.getKey().process.equals(process)
@@ -74,8 +74,8 @@
                 .sum();
     }
 
-    boolean closed(String process, long session) {
-        return links.keySet().stream()
+    boolean allConnectionsClosed(String process, long session) {
+        return connections.keySet().stream()
                 .noneMatch(owner -> owner.process.equals(process) && owner.session < session);
     }
 }
--- a/src/measure/java/calicostream/budget/SimProcess.java
+++ b/src/measure/java/calicostream/budget/SimulatedProcess.java
@@ -12,7 +12,7 @@
  * stopped between a decision and its act, killed, or cut off. Its links to engines keep their
  * order; a stopped process reads nothing until it goes on.
  */
-final class SimProcess {
+final class SimulatedProcess {
     /**
      * @param clients by tenant: requests that are always there at each engine, or wait
      * @param millis a session's length, about
@@ -20,9 +20,9 @@
     record Load(int[] clients, int millis) {}
 
     /** Longer than any link delays, on the fastest clock. */
-    private static final long TRAVEL = 4_020 * BudgetSim.MS;
+    private static final long TRAVEL = 4_020 * FleetSimulation.MS;
 
-    private final BudgetSim sim;
+    private final FleetSimulation sim;
     private final String name;
     private final Load load;
     private final double rate;
@@ -43,18 +43,18 @@
     private long stopWhenAsked;
     private long dumbUntil;
     private long deafUntil;
-    long[] area;
+    long[] sessionNanos;
     private long areaSince;
     long begun;
     long refused;
 
-    SimProcess(BudgetSim sim, String name, Load load) {
+    SimulatedProcess(FleetSimulation sim, String name, Load load) {
         this.sim = sim;
         this.name = name;
         this.load = load;
         this.rate = 1 + (sim.random.nextDouble() * 2 - 1) * sim.settings.driftPpm() / 1e6;
         this.offset = sim.random.nextLong(1L << 40);
-        this.area = new long[load.clients.length];
+        this.sessionNanos = new long[load.clients.length];
         this.quietUntil = new long[load.clients.length];
     }
 
@@ -77,16 +77,16 @@
     void start() {
         up = true;
         session = sim.nextSession++;
-        holdings = new GrantedSessions(sim.settings, name, sim.out);
+        holdings = new GrantedSessions(sim.settings, name, sim.disabledSafeguards);
         ledger = new SessionLedger(holdings, TRAVEL, clock());
-        demand = new DemandEstimator(load.clients.length, 500 * BudgetSim.MS);
+        demand = new DemandEstimator(load.clients.length, 500 * FleetSimulation.MS);
         queues = new TenantQueues(sim.settings, 1_000, sim.engines.size());
         idle = new int[sim.engines.size()][load.clients.length];
         waiting.clear();
         later.clear();
         areaSince = sim.now;
         long mine = session;
-        for (SimEngine engine : sim.engines) {
+        for (SimulatedEngine engine : sim.engines) {
             holdings.registerEngine(engine.name, engine.pool);
             connect(engine, mine);
         }
@@ -97,7 +97,7 @@
     private void here(long mine, Runnable run) {
         if (up && session == mine) {
             if (isStopped()) {
-                sim.at(stoppedUntil, () -> here(mine, run));
+                sim.schedule(stoppedUntil, () -> here(mine, run));
             } else {
                 run.run();
             }
@@ -118,8 +118,8 @@
                                         report(mine);
                                     }
                                 }));
-        sim.at(
-                sim.now + 300 * BudgetSim.MS,
+        sim.schedule(
+                sim.now + 300 * FleetSimulation.MS,
                 () ->
                         here(
                                 mine,
@@ -136,7 +136,7 @@
         }
         look();
         sim.engines.stream()
-                .filter(engine -> !engine.tellsByProcess)
+                .filter(engine -> !engine.countsByProcess)
                 .forEach(engine -> askForAll(engine, mine));
         long number = ++reports; // one report leads to one next, however late its answer
         boolean[] answered = new boolean[1];
@@ -151,8 +151,8 @@
             stopWhenAsked = 0;
             stop(nanos, false);
         }
-        sim.at(
-                sim.now + 200 * BudgetSim.MS,
+        sim.schedule(
+                sim.now + 200 * FleetSimulation.MS,
                 () ->
                         here(
                                 mine,
@@ -174,8 +174,8 @@
         }
         if (!answered[0]) {
             answered[0] = true;
-            sim.at(
-                    sim.now + (holdings.isReclaimed() ? 1 : 200) * BudgetSim.MS,
+            sim.schedule(
+                    sim.now + (holdings.isReclaimed() ? 1 : 200) * FleetSimulation.MS,
                     () ->
                             here(
                                     mine,
@@ -204,29 +204,29 @@
      * The link's first word: the engine's incarnation, and what earlier starts of this process have
      * there.
      */
-    private void connect(SimEngine engine, long mine) {
+    private void connect(SimulatedEngine engine, long mine) {
         if (!up || session != mine) {
             return;
         }
-        SimEngine.Owner owner = new SimEngine.Owner(name, mine);
+        SimulatedEngine.Owner owner = new SimulatedEngine.Owner(name, mine);
         long incarnation = engine.incarnation;
         int slot = sim.engines.indexOf(engine);
-        boolean first = !engine.links.containsKey(owner);
-        engine.links.putIfAbsent(owner, sim.now);
-        sim.at(
+        boolean first = !engine.connections.containsKey(owner);
+        engine.connections.putIfAbsent(owner, sim.now);
+        sim.schedule(
                 sim.now + sim.delay(),
                 () -> {
                     if (engine.incarnation == incarnation) {
                         int left = engine.count(name, mine, true);
-                        boolean closed = engine.closed(name, mine);
-                        sim.at(
+                        boolean closed = engine.allConnectionsClosed(name, mine);
+                        sim.schedule(
                                 sim.now + sim.delay(),
                                 () ->
                                         here(
                                                 mine,
                                                 () -> {
                                                     holdings.engineConnected(slot, incarnation);
-                                                    if (closed && engine.tellsByProcess) {
+                                                    if (closed && engine.countsByProcess) {
                                                         holdings.boundOrphaned(
                                                                 slot, incarnation, left);
                                                     }
@@ -244,8 +244,8 @@
                                                         serve(slot);
                                                     }
                                                     if (!closed || left > 0) {
-                                                        sim.at(
-                                                                sim.now + 200 * BudgetSim.MS,
+                                                        sim.schedule(
+                                                                sim.now + 200 * FleetSimulation.MS,
                                                                 () ->
                                                                         here(
                                                                                 mine,
@@ -260,16 +260,16 @@
     }
 
     /** Its count of all sessions, whoever's. */
-    private void askForAll(SimEngine engine, long mine) {
+    private void askForAll(SimulatedEngine engine, long mine) {
         int slot = sim.engines.indexOf(engine);
         long incarnation = holdings.incarnation(slot);
         long asked = clock();
         if (incarnation != 0 && ledger.isCountDue(slot, asked)) {
-            sim.at(
+            sim.schedule(
                     sim.now + sim.delay(),
                     () -> {
                         int running = engine.running;
-                        sim.at(
+                        sim.schedule(
                                 sim.now + sim.delay(),
                                 () ->
                                         here(
@@ -285,10 +285,10 @@
     }
 
     /** The engine was replaced: its connections break. */
-    void reset(SimEngine engine) {
+    void reset(SimulatedEngine engine) {
         long mine = session;
         if (up) {
-            sim.at(sim.now + sim.delay(), () -> here(mine, () -> connect(engine, mine)));
+            sim.schedule(sim.now + sim.delay(), () -> here(mine, () -> connect(engine, mine)));
         }
     }
 
@@ -296,12 +296,12 @@
         if (!up || session != mine) {
             return;
         }
-        if (sim.faults.on()
+        if (sim.faults.isEnabled()
                 && sim.random.nextInt(200) == 0) { // a tenant's clients come and go together
-            quietUntil[tenant] = sim.now + sim.random.nextLong(1_000 * BudgetSim.MS);
+            quietUntil[tenant] = sim.now + sim.random.nextLong(1_000 * FleetSimulation.MS);
         }
         if (sim.now < quietUntil[tenant]) {
-            sim.at(quietUntil[tenant], () -> here(mine, () -> arrive(tenant, slot, mine)));
+            sim.schedule(quietUntil[tenant], () -> here(mine, () -> arrive(tenant, slot, mine)));
             return;
         }
         if (holdings.mayStart(tenant, slot, clock())) {
@@ -309,7 +309,7 @@
             return;
         }
         try {
-            queues.offer(tenant, slot, ++requests, clock(), 300 * BudgetSim.MS);
+            queues.offer(tenant, slot, ++requests, clock(), 300 * FleetSimulation.MS);
             waiting.put(requests, slot);
         } catch (BudgetException.NoCapacity noCapacity) {
             refused(tenant, slot, noCapacity.retryAfterNanos());
@@ -320,7 +320,7 @@
         refused++;
         long mine = session;
         idle[slot][tenant]++;
-        sim.at(
+        sim.schedule(
                 sim.now + after,
                 () ->
                         here(
@@ -345,24 +345,24 @@
         return request;
     }
 
-    private void area() {
-        for (int t = 0; t < area.length; t++) {
+    private void sessionNanos() {
+        for (int t = 0; t < sessionNanos.length; t++) {
             for (int e = 0; e < sim.engines.size(); e++) {
-                area[t] += (sim.now - areaSince) * holdings.sessions(t, e);
+                sessionNanos[t] += (sim.now - areaSince) * holdings.sessions(t, e);
             }
         }
         areaSince = sim.now;
     }
 
     private void begin(int tenant, int slot) {
-        area();
+        sessionNanos();
         begun++;
         holdings.sessionStarted(tenant, slot);
-        SimEngine engine = sim.engines.get(slot);
+        SimulatedEngine engine = sim.engines.get(slot);
         long incarnation = holdings.incarnation(slot);
         long mine = session;
         later.add(() -> send(engine, tenant, slot, incarnation, mine));
-        sim.at(
+        sim.schedule(
                 sim.now,
                 () -> here(mine, this::flush)); // a stop may come between the decision and this
     }
@@ -373,14 +373,15 @@
         acts.forEach(Runnable::run);
     }
 
-    private void send(SimEngine engine, int tenant, int slot, long incarnation, long mine) {
-        SimEngine.Owner owner = new SimEngine.Owner(name, mine);
+    private void send(SimulatedEngine engine, int tenant, int slot, long incarnation, long mine) {
+        SimulatedEngine.Owner owner = new SimulatedEngine.Owner(name, mine);
         if (engine.incarnation != incarnation) {
             return; // the connection has broken with its engine
         }
-        long arrives = Math.max(engine.links.getOrDefault(owner, sim.now), sim.now + sim.delay());
-        engine.links.put(owner, arrives);
-        sim.at(
+        long arrives =
+                Math.max(engine.connections.getOrDefault(owner, sim.now), sim.now + sim.delay());
+        engine.connections.put(owner, arrives);
+        sim.schedule(
                 arrives,
                 () -> {
                     if (engine.incarnation != incarnation) {
@@ -388,12 +389,12 @@
                     }
                     engine.add(sim.now, owner, 1);
                     long lasts =
-                            load.millis * BudgetSim.MS / 2
-                                    + sim.random.nextLong(load.millis * BudgetSim.MS);
-                    if (sim.faults.on() && sim.random.nextInt(12) == 0) {
+                            load.millis * FleetSimulation.MS / 2
+                                    + sim.random.nextLong(load.millis * FleetSimulation.MS);
+                    if (sim.faults.isEnabled() && sim.random.nextInt(12) == 0) {
                         lasts *= 20;
                     }
-                    sim.at(
+                    sim.schedule(
                             sim.now + sim.delay(),
                             () ->
                                     here(
@@ -403,18 +404,18 @@
                                                 serve(slot);
                                             }));
                     long ends = sim.now + Math.max(lasts, 1);
-                    sim.at(
+                    sim.schedule(
                             ends,
                             () -> {
                                 if (engine.incarnation == incarnation) {
                                     engine.add(sim.now, owner, -1);
-                                    sim.at(
+                                    sim.schedule(
                                             sim.now + sim.delay(),
                                             () ->
                                                     here(
                                                             mine,
                                                             () -> {
-                                                                area();
+                                                                sessionNanos();
                                                                 holdings.sessionEnded(
                                                                         tenant, slot, incarnation);
                                                                 queues.sessionEnded(
@@ -461,20 +462,22 @@
             up = false;
             stoppedUntil = 0;
             long mine = session;
-            for (SimEngine engine : sim.engines) {
+            for (SimulatedEngine engine : sim.engines) {
                 long incarnation = engine.incarnation;
-                SimEngine.Owner owner = new SimEngine.Owner(name, mine);
+                SimulatedEngine.Owner owner = new SimulatedEngine.Owner(name, mine);
                 long closes =
-                        Math.max(engine.links.getOrDefault(owner, sim.now), sim.now + sim.delay());
-                sim.at(
+                        Math.max(
+                                engine.connections.getOrDefault(owner, sim.now),
+                                sim.now + sim.delay());
+                sim.schedule(
                         closes,
                         () -> {
                             if (engine.incarnation == incarnation) {
-                                engine.links.remove(owner);
+                                engine.connections.remove(owner);
                             }
                         });
             }
-            sim.at(sim.now + sim.random.nextLong(1, 2_000 * BudgetSim.MS), this::start);
+            sim.schedule(sim.now + sim.random.nextLong(1, 2_000 * FleetSimulation.MS), this::start);
         }
     }
 
@@ -484,14 +487,15 @@
             long mine = session;
             up = false;
             sim.submit(mine, new BudgetCommand.Leave().encode(), effects -> {});
-            sim.engines.forEach(engine -> engine.links.remove(new SimEngine.Owner(name, mine)));
-            sim.at(sim.now + sim.random.nextLong(1, 1_000 * BudgetSim.MS), this::start);
+            sim.engines.forEach(
+                    engine -> engine.connections.remove(new SimulatedEngine.Owner(name, mine)));
+            sim.schedule(sim.now + sim.random.nextLong(1, 1_000 * FleetSimulation.MS), this::start);
         }
     }
 
-    long sessionsArea(int tenant) {
-        area();
-        return area[tenant];
+    long totalSessionNanos(int tenant) {
+        sessionNanos();
+        return sessionNanos[tenant];
     }
 
     boolean isLive() {
--- a/src/measure/java/calicostream/measure/BudgetMeasure.java
+++ b/src/measure/java/calicostream/measure/BudgetMeasure.java
@@ -2,8 +2,8 @@
 package calicostream.measure;
 
 import calicostream.budget.BudgetCommand;
-import calicostream.budget.BudgetRuns;
 import calicostream.budget.BudgetSettings;
+import calicostream.budget.BudgetSimulations;
 import calicostream.budget.DemandEstimator;
 import calicostream.budget.GrantedSessions;
 import calicostream.budget.TenantQueues;
@@ -65,22 +65,22 @@
         double distance = 0;
         double use = 1;
         for (int i = 0; i < STEADY; i++) {
-            BudgetRuns.Steady steady = BudgetRuns.steady(seed + i);
+            BudgetSimulations.SteadyRun steady = BudgetSimulations.steady(seed + i);
             System.out.println("steady, seed " + (seed + i) + ": " + steady);
-            distance = Math.max(distance, steady.distance());
-            use = Math.min(use, steady.use());
+            distance = Math.max(distance, steady.unfairness());
+            use = Math.min(use, steady.utilization());
         }
         boolean timed = runs == Long.MAX_VALUE;
         int most = (int) Math.min(runs, 100_000);
-        BudgetRuns.Faulty faulty =
-                BudgetRuns.faulty(
+        BudgetSimulations.FaultyRuns faulty =
+                BudgetSimulations.faulty(
                         seed,
                         true,
                         most,
                         timed ? System.nanoTime() + FAULTY_NANOS : Long.MAX_VALUE);
         tell("faulty", faulty);
-        BudgetRuns.Faulty quorum =
-                BudgetRuns.faulty(
+        BudgetSimulations.FaultyRuns quorum =
+                BudgetSimulations.faulty(
                         seed,
                         false,
                         most,
@@ -92,7 +92,7 @@
                         + " reclaim_p50_ttl=%.2f reclaim_p99_ttl=%.2f decision_ns_p99=%.1f"
                         + " decision_us_p99=%.2f seed=%d%n",
                 faulty.runs() + quorum.runs(),
-                faulty.overCap() + quorum.overCap(),
+                faulty.violations() + quorum.violations(),
                 distance,
                 use,
                 at(quorum.reclaims(), 0.5),
@@ -102,7 +102,7 @@
                 seed);
     }
 
-    private static void tell(String what, BudgetRuns.Faulty runs) {
+    private static void tell(String what, BudgetSimulations.FaultyRuns runs) {
         System.out.printf(
                 Locale.ROOT,
                 "%s: %d runs, %d steps, %d commands, %d faults, refused %s, called back %d times:"
@@ -118,10 +118,10 @@
                 at(runs.reclaims(), 0.5),
                 at(runs.reclaims(), 0.99),
                 at(runs.reclaims(), 1),
-                at(runs.freed(), 0.5),
-                at(runs.freed(), 0.99),
-                at(runs.freed(), 1),
-                runs.first() == null ? "" : ", " + runs.first());
+                at(runs.releases(), 0.5),
+                at(runs.releases(), 0.99),
+                at(runs.releases(), 1),
+                runs.firstViolation() == null ? "" : ", " + runs.firstViolation());
     }
 
     private static double at(List<Long> sorted, double part) {
--- a/src/measure/java/calicostream/measure/ClusterProveMeasure.java
+++ b/src/measure/java/calicostream/measure/ClusterProveMeasure.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.measure;
 
-import calicostream.budget.BudgetRuns;
+import calicostream.budget.BudgetSimulations;
 import calicostream.cluster.sim.ClusterProofs;
 import calicostream.lease.LeaseProofs;
 import calicostream.prove.Explorer;
@@ -78,26 +78,27 @@
         long leaseFaults = inLeases.stream().mapToLong(LeaseProofs.Runs::faults).sum();
         System.out.println(
                 "leases: " + leases + " runs, " + leaseFaults + " faults" + seconds(from));
-        List<BudgetRuns.Faulty> inBudgets =
+        List<BudgetSimulations.FaultyRuns> inBudgets =
                 pieces(budgets)
                         .mapToObj(
                                 at ->
-                                        BudgetRuns.faulty(
+                                        BudgetSimulations.faulty(
                                                 seed + at,
                                                 at / PIECE % 2 == 0,
                                                 Math.min(PIECE, budgets - at),
                                                 Long.MAX_VALUE))
                         .toList();
         inBudgets.stream()
-                .filter(each -> each.overCap() > 0)
+                .filter(each -> each.violations() > 0)
                 .forEach(
                         each ->
                                 broken(
                                         List.of(
-                                                each.overCap()
+                                                each.violations()
                                                         + " budgets broken, first "
-                                                        + each.first())));
-        long budgetFaults = inBudgets.stream().mapToLong(BudgetRuns.Faulty::faults).sum();
+                                                        + each.firstViolation())));
+        long budgetFaults =
+                inBudgets.stream().mapToLong(BudgetSimulations.FaultyRuns::faults).sum();
         System.out.println(
                 "budgets: " + budgets + " runs, " + budgetFaults + " faults" + seconds(from));
 
@@ -114,7 +115,9 @@
             mutant("clusters without " + each, ClusterProofs.found(each, seed, TRIES) >= 0);
         }
         for (String each : BUDGET) {
-            mutant("budgets without " + each, BudgetRuns.found(each, seed, TRIES) >= 0);
+            mutant(
+                    "budgets without " + each,
+                    BudgetSimulations.firstSeedViolating(each, seed, TRIES) >= 0);
         }
         System.out.println("all" + seconds(from));
         System.out.println(
--- a/src/test/java/calicostream/budget/BudgetRunsTest.java
+++ b/src/test/java/calicostream/budget/BudgetSimulationTest.java
@@ -9,12 +9,13 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class BudgetRunsTest {
+class BudgetSimulationTest {
     private static final long SEED = 1;
 
     @Test
-    void noEngineIsOverItsCapWhateverFails() {
-        BudgetRuns.Faulty runs = BudgetRuns.faulty(SEED, true, 24, Long.MAX_VALUE);
+    void noEngineExceedsItsCapUnderAnyFaults() {
+        BudgetSimulations.FaultyRuns runs =
+                BudgetSimulations.faulty(SEED, true, 24, Long.MAX_VALUE);
         System.out.println(
                 "seed "
                         + SEED
@@ -28,7 +29,7 @@
                         + runs.faults()
                         + " faults, refused "
                         + runs.refusals());
-        assertNull(runs.first());
+        assertNull(runs.firstViolation());
         assertTrue(
                 runs.refusals()
                         .keySet()
@@ -41,40 +42,48 @@
                                         "budget-old-report",
                                         "budget-cap-lowered",
                                         "budget-other-incarnation")),
-                "every refusal has been met");
+                "every refusal has occurred");
     }
 
     @Test
     void theSameSeedGivesTheSameRun() {
-        BudgetSim one = BudgetRuns.faulty(SEED, Set.of());
-        BudgetSim other = BudgetRuns.faulty(SEED, Set.of());
+        FleetSimulation one = BudgetSimulations.faulty(SEED, Set.of());
+        FleetSimulation other = BudgetSimulations.faulty(SEED, Set.of());
         assertEquals(one.steps, other.steps);
         assertArrayEquals(one.machine.snapshot(), other.machine.snapshot());
     }
 
     @Test
-    void theCheckerSeesWhatIsTakenOut() {
+    void theCheckerFindsADisabledSafeguard() {
         for (Safeguard safeguard :
                 Set.of(
                         Safeguard.CAP_CHECKED_AT_APPLY,
                         Safeguard.LOWERED_CAP_IS_DEFERRED,
                         Safeguard.LOWERED_GRANT_COUNTS_UNTIL_ACKNOWLEDGED,
                         Safeguard.ORPHANED_SESSIONS_COUNT)) {
-            long found = BudgetRuns.found(safeguard, SEED, 60);
-            System.out.println(safeguard + " taken out: found at seed " + found);
+            long found = BudgetSimulations.firstSeedViolating(safeguard, SEED, 60);
+            System.out.println(safeguard + " disabled: found at seed " + found);
             assertTrue(found >= 0, safeguard + " is not found from seed " + SEED);
         }
     }
 
     @Test
-    void sharesAreFairAndCapsAreUsed() {
+    void allocationsAreFairAndCapsAreUsed() {
         for (long seed = SEED; seed < SEED + 2; seed++) {
-            BudgetRuns.Steady steady = BudgetRuns.steady(seed);
+            BudgetSimulations.SteadyRun steady = BudgetSimulations.steady(seed);
             System.out.println(
-                    "seed " + seed + ": distance " + steady.distance() + ", use " + steady.use());
+                    "seed "
+                            + seed
+                            + ": unfairness "
+                            + steady.unfairness()
+                            + ", utilization "
+                            + steady.utilization());
             assertTrue(
-                    steady.distance() <= 0.05, "seed " + seed + ": distance " + steady.distance());
-            assertTrue(steady.use() >= 0.9, "seed " + seed + ": use " + steady.use());
+                    steady.unfairness() <= 0.05,
+                    "seed " + seed + ": unfairness " + steady.unfairness());
+            assertTrue(
+                    steady.utilization() >= 0.9,
+                    "seed " + seed + ": utilization " + steady.utilization());
         }
     }
 }
--- a/src/test/java/calicostream/budget/GrantStateMachineTest.java
+++ b/src/test/java/calicostream/budget/GrantStateMachineTest.java
@@ -26,13 +26,13 @@
     private final GrantStateMachine machine = new GrantStateMachine(SETTINGS);
     private long index;
 
-    private CommandEffects tell(long session, BudgetCommand command) {
+    private CommandEffects apply(long session, BudgetCommand command) {
         return machine.apply(++index, new Command(session, 1, 0, command.encode()));
     }
 
     private String refusal(long session, BudgetCommand command) {
         byte[] before = machine.snapshot();
-        String refusal = tell(session, command).rejectionCode();
+        String refusal = apply(session, command).rejectionCode();
         byte[] after = machine.snapshot();
         Arrays.fill(before, 9, 17, (byte) 0); // the index alone may move on
         Arrays.fill(after, 9, 17, (byte) 0);
@@ -40,7 +40,7 @@
         return refusal;
     }
 
-    private static BudgetCommand.Allocate divide(
+    private static BudgetCommand.Allocate allocate(
             long token, String process, long session, long incarnation, int sessions) {
         return new BudgetCommand.Allocate(
                 token,
@@ -50,19 +50,19 @@
     }
 
     private void start() {
-        tell(9, new BudgetCommand.UpdateEngine("e", 1, "pool", 10));
-        tell(1, new BudgetCommand.Join("a"));
-        tell(2, new BudgetCommand.Join("b"));
+        apply(9, new BudgetCommand.UpdateEngine("e", 1, "pool", 10));
+        apply(1, new BudgetCommand.Join("a"));
+        apply(2, new BudgetCommand.Join("b"));
     }
 
     @Test
-    void eachRefusalHasItsType() {
-        assertEquals("budget-other-incarnation", refusal(1, divide(1, "a", 1, 1, 1)));
+    void eachRefusalHasItsCode() {
+        assertEquals("budget-other-incarnation", refusal(1, allocate(1, "a", 1, 1, 1)));
         start();
-        assertTrue(tell(1, divide(5, "a", 1, 1, 8)).isAccepted());
-        assertEquals("budget-old-token", refusal(1, divide(4, "a", 1, 1, 1)));
-        assertEquals("budget-over-cap", refusal(1, divide(5, "b", 2, 1, 3)));
-        assertEquals("budget-grant-over", refusal(1, divide(5, "b", 7, 1, 1)));
+        assertTrue(apply(1, allocate(5, "a", 1, 1, 8)).isAccepted());
+        assertEquals("budget-old-token", refusal(1, allocate(4, "a", 1, 1, 1)));
+        assertEquals("budget-over-cap", refusal(1, allocate(5, "b", 2, 1, 3)));
+        assertEquals("budget-grant-over", refusal(1, allocate(5, "b", 7, 1, 1)));
         assertEquals(
                 "budget-unknown",
                 refusal(
@@ -79,12 +79,12 @@
                 "budget-no-proof",
                 refusal(2, new BudgetCommand.EngineCount("e", 1, "a", 1, false, index, 0, false)));
         assertEquals("budget-not-due", refusal(2, new BudgetCommand.Expire("a", 1, false, 0)));
-        assertTrue(tell(1, new BudgetCommand.Renew(1, 1, List.of(), List.of())).isAccepted());
+        assertTrue(apply(1, new BudgetCommand.Renew(1, 1, List.of(), List.of())).isAccepted());
         assertEquals(
                 "budget-old-report",
                 refusal(1, new BudgetCommand.Renew(1, 1, List.of(), List.of())));
-        tell(9, new BudgetCommand.UpdateEngine("e", 1, "pool", 6));
-        assertEquals("budget-cap-lowered", refusal(1, divide(5, "b", 2, 1, 1)));
+        apply(9, new BudgetCommand.UpdateEngine("e", 1, "pool", 6));
+        assertEquals("budget-cap-lowered", refusal(1, allocate(5, "b", 2, 1, 1)));
         assertEquals(
                 "cluster-malformed",
                 machine.apply(++index, new Command(1, 1, 0, new byte[] {1, 99})).rejectionCode());
@@ -93,53 +93,53 @@
     @Test
     void aLoweredCapIsRecordedUntilItIsInForce() {
         start();
-        tell(1, divide(1, "a", 1, 1, 8));
-        assertTrue(tell(9, new BudgetCommand.UpdateEngine("e", 1, "pool", 5)).events().isEmpty());
-        tell(1, divide(1, "a", 1, 1, 3));
+        apply(1, allocate(1, "a", 1, 1, 8));
+        assertTrue(apply(9, new BudgetCommand.UpdateEngine("e", 1, "pool", 5)).events().isEmpty());
+        apply(1, allocate(1, "a", 1, 1, 3));
         assertEquals(10, machine.ledger().engines().get("e").cap());
-        CommandEffects known =
-                tell(
+        CommandEffects acknowledged =
+                apply(
                         1,
                         new BudgetCommand.Renew(
                                 1,
                                 2,
                                 List.of(new BudgetCommand.EngineUsage("e", 1, 3, 0)),
                                 List.of()));
-        assertEquals("budget-cap-in-force", known.events().get(0).kind());
+        assertEquals("budget-cap-in-force", acknowledged.events().get(0).kind());
         assertEquals(5, machine.ledger().engines().get("e").cap());
     }
 
     @Test
-    void aReplacedEngineOwesNothingToItsFormerIncarnation() {
+    void nothingCountsOfAReplacedEnginesFormerIncarnation() {
         start();
-        tell(1, divide(1, "a", 1, 1, 8));
-        tell(9, new BudgetCommand.UpdateEngine("e", 2, "pool", 10));
+        apply(1, allocate(1, "a", 1, 1, 8));
+        apply(9, new BudgetCommand.UpdateEngine("e", 2, "pool", 10));
         assertEquals(4, machine.ledger().committed("e"));
-        assertEquals("budget-other-incarnation", refusal(1, divide(1, "a", 1, 1, 1)));
-        tell(9, new BudgetCommand.RemoveEngine("e", 2));
+        assertEquals("budget-other-incarnation", refusal(1, allocate(1, "a", 1, 1, 1)));
+        apply(9, new BudgetCommand.RemoveEngine("e", 2));
         assertEquals(
                 "budget-other-incarnation",
                 refusal(9, new BudgetCommand.UpdateEngine("e", 2, "pool", 10)),
-                "none comes back");
+                "no removed incarnation returns");
     }
 
     @Test
-    void snapshotsAreWholeOrRefused() {
+    void snapshotsAreCompleteOrRefused() {
         start();
-        tell(1, divide(1, "a", 1, 1, 5));
+        apply(1, allocate(1, "a", 1, 1, 5));
         byte[] snapshot = machine.snapshot();
         GrantStateMachine copy = new GrantStateMachine(SETTINGS);
         copy.restore(snapshot);
         assertArrayEquals(snapshot, copy.snapshot());
         for (int length = 0; length < snapshot.length; length++) {
-            byte[] torn = Arrays.copyOf(snapshot, length);
-            assertThrows(ClusterException.Malformed.class, () -> copy.restore(torn));
+            byte[] truncated = Arrays.copyOf(snapshot, length);
+            assertThrows(ClusterException.Malformed.class, () -> copy.restore(truncated));
         }
         assertArrayEquals(snapshot, copy.snapshot(), "as before");
     }
 
     @Test
-    void impossibleSettingsNameTheirKey() {
+    void invalidSettingsNameTheirKey() {
         assertTrue(
                 assertThrows(
                                 BudgetException.InvalidSetting.class,
--- a/src/test/java/calicostream/budget/GrantedSessionsTest.java
+++ b/src/test/java/calicostream/budget/GrantedSessionsTest.java
@@ -6,6 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import com.sun.management.ThreadMXBean;
+import java.lang.management.ManagementFactory;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
@@ -24,22 +26,22 @@
                     1_000 * MS,
                     500,
                     4);
-    private final GrantedSessions holdings = new GrantedSessions(SETTINGS, "a");
-    private final int e = holdings.registerEngine("e", "pool");
+    private final GrantedSessions sessions = new GrantedSessions(SETTINGS, "a");
+    private final int engine = sessions.registerEngine("e", "pool");
 
-    private int begins(int tenant, long now) {
-        int begun = 0;
-        while (holdings.mayStart(tenant, e, now)) {
-            holdings.sessionStarted(tenant, e);
-            holdings.sessionAcknowledged(e, 1);
-            begun++;
+    private int startAll(int tenant, long now) {
+        int started = 0;
+        while (sessions.mayStart(tenant, engine, now)) {
+            sessions.sessionStarted(tenant, engine);
+            sessions.sessionAcknowledged(engine, 1);
+            started++;
         }
-        return begun;
+        return started;
     }
 
-    private void granted(long now, int s, int t) {
-        long number = holdings.nextReport(now, new DemandEstimator(2, MS)).reportNumber();
-        holdings.applyReply(
+    private void grant(long now, int s, int t) {
+        long number = sessions.nextReport(now, new DemandEstimator(2, MS)).reportNumber();
+        sessions.applyReply(
                 new BudgetCommand.RenewalReply(
                         number,
                         number,
@@ -51,21 +53,22 @@
     }
 
     @Test
-    void floorsRemainWhenGrantsHaveEnded() {
-        holdings.engineConnected(e, 1);
-        assertEquals(0, begins(0, 0), "what former starts left is not known");
-        granted(0, 3, 5);
-        assertEquals(3, begins(0, 0));
+    void floorsRemainWhenGrantsHaveExpired() {
+        sessions.engineConnected(engine, 1);
+        assertEquals(0, startAll(0, 0), "what earlier incarnations left is not known");
+        grant(0, 3, 5);
+        assertEquals(3, startAll(0, 0));
         assertFalse(
-                holdings.mayStart(1, e, SETTINGS.usableNanos()), "three run over the floor of two");
-        assertFalse(holdings.hasActiveGrants());
-        holdings.sessionEnded(0, e, 1);
-        holdings.sessionEnded(0, e, 1);
-        assertEquals(1, begins(1, 2_000 * MS));
+                sessions.mayStart(1, engine, SETTINGS.usableNanos()),
+                "three run over the floor of two");
+        assertFalse(sessions.hasActiveGrants());
+        sessions.sessionEnded(0, engine, 1);
+        sessions.sessionEnded(0, engine, 1);
+        assertEquals(1, startAll(1, 2_000 * MS));
     }
 
     @Test
-    void grantsEndBeforeTheLeaderHasCountedThemOut() {
+    void grantsExpireBeforeTheLeaderExpiresThem() {
         assertTrue(
                 SETTINGS.usableNanos() * (1 + 500e-6) / (1 - 500e-6) < SETTINGS.ttlNanos(),
                 "the slowest clock here, the fastest there");
@@ -74,125 +77,128 @@
 
     @Test
     void aDecisionAllocatesNothing() {
-        holdings.engineConnected(e, 1);
-        granted(0, 3, 5);
-        com.sun.management.ThreadMXBean threads =
-                (com.sun.management.ThreadMXBean)
-                        java.lang.management.ManagementFactory.getThreadMXBean();
+        sessions.engineConnected(engine, 1);
+        grant(0, 3, 5);
+        ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
         threads.getCurrentThreadAllocatedBytes();
         long before = threads.getCurrentThreadAllocatedBytes();
-        int yes = 0;
+        int allowed = 0;
         for (int i = 0; i < 100_000; i++) {
-            yes += holdings.mayStart(i & 1, e, i) ? 1 : 0;
+            allowed += sessions.mayStart(i & 1, engine, i) ? 1 : 0;
         }
         long allocated = threads.getCurrentThreadAllocatedBytes() - before;
-        assertEquals(100_000, yes);
+        assertEquals(100_000, allowed);
         assertTrue(allocated < 10_000, allocated + " bytes");
     }
 
     @Test
     void aReplacedEngineStartsFromFloors() {
-        holdings.engineConnected(e, 1);
-        granted(0, 3, 5);
-        begins(0, 0);
-        holdings.engineConnected(e, 2);
-        assertEquals(0, holdings.sessions(0, e));
-        holdings.sessionEnded(0, e, 1);
-        assertEquals(0, holdings.sessions(0, e), "a late word of the former incarnation");
-        assertTrue(holdings.mayStart(0, e, 0));
-        holdings.sessionStarted(0, e);
-        holdings.sessionStarted(0, e);
-        assertFalse(holdings.mayStart(0, e, 0));
+        sessions.engineConnected(engine, 1);
+        grant(0, 3, 5);
+        startAll(0, 0);
+        sessions.engineConnected(engine, 2);
+        assertEquals(0, sessions.sessions(0, engine));
+        sessions.sessionEnded(0, engine, 1);
+        assertEquals(
+                0, sessions.sessions(0, engine), "a late message about the former incarnation");
+        assertTrue(sessions.mayStart(0, engine, 0));
+        sessions.sessionStarted(0, engine);
+        sessions.sessionStarted(0, engine);
+        assertFalse(sessions.mayStart(0, engine, 0));
     }
 
     @Test
-    void whoHasLeastForItsWeightIsNextAndRefusalsTellWhenToReturn() {
+    void theTenantWithLeastForItsWeightIsNextAndRejectionsHaveARetryAfterTime() {
         TenantQueues queues = new TenantQueues(SETTINGS, 10, 1);
-        holdings.engineConnected(e, 1);
-        granted(0, 4, 4);
+        sessions.engineConnected(engine, 1);
+        grant(0, 4, 4);
         for (long request = 0; request < 4; request++) {
-            queues.offer((int) request % 2, e, request, 0, 100 * MS);
+            queues.offer((int) request % 2, engine, request, 0, 100 * MS);
         }
-        assertEquals(0, queues.poll(e, 0, holdings));
-        holdings.sessionStarted(0, e);
-        assertEquals(1, queues.poll(e, 0, holdings));
-        holdings.sessionStarted(1, e);
-        assertEquals(3, queues.poll(e, 0, holdings), "a third of the load for its weight");
+        assertEquals(0, queues.poll(engine, 0, sessions));
+        sessions.sessionStarted(0, engine);
+        assertEquals(1, queues.poll(engine, 0, sessions));
+        sessions.sessionStarted(1, engine);
+        assertEquals(3, queues.poll(engine, 0, sessions), "a third of the load for its weight");
         assertEquals(List.of(2L), queues.removeTimedOut(0, 100 * MS));
         queues.sessionEnded(0, 100 * MS);
         queues.sessionEnded(0, 150 * MS);
-        BudgetException.NoCapacity refusal =
+        BudgetException.NoCapacity rejection =
                 assertThrows(
                         BudgetException.NoCapacity.class,
-                        () -> queues.offer(0, e, 9, 150 * MS, 20 * MS));
-        assertEquals(50 * MS, refusal.retryAfterNanos(), "a session ends each 50 ms");
+                        () -> queues.offer(0, engine, 9, 150 * MS, 20 * MS));
+        assertEquals(50 * MS, rejection.retryAfterNanos(), "a session ends each 50 ms");
     }
 
     @Test
-    void underANewSessionWhatRunsCountsAsLeftAndTheFloorOpensAsItEnds() {
-        holdings.engineConnected(e, 1);
-        granted(0, 3, 5);
-        assertEquals(4, holdings.headroom(1, 0), "no more may be on their way");
-        assertEquals(3, begins(0, 0));
-        assertEquals(0, holdings.headroom(0, 0));
-        GrantedSessions anew = holdings.forNewClusterSession();
-        assertEquals(0, anew.headroom(0, 0), "three run over the floor of two");
-        assertEquals(3, anew.nextReport(0, new DemandEstimator(2, MS)).usages().get(0).orphaned());
-        holdings.sessionEnded(0, e, 1);
-        anew.updateOrphanedFrom(holdings, e);
-        assertEquals(0, anew.headroom(0, 0));
-        holdings.sessionEnded(0, e, 1);
-        anew.updateOrphanedFrom(holdings, e);
-        assertEquals(1, anew.headroom(0, 0));
-        assertTrue(anew.mayStart(0, e, 0));
-        anew.engineConnected(e, 2);
-        anew.updateOrphanedFrom(holdings, e);
-        assertEquals(2, anew.headroom(0, 0), "the other incarnation's have ended with it");
+    void underANewClusterSessionRunningSessionsAreOrphanedAndTheFloorOpensAsTheyEnd() {
+        sessions.engineConnected(engine, 1);
+        grant(0, 3, 5);
+        assertEquals(4, sessions.headroom(1, 0), "no more may be unacknowledged");
+        assertEquals(3, startAll(0, 0));
+        assertEquals(0, sessions.headroom(0, 0));
+        GrantedSessions next = sessions.forNewClusterSession();
+        assertEquals(0, next.headroom(0, 0), "three run over the floor of two");
+        assertEquals(3, next.nextReport(0, new DemandEstimator(2, MS)).usages().get(0).orphaned());
+        sessions.sessionEnded(0, engine, 1);
+        next.updateOrphanedFrom(sessions, engine);
+        assertEquals(0, next.headroom(0, 0));
+        sessions.sessionEnded(0, engine, 1);
+        next.updateOrphanedFrom(sessions, engine);
+        assertEquals(1, next.headroom(0, 0));
+        assertTrue(next.mayStart(0, engine, 0));
+        next.engineConnected(engine, 2);
+        next.updateOrphanedFrom(sessions, engine);
+        assertEquals(2, next.headroom(0, 0), "the other incarnation's have ended with it");
     }
 
     @Test
-    void aSessionInDoubtEndsOnceItsEngineRunsFewerInAll() {
-        UnconfirmedSessions doubts = new UnconfirmedSessions(100 * MS);
+    void anUnconfirmedSessionEndsOnceItsEngineRunsFewerInAll() {
+        UnconfirmedSessions unconfirmed = new UnconfirmedSessions(100 * MS);
         for (int i = 0; i < 3; i++) {
-            doubts.add(new UnconfirmedSessions.UnconfirmedSession(1, i, e, 1, i * 10 * MS));
+            unconfirmed.add(
+                    new UnconfirmedSessions.UnconfirmedSession(1, i, engine, 1, i * 10 * MS));
         }
-        assertEquals(List.of(), doubts.engineCounted(e, 90 * MS, 0), "may still be on their way");
         assertEquals(
                 List.of(),
-                doubts.engineCounted(e, 115 * MS, 2),
+                unconfirmed.engineCounted(engine, 90 * MS, 0),
+                "may still be in transit");
+        assertEquals(
+                List.of(),
+                unconfirmed.engineCounted(engine, 115 * MS, 2),
                 "two are old enough, and two may run");
         assertEquals(
                 List.of(0),
-                doubts.engineCounted(e, 115 * MS, 1).stream()
+                unconfirmed.engineCounted(engine, 115 * MS, 1).stream()
                         .map(UnconfirmedSessions.UnconfirmedSession::tenant)
                         .toList());
         assertEquals(
                 List.of(1, 2),
-                doubts.engineCounted(e, 500 * MS, 0).stream()
+                unconfirmed.engineCounted(engine, 500 * MS, 0).stream()
                         .map(UnconfirmedSessions.UnconfirmedSession::tenant)
                         .toList());
-        assertEquals(0, doubts.size());
+        assertEquals(0, unconfirmed.size());
     }
 
     @Test
-    void whatWaitsIsSpreadByCapsAndNoneIsLost() {
+    void queuedRequestsAreDistributedByCapsAndNoneIsLost() {
         SplittableRandom random = new SplittableRandom(7);
         for (int run = 0; run < 2_000; run++) {
             int[] caps = random.ints(random.nextInt(1, 9), 0, 40).toArray();
-            int waiting = random.nextInt(0, 100);
-            int[] parts = QueuedDemand.distribute(waiting, caps);
+            int queued = random.nextInt(0, 100);
+            int[] distributed = QueuedDemand.distribute(queued, caps);
             long sum = Arrays.stream(caps).sum();
-            assertEquals(sum == 0 ? 0 : waiting, Arrays.stream(parts).sum(), "run " + run);
+            assertEquals(sum == 0 ? 0 : queued, Arrays.stream(distributed).sum(), "run " + run);
             for (int i = 0; i < caps.length && sum > 0; i++) {
                 assertTrue(
-                        Math.abs(parts[i] - (double) waiting * caps[i] / sum) < 1 + 1e-9,
+                        Math.abs(distributed[i] - (double) queued * caps[i] / sum) < 1 + 1e-9,
                         "run " + run);
             }
         }
     }
 
     @Test
-    void demandRisesAtOnceAndFallsLateAndNotByLittle() {
+    void demandRisesAtOnceAndFallsLateAndOnlyByMuch() {
         DemandEstimator demand = new DemandEstimator(2, 100 * MS);
         demand.observe(1, 0, 8, 8, 1_000 * MS);
         int high = demand.estimate(1, 0);
