--- a/src/measure/java/calicostream/budget/BudgetSimulations.java
+++ b/src/measure/java/calicostream/budget/BudgetSimulations.java
@@ -71,11 +71,10 @@
 
     /** One run of ten seconds; null or what broke. */
     static FleetSimulation faulty(long seed, Set<Safeguard> out) {
-        return faulty(seed, FleetSimulation.Faults.ALL, out);
+        return faulty(seed, FaultPlan.ALL, out);
     }
 
-    private static FleetSimulation faulty(
-            long seed, FleetSimulation.Faults faults, Set<Safeguard> out) {
+    private static FleetSimulation faulty(long seed, FaultPlan faults, Set<Safeguard> out) {
         if (seed % 2 == 0) {
             return small(seed, faults, out);
         }
@@ -99,21 +98,20 @@
      * whoever is just using what it concerns. Which faults there are, and how much is late, differs
      * from run to run, as one that is rare among many hides what two of a kind would show.
      */
-    private static FleetSimulation small(
-            long seed, FleetSimulation.Faults faults, Set<Safeguard> out) {
+    private static FleetSimulation small(long seed, FaultPlan faults, Set<Safeguard> out) {
         SplittableRandom random = new SplittableRandom(seed * 31 + 11);
         int count = random.nextInt(2, 4);
         int floor = random.nextInt(0, 2);
         int[] caps = random.ints(random.nextInt(1, 3), count + 1, count + 9).toArray();
         int[] clients = {random.nextInt(3, 12), random.nextInt(0, 6), 0, 0};
-        FleetSimulation.Faults drawn =
-                new FleetSimulation.Faults(
+        FaultPlan drawn =
+                new FaultPlan(
                         faults.isEnabled(),
                         faults.isQuorumLost(),
                         random.nextDouble() * 0.2,
                         random.nextDouble() * 0.2,
                         random.nextDouble() * 0.2,
-                        random.nextInt(1, 1 << FleetSimulation.FAULT_KINDS),
+                        random.nextInt(1, 1 << FaultInjector.FAULT_KINDS),
                         random.nextInt(20, 150));
         FleetSimulation sim =
                 new FleetSimulation(
@@ -146,9 +144,7 @@
             FleetSimulation sim =
                     faulty(
                             seed + i,
-                            quorumLost
-                                    ? FleetSimulation.Faults.ALL
-                                    : FleetSimulation.Faults.WITH_QUORUM,
+                            quorumLost ? FaultPlan.ALL : FaultPlan.WITH_QUORUM,
                             EnumSet.noneOf(Safeguard.class));
             steps += sim.steps;
             commands += sim.commands;
@@ -173,8 +169,7 @@
      */
     static long firstSeedViolating(Safeguard safeguard, long seed, int runs) {
         for (int i = 0; i < runs; i++) {
-            if (small(seed + i, FleetSimulation.Faults.ALL, EnumSet.of(safeguard)).violation
-                    != null) {
+            if (small(seed + i, FaultPlan.ALL, EnumSet.of(safeguard)).violation != null) {
                 return seed + i;
             }
         }
@@ -206,7 +201,7 @@
                 new FleetSimulation(
                         settings,
                         caps,
-                        FleetSimulation.Faults.NONE,
+                        FaultPlan.NONE,
                         EnumSet.noneOf(Safeguard.class),
                         seed,
                         new SimulatedProcess.Load(clients, 100));
--- /dev/null
+++ b/src/measure/java/calicostream/budget/ReclaimRecorder.java
@@ -0,0 +1,46 @@
+// SPDX-License-Identifier: Apache-2.0
+package calicostream.budget;
+
+import java.util.List;
+import java.util.TreeMap;
+
+/** Measures in virtual time how long a lowered grant takes to be reclaimed. */
+final class ReclaimRecorder {
+    private final TreeMap<String, Long> loweredAt = new TreeMap<>();
+
+    /**
+     * Looks at the ledger after a command.
+     *
+     * @param reclaims to which the times are added until the process could start nothing more by
+     *     the old grant
+     * @param releases to which the times are added until the sessions of the old grant had ended
+     *     too
+     */
+    void observe(GrantLedger ledger, long now, List<Long> reclaims, List<Long> releases) {
+        for (ProcessEntry process : ledger.processes().values()) {
+            process.allocations()
+                    .forEach(
+                            (engine, allocation) -> {
+                                String key = process.name() + "@" + engine;
+                                int granted = allocation.granted();
+                                boolean isUsable = allocation.maxUsableSum() > granted;
+                                record(key, isUsable, now, reclaims);
+                                String releaseKey = key + " release";
+                                int floor = ledger.floor(process.name(), engine);
+                                int entitled = Math.max(granted, floor - allocation.orphaned());
+                                boolean isInUse =
+                                        loweredAt.containsKey(releaseKey)
+                                                && allocation.inUse() > entitled;
+                                record(releaseKey, isUsable || isInUse, now, releases);
+                            });
+        }
+    }
+
+    private void record(String key, boolean isPending, long now, List<Long> times) {
+        if (isPending) {
+            loweredAt.putIfAbsent(key, now);
+        } else if (loweredAt.containsKey(key)) {
+            times.add(now - loweredAt.remove(key));
+        }
+    }
+}
