--- a/src/measure/java/calicostream/budget/BudgetSimulations.java
+++ b/src/measure/java/calicostream/budget/BudgetSimulations.java
@@ -88,7 +88,7 @@
                         faults,
                         out,
                         seed,
-                        new SimulatedProcess.Load(clients, random.nextInt(20, 200)));
+                        new SimulatedClients.Load(clients, random.nextInt(20, 200)));
         sim.run(10 * SECOND);
         return sim;
     }
@@ -120,7 +120,7 @@
                         drawn,
                         out,
                         seed,
-                        new SimulatedProcess.Load(clients, random.nextInt(20, 600)));
+                        new SimulatedClients.Load(clients, random.nextInt(20, 600)));
         sim.run(20 * SECOND);
         return sim;
     }
@@ -204,7 +204,7 @@
                         FaultPlan.NONE,
                         EnumSet.noneOf(Safeguard.class),
                         seed,
-                        new SimulatedProcess.Load(clients, 100));
+                        new SimulatedClients.Load(clients, 100));
         sim.run(4 * SECOND);
         long[] before = areas(sim, clients.length);
         long[] ran = ran(sim);
--- a/src/measure/java/calicostream/budget/FleetSimulation.java
+++ b/src/measure/java/calicostream/budget/FleetSimulation.java
@@ -63,7 +63,7 @@
             FaultPlan faults,
             Set<Safeguard> disabledSafeguards,
             long seed,
-            SimulatedProcess.Load load) {
+            SimulatedClients.Load load) {
         this.settings = settings;
         this.faults = faults;
         this.disabledSafeguards = disabledSafeguards;
@@ -104,9 +104,9 @@
     }
 
     private void check(SimulatedEngine engine) {
-        EngineEntry book = machine.ledger().engines().get(engine.name);
-        if (book != null && book.incarnation() == engine.incarnation) {
-            engine.capInForce = book.cap();
+        EngineEntry entry = machine.ledger().engines().get(engine.name);
+        if (entry != null && entry.incarnation() == engine.incarnation) {
+            engine.capInForce = entry.cap();
         }
         if (engine.running > engine.capInForce && violation == null) {
             violation =
@@ -211,14 +211,14 @@
         }
         for (String name : machine.ledger().engines().keySet()) {
             int committed = machine.ledger().committed(name);
-            EngineEntry book = machine.ledger().engines().get(name);
-            if (disabledSafeguards.isEmpty() && committed > book.cap()) {
+            EngineEntry entry = machine.ledger().engines().get(name);
+            if (disabledSafeguards.isEmpty() && committed > entry.cap()) {
                 violation =
                         name
                                 + " has "
                                 + committed
                                 + " committed of "
-                                + book.cap()
+                                + entry.cap()
                                 + " at index "
                                 + index;
             }
@@ -262,12 +262,12 @@
         schedule(
                 now + 500 * MS,
                 () -> {
-                    EngineEntry book = machine.ledger().engines().get(engine.name);
+                    EngineEntry entry = machine.ledger().engines().get(engine.name);
                     if (engine.incarnation == incarnation
                             && engine.cap == cap
-                            && (book == null
-                                    || book.incarnation() != incarnation
-                                    || book.requestedCap() != cap)) {
+                            && (entry == null
+                                    || entry.incarnation() != incarnation
+                                    || entry.requestedCap() != cap)) {
                         announce(engine);
                     }
                 });
