--- a/src/main/java/calicostream/adapter/MalformedFrameException.java
+++ b/src/main/java/calicostream/adapter/MalformedFrameException.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.adapter;
 
-/** Input that is not the wire; its message is shown to the operator as it is. */
+/** Input breaks the simulator's protocol; the message is shown to the operator as it is. */
 final class MalformedFrameException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/calicostream/adapter/RouterInstance.java
+++ b/src/main/java/calicostream/adapter/RouterInstance.java
@@ -2,85 +2,100 @@
 package calicostream.adapter;
 
 import calicostream.routing.AffinityRouter;
+import calicostream.routing.LoadReport;
 import calicostream.routing.QueryRouter;
 import calicostream.routing.RouterActions;
 import calicostream.routing.SettingsParser;
 import java.util.List;
 
-/** One gateway's decision instance, and its actions written to the wire. */
+/** The router of one simulated gateway; writes the router's actions to the reply. */
 final class RouterInstance implements RouterActions {
-    final QueryRouter router;
-    final List<String> columns;
-    final boolean reportsCost;
+    private final QueryRouter router;
+    private final List<String> loadReportColumns;
+    private final boolean reportsCost;
     private final long number;
-    private final SimulatorFrame.ActionReply reply;
+    private final ActionReply reply;
     private boolean failed;
 
-    RouterInstance(long number, SettingsParser parser, SimulatorFrame.ActionReply reply) {
+    RouterInstance(long number, SettingsParser parser, ActionReply reply) {
         this.number = number;
         this.reply = reply;
-        columns = parser.columns();
+        loadReportColumns = parser.columns();
         reportsCost = parser.tellsCost();
         router = new AffinityRouter(parser.settings(), this);
     }
 
-    /** Runs one event; an exception in the decisions becomes the wire's fault action. */
-    void guard(Runnable event) {
+    /** Whether results tell what the query has cost. */
+    boolean reportsCost() {
+        return reportsCost;
+    }
+
+    /**
+     * Adds the value at an index of a load report; one that the settings do not name is ignored.
+     */
+    LoadReport withColumn(LoadReport report, int index, double value) {
+        return index < loadReportColumns.size()
+                ? report.withColumn(loadReportColumns.get(index), value)
+                : report;
+    }
+
+    /** Passes an event to the router; an exception is reported, and ends the instance's service. */
+    void apply(RouterEvent event) {
         if (failed) {
             return;
         }
         try {
-            event.run();
+            event.applyTo(router);
         } catch (RuntimeException e) {
             failed = true;
             StackTraceElement[] trace = e.getStackTrace();
-            reply.record(RecordCodes.CRASH, number)
-                    .text(e + (trace.length > 0 ? " at " + trace[0] : ""));
+            String location = trace.length > 0 ? " at " + trace[0] : "";
+            reply.record(ActionCode.ROUTER_FAILED, number).text(e + location);
         }
     }
 
     @Override
     public void startAttempt(long query, long engine, long giveUpAt) {
-        reply.record(RecordCodes.DELIVER, number).u32(query).engine(engine).u64(giveUpAt);
+        reply.record(ActionCode.START_ATTEMPT, number).u32(query).engine(engine).u64(giveUpAt);
     }
 
     @Override
     public void cancelAttempt(long query, int attempt) {
-        reply.record(RecordCodes.UNDO_SEND, number).u32(query).u16(attempt);
+        reply.record(ActionCode.CANCEL_ATTEMPT, number).u32(query).u16(attempt);
     }
 
     @Override
     public void reject(long query, long retryAfterUs) {
-        reply.record(RecordCodes.DECLINE, number).u32(query).u32(retryAfterUs);
+        reply.record(ActionCode.REJECT, number).u32(query).u32(retryAfterUs);
     }
 
     @Override
     public void fail(long query) {
-        reply.record(RecordCodes.FINISH_ERROR, number).u32(query);
+        reply.record(ActionCode.FAIL, number).u32(query);
     }
 
     @Override
     public void assignResources(long query, double memoryMb, int priority) {
-        reply.record(RecordCodes.ALLOT, number).u32(query).f32(memoryMb).u8(priority);
+        reply.record(ActionCode.ASSIGN_RESOURCES, number).u32(query).f32(memoryMb).u8(priority);
     }
 
     @Override
     public void scheduleTimer(long delayUs, long token) {
-        reply.record(RecordCodes.SCHEDULE, number).u32(delayUs).u64(token);
+        reply.record(ActionCode.SCHEDULE_TIMER, number).u32(delayUs).u64(token);
     }
 
     @Override
     public void probeLoad(long engine) {
-        reply.record(RecordCodes.POLL, number).engine(engine);
+        reply.record(ActionCode.PROBE_LOAD, number).engine(engine);
     }
 
     @Override
     public void watchEndpoints() {
-        reply.record(RecordCodes.OBSERVE, number).u8(1);
+        reply.record(ActionCode.WATCH_ENDPOINTS, number).u8(1);
     }
 
     @Override
     public void log(String text) {
-        reply.record(RecordCodes.TRACE, number).text(text);
+        reply.record(ActionCode.LOG, number).text(text);
     }
 }
--- a/src/test/java/calicostream/adapter/SimulatorAdapterTest.java
+++ b/src/test/java/calicostream/adapter/SimulatorAdapterTest.java
@@ -22,7 +22,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The codec, the settings, and what becomes of bad input. */
+/** The protocol, the settings in it, and how bad input is reported. */
 class SimulatorAdapterTest {
     private static final String OPTIONS =
             "balancers=2\n"
@@ -39,39 +39,39 @@
         void write(DataOutputStream out) throws IOException;
     }
 
-    private record Ran(int code, byte[] out, String errors) {}
+    private record RunResult(int exitCode, byte[] out, String errors) {}
 
     private static byte[] frame(int records, long clock, Body body) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         body.write(new DataOutputStream(bytes));
-        ByteBuffer frame = ByteBuffer.allocate(SimulatorFrame.BATCH_HEADER + bytes.size());
+        ByteBuffer frame = ByteBuffer.allocate(EventBatch.HEADER_BYTES + bytes.size());
         frame.putInt(records).putInt(frame.capacity()).putLong(clock).put(bytes.toByteArray());
         return frame.array();
     }
 
-    private static Ran run(byte[]... frames) throws IOException {
+    private static RunResult run(byte[]... frames) throws IOException {
         ByteArrayOutputStream in = new ByteArrayOutputStream();
-        for (byte[] f : frames) {
-            in.write(f);
+        for (byte[] each : frames) {
+            in.write(each);
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream errors = new ByteArrayOutputStream();
         int code =
                 SimulatorAdapter.run(
                         new ByteArrayInputStream(in.toByteArray()), out, new PrintStream(errors));
-        return new Ran(code, out.toByteArray(), errors.toString());
+        return new RunResult(code, out.toByteArray(), errors.toString());
     }
 
-    private static void up(DataOutputStream out, String options) throws IOException {
-        out.writeShort(RecordCodes.UP);
+    private static void startInstance(DataOutputStream out, String options) throws IOException {
+        out.writeShort(EventCode.INSTANCE_STARTED.value());
         out.writeInt(3);
         out.writeLong(42);
         out.writeInt(options.length());
         out.writeBytes(options);
     }
 
-    private static void manifest(DataOutputStream out) throws IOException {
-        out.writeShort(RecordCodes.MANIFEST);
+    private static void sendEndpointList(DataOutputStream out) throws IOException {
+        out.writeShort(EventCode.ENDPOINT_LIST.value());
         out.writeShort(0);
         out.writeInt(1);
         out.writeFloat(1);
@@ -82,15 +82,15 @@
         out.writeShort(0);
         out.writeLong(0);
         out.writeByte(1);
-        out.writeShort(RecordCodes.BACKENDS_CHANGED);
+        out.writeShort(EventCode.ENDPOINTS_CHANGED.value());
         out.writeInt(3);
         out.writeLong(1);
         out.writeShort(0);
         out.writeByte(2);
     }
 
-    private static void query(DataOutputStream out) throws IOException {
-        out.writeShort(RecordCodes.QUERY);
+    private static void acceptQuery(DataOutputStream out) throws IOException {
+        out.writeShort(EventCode.QUERY_ACCEPTED.value());
         out.writeInt(3);
         out.writeInt(0xfd3a91c4);
         out.writeByte(0);
@@ -104,26 +104,26 @@
     }
 
     @Test
-    void emptyBatchIsAnswered() throws IOException {
-        Ran ran = run(frame(0, 5, out -> {}));
-        assertEquals(0, ran.code);
-        assertArrayEquals(new byte[] {0, 0, 0, 0, 0, 0, 0, 8}, ran.out);
+    void anEmptyBatchIsAnswered() throws IOException {
+        RunResult result = run(frame(0, 5, out -> {}));
+        assertEquals(0, result.exitCode);
+        assertArrayEquals(new byte[] {0, 0, 0, 0, 0, 0, 0, 8}, result.out);
     }
 
     @Test
-    void queryIsDeliveredWithItsIdAndEngineUnchanged() throws IOException {
-        Ran ran =
+    void anAttemptHasTheQuerysIdAndTheEnginesUnchanged() throws IOException {
+        RunResult result =
                 run(
                         frame(
                                 4,
                                 1000,
                                 out -> {
-                                    up(out, OPTIONS);
-                                    manifest(out);
-                                    query(out);
+                                    startInstance(out, OPTIONS);
+                                    sendEndpointList(out);
+                                    acceptQuery(out);
                                 }));
-        assertEquals(0, ran.code, ran.errors);
-        byte[] wanted = {
+        assertEquals(0, result.exitCode, result.errors);
+        byte[] expected = {
             3,
             (byte) 0xe8,
             0,
@@ -142,11 +142,12 @@
             (byte) 0x8b
         };
         boolean found = false;
-        for (int i = 0; i + wanted.length <= ran.out.length; i++) {
-            found |= Arrays.equals(wanted, Arrays.copyOfRange(ran.out, i, i + wanted.length));
+        for (int i = 0; i + expected.length <= result.out.length; i++) {
+            found |=
+                    Arrays.equals(expected, Arrays.copyOfRange(result.out, i, i + expected.length));
         }
-        assertTrue(found, "no DELIVER in the reply");
-        assertEquals(ran.out.length, ByteBuffer.wrap(ran.out).getInt(4));
+        assertTrue(found, "no START_ATTEMPT in the reply");
+        assertEquals(result.out.length, ByteBuffer.wrap(result.out).getInt(4));
     }
 
     @Test
@@ -157,14 +158,19 @@
             long query = random.nextLong() & 0xffffffffL;
             long token = random.nextLong();
             float number = random.nextFloat();
-            SimulatorFrame.ActionReply reply = new SimulatorFrame.ActionReply();
-            reply.record(1000, query).engine(engine).u64(token).f32(number).u8(200).text("wörd");
+            ActionReply reply = new ActionReply();
+            reply.record(ActionCode.START_ATTEMPT, query)
+                    .engine(engine)
+                    .u64(token)
+                    .f32(number)
+                    .u8(200)
+                    .text("wörd");
             ByteArrayOutputStream out = new ByteArrayOutputStream();
             reply.send(out);
             byte[] body =
-                    Arrays.copyOfRange(out.toByteArray(), SimulatorFrame.REPLY_HEADER, out.size());
-            SimulatorFrame.EventBatch in =
-                    SimulatorFrame.read(
+                    Arrays.copyOfRange(out.toByteArray(), ActionReply.HEADER_BYTES, out.size());
+            EventBatch in =
+                    EventBatch.read(
                             new DataInputStream(
                                     new ByteArrayInputStream(frame(1, 9, o -> o.write(body)))));
             assertEquals(1000, in.u16());
@@ -176,33 +182,35 @@
             assertEquals("wörd", in.text(in.u16()));
             in.end();
         }
-        assertNull(SimulatorFrame.read(new DataInputStream(new ByteArrayInputStream(new byte[0]))));
+        assertNull(EventBatch.read(new DataInputStream(new ByteArrayInputStream(new byte[0]))));
     }
 
     @Test
-    void badInputGetsOnePlainMessageAndAnExitCode() throws IOException {
+    void badInputIsReportedInOneLineWithAnExitCode() throws IOException {
         byte[] good =
                 frame(
                         3,
                         1000,
                         out -> {
-                            up(out, OPTIONS);
-                            manifest(out);
+                            startInstance(out, OPTIONS);
+                            sendEndpointList(out);
                         });
-        byte[] cutRecord = frame(1, 1000, out -> out.writeShort(RecordCodes.UP));
+        byte[] truncatedRecord =
+                frame(1, 1000, out -> out.writeShort(EventCode.INSTANCE_STARTED.value()));
         byte[] shortLength = ByteBuffer.allocate(16).putInt(0).putInt(3).putLong(1).array();
-        byte[] left = frame(0, 1, out -> out.writeInt(1));
-        byte[] unknown = frame(1, 1, out -> out.writeShort(77));
-        byte[] notUp = frame(1, 1, out -> query(out));
-        byte[] badSetting = frame(1, 1, out -> up(out, "lanes.count=-4\n"));
-        byte[] badWord = frame(1, 1, out -> up(out, "lanes.count=1\nlanes.0.effect=perhaps\n"));
-        byte[] noList =
+        byte[] trailingBytes = frame(0, 1, out -> out.writeInt(1));
+        byte[] unknownEvent = frame(1, 1, out -> out.writeShort(77));
+        byte[] notStarted = frame(1, 1, out -> acceptQuery(out));
+        byte[] badSetting = frame(1, 1, out -> startInstance(out, "lanes.count=-4\n"));
+        byte[] badSettingValue =
+                frame(1, 1, out -> startInstance(out, "lanes.count=1\nlanes.0.effect=perhaps\n"));
+        byte[] missingList =
                 frame(
                         2,
                         1,
                         out -> {
-                            up(out, OPTIONS);
-                            out.writeShort(RecordCodes.BACKENDS_CHANGED);
+                            startInstance(out, OPTIONS);
+                            out.writeShort(EventCode.ENDPOINTS_CHANGED.value());
                             out.writeInt(3);
                             out.writeLong(1);
                             out.writeShort(9);
@@ -212,72 +220,72 @@
                 List.of(
                         Arrays.copyOf(good, good.length - 5),
                         Arrays.copyOf(good, 9),
-                        cutRecord,
+                        truncatedRecord,
                         shortLength,
-                        left,
-                        unknown,
-                        notUp,
+                        trailingBytes,
+                        unknownEvent,
+                        notStarted,
                         badSetting,
-                        badWord,
-                        noList)) {
-            Ran ran = run(bad);
-            assertEquals(1, ran.code);
-            assertEquals(1, ran.errors.strip().lines().count(), ran.errors);
-            assertTrue(ran.errors.startsWith("calicostream: "));
+                        badSettingValue,
+                        missingList)) {
+            RunResult result = run(bad);
+            assertEquals(1, result.exitCode);
+            assertEquals(1, result.errors.strip().lines().count(), result.errors);
+            assertTrue(result.errors.startsWith("calicostream: "));
         }
     }
 
     @Test
-    void settingsAreReadAndUnknownOnesSkipped() {
-        RouterSettings s =
+    void settingsAreReadAndUnknownOnesIgnored() {
+        RouterSettings settings =
                 SettingsParser.ofLines(
                                 OPTIONS
                                         + "stats.how=on_probe\nlanes.0.allowed_in=1,2\n"
                                         + "ceilings.may_probe=true\nmembership_mode=subscribe\n")
                         .settings();
-        assertEquals(2, s.gateways());
-        assertEquals(Idempotency.IDEMPOTENT, s.classes().get(0).idempotency());
-        assertEquals(List.of(1, 2), s.classes().get(0).zones());
-        assertEquals(8, s.engineKinds().get(0).cores());
-        assertEquals(LoadReporting.ON_PROBE, s.loadReporting());
-        assertTrue(s.watchEndpointsOnRequest() && s.attemptLimits().probes());
+        assertEquals(2, settings.gateways());
+        assertEquals(Idempotency.IDEMPOTENT, settings.classes().get(0).idempotency());
+        assertEquals(List.of(1, 2), settings.classes().get(0).zones());
+        assertEquals(8, settings.engineKinds().get(0).cores());
+        assertEquals(LoadReporting.ON_PROBE, settings.loadReporting());
+        assertTrue(settings.watchEndpointsOnRequest() && settings.attemptLimits().probes());
         RouterSettings bare = SettingsParser.ofLines("").settings();
         assertEquals(1, bare.gateways());
         assertTrue(bare.classes().isEmpty());
     }
 
     @Test
-    void exceptionInADecisionBecomesTheFaultActionWithItsCause() throws IOException {
-        SimulatorFrame.ActionReply reply = new SimulatorFrame.ActionReply();
+    void anExceptionOfTheRouterIsReportedWithItsCause() throws IOException {
+        ActionReply reply = new ActionReply();
         RouterInstance instance = new RouterInstance(3, SettingsParser.ofLines(OPTIONS), reply);
-        instance.guard(
-                () -> {
+        instance.apply(
+                router -> {
                     throw new IllegalStateException("odd list");
                 });
-        instance.guard(() -> instance.probeLoad(1));
+        instance.apply(router -> instance.probeLoad(1));
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         reply.send(out);
         ByteBuffer frame = ByteBuffer.wrap(out.toByteArray());
         assertEquals(1, frame.getInt(0), "a failed instance acts no more");
-        assertEquals(RecordCodes.CRASH, frame.getShort(SimulatorFrame.REPLY_HEADER));
+        assertEquals(ActionCode.ROUTER_FAILED.value(), frame.getShort(ActionReply.HEADER_BYTES));
         assertTrue(out.toString().contains("odd list"));
     }
 
     @Test
-    void instancesShareNothingAndADownOneIsForgotten() throws IOException {
-        Ran ran =
+    void aStoppedInstanceReceivesNoFurtherEvents() throws IOException {
+        RunResult result =
                 run(
                         frame(
                                 4,
                                 1000,
                                 out -> {
-                                    up(out, OPTIONS);
-                                    manifest(out);
-                                    out.writeShort(RecordCodes.DOWN);
+                                    startInstance(out, OPTIONS);
+                                    sendEndpointList(out);
+                                    out.writeShort(EventCode.INSTANCE_STOPPED.value());
                                     out.writeInt(3);
                                 }),
-                        frame(1, 1001, SimulatorAdapterTest::query));
-        assertEquals(1, ran.code);
-        assertTrue(ran.errors.contains("not up"));
+                        frame(1, 1001, SimulatorAdapterTest::acceptQuery));
+        assertEquals(1, result.exitCode);
+        assertTrue(result.errors.contains("not up"));
     }
 }
