--- a/src/main/java/calicostream/Main.java
+++ b/src/main/java/calicostream/Main.java
@@ -50,14 +50,14 @@
         System.setProperty("slf4j.provider", "org.slf4j.simple.SimpleServiceProvider");
         System.setProperty("slf4j.internal.verbosity", "WARN");
         try {
-            ReloadSignal hangup = ReloadSignal.install();
+            ReloadSignal reloadSignal = ReloadSignal.install();
             String path = System.getenv("NODE_CONFIG");
             if (path == null) {
                 throw new SettingsException("bad configuration: NODE_CONFIG is not set");
             }
             Path file = Path.of(path);
             ConfigFileWatcher watch =
-                    hangup.isIgnored()
+                    reloadSignal.isIgnored()
                             ? new ConfigFileWatcher(file)
                             : null; // Before the file is read.
             Path deploy = Path.of(System.getProperty("calicostream.deploy", "deploy"));
@@ -68,7 +68,7 @@
                             named("TMPDIR"),
                             named("NODE_CLUSTER")); // TMPDIR: where processes of this front end
             // find each other
-            hangup.setHandler(() -> node.reload(file));
+            reloadSignal.setHandler(() -> node.reload(file));
             if (watch != null) {
                 node.follow(watch);
             }
--- a/src/main/java/calicostream/daemon/ClusterComponent.java
+++ b/src/main/java/calicostream/daemon/ClusterComponent.java
@@ -22,15 +22,22 @@
 import java.util.List;
 
 /**
- * The cluster as a part of the program: its settings, the layers on it, and its member, which runs
- * from the start of the program until the front end has served out.
+ * The cluster as an optional component: its settings, the services replicated in it, and this
+ * process's member, which runs from the program's start until the server has shut down.
  */
 final class ClusterComponent implements Service {
-    private static final String LIBRARY = "org/tomlj/Toml.class";
+    /** A class of a library that is on the class path only where the cluster's libraries are. */
+    private static final String LIBRARY_RESOURCE = "org/tomlj/Toml.class";
+
+    private static final String LIBRARY_LOG_LEVEL = "org.slf4j.simpleLogger.log.io.microraft";
+
     private final ClusterConfig config;
     private final LeaseService leases;
-    private final List<ReplicatedService> layers = new ArrayList<>();
-    private final BudgetService budget; // null where the file has none
+    private final List<ReplicatedService> services = new ArrayList<>();
+
+    /** Null where the file has no budget. */
+    private final BudgetService budget;
+
     private Member member;
 
     private ClusterComponent(ClusterConfig config, long tokensAbove) {
@@ -41,16 +48,21 @@
                         .orElse(null);
         leases = new LeaseService(config.leaseTtl(), config.raft().heartbeatPeriod(), tokensAbove);
         LeasedTaskProvider.chosen().forEach(leases::add);
-        layers.add(leases);
+        services.add(leases);
         if (budget != null) {
             leases.add(budget.coordinatorTask());
-            layers.add(budget);
+            services.add(budget);
         }
     }
 
-    /** Null where the file leaves the cluster off. */
+    /**
+     * Reads the cluster's settings.
+     *
+     * @return null where the file disables the cluster
+     * @throws SettingsException where the file can't be used, or a library is missing
+     */
     static ClusterComponent read(Path path) {
-        if (ClusterComponent.class.getClassLoader().getResource(LIBRARY) == null) {
+        if (ClusterComponent.class.getClassLoader().getResource(LIBRARY_RESOURCE) == null) {
             throw new SettingsException(
                     "bad configuration: NODE_CLUSTER names "
                             + path
@@ -67,29 +79,31 @@
         return new ClusterComponent(config, tokensAbove);
     }
 
-    /** The engine side with what stands before it, which hears of the list among the watchers. */
-    EngineClient gated(SelectorLoop loop, EngineClient engines, List<RequestListener> watchers) {
+    /**
+     * The engine client behind the budget's checks, where there is a budget.
+     *
+     * @param listeners to which the budget's listener is added
+     */
+    EngineClient withBudget(
+            SelectorLoop loop, EngineClient engines, List<RequestListener> listeners) {
         if (budget == null) {
             return engines;
         }
         BudgetGate gate = budget.gate(loop, engines);
-        watchers.add(gate.watcher());
+        listeners.add(gate.watcher());
         return gate;
     }
 
-    /** Before anybody is served: what ends the program must do so now. */
+    /** Starts the member; called before the server serves, as a failure ends the program. */
     void join(SelectorLoop loop, Gateway gateway) throws IOException {
         leases.add(new EjectionHints(new EjectionHintBridge(loop, gateway)));
-        // The library tells each vote and heartbeat that it misses; what matters of it the member
-        // says itself.
-        System.setProperty(
-                "org.slf4j.simpleLogger.log.io.microraft",
-                System.getProperty("org.slf4j.simpleLogger.log.io.microraft", "off"));
-        member = Member.start(config, layers);
+        // The library logs each vote and heartbeat that it misses; the member logs what matters.
+        System.setProperty(LIBRARY_LOG_LEVEL, System.getProperty(LIBRARY_LOG_LEVEL, "off"));
+        member = Member.start(config, services);
     }
 
-    /** How many the member takes at most. */
-    int descriptors() {
+    /** How many file descriptors the member uses at most. */
+    int maxFileDescriptors() {
         return Member.maxFileDescriptors(config);
     }
 
@@ -98,7 +112,7 @@
         return "cluster";
     }
 
-    /** The member has run since {@link #join}. */
+    /** Does nothing: the member runs since {@link #join}. */
     @Override
     public void start() {}
 
--- a/src/main/java/calicostream/daemon/CompositeListener.java
+++ b/src/main/java/calicostream/daemon/CompositeListener.java
@@ -6,29 +6,34 @@
 import calicostream.routing.EngineEndpoint;
 import java.util.List;
 
-/** Several watchers, told one after the other. */
+/** Notifies several listeners, one after the other. */
 final class CompositeListener implements RequestListener {
-    private final List<RequestListener> all;
+    private final List<RequestListener> listeners;
 
-    private CompositeListener(List<RequestListener> all) {
-        this.all = List.copyOf(all);
+    private CompositeListener(List<RequestListener> listeners) {
+        this.listeners = List.copyOf(listeners);
     }
 
-    /** The one that stands for all of them, which are told in this order. */
-    static RequestListener of(List<RequestListener> all) {
-        return all.isEmpty()
-                ? RequestListener.NONE
-                : all.size() == 1 ? all.get(0) : new CompositeListener(all);
+    /** One listener that stands for all of them; they are notified in this order. */
+    static RequestListener of(List<RequestListener> listeners) {
+        if (listeners.isEmpty()) {
+            return RequestListener.NONE;
+        }
+        return listeners.size() == 1 ? listeners.get(0) : new CompositeListener(listeners);
     }
 
     @Override
     public void requestEnded(
-            String id, int queryClass, RequestOutcome ending, int attempts, long elapsedUs) {
-        all.forEach(w -> w.requestEnded(id, queryClass, ending, attempts, elapsedUs));
+            String id, int queryClass, RequestOutcome outcome, int attempts, long elapsedMicros) {
+        for (RequestListener each : listeners) {
+            each.requestEnded(id, queryClass, outcome, attempts, elapsedMicros);
+        }
     }
 
     @Override
     public void engineChanged(EngineEndpoint engine) {
-        all.forEach(w -> w.engineChanged(engine));
+        for (RequestListener each : listeners) {
+            each.engineChanged(engine);
+        }
     }
 }
--- a/src/main/java/calicostream/daemon/EjectionHintBridge.java
+++ b/src/main/java/calicostream/daemon/EjectionHintBridge.java
@@ -7,27 +7,29 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Between the front end's thread and the member's: what the module leaves out, looked at now and
- * then, and hints for it. Neither waits for the other; hints that come faster than the front end
- * takes them are dropped.
+ * Connects the ejection hints of the cluster member's thread with the event loop's thread:
+ * publishes which engines are ejected, refreshed periodically, and passes hints on. Neither thread
+ * waits for the other; hints that come faster than the event loop applies them are dropped.
  */
 final class EjectionHintBridge implements EjectionHints.FrontEnd {
-    private static final long LOOK = 100_000; // us between two looks
-    private static final int MOST_WAITING = 4 * 1024;
+    private static final long REFRESH_PERIOD_MICROS = 100_000;
+    private static final int MAX_PENDING_HINTS = 4 * 1024;
+
     private final SelectorLoop loop;
     private final Gateway gateway;
-    private final AtomicInteger waiting = new AtomicInteger();
+    private final AtomicInteger pendingHints = new AtomicInteger();
     private volatile EjectionHints.View view = new EjectionHints.View(new long[0], new long[0]);
 
     EjectionHintBridge(SelectorLoop loop, Gateway gateway) {
         this.loop = loop;
         this.gateway = gateway;
-        loop.post(this::look);
+        loop.post(this::refresh);
     }
 
-    private void look() {
+    private void refresh() {
         view = new EjectionHints.View(gateway.readyEngines(true), gateway.readyEngines(false));
-        loop.deadlines().add(loop.clock().now() + LOOK, (now, ref) -> look(), 0);
+        loop.deadlines()
+                .add(loop.clock().now() + REFRESH_PERIOD_MICROS, (now, reference) -> refresh(), 0);
     }
 
     @Override
@@ -37,13 +39,13 @@
 
     @Override
     public void hinted(long engine, boolean served) {
-        if (waiting.incrementAndGet() > MOST_WAITING) {
-            waiting.decrementAndGet();
+        if (pendingHints.incrementAndGet() > MAX_PENDING_HINTS) {
+            pendingHints.decrementAndGet();
             return;
         }
         loop.post(
                 () -> {
-                    waiting.decrementAndGet();
+                    pendingHints.decrementAndGet();
                     gateway.applyEjectionHint(engine, served);
                 });
     }
--- a/src/main/java/calicostream/daemon/FlightComponent.java
+++ b/src/main/java/calicostream/daemon/FlightComponent.java
@@ -16,13 +16,18 @@
 import calicostream.routing.SettingsParser;
 import java.util.function.Function;
 
-/** Flight SQL as a part of the program: its front and, where engines speak it, its engine side. */
+/**
+ * Flight SQL as an optional component: the server for clients and, where the engines speak Flight
+ * SQL, the client for engines.
+ */
 final class FlightComponent {
     private final SelectorLoop loop;
     private final SettingsParser settings;
     private final FlightConfig config;
     private final Admission admission;
-    private final FlightEngineClient engines;
+
+    /** Null where the engines speak the platform's protocol. */
+    private final FlightEngineClient engineClient;
 
     FlightComponent(SelectorLoop loop, SettingsParser settings, FlightConfig config) {
         this.loop = loop;
@@ -34,34 +39,36 @@
                         config.callsPerClient(),
                         config.bytesInFlight(),
                         config.mostStreams());
-        engines =
+        engineClient =
                 config.flightEngines()
                         ? new FlightEngineClient(loop, settings, config, admission)
                         : null;
     }
 
-    /** Null where engines are reached by the platform's protocol. */
-    EngineClient engines() {
-        return engines;
+    /** Null where the engines speak the platform's protocol. */
+    EngineClient engineClient() {
+        return engineClient;
     }
 
-    /** The engine side hears the list, too: transactions end with the process that holds them. */
-    RequestListener watcher() {
-        return engines == null
-                ? RequestListener.NONE
-                : new RequestListener() {
-                    @Override
-                    public void engineChanged(EngineEndpoint engine) {
-                        engines.listed(engine);
-                    }
-                };
+    /** Notifies the engine client of engines: transactions end with the engine that holds them. */
+    RequestListener listener() {
+        if (engineClient == null) {
+            return RequestListener.NONE;
+        }
+        return new RequestListener() {
+            @Override
+            public void engineChanged(EngineEndpoint engine) {
+                engineClient.listed(engine);
+            }
+        };
     }
 
-    Function<RequestResult, byte[]> text() {
+    /** Writes a result of either engine client as text. */
+    Function<RequestResult, byte[]> resultWriter() {
         return ArrowRows::text;
     }
 
-    Service front(Gateway gateway) {
-        return new FlightSqlServer(loop, gateway, config, settings, admission, engines);
+    Service createServer(Gateway gateway) {
+        return new FlightSqlServer(loop, gateway, config, settings, admission, engineClient);
     }
 }
--- a/src/main/java/calicostream/daemon/ReloadSignal.java
+++ b/src/main/java/calicostream/daemon/ReloadSignal.java
@@ -2,71 +2,88 @@
 package calicostream.daemon;
 
 import calicostream.config.SettingsException;
+import java.lang.reflect.InvocationHandler;
 import java.lang.reflect.Proxy;
 
 /**
- * SIGHUP, on which a virtual machine ends unless somebody else takes it. It is taken from the
- * program's first moment; one that comes before there is anything to tell is told later. The
- * handler of signals is no part of Java's standard, and the compiler warns of its mere name, so it
- * is looked up.
+ * Handles SIGHUP, which terminates a Java virtual machine that has no handler for it. The handler
+ * is installed at the program's start; a signal that comes before {@link #setHandler} is delivered
+ * by that call. Signal handlers are no part of Java's standard, and the compiler warns of their
+ * names, so they are used by reflection. Safe for use by several threads.
  */
 public final class ReloadSignal {
-    private static final String IGNORED = "SIG_IGN";
-    private Runnable told;
-    private boolean missed;
-    private boolean deaf;
+    private static final String SIGNAL_CLASS = "sun.misc.Signal";
+    private static final String HANDLER_CLASS = "sun.misc.SignalHandler";
+    private static final String IGNORED_FIELD = "SIG_IGN";
+    private static final String SIGNAL_NAME = "HUP";
+
+    private Runnable handler;
+    private boolean received;
+    private boolean ignored;
 
     private ReloadSignal() {}
 
+    /**
+     * Starts to handle the signal.
+     *
+     * @throws SettingsException where this Java can't handle signals
+     */
     public static ReloadSignal install() {
-        ReloadSignal hangup = new ReloadSignal();
+        ReloadSignal reloadSignal = new ReloadSignal();
         try {
-            Class<?> signal = Class.forName("sun.misc.Signal");
-            Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object told =
-                    Proxy.newProxyInstance(
-                            ReloadSignal.class.getClassLoader(),
-                            new Class<?>[] {handler},
-                            (proxy, method, args) -> {
-                                if (method.getName().equals("handle")) {
-                                    hangup.came();
-                                }
-                                return null;
-                            });
-            Object before =
-                    signal.getMethod("handle", signal, handler)
-                            .invoke(
-                                    null,
-                                    signal.getConstructor(String.class).newInstance("HUP"),
-                                    told);
-            hangup.deaf = handler.getField(IGNORED).get(null).equals(before);
+            reloadSignal.register();
         } catch (ReflectiveOperationException e) {
             throw new SettingsException("this Java can't take SIGHUP: " + e);
         }
-        return hangup;
+        return reloadSignal;
+    }
+
+    private void register() throws ReflectiveOperationException {
+        Class<?> signalClass = Class.forName(SIGNAL_CLASS);
+        Class<?> handlerClass = Class.forName(HANDLER_CLASS);
+        Object signal = signalClass.getConstructor(String.class).newInstance(SIGNAL_NAME);
+        Object previousHandler =
+                signalClass
+                        .getMethod("handle", signalClass, handlerClass)
+                        .invoke(null, signal, proxyHandler(handlerClass));
+        ignored = handlerClass.getField(IGNORED_FIELD).get(null).equals(previousHandler);
+    }
+
+    private Object proxyHandler(Class<?> handlerClass) {
+        InvocationHandler invocationHandler =
+                (proxy, method, arguments) -> {
+                    if (method.getName().equals("handle")) {
+                        onSignal();
+                    }
+                    return null;
+                };
+        return Proxy.newProxyInstance(
+                ReloadSignal.class.getClassLoader(),
+                new Class<?>[] {handlerClass},
+                invocationHandler);
     }
 
     /**
-     * Whether whoever started the program had the signal ignored (nohup does). A virtual machine
-     * leaves it so, whatever it is asked, and the program never hears of it.
+     * Whether the signal was ignored when the program started, as by {@code nohup}. A virtual
+     * machine leaves it so, and the program never receives it.
      */
     public boolean isIgnored() {
-        return deaf;
+        return ignored;
     }
 
-    private synchronized void came() {
-        if (told == null) {
-            missed = true;
+    private synchronized void onSignal() {
+        if (handler == null) {
+            received = true;
         } else {
-            told.run();
+            handler.run();
         }
     }
 
-    /** From now on it is told here, on the signal's own thread. */
-    public synchronized void setHandler(Runnable to) {
-        told = to;
-        if (missed) {
-            to.run();
+    /** Sets what runs on each signal, on the thread of signals; at once where one has come. */
+    public synchronized void setHandler(Runnable newHandler) {
+        handler = newHandler;
+        if (received) {
+            newHandler.run();
         }
     }
 }
--- a/src/main/java/calicostream/daemon/ServerAssembly.java
+++ b/src/main/java/calicostream/daemon/ServerAssembly.java
@@ -2,6 +2,7 @@
 package calicostream.daemon;
 
 import calicostream.config.ConfigFile;
+import calicostream.config.SettingsException;
 import calicostream.core.Clock;
 import calicostream.core.Deadlines;
 import calicostream.core.EngineClient;
@@ -28,85 +29,122 @@
 import java.util.function.Function;
 
 /**
- * Who puts the parts of a front end together. A part that is off costs a look for its file and
- * nothing more: its classes are named in here only behind that look, so the virtual machine never
- * loads them.
+ * Assembles a server from its components. An optional component that is disabled costs a check for
+ * its file and nothing more: its classes are used only where it is enabled, so the virtual machine
+ * never loads them.
  */
 public final class ServerAssembly {
+    private static final String FLIGHT_FILE = "flight.json";
+    private static final String SYSLOG_FILE = "syslog.json";
+
     private ServerAssembly() {}
 
     /**
-     * A front end as its configuration and the files of the {@code deploy} folder say. {@code
-     * shared} is the folder that this front end's processes have in common, or null. {@code
-     * clusterFile} has the cluster's settings, or is null.
+     * Assembles a server that does not serve yet.
+     *
+     * @param config the server's configuration
+     * @param deployFolder where the files of optional components are
+     * @param sharedFolder the folder that this server's processes share in a hot restart, or null
+     * @param clusterFile the cluster's settings, or null
+     * @throws SettingsException where a file can't be used
+     * @throws IOException where a socket or the cluster member's storage can't be opened
      */
     public static FrontEndServer assemble(
-            FrontEndConfig config, Path deploy, Path shared, Path clusterFile) throws IOException {
-        FlightConfig flightConfig = flight(deploy.resolve("flight.json"));
-        SyslogConfig syslogConfig = syslog(deploy.resolve("syslog.json"));
+            FrontEndConfig config, Path deployFolder, Path sharedFolder, Path clusterFile)
+            throws IOException {
+        FlightConfig flightConfig = readFlightConfig(deployFolder.resolve(FLIGHT_FILE));
+        SyslogConfig syslogConfig = readSyslogConfig(deployFolder.resolve(SYSLOG_FILE));
         ClusterComponent cluster = clusterFile == null ? null : ClusterComponent.read(clusterFile);
-        Descriptors descriptors =
-                Descriptors.of(config.sockets()); // Counts what is open: before anything else is.
-        if (cluster != null) {
-            descriptors = descriptors.beside(config.sockets(), cluster.descriptors());
-        }
+        Descriptors descriptors = descriptors(config, cluster);
         SelectorLoop loop = new SelectorLoop(new Clock(), new Deadlines());
         SettingsParser settings = config.settings();
         FlightComponent flight =
                 flightConfig == null ? null : new FlightComponent(loop, settings, flightConfig);
 
-        EngineClient engines = flight == null ? null : flight.engines();
-        boolean wide = engines != null;
-        engines =
-                wide
-                        ? engines
-                        : new RespEngineClient(
-                                loop,
-                                settings.classNames(),
-                                settings.connectionSettings(),
-                                descriptors.engines());
-        RouterSettings decided =
-                wide ? settings.settings().withoutProgressNotes() : settings.settings();
-        List<RequestListener> watchers = watchers(loop, config, flight, syslogConfig);
-        engines = cluster == null ? engines : cluster.gated(loop, engines, watchers);
-        Gateway gateway =
-                new Gateway(
-                        loop.clock(), loop.deadlines(), decided, CompositeListener.of(watchers));
-
-        List<Service> services = new ArrayList<>();
-        if (flight != null) {
-            services.add(flight.front(gateway));
-        }
-        Function<RequestResult, byte[]> text =
-                flight == null ? result -> ((TextResult) result).text() : flight.text();
+        EngineClient flightEngines = flight == null ? null : flight.engineClient();
+        EngineClient engines =
+                flightEngines == null
+                        ? respEngineClient(loop, settings, descriptors)
+                        : flightEngines;
+        RouterSettings routerSettings = routerSettings(settings, flightEngines != null);
+        List<RequestListener> listeners = listeners(loop, config, flight, syslogConfig);
         if (cluster != null) {
-            cluster.join(loop, gateway);
-            services.add(cluster);
+            engines = cluster.withBudget(loop, engines, listeners);
         }
+        Gateway gateway =
+                new Gateway(
+                        loop.clock(),
+                        loop.deadlines(),
+                        routerSettings,
+                        CompositeListener.of(listeners));
+        List<Service> services = services(loop, gateway, flight, cluster);
         return new FrontEndServer(
                 config,
-                new ServerComponents(descriptors, loop, gateway, engines, text, services),
-                shared);
+                new ServerComponents(
+                        descriptors, loop, gateway, engines, resultWriter(flight), services),
+                sharedFolder);
     }
 
-    private static FlightConfig flight(Path file) {
+    private static FlightConfig readFlightConfig(Path file) {
         return ConfigFile.isEnabled(file) ? FlightConfig.read(file) : null;
     }
 
-    private static SyslogConfig syslog(Path file) {
+    private static SyslogConfig readSyslogConfig(Path file) {
         return ConfigFile.isEnabled(file) ? SyslogConfig.read(file) : null;
     }
 
-    private static List<RequestListener> watchers(
-            SelectorLoop loop, FrontEndConfig config, FlightComponent flight, SyslogConfig syslog)
+    /** Counts the file descriptors in use: call it before others are opened. */
+    private static Descriptors descriptors(FrontEndConfig config, ClusterComponent cluster) {
+        Descriptors descriptors = Descriptors.of(config.sockets());
+        return cluster == null
+                ? descriptors
+                : descriptors.beside(config.sockets(), cluster.maxFileDescriptors());
+    }
+
+    private static EngineClient respEngineClient(
+            SelectorLoop loop, SettingsParser settings, Descriptors descriptors) {
+        return new RespEngineClient(
+                loop, settings.classNames(), settings.connectionSettings(), descriptors.engines());
+    }
+
+    /** Engines that speak Flight SQL send no progress notifications. */
+    private static RouterSettings routerSettings(SettingsParser settings, boolean flightEngines) {
+        RouterSettings all = settings.settings();
+        return flightEngines ? all.withoutProgressNotes() : all;
+    }
+
+    private static List<RequestListener> listeners(
+            SelectorLoop loop,
+            FrontEndConfig config,
+            FlightComponent flight,
+            SyslogConfig syslogConfig)
+            throws IOException {
+        List<RequestListener> listeners = new ArrayList<>();
+        if (flight != null) {
+            listeners.add(flight.listener());
+        }
+        if (syslogConfig != null) {
+            List<String> classNames = config.settings().classNames();
+            listeners.add(new SyslogSender(loop, syslogConfig, config.name(), classNames));
+        }
+        return listeners;
+    }
+
+    private static List<Service> services(
+            SelectorLoop loop, Gateway gateway, FlightComponent flight, ClusterComponent cluster)
             throws IOException {
-        List<RequestListener> out = new ArrayList<>();
+        List<Service> services = new ArrayList<>();
         if (flight != null) {
-            out.add(flight.watcher());
+            services.add(flight.createServer(gateway));
         }
-        if (syslog != null) {
-            out.add(new SyslogSender(loop, syslog, config.name(), config.settings().classNames()));
+        if (cluster != null) {
+            cluster.join(loop, gateway);
+            services.add(cluster);
         }
-        return out;
+        return services;
+    }
+
+    private static Function<RequestResult, byte[]> resultWriter(FlightComponent flight) {
+        return flight == null ? result -> ((TextResult) result).text() : flight.resultWriter();
     }
 }
