--- a/src/main/java/calicostream/adapter/RouterInstance.java
+++ b/src/main/java/calicostream/adapter/RouterInstance.java
@@ -19,8 +19,8 @@
     RouterInstance(long number, SettingsParser parser, SimulatorFrame.ActionReply reply) {
         this.number = number;
         this.reply = reply;
-        columns = parser.columns();
-        reportsCost = parser.tellsCost();
+        columns = parser.loadReportColumns();
+        reportsCost = parser.reportsWork();
         router = new AffinityRouter(parser.settings(), this);
     }
 
--- a/src/main/java/calicostream/adapter/SimulatorAdapter.java
+++ b/src/main/java/calicostream/adapter/SimulatorAdapter.java
@@ -198,7 +198,8 @@
                                 valid,
                                 memory,
                                 group,
-                                (bits & 2) != 0));
+                                (bits & 2) != 0,
+                                0));
     }
 
     private static Runnable result(SimulatorFrame.EventBatch in, RouterInstance to) {
--- a/src/main/java/calicostream/core/Gateway.java
+++ b/src/main/java/calicostream/core/Gateway.java
@@ -270,7 +270,7 @@
 
     /** The run times that another process has learned. */
     public void learnedRunTimes(double[] byQueryClass) {
-        router.deliver(r -> r.learnedRunTimes(byQueryClass));
+        router.deliver(r -> r.restoreLearnedRunTimes(byQueryClass));
     }
 
     // ---- The router's actions
--- a/src/main/java/calicostream/platform/JsonRpcServer.java
+++ b/src/main/java/calicostream/platform/JsonRpcServer.java
@@ -527,7 +527,8 @@
                             message.work * 1000,
                             message.memory,
                             group,
-                            message.retry == 1);
+                            message.retry == 1,
+                            0);
             p.handle =
                     gateway.accept(
                             new IncomingRequest(
--- a/src/main/java/calicostream/routing/AffinityRouter.java
+++ b/src/main/java/calicostream/routing/AffinityRouter.java
@@ -204,7 +204,7 @@
     }
 
     @Override
-    public void learnedRunTimes(double[] runTimes) {
+    public void restoreLearnedRunTimes(double[] runTimes) {
         work.restoreLearnedRunTimes(runTimes);
     }
 
--- a/src/main/java/calicostream/routing/IdempotencyScope.java
+++ b/src/main/java/calicostream/routing/IdempotencyScope.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.routing;
 
-/** Engines that discard each other's repeats. */
+/** Which engines discard each other's repeats of a query with an idempotency key. */
 public enum IdempotencyScope {
     ALL,
     ZONE,
--- a/src/main/java/calicostream/routing/LoadProber.java
+++ b/src/main/java/calicostream/routing/LoadProber.java
@@ -66,11 +66,13 @@
     private boolean isProbing(QueryState query) {
         boolean possible =
                 settings.attemptLimits().probes() && settings.loadReporting() != LoadReporting.NONE;
-        if (!possible) {
-            return false;
-        }
+        return possible && !isSkipped(query);
+    }
+
+    /** The less loaded the fleet is, the fewer queries probe. */
+    private boolean isSkipped(QueryState query) {
         double utilization = capacity.meanLoadPerCore() / CapacityEstimator.THREADS_PER_CORE;
-        return query.jitter() <= MIN_PROBING_SHARE + utilization;
+        return query.jitter() > MIN_PROBING_SHARE + utilization;
     }
 
     private void probe(long now, QueryState query, EngineState engine) {
--- a/src/main/java/calicostream/routing/LoadReport.java
+++ b/src/main/java/calicostream/routing/LoadReport.java
@@ -2,29 +2,35 @@
 package calicostream.routing;
 
 /**
- * A load report; what the engine does not tell of its queries and cores is NaN. {@code saturation}:
- * the fullest of what its queries share beside the cores, memory granted or disks busy, as a share;
- * 0 where it is not told.
+ * An engine's report of its load.
+ *
+ * @param running queries in flight there, NaN if not reported
+ * @param utilization utilization of its cores from 0 to 1, NaN if not reported
+ * @param saturation the fullest of what its queries share beside the cores, memory granted or disks
+ *     busy, as a share; 0 if not reported
  */
 public record LoadReport(double running, double utilization, double saturation) {
-    /** A report that tells nothing yet. */
+    /** A report that tells nothing. */
     public static final LoadReport EMPTY = new LoadReport(Double.NaN, Double.NaN, 0);
 
-    /** A report of queries and cores alone. */
+    /** Creates a report of queries and cores alone. */
     public LoadReport(double running, double utilization) {
         this(running, utilization, 0);
     }
 
-    /** The fullest share of all that it tells of, NaN where it tells of none. */
+    /** Returns the fullest share of all that the report tells of, NaN if it tells of none. */
     public double highestUtilization() {
-        return saturation > 0
-                ? Double.isNaN(utilization) ? saturation : Math.max(utilization, saturation)
-                : utilization;
+        boolean reportsSaturation = saturation > 0;
+        if (!reportsSaturation) {
+            return utilization;
+        }
+        return Double.isNaN(utilization) ? saturation : Math.max(utilization, saturation);
     }
 
     /**
-     * This report with a column of the engine's load report set; columns of no use here are passed
-     * over.
+     * Returns this report with a column of the engine's report set.
+     *
+     * @param column name of the column as the settings give it; an unknown one changes nothing
      */
     public LoadReport withColumn(String column, double value) {
         switch (column) {
--- a/src/main/java/calicostream/routing/LoadReporting.java
+++ b/src/main/java/calicostream/routing/LoadReporting.java
@@ -1,9 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.routing;
 
-/** When load reports come: with answers, with probes only, or never. */
+/** When engines report their load. */
 public enum LoadReporting {
+    /** With each answer. */
     WITH_ANSWERS,
+    /** With answers to load probes only. */
     ON_PROBE,
+    /** Never. */
     NONE
 }
--- a/src/main/java/calicostream/routing/Query.java
+++ b/src/main/java/calicostream/routing/Query.java
@@ -2,9 +2,19 @@
 package calicostream.routing;
 
 /**
- * A query; {@code key} 0: none; {@code costUs} and {@code memoryMb} are estimates, 0: none. {@code
- * pinned}: the one engine that may run it, as what it needs lies there, or 0; such a query never
- * runs twice.
+ * A query of a client.
+ *
+ * @param id unique among all queries of the gateway
+ * @param queryClass index of its class
+ * @param tenant index of its tenant
+ * @param key key whose queries keep their order if the class asks for it, 0 for none
+ * @param timeLeftUs time until the client's deadline in microseconds
+ * @param estimatedWorkUs estimate of its work in core-microseconds, 0 for none
+ * @param estimatedMemoryMb estimate of its memory in megabytes, 0 for none
+ * @param tableGroup number of the group of tables that it reads
+ * @param clientRetry whether the client repeats an earlier query
+ * @param stickyEngine id of the one engine that holds what the query needs, 0 for none; such a
+ *     query never runs twice
  */
 public record Query(
         long id,
@@ -17,27 +27,14 @@
         int tableGroup,
         boolean clientRetry,
         long stickyEngine) {
-    public Query(
-            long id,
-            int queryClass,
-            int tenant,
-            long key,
-            long timeLeftUs,
-            double costUs,
-            double memoryMb,
-            int tableGroup,
-            boolean clientRetry) {
-        this(id, queryClass, tenant, key, timeLeftUs, costUs, memoryMb, tableGroup, clientRetry, 0);
-    }
-
-    /** The same query with so much time left. */
-    public Query withTimeLeft(long us) {
+    /** Returns the same query with another time left in microseconds. */
+    public Query withTimeLeft(long micros) {
         return new Query(
                 id,
                 queryClass,
                 tenant,
                 key,
-                us,
+                micros,
                 estimatedWorkUs,
                 estimatedMemoryMb,
                 tableGroup,
@@ -45,7 +42,7 @@
                 stickyEngine);
     }
 
-    /** The same query under another id. */
+    /** Returns the same query under another id. */
     public Query withId(long other) {
         return new Query(
                 other,
--- a/src/main/java/calicostream/routing/QueryRouter.java
+++ b/src/main/java/calicostream/routing/QueryRouter.java
@@ -4,84 +4,96 @@
 import java.util.List;
 
 /**
- * What a query gateway tells its decision module, and what the module asks of the gateway.
+ * The events that a gateway reports to the router that decides for it.
  *
- * <p><b>Threading.</b> One instance serves one gateway and is called by one thread at a time.
- * <b>Clock.</b> Every event carries {@code now} in microseconds; it never goes backwards and its
- * zero means nothing. The module reads no other clock. <b>Ownership.</b> Records are immutable; the
- * caller must not change a list or array after passing it. <b>Re-entry.</b> Actions are called from
- * inside an event method and must not call back into the module; report what they bring about as
- * later events.
+ * <p><b>Threading.</b> An instance serves one gateway and is called by one thread at a time.
+ * <b>Clock.</b> Each event carries {@code now} in microseconds; it never goes backwards, and its
+ * zero has no meaning. The router reads no other clock. <b>Ownership.</b> Records are immutable;
+ * the caller must not change a list or an array after passing it. <b>Re-entry.</b> {@link
+ * RouterActions} are called from inside an event method and must not call back into the router; the
+ * gateway reports their effects as later events.
  *
- * <p>The caller starts the instance with {@link #start}, passes the engines it last knew of as a
- * {@link EndpointUpdate#CACHED} roster, and from then on reports each event once, in the order
- * seen.
+ * <p>The gateway calls {@link #start}, passes the engines it last knew of as a {@link
+ * EndpointUpdate#CACHED} list, and from then on reports each event once, in the order seen.
  */
 public interface QueryRouter {
 
     /** Called once, before any other event. */
     void start(long now);
 
-    /**
-     * The engines changed. After {@code CHANGES} engines not named stay; otherwise they have been
-     * removed.
-     */
+    /** Reports the engines that changed, or all of them. */
     void endpointsChanged(long now, EndpointUpdate kind, List<EngineEndpoint> engines);
 
     /**
-     * A client's query was accepted. Its id is never used again; the module owes exactly one final
+     * Reports a client's query. Its id is never used again; the router owes it exactly one final
      * answer.
      */
     void queryAccepted(long now, Query query);
 
-    /** A streamed answer began: the attempt belongs to the client and has no deadline any more. */
+    /**
+     * Reports that the answer of an attempt is being streamed to the client; it has no deadline any
+     * more.
+     */
     void streamStarted(long now, long query, int attempt);
 
-    /** News of an attempt that still runs. */
+    /** Reports progress of an attempt that runs. */
     void progress(long now, QueryProgress progress);
 
-    /** An attempt ended; exactly one for each {@link RouterActions#startAttempt}. */
-    void attemptEnded(long now, AttemptResult end);
+    /** Reports the end of an attempt; once for each {@link RouterActions#startAttempt}. */
+    void attemptEnded(long now, AttemptResult result);
 
-    /** The client left, or was answered otherwise; nothing more is owed for the query. */
+    /**
+     * Reports that the client has left or has been answered otherwise; nothing more is owed for the
+     * query.
+     */
     void queryAbandoned(long now, long query);
 
-    /** A timer asked for with {@link RouterActions#scheduleTimer} is due. */
+    /** Reports that a timer of {@link RouterActions#scheduleTimer} is due. */
     void timerFired(long now, long token);
 
     /**
-     * A probe asked for with {@link RouterActions#probeLoad} ended; {@code report} is null when
-     * none came. Unasked, with {@link FencedResult#CANCELLED}, it is a hint: another gateway tries
-     * an engine that this one leaves out, in vain so far. The next trial is put off; where the
-     * module leaves the engine not out, nothing comes of it.
+     * Reports the end of a load probe asked for by {@link RouterActions#probeLoad}.
+     *
+     * <p>Without such a request, {@link AttemptOutcome#CANCELLED} is a hint: another gateway has
+     * probed an engine that this one ejected, and failed. It postpones the next probe, and has no
+     * effect on an engine that is not ejected.
+     *
+     * @param report the load report, or null if none came
      */
     void probeCompleted(long now, long engine, AttemptOutcome outcome, LoadReport report);
 
     /**
-     * The operators have put an engine back, as the roster told just now: it is cold, and owed a
-     * query soon. Of an engine that the module leaves out it may also be a hint: another gateway
-     * has had an answer from it.
+     * Reports that an engine is reinstated and is to be sent a query soon. The operators have put
+     * it back, and the endpoint list said just now that it is warming up; or, as a hint for an
+     * ejected engine, another gateway has had an answer from it.
      */
     void engineReinstated(long now, long engine);
 
     /**
-     * For now so many processes are this one gateway, each with clients of its own; this one has
-     * this place among them, from 0. What the rules allow the gateway, they share.
+     * Reports how many processes are this one gateway for now, each with clients of its own. They
+     * share what the rules allow the gateway.
+     *
+     * @param processes number of processes, at least one
+     * @param index number of this process among them, from 0
      */
-    void processesChanged(long now, int processes, int place);
+    void processesChanged(long now, int processes, int index);
 
     /**
-     * What it has learned of each class's work, in microseconds, 0 where nothing; another process
-     * may start with it.
+     * Returns the least run time learned for each class, so that another process may start with it.
+     *
+     * @return microseconds by index of the class as in {@link RouterSettings#classes}, 0 where
+     *     nothing is learned
      */
     double[] learnedRunTimes();
 
     /**
-     * What another process of this gateway has learned, for classes of which this one knows nothing
-     * yet.
+     * Takes over what another process of this gateway has learned, for classes of which this one
+     * knows nothing yet.
+     *
+     * @param runTimes as {@link #learnedRunTimes} returned them there; may be shorter or longer
      */
-    void learnedRunTimes(double[] before);
+    void restoreLearnedRunTimes(double[] runTimes);
 
-    /** Whether the module leaves this engine out by its own choice, but for trials. */
+    /** Returns whether the router has ejected an engine, which then gets probes only. */
     boolean isEjected(long engine);
 }
--- a/src/main/java/calicostream/routing/RouterActions.java
+++ b/src/main/java/calicostream/routing/RouterActions.java
@@ -1,50 +1,61 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.routing;
 
-/** What the module asks of the gateway. Each takes effect at once, in the order called. */
+/**
+ * What the router asks of the gateway. Each action takes effect at once, in the order called, and
+ * must not call back into the router.
+ */
 public interface RouterActions {
     /**
-     * Starts the query's next attempt (0, 1, 2 ...) on an engine; stop waiting at {@code giveUpAt}.
+     * Starts the next attempt of a query, numbered 0, 1, 2 and so on.
+     *
+     * @param giveUpAt when to stop waiting for the engine in microseconds, 0 for the query's
+     *     deadline
      */
     void startAttempt(long query, long engine, long giveUpAt);
 
-    /** Stops an attempt; an {@link AttemptResult} still follows. */
+    /** Cancels an attempt; its {@link AttemptResult} still follows. */
     void cancelAttempt(long query, int attempt);
 
     /**
-     * Final answer: turned away, and trying again does no harm, best after {@code retryAfterUs}.
+     * Gives the final answer that the query is rejected: to try again does no harm.
+     *
+     * @param retryAfterUs time that the client had best wait, in microseconds
      */
     void reject(long query, long retryAfterUs);
 
-    /** Final answer: failed, with nothing promised about its effect. */
+    /** Gives the final answer that the query failed; it may have run. */
     void fail(long query);
 
     /**
-     * Memory (0: the engine chooses) and priority (0 to 3, usual 1) of the query's next attempts.
+     * Sets the resources of the query's next attempts.
+     *
+     * @param memoryMb memory grant in megabytes, 0 to leave it to the engine
+     * @param priority from 0 to 3, usually 1
      */
     void assignResources(long query, double memoryMb, int priority);
 
-    /** Asks for {@link QueryRouter#timerFired} with this token after {@code delayUs}. */
+    /** Asks for {@link QueryRouter#timerFired} with this token after a delay in microseconds. */
     void scheduleTimer(long delayUs, long token);
 
-    /** Asks an engine for a load report. */
+    /** Asks an engine for a load report; {@link QueryRouter#probeCompleted} follows. */
     void probeLoad(long engine);
 
     /**
-     * Asks to be told of roster changes from now on; used only where {@link
-     * Settings#watchEndpointsOnRequest}.
+     * Asks for the endpoint list and its changes from now on; used only where {@link
+     * RouterSettings#watchEndpointsOnRequest} is set.
      */
     void watchEndpoints();
 
     /**
-     * Whether the query's tenant has room at this engine now; what it has can only grow until the
-     * module is next called, but for what the module sends. Asked for each engine in question, so
-     * the answer comes from memory.
+     * Returns whether the query's tenant has capacity at an engine now. It may only grow until the
+     * router is next called, but for the attempts that the router starts. Called for each engine
+     * that is considered, so it must not block.
      */
     default boolean hasTenantCapacity(long query, long engine) {
         return true;
     }
 
-    /** A line for the operators' log. */
+    /** Writes a line to the operators' log. */
     void log(String text);
 }
--- a/src/main/java/calicostream/routing/RouterSettings.java
+++ b/src/main/java/calicostream/routing/RouterSettings.java
@@ -4,8 +4,22 @@
 import java.util.List;
 
 /**
- * Start-up settings of a deployment. {@code index} is this gateway's number among {@code gateways},
- * from 0; {@code zone} is where it stands.
+ * Start-up settings of a deployment.
+ *
+ * @param gateways number of gateways that share the engines
+ * @param index this gateway's number among them, from 0
+ * @param zone index of this gateway's zone
+ * @param costs what is paid for beside a query's own work
+ * @param engineKinds kinds of engines by index
+ * @param classes classes of queries by index
+ * @param tenants limits of tenants by index
+ * @param overQuotaWeight part of its worth left to a query of a tenant beyond its quota
+ * @param attemptLimits what the deployment allows for a query
+ * @param protectionRules rules that protect engines and keys
+ * @param engineCapabilities what engines heed and report
+ * @param loadReporting when engines report their load
+ * @param watchEndpointsOnRequest whether the endpoint list comes only on request
+ * @param tickUs resolution of the gateway's timers in microseconds
  */
 public record RouterSettings(
         int gateways,
@@ -22,7 +36,7 @@
         LoadReporting loadReporting,
         boolean watchEndpointsOnRequest,
         long tickUs) {
-    /** The same where engines send no news of what runs. */
+    /** Returns the same settings for engines that report no progress. */
     public RouterSettings withoutProgressNotes() {
         EngineCapabilities silent =
                 new EngineCapabilities(
--- a/src/main/java/calicostream/routing/RoutingCosts.java
+++ b/src/main/java/calicostream/routing/RoutingCosts.java
@@ -2,7 +2,9 @@
 package calicostream.routing;
 
 /**
- * What is paid for beside a query's own work, in worth of a usual query: sending it to another
- * zone, and a connection that has to be opened for it. 0: nothing.
+ * What is paid for beside a query's own work, relative to the worth of a usual query.
+ *
+ * @param crossZone cost of sending a query to another zone
+ * @param handshake cost of opening a connection for it
  */
 public record RoutingCosts(double crossZone, double handshake) {}
--- a/src/main/java/calicostream/routing/SettingsParser.java
+++ b/src/main/java/calicostream/routing/SettingsParser.java
@@ -12,26 +12,34 @@
 import java.util.Map;
 
 /**
- * Reads the start-up settings, {@code path=value} a line on the simulator's wire and nested JSON in
- * a front end's configuration, into the one {@link RouterSettings} type; keys it does not know are
- * skipped.
+ * Reads the start-up settings of a deployment, from {@code path=value} lines as on the simulator's
+ * wire or from nested JSON as in a front end's configuration. Unknown keys are ignored.
  */
 public final class SettingsParser {
-    private static final int MOST_ITEMS = 65536;
+    private static final int MAX_ITEMS = 65536;
+
+    private static final double MAX_NUMBER = 1e15;
+
     private final Map<String, String> values;
-    private final List<String> columns;
+    private final List<String> loadReportColumns;
 
     private SettingsParser(Map<String, String> values) {
         this.values = values;
-        columns = list("stats.columns");
+        loadReportColumns = list("stats.columns");
     }
 
-    public static SettingsParser ofLines(String text) {
+    /**
+     * Reads settings of one {@code path=value} a line.
+     *
+     * @throws SettingsException if a line has no key
+     */
+    public static SettingsParser ofLines(String lines) {
         Map<String, String> values = new HashMap<>();
-        for (String line : text.split("\n")) {
-            int at = line.indexOf('=');
-            if (at > 0) {
-                values.put(line.substring(0, at).trim(), line.substring(at + 1).trim());
+        for (String line : lines.split("\n")) {
+            int separator = line.indexOf('=');
+            if (separator > 0) {
+                values.put(
+                        line.substring(0, separator).trim(), line.substring(separator + 1).trim());
             } else if (!line.isBlank()) {
                 throw new SettingsException("bad setting: no '=' in '" + line.trim() + "'");
             }
@@ -39,6 +47,7 @@
         return new SettingsParser(values);
     }
 
+    /** Reads settings of nested JSON. */
     public static SettingsParser ofJson(JsonObject settings) {
         Map<String, String> values = new HashMap<>();
         flatten("", settings, values);
@@ -46,72 +55,81 @@
     }
 
     /**
-     * Nested JSON under the names of the flat form: {@code a.b}, {@code a.count}, {@code a.0.b},
-     * lists by commas.
+     * Puts nested JSON under the keys of the flat form: {@code a.b}, {@code a.count} and {@code
+     * a.0.b} for lists of objects, and plain lists joined by commas.
      */
-    private static void flatten(String path, JsonValue value, Map<String, String> into) {
+    private static void flatten(String path, JsonValue value, Map<String, String> target) {
         if (value.isObject()) {
             String prefix = path.isEmpty() ? "" : path + ".";
             value.asObject()
-                    .forEach(member -> flatten(prefix + member.getName(), member.getValue(), into));
+                    .forEach(
+                            member ->
+                                    flatten(prefix + member.getName(), member.getValue(), target));
         } else if (value.isArray()) {
             JsonArray items = value.asArray();
             boolean nested =
                     !items.isEmpty() && (items.get(0).isObject() || items.get(0).isArray());
             if (nested) {
-                into.put(path + ".count", Integer.toString(items.size()));
+                target.put(path + ".count", Integer.toString(items.size()));
                 for (int i = 0; i < items.size(); i++) {
-                    flatten(path + "." + i, items.get(i), into);
+                    flatten(path + "." + i, items.get(i), target);
                 }
             } else {
                 List<String> plain = new ArrayList<>();
                 items.forEach(item -> plain.add(plain(item)));
-                into.put(path, String.join(",", plain));
+                target.put(path, String.join(",", plain));
             }
         } else {
-            into.put(path, plain(value));
+            target.put(path, plain(value));
         }
     }
 
     private static String plain(JsonValue value) {
-        String text = value.isString() ? value.asString() : value.toString();
-        return value.isNull() ? "" : text.replace(' ', '_').replace(',', '_');
+        String scalar = value.isString() ? value.asString() : value.toString();
+        return value.isNull() ? "" : scalar.replace(' ', '_').replace(',', '_');
     }
 
-    public List<String> columns() {
-        return columns;
+    /** Returns the columns of engines' load reports, in their order. */
+    public List<String> loadReportColumns() {
+        return loadReportColumns;
     }
 
-    public boolean tellsCost() {
+    /** Returns whether answers report the work that the query took. */
+    public boolean reportsWork() {
         return flag("family_info.tells_cost", false);
     }
 
+    /**
+     * Returns the settings of the router.
+     *
+     * @throws SettingsException if a value cannot be read
+     */
     public RouterSettings settings() {
         AttemptLimits limits =
                 new AttemptLimits(
                         flag("ceilings.may_probe", false),
                         flag("ceilings.cancel", false),
-                        (int) whole("ceilings.max_attempts", 1));
+                        (int) integer("ceilings.max_attempts", 1));
         ProtectionRules rules =
                 new ProtectionRules(
                         number("rules.cold_share", 1),
                         number("rules.overload_factor", 1),
-                        whole("rules.fall_us", 0),
-                        whole("rules.warm_up_us", 0),
-                        whole("rules.turn_gap_us", 0),
+                        integer("rules.fall_us", 0),
+                        integer("rules.warm_up_us", 0),
+                        integer("rules.turn_gap_us", 0),
                         number("rules.budget_free", 0),
                         number("rules.extra_ratio", 0),
-                        whole("rules.counted_over_us", 0));
-        EngineCapabilities traits =
+                        integer("rules.counted_over_us", 0));
+        EngineCapabilities capabilities =
                 new EngineCapabilities(
                         flag("family_info.takes_grants", false),
                         flag("family_info.priorities", false),
                         number("family_info.most_grant", 1),
-                        whole("family_info.note_period_us", 0));
+                        integer("family_info.note_period_us", 0));
         return new RouterSettings(
-                (int) Math.max(1, whole("balancers", 1)),
-                (int) whole("self_index", 0),
-                (int) whole("az", 0),
+                (int) Math.max(1, integer("balancers", 1)),
+                (int) integer("self_index", 0),
+                (int) integer("az", 0),
                 new RoutingCosts(number("fees.cross_zone", 0), number("fees.handshake", 0)),
                 kinds(),
                 classes(),
@@ -119,14 +137,14 @@
                 number("over_share_worth", 1),
                 limits,
                 rules,
-                traits,
+                capabilities,
                 reporting(),
-                word("membership_mode", "automatic").equals("subscribe"),
-                whole("tick_us", 1000));
+                text("membership_mode", "automatic").equals("subscribe"),
+                integer("tick_us", 1000));
     }
 
     private LoadReporting reporting() {
-        switch (word("stats.how", "off")) {
+        switch (text("stats.how", "off")) {
             case "inline":
                 return LoadReporting.WITH_ANSWERS;
             case "on_probe":
@@ -134,64 +152,64 @@
             case "off":
                 return LoadReporting.NONE;
             default:
-                throw bad("stats.how");
+                throw invalid("stats.how");
         }
     }
 
     private List<EngineKind> kinds() {
         List<String> cores = list("family_info.kind_cores");
         List<String> memory = list("family_info.kind_memory_mb");
-        List<EngineKind> out = new ArrayList<>();
+        List<EngineKind> kinds = new ArrayList<>();
         for (int i = 0; i < cores.size(); i++) {
             double megabytes =
                     i < memory.size() ? parse("family_info.kind_memory_mb", memory.get(i)) : 0;
-            out.add(new EngineKind(parse("family_info.kind_cores", cores.get(i)), megabytes));
+            kinds.add(new EngineKind(parse("family_info.kind_cores", cores.get(i)), megabytes));
         }
-        return out;
+        return kinds;
     }
 
     private List<QueryClass> classes() {
         List<String> threads = list("family_info.width_by_class");
         List<String> loads = list("family_info.holds_tables");
         List<String> waits = list("family_info.waits_for_loads");
-        List<QueryClass> out = new ArrayList<>();
+        List<QueryClass> classes = new ArrayList<>();
         for (int i = 0; i < count("lanes.count"); i++) {
-            String at = "lanes." + i + ".";
-            int wide =
+            String prefix = "lanes." + i + ".";
+            int threadCount =
                     i < threads.size()
                             ? (int) parse("family_info.width_by_class", threads.get(i))
                             : 1;
-            out.add(
+            classes.add(
                     new QueryClass(
-                            whole(at + "aim_us", 0),
-                            number(at + "aim_stretch", 0),
-                            whole(at + "deadline_us", 0),
-                            number(at + "points", 1),
-                            number(at + "late_worth", 0),
-                            effect(at + "effect"),
-                            scope(at + "key_scope"),
-                            whole(at + "window_us", 0),
-                            flag(at + "one_at_a_time", false),
-                            flag(at + "stream", false),
-                            Math.max(1, wide),
+                            integer(prefix + "aim_us", 0),
+                            number(prefix + "aim_stretch", 0),
+                            integer(prefix + "deadline_us", 0),
+                            number(prefix + "points", 1),
+                            number(prefix + "late_worth", 0),
+                            idempotency(prefix + "effect"),
+                            idempotencyScope(prefix + "key_scope"),
+                            integer(prefix + "window_us", 0),
+                            flag(prefix + "one_at_a_time", false),
+                            flag(prefix + "stream", false),
+                            Math.max(1, threadCount),
                             i < loads.size() && loads.get(i).equals("true"),
                             i < waits.size() && waits.get(i).equals("true"),
-                            numbers(at + "allowed_in"),
-                            numbers(at + "runs_on")));
+                            integers(prefix + "allowed_in"),
+                            integers(prefix + "runs_on")));
         }
-        return out;
+        return classes;
     }
 
     private List<TenantLimit> tenants() {
-        List<TenantLimit> out = new ArrayList<>();
+        List<TenantLimit> tenants = new ArrayList<>();
         for (int i = 0; i < count("realms.count"); i++) {
-            out.add(new TenantLimit(number("realms." + i + ".quota_per_s", 0)));
+            tenants.add(new TenantLimit(number("realms." + i + ".quota_per_s", 0)));
         }
-        return out;
+        return tenants;
     }
 
-    private Idempotency effect(String key) {
-        switch (word(key, "once")) {
+    private Idempotency idempotency(String key) {
+        switch (text(key, "once")) {
             case "repeatable":
                 return Idempotency.IDEMPOTENT;
             case "by_key":
@@ -199,12 +217,12 @@
             case "once":
                 return Idempotency.NON_IDEMPOTENT;
             default:
-                throw bad(key);
+                throw invalid(key);
         }
     }
 
-    private IdempotencyScope scope(String key) {
-        switch (word(key, "cell")) {
+    private IdempotencyScope idempotencyScope(String key) {
+        switch (text(key, "cell")) {
             case "all":
                 return IdempotencyScope.ALL;
             case "zone":
@@ -212,41 +230,49 @@
             case "cell":
                 return IdempotencyScope.CELL;
             default:
-                throw bad(key);
+                throw invalid(key);
         }
     }
 
-    /** Names of the classes, halls and machine kinds, in the order of their indexes. */
+    /** Returns the names of the classes by index. */
     public List<String> classNames() {
-        List<String> out = new ArrayList<>();
+        List<String> names = new ArrayList<>();
         for (int i = 0; i < count("lanes.count"); i++) {
-            out.add(word("lanes." + i + ".name", Integer.toString(i)));
+            names.add(text("lanes." + i + ".name", Integer.toString(i)));
         }
-        return out;
+        return names;
     }
 
+    /** Returns the names of the zones by index. */
     public List<String> zoneNames() {
         return list("zones");
     }
 
+    /** Returns the names of the kinds of engines by index. */
     public List<String> kindNames() {
         return list("flavors");
     }
 
-    /** What the sockets are held to; no part of the decisions. */
+    /** Returns the limits of connections, which have no part in the decisions. */
     public ConnectionSettings connectionSettings() {
         return new ConnectionSettings(
-                whole("ceilings.dial_timeout_us", 250_000),
-                whole("ceilings.conn_idle_us", 30_000_000),
-                (int) whole("ceilings.streams_per_conn", 32),
-                whole("ceilings.max_retry_after_us", 2_000_000),
-                whole("family_info.note_period_us", 0),
+                integer("ceilings.dial_timeout_us", 250_000),
+                integer("ceilings.conn_idle_us", 30_000_000),
+                (int) integer("ceilings.streams_per_conn", 32),
+                integer("ceilings.max_retry_after_us", 2_000_000),
+                integer("family_info.note_period_us", 0),
                 number("fees.handshake", 0) > 0);
     }
 
     /**
-     * Limits of the connections to engines and of what clients heed, and whether opening one is
-     * paid for.
+     * Limits of connections to engines, and of what clients are asked.
+     *
+     * @param dialTimeoutUs time to open a connection in microseconds
+     * @param idleUs time after which an idle connection is closed in microseconds
+     * @param maxStreamsPerConnection attempts at a time on one connection
+     * @param maxRetryAfterUs longest time that a client may be asked to wait in microseconds
+     * @param progressPeriodUs time between progress reports in microseconds, 0 for none
+     * @param connectionsAreCostly whether opening a connection is paid for
      */
     public record ConnectionSettings(
             long dialTimeoutUs,
@@ -256,36 +282,36 @@
             long progressPeriodUs,
             boolean connectionsAreCostly) {}
 
-    private String word(String key, String without) {
-        return values.getOrDefault(key, without);
+    private String text(String key, String defaultValue) {
+        return values.getOrDefault(key, defaultValue);
     }
 
-    private boolean flag(String key, boolean without) {
+    private boolean flag(String key, boolean defaultValue) {
         String value = values.get(key);
         if (value == null) {
-            return without;
+            return defaultValue;
         }
         if (!value.equals("true") && !value.equals("false")) {
-            throw bad(key);
+            throw invalid(key);
         }
         return value.equals("true");
     }
 
     private int count(String key) {
-        long count = whole(key, 0);
-        if (count > MOST_ITEMS) {
-            throw bad(key);
+        long count = integer(key, 0);
+        if (count > MAX_ITEMS) {
+            throw invalid(key);
         }
         return (int) count;
     }
 
-    private long whole(String key, long without) {
-        return (long) number(key, without);
+    private long integer(String key, long defaultValue) {
+        return (long) number(key, defaultValue);
     }
 
-    private double number(String key, double without) {
+    private double number(String key, double defaultValue) {
         String value = values.get(key);
-        return value == null || value.isEmpty() ? without : parse(key, value);
+        return value == null || value.isEmpty() ? defaultValue : parse(key, value);
     }
 
     private double parse(String key, String value) {
@@ -293,10 +319,10 @@
         try {
             number = Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw bad(key);
+            throw invalid(key);
         }
-        if (!(number >= 0) || number > 1e15) {
-            throw bad(key);
+        if (!(number >= 0) || number > MAX_NUMBER) {
+            throw invalid(key);
         }
         return number;
     }
@@ -306,15 +332,15 @@
         return value.isEmpty() ? List.of() : Arrays.asList(value.split(","));
     }
 
-    private List<Integer> numbers(String key) {
-        List<Integer> out = new ArrayList<>();
+    private List<Integer> integers(String key) {
+        List<Integer> integers = new ArrayList<>();
         for (String item : list(key)) {
-            out.add((int) parse(key, item));
+            integers.add((int) parse(key, item));
         }
-        return out;
+        return integers;
     }
 
-    private SettingsException bad(String key) {
+    private SettingsException invalid(String key) {
         return new SettingsException("bad setting: " + key + "=" + values.get(key));
     }
 }
--- a/src/measure/java/calicostream/deployments/Ask.java
+++ b/src/measure/java/calicostream/deployments/Ask.java
@@ -71,6 +71,7 @@
                 toldWorkUs,
                 toldMemoryMb,
                 group,
-                marked && tries > 1);
+                marked && tries > 1,
+                0);
     }
 }
--- a/src/measure/java/calicostream/mass/GatewayModel.java
+++ b/src/measure/java/calicostream/mass/GatewayModel.java
@@ -86,7 +86,8 @@
                         0,
                         0,
                         tableGroup,
-                        false);
+                        false,
+                        0);
         Open o = new Open(query, fleet.time.now() + fleet.shape.deadlineUs());
         open.put(query.id(), o);
         fleet.time.after(
--- a/src/measure/java/calicostream/mass/PlainRouter.java
+++ b/src/measure/java/calicostream/mass/PlainRouter.java
@@ -76,7 +76,7 @@
     }
 
     @Override
-    public void learnedRunTimes(double[] before) {}
+    public void restoreLearnedRunTimes(double[] before) {}
 
     @Override
     public boolean isEjected(long engine) {
--- a/src/test/java/calicostream/routing/BehaviourTest.java
+++ b/src/test/java/calicostream/routing/BehaviourTest.java
@@ -98,7 +98,7 @@
         r.end(r.lastOf(101), AttemptOutcome.OK);
         assertTrue(r.last(201), "the short one");
         Recorder next = Recorder.with(1, LOOK, WIDE);
-        next.logic.learnedRunTimes(r.logic.learnedRunTimes());
+        next.logic.restoreLearnedRunTimes(r.logic.learnedRunTimes());
         assertArrayEquals(r.logic.learnedRunTimes(), next.logic.learnedRunTimes());
     }
 
--- a/src/test/java/calicostream/routing/EmbeddingTest.java
+++ b/src/test/java/calicostream/routing/EmbeddingTest.java
@@ -25,7 +25,7 @@
                         Recorder.settings(1, Recorder.look(Idempotency.IDEMPOTENT)), actions);
         router.start(clock());
         router.endpointsChanged(clock(), EndpointUpdate.CACHED, enginesLastKnown);
-        router.queryAccepted(clock(), new Query(1, 0, 0, 0, 1_000_000, 50_000, 100, 3, false));
+        router.queryAccepted(clock(), new Query(1, 0, 0, 0, 1_000_000, 50_000, 100, 3, false, 0));
         router.progress(clock(), new QueryProgress(1, 0, ProgressKind.FRACTION_DONE, 0.4));
         router.attemptEnded(
                 clock(), new AttemptResult(1, 0, 7, AttemptOutcome.OK, true, 60_000, 50, 90, null));
--- a/src/test/java/calicostream/routing/Recorder.java
+++ b/src/test/java/calicostream/routing/Recorder.java
@@ -132,7 +132,7 @@
 
     void ask(long id, int queryClass, int tenant, long key, int group, double cost) {
         logic.queryAccepted(
-                now, new Query(id, queryClass, tenant, key, 10 * S, cost, 100, group, false));
+                now, new Query(id, queryClass, tenant, key, 10 * S, cost, 100, group, false, 0));
     }
 
     /** A query that only this engine may run. */
--- a/src/test/java/calicostream/routing/UntoldTest.java
+++ b/src/test/java/calicostream/routing/UntoldTest.java
@@ -82,14 +82,14 @@
         for (int slow = 0; slow < 2; slow++) {
             Recorder r = Recorder.with(Recorder.settings(1, LOOK), 1);
             for (int i = 1; i <= 200; i++) {
-                r.logic.queryAccepted(r.now, new Query(i, 0, 0, 0, 10 * S, 0, 0, 0, false));
+                r.logic.queryAccepted(r.now, new Query(i, 0, 0, 0, 10 * S, 0, 0, 0, false, 0));
                 r.now += slow == 1 && i > 20 ? 2 * S : 100 * MS;
                 r.end(r.last(), AttemptOutcome.OK);
             }
             r.roster(EndpointUpdate.COMPLETE, Recorder.engine(2, r.now, EngineLifecycle.READY));
             int before = r.sent.size();
             for (int i = 1000; i < 1100; i++) {
-                r.logic.queryAccepted(r.now, new Query(i, 0, 0, 0, 10 * S, 0, 0, 0, false));
+                r.logic.queryAccepted(r.now, new Query(i, 0, 0, 0, 10 * S, 0, 0, 0, false, 0));
             }
             sent[slow] = r.sent.size() - before;
         }
--- a/src/test/java/calicostream/wire/ConfigurationTest.java
+++ b/src/test/java/calicostream/wire/ConfigurationTest.java
@@ -114,6 +114,6 @@
                 SettingsParser.ofJson(Json.parse(json.replace('\'', '"')).asObject());
         assertEquals(one.settings(), other.settings());
         assertEquals(one.classNames(), other.classNames());
-        assertEquals(List.of("util", "inflight"), other.columns());
+        assertEquals(List.of("util", "inflight"), other.loadReportColumns());
     }
 }
