--- a/src/test/java/calicostream/routing/EmbeddingTest.java
+++ b/src/test/java/calicostream/routing/EmbeddingTest.java
@@ -16,13 +16,17 @@
 
     @Test
     void readmeExampleRuns() {
-        Recorder actions =
-                new Recorder(Recorder.settings(1, Recorder.look(Idempotency.IDEMPOTENT)));
+        RecordingActions actions =
+                new RecordingActions(
+                        RecordingActions.settings(
+                                1, RecordingActions.lookupClass(Idempotency.IDEMPOTENT)));
         List<EngineEndpoint> enginesLastKnown =
                 List.of(new EngineEndpoint(7, 0, 0, 0, 0, EngineLifecycle.READY));
         QueryRouter router =
                 new AffinityRouter(
-                        Recorder.settings(1, Recorder.look(Idempotency.IDEMPOTENT)), actions);
+                        RecordingActions.settings(
+                                1, RecordingActions.lookupClass(Idempotency.IDEMPOTENT)),
+                        actions);
         router.start(clock());
         router.endpointsChanged(clock(), EndpointUpdate.CACHED, enginesLastKnown);
         router.queryAccepted(clock(), new Query(1, 0, 0, 0, 1_000_000, 50_000, 100, 3, false, 0));
@@ -30,8 +34,8 @@
         router.attemptEnded(
                 clock(), new AttemptResult(1, 0, 7, AttemptOutcome.OK, true, 60_000, 50, 90, null));
         router.timerFired(clock(), 2);
-        assertEquals(1, actions.sent.size());
-        assertEquals(7, actions.sent.get(0).engine());
+        assertEquals(1, actions.attempts.size());
+        assertEquals(7, actions.attempts.get(0).engine());
         assertEquals(0, actions.answers(1));
     }
 }
--- a/src/test/java/calicostream/routing/ModuleShapeTest.java
+++ b/src/test/java/calicostream/routing/ModuleShapeTest.java
@@ -6,7 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import com.tngtech.archunit.base.DescribedPredicate;
+import com.tngtech.archunit.core.domain.JavaClass;
 import com.tngtech.archunit.core.domain.JavaClasses;
+import com.tngtech.archunit.core.domain.JavaModifier;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.lang.ArchRule;
 import java.io.IOException;
@@ -14,17 +17,33 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 
-/** The decision module stays pure, in files that an engineer reads in one sitting. */
+/** The decision module stays pure, in small parts that only the router and its parts use. */
 class ModuleShapeTest {
     private static final Path SOURCES = Path.of("src/main/java/calicostream/routing");
-    private static final int MAX_FILE_LINES = 1_300; // 400 once the router is split
+    private static final int MAX_FILE_LINES = 400;
+    private static final int MAX_METHOD_LINES = 50;
     private static final int MAX_LINE_LENGTH = 110;
+    private static final Path DEPLOY_FILE = Path.of("deploy/balancer.toml");
+    private static final JavaClasses ALL_CLASSES =
+            new ClassFileImporter().importPath(Path.of("target/classes/calicostream"));
     private static final JavaClasses CLASSES =
             new ClassFileImporter().importPath(Path.of("target/classes/calicostream/routing"));
 
+    private static final DescribedPredicate<JavaClass> ROUTER_PART =
+            DescribedPredicate.describe(
+                    "a part of the router",
+                    type ->
+                            type.getPackageName().equals(AffinityRouter.class.getPackageName())
+                                    && isPart(type));
+
     private static List<Path> sources() throws IOException {
         try (Stream<Path> files = Files.list(SOURCES)) {
             return files.filter(file -> file.toString().endsWith(".java")).toList();
@@ -66,6 +85,107 @@
         assertEquals(List.of(), tooLong);
     }
 
+    /** Members lie at the formatter's first indentation, so that their ends are found by it. */
+    private static List<String> longMembers(Path file) throws IOException {
+        List<String> tooLong = new ArrayList<>();
+        List<String> lines = Files.readAllLines(file);
+        int start = -1;
+        for (int i = 0; i < lines.size(); i++) {
+            String line = lines.get(i);
+            boolean isMemberLine = line.matches(" {4}[^ ].*");
+            if (isMemberLine && !line.matches(" {4}(}|@|/|\\*).*")) {
+                start = i;
+            }
+            boolean isEnd = line.equals("    }");
+            if (isEnd && i - start + 1 > MAX_METHOD_LINES) {
+                tooLong.add(file.getFileName() + ": " + lines.get(start).trim());
+            }
+        }
+        return tooLong;
+    }
+
+    @Test
+    void methodsFitOnOneScreen() throws IOException {
+        List<String> tooLong = new ArrayList<>();
+        for (Path file : sources()) {
+            tooLong.addAll(longMembers(file));
+        }
+        assertEquals(List.of(), tooLong);
+    }
+
+    /** This long member on purpose shows that the bound on methods sees anything at all. */
+    @Test
+    void theMethodBoundSeesAnOffender(@TempDir Path folder) throws IOException {
+        String body = "        count++;\n".repeat(MAX_METHOD_LINES - 2);
+        Path allowed = folder.resolve("Allowed.java");
+        Files.writeString(allowed, "class Allowed {\n    void count() {\n" + body + "    }\n}\n");
+        assertEquals(List.of(), longMembers(allowed));
+        Path offender = folder.resolve("Offender.java");
+        String oneMore = body + "        count++;\n";
+        Files.writeString(
+                offender, "class Offender {\n    void count() {\n" + oneMore + "    }\n}\n");
+        assertEquals(List.of("Offender.java: void count() {"), longMembers(offender));
+    }
+
+    /** Parts of the router are classes with behaviour or state; the others are its port's types. */
+    private static boolean isPart(JavaClass type) {
+        boolean isPortType =
+                type.isInterface()
+                        || type.isRecord() && type.getModifiers().contains(JavaModifier.PUBLIC)
+                        || type.isEnum() && type.getModifiers().contains(JavaModifier.PUBLIC);
+        return !isPortType
+                && !type.isEquivalentTo(AffinityRouter.class)
+                && !type.isEquivalentTo(SettingsParser.class);
+    }
+
+    private static ArchRule partsAreUsedByTheRouterAlone() {
+        return noClasses()
+                .that()
+                .resideOutsideOfPackage("calicostream.routing..")
+                .should()
+                .dependOnClassesThat(ROUTER_PART);
+    }
+
+    @Test
+    void eachPartIsUsedByTheRouterOrItsPartsAlone() {
+        partsAreUsedByTheRouterAlone().check(ALL_CLASSES);
+        List<String> publicParts = new ArrayList<>();
+        for (JavaClass type : CLASSES) {
+            if (ROUTER_PART.test(type) && type.getModifiers().contains(JavaModifier.PUBLIC)) {
+                publicParts.add(type.getSimpleName());
+            }
+        }
+        assertEquals(List.of(), publicParts);
+        assertTrue(ROUTER_PART.test(CLASSES.get(RetryBudget.class)));
+    }
+
+    /** The deploy file has a line {@code KEY = ["FILE", ...]} for each kind of source. */
+    private static Set<String> filesOf(String key) throws IOException {
+        Set<String> files = new TreeSet<>();
+        for (String line : Files.readAllLines(DEPLOY_FILE)) {
+            if (line.startsWith(key + " = ")) {
+                Matcher names = Pattern.compile("\"([^\"]+)\"").matcher(line);
+                while (names.find()) {
+                    files.add(names.group(1));
+                }
+            }
+        }
+        return files;
+    }
+
+    @Test
+    void deployFileNamesEveryFileWithDecisions() throws IOException {
+        Set<String> expected = new TreeSet<>();
+        expected.add(SOURCES + "/AffinityRouter.java");
+        for (JavaClass type : CLASSES) {
+            if (type.isTopLevelClass() && ROUTER_PART.test(type)) {
+                expected.add(SOURCES + "/" + type.getSimpleName() + ".java");
+            }
+        }
+        assertEquals(expected, filesOf("policy"));
+        assertTrue(filesOf("node").contains(SOURCES + "/SettingsParser.java"));
+    }
+
     @Test
     void decisionsReadNoClockAndDoNoInputOrOutput() {
         noInputOutputClockOrThread().check(CLASSES);
--- a/src/test/java/calicostream/routing/RandomEventsTest.java
+++ b/src/test/java/calicostream/routing/RandomEventsTest.java
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.routing;
 
-import static calicostream.routing.Recorder.MS;
-import static calicostream.routing.Recorder.S;
-import static calicostream.routing.Recorder.queryClass;
+import static calicostream.routing.RecordingActions.MILLIS;
+import static calicostream.routing.RecordingActions.SECONDS;
+import static calicostream.routing.RecordingActions.queryClass;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -38,16 +38,16 @@
     private final Map<Long, Long> deadline = new HashMap<>();
     private final Set<Long> answered = new HashSet<>();
     private final Set<Long> mayHaveRun = new HashSet<>();
-    private final Map<Long, Recorder.Sent> out = new HashMap<>();
+    private final Map<Long, RecordingActions.Attempt> out = new HashMap<>();
     private int seen;
     private int cancelsSeen;
     private int refusalsSeen;
     private int failuresSeen;
 
-    private Recorder day() {
-        Recorder r =
-                Recorder.with(
-                        Recorder.settings(
+    private RecordingActions day() {
+        RecordingActions r =
+                RecordingActions.with(
+                        RecordingActions.settings(
                                 2,
                                 3,
                                 0.1,
@@ -71,7 +71,7 @@
                                         false,
                                         3,
                                         false),
-                                Recorder.bound(List.of(1), List.of())),
+                                RecordingActions.placedClass(List.of(1), List.of())),
                         ENGINES);
         for (long e = 1; e <= ENGINES; e++) {
             states.put(e, EngineLifecycle.READY);
@@ -83,13 +83,13 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void rulesHoldOnARandomDay(long seed) {
         Random random = new Random(seed);
-        Recorder r = day();
+        RecordingActions r = day();
         for (int i = 1; i <= 1500; i++) {
             step(random, r, i);
             check(r);
         }
         for (int i = 0; i < 60; i++) {
-            r.pass(500 * MS);
+            r.advance(500 * MILLIS);
             new ArrayList<>(out.values()).forEach(s -> end(r, s, AttemptOutcome.TIMEOUT));
             check(r);
         }
@@ -97,22 +97,22 @@
         assertTrue(seen > 400, "the day was not empty: " + seen);
     }
 
-    private void step(Random random, Recorder r, long id) {
+    private void step(Random random, RecordingActions r, long id) {
         int dice = random.nextInt(10);
         if (dice < 5) {
             int queryClass = random.nextInt(4);
             classOf.put(id, queryClass);
             keyOf.put(id, queryClass == 1 ? 1L + random.nextInt(4) : 0L);
-            deadline.put(id, r.now + 10 * S);
-            r.ask(
+            deadline.put(id, r.now + 10 * SECONDS);
+            r.accept(
                     id,
                     queryClass,
                     0,
                     keyOf.get(id),
                     random.nextInt(5),
-                    (20 + random.nextInt(400)) * MS);
+                    (20 + random.nextInt(400)) * MILLIS);
         } else if (dice < 8 && !out.isEmpty()) {
-            List<Recorder.Sent> all = new ArrayList<>(out.values());
+            List<RecordingActions.Attempt> all = new ArrayList<>(out.values());
             all.sort((a, b) -> Long.compare(a.query(), b.query()));
             end(r, all.get(random.nextInt(all.size())), ENDS[random.nextInt(ENDS.length)]);
         } else if (dice == 8) {
@@ -122,26 +122,26 @@
                             ? EngineLifecycle.values()[random.nextInt(3)]
                             : EngineLifecycle.READY;
             states.put(engine, state);
-            r.roster(
+            r.endpoints(
                     EndpointUpdate.INCREMENTAL,
-                    Recorder.engine(engine, random.nextInt(4) == 0 ? r.now : 0, state));
+                    RecordingActions.engine(engine, random.nextInt(4) == 0 ? r.now : 0, state));
         } else {
             out.values().stream()
                     .min((a, b) -> Long.compare(a.query(), b.query()))
                     .ifPresent(
                             s ->
-                                    r.logic.progress(
+                                    r.router.progress(
                                             r.now,
                                             new QueryProgress(
                                                     s.query(),
                                                     s.attempt(),
                                                     ProgressKind.FRACTION_DONE,
                                                     random.nextDouble())));
-            r.pass(random.nextInt(300) * MS);
+            r.advance(random.nextInt(300) * MILLIS);
         }
     }
 
-    private void end(Recorder r, Recorder.Sent s, AttemptOutcome outcome) {
+    private void end(RecordingActions r, RecordingActions.Attempt s, AttemptOutcome outcome) {
         out.remove(s.query());
         if (outcome.mayHaveRun) {
             mayHaveRun.add(s.query());
@@ -153,26 +153,26 @@
         }
     }
 
-    private void check(Recorder r) {
+    private void check(RecordingActions r) {
         boolean more = true;
         while (more) {
             more = false;
-            for (; refusalsSeen < r.refused.size(); refusalsSeen++) {
-                long q = r.refused.get(refusalsSeen);
+            for (; refusalsSeen < r.rejected.size(); refusalsSeen++) {
+                long q = r.rejected.get(refusalsSeen);
                 assertTrue(answered.add(q), "second answer");
                 assertTrue(
                         classOf.get(q) == 0 || classOf.get(q) == 3 || !mayHaveRun.contains(q),
                         "false promise");
-                assertTrue(r.now <= deadline.get(q) + S);
+                assertTrue(r.now <= deadline.get(q) + SECONDS);
             }
             for (; failuresSeen < r.failed.size(); failuresSeen++) {
                 assertTrue(answered.add(r.failed.get(failuresSeen)), "second answer");
             }
-            for (; seen < r.sent.size(); seen++) {
-                checkSend(r.sent.get(seen));
+            for (; seen < r.attempts.size(); seen++) {
+                checkSend(r.attempts.get(seen));
             }
             for (; cancelsSeen < r.cancelled.size(); cancelsSeen++) {
-                Recorder.Sent s = out.get(r.cancelled.get(cancelsSeen).query());
+                RecordingActions.Attempt s = out.get(r.cancelled.get(cancelsSeen).query());
                 if (s != null) {
                     more = true;
                     end(r, s, AttemptOutcome.CANCELLED);
@@ -181,7 +181,7 @@
         }
     }
 
-    private void checkSend(Recorder.Sent s) {
+    private void checkSend(RecordingActions.Attempt s) {
         int queryClass = classOf.get(s.query());
         assertEquals(
                 EngineLifecycle.READY,
--- a/src/test/java/calicostream/routing/Recorder.java
+++ b/src/test/java/calicostream/routing/RecordingActions.java
@@ -5,41 +5,41 @@
 import java.util.List;
 
 /** Drives a Logic by hand and keeps the actions it takes. */
-final class Recorder implements RouterActions {
-    static final long MS = 1000;
-    static final long S = 1_000_000;
-    static final long START = 100 * S;
+final class RecordingActions implements RouterActions {
+    static final long MILLIS = 1000;
+    static final long SECONDS = 1_000_000;
+    static final long START = 100 * SECONDS;
 
-    record Sent(long at, long query, long engine, int attempt) {}
+    record Attempt(long at, long query, long engine, int attempt) {}
 
-    final List<Sent> sent = new ArrayList<>();
-    final List<Long> refused = new ArrayList<>();
+    final List<Attempt> attempts = new ArrayList<>();
+    final List<Long> rejected = new ArrayList<>();
     final List<Long> failed = new ArrayList<>();
-    final List<Sent> cancelled = new ArrayList<>();
+    final List<Attempt> cancelled = new ArrayList<>();
     final List<Long> probed = new ArrayList<>();
-    final List<double[]> terms = new ArrayList<>();
+    final List<double[]> resources = new ArrayList<>();
     final List<String> logged = new ArrayList<>();
     final List<long[]> timers = new ArrayList<>();
-    int subscriptions;
+    int watchRequests;
     long now = START;
-    final AffinityRouter logic;
+    final AffinityRouter router;
 
-    Recorder(RouterSettings settings) {
-        logic = new AffinityRouter(settings, this);
-        logic.start(now);
+    RecordingActions(RouterSettings settings) {
+        router = new AffinityRouter(settings, this);
+        router.start(now);
     }
 
-    static Recorder with(int engines, QueryClass... classes) {
+    static RecordingActions with(int engines, QueryClass... classes) {
         return with(settings(1, classes), engines);
     }
 
-    static Recorder with(RouterSettings settings, int engines) {
-        Recorder r = new Recorder(settings);
+    static RecordingActions with(RouterSettings settings, int engines) {
+        RecordingActions r = new RecordingActions(settings);
         List<EngineEndpoint> list = new ArrayList<>();
         for (int i = 1; i <= engines; i++) {
             list.add(engine(i, 0, EngineLifecycle.READY));
         }
-        r.logic.endpointsChanged(r.now, EndpointUpdate.COMPLETE, list);
+        r.router.endpointsChanged(r.now, EndpointUpdate.COMPLETE, list);
         return r;
     }
 
@@ -76,14 +76,21 @@
                 0.05,
                 new AttemptLimits(probes, true, attempts),
                 new ProtectionRules(
-                        0.3, 2.5, 2 * S, 10 * S, 300 * MS, 3, ration, ration > 0 ? 5 * S : 0),
-                new EngineCapabilities(true, true, 0.4, 500 * MS),
+                        0.3,
+                        2.5,
+                        2 * SECONDS,
+                        10 * SECONDS,
+                        300 * MILLIS,
+                        3,
+                        ration,
+                        ration > 0 ? 5 * SECONDS : 0),
+                new EngineCapabilities(true, true, 0.4, 500 * MILLIS),
                 probes ? LoadReporting.ON_PROBE : LoadReporting.WITH_ANSWERS,
                 onRequest,
-                5 * MS);
+                5 * MILLIS);
     }
 
-    static QueryClass look(Idempotency effect) {
+    static QueryClass lookupClass(Idempotency effect) {
         return queryClass(effect, IdempotencyScope.ALL, false, 1, false);
     }
 
@@ -94,20 +101,33 @@
             int threads,
             boolean load) {
         return new QueryClass(
-                2 * S, 2, 10 * S, 1, 0.3, effect, scope, 3 * S, inOrder, false, threads, load,
-                !load, List.of(), List.of());
+                2 * SECONDS,
+                2,
+                10 * SECONDS,
+                1,
+                0.3,
+                effect,
+                scope,
+                3 * SECONDS,
+                inOrder,
+                false,
+                threads,
+                load,
+                !load,
+                List.of(),
+                List.of());
     }
 
-    static QueryClass bound(List<Integer> zones, List<Integer> kinds) {
+    static QueryClass placedClass(List<Integer> zones, List<Integer> kinds) {
         return new QueryClass(
-                2 * S,
+                2 * SECONDS,
                 2,
-                10 * S,
+                10 * SECONDS,
                 1,
                 0.3,
                 Idempotency.IDEMPOTENT,
                 IdempotencyScope.ALL,
-                3 * S,
+                3 * SECONDS,
                 false,
                 false,
                 1,
@@ -122,43 +142,45 @@
         return new EngineEndpoint(id, 0, (int) (id % 2), (int) (id % 2), born, state);
     }
 
-    void roster(EndpointUpdate kind, EngineEndpoint... engines) {
-        logic.endpointsChanged(now, kind, List.of(engines));
+    void endpoints(EndpointUpdate kind, EngineEndpoint... engines) {
+        router.endpointsChanged(now, kind, List.of(engines));
     }
 
-    void ask(long id, int queryClass) {
-        ask(id, queryClass, 0, 0, 0, 100 * MS);
+    void accept(long id, int queryClass) {
+        accept(id, queryClass, 0, 0, 0, 100 * MILLIS);
     }
 
-    void ask(long id, int queryClass, int tenant, long key, int group, double cost) {
-        logic.queryAccepted(
-                now, new Query(id, queryClass, tenant, key, 10 * S, cost, 100, group, false, 0));
+    void accept(long id, int queryClass, int tenant, long key, int group, double cost) {
+        router.queryAccepted(
+                now,
+                new Query(id, queryClass, tenant, key, 10 * SECONDS, cost, 100, group, false, 0));
     }
 
     /** A query that only this engine may run. */
-    void askPinned(long id, int queryClass, long engine) {
-        logic.queryAccepted(
-                now, new Query(id, queryClass, 0, 0, 10 * S, 100 * MS, 100, 0, false, engine));
+    void acceptSticky(long id, int queryClass, long engine) {
+        router.queryAccepted(
+                now,
+                new Query(id, queryClass, 0, 0, 10 * SECONDS, 100 * MILLIS, 100, 0, false, engine));
     }
 
-    Sent last() {
-        return sent.get(sent.size() - 1);
+    Attempt last() {
+        return attempts.get(attempts.size() - 1);
     }
 
     boolean last(long query) {
-        return !sent.isEmpty() && last().query == query;
+        return !attempts.isEmpty() && last().query == query;
     }
 
-    Sent lastOf(long query) {
-        return sent.stream().filter(s -> s.query == query).reduce((a, b) -> b).orElse(null);
+    Attempt lastOf(long query) {
+        return attempts.stream().filter(s -> s.query == query).reduce((a, b) -> b).orElse(null);
     }
 
-    void end(Sent s, AttemptOutcome outcome) {
+    void end(Attempt s, AttemptOutcome outcome) {
         end(s, outcome, 0, 0);
     }
 
-    void end(Sent s, AttemptOutcome outcome, double workMs, double memoryMb) {
-        logic.attemptEnded(
+    void end(Attempt s, AttemptOutcome outcome, double workMs, double memoryMb) {
+        router.attemptEnded(
                 now,
                 new AttemptResult(
                         s.query,
@@ -173,16 +195,16 @@
     }
 
     void report(long engine, double running) {
-        logic.probeCompleted(now, engine, AttemptOutcome.OK, new LoadReport(running, Double.NaN));
+        router.probeCompleted(now, engine, AttemptOutcome.OK, new LoadReport(running, Double.NaN));
     }
 
     /** Lets time pass, with every timer that falls due on the way. */
-    void pass(long us) {
+    void advance(long us) {
         long until = now + us;
         for (long[] due = next(until); due != null; due = next(until)) {
             timers.remove(due);
             now = Math.max(now, due[0]);
-            logic.timerFired(now, due[1]);
+            router.timerFired(now, due[1]);
         }
         now = until;
     }
@@ -195,24 +217,24 @@
     }
 
     long answers(long query) {
-        return refused.stream().filter(q -> q == query).count()
+        return rejected.stream().filter(q -> q == query).count()
                 + failed.stream().filter(q -> q == query).count();
     }
 
     @Override
     public void startAttempt(long query, long engine, long giveUpAt) {
-        int attempt = (int) sent.stream().filter(s -> s.query == query).count();
-        sent.add(new Sent(now, query, engine, attempt));
+        int attempt = (int) attempts.stream().filter(s -> s.query == query).count();
+        attempts.add(new Attempt(now, query, engine, attempt));
     }
 
     @Override
     public void cancelAttempt(long query, int attempt) {
-        cancelled.add(new Sent(now, query, 0, attempt));
+        cancelled.add(new Attempt(now, query, 0, attempt));
     }
 
     @Override
     public void reject(long query, long retryAfterUs) {
-        refused.add(query);
+        rejected.add(query);
     }
 
     @Override
@@ -222,7 +244,7 @@
 
     @Override
     public void assignResources(long query, double memoryMb, int priority) {
-        terms.add(new double[] {query, memoryMb, priority});
+        resources.add(new double[] {query, memoryMb, priority});
     }
 
     @Override
@@ -237,7 +259,7 @@
 
     @Override
     public void watchEndpoints() {
-        subscriptions++;
+        watchRequests++;
     }
 
     @Override
--- a/src/test/java/calicostream/routing/UntoldTest.java
+++ b/src/test/java/calicostream/routing/SparseReportingTest.java
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.routing;
 
-import static calicostream.routing.Recorder.MS;
-import static calicostream.routing.Recorder.S;
+import static calicostream.routing.RecordingActions.MILLIS;
+import static calicostream.routing.RecordingActions.SECONDS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -15,20 +15,20 @@
  * What the module makes of deployments that tell it little: no reports, reports of one share, no
  * estimates, no costs.
  */
-class UntoldTest {
-    private static final QueryClass LOOK = Recorder.look(Idempotency.IDEMPOTENT);
+class SparseReportingTest {
+    private static final QueryClass LOOK = RecordingActions.lookupClass(Idempotency.IDEMPOTENT);
     private static final int FULL = (int) (8 * CapacityEstimator.THREADS_PER_UNREPORTED_CORE);
 
-    private static int sentOf(Recorder r, int asked) {
+    private static int sentOf(RecordingActions r, int asked) {
         for (int i = 0; i < asked; i++) {
-            r.ask(1000 + i, 0);
+            r.accept(1000 + i, 0);
         }
-        return r.sent.size();
+        return r.attempts.size();
     }
 
     @Test
     void engineThatReportsNothingHasTheRoomOfThreadsThatPartlyWait() {
-        assertEquals(FULL, sentOf(Recorder.with(1, LOOK), 30));
+        assertEquals(FULL, sentOf(RecordingActions.with(1, LOOK), 30));
     }
 
     @ParameterizedTest
@@ -36,10 +36,10 @@
     void fullShareAloneFillsAnEngineAndALowOneLeavesItRoom(String column) {
         int[] sent = new int[2];
         for (int i = 0; i < 2; i++) {
-            Recorder r = Recorder.with(Recorder.settings(3, LOOK), 1);
+            RecordingActions r = RecordingActions.with(RecordingActions.settings(3, LOOK), 1);
             for (int told = 0; told < 20; told++) {
-                r.now += S;
-                r.logic.probeCompleted(
+                r.now += SECONDS;
+                r.router.probeCompleted(
                         r.now,
                         1,
                         AttemptOutcome.OK,
@@ -55,21 +55,23 @@
     /** One that turns a query away is full, but it tells nothing of the others. */
     @Test
     void refusalOfOneEngineLeavesTheOthersTheirRoom() {
-        Recorder r = Recorder.with(Recorder.settings(3, 1, 0, false, List.of(), LOOK), 4);
-        r.ask(1, 0);
+        RecordingActions r =
+                RecordingActions.with(
+                        RecordingActions.settings(3, 1, 0, false, List.of(), LOOK), 4);
+        r.accept(1, 0);
         r.end(r.last(), AttemptOutcome.OVERLOADED);
-        r.pass(100 * MS);
+        r.advance(100 * MILLIS);
         assertEquals(1 + 3 * FULL, sentOf(r, 100));
     }
 
     @Test
     void grantIsLeftToTheEngineUntilAnAnswerTellsOfMemory() {
-        Recorder r = Recorder.with(1, LOOK);
-        r.ask(1, 0);
-        assertEquals(0, r.terms.get(0)[1], 0);
+        RecordingActions r = RecordingActions.with(1, LOOK);
+        r.accept(1, 0);
+        assertEquals(0, r.resources.get(0)[1], 0);
         r.end(r.last(), AttemptOutcome.OK, 100, 100);
-        r.ask(2, 0);
-        assertTrue(r.terms.get(1)[1] > 100, r.terms.get(1)[1] + " MB");
+        r.accept(2, 0);
+        assertTrue(r.resources.get(1)[1] > 100, r.resources.get(1)[1] + " MB");
     }
 
     /**
@@ -80,18 +82,22 @@
     void coldEngineIsSentByUsualRunTimesWhereNothingTellsOfWork() {
         int[] sent = new int[2];
         for (int slow = 0; slow < 2; slow++) {
-            Recorder r = Recorder.with(Recorder.settings(1, LOOK), 1);
+            RecordingActions r = RecordingActions.with(RecordingActions.settings(1, LOOK), 1);
             for (int i = 1; i <= 200; i++) {
-                r.logic.queryAccepted(r.now, new Query(i, 0, 0, 0, 10 * S, 0, 0, 0, false, 0));
-                r.now += slow == 1 && i > 20 ? 2 * S : 100 * MS;
+                r.router.queryAccepted(
+                        r.now, new Query(i, 0, 0, 0, 10 * SECONDS, 0, 0, 0, false, 0));
+                r.now += slow == 1 && i > 20 ? 2 * SECONDS : 100 * MILLIS;
                 r.end(r.last(), AttemptOutcome.OK);
             }
-            r.roster(EndpointUpdate.COMPLETE, Recorder.engine(2, r.now, EngineLifecycle.READY));
-            int before = r.sent.size();
+            r.endpoints(
+                    EndpointUpdate.COMPLETE,
+                    RecordingActions.engine(2, r.now, EngineLifecycle.READY));
+            int before = r.attempts.size();
             for (int i = 1000; i < 1100; i++) {
-                r.logic.queryAccepted(r.now, new Query(i, 0, 0, 0, 10 * S, 0, 0, 0, false, 0));
+                r.router.queryAccepted(
+                        r.now, new Query(i, 0, 0, 0, 10 * SECONDS, 0, 0, 0, false, 0));
             }
-            sent[slow] = r.sent.size() - before;
+            sent[slow] = r.attempts.size() - before;
         }
         assertTrue(
                 sent[1] > 0 && sent[1] < sent[0],
@@ -106,15 +112,17 @@
     @ValueSource(strings = {"inflight", "queue", "full"})
     void probesStayWithinWhatEnginesAnswer(String column) {
         int gateways = 20;
-        Recorder r = Recorder.with(Recorder.settings(gateways, 1, 0, true, List.of(), LOOK), 2);
+        RecordingActions r =
+                RecordingActions.with(
+                        RecordingActions.settings(gateways, 1, 0, true, List.of(), LOOK), 2);
         int heard = 0;
         for (int i = 0; i < 1000; i++) { // 10 s
-            r.pass(10 * MS);
-            r.ask(i, 0);
+            r.advance(10 * MILLIS);
+            r.accept(i, 0);
             for (; heard < r.probed.size(); heard++) {
                 AttemptOutcome outcome =
                         column.equals("full") ? AttemptOutcome.OVERLOADED : AttemptOutcome.OK;
-                r.logic.probeCompleted(
+                r.router.probeCompleted(
                         r.now,
                         r.probed.get(heard),
                         outcome,
@@ -138,9 +146,10 @@
             for (int attempts = 1;
                     attempts <= 3;
                     attempts += 2) { // One that can't move is given up.
-                RouterSettings s = Recorder.settings(1, attempts, 0, false, List.of(), LOOK);
-                Recorder r =
-                        Recorder.with(
+                RouterSettings s =
+                        RecordingActions.settings(1, attempts, 0, false, List.of(), LOOK);
+                RecordingActions r =
+                        RecordingActions.with(
                                 new RouterSettings(
                                         s.gateways(),
                                         0,
@@ -157,9 +166,9 @@
                                         false,
                                         s.tickUs()),
                                 3);
-                r.ask(1, 0);
-                r.pass(400 * MS);
-                r.logic.progress(r.now, new QueryProgress(1, 0, ProgressKind.FRACTION_DONE, 0.01));
+                r.accept(1, 0);
+                r.advance(400 * MILLIS);
+                r.router.progress(r.now, new QueryProgress(1, 0, ProgressKind.FRACTION_DONE, 0.01));
                 assertEquals(how == LoadReporting.NONE ? 0 : 1, r.cancelled.size(), how.toString());
                 assertEquals(
                         how == LoadReporting.NONE || attempts > 1 ? 0 : 1,
