--- a/src/test/java/calicostream/routing/RandomEventsTest.java
+++ b/src/test/java/calicostream/routing/RandomEventsTest.java
@@ -18,10 +18,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Random days: whatever happens, the rules hold. The order of events comes from the seed alone. */
+/** Random events: whatever happens, the rules hold. Their order comes from the seed alone. */
 class RandomEventsTest {
     private static final int ENGINES = 6;
-    private static final AttemptOutcome[] ENDS = {
+    private static final AttemptOutcome[] OUTCOMES = {
         AttemptOutcome.OK,
         AttemptOutcome.OK,
         AttemptOutcome.OK,
@@ -41,11 +41,11 @@
     private final Map<Long, RecordingActions.Attempt> out = new HashMap<>();
     private int seen;
     private int cancelsSeen;
-    private int refusalsSeen;
+    private int rejectionsSeen;
     private int failuresSeen;
 
-    private RecordingActions day() {
-        RecordingActions r =
+    private RecordingActions startRouter() {
+        RecordingActions gateway =
                 RecordingActions.with(
                         RecordingActions.settings(
                                 2,
@@ -76,35 +76,35 @@
         for (long e = 1; e <= ENGINES; e++) {
             states.put(e, EngineLifecycle.READY);
         }
-        return r;
+        return gateway;
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void rulesHoldOnARandomDay(long seed) {
+    void rulesHoldForRandomEvents(long seed) {
         Random random = new Random(seed);
-        RecordingActions r = day();
+        RecordingActions gateway = startRouter();
         for (int i = 1; i <= 1500; i++) {
-            step(random, r, i);
-            check(r);
+            step(random, gateway, i);
+            check(gateway);
         }
         for (int i = 0; i < 60; i++) {
-            r.advance(500 * MILLIS);
-            new ArrayList<>(out.values()).forEach(s -> end(r, s, AttemptOutcome.TIMEOUT));
-            check(r);
+            gateway.advance(500 * MILLIS);
+            new ArrayList<>(out.values()).forEach(s -> end(gateway, s, AttemptOutcome.TIMEOUT));
+            check(gateway);
         }
         assertEquals(classOf.keySet(), answered, "every query has its answer");
-        assertTrue(seen > 400, "the day was not empty: " + seen);
+        assertTrue(seen > 400, "too few attempts: " + seen);
     }
 
-    private void step(Random random, RecordingActions r, long id) {
+    private void step(Random random, RecordingActions gateway, long id) {
         int dice = random.nextInt(10);
         if (dice < 5) {
             int queryClass = random.nextInt(4);
             classOf.put(id, queryClass);
             keyOf.put(id, queryClass == 1 ? 1L + random.nextInt(4) : 0L);
-            deadline.put(id, r.now + 10 * SECONDS);
-            r.accept(
+            deadline.put(id, gateway.now + 10 * SECONDS);
+            gateway.accept(
                     id,
                     queryClass,
                     0,
@@ -114,7 +114,10 @@
         } else if (dice < 8 && !out.isEmpty()) {
             List<RecordingActions.Attempt> all = new ArrayList<>(out.values());
             all.sort((a, b) -> Long.compare(a.query(), b.query()));
-            end(r, all.get(random.nextInt(all.size())), ENDS[random.nextInt(ENDS.length)]);
+            end(
+                    gateway,
+                    all.get(random.nextInt(all.size())),
+                    OUTCOMES[random.nextInt(OUTCOMES.length)]);
         } else if (dice == 8) {
             long engine = 1 + random.nextInt(ENGINES);
             EngineLifecycle state =
@@ -122,60 +125,61 @@
                             ? EngineLifecycle.values()[random.nextInt(3)]
                             : EngineLifecycle.READY;
             states.put(engine, state);
-            r.endpoints(
+            gateway.endpoints(
                     EndpointUpdate.INCREMENTAL,
-                    RecordingActions.engine(engine, random.nextInt(4) == 0 ? r.now : 0, state));
+                    RecordingActions.engine(
+                            engine, random.nextInt(4) == 0 ? gateway.now : 0, state));
         } else {
             out.values().stream()
                     .min((a, b) -> Long.compare(a.query(), b.query()))
                     .ifPresent(
                             s ->
-                                    r.router.progress(
-                                            r.now,
+                                    gateway.router.progress(
+                                            gateway.now,
                                             new QueryProgress(
                                                     s.query(),
                                                     s.attempt(),
                                                     ProgressKind.FRACTION_DONE,
                                                     random.nextDouble())));
-            r.advance(random.nextInt(300) * MILLIS);
+            gateway.advance(random.nextInt(300) * MILLIS);
         }
     }
 
-    private void end(RecordingActions r, RecordingActions.Attempt s, AttemptOutcome outcome) {
+    private void end(RecordingActions gateway, RecordingActions.Attempt s, AttemptOutcome outcome) {
         out.remove(s.query());
         if (outcome.mayHaveRun) {
             mayHaveRun.add(s.query());
         }
         if (outcome == AttemptOutcome.OK && answered.add(s.query())) {
-            r.end(s, outcome, 100, 50);
+            gateway.end(s, outcome, 100, 50);
         } else {
-            r.end(s, outcome);
+            gateway.end(s, outcome);
         }
     }
 
-    private void check(RecordingActions r) {
+    private void check(RecordingActions gateway) {
         boolean more = true;
         while (more) {
             more = false;
-            for (; refusalsSeen < r.rejected.size(); refusalsSeen++) {
-                long q = r.rejected.get(refusalsSeen);
+            for (; rejectionsSeen < gateway.rejected.size(); rejectionsSeen++) {
+                long q = gateway.rejected.get(rejectionsSeen);
                 assertTrue(answered.add(q), "second answer");
                 assertTrue(
                         classOf.get(q) == 0 || classOf.get(q) == 3 || !mayHaveRun.contains(q),
                         "false promise");
-                assertTrue(r.now <= deadline.get(q) + SECONDS);
+                assertTrue(gateway.now <= deadline.get(q) + SECONDS);
             }
-            for (; failuresSeen < r.failed.size(); failuresSeen++) {
-                assertTrue(answered.add(r.failed.get(failuresSeen)), "second answer");
+            for (; failuresSeen < gateway.failed.size(); failuresSeen++) {
+                assertTrue(answered.add(gateway.failed.get(failuresSeen)), "second answer");
             }
-            for (; seen < r.attempts.size(); seen++) {
-                checkSend(r.attempts.get(seen));
+            for (; seen < gateway.attempts.size(); seen++) {
+                checkSend(gateway.attempts.get(seen));
             }
-            for (; cancelsSeen < r.cancelled.size(); cancelsSeen++) {
-                RecordingActions.Attempt s = out.get(r.cancelled.get(cancelsSeen).query());
+            for (; cancelsSeen < gateway.cancelled.size(); cancelsSeen++) {
+                RecordingActions.Attempt s = out.get(gateway.cancelled.get(cancelsSeen).query());
                 if (s != null) {
                     more = true;
-                    end(r, s, AttemptOutcome.CANCELLED);
+                    end(gateway, s, AttemptOutcome.CANCELLED);
                 }
             }
         }
--- a/src/test/java/calicostream/routing/RecordingActions.java
+++ b/src/test/java/calicostream/routing/RecordingActions.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Drives a Logic by hand and keeps the actions it takes. */
+/** Drives a router by hand and records the actions it takes. */
 final class RecordingActions implements RouterActions {
     static final long MILLIS = 1000;
     static final long SECONDS = 1_000_000;
@@ -34,13 +34,13 @@
     }
 
     static RecordingActions with(RouterSettings settings, int engines) {
-        RecordingActions r = new RecordingActions(settings);
+        RecordingActions gateway = new RecordingActions(settings);
         List<EngineEndpoint> list = new ArrayList<>();
         for (int i = 1; i <= engines; i++) {
             list.add(engine(i, 0, EngineLifecycle.READY));
         }
-        r.router.endpointsChanged(r.now, EndpointUpdate.COMPLETE, list);
-        return r;
+        gateway.router.endpointsChanged(gateway.now, EndpointUpdate.COMPLETE, list);
+        return gateway;
     }
 
     static RouterSettings settings(int gateways, QueryClass... classes) {
--- a/src/test/java/calicostream/routing/SparseReportingTest.java
+++ b/src/test/java/calicostream/routing/SparseReportingTest.java
@@ -12,66 +12,67 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What the module makes of deployments that tell it little: no reports, reports of one share, no
- * estimates, no costs.
+ * What the router makes of deployments that report little: no load reports, reports of one figure,
+ * no estimates, no work.
  */
 class SparseReportingTest {
-    private static final QueryClass LOOK = RecordingActions.lookupClass(Idempotency.IDEMPOTENT);
+    private static final QueryClass LOOKUP = RecordingActions.lookupClass(Idempotency.IDEMPOTENT);
     private static final int FULL = (int) (8 * CapacityEstimator.THREADS_PER_UNREPORTED_CORE);
 
-    private static int sentOf(RecordingActions r, int asked) {
+    private static int sentOf(RecordingActions gateway, int asked) {
         for (int i = 0; i < asked; i++) {
-            r.accept(1000 + i, 0);
+            gateway.accept(1000 + i, 0);
         }
-        return r.attempts.size();
+        return gateway.attempts.size();
     }
 
     @Test
-    void engineThatReportsNothingHasTheRoomOfThreadsThatPartlyWait() {
-        assertEquals(FULL, sentOf(RecordingActions.with(1, LOOK), 30));
+    void engineThatReportsNothingHasTheCapacityOfThreadsThatPartlyWait() {
+        assertEquals(FULL, sentOf(RecordingActions.with(1, LOOKUP), 30));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"x0", "x1"})
-    void fullShareAloneFillsAnEngineAndALowOneLeavesItRoom(String column) {
+    void highSaturationAloneFillsAnEngineAndALowOneDoesNot(String column) {
         int[] sent = new int[2];
         for (int i = 0; i < 2; i++) {
-            RecordingActions r = RecordingActions.with(RecordingActions.settings(3, LOOK), 1);
+            RecordingActions gateway =
+                    RecordingActions.with(RecordingActions.settings(3, LOOKUP), 1);
             for (int told = 0; told < 20; told++) {
-                r.now += SECONDS;
-                r.router.probeCompleted(
-                        r.now,
+                gateway.now += SECONDS;
+                gateway.router.probeCompleted(
+                        gateway.now,
                         1,
                         AttemptOutcome.OK,
                         LoadReport.EMPTY.withColumn(column, i == 0 ? 1 : 0.1));
             }
-            sent[i] = sentOf(r, 30);
+            sent[i] = sentOf(gateway, 30);
         }
         assertTrue(
                 sent[0] == 0 && sent[1] > FULL / 2,
                 sent[0] + " on a full engine, " + sent[1] + " on an idle one");
     }
 
-    /** One that turns a query away is full, but it tells nothing of the others. */
+    /** An engine that rejects a query is full, but that tells nothing of the others. */
     @Test
-    void refusalOfOneEngineLeavesTheOthersTheirRoom() {
-        RecordingActions r =
+    void rejectionByOneEngineLeavesTheOthersTheirCapacity() {
+        RecordingActions gateway =
                 RecordingActions.with(
-                        RecordingActions.settings(3, 1, 0, false, List.of(), LOOK), 4);
-        r.accept(1, 0);
-        r.end(r.last(), AttemptOutcome.OVERLOADED);
-        r.advance(100 * MILLIS);
-        assertEquals(1 + 3 * FULL, sentOf(r, 100));
+                        RecordingActions.settings(3, 1, 0, false, List.of(), LOOKUP), 4);
+        gateway.accept(1, 0);
+        gateway.end(gateway.last(), AttemptOutcome.OVERLOADED);
+        gateway.advance(100 * MILLIS);
+        assertEquals(1 + 3 * FULL, sentOf(gateway, 100));
     }
 
     @Test
     void grantIsLeftToTheEngineUntilAnAnswerTellsOfMemory() {
-        RecordingActions r = RecordingActions.with(1, LOOK);
-        r.accept(1, 0);
-        assertEquals(0, r.resources.get(0)[1], 0);
-        r.end(r.last(), AttemptOutcome.OK, 100, 100);
-        r.accept(2, 0);
-        assertTrue(r.resources.get(1)[1] > 100, r.resources.get(1)[1] + " MB");
+        RecordingActions gateway = RecordingActions.with(1, LOOKUP);
+        gateway.accept(1, 0);
+        assertEquals(0, gateway.resources.get(0)[1], 0);
+        gateway.end(gateway.last(), AttemptOutcome.OK, 100, 100);
+        gateway.accept(2, 0);
+        assertTrue(gateway.resources.get(1)[1] > 100, gateway.resources.get(1)[1] + " MB");
     }
 
     /**
@@ -82,22 +83,23 @@
     void coldEngineIsSentByUsualRunTimesWhereNothingTellsOfWork() {
         int[] sent = new int[2];
         for (int slow = 0; slow < 2; slow++) {
-            RecordingActions r = RecordingActions.with(RecordingActions.settings(1, LOOK), 1);
+            RecordingActions gateway =
+                    RecordingActions.with(RecordingActions.settings(1, LOOKUP), 1);
             for (int i = 1; i <= 200; i++) {
-                r.router.queryAccepted(
-                        r.now, new Query(i, 0, 0, 0, 10 * SECONDS, 0, 0, 0, false, 0));
-                r.now += slow == 1 && i > 20 ? 2 * SECONDS : 100 * MILLIS;
-                r.end(r.last(), AttemptOutcome.OK);
+                gateway.router.queryAccepted(
+                        gateway.now, new Query(i, 0, 0, 0, 10 * SECONDS, 0, 0, 0, false, 0));
+                gateway.now += slow == 1 && i > 20 ? 2 * SECONDS : 100 * MILLIS;
+                gateway.end(gateway.last(), AttemptOutcome.OK);
             }
-            r.endpoints(
+            gateway.endpoints(
                     EndpointUpdate.COMPLETE,
-                    RecordingActions.engine(2, r.now, EngineLifecycle.READY));
-            int before = r.attempts.size();
+                    RecordingActions.engine(2, gateway.now, EngineLifecycle.READY));
+            int before = gateway.attempts.size();
             for (int i = 1000; i < 1100; i++) {
-                r.router.queryAccepted(
-                        r.now, new Query(i, 0, 0, 0, 10 * SECONDS, 0, 0, 0, false, 0));
+                gateway.router.queryAccepted(
+                        gateway.now, new Query(i, 0, 0, 0, 10 * SECONDS, 0, 0, 0, false, 0));
             }
-            sent[slow] = r.attempts.size() - before;
+            sent[slow] = gateway.attempts.size() - before;
         }
         assertTrue(
                 sent[1] > 0 && sent[1] < sent[0],
@@ -112,24 +114,24 @@
     @ValueSource(strings = {"inflight", "queue", "full"})
     void probesStayWithinWhatEnginesAnswer(String column) {
         int gateways = 20;
-        RecordingActions r =
+        RecordingActions gateway =
                 RecordingActions.with(
-                        RecordingActions.settings(gateways, 1, 0, true, List.of(), LOOK), 2);
+                        RecordingActions.settings(gateways, 1, 0, true, List.of(), LOOKUP), 2);
         int heard = 0;
         for (int i = 0; i < 1000; i++) { // 10 s
-            r.advance(10 * MILLIS);
-            r.accept(i, 0);
-            for (; heard < r.probed.size(); heard++) {
+            gateway.advance(10 * MILLIS);
+            gateway.accept(i, 0);
+            for (; heard < gateway.probed.size(); heard++) {
                 AttemptOutcome outcome =
                         column.equals("full") ? AttemptOutcome.OVERLOADED : AttemptOutcome.OK;
-                r.router.probeCompleted(
-                        r.now,
-                        r.probed.get(heard),
+                gateway.router.probeCompleted(
+                        gateway.now,
+                        gateway.probed.get(heard),
                         outcome,
                         LoadReport.EMPTY.withColumn(column, 1));
             }
-            if (r.lastOf(i) != null) {
-                r.end(r.lastOf(i), AttemptOutcome.OK, 100, 50);
+            if (gateway.lastOf(i) != null) {
+                gateway.end(gateway.lastOf(i), AttemptOutcome.OK, 100, 50);
             }
         }
         int most = 2 * (int) (1 + 10 * LoadProber.PROBES_PER_CORE_AND_SECOND * 8 / gateways);
@@ -147,8 +149,8 @@
                     attempts <= 3;
                     attempts += 2) { // One that can't move is given up.
                 RouterSettings s =
-                        RecordingActions.settings(1, attempts, 0, false, List.of(), LOOK);
-                RecordingActions r =
+                        RecordingActions.settings(1, attempts, 0, false, List.of(), LOOKUP);
+                RecordingActions gateway =
                         RecordingActions.with(
                                 new RouterSettings(
                                         s.gateways(),
@@ -166,13 +168,17 @@
                                         false,
                                         s.tickUs()),
                                 3);
-                r.accept(1, 0);
-                r.advance(400 * MILLIS);
-                r.router.progress(r.now, new QueryProgress(1, 0, ProgressKind.FRACTION_DONE, 0.01));
-                assertEquals(how == LoadReporting.NONE ? 0 : 1, r.cancelled.size(), how.toString());
+                gateway.accept(1, 0);
+                gateway.advance(400 * MILLIS);
+                gateway.router.progress(
+                        gateway.now, new QueryProgress(1, 0, ProgressKind.FRACTION_DONE, 0.01));
+                assertEquals(
+                        how == LoadReporting.NONE ? 0 : 1,
+                        gateway.cancelled.size(),
+                        how.toString());
                 assertEquals(
                         how == LoadReporting.NONE || attempts > 1 ? 0 : 1,
-                        r.failed.size(),
+                        gateway.failed.size(),
                         how.toString());
             }
         }
