--- a/src/main/java/calicostream/adapter/EventDecoder.java
+++ b/src/main/java/calicostream/adapter/EventDecoder.java
@@ -20,6 +20,8 @@
  * refer to. All fields of an event are read before it is applied.
  */
 final class EventDecoder {
+    private static final long NO_STICKY_ENGINE = 0;
+
     /** A result's cost field is the work in milliseconds times this, plus the memory in units. */
     private static final double COST_WORK_FACTOR = 4096;
 
@@ -110,7 +112,8 @@
                         estimatedWork,
                         memory,
                         tableGroup,
-                        clientRetry);
+                        clientRetry,
+                        NO_STICKY_ENGINE);
         return router -> router.queryAccepted(in.timeMicros(), query);
     }
 
--- a/src/main/java/calicostream/adapter/RouterInstance.java
+++ b/src/main/java/calicostream/adapter/RouterInstance.java
@@ -20,8 +20,8 @@
     RouterInstance(long number, SettingsParser parser, ActionReply reply) {
         this.number = number;
         this.reply = reply;
-        loadReportColumns = parser.columns();
-        reportsCost = parser.tellsCost();
+        loadReportColumns = parser.loadReportColumns();
+        reportsCost = parser.reportsWork();
         router = new AffinityRouter(parser.settings(), this);
     }
 
