--- a/src/main/java/calicostream/cluster/config/ClusterConfigException.java
+++ b/src/main/java/calicostream/cluster/config/ClusterConfigException.java
@@ -4,16 +4,13 @@
 import calicostream.config.SettingsException;
 
 /**
- * What can't be used in the cluster's settings. The message is one line: file, line, key, the fact
- * and the code; the program ends with it and the exit code 2 before it serves anybody.
+ * A mistake in the cluster's settings. The message is one line with file, line, key, fact and code;
+ * the program prints it and exits with code 2 before it serves any request.
  */
 public final class ClusterConfigException extends SettingsException {
     private static final long serialVersionUID = 1L;
 
-    /**
-     * Kinds of mistakes, by codes that never change; each has a row in {@code
-     * docs/operate/cluster-settings.md}.
-     */
+    /** The kinds of mistakes; each has a row in {@code docs/operate/cluster-settings.md}. */
     public enum Code {
         UNREADABLE(
                 "cluster-config-unreadable",
@@ -44,7 +41,7 @@
             this.remedy = remedy;
         }
 
-        /** Stable; the operators' page is sorted by it. */
+        /** The stable code. */
         public String text() {
             return text;
         }
@@ -61,8 +58,10 @@
     private final String key;
 
     /**
-     * @param line counted from 1, or 0 where the file as a whole is meant; @param key dotted, or
-     *     empty
+     * Makes the message.
+     *
+     * @param line counted from 1; 0 for the file as a whole
+     * @param key with the names of its tables, separated by dots; may be empty
      */
     ClusterConfigException(Code code, String file, int line, String key, String fact) {
         super(
@@ -81,18 +80,22 @@
         this.key = key;
     }
 
+    /** The kind of mistake. */
     public Code code() {
         return code;
     }
 
+    /** The file, as it was named. */
     public String file() {
         return file;
     }
 
+    /** The line, counted from 1; 0 for the file as a whole. */
     public int line() {
         return line;
     }
 
+    /** The key with the names of its tables; may be empty. */
     public String key() {
         return key;
     }
--- a/src/main/java/calicostream/cluster/config/SettingsFile.java
+++ b/src/main/java/calicostream/cluster/config/SettingsFile.java
@@ -26,15 +26,18 @@
 import org.tomlj.TomlTable;
 
 /**
- * A file of settings in TOML. Each part of the program takes the keys it knows out of a {@link
- * Section}; when all have, {@link #done} knows that what is left over is a mistake. Each mistake is
- * thrown where it is found, with its line. One thread uses an object, at the start of the program.
+ * A settings file in TOML. Each part of the program reads the keys it knows from a {@link Section};
+ * afterwards {@link #requireAllKeysKnown} rejects a key that nobody has read. Every mistake is
+ * thrown as a {@link ClusterConfigException} with its line. Used by one thread, at the start of the
+ * program.
  */
 public final class SettingsFile {
     private final String name;
     private final Path path;
-    private final Map<TomlTable, Set<String>> taken =
-            new IdentityHashMap<>(); // tables of an array may be equal
+
+    /** By identity, since two tables of an array may be equal. */
+    private final Map<TomlTable, Set<String>> knownKeys = new IdentityHashMap<>();
+
     private final TomlParseResult root;
 
     private SettingsFile(Path path, String text) {
@@ -43,14 +46,19 @@
         root = Toml.parse(text);
         root.errors().stream()
                 .min(Comparator.comparingInt(e -> e.position().line()))
-                .ifPresent(this::refuse);
+                .ifPresent(this::fail);
     }
 
-    private void refuse(TomlParseError first) {
+    private void fail(TomlParseError first) {
         throw new ClusterConfigException(
                 Code.SYNTAX, name, first.position().line(), "", first.getMessage());
     }
 
+    /**
+     * Reads and parses a file.
+     *
+     * @throws ClusterConfigException if it can't be read or is not valid TOML
+     */
     public static SettingsFile read(Path path) {
         try {
             return new SettingsFile(path, Files.readString(path, StandardCharsets.UTF_8));
@@ -78,17 +86,21 @@
         return top().sections(array);
     }
 
-    /** To be called when every part has taken its keys. */
+    /**
+     * Rejects the first key that nobody has read; called when every part has read its keys.
+     *
+     * @throws ClusterConfigException for that key
+     */
     public void requireAllKeysKnown() {
-        leftOver(root, "");
+        requireKeysKnown(root, "");
     }
 
-    private void leftOver(TomlTable table, String prefix) {
+    private void requireKeysKnown(TomlTable table, String prefix) {
         table.keySet().stream()
                 .sorted(Comparator.comparingInt(key -> lineOf(table, key)))
                 .forEach(
                         key -> {
-                            if (!taken.getOrDefault(table, Set.of()).contains(key)) {
+                            if (!knownKeys.getOrDefault(table, Set.of()).contains(key)) {
                                 throw new ClusterConfigException(
                                         Code.UNKNOWN_KEY,
                                         name,
@@ -98,13 +110,13 @@
                             }
                             Object value = table.get(List.of(key));
                             if (value instanceof TomlTable inner) {
-                                leftOver(inner, prefix + key + ".");
+                                requireKeysKnown(inner, prefix + key + ".");
                             } else if (value instanceof TomlArray array) {
                                 array.toList().stream()
                                         .filter(TomlTable.class::isInstance)
                                         .forEach(
                                                 each ->
-                                                        leftOver(
+                                                        requireKeysKnown(
                                                                 (TomlTable) each,
                                                                 prefix + key + "."));
                             }
@@ -116,7 +128,7 @@
         return at == null ? 0 : at.line();
     }
 
-    /** One table of the file. */
+    /** One table of the file; reading a key marks it as known. */
     public final class Section {
         private final TomlTable table;
         private final String prefix;
@@ -129,48 +141,54 @@
         }
 
         /**
-         * What is wrong with a key of this table, told at its line, or at the table's where it has
-         * no such key.
+         * Makes the error for a key of this table, at its line, or at the table's line if the key
+         * is missing.
          */
         public ClusterConfigException error(Code code, String key, String fact) {
             int at = lineOf(table, key);
             return new ClusterConfigException(code, name, at > 0 ? at : line, prefix + key, fact);
         }
 
+        /** Whether the table has this key; does not mark it as known. */
         public boolean has(String key) {
             return table.contains(List.of(key));
         }
 
-        private Object take(String key) {
-            taken.computeIfAbsent(table, t -> new HashSet<>()).add(key);
+        private Object get(String key) {
+            knownKeys.computeIfAbsent(table, t -> new HashSet<>()).add(key);
             return table.get(List.of(key));
         }
 
-        private <T> T take(String key, Class<T> type, String called) {
-            Object value = take(key);
+        private <T> T get(String key, Class<T> type, String expected) {
+            Object value = get(key);
             if (value != null && !type.isInstance(value)) {
-                throw error(Code.WRONG_TYPE, key, called + " is needed");
+                throw error(Code.WRONG_TYPE, key, expected + " is needed");
             }
             return type.cast(value);
         }
 
-        /** The names of this table's keys in the file's order, where operators choose them. */
+        /**
+         * The keys of this table in the file's order, for tables whose keys are chosen by
+         * operators.
+         */
         public List<String> names() {
             return table.keySet().stream()
                     .sorted(Comparator.comparingInt(key -> lineOf(table, key)))
                     .toList();
         }
 
+        /** The inner table of that name; empty if there is none. */
         public Section section(String key) {
-            TomlTable inner = take(key, TomlTable.class, "a table");
+            TomlTable inner = get(key, TomlTable.class, "a table");
             return new Section(
                     inner == null ? Toml.parse("") : inner,
                     prefix + key + ".",
                     Math.max(1, lineOf(table, key)));
         }
 
+        /** The tables of an array, in the file's order. */
         public List<Section> sections(String key) {
-            TomlArray array = take(key, TomlArray.class, "an array of tables");
+            TomlArray array = get(key, TomlArray.class, "an array of tables");
             List<Section> out = new ArrayList<>();
             for (int i = 0; array != null && i < array.size(); i++) {
                 if (!(array.get(i) instanceof TomlTable inner)) {
@@ -181,35 +199,34 @@
             return out;
         }
 
-        public boolean flag(String key, boolean without) {
-            Boolean value = take(key, Boolean.class, "true or false");
-            return value == null ? without : value;
+        /** A boolean. */
+        public boolean flag(String key, boolean defaultValue) {
+            Boolean value = get(key, Boolean.class, "true or false");
+            return value == null ? defaultValue : value;
         }
 
-        /** A text that is not empty; null where {@code without} is null and there is none. */
-        public String text(String key, String without) {
-            String value = take(key, String.class, "a text in quotes");
+        /** A text that is not empty; {@code defaultValue}, which may be null, if it is missing. */
+        public String text(String key, String defaultValue) {
+            String value = get(key, String.class, "a text in quotes");
             if (value != null && value.isBlank()) {
                 throw error(Code.OUT_OF_RANGE, key, "it is empty");
             }
-            return value == null ? without : value;
+            return value == null ? defaultValue : value;
         }
 
+        /** A text that is not empty and has no default. */
         public String text(String key) {
-            return need(key, text(key, null));
+            return require(key, text(key, null));
         }
 
-        private <T> T need(String key, T value) {
+        private <T> T require(String key, T value) {
             if (value == null) {
                 throw error(Code.MISSING_KEY, key, "it is needed");
             }
             return value;
         }
 
-        /**
-         * Texts in the file's order, none where the key is not there; one that comes twice is a
-         * mistake.
-         */
+        /** Distinct texts in the file's order; empty if the key is missing. */
         public List<String> texts(String key) {
             return list(key, String.class, "an array of texts in quotes").stream()
                     .map(
@@ -222,28 +239,28 @@
                     .toList();
         }
 
-        /** Whole numbers from 0 on, in the file's order. */
-        public List<Integer> counts(String key, int most) {
+        /** Distinct whole numbers from 0 to {@code max}, in the file's order. */
+        public List<Integer> counts(String key, int max) {
             return list(key, Long.class, "an array of whole numbers").stream()
                     .map(
                             value -> {
-                                if (value < 0 || value > most) {
+                                if (value < 0 || value > max) {
                                     throw error(
                                             Code.OUT_OF_RANGE,
                                             key,
-                                            value + ", 0 to " + most + " allowed");
+                                            value + ", 0 to " + max + " allowed");
                                 }
                                 return value.intValue();
                             })
                     .toList();
         }
 
-        private <T> List<T> list(String key, Class<T> type, String called) {
-            TomlArray array = take(key, TomlArray.class, called);
+        private <T> List<T> list(String key, Class<T> type, String expected) {
+            TomlArray array = get(key, TomlArray.class, expected);
             List<T> out = new ArrayList<>();
             for (Object each : array == null ? List.of() : array.toList()) {
                 if (!type.isInstance(each)) {
-                    throw error(Code.WRONG_TYPE, key, called + " is needed");
+                    throw error(Code.WRONG_TYPE, key, expected + " is needed");
                 }
                 if (out.contains(each)) {
                     throw error(Code.OVERLAP, key, "'" + each + "' comes twice");
@@ -254,24 +271,24 @@
         }
 
         /**
-         * A whole number within bounds; {@code without} is taken as it is, and null stands for a
-         * key that is needed.
+         * A whole number within bounds.
+         *
+         * @param defaultValue not checked against the bounds; null if the key is required
          */
-        public int count(String key, Integer without, int least, int most) {
-            Long value = take(key, Long.class, "a whole number");
+        public int count(String key, Integer defaultValue, int min, int max) {
+            Long value = get(key, Long.class, "a whole number");
             if (value == null) {
-                return need(key, without);
+                return require(key, defaultValue);
             }
-            if (value < least || value > most) {
-                throw error(
-                        Code.OUT_OF_RANGE, key, value + ", " + least + " to " + most + " allowed");
+            if (value < min || value > max) {
+                throw error(Code.OUT_OF_RANGE, key, value + ", " + min + " to " + max + " allowed");
             }
             return value.intValue();
         }
 
-        private long measure(String key, Units units, String without, String least, String most) {
-            Object given = take(key);
-            String value = given == null ? need(key, without) : given.toString();
+        private long measure(String key, Units units, String defaultValue, String min, String max) {
+            Object given = get(key);
+            String value = given == null ? require(key, defaultValue) : given.toString();
             long measure = units.parse(value);
             if (given != null && !(given instanceof String) && !(given instanceof Number)) {
                 throw error(Code.WRONG_TYPE, key, "a number with its unit, in quotes, is needed");
@@ -286,38 +303,41 @@
                                 + units.names()
                                 + " is needed, in quotes");
             }
-            if (measure < units.parse(least) || measure > units.parse(most)) {
+            if (measure < units.parse(min) || measure > units.parse(max)) {
                 throw error(
                         Code.OUT_OF_RANGE,
                         key,
-                        "'" + value + "', " + least + " to " + most + " allowed");
+                        "'" + value + "', " + min + " to " + max + " allowed");
             }
             return measure;
         }
 
         /**
-         * A span of time; all bounds are written as in the file, {@code without} is null where the
-         * key is needed.
+         * A time span; default and bounds are written as in the file.
+         *
+         * @param defaultValue null if the key is required
          */
-        public Duration duration(String key, String without, String least, String most) {
-            return Duration.ofNanos(measure(key, Units.DURATION, without, least, most));
+        public Duration duration(String key, String defaultValue, String min, String max) {
+            return Duration.ofNanos(measure(key, Units.DURATION, defaultValue, min, max));
         }
 
-        public long bytes(String key, String without, String least, String most) {
-            return measure(key, Units.BYTES, without, least, most);
+        /** A number of bytes; see {@link #duration} for the parameters. */
+        public long bytes(String key, String defaultValue, String min, String max) {
+            return measure(key, Units.BYTES, defaultValue, min, max);
         }
 
-        public int ppm(String key, String without, String least, String most) {
-            return (int) measure(key, Units.PARTS, without, least, most);
+        /** A number of millionths; see {@link #duration} for the parameters. */
+        public int ppm(String key, String defaultValue, String min, String max) {
+            return (int) measure(key, Units.PARTS_PER_MILLION, defaultValue, min, max);
         }
 
-        /** An address and port that others can reach this one at; null where there is none. */
-        public InetSocketAddress address(String key, InetSocketAddress without) {
+        /** An address and port that other members can reach; may return a null default. */
+        public InetSocketAddress address(String key, InetSocketAddress defaultValue) {
             String value = text(key, null);
-            return value == null ? without : reachable(key, value);
+            return value == null ? defaultValue : reachable(key, value);
         }
 
-        /** Such addresses in the file's order, none where the key is not there. */
+        /** Such addresses in the file's order; empty if the key is missing. */
         public List<InetSocketAddress> addresses(String key) {
             return texts(key).stream().map(value -> reachable(key, value)).toList();
         }
@@ -339,7 +359,7 @@
             }
         }
 
-        /** A file or folder, beside the file of settings or anywhere by its whole path. */
+        /** A required path, absolute or relative to the folder of the settings file. */
         public Path path(String key) {
             return path.resolveSibling(text(key));
         }
--- a/src/main/java/calicostream/cluster/config/Units.java
+++ b/src/main/java/calicostream/cluster/config/Units.java
@@ -8,8 +8,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Values with a unit, as in "1500ms", "64MB" or "500ppm": a whole number and its unit, with nothing
- * between them.
+ * The units of a quantity. A value is written as a whole number directly followed by its unit, as
+ * in "1500ms", "64MB" or "500ppm".
  */
 enum Units {
     /** In nanoseconds. */
@@ -28,7 +28,7 @@
     /** In bytes; a KB has 1024 of them. */
     BYTES(Map.of("B", 1L, "KB", 1L << 10, "MB", 1L << 20, "GB", 1L << 30)),
     /** In parts of a million. */
-    PARTS(Map.of("ppm", 1L));
+    PARTS_PER_MILLION(Map.of("ppm", 1L));
 
     private static final Pattern FORM = Pattern.compile("([0-9]+)([A-Za-z]*)");
     private final Map<String, Long> sizes;
@@ -40,14 +40,16 @@
                 .forEach(e -> this.sizes.put(e.getKey(), e.getValue()));
     }
 
-    /** The units there are, the smallest first, for the line that tells of a wrong one. */
+    /** The names of the units, the smallest first, for error messages. */
     String names() {
         return String.join(", ", sizes.keySet());
     }
 
     /**
-     * The value in the smallest measure, at most {@code Long.MAX_VALUE}; -1 where it is no number
-     * with such a unit.
+     * Parses a value.
+     *
+     * @return the value in the smallest unit, at most {@code Long.MAX_VALUE}; -1 if it is not a
+     *     number with one of these units
      */
     long parse(String text) {
         Matcher form = FORM.matcher(text);
@@ -60,14 +62,14 @@
         return value.bitLength() > 63 ? Long.MAX_VALUE : value.longValue();
     }
 
-    /** In the largest unit that has it whole, as an operator would write it. */
+    /** Writes a value in the largest unit in which it is a whole number. */
     String text(long value) {
-        String out = value + sizes.keySet().iterator().next();
+        String text = value + sizes.keySet().iterator().next();
         for (Map.Entry<String, Long> each : sizes.entrySet()) {
             if (value > 0 && value % each.getValue() == 0) {
-                out = value / each.getValue() + each.getKey();
+                text = value / each.getValue() + each.getKey();
             }
         }
-        return out;
+        return text;
     }
 }
--- a/src/main/java/calicostream/cluster/config/package-info.java
+++ b/src/main/java/calicostream/cluster/config/package-info.java
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /**
- * The settings of the cluster: the file that names the voters and the bounds, with a unit in every
- * value, and what is wrong in it as one line with file, line and key. It does no I/O but to read
- * that file, and does not know what runs by these settings. Read {@link
+ * Owns the settings of the cluster: reading the TOML file, checking units, bounds and
+ * contradictions, and reporting a mistake as one line with file, line and key. It does no I/O
+ * beyond reading that file and does not know which classes use the settings. Read {@link
  * calicostream.cluster.config.ClusterConfig} first, then {@link
- * calicostream.cluster.config.SettingsFile}, by which further sections of the file are read.
+ * calicostream.cluster.config.SettingsFile}, from which other parts read further sections.
  */
 package calicostream.cluster.config;
--- a/src/measure/java/calicostream/cluster/sim/Lists.java
+++ b/src/measure/java/calicostream/cluster/sim/AppendOnlyLists.java
@@ -14,13 +14,13 @@
  * Lists to append to, since their histories can be judged in linear time; tells each call to a
  * listener.
  */
-final class Lists implements StateMachine {
+final class AppendOnlyLists implements StateMachine {
     static final int KEYS = 3;
     private final BiConsumer<Long, String> heard;
     private final Runnable restored;
     private final List<List<Long>> lists = new ArrayList<>();
 
-    Lists(BiConsumer<Long, String> heard, Runnable restored) {
+    AppendOnlyLists(BiConsumer<Long, String> heard, Runnable restored) {
         this.heard = heard;
         this.restored = restored;
         for (int i = 0; i < KEYS; i++) {
@@ -28,11 +28,11 @@
         }
     }
 
-    static byte[] append(int key, long value) {
+    static byte[] encodeAppend(int key, long value) {
         return new BinaryCodec.Writer().i32(key).i64(value).toByteArray();
     }
 
-    static byte[] which(int key) {
+    static byte[] encodeQuery(int key) {
         return new BinaryCodec.Writer().i32(key).toByteArray();
     }
 
@@ -89,7 +89,7 @@
     public byte[] snapshot() {
         BinaryCodec.Writer out = new BinaryCodec.Writer();
         for (int key = 0; key < KEYS; key++) {
-            out.blob(query(which(key)));
+            out.blob(query(encodeQuery(key)));
         }
         return out.toByteArray();
     }
--- a/src/measure/java/calicostream/cluster/sim/ClusterProofs.java
+++ b/src/measure/java/calicostream/cluster/sim/ClusterProofs.java
@@ -12,13 +12,20 @@
 import java.util.stream.LongStream;
 
 /**
- * Many runs of clusters, and of clusters without a safeguard. Runs go on all threads of the common
- * pool and don't depend on how many there are.
+ * Runs many cluster simulations, with all safeguards or without one of them. Runs use all threads
+ * of the common pool; their results do not depend on how many there are.
  */
 public final class ClusterProofs {
     /**
-     * What runs came to; {@code faults} by kind, {@code broken} by seed, {@code hash} of all that
-     * happened.
+     * The results of many runs.
+     *
+     * @param runs how many
+     * @param faults injected faults by kind
+     * @param broken one line for each failed run
+     * @param steps events that were run
+     * @param acknowledged commands that were accepted
+     * @param changes of the voters that were decided
+     * @param hash sum of the runs' hashes
      */
     public record Runs(
             int runs,
@@ -28,6 +35,7 @@
             long acknowledged,
             long changes,
             long hash) {
+        /** The number of injected faults. */
         public long injected() {
             return faults.values().stream().mapToLong(Integer::longValue).sum();
         }
@@ -35,24 +43,32 @@
 
     private ClusterProofs() {}
 
-    /** Runs with everything in place, from that seed on. */
+    /** Runs {@code count} seeds from {@code first} on, with all safeguards. */
     public static Runs run(long first, int count) {
         return sum(
                 count,
                 LongStream.range(first, first + count)
                         .parallel()
-                        .mapToObj(seed -> SimCluster.run(seed, SimCluster.none()))
+                        .mapToObj(
+                                seed ->
+                                        ClusterSimulation.run(
+                                                seed, ClusterSimulation.allSafeguards()))
                         .toList());
     }
 
-    static Runs sum(int count, List<SimCluster.Result> results) {
-        Map<Faults.Kind, Integer> faults = new EnumMap<>(Faults.Kind.class);
+    static Runs sum(int count, List<ClusterSimulation.Result> results) {
+        Map<FaultSchedule.FaultKind, Integer> faults = new EnumMap<>(FaultSchedule.FaultKind.class);
         List<String> broken = new ArrayList<>();
-        for (SimCluster.Result result : results) {
+        for (ClusterSimulation.Result result : results) {
             result.faults().forEach((kind, n) -> faults.merge(kind, n, Integer::sum));
-            if (!result.fault().isEmpty()) {
+            if (!result.failure().isEmpty()) {
                 broken.add(
-                        "seed " + result.seed() + " hash " + result.hash() + " " + result.fault());
+                        "seed "
+                                + result.seed()
+                                + " hash "
+                                + result.hash()
+                                + " "
+                                + result.failure());
             }
         }
         Map<String, Integer> named = new TreeMap<>();
@@ -61,31 +77,34 @@
                 count,
                 named,
                 broken,
-                results.stream().mapToLong(SimCluster.Result::steps).sum(),
-                results.stream().mapToLong(SimCluster.Result::acknowledged).sum(),
-                results.stream().mapToLong(SimCluster.Result::changes).sum(),
-                results.stream().mapToLong(SimCluster.Result::hash).sum());
+                results.stream().mapToLong(ClusterSimulation.Result::steps).sum(),
+                results.stream().mapToLong(result -> result.counts().acknowledged()).sum(),
+                results.stream().mapToLong(result -> result.counts().voterChanges()).sum(),
+                results.stream().mapToLong(ClusterSimulation.Result::hash).sum());
     }
 
     /** The faults that a failing run needs, one a line. */
-    public static List<String> thinned(long seed) {
-        return SimCluster.thin(seed, SimCluster.none(), Faults.draw(seed, SimCluster.FAULT_MILLIS))
+    public static List<String> minimized(long seed) {
+        return ClusterSimulation.minimize(
+                        seed,
+                        ClusterSimulation.allSafeguards(),
+                        FaultSchedule.draw(seed, ClusterSimulation.FAULT_MILLIS))
                 .stream()
                 .map(Object::toString)
                 .toList();
     }
 
-    /** Safeguards that can be taken out, by name. */
+    /** The names of the safeguards that can be disabled. */
     public static List<String> safeguards() {
-        return Arrays.stream(SimCluster.Mutant.values()).map(Enum::name).toList();
+        return Arrays.stream(Safeguard.values()).map(Enum::name).toList();
     }
 
-    /** A seed of these at which the checks find that the safeguard is out, or -1. */
+    /** A seed among {@code most} at which the checks detect the missing safeguard; -1 if none. */
     public static long found(String safeguard, long first, int most) {
-        Set<SimCluster.Mutant> without = EnumSet.of(SimCluster.Mutant.valueOf(safeguard));
+        Set<Safeguard> disabled = EnumSet.of(Safeguard.valueOf(safeguard));
         return LongStream.range(first, first + most)
                 .parallel()
-                .filter(seed -> !SimCluster.run(seed, without).fault().isEmpty())
+                .filter(seed -> !ClusterSimulation.run(seed, disabled).failure().isEmpty())
                 .findAny()
                 .orElse(-1);
     }
--- a/src/measure/java/calicostream/cluster/sim/Judge.java
+++ b/src/measure/java/calicostream/cluster/sim/HistoryChecker.java
@@ -12,45 +12,45 @@
  * is linearizable if and only if each operation's place in it fits between what had ended before it
  * began and what began before it ended.
  */
-final class Judge {
+final class HistoryChecker {
     /** How an operation ended. */
-    enum End {
+    enum Outcome {
         OK,
         UNKNOWN,
-        NEVER
+        NOT_APPLIED
     }
 
-    static final class Op {
+    static final class Operation {
         final int key;
         final long value;
-        final boolean append;
-        final long began;
-        long ended = Long.MAX_VALUE;
-        End end = End.UNKNOWN;
+        final boolean isAppend;
+        final long startedNanos;
+        long endedNanos = Long.MAX_VALUE;
+        Outcome outcome = Outcome.UNKNOWN;
 
         /** Length of the list that it saw or made. */
         int length;
 
-        List<Long> seen = List.of();
+        List<Long> observed = List.of();
 
         /**
          * Of a local read: what had ended longer ago than this must be in it; -1 if it is no local
          * read.
          */
-        long age = -1;
+        long ageNanos = -1;
 
-        Op(int key, long value, boolean append, long began) {
+        Operation(int key, long value, boolean append, long began) {
             this.key = key;
             this.value = value;
-            this.append = append;
-            this.began = began;
+            this.isAppend = append;
+            this.startedNanos = began;
         }
     }
 
-    final List<Op> ops = new ArrayList<>();
+    final List<Operation> operations = new ArrayList<>();
 
     /** Empty if the history is right. */
-    List<String> faults(int key, List<Long> last) {
+    List<String> violations(int key, List<Long> last) {
         List<String> faults = new ArrayList<>();
         Map<Long, Integer> places = new HashMap<>();
         for (int i = 0; i < last.size(); i++) {
@@ -58,52 +58,56 @@
                 faults.add("applied twice: " + last.get(i));
             }
         }
-        Map<Long, Op> appends = new HashMap<>();
-        List<Op> done = new ArrayList<>();
-        for (Op op : ops) {
+        Map<Long, Operation> appends = new HashMap<>();
+        List<Operation> done = new ArrayList<>();
+        for (Operation op : operations) {
             if (op.key != key) {
                 continue;
             }
-            if (op.append) {
+            if (op.isAppend) {
                 appends.put(op.value, op);
                 Integer place = places.get(op.value);
-                if (op.end == End.OK && (place == null || place != op.length)) {
+                if (op.outcome == Outcome.OK && (place == null || place != op.length)) {
                     faults.add(
                             "acknowledged at " + op.length + " but at " + place + ": " + op.value);
-                } else if (op.end == End.NEVER && place != null) {
+                } else if (op.outcome == Outcome.NOT_APPLIED && place != null) {
                     faults.add("said not to be applied, but is: " + op.value);
                 }
-            } else if (op.end == End.OK
-                    && (op.length > last.size() || !last.subList(0, op.length).equals(op.seen))) {
-                faults.add("a read saw what is no prefix: " + op.seen + " of " + last);
+            } else if (op.outcome == Outcome.OK
+                    && (op.length > last.size()
+                            || !last.subList(0, op.length).equals(op.observed))) {
+                faults.add("a read saw what is no prefix: " + op.observed + " of " + last);
             }
-            if (op.end == End.OK) {
+            if (op.outcome == Outcome.OK) {
                 done.add(op);
             }
         }
-        for (Op op : done) {
-            long from = op.age >= 0 ? op.ended - op.age : op.began;
-            for (Op before : done) {
-                if (before.ended < from
-                        && before.age < 0
-                        && (before.length > op.length || op.append && before.length == op.length)) {
+        for (Operation op : done) {
+            long from = op.ageNanos >= 0 ? op.endedNanos - op.ageNanos : op.startedNanos;
+            for (Operation before : done) {
+                if (before.endedNanos < from
+                        && before.ageNanos < 0
+                        && (before.length > op.length
+                                || op.isAppend && before.length == op.length)) {
                     faults.add(
-                            (op.append
+                            (op.isAppend
                                             ? "append"
-                                            : op.age >= 0 ? "local read of age " + op.age : "read")
+                                            : op.ageNanos >= 0
+                                                    ? "local read of age " + op.ageNanos
+                                                    : "read")
                                     + " of length "
                                     + op.length
                                     + " begun at "
-                                    + op.began
+                                    + op.startedNanos
                                     + " after one of "
                                     + before.length
                                     + " ended at "
-                                    + before.ended);
+                                    + before.endedNanos);
                 }
             }
             if (op.length > 0 && op.length <= last.size()) {
-                Op newest = appends.get(last.get(op.length - 1));
-                if (newest == null || newest.began > op.ended) {
+                Operation newest = appends.get(last.get(op.length - 1));
+                if (newest == null || newest.startedNanos > op.endedNanos) {
                     faults.add("saw what was appended later: " + last.get(op.length - 1));
                 }
             }
--- a/src/measure/java/calicostream/cluster/sim/LeaseSimMain.java
+++ b/src/measure/java/calicostream/cluster/sim/LeaseSimulationMain.java
@@ -8,20 +8,24 @@
 import java.util.stream.LongStream;
 
 /**
- * Leases on simulated clusters: {@code LeaseSimMain FIRST COUNT [ALL|KILLS|KILLS_OUTSIDE
- * [told|untold [MUTANT]]]}.
+ * Runs seeds of leases on simulated clusters: {@code LeaseSimulationMain FIRST COUNT
+ * [ALL|KILLS|KILLS_OUTSIDE [told|untold [SAFEGUARD]]]}.
  */
-public final class LeaseSimMain {
+public final class LeaseSimulationMain {
     /** A run and what its leases saw. */
-    record Run(SimCluster.Result result, SimLeases leases) {}
+    record Run(ClusterSimulation.Result result, SimLeases leases) {}
 
-    private LeaseSimMain() {}
+    private LeaseSimulationMain() {}
 
     static Run run(long seed, SimLeases.Plan plan, Mutant without, boolean told) {
         SimLeases leases = new SimLeases(plan, without, told);
-        List<Faults.Fault> faults =
-                plan == SimLeases.Plan.ALL ? Faults.draw(seed, SimCluster.FAULT_MILLIS) : List.of();
-        return new Run(SimCluster.run(seed, SimCluster.none(), faults, leases), leases);
+        List<FaultSchedule.Fault> faults =
+                plan == SimLeases.Plan.ALL
+                        ? FaultSchedule.draw(seed, ClusterSimulation.FAULT_MILLIS)
+                        : List.of();
+        return new Run(
+                ClusterSimulation.run(seed, ClusterSimulation.allSafeguards(), faults, leases),
+                leases);
     }
 
     public static void main(String[] args) {
@@ -37,20 +41,20 @@
                         .parallel()
                         .mapToObj(seed -> run(seed, plan, without, told))
                         .toList();
-        List<Run> bad = runs.stream().filter(run -> !run.result.fault().isEmpty()).toList();
-        bad.stream()
+        List<Run> failed = runs.stream().filter(run -> !run.result.failure().isEmpty()).toList();
+        failed.stream()
                 .limit(8)
                 .forEach(
                         run ->
                                 System.out.println(
-                                        "seed " + run.result.seed() + " " + run.result.fault()));
+                                        "seed " + run.result.seed() + " " + run.result.failure()));
         List<Double> handOvers =
                 runs.stream().flatMap(run -> run.leases.handOvers().stream()).sorted().toList();
         System.out.println(
                 "runs "
                         + count
                         + " bad "
-                        + bad.size()
+                        + failed.size()
                         + " steps "
                         + runs.stream().mapToLong(run -> run.result.steps()).sum()
                         + " taken,refused,granted,queued "
--- a/src/measure/java/calicostream/cluster/sim/SimDisk.java
+++ b/src/measure/java/calicostream/cluster/sim/SimulatedDisk.java
@@ -14,7 +14,7 @@
  * A folder in memory; a crash keeps what was synced, and of each file a random part of what was
  * appended since.
  */
-final class SimDisk implements Disk {
+final class SimulatedDisk implements Disk {
     private static final class File {
         byte[] bytes = new byte[0];
         int length;
@@ -27,44 +27,45 @@
     private boolean locked;
 
     /** Syncs are acknowledged and nothing is kept. */
-    boolean lies;
+    boolean ignoresSyncs;
 
-    boolean fails;
+    boolean isFailing;
 
     /**
      * The machine dies in the call of this number from now, before, amid or after what it does; 0
      * for never.
      */
-    int crashIn;
+    int callsUntilCrash;
 
     /** It died so: every call fails until {@link #crash}. */
-    boolean crashed;
+    boolean isCrashed;
 
     private final Random amid = new Random(17);
 
-    SimDisk(String place) {
+    SimulatedDisk(String place) {
         this.place = place;
     }
 
     void crash(Random random) {
         locked = false;
-        fails = false;
-        crashed = false;
-        crashIn = 0;
-        if (lies || random.nextBoolean()) {
+        isFailing = false;
+        isCrashed = false;
+        callsUntilCrash = 0;
+        if (ignoresSyncs || random.nextBoolean()) {
             now = new TreeMap<>(kept);
         }
         kept = new TreeMap<>(now);
         for (File file : now.values()) {
-            file.length = file.kept + (lies ? 0 : random.nextInt(file.length - file.kept + 1));
+            file.length =
+                    file.kept + (ignoresSyncs ? 0 : random.nextInt(file.length - file.kept + 1));
             file.kept = file.length;
         }
     }
 
     private void works() throws DurableException {
-        if (fails) {
+        if (isFailing) {
             throw new DurableException.SyncFailed(place + " fails", null);
-        } else if (crashed) {
+        } else if (isCrashed) {
             throw died();
         }
     }
@@ -82,11 +83,11 @@
 
     private void call(Call call) throws DurableException {
         works();
-        if (crashIn == 0 || --crashIn > 0) {
+        if (callsUntilCrash == 0 || --callsUntilCrash > 0) {
             call.run(1);
             return;
         }
-        crashed = true;
+        isCrashed = true;
         int when = amid.nextInt(3);
         if (when > 0) {
             call.run(when == 1 ? amid.nextDouble() : 1);
@@ -95,14 +96,14 @@
     }
 
     /** All files as they can be read now. */
-    SimDisk copy() {
-        SimDisk copy = new SimDisk(place);
-        copy.restore(this);
+    SimulatedDisk copy() {
+        SimulatedDisk copy = new SimulatedDisk(place);
+        copy.replaceWith(this);
         return copy;
     }
 
     /** Puts a copy of the other's files in place of these. */
-    void restore(SimDisk other) {
+    void replaceWith(SimulatedDisk other) {
         now = new TreeMap<>();
         other.now.forEach(
                 (name, file) -> {
@@ -115,7 +116,7 @@
     }
 
     /** Flips one bit of one file. */
-    void rot(Random random) {
+    void flipBit(Random random) {
         List<File> files = now.values().stream().filter(file -> file.length > 0).toList();
         if (!files.isEmpty()) {
             File file = files.get(random.nextInt(files.size()));
@@ -173,13 +174,15 @@
                         throw new DurableException.FileMissing(place + "/" + name);
                     }
                     file.kept =
-                            lies ? file.kept : file.kept + (int) ((file.length - file.kept) * part);
+                            ignoresSyncs
+                                    ? file.kept
+                                    : file.kept + (int) ((file.length - file.kept) * part);
                 });
     }
 
     @Override
     public void syncDirectory() throws DurableException {
-        call(part -> kept = lies || part < 0.5 ? kept : new TreeMap<>(now));
+        call(part -> kept = ignoresSyncs || part < 0.5 ? kept : new TreeMap<>(now));
     }
 
     @Override
--- a/src/measure/java/calicostream/cluster/sim/World.java
+++ b/src/measure/java/calicostream/cluster/sim/SimulatedWorld.java
@@ -10,8 +10,8 @@
  * Virtual time for processes that stop and go on, with clocks that drift; one thread, one seed, a
  * hash of all that happened.
  */
-final class World {
-    private record Event(long at, long order, Process process, int life, Runnable task)
+final class SimulatedWorld {
+    private record Event(long at, long order, SimulatedProcess process, int life, Runnable task)
             implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
@@ -26,7 +26,7 @@
     private long hash = 1125899906842597L;
     long steps;
 
-    World(long seed) {
+    SimulatedWorld(long seed) {
         random = new Random(seed);
     }
 
@@ -49,27 +49,23 @@
         return hash;
     }
 
-    void at(long time, Runnable task) {
+    void schedule(long time, Runnable task) {
         events.add(new Event(Math.max(now, time), order++, null, 0, task));
     }
 
     /** Runs all up to {@code end}; {@code after} is called after each event of a process. */
-    void run(long end, java.util.function.Consumer<Process> after) {
+    void run(long end, java.util.function.Consumer<SimulatedProcess> after) {
         while (!events.isEmpty() && events.peek().at <= end) {
             Event event = events.poll();
-            Process process = event.process;
-            if (process != null && process.life != event.life) {
+            SimulatedProcess process = event.process;
+            if (process != null && process.incarnation != event.life) {
                 continue;
             }
-            if (process != null && process.stoppedUntil > event.at) {
+            if (process != null && process.pausedUntil > event.at) {
                 // Kept in its order: what waited runs first when the process goes on.
                 events.add(
                         new Event(
-                                process.stoppedUntil,
-                                event.order,
-                                process,
-                                event.life,
-                                event.task));
+                                process.pausedUntil, event.order, process, event.life, event.task));
                 continue;
             }
             now = event.at;
@@ -83,19 +79,19 @@
     }
 
     /** A process: its clock, and whether it runs. */
-    final class Process implements EventLoop {
+    final class SimulatedProcess implements EventLoop {
         final int member;
-        int life;
-        long stoppedUntil;
+        int incarnation;
+        long pausedUntil;
         private long ppm;
         private long base = random.nextLong() >> 2;
         private long since;
 
-        Process(int member) {
+        SimulatedProcess(int member) {
             this.member = member;
         }
 
-        void drift(long partsPerMillion) {
+        void setDriftPpm(long partsPerMillion) {
             base = nanoTime();
             since = now;
             ppm = partsPerMillion;
@@ -105,7 +101,7 @@
          * Its clock jumps ahead, as if it had been stopped; back is what a monotonic clock promises
          * not to go.
          */
-        void step(long nanos) {
+        void stepClock(long nanos) {
             base += nanos;
         }
 
@@ -117,12 +113,18 @@
 
         @Override
         public void execute(Runnable task) {
-            events.add(new Event(now, order++, this, life, task));
+            events.add(new Event(now, order++, this, incarnation, task));
         }
 
         @Override
         public void schedule(Runnable task, long delay) {
-            events.add(new Event(now + delay - delay / 1_000_000 * ppm, order++, this, life, task));
+            events.add(
+                    new Event(
+                            now + delay - delay / 1_000_000 * ppm,
+                            order++,
+                            this,
+                            incarnation,
+                            task));
         }
     }
 }
--- a/src/measure/java/calicostream/cluster/sim/Guest.java
+++ b/src/measure/java/calicostream/cluster/sim/SimulationExtension.java
@@ -14,23 +14,23 @@
  * what each member does with it, and checks of its own. For one run; all calls are in the run's one
  * thread and order. A fault is told as words, "" is none.
  */
-public interface Guest {
+public interface SimulationExtension {
     /** A run without any. */
-    Guest NONE = new Guest() {};
+    SimulationExtension NONE = new SimulationExtension() {};
 
     /** A machine and the leader's count of time for it. */
-    record Part(StateMachine machine, ExpiryMonitor timekeeper) {}
+    record ReplicatedPart(StateMachine machine, ExpiryMonitor expiryMonitor) {}
 
     /** What a guest may ask of the world and do to it; times are the world's, in nanoseconds. */
-    interface Powers {
-        long now();
+    interface SimulationControl {
+        long nowNanos();
 
         Random random();
 
         /** How many processes there are; they are members 1 to this. */
         int members();
 
-        void at(long time, Runnable task);
+        void schedule(long time, Runnable task);
 
         boolean isUp(int member);
 
@@ -38,46 +38,46 @@
          * Kills the process, voter and all, and starts it anew later; false if the world does not
          * let it now.
          */
-        boolean kill(int member, int afterMillis);
+        boolean crash(int member, int afterMillis);
 
         /**
          * The process does nothing for so long, and its clock goes on, if the world lets it now.
          */
-        void stall(int member, int millis);
+        void pause(int member, int millis);
     }
 
-    default void enters(Powers world) {}
+    default void started(SimulationControl world) {}
 
     /** For a voter that starts, by the machines' names. */
-    default Map<String, Part> parts(int member) {
+    default Map<String, ReplicatedPart> parts(int member) {
         return Map.of();
     }
 
-    default void memberStarts(int member, EventLoop process, MemberSession session) {}
+    default void memberStarted(int member, EventLoop process, MemberSession session) {}
 
     /** With all that it had in memory. */
-    default void memberDies(int member) {}
+    default void memberCrashed(int member) {}
 
     default void tick(int member) {}
 
     /** Of the copy at this member, or told by the leader. */
-    default void news(int member, ReplicatedState.StateChange news) {}
+    default void stateChanged(int member, ReplicatedState.StateChange news) {}
 
     /** Whether the leader tells members without a copy; else they hear nothing unasked. */
-    default boolean isTold() {
+    default boolean isNotifiedByLeader() {
         return true;
     }
 
     /** No new work from now on: all is to come to rest. */
-    default void settles() {}
+    default void stopLoad() {}
 
     /** Asked after each event. */
-    default String fault() {
+    default String violation() {
         return "";
     }
 
     /** Asked at the end of a run that has come to rest. */
-    default String end() {
+    default String finalViolation() {
         return "";
     }
 }
--- a/src/measure/java/calicostream/lease/SimLeases.java
+++ b/src/measure/java/calicostream/lease/SimLeases.java
@@ -8,7 +8,7 @@
 import calicostream.cluster.MemberSession;
 import calicostream.cluster.ReplicatedState;
 import calicostream.cluster.StateMachine;
-import calicostream.cluster.sim.Guest;
+import calicostream.cluster.sim.SimulationExtension;
 import calicostream.prove.Mutant;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -24,7 +24,7 @@
  * believes it whose lease was granted on, and the resource took no act after one under a later
  * token.
  */
-public final class SimLeases implements Guest {
+public final class SimLeases implements SimulationExtension {
     private static final long MILLI = 1_000_000;
     private static final long SHORT = 1000 * MILLI;
     private static final long LONG =
@@ -97,7 +97,8 @@
                                             ? world.random().nextInt((int) (3 * ttl(lease) / MILLI))
                                                     * MILLI
                                             : 0;
-                            world.at(world.now() + MILLI + late, () -> resource(lease, token));
+                            world.schedule(
+                                    world.nowNanos() + MILLI + late, () -> resource(lease, token));
                             return FencedResource.FencedResult.done(null);
                         },
                         null);
@@ -128,7 +129,7 @@
     private final Map<Integer, Long> killed = new HashMap<>();
     private final Map<Integer, Long> killedToken = new HashMap<>();
     private final List<Double> handOvers = new ArrayList<>();
-    private Powers world;
+    private SimulationControl world;
     private boolean resting;
     private long acted;
     private int accepted;
@@ -164,18 +165,18 @@
     }
 
     @Override
-    public void enters(Powers powers) {
+    public void started(SimulationControl powers) {
         world = powers;
         next(plan == Plan.ALL ? 500 : 2_500);
     }
 
     @Override
-    public boolean isTold() {
+    public boolean isNotifiedByLeader() {
         return told;
     }
 
     @Override
-    public Map<String, Part> parts(int member) {
+    public Map<String, ReplicatedPart> parts(int member) {
         LeaseMachine machine = parts.machine(null);
         StateMachine watched =
                 new StateMachine() {
@@ -212,16 +213,17 @@
                         machine.restore(snapshot);
                     }
                 };
-        return Map.of(MACHINE, new Part(watched, parts.watch(machine, Map.of(), HEARTBEAT)));
+        return Map.of(
+                MACHINE, new ReplicatedPart(watched, parts.watch(machine, Map.of(), HEARTBEAT)));
     }
 
     @Override
-    public void memberStarts(int member, EventLoop process, MemberSession session) {
+    public void memberStarted(int member, EventLoop process, MemberSession session) {
         members.put(member, new Member(member, process, session));
     }
 
     @Override
-    public void memberDies(int member) {
+    public void memberCrashed(int member) {
         members.remove(member);
     }
 
@@ -231,14 +233,14 @@
     }
 
     @Override
-    public void news(int member, ReplicatedState.StateChange news) {
+    public void stateChanged(int member, ReplicatedState.StateChange news) {
         if (news.machine().equals(MACHINE) && members.containsKey(member)) {
             members.get(member).client.news(LeaseEvent.decode(news.event()));
         }
     }
 
     @Override
-    public void settles() {
+    public void stopLoad() {
         resting = true;
         members.values().forEach(each -> each.holders.forEach(LeaseHolder::stop));
     }
@@ -246,10 +248,10 @@
     // ---- Faults
     // ---------------------------------------------------------------------------------------
     private void next(long millis) {
-        world.at(
-                world.now() + millis * MILLI,
+        world.schedule(
+                world.nowNanos() + millis * MILLI,
                 () -> {
-                    if (world.now() > FAULTS_END || resting) {
+                    if (world.nowNanos() > FAULTS_END || resting) {
                         return;
                     }
                     int which = world.random().nextInt(NAMES.length);
@@ -267,16 +269,16 @@
             case 0 -> {
                 List<Integer> held =
                         IntStream.range(0, NAMES.length).filter(holding::holds).boxed().toList();
-                if (world.kill(holding.id, 500 + world.random().nextInt(1_000))) {
+                if (world.crash(holding.id, 500 + world.random().nextInt(1_000))) {
                     held.forEach(
                             each -> {
-                                killed.put(each, world.now());
+                                killed.put(each, world.nowNanos());
                                 killedToken.put(each, holding.holders.get(each).token());
                             });
                 }
             }
-            case 1 -> world.stall(holding.id, (int) (3 * SHORT / MILLI));
-            case 2 -> world.stall(holding.id, world.random().nextInt((int) (2 * SHORT / MILLI)));
+            case 1 -> world.pause(holding.id, (int) (3 * SHORT / MILLI));
+            case 2 -> world.pause(holding.id, world.random().nextInt((int) (2 * SHORT / MILLI)));
             case 3 -> {
                 holder.transfer(0);
                 wantAgain(holding, holder);
@@ -290,7 +292,7 @@
                                                 == LeaseHolder.Phase.WAITING)
                         .forEach(
                                 each ->
-                                        world.stall(
+                                        world.pause(
                                                 each.id,
                                                 (int) (2 * SHORT / MILLI)
                                                         + world.random().nextInt(500)));
@@ -305,8 +307,8 @@
     }
 
     private void wantAgain(Member member, LeaseHolder holder) {
-        world.at(
-                world.now() + world.random().nextInt(500) * MILLI,
+        world.schedule(
+                world.nowNanos() + world.random().nextInt(500) * MILLI,
                 () -> {
                     if (!resting && members.get(member.id) == member) {
                         holder.want();
@@ -360,7 +362,7 @@
     private void did(String lease, long token) {
         int which = lease.equals(NAMES[0]) ? 0 : 1;
         if (killed.containsKey(which) && token > killedToken.get(which)) {
-            handOvers.add((double) (world.now() - killed.remove(which)) / ttl(lease));
+            handOvers.add((double) (world.nowNanos() - killed.remove(which)) / ttl(lease));
         }
     }
 
@@ -371,7 +373,7 @@
     }
 
     @Override
-    public String fault() {
+    public String violation() {
         judge(book.fault().isEmpty(), book.fault());
         for (int which = 0; which < NAMES.length && fault.isEmpty(); which++) {
             Member holding = null;
@@ -393,7 +395,7 @@
     }
 
     @Override
-    public String end() {
+    public String finalViolation() {
         return accepted == 0 ? "nobody acted" : "";
     }
 }
--- a/src/measure/java/calicostream/measure/ClusterProveMeasure.java
+++ b/src/measure/java/calicostream/measure/ClusterProveMeasure.java
@@ -68,7 +68,7 @@
         broken(inCluster.broken());
         if (!inCluster.broken().isEmpty()) {
             long failing = Long.parseLong(inCluster.broken().get(0).split(" ")[1]);
-            System.out.println("seed " + failing + " needs " + ClusterProofs.thinned(failing));
+            System.out.println("seed " + failing + " needs " + ClusterProofs.minimized(failing));
         }
         List<LeaseProofs.Runs> inLeases =
                 pieces(leases)
--- a/src/test/java/calicostream/cluster/sim/ClusterSimTest.java
+++ b/src/test/java/calicostream/cluster/sim/ClusterSimTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Whole clusters in virtual time. A failing seed is replayed by {@code SimMain SEED 1}. */
+/**
+ * Whole clusters in virtual time. A failing seed is replayed by {@code ClusterSimulationMain SEED
+ * 1}.
+ */
 class ClusterSimTest {
     private static final long FIRST = 20_000;
 
@@ -26,66 +29,80 @@
 
     @Test
     void everyCheckHoldsUnderFaults() {
-        List<SimCluster.Result> results =
+        List<ClusterSimulation.Result> results =
                 LongStream.range(FIRST, FIRST + 40)
                         .parallel()
-                        .mapToObj(seed -> SimCluster.run(seed, SimCluster.none()))
+                        .mapToObj(
+                                seed ->
+                                        ClusterSimulation.run(
+                                                seed, ClusterSimulation.allSafeguards()))
                         .toList();
-        Map<Faults.Kind, Integer> faults = new EnumMap<>(Faults.Kind.class);
-        for (SimCluster.Result result : results) {
+        Map<FaultSchedule.FaultKind, Integer> faults = new EnumMap<>(FaultSchedule.FaultKind.class);
+        for (ClusterSimulation.Result result : results) {
             assertEquals(
                     "",
-                    result.fault(),
+                    result.failure(),
                     () ->
                             "seed "
                                     + result.seed()
                                     + " hash "
                                     + result.hash()
                                     + " needs "
-                                    + SimCluster.thin(
+                                    + ClusterSimulation.minimize(
                                             result.seed(),
-                                            SimCluster.none(),
-                                            Faults.draw(result.seed(), SimCluster.FAULT_MILLIS)));
+                                            ClusterSimulation.allSafeguards(),
+                                            FaultSchedule.draw(
+                                                    result.seed(),
+                                                    ClusterSimulation.FAULT_MILLIS)));
             result.faults().forEach((kind, n) -> faults.merge(kind, n, Integer::sum));
         }
         // What did not happen was not checked.
-        assertEquals(EnumSet.allOf(Faults.Kind.class), faults.keySet());
+        assertEquals(EnumSet.allOf(FaultSchedule.FaultKind.class), faults.keySet());
         assertTrue(
-                results.stream().mapToInt(SimCluster.Result::expired).sum() > 0,
+                results.stream().mapToInt(result -> result.counts().expiredSessions()).sum() > 0,
                 "sessions expired");
         assertTrue(
-                results.stream().mapToInt(SimCluster.Result::changes).sum() > 0, "voters changed");
+                results.stream().mapToInt(result -> result.counts().voterChanges()).sum() > 0,
+                "voters changed");
         assertTrue(
-                results.stream().mapToInt(SimCluster.Result::noticed).sum() > 0,
+                results.stream().mapToInt(result -> result.counts().detectedDiskFaults()).sum() > 0,
                 "lies of disks noticed");
         assertTrue(
-                results.stream().mapToInt(SimCluster.Result::restored).sum() > 0,
+                results.stream().mapToInt(result -> result.counts().restoredSnapshots()).sum() > 0,
                 "snapshots restored");
         assertTrue(
-                results.stream().mapToLong(SimCluster.Result::acknowledged).min().orElse(0) > 0,
+                results.stream().mapToLong(result -> result.counts().acknowledged()).min().orElse(0)
+                        > 0,
                 "commands acknowledged");
     }
 
     @Test
     void aSeedReplaysToTheByte() {
-        SimCluster.Result once = SimCluster.run(FIRST, SimCluster.none());
-        assertEquals(once, SimCluster.run(FIRST, SimCluster.none()));
-        assertFalse(once.hash() == SimCluster.run(FIRST + 1, SimCluster.none()).hash());
+        ClusterSimulation.Result once =
+                ClusterSimulation.run(FIRST, ClusterSimulation.allSafeguards());
+        assertEquals(once, ClusterSimulation.run(FIRST, ClusterSimulation.allSafeguards()));
+        assertFalse(
+                once.hash()
+                        == ClusterSimulation.run(FIRST + 1, ClusterSimulation.allSafeguards())
+                                .hash());
     }
 
     @Test
     void aRemovedVoterIsRefusedAndComesBackUnderTheNextGeneration() {
         for (long seed = FIRST; seed < FIRST + 4; seed++) {
-            SimCluster.Result result =
-                    SimCluster.run(
+            ClusterSimulation.Result result =
+                    ClusterSimulation.run(
                             seed,
-                            SimCluster.none(),
+                            ClusterSimulation.allSafeguards(),
                             List.of(
-                                    new Faults.Fault(1000, Faults.Kind.ADD_VOTER, 3, 0, 0),
-                                    new Faults.Fault(2500, Faults.Kind.REMOVE_VOTER, 3, 0, 0),
-                                    new Faults.Fault(3500, Faults.Kind.ADD_VOTER, 3, 0, 0)));
-            assertEquals("", result.fault(), "seed " + seed);
-            assertEquals(1, result.refused(), "seed " + seed);
+                                    new FaultSchedule.Fault(
+                                            1000, FaultSchedule.FaultKind.ADD_VOTER, 3, 0, 0),
+                                    new FaultSchedule.Fault(
+                                            2500, FaultSchedule.FaultKind.REMOVE_VOTER, 3, 0, 0),
+                                    new FaultSchedule.Fault(
+                                            3500, FaultSchedule.FaultKind.ADD_VOTER, 3, 0, 0)));
+            assertEquals("", result.failure(), "seed " + seed);
+            assertEquals(1, result.counts().rejectedGenerations(), "seed " + seed);
         }
     }
 
@@ -97,17 +114,18 @@
     @ParameterizedTest
     @ValueSource(longs = {300_008, 300_072, 300_107, 320_023, 1_080})
     void aRunThatOnceFailedEndsWithALeader(long seed) {
-        assertEquals("", SimCluster.run(seed, SimCluster.none()).fault());
+        assertEquals("", ClusterSimulation.run(seed, ClusterSimulation.allSafeguards()).failure());
     }
 
     @ParameterizedTest
-    @EnumSource(SimCluster.Mutant.class)
-    void aSafeguardTakenOutIsFound(SimCluster.Mutant mutant) {
-        Set<SimCluster.Mutant> mutants = EnumSet.of(mutant);
+    @EnumSource(Safeguard.class)
+    void aSafeguardTakenOutIsFound(Safeguard mutant) {
+        Set<Safeguard> mutants = EnumSet.of(mutant);
         assertTrue(
                 LongStream.range(FIRST, FIRST + 200)
                         .parallel()
-                        .anyMatch(seed -> !SimCluster.run(seed, mutants).fault().isEmpty()),
+                        .anyMatch(
+                                seed -> !ClusterSimulation.run(seed, mutants).failure().isEmpty()),
                 mutant + " was not found");
     }
 }
--- a/src/test/java/calicostream/cluster/sim/LeasesInClusterTest.java
+++ b/src/test/java/calicostream/cluster/sim/LeasesInClusterTest.java
@@ -26,12 +26,16 @@
 
     @Test
     void noPromiseIsBrokenUnderTheClustersFaults() {
-        List<LeaseSimMain.Run> runs =
+        List<LeaseSimulationMain.Run> runs =
                 LongStream.range(FIRST, FIRST + 10)
                         .parallel()
-                        .mapToObj(seed -> LeaseSimMain.run(seed, SimLeases.Plan.ALL, null, true))
+                        .mapToObj(
+                                seed ->
+                                        LeaseSimulationMain.run(
+                                                seed, SimLeases.Plan.ALL, null, true))
                         .toList();
-        runs.forEach(run -> assertEquals("", run.result().fault(), "seed " + run.result().seed()));
+        runs.forEach(
+                run -> assertEquals("", run.result().failure(), "seed " + run.result().seed()));
         // What did not happen was not checked: acts taken, late ones refused, grants, and grants to
         // who had waited.
         for (int i = 0; i < 4; i++) {
@@ -59,11 +63,14 @@
         List<Double> all = new ArrayList<>();
         LongStream.range(FIRST, FIRST + 6)
                 .parallel()
-                .mapToObj(seed -> LeaseSimMain.run(seed, SimLeases.Plan.KILLS_OUTSIDE, null, told))
+                .mapToObj(
+                        seed ->
+                                LeaseSimulationMain.run(
+                                        seed, SimLeases.Plan.KILLS_OUTSIDE, null, told))
                 .toList()
                 .forEach(
                         run -> {
-                            assertEquals("", run.result().fault(), "seed " + run.result().seed());
+                            assertEquals("", run.result().failure(), "seed " + run.result().seed());
                             all.addAll(run.leases().handOvers());
                         });
         return all.stream().sorted().toList();
@@ -84,9 +91,10 @@
                 LongStream.range(seed, seed + 200)
                         .anyMatch(
                                 each ->
-                                        !LeaseSimMain.run(each, SimLeases.Plan.ALL, without, true)
+                                        !LeaseSimulationMain.run(
+                                                        each, SimLeases.Plan.ALL, without, true)
                                                 .result()
-                                                .fault()
+                                                .failure()
                                                 .isEmpty()),
                 without + " was not found");
     }
