--- a/src/measure/java/calicostream/cluster/sim/AppendOnlyLists.java
+++ b/src/measure/java/calicostream/cluster/sim/AppendOnlyLists.java
@@ -11,18 +11,18 @@
 import java.util.function.BiConsumer;
 
 /**
- * Lists to append to, since their histories can be judged in linear time; tells each call to a
- * listener.
+ * A state machine of append-only lists, whose histories can be checked in linear time. Reports each
+ * call to a listener.
  */
 final class AppendOnlyLists implements StateMachine {
     static final int KEYS = 3;
-    private final BiConsumer<Long, String> heard;
-    private final Runnable restored;
+    private final BiConsumer<Long, String> callListener;
+    private final Runnable restoreListener;
     private final List<List<Long>> lists = new ArrayList<>();
 
-    AppendOnlyLists(BiConsumer<Long, String> heard, Runnable restored) {
-        this.heard = heard;
-        this.restored = restored;
+    AppendOnlyLists(BiConsumer<Long, String> callListener, Runnable restoreListener) {
+        this.callListener = callListener;
+        this.restoreListener = restoreListener;
         for (int i = 0; i < KEYS; i++) {
             lists.add(new ArrayList<>());
         }
@@ -51,7 +51,7 @@
 
     @Override
     public CommandEffects apply(long index, Command command) {
-        heard.accept(
+        callListener.accept(
                 index,
                 command.session()
                         + "/"
@@ -66,13 +66,13 @@
 
     @Override
     public CommandEffects sessionEnded(long index, long session) {
-        heard.accept(index, "ended " + session);
+        callListener.accept(index, "ended " + session);
         return CommandEffects.NONE;
     }
 
     @Override
-    public CommandEffects epochStarted(long index, long era) {
-        heard.accept(index, "epoch " + era);
+    public CommandEffects epochStarted(long index, long epoch) {
+        callListener.accept(index, "epoch " + epoch);
         return CommandEffects.NONE;
     }
 
@@ -96,7 +96,7 @@
 
     @Override
     public void restore(byte[] snapshot) {
-        restored.run();
+        restoreListener.run();
         BinaryCodec.Reader in = new BinaryCodec.Reader("lists", snapshot);
         for (int key = 0; key < KEYS; key++) {
             lists.set(key, list(in.blob(1 << 24)));
--- a/src/measure/java/calicostream/cluster/sim/ClusterWorkload.java
+++ b/src/measure/java/calicostream/cluster/sim/ClusterWorkload.java
@@ -5,6 +5,7 @@
 import calicostream.cluster.ClusterException;
 import calicostream.cluster.CommandOutcome;
 import calicostream.cluster.MemberMessage;
+import java.util.List;
 
 /** Appends and reads of the members, recorded for the {@link HistoryChecker}. */
 final class ClusterWorkload {
@@ -16,6 +17,9 @@
 
     private static final int APPENDS_AND_READS_OF_TEN = 8;
 
+    /** Two clocks that drift by 500 ppm, and as much in reserve. */
+    private static final long DRIFT_DIVISOR = 500;
+
     private final ClusterSimulation cluster;
     private final HistoryChecker history;
     private boolean isRunning = true;
@@ -40,35 +44,34 @@
         int choice = world.random.nextInt(10);
         if (choice < APPENDS_OF_TEN) {
             lastValue++;
-            append(member, new HistoryChecker.Operation(key, lastValue, true, world.now()));
+            append(member, history.startAppend(key, lastValue, world.now()));
         } else {
             MemberMessage.Operation kind =
                     choice < APPENDS_AND_READS_OF_TEN
                             ? MemberMessage.Operation.READ
                             : MemberMessage.Operation.LOCAL_READ;
-            read(member, kind, new HistoryChecker.Operation(key, 0, false, world.now()));
+            read(member, kind, history.startRead(key, world.now()));
         }
     }
 
     private void append(SimulatedMember member, HistoryChecker.Operation operation) {
-        history.operations.add(operation);
         member.session()
                 .submit(
                         MACHINE,
-                        AppendOnlyLists.encodeAppend(operation.key, operation.value),
+                        AppendOnlyLists.encodeAppend(operation.key(), operation.value()),
                         outcome -> appendEnded(operation, outcome));
     }
 
     private void appendEnded(HistoryChecker.Operation operation, CommandOutcome outcome) {
-        operation.endedNanos = cluster.world().now();
+        long nowNanos = cluster.world().now();
         if (outcome.isAccepted()) {
-            operation.outcome = HistoryChecker.Outcome.OK;
-            operation.length = new BinaryCodec.Reader("length", outcome.response()).i32();
+            int length = new BinaryCodec.Reader("length", outcome.response()).i32();
+            operation.appended(nowNanos, length);
             cluster.counters().commandAcknowledged();
         } else if (outcome.code().equals(ClusterException.OutcomeUnknown.CODE)) {
-            operation.outcome = HistoryChecker.Outcome.UNKNOWN;
+            operation.ended(nowNanos, HistoryChecker.Outcome.UNKNOWN);
         } else {
-            operation.outcome = HistoryChecker.Outcome.NOT_APPLIED;
+            operation.ended(nowNanos, HistoryChecker.Outcome.NOT_APPLIED);
         }
     }
 
@@ -76,12 +79,11 @@
             SimulatedMember member,
             MemberMessage.Operation kind,
             HistoryChecker.Operation operation) {
-        history.operations.add(operation);
         member.session()
                 .read(
                         kind,
                         MACHINE,
-                        AppendOnlyLists.encodeQuery(operation.key),
+                        AppendOnlyLists.encodeQuery(operation.key()),
                         member.process().nanoTime(),
                         reply -> readEnded(kind, operation, reply));
     }
@@ -90,16 +92,18 @@
             MemberMessage.Operation kind,
             HistoryChecker.Operation operation,
             MemberMessage.Reply reply) {
-        operation.endedNanos = cluster.world().now();
+        long nowNanos = cluster.world().now();
         if (!reply.outcome().isAccepted()) {
+            operation.ended(nowNanos, HistoryChecker.Outcome.UNKNOWN);
             return;
         }
-        operation.outcome = HistoryChecker.Outcome.OK;
-        operation.observed = AppendOnlyLists.list(reply.outcome().response());
-        operation.length = operation.observed.size();
+        List<Long> list = AppendOnlyLists.list(reply.outcome().response());
         if (kind == MemberMessage.Operation.LOCAL_READ) {
             // The age was measured by clocks that drift.
-            operation.ageNanos = reply.ageNanos() + reply.ageNanos() / 500 + 1;
+            long maxAgeNanos = reply.ageNanos() + reply.ageNanos() / DRIFT_DIVISOR + 1;
+            operation.observedLocally(nowNanos, list, maxAgeNanos);
+        } else {
+            operation.observed(nowNanos, list);
         }
     }
 }
--- a/src/measure/java/calicostream/cluster/sim/HistoryChecker.java
+++ b/src/measure/java/calicostream/cluster/sim/HistoryChecker.java
@@ -7,12 +7,14 @@
 import java.util.Map;
 
 /**
- * Judges a history of appends and reads against the lists as they ended; knows nothing of the
- * program. An append names its place, so the order of all appends to a key is known and the history
- * is linearizable if and only if each operation's place in it fits between what had ended before it
- * began and what began before it ended.
+ * Checks that a history of appends and reads is linearizable, given the final lists; it knows no
+ * class of the program. The outcome of an append tells its position, so the order of all appends to
+ * a key is known. The history is linearizable if and only if each operation's position fits between
+ * the operations that had ended before it started and those that started after it ended.
  */
 final class HistoryChecker {
+    private static final long NOT_LOCAL = -1;
+
     /** How an operation ended. */
     enum Outcome {
         OK,
@@ -20,98 +22,187 @@
         NOT_APPLIED
     }
 
+    /** An append or read; its outcome is unknown until it ends. */
     static final class Operation {
-        final int key;
-        final long value;
-        final boolean isAppend;
-        final long startedNanos;
-        long endedNanos = Long.MAX_VALUE;
-        Outcome outcome = Outcome.UNKNOWN;
+        private final int key;
+        private final long value;
+        private final boolean isAppend;
+        private final long startedNanos;
+        private long endedNanos = Long.MAX_VALUE;
+        private Outcome outcome = Outcome.UNKNOWN;
 
-        /** Length of the list that it saw or made. */
-        int length;
+        /** Length of the list that the operation made or observed. */
+        private int length;
 
-        List<Long> observed = List.of();
+        private List<Long> observed = List.of();
 
-        /**
-         * Of a local read: what had ended longer ago than this must be in it; -1 if it is no local
-         * read.
-         */
-        long ageNanos = -1;
+        /** Of a local read: what had ended longer ago than this must have been observed. */
+        private long ageNanos = NOT_LOCAL;
 
-        Operation(int key, long value, boolean append, long began) {
+        private Operation(int key, long value, boolean isAppend, long startedNanos) {
             this.key = key;
             this.value = value;
-            this.isAppend = append;
-            this.startedNanos = began;
+            this.isAppend = isAppend;
+            this.startedNanos = startedNanos;
+        }
+
+        int key() {
+            return key;
+        }
+
+        long value() {
+            return value;
+        }
+
+        void ended(long nowNanos, Outcome result) {
+            endedNanos = nowNanos;
+            outcome = result;
+        }
+
+        void appended(long nowNanos, int newLength) {
+            ended(nowNanos, Outcome.OK);
+            length = newLength;
+        }
+
+        void observed(long nowNanos, List<Long> list) {
+            ended(nowNanos, Outcome.OK);
+            observed = list;
+            length = list.size();
         }
-    }
 
-    final List<Operation> operations = new ArrayList<>();
+        void observedLocally(long nowNanos, List<Long> list, long maxAgeNanos) {
+            observed(nowNanos, list);
+            ageNanos = maxAgeNanos;
+        }
+
+        private boolean isLocal() {
+            return ageNanos != NOT_LOCAL;
+        }
+
+        private boolean isOk() {
+            return outcome == Outcome.OK;
+        }
+
+        /** What had ended before this time has to precede the operation. */
+        private long notBeforeNanos() {
+            return isLocal() ? endedNanos - ageNanos : startedNanos;
+        }
 
-    /** Empty if the history is right. */
-    List<String> violations(int key, List<Long> last) {
-        List<String> faults = new ArrayList<>();
-        Map<Long, Integer> places = new HashMap<>();
-        for (int i = 0; i < last.size(); i++) {
-            if (places.put(last.get(i), i + 1) != null) {
-                faults.add("applied twice: " + last.get(i));
+        private String description() {
+            if (isAppend) {
+                return "append";
             }
+            return isLocal() ? "local read of age " + ageNanos : "read";
         }
+    }
+
+    private final List<Operation> operations = new ArrayList<>();
+
+    Operation startAppend(int key, long value, long nowNanos) {
+        return add(new Operation(key, value, true, nowNanos));
+    }
+
+    Operation startRead(int key, long nowNanos) {
+        return add(new Operation(key, 0, false, nowNanos));
+    }
+
+    private Operation add(Operation operation) {
+        operations.add(operation);
+        return operation;
+    }
+
+    /** Checks the operations on one key; returns an empty list if the history is linearizable. */
+    List<String> violations(int key, List<Long> finalList) {
+        List<Operation> ofKey = operations.stream().filter(each -> each.key == key).toList();
+        List<Operation> successful = ofKey.stream().filter(Operation::isOk).toList();
+        List<String> violations = new ArrayList<>();
+        Map<Long, Integer> positions = positions(finalList, violations);
         Map<Long, Operation> appends = new HashMap<>();
-        List<Operation> done = new ArrayList<>();
-        for (Operation op : operations) {
-            if (op.key != key) {
-                continue;
-            }
-            if (op.isAppend) {
-                appends.put(op.value, op);
-                Integer place = places.get(op.value);
-                if (op.outcome == Outcome.OK && (place == null || place != op.length)) {
-                    faults.add(
-                            "acknowledged at " + op.length + " but at " + place + ": " + op.value);
-                } else if (op.outcome == Outcome.NOT_APPLIED && place != null) {
-                    faults.add("said not to be applied, but is: " + op.value);
-                }
-            } else if (op.outcome == Outcome.OK
-                    && (op.length > last.size()
-                            || !last.subList(0, op.length).equals(op.observed))) {
-                faults.add("a read saw what is no prefix: " + op.observed + " of " + last);
+        for (Operation operation : ofKey) {
+            if (operation.isAppend) {
+                appends.put(operation.value, operation);
+                checkAppend(operation, positions.get(operation.value), violations);
+            } else {
+                checkRead(operation, finalList, violations);
             }
-            if (op.outcome == Outcome.OK) {
-                done.add(op);
+        }
+        for (Operation operation : successful) {
+            checkOrder(operation, successful, violations);
+            checkNewestObserved(operation, finalList, appends, violations);
+        }
+        return violations;
+    }
+
+    private static Map<Long, Integer> positions(List<Long> finalList, List<String> violations) {
+        Map<Long, Integer> positions = new HashMap<>();
+        for (int i = 0; i < finalList.size(); i++) {
+            if (positions.put(finalList.get(i), i + 1) != null) {
+                violations.add("applied twice: " + finalList.get(i));
             }
         }
-        for (Operation op : done) {
-            long from = op.ageNanos >= 0 ? op.endedNanos - op.ageNanos : op.startedNanos;
-            for (Operation before : done) {
-                if (before.endedNanos < from
-                        && before.ageNanos < 0
-                        && (before.length > op.length
-                                || op.isAppend && before.length == op.length)) {
-                    faults.add(
-                            (op.isAppend
-                                            ? "append"
-                                            : op.ageNanos >= 0
-                                                    ? "local read of age " + op.ageNanos
-                                                    : "read")
-                                    + " of length "
-                                    + op.length
-                                    + " begun at "
-                                    + op.startedNanos
-                                    + " after one of "
-                                    + before.length
-                                    + " ended at "
-                                    + before.endedNanos);
-                }
+        return positions;
+    }
+
+    private static void checkAppend(Operation append, Integer position, List<String> violations) {
+        if (append.isOk() && (position == null || position != append.length)) {
+            violations.add(
+                    "acknowledged at "
+                            + append.length
+                            + " but at "
+                            + position
+                            + ": "
+                            + append.value);
+        } else if (append.outcome == Outcome.NOT_APPLIED && position != null) {
+            violations.add("reported as not applied, but is: " + append.value);
+        }
+    }
+
+    private static void checkRead(Operation read, List<Long> finalList, List<String> violations) {
+        if (!read.isOk()) {
+            return;
+        }
+        boolean isPrefix =
+                read.length <= finalList.size()
+                        && finalList.subList(0, read.length).equals(read.observed);
+        if (!isPrefix) {
+            violations.add("a read is not a prefix: " + read.observed + " of " + finalList);
+        }
+    }
+
+    private static void checkOrder(
+            Operation operation, List<Operation> successful, List<String> violations) {
+        for (Operation earlier : successful) {
+            if (earlier.endedNanos >= operation.notBeforeNanos() || earlier.isLocal()) {
+                continue;
             }
-            if (op.length > 0 && op.length <= last.size()) {
-                Operation newest = appends.get(last.get(op.length - 1));
-                if (newest == null || newest.startedNanos > op.endedNanos) {
-                    faults.add("saw what was appended later: " + last.get(op.length - 1));
-                }
+            if (earlier.length > operation.length
+                    || operation.isAppend && earlier.length == operation.length) {
+                violations.add(
+                        operation.description()
+                                + " of length "
+                                + operation.length
+                                + " started at "
+                                + operation.startedNanos
+                                + " after one of "
+                                + earlier.length
+                                + " ended at "
+                                + earlier.endedNanos);
             }
         }
-        return faults;
+    }
+
+    private static void checkNewestObserved(
+            Operation operation,
+            List<Long> finalList,
+            Map<Long, Operation> appends,
+            List<String> violations) {
+        if (operation.length == 0 || operation.length > finalList.size()) {
+            return;
+        }
+        long newest = finalList.get(operation.length - 1);
+        Operation append = appends.get(newest);
+        if (append == null || append.startedNanos > operation.endedNanos) {
+            violations.add("observed what was appended later: " + newest);
+        }
     }
 }
--- a/src/measure/java/calicostream/cluster/sim/SimulatedDisk.java
+++ b/src/measure/java/calicostream/cluster/sim/SimulatedDisk.java
@@ -11,36 +11,36 @@
 import java.util.TreeMap;
 
 /**
- * A folder in memory; a crash keeps what was synced, and of each file a random part of what was
- * appended since.
+ * A disk folder in memory. A crash keeps what was synced and, of each file, a random part of what
+ * was appended since. Faults are injected by the fields and methods beside those of {@link Disk}.
  */
 final class SimulatedDisk implements Disk {
     private static final class File {
         byte[] bytes = new byte[0];
         int length;
-        int kept;
+        int syncedLength;
     }
 
     private final String place;
-    private TreeMap<String, File> now = new TreeMap<>();
-    private TreeMap<String, File> kept = new TreeMap<>();
+    private TreeMap<String, File> files = new TreeMap<>();
+    private TreeMap<String, File> synced = new TreeMap<>();
     private boolean locked;
 
-    /** Syncs are acknowledged and nothing is kept. */
+    /** Syncs are acknowledged, but keep nothing. */
     boolean ignoresSyncs;
 
     boolean isFailing;
 
     /**
-     * The machine dies in the call of this number from now, before, amid or after what it does; 0
+     * The process crashes in the call of this number from now: before, during or after its work; 0
      * for never.
      */
     int callsUntilCrash;
 
-    /** It died so: every call fails until {@link #crash}. */
+    /** It crashed that way: every call fails until {@link #crash}. */
     boolean isCrashed;
 
-    private final Random amid = new Random(17);
+    private final Random crashRandom = new Random(17);
 
     SimulatedDisk(String place) {
         this.place = place;
@@ -52,74 +52,77 @@
         isCrashed = false;
         callsUntilCrash = 0;
         if (ignoresSyncs || random.nextBoolean()) {
-            now = new TreeMap<>(kept);
+            files = new TreeMap<>(synced);
         }
-        kept = new TreeMap<>(now);
-        for (File file : now.values()) {
+        synced = new TreeMap<>(files);
+        for (File file : files.values()) {
             file.length =
-                    file.kept + (ignoresSyncs ? 0 : random.nextInt(file.length - file.kept + 1));
-            file.kept = file.length;
+                    file.syncedLength
+                            + (ignoresSyncs
+                                    ? 0
+                                    : random.nextInt(file.length - file.syncedLength + 1));
+            file.syncedLength = file.length;
         }
     }
 
-    private void works() throws DurableException {
+    private void requireWorking() throws DurableException {
         if (isFailing) {
             throw new DurableException.SyncFailed(place + " fails", null);
         } else if (isCrashed) {
-            throw died();
+            throw crashFailure();
         }
     }
 
-    private DurableException died() {
-        return new DurableException.DiskFailed(place + " died", null);
+    private DurableException crashFailure() {
+        return new DurableException.DiskFailed(place + " crashed", null);
     }
 
     private interface Call {
         /**
-         * @param part of what it does, 0 to 1
+         * @param part of its work that is done, 0 to 1
          */
         void run(double part) throws DurableException;
     }
 
     private void call(Call call) throws DurableException {
-        works();
+        requireWorking();
         if (callsUntilCrash == 0 || --callsUntilCrash > 0) {
             call.run(1);
             return;
         }
         isCrashed = true;
-        int when = amid.nextInt(3);
+        int when = crashRandom.nextInt(3);
         if (when > 0) {
-            call.run(when == 1 ? amid.nextDouble() : 1);
+            call.run(when == 1 ? crashRandom.nextDouble() : 1);
         }
-        throw died();
+        throw crashFailure();
     }
 
-    /** All files as they can be read now. */
+    /** Copies all files as they can be read now. */
     SimulatedDisk copy() {
         SimulatedDisk copy = new SimulatedDisk(place);
         copy.replaceWith(this);
         return copy;
     }
 
-    /** Puts a copy of the other's files in place of these. */
+    /** Replaces the files by copies of those of another disk. */
     void replaceWith(SimulatedDisk other) {
-        now = new TreeMap<>();
-        other.now.forEach(
+        files = new TreeMap<>();
+        other.files.forEach(
                 (name, file) -> {
                     File same = new File();
                     same.bytes = Arrays.copyOf(file.bytes, file.length);
-                    same.length = same.kept = file.length;
-                    now.put(name, same);
+                    same.length = same.syncedLength = file.length;
+                    files.put(name, same);
                 });
-        kept = new TreeMap<>(now);
+        synced = new TreeMap<>(files);
     }
 
     /** Flips one bit of one file. */
     void flipBit(Random random) {
-        List<File> files = now.values().stream().filter(file -> file.length > 0).toList();
-        if (!files.isEmpty()) {
-            File file = files.get(random.nextInt(files.size()));
+        List<File> written = files.values().stream().filter(file -> file.length > 0).toList();
+        if (!written.isEmpty()) {
+            File file = written.get(random.nextInt(written.size()));
             file.bytes[random.nextInt(file.length)] ^= (byte) (1 << random.nextInt(8));
         }
     }
@@ -139,12 +142,12 @@
 
     @Override
     public List<String> list() {
-        return new ArrayList<>(now.keySet());
+        return new ArrayList<>(files.keySet());
     }
 
     @Override
     public byte[] read(String name) throws DurableException {
-        File file = now.get(name);
+        File file = files.get(name);
         if (file == null) {
             throw new DurableException.FileMissing(place + "/" + name);
         }
@@ -155,7 +158,7 @@
     public void append(String name, ByteBuffer bytes) throws DurableException {
         call(
                 part -> {
-                    File file = now.computeIfAbsent(name, any -> new File());
+                    File file = files.computeIfAbsent(name, any -> new File());
                     int length = file.length + (int) (bytes.remaining() * part);
                     if (length > file.bytes.length) {
                         file.bytes = Arrays.copyOf(file.bytes, 2 * length);
@@ -169,20 +172,21 @@
     public void sync(String name) throws DurableException {
         call(
                 part -> {
-                    File file = now.get(name);
+                    File file = files.get(name);
                     if (file == null) {
                         throw new DurableException.FileMissing(place + "/" + name);
                     }
-                    file.kept =
+                    file.syncedLength =
                             ignoresSyncs
-                                    ? file.kept
-                                    : file.kept + (int) ((file.length - file.kept) * part);
+                                    ? file.syncedLength
+                                    : file.syncedLength
+                                            + (int) ((file.length - file.syncedLength) * part);
                 });
     }
 
     @Override
     public void syncDirectory() throws DurableException {
-        call(part -> kept = ignoresSyncs || part < 0.5 ? kept : new TreeMap<>(now));
+        call(part -> synced = ignoresSyncs || part < 0.5 ? synced : new TreeMap<>(files));
     }
 
     @Override
@@ -190,7 +194,7 @@
         call(
                 part -> {
                     if (part > 0.5) {
-                        now.put(to, now.remove(from));
+                        files.put(to, files.remove(from));
                     }
                 });
     }
@@ -200,7 +204,7 @@
         call(
                 part -> {
                     if (part > 0.5) {
-                        now.remove(name);
+                        files.remove(name);
                     }
                 });
     }
--- a/src/measure/java/calicostream/cluster/sim/SimulatedWorld.java
+++ b/src/measure/java/calicostream/cluster/sim/SimulatedWorld.java
@@ -5,17 +5,21 @@
 import java.util.Arrays;
 import java.util.PriorityQueue;
 import java.util.Random;
+import java.util.function.Consumer;
 
 /**
- * Virtual time for processes that stop and go on, with clocks that drift; one thread, one seed, a
- * hash of all that happened.
+ * Virtual time and the event queue of a simulation, with processes that pause and clocks that
+ * drift. One thread, one seed, and a hash of everything that happened.
  */
 final class SimulatedWorld {
-    private record Event(long at, long order, SimulatedProcess process, int life, Runnable task)
+    private record Event(
+            long timeNanos, long order, SimulatedProcess process, int incarnation, Runnable task)
             implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+            return timeNanos != other.timeNanos
+                    ? Long.compare(timeNanos, other.timeNanos)
+                    : Long.compare(order, other.order);
         }
     }
 
@@ -53,62 +57,67 @@
         events.add(new Event(Math.max(now, time), order++, null, 0, task));
     }
 
-    /** Runs all up to {@code end}; {@code after} is called after each event of a process. */
-    void run(long end, java.util.function.Consumer<SimulatedProcess> after) {
-        while (!events.isEmpty() && events.peek().at <= end) {
+    /**
+     * Runs all events up to a time.
+     *
+     * @param afterEvent called after each event of a process
+     */
+    void run(long end, Consumer<SimulatedProcess> afterEvent) {
+        while (!events.isEmpty() && events.peek().timeNanos <= end) {
             Event event = events.poll();
             SimulatedProcess process = event.process;
-            if (process != null && process.incarnation != event.life) {
+            if (process != null && process.incarnation != event.incarnation) {
                 continue;
             }
-            if (process != null && process.pausedUntil > event.at) {
-                // Kept in its order: what waited runs first when the process goes on.
+            if (process != null && process.pausedUntil > event.timeNanos) {
+                // Keeps its order: events that waited run first when the process resumes.
                 events.add(
                         new Event(
-                                process.pausedUntil, event.order, process, event.life, event.task));
+                                process.pausedUntil,
+                                event.order,
+                                process,
+                                event.incarnation,
+                                event.task));
                 continue;
             }
-            now = event.at;
+            now = event.timeNanos;
             steps++;
             event.task.run();
             if (process != null) {
-                after.accept(process);
+                afterEvent.accept(process);
             }
         }
         now = end;
     }
 
-    /** A process: its clock, and whether it runs. */
+    /** A process with its own clock, which may be paused. */
     final class SimulatedProcess implements EventLoop {
         final int member;
         int incarnation;
         long pausedUntil;
-        private long ppm;
-        private long base = random.nextLong() >> 2;
-        private long since;
+        private long driftPpm;
+        private long baseNanos = random.nextLong() >> 2;
+        private long changedAtNanos;
 
         SimulatedProcess(int member) {
             this.member = member;
         }
 
         void setDriftPpm(long partsPerMillion) {
-            base = nanoTime();
-            since = now;
-            ppm = partsPerMillion;
+            baseNanos = nanoTime();
+            changedAtNanos = now;
+            driftPpm = partsPerMillion;
         }
 
-        /**
-         * Its clock jumps ahead, as if it had been stopped; back is what a monotonic clock promises
-         * not to go.
-         */
+        /** The clock jumps ahead; a monotonic clock never goes back. */
         void stepClock(long nanos) {
-            base += nanos;
+            baseNanos += nanos;
         }
 
         @Override
         public long nanoTime() {
-            long passed = now - since;
-            return base + passed + passed / 1_000_000 * ppm;
+            long passedNanos = now - changedAtNanos;
+            return baseNanos + passedNanos + passedNanos / 1_000_000 * driftPpm;
         }
 
         @Override
@@ -120,7 +129,7 @@
         public void schedule(Runnable task, long delay) {
             events.add(
                     new Event(
-                            now + delay - delay / 1_000_000 * ppm,
+                            now + delay - delay / 1_000_000 * driftPpm,
                             order++,
                             this,
                             incarnation,
--- a/src/measure/java/calicostream/cluster/sim/SimulationExtension.java
+++ b/src/measure/java/calicostream/cluster/sim/SimulationExtension.java
@@ -10,73 +10,79 @@
 import java.util.Random;
 
 /**
- * What stands on a simulated cluster beside its lists, such as leases: a machine at each voter,
- * what each member does with it, and checks of its own. For one run; all calls are in the run's one
- * thread and order. A fault is told as words, "" is none.
+ * Extends a simulated cluster by state machines at each voter, activities of each member, and
+ * checks of its own. Belongs to one run; all calls are made by the run's thread, in its order. A
+ * violation is described by a text; the empty text is none.
  */
 public interface SimulationExtension {
-    /** A run without any. */
+    /** A run without extension. */
     SimulationExtension NONE = new SimulationExtension() {};
 
-    /** A machine and the leader's count of time for it. */
+    /** A state machine and the leader's time-keeping for it. */
     record ReplicatedPart(StateMachine machine, ExpiryMonitor expiryMonitor) {}
 
-    /** What a guest may ask of the world and do to it; times are the world's, in nanoseconds. */
+    /** What an extension may observe and cause; times are virtual nanoseconds. */
     interface SimulationControl {
+        /** The present time. */
         long nowNanos();
 
+        /** The run's source of randomness. */
         Random random();
 
-        /** How many processes there are; they are members 1 to this. */
+        /** The number of members, which are numbered from 1. */
         int members();
 
-        void schedule(long time, Runnable task);
+        /** Runs a task at a time. */
+        void schedule(long timeNanos, Runnable task);
 
+        /** Whether the process of a member runs. */
         boolean isUp(int member);
 
         /**
-         * Kills the process, voter and all, and starts it anew later; false if the world does not
-         * let it now.
+         * Crashes the process of a member, including its voter, and restarts it later.
+         *
+         * @return false if it is down or no fault may be injected now
          */
-        boolean crash(int member, int afterMillis);
+        boolean crash(int member, int restartMillis);
 
-        /**
-         * The process does nothing for so long, and its clock goes on, if the world lets it now.
-         */
+        /** Pauses a process while its clock goes on, if a fault may be injected now. */
         void pause(int member, int millis);
     }
 
-    default void started(SimulationControl world) {}
+    /** The run starts. */
+    default void started(SimulationControl control) {}
 
-    /** For a voter that starts, by the machines' names. */
+    /** Makes the state machines of a voter that starts, by name. */
     default Map<String, ReplicatedPart> parts(int member) {
         return Map.of();
     }
 
+    /** A member's process has started. */
     default void memberStarted(int member, EventLoop process, MemberSession session) {}
 
-    /** With all that it had in memory. */
+    /** A member's process has crashed; everything it had in memory is lost. */
     default void memberCrashed(int member) {}
 
+    /** Called regularly on each running member. */
     default void tick(int member) {}
 
-    /** Of the copy at this member, or told by the leader. */
-    default void stateChanged(int member, ReplicatedState.StateChange news) {}
+    /** A change at the copy of this member, or a notification from the leader. */
+    default void stateChanged(int member, ReplicatedState.StateChange change) {}
 
-    /** Whether the leader tells members without a copy; else they hear nothing unasked. */
+    /** Whether the leader notifies members without a copy. */
     default boolean isNotifiedByLeader() {
         return true;
     }
 
-    /** No new work from now on: all is to come to rest. */
+    /** No new work may be started, so that the cluster settles. */
     default void stopLoad() {}
 
-    /** Asked after each event. */
+    /** Called after each event. */
     default String violation() {
         return "";
     }
 
-    /** Asked at the end of a run that has come to rest. */
+    /** Called at the end of a run that has settled. */
     default String finalViolation() {
         return "";
     }
--- a/src/test/java/calicostream/cluster/ReplicatedTest.java
+++ b/src/test/java/calicostream/cluster/ReplicatedStateTest.java
@@ -16,17 +16,17 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The replicated machine, entry by entry. */
-class ReplicatedTest {
+/** The replicated state, entry by entry. */
+class ReplicatedStateTest {
     private static final long SEED = 25;
 
-    /** Tells what it was told, and keeps it all. */
-    private static final class Heard implements StateMachine {
-        private final List<String> all = new ArrayList<>();
+    /** Records its calls as its state, and publishes an event for each command. */
+    private static final class RecordingStateMachine implements StateMachine {
+        private final List<String> calls = new ArrayList<>();
 
         @Override
         public CommandEffects apply(long index, Command command) {
-            all.add(new String(command.body()));
+            calls.add(new String(command.body()));
             return command.body().length == 0
                     ? CommandEffects.rejected("heard-nothing", new byte[] {1})
                     : CommandEffects.response(
@@ -35,14 +35,14 @@
 
         @Override
         public CommandEffects sessionEnded(long index, long session) {
-            all.add("ended " + session);
+            calls.add("ended " + session);
             return CommandEffects.NONE;
         }
 
         @Override
         public byte[] snapshot() {
-            BinaryCodec.Writer out = new BinaryCodec.Writer().i32(all.size());
-            all.forEach(out::text);
+            BinaryCodec.Writer out = new BinaryCodec.Writer().i32(calls.size());
+            calls.forEach(out::text);
             return out.toByteArray();
         }
 
@@ -53,22 +53,24 @@
             for (int left = in.count(4); left > 0; left--) {
                 read.add(in.text(100));
             }
-            all.clear();
-            all.addAll(read);
+            calls.clear();
+            calls.addAll(read);
         }
     }
 
-    private final Heard heard = new Heard();
-    private final ReplicatedState state = new ReplicatedState(Map.of("heard", heard));
+    private final RecordingStateMachine machine = new RecordingStateMachine();
+    private final ReplicatedState state = new ReplicatedState(Map.of("heard", machine));
     private long index;
 
     private CommandOutcome apply(ReplicatedEntry entry) {
         return state.apply(++index, entry.encode());
     }
 
-    private CommandOutcome run(long session, long sequence, long acked, String body) {
+    private CommandOutcome run(
+            long session, long sequence, long acknowledgedSequence, String body) {
         return apply(
-                new ReplicatedEntry.RunCommand(session, sequence, acked, "heard", body.getBytes()));
+                new ReplicatedEntry.RunCommand(
+                        session, sequence, acknowledgedSequence, "heard", body.getBytes()));
     }
 
     private long open() {
@@ -78,14 +80,14 @@
     }
 
     @Test
-    void aCommandCountsOnceAndItsOutcomeIsKeptUntilAcknowledged() {
+    void commandIsAppliedOnceAndItsOutcomeKeptUntilAcknowledged() {
         long session = open();
         CommandOutcome first = run(session, 1, 0, "a");
         assertSame(CommandOutcome.Kind.ACCEPTED, first.kind());
         assertEquals(first.index(), run(session, 1, 0, "a").index());
         assertEquals("heard-nothing", run(session, 2, 0, "").code());
         assertEquals("heard-nothing", run(session, 2, 1, "").code());
-        assertEquals(List.of("a", ""), heard.all);
+        assertEquals(List.of("a", ""), machine.calls);
         assertInstanceOf(
                 ClusterException.SequenceOutOfOrder.class, run(session, 1, 0, "a").error());
         assertInstanceOf(
@@ -102,7 +104,7 @@
     }
 
     @Test
-    void aGenerationThatWasRemovedIsNeverAddedAgain() {
+    void removedGenerationIsNeverAddedAgain() {
         assertTrue(apply(new ReplicatedEntry.AddVoter(4, 0)).isAccepted());
         assertTrue(apply(new ReplicatedEntry.AddVoter(4, 0)).isAccepted(), "a retry");
         assertTrue(apply(new ReplicatedEntry.RemoveVoter(4, 0)).isAccepted());
@@ -118,7 +120,7 @@
         assertTrue(
                 apply(new ReplicatedEntry.RemoveVoter(5, 0)).isAccepted(),
                 "one of the first voters, which nobody added");
-        ReplicatedState copy = new ReplicatedState(Map.of("heard", new Heard()));
+        ReplicatedState copy = new ReplicatedState(Map.of("heard", new RecordingStateMachine()));
         copy.restore(state.snapshot());
         assertArrayEquals(state.snapshot(), copy.snapshot());
         assertFalse(copy.mayAddVoter(5, 0) || copy.mayAddVoter(4, 0));
@@ -127,7 +129,7 @@
     }
 
     @Test
-    void theSameNonceOpensTheSameSession() {
+    void sameNonceOpensTheSameSession() {
         long session = open();
         assertEquals(session, open());
         assertTrue(apply(new ReplicatedEntry.CloseSession(session)).isAccepted());
@@ -145,58 +147,58 @@
     }
 
     @Test
-    void anExpiryCountsOnlyInItsEraAndForTheLastSignOfLife() {
+    void expiryIsValidOnlyInItsEpochAndForTheLastRenewal() {
         apply(new ReplicatedEntry.EpochStart(1, 11));
         long session = open();
-        long era = state.epoch();
+        long epoch = state.epoch();
         assertTrue(apply(new ReplicatedEntry.KeepAlive(session)).isAccepted());
-        apply(new ReplicatedEntry.ExpireSession(era, session, session));
-        assertTrue(state.isAlive(session), "heard since");
-        long renewed = index - 1;
+        apply(new ReplicatedEntry.ExpireSession(epoch, session, session));
+        assertTrue(state.isAlive(session), "renewed since");
+        long renewedIndex = index - 1;
         apply(new ReplicatedEntry.EpochStart(2, 12));
-        apply(new ReplicatedEntry.ExpireSession(era, session, renewed));
-        assertTrue(state.isAlive(session), "counted by a former leader");
+        apply(new ReplicatedEntry.ExpireSession(epoch, session, renewedIndex));
+        assertTrue(state.isAlive(session), "measured by a former leader");
         assertEquals(
                 ClusterException.StaleEpoch.CODE,
-                apply(new ReplicatedEntry.LeaderCommand(era, "heard", new byte[1])).code());
-        apply(new ReplicatedEntry.ExpireSession(state.epoch(), session, renewed));
+                apply(new ReplicatedEntry.LeaderCommand(epoch, "heard", new byte[1])).code());
+        apply(new ReplicatedEntry.ExpireSession(state.epoch(), session, renewedIndex));
         assertFalse(state.isAlive(session));
         assertInstanceOf(ClusterException.SessionEnded.class, run(session, 1, 0, "late").error());
         assertInstanceOf(
                 ClusterException.SessionEnded.class,
                 apply(new ReplicatedEntry.KeepAlive(session)).error());
-        assertEquals(List.of("ended " + session), heard.all);
+        assertEquals(List.of("ended " + session), machine.calls);
         assertEquals("session-expired", state.drainStateChanges().get(0).event().kind());
     }
 
     @Test
-    void theKeeperCountsFromTheLastSignOfLifeAndNotItsOwnSilence() {
+    void expiryMonitorMeasuresFromTheLastRenewalWithoutItsOwnPauses() {
         apply(new ReplicatedEntry.EpochStart(1, 11));
         long session = open();
-        SessionExpiryMonitor keeper = new SessionExpiryMonitor(state, 50_000_000);
+        SessionExpiryMonitor monitor = new SessionExpiryMonitor(state, 50_000_000);
         long now = -100;
         for (long end = now + 800_000_000; now < end; now += 50_000_000) {
-            assertEquals(List.of(), keeper.expiredSessions(now));
+            assertEquals(List.of(), monitor.expiredSessions(now));
         }
-        // Stopped for a minute, in which nobody could be heard.
+        // Paused for a minute, in which no renewal could be received.
         now += 60_000_000_000L;
-        assertEquals(List.of(), keeper.expiredSessions(now));
+        assertEquals(List.of(), monitor.expiredSessions(now));
         now += 90_000_000;
-        assertEquals(List.of(), keeper.expiredSessions(now));
+        assertEquals(List.of(), monitor.expiredSessions(now));
         now += 90_000_000;
-        ReplicatedEntry.ExpireSession expire = keeper.expiredSessions(now).get(0);
+        ReplicatedEntry.ExpireSession expire = monitor.expiredSessions(now).get(0);
         assertEquals(new ReplicatedEntry.ExpireSession(state.epoch(), session, session), expire);
         apply(new ReplicatedEntry.KeepAlive(session));
-        assertEquals(List.of(), keeper.expiredSessions(now));
+        assertEquals(List.of(), monitor.expiredSessions(now));
         apply(new ReplicatedEntry.EpochStart(2, 12));
-        assertEquals(List.of(), keeper.expiredSessions(now + 1_100_000_000L));
+        assertEquals(List.of(), monitor.expiredSessions(now + 1_100_000_000L));
     }
 
     @Test
-    void aSnapshotIsTheWholeState() {
+    void snapshotIsTheCompleteState() {
         Random random = new Random(SEED);
         long session = open();
-        ReplicatedState copy = new ReplicatedState(Map.of("heard", new Heard()));
+        ReplicatedState copy = new ReplicatedState(Map.of("heard", new RecordingStateMachine()));
         for (int i = 1; i < 200; i++) {
             if (random.nextInt(20) == 0) {
                 copy.restore(state.snapshot());
@@ -227,7 +229,7 @@
     }
 
     @Test
-    void whatIsMalformedIsSaidToBeSoAndNothingElse() {
+    void corruptedBytesAreReportedAsMalformed() {
         Random random = new Random(SEED);
         long session = open();
         run(session, 1, 0, "a");
@@ -261,7 +263,9 @@
             byte[] wrong = bytes;
             try {
                 switch (i % right.size()) {
-                    case 0 -> new ReplicatedState(Map.of("heard", new Heard())).restore(wrong);
+                    case 0 ->
+                            new ReplicatedState(Map.of("heard", new RecordingStateMachine()))
+                                    .restore(wrong);
                     case 1 -> ReplicatedEntry.decode(wrong);
                     default -> MemberMessage.decode(wrong);
                 }
@@ -272,7 +276,7 @@
     }
 
     @Test
-    void anEntryForAMachineThatIsNotHereStopsTheVoter() {
+    void entryForAnUnknownStateMachineThrows() {
         long session = open();
         assertThrows(
                 ClusterException.UnknownStateMachine.class,
--- a/src/test/java/calicostream/cluster/SnapshotFormatTest.java
+++ b/src/test/java/calicostream/cluster/SnapshotFormatTest.java
@@ -11,11 +11,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Snapshots of every version are read for ever, and the last one is what is written today. */
+/** Snapshots of every version can be read, and the last version is the one written. */
 class SnapshotFormatTest {
     private static final Path GOLDEN = Path.of("src/test/resources/cluster");
 
-    private static final class Text implements StateMachine {
+    private static final class TextStateMachine implements StateMachine {
         private String text = "";
 
         @Override
@@ -35,8 +35,8 @@
         }
     }
 
-    private static ReplicatedState written() {
-        ReplicatedState state = new ReplicatedState(Map.of("text", new Text()));
+    private static ReplicatedState stateToWrite() {
+        ReplicatedState state = new ReplicatedState(Map.of("text", new TextStateMachine()));
         state.apply(1, new ReplicatedEntry.EpochStart(2, 77).encode());
         state.apply(3, new ReplicatedEntry.OpenSession(1, 5, 1500).encode());
         state.apply(4, new ReplicatedEntry.RunCommand(3, 1, 0, "text", "a".getBytes()).encode());
@@ -48,13 +48,13 @@
         return state;
     }
 
-    /** Writes the golden file of the present version; those before it stay. */
+    /** Writes the golden file of the current version; earlier ones are never changed. */
     public static void main(String[] args) throws Exception {
-        Files.write(GOLDEN.resolve("replicated-v2.snapshot"), written().snapshot());
+        Files.write(GOLDEN.resolve("replicated-v2.snapshot"), stateToWrite().snapshot());
     }
 
     private static ReplicatedState read(String name) throws Exception {
-        ReplicatedState state = new ReplicatedState(Map.of("text", new Text()));
+        ReplicatedState state = new ReplicatedState(Map.of("text", new TextStateMachine()));
         state.restore(Files.readAllBytes(GOLDEN.resolve(name)));
         assertEquals(1, state.epoch());
         assertEquals(new ReplicatedEntry.EpochStart(2, 77), state.epochStart());
@@ -73,15 +73,16 @@
     }
 
     @Test
-    void theFirstVersionIsReadAndKnowsNoGenerations() throws Exception {
+    void firstVersionIsReadWithoutVoterGenerations() throws Exception {
         assertTrue(read("replicated-v1.snapshot").mayAddVoter(3, 0));
     }
 
     @Test
-    void thePresentVersionIsWhatIsWritten() throws Exception {
+    void currentVersionIsWritten() throws Exception {
         ReplicatedState state = read("replicated-v2.snapshot");
         assertFalse(state.mayAddVoter(3, 0) || state.mayAddVoter(4, 1));
         assertArrayEquals(
-                Files.readAllBytes(GOLDEN.resolve("replicated-v2.snapshot")), written().snapshot());
+                Files.readAllBytes(GOLDEN.resolve("replicated-v2.snapshot")),
+                stateToWrite().snapshot());
     }
 }
--- a/src/test/java/calicostream/cluster/config/BudgetConfigTest.java
+++ b/src/test/java/calicostream/cluster/config/BudgetConfigTest.java
@@ -22,12 +22,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The budgets' tables of the pattern in the deploy folder, as they are and with one line spoilt.
+ * The budget sections of the example in the deploy folder, unchanged and with one line changed to
+ * be wrong.
  */
 class BudgetConfigTest {
     @TempDir Path folder;
 
-    private static String pattern() throws IOException {
+    private static String example() throws IOException {
         return Files.readString(Path.of("deploy/cluster.toml"))
                 .replace("enabled = false", "enabled = true");
     }
@@ -38,40 +39,42 @@
     }
 
     @Test
-    void patternHasPoolsTenantsAndEveryWayToKnowOne() throws IOException {
-        BudgetConfig told = read(pattern()).budget().orElseThrow();
+    void exampleHasPoolsTenantsAndEveryKindOfMatcher() throws IOException {
+        BudgetConfig config = read(example()).budget().orElseThrow();
         assertEquals(
                 List.of(
                         new BudgetSettings.Pool("core", 2, 640),
                         new BudgetSettings.Pool("scatter", 1, 1_000_000)),
-                told.settings().pools());
+                config.settings().pools());
         assertEquals(
-                new BudgetSettings.Quota(20, 300), told.settings().tenants().get(0).quota("core"));
+                new BudgetSettings.Quota(20, 300),
+                config.settings().tenants().get(0).quota("core"));
         assertEquals(
                 new BudgetSettings.Quota(40, 400),
-                told.settings().tenants().get(0).quota(BudgetSettings.ALL_POOLS));
-        assertEquals(1, told.settings().tenants().get(1).weight());
-        assertEquals(5_000_000_000L, told.settings().ttlNanos());
-        assertEquals(500, told.settings().driftPpm());
-        assertEquals(Optional.of("core"), told.poolOfEngineKind(0));
-        assertEquals(Optional.of("scatter"), told.poolOfEngineKind(7));
-        assertEquals(16, told.enginePools().get("scatter").engineCap());
-        assertEquals(Duration.ofMillis(300), told.maxQueueDelay());
+                config.settings().tenants().get(0).quota(BudgetSettings.ALL_POOLS));
+        assertEquals(1, config.settings().tenants().get(1).weight());
+        assertEquals(5_000_000_000L, config.settings().ttlNanos());
+        assertEquals(500, config.settings().driftPpm());
+        assertEquals(Optional.of("core"), config.poolOfEngineKind(0));
+        assertEquals(Optional.of("scatter"), config.poolOfEngineKind(7));
+        assertEquals(16, config.enginePools().get("scatter").engineCap());
+        assertEquals(Duration.ofMillis(300), config.maxQueueDelay());
         int east = 0;
         int others = 1;
         InetAddress inside = InetAddress.getByName("10.1.255.3");
         InetAddress outside = InetAddress.getByName("10.2.0.0");
-        assertEquals(others, told.tenants().tenantOf(RequestAttributes.NONE));
+        assertEquals(others, config.tenants().tenantOf(RequestAttributes.NONE));
         assertEquals(
                 east,
-                told.tenants().tenantOf(new RequestAttributes(null, "east-app", null, null, null)));
+                config.tenants()
+                        .tenantOf(new RequestAttributes(null, "east-app", null, null, null)));
         assertEquals(
                 east,
-                told.tenants()
+                config.tenants()
                         .tenantOf(new RequestAttributes(null, "somebody", "east", null, outside)));
         assertEquals(
                 east,
-                told.tenants()
+                config.tenants()
                         .tenantOf(
                                 new RequestAttributes(
                                         null,
@@ -81,16 +84,16 @@
                                         outside)));
         assertEquals(
                 east,
-                told.tenants().tenantOf(new RequestAttributes(null, null, null, null, inside)));
+                config.tenants().tenantOf(new RequestAttributes(null, null, null, null, inside)));
         assertEquals(
                 others,
-                told.tenants()
+                config.tenants()
                         .tenantOf(
                                 new RequestAttributes("others", "east-app", "east", null, inside)),
-                "the call's own word counts first");
+                "the tenant that the call names takes precedence");
         assertEquals(
                 others,
-                told.tenants()
+                config.tenants()
                         .tenantOf(
                                 new RequestAttributes(
                                         "nobody", null, null, null, InetAddress.getByName("::1"))));
@@ -99,12 +102,12 @@
     @Test
     void fileWithoutBudgetsHasNone() throws IOException {
         assertTrue(
-                read(pattern().substring(0, pattern().indexOf("# Session budgets")))
+                read(example().substring(0, example().indexOf("# Session budgets")))
                         .budget()
                         .isEmpty());
     }
 
-    /** Each with what is replaced, the code, the line's key and the fact. */
+    /** Each with the expected code, the replaced text, its replacement, the key and the fact. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -163,25 +166,25 @@
             })
     void mistakeIsOneLineWithFileLineAndKey(
             Code code, String was, String is, String key, String fact) throws IOException {
-        String text = pattern();
+        String text = example();
         int at = text.lastIndexOf(was.replace("\\n", "\n"));
         assertTrue(at > 0, was);
-        String spoilt =
+        String wrongText =
                 text.substring(0, at)
                         + is.replace("\\n", "\n")
                         + text.substring(at + was.replace("\\n", "\n").length());
-        ClusterConfigException told =
-                assertThrows(ClusterConfigException.class, () -> read(spoilt));
-        String message = told.getMessage();
-        assertEquals(code, told.code(), message);
-        assertEquals(key, told.key(), message);
+        ClusterConfigException mistake =
+                assertThrows(ClusterConfigException.class, () -> read(wrongText));
+        String message = mistake.getMessage();
+        assertEquals(code, mistake.code(), message);
+        assertEquals(key, mistake.key(), message);
         assertTrue(message.contains(": " + key + ": " + fact), message);
         assertEquals(1, message.lines().count(), message);
         String last =
                 key.substring(
                         key.lastIndexOf('.')
                                 + 1); // its line, or its table's head where it is not there
-        String line = spoilt.lines().skip(told.line() - 1).findFirst().orElseThrow();
+        String line = wrongText.lines().skip(mistake.line() - 1).findFirst().orElseThrow();
         assertTrue(
                 line.matches("(.*\\.)?" + last + "(\\..*)? = .*")
                         || line.startsWith("[")
--- a/src/test/java/calicostream/cluster/config/ClusterConfigTest.java
+++ b/src/test/java/calicostream/cluster/config/ClusterConfigTest.java
@@ -24,13 +24,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The pattern in the deploy folder, turned on, and with one line of it spoilt. */
+/** The example in the deploy folder, turned on, and with one line of it changed to be wrong. */
 class ClusterConfigTest {
-    private static final Path PATTERN = Path.of("deploy/cluster.toml");
+    private static final Path EXAMPLE = Path.of("deploy/cluster.toml");
     @TempDir Path folder;
 
-    private static String pattern() throws IOException {
-        return Files.readString(PATTERN).replace("enabled = false", "enabled = true");
+    private static String example() throws IOException {
+        return Files.readString(EXAMPLE).replace("enabled = false", "enabled = true");
     }
 
     private Path write(String text) throws IOException {
@@ -41,7 +41,7 @@
         return ClusterConfig.read(write(text)).orElseThrow();
     }
 
-    private ClusterConfigException refused(String text) throws IOException {
+    private ClusterConfigException readMistake(String text) throws IOException {
         Path file = write(text);
         return assertThrows(ClusterConfigException.class, () -> ClusterConfig.read(file));
     }
@@ -51,45 +51,45 @@
     }
 
     @Test
-    void patternIsOffAndHasEveryDefault() throws IOException {
-        assertTrue(ClusterConfig.read(PATTERN).isEmpty());
-        ClusterConfig told = read(pattern().substring(0, pattern().indexOf("# Session budgets")));
-        String least = pattern().substring(0, pattern().indexOf("[raft]"));
-        assertEquals(told, read(least));
+    void exampleIsOffAndHasEveryDefault() throws IOException {
+        assertTrue(ClusterConfig.read(EXAMPLE).isEmpty());
+        ClusterConfig config = read(example().substring(0, example().indexOf("# Session budgets")));
+        String least = example().substring(0, example().indexOf("[raft]"));
+        assertEquals(config, read(least));
         assertEquals(
                 new ClusterConfig.RaftConfig(
                         Duration.ofMillis(250), 4, Duration.ofSeconds(1), 1024, 10_000),
-                told.raft());
+                config.raft());
         assertEquals(
                 new ClusterConfig.SessionConfig(Duration.ofSeconds(10), Duration.ofSeconds(1), 256),
-                told.session());
-        assertEquals(new ClusterConfig.DiskConfig(4 << 20, Duration.ofMillis(500)), told.disk());
-        assertEquals(500, told.driftPpm());
-        assertEquals(Duration.ofSeconds(5), told.leaseTtl());
+                config.session());
+        assertEquals(new ClusterConfig.DiskConfig(4 << 20, Duration.ofMillis(500)), config.disk());
+        assertEquals(500, config.driftPpm());
+        assertEquals(Duration.ofSeconds(5), config.leaseTtl());
         assertEquals(
                 List.of(1, 2, 3),
-                told.voters().stream().map(ClusterConfig.MemberAddress::number).toList());
-        assertTrue(told.isInitialVoter());
-        assertEquals(7501, told.self().address().getPort());
+                config.voters().stream().map(ClusterConfig.MemberAddress::number).toList());
+        assertTrue(config.isInitialVoter());
+        assertEquals(7501, config.self().address().getPort());
     }
 
     @Test
     void memberThatIsNoVoterHasANumberAndAnAddressOfItsOwn() throws IOException {
-        ClusterConfig told =
+        ClusterConfig config =
                 read(
-                        pattern()
+                        example()
                                 .replace(
                                         "name = \"m1\"\ndata = \"/var/lib/calicostream/m1\"",
                                         "name = \"n7\"\n"
                                                 + "number = 7\n"
                                                 + "listen = \"127.0.0.1:7507\"\n"
                                                 + "data = \"seven\""));
-        assertFalse(told.isInitialVoter());
-        assertEquals(7, told.self().number());
-        assertEquals(folder.resolve("seven"), told.dataFolder());
+        assertFalse(config.isInitialVoter());
+        assertEquals(7, config.self().number());
+        assertEquals(folder.resolve("seven"), config.dataFolder());
     }
 
-    private static final String MORE =
+    private static final String MEMBERS_AND_LINKS =
             "[[members]]\n"
                     + "name = \"m4\"\n"
                     + "number = 4\n"
@@ -103,20 +103,24 @@
 
     @Test
     void linksLeadToVotersAndMembersOtherwise() throws IOException {
-        ClusterConfig told = read(pattern() + MORE);
+        ClusterConfig config = read(example() + MEMBERS_AND_LINKS);
         assertEquals(
                 Map.of(2, 7602, 3, 7503, 4, 7604),
-                told.peerAddresses().entrySet().stream()
+                config.peerAddresses().entrySet().stream()
                         .collect(
                                 Collectors.toMap(
                                         Map.Entry::getKey, each -> each.getValue().getPort())));
-        assertEquals(told.dataFolder(), told.markersFolder());
+        assertEquals(config.dataFolder(), config.markersFolder());
         String fourth =
-                pattern()
+                example()
                         .replaceFirst(
                                 "name = \"m1\"",
                                 "name = \"m4\"\ngeneration = 2\nmarks = \"other\"");
-        ClusterConfig four = read(fourth + MORE.substring(0, MORE.lastIndexOf("[[links]]")));
+        ClusterConfig four =
+                read(
+                        fourth
+                                + MEMBERS_AND_LINKS.substring(
+                                        0, MEMBERS_AND_LINKS.lastIndexOf("[[links]]")));
         assertEquals(
                 new ClusterConfig.MemberAddress("m4", 4, new InetSocketAddress("127.0.0.1", 7504)),
                 four.self());
@@ -141,15 +145,16 @@
                 "OVERLAP | address = \"127.0.0.1:7504\" | address = \"127.0.0.1:7503\" |"
                         + " members.address: 127.0.0.1:7503 is voter m3's",
             })
-    void mistakeInLinksAndMembersIsToldToo(Code code, String was, String is, String fact)
+    void mistakeInLinksAndMembersIsReported(Code code, String was, String is, String fact)
             throws IOException {
-        ClusterConfigException told = refused(pattern() + MORE.replace(was, is));
-        assertEquals(code, told.code(), told.getMessage());
-        assertTrue(told.getMessage().contains(": " + fact), told.getMessage());
+        ClusterConfigException mistake =
+                readMistake(example() + MEMBERS_AND_LINKS.replace(was, is));
+        assertEquals(code, mistake.code(), mistake.getMessage());
+        assertTrue(mistake.getMessage().contains(": " + fact), mistake.getMessage());
     }
 
     /**
-     * Each with the line of the pattern that is replaced, and what the message says of that line.
+     * Each with the line of the example that is replaced, and what the message says of that line.
      */
     @ParameterizedTest
     @CsvSource(
@@ -208,22 +213,22 @@
             })
     void mistakeIsOneLineWithFileLineAndKey(Code code, String was, String is, String fact)
             throws IOException {
-        String text = pattern();
+        String text = example();
         int at = line(text, was);
-        ClusterConfigException told =
-                refused(text.replaceFirst(Pattern.quote(was), Matcher.quoteReplacement(is)));
-        assertEquals(code, told.code(), told.getMessage());
-        boolean whole = is.equals("#"); // A key that is not there is told at its table's head.
+        ClusterConfigException mistake =
+                readMistake(text.replaceFirst(Pattern.quote(was), Matcher.quoteReplacement(is)));
+        assertEquals(code, mistake.code(), mistake.getMessage());
+        boolean whole = is.equals("#"); // A key that is not there is mistake at its table's head.
         int line =
                 whole
                         ? line(
                                 text,
-                                told.key().equals("cluster.name")
+                                mistake.key().equals("cluster.name")
                                         ? "[cluster]"
                                         : "[[voters]]\nname = \"m2\"")
                         : at;
-        assertEquals(line, told.line(), told.getMessage());
-        String message = told.getMessage();
+        assertEquals(line, mistake.line(), mistake.getMessage());
+        String message = mistake.getMessage();
         assertTrue(
                 message.startsWith(
                         "bad configuration: " + folder.resolve("cluster.toml") + ":" + line + ": "),
@@ -231,48 +236,48 @@
         assertTrue(message.endsWith(" [" + code.text() + "]"), message);
         assertEquals(1, message.lines().count(), message);
         assertTrue(fact == null || message.contains(": " + fact), message);
-        assertTrue(fact == null || fact.startsWith(told.key()), message);
+        assertTrue(fact == null || fact.startsWith(mistake.key()), message);
     }
 
     @Test
     void votersAreThreeOrFive() throws IOException {
-        String text = pattern();
+        String text = example();
         String two =
                 text.replace(
                         text.substring(
                                 text.indexOf("[[voters]]\nname = \"m3\""), text.indexOf("[raft]")),
                         "");
-        ClusterConfigException told = refused(two);
+        ClusterConfigException mistake = readMistake(two);
         assertEquals(
                 "bad configuration: "
                         + folder.resolve("cluster.toml")
                         + ":"
                         + line(two, "[[voters]]")
                         + ": voters: 2 voters, 3 or 5 needed [cluster-config-impossible]",
-                told.getMessage());
+                mistake.getMessage());
     }
 
     @Test
     void memberThatIsNoVoterTakesNoVotersPlace() throws IOException {
         String text =
-                pattern()
+                example()
                         .replace(
                                 "name = \"m1\"\ndata",
                                 "name = \"n7\"\nnumber = 2\nlisten = \"127.0.0.1:7507\"\ndata");
-        ClusterConfigException told = refused(text);
-        assertEquals(Code.OVERLAP, told.code());
-        assertEquals("member.number", told.key());
-        assertEquals(line(text, "number = 2"), told.line());
+        ClusterConfigException mistake = readMistake(text);
+        assertEquals(Code.OVERLAP, mistake.code());
+        assertEquals("member.number", mistake.key());
+        assertEquals(line(text, "number = 2"), mistake.line());
     }
 
     @Test
     void fileThatIsNotThereIsAMistake() {
-        ClusterConfigException told =
+        ClusterConfigException mistake =
                 assertThrows(
                         ClusterConfigException.class,
                         () -> ClusterConfig.read(folder.resolve("none.toml")));
-        assertEquals(Code.UNREADABLE, told.code());
-        assertEquals(0, told.line());
+        assertEquals(Code.UNREADABLE, mistake.code());
+        assertEquals(0, mistake.line());
     }
 
     @Test
@@ -280,7 +285,7 @@
         SettingsFile file =
                 SettingsFile.read(
                         write(
-                                pattern()
+                                example()
                                         + "\n"
                                         + "[teams.east]\n"
                                         + "weight = 3\n\n"
@@ -302,7 +307,7 @@
         assertEquals("teams.west.wieght", left.key());
         assertEquals(
                 (int)
-                        (pattern() + "\n[teams.east]\nweight = 3\n\n[teams.west]\nwieght")
+                        (example() + "\n[teams.east]\nweight = 3\n\n[teams.west]\nwieght")
                                 .lines()
                                 .count(),
                 left.line());
@@ -322,7 +327,7 @@
                         .collect(Collectors.toCollection(TreeSet::new)),
                 rows);
         String table = "";
-        for (String line : pattern().lines().toList()) {
+        for (String line : example().lines().toList()) {
             table = line.startsWith("[") ? line.replaceAll("[\\[\\]]", "") + "." : table;
             if (Pattern.matches("[a-z_]+ = .*", line)) {
                 String key =
--- a/src/test/java/calicostream/cluster/sim/ClusterSimTest.java
+++ b/src/test/java/calicostream/cluster/sim/ClusterSimulationTest.java
@@ -20,8 +20,8 @@
  * Whole clusters in virtual time. A failing seed is replayed by {@code ClusterSimulationMain SEED
  * 1}.
  */
-class ClusterSimTest {
-    private static final long FIRST = 20_000;
+class ClusterSimulationTest {
+    private static final long FIRST_SEED = 20_000;
 
     static {
         System.setProperty("org.slf4j.simpleLogger.log.io.microraft", "off");
@@ -30,7 +30,7 @@
     @Test
     void everyCheckHoldsUnderFaults() {
         List<ClusterSimulation.Result> results =
-                LongStream.range(FIRST, FIRST + 40)
+                LongStream.range(FIRST_SEED, FIRST_SEED + 40)
                         .parallel()
                         .mapToObj(
                                 seed ->
@@ -56,7 +56,7 @@
                                                     ClusterSimulation.FAULT_MILLIS)));
             result.faults().forEach((kind, n) -> faults.merge(kind, n, Integer::sum));
         }
-        // What did not happen was not checked.
+        // A fault that did not happen was not checked.
         assertEquals(EnumSet.allOf(FaultSchedule.FaultKind.class), faults.keySet());
         assertTrue(
                 results.stream().mapToInt(result -> result.counts().expiredSessions()).sum() > 0,
@@ -66,7 +66,7 @@
                 "voters changed");
         assertTrue(
                 results.stream().mapToInt(result -> result.counts().detectedDiskFaults()).sum() > 0,
-                "lies of disks noticed");
+                "silent disk faults detected");
         assertTrue(
                 results.stream().mapToInt(result -> result.counts().restoredSnapshots()).sum() > 0,
                 "snapshots restored");
@@ -77,19 +77,19 @@
     }
 
     @Test
-    void aSeedReplaysToTheByte() {
+    void sameSeedGivesTheSameRun() {
         ClusterSimulation.Result once =
-                ClusterSimulation.run(FIRST, ClusterSimulation.allSafeguards());
-        assertEquals(once, ClusterSimulation.run(FIRST, ClusterSimulation.allSafeguards()));
+                ClusterSimulation.run(FIRST_SEED, ClusterSimulation.allSafeguards());
+        assertEquals(once, ClusterSimulation.run(FIRST_SEED, ClusterSimulation.allSafeguards()));
         assertFalse(
                 once.hash()
-                        == ClusterSimulation.run(FIRST + 1, ClusterSimulation.allSafeguards())
+                        == ClusterSimulation.run(FIRST_SEED + 1, ClusterSimulation.allSafeguards())
                                 .hash());
     }
 
     @Test
-    void aRemovedVoterIsRefusedAndComesBackUnderTheNextGeneration() {
-        for (long seed = FIRST; seed < FIRST + 4; seed++) {
+    void removedVoterIsRejectedAndComesBackUnderTheNextGeneration() {
+        for (long seed = FIRST_SEED; seed < FIRST_SEED + 4; seed++) {
             ClusterSimulation.Result result =
                     ClusterSimulation.run(
                             seed,
@@ -107,25 +107,25 @@
     }
 
     /**
-     * Runs that once ended without a leader, by an open pre-vote, by frames for a former self, by
-     * who was promoted unheard, by who came back under a removed name, by appends that a follower
-     * behind a snapshot refused for ever.
+     * Runs that formerly ended without a leader, because of a pending pre-vote, frames for a former
+     * generation, a learner promoted without a response, a voter added again under a removed
+     * generation, and appends that a follower rejected forever after a snapshot.
      */
     @ParameterizedTest
     @ValueSource(longs = {300_008, 300_072, 300_107, 320_023, 1_080})
-    void aRunThatOnceFailedEndsWithALeader(long seed) {
+    void formerlyFailingRunEndsWithALeader(long seed) {
         assertEquals("", ClusterSimulation.run(seed, ClusterSimulation.allSafeguards()).failure());
     }
 
     @ParameterizedTest
     @EnumSource(Safeguard.class)
-    void aSafeguardTakenOutIsFound(Safeguard mutant) {
-        Set<Safeguard> mutants = EnumSet.of(mutant);
+    void disabledSafeguardIsDetected(Safeguard safeguard) {
+        Set<Safeguard> disabled = EnumSet.of(safeguard);
         assertTrue(
-                LongStream.range(FIRST, FIRST + 200)
+                LongStream.range(FIRST_SEED, FIRST_SEED + 200)
                         .parallel()
                         .anyMatch(
-                                seed -> !ClusterSimulation.run(seed, mutants).failure().isEmpty()),
-                mutant + " was not found");
+                                seed -> !ClusterSimulation.run(seed, disabled).failure().isEmpty()),
+                safeguard + " was not detected");
     }
 }
--- a/src/test/java/calicostream/cluster/sim/LeasesInClusterTest.java
+++ b/src/test/java/calicostream/cluster/sim/LeaseSimulationTest.java
@@ -17,17 +17,17 @@
  * Leases on whole clusters in virtual time, under the cluster's faults and their own. {@code
  * LeaseSimMain} replays a seed.
  */
-class LeasesInClusterTest {
-    private static final long FIRST = 20_000;
+class LeaseSimulationTest {
+    private static final long FIRST_SEED = 20_000;
 
     static {
         System.setProperty("org.slf4j.simpleLogger.log.io.microraft", "off");
     }
 
     @Test
-    void noPromiseIsBrokenUnderTheClustersFaults() {
+    void everyLeaseCheckHoldsUnderClusterFaults() {
         List<LeaseSimulationMain.Run> runs =
-                LongStream.range(FIRST, FIRST + 10)
+                LongStream.range(FIRST_SEED, FIRST_SEED + 10)
                         .parallel()
                         .mapToObj(
                                 seed ->
@@ -36,8 +36,8 @@
                         .toList();
         runs.forEach(
                 run -> assertEquals("", run.result().failure(), "seed " + run.result().seed()));
-        // What did not happen was not checked: acts taken, late ones refused, grants, and grants to
-        // who had waited.
+        // What did not happen was not checked: actions accepted, late ones rejected, grants, and
+        // grants to members that had waited.
         for (int i = 0; i < 4; i++) {
             int at = i;
             assertTrue(
@@ -47,26 +47,26 @@
     }
 
     @Test
-    void aMemberThatIsToldTakesOverWithinTwoTimesToLive() {
-        List<Double> told = handOvers(true);
-        List<Double> untold = handOvers(false);
+    void notifiedMemberTakesOverWithinTwoTimesToLive() {
+        List<Double> notified = handOvers(true);
+        List<Double> unnotified = handOvers(false);
         assertTrue(
-                told.size() > 15 && untold.size() > 15,
-                "hand-overs " + told.size() + ", " + untold.size());
-        assertTrue(told.get(told.size() - 1) <= 2, "told: " + told);
+                notified.size() > 15 && unnotified.size() > 15,
+                "hand-overs " + notified.size() + ", " + unnotified.size());
+        assertTrue(notified.get(notified.size() - 1) <= 2, "notified: " + notified);
         assertTrue(
-                untold.get(untold.size() / 2) > told.get(told.size() / 2),
-                "medians of " + untold + " and " + told);
+                unnotified.get(unnotified.size() / 2) > notified.get(notified.size() / 2),
+                "medians of " + unnotified + " and " + notified);
     }
 
-    private static List<Double> handOvers(boolean told) {
+    private static List<Double> handOvers(boolean notified) {
         List<Double> all = new ArrayList<>();
-        LongStream.range(FIRST, FIRST + 6)
+        LongStream.range(FIRST_SEED, FIRST_SEED + 6)
                 .parallel()
                 .mapToObj(
                         seed ->
                                 LeaseSimulationMain.run(
-                                        seed, SimLeases.Plan.KILLS_OUTSIDE, null, told))
+                                        seed, SimLeases.Plan.KILLS_OUTSIDE, null, notified))
                 .toList()
                 .forEach(
                         run -> {
@@ -76,7 +76,7 @@
         return all.stream().sorted().toList();
     }
 
-    /** {@code from} is where it is found soon; where the simulation changed, the search goes on. */
+    /** {@code from} is a seed that detects it soon; the search continues if it does not. */
     @ParameterizedTest
     @CsvSource({
         "TOKEN_NOT_CHECKED, 20_030",
@@ -85,7 +85,7 @@
         "NEW_LEADER_DOES_NOT_WAIT, 20_012",
         "CLOCK_STEP_COUNTED, 20_002"
     })
-    void aSafeguardTakenOutIsFound(Mutant without, String from) {
+    void disabledSafeguardIsDetected(Mutant without, String from) {
         long seed = Long.parseLong(from.replace("_", ""));
         assertTrue(
                 LongStream.range(seed, seed + 200)
@@ -96,6 +96,6 @@
                                                 .result()
                                                 .failure()
                                                 .isEmpty()),
-                without + " was not found");
+                without + " was not detected");
     }
 }
--- a/src/test/java/calicostream/cluster/tcp/TcpClusterTest.java
+++ b/src/test/java/calicostream/cluster/tcp/TcpClusterTest.java
@@ -25,6 +25,7 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
+import java.net.SocketException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -39,17 +40,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Voters with real threads, sockets and folders, in one process. */
+/** Voters with real threads, sockets and folders in one process. */
 class TcpClusterTest {
-    private static final List<Voter> FIRST =
+    private static final List<Voter> VOTERS =
             List.of(new Voter(1, 0), new Voter(2, 0), new Voter(3, 0));
 
     static {
         System.setProperty("org.slf4j.simpleLogger.log.io.microraft", "off");
     }
 
-    /** Counts what it was told to add. */
-    private static final class Sum implements StateMachine {
+    /** Adds the first byte of each command. */
+    private static final class SumStateMachine implements StateMachine {
         private byte sum;
 
         @Override
@@ -76,11 +77,11 @@
 
     private final class Node {
         private final SelectorLoop loop = new SelectorLoop(new Clock(), new Deadlines());
-        private final SelectorEventLoop reactor = new SelectorEventLoop(loop);
+        private final SelectorEventLoop eventLoop = new SelectorEventLoop(loop);
         private final DurableLog log;
         private final VoterNode voter;
         private final MemberSession member;
-        private final TcpTransport links;
+        private final TcpTransport transport;
         private final Thread thread;
 
         Node(int id, Path folder) throws IOException {
@@ -88,7 +89,7 @@
             log =
                     DurableLog.open(
                             disk, disk, new LogIdentity("test", "voter-" + id), LogOptions.DEFAULT);
-            links =
+            transport =
                     new TcpTransport(
                             loop,
                             "test",
@@ -98,12 +99,12 @@
                             this::received);
             voter =
                     new VoterNode(
-                            new VoterNode.Settings(FIRST.get(id - 1), FIRST, 50, 5, 200, 64, 100),
-                            reactor,
-                            links,
+                            new VoterNode.Settings(VOTERS.get(id - 1), VOTERS, 50, 5, 200, 64, 100),
+                            eventLoop,
+                            transport,
                             new DurableRaftStore(log),
                             DurableRaftStore.restoredState(log.recoveredState()),
-                            new ReplicatedState(Map.of("sum", new Sum())),
+                            new ReplicatedState(Map.of("sum", new SumStateMachine())),
                             Map.of(),
                             new Random(id),
                             error -> {});
@@ -111,7 +112,7 @@
                     new MemberSession(
                             new MemberSession.Settings(id, 2000, 200, 16),
                             List.of(1, 2, 3),
-                            (long) id << 40 | ++marks << 20);
+                            (long) id << 40 | ++processesStarted << 20);
             thread =
                     new Thread(
                             () -> {
@@ -135,14 +136,15 @@
 
         private void received(int from, byte[] bytes) {
             if (MemberMessage.decode(bytes) instanceof MemberMessage.Reply reply) {
-                member.received(from, reply, reactor.nanoTime());
+                member.received(from, reply, eventLoop.nanoTime());
             }
             voter.onFrame(from, bytes);
         }
 
         private void tick() {
-            member.tick(reactor.nanoTime()).forEach(send -> links.send(send.voter(), send.frame()));
-            reactor.schedule(this::tick, 10_000_000);
+            member.tick(eventLoop.nanoTime())
+                    .forEach(send -> transport.send(send.voter(), send.frame()));
+            eventLoop.schedule(this::tick, 10_000_000);
         }
 
         CommandOutcome add(int number)
@@ -162,7 +164,7 @@
             loop.post(
                     () -> {
                         voter.stop();
-                        links.close();
+                        transport.close();
                         log.close();
                         loop.stop();
                     });
@@ -171,7 +173,7 @@
     }
 
     private final List<Node> nodes = new ArrayList<>();
-    private long marks;
+    private long processesStarted;
     @TempDir private Path folder;
 
     private void connect() throws IOException {
@@ -180,22 +182,23 @@
                 int peer = id;
                 InetSocketAddress at =
                         new InetSocketAddress(
-                                InetAddress.getLoopbackAddress(), nodes.get(id - 1).links.port());
-                a.loop.post(() -> a.links.setPeerAddress(peer, at));
+                                InetAddress.getLoopbackAddress(),
+                                nodes.get(id - 1).transport.port());
+                a.loop.post(() -> a.transport.setPeerAddress(peer, at));
             }
         }
         nodes.forEach(Node::start);
     }
 
     @AfterEach
-    void end() throws InterruptedException {
+    void stopNodes() throws InterruptedException {
         for (Node node : nodes) {
             node.stop();
         }
     }
 
     @Test
-    void commandsOutliveTheLeaderAndAllVoters() throws Exception {
+    void commandsSurviveTheLossOfTheLeaderAndARestartOfAllVoters() throws Exception {
         for (int id = 1; id <= 3; id++) {
             nodes.add(new Node(id, folder));
         }
@@ -222,37 +225,38 @@
     }
 
     @Test
-    void whatIsNoFrameEndsTheConnection() throws Exception {
+    void malformedBytesCloseTheConnection() throws Exception {
         for (int id = 1; id <= 3; id++) {
             nodes.add(new Node(id, folder));
         }
         connect();
         InetSocketAddress at =
-                new InetSocketAddress(InetAddress.getLoopbackAddress(), nodes.get(0).links.port());
+                new InetSocketAddress(
+                        InetAddress.getLoopbackAddress(), nodes.get(0).transport.port());
         byte[] greeting = TcpFrame.encodeGreeting("test".getBytes(), 2, 1);
-        byte[] rotten = TcpFrame.encode(new byte[] {1, 2, 3});
-        rotten[TcpFrame.HEADER_BYTES] ^= 1;
-        byte[] huge = new byte[TcpFrame.HEADER_BYTES];
-        huge[0] = 0x7f;
-        for (byte[] bad : List.of(rotten, huge)) {
-            ends(at, greeting, bad);
+        byte[] corrupted = TcpFrame.encode(new byte[] {1, 2, 3});
+        corrupted[TcpFrame.HEADER_BYTES] ^= 1;
+        byte[] oversized = new byte[TcpFrame.HEADER_BYTES];
+        oversized[0] = 0x7f;
+        for (byte[] malformed : List.of(corrupted, oversized)) {
+            assertCloses(at, greeting, malformed);
         }
-        ends(at, TcpFrame.encodeGreeting("other".getBytes(), 2, 1));
-        ends(at, TcpFrame.encodeGreeting("test".getBytes(), 2, 3));
-        ends(at, "GET / HTTP/1.1\r\n\r\n".getBytes());
+        assertCloses(at, TcpFrame.encodeGreeting("other".getBytes(), 2, 1));
+        assertCloses(at, TcpFrame.encodeGreeting("test".getBytes(), 2, 3));
+        assertCloses(at, "GET / HTTP/1.1\r\n\r\n".getBytes());
         assertTrue(nodes.get(0).add(1).isAccepted());
     }
 
-    private static void ends(InetSocketAddress at, byte[]... said) throws IOException {
+    private static void assertCloses(InetSocketAddress at, byte[]... sent) throws IOException {
         try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
             socket.setSoTimeout(30_000);
-            for (byte[] bytes : said) {
+            for (byte[] bytes : sent) {
                 socket.getOutputStream().write(bytes);
             }
             int end;
             try {
                 end = socket.getInputStream().read();
-            } catch (java.net.SocketException reset) {
+            } catch (SocketException reset) {
                 end = -1;
             }
             assertEquals(-1, end);
