--- a/src/main/java/calicostream/budget/EngineGrantPlanner.java
+++ b/src/main/java/calicostream/budget/EngineGrantPlanner.java
@@ -79,7 +79,7 @@
         }
 
         /**
-         * What one session more takes of the cap: nothing below the floor or below what may be in
+         * What one session more costs of the cap: nothing below the floor or below what may be in
          * use anyway.
          */
         private int costOfNextSession() {
--- a/src/main/java/calicostream/budget/WaterFilling.java
+++ b/src/main/java/calicostream/budget/WaterFilling.java
@@ -10,13 +10,13 @@
     private WaterFilling() {}
 
     /**
-     * Again and again the claimant with the least for its weight takes one unit more; who can't
-     * take one is out for good.
+     * Gives one unit at a time to the claimant with the least for its weight; a claimant that can't
+     * have one more is not considered again.
      *
-     * @param weights by claimant; who has none takes nothing
+     * @param weights by claimant; one without weight gets nothing
      * @param limits by claimant
      * @param given by claimant: what each has; updated
-     * @param takesOne whether the claimant could take one unit more, which it then has
+     * @param takesOne gives the claimant one unit more; false if it can't have one
      */
     static void fill(int[] weights, int[] limits, int[] given, IntPredicate takesOne) {
         PriorityQueue<Integer> order = new PriorityQueue<>(leastForItsWeightFirst(weights, given));
--- a/src/main/java/calicostream/budget/process/BudgetGate.java
+++ b/src/main/java/calicostream/budget/process/BudgetGate.java
@@ -80,7 +80,7 @@
         return loop.clock().now() * NANOS_PER_MICRO;
     }
 
-    /** Must be told of endpoints before the client that this one forwards to. */
+    /** Must be notified of endpoints before the client that this one forwards to. */
     public RequestListener endpointListener() {
         return new RequestListener() {
             @Override
@@ -249,8 +249,8 @@
     }
 
     /**
-     * The coordinator wants the engines' own counts: those that can be probed are, the others tell
-     * with a response to what is sent from now on.
+     * The coordinator wants the engines' own counts: those that can be probed are, the others
+     * report with a response to what is sent from now on.
      */
     private void countsRequested(BudgetMailbox.CountRequest request) {
         for (long engine : engines.idsOf(request.engines())) {
--- a/src/main/java/calicostream/budget/process/BudgetMailbox.java
+++ b/src/main/java/calicostream/budget/process/BudgetMailbox.java
@@ -30,7 +30,7 @@
      */
     record CountRequest(List<String> engines, long knownIndex) {}
 
-    /** What the gate is told; called on the member's thread. */
+    /** What the gate is notified of; called on the member's thread. */
     interface GateListener {
         /** The process has joined under a new cluster session. */
         void joined();
--- a/src/measure/java/calicostream/budget/BudgetSimulations.java
+++ b/src/measure/java/calicostream/budget/BudgetSimulations.java
@@ -70,13 +70,13 @@
     }
 
     /** One run of ten seconds; null or what broke. */
-    static FleetSimulation faulty(long seed, Set<Safeguard> out) {
-        return faulty(seed, FaultPlan.ALL, out);
+    static FleetSimulation faulty(long seed, Set<Safeguard> disabled) {
+        return faulty(seed, FaultPlan.ALL, disabled);
     }
 
-    private static FleetSimulation faulty(long seed, FaultPlan faults, Set<Safeguard> out) {
+    private static FleetSimulation faulty(long seed, FaultPlan faults, Set<Safeguard> disabled) {
         if (seed % 2 == 0) {
-            return small(seed, faults, out);
+            return small(seed, faults, disabled);
         }
         SplittableRandom random = new SplittableRandom(seed * 31 + 7);
         int[] caps = random.ints(3, 21, random.nextBoolean() ? 30 : 60).toArray();
@@ -86,7 +86,7 @@
                         settings(random.nextInt(1, 4), random.nextInt(1, 4)),
                         caps,
                         faults,
-                        out,
+                        disabled,
                         seed,
                         new SimulatedClients.Load(clients, random.nextInt(20, 200)));
         sim.run(10 * SECOND);
@@ -94,11 +94,11 @@
     }
 
     /**
-     * One or two engines, two or three processes, little room and much demand: each fault meets
-     * whoever is just using what it concerns. Which faults there are, and how much is late, differs
-     * from run to run, as one that is rare among many hides what two of a kind would show.
+     * One or two engines, two or three processes, little capacity and much demand, so that each
+     * fault concerns what is in use. Which faults there are, and how many messages are late,
+     * differs from run to run: one that is rare among many hides what two of a kind would show.
      */
-    private static FleetSimulation small(long seed, FaultPlan faults, Set<Safeguard> out) {
+    private static FleetSimulation small(long seed, FaultPlan faults, Set<Safeguard> disabled) {
         SplittableRandom random = new SplittableRandom(seed * 31 + 11);
         int count = random.nextInt(2, 4);
         int floor = random.nextInt(0, 2);
@@ -118,7 +118,7 @@
                         settings(count, floor, random.nextInt(1, 4)),
                         caps,
                         drawn,
-                        out,
+                        disabled,
                         seed,
                         new SimulatedClients.Load(clients, random.nextInt(20, 600)));
         sim.run(20 * SECOND);
@@ -129,43 +129,53 @@
      * Runs with all faults, from that seed on; fewer if the time is over, which {@link
      * System#nanoTime} tells.
      */
-    public static FaultyRuns faulty(long seed, boolean quorumLost, int most, long until) {
+    public static FaultyRuns faulty(long seed, boolean isQuorumLost, int maxRuns, long deadline) {
         int runs = 0;
         long steps = 0;
         long commands = 0;
         int faults = 0;
-        int over = 0;
-        String first = null;
+        int violations = 0;
+        String firstViolation = null;
         List<Long> reclaims = new ArrayList<>();
-        List<Long> freed = new ArrayList<>();
+        List<Long> releases = new ArrayList<>();
         Map<String, Integer> refusals = new TreeMap<>();
-        for (int i = 0; i < most && System.nanoTime() < until; i++) {
+        for (int i = 0; i < maxRuns && System.nanoTime() < deadline; i++) {
             runs++;
             FleetSimulation sim =
                     faulty(
                             seed + i,
-                            quorumLost ? FaultPlan.ALL : FaultPlan.WITH_QUORUM,
+                            isQuorumLost ? FaultPlan.ALL : FaultPlan.WITH_QUORUM,
                             EnumSet.noneOf(Safeguard.class));
             steps += sim.steps;
             commands += sim.commands;
             faults += sim.injected.values().stream().mapToInt(Integer::intValue).sum();
             if (sim.violation != null) {
-                over++;
-                first = first == null ? "seed " + (seed + i) + ": " + sim.violation : first;
+                violations++;
+                if (firstViolation == null) {
+                    firstViolation = "seed " + (seed + i) + ": " + sim.violation;
+                }
             }
             reclaims.addAll(sim.reclaims);
-            freed.addAll(sim.releases);
+            releases.addAll(sim.releases);
             sim.refusals.forEach((code, count) -> refusals.merge(code, count, Integer::sum));
         }
         Collections.sort(reclaims);
-        Collections.sort(freed);
+        Collections.sort(releases);
         return new FaultyRuns(
-                runs, steps, commands, faults, over, first, reclaims, freed, refusals);
+                runs,
+                steps,
+                commands,
+                faults,
+                violations,
+                firstViolation,
+                reclaims,
+                releases,
+                refusals);
     }
 
     /**
-     * The first seed of a small fleet at which the checker finds a break with this safeguard taken
-     * out, or -1.
+     * The first seed of a small fleet at which the checker finds a violation with this safeguard
+     * disabled, or -1.
      */
     static long firstSeedViolating(Safeguard safeguard, long seed, int runs) {
         for (int i = 0; i < runs; i++) {
@@ -176,7 +186,7 @@
         return -1;
     }
 
-    /** Safeguards that are each taken out, by name. */
+    /** The names of all safeguards. */
     public static List<String> safeguards() {
         return Arrays.stream(Safeguard.values()).map(Enum::name).toList();
     }
@@ -188,7 +198,7 @@
 
     /**
      * Ten seconds without faults and with enough demand, judged from the fourth on against the
-     * all-seeing division of the whole caps.
+     * exact allocation of the whole caps.
      */
     public static SteadyRun steady(long seed) {
         SplittableRandom random = new SplittableRandom(seed * 17 + 3);
@@ -206,39 +216,39 @@
                         seed,
                         new SimulatedClients.Load(clients, 100));
         sim.run(4 * SECOND);
-        long[] before = areas(sim, clients.length);
-        long[] ran = ran(sim);
+        long[] before = sessionNanosByTenant(sim, clients.length);
+        long[] engineNanosBefore = sessionNanosByEngine(sim);
         sim.run(10 * SECOND);
-        long[] after = areas(sim, clients.length);
-        long[] then = ran(sim);
+        long[] after = sessionNanosByTenant(sim, clients.length);
+        long[] engineNanosAfter = sessionNanosByEngine(sim);
         double[] fair = MaxMinOracle.totals(problem(settings, caps, clients));
-        double distance = 0;
+        double unfairness = 0;
         for (int t = 0; t < clients.length; t++) {
-            double has = (after[t] - before[t]) / (6.0 * SECOND);
-            distance = Math.max(distance, Math.abs(has - fair[t]) / fair[t]);
+            double used = (after[t] - before[t]) / (6.0 * SECOND);
+            unfairness = Math.max(unfairness, Math.abs(used - fair[t]) / fair[t]);
         }
-        double use = 0;
-        double could = Math.min(Arrays.stream(caps).sum(), Arrays.stream(fair).sum());
+        double used = 0;
+        double usable = Math.min(Arrays.stream(caps).sum(), Arrays.stream(fair).sum());
         for (int e = 0; e < caps.length; e++) {
-            use += (then[e] - ran[e]) / (6.0 * SECOND);
+            used += (engineNanosAfter[e] - engineNanosBefore[e]) / (6.0 * SECOND);
         }
         if (sim.violation != null) {
             throw new IllegalStateException("seed " + seed + ": " + sim.violation);
         }
-        return new SteadyRun(distance, use / could);
+        return new SteadyRun(unfairness, used / usable);
     }
 
-    private static long[] areas(FleetSimulation sim, int tenants) {
-        long[] areas = new long[tenants];
+    private static long[] sessionNanosByTenant(FleetSimulation sim, int tenants) {
+        long[] nanos = new long[tenants];
         for (int t = 0; t < tenants; t++) {
             for (SimulatedProcess process : sim.processes) {
-                areas[t] += process.totalSessionNanos(t);
+                nanos[t] += process.totalSessionNanos(t);
             }
         }
-        return areas;
+        return nanos;
     }
 
-    private static long[] ran(FleetSimulation sim) {
+    private static long[] sessionNanosByEngine(FleetSimulation sim) {
         sim.engines.forEach(engine -> engine.add(sim.now, new SimulatedEngine.Owner("", 0), 0));
         return sim.engines.stream().mapToLong(engine -> engine.sessionNanos).toArray();
     }
--- a/src/measure/java/calicostream/budget/FleetSimulation.java
+++ b/src/measure/java/calicostream/budget/FleetSimulation.java
@@ -12,9 +12,9 @@
 import java.util.function.Consumer;
 
 /**
- * A fleet in virtual time from one seed: processes, engines, links, the log, its leader's clock and
- * the arbiter. The checker looks at the engines' own counts after each event and knows nothing of
- * grants but which cap is in force.
+ * A fleet in virtual time from one seed: processes, engines, connections, the replicated log, its
+ * leader's clock and the coordinator. The checker looks at the engines' own counts after each event
+ * and knows nothing of grants except which cap is in force.
  */
 final class FleetSimulation {
     static final long MS = 1_000_000;
@@ -147,17 +147,16 @@
         injected.merge(kind, 1, Integer::sum);
     }
 
-    /**
-     * A command on its way to the log, and its answer on the way back; either may be lost, late or
-     * doubled.
-     */
+    /** Sends a command to the log; it and its answer may be lost, late or duplicated. */
     void submit(long session, byte[] body, Consumer<CommandEffects> answer) {
         submit(session, body, answer, 0, 0);
     }
 
     /**
-     * @param cannotReceiveUntil until when the sender hears nothing, or only later, though it is
-     *     heard
+     * The same over a link that may be cut.
+     *
+     * @param cannotSendUntil until when commands are lost
+     * @param cannotReceiveUntil until when answers are lost, or delayed until after then
      */
     void submit(
             long session,
@@ -168,37 +167,55 @@
         if (now < cannotSendUntil) {
             return;
         }
-        boolean[] applied = new boolean[1];
+        Submission submission = new Submission(session, body, answer, cannotReceiveUntil);
         int copies = random.nextDouble() < faults.duplicateProbability() ? 2 : 1;
         for (int i = 0; i < copies; i++) {
             if (random.nextDouble() >= faults.lossProbability()) {
-                schedule(
-                        now + delay(),
-                        () -> {
-                            // the layer below applies what is numbered once
-                            if (hasQuorum && !applied[0]) {
-                                applied[0] = true;
-                                CommandEffects effects = apply(new Command(session, 1, 0, body));
-                                for (int j =
-                                                random.nextDouble() < faults.duplicateProbability()
-                                                        ? 2
-                                                        : 1;
-                                        j > 0;
-                                        j--) {
-                                    if (random.nextDouble() >= faults.lossProbability()
-                                            && (now >= cannotReceiveUntil
-                                                    || random.nextBoolean())) {
-                                        schedule(
-                                                (now >= cannotReceiveUntil
-                                                                ? now
-                                                                : cannotReceiveUntil
-                                                                        + random.nextLong(500 * MS))
-                                                        + delay(),
-                                                () -> answer.accept(effects));
-                                    }
-                                }
-                            }
-                        });
+                schedule(now + delay(), submission::arrive);
+            }
+        }
+    }
+
+    /** A command that was sent to the log; the cluster's sessions apply each once. */
+    private final class Submission {
+        private final long session;
+        private final byte[] body;
+        private final Consumer<CommandEffects> answer;
+        private final long cannotReceiveUntil;
+        private boolean isApplied;
+
+        Submission(
+                long session,
+                byte[] body,
+                Consumer<CommandEffects> answer,
+                long cannotReceiveUntil) {
+            this.session = session;
+            this.body = body;
+            this.answer = answer;
+            this.cannotReceiveUntil = cannotReceiveUntil;
+        }
+
+        void arrive() {
+            if (!hasQuorum || isApplied) {
+                return;
+            }
+            isApplied = true;
+            CommandEffects effects = apply(new Command(session, 1, 0, body));
+            int copies = random.nextDouble() < faults.duplicateProbability() ? 2 : 1;
+            for (int i = 0; i < copies; i++) {
+                respond(effects);
+            }
+        }
+
+        private void respond(CommandEffects effects) {
+            if (random.nextDouble() < faults.lossProbability()) {
+                return;
+            }
+            if (now >= cannotReceiveUntil) {
+                schedule(now + delay(), () -> answer.accept(effects));
+            } else if (random.nextBoolean()) {
+                long received = cannotReceiveUntil + random.nextLong(500 * MS) + delay();
+                schedule(received, () -> answer.accept(effects));
             }
         }
     }
--- a/src/measure/java/calicostream/budget/MaxMinOracle.java
+++ b/src/measure/java/calicostream/budget/MaxMinOracle.java
@@ -30,16 +30,16 @@
         double[][] kept = new double[tenants][problem.poolCount()];
         double[] lower = new double[tenants];
         for (int k = 0; k < problem.poolCount(); k++) {
-            int tier = k;
+            int pool = k;
             double[] promised =
                     fill(
-                            i -> problem.tenant(i).poolGuarantees()[tier],
+                            i -> problem.tenant(i).poolGuarantees()[pool],
                             new double[tenants],
                             i ->
                                     Math.min(
-                                            problem.tenant(i).poolGuarantees()[tier],
-                                            problem.tenant(i).poolCeilings()[tier]),
-                            ranks(set -> within(tier, set)),
+                                            problem.tenant(i).poolGuarantees()[pool],
+                                            problem.tenant(i).poolCeilings()[pool]),
+                            ranks(set -> within(pool, set)),
                             EXACT[0]);
             for (int t = 0; t < tenants; t++) {
                 kept[t][k] = promised[t];
@@ -70,11 +70,11 @@
         return ranks;
     }
 
-    /** What the engines of a tier have for these tenants. */
-    private double within(int tier, int set) {
+    /** What the engines of a pool have for these tenants. */
+    private double within(int pool, int set) {
         double engines = 0;
         for (int e = 0; e < problem.engineCount(); e++) {
-            if (problem.poolOf()[e] == tier) {
+            if (problem.poolOf()[e] == pool) {
                 double wanted = 0;
                 for (int t = 0; t < tenants; t++) {
                     wanted += (set >> t & 1) == 1 ? problem.tenant(t).demand()[e] : 0;
@@ -82,12 +82,12 @@
                 engines += Math.min(problem.caps()[e], wanted);
             }
         }
-        return Math.min(engines, problem.poolCaps()[tier]);
+        return Math.min(engines, problem.poolCaps()[pool]);
     }
 
     /**
      * The most that these tenants can have together while each tenant keeps what it was guaranteed
-     * in each tier.
+     * in each pool.
      */
     private double rank(int set, double[][] kept) {
         double rank = 0;
--- a/src/measure/java/calicostream/budget/SimulatedEngine.java
+++ b/src/measure/java/calicostream/budget/SimulatedEngine.java
@@ -5,19 +5,19 @@
 import java.util.Map;
 
 /**
- * A stand-in engine, which runs what it is sent and counts it; it knows no grant and refuses
+ * A simulated engine, which runs what it is sent and counts it; it knows no grants and refuses
  * nothing.
  */
 final class SimulatedEngine {
-    /** One start of a process, as the engine tells them apart. */
+    /** One incarnation of a process, as the engine distinguishes them. */
     record Owner(String process, long session) {}
 
     final String name;
     final String pool;
 
     /**
-     * Whether it tells a process what that process's earlier starts have there, or only how many
-     * sessions it has in all.
+     * Whether it reports to a process what its earlier incarnations have here, or only how many
+     * sessions it runs in all.
      */
     final boolean countsByProcess;
 
@@ -25,7 +25,7 @@
     int cap;
     int running;
 
-    /** What the checker last saw to be in force. */
+    /** The cap that was last in force. */
     int capInForce;
 
     long sessionNanos;
@@ -33,16 +33,16 @@
     final Map<Owner, Integer> sessionsByOwner = new HashMap<>();
 
     /**
-     * Links that processes have to this incarnation: until when each is busy; gone once the engine
-     * saw it closed.
+     * Connections that processes have to this incarnation: until when each is busy; removed once
+     * the engine saw it closed.
      */
     final Map<Owner, Long> connections = new HashMap<>();
 
-    SimulatedEngine(String name, String pool, int cap, boolean tellsByProcess) {
+    SimulatedEngine(String name, String pool, int cap, boolean countsByProcess) {
         this.name = name;
         this.pool = pool;
         this.cap = cap;
-        this.countsByProcess = tellsByProcess;
+        this.countsByProcess = countsByProcess;
         this.capInForce = cap;
     }
 
