--- a/src/measure/java/calicostream/core/Sides.java
+++ b/src/measure/java/calicostream/core/GatewayHarness.java
@@ -14,12 +14,12 @@
 import java.util.stream.LongStream;
 
 /**
- * Both sides of a {@link Gateway}, which record what it tells them and do what they are told to, on
- * a clock that who uses it turns (microseconds). One thread.
+ * A {@link Gateway} between a fake engine client and a response handler that records its calls, on
+ * a clock that the test advances (microseconds). One thread.
  */
-public class Sides implements EngineClient, ResponseHandler {
-    /** A lane of lookups and one of loads. */
-    public static final String TWO_LANES =
+public class GatewayHarness implements EngineClient, ResponseHandler {
+    /** Settings with a query class of lookups and one of loads. */
+    public static final String TWO_CLASSES =
             "lanes.count=2\n"
                     + "lanes.0.name=look\n"
                     + "lanes.0.effect=repeatable\n"
@@ -48,30 +48,30 @@
     /** In the order in which they were sent. */
     public final List<Attempt> sent = new ArrayList<>();
 
-    /** What either side was told, a line each. */
-    public final List<String> told = new ArrayList<>();
+    /** The calls to engine client and response handler, a line each. */
+    public final List<String> notifications = new ArrayList<>();
 
-    /** Ends of attempts, each with its engine. */
-    public final List<String> overs = new ArrayList<>();
+    /** The ended attempts, each as its engine and outcome. */
+    public final List<String> endedAttempts = new ArrayList<>();
 
-    /** What was not admitted, while {@link #keeps}. */
-    public final List<Request> kept = new ArrayList<>();
+    /** The requests that were not admitted, while {@link #keepsRequests}. */
+    public final List<Request> keptRequests = new ArrayList<>();
 
-    /** Engines where no request has room. */
-    public final Set<Long> full = new HashSet<>();
+    /** Engines where no tenant has capacity. */
+    public final Set<Long> enginesWithoutCapacity = new HashSet<>();
 
-    /** Tags of requests whose clients have gone, which nothing but a question tells. */
-    public final Set<Long> left = new HashSet<>();
+    /** Tags of requests whose clients have gone, of which the gateway is not notified. */
+    public final Set<Long> goneClients = new HashSet<>();
 
-    /** Requests are kept before the module. */
-    public boolean keeps;
+    /** Whether the engine client keeps requests back from the router. */
+    public boolean keepsRequests;
 
-    /** How attempts end while they are being sent; null: not before somebody says so. */
-    public AttemptOutcome atOnce;
+    /** How attempts end while they are being sent; null: when the test ends them. */
+    public AttemptOutcome immediateOutcome;
 
     public long time = 1_000_000;
 
-    public Sides(String settings) {
+    public GatewayHarness(String settings) {
         gateway =
                 new Gateway(
                         new Clock() {
@@ -96,8 +96,8 @@
                 LongStream.of(engines).mapToObj(id -> engine(id, EngineLifecycle.READY)).toList());
     }
 
-    /** Turns the clock to each deadline on the way. */
-    public void pass(long us) {
+    /** Advances the clock, and runs each deadline on the way. */
+    public void advance(long us) {
         for (long end = time + us; time < end; ) {
             time = Math.max(time, Math.min(end, deadlines.next()));
             deadlines.run(time);
@@ -113,32 +113,32 @@
     @Override
     public void send(Attempt attempt) {
         sent.add(attempt);
-        if (atOnce != null) {
-            gateway.attemptEnded(attempt, atOnce, null, null);
+        if (immediateOutcome != null) {
+            gateway.attemptEnded(attempt, immediateOutcome, null, null);
         }
     }
 
     @Override
     public void stop(Attempt attempt) {
-        told.add("stop " + attempt.number());
+        notifications.add("stop " + attempt.number());
     }
 
     @Override
     public boolean admits(Request request) {
-        if (keeps) {
-            kept.add(request);
+        if (keepsRequests) {
+            keptRequests.add(request);
         }
-        return !keeps;
+        return !keepsRequests;
     }
 
     @Override
     public boolean hasTenantCapacity(Request request, long engine) {
-        return !full.contains(engine);
+        return !enginesWithoutCapacity.contains(engine);
     }
 
     @Override
     public void attemptEnded(Attempt attempt, AttemptOutcome outcome, LoadReport report) {
-        overs.add(attempt.engine() + " " + outcome);
+        endedAttempts.add(attempt.engine() + " " + outcome);
     }
 
     @Override
@@ -146,49 +146,49 @@
 
     @Override
     public void engineDraining(long engine) {
-        told.add("draining " + engine);
+        notifications.add("draining " + engine);
     }
 
     @Override
     public void engineReinstated(long engine) {
-        told.add("renewed " + engine);
+        notifications.add("reinstated " + engine);
     }
 
     @Override
     public void engineRemoved(long engine) {
-        told.add("gone " + engine);
+        notifications.add("removed " + engine);
     }
 
     @Override
     public boolean isClientGone(long tag) {
-        return left.contains(tag);
+        return goneClients.contains(tag);
     }
 
     @Override
     public void served(long tag, RequestResult result) {
-        told.add(
+        notifications.add(
                 result == null
-                        ? "whole " + tag
+                        ? "completed " + tag
                         : "served " + tag + " " + new String(((TextResult) result).text()));
     }
 
     @Override
     public void streamBegan(long tag, ResultStreamHandle stream) {
-        told.add("begun " + tag + " " + stream);
+        notifications.add("streaming " + tag + " " + stream);
     }
 
     @Override
     public void concluded(long tag, FinalStatus status) {
-        told.add("concluded " + tag + " " + status);
+        notifications.add("concluded " + tag + " " + status);
     }
 
     @Override
     public void rejected(long tag, long retryAfterMs) {
-        told.add("refused " + tag);
+        notifications.add("rejected " + tag);
     }
 
     @Override
-    public void failed(long tag, FailureReason why) {
-        told.add("failed " + tag + " " + why);
+    public void failed(long tag, FailureReason reason) {
+        notifications.add("failed " + tag + " " + reason);
     }
 }
--- a/src/measure/java/calicostream/lease/TrialsFleet.java
+++ b/src/measure/java/calicostream/lease/TrialsFleet.java
@@ -2,8 +2,8 @@
 package calicostream.lease;
 
 import calicostream.core.Attempt;
+import calicostream.core.GatewayHarness;
 import calicostream.core.IncomingRequest;
-import calicostream.core.Sides;
 import calicostream.core.TextResult;
 import calicostream.routing.AttemptOutcome;
 import java.util.ArrayDeque;
@@ -44,7 +44,7 @@
                     + "rules.warm_up_us=14000000\n";
 
     private final class Process implements EjectionHints.FrontEnd {
-        final Sides sides = new Sides(SETTINGS);
+        final GatewayHarness sides = new GatewayHarness(SETTINGS);
         final EjectionHints trials = new EjectionHints(this);
         boolean used;
 
--- a/src/test/java/calicostream/core/GatewayTest.java
+++ b/src/test/java/calicostream/core/GatewayTest.java
@@ -1,25 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.core;
 
-import static calicostream.core.Sides.engine;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import calicostream.routing.AttemptOutcome;
-import calicostream.routing.EndpointUpdate;
-import calicostream.routing.EngineLifecycle;
-import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/**
- * What the core promises whatever its two sides and the module do, on a clock that the tests turn.
- */
+/** The promises that the gateway keeps whatever router, engine client and response handler do. */
 class GatewayTest {
     private static final RequestOperation OPERATION = new RequestOperation() {};
 
@@ -38,116 +30,121 @@
         }
     }
 
-    private final Sides sides = new Sides(Sides.TWO_LANES);
-    private final Gateway gateway = sides.gateway;
-    private final List<Attempt> sent = sides.sent;
-    private final List<String> told = sides.told;
-    private final List<Request> kept = sides.kept;
+    private final GatewayHarness harness = new GatewayHarness(GatewayHarness.TWO_CLASSES);
+    private final Gateway gateway = harness.gateway;
+    private final List<Attempt> sent = harness.sent;
+    private final List<String> notifications = harness.notifications;
+    private final List<Request> keptRequests = harness.keptRequests;
 
-    private long ask(int queryClass, long tag, long budgetUs) {
+    private long accept(int queryClass, long tag, long budgetUs) {
         return gateway.accept(
-                IncomingRequest.of(sides, tag, "id" + tag, queryClass, 1, budgetUs, new byte[0]));
+                IncomingRequest.of(harness, tag, "id" + tag, queryClass, 1, budgetUs, new byte[0]));
     }
 
-    private void pass(long us) {
-        sides.pass(us);
+    private void advance(long us) {
+        harness.advance(us);
     }
 
     @BeforeEach
     void start() {
-        sides.start(7, 8);
+        harness.start(7, 8);
     }
 
     @Test
-    void nothingGoesWhereItsTenantHasNoRoom() {
-        sides.full.addAll(Set.of(7L, 8L));
-        ask(0, 1, 3_000_000);
-        assertEquals(List.of(), sent, "held where none has room");
-        sides.full.remove(8L);
-        pass(100_000);
+    void nothingIsSentWhereItsTenantHasNoCapacity() {
+        harness.enginesWithoutCapacity.addAll(Set.of(7L, 8L));
+        accept(0, 1, 3_000_000);
+        assertEquals(List.of(), sent, "queued where no engine has capacity");
+        harness.enginesWithoutCapacity.remove(8L);
+        advance(100_000);
         assertEquals(List.of(8L), sent.stream().map(attempt -> attempt.engine()).toList());
         gateway.attemptEnded(sent.get(0), AttemptOutcome.OK, null, new TextResult(new byte[0]));
-        assertEquals(List.of("8 OK"), sides.overs);
+        assertEquals(List.of("8 OK"), harness.endedAttempts);
     }
 
     @Test
-    void whatIsKeptBeforeTheModuleIsAdmittedTurnedAwayOrOver() {
-        sides.keeps = true;
-        long given = ask(0, 1, 500_000);
-        ask(0, 2, 500_000);
-        ask(0, 3, 500_000);
+    void requestsKeptByTheEngineClientAreAdmittedRejectedOrAnswered() {
+        harness.keepsRequests = true;
+        long given = accept(0, 1, 500_000);
+        accept(0, 2, 500_000);
+        accept(0, 3, 500_000);
         assertEquals(List.of(), sent);
-        gateway.admit(kept.get(1));
+        gateway.admit(keptRequests.get(1));
         assertEquals(1, sent.size());
-        gateway.reject(kept.get(2), 40_000);
+        gateway.reject(keptRequests.get(2), 40_000);
         gateway.abandon(given);
-        assertTrue(kept.get(0).isAnswered());
-        gateway.admit(kept.get(0));
-        gateway.reject(kept.get(1), 40_000);
+        assertTrue(keptRequests.get(0).isAnswered());
+        gateway.admit(keptRequests.get(0));
+        gateway.reject(keptRequests.get(1), 40_000);
         assertEquals(1, sent.size());
-        assertEquals(List.of("refused 3"), told);
-        ask(0, 4, 500_000);
-        pass(600_000);
-        assertTrue(told.contains("refused 4"), "never taken up: trying again is harmless, " + told);
+        assertEquals(List.of("rejected 3"), notifications);
+        accept(0, 4, 500_000);
+        advance(600_000);
+        assertTrue(
+                notifications.contains("rejected 4"),
+                "never routed: safe to send again, " + notifications);
     }
 
     @Test
     void lateAndSecondEndsAreIgnored() {
-        ask(0, 1, 4_000_000);
+        accept(0, 1, 4_000_000);
         gateway.attemptEnded(sent.get(0), AttemptOutcome.OK, null, new TextResult("a".getBytes()));
         gateway.attemptEnded(sent.get(0), AttemptOutcome.OK, null, new TextResult("b".getBytes()));
         gateway.attemptEnded(sent.get(0), AttemptOutcome.RESET, null, null);
-        pass(5_000_000);
-        assertEquals(List.of("served 1 a"), told);
+        advance(5_000_000);
+        assertEquals(List.of("served 1 a"), notifications);
         assertEquals(0, gateway.openRequests());
     }
 
     @Test
-    void anEndInsideASendDoesNotReenterTheModule() {
-        sides.atOnce = AttemptOutcome.CONNECT_FAILED;
-        ask(1, 1, 20_000_000);
-        pass(21_000_000);
+    void endInsideSendDoesNotReenterTheRouter() {
+        harness.immediateOutcome = AttemptOutcome.CONNECT_FAILED;
+        accept(1, 1, 20_000_000);
+        advance(21_000_000);
         assertTrue(sent.size() <= 3, sent.size() + " attempts");
         assertEquals(
                 1,
-                told.stream().filter(t -> t.matches("(served|refused|failed) 1.*")).count(),
-                told.toString());
+                notifications.stream()
+                        .filter(t -> t.matches("(served|rejected|failed) 1.*"))
+                        .count(),
+                notifications.toString());
     }
 
     @Test
-    void aLoadThatMayHaveRunIsNeitherSentAgainNorRefused() {
-        ask(1, 1, 20_000_000);
+    void loadThatMayHaveRunIsNeitherRetriedNorRejected() {
+        accept(1, 1, 20_000_000);
         gateway.attemptEnded(sent.get(0), AttemptOutcome.RESET, null, null);
         gateway.startAttempt(sent.get(0).request().handle(), 8, 0);
-        pass(21_000_000);
+        advance(21_000_000);
         assertEquals(1, sent.size());
-        assertEquals(List.of("failed 1 ENGINE"), told);
+        assertEquals(List.of("failed 1 ENGINE"), notifications);
     }
 
     @Test
-    void aStreamThatHasBegunIsNeverTriedAgainAndHasNoDeadline() {
-        gateway.accept(IncomingRequest.of(sides, 1, "a", 0, 1, 4_000_000, new byte[0]));
+    void streamThatHasBegunIsNeverRetriedAndHasNoDeadline() {
+        gateway.accept(IncomingRequest.of(harness, 1, "a", 0, 1, 4_000_000, new byte[0]));
         gateway.streamBegan(sent.get(0), STREAM);
-        pass(60_000_000);
-        assertEquals(List.of("begun 1 stream"), told, "no deadline of ours ends it");
+        advance(60_000_000);
+        assertEquals(
+                List.of("streaming 1 stream"), notifications, "no deadline of the gateway ends it");
         gateway.attemptEnded(sent.get(0), AttemptOutcome.RESET, null, null);
-        pass(10_000_000);
-        assertEquals(List.of("begun 1 stream", "failed 1 STREAM_BROKEN"), told);
+        advance(10_000_000);
+        assertEquals(List.of("streaming 1 stream", "failed 1 STREAM_BROKEN"), notifications);
         assertEquals(1, sent.size());
-        gateway.accept(IncomingRequest.of(sides, 2, "b", 0, 1, 4_000_000, new byte[0]));
+        gateway.accept(IncomingRequest.of(harness, 2, "b", 0, 1, 4_000_000, new byte[0]));
         gateway.streamBegan(sent.get(1), STREAM);
         gateway.attemptEnded(sent.get(1), AttemptOutcome.OK, null, null);
-        assertEquals("whole 2", told.get(3));
+        assertEquals("completed 2", notifications.get(3));
         assertEquals(0, gateway.openRequests());
     }
 
-    /** What says nothing of its engine ends the request, and the engine is used on as before. */
+    /** A final status ends the request, and the engine is used as before. */
     @Test
-    void aFinalWordOnTheRequestIsNoFaultOfItsEngine() {
+    void finalStatusOfTheRequestIsNoFaultOfItsEngine() {
         for (int i = 0; i < 20; i++) {
-            gateway.accept(IncomingRequest.of(sides, i, "a", 0, 1, 4_000_000, new byte[0]));
+            gateway.accept(IncomingRequest.of(harness, i, "a", 0, 1, 4_000_000, new byte[0]));
             gateway.attemptConcluded(sent.get(i), null, new Status("too long"));
-            assertEquals("concluded " + i + " too long", told.get(i));
+            assertEquals("concluded " + i + " too long", notifications.get(i));
             assertEquals(sent.get(0).engine(), sent.get(i).engine());
         }
         assertEquals(20, sent.size());
@@ -155,73 +152,72 @@
         assertFalse(
                 gateway.attemptEnded(
                         sent.get(0), AttemptOutcome.OK, null, new TextResult(new byte[0])),
-                "the one end was told");
+                "the one end was reported");
     }
 
     @Test
-    void aPinnedRequestIsNeitherTriedElsewhereNorRefusedOnceItMayHaveRun() {
+    void stickyRequestIsNeitherRetriedElsewhereNorRejectedOnceItMayHaveRun() {
         for (long pin : new long[] {7, 8}) {
             gateway.accept(
-                    IncomingRequest.of(sides, pin, "a", 0, 1, 4_000_000, new byte[0])
+                    IncomingRequest.of(harness, pin, "a", 0, 1, 4_000_000, new byte[0])
                             .withOperation(OPERATION, pin));
             assertEquals(pin, sent.get(sent.size() - 1).engine());
             assertTrue(sent.get(sent.size() - 1).request().isNonIdempotent());
             gateway.attemptEnded(sent.get(sent.size() - 1), AttemptOutcome.ERROR, null, null);
         }
-        pass(5_000_000);
-        assertEquals(List.of("failed 7 ENGINE", "failed 8 ENGINE"), told);
+        advance(5_000_000);
+        assertEquals(List.of("failed 7 ENGINE", "failed 8 ENGINE"), notifications);
         assertEquals(2, sent.size());
     }
 
     /**
-     * The next attempt goes by another connection, and must not overtake the word that calls the
-     * first one off.
+     * The next attempt goes by another connection, and must not overtake the cancellation of the
+     * first one.
      */
     @Test
-    void anAttemptCalledOffCountsAsOutUntilItsEngineHasHeard() {
-        long handle = ask(0, 1, 4_000_000);
+    void cancelledAttemptIsInFlightUntilTheCancellationIsDelivered() {
+        long handle = accept(0, 1, 4_000_000);
         gateway.cancelAttempt(handle, 0);
         gateway.attemptEnded(sent.get(0), AttemptOutcome.CANCELLED, null, null);
-        gateway.streamBegan(
-                sent.get(0),
-                STREAM); // On its way when it was called off: the client must not see any of it.
+        // On its way when the attempt was cancelled: the client must not see any of it.
+        gateway.streamBegan(sent.get(0), STREAM);
         gateway.startAttempt(handle, 8, 0);
-        pass(Gateway.CANCEL_DELIVERY_MICROS - 1);
-        assertEquals(1, sent.size(), "neither by the module nor in spite of it");
-        pass(1);
+        advance(Gateway.CANCEL_DELIVERY_MICROS - 1);
+        assertEquals(1, sent.size(), "neither by the router nor in spite of it");
+        advance(1);
         assertEquals(2, sent.size());
         gateway.cancelAttempt(handle, sent.get(1).number());
         gateway.abandon(handle);
-        assertEquals(0, gateway.openRequests(), "a final end waits for nothing");
-        pass(1_000_000);
+        assertEquals(0, gateway.openRequests(), "a final answer waits for nothing");
+        advance(1_000_000);
         assertEquals(2, sent.size());
         assertEquals(
                 List.of("stop 0", "stop " + sent.get(1).number(), "stop " + sent.get(1).number()),
-                told);
+                notifications);
     }
 
-    /** A process that ends owes an answer to what it has in hand, whatever its deadline. */
+    /** A process that ends owes an answer to each open request, whatever its deadline. */
     @Test
-    void givingUpAllRefusesWhatMayBeAskedAgainAndFailsWhatMayHaveRun() {
-        ask(0, 1, 4_000_000);
-        ask(1, 2, 20_000_000);
+    void terminateAllRejectsWhatIsSafeToRetryAndFailsWhatMayHaveRun() {
+        accept(0, 1, 4_000_000);
+        accept(1, 2, 20_000_000);
         gateway.terminateAll();
-        assertEquals(List.of("stop 0", "refused 1", "stop 0", "failed 2 ENGINE"), told);
+        assertEquals(List.of("stop 0", "rejected 1", "stop 0", "failed 2 ENGINE"), notifications);
         assertEquals(0, gateway.openRequests());
-        pass(21_000_000);
-        assertEquals(4, told.size(), told.toString());
+        advance(21_000_000);
+        assertEquals(4, notifications.size(), notifications.toString());
     }
 
     /**
-     * Engines of one cell know a repeat of theirs; a client that is told to ask again may come to
-     * any.
+     * The engines of one cell know the keys used there; a client that is rejected may come to any
+     * cell.
      */
     @Test
-    void givingUpAllRefusesARepeatByKeyOnlyWhereAllEnginesKnowIt() {
+    void terminateAllRejectsIdempotentWithKeyOnlyWhereAllEnginesKnowTheKey() {
         for (String scope : new String[] {"all", "cell"}) {
-            Sides keyed =
-                    new Sides(
-                            Sides.TWO_LANES.replace(
+            GatewayHarness keyed =
+                    new GatewayHarness(
+                            GatewayHarness.TWO_CLASSES.replace(
                                     "lanes.0.effect=repeatable",
                                     "lanes.0.effect=by_key\nlanes.0.key_scope="
                                             + scope
@@ -231,19 +227,19 @@
             assertEquals(1, keyed.sent.size());
             keyed.gateway.terminateAll();
             assertEquals(
-                    List.of("stop 0", scope.equals("all") ? "refused 1" : "failed 1 ENGINE"),
-                    keyed.told);
+                    List.of("stop 0", scope.equals("all") ? "rejected 1" : "failed 1 ENGINE"),
+                    keyed.notifications);
         }
     }
 
     /**
-     * The module's own clock of the window and the core's agree; whoever asks later is not heard.
+     * The router and the gateway agree on the retry window; an attempt asked for later is refused.
      */
     @Test
-    void noRepeatByKeyIsSentAfterItsWindow() {
-        Sides keyed =
-                new Sides(
-                        Sides.TWO_LANES.replace(
+    void noRetryWithKeyIsSentAfterItsWindow() {
+        GatewayHarness keyed =
+                new GatewayHarness(
+                        GatewayHarness.TWO_CLASSES.replace(
                                 "lanes.0.effect=repeatable",
                                 "lanes.0.effect=by_key\n"
                                         + "lanes.0.key_scope=all\n"
@@ -252,196 +248,76 @@
         long handle =
                 keyed.gateway.accept(
                         IncomingRequest.of(keyed, 1, "id1", 0, 1, 4_000_000, new byte[0]));
-        keyed.pass(400_000);
-        keyed.full.addAll(Set.of(7L, 8L));
+        keyed.advance(400_000);
+        keyed.enginesWithoutCapacity.addAll(Set.of(7L, 8L));
         keyed.gateway.attemptEnded(keyed.sent.get(0), AttemptOutcome.RESET, null, null);
-        assertEquals(1, keyed.sent.size(), "held, as none has room");
-        keyed.pass(100_000);
-        keyed.full.clear();
+        assertEquals(1, keyed.sent.size(), "queued, as no engine has capacity");
+        keyed.advance(100_000);
+        keyed.enginesWithoutCapacity.clear();
         keyed.gateway.startAttempt(handle, 8, 0);
-        keyed.pass(4_000_000);
+        keyed.advance(4_000_000);
         assertEquals(1, keyed.sent.size());
-        assertEquals(1, keyed.told.size(), keyed.told.toString());
+        assertEquals(1, keyed.notifications.size(), keyed.notifications.toString());
     }
 
     /**
-     * What ends makes room, and what waits must not go there in the last moment: a load would then
-     * have failed for nothing.
+     * The end of an attempt frees capacity, and no queued request may use it in the last moment: a
+     * load would then have failed for nothing.
      */
     @Test
-    void givingUpAllSendsNothingMore() {
-        ask(0, 1, 4_000_000);
-        sides.full.addAll(Set.of(7L, 8L));
-        ask(1, 2, 20_000_000);
+    void terminateAllSendsNothingMore() {
+        accept(0, 1, 4_000_000);
+        harness.enginesWithoutCapacity.addAll(Set.of(7L, 8L));
+        accept(1, 2, 20_000_000);
         assertEquals(1, sent.size());
-        sides.full.clear();
+        harness.enginesWithoutCapacity.clear();
         gateway.terminateAll();
         assertEquals(1, sent.size());
-        assertEquals(List.of("refused 2", "stop 0", "refused 1"), told);
+        assertEquals(List.of("rejected 2", "stop 0", "rejected 1"), notifications);
     }
 
-    /** What a client has said or done may still be unread when its request is sent. */
+    /** What a client has sent may still be unread when an attempt of its request is due. */
     @Test
-    void nothingIsSentForAClientThatHasLeft() {
-        sides.full.addAll(Set.of(7L, 8L));
-        ask(0, 1, 4_000_000);
-        ask(1, 2, 4_000_000);
-        sides.left.add(1L);
-        sides.full.clear();
-        pass(100_000);
+    void nothingIsSentForAClientThatIsGone() {
+        harness.enginesWithoutCapacity.addAll(Set.of(7L, 8L));
+        accept(0, 1, 4_000_000);
+        accept(1, 2, 4_000_000);
+        harness.goneClients.add(1L);
+        harness.enginesWithoutCapacity.clear();
+        advance(100_000);
         assertEquals(List.of(2L), sent.stream().map(attempt -> attempt.request().tag()).toList());
-        sides.left.add(2L);
+        harness.goneClients.add(2L);
         gateway.attemptEnded(sent.get(0), AttemptOutcome.OVERLOADED, null, null);
-        pass(5_000_000);
+        advance(5_000_000);
         assertEquals(1, sent.size());
         assertEquals(0, gateway.openRequests());
-        assertEquals(List.of(), told, "nobody waits for an answer");
-    }
-
-    /**
-     * What waits for a connection when an operator takes the engine out ends there, and goes
-     * elsewhere.
-     */
-    @Test
-    void anEngineIsUsedOnlyWhereNeitherTheListNorAnOperatorForbidsIt() {
-        pass(2_100_000); // A gateway that has just started sends cold engines nothing.
-        gateway.disable(7);
-        assertEquals(List.of("draining 7"), told);
-        gateway.endpointsChanged(
-                EndpointUpdate.INCREMENTAL,
-                List.of(engine(7, EngineLifecycle.DRAINING), engine(8, EngineLifecycle.DRAINING)));
-        gateway.enable(7, sides.time);
-        ask(0, 1, 4_000_000);
-        assertEquals(List.of(), sent, "the list still forbids it");
-        gateway.disable(7);
-        gateway.endpointsChanged(
-                EndpointUpdate.INCREMENTAL, List.of(engine(7, EngineLifecycle.READY)));
-        pass(10_000);
-        assertEquals(List.of(), sent, "an operator forbids it");
-        assertEquals(2, gateway.listedEngines());
-        assertEquals(1, gateway.excludedEngines());
-        gateway.enable(7, sides.time);
-        assertEquals(7, sent.get(0).engine());
-        assertFalse(gateway.isKnownEngine(9), "nobody has this id");
-    }
-
-    /** Looks up every 50 ms for so long; how often the engine that is down was sent to. */
-    private int sentToDown(long us, Runnable each) {
-        int before = sent.size();
-        for (long end = sides.time + us; sides.time < end; pass(50_000)) {
-            each.run();
-            ask(0, sides.time, 1_000_000);
-            while (sent.size() > ended) {
-                Attempt attempt = sent.get(ended++);
-                gateway.attemptEnded(
-                        attempt,
-                        attempt.engine() == down
-                                ? AttemptOutcome.CONNECT_FAILED
-                                : AttemptOutcome.OK,
-                        null,
-                        new TextResult(new byte[0]));
-            }
-        }
-        return (int)
-                sent.subList(before, sent.size()).stream()
-                        .filter(attempt -> attempt.engine() == home)
-                        .count();
-    }
-
-    private int ended;
-    private long down;
-    private long home;
-
-    @Test
-    void anotherFrontEndsTrialsPutOffOnesOwnAndItsAnswerBringsThemOn() {
-        gateway.endpointsChanged(
-                EndpointUpdate.COMPLETE,
-                List.of(
-                        engine(7, EngineLifecycle.READY),
-                        engine(8, EngineLifecycle.READY),
-                        engine(9, EngineLifecycle.READY)));
-        sentToDown(1_000_000, () -> {});
-        home = down = sent.get(0).engine();
-        assertTrue(sentToDown(30_000_000, () -> {}) >= 3, "without hints it tries for itself");
-        assertEquals(List.of(down), Arrays.stream(gateway.readyEngines(true)).boxed().toList());
-        assertEquals(2, gateway.readyEngines(false).length);
-        gateway.applyEjectionHint(down, false);
-        assertEquals(0, sentToDown(30_000_000, () -> gateway.applyEjectionHint(down, false)));
-        assertTrue(
-                sentToDown(9_000_000, () -> {}) >= 1,
-                "the hints have ended, and it tries for itself");
-        gateway.applyEjectionHint(down, true);
-        down = 0;
-        assertTrue(sentToDown(500_000, () -> {}) >= 1, "it is owed a query");
-        assertEquals(0, gateway.readyEngines(true).length);
-        gateway.applyEjectionHint(7, false);
-        gateway.applyEjectionHint(8, false);
-        assertEquals(0, gateway.readyEngines(true).length, "a hint benches nothing");
+        assertEquals(List.of(), notifications, "no client waits for an answer");
     }
 
     @Test
-    void theModuleCannotSendTwiceAtOnceOrRefuseARunningLoad() {
-        long handle = ask(1, 1, 20_000_000);
+    void routerCannotSendTwiceAtOnceOrRejectARunningLoad() {
+        long handle = accept(1, 1, 20_000_000);
         gateway.startAttempt(handle, 8, 0);
         assertEquals(1, sent.size());
         gateway.reject(handle, 0);
-        assertEquals(List.of("stop 0", "failed 1 ENGINE"), told);
+        assertEquals(List.of("stop 0", "failed 1 ENGINE"), notifications);
     }
 
     @Test
-    void anAbandonedRequestGetsNoAnswerAndFreesTheEngine() {
-        gateway.abandon(ask(0, 1, 4_000_000));
+    void abandonedRequestGetsNoAnswerAndFreesTheEngine() {
+        gateway.abandon(accept(0, 1, 4_000_000));
         gateway.attemptEnded(sent.get(0), AttemptOutcome.OK, null, new TextResult("a".getBytes()));
-        pass(5_000_000);
-        assertEquals(List.of("stop 0"), told);
-    }
-
-    @Test
-    void theDeadlineIsAnsweredInTime() {
-        ask(0, 1, 600_000);
-        pass(600_000);
-        assertEquals(List.of("stop 0", "failed 1 DEADLINE"), told.stream().limit(2).toList());
-        pass(5_000_000);
-        assertEquals(2, told.size());
+        advance(5_000_000);
+        assertEquals(List.of("stop 0"), notifications);
     }
 
     @Test
-    void nothingIsSentToAnEngineThatDrains() {
-        gateway.endpointsChanged(
-                EndpointUpdate.INCREMENTAL, List.of(engine(7, EngineLifecycle.DRAINING)));
-        assertEquals(List.of("draining 7"), told);
-        for (int i = 1; i <= 10; i++) {
-            ask(0, i, 4_000_000);
-        }
-        assertTrue(sent.stream().allMatch(a -> a.engine() == 8));
-        long handle = sent.get(0).request().handle();
-        gateway.attemptEnded(sent.get(0), AttemptOutcome.OVERLOADED, null, null);
-        int before = sent.size();
-        gateway.startAttempt(handle, 7, 0);
-        assertEquals(before, sent.size());
-    }
-
-    @Test
-    void handlesOfPastEntriesFindNothing() {
-        SlotTable<String> slots = new SlotTable<>();
-        long first = slots.add("a");
-        slots.remove(first);
-        long second = slots.add("b");
-        assertNull(slots.get(first));
-        assertNull(slots.remove(first));
-        assertEquals("b", slots.get(second));
-        assertFalse(first == second);
-    }
-
-    @Test
-    void deadlinesComeInOrderAndEqualOnesAsMade() {
-        Deadlines heap = new Deadlines();
-        List<Long> seen = new ArrayList<>();
-        for (int i = 0; i < 1000; i++) {
-            heap.add(i * 7919L % 100, (now, ref) -> seen.add(ref), i * 7919L % 100 * 1000 + i);
-        }
-        heap.run(1000);
-        assertEquals(seen.stream().sorted().toList(), seen);
-        assertEquals(1000, seen.size());
+    void deadlineIsAnsweredInTime() {
+        accept(0, 1, 600_000);
+        advance(600_000);
+        assertEquals(
+                List.of("stop 0", "failed 1 DEADLINE"), notifications.stream().limit(2).toList());
+        advance(5_000_000);
+        assertEquals(2, notifications.size());
     }
 }
