--- a/src/main/java/calicostream/adapter/RouterInstance.java
+++ b/src/main/java/calicostream/adapter/RouterInstance.java
@@ -25,7 +25,7 @@
         router = new AffinityRouter(parser.settings(), this);
     }
 
-    /** Whether results tell what the query has cost. */
+    /** Whether results report what the query has cost. */
     boolean reportsCost() {
         return reportsCost;
     }
--- a/src/main/java/calicostream/adapter/SimulatorAdapter.java
+++ b/src/main/java/calicostream/adapter/SimulatorAdapter.java
@@ -32,7 +32,7 @@
     /**
      * Serves until the input ends or can't be used.
      *
-     * @param errors where one line tells the operator why the input can't be used
+     * @param errors receives one line for the operator where the input can't be used
      * @return the program's exit code
      * @throws IOException where the streams fail
      */
--- a/src/main/java/calicostream/daemon/ClusterComponent.java
+++ b/src/main/java/calicostream/daemon/ClusterComponent.java
@@ -120,7 +120,7 @@
 return member.statusJson();
 }
 @Override
-public String administer(String words) {
-return member.tell(words);
+public String administer(String command) {
+return member.tell(command);
 }
 }
--- a/src/main/java/calicostream/hotrestart/PeerState.java
+++ b/src/main/java/calicostream/hotrestart/PeerState.java
@@ -6,8 +6,8 @@
 /**
  * What one process of a server publishes to the others.
  *
- * @param generation start order of the process: a process that joins takes one more than the
- *     highest generation alive
+ * @param generation start order of the process: a process that joins gets one more than the highest
+ *     generation alive
  * @param listening whether it accepts new clients
  * @param eventSequence sequence number of the last discovery event it has applied
  * @param learnedRunTimes learned run times in microseconds, one a query class in the order of the
--- a/src/main/java/calicostream/hotrestart/PeerStateCodec.java
+++ b/src/main/java/calicostream/hotrestart/PeerStateCodec.java
@@ -18,7 +18,7 @@
 final class PeerStateCodec {
     private static final int VERSION = 1;
 
-    /** A longer run time is taken for a damaged value and counts as not learned. */
+    /** A longer run time is treated as damaged and counts as not learned. */
     private static final double MAX_RUN_TIME_MICROS = 600e6;
 
     private PeerStateCodec() {}
--- a/src/main/java/calicostream/hotrestart/ProcessSlotFile.java
+++ b/src/main/java/calicostream/hotrestart/ProcessSlotFile.java
@@ -157,7 +157,7 @@
         return others;
     }
 
-    /** Tells a living process by its lock; clears the header that a dead one has left. */
+    /** Whether a living process holds the slot; clears the header that a dead process has left. */
     private boolean isHeld(int slot) throws IOException {
         FileLock lock = tryLockSlot(slot);
         if (lock != null) {
--- a/src/main/java/calicostream/net/Connection.java
+++ b/src/main/java/calicostream/net/Connection.java
@@ -381,7 +381,7 @@
         close();
     }
 
-    /** Tells the selector which events the connection waits for now. */
+    /** Updates the operations that the selector waits for. */
     void updateInterest() {
         if (!isConnected() || key == null || !key.isValid()) {
             return;
--- a/src/main/java/calicostream/net/Listener.java
+++ b/src/main/java/calicostream/net/Listener.java
@@ -98,7 +98,7 @@
         return ((InetSocketAddress) channel.getLocalAddress()).getPort();
     }
 
-    /** Tells the listener that a connection it has accepted is closed. */
+    /** Notifies the listener that a connection it has accepted is closed. */
     public void connectionClosed() {
         openConnections--;
         resume();
@@ -133,12 +133,12 @@
     private void acceptPending() throws IOException {
         SocketChannel next = channel.accept();
         while (next != null) {
-            handOver(next);
+            passToAcceptor(next);
             next = channel.accept();
         }
     }
 
-    private void handOver(SocketChannel accepted) throws IOException {
+    private void passToAcceptor(SocketChannel accepted) throws IOException {
         openConnections++;
         try {
             accepted.setOption(StandardSocketOptions.TCP_NODELAY, true);
@@ -170,7 +170,7 @@
             if (next == null) {
                 return;
             }
-            handOver(next);
+            passToAcceptor(next);
         }
     }
 
--- a/src/main/java/calicostream/net/RingBuffer.java
+++ b/src/main/java/calicostream/net/RingBuffer.java
@@ -16,7 +16,7 @@
     private static final int INITIAL_CAPACITY = 512;
     private static final byte[] EMPTY = {};
 
-    /** Counts the bytes of memory that several buffers, and data that waits for them, take. */
+    /** Counts the bytes of memory that several buffers, and data that waits for them, use. */
     public static final class MemoryUsage {
         private long bytes;
 
@@ -65,7 +65,7 @@
         return maxCapacity - size;
     }
 
-    /** The bytes of memory that it takes now. */
+    /** The bytes of memory that it uses now. */
     public int allocatedBytes() {
         return bytes.length;
     }
--- a/src/main/java/calicostream/net/SelectorLoop.java
+++ b/src/main/java/calicostream/net/SelectorLoop.java
@@ -41,8 +41,8 @@
     /** Urgent channels are served again after so much work on others. */
     private static final long URGENT_INTERVAL_NANOS = 5_000_000;
 
-    /** The share of the heap that buffers may take: one part in so many. */
-    private static final int HEAP_PARTS_FOR_BUFFERS = 4;
+    /** Buffers may use the heap's size divided by this number. */
+    private static final int BUFFER_HEAP_DIVISOR = 4;
 
     /** Serves one registered channel. */
     interface ChannelHandler {
@@ -75,7 +75,7 @@
     private final Clock clock;
     private final Deadlines deadlines;
     private final SelectStrategy selectStrategy;
-    private final long maxBufferMemory = Runtime.getRuntime().maxMemory() / HEAP_PARTS_FOR_BUFFERS;
+    private final long maxBufferMemory = Runtime.getRuntime().maxMemory() / BUFFER_HEAP_DIVISOR;
     private final RingBuffer.MemoryUsage bufferMemory = new RingBuffer.MemoryUsage();
     private final ByteBuffer transferBuffer = ByteBuffer.allocateDirect(TRANSFER_BUFFER_BYTES);
     private final Queue<Runnable> postedTasks = new ConcurrentLinkedQueue<>();
@@ -139,7 +139,7 @@
         return bufferMemory;
     }
 
-    /** Whether buffers take so much memory that connections with much of it must be closed. */
+    /** Whether buffers use so much memory that connections with large ones must be closed. */
     public boolean isUnderMemoryPressure() {
         return bufferMemory.bytes() > maxBufferMemory;
     }
