--- a/src/main/java/calicostream/routing/CapacityEstimator.java
+++ b/src/main/java/calicostream/routing/CapacityEstimator.java
@@ -9,7 +9,7 @@
     /** Threads per reported core at most: work done falls beyond one to two. */
     static final double THREADS_PER_CORE = 1.9;
 
-    /** The same where no report tells of cores: a third of the threads wait for disks. */
+    /** The same where cores are not reported: a third of the threads wait for disks. */
     static final double THREADS_PER_UNREPORTED_CORE = 2.7;
 
     /** Utilization at which an engine's capacity is used up. */
@@ -122,7 +122,7 @@
 
     /**
      * Returns the threads that a report leaves to other gateways: those of the queries that are not
-     * ours, or fewer where the cores are not all busy. NaN if the report tells of neither.
+     * ours, or fewer where the cores are not all busy. NaN if neither is reported.
      */
     private double otherThreads(EngineState engine, LoadReport report) {
         double counted =
--- a/src/main/java/calicostream/routing/ClassStatistics.java
+++ b/src/main/java/calicostream/routing/ClassStatistics.java
@@ -3,7 +3,7 @@
 
 /** Learns what the queries of one class need: work, memory and run time. */
 final class ClassStatistics {
-    /** Answers after which the run time of a class tells more than the assumption. */
+    /** Answers after which the run time of a class is more reliable than the assumption. */
     private static final int RELIABLE_RUNS = 10;
 
     /** Work of a query, in core-microseconds, of whose class nothing is known yet. */
--- a/src/main/java/calicostream/routing/EngineEligibility.java
+++ b/src/main/java/calicostream/routing/EngineEligibility.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Tells which engines a query may go to now. */
+/** Determines which engines a query may go to now. */
 final class EngineEligibility {
     /** Engines outside the affinity set that are considered: more would read the tables, too. */
     private static final int MAX_OTHER_ENGINES = 12;
--- a/src/main/java/calicostream/routing/EngineFeedback.java
+++ b/src/main/java/calicostream/routing/EngineFeedback.java
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Takes in what the end of an attempt tells. An error may be the query's own: it counts as the
-     * engine's failure once another engine has answered the same query.
+     * Takes in the result of an attempt. An error may be the query's own: it counts as the engine's
+     * failure once another engine has answered the same query.
      */
     void recordResult(long now, QueryState query, EngineState engine, AttemptResult result) {
         switch (result.outcome()) {
@@ -47,7 +47,7 @@
     }
 
     private void recordDown(long now, EngineState engine, EjectionCause cause) {
-        // It may come back before the endpoint list tells of its start.
+        // It may come back before the endpoint list names its start.
         engine.slowStart().restart(now);
         outliers.eject(now, engine, cause);
     }
--- a/src/main/java/calicostream/routing/LoadProber.java
+++ b/src/main/java/calicostream/routing/LoadProber.java
@@ -23,7 +23,7 @@
     /** Time between probes for one query: reports change no faster. */
     private static final long PROBE_INTERVAL_MICROS = 250_000;
 
-    /** Time until the next probe of an engine that told nothing, or that too many ask. */
+    /** Time until the next probe of an engine that reported nothing or rejected the probe. */
     private static final long FAILED_PROBE_DELAY_MICROS = 1_000_000;
 
     private static final double MICROS_PER_SECOND = 1e6;
--- a/src/main/java/calicostream/routing/LoadReport.java
+++ b/src/main/java/calicostream/routing/LoadReport.java
@@ -10,7 +10,7 @@
  *     busy, as a share; 0 if not reported
  */
 public record LoadReport(double running, double utilization, double saturation) {
-    /** A report that tells nothing. */
+    /** A report without any figure. */
     public static final LoadReport EMPTY = new LoadReport(Double.NaN, Double.NaN, 0);
 
     /** Creates a report of queries and cores alone. */
@@ -18,7 +18,7 @@
         this(running, utilization, 0);
     }
 
-    /** Returns the fullest share of all that the report tells of, NaN if it tells of none. */
+    /** Returns the highest share that is reported, NaN if none is. */
     public double highestUtilization() {
         boolean reportsSaturation = saturation > 0;
         if (!reportsSaturation) {
--- a/src/main/java/calicostream/routing/ProgressKind.java
+++ b/src/main/java/calicostream/routing/ProgressKind.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.routing;
 
-/** What a progress report of an attempt tells. */
+/** What a progress report of an attempt is about. */
 public enum ProgressKind {
     /** The part of the work that is done. */
     FRACTION_DONE,
--- a/src/main/java/calicostream/routing/TenantQuota.java
+++ b/src/main/java/calicostream/routing/TenantQuota.java
@@ -3,7 +3,9 @@
 
 import java.util.List;
 
-/** Tells queries of tenants within their quota from those beyond it, by a token bucket each. */
+/**
+ * Separates queries within their tenant's quota from those beyond it, by a token bucket a tenant.
+ */
 final class TenantQuota {
     /** Queries that a tenant may save up besides a second of its quota. */
     private static final double BURST_QUERIES = 4;
@@ -24,8 +26,8 @@
     /**
      * Takes a token for a query.
      *
-     * @return whether the tenant is within its quota, as far as this gateway's share of the traffic
-     *     tells
+     * @return whether the tenant is within its share of the quota, as estimated from this gateway's
+     *     share of the traffic
      */
     boolean tryAcquire(long now, int tenant) {
         refill(now);
