--- a/src/main/java/calicostream/core/Attempt.java
+++ b/src/main/java/calicostream/core/Attempt.java
@@ -45,7 +45,7 @@
         handle = newHandle;
     }
 
-    /** From when on it must not go out any more. */
+    /** From when on it must not be sent any more. */
     long latestSendTime() {
         return latestSendTime;
     }
--- a/src/main/java/calicostream/core/AttemptEnd.java
+++ b/src/main/java/calicostream/core/AttemptEnd.java
@@ -5,7 +5,7 @@
 import calicostream.routing.LoadReport;
 
 /**
- * The end of an attempt, until the router has heard of it.
+ * The end of an attempt, until the router is notified of it.
  *
  * @param report the engine's load report, or null
  * @param result the complete result, or null
--- a/src/main/java/calicostream/core/AttemptLifecycle.java
+++ b/src/main/java/calicostream/core/AttemptLifecycle.java
@@ -12,8 +12,8 @@
 
 /**
  * Takes each attempt from the router's request for it to its one end, and owns the transitions of
- * {@link AttemptState}. The router hears of ends in order, and never from inside its own event. One
- * thread.
+ * {@link AttemptState}. The router is notified of ends in order, and never from inside its own
+ * event. One thread.
  */
 final class AttemptLifecycle {
     private static final Logger LOG = LoggerFactory.getLogger(AttemptLifecycle.class);
@@ -53,7 +53,7 @@
 
     // ---- Start
 
-    /** Starts an attempt, or ends it at once where it must not go out. */
+    /** Starts an attempt, or ends it at once where it must not be sent. */
     void start(long handle, long engine, long giveUpAt) {
         long now = clock.now();
         Request request = requests.find(handle);
@@ -96,7 +96,7 @@
         engines.send(attempt);
     }
 
-    /** Whether an attempt may go out now; see {@link Gateway#maySend}. */
+    /** Whether an attempt may be sent now; see {@link Gateway#maySend}. */
     boolean maySend(Attempt attempt) {
         Request request = attempt.request();
         if (attempt.isInFlight() && request.responseHandler().isClientGone(request.tag())) {
@@ -136,7 +136,7 @@
         return end.attempt().isInFlight() && end(end);
     }
 
-    /** Cancels an attempt; it ends when its engine has had time to hear of that. */
+    /** Cancels an attempt; it ends when its engine has had time to receive the cancellation. */
     void cancel(long handle, int number) {
         Request request = requests.find(handle);
         Attempt attempt = request == null ? null : request.activeAttempt();
--- a/src/main/java/calicostream/core/AttemptState.java
+++ b/src/main/java/calicostream/core/AttemptState.java
@@ -10,9 +10,11 @@
     CREATED,
     /** The engine client has it, and its end is to be reported. */
     IN_FLIGHT,
-    /** Cancelled; it counts as in flight until its engine has had time to hear of that. */
+    /**
+     * Cancelled; it counts as in flight until its engine has had time to receive the cancellation.
+     */
     CANCELLING,
-    /** Its end is known; the router hears of it in turn. */
+    /** Its end is known; the router is notified in turn. */
     ENDED;
 
     /** Whether an attempt may pass from this state to the other one. */
--- a/src/main/java/calicostream/core/Deadlines.java
+++ b/src/main/java/calicostream/core/Deadlines.java
@@ -40,8 +40,8 @@
      * Adds a deadline.
      *
      * @param at when it passes
-     * @param newTarget who hears of it
-     * @param newReference what the target hears
+     * @param newTarget who is notified
+     * @param newReference what the target is given
      */
     public void add(long at, Target newTarget, long newReference) {
         if (size == due.length) {
--- a/src/main/java/calicostream/core/EndpointTable.java
+++ b/src/main/java/calicostream/core/EndpointTable.java
@@ -12,8 +12,8 @@
 
 /**
  * The engines of the endpoint list, those that operators have disabled and those that they have
- * reinstated, and what follows for the use of each. Holds state only: it tells nobody. One thread.
- * Times are the gateway's clock, in microseconds.
+ * reinstated, and what follows for the use of each. Holds state only: it notifies nobody. One
+ * thread. Times are the gateway's clock, in microseconds.
  */
 final class EndpointTable {
     private final Map<Long, EngineEndpoint> listed = new HashMap<>();
--- a/src/main/java/calicostream/core/EngineAdministration.java
+++ b/src/main/java/calicostream/core/EngineAdministration.java
@@ -36,9 +36,9 @@
     }
 
     /**
-     * The endpoint list changed. The engine client takes back what has not gone out to an engine
-     * that drains; the router hears of the ends of these attempts after it has heard of the list,
-     * so that it does not choose the same engine again.
+     * The endpoint list changed. The engine client takes back what has not been sent to an engine
+     * that drains; the router is notified of their ends after it is notified of the list, so that
+     * it does not choose the same engine again.
      */
     void endpointsChanged(EndpointUpdate kind, List<EngineEndpoint> list) {
         router.runPostponingEvents(() -> apply(kind, list));
--- a/src/main/java/calicostream/core/EngineClient.java
+++ b/src/main/java/calicostream/core/EngineClient.java
@@ -18,9 +18,9 @@
     void setAddress(long engine, InetSocketAddress address);
 
     /**
-     * Whether the router may hear of a request now. If not, the engine client keeps it until {@link
-     * Gateway#admit} or {@link Gateway#reject}, or until it is {@linkplain Request#isAnswered
-     * answered}.
+     * Whether the router may be notified of a request now. If not, the engine client keeps it until
+     * {@link Gateway#admit} or {@link Gateway#reject}, or until it is {@linkplain
+     * Request#isAnswered answered}.
      */
     default boolean admits(Request request) {
         return true;
@@ -35,7 +35,7 @@
     }
 
     /**
-     * An attempt ended, whoever ended it; called before the router hears of it.
+     * An attempt ended, whoever ended it; called before the router is notified of it.
      *
      * @param report the engine's load report, or null
      */
@@ -57,7 +57,9 @@
      */
     default void loadReported(long engine, LoadReport report) {}
 
-    /** Starts an attempt; nothing of it may go out after {@link #engineDraining} for its engine. */
+    /**
+     * Starts an attempt; nothing of it may be sent after {@link #engineDraining} for its engine.
+     */
     void send(Attempt attempt);
 
     /** Stops an attempt; nothing more need be reported of it. */
@@ -81,7 +83,7 @@
     /** The priority of an attempt in flight has changed. */
     void priorityChanged(Attempt attempt);
 
-    /** The engine drains: what has not gone out to it must not go out. */
+    /** The engine drains: what has not been sent to it must not be sent. */
     void engineDraining(long engine);
 
     /** An operator has reinstated the engine: nothing new may use a connection from before. */
--- a/src/main/java/calicostream/core/Gateway.java
+++ b/src/main/java/calicostream/core/Gateway.java
@@ -175,8 +175,9 @@
     }
 
     /**
-     * Whether an attempt that has waited in the engine client may go out now. If not, it has ended,
-     * or the engine client ends it as one that never ran. Must not be called while the router acts.
+     * Whether an attempt that has waited in the engine client may be sent now. If not, it has
+     * ended, or the engine client ends it as one that never ran. Must not be called while the
+     * router acts.
      */
     public boolean maySend(Attempt attempt) {
         return attempts.maySend(attempt);
@@ -190,8 +191,8 @@
     // ---- From discovery and operators
 
     /**
-     * The endpoint list changed. What has not gone out to an engine that drains is taken back
-     * before the router hears of the list.
+     * The endpoint list changed. What has not been sent to an engine that drains is taken back
+     * before the router is notified of the list.
      */
     public void endpointsChanged(EndpointUpdate kind, List<EngineEndpoint> list) {
         administration.endpointsChanged(kind, list);
--- a/src/main/java/calicostream/core/Request.java
+++ b/src/main/java/calicostream/core/Request.java
@@ -69,17 +69,17 @@
         return attempts;
     }
 
-    /** The attempt that has gone out and whose end the router has not heard of, or null. */
+    /** The attempt that was sent and whose end the router does not know, or null. */
     Attempt activeAttempt() {
         return activeAttempt;
     }
 
-    /** An attempt goes out. */
+    /** An attempt is sent. */
     void activate(Attempt attempt) {
         activeAttempt = attempt;
     }
 
-    /** An attempt has ended; nothing happens where it had not gone out. */
+    /** An attempt has ended; nothing happens where it had not been sent. */
     void deactivate(Attempt attempt) {
         if (activeAttempt == attempt) {
             activeAttempt = null;
@@ -127,7 +127,7 @@
                         || queryClassSettings.idempotencyScope() == IdempotencyScope.ALL);
     }
 
-    /** Until when a further attempt may go out, as far as what may have run bounds that. */
+    /** Until when a further attempt may be sent, as far as what may have run bounds that. */
     long retryableUntil() {
         boolean bounded =
                 mayHaveRun && queryClassSettings.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY;
--- a/src/main/java/calicostream/core/RequestLifecycle.java
+++ b/src/main/java/calicostream/core/RequestLifecycle.java
@@ -139,7 +139,7 @@
 
     // ---- Final answers
 
-    /** Rejects a request that the router has not heard of. */
+    /** Rejects a request that the router does not know yet. */
     void rejectQueued(Request request, long retryAfterMicros) {
         if (request.state() == RequestState.QUEUED) {
             reject(request.handle(), retryAfterMicros);
@@ -205,7 +205,7 @@
         }
     }
 
-    /** The client has left, and the router hears of it by the end of the attempt. */
+    /** The client has left, and the router learns it from the end of the attempt. */
     void abandonWithAttempt(Request request) {
         close(request, RequestOutcome.ABANDONED);
     }
--- a/src/main/java/calicostream/core/RequestState.java
+++ b/src/main/java/calicostream/core/RequestState.java
@@ -6,7 +6,7 @@
 
 /** The states of a {@link Request}, in the order in which it can pass them. */
 enum RequestState {
-    /** Accepted; the router has not heard of it yet. */
+    /** Accepted; the router has not been notified of it yet. */
     QUEUED,
     /** The router decides when and where it is attempted. */
     ROUTED,
--- /dev/null
+++ b/src/test/java/calicostream/core/LifecycleStateTest.java
@@ -0,0 +1,33 @@
+// SPDX-License-Identifier: Apache-2.0
+package calicostream.core;
+
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** The transitions of {@link RequestState} and {@link AttemptState}. */
+class LifecycleStateTest {
+    @Test
+    void requestStatesPassForwardOnlyAndStreamOnlyOnceRouted() {
+        for (RequestState from : RequestState.values()) {
+            for (RequestState to : RequestState.values()) {
+                boolean isForward = to.ordinal() > from.ordinal();
+                boolean skipsRouter = from == RequestState.QUEUED && to == RequestState.STREAMING;
+                assertTrue(from.canBecome(to) == (isForward && !skipsRouter), from + " to " + to);
+            }
+        }
+    }
+
+    @Test
+    void attemptStatesPassForwardOnlyAndOnlyAnAttemptInFlightIsCancelled() {
+        for (AttemptState from : AttemptState.values()) {
+            for (AttemptState to : AttemptState.values()) {
+                boolean isForward = to.ordinal() > from.ordinal();
+                boolean skipsSend = from == AttemptState.CREATED && to == AttemptState.CANCELLING;
+                assertTrue(from.canBecome(to) == (isForward && !skipsSend), from + " to " + to);
+            }
+        }
+        assertFalse(AttemptState.ENDED.canBecome(AttemptState.IN_FLIGHT));
+    }
+}
