--- a/src/main/java/calicostream/cluster/process/Member.java
+++ b/src/main/java/calicostream/cluster/process/Member.java
@@ -99,16 +99,11 @@
         boolean open = false;
         try {
             store = new DurableRaftStore(log);
-            var restored = DurableRaftStore.restoredState(log.recoveredState());
             start =
                     StartupRole.of(
                             config.isInitialVoter(),
                             self,
-                            restored.map(
-                                    found ->
-                                            (Voter)
-                                                    found.getLocalEndpointPersistentState()
-                                                            .getLocalEndpoint()),
+                            store.lastVoter(),
                             log.recoveredState().localState());
             links =
                     new TcpTransport(
@@ -142,14 +137,14 @@
                                             (int) raft.electionTimeout().toMillis(),
                                             raft.maxQueuedProposals(),
                                             raft.snapshotInterval()),
-                                    reactor,
-                                    links,
-                                    store,
-                                    restored,
+                                    new VoterNode.Environment(
+                                            reactor,
+                                            links,
+                                            new Random(random.nextLong()),
+                                            this::failed),
+                                    store.storage(),
                                     state,
-                                    timekeepers,
-                                    new Random(random.nextLong()),
-                                    this::failed);
+                                    timekeepers);
             open = true;
         } finally {
             if (!open) {
--- a/src/main/java/calicostream/cluster/raft/DurableRaftStore.java
+++ b/src/main/java/calicostream/cluster/raft/DurableRaftStore.java
@@ -9,116 +9,149 @@
 import io.microraft.model.log.LogEntry;
 import io.microraft.model.log.RaftGroupMembersView;
 import io.microraft.model.log.SnapshotChunk;
+import io.microraft.model.log.SnapshotEntry;
 import io.microraft.model.persistence.RaftEndpointPersistentState;
 import io.microraft.model.persistence.RaftTermPersistentState;
 import io.microraft.persistence.RaftStore;
 import io.microraft.persistence.RestoredRaftState;
 import java.io.IOException;
-import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
 import java.util.Optional;
 
 /**
- * The library's store over a {@link DurableLog}; one thread, no state of its own. Every call that
- * the library says is to be flushed syncs before it returns.
+ * The consensus library's store on a {@link DurableLog}, which it neither opens nor closes. Each
+ * call that the library requires to be durable syncs before it returns. No state of its own; the
+ * voter's thread.
  */
 public final class DurableRaftStore implements RaftStore, VoterRecoveryHandshake.RecoveryStore {
-    private static final String SELF = "self";
-    private static final String FIRST = "first-voters";
-    private static final String PEERS = "peers";
+    private static final String SELF_NOTE = "self";
+    private static final String INITIAL_VOTERS_NOTE = "first-voters";
+    private static final String PEERS_NOTE = "peers";
     private final DurableLog log;
 
+    /** Creates a store on an open log. */
     public DurableRaftStore(DurableLog log) {
         this.log = log;
     }
 
-    /** Empty if the log has never been a voter's. */
-    public static Optional<RestoredRaftState> restoredState(RecoveredState found) {
-        byte[] self = found.metadata().get(SELF);
-        byte[] first = found.metadata().get(FIRST);
-        if (self == null || first == null) {
+    /** This store with what it held when its log was opened. */
+    public VoterNode.Storage storage() {
+        return new VoterNode.Storage(this, restoredState(log.recoveredState()));
+    }
+
+    /** The voter that last used this log; empty if none has. */
+    public Optional<Voter> lastVoter() {
+        return restoredState(log.recoveredState())
+                .map(state -> state.getLocalEndpointPersistentState().getLocalEndpoint())
+                .map(Voter.class::cast);
+    }
+
+    /** The library's state in a recovered log; empty if no voter has used it. */
+    static Optional<RestoredRaftState> restoredState(RecoveredState recovered) {
+        byte[] self = recovered.metadata().get(SELF_NOTE);
+        byte[] initialVoters = recovered.metadata().get(INITIAL_VOTERS_NOTE);
+        if (self == null || initialVoters == null) {
             return Optional.empty();
         }
-        BinaryCodec.Reader in = new BinaryCodec.Reader("own name", self);
-        RaftEndpointPersistentState me =
-                RaftMessageCodec.MODEL_FACTORY
-                        .createRaftEndpointPersistentStateBuilder()
-                        .setLocalEndpoint(RaftMessageCodec.voter(in))
-                        .setVoting(in.u8() != 0)
-                        .build();
-        RaftTermPersistentState term =
-                RaftMessageCodec.MODEL_FACTORY
-                        .createRaftTermPersistentStateBuilder()
-                        .setTerm((int) found.term())
-                        .setVotedFor(voted(found.votedFor()))
-                        .build();
-        List<SnapshotChunk> chunks = new ArrayList<>();
-        if (found.snapshot() != null) {
-            found.snapshot().chunks().forEach(bytes -> chunks.add(RaftMessageCodec.chunk(bytes)));
-        }
-        var snapshot =
-                chunks.isEmpty()
-                        ? null
-                        : RaftMessageCodec.MODEL_FACTORY
-                                .createSnapshotEntryBuilder()
-                                .setIndex(chunks.get(0).getIndex())
-                                .setTerm(chunks.get(0).getTerm())
-                                .setSnapshotChunks(chunks)
-                                .setGroupMembersView(chunks.get(0).getGroupMembersView())
-                                .build();
-        List<LogEntry> entries = new ArrayList<>();
-        found.entries().forEach(entry -> entries.add(RaftMessageCodec.entry(entry.bytes())));
         return Optional.of(
-                new RestoredRaftState(me, RaftMessageCodec.view(first), term, snapshot, entries));
+                new RestoredRaftState(
+                        decodeSelf(self),
+                        RaftLogCodec.decodeMembers(initialVoters),
+                        restoredTerm(recovered),
+                        restoredSnapshot(recovered),
+                        recovered.entries().stream()
+                                .map(entry -> RaftLogCodec.decodeEntry(entry.bytes()))
+                                .toList()));
+    }
+
+    private static RaftEndpointPersistentState decodeSelf(byte[] note) {
+        BinaryCodec.Reader in = new BinaryCodec.Reader("own name", note);
+        return RaftMessageCodec.MODEL_FACTORY
+                .createRaftEndpointPersistentStateBuilder()
+                .setLocalEndpoint(RaftLogCodec.readVoter(in))
+                .setVoting(in.u8() != 0)
+                .build();
+    }
+
+    private static RaftTermPersistentState restoredTerm(RecoveredState recovered) {
+        return RaftMessageCodec.MODEL_FACTORY
+                .createRaftTermPersistentStateBuilder()
+                .setTerm((int) recovered.term())
+                .setVotedFor(parseVoter(recovered.votedFor()))
+                .build();
+    }
+
+    /** Null without a snapshot, as the library has it. */
+    private static SnapshotEntry restoredSnapshot(RecoveredState recovered) {
+        if (recovered.snapshot() == null || recovered.snapshot().chunks().isEmpty()) {
+            return null;
+        }
+        List<SnapshotChunk> chunks =
+                recovered.snapshot().chunks().stream().map(RaftLogCodec::decodeChunk).toList();
+        SnapshotChunk first = chunks.get(0);
+        return RaftMessageCodec.MODEL_FACTORY
+                .createSnapshotEntryBuilder()
+                .setIndex(first.getIndex())
+                .setTerm(first.getTerm())
+                .setSnapshotChunks(chunks)
+                .setGroupMembersView(first.getGroupMembersView())
+                .build();
+    }
+
+    /** The inverse of {@link Voter#toString}; null for no vote. */
+    private static Voter parseVoter(String name) {
+        if (name.isEmpty()) {
+            return null;
+        }
+        String[] numbers = name.split("\\.");
+        return new Voter(Integer.parseInt(numbers[0]), Integer.parseInt(numbers[1]));
     }
 
     /**
-     * Asks the peers of the voter that this log is of before it says its first word; for {@link
-     * VoterNode#start(Recall)}.
+     * The handshake that decides whether the voter of this log may take part, for {@link
+     * VoterNode#start(VoterRecoveryHandshake)}.
      *
      * @param nonce drawn at random for this process
-     * @param patience in heartbeats, for voters that don't answer
+     * @param patienceHeartbeats how long to wait for voters that do not answer
      */
     public VoterRecoveryHandshake recoveryHandshake(
-            Voter self, List<Voter> first, long nonce, int patience) {
-        RecoveredState found = log.recoveredState();
-        Collection<RaftEndpoint> voters = new ArrayList<>(first);
-        Optional<RestoredRaftState> restored = restoredState(found);
-        if (restored.isPresent()) {
-            RestoredRaftState state = restored.get();
-            voters =
-                    state.getSnapshotEntry() != null
-                                    && state.getSnapshotEntry().getGroupMembersView() != null
-                            ? state.getSnapshotEntry().getGroupMembersView().getVotingMembers()
-                            : state.getInitialGroupMembers().getVotingMembers();
-            for (LogEntry entry : state.getLogEntries()) {
-                voters =
-                        entry.getOperation() instanceof UpdateRaftGroupMembersOp op
-                                ? op.getVotingMembers()
-                                : voters;
-            }
-        }
+            Voter self, List<Voter> initialVoters, long nonce, int patienceHeartbeats) {
+        RecoveredState recovered = log.recoveredState();
         return new VoterRecoveryHandshake(
-                self,
-                first,
-                voters.stream().map(Voter.class::cast).toList(),
-                found.localState(),
-                found.metadata().get(PEERS),
-                nonce,
-                patience,
+                new VoterRecoveryHandshake.Settings(self, initialVoters, nonce, patienceHeartbeats),
+                restoredState(recovered)
+                        .map(DurableRaftStore::lastKnownVoters)
+                        .orElse(initialVoters),
+                recovered.localState(),
+                recovered.metadata().get(PEERS_NOTE),
                 this);
     }
 
+    /** The voters by the last membership in the log, be it committed or not. */
+    private static List<Voter> lastKnownVoters(RestoredRaftState state) {
+        SnapshotEntry snapshot = state.getSnapshotEntry();
+        boolean isInSnapshot = snapshot != null && snapshot.getGroupMembersView() != null;
+        RaftGroupMembersView members =
+                isInSnapshot ? snapshot.getGroupMembersView() : state.getInitialGroupMembers();
+        Collection<RaftEndpoint> voters = members.getVotingMembers();
+        for (LogEntry entry : state.getLogEntries()) {
+            if (entry.getOperation() instanceof UpdateRaftGroupMembersOp change) {
+                voters = change.getVotingMembers();
+            }
+        }
+        return voters.stream().map(Voter.class::cast).toList();
+    }
+
     @Override
-    public void savePeerState(byte[] memory) throws IOException {
-        log.saveMetadata(PEERS, memory);
+    public void savePeerState(byte[] peerState) throws IOException {
+        log.saveMetadata(PEERS_NOTE, peerState);
         log.sync();
     }
 
     @Override
-    public void bar(String why) throws IOException {
-        log.suspendVoting(why);
+    public void bar(String reason) throws IOException {
+        log.suspendVoting(reason);
     }
 
     @Override
@@ -126,39 +159,32 @@
         log.admit();
     }
 
-    private static Voter voted(String name) {
-        if (name.isEmpty()) {
-            return null;
-        }
-        String[] parts = name.split("\\.");
-        return new Voter(Integer.parseInt(parts[0]), Integer.parseInt(parts[1]));
-    }
-
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState self) throws IOException {
         BinaryCodec.Writer out = new BinaryCodec.Writer();
-        RaftMessageCodec.voter(out, self.getLocalEndpoint());
-        log.saveMetadata(SELF, out.u8(self.isVoting() ? 1 : 0).toByteArray());
+        RaftLogCodec.writeVoter(out, self.getLocalEndpoint());
+        log.saveMetadata(SELF_NOTE, out.u8(self.isVoting() ? 1 : 0).toByteArray());
         log.sync();
     }
 
     @Override
-    public void persistAndFlushInitialGroupMembers(RaftGroupMembersView first) throws IOException {
-        log.saveMetadata(FIRST, RaftMessageCodec.view(first));
+    public void persistAndFlushInitialGroupMembers(RaftGroupMembersView initial)
+            throws IOException {
+        log.saveMetadata(INITIAL_VOTERS_NOTE, RaftLogCodec.encodeMembers(initial));
         log.sync();
     }
 
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState term) throws IOException {
-        log.saveTermAndVote(
-                term.getTerm(), term.getVotedFor() == null ? "" : term.getVotedFor().toString());
+        RaftEndpoint votedFor = term.getVotedFor();
+        log.saveTermAndVote(term.getTerm(), votedFor == null ? "" : votedFor.toString());
         log.sync();
     }
 
     @Override
     public void persistLogEntries(List<LogEntry> entries) throws IOException {
         for (LogEntry entry : entries) {
-            log.appendEntry(entry.getIndex(), entry.getTerm(), RaftMessageCodec.entry(entry));
+            log.appendEntry(entry.getIndex(), entry.getTerm(), RaftLogCodec.encodeEntry(entry));
         }
     }
 
@@ -169,7 +195,7 @@
                 chunk.getTerm(),
                 chunk.getSnapshotChunkIndex(),
                 chunk.getSnapshotChunkCount(),
-                RaftMessageCodec.chunk(chunk));
+                RaftLogCodec.encodeChunk(chunk));
     }
 
     @Override
--- a/src/main/java/calicostream/cluster/raft/FailStopStore.java
+++ b/src/main/java/calicostream/cluster/raft/FailStopStore.java
@@ -12,29 +12,33 @@
 import java.util.function.Consumer;
 
 /**
- * A store whose first failure stops the voter: what a failed sync left on a disk is not known, so
- * nothing that was to be kept may be acknowledged after it, not even if a later call would succeed.
+ * A store whose first failure stops the voter. What a failed sync left on the disk is not known, so
+ * nothing may be acknowledged after it, not even if a later call would succeed. The voter's thread.
  */
 final class FailStopStore implements RaftStore {
-    private interface Call {
+    @FunctionalInterface
+    private interface StoreCall {
         void run() throws IOException;
     }
 
     private final RaftStore store;
-    private final Consumer<Throwable> failed;
     private final LogTermIndex terms;
+    private final Consumer<Throwable> onFailure;
     private IOException failure;
 
     /**
-     * @param terms follows what is in the log
+     * Creates a store over another one.
+     *
+     * @param terms is kept in step with the entries of the log
+     * @param onFailure called once, with the first failure
      */
-    FailStopStore(RaftStore store, LogTermIndex terms, Consumer<Throwable> failed) {
+    FailStopStore(RaftStore store, LogTermIndex terms, Consumer<Throwable> onFailure) {
         this.store = store;
         this.terms = terms;
-        this.failed = failed;
+        this.onFailure = onFailure;
     }
 
-    private void call(Call call) throws IOException {
+    private void run(StoreCall call) throws IOException {
         if (failure != null) {
             throw failure;
         }
@@ -42,60 +46,61 @@
             call.run();
         } catch (IOException e) {
             failure = e;
-            failed.accept(e);
+            onFailure.accept(e);
             throw e;
         } catch (RuntimeException e) {
             failure = new IOException(e);
-            failed.accept(e);
+            onFailure.accept(e);
             throw e;
         }
     }
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState self) throws IOException {
-        call(() -> store.persistAndFlushLocalEndpoint(self));
+        run(() -> store.persistAndFlushLocalEndpoint(self));
     }
 
     @Override
-    public void persistAndFlushInitialGroupMembers(RaftGroupMembersView first) throws IOException {
-        call(() -> store.persistAndFlushInitialGroupMembers(first));
+    public void persistAndFlushInitialGroupMembers(RaftGroupMembersView initial)
+            throws IOException {
+        run(() -> store.persistAndFlushInitialGroupMembers(initial));
     }
 
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState term) throws IOException {
-        call(() -> store.persistAndFlushTerm(term));
+        run(() -> store.persistAndFlushTerm(term));
     }
 
     @Override
     public void persistLogEntries(List<LogEntry> entries) throws IOException {
-        call(() -> store.persistLogEntries(entries));
+        run(() -> store.persistLogEntries(entries));
         terms.append(entries);
     }
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
-        call(() -> store.persistSnapshotChunk(chunk));
+        run(() -> store.persistSnapshotChunk(chunk));
     }
 
     @Override
     public void truncateLogEntriesFrom(long index) throws IOException {
-        call(() -> store.truncateLogEntriesFrom(index));
+        run(() -> store.truncateLogEntriesFrom(index));
         terms.truncateFrom(index);
     }
 
     @Override
     public void truncateLogEntriesUntil(long index) throws IOException {
-        call(() -> store.truncateLogEntriesUntil(index));
+        run(() -> store.truncateLogEntriesUntil(index));
         terms.truncateUntil(index);
     }
 
     @Override
     public void deleteSnapshotChunks(long index, int count) throws IOException {
-        call(() -> store.deleteSnapshotChunks(index, count));
+        run(() -> store.deleteSnapshotChunks(index, count));
     }
 
     @Override
     public void flush() throws IOException {
-        call(store::flush);
+        run(store::flush);
     }
 }
--- a/src/main/java/calicostream/cluster/raft/PeerRecoveryState.java
+++ b/src/main/java/calicostream/cluster/raft/PeerRecoveryState.java
@@ -11,115 +11,130 @@
 import java.util.TreeMap;
 
 /**
- * What this voter remembers of each other one: which incarnation it has met, and what that one
- * acknowledged and voted here. Pure, one thread. Incarnations are to be kept on the disk before
- * they are answered for ({@link #write}); terms, indexes and votes are in memory alone, as a sync
- * for each acknowledgement would cost more than it tells.
+ * What this voter knows of each peer for the recovery handshake: the incarnation that it last met,
+ * and what that peer acknowledged and voted here. Incarnations must be durable ({@link #encode})
+ * before a peer is answered; terms, indexes and votes are in memory only, as a sync for each
+ * acknowledgement would cost more than it could detect. Pure; the voter's thread.
  */
 final class PeerRecoveryState {
     private static final int VERSION = 1;
+    private static final int PEER_BYTES = 33;
 
-    /** {@code before} is all that was known when this incarnation was met. */
-    private static final class Known {
+    private static final class Peer {
         private long incarnation;
         private long nonce;
-        private PeerObservation before = PeerObservation.NONE;
+
+        /** All that was known of the peer when it was met as its present incarnation. */
+        private PeerObservation beforeIncarnation = PeerObservation.NONE;
+
         private long term;
-        private long acknowledged;
+        private long acknowledgedIndex;
         private long voteTerm;
 
-        private PeerObservation now(boolean grouped) {
-            boolean later = term > before.term();
-            long index =
-                    term == before.term()
-                            ? Math.max(acknowledged, before.acknowledgedIndex())
-                            : later ? acknowledged : before.acknowledgedIndex();
+        private PeerObservation seen(boolean hasCommittedState) {
             return new PeerObservation(
                     incarnation,
-                    Math.max(term, before.term()),
-                    index,
-                    Math.max(voteTerm, before.voteTerm()),
+                    Math.max(term, beforeIncarnation.term()),
+                    acknowledgedInLatestTerm(),
+                    Math.max(voteTerm, beforeIncarnation.voteTerm()),
                     false,
-                    grouped);
+                    hasCommittedState);
+        }
+
+        private long acknowledgedInLatestTerm() {
+            if (term > beforeIncarnation.term()) {
+                return acknowledgedIndex;
+            }
+            if (term < beforeIncarnation.term()) {
+                return beforeIncarnation.acknowledgedIndex();
+            }
+            return Math.max(acknowledgedIndex, beforeIncarnation.acknowledgedIndex());
         }
     }
 
-    private final SortedMap<Voter, Known> known =
+    private final SortedMap<Voter, Peer> peers =
             new TreeMap<>(
                     Comparator.comparingInt(Voter::member).thenComparingInt(Voter::generation));
-    private boolean changed;
+    private boolean hasUnsavedChange;
 
     /**
-     * A voter says that it is this incarnation; {@code nonce} tells two processes of one
-     * incarnation apart. The same again hears the same, whatever it did since; an older one, or
-     * another process, hears of all that was seen.
+     * A peer introduced itself with its incarnation. The same process is always answered the same,
+     * whatever it did since; an older incarnation, or another process of the same one, is answered
+     * with all that was seen.
      *
-     * @param grouped whether this voter's group had committed something before
+     * @param nonce distinguishes two processes of one incarnation
+     * @param hasCommittedState whether this voter's group has committed an entry
+     * @return what was known of the peer before it was met as this incarnation
      */
-    PeerObservation recordIncarnation(Voter who, long incarnation, long nonce, boolean grouped) {
-        Known one = known.computeIfAbsent(who, any -> new Known());
-        if (incarnation > one.incarnation) {
-            one.before = one.now(grouped);
-            one.incarnation = incarnation;
-            one.nonce = nonce;
-            changed = true;
-            return one.before;
+    PeerObservation recordIncarnation(
+            Voter voter, long incarnation, long nonce, boolean hasCommittedState) {
+        Peer peer = peers.computeIfAbsent(voter, any -> new Peer());
+        if (incarnation > peer.incarnation) {
+            peer.beforeIncarnation = peer.seen(hasCommittedState);
+            peer.incarnation = incarnation;
+            peer.nonce = nonce;
+            hasUnsavedChange = true;
+            return peer.beforeIncarnation;
         }
-        return incarnation == one.incarnation && nonce == one.nonce ? one.before : one.now(grouped);
+        boolean isSameProcess = incarnation == peer.incarnation && nonce == peer.nonce;
+        return isSameProcess ? peer.beforeIncarnation : peer.seen(hasCommittedState);
     }
 
-    /** Only what its sender had synced before it said so. */
+    /** A message was received; only votes and acknowledgements, which the sender synced, count. */
     void onRaftMessage(RaftMessage message) {
-        boolean vote = message instanceof VoteResponse response && response.isGranted();
-        if (!vote && !(message instanceof AppendEntriesSuccessResponse)) {
+        boolean isVote = message instanceof VoteResponse response && response.isGranted();
+        if (!isVote && !(message instanceof AppendEntriesSuccessResponse)) {
             return;
         }
-        Known one = known.computeIfAbsent((Voter) message.getSender(), any -> new Known());
-        if (message.getTerm() > one.term) {
-            one.term = message.getTerm();
-            one.acknowledged = 0;
+        Peer peer = peers.computeIfAbsent((Voter) message.getSender(), any -> new Peer());
+        if (message.getTerm() > peer.term) {
+            peer.term = message.getTerm();
+            peer.acknowledgedIndex = 0;
         }
-        if (vote) {
-            one.voteTerm = Math.max(one.voteTerm, message.getTerm());
-        } else if (message instanceof AppendEntriesSuccessResponse ack
-                && message.getTerm() == one.term) {
-            one.acknowledged = Math.max(one.acknowledged, ack.getLastLogIndex());
+        if (isVote) {
+            peer.voteTerm = Math.max(peer.voteTerm, message.getTerm());
+        } else if (message instanceof AppendEntriesSuccessResponse acknowledgement
+                && message.getTerm() == peer.term) {
+            peer.acknowledgedIndex =
+                    Math.max(peer.acknowledgedIndex, acknowledgement.getLastLogIndex());
         }
     }
 
-    /** Once after an incarnation was met that is to be kept. */
+    /** Whether an incarnation was met since the last call that must be made durable. */
     boolean takeUnsavedChange() {
-        boolean was = changed;
-        changed = false;
-        return was;
+        boolean wasUnsaved = hasUnsavedChange;
+        hasUnsavedChange = false;
+        return wasUnsaved;
     }
 
+    /** The durable part. */
     byte[] encode() {
-        BinaryCodec.Writer out = new BinaryCodec.Writer().u8(VERSION).i32(known.size());
-        known.forEach(
-                (who, one) -> {
-                    RaftMessageCodec.voter(out, who);
-                    out.i64(one.incarnation)
-                            .i64(one.nonce)
-                            .i64(one.before.incarnation())
-                            .u8(one.before.groupFormed() ? 1 : 0);
+        BinaryCodec.Writer out = new BinaryCodec.Writer().u8(VERSION).i32(peers.size());
+        peers.forEach(
+                (voter, peer) -> {
+                    RaftLogCodec.writeVoter(out, voter);
+                    out.i64(peer.incarnation)
+                            .i64(peer.nonce)
+                            .i64(peer.beforeIncarnation.incarnation())
+                            .u8(peer.beforeIncarnation.groupFormed() ? 1 : 0);
                 });
         return out.toByteArray();
     }
 
+    /** What {@link #encode} made durable, without the part that is in memory only. */
     static PeerRecoveryState decode(byte[] bytes) {
-        PeerRecoveryState read = new PeerRecoveryState();
+        PeerRecoveryState state = new PeerRecoveryState();
         BinaryCodec.Reader in = new BinaryCodec.Reader("memory of peers", bytes);
         in.requireVersion(VERSION);
-        for (int left = in.count(33); left > 0; left--) {
-            Voter who = RaftMessageCodec.voter(in);
-            Known one = new Known();
-            one.incarnation = in.i64();
-            one.nonce = in.i64();
-            one.before = new PeerObservation(in.i64(), 0, 0, 0, false, in.u8() != 0);
-            read.known.put(who, one);
+        for (int left = in.count(PEER_BYTES); left > 0; left--) {
+            Voter voter = RaftLogCodec.readVoter(in);
+            Peer peer = new Peer();
+            peer.incarnation = in.i64();
+            peer.nonce = in.i64();
+            peer.beforeIncarnation = new PeerObservation(in.i64(), 0, 0, 0, false, in.u8() != 0);
+            state.peers.put(voter, peer);
         }
         in.requireEnd();
-        return read;
+        return state;
     }
 }
--- a/src/main/java/calicostream/cluster/raft/RaftExecutor.java
+++ b/src/main/java/calicostream/cluster/raft/RaftExecutor.java
@@ -10,43 +10,47 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The reactor as the library's executor and clock. The library counts heartbeats in whole seconds;
- * here one of its seconds is one heartbeat of ours, for its clock and its timers alike. Its clock
- * is our monotonic one, so that a step of the wall clock makes no leader doubted.
+ * The event loop as the consensus library's executor and clock. The library counts heartbeats in
+ * whole seconds; here one library second, of its clock and its timers alike, lasts one of our
+ * heartbeats. The clock is monotonic, so that a step of the wall clock suspects no leader.
  */
 final class RaftExecutor extends Clock implements RaftNodeExecutor {
-    private final EventLoop reactor;
+    private static final int LIBRARY_MILLIS_PER_HEARTBEAT = 1000;
+    private static final int NANOS_PER_MICRO = 1000;
+    private final EventLoop eventLoop;
     private final int heartbeatMillis;
     private final long startNanos;
 
-    RaftExecutor(EventLoop reactor, int heartbeatMillis) {
-        this.reactor = reactor;
+    RaftExecutor(EventLoop eventLoop, int heartbeatMillis) {
+        this.eventLoop = eventLoop;
         this.heartbeatMillis = heartbeatMillis;
-        this.startNanos = reactor.nanoTime();
+        this.startNanos = eventLoop.nanoTime();
     }
 
-    long raftMillis(long millis) {
-        return millis * 1000 / heartbeatMillis;
+    /** Converts real milliseconds to those of the library. */
+    long toLibraryMillis(long millis) {
+        return millis * LIBRARY_MILLIS_PER_HEARTBEAT / heartbeatMillis;
     }
 
     @Override
     public void execute(Runnable task) {
-        reactor.execute(task);
+        eventLoop.execute(task);
     }
 
     @Override
     public void submit(Runnable task) {
-        reactor.execute(task);
+        eventLoop.execute(task);
     }
 
     @Override
     public void schedule(Runnable task, long delay, TimeUnit unit) {
-        reactor.schedule(task, unit.toMicros(delay) * heartbeatMillis);
+        // A library microsecond lasts as many nanoseconds as a heartbeat has milliseconds.
+        eventLoop.schedule(task, unit.toMicros(delay) * heartbeatMillis);
     }
 
     @Override
     public long millis() {
-        return 1 + (reactor.nanoTime() - startNanos) / 1000 / heartbeatMillis;
+        return 1 + (eventLoop.nanoTime() - startNanos) / NANOS_PER_MICRO / heartbeatMillis;
     }
 
     @Override
--- a/src/main/java/calicostream/cluster/raft/RecoveryHandshakeTransport.java
+++ b/src/main/java/calicostream/cluster/raft/RecoveryHandshakeTransport.java
@@ -12,93 +12,102 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The shell of a {@link VoterRecoveryHandshake}: its frames and beats, on the voter's thread, for
- * as long as the voter lives; no choice is made here.
+ * Runs a {@link VoterRecoveryHandshake} on the voter's links and timer, for as long as the voter
+ * runs, and starts or fails the voter by its result. Decides nothing itself; the voter's thread.
  */
 final class RecoveryHandshakeTransport {
-    /** What it asks of, and tells, the voter. */
-    record Hooks(
+    /**
+     * What the handshake asks of its voter, and does to it.
+     *
+     * @param hasCommittedState whether the voter's group has committed an entry
+     * @param isCommittedVoter whether the group has committed that it is one of its voters
+     */
+    record VoterHooks(
             BooleanSupplier isStopped,
-            BooleanSupplier isGrouped,
-            BooleanSupplier isVoter,
-            Runnable begin,
+            BooleanSupplier hasCommittedState,
+            BooleanSupplier isCommittedVoter,
+            Runnable start,
             Consumer<Throwable> fail) {}
 
-    private interface Step {
+    @FunctionalInterface
+    private interface HandshakeStep {
         List<VoterRecoveryHandshake.OutgoingFrame> run() throws IOException;
     }
 
-    /** A line of the log so many beats. */
-    private static final int LINE = 200;
-
-    private static final Logger LOG = LoggerFactory.getLogger(VoterNode.class);
-
+    private static final int HEARTBEATS_PER_LOG_LINE = 200;
+    private static final Logger LOG = LoggerFactory.getLogger(RecoveryHandshakeTransport.class);
     private final Voter self;
-    private final VoterRecoveryHandshake recall;
-    private final EventLoop reactor;
-    private final PeerTransport links;
-    private final long beatNanos;
-    private final Hooks hooks;
-    private boolean begun;
-    private int beats;
+    private final VoterRecoveryHandshake handshake;
+    private final EventLoop eventLoop;
+    private final PeerTransport transport;
+    private final long heartbeatNanos;
+    private final VoterHooks voter;
+    private boolean isVoterStarted;
+    private int waitingHeartbeats;
 
     RecoveryHandshakeTransport(
             Voter self,
-            VoterRecoveryHandshake recall,
-            EventLoop reactor,
-            PeerTransport links,
-            long beatNanos,
-            Hooks hooks) {
+            VoterRecoveryHandshake handshake,
+            EventLoop eventLoop,
+            PeerTransport transport,
+            long heartbeatNanos,
+            VoterHooks voter) {
         this.self = self;
-        this.recall = recall;
-        this.reactor = reactor;
-        this.links = links;
-        this.beatNanos = beatNanos;
-        this.hooks = hooks;
+        this.handshake = handshake;
+        this.eventLoop = eventLoop;
+        this.transport = transport;
+        this.heartbeatNanos = heartbeatNanos;
+        this.voter = voter;
     }
 
-    VoterRecoveryHandshake recall() {
-        return recall;
+    VoterRecoveryHandshake handshake() {
+        return handshake;
     }
 
-    void beat() {
-        if (!hooks.isStopped.getAsBoolean()) {
-            step(recall::onHeartbeat);
-            if (!begun && ++beats % LINE == 0) {
-                LOG.warn("voter {} waits for its peers' word: {}", self, recall.reason());
+    /** One heartbeat; schedules the next one until the voter is stopped. */
+    void tick() {
+        if (voter.isStopped.getAsBoolean()) {
+            return;
+        }
+        run(handshake::onHeartbeat);
+        if (!isVoterStarted) {
+            waitingHeartbeats++;
+            if (waitingHeartbeats % HEARTBEATS_PER_LOG_LINE == 0) {
+                LOG.warn("voter {} waits for its peers: {}", self, handshake.reason());
             }
-            reactor.schedule(this::beat, beatNanos);
         }
+        eventLoop.schedule(this::tick, heartbeatNanos);
     }
 
-    void received(int from, MemberMessage frame) {
-        boolean grouped = hooks.isGrouped.getAsBoolean();
-        if (frame instanceof MemberMessage.RecoveryRequest asks) {
-            step(() -> recall.received(from, asks, grouped));
-        } else if (frame instanceof MemberMessage.RecoveryResponse told) {
-            step(
+    /** A message of a peer; any but those of the handshake is ignored. */
+    void onMessage(int from, MemberMessage message) {
+        boolean hasCommittedState = voter.hasCommittedState.getAsBoolean();
+        if (message instanceof MemberMessage.RecoveryRequest request) {
+            run(() -> List.of(handshake.onRequest(from, request, hasCommittedState)));
+        } else if (message instanceof MemberMessage.RecoveryResponse answer) {
+            run(
                     () -> {
-                        recall.received(from, told, grouped);
+                        handshake.onAnswer(from, answer, hasCommittedState);
                         return List.of();
                     });
         }
     }
 
-    private void step(Step step) {
+    private void run(HandshakeStep step) {
         try {
-            step.run().forEach(send -> links.send(send.member(), send.frame()));
-            if (begun && hooks.isVoter.getAsBoolean()) {
-                recall.onAdmitted();
+            step.run().forEach(frame -> transport.send(frame.member(), frame.frame()));
+            if (isVoterStarted && voter.isCommittedVoter.getAsBoolean()) {
+                handshake.onCommittedVoter();
             }
         } catch (IOException e) {
-            hooks.fail.accept(e);
+            voter.fail.accept(e);
             return;
         }
-        if (recall.error() != null) {
-            hooks.fail.accept(recall.error());
-        } else if (!begun && recall.mayStart()) {
-            begun = true;
-            hooks.begin.run();
+        if (handshake.error() != null) {
+            voter.fail.accept(handshake.error());
+        } else if (!isVoterStarted && handshake.mayStart()) {
+            isVoterStarted = true;
+            voter.start.run();
         }
     }
 }
--- a/src/main/java/calicostream/cluster/raft/Voter.java
+++ b/src/main/java/calicostream/cluster/raft/Voter.java
@@ -4,9 +4,12 @@
 import io.microraft.RaftEndpoint;
 
 /**
- * A voter or learner: the member and its generation. A member whose disk lost what it had promised
- * comes back under the next generation, so that its old vote can't be given twice: to the others it
- * is somebody new. Immutable.
+ * The identity of a voter or learner. A member whose disk lost what it had promised returns under
+ * its next generation, so that its vote can't be given twice: to the other voters it is a new one.
+ * Immutable.
+ *
+ * @param member the member's number in the settings
+ * @param generation 0 at first, raised by an operator after a loss of state
  */
 public record Voter(int member, int generation) implements RaftEndpoint {
     @Override
@@ -14,6 +17,7 @@
         return (long) member << 32 | generation;
     }
 
+    /** {@code MEMBER.GENERATION}, as operators and stored votes have it. */
     @Override
     public String toString() {
         return member + "." + generation;
--- a/src/main/java/calicostream/cluster/raft/VoterChangeExecutor.java
+++ b/src/main/java/calicostream/cluster/raft/VoterChangeExecutor.java
@@ -7,6 +7,7 @@
 import calicostream.cluster.ReplicatedState;
 import io.microraft.RaftEndpoint;
 import io.microraft.RaftNode;
+import io.microraft.report.RaftNodeReport;
 import java.util.Collection;
 import java.util.List;
 import java.util.function.BiConsumer;
@@ -14,133 +15,179 @@
 import java.util.function.Supplier;
 
 /**
- * Changes of voters as a leader carries them out, one at a time, each in two entries: the
- * replicated memory of generations first, which refuses who was removed before, then the library's
- * change. While one runs no other starts here, and what a former leader noted is applied before
- * this one leads, so the second entry never overtakes a removal of the same voter.
+ * Carries out changes of voters at the leader, one at a time, each in two log entries: first the
+ * replicated register of generations, which refuses a voter that was removed before, then the
+ * library's own change. While one runs no other is started here, and entries of a former leader are
+ * applied before this one leads, so the second entry never overtakes a removal of the same voter.
+ * The voter's thread.
  */
 final class VoterChangeExecutor {
+    /** A removal must leave this many voters. */
+    private static final int MIN_VOTERS = 2;
+
+    /** A change with the log index of the membership that it is based on. */
+    private record Request(
+            VoterChange change,
+            Voter voter,
+            long membershipIndex,
+            Consumer<ClusterException> done) {
+        boolean isRemoval() {
+            return change == VoterChange.REMOVE;
+        }
+
+        ClusterException rejected(String reason) {
+            return new ClusterException.InvalidVoterChange(change.operatorName() + " " + voter, reason);
+        }
+    }
+
     private final RaftNode raft;
     private final Voter self;
     private final ReplicatedState state;
-    private final BiConsumer<ReplicatedEntry, Consumer<CommandOutcome>> propose;
-
-    /** Why this voter can't; null if it leads. */
-    private final Supplier<ClusterException> notLeading;
-
-    private boolean running;
+    private final BiConsumer<ReplicatedEntry, Consumer<CommandOutcome>> proposer;
+    private final Supplier<ClusterException> notLeaderError;
+    private boolean isRunning;
 
+    /**
+     * Creates an executor.
+     *
+     * @param notLeaderError why this voter can't change anything; null if it leads
+     */
     VoterChangeExecutor(
             RaftNode raft,
             Voter self,
             ReplicatedState state,
-            BiConsumer<ReplicatedEntry, Consumer<CommandOutcome>> propose,
-            Supplier<ClusterException> notLeading) {
+            BiConsumer<ReplicatedEntry, Consumer<CommandOutcome>> proposer,
+            Supplier<ClusterException> notLeaderError) {
         this.raft = raft;
         this.self = self;
         this.state = state;
-        this.propose = propose;
-        this.notLeading = notLeading;
+        this.proposer = proposer;
+        this.notLeaderError = notLeaderError;
     }
 
-    void change(VoterChange change, Voter who, Consumer<ClusterException> done) {
-        ClusterException refused = refused(change, who);
-        if (refused != null) {
-            done.accept(refused);
+    /** As {@link VoterNode#changeVoter}. */
+    void change(VoterChange change, Voter voter, Consumer<ClusterException> done) {
+        Request request =
+                new Request(
+                        change,
+                        voter,
+                        raft.getCommittedMembers().getLogIndex(),
+                        error -> {
+                            isRunning = false;
+                            done.accept(error);
+                        });
+        ClusterException rejection = rejection(request);
+        if (rejection != null) {
+            done.accept(rejection);
             return;
         }
-        running = true;
-        Consumer<ClusterException> end =
-                error -> {
-                    running = false;
-                    done.accept(error);
-                };
-        long since = raft.getCommittedMembers().getLogIndex();
-        if (change != VoterChange.PROMOTE) {
-            note(change, who, since, end);
-            return;
+        isRunning = true;
+        if (change == VoterChange.PROMOTE) {
+            promoteIfCaughtUp(request);
+        } else {
+            register(request);
         }
+    }
+
+    private ClusterException rejection(Request request) {
+        ClusterException notLeader = notLeaderError.get();
+        if (notLeader != null) {
+            return notLeader;
+        }
+        if (isRunning) {
+            return request.rejected("another change runs");
+        }
+        if (!request.isRemoval()) {
+            return null;
+        }
+        if (request.voter.equals(self)) {
+            return request.rejected("it leads, let it hand over first");
+        }
+        Collection<RaftEndpoint> voters = raft.getEffectiveMembers().getVotingMembers();
+        if (voters.contains(request.voter) && voters.size() <= MIN_VOTERS) {
+            return request.rejected("too few voters would be left, add one first");
+        }
+        return null;
+    }
+
+    private void promoteIfCaughtUp(Request request) {
         raft.getReport()
                 .whenComplete(
                         (report, error) -> {
                             if (error != null) {
-                                end.accept(bad(change, who, String.valueOf(error.getMessage())));
-                            } else if (report.getResult()
-                                            .getLog()
-                                            .getFollowerMatchIndices()
-                                            .getOrDefault(who, 0L)
-                                    < since) {
-                                end.accept(
-                                        bad(
-                                                change,
-                                                who,
+                                request.done.accept(
+                                        request.rejected(String.valueOf(error.getMessage())));
+                            } else if (hasAcknowledgedMembership(report.getResult(), request)) {
+                                register(request);
+                            } else {
+                                request.done.accept(
+                                        request.rejected(
                                                 "it has not acknowledged that it learns, ask again"
                                                         + " once it did"));
-                            } else {
-                                note(change, who, since, end);
                             }
                         });
     }
 
-    private ClusterException refused(VoterChange change, Voter who) {
-        Collection<RaftEndpoint> voters = raft.getEffectiveMembers().getVotingMembers();
-        if (notLeading.get() != null) {
-            return notLeading.get();
-        } else if (running) {
-            return bad(change, who, "another change runs");
-        } else if (change == VoterChange.REMOVE && who.equals(self)) {
-            return bad(change, who, "it leads, let it hand over first");
-        } else if (change == VoterChange.REMOVE && voters.contains(who) && voters.size() <= 2) {
-            return bad(change, who, "too few voters would be left, add one first");
-        }
-        return null;
+    private static boolean hasAcknowledgedMembership(RaftNodeReport report, Request request) {
+        long acknowledged =
+                report.getLog().getFollowerMatchIndices().getOrDefault(request.voter, 0L);
+        return acknowledged >= request.membershipIndex;
     }
 
-    private void note(VoterChange change, Voter who, long since, Consumer<ClusterException> end) {
+    /** The first entry, in the register of generations. */
+    private void register(Request request) {
+        int member = request.voter.member();
+        int generation = request.voter.generation();
         ReplicatedEntry entry =
-                change == VoterChange.REMOVE
-                        ? new ReplicatedEntry.RemoveVoter(who.member(), who.generation())
-                        : new ReplicatedEntry.AddVoter(who.member(), who.generation());
-        propose.accept(
+                request.isRemoval()
+                        ? new ReplicatedEntry.RemoveVoter(member, generation)
+                        : new ReplicatedEntry.AddVoter(member, generation);
+        proposer.accept(
                 entry,
                 outcome -> {
-                    if (!outcome.isAccepted()) {
-                        end.accept(outcome.error());
-                    } else if (notLeading.get() != null) {
-                        end.accept(notLeading.get());
-                    } else if (change != VoterChange.REMOVE
-                            && !state.mayAddVoter(who.member(), who.generation())) {
-                        end.accept(
-                                new ClusterException.GenerationRetired(
-                                        who.member(),
-                                        who.generation(),
-                                        state.nextGeneration(who.member())));
+                    ClusterException error = errorAfterRegistration(request, outcome);
+                    if (error != null) {
+                        request.done.accept(error);
                     } else {
-                        raft.changeMembership(who, change.mode(), since)
-                                .whenComplete(
-                                        (ok, error) ->
-                                                end.accept(
-                                                        error == null
-                                                                ? null
-                                                                : bad(
-                                                                        change,
-                                                                        who,
-                                                                        String.valueOf(
-                                                                                error
-                                                                                        .getMessage()))));
+                        changeMembership(request);
                     }
                 });
     }
 
-    private static ClusterException bad(VoterChange change, Voter who, String why) {
-        return new ClusterException.InvalidVoterChange(change.operatorName() + " " + who, why);
+    private ClusterException errorAfterRegistration(Request request, CommandOutcome outcome) {
+        if (!outcome.isAccepted()) {
+            return outcome.error();
+        }
+        ClusterException notLeader = notLeaderError.get();
+        if (notLeader != null) {
+            return notLeader;
+        }
+        int member = request.voter.member();
+        int generation = request.voter.generation();
+        if (!request.isRemoval() && !state.mayAddVoter(member, generation)) {
+            return new ClusterException.GenerationRetired(
+                    member, generation, state.nextGeneration(member));
+        }
+        return null;
+    }
+
+    /** The second entry, the library's own. */
+    private void changeMembership(Request request) {
+        raft.changeMembership(request.voter, request.change.mode(), request.membershipIndex)
+                .whenComplete(
+                        (committed, error) ->
+                                request.done.accept(
+                                        error == null
+                                                ? null
+                                                : request.rejected(
+                                                        String.valueOf(error.getMessage()))));
     }
 
     /** As {@link VoterNode#stepTowards}. */
-    void towards(Collection<Voter> wanted, Consumer<ClusterException> done) {
-        ClusterException refused = notLeading.get();
-        if (refused != null) {
-            done.accept(refused);
+    void stepTowards(Collection<Voter> wanted, Consumer<ClusterException> done) {
+        ClusterException notLeader = notLeaderError.get();
+        if (notLeader != null) {
+            done.accept(notLeader);
             return;
         }
         List<Voter> voters =
@@ -150,18 +197,16 @@
         List<Voter> learners =
                 raft.getCommittedMembers().getMembers().stream()
                         .map(Voter.class::cast)
-                        .filter(who -> !voters.contains(who))
+                        .filter(voter -> !voters.contains(voter))
                         .toList();
-        VoterChangePlan.next(wanted, voters, learners, self)
-                .ifPresent(
-                        step -> {
-                            switch (step.kind()) {
-                                case ADD_LEARNER ->
-                                        change(VoterChange.ADD_LEARNER, step.voter(), done);
-                                case PROMOTE -> change(VoterChange.PROMOTE, step.voter(), done);
-                                case REMOVE -> change(VoterChange.REMOVE, step.voter(), done);
-                                case TRANSFER_LEADERSHIP -> raft.transferLeadership(step.voter());
-                            }
-                        });
+        VoterChangePlan.next(wanted, voters, learners, self).ifPresent(step -> run(step, done));
+    }
+
+    private void run(VoterChangePlan.Step step, Consumer<ClusterException> done) {
+        if (step instanceof VoterChangePlan.ChangeVoter next) {
+            change(next.change(), next.voter(), done);
+        } else if (step instanceof VoterChangePlan.TransferLeadership transfer) {
+            raft.transferLeadership(transfer.target());
+        }
     }
 }
--- a/src/main/java/calicostream/cluster/raft/VoterChangePlan.java
+++ b/src/main/java/calicostream/cluster/raft/VoterChangePlan.java
@@ -8,22 +8,20 @@
 import java.util.TreeSet;
 
 /**
- * The next of the single steps that lead from the present voters to the wanted ones; pure. Who is
- * wanted learns first, is promoted next, and only then does an unwanted one go, so that a lost
- * voter is replaced while a quorum still stands; a leader that is to go hands over first. Asked
- * again after each step, by whoever leads then, it needs no memory.
+ * Plans the next single step from the present voters to the wanted ones. A wanted voter first joins
+ * as a learner, is then promoted, and only after that is an unwanted one removed, so that a lost
+ * voter is replaced while a quorum still exists; a leader that is unwanted transfers its leadership
+ * first. The plan is made anew after each step, by whoever leads then, and so keeps no state. Pure.
  */
 public final class VoterChangePlan {
-    /** A step and whom it is about; a hand-over names who is to lead. */
-    public record Step(Kind kind, Voter voter) {}
+    /** One step of a plan. */
+    public sealed interface Step permits ChangeVoter, TransferLeadership {}
 
-    /** What a step does. */
-    public enum Kind {
-        ADD_LEARNER,
-        PROMOTE,
-        TRANSFER_LEADERSHIP,
-        REMOVE
-    }
+    /** A change of one voter. */
+    public record ChangeVoter(VoterChange change, Voter voter) implements Step {}
+
+    /** The leader is to transfer its leadership to the target. */
+    public record TransferLeadership(Voter target) implements Step {}
 
     private static final Comparator<Voter> ORDER =
             Comparator.comparingInt(Voter::member).thenComparingInt(Voter::generation);
@@ -31,19 +29,23 @@
     private VoterChangePlan() {}
 
     /**
-     * @param voters and learners as they are committed
-     * @param leader who would carry the step out
-     * @return empty if the wanted are the voters and nobody else is left
+     * The next step.
+     *
+     * @param voters the committed ones
+     * @param learners the committed ones
+     * @param leader who is to carry the step out
+     * @return empty if the voters are the wanted ones and no learner is left
      */
     public static Optional<Step> next(
             Collection<Voter> wanted,
             Collection<Voter> voters,
             Collection<Voter> learners,
             Voter leader) {
-        for (Voter who : sorted(wanted)) {
-            if (!voters.contains(who)) {
-                return Optional.of(
-                        new Step(learners.contains(who) ? Kind.PROMOTE : Kind.ADD_LEARNER, who));
+        for (Voter voter : sorted(wanted)) {
+            if (!voters.contains(voter)) {
+                boolean isLearner = learners.contains(voter);
+                VoterChange change = isLearner ? VoterChange.PROMOTE : VoterChange.ADD_LEARNER;
+                return Optional.of(new ChangeVoter(change, voter));
             }
         }
         SortedSet<Voter> unwanted = sorted(voters);
@@ -52,10 +54,11 @@
         if (wanted.isEmpty() || unwanted.isEmpty()) {
             return Optional.empty();
         }
-        if (unwanted.remove(leader) && unwanted.isEmpty()) {
-            return Optional.of(new Step(Kind.TRANSFER_LEADERSHIP, sorted(wanted).first()));
+        boolean isLeaderUnwanted = unwanted.remove(leader);
+        if (isLeaderUnwanted && unwanted.isEmpty()) {
+            return Optional.of(new TransferLeadership(sorted(wanted).first()));
         }
-        return Optional.of(new Step(Kind.REMOVE, unwanted.first()));
+        return Optional.of(new ChangeVoter(VoterChange.REMOVE, unwanted.first()));
     }
 
     private static SortedSet<Voter> sorted(Collection<Voter> voters) {
--- a/src/measure/java/calicostream/cluster/raft/FakeVoterGroup.java
+++ b/src/measure/java/calicostream/cluster/raft/FakeVoterGroup.java
@@ -4,43 +4,62 @@
 import calicostream.cluster.MemberMessage;
 import calicostream.durable.StateLossDetector.LocalState;
 import java.io.IOException;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 
 /**
- * Voters that ask each other before their first word; frames are handed over by hand. One thread.
+ * A group of voters in their recovery handshake whose frames are delivered by hand, for tests. One
+ * thread.
  */
 final class FakeVoterGroup {
-    static final int PATIENCE = 4;
-    private static final List<Voter> FIRST =
+    static final int PATIENCE_HEARTBEATS = 4;
+    private static final List<Voter> INITIAL_VOTERS =
             List.of(new Voter(1, 0), new Voter(2, 0), new Voter(3, 0));
 
-    /** A voter's process and what it kept. */
+    /** A process of a voter with what it made durable. */
     final class VoterProcess implements VoterRecoveryHandshake.RecoveryStore {
-        final VoterRecoveryHandshake handshake;
-        private final boolean grouped;
-        private byte[] memory;
-        String barred = "";
-        int admissions;
-
-        VoterProcess(Voter self, LocalState own, byte[] memory, boolean grouped) {
-            this.grouped = grouped;
-            this.memory = memory;
+        private final VoterRecoveryHandshake handshake;
+        private final boolean hasCommittedState;
+        private byte[] peerState;
+        private String barredReason = "";
+        private int admissions;
+
+        private VoterProcess(
+                Voter self, LocalState localState, byte[] peerState, boolean hasCommittedState) {
+            this.hasCommittedState = hasCommittedState;
+            this.peerState = peerState;
+            nonces++;
             handshake =
                     new VoterRecoveryHandshake(
-                            self, FIRST, FIRST, own, memory, ++nonces, PATIENCE, this);
+                            new VoterRecoveryHandshake.Settings(
+                                    self, INITIAL_VOTERS, nonces, PATIENCE_HEARTBEATS),
+                            INITIAL_VOTERS,
+                            localState,
+                            peerState,
+                            this);
+        }
+
+        VoterRecoveryHandshake handshake() {
+            return handshake;
+        }
+
+        String barredReason() {
+            return barredReason;
+        }
+
+        int admissions() {
+            return admissions;
         }
 
         @Override
         public void savePeerState(byte[] bytes) {
-            memory = bytes;
+            peerState = bytes;
         }
 
         @Override
-        public void bar(String why) {
-            barred = why;
+        public void bar(String reason) {
+            barredReason = reason;
         }
 
         @Override
@@ -49,65 +68,62 @@
         }
     }
 
+    private final Map<Integer, VoterProcess> processes = new TreeMap<>();
     private long nonces;
-    private final Map<Integer, VoterProcess> sides = new TreeMap<>();
-
-    /** Again, with what it remembers of its peers, if it has run here before. */
-    VoterProcess start(int member, LocalState own) {
-        VoterProcess before = sides.get(member);
-        sides.put(
-                member,
-                new VoterProcess(
-                        new Voter(member, 0),
-                        own,
-                        before == null ? null : before.memory,
-                        own.lastIndex() > 0));
-        return sides.get(member);
+
+    /** Starts a voter, or restarts it with what it saved of its peers. */
+    VoterProcess start(int member, LocalState localState) {
+        VoterProcess before = processes.get(member);
+        byte[] peerState = before == null ? null : before.peerState;
+        return start(member, localState, peerState, localState.lastIndex() > 0);
+    }
+
+    /** Starts a voter that is none of the initial ones and has saved nothing. */
+    VoterProcess join(int member, LocalState localState) {
+        return start(member, localState, null, false);
+    }
+
+    private VoterProcess start(
+            int member, LocalState localState, byte[] peerState, boolean hasCommittedState) {
+        VoterProcess process =
+                new VoterProcess(new Voter(member, 0), localState, peerState, hasCommittedState);
+        processes.put(member, process);
+        return process;
+    }
+
+    /** Heartbeats of the running members, with all answers; the others receive nothing. */
+    void rounds(int rounds, Integer... running) throws IOException {
+        List<Integer> members = List.of(running);
+        for (int round = 0; round < rounds; round++) {
+            for (int member : members) {
+                heartbeat(member, members);
+            }
+        }
     }
 
-    /**
-     * Beats at all, with all answers, for some rounds; who is not among {@code up} hears nothing.
-     */
-    void rounds(int rounds, Integer... up) throws IOException {
-        List<Integer> there = List.of(up);
-        for (int i = 0; i < rounds; i++) {
-            for (int member : there) {
-                List<VoterRecoveryHandshake.OutgoingFrame> asks =
-                        new ArrayList<>(sides.get(member).handshake.onHeartbeat());
-                for (VoterRecoveryHandshake.OutgoingFrame ask : asks) {
-                    if (there.contains(ask.member())) {
-                        VoterProcess peer = sides.get(ask.member());
-                        for (VoterRecoveryHandshake.OutgoingFrame told :
-                                peer.handshake.received(
-                                        member,
-                                        (MemberMessage.RecoveryRequest)
-                                                MemberMessage.decode(ask.frame()),
-                                        peer.grouped)) {
-                            sides.get(member)
-                                    .handshake
-                                    .received(
-                                            ask.member(),
-                                            (MemberMessage.RecoveryResponse)
-                                                    MemberMessage.decode(told.frame()),
-                                            sides.get(member).grouped);
-                        }
-                    }
-                }
+    private void heartbeat(int member, List<Integer> running) throws IOException {
+        for (var request : processes.get(member).handshake.onHeartbeat()) {
+            if (running.contains(request.member())) {
+                deliver(member, request);
             }
         }
     }
 
-    /** One that is none of the first voters, and has kept nothing. */
-    VoterProcess join(int member, LocalState own) {
-        sides.put(member, new VoterProcess(new Voter(member, 0), own, null, false));
-        return sides.get(member);
+    private void deliver(int from, VoterRecoveryHandshake.OutgoingFrame request)
+            throws IOException {
+        VoterProcess asker = processes.get(from);
+        VoterProcess peer = processes.get(request.member());
+        var recall = (MemberMessage.RecoveryRequest) MemberMessage.decode(request.frame());
+        var answer = peer.handshake.onRequest(from, recall, peer.hasCommittedState);
+        var recalled = (MemberMessage.RecoveryResponse) MemberMessage.decode(answer.frame());
+        asker.handshake.onAnswer(request.member(), recalled, asker.hasCommittedState);
     }
 
     VoterProcess get(int member) {
-        return sides.get(member);
+        return processes.get(member);
     }
 
     VoterRecoveryHandshake.State state(int member) {
-        return sides.get(member).handshake.state();
+        return processes.get(member).handshake.state();
     }
 }
--- a/src/measure/java/calicostream/cluster/sim/FaultInjector.java
+++ b/src/measure/java/calicostream/cluster/sim/FaultInjector.java
@@ -242,7 +242,6 @@
             return false;
         }
         return leader.get().voter().voters().stream()
-                .map(Voter.class::cast)
                 .allMatch(voter -> isSound(voter, member));
     }
 
--- a/src/measure/java/calicostream/cluster/sim/SimulatedMember.java
+++ b/src/measure/java/calicostream/cluster/sim/SimulatedMember.java
@@ -18,10 +18,8 @@
 import calicostream.durable.LogIdentity;
 import calicostream.durable.LogOptions;
 import calicostream.durable.StateLossDetector;
-import io.microraft.persistence.RestoredRaftState;
 import java.util.List;
 import java.util.Map;
-import java.util.Optional;
 import java.util.Random;
 import java.util.TreeMap;
 
@@ -172,7 +170,7 @@
                     name() + " doubts a disk without faults: " + log.recoveredState().localState());
         }
         DurableRaftStore store = new DurableRaftStore(log);
-        voter = newVoter(log, store);
+        voter = newVoter(store);
         publisher = new StatePublisher(voter.state(), number());
         if (cluster.isDisabled(Safeguard.VOTER_RECOVERY_HANDSHAKE)
                 || cluster.isDisabled(Safeguard.DISK_SYNC)) {
@@ -195,7 +193,7 @@
                 new LogOptions(1 << 14, 1_000_000_000L, false, process::nanoTime));
     }
 
-    private VoterNode newVoter(DurableLog log, DurableRaftStore store) {
+    private VoterNode newVoter(DurableRaftStore store) {
         Map<String, StateMachine> machines = new TreeMap<>(Map.of(ClusterWorkload.MACHINE, lists));
         Map<String, ExpiryMonitor> expiryMonitors = new TreeMap<>();
         cluster.extension()
@@ -205,18 +203,17 @@
                             machines.put(name, part.machine());
                             expiryMonitors.put(name, part.expiryMonitor());
                         });
-        Optional<RestoredRaftState> restored = DurableRaftStore.restoredState(log.recoveredState());
         return new VoterNode(
                 new VoterNode.Settings(
                         name(), cluster.initialVoters(), 50, 5, 200, MAX_QUEUED_PROPOSALS, 40),
-                process,
-                (to, frame) -> cluster.network().send(number(), to, frame),
-                store,
-                restored,
+                new VoterNode.Environment(
+                        process,
+                        (to, frame) -> cluster.network().send(number(), to, frame),
+                        new Random(world.random.nextLong()),
+                        this::voterFailed),
+                store.storage(),
                 new ReplicatedState(machines),
-                expiryMonitors,
-                new Random(world.random.nextLong()),
-                this::voterFailed);
+                expiryMonitors);
     }
 
     private void voterFailed(Throwable cause) {
--- a/src/measure/java/calicostream/cluster/sim/VoterChangeDriver.java
+++ b/src/measure/java/calicostream/cluster/sim/VoterChangeDriver.java
@@ -160,7 +160,7 @@
 
     private void replaceBy(SimulatedMember leader, Voter replacement) {
         List<Voter> target = new ArrayList<>();
-        leader.voter().voters().forEach(voter -> target.add((Voter) voter));
+        target.addAll(leader.voter().voters());
         // An earlier generation of the same member may still be a voter.
         if (target.removeIf(voter -> voter.member() == replacement.member())) {
             target.add(replacement);
--- a/src/test/java/calicostream/cluster/process/DecisionsTest.java
+++ b/src/test/java/calicostream/cluster/process/DecisionsTest.java
@@ -293,11 +293,12 @@
                         new Membership(List.copyOf(voters), List.copyOf(learners)))) {
                     continue;
                 }
-                VoterChangePlan.Step step =
-                        VoterChangePlan.next(wanted, voters, learners, ONE).orElseThrow();
+                VoterChangePlan.ChangeVoter step =
+                        (VoterChangePlan.ChangeVoter)
+                                VoterChangePlan.next(wanted, voters, learners, ONE).orElseThrow();
                 switch (loses == 0 ? 0 : random.nextInt(loses + 1)) {
                     case 0 -> {
-                        switch (step.kind()) {
+                        switch (step.change()) {
                             case ADD_LEARNER -> learners.add(step.voter());
                             case PROMOTE -> {
                                 learners.remove(step.voter());
--- a/src/test/java/calicostream/cluster/raft/LeaderHeartbeatTimeoutTest.java
+++ b/src/test/java/calicostream/cluster/raft/LeaderHeartbeatTimeoutTest.java
@@ -86,19 +86,19 @@
                                 200,
                                 16,
                                 100),
-                        hand,
-                        (to, frame) -> {
-                            if (MemberMessage.decode(frame)
-                                    instanceof MemberMessage.RaftMessage raft) {
-                                sent.add(RaftMessageCodec.message(raft.message()));
-                            }
-                        },
-                        new NopRaftStore(),
-                        Optional.empty(),
+                        new VoterNode.Environment(
+                                hand,
+                                (to, frame) -> {
+                                    if (MemberMessage.decode(frame)
+                                            instanceof MemberMessage.RaftMessage raft) {
+                                        sent.add(RaftMessageCodec.decode(raft.message()));
+                                    }
+                                },
+                                new Random(1),
+                                why -> {}),
+                        new VoterNode.Storage(new NopRaftStore(), Optional.empty()),
                         new ReplicatedState(Map.of()),
-                        Map.of(),
-                        new Random(1),
-                        why -> {});
+                        Map.of());
         voter.start();
     }
 
@@ -109,7 +109,7 @@
     private void receive(RaftMessage message, int generation) {
         voter.onFrame(
                 LEADER.member(),
-                new MemberMessage.RaftMessage(generation, RaftMessageCodec.message(message))
+                new MemberMessage.RaftMessage(generation, RaftMessageCodec.encode(message))
                         .encode());
         hand.pass(0);
     }
--- a/src/test/java/calicostream/cluster/raft/RaftMessageCodecTest.java
+++ b/src/test/java/calicostream/cluster/raft/RaftMessageCodecTest.java
@@ -177,9 +177,9 @@
     @Test
     void everyMessageIsTheSameAfterwards() {
         for (RaftMessage message : messages()) {
-            byte[] bytes = RaftMessageCodec.message(message);
-            assertArrayEquals(bytes, RaftMessageCodec.message(RaftMessageCodec.message(bytes)));
-            assertEquals(message.getSender(), RaftMessageCodec.message(bytes).getSender());
+            byte[] bytes = RaftMessageCodec.encode(message);
+            assertArrayEquals(bytes, RaftMessageCodec.encode(RaftMessageCodec.decode(bytes)));
+            assertEquals(message.getSender(), RaftMessageCodec.decode(bytes).getSender());
         }
     }
 
@@ -187,7 +187,7 @@
     void whatIsMalformedIsSaidToBeSoAndNothingElse() {
         Random random = new Random(SEED);
         for (int i = 0; i < 20_000; i++) {
-            byte[] bytes = RaftMessageCodec.message(messages().get(i % 10));
+            byte[] bytes = RaftMessageCodec.encode(messages().get(i % 10));
             if (random.nextBoolean()) {
                 bytes = Arrays.copyOf(bytes, random.nextInt(bytes.length + 4));
             }
@@ -195,7 +195,7 @@
                 bytes[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
             }
             try {
-                RaftMessageCodec.message(bytes);
+                RaftMessageCodec.decode(bytes);
             } catch (ClusterException.Malformed e) {
                 assertTrue(
                         e.getMessage().startsWith(ClusterException.Malformed.CODE), "seed " + SEED);
@@ -303,7 +303,7 @@
 
     private static List<RaftMessage> asked(List<LogEntry> entries) {
         BinaryCodec.Writer self = new BinaryCodec.Writer();
-        RaftMessageCodec.voter(self, ONE);
+        RaftLogCodec.writeVoter(self, ONE);
         var first =
                 RaftMessageCodec.MODEL_FACTORY
                         .createRaftGroupMembersViewBuilder()
@@ -317,7 +317,7 @@
                                 "self",
                                 self.u8(1).toByteArray(),
                                 "first-voters",
-                                RaftMessageCodec.view(first)));
+                                RaftLogCodec.encodeMembers(first)));
         RecoveredState found =
                 new RecoveredState(
                         2,
@@ -330,7 +330,7 @@
                                                 new RecoveredState.Entry(
                                                         entry.getIndex(),
                                                         entry.getTerm(),
-                                                        RaftMessageCodec.entry(entry)))
+                                                        RaftLogCodec.encodeEntry(entry)))
                                 .toList(),
                         null,
                         List.of());
@@ -339,19 +339,20 @@
         VoterNode voter =
                 new VoterNode(
                         new VoterNode.Settings(ONE, List.of(ONE, TWO, THREE), 50, 5, 200, 8, 100),
-                        steps,
-                        (to, frame) -> {
-                            if (MemberMessage.decode(frame)
-                                    instanceof MemberMessage.RaftMessage raft) {
-                                asked.add(RaftMessageCodec.message(raft.message()));
-                            }
-                        },
-                        new NopRaftStore(),
-                        DurableRaftStore.restoredState(found),
+                        new VoterNode.Environment(
+                                steps,
+                                (to, frame) -> {
+                                    if (MemberMessage.decode(frame)
+                                            instanceof MemberMessage.RaftMessage raft) {
+                                        asked.add(RaftMessageCodec.decode(raft.message()));
+                                    }
+                                },
+                                new Random(SEED),
+                                error -> {}),
+                        new VoterNode.Storage(
+                                new NopRaftStore(), DurableRaftStore.restoredState(found)),
                         new ReplicatedState(Map.of()),
-                        Map.of(),
-                        new Random(SEED),
-                        error -> {});
+                        Map.of());
         voter.start();
         steps.until(3_000_000_000L);
         return asked.stream()
--- a/src/test/java/calicostream/cluster/tcp/TcpClusterTest.java
+++ b/src/test/java/calicostream/cluster/tcp/TcpClusterTest.java
@@ -100,14 +100,11 @@
             voter =
                     new VoterNode(
                             new VoterNode.Settings(VOTERS.get(id - 1), VOTERS, 50, 5, 200, 64, 100),
-                            eventLoop,
-                            transport,
-                            new DurableRaftStore(log),
-                            DurableRaftStore.restoredState(log.recoveredState()),
+                            new VoterNode.Environment(
+                                    eventLoop, transport, new Random(id), error -> {}),
+                            new DurableRaftStore(log).storage(),
                             new ReplicatedState(Map.of("sum", new SumStateMachine())),
-                            Map.of(),
-                            new Random(id),
-                            error -> {});
+                            Map.of());
             member =
                     new MemberSession(
                             new MemberSession.Settings(id, 2000, 200, 16),
