--- a/src/main/java/calicostream/cluster/process/DiskProvider.java
+++ b/src/main/java/calicostream/cluster/process/DiskProvider.java
@@ -8,36 +8,42 @@
 import java.util.ServiceLoader;
 
 /**
- * Makes the disks of a member. Folders of the file system, unless the system property {@link
- * #PROPERTY} names a class that the class path brings as a service of this type: so a test gives a
- * real process a disk that fails or lies. Any thread.
+ * Provides the disks of a member: folders of the file system, unless the system property {@link
+ * #PROPERTY} names a class on the class path that is registered as a service of this type, by which
+ * a test gives a real process a disk with injected faults. Any thread.
  */
 public interface DiskProvider {
-    /** The full name of the class whose disks are used. */
+    /** The system property with the full name of the class to be used. */
     String PROPERTY = "calicostream.cluster.disks";
 
-    /** The folder is made if it is not there. */
+    /** Opens a folder and creates it if it does not exist. */
     Disk open(Path folder) throws DurableException;
 
-    /** Those that the property names; without it no service is looked for. */
+    /**
+     * The provider that the system property names; without the property, folders.
+     *
+     * @throws MemberException if no service of that name is on the class path
+     */
     static DiskProvider fromSystemProperty() {
-        String name = System.getProperty(PROPERTY);
-        if (name == null) {
+        String className = System.getProperty(PROPERTY);
+        if (className == null) {
             return FileDisk::new;
         }
         return ServiceLoader.load(DiskProvider.class).stream()
-                .filter(each -> each.type().getName().equals(name))
+                .filter(provider -> provider.type().getName().equals(className))
                 .findFirst()
-                .orElseThrow(
-                        () ->
-                                new MemberException(
-                                        "member-disks-missing",
-                                        "the property "
-                                                + PROPERTY
-                                                + " names "
-                                                + name
-                                                + ", which the class path has not as a service",
-                                        "start without the property, but for a test"))
+                .orElseThrow(() -> missing(className))
                 .get();
     }
+
+    private static MemberException missing(String className) {
+        return new MemberException(
+                "member-disks-missing",
+                "the property "
+                        + PROPERTY
+                        + " names "
+                        + className
+                        + ", which is no service on the class path",
+                "start without the property, but for a test");
+    }
 }
--- a/src/main/java/calicostream/cluster/process/MemberDirectory.java
+++ b/src/main/java/calicostream/cluster/process/MemberDirectory.java
@@ -9,26 +9,27 @@
 import calicostream.durable.LogOptions;
 
 /**
- * Where a member's log and marks are: in the folders of the settings, one folder for each of its
- * generations. Stateless.
+ * Opens a member's log and its durability markers: in the folders of the settings, one folder for
+ * each generation. Stateless.
  */
 final class MemberDirectory {
+    /** Followed by the number of the generation; the name of the folder on the disk. */
+    private static final String GENERATION_PREFIX = "generation-";
+
     private MemberDirectory() {}
 
     static DurableLog openLog(ClusterConfig config, DiskProvider disks) throws DurableException {
-        String part = "generation-" + config.generation();
-        Disk data = disks.open(config.dataFolder().resolve(part));
-        Disk marks =
-                config.markersFolder().equals(config.dataFolder())
-                        ? data
-                        : disks.open(config.markersFolder().resolve(part));
+        String folder = GENERATION_PREFIX + config.generation();
+        Disk data = disks.open(config.dataFolder().resolve(folder));
+        boolean isSameFolder = config.markersFolder().equals(config.dataFolder());
+        Disk markers = isSameFolder ? data : disks.open(config.markersFolder().resolve(folder));
         LogOptions options =
                 new LogOptions(
                         (int) config.disk().segmentBytes(),
                         config.disk().slowSyncThreshold().toNanos(),
                         false,
                         System::nanoTime);
-        return DurableLog.open(
-                data, marks, new LogIdentity(config.cluster(), config.self().name()), options);
+        LogIdentity identity = new LogIdentity(config.cluster(), config.self().name());
+        return DurableLog.open(data, markers, identity, options);
     }
 }
--- a/src/main/java/calicostream/cluster/process/MemberException.java
+++ b/src/main/java/calicostream/cluster/process/MemberException.java
@@ -5,8 +5,8 @@
 import calicostream.durable.DurableException;
 
 /**
- * Why a member can't start; the program ends with its one line and the exit code 2 before it serves
- * anybody. The codes are rows of {@code docs/operate/cluster.md}, those of a disk of {@code
+ * A member can't start. The program ends with this exception's one line and exit code 2 before it
+ * serves anybody. The codes are rows of {@code docs/operate/cluster.md}, those of a disk of {@code
  * docs/operate/durable.md}.
  */
 public final class MemberException extends SettingsException {
@@ -18,17 +18,22 @@
                 "the cluster's member can't start: "
                         + code
                         + ": "
-                        + facts.replaceAll("\\s*\\R\\s*", " ")
+                        + onOneLine(facts)
                         + "; "
                         + remedy);
         this.code = code;
     }
 
-    static MemberException of(DurableException why) {
-        return new MemberException(why.code(), why.facts(), why.remedy());
+    private static String onOneLine(String text) {
+        return text.replaceAll("\\s*\\R\\s*", " ");
     }
 
-    /** Stable. */
+    /** The same error of a disk. */
+    static MemberException of(DurableException cause) {
+        return new MemberException(cause.code(), cause.facts(), cause.remedy());
+    }
+
+    /** The stable code. */
     public String code() {
         return code;
     }
--- a/src/main/java/calicostream/cluster/process/Membership.java
+++ b/src/main/java/calicostream/cluster/process/Membership.java
@@ -2,28 +2,24 @@
 package calicostream.cluster.process;
 
 import calicostream.cluster.raft.Voter;
-import calicostream.cluster.raft.VoterNode;
+import java.util.Collection;
 import java.util.Comparator;
 import java.util.List;
 
-/** Voters and learners as a copy has them, by number; immutable. */
+/** The voters and learners of a group, each sorted by member and generation; immutable. */
 record Membership(List<Voter> voters, List<Voter> learners) {
-    /**
-     * @param voter null where none runs
-     */
-    static Membership of(VoterNode voter) {
-        if (voter == null) {
-            return new Membership(List.of(), List.of());
-        }
-        List<Voter> all =
-                voter.votersAndLearners().stream()
-                        .map(Voter.class::cast)
+    static final Membership NONE = new Membership(List.of(), List.of());
+
+    /** The membership with these voters, all others being learners. */
+    static Membership of(Collection<Voter> voters, Collection<Voter> votersAndLearners) {
+        List<Voter> sorted =
+                votersAndLearners.stream()
                         .sorted(
                                 Comparator.comparingInt(Voter::member)
                                         .thenComparingInt(Voter::generation))
                         .toList();
         return new Membership(
-                all.stream().filter(voter.voters()::contains).toList(),
-                all.stream().filter(each -> !voter.voters().contains(each)).toList());
+                sorted.stream().filter(voters::contains).toList(),
+                sorted.stream().filter(voter -> !voters.contains(voter)).toList());
     }
 }
--- a/src/main/java/calicostream/cluster/process/MembershipCommand.java
+++ b/src/main/java/calicostream/cluster/process/MembershipCommand.java
@@ -11,86 +11,120 @@
 import java.util.regex.Pattern;
 
 /**
- * What operators may ask the leader for: one more voter, one less, one in another's place, or that
- * another one leads. Pure and immutable.
+ * A command of operators to the leader: add, remove or replace a voter, or transfer the leadership.
+ * Its text is the end of the path that operators post to. Pure, immutable.
  */
 sealed interface MembershipCommand {
-    Pattern WORDS =
+    /** A voter as {@link Voter#toString} has it. */
+    String VOTER = "\\d{1,7}\\.\\d{1,7}";
+
+    /** The syntax of the commands, with a named group for each operand. */
+    Pattern SYNTAX =
             Pattern.compile(
-                    "voters/(VOTER)/(add|remove)|voters/(VOTER)/replace/(VOTER)|lead/(VOTER)"
-                            .replace("VOTER", "\\d{1,7}\\.\\d{1,7}"));
+                    "voters/(?<voter>"
+                            + VOTER
+                            + ")/(?<change>add|remove)|voters/(?<old>"
+                            + VOTER
+                            + ")/replace/(?<new>"
+                            + VOTER
+                            + ")|lead/(?<leader>"
+                            + VOTER
+                            + ")");
+
+    /** A removal must leave this many voters. */
+    int MIN_VOTERS = 2;
 
     /** These are to be the voters. */
     record ChangeVoters(String text, List<Voter> wantedVoters) implements MembershipCommand {}
 
-    /** That one is to lead. */
+    /** The target is to lead. */
     record TransferLeadership(String text, Voter target) implements MembershipCommand {}
 
+    /** The command as it was posted. */
     String text();
 
     /**
-     * Empty where the words are none of ours; otherwise the wish or why it can't be begun, by a
-     * member with these signs.
+     * Parses and checks a command.
+     *
+     * @param status of the member that is asked
+     * @return empty if the text is no command
+     * @throws ClusterException.NotLeader if the member does not lead
+     * @throws ClusterException.InvalidVoterChange if the command can't be carried out
      */
-    static Optional<MembershipCommand> parse(String words, MemberStatus signs) {
-        Matcher said = WORDS.matcher(words);
-        if (!said.matches()) {
+    static Optional<MembershipCommand> parse(String text, MemberStatus status) {
+        Matcher matcher = SYNTAX.matcher(text);
+        if (!matcher.matches()) {
             return Optional.empty();
         }
-        if (signs.state() != MemberStatus.State.VOTER || !signs.isLeader()) {
+        if (status.state() != MemberStatus.State.VOTER || !status.leadership().isSelf()) {
             throw new ClusterException.NotLeader(
-                    signs.self().member(), signs.leader(), signs.era());
+                    status.self().member(),
+                    status.leadership().leader(),
+                    status.leadership().epoch());
         }
-        if (said.group(5) != null) {
-            return Optional.of(lead(words, voter(said.group(5)), signs));
+        if (matcher.group("leader") != null) {
+            return Optional.of(transfer(text, parseVoter(matcher.group("leader")), status));
         }
-        List<Voter> wanted = new ArrayList<>(signs.voters());
-        Voter one = voter(said.group(1) == null ? said.group(3) : said.group(1));
-        Voter more =
-                said.group(4) != null
-                        ? voter(said.group(4))
-                        : "add".equals(said.group(2)) ? one : null;
-        if (said.group(4) != null && one.equals(more)) {
-            throw new ClusterException.InvalidVoterChange(
-                    words, "a voter is replaced by another one");
+        List<Voter> wanted = new ArrayList<>(status.replica().membership().voters());
+        if (matcher.group("new") != null) {
+            Voter old = parseVoter(matcher.group("old"));
+            Voter replacement = parseVoter(matcher.group("new"));
+            if (old.equals(replacement)) {
+                throw new ClusterException.InvalidVoterChange(
+                        text, "a voter is replaced by another one");
+            }
+            remove(text, old, wanted);
+            add(text, replacement, wanted);
+        } else if ("add".equals(matcher.group("change"))) {
+            add(text, parseVoter(matcher.group("voter")), wanted);
+        } else {
+            remove(text, parseVoter(matcher.group("voter")), wanted);
         }
-        if (one != more && !wanted.remove(one)) {
-            throw new ClusterException.InvalidVoterChange(
-                    words, one + " is no voter; voters are " + signs.voters());
+        if (wanted.size() < MIN_VOTERS) {
+            throw new ClusterException.InvalidVoterChange(text, "too few voters would be left");
+        }
+        wanted.sort(Comparator.comparingInt(Voter::member));
+        return Optional.of(new ChangeVoters(text, List.copyOf(wanted)));
+    }
+
+    private static void remove(String text, Voter voter, List<Voter> voters) {
+        List<Voter> present = List.copyOf(voters);
+        if (!voters.remove(voter)) {
+            throw notAVoter(text, voter, present);
         }
-        if (more != null && wanted.contains(more)) {
-            throw new ClusterException.InvalidVoterChange(words, more + " is a voter already");
+    }
+
+    private static void add(String text, Voter voter, List<Voter> voters) {
+        if (voters.contains(voter)) {
+            throw new ClusterException.InvalidVoterChange(text, voter + " is a voter already");
         }
-        if (more != null && wanted.stream().anyMatch(each -> each.member() == more.member())) {
+        if (voters.stream().anyMatch(each -> each.member() == voter.member())) {
             throw new ClusterException.InvalidVoterChange(
-                    words,
+                    text,
                     "member "
-                            + more.member()
-                            + " is a voter under another generation; "
-                            + "replace that one");
-        }
-        if (more != null) {
-            wanted.add(more);
-        }
-        if (wanted.size() < 2) {
-            throw new ClusterException.InvalidVoterChange(words, "too few voters would be left");
+                            + voter.member()
+                            + " is a voter under another generation; replace that one");
         }
-        wanted.sort(Comparator.comparingInt(Voter::member));
-        return Optional.of(new ChangeVoters(words, List.copyOf(wanted)));
+        voters.add(voter);
     }
 
-    private static MembershipCommand lead(String words, Voter to, MemberStatus signs) {
-        if (!signs.voters().contains(to)) {
-            throw new ClusterException.InvalidVoterChange(
-                    words, to + " is no voter; voters are " + signs.voters());
+    private static MembershipCommand transfer(String text, Voter target, MemberStatus status) {
+        List<Voter> voters = status.replica().membership().voters();
+        if (!voters.contains(target)) {
+            throw notAVoter(text, target, voters);
         }
-        if (to.equals(signs.self())) {
-            throw new ClusterException.InvalidVoterChange(words, "it leads already");
+        if (target.equals(status.self())) {
+            throw new ClusterException.InvalidVoterChange(text, "it leads already");
         }
-        return new TransferLeadership(words, to);
+        return new TransferLeadership(text, target);
+    }
+
+    private static ClusterException notAVoter(String text, Voter voter, List<Voter> voters) {
+        return new ClusterException.InvalidVoterChange(
+                text, voter + " is no voter; voters are " + voters);
     }
 
-    private static Voter voter(String text) {
+    private static Voter parseVoter(String text) {
         int dot = text.indexOf('.');
         return new Voter(
                 Integer.parseInt(text.substring(0, dot)),
--- a/src/main/java/calicostream/cluster/process/PlannedStop.java
+++ b/src/main/java/calicostream/cluster/process/PlannedStop.java
@@ -4,12 +4,13 @@
 import java.util.List;
 
 /**
- * The order of a planned stop: what waits is answered, the session is closed while this member may
- * still lead, the lead is handed over, and then it ends. Each step has its share of the time, so
- * that a member without a quorum ends as well. Pure, one thread, monotonic nanoseconds.
+ * Orders the steps of a planned stop: pending commands are answered, the session is closed while
+ * this member may still lead, the leadership is transferred, and the member ends. Each phase has
+ * its share of the time, so that a member without a quorum ends as well. Pure, one thread,
+ * monotonic nanoseconds.
  */
 final class PlannedStop {
-    /** What to do now. */
+    /** What the member is to do now. */
     enum Step {
         WAIT,
         CLOSE_SESSION,
@@ -18,78 +19,94 @@
     }
 
     private enum Phase {
-        ANSWERS,
-        SESSION,
-        LEAD,
-        LAST_WORDS
+        DRAINING_COMMANDS,
+        CLOSING_SESSION,
+        TRANSFERRING_LEADERSHIP,
+        FLUSHING
     }
 
-    private static final int TRIES = 4; // of a hand-over in half of the time, each to another voter
+    /** Attempts in half of the whole time, each to another voter. */
+    private static final int TRANSFER_ATTEMPTS = 4;
 
-    private final long sinceNanos;
+    private final long startedNanos;
     private final long graceNanos;
-    private final long lastWordsNanos;
-    private Phase phase = Phase.ANSWERS;
-    private long phaseSince;
-    private int tries;
+    private final long flushNanos;
+    private Phase phase = Phase.DRAINING_COMMANDS;
+    private long phaseStartedNanos;
+    private int transferAttempts;
     private int transferTarget;
 
     /**
-     * @param lastWordsNanos for what was said last to go out
+     * Starts the stop.
+     *
+     * @param graceNanos after which the member ends in any case
+     * @param flushNanos for sent frames to leave the process
      */
-    PlannedStop(long nowNanos, long graceNanos, long lastWordsNanos) {
-        sinceNanos = nowNanos;
-        phaseSince = nowNanos;
+    PlannedStop(long nowNanos, long graceNanos, long flushNanos) {
+        startedNanos = nowNanos;
+        phaseStartedNanos = nowNanos;
         this.graceNanos = graceNanos;
-        this.lastWordsNanos = lastWordsNanos;
+        this.flushNanos = flushNanos;
     }
 
     /**
-     * @param waiting commands of the session without an answer; @param others who may lead, whom to
-     *     ask first at the front
+     * The next step; to be called until it is {@link Step#END}.
+     *
+     * @param pendingCommands commands of the session without an answer
+     * @param others members that may lead, the preferred one first
      */
-    Step next(long nowNanos, int waiting, boolean leads, List<Integer> others) {
-        long spent = nowNanos - sinceNanos;
-        if (spent >= graceNanos) {
+    Step next(long nowNanos, int pendingCommands, boolean isLeader, List<Integer> others) {
+        if (nowNanos - startedNanos >= graceNanos) {
             return Step.END;
         }
-        switch (phase) {
-            case ANSWERS -> {
-                if (waiting == 0 || spent >= graceNanos / 2) {
-                    go(Phase.SESSION, nowNanos);
-                    return Step.CLOSE_SESSION;
-                }
-            }
-            case SESSION -> {
-                if (nowNanos - phaseSince >= lastWordsNanos) {
-                    go(Phase.LEAD, nowNanos);
-                    return next(nowNanos, waiting, leads, others);
-                }
-            }
-            case LEAD -> {
-                if (!leads || others.isEmpty()) {
-                    go(Phase.LAST_WORDS, nowNanos);
-                } else if (nowNanos - phaseSince >= tries * (graceNanos / 2 / TRIES)) {
-                    transferTarget = others.get(tries++ % others.size());
-                    return Step.TRANSFER_LEADERSHIP;
-                }
-            }
-            case LAST_WORDS -> {
-                if (nowNanos - phaseSince >= lastWordsNanos) {
-                    return Step.END;
-                }
+        if (phase == Phase.DRAINING_COMMANDS) {
+            return drainCommands(nowNanos, pendingCommands);
+        }
+        if (phase == Phase.CLOSING_SESSION) {
+            if (!isFlushed(nowNanos)) {
+                return Step.WAIT;
             }
+            enter(Phase.TRANSFERRING_LEADERSHIP, nowNanos);
+        }
+        if (phase == Phase.TRANSFERRING_LEADERSHIP) {
+            return transferLeadership(nowNanos, isLeader, others);
+        }
+        return isFlushed(nowNanos) ? Step.END : Step.WAIT;
+    }
+
+    private Step drainCommands(long nowNanos, int pendingCommands) {
+        if (pendingCommands > 0 && nowNanos - startedNanos < graceNanos / 2) {
+            return Step.WAIT;
         }
-        return Step.WAIT;
+        enter(Phase.CLOSING_SESSION, nowNanos);
+        return Step.CLOSE_SESSION;
     }
 
-    /** Whom the last {@link Step#TRANSFER_LEADERSHIP} is to. */
+    private Step transferLeadership(long nowNanos, boolean isLeader, List<Integer> others) {
+        if (!isLeader || others.isEmpty()) {
+            enter(Phase.FLUSHING, nowNanos);
+            return Step.WAIT;
+        }
+        long attemptNanos = graceNanos / 2 / TRANSFER_ATTEMPTS;
+        if (nowNanos - phaseStartedNanos < transferAttempts * attemptNanos) {
+            return Step.WAIT;
+        }
+        transferTarget = others.get(transferAttempts % others.size());
+        transferAttempts++;
+        return Step.TRANSFER_LEADERSHIP;
+    }
+
+    /** The member that is to lead after the last {@link Step#TRANSFER_LEADERSHIP}. */
     int transferTarget() {
         return transferTarget;
     }
 
-    private void go(Phase next, long nowNanos) {
+    private boolean isFlushed(long nowNanos) {
+        return nowNanos - phaseStartedNanos >= flushNanos;
+    }
+
+    private void enter(Phase next, long nowNanos) {
         phase = next;
-        phaseSince = nowNanos;
+        phaseStartedNanos = nowNanos;
     }
 }
--- a/src/main/java/calicostream/cluster/process/QuorumMonitor.java
+++ b/src/main/java/calicostream/cluster/process/QuorumMonitor.java
@@ -2,26 +2,28 @@
 package calicostream.cluster.process;
 
 /**
- * For how long nothing was heard that only a quorum can bring about; pure, one thread, monotonic
- * nanoseconds.
+ * Measures for how long nothing was heard that needs a quorum. Pure, one thread, monotonic
+ * nanoseconds, of which only differences count.
  */
 final class QuorumMonitor {
-    private long lastNanos;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+
+    private long lastContactNanos;
 
     QuorumMonitor(long nowNanos) {
-        lastNanos = nowNanos;
+        lastContactNanos = nowNanos;
     }
 
-    /** There was a quorum at that moment or after it. */
+    /** There was a quorum at that moment or after it; an earlier moment changes nothing. */
     void onQuorumContact(long atNanos) {
-        if (atNanos - lastNanos > 0) {
-            lastNanos = atNanos;
+        if (atNanos - lastContactNanos > 0) {
+            lastContactNanos = atNanos;
         }
     }
 
-    /** 0 while it is not longer than {@code limitNanos}, which is normal between two signs. */
+    /** For how long there was no sign; 0 up to the limit, which is normal between two signs. */
     long missingMillis(long nowNanos, long limitNanos) {
-        long silent = nowNanos - lastNanos;
-        return silent > limitNanos ? silent / 1_000_000 : 0;
+        long silentNanos = nowNanos - lastContactNanos;
+        return silentNanos > limitNanos ? silentNanos / NANOS_PER_MILLI : 0;
     }
 }
--- a/src/main/java/calicostream/cluster/process/ReplicatedService.java
+++ b/src/main/java/calicostream/cluster/process/ReplicatedService.java
@@ -9,55 +9,54 @@
 import java.util.function.LongSupplier;
 
 /**
- * What stands on the replicated state, such as leases: its machine, and what this member does with
- * it. All calls are the member's thread's; what the request path needs of it a layer publishes
- * itself. A layer is one member's, for one life. What it throws is logged and changes nothing for
- * the others, but for {@link #machine}'s, which stops the voter.
+ * A service on the replicated state, such as leases: its state machine, and what this member does
+ * with it. A service belongs to one member for one run. Every method is called on the member's
+ * thread; what the request path needs of a service, the service publishes itself. An exception is
+ * logged and affects no other service, but for one of {@link #stateMachine}, which stops the voter.
  */
 public interface ReplicatedService {
-    /**
-     * Under which its machine is composed and its figures are told; the same at all members, for
-     * ever.
-     */
+    /** The name of its state machine and its metrics; the same at all members, for ever. */
     String name();
 
-    /** The same object at each call. */
+    /** Its state machine, the same object at each call. */
     StateMachine stateMachine();
 
-    /** The leader's count of time for the machine, if it needs one. */
+    /** What counts time for the state machine at the leader, if it needs that. */
     default Optional<ExpiryMonitor> expiryMonitor() {
         return Optional.empty();
     }
 
     /**
-     * Called once, before anything else.
+     * Called once, before any other event.
      *
-     * @param session of this member, on which commands are run and questions asked on this thread;
-     *     it is lost and opened anew by itself
-     * @param clock monotonic, nanoseconds, the one that the session is told
+     * @param session of this member, for commands and reads on this thread; a lost session is
+     *     opened again without the service's help
+     * @param clock monotonic nanoseconds, the same that the session is given
      */
     default void onStart(MemberSession session, LongSupplier clock) {}
 
     /**
-     * Called some ten times in {@code session.retry} and as often as there may be news; what it
-     * gives to the session goes out.
+     * Called some ten times in {@code session.retry}, and soon after an event; what is given to the
+     * session is sent afterwards.
      */
     default void onTick() {}
 
     /**
-     * The copy at hand applied something, or the leader told of what concerns this member; the
-     * first not for what a restart finds. Perhaps late, lost, or told twice: a reason to ask or to
-     * hurry, never an order.
+     * The copy here applied an event, or the leader notified this member of one; events that a
+     * restart finds in the log are not repeated. An event may be late, lost or repeated, and so is
+     * only a reason to read or to hurry.
+     *
+     * @param index of the log entry
      */
     default void onEvent(long index, CommandEffects.Event event) {}
 
     /**
-     * The process ends as planned: gives back what it holds, by the session, which is closed once
-     * nothing waits in it.
+     * The planned stop begins: the service releases what it holds, by the session, which is closed
+     * once it has no pending commands.
      */
     default void onStopping() {}
 
-    /** What operators see of it: a JSON object. */
+    /** Its metrics for operators, a JSON object. */
     default String metricsJson() {
         return "{}";
     }
--- a/src/main/java/calicostream/cluster/process/StartupRole.java
+++ b/src/main/java/calicostream/cluster/process/StartupRole.java
@@ -6,30 +6,38 @@
 import java.util.Optional;
 
 /**
- * As what a member starts, by its settings and by what its folder says; pure. A folder is one
- * generation's, so that a member whose folder forgot is somebody new with an empty one once its
- * generation is raised.
+ * The role in which a member starts, by its settings and by what its folder holds; pure. A folder
+ * belongs to one generation, so that a member that lost state starts as a new one with an empty
+ * folder once its generation is raised.
+ *
+ * @param reason of {@link Role#BARRED}; else empty
  */
 record StartupRole(Role role, String reason) {
-    /** The ways to start. */
+    /** The roles. */
     enum Role {
-        /** One of the first voters, and it has promised nothing yet. */
+        /** One of the initial voters that has promised nothing yet. */
         FOUNDER,
-        /** It was in the group, or was to be, and remembers all that it promised. */
+        /** It was in the group, or was to be, and its state is complete. */
         RETURNING,
-        /** Nobody yet; it follows and votes once an operator has it added. */
+        /** In no group yet; it follows and votes once an operator has it added. */
         JOINER,
-        /** It forgot, or may have: it runs no voter, only its session at the other members. */
+        /** It lost state, or may have: it runs no voter, only its session. */
         BARRED
     }
 
     /**
-     * @param founder whether the settings name it among the first voters
-     * @param stored as whom it last ran with this folder
-     * @throws MemberException if the folder was another voter's
+     * Chooses the role.
+     *
+     * @param isInitialVoter whether the settings name it among the initial voters
+     * @param stored the voter that last used the folder
+     * @param disk what the folder says of it
+     * @throws MemberException if the folder is another voter's
      */
     static StartupRole of(
-            boolean founder, Voter self, Optional<Voter> stored, StateLossDetector.LocalState own) {
+            boolean isInitialVoter,
+            Voter self,
+            Optional<Voter> stored,
+            StateLossDetector.LocalState disk) {
         if (stored.isPresent() && !stored.get().equals(self)) {
             throw new MemberException(
                     "member-folder-of-another",
@@ -37,27 +45,30 @@
                     "give the member its own number and folder back, or an empty folder and the"
                             + " next generation");
         }
-        if (own.stateLoss() != StateLossDetector.StateLoss.NONE
-                || own.votingStatus() == StateLossDetector.VotingStatus.SUSPENDED) {
-            return new StartupRole(Role.BARRED, own.facts());
+        if (disk.stateLoss() != StateLossDetector.StateLoss.NONE
+                || disk.votingStatus() == StateLossDetector.VotingStatus.SUSPENDED) {
+            return new StartupRole(Role.BARRED, disk.facts());
         }
         if (stored.isPresent()) {
             return new StartupRole(Role.RETURNING, "");
         }
-        if (own.term() > 0
-                || own.lastIndex() > 0
-                || own.votingStatus() != StateLossDetector.VotingStatus.NEW) {
+        if (!isUnused(disk)) {
             return new StartupRole(
                     Role.BARRED,
                     "the folder has a log, term "
-                            + own.term()
+                            + disk.term()
                             + " up to "
-                            + own.lastIndex()
+                            + disk.lastIndex()
                             + ", and does not say whose");
         }
-        return founder && self.generation() == 0
-                ? new StartupRole(Role.FOUNDER, "")
-                : new StartupRole(Role.JOINER, "");
+        boolean isFounder = isInitialVoter && self.generation() == 0;
+        return new StartupRole(isFounder ? Role.FOUNDER : Role.JOINER, "");
+    }
+
+    private static boolean isUnused(StateLossDetector.LocalState disk) {
+        return disk.term() <= 0
+                && disk.lastIndex() <= 0
+                && disk.votingStatus() == StateLossDetector.VotingStatus.NEW;
     }
 
     boolean runsVoter() {
--- a/src/main/java/calicostream/cluster/process/package-info.java
+++ b/src/main/java/calicostream/cluster/process/package-info.java
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /**
- * Owns a member as it runs in a process: its thread, folder, links and session, how it starts, what
- * it tells operators and takes from them, and its planned stop. It does not know what the machines
+ * Owns a member as it runs in a process: its thread, folder, links and session, its start, its
+ * status and commands for operators, and its planned stop. It does not know what the state machines
  * of its {@link calicostream.cluster.process.ReplicatedService}s mean, nor the front end beside it,
- * which never waits for it. Read {@link calicostream.cluster.process.Member} first.
+ * which never waits for it. Read {@link calicostream.cluster.process.Member} first, then {@link
+ * calicostream.cluster.process.MemberNode}.
  */
 package calicostream.cluster.process;
--- a/src/main/java/calicostream/cluster/raft/VoterChangeExecutor.java
+++ b/src/main/java/calicostream/cluster/raft/VoterChangeExecutor.java
@@ -36,7 +36,8 @@
         }
 
         ClusterException rejected(String reason) {
-            return new ClusterException.InvalidVoterChange(change.operatorName() + " " + voter, reason);
+            return new ClusterException.InvalidVoterChange(
+                    change.operatorName() + " " + voter, reason);
         }
     }
 
--- a/src/main/java/calicostream/cluster/raft/VoterNode.java
+++ b/src/main/java/calicostream/cluster/raft/VoterNode.java
@@ -265,8 +265,8 @@
 
     /**
      * Changes one voter; only the leader can, one change at a time. A removed generation is never
-     * added again ({@link ClusterException.GenerationRetired} names the next one). A learner that has
-     * not acknowledged the present membership is not promoted: one that is lost for good would
+     * added again ({@link ClusterException.GenerationRetired} names the next one). A learner that
+     * has not acknowledged the present membership is not promoted: one that is lost for good would
      * count towards a quorum that might never be reached.
      *
      * @param done called with the error, or with null once the change is committed
--- a/src/main/java/calicostream/daemon/ClusterComponent.java
+++ b/src/main/java/calicostream/daemon/ClusterComponent.java
@@ -138,6 +138,6 @@
 
     @Override
     public String administer(String command) {
-        return member.tell(command);
+        return member.execute(command);
     }
 }
--- a/src/measure/java/calicostream/cluster/process/CountingService.java
+++ b/src/measure/java/calicostream/cluster/process/CountingService.java
@@ -8,13 +8,13 @@
 import calicostream.cluster.StateMachine;
 import java.util.function.LongSupplier;
 
-/** Adds one at each look while it may; what its session answered last is its figure. */
+/** A service that adds one at each tick while enabled; its metrics are what it was answered. */
 final class CountingService implements ReplicatedService, StateMachine {
-    volatile boolean adds;
+    volatile boolean isAdding;
     private MemberSession session;
     private long sum;
     private long answered;
-    private long heard;
+    private long events;
     private long stoppedAt = -1;
 
     @Override
@@ -28,13 +28,13 @@
     }
 
     @Override
-    public void onStart(MemberSession of, LongSupplier clock) {
-        session = of;
+    public void onStart(MemberSession memberSession, LongSupplier clock) {
+        session = memberSession;
     }
 
     @Override
     public void onTick() {
-        if (adds && session.pendingCommands() == 0) {
+        if (isAdding && session.pendingCommands() == 0) {
             session.submit(
                     "count",
                     new byte[0],
@@ -49,12 +49,12 @@
 
     @Override
     public void onEvent(long index, CommandEffects.Event event) {
-        heard++;
+        events++;
     }
 
     @Override
     public void onStopping() {
-        adds = false;
+        isAdding = false;
         stoppedAt = answered;
     }
 
@@ -63,7 +63,7 @@
         return "{\"answered\":"
                 + answered
                 + ",\"heard\":"
-                + heard
+                + events
                 + ",\"stopped_at\":"
                 + stoppedAt
                 + "}";
--- a/src/measure/java/calicostream/cluster/process/DirectoryCopy.java
+++ b/src/measure/java/calicostream/cluster/process/DirectoryCopy.java
@@ -7,14 +7,14 @@
 import java.nio.file.Path;
 import java.util.stream.Stream;
 
-/** Members' folders as somebody may bring them back from elsewhere, or lose them. */
+/** Copies and deletes folders, as an operator may restore or lose them. Stateless. */
 public final class DirectoryCopy {
     private DirectoryCopy() {}
 
-    /** All that is in it, to a place that is not there yet. */
+    /** Copies a folder with its content to a path that does not exist yet. */
     public static void copy(Path from, Path to) throws IOException {
-        try (Stream<Path> all = Files.walk(from)) {
-            all.forEach(
+        try (Stream<Path> paths = Files.walk(from)) {
+            paths.forEach(
                     each -> {
                         try {
                             Files.copy(each, to.resolve(from.relativize(each).toString()));
@@ -25,10 +25,10 @@
         }
     }
 
-    /** With all that is in it. */
+    /** Deletes a folder with its content. */
     public static void delete(Path folder) throws IOException {
-        try (Stream<Path> all = Files.walk(folder)) {
-            for (Path each : all.sorted((a, b) -> b.compareTo(a)).toList()) {
+        try (Stream<Path> paths = Files.walk(folder)) {
+            for (Path each : paths.sorted((a, b) -> b.compareTo(a)).toList()) {
                 Files.delete(each);
             }
         }
--- a/src/measure/java/calicostream/cluster/process/InProcessMembers.java
+++ b/src/measure/java/calicostream/cluster/process/InProcessMembers.java
@@ -15,8 +15,7 @@
 
 /**
  * Three voters with threads, sockets and folders in this process, each with a {@link
- * CountingService} and without a front end. One thread uses it; {@link #close} stops all of them,
- * whatever they do.
+ * CountingService} and without a front end. Used by one thread; {@link #close} stops all of them.
  */
 final class InProcessMembers implements AutoCloseable {
     final Map<Integer, CountingService> services = new HashMap<>();
@@ -30,12 +29,12 @@
         System.setProperty("org.slf4j.simpleLogger.log.calicostream.cluster.process", "error");
     }
 
-    /** Where its log is, and its marks beside it. */
+    /** The folder of its log and its markers. */
     Path data(int number) {
         return folder.resolve("m" + number).resolve("data").resolve("generation-0");
     }
 
-    /** Starts a member, or starts it again, on its folder. */
+    /** Starts or restarts a member on its folder. */
     void start(int number) throws IOException {
         Path settings =
                 Files.createDirectories(folder.resolve("m" + number)).resolve("cluster.toml");
@@ -47,7 +46,7 @@
                         ClusterConfig.read(settings).orElseThrow(), List.of(services.get(number))));
     }
 
-    /** Returns when each of the three votes. */
+    /** Starts all three and waits until each votes. */
     void startAll() throws IOException {
         for (int number = 1; number <= 3; number++) {
             start(number);
@@ -57,7 +56,7 @@
         }
     }
 
-    /** A planned stop, and its end. */
+    /** Stops a member as planned and waits for the end. */
     void stop(int number) throws InterruptedException {
         members.get(number).stop();
         members.get(number).awaitTermination();
@@ -67,29 +66,29 @@
         return Json.parse(members.get(number).statusJson()).asObject();
     }
 
-    /** What the member says once the condition holds. */
+    /** The status of a member once the condition holds. */
     JsonObject await(int number, Predicate<JsonObject> condition) {
         for (long end = System.nanoTime() + MemberProcess.PATIENCE_S * 1_000_000_000L;
                 System.nanoTime() < end; ) {
-            JsonObject signs = status(number);
-            if (condition.test(signs)) {
-                return signs;
+            JsonObject status = status(number);
+            if (condition.test(status)) {
+                return status;
             }
             LockSupport.parkNanos(5_000_000);
         }
-        throw new AssertionError("not in time: " + status(number));
+        throw new AssertionError("timed out: " + status(number));
     }
 
-    static boolean isSettledVoter(JsonObject signs) {
-        return signs.get("state").asString().equals("voter")
-                && signs.get("session_alive").asBoolean()
-                && signs.get("no_quorum_ms").asLong() == 0
-                && signs.get("leader").asInt() != 0;
+    static boolean isSettledVoter(JsonObject status) {
+        return status.get("state").asString().equals("voter")
+                && status.get("session_alive").asBoolean()
+                && status.get("no_quorum_ms").asLong() == 0
+                && status.get("leader").asInt() != 0;
     }
 
-    /** One of its count's figures. */
-    static long metric(JsonObject signs, String name) {
-        return signs.get("layers").asObject().get("count").asObject().get(name).asLong();
+    /** A metric of the member's counting service. */
+    static long metric(JsonObject status, String name) {
+        return status.get("layers").asObject().get("count").asObject().get(name).asLong();
     }
 
     @Override
--- a/src/measure/java/calicostream/cluster/process/MemberProcess.java
+++ b/src/measure/java/calicostream/cluster/process/MemberProcess.java
@@ -19,28 +19,25 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Predicate;
 
-/**
- * The program as a process with a member of a cluster in it; its lines are read by a thread of this
- * one.
- */
+/** A process of the program with a member of a cluster; a thread here reads its output lines. */
 final class MemberProcess implements AutoCloseable {
     static final long PATIENCE_S = 60;
 
     /**
-     * Heartbeats that a machine with two busy cores keeps up with, and a session that outlasts a
-     * change of leader.
+     * Heartbeats that a machine with two busy cores can keep, and a session that outlasts a change
+     * of leader.
      */
-    private static final String PACE =
+    private static final String TIMINGS =
             "[raft]\nheartbeat = \"50ms\"\nmissed = 8\nelection = \"300ms\"\nsnapshot_every = 200\n"
                     + "[session]\nttl = \"1500ms\"\nretry = \"200ms\"\n";
 
     final Process process;
     private final StringBuffer lines = new StringBuffer();
-    private final CompletableFuture<Integer> admin = new CompletableFuture<>();
+    private final CompletableFuture<Integer> adminPort = new CompletableFuture<>();
     private final Thread reader;
 
     /**
-     * Without engines behind its front end.
+     * Starts the process, without engines behind its front end.
      *
      * @param options of the virtual machine
      */
@@ -80,23 +77,24 @@
 
     /** Ports that were free a moment ago, one for each member. */
     static List<Integer> ports(int count) throws IOException {
-        List<ServerSocket> taken = new ArrayList<>();
+        List<ServerSocket> sockets = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            taken.add(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()));
+            sockets.add(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()));
         }
-        List<Integer> ports = taken.stream().map(ServerSocket::getLocalPort).toList();
-        for (ServerSocket each : taken) {
+        List<Integer> ports = sockets.stream().map(ServerSocket::getLocalPort).toList();
+        for (ServerSocket each : sockets) {
             each.close();
         }
         return ports;
     }
 
     /**
-     * Settings of member {@code number}; the first three are voters. {@code own} has more lines of
-     * its table {@code [member]}.
+     * The settings of a member; the first three members are voters.
+     *
+     * @param own further lines of its table {@code [member]}
      */
     static String settings(int number, List<Integer> ports, String own) {
-        StringBuilder out =
+        StringBuilder settings =
                 new StringBuilder(
                         "enabled = true\n[cluster]\nname = \"test\"\n[member]\nname = \"m"
                                 + number
@@ -104,7 +102,7 @@
                                 + own
                                 + "\n");
         for (int i = 1; i <= ports.size(); i++) {
-            out.append(i <= 3 ? "[[voters]]\n" : "[[members]]\n")
+            settings.append(i <= 3 ? "[[voters]]\n" : "[[members]]\n")
                     .append("name = \"m")
                     .append(i)
                     .append("\"\nnumber = ")
@@ -113,7 +111,7 @@
                     .append(ports.get(i - 1))
                     .append("\"\n");
         }
-        return out + PACE;
+        return settings + TIMINGS;
     }
 
     private void read() {
@@ -121,38 +119,38 @@
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 lines.append(line).append('\n');
                 if (line.contains("operators call on port")) {
-                    admin.complete(Program.portIn(line));
+                    adminPort.complete(Program.portIn(line));
                 }
             }
         } catch (IOException e) {
             lines.append(e).append('\n');
         }
-        admin.completeExceptionally(new IllegalStateException("ended:\n" + lines));
+        adminPort.completeExceptionally(new IllegalStateException("ended:\n" + lines));
     }
 
     String lines() {
         return lines.toString();
     }
 
-    int admin() throws Exception {
-        return admin.get(PATIENCE_S, TimeUnit.SECONDS);
+    int adminPort() throws Exception {
+        return adminPort.get(PATIENCE_S, TimeUnit.SECONDS);
     }
 
-    JsonObject signs() throws Exception {
-        String answer = Program.call(admin(), "GET /-/cluster");
+    JsonObject status() throws Exception {
+        String answer = Program.call(adminPort(), "GET /-/cluster");
         if (!answer.startsWith("HTTP/1.1 200 ")) {
             throw new IllegalStateException(answer);
         }
         return Json.parse(answer.substring(answer.indexOf("\r\n\r\n") + 4)).asObject();
     }
 
-    /** What the member says once the condition holds. */
+    /** The status once the condition holds. */
     JsonObject await(String what, Predicate<JsonObject> condition) throws Exception {
         JsonObject last = null;
         for (long end = System.nanoTime() + PATIENCE_S * 1_000_000_000L;
                 System.nanoTime() < end;
                 LockSupport.parkNanos(20_000_000)) {
-            last = signs();
+            last = status();
             if (condition.test(last)) {
                 return last;
             }
@@ -160,9 +158,9 @@
         throw new AssertionError("not " + what + ": " + last + "\n" + lines);
     }
 
-    /** The status line of what operators ask for. */
-    String ask(String words) throws Exception {
-        return Program.call(admin(), "POST /-/cluster/" + words);
+    /** Posts a command of operators; returns the HTTP response. */
+    String post(String command) throws Exception {
+        return Program.call(adminPort(), "POST /-/cluster/" + command);
     }
 
     int awaitExit() throws InterruptedException {
--- a/src/measure/java/calicostream/cluster/sim/FaultInjector.java
+++ b/src/measure/java/calicostream/cluster/sim/FaultInjector.java
@@ -241,8 +241,7 @@
                 || !leader.get().voter().voters().contains(member.name())) {
             return false;
         }
-        return leader.get().voter().voters().stream()
-                .allMatch(voter -> isSound(voter, member));
+        return leader.get().voter().voters().stream().allMatch(voter -> isSound(voter, member));
     }
 
     private boolean isSound(Voter voter, SimulatedMember candidate) {
--- a/src/test/java/calicostream/cluster/process/MemberProcessTest.java
+++ b/src/test/java/calicostream/cluster/process/MemberProcessTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Members in processes of the program itself, seen by the operators' address alone. */
+/** Members in processes of the program itself, observed by the admin address alone. */
 class MemberProcessTest {
-    private static final int MOST_SAID = 20;
+    private static final int MAX_ATTEMPTS = 20;
     @TempDir private Path folder;
     private final List<MemberProcess> members = new ArrayList<>();
     private ChangeLogStand changes;
@@ -36,24 +36,24 @@
     }
 
     private MemberProcess start(int number, String own, String... options) throws Exception {
-        MemberProcess out =
+        MemberProcess process =
                 new MemberProcess(
                         folder.resolve("m" + number),
                         changes.port(),
                         MemberProcess.settings(number, ports, own),
                         options);
-        members.add(out);
-        return out;
+        members.add(process);
+        return process;
     }
 
-    private static boolean settled(JsonObject signs) {
-        return signs.get("session_alive").asBoolean()
-                && signs.get("leader").asInt() != 0
-                && signs.get("no_quorum_ms").asLong() == 0;
+    private static boolean isSettled(JsonObject status) {
+        return status.get("session_alive").asBoolean()
+                && status.get("leader").asInt() != 0
+                && status.get("no_quorum_ms").asLong() == 0;
     }
 
-    private static boolean votes(JsonObject signs) {
-        return settled(signs) && signs.get("state").asString().equals("voter");
+    private static boolean isSettledVoter(JsonObject status) {
+        return isSettled(status) && status.get("state").asString().equals("voter");
     }
 
     @Test
@@ -62,103 +62,107 @@
             start(number, "");
         }
         for (MemberProcess each : members) {
-            each.await("a voter", MemberProcessTest::votes);
+            each.await("a voter", MemberProcessTest::isSettledVoter);
         }
         MemberProcess spare = start(4, "");
-        JsonObject settled = spare.await("settled", MemberProcessTest::settled);
+        JsonObject settled = spare.await("settled", MemberProcessTest::isSettled);
         assertEquals("spare", settled.get("state").asString());
-        int gone = 1 + settled.get("leader").asInt() % 3;
-        members.remove(gone - 1).close();
+        int lost = 1 + settled.get("leader").asInt() % 3;
+        members.remove(lost - 1).close();
         MemberProcess leader =
-                members.get(0).signs().get("leads").asBoolean() ? members.get(0) : members.get(1);
-        String same = leader.ask("voters/" + gone + ".0/replace/" + gone + ".0");
-        assertTrue(same.startsWith("HTTP/1.1 409 ") && same.contains("cluster-bad-change: "), same);
-        assertTrue(leader.ask("voters/7/replace/4.0").startsWith("HTTP/1.1 404 "));
-        wish("voters/" + gone + ".0/replace/4.0");
-        spare.await("a voter", MemberProcessTest::votes);
-        MemberProcess next = start(gone, "generation = 1");
-        next.await("settled", MemberProcessTest::settled);
-        wish("voters/4.0/replace/" + gone + ".1");
-        next.await("a voter", MemberProcessTest::votes);
-        // It may have been told of its removal, or no more be told of anything.
+                members.get(0).status().get("leads").asBoolean() ? members.get(0) : members.get(1);
+        String rejected = leader.post("voters/" + lost + ".0/replace/" + lost + ".0");
+        assertTrue(
+                rejected.startsWith("HTTP/1.1 409 ") && rejected.contains("cluster-bad-change: "),
+                rejected);
+        assertTrue(leader.post("voters/7/replace/4.0").startsWith("HTTP/1.1 404 "));
+        executeAtLeader("voters/" + lost + ".0/replace/4.0");
+        spare.await("a voter", MemberProcessTest::isSettledVoter);
+        MemberProcess next = start(lost, "generation = 1");
+        next.await("settled", MemberProcessTest::isSettled);
+        executeAtLeader("voters/4.0/replace/" + lost + ".1");
+        next.await("a voter", MemberProcessTest::isSettledVoter);
+        // It may have applied its own removal, or receive nothing any more.
         spare.await(
                 "removed",
                 each -> List.of("removed", "behind").contains(each.get("state").asString()));
-        wish(
-                "lead/" + gone
-                        + ".1"); // Done means that it led; on a busy machine another may lead by
-        // now.
-        next.await("led by somebody", each -> each.get("leader").asInt() > 0);
+        // Done means that it led; on a busy machine another member may lead by now.
+        executeAtLeader("lead/" + lost + ".1");
+        next.await("led by any member", each -> each.get("leader").asInt() > 0);
     }
 
     /**
-     * Says it to whoever leads, and again to whoever leads by then where it ends with another's
-     * lead, until it is done.
+     * Posts a command to the leader, and again to the next one if the leader changes, until done.
      */
-    private void wish(String words) throws Exception {
-        String end = "";
-        for (int said = 0; said < MOST_SAID && !end.endsWith(": done"); said++) {
+    private void executeAtLeader(String command) throws Exception {
+        String progress = "";
+        for (int attempt = 0; attempt < MAX_ATTEMPTS && !progress.endsWith(": done"); attempt++) {
             for (MemberProcess each : members) {
-                String answer = each.ask(words);
+                String answer = each.post(command);
                 if (answer.startsWith("HTTP/1.1 202 ")) {
-                    end =
+                    progress =
                             each.await(
                                             "over",
-                                            signs ->
-                                                    signs.get("wish")
+                                            status ->
+                                                    status.get("wish")
                                                                     .asString()
-                                                                    .startsWith(words + ": ")
-                                                            && !signs.get("wish")
+                                                                    .startsWith(command + ": ")
+                                                            && !status.get("wish")
                                                                     .asString()
                                                                     .contains(": under way"))
                                     .get("wish")
                                     .asString();
-                    assertTrue(end.endsWith(": done") || end.contains(" leads now: "), end);
+                    assertTrue(
+                            progress.endsWith(": done") || progress.contains(" leads now: "),
+                            progress);
                     break;
                 }
                 assertTrue(answer.contains("cluster-not-leader: "), answer);
             }
         }
-        assertEquals(words + ": done", end);
+        assertEquals(command + ": done", progress);
     }
 
-    /** Each ends with its line and the exit code 2, while the first process goes on. */
+    /** Each ends with its line and exit code 2, while the first process goes on. */
     @Test
-    void whatCannotStartEndsWithItsOneLine() throws Exception {
+    void failedStartEndsWithItsOneLine() throws Exception {
         MemberProcess first = start(1, "");
-        first.signs();
+        first.status();
         MemberProcess sameFolder = start(1, "");
         MemberProcess missing = start(2, "", "-D" + DiskProvider.PROPERTY + "=none.Such");
-        refused(
+        assertStartFails(
                 sameFolder,
                 "folder-in-use: ",
                 "end the one that is not wanted, or give it its own");
         MemberProcess sameAddress = start(1, "generation = 1");
-        refused(missing, "member-disks-missing: ", "start without the property, but for a test");
-        refused(
+        assertStartFails(
+                missing, "member-disks-missing: ", "start without the property, but for a test");
+        assertStartFails(
                 sameAddress,
                 "member-address-taken: ",
                 "or give the member another address, at all members");
         first.close();
         Path data = folder.resolve("m1").resolve("data");
         Files.move(data, folder.resolve("m2").resolve("data"));
-        refused(
+        assertStartFails(
                 start(2, ""),
                 "folder-foreign: ",
                 "or start this member with an empty one as a learner");
         Files.move(folder.resolve("m2").resolve("data"), data);
         ports = List.of(ports.get(1), ports.get(0), ports.get(2), ports.get(3));
-        MemberProcess moved = start(1, ""); // Another address is the same member still.
-        moved.await("asking", signs -> signs.get("state").asString().equals("asking"));
+        // A member with another address is still the same member.
+        MemberProcess moved = start(1, "");
+        moved.await("asking", status -> status.get("state").asString().equals("asking"));
     }
 
-    private static void refused(MemberProcess second, String code, String remedy) throws Exception {
-        assertEquals(2, second.awaitExit(), second.lines());
-        String[] lines = second.lines().split("\n");
+    private static void assertStartFails(MemberProcess process, String code, String remedy)
+            throws Exception {
+        assertEquals(2, process.awaitExit(), process.lines());
+        String[] lines = process.lines().split("\n");
         assertTrue(
                 lines[lines.length - 1].startsWith(
                         "calicostream: the cluster's member can't start: " + code),
-                second.lines());
-        assertTrue(lines[lines.length - 1].endsWith(remedy), second.lines());
+                process.lines());
+        assertTrue(lines[lines.length - 1].endsWith(remedy), process.lines());
     }
 }
--- a/src/test/java/calicostream/cluster/process/MemberTest.java
+++ b/src/test/java/calicostream/cluster/process/MemberTest.java
@@ -12,21 +12,22 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Members with threads, sockets and folders, in one process and without a front end: what processes
- * do not show or can not be.
+ * Members with threads, sockets and folders in one process and without a front end, for what
+ * separate processes do not show.
  */
 class MemberTest {
     @Test
-    void plannedStopAnswersWhatWaitsHandsOverTheLeadAndClosesTheSession(@TempDir Path folder)
+    void plannedStopAnswersCommandsTransfersLeadershipAndClosesSession(@TempDir Path folder)
             throws Exception {
         try (InProcessMembers members = new InProcessMembers(folder)) {
             members.startAll();
             int leader = members.status(1).get("leader").asInt();
-            members.services.values().forEach(each -> each.adds = true);
+            members.services.values().forEach(each -> each.isAdding = true);
             JsonObject before =
                     members.await(
                             leader,
-                            signs -> metric(signs, "answered") > 3 && metric(signs, "heard") > 3);
+                            status ->
+                                    metric(status, "answered") > 3 && metric(status, "heard") > 3);
             members.stop(leader);
             JsonObject last = members.status(leader);
             assertEquals("down", last.get("state").asString());
@@ -38,9 +39,9 @@
             JsonObject after =
                     members.await(
                             other,
-                            signs ->
-                                    metric(signs, "answered") > answered
-                                            && InProcessMembers.isSettledVoter(signs));
+                            status ->
+                                    metric(status, "answered") > answered
+                                            && InProcessMembers.isSettledVoter(status));
             assertTrue(
                     after.get("leader").asInt() != leader
                             && after.get("term").asInt() > before.get("term").asInt());
@@ -55,9 +56,9 @@
         }
     }
 
-    /** Marks beside the log are as old as it, or as lost: then the others remember. */
+    /** Markers beside the log are as old as it, or lost with it: then the peers know better. */
     @Test
-    void peersRememberWhatAFolderDoesNot(@TempDir Path folder) throws Exception {
+    void peersDetectAFolderThatLostState(@TempDir Path folder) throws Exception {
         try (InProcessMembers members = new InProcessMembers(folder)) {
             members.startAll();
             members.stop(3);
@@ -65,8 +66,8 @@
             DirectoryCopy.copy(members.data(3), old);
             members.start(3);
             members.await(3, InProcessMembers::isSettledVoter);
-            members.services.get(3).adds = true;
-            members.await(3, signs -> metric(signs, "answered") > 3);
+            members.services.get(3).isAdding = true;
+            members.await(3, status -> metric(status, "answered") > 3);
             members.stop(3);
             Files.move(members.data(3), folder.resolve("newer"));
             DirectoryCopy.copy(old, members.data(3));
--- a/src/test/java/calicostream/cluster/raft/LeaderHeartbeatTimeoutTest.java
+++ b/src/test/java/calicostream/cluster/raft/LeaderHeartbeatTimeoutTest.java
@@ -24,16 +24,16 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** One voter with the library under it, whose peers are the test. */
+/** One voter with the consensus library, whose peers are the test. */
 class LeaderHeartbeatTimeoutTest {
-    private static final int BEAT = 50;
+    private static final int HEARTBEAT_MILLIS = 50;
     private static final Voter SELF = new Voter(1, 0);
     private static final Voter LEADER = new Voter(2, 0);
 
     private record Event(long at, long order, Runnable task) {}
 
-    /** Virtual time. */
-    private static final class Hand implements EventLoop {
+    /** An event loop in virtual time. */
+    private static final class VirtualEventLoop implements EventLoop {
         private final PriorityQueue<Event> events =
                 new PriorityQueue<>(
                         (a, b) ->
@@ -58,8 +58,8 @@
             events.add(new Event(now + delayNanos, order++, task));
         }
 
-        void pass(int beats) {
-            long end = now + beats * BEAT * 1_000_000L;
+        void advanceHeartbeats(int heartbeats) {
+            long end = now + heartbeats * HEARTBEAT_MILLIS * 1_000_000L;
             while (!events.isEmpty() && events.peek().at <= end) {
                 Event event = events.poll();
                 now = event.at;
@@ -69,7 +69,7 @@
         }
     }
 
-    private final Hand hand = new Hand();
+    private final VirtualEventLoop eventLoop = new VirtualEventLoop();
     private final List<RaftMessage> sent = new ArrayList<>();
     private VoterNode voter;
 
@@ -81,13 +81,13 @@
                         new VoterNode.Settings(
                                 SELF,
                                 List.of(SELF, LEADER, new Voter(3, 0)),
-                                BEAT,
+                                HEARTBEAT_MILLIS,
                                 5,
                                 200,
                                 16,
                                 100),
                         new VoterNode.Environment(
-                                hand,
+                                eventLoop,
                                 (to, frame) -> {
                                     if (MemberMessage.decode(frame)
                                             instanceof MemberMessage.RaftMessage raft) {
@@ -95,7 +95,7 @@
                                     }
                                 },
                                 new Random(1),
-                                why -> {}),
+                                reason -> {}),
                         new VoterNode.Storage(new NopRaftStore(), Optional.empty()),
                         new ReplicatedState(Map.of()),
                         Map.of());
@@ -111,10 +111,10 @@
                 LEADER.member(),
                 new MemberMessage.RaftMessage(generation, RaftMessageCodec.encode(message))
                         .encode());
-        hand.pass(0);
+        eventLoop.advanceHeartbeats(0);
     }
 
-    private static VoteRequest asksForVotes() {
+    private static VoteRequest voteRequest() {
         return RaftMessageCodec.MODEL_FACTORY
                 .createVoteRequestBuilder()
                 .setGroupId(RaftMessageCodec.GROUP_ID)
@@ -142,56 +142,56 @@
     }
 
     /**
-     * Found by the simulation: the open pre-vote kept the library from ever doubting this leader.
+     * Found by the simulation: the open pre-vote kept the library from ever suspecting this leader.
      */
     @Test
-    void aLeaderWhoseFirstWordOvertookAPreVoteIsForgottenOnceSilent() {
-        receive(asksForVotes());
-        hand.pass(10);
+    void silentLeaderWhoseFirstMessageOvertookAPreVoteIsAbandoned() {
+        receive(voteRequest());
+        eventLoop.advanceHeartbeats(10);
         assertTrue(sent.get(sent.size() - 1) instanceof PreVoteRequest, sent::toString);
         receive(heartbeat());
         assertEquals(LEADER.member(), voter.leader());
         sent.clear();
-        hand.pass(60);
+        eventLoop.advanceHeartbeats(60);
         assertEquals(0, voter.leader());
         assertTrue(sent.stream().anyMatch(PreVoteRequest.class::isInstance), sent::toString);
     }
 
     @Test
-    void aLeaderThatIsHeardIsKept() {
-        receive(asksForVotes());
-        hand.pass(10);
+    void leaderThatSendsHeartbeatsIsKept() {
+        receive(voteRequest());
+        eventLoop.advanceHeartbeats(10);
         for (int i = 0; i < 40; i++) {
             receive(heartbeat());
-            hand.pass(3);
+            eventLoop.advanceHeartbeats(3);
         }
         assertEquals(LEADER.member(), voter.leader());
         assertEquals(1, voter.term());
     }
 
     /**
-     * Found by the simulation: a voter whose disk had forgot was sent what was for its former self,
-     * by itself too.
+     * Found by the simulation: a voter that lost state received messages to its former generation,
+     * also its own ones.
      */
     @Test
-    void whatIsForAnotherGenerationIsNotAnswered() {
-        receive(asksForVotes(), SELF.generation() + 1);
+    void messageToAnotherGenerationIsNotAnswered() {
+        receive(voteRequest(), SELF.generation() + 1);
         assertEquals(0, voter.term());
         assertTrue(sent.stream().noneMatch(VoteResponse.class::isInstance), sent::toString);
-        receive(asksForVotes());
+        receive(voteRequest());
         assertEquals(1, voter.term());
         assertTrue(sent.stream().anyMatch(VoteResponse.class::isInstance), sent::toString);
     }
 
-    /** Its requests for votes, of whatever term, are no sign of a leader. */
+    /** Vote requests, of whatever term, are no sign of a leader. */
     @Test
-    void onlyWhatALeaderSendsCounts() {
-        LeaderHeartbeatTimeout silence = new LeaderHeartbeatTimeout(SELF, 3);
+    void onlyMessagesOfALeaderCount() {
+        LeaderHeartbeatTimeout timeout = new LeaderHeartbeatTimeout(SELF, 3);
         List<Boolean> due = new ArrayList<>();
         for (RaftMessage message :
-                List.of(heartbeat(), heartbeat(), heartbeat(), asksForVotes(), asksForVotes())) {
-            silence.onMessage(message);
-            due.add(silence.onHeartbeat(voterTerm()).isPresent());
+                List.of(heartbeat(), heartbeat(), heartbeat(), voteRequest(), voteRequest())) {
+            timeout.onMessage(message);
+            due.add(timeout.onHeartbeat(voterTerm()).isPresent());
         }
         assertEquals(List.of(false, false, false, false, true), due);
     }
--- a/src/test/java/calicostream/rig/MembersTest.java
+++ b/src/test/java/calicostream/rig/MembersTest.java
@@ -339,7 +339,7 @@
         assertServedThroughout(Set.copyOf(ALL));
         assertTrue(fleet.isReady(full));
         assertTrue(fleet.tell(full, "voters/4.0/add").contains("cluster-not-leader"));
-        fleet.proc(full).awaitLine("no quorum was heard for ");
+        fleet.proc(full).awaitLine("no quorum for ");
         List<Integer> failed = List.of(full, readOnly);
         for (int voter : failed) {
             assertEquals(STOPPED, fleet.stop(voter));
