--- a/src/test/java/calicostream/cluster/raft/VoterRecoveryHandshakeTest.java
+++ b/src/test/java/calicostream/cluster/raft/VoterRecoveryHandshakeTest.java
@@ -15,9 +15,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a voter makes of its peers' words on its former life. */
+/** What a voter concludes from its peers' answers on its former incarnations. */
 class VoterRecoveryHandshakeTest {
-    private static final int PATIENCE = FakeVoterGroup.PATIENCE;
+    private static final int PATIENCE_HEARTBEATS = FakeVoterGroup.PATIENCE_HEARTBEATS;
     private final FakeVoterGroup group = new FakeVoterGroup();
 
     private static LocalState admitted(long incarnation, long term, long last) {
@@ -25,12 +25,12 @@
                 incarnation, term, "", last, VotingStatus.ADMITTED, StateLoss.NONE, "");
     }
 
-    private static LocalState blank() {
+    private static LocalState newDisk() {
         return new LocalState(1, 0, "", 0, VotingStatus.NEW, StateLoss.NONE, "");
     }
 
-    /** Three that have run before and know each other at incarnation 4. */
-    private void running() throws IOException {
+    /** Starts three voters that have run before and know each other at incarnation 4. */
+    private void startRunningGroup() throws IOException {
         for (int member = 1; member <= 3; member++) {
             group.start(member, admitted(4, 7, 100));
         }
@@ -38,50 +38,50 @@
     }
 
     @Test
-    void aGroupBeginsOnceAllItsFirstVotersHaveHeardOfEachOther() throws IOException {
+    void groupStartsOnceAllInitialVotersHaveAnsweredEachOther() throws IOException {
         for (int member = 1; member <= 3; member++) {
-            group.start(member, blank());
+            group.start(member, newDisk());
         }
         group.rounds(20, 1, 2);
         assertEquals(VoterRecoveryHandshake.State.WAITING_FOR_PEERS, group.state(1));
-        group.rounds(PATIENCE, 1, 2, 3);
+        group.rounds(PATIENCE_HEARTBEATS, 1, 2, 3);
         for (int member = 1; member <= 3; member++) {
             assertEquals(VoterRecoveryHandshake.State.VOTER, group.state(member));
-            assertEquals(1, group.get(member).admissions);
+            assertEquals(1, group.get(member).admissions());
         }
     }
 
     @Test
-    void aSoundVoterWaitsForAllForAWhileAndForAMajorityWithoutEnd() throws IOException {
-        running();
+    void completeVoterWaitsForAllBoundedAndForAMajorityUnbounded() throws IOException {
+        startRunningGroup();
         group.start(3, admitted(5, 7, 100));
         group.rounds(1, 3, 2);
         assertEquals(
                 VoterRecoveryHandshake.State.WAITING_FOR_PEERS,
                 group.state(3),
                 "one has not answered");
-        group.rounds(PATIENCE, 3, 2);
+        group.rounds(PATIENCE_HEARTBEATS, 3, 2);
         assertEquals(VoterRecoveryHandshake.State.VOTER, group.state(3));
         group.start(3, admitted(6, 7, 100));
-        group.rounds(10 * PATIENCE, 3);
+        group.rounds(10 * PATIENCE_HEARTBEATS, 3);
         assertEquals(VoterRecoveryHandshake.State.WAITING_FOR_PEERS, group.state(3));
-        assertNull(group.get(3).handshake.error());
+        assertNull(group.get(3).handshake().error());
     }
 
     @Test
-    void emptyFoldersAndOlderCopiesAreToldByWhoMetThemEvenAfterARestart() throws IOException {
-        running();
+    void peersDetectEmptyFoldersAndOlderCopiesEvenAfterTheirRestart() throws IOException {
+        startRunningGroup();
         group.start(1, admitted(5, 7, 100));
         group.start(2, admitted(5, 7, 100));
-        for (LocalState own : List.of(blank(), admitted(4, 7, 100), admitted(3, 6, 90))) {
+        for (LocalState own : List.of(newDisk(), admitted(4, 7, 100), admitted(3, 6, 90))) {
             FakeVoterGroup.VoterProcess three = group.start(3, own);
             group.rounds(1, 3, 1);
             assertEquals(VoterRecoveryHandshake.State.STATE_LOST, group.state(3));
-            assertTrue(three.barred.contains("incarnation"), three.barred);
+            assertTrue(three.barredReason().contains("incarnation"), three.barredReason());
             assertTrue(
-                    three.handshake.error() instanceof ClusterException.VoterStateLost,
-                    three.handshake.reason());
-            assertFalse(three.handshake.mayStart());
+                    three.handshake().error() instanceof ClusterException.VoterStateLost,
+                    three.handshake().reason());
+            assertFalse(three.handshake().mayStart());
         }
     }
 
@@ -90,10 +90,10 @@
      * were told since speaks against them.
      */
     @Test
-    void twoFoldersOfOneInstantAreToldByPeersAlone() throws IOException {
-        running();
+    void peersDetectLogAndMarkersRestoredFromOneInstant() throws IOException {
+        startRunningGroup();
         group.get(1)
-                .handshake
+                .handshake()
                 .onRaftMessage(
                         RaftMessageCodec.MODEL_FACTORY
                                 .createAppendEntriesSuccessResponseBuilder()
@@ -110,14 +110,16 @@
                 "the one that was acknowledged is waited for");
         group.rounds(1, 3, 1, 2);
         assertEquals(VoterRecoveryHandshake.State.STATE_LOST, group.state(3));
-        assertTrue(group.get(3).barred.contains("acknowledged 120"), group.get(3).barred);
+        assertTrue(
+                group.get(3).barredReason().contains("acknowledged 120"),
+                group.get(3).barredReason());
     }
 
     @Test
-    void aVoteThatIsGoneIsToldByWhoGotIt() throws IOException {
-        running();
+    void receiverOfALostVoteDetectsTheLoss() throws IOException {
+        startRunningGroup();
         group.get(2)
-                .handshake
+                .handshake()
                 .onRaftMessage(
                         RaftMessageCodec.MODEL_FACTORY
                                 .createVoteResponseBuilder()
@@ -132,19 +134,19 @@
     }
 
     @Test
-    void whoJoinsFollowsAndCountsOnceItWasPromoted() throws IOException {
-        running();
-        FakeVoterGroup.VoterProcess four = group.join(4, blank());
+    void joiningVoterFollowsAndIsAdmittedOncePromoted() throws IOException {
+        startRunningGroup();
+        FakeVoterGroup.VoterProcess four = group.join(4, newDisk());
         group.rounds(2, 4, 1, 2, 3);
         assertEquals(VoterRecoveryHandshake.State.LEARNER, group.state(4));
-        assertEquals(0, four.admissions);
-        four.handshake.onAdmitted();
-        four.handshake.onAdmitted();
-        assertEquals(1, four.admissions);
+        assertEquals(0, four.admissions());
+        four.handshake().onCommittedVoter();
+        four.handshake().onCommittedVoter();
+        assertEquals(1, four.admissions());
     }
 
     @Test
-    void framesOfAFormerIncarnationThatComeLateChangeNothing() {
+    void lateFramesOfAFormerIncarnationChangeNothing() {
         PeerRecoveryState memory = new PeerRecoveryState();
         Voter one = new Voter(1, 0);
         assertEquals(PeerObservation.NONE, memory.recordIncarnation(one, 5, 50, false));
