--- a/src/main/java/calicostream/budget/process/GrantCoordinatorTask.java
+++ b/src/main/java/calicostream/budget/process/GrantCoordinatorTask.java
@@ -58,7 +58,7 @@
     }
 
     @Override
-    public void started(FencedActions actions) {
+    public void onStarted(FencedActions actions) {
         coordinator = new GrantCoordinator(config.settings());
         nextRoundAt = DUE_AT_ONCE;
     }
@@ -97,7 +97,7 @@
         requestCounts(view);
         for (BudgetCommand.Allocate allocate : coordinator.allocate(copy, NO_TOKEN)) {
             allocations++;
-            actions.command(
+            actions.submitTo(
                     GrantStateMachine.NAME,
                     token -> new BudgetCommand.Allocate(token, allocate.grants()).encode(),
                     this::completed);
@@ -186,7 +186,7 @@
     }
 
     @Override
-    public String figures() {
+    public String statusJson() {
         return Json.object()
                 .add("rounds", rounds)
                 .add("divisions", allocations)
--- a/src/main/java/calicostream/daemon/ClusterComponent.java
+++ b/src/main/java/calicostream/daemon/ClusterComponent.java
@@ -46,7 +46,7 @@
                         .map(settings -> new BudgetService(settings, config.self().name()))
                         .orElse(null);
         leases = new LeaseService(config.leaseTtl(), config.raft().heartbeatPeriod(), tokensAbove);
-        LeasedTaskProvider.chosen().forEach(leases::add);
+        LeasedTaskProvider.configured().forEach(leases::add);
         services.add(leases);
         if (budget != null) {
             leases.add(budget.coordinatorTask());
--- a/src/main/java/calicostream/daemon/EjectionHintBridge.java
+++ b/src/main/java/calicostream/daemon/EjectionHintBridge.java
@@ -14,11 +14,11 @@
 final class EjectionHintBridge implements EjectionHints.FrontEnd {
     private static final long REFRESH_PERIOD_MICROS = 100_000;
     private static final int MAX_PENDING_HINTS = 4 * 1024;
-
     private final SelectorLoop loop;
     private final Gateway gateway;
     private final AtomicInteger pendingHints = new AtomicInteger();
-    private volatile EjectionHints.View view = new EjectionHints.View(new long[0], new long[0]);
+    private volatile EjectionHints.EngineView view =
+            new EjectionHints.EngineView(new long[0], new long[0]);
 
     EjectionHintBridge(SelectorLoop loop, Gateway gateway) {
         this.loop = loop;
@@ -27,18 +27,20 @@
     }
 
     private void refresh() {
-        view = new EjectionHints.View(gateway.readyEngines(true), gateway.readyEngines(false));
+        view =
+                new EjectionHints.EngineView(
+                        gateway.readyEngines(true), gateway.readyEngines(false));
         loop.deadlines()
                 .add(loop.clock().now() + REFRESH_PERIOD_MICROS, (now, reference) -> refresh(), 0);
     }
 
     @Override
-    public EjectionHints.View view() {
+    public EjectionHints.EngineView view() {
         return view;
     }
 
     @Override
-    public void hinted(long engine, boolean served) {
+    public void onHint(long engine, boolean served) {
         if (pendingHints.incrementAndGet() > MAX_PENDING_HINTS) {
             pendingHints.decrementAndGet();
             return;
--- a/src/main/java/calicostream/lease/ClockDriftBound.java
+++ b/src/main/java/calicostream/lease/ClockDriftBound.java
@@ -2,41 +2,47 @@
 package calicostream.lease;
 
 /**
- * How far a process's monotonic clock may run from real time, either way. Immutable. Both ends of a
- * lease apply it, each to its own clock, so that the holder's span has ended in real time before
- * the leader's has.
+ * The greatest rate by which a process's monotonic clock may differ from real time, either way.
+ * Immutable. The holder and the leader each apply it to their own clock, so that the holder's span
+ * is over in real time before the leader's is.
  *
- * @param ppm parts of a million; 500 is the bound that clock discipline itself keeps to
+ * @param partsPerMillion the bound; clock discipline (NTP) itself keeps to 500
  */
-public record ClockDriftBound(int ppm) {
+public record ClockDriftBound(int partsPerMillion) {
     private static final long MILLION = 1_000_000;
 
-    /** What every process of the product counts with; nobody can set it lower. */
-    public static final ClockDriftBound BOUND = new ClockDriftBound(500);
+    /** The bound that every process assumes; it is not configurable. */
+    public static final ClockDriftBound STANDARD = new ClockDriftBound(500);
 
+    /**
+     * @throws IllegalArgumentException if the bound is negative or a million or more
+     */
     public ClockDriftBound {
-        if (ppm < 0 || ppm >= MILLION) {
-            throw new IllegalArgumentException("drift of " + ppm + " ppm");
+        if (partsPerMillion < 0 || partsPerMillion >= MILLION) {
+            throw new IllegalArgumentException("drift of " + partsPerMillion + " ppm");
         }
     }
 
     /**
-     * The span of one's own clock that is over in real time before {@code nanos} are, however slow
-     * that clock runs.
+     * The span to measure on a local clock so that it ends no later than {@code nanos} of real time
+     * do, however slow the clock runs. Rounded down.
      */
-    public long within(long nanos) {
-        return nanos - part(nanos);
+    public long shortestSpan(long nanos) {
+        return nanos - drift(nanos);
     }
 
     /**
-     * The span of one's own clock after which {@code nanos} of real time are over, however fast
-     * that clock runs.
+     * The span to measure on a local clock so that it ends no earlier than {@code nanos} of real
+     * time do, however fast the clock runs. Rounded up.
      */
-    public long beyond(long nanos) {
-        return nanos + part(nanos);
+    public long longestSpan(long nanos) {
+        return nanos + drift(nanos);
     }
 
-    private long part(long nanos) {
-        return nanos / MILLION * ppm + (nanos % MILLION * ppm + MILLION - 1) / MILLION;
+    /** Split in two products, as {@code nanos * partsPerMillion} may overflow. */
+    private long drift(long nanos) {
+        long ofWholeMillions = nanos / MILLION * partsPerMillion;
+        long ofRemainder = (nanos % MILLION * partsPerMillion + MILLION - 1) / MILLION;
+        return ofWholeMillions + ofRemainder;
     }
 }
--- a/src/main/java/calicostream/lease/FencedActions.java
+++ b/src/main/java/calicostream/lease/FencedActions.java
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.lease;
 
+import calicostream.cluster.CommandOutcome;
 import calicostream.lease.FencedResource.FencedResult;
 import java.util.Optional;
 import java.util.function.Consumer;
@@ -8,88 +9,100 @@
 import java.util.function.LongSupplier;
 
 /**
- * What a task may do under its lease, in two ways and no third: a command of the log, which is
- * refused where it is applied if the token is over, or an act at a resource that checks the token.
- * The token itself is not handed out, so that nothing can be done "while it holds". Same thread as
- * its {@link LeaseHolder}; the clock is monotonic, in nanoseconds, and read anew at each act.
+ * The actions that a task may take under its lease. There are two kinds: a command in the log,
+ * which is rejected where it is applied if its token is outdated, and an action at a {@link
+ * FencedResource}, which checks the token itself. The token is not exposed, so that no action can
+ * be taken on the strength of a check alone.
+ *
+ * <p>Confined to the thread of its {@link LeaseHolder}. The clock is read at each action.
  */
 public final class FencedActions {
-    /** Sends a command to a machine of the log and hears how it went. */
-    interface Sender {
-        void send(String machine, byte[] body, Consumer<calicostream.cluster.CommandOutcome> done);
+    /** Submits a command to a state machine of the log and reports the outcome. */
+    interface CommandSender {
+        void send(String machine, byte[] body, Consumer<CommandOutcome> onOutcome);
     }
 
     private final LeaseHolder holder;
     private final LongSupplier clock;
     private final String machine;
-    private final Sender sender;
+    private final CommandSender sender;
 
     /**
-     * @param machine the leases' name in the log
+     * @param clock monotonic time in nanoseconds
+     * @param machine name of the lease state machine in the log
      */
-    FencedActions(LeaseHolder holder, LongSupplier clock, String machine, Sender sender) {
+    FencedActions(LeaseHolder holder, LongSupplier clock, String machine, CommandSender sender) {
         this.holder = holder;
         this.clock = clock;
         this.machine = machine;
         this.sender = sender;
     }
 
-    /** The command to send for it, or why not. Whether it was done, its answer tells. */
-    public FencedResult<LeaseCommand.Act> inLog(byte[] payload) {
+    /**
+     * Creates the command of an action in the log, for a caller that submits it itself. The
+     * command's answer says whether the action was applied.
+     *
+     * @return the command, or {@link LeaseRejection.NotHeldLocally}
+     */
+    public FencedResult<LeaseCommand.FencedAction> createLogCommand(byte[] payload) {
         return isHeld()
-                ? FencedResult.done(new LeaseCommand.Act(holder.name(), holder.token(), payload))
-                : FencedResult.refused(notHeld());
+                ? FencedResult.completed(
+                        new LeaseCommand.FencedAction(holder.name(), holder.token(), payload))
+                : FencedResult.rejected(notHeld());
     }
 
     /**
-     * Does it in the log, where all hear of it; empty if it was sent, else why not. {@code done}
-     * hears how it went.
+     * Submits an action in the log, which all members observe.
+     *
+     * @param onOutcome called with the command's outcome if it was submitted
+     * @return empty if the command was submitted, else why not
      */
-    public Optional<LeaseRejection> tell(
-            byte[] payload, Consumer<calicostream.cluster.CommandOutcome> done) {
-        FencedResult<LeaseCommand.Act> act = inLog(payload);
-        if (act.isDone()) {
-            sender.send(machine, act.result().encode(), done);
+    public Optional<LeaseRejection> submit(byte[] payload, Consumer<CommandOutcome> onOutcome) {
+        FencedResult<LeaseCommand.FencedAction> action = createLogCommand(payload);
+        if (action.isCompleted()) {
+            sender.send(machine, action.result().encode(), onOutcome);
         }
-        return Optional.ofNullable(act.refused());
+        return Optional.ofNullable(action.rejection());
     }
 
     /**
-     * Sends a command of another machine of the same log, which carries the token and is refused
-     * there once a later one was seen; empty if it was sent, else why not.
+     * Submits a command to another state machine of the same log, which rejects the command if it
+     * carries an outdated token.
      *
-     * @param command made with the token, which is good for this command alone
+     * @param targetMachine name of that state machine in the log
+     * @param command makes the command's body with the token, which must not be used elsewhere
+     * @param onOutcome called with the command's outcome if it was submitted
+     * @return empty if the command was submitted, else why not
      */
-    public Optional<LeaseRejection> command(
-            String of,
+    public Optional<LeaseRejection> submitTo(
+            String targetMachine,
             LongFunction<byte[]> command,
-            Consumer<calicostream.cluster.CommandOutcome> done) {
+            Consumer<CommandOutcome> onOutcome) {
         if (!isHeld()) {
             return Optional.of(notHeld());
         }
-        sender.send(of, command.apply(holder.token()), done);
+        sender.send(targetMachine, command.apply(holder.token()), onOutcome);
         return Optional.empty();
     }
 
-    /** Does it at the resource, or says why not. */
-    public <A, R> FencedResult<R> at(FencedResource<A, R> resource, A act) {
+    /** Executes an action at a resource that checks the token. */
+    public <A, R> FencedResult<R> executeAt(FencedResource<A, R> resource, A action) {
         return isHeld()
-                ? resource.act(holder.name(), holder.token(), act)
-                : FencedResult.refused(notHeld());
+                ? resource.execute(holder.name(), holder.token(), action)
+                : FencedResult.rejected(notHeld());
     }
 
     /**
-     * A hint alone: it may be over before the caller reads it. Good for not beginning what can't be
-     * acted upon.
+     * Whether the lease is held at this moment. Only a hint, useful to skip work that would be
+     * rejected: the lease may have expired before the caller reads the result.
      */
     public boolean isHeld() {
         return holder.mayAct(clock.getAsLong());
     }
 
     private LeaseRejection notHeld() {
-        return new LeaseRejection.NotHeldHere(
-                holder.name(),
-                holder.token(),
-                holder.token() == 0 ? 0 : holder.sinceEnd(clock.getAsLong()));
+        long token = holder.token();
+        long sinceExpiry = token == 0 ? 0 : holder.nanosSinceExpiry(clock.getAsLong());
+        return new LeaseRejection.NotHeldLocally(holder.name(), token, sinceExpiry);
     }
 }
--- a/src/main/java/calicostream/lease/FencedResource.java
+++ b/src/main/java/calicostream/lease/FencedResource.java
@@ -2,30 +2,42 @@
 package calicostream.lease;
 
 /**
- * A resource that checks tokens: the one way, beside a command of the log, to act under a lease. An
- * implementation refuses a token that is lower than the highest it has seen for that lease, and
- * keeps the token in the same step as the act: no other act of that lease is let between. {@link
- * Fence} has the rule; an implementation adds its lock, its transaction or its one thread.
+ * A resource outside of the log that checks fencing tokens. An implementation rejects a token that
+ * is lower than the highest it has seen for the lease, and stores the token in the same atomic step
+ * as the action. {@link FencingTokenGuard} implements the rule; the implementation adds its lock,
+ * its transaction or its single thread.
  *
- * @param <A> what is done
- * @param <R> what comes of it
+ * @param <A> the action
+ * @param <R> the action's result
  */
 public interface FencedResource<A, R> {
-    /** Does it, or refuses it with {@link LeaseRejection.TokenOutdated} and does nothing. */
-    FencedResult<R> act(String lease, long token, A act);
+    /**
+     * Executes an action.
+     *
+     * @return the action's result, or {@link LeaseRejection.TokenOutdated} if nothing was done
+     */
+    FencedResult<R> execute(String lease, long token, A action);
 
-    /** What came of an act: a result, or why nothing was done. */
-    record FencedResult<R>(R result, LeaseRejection refused) {
-        public static <R> FencedResult<R> done(R result) {
+    /**
+     * The result of an action, or why nothing was done.
+     *
+     * @param result null if the action was rejected; may be null if it was completed
+     * @param rejection null if the action was completed
+     */
+    record FencedResult<R>(R result, LeaseRejection rejection) {
+        /** An action that was executed. */
+        public static <R> FencedResult<R> completed(R result) {
             return new FencedResult<>(result, null);
         }
 
-        public static <R> FencedResult<R> refused(LeaseRejection why) {
-            return new FencedResult<>(null, why);
+        /** An action that was not executed. */
+        public static <R> FencedResult<R> rejected(LeaseRejection rejection) {
+            return new FencedResult<>(null, rejection);
         }
 
-        public boolean isDone() {
-            return refused == null;
+        /** Whether the action was executed. */
+        public boolean isCompleted() {
+            return rejection == null;
         }
     }
 }
--- a/src/main/java/calicostream/lease/FencingTokenGuard.java
+++ b/src/main/java/calicostream/lease/FencingTokenGuard.java
@@ -6,30 +6,34 @@
 import java.util.Optional;
 
 /**
- * What a resource keeps of each lease: the highest token that it has seen, under which and above
- * which alone it is acted upon. Pure; one thread. It is only as good as its owner: the check, what
- * is kept and the act must be one step for whoever looks, and a resource whose acts survive a
- * restart must keep its tokens as well.
+ * Keeps the highest fencing token that a resource has seen for each lease and rejects lower ones.
+ * Confined to one thread. The owner must make the check, the stored token and the action one atomic
+ * step for every observer; a resource whose actions survive a restart must store its tokens too.
  */
 public class FencingTokenGuard {
-    private final Map<String, Long> highest = new HashMap<>();
+    private final Map<String, Long> highestTokens = new HashMap<>();
 
-    /** Empty: the act may be done, and no lower token will be let from now on. */
+    /**
+     * Checks a token and stores it if it is the highest so far.
+     *
+     * @return empty if the action may be executed; else {@link LeaseRejection.TokenOutdated}
+     */
     public Optional<LeaseRejection> admit(String name, long token) {
-        long most = highest.getOrDefault(name, 0L);
-        if (isOutdated(token, most)) {
-            return Optional.of(new LeaseRejection.TokenOutdated(name, token, most));
+        long highest = highestToken(name);
+        if (isOutdated(token, highest)) {
+            return Optional.of(new LeaseRejection.TokenOutdated(name, token, highest));
         }
-        highest.put(name, Math.max(most, token));
+        highestTokens.put(name, Math.max(highest, token));
         return Optional.empty();
     }
 
-    boolean isOutdated(long token, long most) {
-        return token < most;
+    /** Overridden only to take this safeguard out. */
+    boolean isOutdated(long token, long highest) {
+        return token < highest;
     }
 
-    /** The highest token seen; 0 if none. What was kept comes back by {@link #admit}. */
-    public long highest(String name) {
-        return highest.getOrDefault(name, 0L);
+    /** The highest token seen; 0 if none. A stored token is restored by {@link #admit}. */
+    public long highestToken(String name) {
+        return highestTokens.getOrDefault(name, 0L);
     }
 }
--- a/src/main/java/calicostream/lease/LeaseAnswer.java
+++ b/src/main/java/calicostream/lease/LeaseAnswer.java
@@ -4,43 +4,61 @@
 import calicostream.cluster.BinaryCodec;
 
 /**
- * What the sender of a command that was accepted is told. Immutable. A refusal is a {@link
- * LeaseRejection} instead.
+ * The answer to a command that was accepted. Immutable. A command that was not accepted is answered
+ * by a {@link LeaseRejection} instead.
  */
 public sealed interface LeaseAnswer {
-    /** It holds, under this token, for a time to live that counts from before it asked. */
-    record Holds(long token) implements LeaseAnswer {}
+    /** The encoding: a byte with the answer's kind, then its fields. */
+    byte[] encode();
+
+    /** The sender holds the lease under this token, for a time to live from its request. */
+    record Held(long token) implements LeaseAnswer {
+        private static final int KIND = 1;
+
+        @Override
+        public byte[] encode() {
+            return new BinaryCodec.Writer().u8(KIND).i64(token).toByteArray();
+        }
+    }
 
     /**
-     * It waits; {@code place} is 1 for the next. A grant comes as an event and must be renewed
-     * before it is used.
+     * The sender is queued. Its grant will come as an event and must be renewed before it is used.
+     *
+     * @param position 1 for the next
      */
-    record Waits(int place) implements LeaseAnswer {}
+    record Queued(int position) implements LeaseAnswer {
+        private static final int KIND = 2;
+
+        @Override
+        public byte[] encode() {
+            return new BinaryCodec.Writer().u8(KIND).i32(position).toByteArray();
+        }
+    }
 
-    /** Done, nothing more to say. */
-    record Done() implements LeaseAnswer {}
+    /** The command was executed. */
+    record Done() implements LeaseAnswer {
+        private static final int KIND = 3;
 
-    default byte[] encode() {
-        if (this instanceof Holds h) {
-            return new BinaryCodec.Writer().u8(1).i64(h.token).toByteArray();
+        @Override
+        public byte[] encode() {
+            return new BinaryCodec.Writer().u8(KIND).toByteArray();
         }
-        return this instanceof Waits w
-                ? new BinaryCodec.Writer().u8(2).i32(w.place).toByteArray()
-                : new BinaryCodec.Writer().u8(3).toByteArray();
     }
 
     /**
-     * @throws calicostream.cluster.ClusterException.Malformed if the bytes are no answer
+     * Decodes an answer.
+     *
+     * @throws calicostream.cluster.ClusterException.Malformed if the bytes are not an answer
      */
     static LeaseAnswer decode(byte[] body) {
         BinaryCodec.Reader in = new BinaryCodec.Reader("lease answer", body);
         int kind = in.u8();
         LeaseAnswer answer =
                 switch (kind) {
-                    case 1 -> new Holds(in.i64());
-                    case 2 -> new Waits(in.i32());
-                    case 3 -> new Done();
-                    default -> throw in.malformed("no answer has the kind " + kind);
+                    case Held.KIND -> new Held(in.i64());
+                    case Queued.KIND -> new Queued(in.i32());
+                    case Done.KIND -> new Done();
+                    default -> throw in.malformed("unknown answer kind " + kind);
                 };
         in.requireEnd();
         return answer;
--- a/src/main/java/calicostream/lease/LeaseClient.java
+++ b/src/main/java/calicostream/lease/LeaseClient.java
@@ -8,9 +8,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * The leases of one process: brings its holders' commands to its session and their ends back. One
- * thread, the session's; no I/O of its own. {@link #tick} is to be called as often as the
- * session's. A session that was lost ends all that was held under it.
+ * Connects the {@link LeaseHolder}s of one process to its session: submits their commands and
+ * reports the outcomes. Confined to the session's thread; no I/O of its own. When the session is
+ * replaced, all grants of the former session end here.
  */
 public final class LeaseClient {
     private final MemberSession member;
@@ -20,7 +20,9 @@
     private long session;
 
     /**
-     * @param clock monotonic, nanoseconds, the same that the session is told
+     * @param member the process's session
+     * @param machine name of the lease state machine in the log
+     * @param clock monotonic time in nanoseconds, the same that the session is given
      */
     public LeaseClient(MemberSession member, String machine, LongSupplier clock) {
         this.member = member;
@@ -28,7 +30,7 @@
         this.clock = clock;
     }
 
-    /** One more lease that this process may want; once a name. */
+    /** Adds a lease that this process may want. To be called at most once for each name. */
     public LeaseHolder add(String name, long ttlNanos) {
         return add(new LeaseHolder(name, ttlNanos, clock.getAsLong()));
     }
@@ -38,17 +40,17 @@
         return holder;
     }
 
-    /** What a task may do under that lease. */
-    public FencedActions acts(LeaseHolder holder) {
+    /** The actions that are possible under the holder's lease. */
+    public FencedActions fencedActions(LeaseHolder holder) {
         return new FencedActions(holder, clock, machine, member::submit);
     }
 
-    /** Sends what is due. */
+    /** Submits the commands that are due. To be called as often as the session's own tick. */
     public void tick() {
         long now = clock.getAsLong();
         if (member.sessionId() != session) {
             if (session != 0) {
-                holders.forEach(holder -> holder.sessionEnded(now));
+                holders.forEach(holder -> holder.onSessionEnded(now));
             }
             session = member.sessionId();
         }
@@ -56,46 +58,48 @@
             holders.forEach(holder -> holder.mayAct(now));
             return;
         }
-        holders.forEach(holder -> send(holder, now));
+        holders.forEach(holder -> submitNext(holder, now));
     }
 
-    private void send(LeaseHolder holder, long now) {
-        LeaseHolder.Ask ask = holder.next(now);
-        if (ask != null) {
-            member.submit(machine, ask.command().encode(), outcome -> ended(holder, ask, outcome));
+    private void submitNext(LeaseHolder holder, long now) {
+        LeaseHolder.Request request = holder.nextRequest(now);
+        if (request != null) {
+            member.submit(
+                    machine,
+                    request.command().encode(),
+                    outcome -> onOutcome(holder, request.number(), outcome));
         }
     }
 
-    private void ended(LeaseHolder holder, LeaseHolder.Ask ask, CommandOutcome outcome) {
+    private void onOutcome(LeaseHolder holder, long number, CommandOutcome outcome) {
         long now = clock.getAsLong();
         switch (outcome.kind()) {
-            case ACCEPTED ->
-                    holder.answered(now, ask.number(), LeaseAnswer.decode(outcome.response()));
+            case ACCEPTED -> holder.onAnswer(now, number, LeaseAnswer.decode(outcome.response()));
             case REJECTED ->
-                    holder.refused(
-                            now,
-                            ask.number(),
-                            LeaseRejection.decode(outcome.code(), outcome.response()));
-            case FAILED -> holder.unsure(now, ask.number());
+                    holder.onRejected(
+                            now, number, LeaseRejection.decode(outcome.code(), outcome.response()));
+            case FAILED -> holder.onUnknownOutcome(now, number);
+            default -> throw new IllegalStateException("unknown outcome " + outcome.kind());
         }
         if (outcome.kind() != CommandOutcome.Kind.FAILED) {
-            send(
-                    holder,
-                    now); // What follows at once must not wait for a tick: a planned stop may not
-            // come to another one.
+            // The next command must not wait for a tick: in a planned stop there may be none.
+            submitNext(holder, now);
         }
     }
 
-    /** Something happened to a lease, as a copy of the machine told it or a query found it. */
-    public void news(LeaseEvent event) {
-        if (event instanceof LeaseEvent.Granted granted
-                && granted.session() == session
-                && session == member.sessionId()) {
-            for (LeaseHolder holder : holders) {
-                if (holder.name().equals(granted.name())) {
-                    holder.granted(clock.getAsLong(), granted.token());
-                    send(holder, clock.getAsLong());
-                }
+    /** Reports an event of the state machine, from a replica or found by a query. */
+    public void onEvent(LeaseEvent event) {
+        boolean concernsSession =
+                event instanceof LeaseEvent.Granted granted
+                        && granted.session() == session
+                        && session == member.sessionId();
+        if (!concernsSession) {
+            return;
+        }
+        for (LeaseHolder holder : holders) {
+            if (holder.name().equals(event.name())) {
+                holder.onGranted(clock.getAsLong(), event.token());
+                submitNext(holder, clock.getAsLong());
             }
         }
     }
--- a/src/main/java/calicostream/lease/LeaseCommand.java
+++ b/src/main/java/calicostream/lease/LeaseCommand.java
@@ -4,101 +4,161 @@
 import calicostream.cluster.BinaryCodec;
 
 /**
- * What members and the leader ask of {@link LeaseMachine}, with its encoding as the body of a
- * command. Immutable; spans are nanoseconds. Names are the fleet's, tokens come from the machine's
- * answers and events alone.
+ * Commands of members and of the leader to {@link LeaseStateMachine}, with their encoding as the
+ * body of a log command. Immutable. Tokens come from the machine's answers and events alone.
  */
 public sealed interface LeaseCommand {
-    /** The lease that it is about; empty for {@link RaiseTokens}. */
+    /** The lease that the command concerns; empty for {@link RaiseTokenFloor}. */
     String name();
 
+    /** The encoding: a byte with the command's kind, then its fields. */
+    byte[] encode();
+
     /**
-     * Wants to hold; {@code queue}: it waits its turn, first come first served, else it is refused
-     * while another holds.
+     * Requests the lease.
+     *
+     * @param ttlNanos time to live of the grant, in nanoseconds
+     * @param queueIfHeld whether the session queues while another holds the lease; else the command
+     *     is rejected
      */
-    record Acquire(String name, long ttl, boolean queue) implements LeaseCommand {}
+    record Acquire(String name, long ttlNanos, boolean queueIfHeld) implements LeaseCommand {
+        private static final int KIND = 1;
+
+        @Override
+        public byte[] encode() {
+            return header(KIND, name).i64(ttlNanos).u8(queueIfHeld ? 1 : 0).toByteArray();
+        }
+    }
 
     /**
-     * Holds on for another time to live; also the confirmation that makes a grant from the queue
-     * usable.
+     * Extends the grant by another time to live; also confirms a grant from the queue, which may be
+     * used only after that.
      */
-    record Renew(String name, long token) implements LeaseCommand {}
+    record Renew(String name, long token) implements LeaseCommand {
+        private static final int KIND = 2;
 
-    /** Has stopped acting and holds no longer. */
-    record Release(String name, long token) implements LeaseCommand {}
+        @Override
+        public byte[] encode() {
+            return header(KIND, name).i64(token).toByteArray();
+        }
+    }
 
-    /** Does not want to wait any longer. */
-    record Withdraw(String name) implements LeaseCommand {}
+    /** Ends the grant; the sender has stopped acting. */
+    record Release(String name, long token) implements LeaseCommand {
+        private static final int KIND = 3;
+
+        @Override
+        public byte[] encode() {
+            return header(KIND, name).i64(token).toByteArray();
+        }
+    }
+
+    /** Leaves the queue. */
+    record Withdraw(String name) implements LeaseCommand {
+        private static final int KIND = 4;
+
+        @Override
+        public byte[] encode() {
+            return header(KIND, name).toByteArray();
+        }
+    }
 
     /**
-     * Has stopped acting; session {@code to}, which waits, comes next, or the first of the queue if
-     * it is 0.
+     * Ends the grant in favour of a queued session; the sender has stopped acting.
+     *
+     * @param successor the session that is granted the lease next, or {@link #FIRST_WAITER}
      */
-    record Transfer(String name, long token, long to) implements LeaseCommand {}
+    record Transfer(String name, long token, long successor) implements LeaseCommand {
+        private static final int KIND = 5;
+
+        /** Stands for the first session of the queue. */
+        public static final long FIRST_WAITER = 0;
+
+        @Override
+        public byte[] encode() {
+            return header(KIND, name).i64(token).i64(successor).toByteArray();
+        }
+    }
+
+    /**
+     * An action of the holder in the log, which all members observe; it is rejected where it is
+     * applied if the token is outdated.
+     *
+     * @param payload defined by the task; not copied
+     */
+    record FencedAction(String name, long token, byte[] payload) implements LeaseCommand {
+        private static final int KIND = 6;
+
+        @Override
+        public byte[] encode() {
+            return header(KIND, name).i64(token).blob(payload).toByteArray();
+        }
+    }
 
     /**
-     * An act of the holder that is told to all; the token decides where it is applied. {@code
-     * payload} is the task's own.
+     * By the leader alone: ends a grant that has expired, unless it was renewed since.
+     *
+     * @param renewals how often the grant had been renewed when the leader found it expired
      */
-    record Act(String name, long token, byte[] payload) implements LeaseCommand {}
+    record Expire(String name, long token, long renewals) implements LeaseCommand {
+        private static final int KIND = 7;
+
+        @Override
+        public byte[] encode() {
+            return header(KIND, name).i64(token).i64(renewals).toByteArray();
+        }
+    }
 
-    /** By the leader alone: the grant, as renewed so many times, has run out. */
-    record Expire(String name, long token, long renewals) implements LeaseCommand {}
+    /**
+     * By the leader alone, after a state was restored by hand from an older copy.
+     *
+     * @param floor all later tokens are greater
+     */
+    record RaiseTokenFloor(long floor) implements LeaseCommand {
+        private static final int KIND = 8;
 
-    /** After a state was restored by hand from an older copy: no later token is this or less. */
-    record RaiseTokens(long least) implements LeaseCommand {
         @Override
         public String name() {
             return "";
         }
-    }
 
-    default byte[] encode() {
-        BinaryCodec.Writer out = new BinaryCodec.Writer();
-        if (this instanceof Acquire a) {
-            out.u8(1).text(a.name).i64(a.ttl).u8(a.queue ? 1 : 0);
-        } else if (this instanceof Renew r) {
-            out.u8(2).text(r.name).i64(r.token);
-        } else if (this instanceof Release r) {
-            out.u8(3).text(r.name).i64(r.token);
-        } else if (this instanceof Withdraw w) {
-            out.u8(4).text(w.name);
-        } else if (this instanceof Transfer t) {
-            out.u8(5).text(t.name).i64(t.token).i64(t.to);
-        } else if (this instanceof Act a) {
-            out.u8(6).text(a.name).i64(a.token).blob(a.payload);
-        } else if (this instanceof Expire e) {
-            out.u8(7).text(e.name).i64(e.token).i64(e.renewals);
-        } else if (this instanceof RaiseTokens r) {
-            out.u8(8).i64(r.least);
+        @Override
+        public byte[] encode() {
+            return new BinaryCodec.Writer().u8(KIND).i64(floor).toByteArray();
         }
-        return out.toByteArray();
+    }
+
+    private static BinaryCodec.Writer header(int kind, String name) {
+        return new BinaryCodec.Writer().u8(kind).text(name);
     }
 
     /**
-     * @throws calicostream.cluster.ClusterException.Malformed if the bytes are no command of a
-     *     lease
+     * Decodes a command.
+     *
+     * @throws calicostream.cluster.ClusterException.Malformed if the bytes are not a lease command
      */
     static LeaseCommand decode(byte[] body) {
         BinaryCodec.Reader in = new BinaryCodec.Reader("lease command", body);
         int kind = in.u8();
         LeaseCommand command =
                 switch (kind) {
-                    case 1 -> new Acquire(in.text(LeaseLimits.NAME), in.i64(), in.u8() != 0);
-                    case 2 -> new Renew(in.text(LeaseLimits.NAME), in.i64());
-                    case 3 -> new Release(in.text(LeaseLimits.NAME), in.i64());
-                    case 4 -> new Withdraw(in.text(LeaseLimits.NAME));
-                    case 5 -> new Transfer(in.text(LeaseLimits.NAME), in.i64(), in.i64());
-                    case 6 ->
-                            new Act(
-                                    in.text(LeaseLimits.NAME),
-                                    in.i64(),
-                                    in.blob(LeaseLimits.PAYLOAD));
-                    case 7 -> new Expire(in.text(LeaseLimits.NAME), in.i64(), in.i64());
-                    case 8 -> new RaiseTokens(in.i64());
+                    case Acquire.KIND -> new Acquire(name(in), in.i64(), in.u8() != 0);
+                    case Renew.KIND -> new Renew(name(in), in.i64());
+                    case Release.KIND -> new Release(name(in), in.i64());
+                    case Withdraw.KIND -> new Withdraw(name(in));
+                    case Transfer.KIND -> new Transfer(name(in), in.i64(), in.i64());
+                    case FencedAction.KIND ->
+                            new FencedAction(
+                                    name(in), in.i64(), in.blob(LeaseLimits.MAX_PAYLOAD_BYTES));
+                    case Expire.KIND -> new Expire(name(in), in.i64(), in.i64());
+                    case RaiseTokenFloor.KIND -> new RaiseTokenFloor(in.i64());
                     default -> throw in.malformed("no command has the kind " + kind);
                 };
         in.requireEnd();
         return command;
     }
+
+    private static String name(BinaryCodec.Reader in) {
+        return in.text(LeaseLimits.MAX_NAME_BYTES);
+    }
 }
--- a/src/main/java/calicostream/lease/LeaseEvent.java
+++ b/src/main/java/calicostream/lease/LeaseEvent.java
@@ -5,73 +5,99 @@
 import calicostream.cluster.CommandEffects;
 
 /**
- * What happened to a lease, told at every copy of the machine, perhaps more than once and late:
- * news, never an order. Immutable.
+ * A change of a lease, published at every replica. Delivery is best effort: an event may be late,
+ * lost or duplicated, so it is a notification and never an instruction. Immutable.
  */
 public sealed interface LeaseEvent {
+    /** The lease. */
     String name();
 
+    /** The fencing token that the event is about. */
     long token();
 
+    /** The event as the state machine emits it, with the sessions that it is addressed to. */
+    CommandEffects.Event encode();
+
     /**
-     * That session holds from now on. It is told so that one who waited confirms by {@link
-     * LeaseCommand.Renew}.
+     * A session was granted the lease. Addressed to that session, which confirms a grant from the
+     * queue by {@link LeaseCommand.Renew}.
      */
-    record Granted(String name, long token, long session) implements LeaseEvent {}
+    record Granted(String name, long token, long session) implements LeaseEvent {
+        private static final String KIND = "lease-granted";
 
-    /** Nobody holds under that token any longer. */
-    record Freed(String name, long token, Why why) implements LeaseEvent {}
+        @Override
+        public CommandEffects.Event encode() {
+            byte[] body = header(this).i64(session).toByteArray();
+            return new CommandEffects.Event(KIND, body, session);
+        }
+    }
 
-    /** The holder did this in the log. */
-    record Acted(String name, long token, byte[] payload) implements LeaseEvent {}
+    /** A grant ended. Addressed to no session; local observers of a replica see it. */
+    record Ended(String name, long token, EndReason reason) implements LeaseEvent {
+        private static final String KIND = "lease-freed";
 
-    /** Why a lease ended. */
-    enum Why {
-        RELEASED,
-        TRANSFERRED,
-        EXPIRED
+        @Override
+        public CommandEffects.Event encode() {
+            return new CommandEffects.Event(KIND, header(this).u8(reason.ordinal()).toByteArray());
+        }
     }
 
     /**
-     * A grant concerns its holder, an act everybody; that something ended is for whoever watches a
-     * copy.
+     * The holder's action was applied. Addressed to all sessions.
+     *
+     * @param payload defined by the task; not copied
      */
-    default CommandEffects.Event encode() {
-        BinaryCodec.Writer out = new BinaryCodec.Writer().text(name()).i64(token());
-        if (this instanceof Granted g) {
-            return new CommandEffects.Event(
-                    "lease-granted", out.i64(g.session).toByteArray(), g.session);
-        }
-        if (this instanceof Freed f) {
-            return new CommandEffects.Event("lease-freed", out.u8(f.why.ordinal()).toByteArray());
+    record ActionPerformed(String name, long token, byte[] payload) implements LeaseEvent {
+        private static final String KIND = "lease-acted";
+
+        @Override
+        public CommandEffects.Event encode() {
+            byte[] body = header(this).blob(payload).toByteArray();
+            return new CommandEffects.Event(KIND, body, CommandEffects.Event.ALL_MEMBERS);
         }
-        return new CommandEffects.Event(
-                "lease-acted",
-                out.blob(((Acted) this).payload).toByteArray(),
-                CommandEffects.Event.ALL_MEMBERS);
+    }
+
+    /** Why a grant ended. Encoded by ordinal: the order is part of the format. */
+    enum EndReason {
+        /** The holder released it. */
+        RELEASED,
+        /** The holder transferred it to a successor. */
+        TRANSFERRED,
+        /** The leader found it expired. */
+        EXPIRED
+    }
+
+    private static BinaryCodec.Writer header(LeaseEvent event) {
+        return new BinaryCodec.Writer().text(event.name()).i64(event.token());
     }
 
     /**
-     * @throws calicostream.cluster.ClusterException.Malformed if it is no event of a lease
+     * Decodes an event.
+     *
+     * @throws calicostream.cluster.ClusterException.Malformed if it is not a lease event
      */
     static LeaseEvent decode(CommandEffects.Event event) {
         BinaryCodec.Reader in = new BinaryCodec.Reader(event.kind(), event.body());
-        String name = in.text(LeaseLimits.NAME);
+        String name = in.text(LeaseLimits.MAX_NAME_BYTES);
         long token = in.i64();
-        LeaseEvent read =
+        LeaseEvent decoded =
                 switch (event.kind()) {
-                    case "lease-granted" -> new Granted(name, token, in.i64());
-                    case "lease-freed" -> {
-                        int why = in.u8();
-                        if (why >= Why.values().length) {
-                            throw in.malformed("no reason has the number " + why);
-                        }
-                        yield new Freed(name, token, Why.values()[why]);
-                    }
-                    case "lease-acted" -> new Acted(name, token, in.blob(LeaseLimits.PAYLOAD));
-                    default -> throw in.malformed("no event of a lease");
+                    case Granted.KIND -> new Granted(name, token, in.i64());
+                    case Ended.KIND -> new Ended(name, token, readReason(in));
+                    case ActionPerformed.KIND ->
+                            new ActionPerformed(
+                                    name, token, in.blob(LeaseLimits.MAX_PAYLOAD_BYTES));
+                    default -> throw in.malformed("not a lease event");
                 };
         in.requireEnd();
-        return read;
+        return decoded;
+    }
+
+    private static EndReason readReason(BinaryCodec.Reader in) {
+        int ordinal = in.u8();
+        if (ordinal >= EndReason.values().length) {
+            throw in.malformed("unknown end reason " + ordinal);
+        }
+        return EndReason.values()[ordinal];
     }
 }
--- a/src/main/java/calicostream/lease/LeaseHolder.java
+++ b/src/main/java/calicostream/lease/LeaseHolder.java
@@ -2,337 +2,388 @@
 package calicostream.lease;
 
 /**
- * One process's side of one lease. Pure, one thread, its own monotonic time in nanoseconds, of
- * which differences alone mean something. It has one command out at a time: {@link #next} says what
- * to send, and exactly one of {@link #answered}, {@link #refused} and {@link #unsure} ends it. What
- * it holds counts from before it asked, less the bound on drift, and {@link #mayAct} says so at
- * each act, so a process that was stopped finds out before it acts on; what reaches a resource too
- * late all the same, its token stops.
+ * The state machine of one process as candidate for, and holder of, one lease. Confined to one
+ * thread; no I/O. Times are the process's own monotonic time in nanoseconds, of which only
+ * differences are used.
  *
- * <p>A grant from the queue came at a moment that this process can't know: it renews first and
- * counts from there.
+ * <p>At most one command is outstanding: {@link #nextRequest} returns it, and exactly one of {@link
+ * #onAnswer}, {@link #onRejected} and {@link #onUnknownOutcome} completes it. A grant is valid from
+ * the time at which it was requested, for its time to live less the clock drift bound; {@link
+ * #mayAct} checks that before each action, so a process that was paused notices it before it acts
+ * again. An action that was checked in time and arrives too late is rejected by its fencing token.
+ *
+ * <p>A grant from the queue was made at a time that this process cannot know: it is confirmed by a
+ * renewal first, and is valid from there.
  */
 public class LeaseHolder {
     /**
-     * {@code CONFIRMING}: granted while it waited, not usable before a renewal; {@code ENDING}: it
-     * has stopped and says so.
+     * The phases and their transitions.
+     *
+     * <pre>
+     * IDLE        to ACQUIRING   the lease is wanted and the pause after a rejection is over
+     * ACQUIRING   to HELD        granted
+     *             to WAITING     queued
+     *             to CONFIRMING  granted from the queue, or held already by this session
+     *             to IDLE        rejected, or the outcome is unknown
+     * WAITING     to ACQUIRING   polls its queue position
+     *             to CONFIRMING  granted from the queue
+     *             to IDLE        has withdrawn
+     * CONFIRMING  to HELD        the renewal was accepted
+     * HELD        to RELEASING   expired by the local clock, or the lease is no longer wanted
+     * RELEASING   to IDLE        released or transferred
+     * any         to IDLE        the session ended, or a command was rejected
+     * any         to RELEASING   granted when it is no longer wanted
+     * </pre>
      */
     public enum Phase {
+        /** Neither holds nor requests the lease. */
         IDLE,
-        ASKING,
+        /** A request to acquire the lease is outstanding. */
+        ACQUIRING,
+        /** Queued. */
         WAITING,
+        /** Granted while it was queued; may act once a renewal is accepted. */
         CONFIRMING,
+        /** Holds the lease and may act. */
         HELD,
-        ENDING
+        /** Has stopped acting and gives the lease back. */
+        RELEASING
     }
 
-    /** A command to send, and the number under which its end is told. */
-    public record Ask(long number, LeaseCommand command) {}
-
     /**
-     * All that it knows.
+     * A command to send.
      *
-     * @param wanted whether it is to hold, or to get rid of what it has
-     * @param token held, or being confirmed or ended; 0 if none
-     * @param done the greatest token that it is done with: news of this or less are old
-     * @param number of the last command
-     * @param out whether that one has no end yet
-     * @param askedAt when that one went out first
-     * @param until it holds; in IDLE, until when it keeps from asking
-     * @param renewAt when it asks again
-     * @param to who is to follow at a planned stop; 0 the next, -1 nobody
+     * @param number identifies the command when its outcome is reported
+     * @param command what to send
      */
-    record State(
-            Phase phase,
-            boolean wanted,
-            long token,
-            long done,
-            long number,
-            boolean out,
-            long askedAt,
-            long until,
-            long renewAt,
-            long to) {}
-
-    private static final int RENEWALS = 3; // in a time to live: two may be lost
-    private static final int PLACES = 8; // times to live between two polls at most
-    private static final int PAUSES = 4; // in a time to live, after a refusal
+    public record Request(long number, LeaseCommand command) {}
+
+    /** The lease is released rather than transferred. */
+    static final long NO_SUCCESSOR = -1;
+
+    /** Renewals in one time to live, so that two may be lost. */
+    private static final int RENEWALS_PER_TTL = 3;
+
+    /** Longest interval between two polls of the queue position, in times to live. */
+    private static final int MAX_POLL_INTERVAL_TTLS = 8;
+
+    /** The pause after a rejection is one time to live divided by this. */
+    private static final int REJECTION_PAUSES_PER_TTL = 4;
+
     private final String name;
-    private final long ttl;
+    private final long ttlNanos;
     private final ClockDriftBound drift;
     private Phase phase;
     private boolean wanted;
     private long token;
-    private long done;
-    private long number;
-    private boolean out;
-    private long askedAt;
-    private long until;
-    private long renewAt;
-    private long to;
+    private long lastEndedToken;
+    private long requestNumber;
+    private boolean requestPending;
+    private long requestedAt;
+    private long validUntil;
+    private long nextRequestAt;
+    private long successor;
 
+    /**
+     * An idle holder that does not want the lease yet.
+     *
+     * @param name the lease's name
+     * @param ttlNanos time to live, in nanoseconds
+     * @param now the process's monotonic time, in nanoseconds
+     */
     public LeaseHolder(String name, long ttlNanos, long now) {
         this(
                 name,
                 ttlNanos,
-                ClockDriftBound.BOUND,
-                new State(Phase.IDLE, false, 0, 0, 0, false, now, now, now, -1));
+                ClockDriftBound.STANDARD,
+                new LeaseHolderState(
+                        Phase.IDLE, false, 0, 0, 0, false, now, now, now, NO_SUCCESSOR));
     }
 
-    LeaseHolder(String name, long ttlNanos, ClockDriftBound drift, State state) {
+    LeaseHolder(String name, long ttlNanos, ClockDriftBound drift, LeaseHolderState state) {
         this.name = name;
-        ttl = ttlNanos;
+        this.ttlNanos = ttlNanos;
         this.drift = drift;
-        phase = state.phase;
-        wanted = state.wanted;
-        token = state.token;
-        done = state.done;
-        number = state.number;
-        out = state.out;
-        askedAt = state.askedAt;
-        until = state.until;
-        renewAt = state.renewAt;
-        to = state.to;
+        phase = state.phase();
+        wanted = state.wanted();
+        token = state.token();
+        lastEndedToken = state.lastEndedToken();
+        requestNumber = state.requestNumber();
+        requestPending = state.requestPending();
+        requestedAt = state.requestedAt();
+        validUntil = state.validUntil();
+        nextRequestAt = state.nextRequestAt();
+        successor = state.successor();
     }
 
-    State state() {
-        return new State(phase, wanted, token, done, number, out, askedAt, until, renewAt, to);
+    /** A copy of the complete state. */
+    LeaseHolderState state() {
+        return new LeaseHolderState(
+                phase,
+                wanted,
+                token,
+                lastEndedToken,
+                requestNumber,
+                requestPending,
+                requestedAt,
+                validUntil,
+                nextRequestAt,
+                successor);
     }
 
+    /** The lease's name. */
     public String name() {
         return name;
     }
 
+    /** The current phase. */
     public Phase phase() {
         return phase;
     }
 
     // ---- What the process wants
-    // -----------------------------------------------------------------------
-    /** It wants to hold, and waits its turn. */
-    public void want() {
+
+    /** The process wants the lease from now on, and queues for it if another holds it. */
+    public void acquire() {
         wanted = true;
     }
 
-    /** It acts no more from this call on, and gives back what it has. */
-    public void stop() {
-        stop(-1);
+    /** The process stops acting at once and releases what it holds. */
+    public void release() {
+        giveUp(NO_SUCCESSOR);
     }
 
     /**
-     * A planned stop: as {@link #stop}, and session {@code successor} follows, or the first that
-     * waits if it is 0.
+     * Planned stop: as {@link #release}, and the given session is granted the lease next.
+     *
+     * @param successorSession a queued session, or {@link LeaseCommand.Transfer#FIRST_WAITER}
      */
-    public void transfer(long successor) {
-        stop(successor);
+    public void transfer(long successorSession) {
+        giveUp(successorSession);
     }
 
-    private void stop(long successor) {
+    private void giveUp(long successorSession) {
         wanted = false;
-        to = successor;
+        successor = successorSession;
         if (phase == Phase.HELD || phase == Phase.CONFIRMING) {
-            phase = Phase.ENDING;
+            phase = Phase.RELEASING;
         }
     }
 
-    // ---- Acts
-    // -----------------------------------------------------------------------------------------
+    // ---- Actions
+
     /**
-     * Whether it holds now. To be asked right before each act; false once is false for that token
-     * for ever.
+     * Whether the process holds the lease now. To be called right before each action. Once it has
+     * returned false for a token it never returns true for it again, also if a renewal is
+     * outstanding: a caller that was told to stop must not be told to go on.
      */
     public boolean mayAct(long now) {
-        if (phase == Phase.HELD && now - until >= 0) {
-            phase = Phase.ENDING; // Also when a renewal is out: whoever was told that it stopped
-            // must not find it go on.
+        if (phase == Phase.HELD && !isValidAt(now)) {
+            phase = Phase.RELEASING;
         }
         return phase == Phase.HELD;
     }
 
-    /** The token held, being confirmed or ended; 0 if none. */
+    /** What {@link #mayAct} would return, without a change of state. */
+    boolean isValidAt(long now) {
+        return phase == Phase.HELD && now - validUntil < 0;
+    }
+
+    /** The token held, being confirmed or being released; 0 if none. */
     long token() {
         return token;
     }
 
-    /** How long ago what it had ran out, or is to, by its own clock. */
-    long sinceEnd(long now) {
-        return now - until;
+    /** Nanoseconds since the grant expired by the local clock; negative while it is valid. */
+    long nanosSinceExpiry(long now) {
+        return now - validUntil;
     }
 
-    // ---- Commands and their ends
-    // ----------------------------------------------------------------------
+    // ---- Commands
+
     /**
-     * What is to be sent now; null: nothing. A retry keeps its number and time and is the sender's
-     * business, not asked for here.
+     * Returns the command to send now. Its sender repeats it under the same number until it has an
+     * outcome; repeats are not requested here.
+     *
+     * @return null if there is nothing to send
      */
-    public Ask next(long now) {
+    public Request nextRequest(long now) {
         mayAct(now);
-        if (out) {
+        if (requestPending) {
             return null;
         }
         return switch (phase) {
-            case IDLE ->
-                    wanted && now - until >= 0
-                            ? ask(now, Phase.ASKING, new LeaseCommand.Acquire(name, ttl, true))
-                            : null;
-            case WAITING ->
-                    !wanted
-                            ? ask(now, Phase.WAITING, new LeaseCommand.Withdraw(name))
-                            : now - renewAt >= 0
-                                    ? ask(
-                                            now,
-                                            Phase.ASKING,
-                                            new LeaseCommand.Acquire(name, ttl, true))
-                                    : null;
-            case CONFIRMING -> ask(now, Phase.CONFIRMING, new LeaseCommand.Renew(name, token));
+            case IDLE -> wanted && now - validUntil >= 0 ? requestAcquire(now) : null;
+            case WAITING -> nextRequestWhileWaiting(now);
+            case CONFIRMING -> request(now, new LeaseCommand.Renew(name, token));
             case HELD ->
-                    now - renewAt >= 0
-                            ? ask(now, Phase.HELD, new LeaseCommand.Renew(name, token))
+                    now - nextRequestAt >= 0
+                            ? request(now, new LeaseCommand.Renew(name, token))
                             : null;
-            case ENDING ->
-                    ask(
-                            now,
-                            Phase.ENDING,
-                            to < 0
-                                    ? new LeaseCommand.Release(name, token)
-                                    : new LeaseCommand.Transfer(name, token, to));
-            case ASKING ->
+            case RELEASING -> request(now, releaseCommand());
+            case ACQUIRING ->
                     throw new IllegalStateException(
-                            "lease " + name + " is asked for and no command is out");
+                            "lease " + name + " is being acquired without a pending command");
         };
     }
 
-    /**
-     * When {@link #next} may have something to say though nothing happened; a duration from now, 0
-     * at least.
-     */
-    public long quietFor(long now) {
-        if (phase == Phase.HELD) {
-            return Math.max(0, out ? until - now : Math.min(renewAt - now, until - now));
+    private Request nextRequestWhileWaiting(long now) {
+        if (!wanted) {
+            return request(now, new LeaseCommand.Withdraw(name));
         }
-        return out || phase == Phase.IDLE && !wanted
-                ? ttl
-                : Math.max(0, (phase == Phase.WAITING ? renewAt : until) - now);
+        return now - nextRequestAt >= 0 ? requestAcquire(now) : null;
     }
 
-    private Ask ask(long now, Phase then, LeaseCommand command) {
-        phase = then;
-        out = true;
-        askedAt = now;
-        number++;
-        return new Ask(number, command);
+    private LeaseCommand releaseCommand() {
+        return successor == NO_SUCCESSOR
+                ? new LeaseCommand.Release(name, token)
+                : new LeaseCommand.Transfer(name, token, successor);
     }
 
-    /** The command was accepted. */
-    public void answered(long now, long of, LeaseAnswer answer) {
-        if (!ends(of)) {
+    private Request requestAcquire(long now) {
+        phase = Phase.ACQUIRING;
+        return request(now, new LeaseCommand.Acquire(name, ttlNanos, true));
+    }
+
+    private Request request(long now, LeaseCommand command) {
+        requestPending = true;
+        requestedAt = now;
+        requestNumber++;
+        return new Request(requestNumber, command);
+    }
+
+    // ---- Outcomes and events
+
+    /**
+     * The command was accepted.
+     *
+     * @param number of the {@link Request}; an outcome of an earlier one is ignored
+     */
+    public void onAnswer(long now, long number, LeaseAnswer answer) {
+        if (!completes(number)) {
             return;
         }
-        if (answer instanceof LeaseAnswer.Holds held) {
-            holds(now, held.token());
-        } else if (answer instanceof LeaseAnswer.Waits waits && phase == Phase.ASKING) {
-            waits(now, waits.place());
+        if (answer instanceof LeaseAnswer.Held held) {
+            onHeld(now, held.token());
+        } else if (answer instanceof LeaseAnswer.Queued queued && phase == Phase.ACQUIRING) {
+            waitInQueue(now, queued.position());
         } else if (phase != Phase.HELD) {
-            over(now, 0);
+            becomeIdle(now, 0);
         }
     }
 
-    private void holds(long now, long granted) {
-        if (phase == Phase.ENDING) {
-            return; // A renewal's answer: it has stopped since.
+    private void onHeld(long now, long grantedToken) {
+        if (phase == Phase.RELEASING) {
+            return; // The answer to a renewal; the process has stopped acting since.
         }
-        token = granted;
-        if (!wanted || granted <= done) {
-            phase = Phase.ENDING;
+        token = grantedToken;
+        if (!wanted || grantedToken <= lastEndedToken) {
+            phase = Phase.RELEASING;
             return;
         }
-        long from = countedFrom(askedAt, now);
+        long validFrom = validityStart(requestedAt, now);
+        long validFor = drift.shortestSpan(ttlNanos);
         phase = Phase.HELD;
-        until = from + drift.within(ttl);
-        renewAt = from + drift.within(ttl) / RENEWALS;
+        validUntil = validFrom + validFor;
+        nextRequestAt = validFrom + validFor / RENEWALS_PER_TTL;
         mayAct(now);
     }
 
-    /** From when a grant or renewal counts. */
-    long countedFrom(long asked, long now) {
-        return asked;
+    /**
+     * From when a grant or renewal is valid: from its request, as the answer may be as old as the
+     * lease. Overridden only to take this safeguard out.
+     */
+    long validityStart(long requested, long answered) {
+        return requested;
     }
 
-    /** The command was refused. */
-    public void refused(long now, long of, LeaseRejection why) {
-        if (!ends(of)) {
+    /**
+     * The command was rejected.
+     *
+     * @param number of the {@link Request}; an outcome of an earlier one is ignored
+     */
+    public void onRejected(long now, long number, LeaseRejection rejection) {
+        if (!completes(number)) {
             return;
         }
-        if (why instanceof LeaseRejection.AlreadyHolds held && phase != Phase.ENDING) {
+        if (rejection instanceof LeaseRejection.AlreadyHeld held && phase != Phase.RELEASING) {
             confirm(held.token());
-        } else if (why instanceof LeaseRejection.AlreadyWaits waits && phase == Phase.ASKING) {
-            waits(now, waits.place());
-        } else if (why instanceof LeaseRejection.NoSuccessor && phase == Phase.ENDING) {
-            to = -1; // It releases instead.
+        } else if (rejection instanceof LeaseRejection.AlreadyQueued queued
+                && phase == Phase.ACQUIRING) {
+            waitInQueue(now, queued.position());
+        } else if (rejection instanceof LeaseRejection.NoSuccessor && phase == Phase.RELEASING) {
+            successor = NO_SUCCESSOR; // The next command is a release.
         } else {
-            over(now, ttl / PAUSES);
+            becomeIdle(now, ttlNanos / REJECTION_PAUSES_PER_TTL);
         }
     }
 
-    /** Nobody knows whether the command was applied, and the sender will not try again. */
-    public void unsure(long now, long of) {
-        if (ends(of) && phase == Phase.ASKING) {
+    /**
+     * It is unknown whether the command was applied, and its sender will not repeat it.
+     *
+     * @param number of the {@link Request}; an outcome of an earlier one is ignored
+     */
+    public void onUnknownOutcome(long now, long number) {
+        if (completes(number) && phase == Phase.ACQUIRING) {
             phase = Phase.IDLE;
         }
     }
 
-    /**
-     * The member's session is over: nothing is out any more, and what it holds can't be renewed.
-     */
-    public void sessionEnded(long now) {
-        over(now, 0);
-        out = false;
+    /** The member's session ended: no command is outstanding, and no grant can be renewed. */
+    public void onSessionEnded(long now) {
+        becomeIdle(now, 0);
+        requestPending = false;
     }
 
-    /** News that this process's session was granted the lease. */
-    public void granted(long now, long of) {
-        if (of > done && of > token && (phase == Phase.WAITING || phase == Phase.ASKING)) {
-            grantedFromQueue(now, of);
+    /**
+     * An event says that this process's session was granted the lease.
+     *
+     * @param grantedToken the grant's token; ignored if it is outdated
+     */
+    public void onGranted(long now, long grantedToken) {
+        boolean isNew = grantedToken > lastEndedToken && grantedToken > token;
+        if (isNew && (phase == Phase.WAITING || phase == Phase.ACQUIRING)) {
+            onQueuedGrant(now, grantedToken);
         }
     }
 
     /**
-     * An answer that is still out is to the question that this news answers; it must not be taken
-     * for the confirmation.
+     * A pending command asks what the event has answered; its outcome must not be mistaken for the
+     * confirmation, so it is ignored from here on.
      */
-    void grantedFromQueue(long now, long of) {
-        out = false;
-        confirm(of);
+    void onQueuedGrant(long now, long grantedToken) {
+        requestPending = false;
+        confirm(grantedToken);
     }
 
     /**
-     * News may be lost, and a grant that was not taken up is gone: it asks again, and hears its
-     * place or what it missed. Whoever has others before it asks less often, or a fleet that waits
-     * would fill the log.
+     * An event may be lost, and a grant that is not confirmed expires: the queue position is
+     * polled. A candidate with others before it polls less often, or many candidates would fill the
+     * log.
      */
-    private void waits(long now, long place) {
+    private void waitInQueue(long now, long position) {
         phase = Phase.WAITING;
-        renewAt = now + ttl * Math.max(1, Math.min(place, PLACES));
+        nextRequestAt = now + ttlNanos * Math.max(1, Math.min(position, MAX_POLL_INTERVAL_TTLS));
     }
 
-    private void confirm(long granted) {
-        token = granted;
-        phase = wanted ? Phase.CONFIRMING : Phase.ENDING;
+    private void confirm(long grantedToken) {
+        token = grantedToken;
+        phase = wanted ? Phase.CONFIRMING : Phase.RELEASING;
     }
 
-    private boolean ends(long of) {
-        if (!out || of != number) {
+    private boolean completes(long number) {
+        if (!requestPending || number != requestNumber) {
             return false;
         }
-        out = false;
+        requestPending = false;
         return true;
     }
 
-    private void over(long now, long pause) {
+    private void becomeIdle(long now, long pauseNanos) {
         phase = Phase.IDLE;
-        done = Math.max(done, token);
+        lastEndedToken = Math.max(lastEndedToken, token);
         token = 0;
-        to = -1;
-        until = now + pause;
+        successor = NO_SUCCESSOR;
+        validUntil = now + pauseNanos;
     }
 }
--- a/src/main/java/calicostream/lease/LeasedTask.java
+++ b/src/main/java/calicostream/lease/LeasedTask.java
@@ -2,38 +2,46 @@
 package calicostream.lease;
 
 /**
- * What one process of the fleet does at a time, under its lease. All calls are the session's
- * thread's and return soon: the time that they take, the lease is not renewed. {@link
- * FencedActions} is the one way to change anything outside of this process; what a task did for
- * itself alone it may keep or forget. A task that throws gives its lease back and wants it again a
- * time to live later.
+ * A task that one process of the fleet executes at a time, under a lease. All methods are called on
+ * the session's thread and must return soon, as the lease is not renewed meanwhile. {@link
+ * FencedActions} is the only way to change anything outside of this process. A task that throws
+ * loses its lease, and requests it again one time to live later.
  */
 public interface LeasedTask {
     /** The lease's name, the same at all processes. */
     String lease();
 
     /**
-     * This process holds from now on. Whatever an earlier holder did, here or elsewhere, may have
-     * happened since it was looked at.
+     * This process holds the lease from now on. What an earlier holder did, here or elsewhere, may
+     * have taken effect since this process last observed it.
      */
-    default void started(FencedActions acts) {}
+    default void onStarted(FencedActions actions) {}
 
-    /** Called while it holds, at each tick of the session. */
-    void step(FencedActions acts, long nowNanos);
+    /**
+     * Called at each tick of the session while the lease is held.
+     *
+     * @param nowNanos the process's monotonic time
+     */
+    void step(FencedActions actions, long nowNanos);
 
     /**
-     * This process holds no longer, or is about to give the lease back; nothing that is done from
-     * here on counts.
+     * This process no longer holds the lease, or is about to release it; later actions are
+     * rejected.
      */
-    default void stopped() {}
+    default void onStopped() {}
 
     /**
-     * The holder, here or elsewhere, did this in the log: news, perhaps late, lost, or there twice.
+     * The holder, here or elsewhere, performed an action in the log. The notification may be late,
+     * lost or duplicated.
+     *
+     * @param token the holder's fencing token
+     * @param payload the action
+     * @param nowNanos the process's monotonic time
      */
-    default void heard(long token, byte[] payload, long nowNanos) {}
+    default void onAction(long token, byte[] payload, long nowNanos) {}
 
-    /** What operators see of it: a JSON object. */
-    default String figures() {
+    /** The task's status for operators, as a JSON object. */
+    default String statusJson() {
         return "{}";
     }
 }
--- a/src/main/java/calicostream/lease/LeasedTaskRunner.java
+++ b/src/main/java/calicostream/lease/LeasedTaskRunner.java
@@ -9,181 +9,200 @@
 import java.util.function.LongSupplier;
 
 /**
- * Runs a process's {@link LeasedTask}s, each while its lease is held here. Decisions alone; one
- * thread, the session's. A task is told that it started before its first step and that it stopped
- * before it can start again, once each, however the lease came and went in between.
+ * Runs a process's {@link LeasedTask}s, each while its lease is held here. Confined to the
+ * session's thread; no I/O. Calls of {@link LeasedTask#onStarted} and {@link LeasedTask#onStopped}
+ * alternate, however often the lease was lost and granted in between.
  */
 public final class LeasedTaskRunner {
     /**
-     * What happened, for the log: {@code lease-held}, {@code lease-lost}, {@code lease-given-back},
-     * {@code lease-task-failed}.
+     * A change of a task's state, for the log.
+     *
+     * @param code {@code lease-held}, {@code lease-lost}, {@code lease-given-back} or {@code
+     *     lease-task-failed}
+     * @param lease the task's lease
+     * @param token the grant's token
+     * @param failure what the task threw; null for all other codes
      */
-    public record Event(String code, String lease, long token, RuntimeException failure) {}
+    public record TaskEvent(String code, String lease, long token, RuntimeException failure) {}
 
     /**
-     * A task at this process, as of now.
+     * The state of a task at this process.
      *
+     * @param task the task
+     * @param phase the phase of its lease
      * @param token held here; 0 if none
-     * @param leftNanos until it ends by itself, unless it is renewed; 0 if it is not held
-     * @param held how often it was, @param lost how often it ended unwanted, @param failed how
-     *     often the task threw
+     * @param remainingNanos until the grant expires unless it is renewed; 0 if it is not held
+     * @param heldCount how often this process began to hold the lease
+     * @param lostCount how often it lost the lease, other than by release
+     * @param failureCount how often the task threw
      */
-    public record Figures(
+    public record TaskStatus(
             LeasedTask task,
             LeaseHolder.Phase phase,
             long token,
-            long leftNanos,
-            long held,
-            long lost,
-            long failed) {}
-
-    private static final class Run {
-        final LeasedTask task;
-        final long ttl;
-        final LeaseHolder holder;
-        final FencedActions acts;
-        boolean on;
-        long token;
-        long held;
-        long lost;
-        long failed;
-        long againAt;
-        boolean rests;
-
-        Run(LeasedTask task, long ttl, LeaseHolder holder, FencedActions acts) {
+            long remainingNanos,
+            long heldCount,
+            long lostCount,
+            long failureCount) {}
+
+    private static final class TaskState {
+        private final LeasedTask task;
+        private final long ttlNanos;
+        private final LeaseHolder holder;
+        private final FencedActions actions;
+        private boolean running;
+        private long runningToken;
+        private long heldCount;
+        private long lostCount;
+        private long failureCount;
+        private boolean pausedAfterFailure;
+        private long resumeAt;
+
+        TaskState(LeasedTask task, long ttlNanos, LeaseHolder holder, FencedActions actions) {
             this.task = task;
-            this.ttl = ttl;
+            this.ttlNanos = ttlNanos;
             this.holder = holder;
-            this.acts = acts;
+            this.actions = actions;
+        }
+
+        TaskStatus status(long now) {
+            long remainingNanos = actions.isHeld() ? Math.max(0, -holder.nanosSinceExpiry(now)) : 0;
+            return new TaskStatus(
+                    task,
+                    holder.phase(),
+                    holder.token(),
+                    remainingNanos,
+                    heldCount,
+                    lostCount,
+                    failureCount);
         }
     }
 
     private final LeaseClient client;
     private final LongSupplier clock;
-    private final Consumer<Event> told;
-    private final List<Run> runs = new ArrayList<>();
+    private final Consumer<TaskEvent> listener;
+    private final List<TaskState> tasks = new ArrayList<>();
     private boolean stopping;
 
     /**
-     * @param machine the leases' name in the log
-     * @param clock monotonic, nanoseconds, the same that the session is told
-     * @param told hears what happened, on the session's thread
+     * @param member the process's session
+     * @param machine name of the lease state machine in the log
+     * @param clock monotonic time in nanoseconds, the same that the session is given
+     * @param listener called on the session's thread at each change of a task's state
      */
     public LeasedTaskRunner(
-            MemberSession member, String machine, LongSupplier clock, Consumer<Event> told) {
+            MemberSession member,
+            String machine,
+            LongSupplier clock,
+            Consumer<TaskEvent> listener) {
         client = new LeaseClient(member, machine, clock);
         this.clock = clock;
-        this.told = told;
+        this.listener = listener;
     }
 
-    /** Wants its lease from now on; one task a lease. */
+    /**
+     * Adds a task, whose lease is requested from now on.
+     *
+     * @throws IllegalArgumentException if there is a task with the same lease
+     */
     public void add(LeasedTask task, long ttlNanos) {
-        if (runs.stream().anyMatch(run -> run.task.lease().equals(task.lease()))) {
+        if (tasks.stream().anyMatch(state -> state.task.lease().equals(task.lease()))) {
             throw new IllegalArgumentException("two tasks of lease " + task.lease());
         }
         LeaseHolder holder = client.add(task.lease(), ttlNanos);
-        runs.add(new Run(task, ttlNanos, holder, client.acts(holder)));
-        holder.want();
+        tasks.add(new TaskState(task, ttlNanos, holder, client.fencedActions(holder)));
+        holder.acquire();
     }
 
-    /** As often as the session's. */
+    /** Starts, steps and stops the tasks. To be called as often as the session's own tick. */
     public void tick() {
         client.tick();
-        for (Run run : runs) {
-            look(run);
-            if (run.on) {
-                guarded(run, () -> run.task.step(run.acts, clock.getAsLong()));
+        for (TaskState state : tasks) {
+            updateRunning(state);
+            if (state.running) {
+                callTask(state, () -> state.task.step(state.actions, clock.getAsLong()));
             }
-            if (run.rests && !stopping && clock.getAsLong() - run.againAt >= 0) {
-                run.rests = false;
-                run.holder.want();
+            if (state.pausedAfterFailure && !stopping && clock.getAsLong() - state.resumeAt >= 0) {
+                state.pausedAfterFailure = false;
+                state.holder.acquire();
             }
         }
     }
 
-    private void look(Run run) {
-        boolean holds = run.acts.isHeld();
-        if (run.on && (!holds || run.token != run.holder.token())) {
-            run.lost++;
-            off(run, "lease-lost");
+    private void updateRunning(TaskState state) {
+        boolean held = state.actions.isHeld();
+        if (state.running && (!held || state.runningToken != state.holder.token())) {
+            state.lostCount++;
+            stop(state, "lease-lost");
         }
-        if (holds && !run.on) {
-            run.on = true;
-            run.token = run.holder.token();
-            run.held++;
-            told.accept(new Event("lease-held", run.task.lease(), run.token, null));
-            guarded(run, () -> run.task.started(run.acts));
+        if (held && !state.running) {
+            state.running = true;
+            state.runningToken = state.holder.token();
+            state.heldCount++;
+            publish("lease-held", state, null);
+            callTask(state, () -> state.task.onStarted(state.actions));
         }
     }
 
-    private void off(Run run, String why) {
-        run.on = false;
-        told.accept(new Event(why, run.task.lease(), run.token, null));
-        guarded(run, run.task::stopped);
+    private void stop(TaskState state, String code) {
+        state.running = false;
+        publish(code, state, null);
+        callTask(state, state.task::onStopped);
     }
 
-    private void guarded(Run run, Runnable call) {
+    private void callTask(TaskState state, Runnable call) {
         try {
             call.run();
         } catch (RuntimeException e) {
-            run.failed++;
-            told.accept(new Event("lease-task-failed", run.task.lease(), run.token, e));
-            if (run.on) {
-                giveBack(run);
-                run.rests = true;
-                run.againAt = clock.getAsLong() + run.ttl;
+            state.failureCount++;
+            publish("lease-task-failed", state, e);
+            if (state.running) {
+                giveBack(state);
+                state.pausedAfterFailure = true;
+                state.resumeAt = clock.getAsLong() + state.ttlNanos;
             }
         }
     }
 
-    private void giveBack(Run run) {
-        if (run.on) {
-            off(run, "lease-given-back");
+    /** The lease is granted to the first waiter by the same log entry that releases it. */
+    private void giveBack(TaskState state) {
+        if (state.running) {
+            stop(state, "lease-given-back");
         }
-        run.holder.stop(); // Whoever waits longest is granted it by the same entry.
+        state.holder.release();
     }
 
-    /** Something happened to a lease, as the copy at hand or the leader told it. */
-    public void news(CommandEffects.Event event) {
-        LeaseEvent read = LeaseEvent.decode(event);
-        client.news(read);
-        if (read instanceof LeaseEvent.Acted acted) {
-            for (Run run : runs) {
-                if (run.task.lease().equals(acted.name())) {
-                    guarded(
-                            run,
-                            () ->
-                                    run.task.heard(
-                                            acted.token(), acted.payload(), clock.getAsLong()));
-                }
-            }
+    private void publish(String code, TaskState state, RuntimeException failure) {
+        listener.accept(new TaskEvent(code, state.task.lease(), state.runningToken, failure));
+    }
+
+    /** Reports an event of the lease state machine, from the local replica or the leader. */
+    public void onEvent(CommandEffects.Event event) {
+        LeaseEvent decoded = LeaseEvent.decode(event);
+        client.onEvent(decoded);
+        if (decoded instanceof LeaseEvent.ActionPerformed action) {
+            tasks.stream()
+                    .filter(state -> state.task.lease().equals(action.name()))
+                    .forEach(state -> callTask(state, () -> notifyTask(state.task, action)));
         }
     }
 
+    private void notifyTask(LeasedTask task, LeaseEvent.ActionPerformed action) {
+        task.onAction(action.token(), action.payload(), clock.getAsLong());
+    }
+
     /**
-     * A planned stop: the tasks stop, and what is held goes to who waits longest, at once. {@link
-     * #tick} sends it.
+     * Planned stop: the tasks stop, and each lease that is held goes to its first waiter. The next
+     * {@link #tick} submits the commands.
      */
     public void stop() {
         stopping = true;
-        runs.forEach(this::giveBack);
+        tasks.forEach(this::giveBack);
     }
 
-    public List<Figures> figures() {
+    /** The state of all tasks, in the order in which they were added. */
+    public List<TaskStatus> statuses() {
         long now = clock.getAsLong();
-        return runs.stream()
-                .map(
-                        run ->
-                                new Figures(
-                                        run.task,
-                                        run.holder.phase(),
-                                        run.holder.token(),
-                                        run.acts.isHeld()
-                                                ? Math.max(0, -run.holder.sinceEnd(now))
-                                                : 0,
-                                        run.held,
-                                        run.lost,
-                                        run.failed))
-                .toList();
+        return tasks.stream().map(state -> state.status(now)).toList();
     }
 }
--- a/src/main/java/calicostream/lease/process/LeaseService.java
+++ b/src/main/java/calicostream/lease/process/LeaseService.java
@@ -6,7 +6,8 @@
 import calicostream.cluster.MemberSession;
 import calicostream.cluster.process.ReplicatedService;
 import calicostream.lease.LeaseExpiryMonitor;
-import calicostream.lease.LeaseMachine;
+import calicostream.lease.LeaseHolder;
+import calicostream.lease.LeaseStateMachine;
 import calicostream.lease.LeasedTask;
 import calicostream.lease.LeasedTaskRunner;
 import com.eclipsesource.json.Json;
@@ -14,67 +15,67 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 import java.util.Optional;
 import java.util.function.LongSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Leases as a layer of a member, with the tasks that this process does under them. On the member's
- * thread, but for {@link #add}.
+ * The leases as a replicated service of a member process, with the tasks that this process runs
+ * under them. Confined to the member's thread, except for {@link #add}.
  */
 public final class LeaseService implements ReplicatedService {
     private static final Logger LOG = LoggerFactory.getLogger(LeaseService.class);
-    private static final long MILLI = 1_000_000L;
-    private final LeaseMachine machine;
-    private final LeaseExpiryMonitor watch;
-    private final List<LeasedTask> added = new ArrayList<>();
+    private static final String MACHINE_NAME = "lease";
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private final LeaseStateMachine machine;
+    private final LeaseExpiryMonitor expiryMonitor;
+    private final List<LeasedTask> tasks = new ArrayList<>();
     private final Duration ttl;
-    private LeasedTaskRunner tasks;
+    private LeasedTaskRunner runner; // null until the process has a session
 
     /**
-     * @param ttl of all leases
-     * @param heartbeat at which a leader counts them
-     * @param tokensAbove all tokens are above it: what an earlier group may have given whose log is
-     *     lost
+     * @param ttl time to live of all leases
+     * @param heartbeat interval at which a leader checks leases for expiry
+     * @param tokenFloor all tokens are greater: what an earlier cluster may have granted whose log
+     *     is lost
      */
-    public LeaseService(Duration ttl, Duration heartbeat, long tokensAbove) {
+    public LeaseService(Duration ttl, Duration heartbeat, long tokenFloor) {
         this.ttl = ttl;
-        machine = new LeaseMachine(tokensAbove);
-        watch = new LeaseExpiryMonitor(machine, heartbeat.toNanos());
+        machine = new LeaseStateMachine(tokenFloor);
+        expiryMonitor = new LeaseExpiryMonitor(machine, heartbeat.toNanos());
     }
 
-    /** Before the member starts. */
+    /** Adds a task. To be called before the member starts. */
     public void add(LeasedTask task) {
-        added.add(task);
+        tasks.add(task);
     }
 
     /**
-     * For a machine beside this one in the same log, which asks whether a token is the holder's.
+     * The state machine; another machine of the same log asks it whether a token is the holder's.
      */
     @Override
-    public LeaseMachine stateMachine() {
+    public LeaseStateMachine stateMachine() {
         return machine;
     }
 
     @Override
     public String name() {
-        return "lease";
+        return MACHINE_NAME;
     }
 
     @Override
     public Optional<ExpiryMonitor> expiryMonitor() {
-        return Optional.of(watch);
+        return Optional.of(expiryMonitor);
     }
 
     @Override
     public void onStart(MemberSession session, LongSupplier clock) {
-        tasks = new LeasedTaskRunner(session, name(), clock, LeaseService::tell);
-        added.forEach(task -> tasks.add(task, ttl.toNanos()));
+        runner = new LeasedTaskRunner(session, name(), clock, LeaseService::log);
+        tasks.forEach(task -> runner.add(task, ttl.toNanos()));
     }
 
-    private static void tell(LeasedTaskRunner.Event event) {
+    private static void log(LeasedTaskRunner.TaskEvent event) {
         if (event.failure() != null) {
             LOG.warn(
                     "{} lease={} token={}",
@@ -89,57 +90,77 @@
 
     @Override
     public void onTick() {
-        tasks.tick();
+        runner.tick();
     }
 
     @Override
     public void onEvent(long index, CommandEffects.Event event) {
-        tasks.news(event);
+        runner.onEvent(event);
     }
 
     @Override
     public void onStopping() {
-        tasks.stop();
-        tasks.tick();
+        runner.stop();
+        runner.tick();
     }
 
     /**
-     * This process's tasks, and all leases as the copy at hand has them; a member without a copy
-     * has none of these.
+     * JSON with this process's tasks, and all leases as the local replica has them; a member
+     * without a replica reports no leases.
      */
     @Override
     public String metricsJson() {
-        if (tasks == null) {
+        if (runner == null) {
             return "{}";
         }
-        JsonObject own = Json.object();
-        for (LeasedTaskRunner.Figures each : tasks.figures()) {
-            own.add(
-                    each.task().lease(),
+        return Json.object()
+                .add("tasks", tasksJson())
+                .add("leases", leasesJson())
+                .add("last_token", machine.lastToken())
+                .toString();
+    }
+
+    private JsonObject tasksJson() {
+        JsonObject json = Json.object();
+        for (LeasedTaskRunner.TaskStatus status : runner.statuses()) {
+            json.add(
+                    status.task().lease(),
                     Json.object()
-                            .add("state", each.phase().name().toLowerCase(Locale.ROOT))
-                            .add("token", each.token())
-                            .add("left_ms", each.leftNanos() / MILLI)
-                            .add("held", each.held())
-                            .add("lost", each.lost())
-                            .add("failed", each.failed())
-                            .add("task", Json.parse(each.task().figures())));
+                            .add("state", stateName(status.phase()))
+                            .add("token", status.token())
+                            .add("left_ms", status.remainingNanos() / NANOS_PER_MILLI)
+                            .add("held", status.heldCount())
+                            .add("lost", status.lostCount())
+                            .add("failed", status.failureCount())
+                            .add("task", Json.parse(status.task().statusJson())));
         }
-        JsonObject all = Json.object();
-        for (LeaseMachine.View each : machine.held()) {
-            all.add(
-                    each.name(),
+        return json;
+    }
+
+    /** The phase's name in JSON, which operators' tools read: it must not change. */
+    private static String stateName(LeaseHolder.Phase phase) {
+        return switch (phase) {
+            case IDLE -> "idle";
+            case ACQUIRING -> "asking";
+            case WAITING -> "waiting";
+            case CONFIRMING -> "confirming";
+            case HELD -> "held";
+            case RELEASING -> "ending";
+        };
+    }
+
+    private JsonObject leasesJson() {
+        JsonObject json = Json.object();
+        for (LeaseStateMachine.HeldLease lease : machine.heldLeases()) {
+            json.add(
+                    lease.name(),
                     Json.object()
-                            .add("session", each.session())
-                            .add("token", each.token())
-                            .add("renewals", each.renewals())
-                            .add("waiting", each.waiting())
-                            .add("session_over", each.ended()));
+                            .add("session", lease.session())
+                            .add("token", lease.token())
+                            .add("renewals", lease.renewals())
+                            .add("waiting", lease.waiterCount())
+                            .add("session_over", lease.sessionEnded()));
         }
-        return Json.object()
-                .add("tasks", own)
-                .add("leases", all)
-                .add("last_token", machine.lastToken())
-                .toString();
+        return json;
     }
 }
--- a/src/main/java/calicostream/lease/process/package-info.java
+++ b/src/main/java/calicostream/lease/process/package-info.java
@@ -1,8 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-
 /**
- * Owns the leases and the tasks on them as a layer of a member's process: what operators see of
- * them and read in the log. It decides nothing and does not know what the tasks do. Read {@link
- * calicostream.lease.process.LeaseLayer} first.
+ * Owns the leases and their tasks as a replicated service of a member process: its status in JSON
+ * and its log lines. It decides nothing and does not know what the tasks do. Read {@link
+ * calicostream.lease.process.LeaseService} first.
  */
 package calicostream.lease.process;
--- a/src/measure/java/calicostream/cluster/sim/LeaseSimulationMain.java
+++ b/src/measure/java/calicostream/cluster/sim/LeaseSimulationMain.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.cluster.sim;
 
-import calicostream.lease.SimLeases;
+import calicostream.lease.LeaseSimulation;
 import calicostream.prove.Mutant;
 import java.util.List;
 import java.util.stream.IntStream;
@@ -13,14 +13,14 @@
  */
 public final class LeaseSimulationMain {
     /** A run and what its leases saw. */
-    record Run(ClusterSimulation.Result result, SimLeases leases) {}
+    record Run(ClusterSimulation.Result result, LeaseSimulation leases) {}
 
     private LeaseSimulationMain() {}
 
-    static Run run(long seed, SimLeases.Plan plan, Mutant without, boolean told) {
-        SimLeases leases = new SimLeases(plan, without, told);
+    static Run run(long seed, LeaseSimulation.Plan plan, Mutant without, boolean told) {
+        LeaseSimulation leases = new LeaseSimulation(plan, without, told);
         List<FaultSchedule.Fault> faults =
-                plan == SimLeases.Plan.ALL
+                plan == LeaseSimulation.Plan.ALL
                         ? FaultSchedule.draw(seed, ClusterSimulation.FAULT_MILLIS)
                         : List.of();
         return new Run(
@@ -32,8 +32,8 @@
         System.setProperty("org.slf4j.simpleLogger.log.io.microraft", "off");
         long first = Long.parseLong(args[0]);
         long count = Long.parseLong(args[1]);
-        SimLeases.Plan plan =
-                args.length > 2 ? SimLeases.Plan.valueOf(args[2]) : SimLeases.Plan.ALL;
+        LeaseSimulation.Plan plan =
+                args.length > 2 ? LeaseSimulation.Plan.valueOf(args[2]) : LeaseSimulation.Plan.ALL;
         boolean told = args.length < 4 || args[3].equals("told");
         Mutant without = args.length > 4 ? Mutant.valueOf(args[4]) : null;
         List<Run> runs =
--- a/src/measure/java/calicostream/lease/TrialsFleet.java
+++ b/src/measure/java/calicostream/lease/EjectionHintsFleet.java
@@ -16,7 +16,7 @@
  * Twenty front ends with the module as it is, an engine that is down for a minute, and hints or
  * none; in virtual time (microseconds). The accounts are read once {@link #of} has returned.
  */
-final class TrialsFleet {
+final class EjectionHintsFleet {
     static final long SEED = 25;
     static final int SIZE = 20;
     static final long MILLI = 1_000;
@@ -75,13 +75,13 @@
         }
 
         @Override
-        public EjectionHints.View view() {
-            return new EjectionHints.View(
+        public EjectionHints.EngineView view() {
+            return new EjectionHints.EngineView(
                     sides.gateway.readyEngines(true), sides.gateway.readyEngines(false));
         }
 
         @Override
-        public void hinted(long engine, boolean served) {
+        public void onHint(long engine, boolean served) {
             sides.gateway.applyEjectionHint(engine, served);
         }
     }
@@ -97,14 +97,14 @@
     /** Queries that went to the engine while it was down. */
     int trialsMade;
 
-    private TrialsFleet() {}
+    private EjectionHintsFleet() {}
 
     /**
      * @param holder of the lease; -1: nobody, the fleet without a cluster; @param diesAt its words
      *     end then
      */
-    static TrialsFleet of(int holder, long diesAt) {
-        TrialsFleet made = new TrialsFleet();
+    static EjectionHintsFleet of(int holder, long diesAt) {
+        EjectionHintsFleet made = new EjectionHintsFleet();
         made.run(holder, diesAt);
         return made;
     }
@@ -113,8 +113,8 @@
         List<Process> fleet = IntStream.range(0, SIZE).mapToObj(i -> new Process()).toList();
         ArrayDeque<Word> words = new ArrayDeque<>();
         LeaseHolder held = new LeaseHolder(EjectionHints.LEASE, 3_600_000_000_000L, 0);
-        held.want();
-        held.answered(0, held.next(0).number(), new LeaseAnswer.Holds(4));
+        held.acquire();
+        held.onAnswer(0, held.nextRequest(0).number(), new LeaseAnswer.Held(4));
         FencedActions acts =
                 new FencedActions(
                         held,
@@ -124,10 +124,11 @@
                                 words.add(
                                         new Word(
                                                 time,
-                                                ((LeaseCommand.Act) LeaseCommand.decode(body))
+                                                ((LeaseCommand.FencedAction)
+                                                                LeaseCommand.decode(body))
                                                         .payload())));
         if (holder >= 0) {
-            fleet.get(holder).trials.started(acts);
+            fleet.get(holder).trials.onStarted(acts);
         }
         for (; time < END; time += 20 * MILLI) {
             fleet.forEach(Process::turn);
@@ -136,7 +137,7 @@
             }
             while (!words.isEmpty() && time - words.peek().at >= NEWS) {
                 byte[] word = words.poll().payload;
-                fleet.forEach(each -> each.trials.heard(4, word, time * 1000));
+                fleet.forEach(each -> each.trials.onAction(4, word, time * 1000));
             }
         }
     }
--- a/src/measure/java/calicostream/lease/TrialsPair.java
+++ b/src/measure/java/calicostream/lease/EjectionHintsPair.java
@@ -9,7 +9,7 @@
  * One process that tells of its trials, and another that hears each thing twice, or not; in virtual
  * time (nanoseconds). One thread.
  */
-final class TrialsPair {
+final class EjectionHintsPair {
     static final long MILLI = 1_000_000;
     private static final long TICK = 50 * MILLI;
 
@@ -21,14 +21,14 @@
         final EjectionHints trials = new EjectionHints(this);
 
         @Override
-        public EjectionHints.View view() {
-            return new EjectionHints.View(
+        public EjectionHints.EngineView view() {
+            return new EjectionHints.EngineView(
                     listed.stream().filter(out::contains).mapToLong(id -> id).toArray(),
                     listed.stream().filter(id -> !out.contains(id)).mapToLong(id -> id).toArray());
         }
 
         @Override
-        public void hinted(long engine, boolean served) {
+        public void onHint(long engine, boolean served) {
             hinted.add(engine + (served ? " served" : " out"));
         }
     }
@@ -51,13 +51,15 @@
                     () -> now,
                     "lease",
                     (machine, body, done) ->
-                            words.add(((LeaseCommand.Act) LeaseCommand.decode(body)).payload()));
+                            words.add(
+                                    ((LeaseCommand.FencedAction) LeaseCommand.decode(body))
+                                            .payload()));
 
     /** The one gets the lease. */
     void hold() {
-        held.want();
-        held.answered(now, held.next(now).number(), new LeaseAnswer.Holds(4));
-        holder.trials.started(acts);
+        held.acquire();
+        held.onAnswer(now, held.nextRequest(now).number(), new LeaseAnswer.Held(4));
+        holder.trials.onStarted(acts);
     }
 
     void pass(long millis) {
@@ -65,10 +67,10 @@
             int before = words.size();
             holder.trials.step(acts, now);
             for (byte[] word : words.subList(before, words.size())) {
-                holder.trials.heard(4, word, now);
+                holder.trials.onAction(4, word, now);
                 if (!isLost) {
-                    other.trials.heard(4, word, now);
-                    other.trials.heard(4, word, now); // There twice.
+                    other.trials.onAction(4, word, now);
+                    other.trials.onAction(4, word, now); // There twice.
                 }
             }
         }
--- a/src/measure/java/calicostream/lease/Parts.java
+++ b/src/measure/java/calicostream/lease/LeaseComponents.java
@@ -8,7 +8,7 @@
  * Makes the product's own classes for the proofs, whole or with one safeguard taken out; a
  * safeguard of the log is the model's.
  */
-final class Parts {
+final class LeaseComponents {
     private final Mutant without;
     private final LeaseLimits limits;
     private final ClockDriftBound drift;
@@ -16,7 +16,7 @@
     /**
      * @param without the safeguard taken out; null: none
      */
-    Parts(Mutant without, LeaseLimits limits, ClockDriftBound drift) {
+    LeaseComponents(Mutant without, LeaseLimits limits, ClockDriftBound drift) {
         this.without = without;
         this.limits = limits;
         this.drift = without == Mutant.DRIFT_NOT_COUNTED ? new ClockDriftBound(0) : drift;
@@ -30,9 +30,9 @@
         return drift;
     }
 
-    LeaseMachine machine(byte[] snapshot) {
-        LeaseMachine machine =
-                new LeaseMachine(limits) {
+    LeaseStateMachine machine(byte[] snapshot) {
+        LeaseStateMachine machine =
+                new LeaseStateMachine(limits) {
                     @Override
                     public boolean isHolder(String name, long token) {
                         return isOut(Mutant.LOG_TOKEN_NOT_CHECKED) || super.isHolder(name, token);
@@ -45,14 +45,14 @@
                     }
 
                     @Override
-                    boolean endsWithSession() {
+                    boolean endsGrantsWithSession() {
                         return isOut(Mutant.LEASE_FREED_WITH_SESSION);
                     }
 
                     @Override
                     public byte[] snapshot() {
-                        return isOut(Mutant.TOKEN_LOST_IN_SNAPSHOT) && held().isEmpty()
-                                ? new LeaseMachine(limits).snapshot()
+                        return isOut(Mutant.TOKEN_LOST_IN_SNAPSHOT) && heldLeases().isEmpty()
+                                ? new LeaseStateMachine(limits).snapshot()
                                 : super.snapshot();
                     }
                 };
@@ -62,19 +62,22 @@
         return machine;
     }
 
-    LeaseHolder holder(String name, long ttl, LeaseHolder.State state) {
+    LeaseHolder holder(String name, long ttl, LeaseHolderState state) {
         return new LeaseHolder(name, ttl, drift, state) {
             @Override
-            long countedFrom(long asked, long now) {
-                return isOut(Mutant.EXPIRY_FROM_ANSWER_TIME) ? now : super.countedFrom(asked, now);
+            long validityStart(long asked, long now) {
+                return isOut(Mutant.EXPIRY_FROM_ANSWER_TIME)
+                        ? now
+                        : super.validityStart(asked, now);
             }
 
             @Override
-            void grantedFromQueue(long now, long of) {
-                super.grantedFromQueue(now, of);
+            void onQueuedGrant(long now, long of) {
+                super.onQueuedGrant(now, of);
                 if (isOut(Mutant.QUEUE_GRANT_NOT_CONFIRMED) && phase() == Phase.CONFIRMING) {
-                    Ask ask = next(now); // As if the news itself were the renewal's answer.
-                    answered(now, ask.number(), new LeaseAnswer.Holds(of));
+                    Request ask =
+                            nextRequest(now); // As if the news itself were the renewal's answer.
+                    onAnswer(now, ask.number(), new LeaseAnswer.Held(of));
                 }
             }
         };
@@ -85,14 +88,16 @@
      *     to be counted
      */
     LeaseExpiryMonitor watch(
-            LeaseMachine machine, Map<String, LeaseExpiryMonitor.Seen> seen, long period) {
+            LeaseStateMachine machine,
+            Map<String, LeaseExpiryMonitor.ObservedGrant> seen,
+            long period) {
         return new LeaseExpiryMonitor(
                 machine, drift, seen, isOut(Mutant.CLOCK_STEP_COUNTED) ? 0 : period) {
             @Override
-            long inherited(long now, long ttl) {
+            long inheritedSince(long now, long ttl) {
                 return isOut(Mutant.NEW_LEADER_DOES_NOT_WAIT)
-                        ? now - drift.beyond(ttl)
-                        : super.inherited(now, ttl);
+                        ? now - drift.longestSpan(ttl)
+                        : super.inheritedSince(now, ttl);
             }
         };
     }
--- a/src/measure/java/calicostream/lease/LeaseBook.java
+++ b/src/measure/java/calicostream/lease/LeaseHistoryChecker.java
@@ -15,7 +15,7 @@
  * was due to be granted what, from a queue of its own. It takes the machine's answers for what they
  * say and the rules from the page.
  */
-final class LeaseBook {
+final class LeaseHistoryChecker {
     private final Map<String, List<Long>> queues = new HashMap<>();
     private final Map<String, Long> tokens = new HashMap<>();
     private final Set<Long> acts = new HashSet<>();
@@ -53,10 +53,10 @@
         }
         lastIndex = index;
         LeaseCommand said = LeaseCommand.decode(command.body());
-        if (said instanceof LeaseCommand.Transfer t && effects.isAccepted() && t.to() != 0) {
+        if (said instanceof LeaseCommand.Transfer t && effects.isAccepted() && t.successor() != 0) {
             List<Long> queue = queues.get(t.name());
-            queue.remove(t.to());
-            queue.add(0, t.to());
+            queue.remove(t.successor());
+            queue.add(0, t.successor());
         }
         events(command.session(), effects);
         if (!effects.isAccepted()) {
@@ -65,10 +65,10 @@
         if (said instanceof LeaseCommand.Withdraw) {
             queues.getOrDefault(said.name(), List.of()).remove(command.session());
         } else if (said instanceof LeaseCommand.Acquire
-                && LeaseAnswer.decode(effects.response()) instanceof LeaseAnswer.Waits waits) {
+                && LeaseAnswer.decode(effects.response()) instanceof LeaseAnswer.Queued waits) {
             List<Long> queue = queues.computeIfAbsent(said.name(), any -> new ArrayList<>());
             queue.add(command.session());
-            judge(waits.place() == queue.size(), "place " + waits.place() + " of " + queue);
+            judge(waits.position() == queue.size(), "place " + waits.position() + " of " + queue);
         }
         return true;
     }
@@ -110,7 +110,7 @@
                 }
                 lastToken = g.token();
                 tokens.put(name, g.token());
-            } else if (event instanceof LeaseEvent.Freed f) {
+            } else if (event instanceof LeaseEvent.Ended f) {
                 judge(
                         tokens.remove(name, f.token()),
                         "lease "
@@ -118,7 +118,7 @@
                                 + " is freed of token "
                                 + f.token()
                                 + ", which does not hold it");
-            } else if (event instanceof LeaseEvent.Acted a) {
+            } else if (event instanceof LeaseEvent.ActionPerformed a) {
                 judge(
                         acts.add(
                                 new calicostream.cluster.BinaryCodec.Reader("act", a.payload())
--- a/src/measure/java/calicostream/lease/LeaseModel.java
+++ b/src/measure/java/calicostream/lease/LeaseModel.java
@@ -1,44 +1,44 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.lease;
 
-import static calicostream.lease.LeaseWorld.ACTS_LEFT;
-import static calicostream.lease.LeaseWorld.APPLIED;
-import static calicostream.lease.LeaseWorld.ASKS;
-import static calicostream.lease.LeaseWorld.CHANGES_LEFT;
-import static calicostream.lease.LeaseWorld.CHECKED;
-import static calicostream.lease.LeaseWorld.CLOCKS;
-import static calicostream.lease.LeaseWorld.COPIES;
-import static calicostream.lease.LeaseWorld.COPIES_LEFT;
-import static calicostream.lease.LeaseWorld.COPY;
-import static calicostream.lease.LeaseWorld.EACH;
-import static calicostream.lease.LeaseWorld.ENDED;
-import static calicostream.lease.LeaseWorld.ENDS_LEFT;
-import static calicostream.lease.LeaseWorld.EXPIRE_RENEWALS;
-import static calicostream.lease.LeaseWorld.EXPIRE_TOKEN;
-import static calicostream.lease.LeaseWorld.FENCE;
-import static calicostream.lease.LeaseWorld.GIVEN;
-import static calicostream.lease.LeaseWorld.LEADER;
-import static calicostream.lease.LeaseWorld.LOG_ACTS;
-import static calicostream.lease.LeaseWorld.LOG_ACTS_LEFT;
-import static calicostream.lease.LeaseWorld.LOG_TOKEN;
-import static calicostream.lease.LeaseWorld.NEWS;
-import static calicostream.lease.LeaseWorld.NOW;
-import static calicostream.lease.LeaseWorld.ONCE;
-import static calicostream.lease.LeaseWorld.OUT;
-import static calicostream.lease.LeaseWorld.PHASE;
-import static calicostream.lease.LeaseWorld.REPLY;
-import static calicostream.lease.LeaseWorld.SEEN_AGO;
-import static calicostream.lease.LeaseWorld.SEEN_RENEWALS;
-import static calicostream.lease.LeaseWorld.SEEN_TOKEN;
-import static calicostream.lease.LeaseWorld.STOPS_LEFT;
-import static calicostream.lease.LeaseWorld.TO;
-import static calicostream.lease.LeaseWorld.TOKEN;
-import static calicostream.lease.LeaseWorld.WANTED;
-import static calicostream.lease.LeaseWorld.holder;
-import static calicostream.lease.LeaseWorld.keep;
-import static calicostream.lease.LeaseWorld.machine;
-import static calicostream.lease.LeaseWorld.pass;
-import static calicostream.lease.LeaseWorld.place;
+import static calicostream.lease.LeaseModelState.ACTS_LEFT;
+import static calicostream.lease.LeaseModelState.APPLIED;
+import static calicostream.lease.LeaseModelState.ASKS;
+import static calicostream.lease.LeaseModelState.CHANGES_LEFT;
+import static calicostream.lease.LeaseModelState.CHECKED;
+import static calicostream.lease.LeaseModelState.CLOCKS;
+import static calicostream.lease.LeaseModelState.COPIES;
+import static calicostream.lease.LeaseModelState.COPIES_LEFT;
+import static calicostream.lease.LeaseModelState.COPY;
+import static calicostream.lease.LeaseModelState.EACH;
+import static calicostream.lease.LeaseModelState.ENDED;
+import static calicostream.lease.LeaseModelState.ENDS_LEFT;
+import static calicostream.lease.LeaseModelState.EXPIRE_RENEWALS;
+import static calicostream.lease.LeaseModelState.EXPIRE_TOKEN;
+import static calicostream.lease.LeaseModelState.FENCE;
+import static calicostream.lease.LeaseModelState.GIVEN;
+import static calicostream.lease.LeaseModelState.LEADER;
+import static calicostream.lease.LeaseModelState.LOG_ACTS;
+import static calicostream.lease.LeaseModelState.LOG_ACTS_LEFT;
+import static calicostream.lease.LeaseModelState.LOG_TOKEN;
+import static calicostream.lease.LeaseModelState.NEWS;
+import static calicostream.lease.LeaseModelState.NOW;
+import static calicostream.lease.LeaseModelState.ONCE;
+import static calicostream.lease.LeaseModelState.OUT;
+import static calicostream.lease.LeaseModelState.PHASE;
+import static calicostream.lease.LeaseModelState.REPLY;
+import static calicostream.lease.LeaseModelState.SEEN_AGO;
+import static calicostream.lease.LeaseModelState.SEEN_RENEWALS;
+import static calicostream.lease.LeaseModelState.SEEN_TOKEN;
+import static calicostream.lease.LeaseModelState.STOPS_LEFT;
+import static calicostream.lease.LeaseModelState.TO;
+import static calicostream.lease.LeaseModelState.TOKEN;
+import static calicostream.lease.LeaseModelState.WANTED;
+import static calicostream.lease.LeaseModelState.holder;
+import static calicostream.lease.LeaseModelState.keep;
+import static calicostream.lease.LeaseModelState.machine;
+import static calicostream.lease.LeaseModelState.pass;
+import static calicostream.lease.LeaseModelState.place;
 
 import calicostream.prove.Model;
 import calicostream.prove.Mutant;
@@ -50,8 +50,8 @@
  * Members that want one lease, a log that two leaders take turns at, and a resource, with every
  * order of what is under way: commands, answers and news are late, doubled or repeated, and lost if
  * they never arrive or a later one takes their place; a member stops between its check and its act,
- * clocks run slow or fast, leaders change, sessions end. {@link LeaseMachine}, {@link LeaseHolder},
- * {@link LeaseExpiryMonitor} and {@link FencingTokenGuard} are the product's own.
+ * clocks run slow or fast, leaders change, sessions end. {@link LeaseStateMachine}, {@link
+ * LeaseHolder}, {@link LeaseExpiryMonitor} and {@link FencingTokenGuard} are the product's own.
  *
  * <p>Promises: the resource and the log take no act out of the order of tokens and none twice;
  * tokens grow; no two members that ask their own clocks are told that they hold, as long as clocks
@@ -86,19 +86,19 @@
     private static final int END = 17;
     private static final int HEAR_END = 18;
 
-    private final LeaseScope scope;
-    private final Parts parts;
-    private final LeaseSteps log;
+    private final LeaseModelBounds scope;
+    private final LeaseComponents parts;
+    private final LeaseTransitions log;
     private byte[] from;
     private Steps steps;
 
     /**
      * @param without the safeguard taken out; null: none
      */
-    public LeaseModel(LeaseScope scope, Mutant without) {
+    public LeaseModel(LeaseModelBounds scope, Mutant without) {
         this.scope = scope;
-        parts = new Parts(without, new LeaseLimits(1, 100, 4, 8), DRIFT);
-        log = new LeaseSteps(parts, scope.ttl());
+        parts = new LeaseComponents(without, new LeaseLimits(1, 100, 4, 8), DRIFT);
+        log = new LeaseTransitions(parts, scope.ttl());
     }
 
     @Override
@@ -159,7 +159,7 @@
             s[SEEN_AGO] =
                     (byte)
                             Math.min(
-                                    parts.drift().beyond(scope.ttl()),
+                                    parts.drift().longestSpan(scope.ttl()),
                                     s[SEEN_AGO] + units(clocks.charAt(0)));
         }
         to(TICK, 0, 0, s);
@@ -194,7 +194,7 @@
                     log.step(
                             machine(s),
                             0,
-                            LeaseSteps.EXPIRE,
+                            LeaseTransitions.EXPIRE,
                             from[EXPIRE_TOKEN],
                             from[EXPIRE_RENEWALS]))) {
                 to(EXPIRE, 0, 0, s);
@@ -217,20 +217,22 @@
                 s[SEEN_TOKEN] == 0
                         ? Map.of()
                         : Map.of(
-                                LeaseSteps.NAME,
-                                new LeaseExpiryMonitor.Seen(
+                                LeaseTransitions.NAME,
+                                new LeaseExpiryMonitor.ObservedGrant(
                                         s[SEEN_TOKEN], s[SEEN_RENEWALS], NOW - s[SEEN_AGO])),
                 0);
     }
 
     private void keepWatch(byte[] s, LeaseExpiryMonitor watch) {
-        LeaseExpiryMonitor.Seen seen = watch.seen().get(LeaseSteps.NAME);
+        LeaseExpiryMonitor.ObservedGrant seen = watch.observedGrants().get(LeaseTransitions.NAME);
         s[SEEN_TOKEN] = seen == null ? 0 : (byte) seen.token();
         s[SEEN_RENEWALS] = seen == null ? 0 : (byte) seen.renewals();
         s[SEEN_AGO] =
                 seen == null
                         ? 0
-                        : (byte) Math.min(parts.drift().beyond(scope.ttl()), NOW - seen.since());
+                        : (byte)
+                                Math.min(
+                                        parts.drift().longestSpan(scope.ttl()), NOW - seen.since());
     }
 
     private void member(int m, byte[] s, int at) {
@@ -239,12 +241,12 @@
             byte[] n = s.clone();
             n[at + REPLY] = 0;
             n[at + REPLY + 1] = 0;
-            if (s[at + OUT] == LeaseSteps.ACT) {
+            if (s[at + OUT] == LeaseTransitions.ACT) {
                 n[at + OUT] = 0;
                 n[at + OUT + 1] = 0;
             } else if (s[at + OUT] != 0) {
                 LeaseHolder holder = holder(n, m);
-                LeaseSteps.tell(holder, s[at + REPLY], s[at + REPLY + 1]);
+                LeaseTransitions.tell(holder, s[at + REPLY], s[at + REPLY + 1]);
                 keep(n, m, holder, scope.ttl());
             }
             to(HEAR, m, 0, n);
@@ -253,7 +255,7 @@
             byte[] n = s.clone();
             n[at + NEWS] = 0;
             LeaseHolder holder = holder(n, m);
-            holder.granted(NOW, s[at + NEWS]);
+            holder.onGranted(NOW, s[at + NEWS]);
             keep(n, m, holder, scope.ttl());
             to(HEAR_NEWS, m, 0, n);
         }
@@ -268,14 +270,19 @@
                     m,
                     0,
                     n,
-                    log.step(machine(n), m + 1, LeaseSteps.END_OF_SESSION, (byte) 0, (byte) 0))) {
+                    log.step(
+                            machine(n),
+                            m + 1,
+                            LeaseTransitions.END_OF_SESSION,
+                            (byte) 0,
+                            (byte) 0))) {
                 to(END, m, 0, n);
             }
         } else if (s[at + ENDED] == 1) {
             byte[] n = s.clone();
             LeaseHolder holder = holder(n, m);
-            holder.sessionEnded(NOW);
-            holder.stop();
+            holder.onSessionEnded(NOW);
+            holder.release();
             keep(n, m, holder, scope.ttl());
             n[at + ENDED] = 2;
             n[at + OUT] = 0;
@@ -285,17 +292,21 @@
     }
 
     private LeaseHolder holder(byte[] s, int m) {
-        return LeaseWorld.holder(s, m, parts, LeaseSteps.NAME, scope.ttl());
+        return LeaseModelState.holder(s, m, parts, LeaseTransitions.NAME, scope.ttl());
     }
 
     private void commands(int m, byte[] s, int at) {
         if (s[at + OUT] == 0 && s[at + ENDED] < 2) {
             byte[] n = s.clone();
             LeaseHolder holder = holder(n, m);
-            LeaseHolder.Ask ask = holder.next(NOW);
+            LeaseHolder.Request ask = holder.nextRequest(NOW);
             keep(n, m, holder, scope.ttl());
             if (ask != null) {
-                send(n, at, LeaseSteps.kind(ask.command()), LeaseSteps.token(ask.command()));
+                send(
+                        n,
+                        at,
+                        LeaseTransitions.kind(ask.command()),
+                        LeaseTransitions.token(ask.command()));
                 to(ASK, m, 0, n);
             }
         }
@@ -361,12 +372,13 @@
             to(APPLY, m, i, n);
             return;
         }
-        if (kind == LeaseSteps.ACQUIRE && log.machine(machine(n)).lastToken() >= scope.tokens()
-                || kind == LeaseSteps.RENEW && log.renewals(machine(n)) >= scope.renewals()) {
+        if (kind == LeaseTransitions.ACQUIRE
+                        && log.machine(machine(n)).lastToken() >= scope.tokens()
+                || kind == LeaseTransitions.RENEW && log.renewals(machine(n)) >= scope.renewals()) {
             return; // The bound of the model.
         }
-        byte act = (byte) (kind == LeaseSteps.ACT ? 1 << m * 2 + n[at + LOG_ACTS_LEFT] : 0);
-        LeaseSteps.Step step = log.step(machine(n), m + 1, kind, token, act);
+        byte act = (byte) (kind == LeaseTransitions.ACT ? 1 << m * 2 + n[at + LOG_ACTS_LEFT] : 0);
+        LeaseTransitions.Step step = log.step(machine(n), m + 1, kind, token, act);
         if (!apply(APPLY, m, i, n, step)) {
             return;
         }
@@ -397,7 +409,7 @@
         to(APPLY, m, i, n);
     }
 
-    private boolean apply(int kind, int m, int i, byte[] n, LeaseSteps.Step step) {
+    private boolean apply(int kind, int m, int i, byte[] n, LeaseTransitions.Step step) {
         machine(n, step.next());
         if (step.granted() != 0) {
             if (step.granted() <= n[GIVEN]) {
@@ -416,8 +428,8 @@
         if (s[at + CHECKED] != 0) {
             byte[] n = s.clone();
             n[at + CHECKED] = 0;
-            FencingTokenGuard fence = parts.fence(LeaseSteps.NAME, s[FENCE]);
-            if (fence.admit(LeaseSteps.NAME, s[at + CHECKED]).isEmpty()
+            FencingTokenGuard fence = parts.fence(LeaseTransitions.NAME, s[FENCE]);
+            if (fence.admit(LeaseTransitions.NAME, s[at + CHECKED]).isEmpty()
                     && s[at + CHECKED] < s[FENCE]) {
                 steps.broken(
                         action(ACT, m, 0),
@@ -426,7 +438,7 @@
                                 + " after one under "
                                 + s[FENCE]);
             }
-            n[FENCE] = (byte) fence.highest(LeaseSteps.NAME);
+            n[FENCE] = (byte) fence.highestToken(LeaseTransitions.NAME);
             to(ACT, m, 0, n);
         }
         if (holder(s, m).mayAct(NOW)) {
@@ -439,7 +451,7 @@
             if (s[at + OUT] == 0 && s[at + LOG_ACTS_LEFT] > 0) {
                 byte[] n = s.clone();
                 n[at + LOG_ACTS_LEFT]--;
-                send(n, at, LeaseSteps.ACT, s[at + TOKEN]);
+                send(n, at, LeaseTransitions.ACT, s[at + TOKEN]);
                 to(LOG_ACT, m, 0, n);
             }
         }
@@ -454,7 +466,7 @@
                 n[at + STOPS_LEFT]--;
                 LeaseHolder holder = holder(n, m);
                 if (kind == STOP) {
-                    holder.stop();
+                    holder.release();
                 } else {
                     holder.transfer(0);
                 }
--- a/src/measure/java/calicostream/lease/LeaseScope.java
+++ b/src/measure/java/calicostream/lease/LeaseModelBounds.java
@@ -10,7 +10,7 @@
  * @param clocks for each start, the leaders' clock and then each member's: s slow, f fast, e exact,
  *     0 stands still
  */
-public record LeaseScope(
+public record LeaseModelBounds(
         String name,
         int members,
         int ttl,
@@ -27,60 +27,60 @@
      * A time to live of two ticks, two grants and one more for each that waits, no renewal, no
      * fault but time.
      */
-    public static LeaseScope of(String name, int members) {
-        return new LeaseScope(name, members, 8, 2, 0, 0, 0, 0, 0, 0, 0, List.of());
+    public static LeaseModelBounds of(String name, int members) {
+        return new LeaseModelBounds(name, members, 8, 2, 0, 0, 0, 0, 0, 0, 0, List.of());
     }
 
-    public LeaseScope tokens(int most) {
-        return new LeaseScope(
+    public LeaseModelBounds tokens(int most) {
+        return new LeaseModelBounds(
                 name, members, ttl, most, renewals, copies, changes, ends, acts, logActs, stops,
                 clocks);
     }
 
-    public LeaseScope renewals(int ofGrant) {
-        return new LeaseScope(
+    public LeaseModelBounds renewals(int ofGrant) {
+        return new LeaseModelBounds(
                 name, members, ttl, tokens, ofGrant, copies, changes, ends, acts, logActs, stops,
                 clocks);
     }
 
-    public LeaseScope copies(int most) {
-        return new LeaseScope(
+    public LeaseModelBounds copies(int most) {
+        return new LeaseModelBounds(
                 name, members, ttl, tokens, renewals, most, changes, ends, acts, logActs, stops,
                 clocks);
     }
 
-    public LeaseScope changes(int most) {
-        return new LeaseScope(
+    public LeaseModelBounds changes(int most) {
+        return new LeaseModelBounds(
                 name, members, ttl, tokens, renewals, copies, most, ends, acts, logActs, stops,
                 clocks);
     }
 
-    public LeaseScope ends(int most) {
-        return new LeaseScope(
+    public LeaseModelBounds ends(int most) {
+        return new LeaseModelBounds(
                 name, members, ttl, tokens, renewals, copies, changes, most, acts, logActs, stops,
                 clocks);
     }
 
-    public LeaseScope acts(int ofMember) {
-        return new LeaseScope(
+    public LeaseModelBounds acts(int ofMember) {
+        return new LeaseModelBounds(
                 name, members, ttl, tokens, renewals, copies, changes, ends, ofMember, logActs,
                 stops, clocks);
     }
 
-    public LeaseScope logActs(int ofMember) {
-        return new LeaseScope(
+    public LeaseModelBounds logActs(int ofMember) {
+        return new LeaseModelBounds(
                 name, members, ttl, tokens, renewals, copies, changes, ends, acts, ofMember, stops,
                 clocks);
     }
 
-    public LeaseScope stops(int ofMember) {
-        return new LeaseScope(
+    public LeaseModelBounds stops(int ofMember) {
+        return new LeaseModelBounds(
                 name, members, ttl, tokens, renewals, copies, changes, ends, acts, logActs,
                 ofMember, clocks);
     }
 
-    public LeaseScope clocks(String... each) {
-        return new LeaseScope(
+    public LeaseModelBounds clocks(String... each) {
+        return new LeaseModelBounds(
                 name,
                 members,
                 ttl,
--- a/src/measure/java/calicostream/lease/LeaseWorld.java
+++ b/src/measure/java/calicostream/lease/LeaseModelState.java
@@ -8,7 +8,7 @@
  * the leader's watch, the resource, and what the judge remembers. Every time is kept as a distance
  * from now by its owner's clock, so that states recur and there are finitely many of them.
  */
-final class LeaseWorld {
+final class LeaseModelState {
     static final long NOW =
             1_000_000; // What every clock shows when a class of the product is asked.
     static final int NUMBER = 10; // The number of a member's last command.
@@ -59,7 +59,7 @@
     static final int COPIES = 2;
     static final int COPY = 3;
 
-    private LeaseWorld() {}
+    private LeaseModelState() {}
 
     static int place(int m) {
         return ONCE + m * EACH;
@@ -81,15 +81,15 @@
 
     /** Whether the command that is out is the holder's own, and no act. */
     static boolean holderAsks(byte[] s, int at) {
-        return s[at + OUT] != 0 && s[at + OUT] != LeaseSteps.ACT;
+        return s[at + OUT] != 0 && s[at + OUT] != LeaseTransitions.ACT;
     }
 
-    static LeaseHolder holder(byte[] s, int m, Parts parts, String name, long ttl) {
+    static LeaseHolder holder(byte[] s, int m, LeaseComponents parts, String name, long ttl) {
         int at = place(m);
         return parts.holder(
                 name,
                 ttl,
-                new LeaseHolder.State(
+                new LeaseHolderState(
                         Phase.values()[s[at + PHASE]],
                         s[at + WANTED] != 0,
                         s[at + TOKEN],
@@ -105,24 +105,25 @@
     /** Keeps what the holder knows, and of its times only what can still matter. */
     static void keep(byte[] s, int m, LeaseHolder holder, long ttl) {
         int at = place(m);
-        LeaseHolder.State h = holder.state();
+        LeaseHolderState h = holder.state();
         s[at + PHASE] = (byte) h.phase().ordinal();
         s[at + WANTED] = (byte) (h.wanted() ? 1 : 0);
         s[at + TOKEN] = (byte) h.token();
-        s[at + DONE] = (byte) h.done();
-        s[at + ASKED_AGO] = (byte) (h.out() ? Math.min(ttl, NOW - h.askedAt()) : 0);
+        s[at + DONE] = (byte) h.lastEndedToken();
+        s[at + ASKED_AGO] = (byte) (h.requestPending() ? Math.min(ttl, NOW - h.requestedAt()) : 0);
         s[at + UNTIL_IN] =
                 (byte)
                         (h.phase() == Phase.HELD || h.phase() == Phase.IDLE
-                                ? Math.max(0, h.until() - NOW)
+                                ? Math.max(0, h.validUntil() - NOW)
                                 : 0);
         s[at + RENEW_IN] =
                 (byte)
-                        ((h.phase() == Phase.HELD || h.phase() == Phase.WAITING) && !h.out()
-                                ? Math.max(0, h.renewAt() - NOW)
+                        ((h.phase() == Phase.HELD || h.phase() == Phase.WAITING)
+                                        && !h.requestPending()
+                                ? Math.max(0, h.nextRequestAt() - NOW)
                                 : 0);
-        s[at + TO] = (byte) h.to();
-        if (!h.out() && holderAsks(s, at)) {
+        s[at + TO] = (byte) h.successor();
+        if (!h.requestPending() && holderAsks(s, at)) {
             s[at + OUT] = 0;
             s[at + OUT + 1] = 0;
         }
--- a/src/measure/java/calicostream/lease/LeaseProofs.java
+++ b/src/measure/java/calicostream/lease/LeaseProofs.java
@@ -12,40 +12,41 @@
 /** Which bounded models prove the leases, and in which of them the lack of each safeguard shows. */
 public final class LeaseProofs {
     /** Leaders that change while a lease runs out and is renewed. */
-    private static final LeaseScope LEADERS =
-            LeaseScope.of("leaders", 2).changes(2).renewals(1).clocks("fss", "sff", "eee");
+    private static final LeaseModelBounds LEADERS =
+            LeaseModelBounds.of("leaders", 2).changes(2).renewals(1).clocks("fss", "sff", "eee");
 
     /** Renewals that race with the leader's word. */
-    private static final LeaseScope RENEWALS =
-            LeaseScope.of("renewals", 2).renewals(2).clocks("fss");
+    private static final LeaseModelBounds RENEWALS =
+            LeaseModelBounds.of("renewals", 2).renewals(2).clocks("fss");
 
     /** A member that stops between its check and its act. */
-    private static final LeaseScope RESOURCE =
-            LeaseScope.of("resource", 2).acts(2).renewals(1).clocks("fss");
+    private static final LeaseModelBounds RESOURCE =
+            LeaseModelBounds.of("resource", 2).acts(2).renewals(1).clocks("fss");
 
     /** Commands that are doubled and repeated, acts by the log. */
-    private static final LeaseScope LOG =
-            LeaseScope.of("log", 2).copies(1).logActs(1).clocks("fss");
+    private static final LeaseModelBounds LOG =
+            LeaseModelBounds.of("log", 2).copies(1).logActs(1).clocks("fss");
 
     /** The two again, as small as the lack of a check shows. */
-    private static final LeaseScope FEW_ACTS = LeaseScope.of("few acts", 2).acts(1).clocks("eee");
+    private static final LeaseModelBounds FEW_ACTS =
+            LeaseModelBounds.of("few acts", 2).acts(1).clocks("eee");
 
-    private static final LeaseScope FEW_LOG_ACTS =
-            LeaseScope.of("few acts by the log", 2).logActs(1).clocks("eee");
+    private static final LeaseModelBounds FEW_LOG_ACTS =
+            LeaseModelBounds.of("few acts by the log", 2).logActs(1).clocks("eee");
 
     /** Planned stops, hand-overs, sessions that end. */
-    private static final LeaseScope STOPS =
-            LeaseScope.of("stops", 2).stops(1).ends(1).clocks("fss");
+    private static final LeaseModelBounds STOPS =
+            LeaseModelBounds.of("stops", 2).stops(1).ends(1).clocks("fss");
 
     /** Three members in the queue. */
-    private static final LeaseScope QUEUE = LeaseScope.of("queue", 3).clocks("fsss");
+    private static final LeaseModelBounds QUEUE = LeaseModelBounds.of("queue", 3).clocks("fsss");
 
     /**
      * A member's clock stands still and the leader's runs ahead: only the resource and the log are
      * left to refuse.
      */
-    private static final LeaseScope CLOCKS =
-            LeaseScope.of("clocks out of bound", 2).acts(2).logActs(1).clocks("f0s");
+    private static final LeaseModelBounds CLOCKS =
+            LeaseModelBounds.of("clocks out of bound", 2).acts(2).logActs(1).clocks("f0s");
 
     private static final VoterModel.Scope VOTERS = new VoterModel.Scope(3, 2, 2, 2);
     private static final VoterModel.Scope FEW_VOTERS = new VoterModel.Scope(2, 2, 1, 2);
@@ -73,7 +74,7 @@
         long acts = 0;
         long tokens = 0;
         for (long seed = firstSeed; seed < firstSeed + runs; seed++) {
-            LeaseRuns.Result result = LeaseRuns.run(seed, null);
+            RandomLeaseRun.Result result = RandomLeaseRun.run(seed, null);
             if (!result.broken().isEmpty()) {
                 broken.add("seed " + seed + " " + result.broken());
             }
@@ -82,7 +83,7 @@
             tokens += result.tokens();
             inFaults.addAll(result.handOvers());
             if (seed % 10 == 0) {
-                alone.addAll(LeaseRuns.kills(seed).handOvers());
+                alone.addAll(RandomLeaseRun.kills(seed).handOvers());
             }
         }
         return new Runs(broken, faults, acts, tokens, p99(alone), p99(inFaults));
--- a/src/measure/java/calicostream/lease/SimLeases.java
+++ b/src/measure/java/calicostream/lease/LeaseSimulation.java
@@ -24,7 +24,7 @@
  * believes it whose lease was granted on, and the resource took no act after one under a later
  * token.
  */
-public final class SimLeases implements SimulationExtension {
+public final class LeaseSimulation implements SimulationExtension {
     private static final long MILLI = 1_000_000;
     private static final long SHORT = 1000 * MILLI;
     private static final long LONG =
@@ -72,7 +72,7 @@
                                         new LeaseHolder(name, ttl, process.nanoTime()).state()));
                 holders.add(holder);
                 if (!resting && (plan != Plan.KILLS_OUTSIDE || id > world.members() - OUTSIDE)) {
-                    holder.want();
+                    holder.acquire();
                 }
             }
             act();
@@ -81,15 +81,15 @@
         /** Checks and acts, at the resource by a message that nothing holds back once it is out. */
         void act() {
             LeaseHolder holder = holders.get(world.random().nextInt(NAMES.length));
-            FencedActions acts = client.acts(holder);
+            FencedActions acts = client.fencedActions(holder);
             if (world.random().nextInt(4) == 0) {
-                FencedResource.FencedResult<LeaseCommand.Act> command =
-                        acts.inLog(new BinaryCodec.Writer().i64(++acted).toByteArray());
-                if (command.isDone()) {
+                FencedResource.FencedResult<LeaseCommand.FencedAction> command =
+                        acts.createLogCommand(new BinaryCodec.Writer().i64(++acted).toByteArray());
+                if (command.isCompleted()) {
                     session.submit(MACHINE, command.result().encode(), outcome -> {});
                 }
             } else {
-                acts.at(
+                acts.executeAt(
                         (lease, token, payload) -> {
                             boolean held = world.random().nextInt(40) == 0;
                             long late =
@@ -99,7 +99,7 @@
                                             : 0;
                             world.schedule(
                                     world.nowNanos() + MILLI + late, () -> resource(lease, token));
-                            return FencedResource.FencedResult.done(null);
+                            return FencedResource.FencedResult.completed(null);
                         },
                         null);
             }
@@ -113,17 +113,17 @@
                     && new LeaseHolder(
                                     holder.name(),
                                     ttl(holder.name()),
-                                    ClockDriftBound.BOUND,
+                                    ClockDriftBound.STANDARD,
                                     holder.state())
                             .mayAct(process.nanoTime());
         }
     }
 
-    private final Parts parts;
+    private final LeaseComponents parts;
     private final Plan plan;
     private final boolean told;
     private final Map<Integer, Member> members = new TreeMap<>();
-    private final LeaseBook book = new LeaseBook();
+    private final LeaseHistoryChecker book = new LeaseHistoryChecker();
     private final FencingTokenGuard fence;
     private final Map<String, Long> atResource = new HashMap<>();
     private final Map<Integer, Long> killed = new HashMap<>();
@@ -140,10 +140,10 @@
      * @param without the safeguard taken out; null: none; @param told whether members without a
      *     copy are told of grants
      */
-    public SimLeases(Plan plan, Mutant without, boolean told) {
+    public LeaseSimulation(Plan plan, Mutant without, boolean told) {
         this.plan = plan;
         this.told = told;
-        parts = new Parts(without, LeaseLimits.STANDARD, ClockDriftBound.BOUND);
+        parts = new LeaseComponents(without, LeaseLimits.STANDARD, ClockDriftBound.STANDARD);
         fence = parts.fence(NAMES[0], 0);
     }
 
@@ -177,7 +177,7 @@
 
     @Override
     public Map<String, ReplicatedPart> parts(int member) {
-        LeaseMachine machine = parts.machine(null);
+        LeaseStateMachine machine = parts.machine(null);
         StateMachine watched =
                 new StateMachine() {
                     @Override
@@ -235,14 +235,14 @@
     @Override
     public void stateChanged(int member, ReplicatedState.StateChange news) {
         if (news.machine().equals(MACHINE) && members.containsKey(member)) {
-            members.get(member).client.news(LeaseEvent.decode(news.event()));
+            members.get(member).client.onEvent(LeaseEvent.decode(news.event()));
         }
     }
 
     @Override
     public void stopLoad() {
         resting = true;
-        members.values().forEach(each -> each.holders.forEach(LeaseHolder::stop));
+        members.values().forEach(each -> each.holders.forEach(LeaseHolder::release));
     }
 
     // ---- Faults
@@ -300,7 +300,7 @@
                 wantAgain(holding, holder);
             }
             default -> {
-                holder.stop();
+                holder.release();
                 wantAgain(holding, holder);
             }
         }
@@ -311,7 +311,7 @@
                 world.nowNanos() + world.random().nextInt(500) * MILLI,
                 () -> {
                     if (!resting && members.get(member.id) == member) {
-                        holder.want();
+                        holder.acquire();
                     }
                 });
     }
@@ -335,7 +335,7 @@
                                                         + granted.name()
                                                         + " when it is granted under token "
                                                         + granted.token()));
-            } else if (LeaseEvent.decode(each) instanceof LeaseEvent.Acted act) {
+            } else if (LeaseEvent.decode(each) instanceof LeaseEvent.ActionPerformed act) {
                 did(act.name(), act.token());
             }
         }
--- a/src/measure/java/calicostream/lease/LeaseSteps.java
+++ b/src/measure/java/calicostream/lease/LeaseTransitions.java
@@ -14,7 +14,7 @@
  * command does to it is asked of the product's own class once and remembered. Every step goes
  * through a snapshot and a restore.
  */
-final class LeaseSteps {
+final class LeaseTransitions {
     static final String NAME = "task";
 
     /** Kinds of commands under way. */
@@ -44,26 +44,26 @@
      */
     record Step(int next, byte answer, byte answerToken, byte granted, byte to, byte acted) {}
 
-    private final Parts parts;
+    private final LeaseComponents parts;
     private final long ttl;
     private final List<byte[]> snapshots = new ArrayList<>();
-    private final List<LeaseMachine> machines = new ArrayList<>();
+    private final List<LeaseStateMachine> machines = new ArrayList<>();
     private final Map<String, Integer> numbers = new HashMap<>();
     private final Map<Long, Step> steps = new HashMap<>();
 
-    LeaseSteps(Parts parts, long ttl) {
+    LeaseTransitions(LeaseComponents parts, long ttl) {
         this.parts = parts;
         this.ttl = ttl;
         number(parts.machine(null));
     }
 
     /** To be read only. */
-    LeaseMachine machine(int id) {
+    LeaseStateMachine machine(int id) {
         return machines.get(id);
     }
 
     int renewals(int id) {
-        List<LeaseMachine.View> held = machines.get(id).held();
+        List<LeaseStateMachine.HeldLease> held = machines.get(id).heldLeases();
         return held.isEmpty() ? 0 : (int) held.get(0).renewals();
     }
 
@@ -78,7 +78,7 @@
     }
 
     private Step take(int id, int session, byte kind, byte token, byte more) {
-        LeaseMachine machine = parts.machine(snapshots.get(id));
+        LeaseStateMachine machine = parts.machine(snapshots.get(id));
         CommandEffects effects =
                 kind == END_OF_SESSION
                         ? machine.sessionEnded(1, session)
@@ -97,7 +97,7 @@
             if (event instanceof LeaseEvent.Granted g) {
                 granted = (byte) g.token();
                 to = (byte) g.session();
-            } else if (event instanceof LeaseEvent.Acted a) {
+            } else if (event instanceof LeaseEvent.ActionPerformed a) {
                 acted = (byte) a.token();
             }
         }
@@ -106,21 +106,21 @@
         if (!effects.isAccepted()) {
             LeaseRejection why = LeaseRejection.decode(effects.rejectionCode(), effects.response());
             answer =
-                    why instanceof LeaseRejection.AlreadyHolds
+                    why instanceof LeaseRejection.AlreadyHeld
                             ? ALREADY_HOLDS
-                            : why instanceof LeaseRejection.AlreadyWaits
+                            : why instanceof LeaseRejection.AlreadyQueued
                                     ? ALREADY_WAITS
                                     : why instanceof LeaseRejection.NoSuccessor
                                             ? NO_SUCCESSOR
                                             : REFUSED;
-            answerToken = why instanceof LeaseRejection.AlreadyHolds held ? (byte) held.token() : 0;
+            answerToken = why instanceof LeaseRejection.AlreadyHeld held ? (byte) held.token() : 0;
         } else if (kind != END_OF_SESSION) {
             LeaseAnswer said = LeaseAnswer.decode(effects.response());
             answer =
-                    said instanceof LeaseAnswer.Holds
+                    said instanceof LeaseAnswer.Held
                             ? HOLDS
-                            : said instanceof LeaseAnswer.Waits ? WAITS : DONE;
-            answerToken = said instanceof LeaseAnswer.Holds held ? (byte) held.token() : 0;
+                            : said instanceof LeaseAnswer.Queued ? WAITS : DONE;
+            answerToken = said instanceof LeaseAnswer.Held held ? (byte) held.token() : 0;
         }
         return new Step(number(machine), answer, answerToken, granted, to, acted);
     }
@@ -132,7 +132,7 @@
             case RELEASE -> new LeaseCommand.Release(NAME, token);
             case WITHDRAW -> new LeaseCommand.Withdraw(NAME);
             case TRANSFER -> new LeaseCommand.Transfer(NAME, token, 0);
-            case ACT -> new LeaseCommand.Act(NAME, token, new byte[] {more});
+            case ACT -> new LeaseCommand.FencedAction(NAME, token, new byte[] {more});
             case EXPIRE -> new LeaseCommand.Expire(NAME, token, more);
             default -> throw new IllegalArgumentException("no command has the kind " + kind);
         };
@@ -159,23 +159,23 @@
 
     /** Tells a holder an answer as its class takes it. */
     static void tell(LeaseHolder holder, byte answer, byte token) {
-        long now = LeaseWorld.NOW;
-        int number = LeaseWorld.NUMBER;
+        long now = LeaseModelState.NOW;
+        int number = LeaseModelState.NUMBER;
         switch (answer) {
-            case HOLDS -> holder.answered(now, number, new LeaseAnswer.Holds(token));
-            case WAITS -> holder.answered(now, number, new LeaseAnswer.Waits(1));
-            case DONE -> holder.answered(now, number, new LeaseAnswer.Done());
+            case HOLDS -> holder.onAnswer(now, number, new LeaseAnswer.Held(token));
+            case WAITS -> holder.onAnswer(now, number, new LeaseAnswer.Queued(1));
+            case DONE -> holder.onAnswer(now, number, new LeaseAnswer.Done());
             case ALREADY_HOLDS ->
-                    holder.refused(now, number, new LeaseRejection.AlreadyHolds(NAME, token));
+                    holder.onRejected(now, number, new LeaseRejection.AlreadyHeld(NAME, token));
             case ALREADY_WAITS ->
-                    holder.refused(now, number, new LeaseRejection.AlreadyWaits(NAME, 1));
+                    holder.onRejected(now, number, new LeaseRejection.AlreadyQueued(NAME, 1));
             case NO_SUCCESSOR ->
-                    holder.refused(now, number, new LeaseRejection.NoSuccessor(NAME, 0));
-            default -> holder.refused(now, number, new LeaseRejection.NotHolder(NAME, token, 0));
+                    holder.onRejected(now, number, new LeaseRejection.NoSuccessor(NAME, 0));
+            default -> holder.onRejected(now, number, new LeaseRejection.NotHolder(NAME, token, 0));
         }
     }
 
-    private int number(LeaseMachine machine) {
+    private int number(LeaseStateMachine machine) {
         byte[] snapshot = machine.snapshot();
         return numbers.computeIfAbsent(
                 Arrays.toString(snapshot),
--- a/src/measure/java/calicostream/lease/TaskProcesses.java
+++ b/src/measure/java/calicostream/lease/LeasedTaskProcesses.java
@@ -13,7 +13,7 @@
  * Processes with one task, on one log that answers at once, or not at all; in virtual time
  * (nanoseconds). One thread.
  */
-final class TaskProcesses {
+final class LeasedTaskProcesses {
     private static final long MILLI = 1_000_000;
     private static final long TTL = 2_000 * MILLI;
     private static final String NAME = "divide";
@@ -48,7 +48,7 @@
                         }
 
                         @Override
-                        public void started(FencedActions acts) {
+                        public void onStarted(FencedActions acts) {
                             calls.add("started");
                         }
 
@@ -59,7 +59,7 @@
                                 throwsNext = false;
                                 throw new IllegalStateException("broken on purpose");
                             }
-                            acts.tell(
+                            acts.submit(
                                             new byte[] {7},
                                             outcome -> acted += outcome.isAccepted() ? 1 : 0)
                                     .ifPresent(
@@ -71,12 +71,12 @@
                         }
 
                         @Override
-                        public void stopped() {
+                        public void onStopped() {
                             calls.add("stopped");
                         }
 
                         @Override
-                        public void heard(long token, byte[] payload, long nowNanos) {
+                        public void onAction(long token, byte[] payload, long nowNanos) {
                             calls.add("heard " + payload[0]);
                         }
                     },
@@ -104,7 +104,7 @@
                         if (news.machine().equals("lease")) {
                             processes.stream()
                                     .filter(each -> !each.isCut)
-                                    .forEach(each -> each.tasks.news(news.event()));
+                                    .forEach(each -> each.tasks.onEvent(news.event()));
                         }
                     }
                 }
@@ -112,14 +112,14 @@
         }
     }
 
-    private final LeaseMachine machine = new LeaseMachine();
+    private final LeaseStateMachine machine = new LeaseStateMachine();
     private final LeaseExpiryMonitor watch = new LeaseExpiryMonitor(machine, 50 * MILLI);
     private final ReplicatedState state = new ReplicatedState(Map.of("lease", machine));
     private final List<Process> processes = new ArrayList<>();
     private long now = 1_000 * MILLI;
     private long index;
 
-    TaskProcesses(int size) {
+    LeasedTaskProcesses(int size) {
         state.apply(++index, new ReplicatedEntry.EpochStart(1, 5).encode());
         for (int member = 1; member <= size; member++) {
             processes.add(new Process(member));
--- a/src/measure/java/calicostream/lease/LeaseRuns.java
+++ b/src/measure/java/calicostream/lease/RandomLeaseRun.java
@@ -15,12 +15,12 @@
 import java.util.stream.IntStream;
 
 /**
- * Members with their sessions, holders and acts, a {@link VirtualLog} and a resource in virtual
+ * Members with their sessions, holders and acts, a {@link SimulatedLog} and a resource in virtual
  * time, from one seed. Links lose, double and delay; processes stop for up to three times to live
  * and go on, or start anew; clocks drift by 500 ppm; leaders change; quorums are lost. What is done
  * is judged where it is done.
  */
-final class LeaseRuns {
+final class RandomLeaseRun {
     private static final long MS = 1_000_000;
     private static final long TTL = 1000 * MS;
     private static final long FAULTS_END = 20_000 * MS;
@@ -91,8 +91,8 @@
                                     TASK,
                                     TTL,
                                     new LeaseHolder(TASK, TTL, process.nanos()).state()));
-            acts = client.acts(holder);
-            holder.want();
+            acts = client.fencedActions(holder);
+            holder.acquire();
             tick();
             act();
         }
@@ -139,15 +139,16 @@
         void act() {
             if (random.nextInt(3) == 0) {
                 byte[] number = new BinaryCodec.Writer().i64(++acted).toByteArray();
-                FencedResource.FencedResult<LeaseCommand.Act> command = acts.inLog(number);
-                if (command.isDone()) {
+                FencedResource.FencedResult<LeaseCommand.FencedAction> command =
+                        acts.createLogCommand(number);
+                if (command.isCompleted()) {
                     session.submit("lease", command.result().encode(), outcome -> {});
                 }
             } else {
-                acts.at(
+                acts.executeAt(
                         (lease, token, payload) -> {
                             link(0, () -> resource(this, token));
-                            return FencedResource.FencedResult.done(null);
+                            return FencedResource.FencedResult.completed(null);
                         },
                         null);
             }
@@ -156,7 +157,7 @@
     }
 
     final Random random;
-    private final Parts parts;
+    private final LeaseComponents parts;
     private final boolean killsAlone;
     private final int sessionMillis;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
@@ -164,7 +165,7 @@
     private final List<Member> members = new ArrayList<>();
     private final Set<Long> done = new HashSet<>();
     private final List<Double> handOvers = new ArrayList<>();
-    private final VirtualLog log;
+    private final SimulatedLog log;
     private final FencingTokenGuard fence;
     private long now;
     private long order;
@@ -181,27 +182,28 @@
     private long lostToken;
     private String broken = "";
 
-    private LeaseRuns(long seed, Mutant without, boolean killsAlone) {
+    private RandomLeaseRun(long seed, Mutant without, boolean killsAlone) {
         random = new Random(seed);
         this.killsAlone = killsAlone;
         sessionMillis = killsAlone ? 1500 : 400 + random.nextInt(1400);
-        parts = new Parts(without, LeaseLimits.STANDARD, ClockDriftBound.BOUND);
+        parts = new LeaseComponents(without, LeaseLimits.STANDARD, ClockDriftBound.STANDARD);
         fence = parts.fence(TASK, 0);
-        IntStream.range(0, VirtualLog.VOTERS).forEach(i -> voters.add(new Process()));
-        log = new VirtualLog(this, parts, this::news);
-        IntStream.rangeClosed(1, 4).forEach(id -> members.add(new Member(id + VirtualLog.VOTERS)));
+        IntStream.range(0, SimulatedLog.VOTERS).forEach(i -> voters.add(new Process()));
+        log = new SimulatedLog(this, parts, this::news);
+        IntStream.rangeClosed(1, 4)
+                .forEach(id -> members.add(new Member(id + SimulatedLog.VOTERS)));
     }
 
     /**
      * @param without the safeguard taken out; null: none
      */
     static Result run(long seed, Mutant without) {
-        return new LeaseRuns(seed, without, false).run();
+        return new RandomLeaseRun(seed, without, false).run();
     }
 
     /** Holders are killed and nothing else goes wrong: what a hand-over takes. */
     static Result kills(long seed) {
-        return new LeaseRuns(seed, null, true).run();
+        return new RandomLeaseRun(seed, null, true).run();
     }
 
     Process process(int voter) {
@@ -270,7 +272,7 @@
         faults++;
         Member member = members.get(random.nextInt(members.size()));
         Member holding = members.stream().filter(each -> mayAct(each)).findFirst().orElse(member);
-        Process voter = voters.get(random.nextInt(VirtualLog.VOTERS));
+        Process voter = voters.get(random.nextInt(SimulatedLog.VOTERS));
         long lasts = random.nextInt(3000) * MS;
         switch (killsAlone ? 2 : random.nextInt(11)) {
             case 0 -> stop(holding, lasts);
@@ -280,18 +282,18 @@
                 holding.start();
             }
             case 3 -> {
-                member.holder.stop();
-                after(lasts, member.holder::want);
+                member.holder.release();
+                after(lasts, member.holder::acquire);
             }
             case 4 -> {
                 holding.holder.transfer(0);
-                after(lasts, holding.holder::want);
+                after(lasts, holding.holder::acquire);
             }
-            case 5 -> log.change(1 + random.nextInt(VirtualLog.VOTERS));
+            case 5 -> log.change(1 + random.nextInt(SimulatedLog.VOTERS));
             case 6 -> {
                 voter.stoppedUntil = now + lasts;
                 if (process(log.leader()) == voter) {
-                    after(300 * MS, () -> log.change(1 + log.leader() % VirtualLog.VOTERS));
+                    after(300 * MS, () -> log.change(1 + log.leader() % SimulatedLog.VOTERS));
                 }
             }
             case 7 -> {
@@ -339,7 +341,7 @@
     // ------------------------------------------------------------------------------------
     private boolean mayAct(Member member) {
         return member.holder.phase() == LeaseHolder.Phase.HELD
-                && new LeaseHolder(TASK, TTL, ClockDriftBound.BOUND, member.holder.state())
+                && new LeaseHolder(TASK, TTL, ClockDriftBound.STANDARD, member.holder.state())
                         .mayAct(member.process.nanos()); // A copy: asking must not tell it.
     }
 
@@ -391,8 +393,8 @@
                     each ->
                             link(
                                     each.id,
-                                    () -> each.process.after(1, () -> each.client.news(event))));
-        } else if (event instanceof LeaseEvent.Acted act) {
+                                    () -> each.process.after(1, () -> each.client.onEvent(event))));
+        } else if (event instanceof LeaseEvent.ActionPerformed act) {
             long number = new BinaryCodec.Reader("act", act.payload()).i64();
             if (!done.add(number)) {
                 broken = "act " + number + " is done twice by the log";
--- a/src/measure/java/calicostream/lease/VirtualLog.java
+++ b/src/measure/java/calicostream/lease/SimulatedLog.java
@@ -18,17 +18,17 @@
  * consensus alone; sessions, eras, the leases' machine and what the leader counts are the product's
  * own. Before a new era the copy goes through a snapshot.
  */
-final class VirtualLog {
+final class SimulatedLog {
     static final int VOTERS = 3;
     private static final long PERIOD = 20_000_000;
 
     private record Proposal(byte[] entry, Consumer<CommandOutcome> done) {}
 
-    private final LeaseRuns runs;
-    private final Parts parts;
+    private final RandomLeaseRun runs;
+    private final LeaseComponents parts;
     private final Consumer<ReplicatedState.StateChange> heard;
     private final List<Proposal> proposed = new ArrayList<>();
-    private LeaseMachine machine;
+    private LeaseStateMachine machine;
     private ReplicatedState state;
     private LeaseExpiryMonitor watch;
     private SessionExpiryMonitor keeper;
@@ -37,7 +37,10 @@
     private boolean quorum = true;
     private int changes;
 
-    VirtualLog(LeaseRuns runs, Parts parts, Consumer<ReplicatedState.StateChange> heard) {
+    SimulatedLog(
+            RandomLeaseRun runs,
+            LeaseComponents parts,
+            Consumer<ReplicatedState.StateChange> heard) {
         this.runs = runs;
         this.parts = parts;
         this.heard = heard;
@@ -51,7 +54,7 @@
         return leader;
     }
 
-    LeaseMachine machine() {
+    LeaseStateMachine machine() {
         return machine;
     }
 
--- a/src/measure/java/calicostream/lease/VoterModel.java
+++ b/src/measure/java/calicostream/lease/VoterModel.java
@@ -60,13 +60,13 @@
     };
 
     private final Scope scope;
-    private final Parts parts;
+    private final LeaseComponents parts;
     private final int each;
     private final Map<String, byte[]> given = new HashMap<>();
 
     public VoterModel(Scope scope, Mutant without) {
         this.scope = scope;
-        parts = new Parts(without, LeaseLimits.STANDARD, ClockDriftBound.BOUND);
+        parts = new LeaseComponents(without, LeaseLimits.STANDARD, ClockDriftBound.STANDARD);
         each = LOG + scope.entries;
     }
 
@@ -226,7 +226,7 @@
         return given.computeIfAbsent(
                 key.toString(),
                 commands -> {
-                    LeaseMachine machine = parts.machine(null);
+                    LeaseStateMachine machine = parts.machine(null);
                     byte[] tokens = new byte[TOKENS];
                     for (int i = 0; i < commands.length(); i++) {
                         int command = commands.charAt(i);
--- a/src/measure/java/calicostream/rig/ResourceStand.java
+++ b/src/measure/java/calicostream/rig/ResourceStand.java
@@ -121,7 +121,7 @@
         long now = System.nanoTime();
         history.add(new History.Act(lease, token, who, number, now, done));
         last = done ? now : last;
-        return done ? "DONE" : "REFUSED " + fence.highest(lease);
+        return done ? "DONE" : "REFUSED " + fence.highestToken(lease);
     }
 
     @Override
--- a/src/measure/java/calicostream/rig/RigTasks.java
+++ b/src/measure/java/calicostream/rig/RigTasks.java
@@ -54,7 +54,7 @@
             if (!begun || nowNanos - nextAt >= 0) {
                 begun = true;
                 nextAt = nowNanos + EVERY_NANOS;
-                acts.at(resource, ++number);
+                acts.executeAt(resource, ++number);
             }
         }
     }
@@ -75,7 +75,7 @@
         }
 
         @Override
-        public FencedResult<String> act(String lease, long token, Long number) {
+        public FencedResult<String> execute(String lease, long token, Long number) {
             String words = lease + " " + token + " " + who + " " + number;
             try {
                 if (socket == null) {
@@ -90,8 +90,8 @@
                 // stops the process.
                 String answer = call("ACT " + words);
                 return answer.equals("DONE")
-                        ? FencedResult.done(answer)
-                        : FencedResult.refused(
+                        ? FencedResult.completed(answer)
+                        : FencedResult.rejected(
                                 new LeaseRejection.TokenOutdated(
                                         lease, token, Long.parseLong(answer.split(" ")[1])));
             } catch (IOException e) {
--- a/src/test/java/calicostream/cluster/sim/LeaseSimulationTest.java
+++ b/src/test/java/calicostream/cluster/sim/LeaseSimulationTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicostream.lease.SimLeases;
+import calicostream.lease.LeaseSimulation;
 import calicostream.prove.Mutant;
 import java.util.ArrayList;
 import java.util.List;
@@ -32,7 +32,7 @@
                         .mapToObj(
                                 seed ->
                                         LeaseSimulationMain.run(
-                                                seed, SimLeases.Plan.ALL, null, true))
+                                                seed, LeaseSimulation.Plan.ALL, null, true))
                         .toList();
         runs.forEach(
                 run -> assertEquals("", run.result().failure(), "seed " + run.result().seed()));
@@ -66,7 +66,7 @@
                 .mapToObj(
                         seed ->
                                 LeaseSimulationMain.run(
-                                        seed, SimLeases.Plan.KILLS_OUTSIDE, null, notified))
+                                        seed, LeaseSimulation.Plan.KILLS_OUTSIDE, null, notified))
                 .toList()
                 .forEach(
                         run -> {
@@ -92,7 +92,10 @@
                         .anyMatch(
                                 each ->
                                         !LeaseSimulationMain.run(
-                                                        each, SimLeases.Plan.ALL, without, true)
+                                                        each,
+                                                        LeaseSimulation.Plan.ALL,
+                                                        without,
+                                                        true)
                                                 .result()
                                                 .failure()
                                                 .isEmpty()),
--- a/src/test/java/calicostream/lease/TrialsFleetTest.java
+++ b/src/test/java/calicostream/lease/EjectionHintsFleetTest.java
@@ -1,26 +1,26 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.lease;
 
-import static calicostream.lease.TrialsFleet.MILLI;
-import static calicostream.lease.TrialsFleet.SIZE;
+import static calicostream.lease.EjectionHintsFleet.MILLI;
+import static calicostream.lease.EjectionHintsFleet.SIZE;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
 
 /** What hints spare a fleet, and that it does without them. */
-class TrialsFleetTest {
-    private static long lastBack(TrialsFleet fleet) {
+class EjectionHintsFleetTest {
+    private static long lastBack(EjectionHintsFleet fleet) {
         return fleet.backAfter.stream().mapToLong(each -> each).max().orElseThrow() / MILLI;
     }
 
     @Test
     void oneTriesForAllAndWhoHearsNothingTriesForItself() {
-        TrialsFleet alone = TrialsFleet.of(-1, 0);
-        TrialsFleet led = TrialsFleet.of(4, TrialsFleet.END);
-        TrialsFleet left = TrialsFleet.of(4, 30_000 * MILLI);
+        EjectionHintsFleet alone = EjectionHintsFleet.of(-1, 0);
+        EjectionHintsFleet led = EjectionHintsFleet.of(4, EjectionHintsFleet.END);
+        EjectionHintsFleet left = EjectionHintsFleet.of(4, 30_000 * MILLI);
         System.out.println(
                 "seed "
-                        + TrialsFleet.SEED
+                        + EjectionHintsFleet.SEED
                         + ": sent to the engine that is down "
                         + alone.trialsMade
                         + " alone, "
--- a/src/test/java/calicostream/lease/TrialsTest.java
+++ b/src/test/java/calicostream/lease/EjectionHintsTest.java
@@ -16,12 +16,12 @@
 /**
  * One process tells of its trials; the others hear of it, each thing once, and go on without it.
  */
-class TrialsTest {
+class EjectionHintsTest {
     private static final long SEED = 25;
 
-    private final TrialsPair pair = new TrialsPair();
-    private final TrialsPair.Process holder = pair.holder;
-    private final TrialsPair.Process other = pair.other;
+    private final EjectionHintsPair pair = new EjectionHintsPair();
+    private final EjectionHintsPair.Process holder = pair.holder;
+    private final EjectionHintsPair.Process other = pair.other;
     private final List<byte[]> words = pair.words;
 
     @Test
@@ -37,16 +37,19 @@
         pair.pass(10_000);
         assertEquals("3 served", other.hinted.get(other.hinted.size() - 1));
         assertEquals(1, other.hinted.stream().filter("3 served"::equals).count());
-        assertEquals(3 + EjectionHints.SAYINGS, words.size());
+        assertEquals(3 + EjectionHints.REINSTATEMENT_PUBLICATIONS, words.size());
         Hint hint = other.trials.hints(pair.now).get(3L);
-        assertTrue(hint.served() && hint.ageNanos() >= 9_000 * TrialsPair.MILLI, hint.toString());
+        assertTrue(
+                hint.served() && hint.ageNanos() >= 9_000 * EjectionHintsPair.MILLI,
+                hint.toString());
         holder.out.add(3L);
         pair.pass(200);
         holder.out.remove(3L);
         pair.pass(2_000);
         assertEquals(2, other.hinted.stream().filter("3 served"::equals).count());
         assertTrue(
-                other.trials.figures().contains("\"3\":{\"served\":true"), other.trials.figures());
+                other.trials.statusJson().contains("\"3\":{\"served\":true"),
+                other.trials.statusJson());
     }
 
     @Test
@@ -71,11 +74,11 @@
         holder.out.remove(3L);
         pair.pass(300);
         assertEquals(List.of("3 out", "3 served"), other.hinted);
-        other.trials.heard(4, words.get(0), pair.now);
-        other.trials.heard(3, words.get(words.size() - 1), pair.now);
+        other.trials.onAction(4, words.get(0), pair.now);
+        other.trials.onAction(3, words.get(words.size() - 1), pair.now);
         assertEquals(List.of("3 out", "3 served"), other.hinted);
         // The next holder's numbers begin again under its greater token.
-        other.trials.heard(5, words.get(0), pair.now);
+        other.trials.onAction(5, words.get(0), pair.now);
         assertEquals(List.of("3 out", "3 served", "3 out"), other.hinted);
     }
 
@@ -83,7 +86,7 @@
     void wordsAreBoundedAndWhatIsNoWordChangesNothing() {
         Random random = new Random(SEED);
         pair.hold();
-        for (long id = 10; id < 3 * EjectionHints.MOST; id++) {
+        for (long id = 10; id < 3 * EjectionHints.MAX_ENGINES; id++) {
             holder.listed.add(id);
             holder.out.add(id);
         }
@@ -94,9 +97,9 @@
                 words.stream()
                         .allMatch(
                                 word ->
-                                        word.length <= LeaseLimits.PAYLOAD
+                                        word.length <= LeaseLimits.MAX_PAYLOAD_BYTES
                                                 && new BinaryCodec.Reader("word", word).u8() == 1));
-        assertTrue(other.trials.hints(pair.now).size() <= EjectionHints.MOST);
+        assertTrue(other.trials.hints(pair.now).size() <= EjectionHints.MAX_ENGINES);
         Map<Long, Hint> before = other.trials.hints(pair.now);
         int hinted = other.hinted.size();
         byte[] right = words.get(0);
@@ -104,7 +107,7 @@
             byte[] cut = java.util.Arrays.copyOf(right, random.nextInt(right.length));
             assertThrows(
                     ClusterException.Malformed.class,
-                    () -> other.trials.heard(9, cut, pair.now),
+                    () -> other.trials.onAction(9, cut, pair.now),
                     "seed " + SEED);
         }
         assertEquals(before, other.trials.hints(pair.now));
--- a/src/test/java/calicostream/lease/ProofsTest.java
+++ b/src/test/java/calicostream/lease/LeaseProofsTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** A bounded part of {@code make prove-lease}. */
-class ProofsTest {
+class LeaseProofsTest {
     private static final long STATES = 40_000;
     private static final long MOST = 1_000_000;
 
--- a/src/test/java/calicostream/lease/LeaseMachineTest.java
+++ b/src/test/java/calicostream/lease/LeaseStateMachineTest.java
@@ -22,10 +22,10 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** The machine's rules one by one; random lives and the model checker are elsewhere. */
-class LeaseMachineTest {
+class LeaseStateMachineTest {
     private static final long S = 1_000_000_000;
     private static final String TASK = "arbiter";
-    private final LeaseMachine machine = new LeaseMachine();
+    private final LeaseStateMachine machine = new LeaseStateMachine();
     private long index;
 
     private CommandEffects say(long session, LeaseCommand command) {
@@ -53,27 +53,27 @@
 
     @Test
     void whoComesFirstHoldsAndTheOthersFollowInTheirOrder() {
-        assertEquals(new LeaseAnswer.Holds(1), acquire(7));
-        assertEquals(new LeaseAnswer.Waits(1), acquire(8));
-        assertEquals(new LeaseAnswer.Waits(2), acquire(9));
+        assertEquals(new LeaseAnswer.Held(1), acquire(7));
+        assertEquals(new LeaseAnswer.Queued(1), acquire(8));
+        assertEquals(new LeaseAnswer.Queued(2), acquire(9));
         assertEquals(
-                new LeaseRejection.AlreadyWaits(TASK, 2),
+                new LeaseRejection.AlreadyQueued(TASK, 2),
                 refusal(say(9, new LeaseCommand.Acquire(TASK, S, true))));
         assertEquals(
-                new LeaseRejection.AlreadyHolds(TASK, 1),
+                new LeaseRejection.AlreadyHeld(TASK, 1),
                 refusal(say(7, new LeaseCommand.Acquire(TASK, S, true))));
         assertEquals(
-                new LeaseRejection.IsHeld(TASK, 1),
+                new LeaseRejection.HeldByOther(TASK, 1),
                 refusal(say(3, new LeaseCommand.Acquire(TASK, S, false))));
         assertEquals(
                 List.of(
-                        new LeaseEvent.Freed(TASK, 1, LeaseEvent.Why.RELEASED),
+                        new LeaseEvent.Ended(TASK, 1, LeaseEvent.EndReason.RELEASED),
                         new LeaseEvent.Granted(TASK, 2, 8)),
                 events(say(7, new LeaseCommand.Release(TASK, 1))));
         acquire(7);
         ask(8, new LeaseCommand.Release(TASK, 2));
         assertTrue(
-                machine.isHolder(TASK, 3) && machine.held().get(0).session() == 9,
+                machine.isHolder(TASK, 3) && machine.heldLeases().get(0).session() == 9,
                 "who comes back goes to the end");
     }
 
@@ -87,7 +87,7 @@
                         new LeaseCommand.Renew(TASK, 1),
                         new LeaseCommand.Release(TASK, 1),
                         new LeaseCommand.Transfer(TASK, 1, 0),
-                        new LeaseCommand.Act(TASK, 1, new byte[3]))) {
+                        new LeaseCommand.FencedAction(TASK, 1, new byte[3]))) {
             assertEquals(new LeaseRejection.NotHolder(TASK, 1, 2), refusal(say(7, each)));
         }
         assertEquals(
@@ -95,8 +95,9 @@
                 refusal(say(7, new LeaseCommand.Renew(TASK, 2))),
                 "another's token");
         byte[] payload = {5, 6};
-        LeaseEvent.Acted acted =
-                (LeaseEvent.Acted) events(say(8, new LeaseCommand.Act(TASK, 2, payload))).get(0);
+        LeaseEvent.ActionPerformed acted =
+                (LeaseEvent.ActionPerformed)
+                        events(say(8, new LeaseCommand.FencedAction(TASK, 2, payload))).get(0);
         assertArrayEquals(payload, acted.payload());
     }
 
@@ -105,18 +106,18 @@
         acquire(7);
         ask(7, new LeaseCommand.Renew(TASK, 1));
         assertEquals(
-                new LeaseRejection.RenewedMeanwhile(TASK, 1, 1),
+                new LeaseRejection.RenewedConcurrently(TASK, 1, 1),
                 refusal(say(0, new LeaseCommand.Expire(TASK, 1, 0))));
         assertInstanceOf(
-                LeaseRejection.NotItsToSay.class,
+                LeaseRejection.SenderNotPermitted.class,
                 refusal(say(8, new LeaseCommand.Expire(TASK, 1, 1))));
         assertInstanceOf(
-                LeaseRejection.NotItsToSay.class,
+                LeaseRejection.SenderNotPermitted.class,
                 refusal(say(0, new LeaseCommand.Acquire(TASK, S, true))));
         ask(0, new LeaseCommand.Expire(TASK, 1, 1));
-        assertEquals(List.of(), machine.held());
+        assertEquals(List.of(), machine.heldLeases());
         assertEquals(
-                new LeaseAnswer.Holds(2),
+                new LeaseAnswer.Held(2),
                 acquire(7),
                 "a forgotten lease's token is not given again");
     }
@@ -133,7 +134,7 @@
                 new LeaseRejection.SessionEnded(TASK, 1),
                 refusal(say(7, new LeaseCommand.Renew(TASK, 1))));
         ask(0, new LeaseCommand.Expire(TASK, 1, 0));
-        assertEquals(9, machine.held().get(0).session());
+        assertEquals(9, machine.heldLeases().get(0).session());
     }
 
     @Test
@@ -148,18 +149,18 @@
                 new LeaseRejection.NoSuccessor(TASK, 5),
                 refusal(say(7, new LeaseCommand.Transfer(TASK, 1, 5))));
         ask(7, new LeaseCommand.Transfer(TASK, 1, 9));
-        assertEquals(9, machine.held().get(0).session());
+        assertEquals(9, machine.heldLeases().get(0).session());
         assertEquals(
-                new LeaseRejection.AlreadyHolds(TASK, 2),
+                new LeaseRejection.AlreadyHeld(TASK, 2),
                 refusal(say(9, new LeaseCommand.Withdraw(TASK))),
                 "the grant came first");
         ask(8, new LeaseCommand.Withdraw(TASK));
-        assertEquals(0, machine.held().get(0).waiting());
+        assertEquals(0, machine.heldLeases().get(0).waiterCount());
     }
 
     @Test
     void boundsAreKept() {
-        LeaseMachine small = new LeaseMachine(new LeaseLimits(1, 10, 1, 1));
+        LeaseStateMachine small = new LeaseStateMachine(new LeaseLimits(1, 10, 1, 1));
         Command first = new Command(7, 1, 0, new LeaseCommand.Acquire("a", 5, true).encode());
         small.apply(1, first);
         assertInstanceOf(
@@ -177,7 +178,7 @@
                 new LeaseRejection.QueueFull("a", 1),
                 refusal(small.apply(4, new Command(9, 1, 0, first.body()))));
         assertInstanceOf(
-                LeaseRejection.BadTerms.class,
+                LeaseRejection.InvalidTerms.class,
                 refusal(
                         small.apply(
                                 5,
@@ -187,7 +188,7 @@
                                         0,
                                         new LeaseCommand.Acquire("a", 11, true).encode()))));
         assertInstanceOf(
-                LeaseRejection.BadTerms.class,
+                LeaseRejection.InvalidTerms.class,
                 refusal(
                         small.apply(
                                 6,
@@ -200,7 +201,7 @@
     void bytesThatAreNoCommandChangeNothing() {
         acquire(7);
         byte[] before = machine.snapshot();
-        byte[] good = new LeaseCommand.Act(TASK, 1, new byte[4]).encode();
+        byte[] good = new LeaseCommand.FencedAction(TASK, 1, new byte[4]).encode();
         for (int cut = 0; cut < good.length; cut++) {
             CommandEffects effects =
                     machine.apply(++index, new Command(7, index, 0, Arrays.copyOf(good, cut)));
@@ -217,14 +218,14 @@
         ask(7, new LeaseCommand.Renew(TASK, 1));
         machine.sessionEnded(++index, 7);
         ask(9, new LeaseCommand.Acquire("trials", 3 * S, true));
-        ask(0, new LeaseCommand.RaiseTokens(40));
+        ask(0, new LeaseCommand.RaiseTokenFloor(40));
         String golden =
                 Files.readString(Path.of("src/test/resources/lease/snapshot-1.hex"))
                         .replaceAll("\\s", "");
         assertEquals(golden, HexFormat.of().formatHex(machine.snapshot()));
-        LeaseMachine read = new LeaseMachine();
+        LeaseStateMachine read = new LeaseStateMachine();
         read.restore(HexFormat.of().parseHex(golden));
-        assertEquals(machine.held(), read.held());
+        assertEquals(machine.heldLeases(), read.heldLeases());
         assertArrayEquals(machine.snapshot(), read.snapshot());
         byte[] rotten = machine.snapshot();
         rotten[8] = 1; // The last token, less than one that is held.
@@ -234,11 +235,11 @@
 
     /** Rows of the page are held for the whole family of errors. */
     @ParameterizedTest
-    @EnumSource(LeaseRejection.Kind.class)
-    void everyRefusalHasItsCode(LeaseRejection.Kind kind) throws ReflectiveOperationException {
-        assertEquals(kind.type.getField("CODE").get(null), kind.code);
+    @EnumSource(LeaseRejectionKind.class)
+    void everyRefusalHasItsCode(LeaseRejectionKind kind) throws ReflectiveOperationException {
+        assertEquals(kind.type().getField("CODE").get(null), kind.code());
         assertEquals(
                 LeaseRejection.class.getPermittedSubclasses().length,
-                LeaseRejection.Kind.values().length);
+                LeaseRejectionKind.values().length);
     }
 }
--- a/src/test/java/calicostream/lease/TasksTest.java
+++ b/src/test/java/calicostream/lease/LeasedTaskRunnerTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.api.Test;
 
 /** Tasks of two processes on one log that answers at once, or not at all. */
-class TasksTest {
-    private final TaskProcesses processes = new TaskProcesses(2);
-    private final TaskProcesses.Process first = processes.get(0);
-    private final TaskProcesses.Process second = processes.get(1);
+class LeasedTaskRunnerTest {
+    private final LeasedTaskProcesses processes = new LeasedTaskProcesses(2);
+    private final LeasedTaskProcesses.Process first = processes.get(0);
+    private final LeasedTaskProcesses.Process second = processes.get(1);
 
     @BeforeEach
     void start() {
@@ -47,10 +47,10 @@
         assertEquals(
                 List.of("lease-held 1", "lease-task-failed 1", "lease-given-back 1"), first.events);
         assertEquals(1, second.count("started"));
-        assertEquals(LeaseHolder.Phase.IDLE, first.tasks.figures().get(0).phase());
+        assertEquals(LeaseHolder.Phase.IDLE, first.tasks.statuses().get(0).phase());
         processes.pass(2_500);
-        assertEquals(LeaseHolder.Phase.WAITING, first.tasks.figures().get(0).phase());
-        assertEquals(1, first.tasks.figures().get(0).failed());
+        assertEquals(LeaseHolder.Phase.WAITING, first.tasks.statuses().get(0).phase());
+        assertEquals(1, first.tasks.statuses().get(0).failureCount());
     }
 
     @Test
@@ -61,7 +61,7 @@
             assertFalse(second.count("started") > 0 && first.count("stopped") == 0);
         }
         assertEquals(List.of("lease-held 1", "lease-lost 1"), first.events);
-        assertEquals(1, first.tasks.figures().get(0).lost());
+        assertEquals(1, first.tasks.statuses().get(0).lostCount());
         processes.pass(5_000);
         assertEquals(1, first.count("stopped"));
         first.isCut = false;
--- a/src/test/java/calicostream/lease/LeaseRunsTest.java
+++ b/src/test/java/calicostream/lease/RandomLeaseRunTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** A bounded part of the runs in virtual time, and that they too find what is taken out. */
-class LeaseRunsTest {
+class RandomLeaseRunTest {
     private static final long FIRST = 20261202;
     private static final int RUNS = 40;
 
@@ -22,7 +22,7 @@
         System.out.println("seeds " + FIRST + " to " + (FIRST + RUNS - 1));
         List<Double> handOvers = new ArrayList<>();
         for (long seed = FIRST; seed < FIRST + RUNS; seed++) {
-            LeaseRuns.Result result = LeaseRuns.run(seed, null);
+            RandomLeaseRun.Result result = RandomLeaseRun.run(seed, null);
             assertEquals("", result.broken(), "seed " + seed);
             assertTrue(result.faults() > 10 && result.acts() > 100, result.toString());
             handOvers.addAll(result.handOvers());
@@ -35,7 +35,7 @@
         List<Double> handOvers =
                 LongStream.range(FIRST, FIRST + 12)
                         .boxed()
-                        .flatMap(seed -> LeaseRuns.kills(seed).handOvers().stream())
+                        .flatMap(seed -> RandomLeaseRun.kills(seed).handOvers().stream())
                         .sorted()
                         .toList();
         assertTrue(handOvers.size() > 50, "hand-overs " + handOvers.size());
@@ -45,7 +45,7 @@
 
     @Test
     void aSeedIsARun() {
-        assertEquals(LeaseRuns.run(FIRST, null), LeaseRuns.run(FIRST, null));
+        assertEquals(RandomLeaseRun.run(FIRST, null), RandomLeaseRun.run(FIRST, null));
     }
 
     @ParameterizedTest
@@ -61,6 +61,6 @@
     void runsByChanceFindItToo(Mutant without) {
         assertTrue(
                 LongStream.range(FIRST, FIRST + 40 * RUNS)
-                        .anyMatch(seed -> !LeaseRuns.run(seed, without).broken().isEmpty()));
+                        .anyMatch(seed -> !RandomLeaseRun.run(seed, without).broken().isEmpty()));
     }
 }
