--- a/src/measure/java/calicostream/cluster/sim/LeaseSimulationMain.java
+++ b/src/measure/java/calicostream/cluster/sim/LeaseSimulationMain.java
@@ -49,7 +49,7 @@
                                 System.out.println(
                                         "seed " + run.result.seed() + " " + run.result.failure()));
         List<Double> handOvers =
-                runs.stream().flatMap(run -> run.leases.handOvers().stream()).sorted().toList();
+                runs.stream().flatMap(run -> run.leases.handoverTimes().stream()).sorted().toList();
         System.out.println(
                 "runs "
                         + count
--- a/src/measure/java/calicostream/lease/LeaseComponents.java
+++ b/src/measure/java/calicostream/lease/LeaseComponents.java
@@ -9,7 +9,7 @@
  * safeguard of the log is the model's.
  */
 final class LeaseComponents {
-    private final Mutant without;
+    private final Mutant removed;
     private final LeaseLimits limits;
     private final ClockDriftBound drift;
 
@@ -17,41 +17,42 @@
      * @param without the safeguard taken out; null: none
      */
     LeaseComponents(Mutant without, LeaseLimits limits, ClockDriftBound drift) {
-        this.without = without;
+        this.removed = without;
         this.limits = limits;
         this.drift = without == Mutant.DRIFT_NOT_COUNTED ? new ClockDriftBound(0) : drift;
     }
 
-    boolean isOut(Mutant mutant) {
-        return without == mutant;
+    boolean isRemoved(Mutant mutant) {
+        return removed == mutant;
     }
 
     ClockDriftBound drift() {
         return drift;
     }
 
-    LeaseStateMachine machine(byte[] snapshot) {
+    LeaseStateMachine createMachine(byte[] snapshot) {
         LeaseStateMachine machine =
                 new LeaseStateMachine(limits) {
                     @Override
                     public boolean isHolder(String name, long token) {
-                        return isOut(Mutant.LOG_TOKEN_NOT_CHECKED) || super.isHolder(name, token);
+                        return isRemoved(Mutant.LOG_TOKEN_NOT_CHECKED)
+                                || super.isHolder(name, token);
                     }
 
                     @Override
                     boolean renewedSince(long renewals, long seen) {
-                        return !isOut(Mutant.EXPIRY_WITHOUT_RENEWALS)
+                        return !isRemoved(Mutant.EXPIRY_WITHOUT_RENEWALS)
                                 && super.renewedSince(renewals, seen);
                     }
 
                     @Override
                     boolean endsGrantsWithSession() {
-                        return isOut(Mutant.LEASE_FREED_WITH_SESSION);
+                        return isRemoved(Mutant.LEASE_FREED_WITH_SESSION);
                     }
 
                     @Override
                     public byte[] snapshot() {
-                        return isOut(Mutant.TOKEN_LOST_IN_SNAPSHOT) && heldLeases().isEmpty()
+                        return isRemoved(Mutant.TOKEN_LOST_IN_SNAPSHOT) && heldLeases().isEmpty()
                                 ? new LeaseStateMachine(limits).snapshot()
                                 : super.snapshot();
                     }
@@ -62,11 +63,11 @@
         return machine;
     }
 
-    LeaseHolder holder(String name, long ttl, LeaseHolderState state) {
+    LeaseHolder createHolder(String name, long ttl, LeaseHolderState state) {
         return new LeaseHolder(name, ttl, drift, state) {
             @Override
             long validityStart(long asked, long now) {
-                return isOut(Mutant.EXPIRY_FROM_ANSWER_TIME)
+                return isRemoved(Mutant.EXPIRY_FROM_ANSWER_TIME)
                         ? now
                         : super.validityStart(asked, now);
             }
@@ -74,7 +75,7 @@
             @Override
             void onQueuedGrant(long now, long of) {
                 super.onQueuedGrant(now, of);
-                if (isOut(Mutant.QUEUE_GRANT_NOT_CONFIRMED) && phase() == Phase.CONFIRMING) {
+                if (isRemoved(Mutant.QUEUE_GRANT_NOT_CONFIRMED) && phase() == Phase.CONFIRMING) {
                     Request ask =
                             nextRequest(now); // As if the news itself were the renewal's answer.
                     onAnswer(now, ask.number(), new LeaseAnswer.Held(of));
@@ -87,27 +88,28 @@
      * @param period between two looks; 0: it looks whenever it likes, and no step of its clock is
      *     to be counted
      */
-    LeaseExpiryMonitor watch(
+    LeaseExpiryMonitor createExpiryMonitor(
             LeaseStateMachine machine,
             Map<String, LeaseExpiryMonitor.ObservedGrant> seen,
             long period) {
         return new LeaseExpiryMonitor(
-                machine, drift, seen, isOut(Mutant.CLOCK_STEP_COUNTED) ? 0 : period) {
+                machine, drift, seen, isRemoved(Mutant.CLOCK_STEP_COUNTED) ? 0 : period) {
             @Override
             long inheritedSince(long now, long ttl) {
-                return isOut(Mutant.NEW_LEADER_DOES_NOT_WAIT)
+                return isRemoved(Mutant.NEW_LEADER_DOES_NOT_WAIT)
                         ? now - drift.longestSpan(ttl)
                         : super.inheritedSince(now, ttl);
             }
         };
     }
 
-    FencingTokenGuard fence(String name, long highest) {
+    FencingTokenGuard createTokenGuard(String name, long highest) {
         FencingTokenGuard fence =
                 new FencingTokenGuard() {
                     @Override
                     boolean isOutdated(long token, long most) {
-                        return !isOut(Mutant.TOKEN_NOT_CHECKED) && super.isOutdated(token, most);
+                        return !isRemoved(Mutant.TOKEN_NOT_CHECKED)
+                                && super.isOutdated(token, most);
                     }
                 };
         fence.admit(name, highest);
--- a/src/measure/java/calicostream/lease/LeaseHistoryChecker.java
+++ b/src/measure/java/calicostream/lease/LeaseHistoryChecker.java
@@ -17,27 +17,27 @@
  */
 final class LeaseHistoryChecker {
     private final Map<String, List<Long>> queues = new HashMap<>();
-    private final Map<String, Long> tokens = new HashMap<>();
-    private final Set<Long> acts = new HashSet<>();
-    private final Map<String, Long> acted = new HashMap<>();
+    private final Map<String, Long> currentTokens = new HashMap<>();
+    private final Set<Long> appliedActions = new HashSet<>();
+    private final Map<String, Long> lastActionTokens = new HashMap<>();
     private long lastIndex;
     private long lastToken;
-    private int granted;
-    private int fromQueue;
-    private String fault = "";
+    private int grantCount;
+    private int queuedGrantCount;
+    private String violation = "";
 
     /** "" if all held. */
-    String fault() {
-        return fault;
+    String violation() {
+        return violation;
     }
 
-    int granted() {
-        return granted;
+    int grantCount() {
+        return grantCount;
     }
 
     /** Grants to whoever had waited longest, or had been named. */
-    int fromQueue() {
-        return fromQueue;
+    int queuedGrantCount() {
+        return queuedGrantCount;
     }
 
     long lastToken() {
@@ -47,7 +47,7 @@
     /**
      * @return whether this copy is the first that applied it
      */
-    boolean applied(long index, Command command, CommandEffects effects) {
+    boolean onApplied(long index, Command command, CommandEffects effects) {
         if (index <= lastIndex) {
             return false;
         }
@@ -68,12 +68,12 @@
                 && LeaseAnswer.decode(effects.response()) instanceof LeaseAnswer.Queued waits) {
             List<Long> queue = queues.computeIfAbsent(said.name(), any -> new ArrayList<>());
             queue.add(command.session());
-            judge(waits.position() == queue.size(), "place " + waits.position() + " of " + queue);
+            check(waits.position() == queue.size(), "place " + waits.position() + " of " + queue);
         }
         return true;
     }
 
-    boolean ended(long index, long session, CommandEffects effects) {
+    boolean onSessionEnded(long index, long session, CommandEffects effects) {
         if (index <= lastIndex) {
             return false;
         }
@@ -88,14 +88,14 @@
             LeaseEvent event = LeaseEvent.decode(each);
             String name = event.name();
             if (event instanceof LeaseEvent.Granted g) {
-                granted++;
-                judge(g.token() > lastToken, "token " + g.token() + " is given after " + lastToken);
-                judge(
-                        !tokens.containsKey(name),
+                grantCount++;
+                check(g.token() > lastToken, "token " + g.token() + " is given after " + lastToken);
+                check(
+                        !currentTokens.containsKey(name),
                         "lease " + name + " is granted under " + g.token() + " and was not free");
                 List<Long> queue = queues.getOrDefault(name, List.of());
                 if (queue.isEmpty()) {
-                    judge(
+                    check(
                             g.session() == by,
                             "lease "
                                     + name
@@ -103,43 +103,43 @@
                                     + g.session()
                                     + ", which did not ask");
                 } else {
-                    fromQueue++;
-                    judge(
+                    queuedGrantCount++;
+                    check(
                             queue.remove(0) == g.session(),
                             "lease " + name + " is granted to " + g.session() + " before its turn");
                 }
                 lastToken = g.token();
-                tokens.put(name, g.token());
+                currentTokens.put(name, g.token());
             } else if (event instanceof LeaseEvent.Ended f) {
-                judge(
-                        tokens.remove(name, f.token()),
+                check(
+                        currentTokens.remove(name, f.token()),
                         "lease "
                                 + name
                                 + " is freed of token "
                                 + f.token()
                                 + ", which does not hold it");
             } else if (event instanceof LeaseEvent.ActionPerformed a) {
-                judge(
-                        acts.add(
+                check(
+                        appliedActions.add(
                                 new calicostream.cluster.BinaryCodec.Reader("act", a.payload())
                                         .i64()),
                         "an act counts twice");
-                judge(
-                        a.token() >= acted.getOrDefault(name, 0L),
+                check(
+                        a.token() >= lastActionTokens.getOrDefault(name, 0L),
                         "the log takes an act of "
                                 + name
                                 + " under token "
                                 + a.token()
                                 + " after one under "
-                                + acted.get(name));
-                acted.put(name, a.token());
+                                + lastActionTokens.get(name));
+                lastActionTokens.put(name, a.token());
             }
         }
     }
 
-    private void judge(boolean holds, String otherwise) {
-        if (!holds && fault.isEmpty()) {
-            fault = otherwise;
+    private void check(boolean holds, String otherwise) {
+        if (!holds && violation.isEmpty()) {
+            violation = otherwise;
         }
     }
 }
--- a/src/measure/java/calicostream/lease/LeaseModelBounds.java
+++ b/src/measure/java/calicostream/lease/LeaseModelBounds.java
@@ -13,14 +13,14 @@
 public record LeaseModelBounds(
         String name,
         int members,
-        int ttl,
+        int ttlUnits,
         int tokens,
         int renewals,
-        int copies,
-        int changes,
-        int ends,
-        int acts,
-        int logActs,
+        int duplicates,
+        int leaderChanges,
+        int sessionEnds,
+        int resourceActions,
+        int logActions,
         int stops,
         List<String> clocks) {
     /**
@@ -33,64 +33,144 @@
 
     public LeaseModelBounds tokens(int most) {
         return new LeaseModelBounds(
-                name, members, ttl, most, renewals, copies, changes, ends, acts, logActs, stops,
+                name,
+                members,
+                ttlUnits,
+                most,
+                renewals,
+                duplicates,
+                leaderChanges,
+                sessionEnds,
+                resourceActions,
+                logActions,
+                stops,
                 clocks);
     }
 
     public LeaseModelBounds renewals(int ofGrant) {
         return new LeaseModelBounds(
-                name, members, ttl, tokens, ofGrant, copies, changes, ends, acts, logActs, stops,
+                name,
+                members,
+                ttlUnits,
+                tokens,
+                ofGrant,
+                duplicates,
+                leaderChanges,
+                sessionEnds,
+                resourceActions,
+                logActions,
+                stops,
                 clocks);
     }
 
-    public LeaseModelBounds copies(int most) {
+    public LeaseModelBounds duplicates(int most) {
         return new LeaseModelBounds(
-                name, members, ttl, tokens, renewals, most, changes, ends, acts, logActs, stops,
+                name,
+                members,
+                ttlUnits,
+                tokens,
+                renewals,
+                most,
+                leaderChanges,
+                sessionEnds,
+                resourceActions,
+                logActions,
+                stops,
                 clocks);
     }
 
-    public LeaseModelBounds changes(int most) {
+    public LeaseModelBounds leaderChanges(int most) {
         return new LeaseModelBounds(
-                name, members, ttl, tokens, renewals, copies, most, ends, acts, logActs, stops,
+                name,
+                members,
+                ttlUnits,
+                tokens,
+                renewals,
+                duplicates,
+                most,
+                sessionEnds,
+                resourceActions,
+                logActions,
+                stops,
                 clocks);
     }
 
-    public LeaseModelBounds ends(int most) {
+    public LeaseModelBounds sessionEnds(int most) {
         return new LeaseModelBounds(
-                name, members, ttl, tokens, renewals, copies, changes, most, acts, logActs, stops,
+                name,
+                members,
+                ttlUnits,
+                tokens,
+                renewals,
+                duplicates,
+                leaderChanges,
+                most,
+                resourceActions,
+                logActions,
+                stops,
                 clocks);
     }
 
-    public LeaseModelBounds acts(int ofMember) {
+    public LeaseModelBounds resourceActions(int ofMember) {
         return new LeaseModelBounds(
-                name, members, ttl, tokens, renewals, copies, changes, ends, ofMember, logActs,
-                stops, clocks);
+                name,
+                members,
+                ttlUnits,
+                tokens,
+                renewals,
+                duplicates,
+                leaderChanges,
+                sessionEnds,
+                ofMember,
+                logActions,
+                stops,
+                clocks);
     }
 
-    public LeaseModelBounds logActs(int ofMember) {
+    public LeaseModelBounds logActions(int ofMember) {
         return new LeaseModelBounds(
-                name, members, ttl, tokens, renewals, copies, changes, ends, acts, ofMember, stops,
+                name,
+                members,
+                ttlUnits,
+                tokens,
+                renewals,
+                duplicates,
+                leaderChanges,
+                sessionEnds,
+                resourceActions,
+                ofMember,
+                stops,
                 clocks);
     }
 
     public LeaseModelBounds stops(int ofMember) {
         return new LeaseModelBounds(
-                name, members, ttl, tokens, renewals, copies, changes, ends, acts, logActs,
-                ofMember, clocks);
+                name,
+                members,
+                ttlUnits,
+                tokens,
+                renewals,
+                duplicates,
+                leaderChanges,
+                sessionEnds,
+                resourceActions,
+                logActions,
+                ofMember,
+                clocks);
     }
 
     public LeaseModelBounds clocks(String... each) {
         return new LeaseModelBounds(
                 name,
                 members,
-                ttl,
+                ttlUnits,
                 tokens,
                 renewals,
-                copies,
-                changes,
-                ends,
-                acts,
-                logActs,
+                duplicates,
+                leaderChanges,
+                sessionEnds,
+                resourceActions,
+                logActions,
                 stops,
                 List.of(each));
     }
--- a/src/measure/java/calicostream/lease/LeaseProofs.java
+++ b/src/measure/java/calicostream/lease/LeaseProofs.java
@@ -13,7 +13,10 @@
 public final class LeaseProofs {
     /** Leaders that change while a lease runs out and is renewed. */
     private static final LeaseModelBounds LEADERS =
-            LeaseModelBounds.of("leaders", 2).changes(2).renewals(1).clocks("fss", "sff", "eee");
+            LeaseModelBounds.of("leaders", 2)
+                    .leaderChanges(2)
+                    .renewals(1)
+                    .clocks("fss", "sff", "eee");
 
     /** Renewals that race with the leader's word. */
     private static final LeaseModelBounds RENEWALS =
@@ -21,22 +24,22 @@
 
     /** A member that stops between its check and its act. */
     private static final LeaseModelBounds RESOURCE =
-            LeaseModelBounds.of("resource", 2).acts(2).renewals(1).clocks("fss");
+            LeaseModelBounds.of("resource", 2).resourceActions(2).renewals(1).clocks("fss");
 
     /** Commands that are doubled and repeated, acts by the log. */
     private static final LeaseModelBounds LOG =
-            LeaseModelBounds.of("log", 2).copies(1).logActs(1).clocks("fss");
+            LeaseModelBounds.of("log", 2).duplicates(1).logActions(1).clocks("fss");
 
     /** The two again, as small as the lack of a check shows. */
     private static final LeaseModelBounds FEW_ACTS =
-            LeaseModelBounds.of("few acts", 2).acts(1).clocks("eee");
+            LeaseModelBounds.of("few acts", 2).resourceActions(1).clocks("eee");
 
     private static final LeaseModelBounds FEW_LOG_ACTS =
-            LeaseModelBounds.of("few acts by the log", 2).logActs(1).clocks("eee");
+            LeaseModelBounds.of("few acts by the log", 2).logActions(1).clocks("eee");
 
     /** Planned stops, hand-overs, sessions that end. */
     private static final LeaseModelBounds STOPS =
-            LeaseModelBounds.of("stops", 2).stops(1).ends(1).clocks("fss");
+            LeaseModelBounds.of("stops", 2).stops(1).sessionEnds(1).clocks("fss");
 
     /** Three members in the queue. */
     private static final LeaseModelBounds QUEUE = LeaseModelBounds.of("queue", 3).clocks("fsss");
@@ -46,27 +49,30 @@
      * left to refuse.
      */
     private static final LeaseModelBounds CLOCKS =
-            LeaseModelBounds.of("clocks out of bound", 2).acts(2).logActs(1).clocks("f0s");
+            LeaseModelBounds.of("clocks out of bound", 2)
+                    .resourceActions(2)
+                    .logActions(1)
+                    .clocks("f0s");
 
-    private static final VoterModel.Scope VOTERS = new VoterModel.Scope(3, 2, 2, 2);
-    private static final VoterModel.Scope FEW_VOTERS = new VoterModel.Scope(2, 2, 1, 2);
+    private static final VoterModel.Bounds VOTERS = new VoterModel.Bounds(3, 2, 2, 2);
+    private static final VoterModel.Bounds FEW_VOTERS = new VoterModel.Bounds(2, 2, 1, 2);
 
     /**
      * Runs in virtual time; hand-overs in times to live, where holders are killed alone and where
      * all goes wrong at once.
      */
-    public record Runs(
-            List<String> broken,
+    public record RunSummary(
+            List<String> violations,
             long faults,
-            long acts,
+            long actions,
             long tokens,
-            double handOverP99,
-            double handOverInFaultsP99) {}
+            double handoverP99,
+            double handoverInFaultsP99) {}
 
     private LeaseProofs() {}
 
     /** So many runs with all faults, and a tenth as many in which holders are killed alone. */
-    public static Runs run(long firstSeed, int runs) {
+    public static RunSummary randomRuns(long firstSeed, int runs) {
         List<String> broken = new ArrayList<>();
         List<Double> inFaults = new ArrayList<>();
         List<Double> alone = new ArrayList<>();
@@ -75,18 +81,18 @@
         long tokens = 0;
         for (long seed = firstSeed; seed < firstSeed + runs; seed++) {
             RandomLeaseRun.Result result = RandomLeaseRun.run(seed, null);
-            if (!result.broken().isEmpty()) {
-                broken.add("seed " + seed + " " + result.broken());
+            if (!result.violation().isEmpty()) {
+                broken.add("seed " + seed + " " + result.violation());
             }
             faults += result.faults();
-            acts += result.acts();
+            acts += result.actions();
             tokens += result.tokens();
-            inFaults.addAll(result.handOvers());
+            inFaults.addAll(result.handoverTimes());
             if (seed % 10 == 0) {
-                alone.addAll(RandomLeaseRun.kills(seed).handOvers());
+                alone.addAll(RandomLeaseRun.kills(seed).handoverTimes());
             }
         }
-        return new Runs(broken, faults, acts, tokens, p99(alone), p99(inFaults));
+        return new RunSummary(broken, faults, acts, tokens, p99(alone), p99(inFaults));
     }
 
     private static double p99(List<Double> of) {
@@ -96,7 +102,7 @@
     }
 
     /** All models with everything in place, made one at a time as each remembers a lot. */
-    public static List<Supplier<Model>> whole() {
+    public static List<Supplier<Model>> completeModels() {
         return List.of(
                 () -> new LeaseModel(LEADERS, null),
                 () -> new LeaseModel(RENEWALS, null),
@@ -110,7 +116,7 @@
     }
 
     /** For each safeguard that leases rest on, a model without it, which must break. */
-    public static Map<Mutant, Model> without() {
+    public static Map<Mutant, Model> modelsWithoutSafeguard() {
         Map<Mutant, Model> all = new EnumMap<>(Mutant.class);
         for (Mutant each : Mutant.values()) {
             switch (each) {
@@ -125,7 +131,7 @@
                         all.put(each, new LeaseModel(STOPS, each));
                 case EXPIRY_WITHOUT_RENEWALS -> all.put(each, new LeaseModel(RENEWALS, each));
                 case VOTE_AFTER_AMNESIA ->
-                        all.put(each, new VoterModel(new VoterModel.Scope(2, 2, 1, 1), each));
+                        all.put(each, new VoterModel(new VoterModel.Bounds(2, 2, 1, 1), each));
                 case GRANT_FREED_BEFORE_EXPIRY,
                         CLOCK_STEP_COUNTED -> {} // The budgets' own, and the clusters'.
             }
--- a/src/measure/java/calicostream/lease/LeaseTransitions.java
+++ b/src/measure/java/calicostream/lease/LeaseTransitions.java
@@ -15,7 +15,7 @@
  * through a snapshot and a restore.
  */
 final class LeaseTransitions {
-    static final String NAME = "task";
+    static final String LEASE = "task";
 
     /** Kinds of commands under way. */
     static final byte ACQUIRE = 1;
@@ -26,7 +26,7 @@
     static final byte TRANSFER = 5;
     static final byte ACT = 6;
     static final byte EXPIRE = 7;
-    static final byte END_OF_SESSION = 8;
+    static final byte SESSION_ENDED = 8;
 
     /** Kinds of answers under way. */
     static final byte HOLDS = 1;
@@ -42,19 +42,25 @@
      * What a command led to; {@code granted} and {@code acted} are tokens, 0 if there was no such
      * event.
      */
-    record Step(int next, byte answer, byte answerToken, byte granted, byte to, byte acted) {}
-
-    private final LeaseComponents parts;
+    record Transition(
+            int next,
+            byte answer,
+            byte answerToken,
+            byte grantedToken,
+            byte grantedSession,
+            byte actionToken) {}
+
+    private final LeaseComponents components;
     private final long ttl;
     private final List<byte[]> snapshots = new ArrayList<>();
     private final List<LeaseStateMachine> machines = new ArrayList<>();
-    private final Map<String, Integer> numbers = new HashMap<>();
-    private final Map<Long, Step> steps = new HashMap<>();
+    private final Map<String, Integer> snapshotIds = new HashMap<>();
+    private final Map<Long, Transition> transitions = new HashMap<>();
 
     LeaseTransitions(LeaseComponents parts, long ttl) {
-        this.parts = parts;
+        this.components = parts;
         this.ttl = ttl;
-        number(parts.machine(null));
+        snapshotId(parts.createMachine(null));
     }
 
     /** To be read only. */
@@ -67,20 +73,20 @@
         return held.isEmpty() ? 0 : (int) held.get(0).renewals();
     }
 
-    Step step(int id, int session, byte kind, byte token, byte more) {
+    Transition apply(int id, int session, byte kind, byte token, byte more) {
         long key = ((((long) id << 8 | session) << 8 | kind) << 8 | token) << 8 | more;
-        Step step = steps.get(key);
+        Transition step = transitions.get(key);
         if (step == null) {
-            step = take(id, session, kind, token, more);
-            steps.put(key, step);
+            step = applyUncached(id, session, kind, token, more);
+            transitions.put(key, step);
         }
         return step;
     }
 
-    private Step take(int id, int session, byte kind, byte token, byte more) {
-        LeaseStateMachine machine = parts.machine(snapshots.get(id));
+    private Transition applyUncached(int id, int session, byte kind, byte token, byte more) {
+        LeaseStateMachine machine = components.createMachine(snapshots.get(id));
         CommandEffects effects =
-                kind == END_OF_SESSION
+                kind == SESSION_ENDED
                         ? machine.sessionEnded(1, session)
                         : machine.apply(
                                 1,
@@ -114,7 +120,7 @@
                                             ? NO_SUCCESSOR
                                             : REFUSED;
             answerToken = why instanceof LeaseRejection.AlreadyHeld held ? (byte) held.token() : 0;
-        } else if (kind != END_OF_SESSION) {
+        } else if (kind != SESSION_ENDED) {
             LeaseAnswer said = LeaseAnswer.decode(effects.response());
             answer =
                     said instanceof LeaseAnswer.Held
@@ -122,18 +128,18 @@
                             : said instanceof LeaseAnswer.Queued ? WAITS : DONE;
             answerToken = said instanceof LeaseAnswer.Held held ? (byte) held.token() : 0;
         }
-        return new Step(number(machine), answer, answerToken, granted, to, acted);
+        return new Transition(snapshotId(machine), answer, answerToken, granted, to, acted);
     }
 
     LeaseCommand command(byte kind, byte token, byte more) {
         return switch (kind) {
-            case ACQUIRE -> new LeaseCommand.Acquire(NAME, ttl, true);
-            case RENEW -> new LeaseCommand.Renew(NAME, token);
-            case RELEASE -> new LeaseCommand.Release(NAME, token);
-            case WITHDRAW -> new LeaseCommand.Withdraw(NAME);
-            case TRANSFER -> new LeaseCommand.Transfer(NAME, token, 0);
-            case ACT -> new LeaseCommand.FencedAction(NAME, token, new byte[] {more});
-            case EXPIRE -> new LeaseCommand.Expire(NAME, token, more);
+            case ACQUIRE -> new LeaseCommand.Acquire(LEASE, ttl, true);
+            case RENEW -> new LeaseCommand.Renew(LEASE, token);
+            case RELEASE -> new LeaseCommand.Release(LEASE, token);
+            case WITHDRAW -> new LeaseCommand.Withdraw(LEASE);
+            case TRANSFER -> new LeaseCommand.Transfer(LEASE, token, 0);
+            case ACT -> new LeaseCommand.FencedAction(LEASE, token, new byte[] {more});
+            case EXPIRE -> new LeaseCommand.Expire(LEASE, token, more);
             default -> throw new IllegalArgumentException("no command has the kind " + kind);
         };
     }
@@ -158,30 +164,31 @@
     }
 
     /** Tells a holder an answer as its class takes it. */
-    static void tell(LeaseHolder holder, byte answer, byte token) {
-        long now = LeaseModelState.NOW;
-        int number = LeaseModelState.NUMBER;
+    static void deliverAnswer(LeaseHolder holder, byte answer, byte token) {
+        long now = LeaseModelMember.NOW;
+        int number = LeaseModelMember.REQUEST_NUMBER;
         switch (answer) {
             case HOLDS -> holder.onAnswer(now, number, new LeaseAnswer.Held(token));
             case WAITS -> holder.onAnswer(now, number, new LeaseAnswer.Queued(1));
             case DONE -> holder.onAnswer(now, number, new LeaseAnswer.Done());
             case ALREADY_HOLDS ->
-                    holder.onRejected(now, number, new LeaseRejection.AlreadyHeld(NAME, token));
+                    holder.onRejected(now, number, new LeaseRejection.AlreadyHeld(LEASE, token));
             case ALREADY_WAITS ->
-                    holder.onRejected(now, number, new LeaseRejection.AlreadyQueued(NAME, 1));
+                    holder.onRejected(now, number, new LeaseRejection.AlreadyQueued(LEASE, 1));
             case NO_SUCCESSOR ->
-                    holder.onRejected(now, number, new LeaseRejection.NoSuccessor(NAME, 0));
-            default -> holder.onRejected(now, number, new LeaseRejection.NotHolder(NAME, token, 0));
+                    holder.onRejected(now, number, new LeaseRejection.NoSuccessor(LEASE, 0));
+            default ->
+                    holder.onRejected(now, number, new LeaseRejection.NotHolder(LEASE, token, 0));
         }
     }
 
-    private int number(LeaseStateMachine machine) {
+    private int snapshotId(LeaseStateMachine machine) {
         byte[] snapshot = machine.snapshot();
-        return numbers.computeIfAbsent(
+        return snapshotIds.computeIfAbsent(
                 Arrays.toString(snapshot),
                 key -> {
                     snapshots.add(snapshot);
-                    machines.add(parts.machine(snapshot));
+                    machines.add(components.createMachine(snapshot));
                     return snapshots.size() - 1;
                 });
     }
--- a/src/measure/java/calicostream/lease/LeasedTaskProcesses.java
+++ b/src/measure/java/calicostream/lease/LeasedTaskProcesses.java
@@ -14,19 +14,19 @@
  * (nanoseconds). One thread.
  */
 final class LeasedTaskProcesses {
-    private static final long MILLI = 1_000_000;
-    private static final long TTL = 2_000 * MILLI;
-    private static final String NAME = "divide";
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final long TTL_NANOS = 2_000 * NANOS_PER_MILLI;
+    private static final String LEASE = "divide";
 
     /** One process: what its task was called for and what its log says. */
     final class Process {
         final MemberSession session;
         final List<String> calls = new ArrayList<>();
         final List<String> events = new ArrayList<>();
-        final LeasedTaskRunner tasks;
+        final LeasedTaskRunner runner;
         boolean throwsNext;
-        boolean isCut;
-        long acted;
+        boolean partitioned;
+        long appliedActions;
 
         Process(int member) {
             session =
@@ -34,17 +34,17 @@
                             new MemberSession.Settings(member, 60_000, 150, 8),
                             List.of(1),
                             (long) member << 40);
-            tasks =
+            runner =
                     new LeasedTaskRunner(
                             session,
                             "lease",
                             () -> now,
                             event -> events.add(event.code() + " " + event.token()));
-            tasks.add(
+            runner.add(
                     new LeasedTask() {
                         @Override
                         public String lease() {
-                            return NAME;
+                            return LEASE;
                         }
 
                         @Override
@@ -61,7 +61,8 @@
                             }
                             acts.submit(
                                             new byte[] {7},
-                                            outcome -> acted += outcome.isAccepted() ? 1 : 0)
+                                            outcome ->
+                                                    appliedActions += outcome.isAccepted() ? 1 : 0)
                                     .ifPresent(
                                             why -> {
                                                 throw new AssertionError(
@@ -80,7 +81,7 @@
                             calls.add("heard " + payload[0]);
                         }
                     },
-                    TTL);
+                    TTL_NANOS);
         }
 
         long count(String call) {
@@ -88,9 +89,9 @@
         }
 
         /** All that it wants to send and what comes of it, until it is quiet. */
-        void exchange() {
+        void exchangeMessages() {
             for (List<MemberSession.OutgoingFrame> sends = session.tick(now);
-                    !sends.isEmpty() && !isCut;
+                    !sends.isEmpty() && !partitioned;
                     sends = session.tick(now)) {
                 for (MemberSession.OutgoingFrame send : sends) {
                     MemberMessage.Request request =
@@ -103,8 +104,8 @@
                     for (ReplicatedState.StateChange news : state.drainStateChanges()) {
                         if (news.machine().equals("lease")) {
                             processes.stream()
-                                    .filter(each -> !each.isCut)
-                                    .forEach(each -> each.tasks.onEvent(news.event()));
+                                    .filter(each -> !each.partitioned)
+                                    .forEach(each -> each.runner.onEvent(news.event()));
                         }
                     }
                 }
@@ -113,10 +114,11 @@
     }
 
     private final LeaseStateMachine machine = new LeaseStateMachine();
-    private final LeaseExpiryMonitor watch = new LeaseExpiryMonitor(machine, 50 * MILLI);
+    private final LeaseExpiryMonitor expiryMonitor =
+            new LeaseExpiryMonitor(machine, 50 * NANOS_PER_MILLI);
     private final ReplicatedState state = new ReplicatedState(Map.of("lease", machine));
     private final List<Process> processes = new ArrayList<>();
-    private long now = 1_000 * MILLI;
+    private long now = 1_000 * NANOS_PER_MILLI;
     private long index;
 
     LeasedTaskProcesses(int size) {
@@ -124,16 +126,16 @@
         for (int member = 1; member <= size; member++) {
             processes.add(new Process(member));
         }
-        watch.epochStarted(state.epoch(), now);
+        expiryMonitor.epochStarted(state.epoch(), now);
     }
 
     private void turn() {
         processes.forEach(
                 each -> {
-                    each.tasks.tick();
-                    each.exchange();
+                    each.runner.tick();
+                    each.exchangeMessages();
                 });
-        for (byte[] body : watch.expiredCommands(now)) {
+        for (byte[] body : expiryMonitor.expiredCommands(now)) {
             state.apply(
                     ++index,
                     new ReplicatedEntry.LeaderCommand(state.epoch(), "lease", body).encode());
@@ -142,7 +144,7 @@
 
     void pass(long millis) {
         for (long left = millis; left > 0; left -= 50) {
-            now += 50 * MILLI;
+            now += 50 * NANOS_PER_MILLI;
             turn();
         }
     }
--- a/src/measure/java/calicostream/lease/RandomLeaseRun.java
+++ b/src/measure/java/calicostream/lease/RandomLeaseRun.java
@@ -21,19 +21,20 @@
  * is judged where it is done.
  */
 final class RandomLeaseRun {
-    private static final long MS = 1_000_000;
-    private static final long TTL = 1000 * MS;
-    private static final long FAULTS_END = 20_000 * MS;
-    private static final long END = 30_000 * MS;
-    private static final String TASK = "task";
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final long TTL_NANOS = 1000 * NANOS_PER_MILLI;
+    private static final long FAULTS_END_NANOS = 20_000 * NANOS_PER_MILLI;
+    private static final long END_NANOS = 30_000 * NANOS_PER_MILLI;
+    private static final String LEASE = "task";
 
     /**
      * {@code broken} is empty if all held; {@code handOvers} in times to live, from a holder's stop
      * to the next one's first act.
      */
-    record Result(String broken, int faults, int acts, int tokens, List<Double> handOvers) {}
+    record Result(
+            String violation, int faults, int actions, int tokens, List<Double> handoverTimes) {}
 
-    private record Event(long at, long order, Process process, int life, Runnable task)
+    private record Event(long at, long order, Process process, int incarnation, Runnable task)
             implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
@@ -43,24 +44,24 @@
 
     /** A process with its clock: stopped, it does nothing and its clock goes on. */
     final class Process {
-        private long ppm;
-        private long base = random.nextInt(1_000_000) * MS;
+        private long driftPpm;
+        private long base = random.nextInt(1_000_000) * NANOS_PER_MILLI;
         private long since;
-        private long stoppedUntil;
-        private int life;
+        private long pausedUntil;
+        private int incarnation;
 
         long nanos() {
-            return base + (now - since) + (now - since) * ppm / 1_000_000;
+            return base + (now - since) + (now - since) * driftPpm / 1_000_000;
         }
 
         void drift(long to) {
             base = nanos();
             since = now;
-            ppm = to;
+            driftPpm = to;
         }
 
         void after(long delay, Runnable task) {
-            events.add(new Event(now + Math.max(1, delay), order++, this, life, task));
+            events.add(new Event(now + Math.max(1, delay), order++, this, incarnation, task));
         }
     }
 
@@ -78,19 +79,19 @@
         }
 
         void start() {
-            process.life++;
+            process.incarnation++;
             session =
                     new MemberSession(
                             new MemberSession.Settings(id, sessionMillis, 150, 8),
                             List.of(1, 2, 3),
-                            (long) id << 40 | (long) process.life << 32);
+                            (long) id << 40 | (long) process.incarnation << 32);
             client = new LeaseClient(session, "lease", process::nanos);
             holder =
                     client.add(
-                            parts.holder(
-                                    TASK,
-                                    TTL,
-                                    new LeaseHolder(TASK, TTL, process.nanos()).state()));
+                            components.createHolder(
+                                    LEASE,
+                                    TTL_NANOS,
+                                    new LeaseHolder(LEASE, TTL_NANOS, process.nanos()).state()));
             acts = client.fencedActions(holder);
             holder.acquire();
             tick();
@@ -100,21 +101,21 @@
         void tick() {
             client.tick();
             for (MemberSession.OutgoingFrame send : session.tick(process.nanos())) {
-                int life = process.life;
-                link(
+                int life = process.incarnation;
+                sendOverLink(
                         id,
                         () ->
                                 log.received(
                                         send.voter(),
                                         send.frame(),
                                         reply ->
-                                                link(
+                                                sendOverLink(
                                                         id,
                                                         () ->
                                                                 process.after(
                                                                         1,
                                                                         () -> {
-                                                                            if (process.life
+                                                                            if (process.incarnation
                                                                                     == life) {
                                                                                 session.received(
                                                                                         send
@@ -129,7 +130,7 @@
                                                                             }
                                                                         }))));
             }
-            process.after(15 * MS, this::tick);
+            process.after(15 * NANOS_PER_MILLI, this::tick);
         }
 
         /**
@@ -138,7 +139,7 @@
          */
         void act() {
             if (random.nextInt(3) == 0) {
-                byte[] number = new BinaryCodec.Writer().i64(++acted).toByteArray();
+                byte[] number = new BinaryCodec.Writer().i64(++actionNumber).toByteArray();
                 FencedResource.FencedResult<LeaseCommand.FencedAction> command =
                         acts.createLogCommand(number);
                 if (command.isCompleted()) {
@@ -147,49 +148,49 @@
             } else {
                 acts.executeAt(
                         (lease, token, payload) -> {
-                            link(0, () -> resource(this, token));
+                            sendOverLink(0, () -> executeAtResource(this, token));
                             return FencedResource.FencedResult.completed(null);
                         },
                         null);
             }
-            process.after((10 + random.nextInt(50)) * MS, this::act);
+            process.after((10 + random.nextInt(50)) * NANOS_PER_MILLI, this::act);
         }
     }
 
     final Random random;
-    private final LeaseComponents parts;
-    private final boolean killsAlone;
+    private final LeaseComponents components;
+    private final boolean killsOnly;
     private final int sessionMillis;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final List<Process> voters = new ArrayList<>();
     private final List<Member> members = new ArrayList<>();
-    private final Set<Long> done = new HashSet<>();
-    private final List<Double> handOvers = new ArrayList<>();
+    private final Set<Long> appliedActions = new HashSet<>();
+    private final List<Double> handoverTimes = new ArrayList<>();
     private final SimulatedLog log;
-    private final FencingTokenGuard fence;
+    private final FencingTokenGuard tokenGuard;
     private long now;
     private long order;
-    private long acted;
-    private long atResource;
-    private long inLog;
-    private long given;
-    private int accepted;
-    private int faults;
-    private double loss;
-    private int slowest = 5;
-    private int cut;
-    private long lostAt = -1;
+    private long actionNumber;
+    private long lastResourceToken;
+    private long lastLogToken;
+    private long lastGrantedToken;
+    private int acceptedActions;
+    private int faultCount;
+    private double lossProbability;
+    private int maxDelayMillis = 5;
+    private int partitionedMember;
+    private long holderLostAt = -1;
     private long lostToken;
-    private String broken = "";
+    private String violation = "";
 
     private RandomLeaseRun(long seed, Mutant without, boolean killsAlone) {
         random = new Random(seed);
-        this.killsAlone = killsAlone;
+        this.killsOnly = killsAlone;
         sessionMillis = killsAlone ? 1500 : 400 + random.nextInt(1400);
-        parts = new LeaseComponents(without, LeaseLimits.STANDARD, ClockDriftBound.STANDARD);
-        fence = parts.fence(TASK, 0);
+        components = new LeaseComponents(without, LeaseLimits.STANDARD, ClockDriftBound.STANDARD);
+        tokenGuard = components.createTokenGuard(LEASE, 0);
         IntStream.range(0, SimulatedLog.VOTERS).forEach(i -> voters.add(new Process()));
-        log = new SimulatedLog(this, parts, this::news);
+        log = new SimulatedLog(this, components, this::onStateChange);
         IntStream.rangeClosed(1, 4)
                 .forEach(id -> members.add(new Member(id + SimulatedLog.VOTERS)));
     }
@@ -215,70 +216,75 @@
     }
 
     private Result run() {
-        after(500 * MS, this::fault);
+        after(500 * NANOS_PER_MILLI, this::injectFault);
         long settled = 0;
-        while (broken.isEmpty() && !events.isEmpty() && events.peek().at <= END) {
+        while (violation.isEmpty() && !events.isEmpty() && events.peek().at <= END_NANOS) {
             Event event = events.poll();
             Process process = event.process;
-            if (process != null && (process.life != event.life && process.life > 0)) {
+            if (process != null
+                    && (process.incarnation != event.incarnation && process.incarnation > 0)) {
                 continue;
             }
-            if (process != null && process.stoppedUntil > event.at) {
+            if (process != null && process.pausedUntil > event.at) {
                 events.add(
                         new Event(
-                                process.stoppedUntil,
+                                process.pausedUntil,
                                 event.order,
                                 process,
-                                event.life,
+                                event.incarnation,
                                 event.task));
                 continue;
             }
             now = event.at;
             event.task.run();
-            judge();
-            settled = now < END - 3 * TTL ? accepted : settled;
+            checkSingleHolder();
+            settled = now < END_NANOS - 3 * TTL_NANOS ? acceptedActions : settled;
         }
-        if (broken.isEmpty() && accepted == settled) {
-            broken = "nobody acts three times to live after the last fault";
+        if (violation.isEmpty() && acceptedActions == settled) {
+            violation = "nobody acts three times to live after the last fault";
         }
         return new Result(
-                broken.isEmpty() ? "" : "at " + now / MS + " ms: " + broken,
-                faults,
-                accepted,
-                (int) given,
-                handOvers);
+                violation.isEmpty() ? "" : "at " + now / NANOS_PER_MILLI + " ms: " + violation,
+                faultCount,
+                acceptedActions,
+                (int) lastGrantedToken,
+                handoverTimes);
     }
 
     // ---- Links and faults
     // -----------------------------------------------------------------------------
-    private void link(int member, Runnable arrives) {
+    private void sendOverLink(int member, Runnable arrives) {
         int copies =
-                member != 0 && member == cut || random.nextDouble() < loss
+                member != 0 && member == partitionedMember || random.nextDouble() < lossProbability
                         ? 0
                         : random.nextInt(20) == 0 ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            after(100_000 + random.nextInt(slowest) * MS + random.nextInt(1_000_000), arrives);
+            after(
+                    100_000
+                            + random.nextInt(maxDelayMillis) * NANOS_PER_MILLI
+                            + random.nextInt(1_000_000),
+                    arrives);
         }
     }
 
-    private void fault() {
-        if (now > FAULTS_END) {
-            loss = 0;
-            slowest = 5;
-            cut = 0;
+    private void injectFault() {
+        if (now > FAULTS_END_NANOS) {
+            lossProbability = 0;
+            maxDelayMillis = 5;
+            partitionedMember = 0;
             log.quorum(true);
             return;
         }
-        faults++;
+        faultCount++;
         Member member = members.get(random.nextInt(members.size()));
         Member holding = members.stream().filter(each -> mayAct(each)).findFirst().orElse(member);
         Process voter = voters.get(random.nextInt(SimulatedLog.VOTERS));
-        long lasts = random.nextInt(3000) * MS;
-        switch (killsAlone ? 2 : random.nextInt(11)) {
-            case 0 -> stop(holding, lasts);
-            case 1 -> stop(member, lasts);
+        long lasts = random.nextInt(3000) * NANOS_PER_MILLI;
+        switch (killsOnly ? 2 : random.nextInt(11)) {
+            case 0 -> pause(holding, lasts);
+            case 1 -> pause(member, lasts);
             case 2 -> {
-                lose(holding);
+                recordLoss(holding);
                 holding.start();
             }
             case 3 -> {
@@ -289,26 +295,28 @@
                 holding.holder.transfer(0);
                 after(lasts, holding.holder::acquire);
             }
-            case 5 -> log.change(1 + random.nextInt(SimulatedLog.VOTERS));
+            case 5 -> log.changeLeader(1 + random.nextInt(SimulatedLog.VOTERS));
             case 6 -> {
-                voter.stoppedUntil = now + lasts;
+                voter.pausedUntil = now + lasts;
                 if (process(log.leader()) == voter) {
-                    after(300 * MS, () -> log.change(1 + log.leader() % SimulatedLog.VOTERS));
+                    after(
+                            300 * NANOS_PER_MILLI,
+                            () -> log.changeLeader(1 + log.leader() % SimulatedLog.VOTERS));
                 }
             }
             case 7 -> {
-                cut = holding.id;
-                lose(holding);
-                after(lasts, () -> cut = 0);
+                partitionedMember = holding.id;
+                recordLoss(holding);
+                after(lasts, () -> partitionedMember = 0);
             }
             case 8 -> {
-                loss = random.nextDouble() / 2;
-                slowest = 1 + random.nextInt(600);
+                lossProbability = random.nextDouble() / 2;
+                maxDelayMillis = 1 + random.nextInt(600);
                 after(
                         lasts,
                         () -> {
-                            loss = 0;
-                            slowest = 5;
+                            lossProbability = 0;
+                            maxDelayMillis = 5;
                         });
             }
             case 9 -> {
@@ -320,20 +328,22 @@
                 voters.forEach(each -> each.drift(random.nextInt(1001) - 500));
             }
         }
-        after((killsAlone ? 2500 : 100) * MS + random.nextInt(1200) * MS, this::fault);
+        after(
+                (killsOnly ? 2500 : 100) * NANOS_PER_MILLI + random.nextInt(1200) * NANOS_PER_MILLI,
+                this::injectFault);
     }
 
-    private void stop(Member member, long lasts) {
-        member.process.stoppedUntil = now + lasts;
-        if (lasts > TTL) {
-            lose(member);
+    private void pause(Member member, long lasts) {
+        member.process.pausedUntil = now + lasts;
+        if (lasts > TTL_NANOS) {
+            recordLoss(member);
         }
     }
 
-    private void lose(Member member) {
-        if (mayAct(member) && lostAt < 0) {
-            lostAt = now;
-            lostToken = given;
+    private void recordLoss(Member member) {
+        if (mayAct(member) && holderLostAt < 0) {
+            holderLostAt = now;
+            lostToken = lastGrantedToken;
         }
     }
 
@@ -341,16 +351,17 @@
     // ------------------------------------------------------------------------------------
     private boolean mayAct(Member member) {
         return member.holder.phase() == LeaseHolder.Phase.HELD
-                && new LeaseHolder(TASK, TTL, ClockDriftBound.STANDARD, member.holder.state())
+                && new LeaseHolder(
+                                LEASE, TTL_NANOS, ClockDriftBound.STANDARD, member.holder.state())
                         .mayAct(member.process.nanos()); // A copy: asking must not tell it.
     }
 
-    private void judge() {
+    private void checkSingleHolder() {
         Member holding = null;
         for (Member each : members) {
             if (mayAct(each)) {
                 if (holding != null) {
-                    broken =
+                    violation =
                             "members "
                                     + holding.id
                                     + " and "
@@ -362,60 +373,60 @@
         }
     }
 
-    private void resource(Member by, long token) {
-        if (fence.admit(TASK, token).isPresent()) {
+    private void executeAtResource(Member by, long token) {
+        if (tokenGuard.admit(LEASE, token).isPresent()) {
             return;
         }
-        if (token < atResource) {
-            broken =
+        if (token < lastResourceToken) {
+            violation =
                     "the resource takes an act of member "
                             + by.id
                             + " under token "
                             + token
                             + " after one under "
-                            + atResource;
+                            + lastResourceToken;
         }
-        atResource = token;
-        did(token);
+        lastResourceToken = token;
+        onAction(token);
     }
 
-    private void news(ReplicatedState.StateChange news) {
+    private void onStateChange(ReplicatedState.StateChange news) {
         if (!news.machine().equals("lease")) {
             return;
         }
         LeaseEvent event = LeaseEvent.decode(news.event());
         if (event instanceof LeaseEvent.Granted granted) {
-            if (granted.token() <= given) {
-                broken = "token " + granted.token() + " is given after " + given;
+            if (granted.token() <= lastGrantedToken) {
+                violation = "token " + granted.token() + " is given after " + lastGrantedToken;
             }
-            given = granted.token();
+            lastGrantedToken = granted.token();
             members.forEach(
                     each ->
-                            link(
+                            sendOverLink(
                                     each.id,
                                     () -> each.process.after(1, () -> each.client.onEvent(event))));
         } else if (event instanceof LeaseEvent.ActionPerformed act) {
             long number = new BinaryCodec.Reader("act", act.payload()).i64();
-            if (!done.add(number)) {
-                broken = "act " + number + " is done twice by the log";
+            if (!appliedActions.add(number)) {
+                violation = "act " + number + " is done twice by the log";
             }
-            if (act.token() < inLog) {
-                broken =
+            if (act.token() < lastLogToken) {
+                violation =
                         "the log takes an act under token "
                                 + act.token()
                                 + " after one under "
-                                + inLog;
+                                + lastLogToken;
             }
-            inLog = act.token();
-            did(act.token());
+            lastLogToken = act.token();
+            onAction(act.token());
         }
     }
 
-    private void did(long token) {
-        accepted++;
-        if (lostAt >= 0 && token > lostToken) {
-            handOvers.add((double) (now - lostAt) / TTL);
-            lostAt = -1;
+    private void onAction(long token) {
+        acceptedActions++;
+        if (holderLostAt >= 0 && token > lostToken) {
+            handoverTimes.add((double) (now - holderLostAt) / TTL_NANOS);
+            holderLostAt = -1;
         }
     }
 }
--- a/src/measure/java/calicostream/lease/SimulatedLog.java
+++ b/src/measure/java/calicostream/lease/SimulatedLog.java
@@ -20,34 +20,34 @@
  */
 final class SimulatedLog {
     static final int VOTERS = 3;
-    private static final long PERIOD = 20_000_000;
+    private static final long CHECK_INTERVAL_NANOS = 20_000_000;
 
     private record Proposal(byte[] entry, Consumer<CommandOutcome> done) {}
 
-    private final RandomLeaseRun runs;
-    private final LeaseComponents parts;
-    private final Consumer<ReplicatedState.StateChange> heard;
+    private final RandomLeaseRun run;
+    private final LeaseComponents components;
+    private final Consumer<ReplicatedState.StateChange> listener;
     private final List<Proposal> proposed = new ArrayList<>();
     private LeaseStateMachine machine;
     private ReplicatedState state;
-    private LeaseExpiryMonitor watch;
-    private SessionExpiryMonitor keeper;
+    private LeaseExpiryMonitor leaseExpiryMonitor;
+    private SessionExpiryMonitor sessionExpiryMonitor;
     private int leader;
     private long index;
     private boolean quorum = true;
-    private int changes;
+    private int leaderChanges;
 
     SimulatedLog(
             RandomLeaseRun runs,
             LeaseComponents parts,
             Consumer<ReplicatedState.StateChange> heard) {
-        this.runs = runs;
-        this.parts = parts;
-        this.heard = heard;
-        machine = parts.machine(null);
+        this.run = runs;
+        this.components = parts;
+        this.listener = heard;
+        machine = parts.createMachine(null);
         state = new ReplicatedState(Map.of("lease", machine));
-        lead(1);
-        count(changes);
+        becomeLeader(1);
+        checkExpiry(leaderChanges);
     }
 
     int leader() {
@@ -66,8 +66,8 @@
     /**
      * Another voter leads; of what was proposed, a first part is in its log and the rest is not.
      */
-    void change(int to) {
-        int kept = runs.random.nextInt(proposed.size() + 1);
+    void changeLeader(int to) {
+        int kept = run.random.nextInt(proposed.size() + 1);
         List<Proposal> lost = new ArrayList<>(proposed.subList(kept, proposed.size()));
         proposed.subList(kept, proposed.size()).clear();
         while (!proposed.isEmpty()) {
@@ -78,37 +78,40 @@
         }
         lost.clear();
         byte[] snapshot = state.snapshot();
-        machine = parts.machine(null);
+        machine = components.createMachine(null);
         state = new ReplicatedState(Map.of("lease", machine));
         state.restore(snapshot);
-        lead(to);
-        count(changes);
+        becomeLeader(to);
+        checkExpiry(leaderChanges);
     }
 
-    private void lead(int voter) {
+    private void becomeLeader(int voter) {
         leader = voter;
-        changes++;
-        apply(new Proposal(new ReplicatedEntry.EpochStart(voter, changes).encode(), outcome -> {}));
-        watch = parts.watch(machine, Map.of(), 0);
-        keeper = new SessionExpiryMonitor(state, PERIOD);
-        watch.epochStarted(state.epoch(), runs.process(voter).nanos());
+        leaderChanges++;
+        apply(
+                new Proposal(
+                        new ReplicatedEntry.EpochStart(voter, leaderChanges).encode(),
+                        outcome -> {}));
+        leaseExpiryMonitor = components.createExpiryMonitor(machine, Map.of(), 0);
+        sessionExpiryMonitor = new SessionExpiryMonitor(state, CHECK_INTERVAL_NANOS);
+        leaseExpiryMonitor.epochStarted(state.epoch(), run.process(voter).nanos());
     }
 
     /** The leader's count of time, at its own clock, while it leads. */
-    private void count(int since) {
-        if (since != changes) {
+    private void checkExpiry(int since) {
+        if (since != leaderChanges) {
             return;
         }
-        long now = runs.process(leader).nanos();
-        for (byte[] body : watch.expiredCommands(now)) {
+        long now = run.process(leader).nanos();
+        for (byte[] body : leaseExpiryMonitor.expiredCommands(now)) {
             propose(
                     new ReplicatedEntry.LeaderCommand(state.epoch(), "lease", body).encode(),
                     outcome -> {});
         }
-        for (ReplicatedEntry.ExpireSession expire : keeper.expiredSessions(now)) {
+        for (ReplicatedEntry.ExpireSession expire : sessionExpiryMonitor.expiredSessions(now)) {
             propose(expire.encode(), outcome -> {});
         }
-        runs.process(leader).after(PERIOD, () -> count(since));
+        run.process(leader).after(CHECK_INTERVAL_NANOS, () -> checkExpiry(since));
     }
 
     void received(int voter, byte[] frame, Consumer<byte[]> answer) {
@@ -128,7 +131,7 @@
     private void propose(byte[] entry, Consumer<CommandOutcome> done) {
         Proposal proposal = new Proposal(entry, done);
         proposed.add(proposal);
-        runs.after(1_000_000 + runs.random.nextInt(5_000_000), this::commit);
+        run.after(1_000_000 + run.random.nextInt(5_000_000), this::commit);
     }
 
     private void commit() {
@@ -139,6 +142,6 @@
 
     private void apply(Proposal proposal) {
         proposal.done.accept(state.apply(++index, proposal.entry));
-        state.drainStateChanges().forEach(heard);
+        state.drainStateChanges().forEach(listener);
     }
 }
--- a/src/measure/java/calicostream/measure/ClusterProveMeasure.java
+++ b/src/measure/java/calicostream/measure/ClusterProveMeasure.java
@@ -70,12 +70,15 @@
             long failing = Long.parseLong(inCluster.broken().get(0).split(" ")[1]);
             System.out.println("seed " + failing + " needs " + ClusterProofs.minimized(failing));
         }
-        List<LeaseProofs.Runs> inLeases =
+        List<LeaseProofs.RunSummary> inLeases =
                 pieces(leases)
-                        .mapToObj(at -> LeaseProofs.run(seed + at, Math.min(PIECE, leases - at)))
+                        .mapToObj(
+                                at ->
+                                        LeaseProofs.randomRuns(
+                                                seed + at, Math.min(PIECE, leases - at)))
                         .toList();
-        inLeases.forEach(each -> broken(each.broken()));
-        long leaseFaults = inLeases.stream().mapToLong(LeaseProofs.Runs::faults).sum();
+        inLeases.forEach(each -> broken(each.violations()));
+        long leaseFaults = inLeases.stream().mapToLong(LeaseProofs.RunSummary::faults).sum();
         System.out.println(
                 "leases: " + leases + " runs, " + leaseFaults + " faults" + seconds(from));
         List<BudgetSimulations.FaultyRuns> inBudgets =
@@ -102,14 +105,15 @@
         System.out.println(
                 "budgets: " + budgets + " runs, " + budgetFaults + " faults" + seconds(from));
 
-        for (Supplier<Model> each : LeaseProofs.whole()) {
+        for (Supplier<Model> each : LeaseProofs.completeModels()) {
             Explorer.Result result = explore("", each.get());
-            broken(result.broken() == null ? List.of() : List.of(result.toString()));
+            broken(result.violation() == null ? List.of() : List.of(result.toString()));
         }
-        for (Map.Entry<Mutant, Model> each : new TreeMap<>(LeaseProofs.without()).entrySet()) {
+        for (Map.Entry<Mutant, Model> each :
+                new TreeMap<>(LeaseProofs.modelsWithoutSafeguard()).entrySet()) {
             mutant(
                     "model without " + each.getKey(),
-                    explore(each.getKey() + ", ", each.getValue()).broken() != null);
+                    explore(each.getKey() + ", ", each.getValue()).violation() != null);
         }
         for (String each : ClusterProofs.safeguards()) {
             mutant("clusters without " + each, ClusterProofs.found(each, seed, TRIES) >= 0);
--- a/src/measure/java/calicostream/measure/ProveMeasure.java
+++ b/src/measure/java/calicostream/measure/ProveMeasure.java
@@ -30,21 +30,21 @@
                         + ", at most "
                         + MOST
                         + " states of a model");
-        LeaseProofs.Runs inTime = LeaseProofs.run(seed, runs);
+        LeaseProofs.RunSummary inTime = LeaseProofs.randomRuns(seed, runs);
         System.out.println(inTime);
         long states = 0;
-        int violations = inTime.broken().size();
-        for (Supplier<Model> each : LeaseProofs.whole()) {
+        int violations = inTime.violations().size();
+        for (Supplier<Model> each : LeaseProofs.completeModels()) {
             Explorer.Result result = timed("", each.get(), MOST);
             states += result.states();
-            violations += result.broken() == null ? 0 : 1;
+            violations += result.violation() == null ? 0 : 1;
         }
         int found = 0;
-        Map<Mutant, Model> without = new TreeMap<>(LeaseProofs.without());
+        Map<Mutant, Model> without = new TreeMap<>(LeaseProofs.modelsWithoutSafeguard());
         for (Map.Entry<Mutant, Model> each : without.entrySet()) {
             Explorer.Result result = timed(each.getKey() + ", ", each.getValue(), MOST);
             states += result.states();
-            found += result.broken() == null ? 0 : 1;
+            found += result.violation() == null ? 0 : 1;
         }
         System.out.println(
                 "prove sim_runs="
--- a/src/measure/java/calicostream/prove/Explorer.java
+++ b/src/measure/java/calicostream/prove/Explorer.java
@@ -8,23 +8,32 @@
 import java.util.List;
 
 /**
- * Breadth first over the states of a {@link Model}, so that the first break found is one of the
- * shortest. A state is remembered as a hash of 64 bits, its parent and its action, 14 bytes and the
- * table's slack, and kept whole only while it waits to be looked at. Two states with one hash would
- * hide the later one: at ten million states that has a chance of three in a million.
+ * The model checker: explores the states of a {@link Model} breadth first, so that the first
+ * violation found has one of the shortest traces. A visited state is stored as a 64-bit hash, its
+ * parent and its action, which takes 14 bytes and the hash table's free slots; the complete state
+ * is kept only until it is expanded. Of two states with equal hashes the later one is not explored:
+ * with ten million states that happens with a probability of three in a million.
  */
 public final class Explorer {
     /**
-     * {@code complete}: every state that can be reached was; {@code broken} and {@code trace} are
-     * null and empty without a break.
+     * The result of an exploration.
+     *
+     * @param model the model's name
+     * @param states number of states visited
+     * @param transitions number of transitions reported
+     * @param depth number of actions from an initial state to the last state expanded
+     * @param complete whether every reachable state was visited
+     * @param violation the invariant that was violated; null if none was
+     * @param trace descriptions of the actions from an initial state to the violation; empty if
+     *     there is none
      */
     public record Result(
             String model,
             long states,
-            long steps,
+            long transitions,
             int depth,
             boolean complete,
-            String broken,
+            String violation,
             List<String> trace) {
         @Override
         public String toString() {
@@ -32,109 +41,123 @@
                     + ": "
                     + states
                     + " states, "
-                    + steps
+                    + transitions
                     + " steps, depth "
                     + depth
                     + (complete ? ", all there are" : "")
-                    + (broken == null
+                    + (violation == null
                             ? ", no break"
-                            : ", BROKEN: " + broken + "\n  " + String.join("\n  ", trace));
+                            : ", BROKEN: " + violation + "\n  " + String.join("\n  ", trace));
         }
     }
 
-    private static final int ROOT = -1;
+    /** The parent of an initial state. */
+    private static final int NO_PARENT = -1;
+
+    private static final int INITIAL_TABLE_SIZE = 1 << 16;
+    private static final int INITIAL_STATES = 1 << 14;
+
     private final Model model;
-    private final long most;
-    private long[] table = new long[1 << 16];
-    private int[] parents = new int[1 << 14];
-    private short[] actions = new short[1 << 14];
-    private int known;
-    private long steps;
-    private String broken;
-    private int brokenAction;
-
-    private Explorer(Model model, long most) {
+    private final long maxStates;
+    private final ArrayDeque<byte[]> frontier = new ArrayDeque<>();
+    private long[] table = new long[INITIAL_TABLE_SIZE]; // hashes; open addressing, 0 is free
+    private int[] parents = new int[INITIAL_STATES]; // by state number
+    private short[] actions = new short[INITIAL_STATES]; // by state number
+    private int knownStates;
+    private long transitions;
+    private String violation;
+    private int violatingAction;
+
+    private Explorer(Model model, long maxStates) {
         this.model = model;
-        this.most = most;
+        this.maxStates = maxStates;
     }
 
-    /** Until a break, the end, or that many states. */
-    public static Result explore(Model model, long mostStates) {
-        return new Explorer(model, mostStates).run();
+    /** Explores until a violation, the last reachable state, or that many states. */
+    public static Result explore(Model model, long maxStates) {
+        return new Explorer(model, maxStates).run();
     }
 
     private Result run() {
-        ArrayDeque<byte[]> waiting = new ArrayDeque<>();
         for (byte[] state : model.initial()) {
-            add(waiting, state, ROOT, 0);
+            add(state, NO_PARENT, 0);
         }
-        int looked = 0;
+        int expanded = 0;
         int depth = 0;
-        int nextDepthAt = known;
-        while (!waiting.isEmpty() && known < most) {
-            byte[] state = waiting.poll();
-            int at = looked++;
-            model.steps(
-                    state,
-                    new Model.Steps() {
-                        @Override
-                        public void to(int action, byte[] next) {
-                            steps++;
-                            add(waiting, next, at, action);
-                        }
-
-                        @Override
-                        public void broken(int action, String promise) {
-                            if (broken == null) {
-                                broken = promise;
-                                brokenAction = action;
-                            }
-                        }
-                    });
-            if (broken != null) {
-                return new Result(model.name(), known, steps, depth + 1, false, broken, trace(at));
+        int nextDepthAt = knownStates;
+        while (!frontier.isEmpty() && knownStates < maxStates) {
+            int number = expanded;
+            expanded++;
+            expand(frontier.poll(), number);
+            if (violation != null) {
+                return result(depth + 1, false, trace(number));
             }
-            if (looked == nextDepthAt) {
+            if (expanded == nextDepthAt) {
                 depth++;
-                nextDepthAt = known;
+                nextDepthAt = knownStates;
             }
         }
-        return new Result(model.name(), known, steps, depth, waiting.isEmpty(), null, List.of());
+        return result(depth, frontier.isEmpty(), List.of());
+    }
+
+    private Result result(int depth, boolean complete, List<String> trace) {
+        return new Result(
+                model.name(), knownStates, transitions, depth, complete, violation, trace);
     }
 
-    private List<String> trace(int last) {
+    private void expand(byte[] state, int number) {
+        model.transitions(
+                state,
+                new Model.Transitions() {
+                    @Override
+                    public void to(int action, byte[] next) {
+                        transitions++;
+                        add(next, number, action);
+                    }
+
+                    @Override
+                    public void violation(int action, String invariant) {
+                        if (violation == null) {
+                            violation = invariant;
+                            violatingAction = action;
+                        }
+                    }
+                });
+    }
+
+    private List<String> trace(int lastState) {
         List<String> trace = new ArrayList<>();
-        trace.add(model.describe(brokenAction));
-        for (int at = last; parents[at] != ROOT; at = parents[at]) {
-            trace.add(model.describe(actions[at]));
+        trace.add(model.describe(violatingAction));
+        for (int number = lastState; parents[number] != NO_PARENT; number = parents[number]) {
+            trace.add(model.describe(actions[number]));
         }
         Collections.reverse(trace);
         return trace;
     }
 
-    private void add(ArrayDeque<byte[]> waiting, byte[] state, int parent, int action) {
+    private void add(byte[] state, int parent, int action) {
         if (!remember(hash(state))) {
             return;
         }
-        if (known == parents.length) {
-            parents = Arrays.copyOf(parents, known * 2);
-            actions = Arrays.copyOf(actions, known * 2);
+        if (knownStates == parents.length) {
+            parents = Arrays.copyOf(parents, knownStates * 2);
+            actions = Arrays.copyOf(actions, knownStates * 2);
         }
-        parents[known] = parent;
-        actions[known] = (short) action;
-        known++;
-        waiting.add(state);
+        parents[knownStates] = parent;
+        actions[knownStates] = (short) action;
+        knownStates++;
+        frontier.add(state);
     }
 
+    /**
+     * Stores a hash.
+     *
+     * @return false if it was stored already
+     */
     private boolean remember(long hash) {
-        if (known * 5L > table.length * 3L) {
-            long[] old = table;
-            table = new long[old.length * 2];
-            for (long each : old) {
-                if (each != 0) {
-                    table[slot(each)] = each;
-                }
-            }
+        boolean isTableFull = knownStates * 5L > table.length * 3L; // more than 60% in use
+        if (isTableFull) {
+            doubleTable();
         }
         int slot = slot(hash);
         if (table[slot] == hash) {
@@ -144,6 +167,17 @@
         return true;
     }
 
+    private void doubleTable() {
+        long[] old = table;
+        table = new long[old.length * 2];
+        for (long hash : old) {
+            if (hash != 0) {
+                table[slot(hash)] = hash;
+            }
+        }
+    }
+
+    /** The slot that holds the hash, or the free one where it belongs. */
     private int slot(long hash) {
         int slot = (int) (hash >>> 20) & table.length - 1;
         while (table[slot] != 0 && table[slot] != hash) {
@@ -152,7 +186,7 @@
         return slot;
     }
 
-    /** MurmurHash's 64-bit mixing over the bytes; never 0, which marks an empty slot. */
+    /** MurmurHash3's 64-bit finalizer over the bytes; never 0, which marks a free slot. */
     private static long hash(byte[] state) {
         long hash = 0x9E3779B97F4A7C15L ^ state.length;
         int at = 0;
--- a/src/measure/java/calicostream/prove/Model.java
+++ b/src/measure/java/calicostream/prove/Model.java
@@ -4,26 +4,43 @@
 import java.util.List;
 
 /**
- * What the explorer explores. A state is an array of bytes, equal states equal arrays; one thread.
+ * A transition system that {@link Explorer} checks. A state is an array of bytes; equal states are
+ * equal arrays. Confined to one thread. Arrays that were passed to {@link Transitions#to} belong to
+ * the explorer and must not be changed afterwards.
  */
 public interface Model {
-    /** Takes the steps that are possible from a state. */
-    interface Steps {
+    /** Receives the transitions that are possible from a state. */
+    interface Transitions {
         /**
-         * One more step: which action, numbered as the model likes, and the state that it leads to.
+         * Reports a transition.
+         *
+         * @param action what happens, numbered by the model from 0 to 32767
+         * @param state the state that it leads to
          */
         void to(int action, byte[] state);
 
-        /** That action breaks a promise. */
-        void broken(int action, String promise);
+        /**
+         * Reports that an action violates an invariant.
+         *
+         * @param action what happens
+         * @param invariant how it is violated, for the report
+         */
+        void violation(int action, String invariant);
     }
 
+    /** The model's name in reports. */
     String name();
 
+    /** The initial states. */
     List<byte[]> initial();
 
-    void steps(byte[] state, Steps steps);
+    /**
+     * Reports all transitions from a state, in an order that depends on the state alone.
+     *
+     * @param state must not be changed
+     */
+    void transitions(byte[] state, Transitions transitions);
 
-    /** An action in words. */
+    /** Describes an action for a trace. */
     String describe(int action);
 }
--- a/src/test/java/calicostream/lease/EjectionHintsFleetTest.java
+++ b/src/test/java/calicostream/lease/EjectionHintsFleetTest.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.lease;
 
-import static calicostream.lease.EjectionHintsFleet.MILLI;
+import static calicostream.lease.EjectionHintsFleet.MICROS_PER_MILLI;
 import static calicostream.lease.EjectionHintsFleet.SIZE;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -9,36 +9,38 @@
 
 /** What hints spare a fleet, and that it does without them. */
 class EjectionHintsFleetTest {
-    private static long lastBack(EjectionHintsFleet fleet) {
-        return fleet.backAfter.stream().mapToLong(each -> each).max().orElseThrow() / MILLI;
+    private static long lastUseAfterRecoveryMillis(EjectionHintsFleet fleet) {
+        return fleet.usedAgainAfterMicros.stream().mapToLong(each -> each).max().orElseThrow()
+                / MICROS_PER_MILLI;
     }
 
     @Test
-    void oneTriesForAllAndWhoHearsNothingTriesForItself() {
+    void hintsReduceProbesAndAreNotRequired() {
         EjectionHintsFleet alone = EjectionHintsFleet.of(-1, 0);
-        EjectionHintsFleet led = EjectionHintsFleet.of(4, EjectionHintsFleet.END);
-        EjectionHintsFleet left = EjectionHintsFleet.of(4, 30_000 * MILLI);
+        EjectionHintsFleet led = EjectionHintsFleet.of(4, EjectionHintsFleet.END_MICROS);
+        EjectionHintsFleet left = EjectionHintsFleet.of(4, 30_000 * MICROS_PER_MILLI);
         System.out.println(
                 "seed "
                         + EjectionHintsFleet.SEED
                         + ": sent to the engine that is down "
-                        + alone.trialsMade
+                        + alone.failedQueries
                         + " alone, "
-                        + led.trialsMade
+                        + led.failedQueries
                         + " with hints, "
-                        + left.trialsMade
+                        + left.failedQueries
                         + " with hints for half the time; all back after "
-                        + lastBack(alone)
+                        + lastUseAfterRecoveryMillis(alone)
                         + " ms, "
-                        + lastBack(led)
+                        + lastUseAfterRecoveryMillis(led)
                         + " ms");
         assertTrue(
-                led.trialsMade * 3 <= alone.trialsMade, led.trialsMade + " of " + alone.trialsMade);
+                led.failedQueries * 3 <= alone.failedQueries,
+                led.failedQueries + " of " + alone.failedQueries);
         assertTrue(
-                led.backAfter.size() == SIZE
-                        && alone.backAfter.size() == SIZE
-                        && left.backAfter.size() == SIZE,
+                led.usedAgainAfterMicros.size() == SIZE
+                        && alone.usedAgainAfterMicros.size() == SIZE
+                        && left.usedAgainAfterMicros.size() == SIZE,
                 "all used it again");
-        assertTrue(left.trialsMade > led.trialsMade, "who hears no more tries for itself");
+        assertTrue(left.failedQueries > led.failedQueries, "who hears no more tries for itself");
     }
 }
--- a/src/test/java/calicostream/lease/EjectionHintsTest.java
+++ b/src/test/java/calicostream/lease/EjectionHintsTest.java
@@ -22,95 +22,95 @@
     private final EjectionHintsPair pair = new EjectionHintsPair();
     private final EjectionHintsPair.Process holder = pair.holder;
     private final EjectionHintsPair.Process other = pair.other;
-    private final List<byte[]> words = pair.words;
+    private final List<byte[]> messages = pair.messages;
 
     @Test
-    void theOthersHearWhatIsTriedAndOnceWhatHasServed() {
-        pair.hold();
+    void ejectionIsRepeatedAndReinstatementPassedOnOnce() {
+        pair.grantToHolder();
         pair.pass(5_000);
-        assertEquals(0, words.size(), "where nothing is out the log is left alone");
-        holder.out.add(3L);
+        assertEquals(0, messages.size(), "where nothing is out the log is left alone");
+        holder.ejected.add(3L);
         pair.pass(2_500);
-        assertEquals(List.of("3 out", "3 out", "3 out"), other.hinted);
-        assertEquals(List.of(), holder.hinted);
-        holder.out.remove(3L);
+        assertEquals(List.of("3 out", "3 out", "3 out"), other.receivedHints);
+        assertEquals(List.of(), holder.receivedHints);
+        holder.ejected.remove(3L);
         pair.pass(10_000);
-        assertEquals("3 served", other.hinted.get(other.hinted.size() - 1));
-        assertEquals(1, other.hinted.stream().filter("3 served"::equals).count());
-        assertEquals(3 + EjectionHints.REINSTATEMENT_PUBLICATIONS, words.size());
-        Hint hint = other.trials.hints(pair.now).get(3L);
+        assertEquals("3 served", other.receivedHints.get(other.receivedHints.size() - 1));
+        assertEquals(1, other.receivedHints.stream().filter("3 served"::equals).count());
+        assertEquals(3 + EjectionHints.REINSTATEMENT_PUBLICATIONS, messages.size());
+        Hint hint = other.ejectionHints.hints(pair.now).get(3L);
         assertTrue(
-                hint.served() && hint.ageNanos() >= 9_000 * EjectionHintsPair.MILLI,
+                hint.served() && hint.ageNanos() >= 9_000 * EjectionHintsPair.NANOS_PER_MILLI,
                 hint.toString());
-        holder.out.add(3L);
+        holder.ejected.add(3L);
         pair.pass(200);
-        holder.out.remove(3L);
+        holder.ejected.remove(3L);
         pair.pass(2_000);
-        assertEquals(2, other.hinted.stream().filter("3 served"::equals).count());
+        assertEquals(2, other.receivedHints.stream().filter("3 served"::equals).count());
         assertTrue(
-                other.trials.statusJson().contains("\"3\":{\"served\":true"),
-                other.trials.statusJson());
+                other.ejectionHints.statusJson().contains("\"3\":{\"served\":true"),
+                other.ejectionHints.statusJson());
     }
 
     @Test
-    void whatIsGoneFromTheListHasNotServed() {
-        pair.hold();
-        holder.out.add(3L);
+    void engineRemovedFromTheListIsNotReinstated() {
+        pair.grantToHolder();
+        holder.ejected.add(3L);
         pair.pass(500);
         holder.listed.remove(3L);
         pair.pass(3_000);
-        assertEquals(List.of("3 out"), other.hinted);
+        assertEquals(List.of("3 out"), other.receivedHints);
     }
 
     @Test
-    void lostWordsCostAPeriodAndOldOnesNothing() {
-        pair.hold();
-        holder.out.add(3L);
-        pair.isLost = true;
+    void lostMessageCostsOneIntervalAndOutdatedOnesAreIgnored() {
+        pair.grantToHolder();
+        holder.ejected.add(3L);
+        pair.losesMessages = true;
         pair.pass(900);
-        pair.isLost = false;
+        pair.losesMessages = false;
         pair.pass(1_000);
-        assertEquals(List.of("3 out"), other.hinted);
-        holder.out.remove(3L);
+        assertEquals(List.of("3 out"), other.receivedHints);
+        holder.ejected.remove(3L);
         pair.pass(300);
-        assertEquals(List.of("3 out", "3 served"), other.hinted);
-        other.trials.onAction(4, words.get(0), pair.now);
-        other.trials.onAction(3, words.get(words.size() - 1), pair.now);
-        assertEquals(List.of("3 out", "3 served"), other.hinted);
+        assertEquals(List.of("3 out", "3 served"), other.receivedHints);
+        other.ejectionHints.onAction(4, messages.get(0), pair.now);
+        other.ejectionHints.onAction(3, messages.get(messages.size() - 1), pair.now);
+        assertEquals(List.of("3 out", "3 served"), other.receivedHints);
         // The next holder's numbers begin again under its greater token.
-        other.trials.onAction(5, words.get(0), pair.now);
-        assertEquals(List.of("3 out", "3 served", "3 out"), other.hinted);
+        other.ejectionHints.onAction(5, messages.get(0), pair.now);
+        assertEquals(List.of("3 out", "3 served", "3 out"), other.receivedHints);
     }
 
     @Test
-    void wordsAreBoundedAndWhatIsNoWordChangesNothing() {
+    void messagesAreBoundedAndMalformedOnesChangeNothing() {
         Random random = new Random(SEED);
-        pair.hold();
+        pair.grantToHolder();
         for (long id = 10; id < 3 * EjectionHints.MAX_ENGINES; id++) {
             holder.listed.add(id);
-            holder.out.add(id);
+            holder.ejected.add(id);
         }
         pair.pass(1_200);
-        holder.out.clear();
+        holder.ejected.clear();
         pair.pass(300);
         assertTrue(
-                words.stream()
+                messages.stream()
                         .allMatch(
                                 word ->
                                         word.length <= LeaseLimits.MAX_PAYLOAD_BYTES
                                                 && new BinaryCodec.Reader("word", word).u8() == 1));
-        assertTrue(other.trials.hints(pair.now).size() <= EjectionHints.MAX_ENGINES);
-        Map<Long, Hint> before = other.trials.hints(pair.now);
-        int hinted = other.hinted.size();
-        byte[] right = words.get(0);
+        assertTrue(other.ejectionHints.hints(pair.now).size() <= EjectionHints.MAX_ENGINES);
+        Map<Long, Hint> before = other.ejectionHints.hints(pair.now);
+        int hinted = other.receivedHints.size();
+        byte[] right = messages.get(0);
         for (int i = 0; i < 200; i++) {
             byte[] cut = java.util.Arrays.copyOf(right, random.nextInt(right.length));
             assertThrows(
                     ClusterException.Malformed.class,
-                    () -> other.trials.onAction(9, cut, pair.now),
+                    () -> other.ejectionHints.onAction(9, cut, pair.now),
                     "seed " + SEED);
         }
-        assertEquals(before, other.trials.hints(pair.now));
-        assertEquals(hinted, other.hinted.size());
+        assertEquals(before, other.ejectionHints.hints(pair.now));
+        assertEquals(hinted, other.receivedHints.size());
     }
 }
--- a/src/test/java/calicostream/lease/LeaseHolderTest.java
+++ b/src/test/java/calicostream/lease/LeaseHolderTest.java
@@ -16,47 +16,49 @@
 
 /** One holder, its acts and the resource that checks them. */
 class LeaseHolderTest {
-    private static final long MS = 1_000_000;
-    private static final long TTL = 1000 * MS;
-    private static final long WITHIN = ClockDriftBound.STANDARD.shortestSpan(TTL);
-    private final LeaseHolder holder = new LeaseHolder("task", TTL, 0);
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final long TTL_NANOS = 1000 * NANOS_PER_MILLI;
+    private static final long VALID_NANOS = ClockDriftBound.STANDARD.shortestSpan(TTL_NANOS);
+    private final LeaseHolder holder = new LeaseHolder("task", TTL_NANOS, 0);
     private long now;
-    private final FencedActions acts =
+    private final FencedActions actions =
             new FencedActions(holder, () -> now, "lease", (machine, body, done) -> {});
 
-    private Request asks(Class<? extends LeaseCommand> kind) {
+    private Request expectRequest(Class<? extends LeaseCommand> kind) {
         Request ask = holder.nextRequest(now);
         assertInstanceOf(kind, ask.command());
         assertNull(holder.nextRequest(now), "one command at a time");
         return ask;
     }
 
-    private void holds(long token) {
+    private void becomeHolder(long token) {
         holder.acquire();
         holder.onAnswer(
-                now, asks(LeaseCommand.Acquire.class).number(), new LeaseAnswer.Held(token));
+                now,
+                expectRequest(LeaseCommand.Acquire.class).number(),
+                new LeaseAnswer.Held(token));
         assertTrue(holder.mayAct(now));
     }
 
     @Test
-    void theDriftIsRoundedAgainstTheOneWhoCounts() {
-        assertEquals(999_500_000, WITHIN);
-        assertEquals(1_000_500_000, ClockDriftBound.STANDARD.longestSpan(TTL));
+    void driftIsRoundedToTheSafeSide() {
+        assertEquals(999_500_000, VALID_NANOS);
+        assertEquals(1_000_500_000, ClockDriftBound.STANDARD.longestSpan(TTL_NANOS));
         assertEquals(0, ClockDriftBound.STANDARD.shortestSpan(1));
         assertEquals(2, ClockDriftBound.STANDARD.longestSpan(1));
     }
 
     @Test
-    void itCountsFromBeforeItAsked() {
+    void grantIsValidFromItsRequest() {
         holder.acquire();
-        Request ask = asks(LeaseCommand.Acquire.class);
-        now = 900 * MS;
+        Request ask = expectRequest(LeaseCommand.Acquire.class);
+        now = 900 * NANOS_PER_MILLI;
         holder.onAnswer(now, ask.number(), new LeaseAnswer.Held(4));
-        assertTrue(acts.isHeld());
-        now = WITHIN - 1;
-        assertTrue(acts.isHeld());
-        now = WITHIN;
-        assertFalse(acts.isHeld());
+        assertTrue(actions.isHeld());
+        now = VALID_NANOS - 1;
+        assertTrue(actions.isHeld());
+        now = VALID_NANOS;
+        assertFalse(actions.isHeld());
     }
 
     /**
@@ -64,67 +66,69 @@
      * back to life.
      */
     @Test
-    void whoWasStoppedStopsAndAsksAnew() {
-        holds(4);
-        now = 400 * MS;
-        Request renewal = asks(LeaseCommand.Renew.class);
-        now = 3 * TTL;
+    void pausedHolderReleasesAndAcquiresAgain() {
+        becomeHolder(4);
+        now = 400 * NANOS_PER_MILLI;
+        Request renewal = expectRequest(LeaseCommand.Renew.class);
+        now = 3 * TTL_NANOS;
         assertInstanceOf(
                 LeaseRejection.NotHeldLocally.class,
-                acts.createLogCommand(new byte[0]).rejection());
+                actions.createLogCommand(new byte[0]).rejection());
         holder.onAnswer(now, renewal.number(), new LeaseAnswer.Held(4));
-        assertFalse(acts.isHeld());
-        Request release = asks(LeaseCommand.Release.class);
+        assertFalse(actions.isHeld());
+        Request release = expectRequest(LeaseCommand.Release.class);
         holder.onRejected(now, release.number(), new LeaseRejection.NotHolder("task", 4, 5));
-        now += TTL;
-        asks(LeaseCommand.Acquire.class);
+        now += TTL_NANOS;
+        expectRequest(LeaseCommand.Acquire.class);
     }
 
     @Test
-    void aGrantFromTheQueueIsRenewedBeforeItIsUsed() {
+    void queuedGrantIsRenewedBeforeUse() {
         holder.acquire();
-        holder.onAnswer(now, asks(LeaseCommand.Acquire.class).number(), new LeaseAnswer.Queued(3));
-        now = 50 * TTL;
+        holder.onAnswer(
+                now, expectRequest(LeaseCommand.Acquire.class).number(), new LeaseAnswer.Queued(3));
+        now = 50 * TTL_NANOS;
         holder.onGranted(now, 9);
-        assertFalse(acts.isHeld());
-        Request renewal = asks(LeaseCommand.Renew.class);
-        now += 100 * MS;
+        assertFalse(actions.isHeld());
+        Request renewal = expectRequest(LeaseCommand.Renew.class);
+        now += 100 * NANOS_PER_MILLI;
         holder.onAnswer(now, renewal.number(), new LeaseAnswer.Held(9));
-        assertTrue(acts.isHeld());
-        now = 50 * TTL + WITHIN;
-        assertFalse(acts.isHeld());
+        assertTrue(actions.isHeld());
+        now = 50 * TTL_NANOS + VALID_NANOS;
+        assertFalse(actions.isHeld());
         holder.onGranted(now, 9);
         assertEquals(Phase.RELEASING, holder.phase(), "old news");
     }
 
     @Test
-    void whoIsToStopActsNoMoreAndSaysSo() {
-        holds(4);
+    void transferStopsActionsAndFallsBackToRelease() {
+        becomeHolder(4);
         holder.transfer(0);
-        assertFalse(acts.isHeld());
-        Request transfer = asks(LeaseCommand.Transfer.class);
+        assertFalse(actions.isHeld());
+        Request transfer = expectRequest(LeaseCommand.Transfer.class);
         holder.onRejected(now, transfer.number(), new LeaseRejection.NoSuccessor("task", 0));
-        Request release = asks(LeaseCommand.Release.class);
+        Request release = expectRequest(LeaseCommand.Release.class);
         holder.onUnknownOutcome(now, release.number());
-        release = asks(LeaseCommand.Release.class);
+        release = expectRequest(LeaseCommand.Release.class);
         holder.onAnswer(now, release.number(), new LeaseAnswer.Done());
-        assertNull(holder.nextRequest(now + TTL));
+        assertNull(holder.nextRequest(now + TTL_NANOS));
         assertEquals(Phase.IDLE, holder.phase());
     }
 
     @Test
-    void anAskingWithoutAnEndIsMadeAgainAndFindsWhatItGot() {
+    void acquireWithUnknownOutcomeIsRepeated() {
         holder.acquire();
-        Request first = asks(LeaseCommand.Acquire.class);
+        Request first = expectRequest(LeaseCommand.Acquire.class);
         holder.onUnknownOutcome(now, first.number());
-        Request second = asks(LeaseCommand.Acquire.class);
+        Request second = expectRequest(LeaseCommand.Acquire.class);
         holder.onAnswer(now, first.number(), new LeaseAnswer.Held(4));
-        assertFalse(acts.isHeld(), "an answer to what was given up");
+        assertFalse(actions.isHeld(), "an answer to what was given up");
         holder.onRejected(now, second.number(), new LeaseRejection.AlreadyHeld("task", 4));
-        holder.onAnswer(now, asks(LeaseCommand.Renew.class).number(), new LeaseAnswer.Held(4));
-        assertTrue(acts.isHeld());
+        holder.onAnswer(
+                now, expectRequest(LeaseCommand.Renew.class).number(), new LeaseAnswer.Held(4));
+        assertTrue(actions.isHeld());
         holder.onSessionEnded(now);
-        assertFalse(acts.isHeld());
+        assertFalse(actions.isHeld());
     }
 
     /**
@@ -132,7 +136,7 @@
      * next holder's act.
      */
     @Test
-    void theResourceRefusesTheActThatCameTooLate() {
+    void resourceRejectsLateAction() {
         FencingTokenGuard fence = new FencingTokenGuard();
         List<String> done = new ArrayList<>();
         FencedResource<String, Integer> resource =
@@ -144,16 +148,16 @@
                     done.add(act);
                     return FencedResult.completed(done.size());
                 };
-        holds(4);
+        becomeHolder(4);
         FencedResource<String, Integer> afterThePause =
                 (lease, token, act) -> {
                     resource.execute(lease, 5, "the next holder's");
                     return resource.execute(lease, token, act);
                 };
-        assertEquals(1, acts.executeAt(resource, "in time").result());
+        assertEquals(1, actions.executeAt(resource, "in time").result());
         assertEquals(
                 new LeaseRejection.TokenOutdated("task", 4, 5),
-                acts.executeAt(afterThePause, "too late").rejection());
+                actions.executeAt(afterThePause, "too late").rejection());
         assertEquals(List.of("in time", "the next holder's"), done);
         assertEquals(5, fence.highestToken("task"));
     }
--- a/src/test/java/calicostream/lease/LeaseProofsTest.java
+++ b/src/test/java/calicostream/lease/LeaseProofsTest.java
@@ -18,27 +18,28 @@
 
 /** A bounded part of {@code make prove-lease}. */
 class LeaseProofsTest {
-    private static final long STATES = 40_000;
-    private static final long MOST = 1_000_000;
+    private static final long BOUNDED_STATES = 40_000;
+    private static final long MAX_STATES = 1_000_000;
 
     static Stream<Mutant> safeguards() {
-        return LeaseProofs.without().keySet().stream();
+        return LeaseProofs.modelsWithoutSafeguard().keySet().stream();
     }
 
     @Test
-    void noPromiseIsBrokenInTheFirstStatesOfAnyModel() {
-        for (Supplier<Model> each : LeaseProofs.whole()) {
-            Explorer.Result result = Explorer.explore(each.get(), STATES);
-            assertNull(result.broken(), result::toString);
-            assertTrue(result.states() >= STATES || result.complete(), result::toString);
+    void noInvariantIsViolatedInTheFirstStatesOfAnyModel() {
+        for (Supplier<Model> each : LeaseProofs.completeModels()) {
+            Explorer.Result result = Explorer.explore(each.get(), BOUNDED_STATES);
+            assertNull(result.violation(), result::toString);
+            assertTrue(result.states() >= BOUNDED_STATES || result.complete(), result::toString);
         }
     }
 
     @ParameterizedTest
     @MethodSource("safeguards")
-    void theLackOfEachSafeguardIsFound(Mutant each) {
-        Explorer.Result result = Explorer.explore(LeaseProofs.without().get(each), MOST);
-        assertNotNull(result.broken(), result::toString);
+    void removalOfEachSafeguardIsDetected(Mutant each) {
+        Explorer.Result result =
+                Explorer.explore(LeaseProofs.modelsWithoutSafeguard().get(each), MAX_STATES);
+        assertNotNull(result.violation(), result::toString);
         assertEquals(
                 result.depth(),
                 result.trace().size(),
@@ -47,11 +48,11 @@
 
     /** The explorer by itself: every state once, the shortest way to a break. */
     @Test
-    void theExplorerVisitsAllAndFindsTheShortestWay() {
-        Explorer.Result all = Explorer.explore(new Counters(100), MOST);
+    void explorerVisitsAllStatesAndFindsTheShortestTrace() {
+        Explorer.Result all = Explorer.explore(new Counters(100), MAX_STATES);
         assertEquals(100 * 100, all.states());
         assertTrue(all.complete());
-        Explorer.Result broken = Explorer.explore(new Counters(6), MOST);
+        Explorer.Result broken = Explorer.explore(new Counters(6), MAX_STATES);
         assertEquals(
                 List.of("0", "0", "0", "0", "0", "1", "1", "1", "1", "1"),
                 broken.trace().stream().sorted().toList());
@@ -70,13 +71,13 @@
         }
 
         @Override
-        public void steps(byte[] state, Steps steps) {
+        public void transitions(byte[] state, Transitions steps) {
             for (int i = 0; i < 2; i++) {
                 byte[] next = state.clone();
                 next[i] = (byte) ((next[i] + 1) % size);
                 steps.to(i, next);
                 if (size == 6 && next[0] == 5 && next[1] == 5) {
-                    steps.broken(i, "both at the top");
+                    steps.violation(i, "both at the top");
                 }
             }
         }
--- a/src/test/java/calicostream/lease/LeaseStateMachineTest.java
+++ b/src/test/java/calicostream/lease/LeaseStateMachineTest.java
@@ -23,28 +23,28 @@
 
 /** The machine's rules one by one; random lives and the model checker are elsewhere. */
 class LeaseStateMachineTest {
-    private static final long S = 1_000_000_000;
+    private static final long NANOS_PER_SECOND = 1_000_000_000;
     private static final String TASK = "arbiter";
     private final LeaseStateMachine machine = new LeaseStateMachine();
     private long index;
 
-    private CommandEffects say(long session, LeaseCommand command) {
+    private CommandEffects apply(long session, LeaseCommand command) {
         return machine.apply(++index, new Command(session, index, 0, command.encode()));
     }
 
-    private LeaseAnswer ask(long session, LeaseCommand command) {
-        CommandEffects effects = say(session, command);
-        assertTrue(effects.isAccepted(), () -> refusal(effects).facts());
+    private LeaseAnswer applyAccepted(long session, LeaseCommand command) {
+        CommandEffects effects = apply(session, command);
+        assertTrue(effects.isAccepted(), () -> rejection(effects).facts());
         return LeaseAnswer.decode(effects.response());
     }
 
-    private static LeaseRejection refusal(CommandEffects effects) {
+    private static LeaseRejection rejection(CommandEffects effects) {
         assertFalse(effects.isAccepted());
         return LeaseRejection.decode(effects.rejectionCode(), effects.response());
     }
 
     private LeaseAnswer acquire(long session) {
-        return ask(session, new LeaseCommand.Acquire(TASK, 2 * S, true));
+        return applyAccepted(session, new LeaseCommand.Acquire(TASK, 2 * NANOS_PER_SECOND, true));
     }
 
     private static List<LeaseEvent> events(CommandEffects effects) {
@@ -52,69 +52,69 @@
     }
 
     @Test
-    void whoComesFirstHoldsAndTheOthersFollowInTheirOrder() {
+    void queueIsFirstComeFirstServed() {
         assertEquals(new LeaseAnswer.Held(1), acquire(7));
         assertEquals(new LeaseAnswer.Queued(1), acquire(8));
         assertEquals(new LeaseAnswer.Queued(2), acquire(9));
         assertEquals(
                 new LeaseRejection.AlreadyQueued(TASK, 2),
-                refusal(say(9, new LeaseCommand.Acquire(TASK, S, true))));
+                rejection(apply(9, new LeaseCommand.Acquire(TASK, NANOS_PER_SECOND, true))));
         assertEquals(
                 new LeaseRejection.AlreadyHeld(TASK, 1),
-                refusal(say(7, new LeaseCommand.Acquire(TASK, S, true))));
+                rejection(apply(7, new LeaseCommand.Acquire(TASK, NANOS_PER_SECOND, true))));
         assertEquals(
                 new LeaseRejection.HeldByOther(TASK, 1),
-                refusal(say(3, new LeaseCommand.Acquire(TASK, S, false))));
+                rejection(apply(3, new LeaseCommand.Acquire(TASK, NANOS_PER_SECOND, false))));
         assertEquals(
                 List.of(
                         new LeaseEvent.Ended(TASK, 1, LeaseEvent.EndReason.RELEASED),
                         new LeaseEvent.Granted(TASK, 2, 8)),
-                events(say(7, new LeaseCommand.Release(TASK, 1))));
+                events(apply(7, new LeaseCommand.Release(TASK, 1))));
         acquire(7);
-        ask(8, new LeaseCommand.Release(TASK, 2));
+        applyAccepted(8, new LeaseCommand.Release(TASK, 2));
         assertTrue(
                 machine.isHolder(TASK, 3) && machine.heldLeases().get(0).session() == 9,
                 "who comes back goes to the end");
     }
 
     @Test
-    void onlyTheHoldersTokenOpensAnything() {
+    void onlyTheHoldersTokenIsAccepted() {
         acquire(7);
         acquire(8);
-        ask(7, new LeaseCommand.Release(TASK, 1));
+        applyAccepted(7, new LeaseCommand.Release(TASK, 1));
         for (LeaseCommand each :
                 List.of(
                         new LeaseCommand.Renew(TASK, 1),
                         new LeaseCommand.Release(TASK, 1),
                         new LeaseCommand.Transfer(TASK, 1, 0),
                         new LeaseCommand.FencedAction(TASK, 1, new byte[3]))) {
-            assertEquals(new LeaseRejection.NotHolder(TASK, 1, 2), refusal(say(7, each)));
+            assertEquals(new LeaseRejection.NotHolder(TASK, 1, 2), rejection(apply(7, each)));
         }
         assertEquals(
                 new LeaseRejection.NotHolder(TASK, 2, 2),
-                refusal(say(7, new LeaseCommand.Renew(TASK, 2))),
+                rejection(apply(7, new LeaseCommand.Renew(TASK, 2))),
                 "another's token");
         byte[] payload = {5, 6};
         LeaseEvent.ActionPerformed acted =
                 (LeaseEvent.ActionPerformed)
-                        events(say(8, new LeaseCommand.FencedAction(TASK, 2, payload))).get(0);
+                        events(apply(8, new LeaseCommand.FencedAction(TASK, 2, payload))).get(0);
         assertArrayEquals(payload, acted.payload());
     }
 
     @Test
-    void anEndThatARenewalOvertookIsRefused() {
+    void expiryOfARenewedGrantIsRejected() {
         acquire(7);
-        ask(7, new LeaseCommand.Renew(TASK, 1));
+        applyAccepted(7, new LeaseCommand.Renew(TASK, 1));
         assertEquals(
                 new LeaseRejection.RenewedConcurrently(TASK, 1, 1),
-                refusal(say(0, new LeaseCommand.Expire(TASK, 1, 0))));
+                rejection(apply(0, new LeaseCommand.Expire(TASK, 1, 0))));
         assertInstanceOf(
                 LeaseRejection.SenderNotPermitted.class,
-                refusal(say(8, new LeaseCommand.Expire(TASK, 1, 1))));
+                rejection(apply(8, new LeaseCommand.Expire(TASK, 1, 1))));
         assertInstanceOf(
                 LeaseRejection.SenderNotPermitted.class,
-                refusal(say(0, new LeaseCommand.Acquire(TASK, S, true))));
-        ask(0, new LeaseCommand.Expire(TASK, 1, 1));
+                rejection(apply(0, new LeaseCommand.Acquire(TASK, NANOS_PER_SECOND, true))));
+        applyAccepted(0, new LeaseCommand.Expire(TASK, 1, 1));
         assertEquals(List.of(), machine.heldLeases());
         assertEquals(
                 new LeaseAnswer.Held(2),
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void aSessionsEndEndsItsWaitingAndNothingThatItHolds() {
+    void endOfSessionEndsItsQueueingButNotItsGrants() {
         acquire(7);
         acquire(8);
         acquire(9);
@@ -132,40 +132,40 @@
         assertTrue(machine.isHolder(TASK, 1));
         assertEquals(
                 new LeaseRejection.SessionEnded(TASK, 1),
-                refusal(say(7, new LeaseCommand.Renew(TASK, 1))));
-        ask(0, new LeaseCommand.Expire(TASK, 1, 0));
+                rejection(apply(7, new LeaseCommand.Renew(TASK, 1))));
+        applyAccepted(0, new LeaseCommand.Expire(TASK, 1, 0));
         assertEquals(9, machine.heldLeases().get(0).session());
     }
 
     @Test
-    void aPlannedStopChoosesAmongThoseThatWait() {
+    void transferChoosesAmongQueuedSessions() {
         acquire(7);
         assertEquals(
                 new LeaseRejection.NoSuccessor(TASK, 0),
-                refusal(say(7, new LeaseCommand.Transfer(TASK, 1, 0))));
+                rejection(apply(7, new LeaseCommand.Transfer(TASK, 1, 0))));
         acquire(8);
         acquire(9);
         assertEquals(
                 new LeaseRejection.NoSuccessor(TASK, 5),
-                refusal(say(7, new LeaseCommand.Transfer(TASK, 1, 5))));
-        ask(7, new LeaseCommand.Transfer(TASK, 1, 9));
+                rejection(apply(7, new LeaseCommand.Transfer(TASK, 1, 5))));
+        applyAccepted(7, new LeaseCommand.Transfer(TASK, 1, 9));
         assertEquals(9, machine.heldLeases().get(0).session());
         assertEquals(
                 new LeaseRejection.AlreadyHeld(TASK, 2),
-                refusal(say(9, new LeaseCommand.Withdraw(TASK))),
+                rejection(apply(9, new LeaseCommand.Withdraw(TASK))),
                 "the grant came first");
-        ask(8, new LeaseCommand.Withdraw(TASK));
+        applyAccepted(8, new LeaseCommand.Withdraw(TASK));
         assertEquals(0, machine.heldLeases().get(0).waiterCount());
     }
 
     @Test
-    void boundsAreKept() {
+    void limitsAreEnforced() {
         LeaseStateMachine small = new LeaseStateMachine(new LeaseLimits(1, 10, 1, 1));
         Command first = new Command(7, 1, 0, new LeaseCommand.Acquire("a", 5, true).encode());
         small.apply(1, first);
         assertInstanceOf(
                 LeaseRejection.TooManyLeases.class,
-                refusal(
+                rejection(
                         small.apply(
                                 2,
                                 new Command(
@@ -176,10 +176,10 @@
         small.apply(3, new Command(8, 1, 0, new LeaseCommand.Acquire("a", 5, true).encode()));
         assertEquals(
                 new LeaseRejection.QueueFull("a", 1),
-                refusal(small.apply(4, new Command(9, 1, 0, first.body()))));
+                rejection(small.apply(4, new Command(9, 1, 0, first.body()))));
         assertInstanceOf(
                 LeaseRejection.InvalidTerms.class,
-                refusal(
+                rejection(
                         small.apply(
                                 5,
                                 new Command(
@@ -189,7 +189,7 @@
                                         new LeaseCommand.Acquire("a", 11, true).encode()))));
         assertInstanceOf(
                 LeaseRejection.InvalidTerms.class,
-                refusal(
+                rejection(
                         small.apply(
                                 6,
                                 new Command(
@@ -198,7 +198,7 @@
 
     /** Whatever bytes come, the machine answers and stays as it is. */
     @Test
-    void bytesThatAreNoCommandChangeNothing() {
+    void malformedCommandChangesNothing() {
         acquire(7);
         byte[] before = machine.snapshot();
         byte[] good = new LeaseCommand.FencedAction(TASK, 1, new byte[4]).encode();
@@ -212,13 +212,13 @@
 
     /** The format of version 1, which later versions must read. */
     @Test
-    void snapshotsAreReadForEver() throws IOException {
+    void snapshotFormatVersion1IsReadable() throws IOException {
         acquire(7);
         acquire(8);
-        ask(7, new LeaseCommand.Renew(TASK, 1));
+        applyAccepted(7, new LeaseCommand.Renew(TASK, 1));
         machine.sessionEnded(++index, 7);
-        ask(9, new LeaseCommand.Acquire("trials", 3 * S, true));
-        ask(0, new LeaseCommand.RaiseTokenFloor(40));
+        applyAccepted(9, new LeaseCommand.Acquire("trials", 3 * NANOS_PER_SECOND, true));
+        applyAccepted(0, new LeaseCommand.RaiseTokenFloor(40));
         String golden =
                 Files.readString(Path.of("src/test/resources/lease/snapshot-1.hex"))
                         .replaceAll("\\s", "");
@@ -236,7 +236,7 @@
     /** Rows of the page are held for the whole family of errors. */
     @ParameterizedTest
     @EnumSource(LeaseRejectionKind.class)
-    void everyRefusalHasItsCode(LeaseRejectionKind kind) throws ReflectiveOperationException {
+    void everyRejectionHasItsCode(LeaseRejectionKind kind) throws ReflectiveOperationException {
         assertEquals(kind.type().getField("CODE").get(null), kind.code());
         assertEquals(
                 LeaseRejection.class.getPermittedSubclasses().length,
--- a/src/test/java/calicostream/lease/LeasedTaskRunnerTest.java
+++ b/src/test/java/calicostream/lease/LeasedTaskRunnerTest.java
@@ -21,17 +21,17 @@
     }
 
     @Test
-    void oneStepsAndAPlannedStopHandsOverAtOnce() {
-        assertTrue(first.count("step") > 3 && first.acted == first.count("step"));
+    void plannedStopHandsOverAtOnce() {
+        assertTrue(first.count("step") > 3 && first.appliedActions == first.count("step"));
         assertEquals("started", first.calls.get(0));
         assertEquals(0, second.count("step"));
         assertTrue(second.count("heard 7") > 3);
-        first.tasks.stop();
+        first.runner.stop();
         assertEquals("stopped", first.calls.get(first.calls.size() - 1));
-        first.tasks.tick();
-        first.exchange();
-        second.exchange(); // It heard, and confirms without waiting for a tick of its own.
-        second.tasks.tick();
+        first.runner.tick();
+        first.exchangeMessages();
+        second.exchangeMessages(); // It heard, and confirms without waiting for a tick of its own.
+        second.runner.tick();
         assertEquals(List.of("lease-held 2"), second.events);
         long steps = first.count("step");
         processes.pass(5_000);
@@ -41,30 +41,30 @@
     }
 
     @Test
-    void aTaskThatThrowsLeavesItsLeaseToAnotherAndWantsItAgain() {
+    void failedTaskReleasesItsLeaseAndRequestsItAgain() {
         first.throwsNext = true;
         processes.pass(300);
         assertEquals(
                 List.of("lease-held 1", "lease-task-failed 1", "lease-given-back 1"), first.events);
         assertEquals(1, second.count("started"));
-        assertEquals(LeaseHolder.Phase.IDLE, first.tasks.statuses().get(0).phase());
+        assertEquals(LeaseHolder.Phase.IDLE, first.runner.statuses().get(0).phase());
         processes.pass(2_500);
-        assertEquals(LeaseHolder.Phase.WAITING, first.tasks.statuses().get(0).phase());
-        assertEquals(1, first.tasks.statuses().get(0).failureCount());
+        assertEquals(LeaseHolder.Phase.WAITING, first.runner.statuses().get(0).phase());
+        assertEquals(1, first.runner.statuses().get(0).failureCount());
     }
 
     @Test
-    void aHolderThatIsCutOffStopsByItsClockBeforeTheNextStarts() {
-        first.isCut = true;
+    void partitionedHolderStopsBeforeTheNextStarts() {
+        first.partitioned = true;
         while (second.count("started") == 0) {
             processes.pass(50);
             assertFalse(second.count("started") > 0 && first.count("stopped") == 0);
         }
         assertEquals(List.of("lease-held 1", "lease-lost 1"), first.events);
-        assertEquals(1, first.tasks.statuses().get(0).lostCount());
+        assertEquals(1, first.runner.statuses().get(0).lostCount());
         processes.pass(5_000);
         assertEquals(1, first.count("stopped"));
-        first.isCut = false;
+        first.partitioned = false;
         processes.pass(5_000);
         assertEquals(1, first.count("started"));
         assertEquals(1, second.count("started"));
--- a/src/test/java/calicostream/lease/RandomLeaseRunTest.java
+++ b/src/test/java/calicostream/lease/RandomLeaseRunTest.java
@@ -14,28 +14,28 @@
 
 /** A bounded part of the runs in virtual time, and that they too find what is taken out. */
 class RandomLeaseRunTest {
-    private static final long FIRST = 20261202;
+    private static final long FIRST_SEED = 20261202;
     private static final int RUNS = 40;
 
     @Test
-    void noPromiseIsBrokenAndTheTaskGoesOn() {
-        System.out.println("seeds " + FIRST + " to " + (FIRST + RUNS - 1));
+    void noInvariantIsViolatedAndTheTaskMakesProgress() {
+        System.out.println("seeds " + FIRST_SEED + " to " + (FIRST_SEED + RUNS - 1));
         List<Double> handOvers = new ArrayList<>();
-        for (long seed = FIRST; seed < FIRST + RUNS; seed++) {
+        for (long seed = FIRST_SEED; seed < FIRST_SEED + RUNS; seed++) {
             RandomLeaseRun.Result result = RandomLeaseRun.run(seed, null);
-            assertEquals("", result.broken(), "seed " + seed);
-            assertTrue(result.faults() > 10 && result.acts() > 100, result.toString());
-            handOvers.addAll(result.handOvers());
+            assertEquals("", result.violation(), "seed " + seed);
+            assertTrue(result.faults() > 10 && result.actions() > 100, result.toString());
+            handOvers.addAll(result.handoverTimes());
         }
         assertTrue(handOvers.size() > RUNS, "hand-overs " + handOvers.size());
     }
 
     @Test
-    void theNextHolderActsAboutOneTimeToLiveAfterTheLastIsKilled() {
+    void nextHolderActsAboutOneTimeToLiveAfterAKill() {
         List<Double> handOvers =
-                LongStream.range(FIRST, FIRST + 12)
+                LongStream.range(FIRST_SEED, FIRST_SEED + 12)
                         .boxed()
-                        .flatMap(seed -> RandomLeaseRun.kills(seed).handOvers().stream())
+                        .flatMap(seed -> RandomLeaseRun.kills(seed).handoverTimes().stream())
                         .sorted()
                         .toList();
         assertTrue(handOvers.size() > 50, "hand-overs " + handOvers.size());
@@ -44,8 +44,8 @@
     }
 
     @Test
-    void aSeedIsARun() {
-        assertEquals(RandomLeaseRun.run(FIRST, null), RandomLeaseRun.run(FIRST, null));
+    void runIsDeterminedByItsSeed() {
+        assertEquals(RandomLeaseRun.run(FIRST_SEED, null), RandomLeaseRun.run(FIRST_SEED, null));
     }
 
     @ParameterizedTest
@@ -58,9 +58,10 @@
                 "QUEUE_GRANT_NOT_CONFIRMED",
                 "LEASE_FREED_WITH_SESSION"
             })
-    void runsByChanceFindItToo(Mutant without) {
+    void randomRunsDetectRemovedSafeguard(Mutant without) {
         assertTrue(
-                LongStream.range(FIRST, FIRST + 40 * RUNS)
-                        .anyMatch(seed -> !RandomLeaseRun.run(seed, without).broken().isEmpty()));
+                LongStream.range(FIRST_SEED, FIRST_SEED + 40 * RUNS)
+                        .anyMatch(
+                                seed -> !RandomLeaseRun.run(seed, without).violation().isEmpty()));
     }
 }
