--- a/src/measure/java/calicostream/lease/EjectionHintsFleet.java
+++ b/src/measure/java/calicostream/lease/EjectionHintsFleet.java
@@ -11,12 +11,14 @@
 import java.util.Random;
 import java.util.stream.IntStream;
 /**
-* Twenty front ends with the module as it is, an engine that is down for a minute, and hints or
-* none; in virtual time (microseconds). The accounts are read once {@link #of} has returned.
+* A simulated fleet of twenty front ends with the product's router, an engine that fails for a
+* minute, and ejection hints or none; in virtual time (microseconds). The fields are read once
+* {@link #of} has returned.
 */
 final class EjectionHintsFleet {
 static final long SEED = 25;
 static final int SIZE = 20;
+private static final long HOLDER_TOKEN = 4;
 static final long MICROS_PER_MILLI = 1_000;
 static final long END_MICROS = 75_000 * MICROS_PER_MILLI;
 private static final long FAILED_ENGINE = 3;
@@ -81,49 +83,53 @@
 private record DelayedMessage(long sentAt, byte[] payload) {}
 private final Random random = new Random(SEED);
 private long time = 1_000_000;
-/** For each front end that used the engine again: how long after it was back. */
+/** For each front end that used the engine again: microseconds since its recovery. */
 final List<Long> usedAgainAfterMicros = new ArrayList<>();
-/** Queries that went to the engine while it was down. */
+/** Queries that were sent to the engine while it failed. */
 int failedQueries;
 private EjectionHintsFleet() {}
 /**
-* @param holder of the lease; -1: nobody, the fleet without a cluster; @param diesAt its words
-* end then
+* Runs the simulation.
+*
+* @param holder index of the front end that holds the lease; -1: a fleet without a cluster
+* @param diesAt when the holder stops publishing, in microseconds
 */
 static EjectionHintsFleet of(int holder, long diesAt) {
-EjectionHintsFleet made = new EjectionHintsFleet();
-made.run(holder, diesAt);
-return made;
+EjectionHintsFleet fleet = new EjectionHintsFleet();
+fleet.run(holder, diesAt);
+return fleet;
 }
 private void run(int holder, long diesAt) {
 List<Process> fleet = IntStream.range(0, SIZE).mapToObj(i -> new Process()).toList();
-ArrayDeque<DelayedMessage> words = new ArrayDeque<>();
-LeaseHolder held = new LeaseHolder(EjectionHints.LEASE, 3_600_000_000_000L, 0);
-held.acquire();
-held.onAnswer(0, held.nextRequest(0).number(), new LeaseAnswer.Held(4));
-FencedActions acts =
+ArrayDeque<DelayedMessage> messages = new ArrayDeque<>();
+LeaseHolder leaseHolder = new LeaseHolder(EjectionHints.LEASE, 3_600_000_000_000L, 0);
+leaseHolder.acquire();
+leaseHolder.onAnswer(
+0, leaseHolder.nextRequest(0).number(), new LeaseAnswer.Held(HOLDER_TOKEN));
+FencedActions actions =
 new FencedActions(
-held,
+leaseHolder,
 () -> 0,
 "lease",
-(machine, body, done) ->
-words.add(
+(machine, body, onOutcome) ->
+messages.add(
 new DelayedMessage(
 time,
 ((LeaseCommand.FencedAction)
 LeaseCommand.decode(body))
 .payload())));
 if (holder >= 0) {
-fleet.get(holder).ejectionHints.onStarted(acts);
+fleet.get(holder).ejectionHints.onStarted(actions);
 }
 for (; time < END_MICROS; time += 20 * MICROS_PER_MILLI) {
 fleet.forEach(Process::turn);
 if (holder >= 0 && time < diesAt) {
-fleet.get(holder).ejectionHints.step(acts, time * 1000);
+fleet.get(holder).ejectionHints.step(actions, time * 1000);
 }
-while (!words.isEmpty() && time - words.peek().sentAt >= MESSAGE_DELAY_MICROS) {
-byte[] word = words.poll().payload;
-fleet.forEach(each -> each.ejectionHints.onAction(4, word, time * 1000));
+while (!messages.isEmpty() && time - messages.peek().sentAt >= MESSAGE_DELAY_MICROS) {
+byte[] message = messages.poll().payload;
+fleet.forEach(
+each -> each.ejectionHints.onAction(HOLDER_TOKEN, message, time * 1000));
 }
 }
 }
--- a/src/measure/java/calicostream/lease/EjectionHintsPair.java
+++ b/src/measure/java/calicostream/lease/EjectionHintsPair.java
@@ -6,14 +6,15 @@
 import java.util.TreeSet;
 
 /**
- * One process that tells of its trials, and another that hears each thing twice, or not; in virtual
- * time (nanoseconds). One thread.
+ * Two processes with {@link EjectionHints} in virtual time (nanoseconds): one holds the lease, the
+ * other receives each message twice, or not at all. Confined to one thread.
  */
 final class EjectionHintsPair {
     static final long NANOS_PER_MILLI = 1_000_000;
+    private static final long HOLDER_TOKEN = 4;
     private static final long TICK_NANOS = 50 * NANOS_PER_MILLI;
 
-    /** A process: engines 1 to 9, of which some are left out. */
+    /** A front end with the engines 1 to 9, of which some are ejected. */
     static final class Process implements EjectionHints.FrontEnd {
         final TreeSet<Long> ejected = new TreeSet<>();
         final TreeSet<Long> listed = new TreeSet<>(List.of(1L, 2L, 3L, 4L, 5L, 6L, 7L, 8L, 9L));
@@ -32,19 +33,19 @@
 
         @Override
         public void onHint(long engine, boolean served) {
-            receivedHints.add(engine + (served ? " served" : " out"));
+            receivedHints.add(engine + (served ? " served" : " ejected"));
         }
     }
 
     long now;
 
-    /** What is told now does not reach the other. */
+    /** Whether messages are lost on their way to the receiver. */
     boolean losesMessages;
 
     final Process holder = new Process();
-    final Process other = new Process();
+    final Process receiver = new Process();
 
-    /** All that was told. */
+    /** All messages that the holder published. */
     final List<byte[]> messages = new ArrayList<>();
 
     private final LeaseHolder leaseHolder =
@@ -54,15 +55,16 @@
                     leaseHolder,
                     () -> now,
                     "lease",
-                    (machine, body, done) ->
+                    (machine, body, onOutcome) ->
                             messages.add(
                                     ((LeaseCommand.FencedAction) LeaseCommand.decode(body))
                                             .payload()));
 
-    /** The one gets the lease. */
+    /** Grants the lease to the holder. */
     void grantToHolder() {
         leaseHolder.acquire();
-        leaseHolder.onAnswer(now, leaseHolder.nextRequest(now).number(), new LeaseAnswer.Held(4));
+        leaseHolder.onAnswer(
+                now, leaseHolder.nextRequest(now).number(), new LeaseAnswer.Held(HOLDER_TOKEN));
         holder.ejectionHints.onStarted(actions);
     }
 
@@ -70,11 +72,11 @@
         for (long until = now + millis * NANOS_PER_MILLI; now < until; now += TICK_NANOS) {
             int before = messages.size();
             holder.ejectionHints.step(actions, now);
-            for (byte[] word : messages.subList(before, messages.size())) {
-                holder.ejectionHints.onAction(4, word, now);
+            for (byte[] message : messages.subList(before, messages.size())) {
+                holder.ejectionHints.onAction(HOLDER_TOKEN, message, now);
                 if (!losesMessages) {
-                    other.ejectionHints.onAction(4, word, now);
-                    other.ejectionHints.onAction(4, word, now); // There twice.
+                    receiver.ejectionHints.onAction(HOLDER_TOKEN, message, now);
+                    receiver.ejectionHints.onAction(HOLDER_TOKEN, message, now); // Duplicated.
                 }
             }
         }
--- a/src/measure/java/calicostream/lease/LeaseComponents.java
+++ b/src/measure/java/calicostream/lease/LeaseComponents.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Makes the product's own classes for the proofs, whole or with one safeguard taken out; a
- * safeguard of the log is the model's.
+ * Creates the product's classes for model checks and simulations, complete or with one safeguard
+ * removed. Safeguards of the log are removed by the models themselves.
  */
 final class LeaseComponents {
     private final Mutant removed;
@@ -14,12 +14,12 @@
     private final ClockDriftBound drift;
 
     /**
-     * @param without the safeguard taken out; null: none
+     * @param removed the safeguard removed; null: none
      */
-    LeaseComponents(Mutant without, LeaseLimits limits, ClockDriftBound drift) {
-        this.removed = without;
+    LeaseComponents(Mutant removed, LeaseLimits limits, ClockDriftBound drift) {
+        this.removed = removed;
         this.limits = limits;
-        this.drift = without == Mutant.DRIFT_NOT_COUNTED ? new ClockDriftBound(0) : drift;
+        this.drift = removed == Mutant.DRIFT_NOT_COUNTED ? new ClockDriftBound(0) : drift;
     }
 
     boolean isRemoved(Mutant mutant) {
@@ -40,9 +40,9 @@
                     }
 
                     @Override
-                    boolean renewedSince(long renewals, long seen) {
+                    boolean renewedSince(long renewals, long observed) {
                         return !isRemoved(Mutant.EXPIRY_WITHOUT_RENEWALS)
-                                && super.renewedSince(renewals, seen);
+                                && super.renewedSince(renewals, observed);
                     }
 
                     @Override
@@ -66,27 +66,26 @@
     LeaseHolder createHolder(String name, long ttl, LeaseHolderState state) {
         return new LeaseHolder(name, ttl, drift, state) {
             @Override
-            long validityStart(long asked, long now) {
+            long validityStart(long requested, long answered) {
                 return isRemoved(Mutant.EXPIRY_FROM_ANSWER_TIME)
-                        ? now
-                        : super.validityStart(asked, now);
+                        ? answered
+                        : super.validityStart(requested, answered);
             }
 
             @Override
-            void onQueuedGrant(long now, long of) {
-                super.onQueuedGrant(now, of);
+            void onQueuedGrant(long now, long token) {
+                super.onQueuedGrant(now, token);
                 if (isRemoved(Mutant.QUEUE_GRANT_NOT_CONFIRMED) && phase() == Phase.CONFIRMING) {
-                    Request ask =
-                            nextRequest(now); // As if the news itself were the renewal's answer.
-                    onAnswer(now, ask.number(), new LeaseAnswer.Held(of));
+                    // As if the event were the answer to the renewal.
+                    Request request = nextRequest(now);
+                    onAnswer(now, request.number(), new LeaseAnswer.Held(token));
                 }
             }
         };
     }
 
     /**
-     * @param period between two looks; 0: it looks whenever it likes, and no step of its clock is
-     *     to be counted
+     * @param period between two checks; 0: checks are not periodic, and the clock does not jump
      */
     LeaseExpiryMonitor createExpiryMonitor(
             LeaseStateMachine machine,
@@ -104,15 +103,15 @@
     }
 
     FencingTokenGuard createTokenGuard(String name, long highest) {
-        FencingTokenGuard fence =
+        FencingTokenGuard guard =
                 new FencingTokenGuard() {
                     @Override
-                    boolean isOutdated(long token, long most) {
+                    boolean isOutdated(long token, long highestToken) {
                         return !isRemoved(Mutant.TOKEN_NOT_CHECKED)
-                                && super.isOutdated(token, most);
+                                && super.isOutdated(token, highestToken);
                     }
                 };
-        fence.admit(name, highest);
-        return fence;
+        guard.admit(name, highest);
+        return guard;
     }
 }
--- a/src/measure/java/calicostream/lease/LeaseHistoryChecker.java
+++ b/src/measure/java/calicostream/lease/LeaseHistoryChecker.java
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.lease;
 
+import calicostream.cluster.BinaryCodec;
 import calicostream.cluster.Command;
 import calicostream.cluster.CommandEffects;
 import java.util.ArrayList;
@@ -11,9 +12,8 @@
 import java.util.Set;
 
 /**
- * Judges what the log did to the leases, entry by entry as any copy is the first to apply it: who
- * was due to be granted what, from a queue of its own. It takes the machine's answers for what they
- * say and the rules from the page.
+ * Checks the history of the leases in the log, entry by entry as the first replica applies it,
+ * against queues of its own and the rules of {@code docs/design/lease.md}.
  */
 final class LeaseHistoryChecker {
     private final Map<String, List<Long>> queues = new HashMap<>();
@@ -26,7 +26,7 @@
     private int queuedGrantCount;
     private String violation = "";
 
-    /** "" if all held. */
+    /** The first violation; empty if there is none. */
     String violation() {
         return violation;
     }
@@ -35,7 +35,7 @@
         return grantCount;
     }
 
-    /** Grants to whoever had waited longest, or had been named. */
+    /** Number of grants to the session that had waited longest, or was named as successor. */
     int queuedGrantCount() {
         return queuedGrantCount;
     }
@@ -45,15 +45,19 @@
     }
 
     /**
-     * @return whether this copy is the first that applied it
+     * A replica has applied a command.
+     *
+     * @return whether it is the first to apply that entry
      */
     boolean onApplied(long index, Command command, CommandEffects effects) {
         if (index <= lastIndex) {
             return false;
         }
         lastIndex = index;
-        LeaseCommand said = LeaseCommand.decode(command.body());
-        if (said instanceof LeaseCommand.Transfer t && effects.isAccepted() && t.successor() != 0) {
+        LeaseCommand decoded = LeaseCommand.decode(command.body());
+        if (decoded instanceof LeaseCommand.Transfer t
+                && effects.isAccepted()
+                && t.successor() != 0) {
             List<Long> queue = queues.get(t.name());
             queue.remove(t.successor());
             queue.add(0, t.successor());
@@ -62,11 +66,11 @@
         if (!effects.isAccepted()) {
             return true;
         }
-        if (said instanceof LeaseCommand.Withdraw) {
-            queues.getOrDefault(said.name(), List.of()).remove(command.session());
-        } else if (said instanceof LeaseCommand.Acquire
+        if (decoded instanceof LeaseCommand.Withdraw) {
+            queues.getOrDefault(decoded.name(), List.of()).remove(command.session());
+        } else if (decoded instanceof LeaseCommand.Acquire
                 && LeaseAnswer.decode(effects.response()) instanceof LeaseAnswer.Queued waits) {
-            List<Long> queue = queues.computeIfAbsent(said.name(), any -> new ArrayList<>());
+            List<Long> queue = queues.computeIfAbsent(decoded.name(), any -> new ArrayList<>());
             queue.add(command.session());
             check(waits.position() == queue.size(), "place " + waits.position() + " of " + queue);
         }
@@ -89,7 +93,9 @@
             String name = event.name();
             if (event instanceof LeaseEvent.Granted g) {
                 grantCount++;
-                check(g.token() > lastToken, "token " + g.token() + " is given after " + lastToken);
+                check(
+                        g.token() > lastToken,
+                        "token " + g.token() + " is granted after " + lastToken);
                 check(
                         !currentTokens.containsKey(name),
                         "lease " + name + " is granted under " + g.token() + " and was not free");
@@ -115,18 +121,16 @@
                         currentTokens.remove(name, f.token()),
                         "lease "
                                 + name
-                                + " is freed of token "
+                                + " ended under token "
                                 + f.token()
                                 + ", which does not hold it");
             } else if (event instanceof LeaseEvent.ActionPerformed a) {
                 check(
-                        appliedActions.add(
-                                new calicostream.cluster.BinaryCodec.Reader("act", a.payload())
-                                        .i64()),
-                        "an act counts twice");
+                        appliedActions.add(new BinaryCodec.Reader("act", a.payload()).i64()),
+                        "an action is applied twice");
                 check(
                         a.token() >= lastActionTokens.getOrDefault(name, 0L),
-                        "the log takes an act of "
+                        "the log accepts an action of "
                                 + name
                                 + " under token "
                                 + a.token()
@@ -137,9 +141,9 @@
         }
     }
 
-    private void check(boolean holds, String otherwise) {
+    private void check(boolean holds, String message) {
         if (!holds && violation.isEmpty()) {
-            violation = otherwise;
+            violation = message;
         }
     }
 }
--- a/src/measure/java/calicostream/lease/LeaseModelBounds.java
+++ b/src/measure/java/calicostream/lease/LeaseModelBounds.java
@@ -4,11 +4,22 @@
 import java.util.List;
 
 /**
- * Bounds of a run of {@link LeaseModel}. Four units of time are a tick; a slow clock shows three of
- * them and a fast one five.
+ * Bounds of {@link LeaseModel}. Immutable; the methods return a copy with one bound changed. A tick
+ * is four units of time, of which a slow clock shows three and a fast one five.
  *
- * @param clocks for each start, the leaders' clock and then each member's: s slow, f fast, e exact,
- *     0 stands still
+ * @param name name in reports
+ * @param members number of members that want the lease
+ * @param ttlUnits time to live, in units of time
+ * @param tokens requests are rejected once this token was granted
+ * @param renewals most renewals of a grant
+ * @param duplicates most commands that are duplicated
+ * @param leaderChanges most changes of the leader
+ * @param sessionEnds most sessions that end
+ * @param resourceActions most actions of each member at the resource
+ * @param logActions most actions of each member in the log
+ * @param stops most planned stops of each member
+ * @param clocks for each initial state, the leaders' clock and then each member's: s slow, f fast,
+ *     e exact, 0 standing still
  */
 public record LeaseModelBounds(
         String name,
@@ -24,8 +35,8 @@
         int stops,
         List<String> clocks) {
     /**
-     * A time to live of two ticks, two grants and one more for each that waits, no renewal, no
-     * fault but time.
+     * A time to live of two ticks, two grants and one more for each waiter, no renewals, and no
+     * faults but clock drift.
      */
     public static LeaseModelBounds of(String name, int members) {
         return new LeaseModelBounds(name, members, 8, 2, 0, 0, 0, 0, 0, 0, 0, List.of());
--- a/src/measure/java/calicostream/lease/LeaseProofs.java
+++ b/src/measure/java/calicostream/lease/LeaseProofs.java
@@ -9,35 +9,38 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** Which bounded models prove the leases, and in which of them the lack of each safeguard shows. */
+/**
+ * The bounded models that check the leases, the models in which the lack of each safeguard shows,
+ * and the randomized runs.
+ */
 public final class LeaseProofs {
-    /** Leaders that change while a lease runs out and is renewed. */
+    /** Leaders that change while a lease expires and is renewed. */
     private static final LeaseModelBounds LEADERS =
             LeaseModelBounds.of("leaders", 2)
                     .leaderChanges(2)
                     .renewals(1)
                     .clocks("fss", "sff", "eee");
 
-    /** Renewals that race with the leader's word. */
+    /** Renewals that race with the leader's expiry. */
     private static final LeaseModelBounds RENEWALS =
             LeaseModelBounds.of("renewals", 2).renewals(2).clocks("fss");
 
-    /** A member that stops between its check and its act. */
+    /** A member that is paused between its check and its action. */
     private static final LeaseModelBounds RESOURCE =
             LeaseModelBounds.of("resource", 2).resourceActions(2).renewals(1).clocks("fss");
 
-    /** Commands that are doubled and repeated, acts by the log. */
+    /** Commands that are duplicated and repeated, and actions in the log. */
     private static final LeaseModelBounds LOG =
             LeaseModelBounds.of("log", 2).duplicates(1).logActions(1).clocks("fss");
 
-    /** The two again, as small as the lack of a check shows. */
+    /** Likewise, as small as suffices to show the lack of a check. */
     private static final LeaseModelBounds FEW_ACTS =
             LeaseModelBounds.of("few acts", 2).resourceActions(1).clocks("eee");
 
     private static final LeaseModelBounds FEW_LOG_ACTS =
             LeaseModelBounds.of("few acts by the log", 2).logActions(1).clocks("eee");
 
-    /** Planned stops, hand-overs, sessions that end. */
+    /** Planned stops, transfers, sessions that end. */
     private static final LeaseModelBounds STOPS =
             LeaseModelBounds.of("stops", 2).stops(1).sessionEnds(1).clocks("fss");
 
@@ -45,8 +48,8 @@
     private static final LeaseModelBounds QUEUE = LeaseModelBounds.of("queue", 3).clocks("fsss");
 
     /**
-     * A member's clock stands still and the leader's runs ahead: only the resource and the log are
-     * left to refuse.
+     * A member's clock stands still and the leader's runs fast: only the fencing tokens are left as
+     * protection.
      */
     private static final LeaseModelBounds CLOCKS =
             LeaseModelBounds.of("clocks out of bound", 2)
@@ -58,8 +61,14 @@
     private static final VoterModel.Bounds FEW_VOTERS = new VoterModel.Bounds(2, 2, 1, 2);
 
     /**
-     * Runs in virtual time; hand-overs in times to live, where holders are killed alone and where
-     * all goes wrong at once.
+     * Sums over randomized runs.
+     *
+     * @param violations one line for each run that violated an invariant
+     * @param faults number of injected faults
+     * @param actions number of accepted actions
+     * @param tokens number of grants
+     * @param handoverP99 in times to live, where holders are killed as the only fault
+     * @param handoverInFaultsP99 in times to live, under all faults
      */
     public record RunSummary(
             List<String> violations,
@@ -71,7 +80,7 @@
 
     private LeaseProofs() {}
 
-    /** So many runs with all faults, and a tenth as many in which holders are killed alone. */
+    /** Runs with all faults, and a tenth as many in which kills of holders are the only fault. */
     public static RunSummary randomRuns(long firstSeed, int runs) {
         List<String> broken = new ArrayList<>();
         List<Double> inFaults = new ArrayList<>();
@@ -80,7 +89,7 @@
         long acts = 0;
         long tokens = 0;
         for (long seed = firstSeed; seed < firstSeed + runs; seed++) {
-            RandomLeaseRun.Result result = RandomLeaseRun.run(seed, null);
+            RandomLeaseRun.Result result = RandomLeaseRun.randomFaults(seed, null);
             if (!result.violation().isEmpty()) {
                 broken.add("seed " + seed + " " + result.violation());
             }
@@ -89,7 +98,7 @@
             tokens += result.tokens();
             inFaults.addAll(result.handoverTimes());
             if (seed % 10 == 0) {
-                alone.addAll(RandomLeaseRun.kills(seed).handoverTimes());
+                alone.addAll(RandomLeaseRun.killsOnly(seed).handoverTimes());
             }
         }
         return new RunSummary(broken, faults, acts, tokens, p99(alone), p99(inFaults));
@@ -101,7 +110,7 @@
                 : of.stream().sorted().skip(of.size() * 99L / 100).findFirst().orElseThrow();
     }
 
-    /** All models with everything in place, made one at a time as each remembers a lot. */
+    /** All models with all safeguards; created one at a time, as each takes much memory. */
     public static List<Supplier<Model>> completeModels() {
         return List.of(
                 () -> new LeaseModel(LEADERS, null),
@@ -115,7 +124,7 @@
                 () -> new VoterModel(VOTERS, null));
     }
 
-    /** For each safeguard that leases rest on, a model without it, which must break. */
+    /** For each safeguard of the leases, a model without it, which must find a violation. */
     public static Map<Mutant, Model> modelsWithoutSafeguard() {
         Map<Mutant, Model> all = new EnumMap<>(Mutant.class);
         for (Mutant each : Mutant.values()) {
@@ -132,8 +141,9 @@
                 case EXPIRY_WITHOUT_RENEWALS -> all.put(each, new LeaseModel(RENEWALS, each));
                 case VOTE_AFTER_AMNESIA ->
                         all.put(each, new VoterModel(new VoterModel.Bounds(2, 2, 1, 1), each));
-                case GRANT_FREED_BEFORE_EXPIRY,
-                        CLOCK_STEP_COUNTED -> {} // The budgets' own, and the clusters'.
+                case GRANT_FREED_BEFORE_EXPIRY, CLOCK_STEP_COUNTED -> {
+                    // Checked by the models of budgets and by cluster simulations.
+                }
             }
         }
         return all;
--- a/src/measure/java/calicostream/lease/LeaseSimulation.java
+++ b/src/measure/java/calicostream/lease/LeaseSimulation.java
@@ -16,36 +16,31 @@
 import java.util.TreeMap;
 import java.util.stream.IntStream;
 /**
-* Leases on a simulated cluster: each member wants two, acts by the log and at a resource whose
-* messages may take three times to live, as if it had been stopped between its check and its act,
-* and changes its mind. After each event no two members believe that they hold the same, nobody
-* believes it whose lease was granted on, and the resource took no act after one under a later
-* token.
+* Leases on a simulated cluster: each member wants two, acts in the log and at a resource whose
+* messages may take three times to live, as if the member had been paused between its check and its
+* action, and changes its mind. Invariants are checked after each event: no two members hold the
+* same lease by their clocks, nobody does whose lease was granted to another, and the resource
+* accepted no action after one under a higher token.
 */
 public final class LeaseSimulation implements SimulationExtension {
 private static final long NANOS_PER_MILLI = 1_000_000;
 private static final long SHORT_TTL_NANOS = 1000 * NANOS_PER_MILLI;
-private static final long LONG_TTL_NANOS =
-3000 * NANOS_PER_MILLI; // twice a session's: who is cut off may hold when its
-// session is over
+/** Twice a session's, so that a partitioned member may hold when its session has ended. */
+private static final long LONG_TTL_NANOS = 3000 * NANOS_PER_MILLI;
 private static final long FAULTS_END_NANOS = 6_000 * NANOS_PER_MILLI;
 private static final String[] LEASES = {"divide", "roll"};
 private static final long HEARTBEAT_NANOS = 50 * NANOS_PER_MILLI;
-private static final int NON_VOTING_MEMBERS =
-4; // members that run no voter unless one is added
+private static final int NON_VOTING_MEMBERS = 4;
 private static final String MACHINE = "lease";
-/** What goes wrong beside what the cluster itself draws. */
+/** The faults beside those of the cluster simulation itself. */
 public enum Plan {
-/**
-* Holders are killed, stopped past their end, told to stop, and sessions change their mind.
-*/
+/** Holders are killed, paused past their expiry, and stopped; members change their mind. */
 ALL,
 /**
-* Holders are killed, one after the other, and leaders with them where they are the same;
-* nothing else.
+* Holders are killed one after the other, and leaders with them where they are the same.
 */
 KILLS,
-/** Likewise, and only members that run no voter want the leases. */
+/** As {@link #KILLS}, and only members that run no voter want the leases. */
 KILLS_OUTSIDE
 }
 private final class Member {
@@ -63,7 +58,7 @@
 long ttl = ttl(name);
 LeaseHolder holder =
 client.add(
-parts.createHolder(
+components.createHolder(
 name,
 ttl,
 new LeaseHolder(name, ttl, process.nanoTime()).state()));
@@ -76,33 +71,22 @@
 }
 act();
 }
-/** Checks and acts, at the resource by a message that nothing holds back once it is out. */
+/** Checks and acts; a message to the resource is not stopped once it was sent. */
 void act() {
 LeaseHolder holder = holders.get(world.random().nextInt(LEASES.length));
-FencedActions acts = client.fencedActions(holder);
+FencedActions actions = client.fencedActions(holder);
 if (world.random().nextInt(4) == 0) {
 FencedResource.FencedResult<LeaseCommand.FencedAction> command =
-acts.createLogCommand(
+actions.createLogCommand(
 new BinaryCodec.Writer().i64(++actionNumber).toByteArray());
 if (command.isCompleted()) {
 session.submit(MACHINE, command.result().encode(), outcome -> {});
 }
 } else {
-acts.executeAt(
+actions.executeAt(
 (lease, token, payload) -> {
-boolean held = world.random().nextInt(40) == 0;
-long late =
-held
-? world.random()
-.nextInt(
-(int)
-(3
-* ttl(lease)
-/ NANOS_PER_MILLI))
-* NANOS_PER_MILLI
-: 0;
 world.schedule(
-world.nowNanos() + NANOS_PER_MILLI + late,
+world.nowNanos() + NANOS_PER_MILLI + delayNanos(lease),
 () -> executeAtResource(lease, token));
 return FencedResource.FencedResult.completed(null);
 },
@@ -110,19 +94,18 @@
 }
 process.schedule(this::act, (10 + world.random().nextInt(50)) * NANOS_PER_MILLI);
 }
+/** Now and then a message to the resource takes up to three times to live. */
+private long delayNanos(String lease) {
+boolean delayed = world.random().nextInt(40) == 0;
+int maxMillis = (int) (3 * ttl(lease) / NANOS_PER_MILLI);
+return delayed ? world.random().nextInt(maxMillis) * NANOS_PER_MILLI : 0;
+}
 boolean holds(int which) {
 LeaseHolder holder = holders.get(which);
-// A copy is asked: the question must not tell the holder that its time is over.
-return holder.phase() == LeaseHolder.Phase.HELD
-&& new LeaseHolder(
-holder.name(),
-ttl(holder.name()),
-ClockDriftBound.STANDARD,
-holder.state())
-.mayAct(process.nanoTime());
+return holder.isValidAt(process.nanoTime());
 }
 }
-private final LeaseComponents parts;
+private final LeaseComponents components;
 private final Plan plan;
 private final boolean notifiesNonReplicas;
 private final Map<Integer, Member> members = new TreeMap<>();
@@ -139,22 +122,22 @@
 private int rejectedActions;
 private String fault = "";
 /**
-* @param without the safeguard taken out; null: none; @param told whether members without a
-* copy are told of grants
+* @param removed the safeguard removed; null: none
+* @param notifiesNonReplicas whether members without a replica are notified of grants
 */
-public LeaseSimulation(Plan plan, Mutant without, boolean told) {
+public LeaseSimulation(Plan plan, Mutant removed, boolean notifiesNonReplicas) {
 this.plan = plan;
-this.notifiesNonReplicas = told;
-parts = new LeaseComponents(without, LeaseLimits.STANDARD, ClockDriftBound.STANDARD);
-tokenGuard = parts.createTokenGuard(LEASES[0], 0);
+this.notifiesNonReplicas = notifiesNonReplicas;
+components = new LeaseComponents(removed, LeaseLimits.STANDARD, ClockDriftBound.STANDARD);
+tokenGuard = components.createTokenGuard(LEASES[0], 0);
 }
-/** From the kill of a holder to the next holder's first act, in times to live. */
+/** From the kill of a holder to the next holder's first action, in times to live. */
 public List<Double> handoverTimes() {
 return handoverTimes;
 }
 /**
-* Acts that the resource took and refused, grants, and those of them that somebody had waited
-* for.
+* Numbers of actions that the resource accepted and rejected, of grants, and of grants from the
+* queue.
 */
 public List<Integer> counts() {
 return List.of(
@@ -177,7 +160,7 @@
 }
 @Override
 public Map<String, ReplicatedPart> parts(int member) {
-LeaseStateMachine machine = parts.createMachine(null);
+LeaseStateMachine machine = components.createMachine(null);
 StateMachine watched =
 new StateMachine() {
 @Override
@@ -211,7 +194,9 @@
 };
 return Map.of(
 MACHINE,
-new ReplicatedPart(watched, parts.createExpiryMonitor(machine, Map.of(), HEARTBEAT_NANOS)));
+new ReplicatedPart(
+watched,
+components.createExpiryMonitor(machine, Map.of(), HEARTBEAT_NANOS)));
 }
 @Override
 public void memberStarted(int member, EventLoop process, MemberSession session) {
@@ -237,7 +222,6 @@
 members.values().forEach(each -> each.holders.forEach(LeaseHolder::release));
 }
 // ---- Faults
-// ---------------------------------------------------------------------------------------
 private void scheduleNextFault(long millis) {
 world.schedule(
 world.nowNanos() + millis * NANOS_PER_MILLI,
@@ -278,7 +262,8 @@
 acquireLater(holding, holder);
 }
 case 4 -> {
-// Who waits is stopped when its turn comes, and hears of it when it has lapsed.
+// Waiters are paused when their turn comes, and learn of it when the grant has
+// expired.
 members.values().stream()
 .filter(
 each ->
@@ -308,9 +293,8 @@
 }
 });
 }
-// ---- Judgement
-// ------------------------------------------------------------------------------------
-/** It is granted in the log: whoever held before must know by now, by its own clock. */
+// ---- Invariants
+/** When a lease is granted in the log, the former holder's grant must have expired. */
 private void onEffects(CommandEffects effects) {
 for (CommandEffects.Event each : effects.events()) {
 if (LeaseEvent.decode(each) instanceof LeaseEvent.Granted granted) {
@@ -323,12 +307,12 @@
 false,
 "member "
 + member.id
-+ " believes to hold "
++ " holds "
 + granted.name()
 + " when it is granted under token "
 + granted.token()));
-} else if (LeaseEvent.decode(each) instanceof LeaseEvent.ActionPerformed act) {
-onAction(act.name(), act.token());
+} else if (LeaseEvent.decode(each) instanceof LeaseEvent.ActionPerformed action) {
+onAction(action.name(), action.token());
 }
 }
 }
@@ -340,7 +324,7 @@
 acceptedActions++;
 check(
 token >= lastResourceTokens.getOrDefault(lease, 0L),
-"the resource takes an act of "
+"the resource accepts an action of "
 + lease
 + " under token "
 + token
@@ -355,9 +339,9 @@
 handoverTimes.add((double) (world.nowNanos() - killedAt.remove(which)) / ttl(lease));
 }
 }
-private void check(boolean holds, String otherwise) {
+private void check(boolean holds, String message) {
 if (!holds && fault.isEmpty()) {
-fault = otherwise;
+fault = message;
 }
 }
 @Override
@@ -373,7 +357,7 @@
 + (holding == null ? 0 : holding.id)
 + " and "
 + each.id
-+ " believe to hold "
++ " hold "
 + LEASES[which]);
 holding = each;
 }
--- a/src/measure/java/calicostream/lease/LeaseTransitions.java
+++ b/src/measure/java/calicostream/lease/LeaseTransitions.java
@@ -10,14 +10,14 @@
 import java.util.Map;
 
 /**
- * The replicated machine as the model sees it: each state it was ever in has a number, and what a
- * command does to it is asked of the product's own class once and remembered. Every step goes
- * through a snapshot and a restore.
+ * The transitions of the replicated {@link LeaseStateMachine} for {@link LeaseModel}: each of its
+ * states has an identifier, and the effect of a command on a state is computed once by the
+ * product's class and cached. Every transition goes through a snapshot and a restore.
  */
 final class LeaseTransitions {
     static final String LEASE = "task";
 
-    /** Kinds of commands under way. */
+    /** Kinds of commands in a model's state. */
     static final byte ACQUIRE = 1;
 
     static final byte RENEW = 2;
@@ -28,19 +28,25 @@
     static final byte EXPIRE = 7;
     static final byte SESSION_ENDED = 8;
 
-    /** Kinds of answers under way. */
-    static final byte HOLDS = 1;
+    /** Kinds of answers in a model's state. */
+    static final byte HELD = 1;
 
-    static final byte WAITS = 2;
+    static final byte QUEUED = 2;
     static final byte DONE = 3;
-    static final byte REFUSED = 4;
-    static final byte ALREADY_HOLDS = 5;
-    static final byte ALREADY_WAITS = 6;
+    static final byte REJECTED = 4;
+    static final byte ALREADY_HELD = 5;
+    static final byte ALREADY_QUEUED = 6;
     static final byte NO_SUCCESSOR = 7;
 
     /**
-     * What a command led to; {@code granted} and {@code acted} are tokens, 0 if there was no such
-     * event.
+     * The effect of a command.
+     *
+     * @param next identifier of the state that it leads to
+     * @param answer kind of the answer
+     * @param answerToken token in the answer; 0 if none
+     * @param grantedToken token that was granted; 0 if none
+     * @param grantedSession session that was granted the lease; 0 if none
+     * @param actionToken token of an action that was applied; 0 if none
      */
     record Transition(
             int next,
@@ -51,19 +57,19 @@
             byte actionToken) {}
 
     private final LeaseComponents components;
-    private final long ttl;
+    private final long ttlNanos;
     private final List<byte[]> snapshots = new ArrayList<>();
     private final List<LeaseStateMachine> machines = new ArrayList<>();
     private final Map<String, Integer> snapshotIds = new HashMap<>();
     private final Map<Long, Transition> transitions = new HashMap<>();
 
-    LeaseTransitions(LeaseComponents parts, long ttl) {
-        this.components = parts;
-        this.ttl = ttl;
-        snapshotId(parts.createMachine(null));
+    LeaseTransitions(LeaseComponents components, long ttlNanos) {
+        this.components = components;
+        this.ttlNanos = ttlNanos;
+        snapshotId(components.createMachine(null));
     }
 
-    /** To be read only. */
+    /** The machine in that state, which must not be changed. */
     LeaseStateMachine machine(int id) {
         return machines.get(id);
     }
@@ -73,18 +79,19 @@
         return held.isEmpty() ? 0 : (int) held.get(0).renewals();
     }
 
-    Transition apply(int id, int session, byte kind, byte token, byte more) {
-        long key = ((((long) id << 8 | session) << 8 | kind) << 8 | token) << 8 | more;
-        Transition step = transitions.get(key);
-        if (step == null) {
-            step = applyUncached(id, session, kind, token, more);
-            transitions.put(key, step);
+    Transition apply(int snapshotId, int session, byte kind, byte token, byte argument) {
+        long key = ((((long) snapshotId << 8 | session) << 8 | kind) << 8 | token) << 8 | argument;
+        Transition transition = transitions.get(key);
+        if (transition == null) {
+            transition = applyUncached(snapshotId, session, kind, token, argument);
+            transitions.put(key, transition);
         }
-        return step;
+        return transition;
     }
 
-    private Transition applyUncached(int id, int session, byte kind, byte token, byte more) {
-        LeaseStateMachine machine = components.createMachine(snapshots.get(id));
+    private Transition applyUncached(
+            int snapshotId, int session, byte kind, byte token, byte argument) {
+        LeaseStateMachine machine = components.createMachine(snapshots.get(snapshotId));
         CommandEffects effects =
                 kind == SESSION_ENDED
                         ? machine.sessionEnded(1, session)
@@ -94,86 +101,108 @@
                                         kind == EXPIRE ? 0 : session,
                                         0,
                                         0,
-                                        command(kind, token, more).encode()));
-        byte granted = 0;
-        byte to = 0;
-        byte acted = 0;
+                                        command(kind, token, argument).encode()));
+        byte grantedToken = 0;
+        byte grantedSession = 0;
+        byte actionToken = 0;
         for (CommandEffects.Event each : effects.events()) {
             LeaseEvent event = LeaseEvent.decode(each);
-            if (event instanceof LeaseEvent.Granted g) {
-                granted = (byte) g.token();
-                to = (byte) g.session();
-            } else if (event instanceof LeaseEvent.ActionPerformed a) {
-                acted = (byte) a.token();
+            if (event instanceof LeaseEvent.Granted granted) {
+                grantedToken = (byte) granted.token();
+                grantedSession = (byte) granted.session();
+            } else if (event instanceof LeaseEvent.ActionPerformed action) {
+                actionToken = (byte) action.token();
             }
         }
         byte answer = DONE;
         byte answerToken = 0;
         if (!effects.isAccepted()) {
-            LeaseRejection why = LeaseRejection.decode(effects.rejectionCode(), effects.response());
-            answer =
-                    why instanceof LeaseRejection.AlreadyHeld
-                            ? ALREADY_HOLDS
-                            : why instanceof LeaseRejection.AlreadyQueued
-                                    ? ALREADY_WAITS
-                                    : why instanceof LeaseRejection.NoSuccessor
-                                            ? NO_SUCCESSOR
-                                            : REFUSED;
-            answerToken = why instanceof LeaseRejection.AlreadyHeld held ? (byte) held.token() : 0;
+            LeaseRejection rejection =
+                    LeaseRejection.decode(effects.rejectionCode(), effects.response());
+            answer = answerKind(rejection);
+            if (rejection instanceof LeaseRejection.AlreadyHeld held) {
+                answerToken = (byte) held.token();
+            }
         } else if (kind != SESSION_ENDED) {
-            LeaseAnswer said = LeaseAnswer.decode(effects.response());
-            answer =
-                    said instanceof LeaseAnswer.Held
-                            ? HOLDS
-                            : said instanceof LeaseAnswer.Queued ? WAITS : DONE;
-            answerToken = said instanceof LeaseAnswer.Held held ? (byte) held.token() : 0;
+            LeaseAnswer decoded = LeaseAnswer.decode(effects.response());
+            answer = answerKind(decoded);
+            if (decoded instanceof LeaseAnswer.Held held) {
+                answerToken = (byte) held.token();
+            }
+        }
+        return new Transition(
+                snapshotId(machine),
+                answer,
+                answerToken,
+                grantedToken,
+                grantedSession,
+                actionToken);
+    }
+
+    private static byte answerKind(LeaseAnswer answer) {
+        if (answer instanceof LeaseAnswer.Held) {
+            return HELD;
+        }
+        return answer instanceof LeaseAnswer.Queued ? QUEUED : DONE;
+    }
+
+    private static byte answerKind(LeaseRejection rejection) {
+        if (rejection instanceof LeaseRejection.AlreadyHeld) {
+            return ALREADY_HELD;
+        }
+        if (rejection instanceof LeaseRejection.AlreadyQueued) {
+            return ALREADY_QUEUED;
         }
-        return new Transition(snapshotId(machine), answer, answerToken, granted, to, acted);
+        return rejection instanceof LeaseRejection.NoSuccessor ? NO_SUCCESSOR : REJECTED;
     }
 
-    LeaseCommand command(byte kind, byte token, byte more) {
+    LeaseCommand command(byte kind, byte token, byte argument) {
         return switch (kind) {
-            case ACQUIRE -> new LeaseCommand.Acquire(LEASE, ttl, true);
+            case ACQUIRE -> new LeaseCommand.Acquire(LEASE, ttlNanos, true);
             case RENEW -> new LeaseCommand.Renew(LEASE, token);
             case RELEASE -> new LeaseCommand.Release(LEASE, token);
             case WITHDRAW -> new LeaseCommand.Withdraw(LEASE);
             case TRANSFER -> new LeaseCommand.Transfer(LEASE, token, 0);
-            case ACT -> new LeaseCommand.FencedAction(LEASE, token, new byte[] {more});
-            case EXPIRE -> new LeaseCommand.Expire(LEASE, token, more);
+            case ACT -> new LeaseCommand.FencedAction(LEASE, token, new byte[] {argument});
+            case EXPIRE -> new LeaseCommand.Expire(LEASE, token, argument);
             default -> throw new IllegalArgumentException("no command has the kind " + kind);
         };
     }
 
     static byte kind(LeaseCommand command) {
-        return command instanceof LeaseCommand.Acquire
-                ? ACQUIRE
-                : command instanceof LeaseCommand.Renew
-                        ? RENEW
-                        : command instanceof LeaseCommand.Release
-                                ? RELEASE
-                                : command instanceof LeaseCommand.Withdraw ? WITHDRAW : TRANSFER;
+        if (command instanceof LeaseCommand.Acquire) {
+            return ACQUIRE;
+        }
+        if (command instanceof LeaseCommand.Renew) {
+            return RENEW;
+        }
+        if (command instanceof LeaseCommand.Release) {
+            return RELEASE;
+        }
+        return command instanceof LeaseCommand.Withdraw ? WITHDRAW : TRANSFER;
     }
 
     static byte token(LeaseCommand command) {
-        return (byte)
-                (command instanceof LeaseCommand.Renew r
-                        ? r.token()
-                        : command instanceof LeaseCommand.Release r
-                                ? r.token()
-                                : command instanceof LeaseCommand.Transfer t ? t.token() : 0);
+        if (command instanceof LeaseCommand.Renew renew) {
+            return (byte) renew.token();
+        }
+        if (command instanceof LeaseCommand.Release release) {
+            return (byte) release.token();
+        }
+        return command instanceof LeaseCommand.Transfer transfer ? (byte) transfer.token() : 0;
     }
 
-    /** Tells a holder an answer as its class takes it. */
+    /** Reports an answer to a holder. */
     static void deliverAnswer(LeaseHolder holder, byte answer, byte token) {
         long now = LeaseModelMember.NOW;
         int number = LeaseModelMember.REQUEST_NUMBER;
         switch (answer) {
-            case HOLDS -> holder.onAnswer(now, number, new LeaseAnswer.Held(token));
-            case WAITS -> holder.onAnswer(now, number, new LeaseAnswer.Queued(1));
+            case HELD -> holder.onAnswer(now, number, new LeaseAnswer.Held(token));
+            case QUEUED -> holder.onAnswer(now, number, new LeaseAnswer.Queued(1));
             case DONE -> holder.onAnswer(now, number, new LeaseAnswer.Done());
-            case ALREADY_HOLDS ->
+            case ALREADY_HELD ->
                     holder.onRejected(now, number, new LeaseRejection.AlreadyHeld(LEASE, token));
-            case ALREADY_WAITS ->
+            case ALREADY_QUEUED ->
                     holder.onRejected(now, number, new LeaseRejection.AlreadyQueued(LEASE, 1));
             case NO_SUCCESSOR ->
                     holder.onRejected(now, number, new LeaseRejection.NoSuccessor(LEASE, 0));
--- a/src/measure/java/calicostream/lease/LeasedTaskProcesses.java
+++ b/src/measure/java/calicostream/lease/LeasedTaskProcesses.java
@@ -10,15 +10,16 @@
 import java.util.Map;
 
 /**
- * Processes with one task, on one log that answers at once, or not at all; in virtual time
- * (nanoseconds). One thread.
+ * Processes with one task and a {@link LeasedTaskRunner} each, on one log that answers at once, or
+ * not at all; in virtual time (nanoseconds). Confined to one thread.
  */
 final class LeasedTaskProcesses {
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long TTL_NANOS = 2_000 * NANOS_PER_MILLI;
+    private static final long TICK_MILLIS = 50;
     private static final String LEASE = "divide";
 
-    /** One process: what its task was called for and what its log says. */
+    /** One process, with the calls of its task and the events of its runner. */
     final class Process {
         final MemberSession session;
         final List<String> calls = new ArrayList<>();
@@ -48,26 +49,27 @@
                         }
 
                         @Override
-                        public void onStarted(FencedActions acts) {
+                        public void onStarted(FencedActions actions) {
                             calls.add("started");
                         }
 
                         @Override
-                        public void step(FencedActions acts, long nowNanos) {
+                        public void step(FencedActions actions, long nowNanos) {
                             calls.add("step");
                             if (throwsNext) {
                                 throwsNext = false;
-                                throw new IllegalStateException("broken on purpose");
+                                throw new IllegalStateException("injected failure");
                             }
-                            acts.submit(
+                            actions.submit(
                                             new byte[] {7},
                                             outcome ->
                                                     appliedActions += outcome.isAccepted() ? 1 : 0)
                                     .ifPresent(
-                                            why -> {
+                                            rejection -> {
                                                 throw new AssertionError(
-                                                        "an act of the holder was not taken: "
-                                                                + why);
+                                                        "an action of the holder was not submitted:"
+                                                                + " "
+                                                                + rejection);
                                             });
                         }
 
@@ -78,7 +80,7 @@
 
                         @Override
                         public void onAction(long token, byte[] payload, long nowNanos) {
-                            calls.add("heard " + payload[0]);
+                            calls.add("action " + payload[0]);
                         }
                     },
                     TTL_NANOS);
@@ -88,7 +90,7 @@
             return calls.stream().filter(call::equals).count();
         }
 
-        /** All that it wants to send and what comes of it, until it is quiet. */
+        /** Delivers the session's messages and the resulting events until none are left. */
         void exchangeMessages() {
             for (List<MemberSession.OutgoingFrame> sends = session.tick(now);
                     !sends.isEmpty() && !partitioned;
@@ -129,7 +131,7 @@
         expiryMonitor.epochStarted(state.epoch(), now);
     }
 
-    private void turn() {
+    private void tick() {
         processes.forEach(
                 each -> {
                     each.runner.tick();
@@ -143,9 +145,9 @@
     }
 
     void pass(long millis) {
-        for (long left = millis; left > 0; left -= 50) {
-            now += 50 * NANOS_PER_MILLI;
-            turn();
+        for (long left = millis; left > 0; left -= TICK_MILLIS) {
+            now += TICK_MILLIS * NANOS_PER_MILLI;
+            tick();
         }
     }
 
--- a/src/measure/java/calicostream/lease/RandomLeaseRun.java
+++ b/src/measure/java/calicostream/lease/RandomLeaseRun.java
@@ -9,69 +9,45 @@
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
-import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.Set;
+import java.util.function.Consumer;
 import java.util.stream.IntStream;
 
 /**
- * Members with their sessions, holders and acts, a {@link SimulatedLog} and a resource in virtual
- * time, from one seed. Links lose, double and delay; processes stop for up to three times to live
- * and go on, or start anew; clocks drift by 500 ppm; leaders change; quorums are lost. What is done
- * is judged where it is done.
+ * A randomized run of members with their sessions, holders and actions, a {@link SimulatedLog} and
+ * a resource in virtual time, determined by its seed. Links lose, duplicate and delay messages;
+ * processes are paused for up to three times to live, or restart; clocks drift by 500 ppm; leaders
+ * change; quorums are lost. Invariants are checked after each event.
  */
 final class RandomLeaseRun {
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long TTL_NANOS = 1000 * NANOS_PER_MILLI;
     private static final long FAULTS_END_NANOS = 20_000 * NANOS_PER_MILLI;
     private static final long END_NANOS = 30_000 * NANOS_PER_MILLI;
+    private static final long FIRST_FAULT_NANOS = 500 * NANOS_PER_MILLI;
+    private static final long TICK_NANOS = 15 * NANOS_PER_MILLI;
     private static final String LEASE = "task";
 
     /**
-     * {@code broken} is empty if all held; {@code handOvers} in times to live, from a holder's stop
-     * to the next one's first act.
+     * The result of a run.
+     *
+     * @param violation the first violated invariant; empty if there is none
+     * @param faults number of injected faults
+     * @param actions number of actions that the log or the resource accepted
+     * @param tokens the last token granted
+     * @param handoverTimes in times to live, from a holder's loss to the next holder's first action
      */
     record Result(
             String violation, int faults, int actions, int tokens, List<Double> handoverTimes) {}
 
-    private record Event(long at, long order, Process process, int incarnation, Runnable task)
-            implements Comparable<Event> {
-        @Override
-        public int compareTo(Event other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
-        }
-    }
-
-    /** A process with its clock: stopped, it does nothing and its clock goes on. */
-    final class Process {
-        private long driftPpm;
-        private long base = random.nextInt(1_000_000) * NANOS_PER_MILLI;
-        private long since;
-        private long pausedUntil;
-        private int incarnation;
-
-        long nanos() {
-            return base + (now - since) + (now - since) * driftPpm / 1_000_000;
-        }
-
-        void drift(long to) {
-            base = nanos();
-            since = now;
-            driftPpm = to;
-        }
-
-        void after(long delay, Runnable task) {
-            events.add(new Event(now + Math.max(1, delay), order++, this, incarnation, task));
-        }
-    }
-
     private final class Member {
-        final Process process = new Process();
+        final SimulatedTime.Process process = time.createProcess();
         final int id;
         MemberSession session;
         LeaseClient client;
         LeaseHolder holder;
-        FencedActions acts;
+        FencedActions actions;
 
         Member(int id) {
             this.id = id;
@@ -79,12 +55,12 @@
         }
 
         void start() {
-            process.incarnation++;
+            long incarnation = process.restart();
             session =
                     new MemberSession(
                             new MemberSession.Settings(id, sessionMillis, 150, 8),
                             List.of(1, 2, 3),
-                            (long) id << 40 | (long) process.incarnation << 32);
+                            (long) id << 40 | incarnation << 32);
             client = new LeaseClient(session, "lease", process::nanos);
             holder =
                     client.add(
@@ -92,7 +68,7 @@
                                     LEASE,
                                     TTL_NANOS,
                                     new LeaseHolder(LEASE, TTL_NANOS, process.nanos()).state()));
-            acts = client.fencedActions(holder);
+            actions = client.fencedActions(holder);
             holder.acquire();
             tick();
             act();
@@ -100,53 +76,41 @@
 
         void tick() {
             client.tick();
-            for (MemberSession.OutgoingFrame send : session.tick(process.nanos())) {
-                int life = process.incarnation;
-                sendOverLink(
-                        id,
-                        () ->
-                                log.received(
-                                        send.voter(),
-                                        send.frame(),
-                                        reply ->
-                                                sendOverLink(
-                                                        id,
-                                                        () ->
-                                                                process.after(
-                                                                        1,
-                                                                        () -> {
-                                                                            if (process.incarnation
-                                                                                    == life) {
-                                                                                session.received(
-                                                                                        send
-                                                                                                .voter(),
-                                                                                        (MemberMessage
-                                                                                                        .Reply)
-                                                                                                MemberMessage
-                                                                                                        .decode(
-                                                                                                                reply),
-                                                                                        process
-                                                                                                .nanos());
-                                                                            }
-                                                                        }))));
-            }
-            process.after(15 * NANOS_PER_MILLI, this::tick);
+            session.tick(process.nanos()).forEach(this::send);
+            process.after(TICK_NANOS, this::tick);
+        }
+
+        private void send(MemberSession.OutgoingFrame frame) {
+            int incarnation = process.incarnation();
+            Consumer<byte[]> onReply =
+                    reply -> sendOverLink(id, () -> receive(frame.voter(), reply, incarnation));
+            sendOverLink(id, () -> log.received(frame.voter(), frame.frame(), onReply));
+        }
+
+        private void receive(int voter, byte[] reply, int incarnation) {
+            process.after(
+                    1,
+                    () -> {
+                        if (process.incarnation() == incarnation) {
+                            MemberMessage.Reply decoded =
+                                    (MemberMessage.Reply) MemberMessage.decode(reply);
+                            session.received(voter, decoded, process.nanos());
+                        }
+                    });
         }
 
-        /**
-         * Checks and acts; the act itself may leave much later, when the process goes on or the
-         * link lets it.
-         */
+        /** Checks and acts; the action may reach the resource much later. */
         void act() {
             if (random.nextInt(3) == 0) {
-                byte[] number = new BinaryCodec.Writer().i64(++actionNumber).toByteArray();
+                actionNumber++;
+                byte[] number = new BinaryCodec.Writer().i64(actionNumber).toByteArray();
                 FencedResource.FencedResult<LeaseCommand.FencedAction> command =
-                        acts.createLogCommand(number);
+                        actions.createLogCommand(number);
                 if (command.isCompleted()) {
                     session.submit("lease", command.result().encode(), outcome -> {});
                 }
             } else {
-                acts.executeAt(
+                actions.executeAt(
                         (lease, token, payload) -> {
                             sendOverLink(0, () -> executeAtResource(this, token));
                             return FencedResource.FencedResult.completed(null);
@@ -157,19 +121,17 @@
         }
     }
 
-    final Random random;
+    private final Random random;
+    private final SimulatedTime time;
     private final LeaseComponents components;
     private final boolean killsOnly;
     private final int sessionMillis;
-    private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private final List<Process> voters = new ArrayList<>();
+    private final List<SimulatedTime.Process> voters = new ArrayList<>();
     private final List<Member> members = new ArrayList<>();
     private final Set<Long> appliedActions = new HashSet<>();
     private final List<Double> handoverTimes = new ArrayList<>();
     private final SimulatedLog log;
     private final FencingTokenGuard tokenGuard;
-    private long now;
-    private long order;
     private long actionNumber;
     private long lastResourceToken;
     private long lastLogToken;
@@ -183,68 +145,50 @@
     private long lostToken;
     private String violation = "";
 
-    private RandomLeaseRun(long seed, Mutant without, boolean killsAlone) {
+    private RandomLeaseRun(long seed, Mutant without, boolean killsOnly) {
         random = new Random(seed);
-        this.killsOnly = killsAlone;
-        sessionMillis = killsAlone ? 1500 : 400 + random.nextInt(1400);
+        time = new SimulatedTime(random);
+        this.killsOnly = killsOnly;
+        sessionMillis = killsOnly ? 1500 : 400 + random.nextInt(1400);
         components = new LeaseComponents(without, LeaseLimits.STANDARD, ClockDriftBound.STANDARD);
         tokenGuard = components.createTokenGuard(LEASE, 0);
-        IntStream.range(0, SimulatedLog.VOTERS).forEach(i -> voters.add(new Process()));
-        log = new SimulatedLog(this, components, this::onStateChange);
+        IntStream.range(0, SimulatedLog.VOTERS).forEach(i -> voters.add(time.createProcess()));
+        log = new SimulatedLog(random, time, voters, components, this::onStateChange);
         IntStream.rangeClosed(1, 4)
                 .forEach(id -> members.add(new Member(id + SimulatedLog.VOTERS)));
     }
 
     /**
-     * @param without the safeguard taken out; null: none
+     * Runs with all faults.
+     *
+     * @param without the safeguard removed; null: none
      */
-    static Result run(long seed, Mutant without) {
+    static Result randomFaults(long seed, Mutant without) {
         return new RandomLeaseRun(seed, without, false).run();
     }
 
-    /** Holders are killed and nothing else goes wrong: what a hand-over takes. */
-    static Result kills(long seed) {
+    /** Runs with holders that are killed as the only fault, to measure handovers. */
+    static Result killsOnly(long seed) {
         return new RandomLeaseRun(seed, null, true).run();
     }
 
-    Process process(int voter) {
-        return voters.get(voter - 1);
-    }
-
-    void after(long delay, Runnable task) {
-        events.add(new Event(now + delay, order++, null, 0, task));
-    }
-
     private Result run() {
-        after(500 * NANOS_PER_MILLI, this::injectFault);
+        time.after(FIRST_FAULT_NANOS, this::injectFault);
         long settled = 0;
-        while (violation.isEmpty() && !events.isEmpty() && events.peek().at <= END_NANOS) {
-            Event event = events.poll();
-            Process process = event.process;
-            if (process != null
-                    && (process.incarnation != event.incarnation && process.incarnation > 0)) {
-                continue;
-            }
-            if (process != null && process.pausedUntil > event.at) {
-                events.add(
-                        new Event(
-                                process.pausedUntil,
-                                event.order,
-                                process,
-                                event.incarnation,
-                                event.task));
-                continue;
-            }
-            now = event.at;
-            event.task.run();
+        Runnable task = time.nextTask(END_NANOS);
+        while (task != null && violation.isEmpty()) {
+            task.run();
             checkSingleHolder();
-            settled = now < END_NANOS - 3 * TTL_NANOS ? acceptedActions : settled;
+            settled = time.now() < END_NANOS - 3 * TTL_NANOS ? acceptedActions : settled;
+            task = violation.isEmpty() ? time.nextTask(END_NANOS) : null;
         }
         if (violation.isEmpty() && acceptedActions == settled) {
             violation = "nobody acts three times to live after the last fault";
         }
         return new Result(
-                violation.isEmpty() ? "" : "at " + now / NANOS_PER_MILLI + " ms: " + violation,
+                violation.isEmpty()
+                        ? ""
+                        : "at " + time.now() / NANOS_PER_MILLI + " ms: " + violation,
                 faultCount,
                 acceptedActions,
                 (int) lastGrantedToken,
@@ -252,14 +196,15 @@
     }
 
     // ---- Links and faults
-    // -----------------------------------------------------------------------------
+
     private void sendOverLink(int member, Runnable arrives) {
-        int copies =
-                member != 0 && member == partitionedMember || random.nextDouble() < lossProbability
-                        ? 0
-                        : random.nextInt(20) == 0 ? 2 : 1;
+        boolean cut = member != 0 && member == partitionedMember;
+        if (cut || random.nextDouble() < lossProbability) {
+            return;
+        }
+        int copies = random.nextInt(20) == 0 ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            after(
+            time.after(
                     100_000
                             + random.nextInt(maxDelayMillis) * NANOS_PER_MILLI
                             + random.nextInt(1_000_000),
@@ -268,17 +213,17 @@
     }
 
     private void injectFault() {
-        if (now > FAULTS_END_NANOS) {
+        if (time.now() > FAULTS_END_NANOS) {
             lossProbability = 0;
             maxDelayMillis = 5;
             partitionedMember = 0;
-            log.quorum(true);
+            log.setQuorum(true);
             return;
         }
         faultCount++;
         Member member = members.get(random.nextInt(members.size()));
-        Member holding = members.stream().filter(each -> mayAct(each)).findFirst().orElse(member);
-        Process voter = voters.get(random.nextInt(SimulatedLog.VOTERS));
+        Member holding = members.stream().filter(this::mayAct).findFirst().orElse(member);
+        SimulatedTime.Process voter = voters.get(random.nextInt(SimulatedLog.VOTERS));
         long lasts = random.nextInt(3000) * NANOS_PER_MILLI;
         switch (killsOnly ? 2 : random.nextInt(11)) {
             case 0 -> pause(holding, lasts);
@@ -289,17 +234,17 @@
             }
             case 3 -> {
                 member.holder.release();
-                after(lasts, member.holder::acquire);
+                time.after(lasts, member.holder::acquire);
             }
             case 4 -> {
                 holding.holder.transfer(0);
-                after(lasts, holding.holder::acquire);
+                time.after(lasts, holding.holder::acquire);
             }
             case 5 -> log.changeLeader(1 + random.nextInt(SimulatedLog.VOTERS));
             case 6 -> {
-                voter.pausedUntil = now + lasts;
-                if (process(log.leader()) == voter) {
-                    after(
+                voter.pauseUntil(time.now() + lasts);
+                if (voters.get(log.leader() - 1) == voter) {
+                    time.after(
                             300 * NANOS_PER_MILLI,
                             () -> log.changeLeader(1 + log.leader() % SimulatedLog.VOTERS));
                 }
@@ -307,12 +252,12 @@
             case 7 -> {
                 partitionedMember = holding.id;
                 recordLoss(holding);
-                after(lasts, () -> partitionedMember = 0);
+                time.after(lasts, () -> partitionedMember = 0);
             }
             case 8 -> {
                 lossProbability = random.nextDouble() / 2;
                 maxDelayMillis = 1 + random.nextInt(600);
-                after(
+                time.after(
                         lasts,
                         () -> {
                             lossProbability = 0;
@@ -320,21 +265,21 @@
                         });
             }
             case 9 -> {
-                log.quorum(false);
-                after(lasts / 2, () -> log.quorum(true));
+                log.setQuorum(false);
+                time.after(lasts / 2, () -> log.setQuorum(true));
             }
             default -> {
-                members.forEach(each -> each.process.drift(random.nextInt(1001) - 500));
-                voters.forEach(each -> each.drift(random.nextInt(1001) - 500));
+                members.forEach(each -> each.process.setDrift(random.nextInt(1001) - 500));
+                voters.forEach(each -> each.setDrift(random.nextInt(1001) - 500));
             }
         }
-        after(
+        time.after(
                 (killsOnly ? 2500 : 100) * NANOS_PER_MILLI + random.nextInt(1200) * NANOS_PER_MILLI,
                 this::injectFault);
     }
 
     private void pause(Member member, long lasts) {
-        member.process.pausedUntil = now + lasts;
+        member.process.pauseUntil(time.now() + lasts);
         if (lasts > TTL_NANOS) {
             recordLoss(member);
         }
@@ -342,18 +287,15 @@
 
     private void recordLoss(Member member) {
         if (mayAct(member) && holderLostAt < 0) {
-            holderLostAt = now;
+            holderLostAt = time.now();
             lostToken = lastGrantedToken;
         }
     }
 
-    // ---- Judgement
-    // ------------------------------------------------------------------------------------
+    // ---- Invariants
+
     private boolean mayAct(Member member) {
-        return member.holder.phase() == LeaseHolder.Phase.HELD
-                && new LeaseHolder(
-                                LEASE, TTL_NANOS, ClockDriftBound.STANDARD, member.holder.state())
-                        .mayAct(member.process.nanos()); // A copy: asking must not tell it.
+        return member.holder.isValidAt(member.process.nanos());
     }
 
     private void checkSingleHolder() {
@@ -366,7 +308,7 @@
                                     + holding.id
                                     + " and "
                                     + each.id
-                                    + " are both told that they hold";
+                                    + " both hold the lease by their clocks";
                 }
                 holding = each;
             }
@@ -379,7 +321,7 @@
         }
         if (token < lastResourceToken) {
             violation =
-                    "the resource takes an act of member "
+                    "the resource accepts an action of member "
                             + by.id
                             + " under token "
                             + token
@@ -397,7 +339,7 @@
         LeaseEvent event = LeaseEvent.decode(news.event());
         if (event instanceof LeaseEvent.Granted granted) {
             if (granted.token() <= lastGrantedToken) {
-                violation = "token " + granted.token() + " is given after " + lastGrantedToken;
+                violation = "token " + granted.token() + " is granted after " + lastGrantedToken;
             }
             lastGrantedToken = granted.token();
             members.forEach(
@@ -408,11 +350,11 @@
         } else if (event instanceof LeaseEvent.ActionPerformed act) {
             long number = new BinaryCodec.Reader("act", act.payload()).i64();
             if (!appliedActions.add(number)) {
-                violation = "act " + number + " is done twice by the log";
+                violation = "action " + number + " is applied twice";
             }
             if (act.token() < lastLogToken) {
                 violation =
-                        "the log takes an act under token "
+                        "the log accepts an action under token "
                                 + act.token()
                                 + " after one under "
                                 + lastLogToken;
@@ -425,7 +367,7 @@
     private void onAction(long token) {
         acceptedActions++;
         if (holderLostAt >= 0 && token > lostToken) {
-            handoverTimes.add((double) (now - holderLostAt) / TTL_NANOS);
+            handoverTimes.add((double) (time.now() - holderLostAt) / TTL_NANOS);
             holderLostAt = -1;
         }
     }
--- a/src/measure/java/calicostream/lease/SimulatedLog.java
+++ b/src/measure/java/calicostream/lease/SimulatedLog.java
@@ -10,21 +10,25 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Random;
 import java.util.function.Consumer;
 
 /**
- * A log as members see one: three voters of which one leads, entries that are committed after a
- * while, in order, or lost when the leader changes, and no quorum at times. It stands for the
- * consensus alone; sessions, eras, the leases' machine and what the leader counts are the product's
- * own. Before a new era the copy goes through a snapshot.
+ * A replicated log as members see it: three voters of which one leads, entries that are committed
+ * after a delay, in order, or lost when the leader changes, and no quorum at times. It replaces the
+ * consensus alone; sessions, epochs, the lease state machine and the expiry monitors are the
+ * product's own. Before each new epoch the replica goes through a snapshot.
  */
 final class SimulatedLog {
     static final int VOTERS = 3;
+    static final String MACHINE = "lease";
     private static final long CHECK_INTERVAL_NANOS = 20_000_000;
 
     private record Proposal(byte[] entry, Consumer<CommandOutcome> done) {}
 
-    private final RandomLeaseRun run;
+    private final Random random;
+    private final SimulatedTime time;
+    private final List<SimulatedTime.Process> voters;
     private final LeaseComponents components;
     private final Consumer<ReplicatedState.StateChange> listener;
     private final List<Proposal> proposed = new ArrayList<>();
@@ -38,14 +42,18 @@
     private int leaderChanges;
 
     SimulatedLog(
-            RandomLeaseRun runs,
-            LeaseComponents parts,
-            Consumer<ReplicatedState.StateChange> heard) {
-        this.run = runs;
-        this.components = parts;
-        this.listener = heard;
-        machine = parts.createMachine(null);
-        state = new ReplicatedState(Map.of("lease", machine));
+            Random random,
+            SimulatedTime time,
+            List<SimulatedTime.Process> voters,
+            LeaseComponents components,
+            Consumer<ReplicatedState.StateChange> listener) {
+        this.random = random;
+        this.time = time;
+        this.voters = voters;
+        this.components = components;
+        this.listener = listener;
+        machine = components.createMachine(null);
+        state = new ReplicatedState(Map.of(MACHINE, machine));
         becomeLeader(1);
         checkExpiry(leaderChanges);
     }
@@ -58,28 +66,26 @@
         return machine;
     }
 
-    void quorum(boolean there) {
-        quorum = there;
+    /** Nothing is committed while there is no quorum. */
+    void setQuorum(boolean available) {
+        quorum = available;
         commit();
     }
 
     /**
-     * Another voter leads; of what was proposed, a first part is in its log and the rest is not.
+     * Makes another voter the leader. Of the proposed entries its log has the first ones, as many
+     * as chance has it; the others are lost.
      */
     void changeLeader(int to) {
-        int kept = run.random.nextInt(proposed.size() + 1);
-        List<Proposal> lost = new ArrayList<>(proposed.subList(kept, proposed.size()));
+        int kept = random.nextInt(proposed.size() + 1);
         proposed.subList(kept, proposed.size()).clear();
         while (!proposed.isEmpty()) {
-            apply(
-                    new Proposal(
-                            proposed.remove(0).entry,
-                            outcome -> {})); // Its answer went with the old leader.
+            // The answer is lost with the former leader.
+            apply(new Proposal(proposed.remove(0).entry, outcome -> {}));
         }
-        lost.clear();
         byte[] snapshot = state.snapshot();
         machine = components.createMachine(null);
-        state = new ReplicatedState(Map.of("lease", machine));
+        state = new ReplicatedState(Map.of(MACHINE, machine));
         state.restore(snapshot);
         becomeLeader(to);
         checkExpiry(leaderChanges);
@@ -94,24 +100,24 @@
                         outcome -> {}));
         leaseExpiryMonitor = components.createExpiryMonitor(machine, Map.of(), 0);
         sessionExpiryMonitor = new SessionExpiryMonitor(state, CHECK_INTERVAL_NANOS);
-        leaseExpiryMonitor.epochStarted(state.epoch(), run.process(voter).nanos());
+        leaseExpiryMonitor.epochStarted(state.epoch(), voters.get(voter - 1).nanos());
     }
 
-    /** The leader's count of time, at its own clock, while it leads. */
-    private void checkExpiry(int since) {
-        if (since != leaderChanges) {
+    /** Proposes what has expired by the leader's clock, periodically while it leads. */
+    private void checkExpiry(int leadership) {
+        if (leadership != leaderChanges) {
             return;
         }
-        long now = run.process(leader).nanos();
+        long now = voters.get(leader - 1).nanos();
         for (byte[] body : leaseExpiryMonitor.expiredCommands(now)) {
             propose(
-                    new ReplicatedEntry.LeaderCommand(state.epoch(), "lease", body).encode(),
+                    new ReplicatedEntry.LeaderCommand(state.epoch(), MACHINE, body).encode(),
                     outcome -> {});
         }
         for (ReplicatedEntry.ExpireSession expire : sessionExpiryMonitor.expiredSessions(now)) {
             propose(expire.encode(), outcome -> {});
         }
-        run.process(leader).after(CHECK_INTERVAL_NANOS, () -> checkExpiry(since));
+        voters.get(leader - 1).after(CHECK_INTERVAL_NANOS, () -> checkExpiry(leadership));
     }
 
     void received(int voter, byte[] frame, Consumer<byte[]> answer) {
@@ -131,7 +137,7 @@
     private void propose(byte[] entry, Consumer<CommandOutcome> done) {
         Proposal proposal = new Proposal(entry, done);
         proposed.add(proposal);
-        run.after(1_000_000 + run.random.nextInt(5_000_000), this::commit);
+        time.after(1_000_000 + random.nextInt(5_000_000), this::commit);
     }
 
     private void commit() {
@@ -141,7 +147,8 @@
     }
 
     private void apply(Proposal proposal) {
-        proposal.done.accept(state.apply(++index, proposal.entry));
+        index++;
+        proposal.done.accept(state.apply(index, proposal.entry));
         state.drainStateChanges().forEach(listener);
     }
 }
--- a/src/test/java/calicostream/lease/EjectionHintsFleetTest.java
+++ b/src/test/java/calicostream/lease/EjectionHintsFleetTest.java
@@ -7,7 +7,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What hints spare a fleet, and that it does without them. */
+/** How many probes ejection hints save a fleet, and that it works without them. */
 class EjectionHintsFleetTest {
     private static long lastUseAfterRecoveryMillis(EjectionHintsFleet fleet) {
         return fleet.usedAgainAfterMicros.stream().mapToLong(each -> each).max().orElseThrow()
@@ -16,31 +16,33 @@
 
     @Test
     void hintsReduceProbesAndAreNotRequired() {
-        EjectionHintsFleet alone = EjectionHintsFleet.of(-1, 0);
-        EjectionHintsFleet led = EjectionHintsFleet.of(4, EjectionHintsFleet.END_MICROS);
-        EjectionHintsFleet left = EjectionHintsFleet.of(4, 30_000 * MICROS_PER_MILLI);
+        EjectionHintsFleet withoutHints = EjectionHintsFleet.of(-1, 0);
+        EjectionHintsFleet withHints = EjectionHintsFleet.of(4, EjectionHintsFleet.END_MICROS);
+        EjectionHintsFleet withHintsForHalf = EjectionHintsFleet.of(4, 30_000 * MICROS_PER_MILLI);
         System.out.println(
                 "seed "
                         + EjectionHintsFleet.SEED
-                        + ": sent to the engine that is down "
-                        + alone.failedQueries
-                        + " alone, "
-                        + led.failedQueries
+                        + ": queries sent to the failed engine "
+                        + withoutHints.failedQueries
+                        + " without hints, "
+                        + withHints.failedQueries
                         + " with hints, "
-                        + left.failedQueries
+                        + withHintsForHalf.failedQueries
                         + " with hints for half the time; all back after "
-                        + lastUseAfterRecoveryMillis(alone)
+                        + lastUseAfterRecoveryMillis(withoutHints)
                         + " ms, "
-                        + lastUseAfterRecoveryMillis(led)
+                        + lastUseAfterRecoveryMillis(withHints)
                         + " ms");
         assertTrue(
-                led.failedQueries * 3 <= alone.failedQueries,
-                led.failedQueries + " of " + alone.failedQueries);
+                withHints.failedQueries * 3 <= withoutHints.failedQueries,
+                withHints.failedQueries + " of " + withoutHints.failedQueries);
         assertTrue(
-                led.usedAgainAfterMicros.size() == SIZE
-                        && alone.usedAgainAfterMicros.size() == SIZE
-                        && left.usedAgainAfterMicros.size() == SIZE,
-                "all used it again");
-        assertTrue(left.failedQueries > led.failedQueries, "who hears no more tries for itself");
+                withHints.usedAgainAfterMicros.size() == SIZE
+                        && withoutHints.usedAgainAfterMicros.size() == SIZE
+                        && withHintsForHalf.usedAgainAfterMicros.size() == SIZE,
+                "all front ends use the engine again");
+        assertTrue(
+                withHintsForHalf.failedQueries > withHints.failedQueries,
+                "a front end without hints probes by itself");
     }
 }
--- a/src/test/java/calicostream/lease/LeaseHolderTest.java
+++ b/src/test/java/calicostream/lease/LeaseHolderTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** One holder, its acts and the resource that checks them. */
+/** {@link LeaseHolder}, its fenced actions and a resource that checks their tokens. */
 class LeaseHolderTest {
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long TTL_NANOS = 1000 * NANOS_PER_MILLI;
@@ -22,13 +22,13 @@
     private final LeaseHolder holder = new LeaseHolder("task", TTL_NANOS, 0);
     private long now;
     private final FencedActions actions =
-            new FencedActions(holder, () -> now, "lease", (machine, body, done) -> {});
+            new FencedActions(holder, () -> now, "lease", (machine, body, executed) -> {});
 
     private Request expectRequest(Class<? extends LeaseCommand> kind) {
-        Request ask = holder.nextRequest(now);
-        assertInstanceOf(kind, ask.command());
+        Request request = holder.nextRequest(now);
+        assertInstanceOf(kind, request.command());
         assertNull(holder.nextRequest(now), "one command at a time");
-        return ask;
+        return request;
     }
 
     private void becomeHolder(long token) {
@@ -51,9 +51,9 @@
     @Test
     void grantIsValidFromItsRequest() {
         holder.acquire();
-        Request ask = expectRequest(LeaseCommand.Acquire.class);
+        Request request = expectRequest(LeaseCommand.Acquire.class);
         now = 900 * NANOS_PER_MILLI;
-        holder.onAnswer(now, ask.number(), new LeaseAnswer.Held(4));
+        holder.onAnswer(now, request.number(), new LeaseAnswer.Held(4));
         assertTrue(actions.isHeld());
         now = VALID_NANOS - 1;
         assertTrue(actions.isHeld());
@@ -62,8 +62,7 @@
     }
 
     /**
-     * Stopped for three times its lease: the renewal that was out comes back and does not bring it
-     * back to life.
+     * Paused for three times to live: the answer to the renewal before does not restore the grant.
      */
     @Test
     void pausedHolderReleasesAndAcquiresAgain() {
@@ -97,7 +96,7 @@
         now = 50 * TTL_NANOS + VALID_NANOS;
         assertFalse(actions.isHeld());
         holder.onGranted(now, 9);
-        assertEquals(Phase.RELEASING, holder.phase(), "old news");
+        assertEquals(Phase.RELEASING, holder.phase(), "an outdated event");
     }
 
     @Test
@@ -122,7 +121,7 @@
         holder.onUnknownOutcome(now, first.number());
         Request second = expectRequest(LeaseCommand.Acquire.class);
         holder.onAnswer(now, first.number(), new LeaseAnswer.Held(4));
-        assertFalse(actions.isHeld(), "an answer to what was given up");
+        assertFalse(actions.isHeld(), "an answer to an abandoned command");
         holder.onRejected(now, second.number(), new LeaseRejection.AlreadyHeld("task", 4));
         holder.onAnswer(
                 now, expectRequest(LeaseCommand.Renew.class).number(), new LeaseAnswer.Held(4));
@@ -132,33 +131,33 @@
     }
 
     /**
-     * The check passes, then the process is stopped: the resource refuses what arrives after the
-     * next holder's act.
+     * The process is paused after its check: the resource rejects an action that arrives after the
+     * next holder's.
      */
     @Test
     void resourceRejectsLateAction() {
-        FencingTokenGuard fence = new FencingTokenGuard();
-        List<String> done = new ArrayList<>();
+        FencingTokenGuard guard = new FencingTokenGuard();
+        List<String> executed = new ArrayList<>();
         FencedResource<String, Integer> resource =
-                (lease, token, act) -> {
-                    LeaseRejection refused = fence.admit(lease, token).orElse(null);
-                    if (refused != null) {
-                        return FencedResult.rejected(refused);
+                (lease, token, action) -> {
+                    LeaseRejection rejection = guard.admit(lease, token).orElse(null);
+                    if (rejection != null) {
+                        return FencedResult.rejected(rejection);
                     }
-                    done.add(act);
-                    return FencedResult.completed(done.size());
+                    executed.add(action);
+                    return FencedResult.completed(executed.size());
                 };
         becomeHolder(4);
         FencedResource<String, Integer> afterThePause =
-                (lease, token, act) -> {
+                (lease, token, action) -> {
                     resource.execute(lease, 5, "the next holder's");
-                    return resource.execute(lease, token, act);
+                    return resource.execute(lease, token, action);
                 };
         assertEquals(1, actions.executeAt(resource, "in time").result());
         assertEquals(
                 new LeaseRejection.TokenOutdated("task", 4, 5),
                 actions.executeAt(afterThePause, "too late").rejection());
-        assertEquals(List.of("in time", "the next holder's"), done);
-        assertEquals(5, fence.highestToken("task"));
+        assertEquals(List.of("in time", "the next holder's"), executed);
+        assertEquals(5, guard.highestToken("task"));
     }
 }
--- a/src/test/java/calicostream/lease/LeaseProofsTest.java
+++ b/src/test/java/calicostream/lease/LeaseProofsTest.java
@@ -43,10 +43,10 @@
         assertEquals(
                 result.depth(),
                 result.trace().size(),
-                "the trace goes from the start to the break");
+                "the trace leads from an initial state to the violation");
     }
 
-    /** The explorer by itself: every state once, the shortest way to a break. */
+    /** The explorer itself: every state once, and the shortest trace to a violation. */
     @Test
     void explorerVisitsAllStatesAndFindsTheShortestTrace() {
         Explorer.Result all = Explorer.explore(new Counters(100), MAX_STATES);
@@ -58,7 +58,7 @@
                 broken.trace().stream().sorted().toList());
     }
 
-    /** Two counters; of small ones it is forbidden that both reach the top. */
+    /** Two counters; if they are small, both at the maximum is a violation. */
     private record Counters(int size) implements Model {
         @Override
         public String name() {
@@ -77,7 +77,7 @@
                 next[i] = (byte) ((next[i] + 1) % size);
                 steps.to(i, next);
                 if (size == 6 && next[0] == 5 && next[1] == 5) {
-                    steps.violation(i, "both at the top");
+                    steps.violation(i, "both at the maximum");
                 }
             }
         }
--- a/src/test/java/calicostream/lease/LeaseStateMachineTest.java
+++ b/src/test/java/calicostream/lease/LeaseStateMachineTest.java
@@ -21,7 +21,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The machine's rules one by one; random lives and the model checker are elsewhere. */
+/**
+ * The rules of {@link LeaseStateMachine} one by one. {@link RandomLeaseRunTest} and {@link
+ * LeaseProofsTest} have randomized runs and model checks.
+ */
 class LeaseStateMachineTest {
     private static final long NANOS_PER_SECOND = 1_000_000_000;
     private static final String TASK = "arbiter";
@@ -74,7 +77,7 @@
         applyAccepted(8, new LeaseCommand.Release(TASK, 2));
         assertTrue(
                 machine.isHolder(TASK, 3) && machine.heldLeases().get(0).session() == 9,
-                "who comes back goes to the end");
+                "a former holder queues at the end");
     }
 
     @Test
@@ -93,7 +96,7 @@
         assertEquals(
                 new LeaseRejection.NotHolder(TASK, 2, 2),
                 rejection(apply(7, new LeaseCommand.Renew(TASK, 2))),
-                "another's token");
+                "the token of another session");
         byte[] payload = {5, 6};
         LeaseEvent.ActionPerformed acted =
                 (LeaseEvent.ActionPerformed)
@@ -119,7 +122,7 @@
         assertEquals(
                 new LeaseAnswer.Held(2),
                 acquire(7),
-                "a forgotten lease's token is not given again");
+                "the token of a removed lease is not granted again");
     }
 
     @Test
@@ -153,34 +156,34 @@
         assertEquals(
                 new LeaseRejection.AlreadyHeld(TASK, 2),
                 rejection(apply(9, new LeaseCommand.Withdraw(TASK))),
-                "the grant came first");
+                "the grant was logged before the withdrawal");
         applyAccepted(8, new LeaseCommand.Withdraw(TASK));
         assertEquals(0, machine.heldLeases().get(0).waiterCount());
     }
 
     @Test
     void limitsAreEnforced() {
-        LeaseStateMachine small = new LeaseStateMachine(new LeaseLimits(1, 10, 1, 1));
+        LeaseStateMachine limited = new LeaseStateMachine(new LeaseLimits(1, 10, 1, 1));
         Command first = new Command(7, 1, 0, new LeaseCommand.Acquire("a", 5, true).encode());
-        small.apply(1, first);
+        limited.apply(1, first);
         assertInstanceOf(
                 LeaseRejection.TooManyLeases.class,
                 rejection(
-                        small.apply(
+                        limited.apply(
                                 2,
                                 new Command(
                                         7,
                                         2,
                                         0,
                                         new LeaseCommand.Acquire("b", 5, true).encode()))));
-        small.apply(3, new Command(8, 1, 0, new LeaseCommand.Acquire("a", 5, true).encode()));
+        limited.apply(3, new Command(8, 1, 0, new LeaseCommand.Acquire("a", 5, true).encode()));
         assertEquals(
                 new LeaseRejection.QueueFull("a", 1),
-                rejection(small.apply(4, new Command(9, 1, 0, first.body()))));
+                rejection(limited.apply(4, new Command(9, 1, 0, first.body()))));
         assertInstanceOf(
                 LeaseRejection.InvalidTerms.class,
                 rejection(
-                        small.apply(
+                        limited.apply(
                                 5,
                                 new Command(
                                         9,
@@ -190,27 +193,27 @@
         assertInstanceOf(
                 LeaseRejection.InvalidTerms.class,
                 rejection(
-                        small.apply(
+                        limited.apply(
                                 6,
                                 new Command(
                                         9, 3, 0, new LeaseCommand.Acquire("", 5, true).encode()))));
     }
 
-    /** Whatever bytes come, the machine answers and stays as it is. */
+    /** Malformed bytes are answered and change nothing. */
     @Test
     void malformedCommandChangesNothing() {
         acquire(7);
         byte[] before = machine.snapshot();
-        byte[] good = new LeaseCommand.FencedAction(TASK, 1, new byte[4]).encode();
-        for (int cut = 0; cut < good.length; cut++) {
+        byte[] valid = new LeaseCommand.FencedAction(TASK, 1, new byte[4]).encode();
+        for (int cut = 0; cut < valid.length; cut++) {
             CommandEffects effects =
-                    machine.apply(++index, new Command(7, index, 0, Arrays.copyOf(good, cut)));
+                    machine.apply(++index, new Command(7, index, 0, Arrays.copyOf(valid, cut)));
             assertEquals("cluster-malformed", effects.rejectionCode());
         }
         assertArrayEquals(before, machine.snapshot());
     }
 
-    /** The format of version 1, which later versions must read. */
+    /** Format version 1, which all later versions must read. */
     @Test
     void snapshotFormatVersion1IsReadable() throws IOException {
         acquire(7);
@@ -223,17 +226,17 @@
                 Files.readString(Path.of("src/test/resources/lease/snapshot-1.hex"))
                         .replaceAll("\\s", "");
         assertEquals(golden, HexFormat.of().formatHex(machine.snapshot()));
-        LeaseStateMachine read = new LeaseStateMachine();
-        read.restore(HexFormat.of().parseHex(golden));
-        assertEquals(machine.heldLeases(), read.heldLeases());
-        assertArrayEquals(machine.snapshot(), read.snapshot());
-        byte[] rotten = machine.snapshot();
-        rotten[8] = 1; // The last token, less than one that is held.
-        assertThrows(ClusterException.Malformed.class, () -> read.restore(rotten));
-        assertEquals(41, read.lastToken() + 1, "as before");
+        LeaseStateMachine restored = new LeaseStateMachine();
+        restored.restore(HexFormat.of().parseHex(golden));
+        assertEquals(machine.heldLeases(), restored.heldLeases());
+        assertArrayEquals(machine.snapshot(), restored.snapshot());
+        byte[] malformed = machine.snapshot();
+        malformed[8] = 1; // The last token, now below a token that is held.
+        assertThrows(ClusterException.Malformed.class, () -> restored.restore(malformed));
+        assertEquals(41, restored.lastToken() + 1, "unchanged");
     }
 
-    /** Rows of the page are held for the whole family of errors. */
+    /** The documentation's rows are checked for all operational errors together, elsewhere. */
     @ParameterizedTest
     @EnumSource(LeaseRejectionKind.class)
     void everyRejectionHasItsCode(LeaseRejectionKind kind) throws ReflectiveOperationException {
--- a/src/test/java/calicostream/lease/LeasedTaskRunnerTest.java
+++ b/src/test/java/calicostream/lease/LeasedTaskRunnerTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Tasks of two processes on one log that answers at once, or not at all. */
+/** {@link LeasedTaskRunner}s of two processes on one log. */
 class LeasedTaskRunnerTest {
     private final LeasedTaskProcesses processes = new LeasedTaskProcesses(2);
     private final LeasedTaskProcesses.Process first = processes.get(0);
@@ -25,12 +25,12 @@
         assertTrue(first.count("step") > 3 && first.appliedActions == first.count("step"));
         assertEquals("started", first.calls.get(0));
         assertEquals(0, second.count("step"));
-        assertTrue(second.count("heard 7") > 3);
+        assertTrue(second.count("action 7") > 3);
         first.runner.stop();
         assertEquals("stopped", first.calls.get(first.calls.size() - 1));
         first.runner.tick();
         first.exchangeMessages();
-        second.exchangeMessages(); // It heard, and confirms without waiting for a tick of its own.
+        second.exchangeMessages(); // Confirms its grant without waiting for a tick of its own.
         second.runner.tick();
         assertEquals(List.of("lease-held 2"), second.events);
         long steps = first.count("step");
--- a/src/test/java/calicostream/lease/RandomLeaseRunTest.java
+++ b/src/test/java/calicostream/lease/RandomLeaseRunTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A bounded part of the runs in virtual time, and that they too find what is taken out. */
+/** Some {@link RandomLeaseRun}s, and that they too detect removed safeguards. */
 class RandomLeaseRunTest {
     private static final long FIRST_SEED = 20261202;
     private static final int RUNS = 40;
@@ -20,32 +20,34 @@
     @Test
     void noInvariantIsViolatedAndTheTaskMakesProgress() {
         System.out.println("seeds " + FIRST_SEED + " to " + (FIRST_SEED + RUNS - 1));
-        List<Double> handOvers = new ArrayList<>();
+        List<Double> handoverTimes = new ArrayList<>();
         for (long seed = FIRST_SEED; seed < FIRST_SEED + RUNS; seed++) {
-            RandomLeaseRun.Result result = RandomLeaseRun.run(seed, null);
+            RandomLeaseRun.Result result = RandomLeaseRun.randomFaults(seed, null);
             assertEquals("", result.violation(), "seed " + seed);
             assertTrue(result.faults() > 10 && result.actions() > 100, result.toString());
-            handOvers.addAll(result.handoverTimes());
+            handoverTimes.addAll(result.handoverTimes());
         }
-        assertTrue(handOvers.size() > RUNS, "hand-overs " + handOvers.size());
+        assertTrue(handoverTimes.size() > RUNS, "handovers " + handoverTimes.size());
     }
 
     @Test
     void nextHolderActsAboutOneTimeToLiveAfterAKill() {
-        List<Double> handOvers =
+        List<Double> handoverTimes =
                 LongStream.range(FIRST_SEED, FIRST_SEED + 12)
                         .boxed()
-                        .flatMap(seed -> RandomLeaseRun.kills(seed).handoverTimes().stream())
+                        .flatMap(seed -> RandomLeaseRun.killsOnly(seed).handoverTimes().stream())
                         .sorted()
                         .toList();
-        assertTrue(handOvers.size() > 50, "hand-overs " + handOvers.size());
-        double p99 = handOvers.get(handOvers.size() * 99 / 100);
+        assertTrue(handoverTimes.size() > 50, "handovers " + handoverTimes.size());
+        double p99 = handoverTimes.get(handoverTimes.size() * 99 / 100);
         assertTrue(p99 > 0.5 && p99 <= 2, "p99 " + p99);
     }
 
     @Test
     void runIsDeterminedByItsSeed() {
-        assertEquals(RandomLeaseRun.run(FIRST_SEED, null), RandomLeaseRun.run(FIRST_SEED, null));
+        assertEquals(
+                RandomLeaseRun.randomFaults(FIRST_SEED, null),
+                RandomLeaseRun.randomFaults(FIRST_SEED, null));
     }
 
     @ParameterizedTest
@@ -58,10 +60,13 @@
                 "QUEUE_GRANT_NOT_CONFIRMED",
                 "LEASE_FREED_WITH_SESSION"
             })
-    void randomRunsDetectRemovedSafeguard(Mutant without) {
+    void randomRunsDetectRemovedSafeguard(Mutant removed) {
         assertTrue(
                 LongStream.range(FIRST_SEED, FIRST_SEED + 40 * RUNS)
                         .anyMatch(
-                                seed -> !RandomLeaseRun.run(seed, without).violation().isEmpty()));
+                                seed ->
+                                        !RandomLeaseRun.randomFaults(seed, removed)
+                                                .violation()
+                                                .isEmpty()));
     }
 }
