--- a/src/main/java/calicostream/lease/LeaseHolder.java
+++ b/src/main/java/calicostream/lease/LeaseHolder.java
@@ -175,7 +175,7 @@
     /**
      * Whether the process holds the lease now. To be called right before each action. Once it has
      * returned false for a token it never returns true for it again, also if a renewal is
-     * outstanding: a caller that was told to stop must not be told to go on.
+     * outstanding: a caller that has stopped must not resume under that token.
      */
     public boolean mayAct(long now) {
         if (phase == Phase.HELD && !isValidAt(now)) {
--- a/src/measure/java/calicostream/lease/EjectionHintsFleet.java
+++ b/src/measure/java/calicostream/lease/EjectionHintsFleet.java
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.lease;
+
 import calicostream.core.Attempt;
 import calicostream.core.GatewayHarness;
 import calicostream.core.IncomingRequest;
@@ -10,127 +11,140 @@
 import java.util.List;
 import java.util.Random;
 import java.util.stream.IntStream;
+
 /**
-* A simulated fleet of twenty front ends with the product's router, an engine that fails for a
-* minute, and ejection hints or none; in virtual time (microseconds). The fields are read once
-* {@link #of} has returned.
-*/
+ * A simulated fleet of twenty front ends with the product's router, an engine that fails for a
+ * minute, and ejection hints or none; in virtual time (microseconds). The fields are read once
+ * {@link #of} has returned.
+ */
 final class EjectionHintsFleet {
-static final long SEED = 25;
-static final int SIZE = 20;
-private static final long HOLDER_TOKEN = 4;
-static final long MICROS_PER_MILLI = 1_000;
-static final long END_MICROS = 75_000 * MICROS_PER_MILLI;
-private static final long FAILED_ENGINE = 3;
-private static final long RECOVERY_MICROS = 60_000 * MICROS_PER_MILLI;
-private static final long MESSAGE_DELAY_MICROS = 30 * MICROS_PER_MILLI;
-private static final String SETTINGS =
-"lanes.count=1\n"
-+ "lanes.0.name=look\n"
-+ "lanes.0.effect=repeatable\n"
-+ "lanes.0.aim_us=800000\n"
-+ "lanes.0.deadline_us=4000000\n"
-+ "family_info.kind_cores=12\n"
-+ "family_info.kind_memory_mb=24576\n"
-+ "ceilings.max_attempts=3\n"
-+ "ceilings.cancel=true\n"
-+ "tick_us=5000\n"
-+ "family_info.holds_tables=false\n"
-+ "family_info.waits_for_loads=true\n"
-+ "family_info.width_by_class=1\n"
-+ "rules.cold_share=0.3\n"
-+ "rules.overload_factor=4\n"
-+ "rules.fall_us=2000000\n"
-+ "rules.warm_up_us=14000000\n";
-private final class Process implements EjectionHints.FrontEnd {
-final GatewayHarness sides = new GatewayHarness(SETTINGS);
-final EjectionHints ejectionHints = new EjectionHints(this);
-boolean usedAgain;
-Process() {
-sides.start(1, 2, 3, 4, 5, 6);
-}
-void turn() {
-sides.time = time;
-sides.deadlines.run(time);
-sides.gateway.accept(
-IncomingRequest.of(
-sides, time, "q", 0, random.nextInt(8), 1_000_000, new byte[0]));
-while (!sides.sent.isEmpty()) {
-Attempt each = sides.sent.remove(0);
-boolean fails = each.engine() == FAILED_ENGINE && time < RECOVERY_MICROS;
-failedQueries += fails ? 1 : 0;
-if (each.engine() == FAILED_ENGINE && !fails && !usedAgain) {
-usedAgain = true;
-usedAgainAfterMicros.add(time - RECOVERY_MICROS);
-}
-sides.gateway.attemptEnded(
-each,
-fails ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK,
-null,
-new TextResult(new byte[0]));
-}
-}
-@Override
-public EjectionHints.EngineView view() {
-return new EjectionHints.EngineView(
-sides.gateway.readyEngines(true), sides.gateway.readyEngines(false));
-}
-@Override
-public void onHint(long engine, boolean served) {
-sides.gateway.applyEjectionHint(engine, served);
-}
-}
-private record DelayedMessage(long sentAt, byte[] payload) {}
-private final Random random = new Random(SEED);
-private long time = 1_000_000;
-/** For each front end that used the engine again: microseconds since its recovery. */
-final List<Long> usedAgainAfterMicros = new ArrayList<>();
-/** Queries that were sent to the engine while it failed. */
-int failedQueries;
-private EjectionHintsFleet() {}
-/**
-* Runs the simulation.
-*
-* @param holder index of the front end that holds the lease; -1: a fleet without a cluster
-* @param diesAt when the holder stops publishing, in microseconds
-*/
-static EjectionHintsFleet of(int holder, long diesAt) {
-EjectionHintsFleet fleet = new EjectionHintsFleet();
-fleet.run(holder, diesAt);
-return fleet;
-}
-private void run(int holder, long diesAt) {
-List<Process> fleet = IntStream.range(0, SIZE).mapToObj(i -> new Process()).toList();
-ArrayDeque<DelayedMessage> messages = new ArrayDeque<>();
-LeaseHolder leaseHolder = new LeaseHolder(EjectionHints.LEASE, 3_600_000_000_000L, 0);
-leaseHolder.acquire();
-leaseHolder.onAnswer(
-0, leaseHolder.nextRequest(0).number(), new LeaseAnswer.Held(HOLDER_TOKEN));
-FencedActions actions =
-new FencedActions(
-leaseHolder,
-() -> 0,
-"lease",
-(machine, body, onOutcome) ->
-messages.add(
-new DelayedMessage(
-time,
-((LeaseCommand.FencedAction)
-LeaseCommand.decode(body))
-.payload())));
-if (holder >= 0) {
-fleet.get(holder).ejectionHints.onStarted(actions);
-}
-for (; time < END_MICROS; time += 20 * MICROS_PER_MILLI) {
-fleet.forEach(Process::turn);
-if (holder >= 0 && time < diesAt) {
-fleet.get(holder).ejectionHints.step(actions, time * 1000);
-}
-while (!messages.isEmpty() && time - messages.peek().sentAt >= MESSAGE_DELAY_MICROS) {
-byte[] message = messages.poll().payload;
-fleet.forEach(
-each -> each.ejectionHints.onAction(HOLDER_TOKEN, message, time * 1000));
-}
-}
-}
+    static final long SEED = 25;
+    static final int SIZE = 20;
+    private static final long HOLDER_TOKEN = 4;
+    static final long MICROS_PER_MILLI = 1_000;
+    static final long END_MICROS = 75_000 * MICROS_PER_MILLI;
+    private static final long FAILED_ENGINE = 3;
+    private static final long RECOVERY_MICROS = 60_000 * MICROS_PER_MILLI;
+    private static final long MESSAGE_DELAY_MICROS = 30 * MICROS_PER_MILLI;
+    private static final String SETTINGS =
+            "lanes.count=1\n"
+                    + "lanes.0.name=look\n"
+                    + "lanes.0.effect=repeatable\n"
+                    + "lanes.0.aim_us=800000\n"
+                    + "lanes.0.deadline_us=4000000\n"
+                    + "family_info.kind_cores=12\n"
+                    + "family_info.kind_memory_mb=24576\n"
+                    + "ceilings.max_attempts=3\n"
+                    + "ceilings.cancel=true\n"
+                    + "tick_us=5000\n"
+                    + "family_info.holds_tables=false\n"
+                    + "family_info.waits_for_loads=true\n"
+                    + "family_info.width_by_class=1\n"
+                    + "rules.cold_share=0.3\n"
+                    + "rules.overload_factor=4\n"
+                    + "rules.fall_us=2000000\n"
+                    + "rules.warm_up_us=14000000\n";
+
+    private final class Process implements EjectionHints.FrontEnd {
+        final GatewayHarness sides = new GatewayHarness(SETTINGS);
+        final EjectionHints ejectionHints = new EjectionHints(this);
+        boolean usedAgain;
+
+        Process() {
+            sides.start(1, 2, 3, 4, 5, 6);
+        }
+
+        void turn() {
+            sides.time = time;
+            sides.deadlines.run(time);
+            sides.gateway.accept(
+                    IncomingRequest.of(
+                            sides, time, "q", 0, random.nextInt(8), 1_000_000, new byte[0]));
+            while (!sides.sent.isEmpty()) {
+                Attempt each = sides.sent.remove(0);
+                boolean fails = each.engine() == FAILED_ENGINE && time < RECOVERY_MICROS;
+                failedQueries += fails ? 1 : 0;
+                if (each.engine() == FAILED_ENGINE && !fails && !usedAgain) {
+                    usedAgain = true;
+                    usedAgainAfterMicros.add(time - RECOVERY_MICROS);
+                }
+                sides.gateway.attemptEnded(
+                        each,
+                        fails ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK,
+                        null,
+                        new TextResult(new byte[0]));
+            }
+        }
+
+        @Override
+        public EjectionHints.EngineView view() {
+            return new EjectionHints.EngineView(
+                    sides.gateway.readyEngines(true), sides.gateway.readyEngines(false));
+        }
+
+        @Override
+        public void onHint(long engine, boolean served) {
+            sides.gateway.applyEjectionHint(engine, served);
+        }
+    }
+
+    private record DelayedMessage(long sentAt, byte[] payload) {}
+
+    private final Random random = new Random(SEED);
+    private long time = 1_000_000;
+
+    /** For each front end that used the engine again: microseconds since its recovery. */
+    final List<Long> usedAgainAfterMicros = new ArrayList<>();
+
+    /** Queries that were sent to the engine while it failed. */
+    int failedQueries;
+
+    private EjectionHintsFleet() {}
+
+    /**
+     * Runs the simulation.
+     *
+     * @param holder index of the front end that holds the lease; -1: a fleet without a cluster
+     * @param diesAt when the holder stops publishing, in microseconds
+     */
+    static EjectionHintsFleet of(int holder, long diesAt) {
+        EjectionHintsFleet fleet = new EjectionHintsFleet();
+        fleet.run(holder, diesAt);
+        return fleet;
+    }
+
+    private void run(int holder, long diesAt) {
+        List<Process> fleet = IntStream.range(0, SIZE).mapToObj(i -> new Process()).toList();
+        ArrayDeque<DelayedMessage> messages = new ArrayDeque<>();
+        LeaseHolder leaseHolder = new LeaseHolder(EjectionHints.LEASE, 3_600_000_000_000L, 0);
+        leaseHolder.acquire();
+        leaseHolder.onAnswer(
+                0, leaseHolder.nextRequest(0).number(), new LeaseAnswer.Held(HOLDER_TOKEN));
+        FencedActions actions =
+                new FencedActions(
+                        leaseHolder,
+                        () -> 0,
+                        "lease",
+                        (machine, body, onOutcome) ->
+                                messages.add(
+                                        new DelayedMessage(
+                                                time,
+                                                ((LeaseCommand.FencedAction)
+                                                                LeaseCommand.decode(body))
+                                                        .payload())));
+        if (holder >= 0) {
+            fleet.get(holder).ejectionHints.onStarted(actions);
+        }
+        for (; time < END_MICROS; time += 20 * MICROS_PER_MILLI) {
+            fleet.forEach(Process::turn);
+            if (holder >= 0 && time < diesAt) {
+                fleet.get(holder).ejectionHints.step(actions, time * 1000);
+            }
+            while (!messages.isEmpty() && time - messages.peek().sentAt >= MESSAGE_DELAY_MICROS) {
+                byte[] message = messages.poll().payload;
+                fleet.forEach(
+                        each -> each.ejectionHints.onAction(HOLDER_TOKEN, message, time * 1000));
+            }
+        }
+    }
 }
--- a/src/measure/java/calicostream/lease/VoterModel.java
+++ b/src/measure/java/calicostream/lease/VoterModel.java
@@ -10,54 +10,70 @@
 import java.util.Map;
 
 /**
- * Three voters and their logs, as far as amnesia needs them: a vote and a copy of the log are one
- * step each, any voter stands at any time, leaders that are out of date go on until they hear
- * better, and a voter forgets everything. What a majority holds is applied by the product's {@link
- * LeaseMachine}. With the safeguard, one who forgot is a learner until a leader has every other
- * voter's word at its own term, as a change of voters would need.
+ * The model of three voters and their logs, as far as the loss of a voter's state needs them: a
+ * vote and a copy of the log are one transition each, any voter becomes a candidate at any time,
+ * outdated leaders go on until they learn of a newer term, and a voter may lose all of its state.
+ * What a majority has stored is applied by the product's {@link LeaseStateMachine}. With the
+ * safeguard, a voter that lost its state is a learner until a leader has every other voter's log at
+ * its own term, as a change of voters would need.
  *
- * <p>Promise: no token is given to two sessions, and none is lost. Assumed: no second voter forgets
- * before the first is back.
+ * <p>Invariant: no token is granted to two sessions, and no grant is lost. Assumption: no second
+ * voter loses its state before the first may vote again.
  */
 public final class VoterModel implements Model {
     /**
-     * Bounds: terms, entries of a log, voters that forget, and how many of the commands there are,
-     * 1 to 6.
+     * Bounds of the model.
+     *
+     * @param terms most terms
+     * @param entries most entries of a log
+     * @param amnesias how often a voter loses its state
+     * @param commands how many of the six commands are proposed
      */
     public record Bounds(int terms, int entries, int amnesias, int commands) {}
 
-    // A state: what the judge knows, how many may forget yet, then each voter.
-    private static final int GRANTED_SESSIONS = 0; // Session that token 1, 2, 3 were given to.
+    private static final int VOTERS = 3;
     private static final int TOKENS = 3;
+
+    // Offsets in a state: what the invariant needs, then each voter.
+    private static final int GRANTED_SESSIONS = 0; // to which session each token was granted
     private static final int AMNESIA_LEFT = 3;
-    private static final int MAJORITY_LENGTH =
-            4; // The longest log that a majority was known to hold.
+    private static final int MAJORITY_LENGTH = 4; // longest log known to be stored by a majority
     private static final int HEADER_BYTES = 5;
-    private static final int VOTERS = 3;
+
+    // Offsets in a voter.
     private static final int TERM = 0;
-    private static final int VOTED_FOR = 1; // 0 nobody
-    private static final int ROLE = 2; // 0 follows, 1 stands, 2 leads, 3 learns
-    private static final int VOTES = 3; // Bits, while it stands.
-    private static final int ACKNOWLEDGED = 4; // By each voter, while it leads.
-    private static final int LENGTH = 7;
-    private static final int LOG = 8; // term << 4 | command
+    private static final int VOTED_FOR = 1; // voter's number from 1 up; 0: nobody
+    private static final int ROLE = 2;
+    private static final int VOTES = 3; // of a candidate, as bits
+    private static final int ACKNOWLEDGED = 4; // of a leader: length of each voter's log
+    private static final int LENGTH = 7; // of the log
+    private static final int LOG = 8; // entries: term << 4 | command
 
     private static final int FOLLOWER = 0;
     private static final int CANDIDATE = 1;
     private static final int LEADER = 2;
     private static final int LEARNER = 3;
 
-    private static final int NO_COMMAND =
-            0; // Commands: 1, 2 sessions acquire, 3, 4 they release token 1, 5, 6 token 2
-    private static final String[] WORDS = {
-        " stands for leader",
-        " gives its vote to voter ",
-        " leads and logs",
-        " is sent the log of voter ",
-        " learns that a majority holds its log",
-        " loses its memory",
-        " is let vote again by voter ",
-        " starts again"
+    /** Commands 1 and 2: a session acquires; 3 to 6: a session releases token 1 or 2. */
+    private static final int NO_COMMAND = 0;
+
+    private static final int BECOME_CANDIDATE = 0;
+    private static final int VOTE = 1;
+    private static final int APPEND = 2;
+    private static final int COPY_LOG = 3;
+    private static final int COMMIT = 4;
+    private static final int LOSE_STATE = 5;
+    private static final int BECOME_VOTER = 6;
+    private static final int RESTART = 7;
+    private static final String[] DESCRIPTIONS = {
+        " becomes a candidate",
+        " votes for voter ",
+        " as leader appends",
+        " receives the log of voter ",
+        " learns that a majority has stored its log",
+        " loses its state",
+        " is made a voter again by voter ",
+        " restarts"
     };
 
     private final Bounds bounds;
@@ -65,10 +81,13 @@
     private final int voterBytes;
     private final Map<String, byte[]> grantedSessions = new HashMap<>();
 
-    public VoterModel(Bounds scope, Mutant without) {
-        this.bounds = scope;
-        components = new LeaseComponents(without, LeaseLimits.STANDARD, ClockDriftBound.STANDARD);
-        voterBytes = LOG + scope.entries;
+    /**
+     * @param removed the safeguard removed; null: none
+     */
+    public VoterModel(Bounds bounds, Mutant removed) {
+        this.bounds = bounds;
+        components = new LeaseComponents(removed, LeaseLimits.STANDARD, ClockDriftBound.STANDARD);
+        voterBytes = LOG + bounds.entries;
     }
 
     @Override
@@ -86,21 +105,24 @@
     @Override
     public String describe(int action) {
         int kind = action >> 6;
-        int v = 1 + (action >> 4 & 3);
-        int more = action & 15;
-        String command =
-                more == NO_COMMAND
-                        ? " nothing"
-                        : more <= 2
-                                ? " that session " + more + " acquires"
-                                : " that session "
-                                        + (2 - more % 2)
-                                        + " releases token "
-                                        + (more - 1) / 2;
-        return "voter "
-                + v
-                + WORDS[kind]
-                + (kind == 1 || kind == 3 || kind == 6 ? more + 1 : kind == 2 ? command : "");
+        int voter = 1 + (action >> 4 & 3);
+        int argument = action & 15;
+        String description = "voter " + voter + DESCRIPTIONS[kind];
+        return switch (kind) {
+            case VOTE, COPY_LOG, BECOME_VOTER -> description + (argument + 1);
+            case APPEND -> description + describeCommand(argument);
+            default -> description;
+        };
+    }
+
+    private static String describeCommand(int command) {
+        if (command == NO_COMMAND) {
+            return " nothing";
+        }
+        if (command <= 2) {
+            return " that session " + command + " acquires";
+        }
+        return " that session " + (2 - command % 2) + " releases token " + (command - 1) / 2;
     }
 
     @Override
@@ -113,7 +135,7 @@
                 n[at + VOTED_FOR] = (byte) (v + 1);
                 n[at + ROLE] = CANDIDATE;
                 n[at + VOTES] = (byte) (1 << v);
-                to.to(action(0, v, 0), n);
+                to.to(action(BECOME_CANDIDATE, v, 0), n);
             }
             if (s[at + ROLE] == LEADER) {
                 leaderTransitions(v, at, s, to);
@@ -142,10 +164,10 @@
         becomeFollower(n, at, s[of + TERM]);
         n[at + VOTED_FOR] = (byte) (other + 1);
         n[of + VOTES] |= (byte) (1 << v);
-        n[of + ROLE] = LEADER; // With its own, two of three.
+        n[of + ROLE] = LEADER; // With its own vote it has two of three.
         n[of + VOTES] = 0;
         n[of + ACKNOWLEDGED] = n[of + ACKNOWLEDGED + 1] = n[of + ACKNOWLEDGED + 2] = 0;
-        to.to(action(1, v, other), n);
+        to.to(action(VOTE, v, other), n);
     }
 
     private int lastTerm(byte[] s, int at) {
@@ -169,7 +191,7 @@
             for (int command = NO_COMMAND; command <= bounds.commands; command++) {
                 byte[] n = s.clone();
                 n[at + LOG + n[at + LENGTH]++] = (byte) (s[at + TERM] << 4 | command);
-                to.to(action(2, v, command), n);
+                to.to(action(APPEND, v, command), n);
             }
         }
         int holders = 1;
@@ -184,7 +206,7 @@
                 System.arraycopy(s, at + LENGTH, n, of + LENGTH, voterBytes - LENGTH);
                 n[at + ACKNOWLEDGED + other] =
                         s[of + ROLE] == LEARNER ? s[at + ACKNOWLEDGED + other] : s[at + LENGTH];
-                to.to(action(3, other, v), n);
+                to.to(action(COPY_LOG, other, v), n);
             }
             holders += s[at + ACKNOWLEDGED + other] == s[at + LENGTH] ? 1 : 0;
         }
@@ -197,6 +219,7 @@
         byte[] tokens = sessionsByToken(s, at);
         byte[] n = s.clone();
         for (int i = 0; i < TOKENS; i++) {
+            // An outdated leader has fewer entries, which is no loss.
             boolean lost =
                     tokens[i] == 0
                             && s[at + LENGTH]
@@ -207,23 +230,23 @@
                     && tokens[i] != s[GRANTED_SESSIONS + i]
                     && (lost || tokens[i] != 0)) {
                 to.violation(
-                        action(4, v, 0),
+                        action(COMMIT, v, 0),
                         "token "
                                 + (i + 1)
-                                + " was given to session "
+                                + " was granted to session "
                                 + s[GRANTED_SESSIONS + i]
                                 + (tokens[i] == 0
-                                        ? " and is forgotten"
-                                        : " and is given to session " + tokens[i]));
+                                        ? " and is lost"
+                                        : " and is granted to session " + tokens[i]));
                 return;
             }
             n[GRANTED_SESSIONS + i] = (byte) Math.max(s[GRANTED_SESSIONS + i], tokens[i]);
         }
         n[MAJORITY_LENGTH] = (byte) Math.max(s[MAJORITY_LENGTH], s[at + LENGTH]);
-        to.to(action(4, v, 0), n);
+        to.to(action(COMMIT, v, 0), n);
     }
 
-    /** Whom the machine gives each token to when it applies that voter's log. */
+    /** To which session the state machine grants each token when it applies that voter's log. */
     private byte[] sessionsByToken(byte[] s, int at) {
         StringBuilder key = new StringBuilder();
         for (int i = 0; i < s[at + LENGTH]; i++) {
@@ -261,7 +284,7 @@
         if (s[at + ROLE] != FOLLOWER && s[at + ROLE] != LEARNER) {
             byte[] n = s.clone();
             becomeFollower(n, at, s[at + TERM]);
-            to.to(action(7, v, 0), n);
+            to.to(action(RESTART, v, 0), n);
         }
         boolean learner = false;
         for (int other = 0; other < VOTERS; other++) {
@@ -275,7 +298,7 @@
             }
             n[at + ROLE] =
                     (byte) (components.isRemoved(Mutant.VOTE_AFTER_AMNESIA) ? FOLLOWER : LEARNER);
-            to.to(action(5, v, 0), n);
+            to.to(action(LOSE_STATE, v, 0), n);
         }
         if (s[at + ROLE] == LEARNER) {
             for (int leader = 0; leader < VOTERS; leader++) {
@@ -283,13 +306,13 @@
                     byte[] n = s.clone();
                     n[at + ROLE] = FOLLOWER;
                     n[HEADER_BYTES + leader * voterBytes + ACKNOWLEDGED + v] = s[at + LENGTH];
-                    to.to(action(6, v, leader), n);
+                    to.to(action(BECOME_VOTER, v, leader), n);
                 }
             }
         }
     }
 
-    /** All have the leader's log, which ends in its own term, and its term. */
+    /** Whether all voters have the leader's term and its log, which ends in that term. */
     private boolean mayBecomeVoter(byte[] s, int leader) {
         int of = HEADER_BYTES + leader * voterBytes;
         if (s[of + ROLE] != LEADER || lastTerm(s, of) != s[of + TERM]) {
