--- a/src/measure/java/calicostream/lease/LeaseProofs.java
+++ b/src/measure/java/calicostream/lease/LeaseProofs.java
@@ -9,63 +9,79 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** Which bounded models prove the leases, and in which of them the lack of each safeguard shows. */
+/**
+ * The bounded models that check the leases, the models in which the lack of each safeguard shows,
+ * and the randomized runs.
+ */
 public final class LeaseProofs {
-    /** Leaders that change while a lease runs out and is renewed. */
-    private static final LeaseScope LEADERS =
-            LeaseScope.of("leaders", 2).changes(2).renewals(1).clocks("fss", "sff", "eee");
+    /** Leaders that change while a lease expires and is renewed. */
+    private static final LeaseModelBounds LEADERS =
+            LeaseModelBounds.of("leaders", 2)
+                    .leaderChanges(2)
+                    .renewals(1)
+                    .clocks("fss", "sff", "eee");
 
-    /** Renewals that race with the leader's word. */
-    private static final LeaseScope RENEWALS =
-            LeaseScope.of("renewals", 2).renewals(2).clocks("fss");
+    /** Renewals that race with the leader's expiry. */
+    private static final LeaseModelBounds RENEWALS =
+            LeaseModelBounds.of("renewals", 2).renewals(2).clocks("fss");
 
-    /** A member that stops between its check and its act. */
-    private static final LeaseScope RESOURCE =
-            LeaseScope.of("resource", 2).acts(2).renewals(1).clocks("fss");
+    /** A member that is paused between its check and its action. */
+    private static final LeaseModelBounds RESOURCE =
+            LeaseModelBounds.of("resource", 2).resourceActions(2).renewals(1).clocks("fss");
 
-    /** Commands that are doubled and repeated, acts by the log. */
-    private static final LeaseScope LOG =
-            LeaseScope.of("log", 2).copies(1).logActs(1).clocks("fss");
+    /** Commands that are duplicated and repeated, and actions in the log. */
+    private static final LeaseModelBounds LOG =
+            LeaseModelBounds.of("log", 2).duplicates(1).logActions(1).clocks("fss");
 
-    /** The two again, as small as the lack of a check shows. */
-    private static final LeaseScope FEW_ACTS = LeaseScope.of("few acts", 2).acts(1).clocks("eee");
+    /** Likewise, as small as suffices to show the lack of a check. */
+    private static final LeaseModelBounds FEW_ACTS =
+            LeaseModelBounds.of("few acts", 2).resourceActions(1).clocks("eee");
 
-    private static final LeaseScope FEW_LOG_ACTS =
-            LeaseScope.of("few acts by the log", 2).logActs(1).clocks("eee");
+    private static final LeaseModelBounds FEW_LOG_ACTS =
+            LeaseModelBounds.of("few acts by the log", 2).logActions(1).clocks("eee");
 
-    /** Planned stops, hand-overs, sessions that end. */
-    private static final LeaseScope STOPS =
-            LeaseScope.of("stops", 2).stops(1).ends(1).clocks("fss");
+    /** Planned stops, transfers, sessions that end. */
+    private static final LeaseModelBounds STOPS =
+            LeaseModelBounds.of("stops", 2).stops(1).sessionEnds(1).clocks("fss");
 
     /** Three members in the queue. */
-    private static final LeaseScope QUEUE = LeaseScope.of("queue", 3).clocks("fsss");
+    private static final LeaseModelBounds QUEUE = LeaseModelBounds.of("queue", 3).clocks("fsss");
 
     /**
-     * A member's clock stands still and the leader's runs ahead: only the resource and the log are
-     * left to refuse.
+     * A member's clock stands still and the leader's runs fast: only the fencing tokens are left as
+     * protection.
      */
-    private static final LeaseScope CLOCKS =
-            LeaseScope.of("clocks out of bound", 2).acts(2).logActs(1).clocks("f0s");
+    private static final LeaseModelBounds CLOCKS =
+            LeaseModelBounds.of("clocks out of bound", 2)
+                    .resourceActions(2)
+                    .logActions(1)
+                    .clocks("f0s");
 
-    private static final VoterModel.Scope VOTERS = new VoterModel.Scope(3, 2, 2, 2);
-    private static final VoterModel.Scope FEW_VOTERS = new VoterModel.Scope(2, 2, 1, 2);
+    private static final VoterModel.Bounds VOTERS = new VoterModel.Bounds(3, 2, 2, 2);
+    private static final VoterModel.Bounds FEW_VOTERS = new VoterModel.Bounds(2, 2, 1, 2);
 
     /**
-     * Runs in virtual time; hand-overs in times to live, where holders are killed alone and where
-     * all goes wrong at once.
+     * Sums over randomized runs.
+     *
+     * @param violations one line for each run that violated an invariant
+     * @param faults number of injected faults
+     * @param actions number of accepted actions
+     * @param tokens number of grants
+     * @param handoverP99 in times to live, where holders are killed as the only fault
+     * @param handoverInFaultsP99 in times to live, under all faults
      */
-    public record Runs(
-            List<String> broken,
+    public record RunSummary(
+            List<String> violations,
             long faults,
-            long acts,
+            long actions,
             long tokens,
-            double handOverP99,
-            double handOverInFaultsP99) {}
+            double handoverP99,
+            double handoverInFaultsP99) {}
 
     private LeaseProofs() {}
 
-    /** So many runs with all faults, and a tenth as many in which holders are killed alone. */
-    public static Runs run(long firstSeed, int runs) {
+    /** Runs with all faults, and a tenth as many in which kills of holders are the only fault. */
+    public static RunSummary randomRuns(long firstSeed, int runs) {
         List<String> broken = new ArrayList<>();
         List<Double> inFaults = new ArrayList<>();
         List<Double> alone = new ArrayList<>();
@@ -73,19 +89,19 @@
         long acts = 0;
         long tokens = 0;
         for (long seed = firstSeed; seed < firstSeed + runs; seed++) {
-            LeaseRuns.Result result = LeaseRuns.run(seed, null);
-            if (!result.broken().isEmpty()) {
-                broken.add("seed " + seed + " " + result.broken());
+            RandomLeaseRun.Result result = RandomLeaseRun.randomFaults(seed, null);
+            if (!result.violation().isEmpty()) {
+                broken.add("seed " + seed + " " + result.violation());
             }
             faults += result.faults();
-            acts += result.acts();
+            acts += result.actions();
             tokens += result.tokens();
-            inFaults.addAll(result.handOvers());
+            inFaults.addAll(result.handoverTimes());
             if (seed % 10 == 0) {
-                alone.addAll(LeaseRuns.kills(seed).handOvers());
+                alone.addAll(RandomLeaseRun.killsOnly(seed).handoverTimes());
             }
         }
-        return new Runs(broken, faults, acts, tokens, p99(alone), p99(inFaults));
+        return new RunSummary(broken, faults, acts, tokens, p99(alone), p99(inFaults));
     }
 
     private static double p99(List<Double> of) {
@@ -94,8 +110,8 @@
                 : of.stream().sorted().skip(of.size() * 99L / 100).findFirst().orElseThrow();
     }
 
-    /** All models with everything in place, made one at a time as each remembers a lot. */
-    public static List<Supplier<Model>> whole() {
+    /** All models with all safeguards; created one at a time, as each takes much memory. */
+    public static List<Supplier<Model>> completeModels() {
         return List.of(
                 () -> new LeaseModel(LEADERS, null),
                 () -> new LeaseModel(RENEWALS, null),
@@ -108,8 +124,8 @@
                 () -> new VoterModel(VOTERS, null));
     }
 
-    /** For each safeguard that leases rest on, a model without it, which must break. */
-    public static Map<Mutant, Model> without() {
+    /** For each safeguard of the leases, a model without it, which must find a violation. */
+    public static Map<Mutant, Model> modelsWithoutSafeguard() {
         Map<Mutant, Model> all = new EnumMap<>(Mutant.class);
         for (Mutant each : Mutant.values()) {
             switch (each) {
@@ -124,9 +140,10 @@
                         all.put(each, new LeaseModel(STOPS, each));
                 case EXPIRY_WITHOUT_RENEWALS -> all.put(each, new LeaseModel(RENEWALS, each));
                 case VOTE_AFTER_AMNESIA ->
-                        all.put(each, new VoterModel(new VoterModel.Scope(2, 2, 1, 1), each));
-                case GRANT_FREED_BEFORE_EXPIRY,
-                        CLOCK_STEP_COUNTED -> {} // The budgets' own, and the clusters'.
+                        all.put(each, new VoterModel(new VoterModel.Bounds(2, 2, 1, 1), each));
+                case GRANT_FREED_BEFORE_EXPIRY, CLOCK_STEP_COUNTED -> {
+                    // Checked by the models of budgets and by cluster simulations.
+                }
             }
         }
         return all;
--- a/src/measure/java/calicostream/lease/TaskProcesses.java
+++ b/src/measure/java/calicostream/lease/LeasedTaskProcesses.java
@@ -10,23 +10,24 @@
 import java.util.Map;
 
 /**
- * Processes with one task, on one log that answers at once, or not at all; in virtual time
- * (nanoseconds). One thread.
+ * Processes with one task and a {@link LeasedTaskRunner} each, on one log that answers at once, or
+ * not at all; in virtual time (nanoseconds). Confined to one thread.
  */
-final class TaskProcesses {
-    private static final long MILLI = 1_000_000;
-    private static final long TTL = 2_000 * MILLI;
-    private static final String NAME = "divide";
+final class LeasedTaskProcesses {
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final long TTL_NANOS = 2_000 * NANOS_PER_MILLI;
+    private static final long TICK_MILLIS = 50;
+    private static final String LEASE = "divide";
 
-    /** One process: what its task was called for and what its log says. */
+    /** One process, with the calls of its task and the events of its runner. */
     final class Process {
         final MemberSession session;
         final List<String> calls = new ArrayList<>();
         final List<String> events = new ArrayList<>();
-        final LeasedTaskRunner tasks;
+        final LeasedTaskRunner runner;
         boolean throwsNext;
-        boolean isCut;
-        long acted;
+        boolean partitioned;
+        long appliedActions;
 
         Process(int member) {
             session =
@@ -34,63 +35,65 @@
                             new MemberSession.Settings(member, 60_000, 150, 8),
                             List.of(1),
                             (long) member << 40);
-            tasks =
+            runner =
                     new LeasedTaskRunner(
                             session,
                             "lease",
                             () -> now,
                             event -> events.add(event.code() + " " + event.token()));
-            tasks.add(
+            runner.add(
                     new LeasedTask() {
                         @Override
                         public String lease() {
-                            return NAME;
+                            return LEASE;
                         }
 
                         @Override
-                        public void started(FencedActions acts) {
+                        public void onStarted(FencedActions actions) {
                             calls.add("started");
                         }
 
                         @Override
-                        public void step(FencedActions acts, long nowNanos) {
+                        public void step(FencedActions actions, long nowNanos) {
                             calls.add("step");
                             if (throwsNext) {
                                 throwsNext = false;
-                                throw new IllegalStateException("broken on purpose");
+                                throw new IllegalStateException("injected failure");
                             }
-                            acts.tell(
+                            actions.submit(
                                             new byte[] {7},
-                                            outcome -> acted += outcome.isAccepted() ? 1 : 0)
+                                            outcome ->
+                                                    appliedActions += outcome.isAccepted() ? 1 : 0)
                                     .ifPresent(
-                                            why -> {
+                                            rejection -> {
                                                 throw new AssertionError(
-                                                        "an act of the holder was not taken: "
-                                                                + why);
+                                                        "an action of the holder was not submitted:"
+                                                                + " "
+                                                                + rejection);
                                             });
                         }
 
                         @Override
-                        public void stopped() {
+                        public void onStopped() {
                             calls.add("stopped");
                         }
 
                         @Override
-                        public void heard(long token, byte[] payload, long nowNanos) {
-                            calls.add("heard " + payload[0]);
+                        public void onAction(long token, byte[] payload, long nowNanos) {
+                            calls.add("action " + payload[0]);
                         }
                     },
-                    TTL);
+                    TTL_NANOS);
         }
 
         long count(String call) {
             return calls.stream().filter(call::equals).count();
         }
 
-        /** All that it wants to send and what comes of it, until it is quiet. */
-        void exchange() {
+        /** Delivers the session's messages and the resulting events until none are left. */
+        void exchangeMessages() {
             for (List<MemberSession.OutgoingFrame> sends = session.tick(now);
-                    !sends.isEmpty() && !isCut;
+                    !sends.isEmpty() && !partitioned;
                     sends = session.tick(now)) {
                 for (MemberSession.OutgoingFrame send : sends) {
                     MemberMessage.Request request =
@@ -103,8 +106,8 @@
                     for (ReplicatedState.StateChange news : state.drainStateChanges()) {
                         if (news.machine().equals("lease")) {
                             processes.stream()
-                                    .filter(each -> !each.isCut)
-                                    .forEach(each -> each.tasks.news(news.event()));
+                                    .filter(each -> !each.partitioned)
+                                    .forEach(each -> each.runner.onEvent(news.event()));
                         }
                     }
                 }
@@ -112,28 +115,29 @@
         }
     }
 
-    private final LeaseMachine machine = new LeaseMachine();
-    private final LeaseExpiryMonitor watch = new LeaseExpiryMonitor(machine, 50 * MILLI);
+    private final LeaseStateMachine machine = new LeaseStateMachine();
+    private final LeaseExpiryMonitor expiryMonitor =
+            new LeaseExpiryMonitor(machine, 50 * NANOS_PER_MILLI);
     private final ReplicatedState state = new ReplicatedState(Map.of("lease", machine));
     private final List<Process> processes = new ArrayList<>();
-    private long now = 1_000 * MILLI;
+    private long now = 1_000 * NANOS_PER_MILLI;
     private long index;
 
-    TaskProcesses(int size) {
+    LeasedTaskProcesses(int size) {
         state.apply(++index, new ReplicatedEntry.EpochStart(1, 5).encode());
         for (int member = 1; member <= size; member++) {
             processes.add(new Process(member));
         }
-        watch.epochStarted(state.epoch(), now);
+        expiryMonitor.epochStarted(state.epoch(), now);
     }
 
-    private void turn() {
+    private void tick() {
         processes.forEach(
                 each -> {
-                    each.tasks.tick();
-                    each.exchange();
+                    each.runner.tick();
+                    each.exchangeMessages();
                 });
-        for (byte[] body : watch.expiredCommands(now)) {
+        for (byte[] body : expiryMonitor.expiredCommands(now)) {
             state.apply(
                     ++index,
                     new ReplicatedEntry.LeaderCommand(state.epoch(), "lease", body).encode());
@@ -141,9 +145,9 @@
     }
 
     void pass(long millis) {
-        for (long left = millis; left > 0; left -= 50) {
-            now += 50 * MILLI;
-            turn();
+        for (long left = millis; left > 0; left -= TICK_MILLIS) {
+            now += TICK_MILLIS * NANOS_PER_MILLI;
+            tick();
         }
     }
 
