--- a/src/main/java/calicostream/flight/front/ActionHandler.java
+++ b/src/main/java/calicostream/flight/front/ActionHandler.java
@@ -211,14 +211,17 @@
         request.getSessionOptionsMap()
                 .forEach(
                         (name, value) -> {
-                            FlightSessions.Setting done =
+                            FlightSessions.OptionResult done =
                                     logins.sessions().set(session, name, value(value));
-                            if (done != FlightSessions.Setting.DONE) {
+                            if (done != FlightSessions.OptionResult.SET) {
                                 out.putErrors(
                                         name,
                                         Flight.SetSessionOptionsResult.Error.newBuilder()
                                                 .setValue(
-                                                        done == FlightSessions.Setting.BAD_NAME
+                                                        done
+                                                                        == FlightSessions
+                                                                                .OptionResult
+                                                                                .UNKNOWN_OPTION
                                                                 ? Flight.SetSessionOptionsResult
                                                                         .ErrorValue.INVALID_NAME
                                                                 : Flight.SetSessionOptionsResult
--- a/src/main/java/calicostream/flight/front/Authentication.java
+++ b/src/main/java/calicostream/flight/front/Authentication.java
@@ -182,7 +182,7 @@
 
     boolean close(ServerCall<?> call) {
         boolean closed = call.session != null && sessions.close(desk.now(), call.session.name);
-        if (closed && users != null && !sessions.has(desk.now(), call.session.user)) {
+        if (closed && users != null && !sessions.hasSession(desk.now(), call.session.user)) {
             onLast.accept(call.session.user);
         }
         if (closed && users == null) {
--- a/src/main/java/calicostream/flight/front/DoPutHandler.java
+++ b/src/main/java/calicostream/flight/front/DoPutHandler.java
@@ -5,7 +5,7 @@
 import calicostream.core.RequestResult;
 import calicostream.flight.state.CatalogChangeDetector;
 import calicostream.flight.state.Transactions.Purpose;
-import calicostream.flight.state.Transactions.Txn;
+import calicostream.flight.state.Transactions.Transaction;
 import calicostream.flight.wire.EngineOperation;
 import calicostream.flight.wire.EngineResult;
 import calicostream.flight.wire.FlightFrame;
@@ -251,7 +251,7 @@
     // ---- Updates
     // --------------------------------------------------------------------------------------
     private interface InTransaction {
-        EngineOperation work(Txn<ByteString> txn);
+        EngineOperation work(Transaction<ByteString> txn);
     }
 
     private int updateClass() {
@@ -268,7 +268,7 @@
 
     private void run(String sql, ByteString transaction, InTransaction what) {
         int queryClass = updateClass();
-        Txn<ByteString> txn =
+        Transaction<ByteString> txn =
                 transaction.isEmpty()
                         ? null
                         : transactions.use(call, transaction, Purpose.STATEMENT);
@@ -362,7 +362,7 @@
         }
         int queryClass = updateClass();
         ByteString transaction = request.getTransactionId();
-        Txn<ByteString> txn =
+        Transaction<ByteString> txn =
                 transaction.isEmpty()
                         ? null
                         : transactions.use(call, transaction, Purpose.STATEMENT);
--- a/src/main/java/calicostream/flight/front/FlightSqlServer.java
+++ b/src/main/java/calicostream/flight/front/FlightSqlServer.java
@@ -90,7 +90,7 @@
         actions = new ActionHandler(desk, queries, polls, logins, statements, transactions);
         logins.onLast(
                 user -> {
-                    transactions.all().left(desk.now(), user);
+                    transactions.all().clientGone(desk.now(), user);
                     statements.left(user);
                     queries.left(user);
                     polls.left(user);
@@ -211,17 +211,17 @@
     public String figures() {
         long[] shared = catalogs.shared().counts();
         return "calls="
-                + desk.admission.open()
+                + desk.admission.openCalls()
                 + " clients="
-                + desk.admission.clients()
+                + desk.admission.clientsWithCalls()
                 + " bytes="
-                + desk.admission.bytes()
+                + desk.admission.bytesInUse()
                 + " streams="
                 + queries.open()
                 + " statements="
                 + statements.size()
                 + " transactions="
-                + transactions.all().live()
+                + transactions.all().openTransactions()
                 + " polls="
                 + polls.size()
                 + " sessions="
@@ -238,7 +238,7 @@
     // ----------------------------------------------------------------------------------------
     @Override
     public void drains(long engine) {
-        transactions.all().engineDrains(desk.now(), engine);
+        transactions.all().engineDraining(desk.now(), engine);
     }
 
     @Override
@@ -282,8 +282,8 @@
                         logins.identify(
                                 call,
                                 () -> {
-                                    Admission.Answer answer = desk.admission.enter(call.client);
-                                    if (answer != Admission.Answer.TAKEN) {
+                                    Admission.Decision answer = desk.admission.admit(call.client);
+                                    if (answer != Admission.Decision.ADMITTED) {
                                         desk.gateway.recordRejection(
                                                 Math.max(
                                                         0,
@@ -294,7 +294,7 @@
                                                 desk.mostWaitMs());
                                         return;
                                     }
-                                    call.atEnd(() -> desk.admission.leave(call.client));
+                                    call.atEnd(() -> desk.admission.callEnded(call.client));
                                     guarded(call, serve);
                                 }));
     }
--- a/src/main/java/calicostream/flight/front/FlightStatuses.java
+++ b/src/main/java/calicostream/flight/front/FlightStatuses.java
@@ -42,7 +42,7 @@
     }
 
     /** Why something can't be done in a transaction; null: it can. */
-    static Status transaction(Transactions.Answer answer, Transactions.Txn<?> txn) {
+    static Status transaction(Transactions.UseDecision answer, Transactions.Transaction<?> txn) {
         switch (answer) {
             case GRANTED:
                 return null;
@@ -58,11 +58,11 @@
             case OUTCOME_UNKNOWN:
                 return Status.UNKNOWN.withDescription(
                         "outcome unknown: "
-                                + txn.why()
+                                + txn.endReason()
                                 + "; it is committed or not, and is not sent again");
             default:
                 return Status.ABORTED.withDescription(
-                        "the transaction is dead: " + txn.why() + "; begin anew");
+                        "the transaction is dead: " + txn.endReason() + "; begin anew");
         }
     }
 }
--- a/src/main/java/calicostream/flight/front/PollHandler.java
+++ b/src/main/java/calicostream/flight/front/PollHandler.java
@@ -4,7 +4,7 @@
 import calicostream.core.FailureReason;
 import calicostream.core.RequestResult;
 import calicostream.flight.state.HandleTable;
-import calicostream.flight.state.Progress;
+import calicostream.flight.state.QueryPoll;
 import calicostream.flight.wire.EngineOperation;
 import calicostream.flight.wire.EngineResult;
 import calicostream.flight.wire.FlightWire;
@@ -25,7 +25,7 @@
     private record End(Flight.FlightInfo info, Status status, long stayAwayMs) {}
 
     private static final class Query {
-        final Progress<ServerCall<Flight.PollInfo>, End> progress;
+        final QueryPoll<ServerCall<Flight.PollInfo>, End> progress;
         final String owner;
         String name;
         RequestDispatcher.Submitted attempt;
@@ -34,7 +34,7 @@
 
         Query(String owner, int most) {
             this.owner = owner;
-            progress = new Progress<>(most);
+            progress = new QueryPoll<>(most);
         }
     }
 
@@ -103,7 +103,7 @@
         query.name = name.toString();
         EngineOperation work =
                 new EngineOperation.Poll(
-                        noted.command(), share -> wake(query, query.progress.advanced(share)));
+                        noted.command(), share -> wake(query, query.progress.progressed(share)));
         query.attempt =
                 desk.submit(
                         desk.headers(call),
@@ -182,14 +182,14 @@
             tell(call, query);
             return;
         }
-        call.atEnd(() -> query.progress.left(call));
+        call.atEnd(() -> query.progress.callerGone(call));
         desk.loop
                 .deadlines()
                 .add(
                         desk.now() + desk.config.pollWaitUs(),
                         (now, ref) -> {
                             if (!call.isAnswered()) {
-                                query.progress.left(call);
+                                query.progress.callerGone(call);
                                 tell(call, query);
                             }
                         },
@@ -206,12 +206,12 @@
                         FlightSql.TicketStatementQuery.newBuilder()
                                 .setStatementHandle(
                                         ByteString.copyFromUtf8(
-                                                query.name + " " + query.progress.news()))
+                                                query.name + " " + query.progress.version()))
                                 .build()));
     }
 
     private void tell(ServerCall<Flight.PollInfo> call, Query query) {
-        End end = query.progress.end();
+        End end = query.progress.outcome();
         if (end != null && end.status != null) {
             call.fail(end.status, end.stayAwayMs);
         } else if (end != null) {
@@ -226,7 +226,7 @@
                     Flight.PollInfo.newBuilder()
                             .setInfo(CommandDecoder.info(descriptor(query), ByteString.EMPTY))
                             .setFlightDescriptor(descriptor(query))
-                            .setProgress(query.progress.share())
+                            .setProgress(query.progress.fractionDone())
                             .setExpirationTime(CommandDecoder.in(desk.config.ticketKeptUs()))
                             .build());
         }
@@ -284,7 +284,7 @@
         all.expire(now)
                 .forEach(
                         query -> {
-                            if (query.progress.end() == null) {
+                            if (query.progress.outcome() == null) {
                                 giveUp(query);
                             }
                         });
--- a/src/main/java/calicostream/flight/front/PreparedStatementHandler.java
+++ b/src/main/java/calicostream/flight/front/PreparedStatementHandler.java
@@ -4,9 +4,9 @@
 import calicostream.core.RequestResult;
 import calicostream.flight.engine.PreparedStatementLease;
 import calicostream.flight.state.HandleTable;
-import calicostream.flight.state.PreparedStatements;
+import calicostream.flight.state.PreparedStatement;
 import calicostream.flight.state.Transactions.Purpose;
-import calicostream.flight.state.Transactions.Txn;
+import calicostream.flight.state.Transactions.Transaction;
 import calicostream.flight.wire.EngineOperation;
 import calicostream.flight.wire.EngineResult;
 import calicostream.flight.wire.FlightFrame;
@@ -37,7 +37,7 @@
      * belongs to.
      */
     static final class Entry {
-        final PreparedStatements<List<FlightFrame>, ByteString> core;
+        final PreparedStatement<List<FlightFrame>, ByteString> core;
         final String action;
         final ByteString request; // as engines get it
         final String sql;
@@ -46,7 +46,7 @@
         final ByteString transaction;
 
         private Entry(
-                PreparedStatements<List<FlightFrame>, ByteString> core,
+                PreparedStatement<List<FlightFrame>, ByteString> core,
                 String action,
                 ByteString request,
                 String sql,
@@ -103,7 +103,7 @@
         if (request.getQuery().isBlank()) {
             throw CommandDecoder.invalid("an empty statement");
         }
-        Txn<ByteString> txn =
+        Transaction<ByteString> txn =
                 request.getTransactionId().isEmpty()
                         ? null
                         : transactions.use(call, request.getTransactionId(), Purpose.STATEMENT);
@@ -125,7 +125,7 @@
     void createPlan(
             ServerCall<Flight.Result> call,
             FlightSql.ActionCreatePreparedSubstraitPlanRequest request) {
-        Txn<ByteString> txn =
+        Transaction<ByteString> txn =
                 request.getTransactionId().isEmpty()
                         ? null
                         : transactions.use(call, request.getTransactionId(), Purpose.STATEMENT);
@@ -150,7 +150,7 @@
             Message request,
             String sql,
             ByteString transaction,
-            Txn<ByteString> txn) {
+            Transaction<ByteString> txn) {
         ByteString packed = FlightWire.packed(request);
         ResponseCallback answer =
                 new ResponseCallback.To<>(call) {
@@ -176,7 +176,7 @@
             String sql,
             ByteString transaction) {
         FlightSql.ActionCreatePreparedStatementResult told;
-        List<PreparedStatements.Parameter> parameters;
+        List<PreparedStatement.Parameter> parameters;
         try {
             told =
                     acted.results().isEmpty()
@@ -195,10 +195,9 @@
             call.fail(Status.INTERNAL.withDescription("the engine named no statement"));
             return;
         }
-        PreparedStatements<List<FlightFrame>, ByteString> core =
-                new PreparedStatements<>(parameters);
+        PreparedStatement<List<FlightFrame>, ByteString> core = new PreparedStatement<>(parameters);
         core.bind(List.of());
-        core.giveBack(acted.engine(), told.getPreparedStatementHandle());
+        core.release(acted.engine(), told.getPreparedStatementHandle());
         Entry entry =
                 new Entry(
                         core,
@@ -252,7 +251,7 @@
     }
 
     void lost(long engine) {
-        all.forEach(each -> each.core.lost(engine));
+        all.forEach(each -> each.core.engineLost(engine));
     }
 
     // ---- Parameters
@@ -262,16 +261,16 @@
                 new ReadChannel(Channels.newChannel(new ByteArrayInputStream(bytes))));
     }
 
-    private static List<PreparedStatements.Parameter> parameters(ByteString schema)
+    private static List<PreparedStatement.Parameter> parameters(ByteString schema)
             throws IOException {
         return parameters(schema(schema.toByteArray()));
     }
 
-    private static List<PreparedStatements.Parameter> parameters(Schema schema) {
+    private static List<PreparedStatement.Parameter> parameters(Schema schema) {
         return schema.getFields().stream()
                 .map(
                         field ->
-                                new PreparedStatements.Parameter(
+                                new PreparedStatement.Parameter(
                                         field.getName(),
                                         field.getType()
                                                 + (field.getChildren().isEmpty()
@@ -282,7 +281,7 @@
 
     /** Why these frames, schema first, can't be bound to the statement, or null. */
     static String fault(Entry statement, List<FlightFrame> frames) {
-        List<PreparedStatements.Parameter> got = null;
+        List<PreparedStatement.Parameter> got = null;
         long rows = frames.stream().mapToLong(FlightFrame::rows).sum();
         if (!frames.isEmpty()) {
             try {
@@ -293,7 +292,7 @@
                 return "the parameters' schema can't be read";
             }
         }
-        return statement.core.fault(got, rows);
+        return statement.core.parameterError(got, rows);
     }
 
     /** Frames that can be sent any number of times, on any attempt. */
--- a/src/main/java/calicostream/flight/front/QueryHandler.java
+++ b/src/main/java/calicostream/flight/front/QueryHandler.java
@@ -8,7 +8,7 @@
 import calicostream.flight.state.CatalogChangeDetector;
 import calicostream.flight.state.HandleTable;
 import calicostream.flight.state.Transactions.Purpose;
-import calicostream.flight.state.Transactions.Txn;
+import calicostream.flight.state.Transactions.Transaction;
 import calicostream.flight.wire.EngineOperation;
 import calicostream.flight.wire.EngineResult;
 import calicostream.flight.wire.FlightFrame;
@@ -219,7 +219,7 @@
             ServerCall<Flight.FlightInfo> call,
             Flight.FlightDescriptor descriptor,
             PreparedTicket noted) {
-        Txn<ByteString> txn = transactions.use(call, noted.transaction, Purpose.STATEMENT);
+        Transaction<ByteString> txn = transactions.use(call, noted.transaction, Purpose.STATEMENT);
         if (txn != null) {
             ResponseCallback answer =
                     new ResponseCallback.To<>(call) {
@@ -252,7 +252,7 @@
     }
 
     /** The command as the transaction's engine knows it. */
-    private static ByteString within(PreparedTicket noted, Txn<ByteString> txn) {
+    private static ByteString within(PreparedTicket noted, Transaction<ByteString> txn) {
         Any any = CommandDecoder.parse(noted.command);
         return CommandDecoder.name(any).equals("CommandStatementQuery")
                 ? FlightWire.packed(
@@ -370,7 +370,7 @@
                                         }
                                     });
                         } else {
-                            Txn<ByteString> txn =
+                            Transaction<ByteString> txn =
                                     transactions.use(call, noted.transaction, Purpose.STATEMENT);
                             if (txn != null) {
                                 desk.submit(
@@ -464,7 +464,8 @@
         ServerCall<FlightFrame> call = outlet.call;
         int queryClass = queryClass(call, noted.queryClass);
         if (!noted.transaction.isEmpty()) {
-            Txn<ByteString> txn = transactions.use(call, noted.transaction, Purpose.STATEMENT);
+            Transaction<ByteString> txn =
+                    transactions.use(call, noted.transaction, Purpose.STATEMENT);
             if (txn != null) {
                 submit(
                         outlet,
@@ -534,7 +535,7 @@
             return;
         }
         int queryClass = queryClass(call, null);
-        List<FlightFrame> rows = statement.core.bound();
+        List<FlightFrame> rows = statement.core.boundParameters();
         String fault = PreparedStatementHandler.fault(statement, rows);
         if (fault != null) {
             throw CommandDecoder.invalid(fault);
@@ -551,7 +552,8 @@
                     0,
                     new Result(outlet));
         } else {
-            Txn<ByteString> txn = transactions.use(call, statement.transaction, Purpose.STATEMENT);
+            Transaction<ByteString> txn =
+                    transactions.use(call, statement.transaction, Purpose.STATEMENT);
             if (txn != null) {
                 submit(
                         outlet,
--- a/src/main/java/calicostream/flight/state/Admission.java
+++ b/src/main/java/calicostream/flight/state/Admission.java
@@ -12,52 +12,52 @@
  */
 public final class Admission {
     /** Why a call is turned away, or that it is not. */
-    public enum Answer {
-        TAKEN,
-        CLIENT_FULL,
-        ALL_FULL,
-        BYTES_FULL
+    public enum Decision {
+        ADMITTED,
+        CLIENT_LIMIT_REACHED,
+        TOTAL_LIMIT_REACHED,
+        MEMORY_LIMIT_REACHED
     }
 
-    private final int mostCalls;
-    private final int mostOfClient;
-    private final long mostBytes;
+    private final int maxCalls;
+    private final int maxCallsPerClient;
+    private final long maxBytes;
     private final Map<String, Integer> calls = new HashMap<>();
-    private final AtomicLong bytes = new AtomicLong();
-    private final int mostStreams;
-    private final AtomicInteger streams = new AtomicInteger();
-    private int open;
+    private final AtomicLong bytesInUse = new AtomicLong();
+    private final int maxStreams;
+    private final AtomicInteger openStreams = new AtomicInteger();
+    private int openCalls;
 
     public Admission(int mostCalls, int mostOfClient, long mostBytes, int mostStreams) {
-        this.mostStreams = mostStreams;
-        this.mostCalls = mostCalls;
-        this.mostOfClient = mostOfClient;
-        this.mostBytes = mostBytes;
+        this.maxStreams = mostStreams;
+        this.maxCalls = mostCalls;
+        this.maxCallsPerClient = mostOfClient;
+        this.maxBytes = mostBytes;
     }
 
     /** Takes a call, unless a bound forbids it; each one taken must {@link #leave} once. */
-    public Answer enter(String client) {
-        if (open >= mostCalls) {
-            return Answer.ALL_FULL;
+    public Decision admit(String client) {
+        if (openCalls >= maxCalls) {
+            return Decision.TOTAL_LIMIT_REACHED;
         }
-        if (bytes.get() >= mostBytes) {
-            return Answer.BYTES_FULL;
+        if (bytesInUse.get() >= maxBytes) {
+            return Decision.MEMORY_LIMIT_REACHED;
         }
-        if (calls.getOrDefault(client, 0) >= mostOfClient) {
-            return Answer.CLIENT_FULL;
+        if (calls.getOrDefault(client, 0) >= maxCallsPerClient) {
+            return Decision.CLIENT_LIMIT_REACHED;
         }
         calls.merge(client, 1, Integer::sum);
-        open++;
-        return Answer.TAKEN;
+        openCalls++;
+        return Decision.ADMITTED;
     }
 
-    public void leave(String client) {
+    public void callEnded(String client) {
         Integer count = calls.get(client);
         if (count == null) {
             throw new IllegalStateException("left more often than entered");
         }
         calls.compute(client, (name, n) -> n == 1 ? null : n - 1);
-        open--;
+        openCalls--;
     }
 
     /**
@@ -66,8 +66,8 @@
      * From any thread.
      */
     public boolean reserve(long amount) {
-        long most = mostBytes / 4 * 3;
-        long before = bytes.getAndUpdate(held -> held + amount <= most ? held + amount : held);
+        long most = maxBytes / 4 * 3;
+        long before = bytesInUse.getAndUpdate(held -> held + amount <= most ? held + amount : held);
         return before + amount <= most;
     }
 
@@ -76,12 +76,12 @@
      * turned away.
      */
     public void charge(long amount) {
-        bytes.addAndGet(amount);
+        bytesInUse.addAndGet(amount);
     }
 
     /** Gives room back. From any thread. */
     public void release(long amount) {
-        bytes.addAndGet(-amount);
+        bytesInUse.addAndGet(-amount);
     }
 
     /**
@@ -89,28 +89,28 @@
      * nothing. From any thread.
      */
     public boolean beginStream() {
-        int before = streams.getAndUpdate(n -> n < mostStreams ? n + 1 : n);
-        return before < mostStreams;
+        int before = openStreams.getAndUpdate(n -> n < maxStreams ? n + 1 : n);
+        return before < maxStreams;
     }
 
     /** A stream that began has ended. From any thread. */
     public void endStream() {
-        streams.decrementAndGet();
+        openStreams.decrementAndGet();
     }
 
-    public int streams() {
-        return streams.get();
+    public int openStreams() {
+        return openStreams.get();
     }
 
-    public int open() {
-        return open;
+    public int openCalls() {
+        return openCalls;
     }
 
-    public int clients() {
+    public int clientsWithCalls() {
         return calls.size();
     }
 
-    public long bytes() {
-        return bytes.get();
+    public long bytesInUse() {
+        return bytesInUse.get();
     }
 }
--- a/src/main/java/calicostream/flight/state/FlightSessions.java
+++ b/src/main/java/calicostream/flight/state/FlightSessions.java
@@ -16,10 +16,10 @@
  */
 public final class FlightSessions {
     /** What became of one option that a client set. */
-    public enum Setting {
-        DONE,
-        BAD_NAME,
-        BAD_VALUE
+    public enum OptionResult {
+        SET,
+        UNKNOWN_OPTION,
+        INVALID_VALUE
     }
 
     /** One session. */
@@ -27,12 +27,12 @@
         public final String name;
         public final String user; // empty: nobody logged in
         private final Map<String, Object> options = new TreeMap<>();
-        private long until;
+        private long expiresAt;
 
         private Session(String name, String user, long until) {
             this.name = name;
             this.user = user;
-            this.until = until;
+            this.expiresAt = until;
         }
 
         /** Values are String, Boolean, Long, Double or a list of strings. */
@@ -49,65 +49,66 @@
             SCHEMA = "schema",
             CLASS = "class",
             PRIORITY = "priority";
-    private static final int MOST_TEXT = 256;
+    private static final int MAX_TEXT_LENGTH = 256;
     private final Supplier<String> names;
     private final Set<String> classes;
-    private final int most;
-    private final long lifeUs;
-    private final LinkedHashMap<String, Session> all = new LinkedHashMap<>(16, 0.75f, true);
+    private final int maxSessions;
+    private final long timeToLiveUs;
+    private final LinkedHashMap<String, Session> sessions = new LinkedHashMap<>(16, 0.75f, true);
 
     public FlightSessions(Supplier<String> names, Set<String> classes, int most, long lifeUs) {
         this.names = names;
         this.classes = classes;
-        this.most = most;
-        this.lifeUs = lifeUs;
+        this.maxSessions = most;
+        this.timeToLiveUs = lifeUs;
     }
 
     /** Opens a session; the least recently used one goes where there are too many. */
     public Session open(long now, String user) {
-        if (all.size() >= most) {
-            all.remove(all.keySet().iterator().next());
+        if (sessions.size() >= maxSessions) {
+            sessions.remove(sessions.keySet().iterator().next());
         }
-        Session made = new Session(names.get(), user, now + lifeUs);
-        all.put(made.name, made);
+        Session made = new Session(names.get(), user, now + timeToLiveUs);
+        sessions.put(made.name, made);
         return made;
     }
 
     /** The session of this name, or null where there is none, or none any more. */
     public Session find(long now, String name) {
-        Session found = name == null ? null : all.get(name);
-        if (found == null || found.until <= now) {
+        Session found = name == null ? null : sessions.get(name);
+        if (found == null || found.expiresAt <= now) {
             return null;
         }
         if (found.user.isEmpty()) {
-            found.until = now + lifeUs;
+            found.expiresAt = now + timeToLiveUs;
         }
         return found;
     }
 
     public boolean close(long now, String name) {
-        return find(now, name) != null && all.remove(name) != null;
+        return find(now, name) != null && sessions.remove(name) != null;
     }
 
     /** Whether a user has a session left. */
-    public boolean has(long now, String user) {
-        return all.values().stream().anyMatch(each -> each.user.equals(user) && each.until > now);
+    public boolean hasSession(long now, String user) {
+        return sessions.values().stream()
+                .anyMatch(each -> each.user.equals(user) && each.expiresAt > now);
     }
 
     public List<Session> expire(long now) {
         List<Session> out = new ArrayList<>();
-        all.values().removeIf(each -> each.until <= now && out.add(each));
+        sessions.values().removeIf(each -> each.expiresAt <= now && out.add(each));
         return out;
     }
 
     /** Sets an option, or clears it where the value is null. */
-    public Setting set(Session session, String option, Object value) {
+    public OptionResult set(Session session, String option, Object value) {
         if (!Set.of(CATALOG, SCHEMA, CLASS, PRIORITY).contains(option)) {
-            return Setting.BAD_NAME;
+            return OptionResult.UNKNOWN_OPTION;
         }
         if (value == null) {
             session.options.remove(option);
-            return Setting.DONE;
+            return OptionResult.SET;
         }
         boolean fits =
                 switch (option) {
@@ -116,15 +117,15 @@
                     default ->
                             value instanceof String text
                                     && !text.isEmpty()
-                                    && text.length() <= MOST_TEXT;
+                                    && text.length() <= MAX_TEXT_LENGTH;
                 };
         if (fits) {
             session.options.put(option, value);
         }
-        return fits ? Setting.DONE : Setting.BAD_VALUE;
+        return fits ? OptionResult.SET : OptionResult.INVALID_VALUE;
     }
 
     public int size() {
-        return all.size();
+        return sessions.size();
     }
 }
--- a/src/main/java/calicostream/flight/state/HandleTable.java
+++ b/src/main/java/calicostream/flight/state/HandleTable.java
@@ -14,51 +14,51 @@
  * then of all, when there are too many.
  */
 public final class HandleTable<T> {
-    private record Kept<T>(String owner, T thing, long until) {}
+    private record Entry<T>(String owner, T value, long expiresAt) {}
 
     private final Supplier<String> names;
-    private final int most;
-    private final int mostOfOwner;
-    private final long keptUs;
-    private final LinkedHashMap<String, Kept<T>> kept = new LinkedHashMap<>(16, 0.75f, true);
-    private final Map<String, Integer> owned = new java.util.HashMap<>();
+    private final int maxEntries;
+    private final int maxEntriesPerOwner;
+    private final long timeToLiveUs;
+    private final LinkedHashMap<String, Entry<T>> entries = new LinkedHashMap<>(16, 0.75f, true);
+    private final Map<String, Integer> entriesPerOwner = new java.util.HashMap<>();
 
     /** {@code names} must be beyond guessing; {@code keptUs} counts from the last use. */
     public HandleTable(Supplier<String> names, int most, int mostOfOwner, long keptUs) {
         this.names = names;
-        this.most = most;
-        this.mostOfOwner = mostOfOwner;
-        this.keptUs = keptUs;
+        this.maxEntries = most;
+        this.maxEntriesPerOwner = mostOfOwner;
+        this.timeToLiveUs = keptUs;
     }
 
     /** Keeps a thing under a new name, which is added to; what had to go for it is returned. */
     public List<T> put(long now, String owner, T thing, StringBuilder name) {
         List<T> out = new ArrayList<>();
-        if (owned.getOrDefault(owner, 0) >= mostOfOwner) {
+        if (entriesPerOwner.getOrDefault(owner, 0) >= maxEntriesPerOwner) {
             out.addAll(evict(each -> each.owner.equals(owner)));
-        } else if (kept.size() >= most) {
+        } else if (entries.size() >= maxEntries) {
             out.addAll(evict(each -> true));
         }
         String made = names.get();
         name.append(made);
-        kept.put(made, new Kept<>(owner, thing, now + keptUs));
-        owned.merge(owner, 1, Integer::sum);
+        entries.put(made, new Entry<>(owner, thing, now + timeToLiveUs));
+        entriesPerOwner.merge(owner, 1, Integer::sum);
         return out;
     }
 
-    private List<T> evict(java.util.function.Predicate<Kept<T>> which) {
-        for (Map.Entry<String, Kept<T>> each : kept.entrySet()) { // least recently used first
+    private List<T> evict(java.util.function.Predicate<Entry<T>> which) {
+        for (Map.Entry<String, Entry<T>> each : entries.entrySet()) { // least recently used first
             if (which.test(each.getValue())) {
-                return List.of(drop(each.getKey()).thing);
+                return List.of(drop(each.getKey()).value);
             }
         }
         return List.of();
     }
 
-    private Kept<T> drop(String name) {
-        Kept<T> gone = kept.remove(name);
+    private Entry<T> drop(String name) {
+        Entry<T> gone = entries.remove(name);
         if (gone != null) {
-            owned.compute(gone.owner, (owner, n) -> n == 1 ? null : n - 1);
+            entriesPerOwner.compute(gone.owner, (owner, n) -> n == 1 ? null : n - 1);
         }
         return gone;
     }
@@ -67,12 +67,12 @@
      * The thing, if it is this owner's; its time begins anew. Null otherwise, whatever the reason.
      */
     public T get(long now, String owner, String name) {
-        Kept<T> found = kept.get(name);
-        if (found == null || !found.owner.equals(owner) || found.until <= now) {
+        Entry<T> found = entries.get(name);
+        if (found == null || !found.owner.equals(owner) || found.expiresAt <= now) {
             return null;
         }
-        kept.put(name, new Kept<>(owner, found.thing, now + keptUs));
-        return found.thing;
+        entries.put(name, new Entry<>(owner, found.value, now + timeToLiveUs));
+        return found.value;
     }
 
     /** Takes it out, if it is this owner's. */
@@ -91,28 +91,28 @@
 
     /** Takes out what nobody has used for too long. */
     public List<T> expire(long now) {
-        return removeIf(each -> each.until <= now);
+        return removeIf(each -> each.expiresAt <= now);
     }
 
-    private List<T> removeIf(java.util.function.Predicate<Kept<T>> which) {
+    private List<T> removeIf(java.util.function.Predicate<Entry<T>> which) {
         List<T> out = new ArrayList<>();
         List<String> gone = new ArrayList<>();
-        for (Iterator<Map.Entry<String, Kept<T>>> each = kept.entrySet().iterator();
+        for (Iterator<Map.Entry<String, Entry<T>>> each = entries.entrySet().iterator();
                 each.hasNext(); ) {
-            Map.Entry<String, Kept<T>> entry = each.next();
+            Map.Entry<String, Entry<T>> entry = each.next();
             if (which.test(entry.getValue())) {
                 gone.add(entry.getKey());
             }
         }
-        gone.forEach(name -> out.add(drop(name).thing));
+        gone.forEach(name -> out.add(drop(name).value));
         return out;
     }
 
     public int size() {
-        return kept.size();
+        return entries.size();
     }
 
     public void forEach(java.util.function.Consumer<T> visit) {
-        kept.values().forEach(each -> visit.accept(each.thing));
+        entries.values().forEach(each -> visit.accept(each.value));
     }
 }
--- a/src/main/java/calicostream/flight/state/PreparedStatements.java
+++ b/src/main/java/calicostream/flight/state/PreparedStatement.java
@@ -13,33 +13,33 @@
  * made where none rests, and forgotten with its engine. {@code B} is what is bound, {@code H} an
  * engine's handle.
  */
-public final class PreparedStatements<B, H> {
+public final class PreparedStatement<B, H> {
     /** A handle at an engine. */
-    public record At<H>(long engine, H handle) {}
+    public record EngineHandle<H>(long engine, H handle) {}
 
     /** A parameter's type in words, the same for equal types; its name is for messages only. */
     public record Parameter(String name, String type) {}
 
-    private static final int MOST_RESTING = 4; // of one engine
-    private final Map<Long, ArrayDeque<H>> resting = new HashMap<>();
+    private static final int MAX_IDLE_PER_ENGINE = 4; // of one engine
+    private final Map<Long, ArrayDeque<H>> idleHandles = new HashMap<>();
     private final List<Parameter> parameters; // null: the engine told none
-    private B bound;
+    private B boundParameters;
     private boolean closed;
 
-    public PreparedStatements(List<Parameter> parameters) {
+    public PreparedStatement(List<Parameter> parameters) {
         this.parameters = parameters;
     }
 
     /** A handle of this engine that no execution uses, or null: one has to be made. */
-    public H lend(long engine) {
-        ArrayDeque<H> some = resting.get(engine);
+    public H acquire(long engine) {
+        ArrayDeque<H> some = idleHandles.get(engine);
         return some == null ? null : some.poll();
     }
 
     /** Gives back a handle that may serve again; false: it must be closed at the engine. */
-    public boolean giveBack(long engine, H handle) {
-        ArrayDeque<H> some = resting.computeIfAbsent(engine, any -> new ArrayDeque<>());
-        if (closed || some.size() >= MOST_RESTING) {
+    public boolean release(long engine, H handle) {
+        ArrayDeque<H> some = idleHandles.computeIfAbsent(engine, any -> new ArrayDeque<>());
+        if (closed || some.size() >= MAX_IDLE_PER_ENGINE) {
             return false;
         }
         some.push(handle);
@@ -47,16 +47,17 @@
     }
 
     /** The engine's process has ended, and its handles with it. */
-    public void lost(long engine) {
-        resting.remove(engine);
+    public void engineLost(long engine) {
+        idleHandles.remove(engine);
     }
 
     /** The statement is over; these have to be closed at their engines. */
-    public List<At<H>> close() {
-        List<At<H>> out = new ArrayList<>();
-        resting.forEach(
-                (engine, some) -> some.forEach(handle -> out.add(new At<>(engine, handle))));
-        resting.clear();
+    public List<EngineHandle<H>> close() {
+        List<EngineHandle<H>> out = new ArrayList<>();
+        idleHandles.forEach(
+                (engine, some) ->
+                        some.forEach(handle -> out.add(new EngineHandle<>(engine, handle))));
+        idleHandles.clear();
         closed = true;
         return out;
     }
@@ -67,15 +68,15 @@
 
     /** Binds what executions from now on run with. */
     public void bind(B what) {
-        bound = what;
+        boundParameters = what;
     }
 
-    public B bound() {
-        return bound;
+    public B boundParameters() {
+        return boundParameters;
     }
 
     /** Why these parameters can't be bound, or null. {@code got} null: none were sent. */
-    public String fault(List<Parameter> got, long rows) {
+    public String parameterError(List<Parameter> got, long rows) {
         if (parameters == null) {
             return null; // Not known here: the engine is asked.
         }
--- a/src/main/java/calicostream/flight/state/Transactions.java
+++ b/src/main/java/calicostream/flight/state/Transactions.java
@@ -26,7 +26,7 @@
     }
 
     /** Whether it may, or why not. */
-    public enum Answer {
+    public enum UseDecision {
         GRANTED,
         UNKNOWN,
         IN_USE,
@@ -38,7 +38,7 @@
     /**
      * How a statement or an end in a transaction went; {@code LOST}: it may have run, nobody knows.
      */
-    public enum Result {
+    public enum UseResult {
         DONE,
         NEVER_SENT,
         LOST
@@ -56,32 +56,37 @@
      * Bounds: transactions of a client and on an engine, idle time, time to end on a drain, memory
      * of ended ones.
      */
-    public record Bounds(int ofClient, int onEngine, long leaseUs, long drainUs, long rememberUs) {}
+    public record Limits(
+            int perClient,
+            int perEngine,
+            long idleTimeoutUs,
+            long drainTimeoutUs,
+            long tombstoneUs) {}
 
     /** One transaction. */
-    public static final class Txn<H> {
+    public static final class Transaction<H> {
         public final String name;
         public final String owner;
         public final long engine;
         public final H handle;
         private final LinkedHashMap<String, H> savepoints = new LinkedHashMap<>();
         private State state = State.OPEN;
-        private Purpose ending;
-        private long usedAt, drainUntil, forgetAt;
-        private boolean outcomeUnknown, rollback;
-        private String why = "";
+        private Purpose endingBy;
+        private long lastUsedAt, drainDeadline, forgetAt;
+        private boolean outcomeUnknown, abandoned;
+        private String endReason = "";
 
-        private Txn(String name, String owner, long engine, H handle, long now) {
+        private Transaction(String name, String owner, long engine, H handle, long now) {
             this.name = name;
             this.owner = owner;
             this.engine = engine;
             this.handle = handle;
-            usedAt = now;
+            lastUsedAt = now;
         }
 
         /** Why it is dead, in words for its client. */
-        public String why() {
-            return why;
+        public String endReason() {
+            return endReason;
         }
 
         private boolean isLive() {
@@ -90,14 +95,14 @@
     }
 
     private final Supplier<String> names;
-    private final Bounds bounds;
-    private final Map<String, Txn<H>> all = new LinkedHashMap<>();
-    private final Map<String, Integer> ofClient = new HashMap<>();
-    private final Map<Long, Integer> onEngine = new HashMap<>();
+    private final Limits limits;
+    private final Map<String, Transaction<H>> transactions = new LinkedHashMap<>();
+    private final Map<String, Integer> countPerClient = new HashMap<>();
+    private final Map<Long, Integer> countPerEngine = new HashMap<>();
 
-    public Transactions(Supplier<String> names, Bounds bounds) {
+    public Transactions(Supplier<String> names, Limits bounds) {
         this.names = names;
-        this.bounds = bounds;
+        this.limits = bounds;
     }
 
     // ---- Beginning
@@ -106,76 +111,76 @@
      * Counts a transaction that is being begun; false: the client has its share. Ends with begun or
      * notBegun.
      */
-    public boolean mayBegin(String owner) {
-        if (ofClient.getOrDefault(owner, 0) >= bounds.ofClient) {
+    public boolean reserve(String owner) {
+        if (countPerClient.getOrDefault(owner, 0) >= limits.perClient) {
             return false;
         }
-        ofClient.merge(owner, 1, Integer::sum);
+        countPerClient.merge(owner, 1, Integer::sum);
         return true;
     }
 
     /** The engine did not begin it, or its client does not want it any more. */
-    public void notBegun(String owner) {
-        ofClient.compute(owner, (name, n) -> n == 1 ? null : n - 1);
+    public void releaseReservation(String owner) {
+        countPerClient.compute(owner, (name, n) -> n == 1 ? null : n - 1);
     }
 
     /**
      * The engine began it. Null: the engine has its share, and the engine's transaction is to be
      * rolled back.
      */
-    public Txn<H> begun(long now, String owner, long engine, H handle) {
-        if (onEngine.getOrDefault(engine, 0) >= bounds.onEngine) {
-            notBegun(owner);
+    public Transaction<H> begin(long now, String owner, long engine, H handle) {
+        if (countPerEngine.getOrDefault(engine, 0) >= limits.perEngine) {
+            releaseReservation(owner);
             return null;
         }
-        onEngine.merge(engine, 1, Integer::sum);
-        Txn<H> made = new Txn<>(names.get(), owner, engine, handle, now);
-        all.put(made.name, made);
+        countPerEngine.merge(engine, 1, Integer::sum);
+        Transaction<H> made = new Transaction<>(names.get(), owner, engine, handle, now);
+        transactions.put(made.name, made);
         return made;
     }
 
     // ---- Use
     // ------------------------------------------------------------------------------------------
     /** The transaction under this name, if it is this owner's. */
-    public Txn<H> find(String owner, String name) {
-        Txn<H> found = all.get(name);
+    public Transaction<H> find(String owner, String name) {
+        Transaction<H> found = transactions.get(name);
         return found == null || !found.owner.equals(owner) ? null : found;
     }
 
     /** Asks to do something in it; if granted, {@link #done} must follow once. */
-    public Answer use(long now, Txn<H> txn, Purpose purpose) {
+    public UseDecision tryUse(long now, Transaction<H> txn, Purpose purpose) {
         if (txn == null || txn.state == State.ENDED && !txn.outcomeUnknown) {
-            return Answer.UNKNOWN;
+            return UseDecision.UNKNOWN;
         }
         if (txn.state == State.ENDED) {
-            return Answer.OUTCOME_UNKNOWN;
+            return UseDecision.OUTCOME_UNKNOWN;
         }
-        if (txn.state == State.DEAD || txn.drainUntil > 0 && now >= txn.drainUntil) {
-            return Answer.DEAD;
+        if (txn.state == State.DEAD || txn.drainDeadline > 0 && now >= txn.drainDeadline) {
+            return UseDecision.DEAD;
         }
         if (txn.state != State.OPEN) {
-            return Answer.IN_USE;
+            return UseDecision.IN_USE;
         }
-        if (txn.drainUntil > 0 && purpose == Purpose.STATEMENT) {
-            return Answer.DRAINING;
+        if (txn.drainDeadline > 0 && purpose == Purpose.STATEMENT) {
+            return UseDecision.DRAINING;
         }
         txn.state = purpose == Purpose.STATEMENT ? State.BUSY : State.ENDING;
-        txn.ending = purpose;
-        txn.usedAt = now;
-        return Answer.GRANTED;
+        txn.endingBy = purpose;
+        txn.lastUsedAt = now;
+        return UseDecision.GRANTED;
     }
 
     /**
      * What was granted is over. A commit that was lost leaves its outcome unknown, a lost statement
      * the transaction dead. True: the engine is to be told to roll it back, as nobody else will.
      */
-    public boolean done(long now, Txn<H> txn, Result result) {
+    public boolean useEnded(long now, Transaction<H> txn, UseResult result) {
         if (!txn.isLive()) {
             return false;
         }
-        txn.usedAt = now;
+        txn.lastUsedAt = now;
         boolean ending = txn.state == State.ENDING;
-        if (result == Result.NEVER_SENT || !ending && result == Result.DONE) {
+        if (result == UseResult.NEVER_SENT || !ending && result == UseResult.DONE) {
             txn.state = State.OPEN;
             return false;
         }
@@ -183,54 +188,54 @@
             kill(now, txn, "a statement in it was lost");
             return true;
         }
-        if (result == Result.DONE) {
+        if (result == UseResult.DONE) {
             end(now, txn, State.ENDED);
             return false;
         }
-        txn.outcomeUnknown = txn.ending == Purpose.COMMIT;
-        txn.why = "its end was lost on the way";
+        txn.outcomeUnknown = txn.endingBy == Purpose.COMMIT;
+        txn.endReason = "its end was lost on the way";
         end(now, txn, txn.outcomeUnknown ? State.ENDED : State.DEAD);
         return !txn.outcomeUnknown;
     }
 
-    private void kill(long now, Txn<H> txn, String why) {
-        txn.why = why;
+    private void kill(long now, Transaction<H> txn, String why) {
+        txn.endReason = why;
         end(now, txn, State.DEAD);
     }
 
-    private void end(long now, Txn<H> txn, State state) {
+    private void end(long now, Transaction<H> txn, State state) {
         txn.state = state;
-        txn.forgetAt = now + bounds.rememberUs;
+        txn.forgetAt = now + limits.tombstoneUs;
         txn.savepoints.clear();
-        ofClient.compute(txn.owner, (name, n) -> n == 1 ? null : n - 1);
-        onEngine.compute(txn.engine, (engine, n) -> n == 1 ? null : n - 1);
+        countPerClient.compute(txn.owner, (name, n) -> n == 1 ? null : n - 1);
+        countPerEngine.compute(txn.engine, (engine, n) -> n == 1 ? null : n - 1);
     }
 
     /** How it stands, with nothing done about it; GRANTED: it lives. */
-    public Answer standing(Txn<H> txn) {
+    public UseDecision status(Transaction<H> txn) {
         return txn.isLive()
-                ? Answer.GRANTED
+                ? UseDecision.GRANTED
                 : txn.outcomeUnknown
-                        ? Answer.OUTCOME_UNKNOWN
-                        : txn.state == State.DEAD ? Answer.DEAD : Answer.UNKNOWN;
+                        ? UseDecision.OUTCOME_UNKNOWN
+                        : txn.state == State.DEAD ? UseDecision.DEAD : UseDecision.UNKNOWN;
     }
 
     /** Whether its engine drains, so that it can only be ended. */
-    public boolean isDraining(Txn<H> txn) {
-        return txn.isLive() && txn.drainUntil > 0;
+    public boolean isDraining(Transaction<H> txn) {
+        return txn.isLive() && txn.drainDeadline > 0;
     }
 
     // ---- Savepoints
     // -----------------------------------------------------------------------------------
     /** A savepoint that the engine made. */
-    public String mark(Txn<H> txn, H handle) {
+    public String addSavepoint(Transaction<H> txn, H handle) {
         String name = names.get();
         txn.savepoints.put(name, handle);
         return name;
     }
 
     /** The engine's handle of a savepoint, or null where there is none of that name any more. */
-    public H savepoint(Txn<H> txn, String name) {
+    public H savepointHandle(Transaction<H> txn, String name) {
         return txn.savepoints.get(name);
     }
 
@@ -238,8 +243,8 @@
      * The transaction and name of a savepoint of this owner, which may be in any of its
      * transactions.
      */
-    public Txn<H> withSavepoint(String owner, String name) {
-        for (Txn<H> txn : all.values()) {
+    public Transaction<H> findBySavepoint(String owner, String name) {
+        for (Transaction<H> txn : transactions.values()) {
             if (txn.owner.equals(owner) && txn.savepoints.containsKey(name)) {
                 return txn;
             }
@@ -248,7 +253,7 @@
     }
 
     /** Rolled back to: later ones are gone. Released: this one, too. */
-    public void savepointEnded(Txn<H> txn, String name, boolean released) {
+    public void savepointEnded(Transaction<H> txn, String name, boolean released) {
         List<String> names = new ArrayList<>(txn.savepoints.keySet());
         int at = names.indexOf(name);
         if (at >= 0) {
@@ -260,39 +265,39 @@
     // -----------------------------------------------------------------------------
     /** The engine's process has ended. */
     public void engineLost(long now, long engine) {
-        for (Txn<H> txn : all.values()) {
+        for (Transaction<H> txn : transactions.values()) {
             if (txn.engine == engine && txn.isLive()) {
-                boolean commit = txn.state == State.ENDING && txn.ending == Purpose.COMMIT;
+                boolean commit = txn.state == State.ENDING && txn.endingBy == Purpose.COMMIT;
                 txn.outcomeUnknown = commit;
-                txn.why = "its engine was lost";
+                txn.endReason = "its engine was lost";
                 end(now, txn, commit ? State.ENDED : State.DEAD);
             }
         }
     }
 
     /** The engine drains: what is left of the time is for ending its transactions. */
-    public void engineDrains(long now, long engine) {
-        for (Txn<H> txn : all.values()) {
-            if (txn.engine == engine && txn.isLive() && txn.drainUntil == 0) {
-                txn.drainUntil = now + bounds.drainUs;
+    public void engineDraining(long now, long engine) {
+        for (Transaction<H> txn : transactions.values()) {
+            if (txn.engine == engine && txn.isLive() && txn.drainDeadline == 0) {
+                txn.drainDeadline = now + limits.drainTimeoutUs;
             }
         }
     }
 
     /** The engine takes work again: what the drain had not ended goes on. */
     public void engineReady(long now, long engine) {
-        for (Txn<H> txn : all.values()) {
-            if (txn.engine == engine && txn.isLive() && txn.drainUntil > now) {
-                txn.drainUntil = 0;
+        for (Transaction<H> txn : transactions.values()) {
+            if (txn.engine == engine && txn.isLive() && txn.drainDeadline > now) {
+                txn.drainDeadline = 0;
             }
         }
     }
 
     /** The client is gone: what it has open is to be rolled back. */
-    public void left(long now, String owner) {
-        for (Txn<H> txn : all.values()) {
+    public void clientGone(long now, String owner) {
+        for (Transaction<H> txn : transactions.values()) {
             if (txn.owner.equals(owner) && txn.isLive()) {
-                txn.rollback = true;
+                txn.abandoned = true;
             }
         }
     }
@@ -302,41 +307,41 @@
      * lease, left by its client, or on an engine whose drain leaves no more time. Ended ones are
      * forgotten in time.
      */
-    public List<Txn<H>> due(long now) {
-        List<Txn<H>> out = new ArrayList<>();
-        for (Txn<H> txn : all.values()) {
-            boolean drained = txn.drainUntil > 0 && now >= txn.drainUntil;
+    public List<Transaction<H>> takeExpired(long now) {
+        List<Transaction<H>> out = new ArrayList<>();
+        for (Transaction<H> txn : transactions.values()) {
+            boolean drained = txn.drainDeadline > 0 && now >= txn.drainDeadline;
             if (txn.state == State.OPEN
-                    && (drained || txn.rollback || now - txn.usedAt >= bounds.leaseUs)) {
+                    && (drained || txn.abandoned || now - txn.lastUsedAt >= limits.idleTimeoutUs)) {
                 kill(
                         now,
                         txn,
                         drained
                                 ? "its engine drained"
-                                : txn.rollback
+                                : txn.abandoned
                                         ? "it was left by its client"
                                         : "it idled past its lease");
                 out.add(txn);
             } else if (txn.isLive() && drained) {
-                boolean commit = txn.state == State.ENDING && txn.ending == Purpose.COMMIT;
+                boolean commit = txn.state == State.ENDING && txn.endingBy == Purpose.COMMIT;
                 if (!commit) { // A commit that is out has its answer, or none.
                     kill(now, txn, "its engine drained");
                 }
             }
         }
-        all.values().removeIf(txn -> !txn.isLive() && now >= txn.forgetAt);
+        transactions.values().removeIf(txn -> !txn.isLive() && now >= txn.forgetAt);
         return out;
     }
 
-    public int live() {
-        return (int) all.values().stream().filter(Txn::isLive).count();
+    public int openTransactions() {
+        return (int) transactions.values().stream().filter(Transaction::isLive).count();
     }
 
-    public int liveOn(long engine) {
-        return onEngine.getOrDefault(engine, 0);
+    public int openOnEngine(long engine) {
+        return countPerEngine.getOrDefault(engine, 0);
     }
 
-    public int liveOf(String owner) {
-        return ofClient.getOrDefault(owner, 0);
+    public int openOfClient(String owner) {
+        return countPerClient.getOrDefault(owner, 0);
     }
 }
--- a/src/test/java/calicostream/flight/state/StatePropertyTest.java
+++ b/src/test/java/calicostream/flight/state/StatePropertyTest.java
@@ -6,9 +6,9 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicostream.flight.state.PreparedStatements.Parameter;
-import calicostream.flight.state.ResultBuffer.Verdict;
-import calicostream.flight.state.SharedAnswers.Step;
+import calicostream.flight.state.CoalescingCache.Lookup;
+import calicostream.flight.state.PreparedStatement.Parameter;
+import calicostream.flight.state.ResultBuffering.Decision;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -112,7 +112,7 @@
     // ----------------------------------------------------------------------------
     @Property(tries = 1000)
     void anEnginesHandleServesOneAtATime(@ForAll("steps") List<Step3> steps) {
-        PreparedStatements<String, String> statement = new PreparedStatements<>(null);
+        PreparedStatement<String, String> statement = new PreparedStatement<>(null);
         Map<Long, Set<String>> lent = new HashMap<>();
         Map<Long, Set<String>> resting = new HashMap<>();
         int made = 0;
@@ -121,7 +121,7 @@
             Set<String> out = lent.computeIfAbsent(engine, any -> new HashSet<>());
             Set<String> in = resting.computeIfAbsent(engine, any -> new HashSet<>());
             if (step.kind <= 3) {
-                String handle = statement.lend(engine);
+                String handle = statement.acquire(engine);
                 assertEquals(in.isEmpty(), handle == null);
                 if (handle == null) {
                     handle = "h" + made++;
@@ -132,13 +132,13 @@
             } else if (step.kind <= 5 && !out.isEmpty()) {
                 String handle = out.iterator().next();
                 out.remove(handle);
-                boolean kept = statement.giveBack(engine, handle);
+                boolean kept = statement.release(engine, handle);
                 assertEquals(in.size() < 4, kept);
                 if (kept) {
                     in.add(handle);
                 }
             } else if (step.kind == 6) {
-                statement.lost(engine);
+                statement.engineLost(engine);
                 in.clear();
             }
         }
@@ -147,8 +147,8 @@
         Set<String> rest = new HashSet<>();
         resting.values().forEach(rest::addAll);
         assertEquals(rest, toClose);
-        assertFalse(statement.giveBack(1, "late"), "what comes back late is closed");
-        assertNull(statement.lend(1));
+        assertFalse(statement.release(1, "late"), "what comes back late is closed");
+        assertNull(statement.acquire(1));
     }
 
     @Provide
@@ -161,10 +161,12 @@
             @ForAll("types") List<String> wanted,
             @ForAll("types") List<String> got,
             @ForAll @IntRange(max = 2) int rows) {
-        PreparedStatements<String, String> statement =
-                new PreparedStatements<>(wanted.stream().map(t -> new Parameter("p", t)).toList());
+        PreparedStatement<String, String> statement =
+                new PreparedStatement<>(wanted.stream().map(t -> new Parameter("p", t)).toList());
         boolean fits = wanted.equals(got) && (wanted.isEmpty() || rows > 0);
-        String fault = statement.fault(got.stream().map(t -> new Parameter("q", t)).toList(), rows);
+        String fault =
+                statement.parameterError(
+                        got.stream().map(t -> new Parameter("q", t)).toList(), rows);
         assertEquals(fits, fault == null, fault);
     }
 
@@ -176,24 +178,24 @@
             @ForAll @IntRange(max = 300) int hold,
             @ForAll @IntRange(max = 900) int most,
             @ForAll boolean mayBegin) {
-        ResultBuffer gate = new ResultBuffer(hold, most, mayBegin);
+        ResultBuffering gate = new ResultBuffering(hold, most, mayBegin);
         long seen = 0;
         boolean begun = false;
         for (int size : sizes) {
             seen += size;
-            Verdict wanted =
+            Decision wanted =
                     most > 0 && seen > most
-                            ? Verdict.TOO_LONG
+                            ? Decision.TOO_LONG
                             : begun
-                                    ? Verdict.PASS
+                                    ? Decision.FORWARD
                                     : seen <= hold
-                                            ? Verdict.HOLD
-                                            : mayBegin ? Verdict.BEGIN : Verdict.TOO_LONG;
+                                            ? Decision.BUFFER
+                                            : mayBegin ? Decision.START_STREAM : Decision.TOO_LONG;
             assertEquals(wanted, gate.next(size, true));
-            begun |= wanted == Verdict.BEGIN;
-            assertEquals(begun, gate.hasBegun());
-            if (wanted == Verdict.TOO_LONG) {
-                assertEquals(most > 0 && seen > most ? most : hold, gate.bound());
+            begun |= wanted == Decision.START_STREAM;
+            assertEquals(begun, gate.isStreaming());
+            if (wanted == Decision.TOO_LONG) {
+                assertEquals(most > 0 && seen > most ? most : hold, gate.exceededLimit());
                 return;
             }
         }
@@ -206,8 +208,8 @@
 
     @Example
     void whereThereIsNoRoomTheStreamBeginsAtOnce() {
-        assertEquals(Verdict.BEGIN, new ResultBuffer(1000, 0, true).next(10, false));
-        assertEquals(Verdict.TOO_LONG, new ResultBuffer(1000, 0, false).next(10, false));
+        assertEquals(Decision.START_STREAM, new ResultBuffering(1000, 0, true).next(10, false));
+        assertEquals(Decision.TOO_LONG, new ResultBuffering(1000, 0, false).next(10, false));
     }
 
     // ---- Admission
@@ -222,18 +224,18 @@
             int his = open.getOrDefault(client, 0);
             int all = open.values().stream().mapToInt(n -> n).sum();
             if (step.kind <= 3) {
-                Admission.Answer wanted =
+                Admission.Decision wanted =
                         all >= 8
-                                ? Admission.Answer.ALL_FULL
+                                ? Admission.Decision.TOTAL_LIMIT_REACHED
                                 : held >= 1000
-                                        ? Admission.Answer.BYTES_FULL
+                                        ? Admission.Decision.MEMORY_LIMIT_REACHED
                                         : his >= 3
-                                                ? Admission.Answer.CLIENT_FULL
-                                                : Admission.Answer.TAKEN;
-                assertEquals(wanted, admission.enter(client));
-                open.merge(client, wanted == Admission.Answer.TAKEN ? 1 : 0, Integer::sum);
+                                                ? Admission.Decision.CLIENT_LIMIT_REACHED
+                                                : Admission.Decision.ADMITTED;
+                assertEquals(wanted, admission.admit(client));
+                open.merge(client, wanted == Admission.Decision.ADMITTED ? 1 : 0, Integer::sum);
             } else if (step.kind == 4 && his > 0) {
-                admission.leave(client);
+                admission.callEnded(client);
                 open.merge(client, -1, Integer::sum);
             } else if (step.kind == 5) {
                 boolean room = admission.reserve(step.b);
@@ -246,8 +248,8 @@
                 admission.release(held / 2);
                 held -= held / 2;
             }
-            assertEquals(held, admission.bytes());
-            assertEquals(open.values().stream().mapToInt(n -> n).sum(), admission.open());
+            assertEquals(held, admission.bytesInUse());
+            assertEquals(open.values().stream().mapToInt(n -> n).sum(), admission.openCalls());
         }
     }
 
@@ -258,14 +260,14 @@
         assertFalse(admission.beginStream());
         admission.endStream();
         assertTrue(admission.beginStream());
-        assertEquals(2, admission.streams());
+        assertEquals(2, admission.openStreams());
     }
 
     // ---- Shared answers
     // ---------------------------------------------------------------------------------
     @Property(tries = 1000)
     void everyWaiterHearsOnceAndNoAnswerIsOlderThanAChange(@ForAll("steps") List<Step3> steps) {
-        SharedAnswers<Integer, Long> shared = new SharedAnswers<>(300, 1000);
+        CoalescingCache<Integer, Long> shared = new CoalescingCache<>(300, 1000);
         record Attempt(String question, long epoch, long startedIn) {}
         List<Attempt> under = new ArrayList<>();
         Map<Integer, String> waiting = new HashMap<>();
@@ -276,13 +278,13 @@
             now += step.b / 4;
             String question = "q" + step.a % 3;
             if (step.kind <= 2) {
-                Step did = shared.ask(now, question, ++who);
-                if (did == Step.ANSWER) {
+                Lookup did = shared.lookUp(now, question, ++who);
+                if (did == Lookup.HIT) {
                     assertEquals(
                             version, shared.find(now, question), "no answer from before a change");
                 } else {
                     waiting.put(who, question);
-                    if (did == Step.ASK) {
+                    if (did == Lookup.MISS) {
                         under.add(new Attempt(question, shared.epoch(), version));
                     }
                 }
@@ -290,7 +292,7 @@
                 Attempt attempt = under.remove(step.a % under.size());
                 List<Integer> heard =
                         step.kind == 3
-                                ? shared.answered(
+                                ? shared.complete(
                                         now,
                                         attempt.question,
                                         attempt.epoch,
@@ -305,17 +307,17 @@
                             "each waiter hears once, of its own question");
                 }
             } else if (step.kind == 5) {
-                shared.changed("");
+                shared.invalidate("");
                 version++;
             } else if (step.kind == 6 && !waiting.isEmpty()) {
                 int leaver = waiting.keySet().iterator().next();
                 String asked = waiting.get(leaver);
-                boolean last = shared.left(asked, leaver);
+                boolean last = shared.waiterGone(asked, leaver);
                 if (last) {
                     waiting.remove(leaver);
                 }
             }
-            assertTrue(shared.bytes() <= 1000);
+            assertTrue(shared.cachedBytes() <= 1000);
         }
     }
 
@@ -323,23 +325,23 @@
     // --------------------------------------------------------------------
     @Property
     void progressNeverGoesBackAndWakesWhoWaits(@ForAll("shares") List<Double> shares) {
-        Progress<Integer, String> progress = new Progress<>(100);
+        QueryPoll<Integer, String> progress = new QueryPoll<>(100);
         double best = 0;
         for (int i = 0; i < shares.size(); i++) {
-            long heard = progress.news();
+            long heard = progress.version();
             assertTrue(progress.await(i, heard));
             boolean news = shares.get(i) > best && shares.get(i) <= 1;
-            assertEquals(news ? List.of(i) : List.of(), progress.advanced(shares.get(i)));
+            assertEquals(news ? List.of(i) : List.of(), progress.progressed(shares.get(i)));
             best = news ? shares.get(i) : best;
-            assertEquals(best, progress.share());
-            progress.left(i);
-            assertEquals(0, progress.waiting());
+            assertEquals(best, progress.fractionDone());
+            progress.callerGone(i);
+            assertEquals(0, progress.waiters());
         }
-        assertTrue(progress.await(-1, progress.news()));
+        assertTrue(progress.await(-1, progress.version()));
         assertEquals(List.of(-1), progress.ended("end"));
-        assertFalse(progress.await(-2, progress.news()), "an ended query is never waited for");
+        assertFalse(progress.await(-2, progress.version()), "an ended query is never waited for");
         assertEquals(List.of(), progress.ended("again"));
-        assertEquals("end", progress.end());
+        assertEquals("end", progress.outcome());
     }
 
     @Provide
@@ -377,15 +379,20 @@
                 new FlightSessions(() -> "s" + made[0]++, Set.of("lookup"), 2, 100);
         FlightSessions.Session user = sessions.open(0, "ann");
         assertEquals(
-                FlightSessions.Setting.DONE, sessions.set(user, FlightSessions.CLASS, "lookup"));
+                FlightSessions.OptionResult.SET,
+                sessions.set(user, FlightSessions.CLASS, "lookup"));
         assertEquals(
-                FlightSessions.Setting.BAD_VALUE, sessions.set(user, FlightSessions.CLASS, "none"));
+                FlightSessions.OptionResult.INVALID_VALUE,
+                sessions.set(user, FlightSessions.CLASS, "none"));
         assertEquals(
-                FlightSessions.Setting.BAD_VALUE, sessions.set(user, FlightSessions.PRIORITY, 4L));
-        assertEquals(FlightSessions.Setting.DONE, sessions.set(user, FlightSessions.PRIORITY, 3L));
-        assertEquals(FlightSessions.Setting.BAD_NAME, sessions.set(user, "colour", "red"));
+                FlightSessions.OptionResult.INVALID_VALUE,
+                sessions.set(user, FlightSessions.PRIORITY, 4L));
         assertEquals(
-                FlightSessions.Setting.DONE, sessions.set(user, FlightSessions.PRIORITY, null));
+                FlightSessions.OptionResult.SET, sessions.set(user, FlightSessions.PRIORITY, 3L));
+        assertEquals(
+                FlightSessions.OptionResult.UNKNOWN_OPTION, sessions.set(user, "colour", "red"));
+        assertEquals(
+                FlightSessions.OptionResult.SET, sessions.set(user, FlightSessions.PRIORITY, null));
         assertEquals(Map.of(FlightSessions.CLASS, "lookup"), user.options());
         assertEquals(user, sessions.find(99, "s0"));
         assertNull(sessions.find(100, "s0"), "a token ends a set time after its login");
--- a/src/test/java/calicostream/flight/state/TransactionsPropertyTest.java
+++ b/src/test/java/calicostream/flight/state/TransactionsPropertyTest.java
@@ -6,11 +6,11 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicostream.flight.state.Transactions.Answer;
-import calicostream.flight.state.Transactions.Bounds;
+import calicostream.flight.state.Transactions.Limits;
 import calicostream.flight.state.Transactions.Purpose;
-import calicostream.flight.state.Transactions.Result;
-import calicostream.flight.state.Transactions.Txn;
+import calicostream.flight.state.Transactions.Transaction;
+import calicostream.flight.state.Transactions.UseDecision;
+import calicostream.flight.state.Transactions.UseResult;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -26,7 +26,7 @@
 
 /** Random lives of transactions against a model that only knows what was said to their clients. */
 class TransactionsPropertyTest {
-    private static final Bounds BOUNDS = new Bounds(3, 4, 1000, 100, 5000);
+    private static final Limits BOUNDS = new Limits(3, 4, 1000, 100, 5000);
 
     /** One thing that happens; {@code pick} chooses which transaction, owner or engine. */
     record Step(int kind, int pick, int time) {}
@@ -44,12 +44,12 @@
 
     /** What a client has been told of its transaction. */
     private static final class Known {
-        final Txn<String> txn;
+        final Transaction<String> txn;
         boolean inUse, over, unknown, draining;
         Purpose purpose;
         long drainAt, usedAt;
 
-        Known(Txn<String> txn) {
+        Known(Transaction<String> txn) {
             this.txn = txn;
         }
     }
@@ -59,7 +59,7 @@
         int[] names = new int[1];
         Transactions<String> all = new Transactions<>(() -> "n" + names[0]++, BOUNDS);
         List<Known> known = new ArrayList<>();
-        Set<Txn<String>> rolledBack = new HashSet<>();
+        Set<Transaction<String>> rolledBack = new HashSet<>();
         Map<String, Integer> live = new HashMap<>();
         long now = 0;
         for (Step step : life) {
@@ -68,15 +68,15 @@
             long engine = step.pick % 2;
             Known one = known.isEmpty() ? null : known.get(step.pick % known.size());
             if (step.kind <= 2) {
-                boolean may = all.mayBegin(owner);
-                assertEquals(live.getOrDefault(owner, 0) < BOUNDS.ofClient(), may);
+                boolean may = all.reserve(owner);
+                assertEquals(live.getOrDefault(owner, 0) < BOUNDS.perClient(), may);
                 if (may) {
-                    Txn<String> begun = all.begun(now, owner, engine, "h" + names[0]);
+                    Transaction<String> begun = all.begin(now, owner, engine, "h" + names[0]);
                     long there =
                             known.stream()
                                     .filter(each -> !each.over && each.txn.engine == engine)
                                     .count();
-                    assertEquals(there >= BOUNDS.onEngine(), begun == null);
+                    assertEquals(there >= BOUNDS.perEngine(), begun == null);
                     if (begun != null) {
                         known.add(new Known(begun));
                         known.get(known.size() - 1).usedAt = now;
@@ -86,7 +86,7 @@
             } else if (step.kind <= 5 && one != null) {
                 use(all, one, Purpose.values()[step.kind - 3], now);
             } else if (step.kind <= 8 && one != null) {
-                done(all, one, Result.values()[step.kind - 6], now, live);
+                done(all, one, UseResult.values()[step.kind - 6], now, live);
             } else if (step.kind == 9) {
                 all.engineLost(now, engine);
                 for (Known each : known) {
@@ -96,20 +96,20 @@
                     }
                 }
             } else if (step.kind == 10) {
-                all.engineDrains(now, engine);
+                all.engineDraining(now, engine);
                 for (Known each : known) {
                     if (!each.over && each.txn.engine == engine && !each.draining) {
                         each.draining = true;
-                        each.drainAt = now + BOUNDS.drainUs();
+                        each.drainAt = now + BOUNDS.drainTimeoutUs();
                     }
                 }
             } else if (step.kind == 11) {
-                for (Txn<String> gone : all.due(now)) {
+                for (Transaction<String> gone : all.takeExpired(now)) {
                     assertTrue(rolledBack.add(gone), "rolled back once");
                 }
                 for (Known each : known) {
                     boolean drained = each.draining && now >= each.drainAt;
-                    boolean idle = !each.inUse && now - each.usedAt >= BOUNDS.leaseUs();
+                    boolean idle = !each.inUse && now - each.usedAt >= BOUNDS.idleTimeoutUs();
                     if (!each.over
                             && (idle
                                     || drained
@@ -121,7 +121,7 @@
             for (String each : List.of("o0", "o1", "o2")) {
                 assertEquals(
                         live.getOrDefault(each, 0),
-                        all.liveOf(each),
+                        all.openOfClient(each),
                         "what a client has open is counted");
             }
         }
@@ -134,18 +134,18 @@
     }
 
     private static void use(Transactions<String> all, Known one, Purpose purpose, long now) {
-        Answer answer = all.use(now, one.txn, purpose);
+        UseDecision answer = all.tryUse(now, one.txn, purpose);
         if (one.over) {
-            assertTrue(answer != Answer.GRANTED, "what is over stays over");
-            assertEquals(one.unknown, answer == Answer.OUTCOME_UNKNOWN);
+            assertTrue(answer != UseDecision.GRANTED, "what is over stays over");
+            assertEquals(one.unknown, answer == UseDecision.OUTCOME_UNKNOWN);
         } else if (one.draining && now >= one.drainAt) {
-            assertEquals(Answer.DEAD, answer);
+            assertEquals(UseDecision.DEAD, answer);
         } else if (one.inUse) {
-            assertEquals(Answer.IN_USE, answer, "one thing at a time");
+            assertEquals(UseDecision.IN_USE, answer, "one thing at a time");
         } else if (one.draining && purpose == Purpose.STATEMENT) {
-            assertEquals(Answer.DRAINING, answer);
+            assertEquals(UseDecision.DRAINING, answer);
         } else {
-            assertEquals(Answer.GRANTED, answer);
+            assertEquals(UseDecision.GRANTED, answer);
             one.inUse = true;
             one.purpose = purpose;
             one.usedAt = now;
@@ -155,30 +155,30 @@
     private static void done(
             Transactions<String> all,
             Known one,
-            Result result,
+            UseResult result,
             long now,
             Map<String, Integer> live) {
         if (!one.inUse) {
             return;
         }
-        boolean rollBack = all.done(now, one.txn, result);
+        boolean rollBack = all.useEnded(now, one.txn, result);
         one.usedAt = now;
         boolean statement = one.purpose == Purpose.STATEMENT;
-        if (result == Result.NEVER_SENT || statement && result == Result.DONE) {
+        if (result == UseResult.NEVER_SENT || statement && result == UseResult.DONE) {
             one.inUse = false;
             assertFalse(rollBack);
             return;
         }
-        one.unknown = result == Result.LOST && one.purpose == Purpose.COMMIT;
-        assertEquals(result == Result.LOST && !one.unknown, rollBack);
+        one.unknown = result == UseResult.LOST && one.purpose == Purpose.COMMIT;
+        assertEquals(result == UseResult.LOST && !one.unknown, rollBack);
         over(one, live);
     }
 
     @Property
     void nobodyElseFindsIt(@ForAll int a, @ForAll int b) {
         Transactions<String> all = new Transactions<>(() -> "name", BOUNDS);
-        assertTrue(all.mayBegin("u" + a));
-        all.begun(0, "u" + a, 1, "h");
+        assertTrue(all.reserve("u" + a));
+        all.begin(0, "u" + a, 1, "h");
         assertEquals(a == b, all.find("u" + b, "name") != null);
     }
 
@@ -186,18 +186,18 @@
     void savepointsGoFromTheEndOn(@ForAll("cuts") int cut, @ForAll boolean release) {
         int[] names = new int[1];
         Transactions<String> all = new Transactions<>(() -> "n" + names[0]++, BOUNDS);
-        assertTrue(all.mayBegin("o"));
-        Txn<String> txn = all.begun(0, "o", 1, "h");
+        assertTrue(all.reserve("o"));
+        Transaction<String> txn = all.begin(0, "o", 1, "h");
         List<String> points = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            points.add(all.mark(txn, "s" + i));
+            points.add(all.addSavepoint(txn, "s" + i));
         }
         all.savepointEnded(txn, points.get(cut), release);
         for (int i = 0; i < 6; i++) {
             boolean left = i < cut || i == cut && !release;
-            assertEquals(left ? "s" + i : null, all.savepoint(txn, points.get(i)));
-            assertEquals(left ? txn : null, all.withSavepoint("o", points.get(i)));
-            assertNull(all.withSavepoint("other", points.get(i)));
+            assertEquals(left ? "s" + i : null, all.savepointHandle(txn, points.get(i)));
+            assertEquals(left ? txn : null, all.findBySavepoint("o", points.get(i)));
+            assertNull(all.findBySavepoint("other", points.get(i)));
         }
     }
 
--- a/src/test/java/calicostream/flight/suite/HardCasesTest.java
+++ b/src/test/java/calicostream/flight/suite/HardCasesTest.java
@@ -492,7 +492,8 @@
             if (i % group == 0) {
                 int open = i;
                 rig.awaitHere(
-                        open + " flow", () -> rig.admission.streams() == open || !ended.isEmpty());
+                        open + " flow",
+                        () -> rig.admission.openStreams() == open || !ended.isEmpty());
                 assertEquals(List.of(), List.copyOf(ended));
             }
         }
@@ -500,7 +501,7 @@
         assertTrue(
                 beside < Math.max(1000, 20 * alone),
                 beside + " ms for a small query beside them, " + alone + " alone");
-        assertEquals(1000, rig.admission.streams(), "all were there meanwhile");
+        assertEquals(1000, rig.admission.openStreams(), "all were there meanwhile");
         for (ManagedChannel channel : lazy) {
             channel.shutdownNow();
         }
@@ -533,7 +534,7 @@
                     Raw.ticket(channel, "select rows=40000 batch=1000 width=50"),
                     new CompletableFuture<>());
         }
-        Rig.await("both flow", () -> rig.admission.streams() == 2);
+        Rig.await("both flow", () -> rig.admission.openStreams() == 2);
         assertEquals(
                 "refused",
                 outcome(
@@ -545,7 +546,7 @@
                         (c, arm) -> Ops.rows(c, c.execute("select rows=3", Ops.LOOKUP), 3),
                         client));
         channel.shutdownNow();
-        Rig.await("none flows", () -> rig.admission.streams() == 0);
+        Rig.await("none flows", () -> rig.admission.openStreams() == 0);
     }
 
     @Test
--- a/src/test/java/calicostream/flight/suite/Rig.java
+++ b/src/test/java/calicostream/flight/suite/Rig.java
@@ -204,7 +204,7 @@
             await(what, condition);
         } catch (AssertionError e) {
             throw new AssertionError(
-                    e.getMessage() + ", begun=" + admission.streams() + " " + figures(), e);
+                    e.getMessage() + ", begun=" + admission.openStreams() + " " + figures(), e);
         }
     }
 
