--- a/src/main/java/calicostream/platform/Resp.java
+++ b/src/main/java/calicostream/platform/Resp.java
@@ -4,6 +4,7 @@
 import calicostream.net.InvalidInputException;
 import calicostream.net.RingBuffer;
 import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
 
 /** RESP arrays of bulk strings. */
 final class Resp {
@@ -83,7 +84,7 @@
             System.arraycopy(item, 0, out, at, item.length);
             at = text(out, at + item.length, "\r\n");
         }
-        return java.util.Arrays.copyOf(out, at);
+        return Arrays.copyOf(out, at);
     }
 
     static byte[] command(String... words) {
