--- a/src/main/java/calicostream/platform/RespConnection.java
+++ b/src/main/java/calicostream/platform/RespConnection.java
@@ -28,9 +28,7 @@
     /** Progress periods without a byte after which the connection accepts no other call. */
     private static final double SILENT_PROGRESS_PERIODS = 1.25;
 
-    /**
-     * The engine closes idle connections, too; closing first keeps a request from crossing that.
-     */
+    /** Closed before the engine does, so that no request crosses its close. */
     private static final long IDLE_TIMEOUT_TENTHS = 7;
 
     private final RespContext context;
@@ -44,7 +42,7 @@
     private final InactivityTimer partialResponseTimer;
     private final Map<String, RespCall> calls = new HashMap<>();
     private final List<RespCall> unsentCalls = new ArrayList<>();
-    private final Map<String, RespLoadProbe> probes = new HashMap<>();
+    private final PendingProbes probes = new PendingProbes();
     private final StaleRequestIds staleIds = new StaleRequestIds();
 
     /** Broken connections; whether the engine died with them shows when this one comes up. */
@@ -79,17 +77,10 @@
                         context.loop(), endpoint.address(), this, BUFFER_BYTES, BUFFER_BYTES);
         number = pool.opened(endpoint, this);
         writer = new RespRequestWriter(context, endpoint, connection, number);
-        context.schedule(context.settings().dialTimeoutUs(), this::closeUnlessConnected);
-    }
-
-    private void closeUnlessConnected() {
-        if (!connection.isConnected()) {
-            connection.close();
-        }
+        context.schedule(
+                context.settings().dialTimeoutUs(), () -> closeUnless(connection.isConnected()));
     }
 
-    // What the pool asks.
-
     boolean isConnected() {
         return connection.isConnected();
     }
@@ -150,8 +141,6 @@
                 && now - Math.max(lastReceivedAt, busySince) > SILENT_PROGRESS_PERIODS * period;
     }
 
-    // Sending.
-
     /** Sends a call, now or when the connection is up. */
     void add(RespCall call) {
         if (calls.isEmpty()) {
@@ -168,8 +157,7 @@
 
     /** Sends a probe, now or when the connection is up. */
     void send(RespLoadProbe probe) {
-        probes.values().removeIf(RespLoadProbe::hasEnded);
-        probes.put(probe.tag(), probe);
+        probes.add(probe);
         idleTimer.recordActivity(context.now()); // Not idle while the engine is about to answer.
         if (connection.isConnected()) {
             sendCommand("STAT", probe.tag());
@@ -199,8 +187,6 @@
         writer.drained();
     }
 
-    // Cancelling and ending calls.
-
     /**
      * Gives a call up. A connection that has received nothing since the call was written may be
      * dead: it accepts no other.
@@ -274,28 +260,27 @@
 
     /** Closes it by our own choice, which says nothing of its engine. */
     void closeUnused() {
-        endProbes(AttemptOutcome.NOT_STARTED);
+        probes.endAll(AttemptOutcome.NOT_STARTED);
         connection.close();
     }
 
-    void close() {
-        connection.close();
+    private void closeUnless(boolean isInUse) {
+        if (!isInUse) {
+            connection.close();
+        }
     }
 
-    private void endProbes(AttemptOutcome outcome) {
-        List.copyOf(probes.values()).forEach(probe -> probe.end(outcome, null));
+    void close() {
+        connection.close();
     }
 
-    // Receiving.
-
     /** The call of this request, or null. */
     RespCall call(String requestId) {
         return calls.get(requestId);
     }
 
-    /** Takes out the probe of this tag; null where there is none. */
-    RespLoadProbe takeProbe(String tag) {
-        return probes.remove(tag);
+    PendingProbes probes() {
+        return probes;
     }
 
     @Override
@@ -309,7 +294,7 @@
                 end(call, AttemptOutcome.NOT_STARTED, null);
             }
         }
-        probes.keySet().forEach(tag -> sendCommand("STAT", tag));
+        probes.tags().forEach(tag -> sendCommand("STAT", tag));
         brokenConnections.forEach(broken -> broken.endAll(AttemptOutcome.CONNECTION_BROKEN));
         brokenConnections.clear();
         updateIdle();
@@ -349,8 +334,6 @@
         connection.close();
     }
 
-    // The end of the connection.
-
     /**
      * What was not sent never ran, and may try one more connection: new ones are reset at times.
      * What was sent may have run; whether the engine's process has ended or only this connection
@@ -358,13 +341,9 @@
      */
     @Override
     public void closed(Connection closing) {
-        LOG.debug(
-                "connection {} to {} closed with calls {}",
-                number,
-                endpoint.address(),
-                calls.keySet());
+        LOG.debug("connection {} to {} closed", number, endpoint.address());
         pool.closed(endpoint, this);
-        endProbes(
+        probes.endAll(
                 lastReceivedAt > 0
                         ? AttemptOutcome.CONNECTION_BROKEN
                         : AttemptOutcome.CONNECT_FAILED);
--- a/src/main/java/calicostream/platform/RespResponseHandler.java
+++ b/src/main/java/calicostream/platform/RespResponseHandler.java
@@ -35,7 +35,7 @@
             throw new InvalidInputException("an answer of " + response.length + " parts");
         }
         String id = text(response[0]);
-        RespLoadProbe probe = connection.takeProbe(id);
+        RespLoadProbe probe = connection.probes().take(id);
         if (probe != null) {
             probeAnswered(probe, response);
             return;
