--- a/src/main/java/calicostream/flight/engine/QueryCall.java
+++ b/src/main/java/calicostream/flight/engine/QueryCall.java
@@ -2,7 +2,7 @@
 package calicostream.flight.engine;
 
 import calicostream.core.Attempt;
-import calicostream.flight.state.ResultBuffer;
+import calicostream.flight.state.ResultBuffering;
 import calicostream.flight.wire.EngineOperation;
 import calicostream.flight.wire.EngineResult;
 import calicostream.flight.wire.FlightFrame;
@@ -27,7 +27,7 @@
 final class QueryCall extends EngineCall implements EngineResult.Stream {
     private final ByteString command;
     private final PreparedStatementLease lease;
-    private final ResultBuffer gate;
+    private final ResultBuffering gate;
     private final boolean streams;
     private List<ByteString> tickets = List.of();
     private List<FlightFrame> held = new ArrayList<>();
@@ -68,7 +68,7 @@
         this.streams = streams;
         lease = bound == null ? null : new PreparedStatementLease(this, bound);
         gate =
-                new ResultBuffer(
+                new ResultBuffering(
                         streams ? engines.config.holdBytes() : engines.config.mostHeldBytes(),
                         engines.config.mostResultBytes(),
                         streams);
@@ -118,7 +118,7 @@
 
     @Override
     void failed(Throwable error) {
-        boolean whole = held.isEmpty() && !gate.hasBegun();
+        boolean whole = held.isEmpty() && !gate.isStreaming();
         if (lease == null
                 || !whole
                 || !lease.again(Status.fromThrowable(error), this::bindAndPlan)) {
@@ -194,14 +194,14 @@
             return;
         }
         hasSchema |= kind == FlightFrame.Kind.SCHEMA;
-        boolean room = !gate.hasBegun() && engines.admission.reserve(frame.bytes());
+        boolean room = !gate.isStreaming() && engines.admission.reserve(frame.bytes());
         switch (gate.next(frame.bytes(), room)) {
-            case HOLD:
+            case BUFFER:
                 reserved += frame.bytes();
                 held.add(frame);
                 pull();
                 break;
-            case BEGIN:
+            case START_STREAM:
                 reserved += room ? frame.bytes() : 0;
                 held.add(frame);
                 flows = engines.admission.beginStream();
@@ -213,14 +213,14 @@
                 }
                 engines.loop.post(() -> engines.gateway().streamBegan(attempt, this));
                 break;
-            case PASS:
+            case FORWARD:
                 sink.frame(frame);
                 pull();
                 break;
             default:
                 reserved += room ? frame.bytes() : 0;
                 frame.release();
-                tooLong(gate.bound(), "all");
+                tooLong(gate.exceededLimit(), "all");
                 break;
         }
     }
@@ -229,7 +229,7 @@
     private void whole() {
         if (!hasSchema) {
             finish(AttemptOutcome.ERROR, null);
-        } else if (gate.hasBegun()) {
+        } else if (gate.isStreaming()) {
             finish(AttemptOutcome.OK, null);
         } else {
             List<FlightFrame> all = held;
--- a/src/main/java/calicostream/flight/front/CatalogHandler.java
+++ b/src/main/java/calicostream/flight/front/CatalogHandler.java
@@ -3,7 +3,7 @@
 
 import calicostream.core.FailureReason;
 import calicostream.core.RequestResult;
-import calicostream.flight.state.SharedAnswers;
+import calicostream.flight.state.CoalescingCache;
 import calicostream.flight.wire.EngineOperation;
 import calicostream.flight.wire.EngineResult;
 import calicostream.flight.wire.FlightFrame;
@@ -40,15 +40,15 @@
     }
 
     private final RequestDispatcher desk;
-    private final SharedAnswers<Waiter, Object> shared;
+    private final CoalescingCache<Waiter, Object> shared;
     private final Map<String, Asked> under = new HashMap<>();
 
     CatalogHandler(RequestDispatcher desk) {
         this.desk = desk;
-        shared = new SharedAnswers<>(desk.config.metadataLifeUs(), desk.config.metadataBytes());
+        shared = new CoalescingCache<>(desk.config.metadataLifeUs(), desk.config.metadataBytes());
     }
 
-    SharedAnswers<Waiter, Object> shared() {
+    CoalescingCache<Waiter, Object> shared() {
         return shared;
     }
 
@@ -86,11 +86,11 @@
                                 then.accept(told);
                             }
                         });
-        switch (shared.ask(desk.now(), question, waiter)) {
-            case ANSWER:
+        switch (shared.lookUp(desk.now(), question, waiter)) {
+            case HIT:
                 then.accept(new Told(shared.find(desk.now(), question), null, -1));
                 return;
-            case ASK:
+            case MISS:
                 attempt(call, question, catalog, work);
                 break;
             default:
@@ -98,7 +98,7 @@
         }
         call.atEnd(
                 () -> {
-                    if (shared.left(question, waiter)) {
+                    if (shared.waiterGone(question, waiter)) {
                         Asked nobody = under.remove(question);
                         if (nobody != null && nobody.attempt != null) {
                             nobody.attempt.abandon();
@@ -138,7 +138,7 @@
                                 }
                                 under.remove(question, asked);
                                 Told told = new Told(answer, null, -1);
-                                shared.answered(
+                                shared.complete(
                                                 desk.now(),
                                                 question,
                                                 epoch,
@@ -186,6 +186,6 @@
 
     /** A statement or an upload may have changed what engines tell; an empty name: any catalog. */
     void changed(String catalog) {
-        shared.changed(catalog);
+        shared.invalidate(catalog);
     }
 }
--- a/src/main/java/calicostream/flight/front/TransactionHandler.java
+++ b/src/main/java/calicostream/flight/front/TransactionHandler.java
@@ -5,8 +5,8 @@
 import calicostream.core.RequestResult;
 import calicostream.flight.state.Transactions;
 import calicostream.flight.state.Transactions.Purpose;
-import calicostream.flight.state.Transactions.Result;
-import calicostream.flight.state.Transactions.Txn;
+import calicostream.flight.state.Transactions.Transaction;
+import calicostream.flight.state.Transactions.UseResult;
 import calicostream.flight.wire.EngineOperation;
 import calicostream.flight.wire.EngineResult;
 import calicostream.flight.wire.FlightWire;
@@ -34,7 +34,7 @@
         all =
                 new Transactions<>(
                         desk::name,
-                        new Transactions.Bounds(
+                        new Transactions.Limits(
                                 desk.config.transactionsPerClient(),
                                 desk.config.transactionsPerEngine(),
                                 desk.config.transactionIdleUs(),
@@ -51,9 +51,9 @@
     /**
      * The transaction that a statement names, taken for it; null: the call has been told why not.
      */
-    Txn<ByteString> use(ServerCall<?> call, ByteString name, Purpose purpose) {
-        Txn<ByteString> txn = all.find(call.owner, name.toStringUtf8());
-        Status why = FlightStatuses.transaction(all.use(desk.now(), txn, purpose), txn);
+    Transaction<ByteString> use(ServerCall<?> call, ByteString name, Purpose purpose) {
+        Transaction<ByteString> txn = all.find(call.owner, name.toStringUtf8());
+        Status why = FlightStatuses.transaction(all.tryUse(desk.now(), txn, purpose), txn);
         if (why != null) {
             call.fail(why);
             return null;
@@ -65,11 +65,11 @@
      * A reply that also tells the transaction how it went. {@code reads}: leaving it half-way
      * changes nothing.
      */
-    ResponseCallback within(Txn<ByteString> txn, boolean reads, ResponseCallback reply) {
+    ResponseCallback within(Transaction<ByteString> txn, boolean reads, ResponseCallback reply) {
         return new ResponseCallback() {
             @Override
             public void served(RequestResult result) {
-                done(txn, Result.DONE);
+                done(txn, UseResult.DONE);
                 reply.served(result);
             }
 
@@ -80,13 +80,13 @@
 
             @Override
             public void refused(long stayAwayMs) {
-                done(txn, Result.NEVER_SENT);
+                done(txn, UseResult.NEVER_SENT);
                 reply.refused(stayAwayMs);
             }
 
             @Override
             public void failed(FailureReason why) {
-                done(txn, Result.LOST);
+                done(txn, UseResult.LOST);
                 reply.failed(why);
             }
 
@@ -94,20 +94,20 @@
             public void word(
                     Status status) { // The engine judged the statement; the transaction is its to
                 // keep.
-                done(txn, Result.DONE);
+                done(txn, UseResult.DONE);
                 reply.word(status);
             }
 
             @Override
             public void left() {
-                done(txn, reads ? Result.DONE : Result.LOST);
+                done(txn, reads ? UseResult.DONE : UseResult.LOST);
                 reply.left();
             }
         };
     }
 
-    private void done(Txn<ByteString> txn, Result result) {
-        if (all.done(desk.now(), txn, result)) {
+    private void done(Transaction<ByteString> txn, UseResult result) {
+        if (all.useEnded(desk.now(), txn, result)) {
             rollBack(txn.engine, txn.handle);
         }
     }
@@ -115,7 +115,7 @@
     /** An action in a transaction, on its engine. */
     private void act(
             ServerCall<Flight.Result> call,
-            Txn<ByteString> txn,
+            Transaction<ByteString> txn,
             Purpose purpose,
             String type,
             Message body,
@@ -133,7 +133,7 @@
 
                     @Override
                     public void failed(FailureReason why) {
-                        Status told = FlightStatuses.transaction(all.standing(txn), txn);
+                        Status told = FlightStatuses.transaction(all.status(txn), txn);
                         call.fail(told == null ? FlightStatuses.failure(why) : told);
                     }
                 };
@@ -149,7 +149,7 @@
     // ---- Actions
     // --------------------------------------------------------------------------------------
     void begin(ServerCall<Flight.Result> call) {
-        if (!all.mayBegin(call.owner)) {
+        if (!all.reserve(call.owner)) {
             call.fail(
                     Status.RESOURCE_EXHAUSTED.withDescription(
                             "too many transactions of one client: "
@@ -176,13 +176,14 @@
                                         FlightSql.ActionBeginTransactionResult.class,
                                         FlightSql.ActionBeginTransactionResult::getTransactionId);
                         if (handle.isEmpty()) {
-                            all.notBegun(owner);
+                            all.releaseReservation(owner);
                             call.fail(
                                     Status.INTERNAL.withDescription(
                                             "the engine named no transaction"));
                             return;
                         }
-                        Txn<ByteString> txn = all.begun(desk.now(), owner, acted.engine(), handle);
+                        Transaction<ByteString> txn =
+                                all.begin(desk.now(), owner, acted.engine(), handle);
                         if (txn == null) {
                             rollBack(acted.engine(), handle);
                             call.fail(FlightStatuses.refusal(desk.mostWaitMs()), desk.mostWaitMs());
@@ -197,25 +198,25 @@
 
                     @Override
                     public void refused(long stayAwayMs) {
-                        all.notBegun(owner);
+                        all.releaseReservation(owner);
                         super.refused(stayAwayMs);
                     }
 
                     @Override
                     public void failed(FailureReason why) {
-                        all.notBegun(owner);
+                        all.releaseReservation(owner);
                         super.failed(why);
                     }
 
                     @Override
                     public void word(Status status) {
-                        all.notBegun(owner);
+                        all.releaseReservation(owner);
                         super.word(status);
                     }
 
                     @Override
                     public void left() { // The engine's own lease ends what it may have begun.
-                        all.notBegun(owner);
+                        all.releaseReservation(owner);
                     }
                 });
     }
@@ -226,7 +227,7 @@
             throw CommandDecoder.invalid("commit or rollback?");
         }
         Purpose purpose = commit ? Purpose.COMMIT : Purpose.ROLLBACK;
-        Txn<ByteString> txn = use(call, request.getTransactionId(), purpose);
+        Transaction<ByteString> txn = use(call, request.getTransactionId(), purpose);
         if (txn == null) {
             return;
         }
@@ -245,12 +246,12 @@
                     done(
                             txn,
                             status.isOk() || status.getCode() == Status.Code.ABORTED
-                                    ? Result.DONE
-                                    : Result.LOST);
+                                    ? UseResult.DONE
+                                    : UseResult.LOST);
                     if (status.isOk()) {
                         call.complete();
                     } else {
-                        Status told = FlightStatuses.transaction(all.standing(txn), txn);
+                        Status told = FlightStatuses.transaction(all.status(txn), txn);
                         call.fail(told == null ? status : told);
                     }
                 });
@@ -260,7 +261,7 @@
         if (request.getName().isEmpty()) {
             throw CommandDecoder.invalid("a savepoint needs a name");
         }
-        Txn<ByteString> txn = use(call, request.getTransactionId(), Purpose.STATEMENT);
+        Transaction<ByteString> txn = use(call, request.getTransactionId(), Purpose.STATEMENT);
         if (txn != null) {
             act(
                     call,
@@ -285,7 +286,7 @@
                                         FlightSql.ActionBeginSavepointResult.newBuilder()
                                                 .setSavepointId(
                                                         ByteString.copyFromUtf8(
-                                                                all.mark(txn, handle)))
+                                                                all.addSavepoint(txn, handle)))
                                                 .build()));
                     });
         }
@@ -297,12 +298,12 @@
             throw CommandDecoder.invalid("release or rollback?");
         }
         String name = request.getSavepointId().toStringUtf8();
-        Txn<ByteString> of = all.withSavepoint(call.owner, name);
+        Transaction<ByteString> of = all.findBySavepoint(call.owner, name);
         if (of == null) {
             call.fail(FlightStatuses.UNKNOWN_HANDLE);
             return;
         }
-        ByteString handle = all.savepoint(of, name);
+        ByteString handle = all.savepointHandle(of, name);
         if (use(call, ByteString.copyFromUtf8(of.name), Purpose.STATEMENT) != null) {
             act(
                     call,
@@ -320,7 +321,7 @@
     // ---- Time
     // -----------------------------------------------------------------------------------------
     void look(long now) {
-        all.due(now).forEach(txn -> rollBack(txn.engine, txn.handle));
+        all.takeExpired(now).forEach(txn -> rollBack(txn.engine, txn.handle));
     }
 
     private void rollBack(long engine, ByteString handle) {
--- a/src/main/java/calicostream/flight/wire/EngineOperation.java
+++ b/src/main/java/calicostream/flight/wire/EngineOperation.java
@@ -2,7 +2,7 @@
 package calicostream.flight.wire;
 
 import calicostream.core.RequestOperation;
-import calicostream.flight.state.PreparedStatements;
+import calicostream.flight.state.PreparedStatement;
 import com.google.protobuf.ByteString;
 import io.grpc.Metadata;
 import java.util.List;
@@ -15,7 +15,7 @@
 
     /** A prepared statement to run: how to make it at an engine, and what is bound to it. */
     record Bound(
-            PreparedStatements<List<FlightFrame>, ByteString> statement,
+            PreparedStatement<List<FlightFrame>, ByteString> statement,
             String action,
             ByteString request,
             List<FlightFrame> rows) {}
