--- a/src/test/java/calicostream/platform/CrossingsTest.java
+++ b/src/test/java/calicostream/platform/RaceConditionTest.java
@@ -33,9 +33,9 @@
 
 /**
  * Two events on real connections, in the order that does harm, every time: {@code
- * docs/design/crossings.md} has the table.
+ * docs/design/race-conditions.md} has the table.
  */
-class CrossingsTest {
+class RaceConditionTest {
     private static final long ENGINE = 1;
     private static final long OTHER = 2;
     private FrontRig rig;
