--- a/src/measure/java/calicostream/cluster/process/MemberProcess.java
+++ b/src/measure/java/calicostream/cluster/process/MemberProcess.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.cluster.process;
 
-import calicostream.wire.Program;
+import calicostream.wire.ServerProgram;
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
 import java.io.BufferedReader;
@@ -63,7 +63,8 @@
         builder.environment()
                 .put(
                         "NODE_CONFIG",
-                        Program.configure(folder, 0, changelogPort, List.of(), 1024).toString());
+                        ServerProgram.configure(folder, 0, changelogPort, List.of(), 1024)
+                                .toString());
         builder.environment().put("TMPDIR", folder.toString());
         builder.environment()
                 .put(
@@ -119,7 +120,7 @@
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 lines.append(line).append('\n');
                 if (line.contains("operators call on port")) {
-                    adminPort.complete(Program.portIn(line));
+                    adminPort.complete(ServerProgram.portIn(line));
                 }
             }
         } catch (IOException e) {
@@ -137,7 +138,7 @@
     }
 
     JsonObject status() throws Exception {
-        String answer = Program.call(adminPort(), "GET /-/cluster");
+        String answer = ServerProgram.call(adminPort(), "GET /-/cluster");
         if (!answer.startsWith("HTTP/1.1 200 ")) {
             throw new IllegalStateException(answer);
         }
@@ -160,7 +161,7 @@
 
     /** Posts a command of operators; returns the HTTP response. */
     String post(String command) throws Exception {
-        return Program.call(adminPort(), "POST /-/cluster/" + command);
+        return ServerProgram.call(adminPort(), "POST /-/cluster/" + command);
     }
 
     int awaitExit() throws InterruptedException {
--- a/src/measure/java/calicostream/deployments/Arrivals.java
+++ b/src/measure/java/calicostream/deployments/Arrivals.java
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.deployments;
 
-import calicostream.deployments.Draw.Estimates;
-import calicostream.deployments.Draw.Lane;
+import calicostream.deployments.GeneratedDeployment.Estimates;
+import calicostream.deployments.GeneratedDeployment.Lane;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -16,7 +16,7 @@
             0.3; // part of the time that a key's requests run, at most
     private static final double ROUGH = 0.6; // deviation of the log of an estimate
     private static final double GOOD = 0.1;
-    private final Draw draw;
+    private final GeneratedDeployment draw;
     private final SplittableRandom random;
     private final double[] traffic;
     private final double[] groups;
@@ -25,7 +25,7 @@
     private final double[] tokens;
     private long tokensAt;
 
-    private Arrivals(Draw draw) {
+    private Arrivals(GeneratedDeployment draw) {
         this.draw = draw;
         random = new SplittableRandom(draw.seed() * 7 + draw.number());
         traffic = new double[draw.size().frontEnds()];
@@ -50,19 +50,20 @@
     }
 
     /** Queries a second over all front ends that make the load drawn. */
-    static double perSecond(Draw.Size size, List<Draw.Kind> kinds, List<Lane> lanes) {
+    static double perSecond(
+            GeneratedDeployment.Size size, List<GeneratedDeployment.Kind> kinds, List<Lane> lanes) {
         double cores = 0;
         for (int i = 0; i < size.engines(); i++) {
             cores += kinds.get(i / size.zones() % kinds.size()).cores();
         }
         double shares = lanes.stream().mapToDouble(Lane::share).sum();
         double work = lanes.stream().mapToDouble(l -> l.share() * l.workUs()).sum() / shares;
-        return size.load() * Draw.CAPACITY * cores * 1e6 / work;
+        return size.load() * GeneratedDeployment.CAPACITY * cores * 1e6 / work;
     }
 
-    static List<Ask> of(Draw draw, long start) {
+    static List<GeneratedRequest> of(GeneratedDeployment draw, long start) {
         Arrivals arrivals = new Arrivals(draw);
-        List<Ask> out = new ArrayList<>();
+        List<GeneratedRequest> out = new ArrayList<>();
         double mean = 1e6 / perSecond(draw.size(), draw.kinds(), draw.lanes());
         double at = start;
         arrivals.tokensAt = start;
@@ -85,7 +86,7 @@
         return shares.length - 1;
     }
 
-    private Ask next(long at) {
+    private GeneratedRequest next(long at) {
         int number = one(draw.lanes().stream().mapToDouble(Lane::share).toArray());
         Lane lane = draw.lanes().get(number);
         int frontEnd = one(traffic);
@@ -112,7 +113,7 @@
                         : one(draw.figures().traffic().stream().mapToDouble(d -> d).toArray());
         double worth = lane.worth() * (within(at, tenant) ? 1 : draw.figures().overShareWorth());
         long wait = (long) (lane.deadlineUs() * (0.8 + 0.2 * random.nextDouble()));
-        return new Ask(
+        return new GeneratedRequest(
                 at,
                 frontEnd,
                 number,
--- a/src/measure/java/calicostream/deployments/Drawing.java
+++ b/src/measure/java/calicostream/deployments/DeploymentGenerator.java
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.deployments;
 
-import calicostream.deployments.Draw.Allowed;
-import calicostream.deployments.Draw.Estimates;
-import calicostream.deployments.Draw.Figures;
-import calicostream.deployments.Draw.Kind;
-import calicostream.deployments.Draw.Lane;
-import calicostream.deployments.Draw.Machines;
-import calicostream.deployments.Draw.Size;
-import calicostream.deployments.Draw.Telling;
-import calicostream.deployments.Draw.Trouble;
-import calicostream.deployments.Draw.What;
+import calicostream.deployments.GeneratedDeployment.Allowed;
+import calicostream.deployments.GeneratedDeployment.Estimates;
+import calicostream.deployments.GeneratedDeployment.Figures;
+import calicostream.deployments.GeneratedDeployment.Kind;
+import calicostream.deployments.GeneratedDeployment.Lane;
+import calicostream.deployments.GeneratedDeployment.Machines;
+import calicostream.deployments.GeneratedDeployment.Size;
+import calicostream.deployments.GeneratedDeployment.Telling;
+import calicostream.deployments.GeneratedDeployment.Trouble;
+import calicostream.deployments.GeneratedDeployment.What;
 import calicostream.routing.Idempotency;
 import calicostream.routing.IdempotencyScope;
 import calicostream.routing.LoadReporting;
@@ -21,7 +21,7 @@
 import java.util.SplittableRandom;
 
 /** Draws deployments from the ranges that the protocol allows; seed and number decide one. */
-final class Drawing {
+final class DeploymentGenerator {
     private static final long S = 1_000_000;
     private static final long MS = 1_000;
     private static final List<String> FIELDS = List.of("inflight", "queue", "util", "x0", "x1");
@@ -31,13 +31,13 @@
             1_000; // of a play, unless it would be too short or too long for troubles
     private final SplittableRandom random;
 
-    private Drawing(long seed, int number) {
+    private DeploymentGenerator(long seed, int number) {
         random = new SplittableRandom(seed * 1_000_003 + number);
         random.nextLong();
     }
 
-    static Draw of(long seed, int number) {
-        Drawing d = new Drawing(seed, number);
+    static GeneratedDeployment of(long seed, int number) {
+        DeploymentGenerator d = new DeploymentGenerator(seed, number);
         Size size = d.size();
         List<Kind> kinds = d.kinds();
         List<Lane> lanes = d.lanes(size, kinds.size());
@@ -45,7 +45,7 @@
         Machines machines = d.machines(size);
         kinds = withMemory(kinds, lanes, machines);
         Telling telling = d.telling();
-        return new Draw(
+        return new GeneratedDeployment(
                 seed,
                 number,
                 size,
@@ -207,7 +207,7 @@
 
     private Machines machines(Size size) {
         return new Machines(
-                one(List.of(Draw.Short.values())),
+                one(List.of(GeneratedDeployment.Short.values())),
                 in(0.5, 0.9),
                 in(0.5, 0.9),
                 in(1.3, 1.9),
@@ -244,7 +244,7 @@
                                         Math.max(
                                                 4 * most,
                                                 k.cores()
-                                                        * Draw.CAPACITY
+                                                        * GeneratedDeployment.CAPACITY
                                                         * held
                                                         / machines.memoryUse())))
                 .toList();
--- a/src/measure/java/calicostream/deployments/Play.java
+++ b/src/measure/java/calicostream/deployments/DeploymentRun.java
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.deployments;
 
-import calicostream.deployments.Draw.Trouble;
-import calicostream.mass.Time;
+import calicostream.deployments.GeneratedDeployment.Trouble;
+import calicostream.mass.FleetClock;
 import calicostream.routing.EngineEndpoint;
 import calicostream.routing.EngineLifecycle;
 import calicostream.routing.Idempotency;
@@ -20,7 +20,7 @@
 import java.util.stream.IntStream;
 
 /** A draw played to its end in virtual time with one policy in each front end. */
-final class Play {
+final class DeploymentRun {
     /** Makes the policy of a front end from what its configuration says. */
     interface Maker {
         QueryRouter router(RouterSettings settings, RouterActions actions);
@@ -31,7 +31,7 @@
      * worth asked for.
      */
     record Result(
-            Breaks breaks,
+            RuleViolations breaks,
             double served,
             double probesPerQuery,
             double overProbed,
@@ -50,22 +50,22 @@
     private static final double IMPATIENT = 0.005; // of clients leave early
     private static final long BACKOFF = 150_000;
     private static final long LONGEST_AWAY = 1_000_000;
-    final Time time = new Time();
-    final Draw draw;
-    final Breaks breaks = new Breaks();
+    final FleetClock time = new FleetClock();
+    final GeneratedDeployment draw;
+    final RuleViolations breaks = new RuleViolations();
     final SplittableRandom random;
-    final Map<Long, Machine> machines = new LinkedHashMap<>();
-    final Map<Long, ColdAccount> colds = new LinkedHashMap<>();
+    final Map<Long, SimulatedMachine> machines = new LinkedHashMap<>();
+    final Map<Long, SlowStartAccount> colds = new LinkedHashMap<>();
     final long farUs;
     private final Maker maker;
-    private final List<FrontEnd> fronts = new ArrayList<>();
-    private final List<FrontEnd> lives = new ArrayList<>();
+    private final List<FrontEndRun> fronts = new ArrayList<>();
+    private final List<FrontEndRun> lives = new ArrayList<>();
     private final Map<Integer, Long> listAt = new TreeMap<>();
-    private final List<Ask> asks;
+    private final List<GeneratedRequest> asks;
     private long listLateUs, nextQuery, nextEngine = 1;
     private int cutZone = -1, triesToCome;
 
-    private Play(Draw draw, Maker maker) {
+    private DeploymentRun(GeneratedDeployment draw, Maker maker) {
         this.draw = draw;
         this.maker = maker;
         random = new SplittableRandom(draw.seed() * 13 + draw.number());
@@ -77,7 +77,7 @@
         for (int i = 0; i < draw.size().frontEnds(); i++) {
             Map<Long, EngineEndpoint> view = new TreeMap<>();
             machines.values().forEach(m -> view.put(m.id, m.entry()));
-            FrontEnd front = new FrontEnd(this, i, view, maker);
+            FrontEndRun front = new FrontEndRun(this, i, view, maker);
             fronts.add(front);
             lives.add(front);
         }
@@ -87,11 +87,15 @@
         checkAsking();
     }
 
-    static Result of(Draw draw, Maker maker) {
-        Play play = new Play(draw, maker);
+    static Result of(GeneratedDeployment draw, Maker maker) {
+        DeploymentRun play = new DeploymentRun(draw, maker);
         long start = play.time.now();
         play.time.run(start + draw.size().lengthUs());
-        long longest = draw.lanes().stream().mapToLong(Draw.Lane::deadlineUs).max().orElse(0);
+        long longest =
+                draw.lanes().stream()
+                        .mapToLong(GeneratedDeployment.Lane::deadlineUs)
+                        .max()
+                        .orElse(0);
         while (play.time.now() < start + draw.size().lengthUs() + 2 * longest
                 && !play.isSettled()) {
             play.time.run(play.time.now() + STEP);
@@ -160,15 +164,15 @@
         }
     }
 
-    private void ask(Ask ask) {
-        FrontEnd front = fronts.get(ask.frontEnd);
+    private void ask(GeneratedRequest ask) {
+        FrontEndRun front = fronts.get(ask.frontEnd);
         for (int i = 1; !front.alive && i < fronts.size(); i++) {
             front = fronts.get((ask.frontEnd + i) % fronts.size());
         }
         if (front.alive && time.now() < ask.deadline) {
             ask.tries++;
             long id = ++nextQuery;
-            FrontEnd to = front;
+            FrontEndRun to = front;
             if (new SplittableRandom(ask.at + ask.group).nextDouble() < IMPATIENT) {
                 time.after(
                         (ask.deadline - time.now()) / 3,
@@ -182,7 +186,7 @@
         }
     }
 
-    void served(Ask ask) {
+    void served(GeneratedRequest ask) {
         boolean late = time.now() > ask.at + ask.aimUs;
         ask.served =
                 time.now() > ask.deadline ? 0 : late ? draw.lanes().get(ask.lane).lateWorth() : 1;
@@ -191,7 +195,7 @@
     /**
      * A client tries once more where that is harmless; what a killed front end held it tries, too.
      */
-    void unserved(Ask ask, long away, boolean refused) {
+    void unserved(GeneratedRequest ask, long away, boolean refused) {
         boolean harmless = refused || draw.lanes().get(ask.lane).effect() == Idempotency.IDEMPOTENT;
         if (draw.allowed().clientRetries() && ask.tries < 2 && harmless) {
             triesToCome++;
@@ -206,10 +210,10 @@
 
     // ---- Engines and their list
     // ---------------------------------------------------------------------------
-    private Machine add(int zone, int kind, long bornUs) {
-        Machine m = new Machine(time, draw, nextEngine++, kind, zone, bornUs);
+    private SimulatedMachine add(int zone, int kind, long bornUs) {
+        SimulatedMachine m = new SimulatedMachine(time, draw, nextEngine++, kind, zone, bornUs);
         machines.put(m.id, m);
-        colds.put(m.id, new ColdAccount(draw));
+        colds.put(m.id, new SlowStartAccount(draw));
         tell(m.entry());
         return m;
     }
@@ -236,7 +240,7 @@
     }
 
     private void checkAsking() {
-        fronts.forEach(FrontEnd::checkAsking);
+        fronts.forEach(FrontEndRun::checkAsking);
         time.after(1_000_000, this::checkAsking);
     }
 
@@ -246,13 +250,13 @@
 
     // ---- Troubles
     // -----------------------------------------------------------------------------------------
-    private List<Machine> some(double part) {
-        List<Machine> ready =
+    private List<SimulatedMachine> some(double part) {
+        List<SimulatedMachine> ready =
                 new ArrayList<>(
                         machines.values().stream()
                                 .filter(m -> m.state == EngineLifecycle.READY)
                                 .toList());
-        List<Machine> out = new ArrayList<>();
+        List<SimulatedMachine> out = new ArrayList<>();
         for (int i = (int) Math.max(1, Math.round(part * ready.size()));
                 i > 0 && !ready.isEmpty();
                 i--) {
@@ -269,7 +273,7 @@
                 break;
             case HANG:
                 {
-                    List<Machine> hung = some(trouble.part());
+                    List<SimulatedMachine> hung = some(trouble.part());
                     hung.forEach(m -> m.hangs = true);
                     time.after(us, () -> hung.forEach(m -> m.hangs = false));
                     break;
@@ -279,7 +283,7 @@
                 break;
             case SLOW:
                 {
-                    List<Machine> slow = some(trouble.part());
+                    List<SimulatedMachine> slow = some(trouble.part());
                     slow.forEach(m -> m.slow(true));
                     time.after(us, () -> slow.forEach(m -> m.slow(false)));
                     break;
@@ -299,7 +303,7 @@
             case LIST_LATE:
                 {
                     listLateUs += (long) (trouble.part() * 1e6);
-                    fronts.stream().filter(f -> f.alive).forEach(FrontEnd::unsubscribe);
+                    fronts.stream().filter(f -> f.alive).forEach(FrontEndRun::unsubscribe);
                     time.after(us, () -> listLateUs = draw.telling().listLateUs());
                     break;
                 }
@@ -309,9 +313,9 @@
     }
 
     /** Each is replaced by a cold one, which begins a little before it drains. */
-    private void roll(List<Machine> old, long us) {
+    private void roll(List<SimulatedMachine> old, long us) {
         for (int i = 0; i < old.size(); i++) {
-            Machine m = old.get(i);
+            SimulatedMachine m = old.get(i);
             time.after(
                     i * us / old.size(),
                     () -> {
@@ -321,7 +325,7 @@
         }
     }
 
-    private void drain(Machine m) {
+    private void drain(SimulatedMachine m) {
         if (m.state == EngineLifecycle.READY) {
             m.state = EngineLifecycle.DRAINING;
             tell(m.entry());
@@ -335,7 +339,7 @@
     }
 
     /** Its process dies, which the list tells late, and comes back cold. */
-    private void crash(Machine m, long backAfter) {
+    private void crash(SimulatedMachine m, long backAfter) {
         m.die();
         time.after(DIED, () -> tell(m.entry()));
         time.after(
@@ -350,7 +354,7 @@
     }
 
     /** It stays down. */
-    void fall(Machine m) {
+    void fall(SimulatedMachine m) {
         m.die();
         time.after(DIED, () -> tell(m.entry()));
     }
@@ -362,14 +366,14 @@
         int killed = (int) Math.min(fronts.size() - 1, Math.round(part * fronts.size()));
         for (int i = 0; i < killed; i++) {
             int index = i;
-            FrontEnd front = fronts.get(i);
+            FrontEndRun front = fronts.get(i);
             if (front.alive) {
                 front.kill();
                 time.after(
                         us,
                         () -> {
-                            FrontEnd next =
-                                    new FrontEnd(this, index, new TreeMap<>(front.view), maker);
+                            FrontEndRun next =
+                                    new FrontEndRun(this, index, new TreeMap<>(front.view), maker);
                             fronts.set(index, next);
                             lives.add(next);
                         });
--- a/src/measure/java/calicostream/deployments/Deployments.java
+++ b/src/measure/java/calicostream/deployments/Deployments.java
@@ -20,7 +20,8 @@
     private static final double WANTED = 0.95;
 
     /** One draw and what came of it. */
-    record Played(Draw draw, Play.Result module, Play.Result plain) {
+    record Played(
+            GeneratedDeployment draw, DeploymentRun.Result module, DeploymentRun.Result plain) {
         double ratio() {
             return plain.served() > 0 ? module.served() / plain.served() : 1;
         }
@@ -62,9 +63,11 @@
     private Deployments() {}
 
     static Played play(long seed, int number) {
-        Draw draw = Drawing.of(seed, number);
+        GeneratedDeployment draw = DeploymentGenerator.of(seed, number);
         return new Played(
-                draw, Play.of(draw, AffinityRouter::new), Play.of(draw, LeastLoaded::new));
+                draw,
+                DeploymentRun.of(draw, AffinityRouter::new),
+                DeploymentRun.of(draw, LeastLoaded::new));
     }
 
     /** Plays so many draws on all processors; what comes of them is in their order. */
--- a/src/measure/java/calicostream/deployments/FrontEnd.java
+++ b/src/measure/java/calicostream/deployments/FrontEndRun.java
@@ -20,10 +20,10 @@
 import java.util.Set;
 
 /**
- * One life of a front end: its policy, what it has out, and the ways to engines; a {@link Checker}
- * hears all of it.
+ * One life of a front end: its policy, what it has out, and the ways to engines; a {@link
+ * RuleChecker} hears all of it.
  */
-final class FrontEnd implements RouterActions {
+final class FrontEndRun implements RouterActions {
     private static final long DIAL =
             250_000; // us until a connection that does not come up is given up
     private static final long PROBE_WAIT = 250_000;
@@ -32,7 +32,7 @@
     private static final double CALL_FAILS = 0.1;
 
     private static final class Open {
-        final Ask ask;
+        final GeneratedRequest ask;
         final long id;
         boolean open = true;
         double memoryMb;
@@ -40,7 +40,7 @@
         int attempts;
         Attempt out;
 
-        Open(Ask ask, long id) {
+        Open(GeneratedRequest ask, long id) {
             this.ask = ask;
             this.id = id;
         }
@@ -49,11 +49,11 @@
     private static final class Attempt {
         final Open of;
         final int number;
-        final Machine to;
+        final SimulatedMachine to;
         final long sentAt;
-        Machine.Run run;
+        SimulatedMachine.Run run;
 
-        Attempt(Open of, int number, Machine to, long sentAt) {
+        Attempt(Open of, int number, SimulatedMachine to, long sentAt) {
             this.of = of;
             this.number = number;
             this.to = to;
@@ -63,9 +63,9 @@
 
     final int index;
     final int zone;
-    final Checker checker;
-    private final Play play;
-    private final Draw draw;
+    final RuleChecker checker;
+    private final DeploymentRun play;
+    private final GeneratedDeployment draw;
     private final QueryRouter router;
     private final Map<Long, Open> queries = new HashMap<>();
     private final Set<Long> linked = new HashSet<>();
@@ -77,7 +77,11 @@
     int probes, refused, failed, further, overProbed;
 
     /** {@code view}: the list as the front end last had it. */
-    FrontEnd(Play play, int index, Map<Long, EngineEndpoint> view, Play.Maker maker) {
+    FrontEndRun(
+            DeploymentRun play,
+            int index,
+            Map<Long, EngineEndpoint> view,
+            DeploymentRun.Maker maker) {
         this.play = play;
         this.index = index;
         this.view = view;
@@ -85,8 +89,8 @@
         zone = index % draw.size().zones();
         subscribed = !draw.telling().onRequest();
         askedAt = play.time.now();
-        checker = new Checker(draw, play.breaks, index);
-        router = maker.router(Wording.settings(draw, index, zone), this);
+        checker = new RuleChecker(draw, play.breaks, index);
+        router = maker.router(SettingsWriter.settings(draw, index, zone), this);
         router.start(now());
         told(EndpointUpdate.CACHED, List.copyOf(view.values()));
     }
@@ -153,7 +157,7 @@
     }
 
     void checkAsking() {
-        if (alive && !subscribed && now() - askedAt > Play.ASK_WITHIN) {
+        if (alive && !subscribed && now() - askedAt > DeploymentRun.ASK_WITHIN) {
             checker.unasked(now(), askedAt);
             askedAt = now();
         }
@@ -166,7 +170,7 @@
 
     // ---- Queries
     // ------------------------------------------------------------------------------------------
-    void query(Ask ask, long id) {
+    void query(GeneratedRequest ask, long id) {
         Open o = new Open(ask, id);
         queries.put(id, o);
         checker.query(now(), id, ask.lane, ask.key, ask.deadline);
@@ -206,7 +210,7 @@
     public void startAttempt(long id, long engine, long giveUpAt) {
         checker.send(now(), id, engine);
         Open o = queries.get(id);
-        Machine m = play.machines.get(engine);
+        SimulatedMachine m = play.machines.get(engine);
         if (o == null || m == null) {
             return;
         }
@@ -232,12 +236,12 @@
         play.time.after(way(m) * (isNew ? 3 : 1), () -> arrive(a));
     }
 
-    private long way(Machine m) {
+    private long way(SimulatedMachine m) {
         return m.zone == zone ? NEAR : play.farUs;
     }
 
     private void arrive(Attempt a) {
-        Machine m = a.to;
+        SimulatedMachine m = a.to;
         if (!alive) {
             return;
         }
@@ -262,12 +266,12 @@
             }
             return;
         }
-        Ask ask = a.of.ask;
+        GeneratedRequest ask = a.of.ask;
         double most = draw.allowed().mostGrant() * draw.kinds().get(m.kind).memoryMb();
         boolean granted = draw.allowed().grants() && a.of.memoryMb > 0;
-        Draw.Lane lane = draw.lanes().get(ask.lane);
+        GeneratedDeployment.Lane lane = draw.lanes().get(ask.lane);
         a.run =
-                new Machine.Run(
+                new SimulatedMachine.Run(
                         ask,
                         lane,
                         Math.min(most, granted ? a.of.memoryMb : ask.guessedMb(lane.memoryMb())),
@@ -299,7 +303,7 @@
         if (a.of.out != a) {
             return;
         }
-        Machine.Run run = a.run;
+        SimulatedMachine.Run run = a.run;
         if (!a.to.hangs && !play.cutOff(zone, a.to.zone)) {
             ProgressKind what =
                     run.waitsForMemory()
@@ -430,7 +434,7 @@
     public void probeLoad(long engine) {
         probes++;
         checker.probe(now(), engine);
-        Machine m = play.machines.get(engine);
+        SimulatedMachine m = play.machines.get(engine);
         if (m.state == EngineLifecycle.REMOVED) {
             later(
                     way(m),
--- a/src/measure/java/calicostream/deployments/Draw.java
+++ b/src/measure/java/calicostream/deployments/GeneratedDeployment.java
@@ -11,7 +11,7 @@
  * One deployment as drawn, its troubles included; its text is the whole draw. Times are
  * microseconds.
  */
-record Draw(
+record GeneratedDeployment(
         long seed,
         int number,
         Size size,
@@ -33,7 +33,7 @@
 
     /**
      * What happens where the memory granted would pass what there is; the settings' words are in
-     * {@link Wording}.
+     * {@link SettingsWriter}.
      */
     enum Short {
         WAIT,
@@ -211,8 +211,8 @@
     }
 
     /** The same with other troubles, which a test needs. */
-    Draw with(List<Trouble> others) {
-        return new Draw(
+    GeneratedDeployment with(List<Trouble> others) {
+        return new GeneratedDeployment(
                 seed, number, size, telling, allowed, figures, machines, kinds, lanes, others);
     }
 }
--- a/src/measure/java/calicostream/deployments/Ask.java
+++ b/src/measure/java/calicostream/deployments/GeneratedRequest.java
@@ -4,7 +4,7 @@
 import calicostream.routing.Query;
 
 /** What a client wants, over all its tries: one is at one front end at a time. */
-final class Ask {
+final class GeneratedRequest {
     private static final double OVER_ESTIMATE = 1.25; // what an engine grants by itself
     private static final double OVER_USUAL =
             1.5; // the same of what the class usually needs, where there is no estimate
@@ -24,7 +24,7 @@
     int tries;
     double served;
 
-    Ask(
+    GeneratedRequest(
             long at,
             int frontEnd,
             int lane,
--- a/src/measure/java/calicostream/deployments/LeastLoaded.java
+++ b/src/measure/java/calicostream/deployments/LeastLoaded.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.deployments;
 
-import calicostream.mass.PlainRouter;
+import calicostream.mass.LeastLoadedRouter;
 import calicostream.routing.AttemptOutcome;
 import calicostream.routing.AttemptResult;
 import calicostream.routing.EndpointUpdate;
@@ -23,7 +23,7 @@
  * own queries a core plus what its last report told. It keeps to placement and to order by key, and
  * asks for reports where they only come so.
  */
-final class LeastLoaded extends PlainRouter {
+final class LeastLoaded extends LeastLoadedRouter {
     private static final long ASKS = 500_000; // us between reports of an engine that are asked for
     private static final long ASK_TOKEN = 0;
     private final RouterSettings settings;
--- a/src/measure/java/calicostream/deployments/Checker.java
+++ b/src/measure/java/calicostream/deployments/RuleChecker.java
@@ -19,7 +19,7 @@
  * Holds one life of a front end to the rules, by what it was told and what it did, and by the draw
  * alone: it shares no line with the decision module, nor the settings as that one read them.
  */
-final class Checker {
+final class RuleChecker {
     /** An attempt that may have run, or one that is out: where and when it was sent. */
     private record Sent(int number, EngineEndpoint to, long at) {}
 
@@ -44,8 +44,8 @@
         }
     }
 
-    private final Draw draw;
-    private final Breaks breaks;
+    private final GeneratedDeployment draw;
+    private final RuleViolations breaks;
     private final String name;
     private final Map<Long, Taken> taken = new HashMap<>();
     private final Map<Long, List<Taken>> keys = new HashMap<>();
@@ -56,7 +56,7 @@
     private final ArrayDeque<Long> furtherAt = new ArrayDeque<>();
     int probes, queries;
 
-    Checker(Draw draw, Breaks breaks, int index) {
+    RuleChecker(GeneratedDeployment draw, RuleViolations breaks, int index) {
         this.draw = draw;
         this.breaks = breaks;
         name = "front end " + index;
@@ -161,7 +161,7 @@
             broken("unknown", now, "query " + id + " to engine " + engine);
             return;
         }
-        Draw.Lane lane = draw.lanes().get(t.lane);
+        GeneratedDeployment.Lane lane = draw.lanes().get(t.lane);
         if (!t.open) {
             broken("over", now, "query " + id + " sent after its end");
         }
@@ -193,7 +193,7 @@
         t.out = new Sent(t.attempts - 1, to, now);
     }
 
-    private void repeats(long now, Taken t, Draw.Lane lane, EngineEndpoint to) {
+    private void repeats(long now, Taken t, GeneratedDeployment.Lane lane, EngineEndpoint to) {
         for (Sent risk : t.risks) {
             boolean sameGroup =
                     lane.scope() == IdempotencyScope.ALL
@@ -254,7 +254,7 @@
     void refuse(long now, long id) {
         Taken t = taken.get(id);
         if (t != null && t.open) {
-            Draw.Lane lane = draw.lanes().get(t.lane);
+            GeneratedDeployment.Lane lane = draw.lanes().get(t.lane);
             boolean mayRun = t.out != null || !t.risks.isEmpty();
             boolean harmless =
                     !mayRun
--- a/src/measure/java/calicostream/deployments/Breaks.java
+++ b/src/measure/java/calicostream/deployments/RuleViolations.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 
 /** Broken rules by name, with the first case of each in words. */
-final class Breaks {
+final class RuleViolations {
     private final Map<String, Integer> counts = new TreeMap<>();
     private final Map<String, String> first = new TreeMap<>();
 
--- a/src/measure/java/calicostream/deployments/Wording.java
+++ b/src/measure/java/calicostream/deployments/SettingsWriter.java
@@ -18,10 +18,10 @@
  * A draw in the words of the platform's settings: as lines for every other draw, as nested JSON for
  * the rest.
  */
-final class Wording {
+final class SettingsWriter {
     private final TreeMap<String, Object> values = new TreeMap<>();
 
-    private Wording(Draw draw, int index, int zone) {
+    private SettingsWriter(GeneratedDeployment draw, int index, int zone) {
         values.put("balancers", draw.size().frontEnds());
         values.put("self_index", index);
         values.put("az", zone);
@@ -44,8 +44,8 @@
     }
 
     /** What the front end of this number reads at its start. */
-    static RouterSettings settings(Draw draw, int index, int zone) {
-        return new Wording(draw, index, zone).parser(draw.number() % 2 == 0).settings();
+    static RouterSettings settings(GeneratedDeployment draw, int index, int zone) {
+        return new SettingsWriter(draw, index, zone).parser(draw.number() % 2 == 0).settings();
     }
 
     private SettingsParser parser(boolean json) {
@@ -62,7 +62,7 @@
 
     private static String plain(Object value) {
         return value instanceof List<?> list
-                ? String.join(",", list.stream().map(Wording::plain).toList())
+                ? String.join(",", list.stream().map(SettingsWriter::plain).toList())
                 : value.toString();
     }
 
@@ -107,9 +107,9 @@
         nest(own.asArray().get(number).asObject(), path, at + 2, value);
     }
 
-    private void allowed(Draw draw) {
-        Draw.Allowed allowed = draw.allowed();
-        Draw.Telling telling = draw.telling();
+    private void allowed(GeneratedDeployment draw) {
+        GeneratedDeployment.Allowed allowed = draw.allowed();
+        GeneratedDeployment.Telling telling = draw.telling();
         values.put("ceilings.may_probe", allowed.probes());
         values.put("ceilings.cancel", allowed.cancel());
         values.put("ceilings.max_attempts", allowed.maxAttempts());
@@ -124,34 +124,37 @@
         values.put("stats.columns", telling.fields());
     }
 
-    private void engines(Draw draw) {
-        Draw.Allowed allowed = draw.allowed();
+    private void engines(GeneratedDeployment draw) {
+        GeneratedDeployment.Allowed allowed = draw.allowed();
         values.put("family_info.takes_grants", allowed.grants());
         values.put("family_info.priorities", allowed.priorities());
         values.put("family_info.most_grant", allowed.mostGrant());
         values.put("family_info.note_period_us", draw.telling().noteUs());
         values.put("family_info.tells_cost", draw.telling().tellsCost());
-        Draw.Short when = draw.machines().whenShort();
+        GeneratedDeployment.Short when = draw.machines().whenShort();
         values.put(
                 "family_info.memory_short",
-                when == Draw.Short.WAIT
+                when == GeneratedDeployment.Short.WAIT
                         ? "line_up"
-                        : when == Draw.Short.CUT ? "cut" : "overcommit");
-        values.put("family_info.kind_cores", draw.kinds().stream().map(Draw.Kind::cores).toList());
+                        : when == GeneratedDeployment.Short.CUT ? "cut" : "overcommit");
+        values.put(
+                "family_info.kind_cores",
+                draw.kinds().stream().map(GeneratedDeployment.Kind::cores).toList());
         values.put(
                 "family_info.kind_memory_mb",
-                draw.kinds().stream().map(Draw.Kind::memoryMb).toList());
-        values.put("family_info.width_by_class", byLane(draw, Draw.Lane::threads));
-        values.put("family_info.holds_tables", byLane(draw, Draw.Lane::load));
-        values.put("family_info.waits_for_loads", byLane(draw, Draw.Lane::waits));
+                draw.kinds().stream().map(GeneratedDeployment.Kind::memoryMb).toList());
+        values.put("family_info.width_by_class", byLane(draw, GeneratedDeployment.Lane::threads));
+        values.put("family_info.holds_tables", byLane(draw, GeneratedDeployment.Lane::load));
+        values.put("family_info.waits_for_loads", byLane(draw, GeneratedDeployment.Lane::waits));
     }
 
-    private static List<Object> byLane(Draw draw, Function<Draw.Lane, Object> of) {
+    private static List<Object> byLane(
+            GeneratedDeployment draw, Function<GeneratedDeployment.Lane, Object> of) {
         return draw.lanes().stream().map(of).toList();
     }
 
-    private void figures(Draw draw) {
-        Draw.Figures f = draw.figures();
+    private void figures(GeneratedDeployment draw) {
+        GeneratedDeployment.Figures f = draw.figures();
         values.put("rules.cold_share", f.coldShare());
         values.put("rules.overload_factor", f.multiple());
         values.put("rules.fall_us", f.windowUs());
@@ -168,7 +171,7 @@
         values.put("fees.handshake", f.handshake());
     }
 
-    private void lane(String at, Draw.Lane lane) {
+    private void lane(String at, GeneratedDeployment.Lane lane) {
         values.put(at + "name", lane.name());
         values.put(at + "aim_us", lane.aimUs());
         values.put(at + "aim_stretch", lane.stretch());
--- a/src/measure/java/calicostream/deployments/Machine.java
+++ b/src/measure/java/calicostream/deployments/SimulatedMachine.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.deployments;
 
-import calicostream.mass.Time;
+import calicostream.mass.FleetClock;
 import calicostream.routing.AttemptOutcome;
 import calicostream.routing.EngineEndpoint;
 import calicostream.routing.EngineLifecycle;
@@ -18,11 +18,11 @@
 import java.util.function.Consumer;
 
 /** An engine that runs all it holds at once; what runs shares its cores, disks and memory. */
-final class Machine {
+final class SimulatedMachine {
     /** A query on it. */
     static final class Run {
-        final Ask ask;
-        final Draw.Lane lane;
+        final GeneratedRequest ask;
+        final GeneratedDeployment.Lane lane;
         final double wanted;
         final long expires;
         final Consumer<AttemptOutcome> ended;
@@ -35,8 +35,8 @@
          * that.
          */
         Run(
-                Ask ask,
-                Draw.Lane lane,
+                GeneratedRequest ask,
+                GeneratedDeployment.Lane lane,
                 double wanted,
                 int priority,
                 long expires,
@@ -82,9 +82,9 @@
     final int zone;
     final int cores;
     final double speed;
-    private final Time time;
-    private final Draw draw;
-    private final Draw.Machines traits;
+    private final FleetClock time;
+    private final GeneratedDeployment draw;
+    private final GeneratedDeployment.Machines traits;
     private final SplittableRandom random;
     private final double memoryMb, disks;
     private final List<Run> running = new ArrayList<>();
@@ -98,7 +98,8 @@
     private double granted, coresBusy, disksBusy;
     private long advancedAt, version;
 
-    Machine(Time time, Draw draw, long id, int kind, int zone, long bornUs) {
+    SimulatedMachine(
+            FleetClock time, GeneratedDeployment draw, long id, int kind, int zone, long bornUs) {
         this.time = time;
         this.draw = draw;
         this.id = id;
@@ -110,7 +111,7 @@
         memoryMb = draw.kinds().get(kind).memoryMb();
         random = new SplittableRandom(draw.seed() * 31 + draw.number() * 1_000_003L + id);
         speed = 0.85 + 0.3 * random.nextDouble();
-        disks = cores * Draw.CAPACITY * draw.meanIo() / traits.diskUse();
+        disks = cores * GeneratedDeployment.CAPACITY * draw.meanIo() / traits.diskUse();
         advancedAt = time.now();
         look();
     }
@@ -192,7 +193,7 @@
             return false;
         }
         advance();
-        if (traits.whenShort() == Draw.Short.WAIT
+        if (traits.whenShort() == GeneratedDeployment.Short.WAIT
                 && (!line.isEmpty() || granted + run.wanted > memoryMb)) {
             run.waits = true;
             line.add(run);
@@ -206,7 +207,9 @@
     private void begin(Run run) {
         double free = Math.max(0, memoryMb - granted);
         run.granted =
-                traits.whenShort() == Draw.Short.CUT ? Math.min(free, run.wanted) : run.wanted;
+                traits.whenShort() == GeneratedDeployment.Short.CUT
+                        ? Math.min(free, run.wanted)
+                        : run.wanted;
         granted += run.granted;
         run.waits = false;
         if (run.granted < run.ask.memoryMb) {
--- a/src/measure/java/calicostream/deployments/ColdAccount.java
+++ b/src/measure/java/calicostream/deployments/SlowStartAccount.java
@@ -8,14 +8,14 @@
  * fall at more than N + 2 root N + 2 requests of mean work, where N is the multiple allowed of what
  * it can do now; front ends not told of the start count to a third.
  */
-final class ColdAccount {
+final class SlowStartAccount {
     private record Sent(long at, double work, boolean told) {}
 
-    private final Draw draw;
+    private final GeneratedDeployment draw;
     private final ArrayDeque<Sent> sent = new ArrayDeque<>();
     double peak;
 
-    ColdAccount(Draw draw) {
+    SlowStartAccount(GeneratedDeployment draw) {
         this.draw = draw;
     }
 
@@ -24,14 +24,18 @@
     }
 
     /** Takes what has arrived into account; whether the engine falls. */
-    boolean add(long now, Machine m, double work, boolean told, Breaks breaks) {
+    boolean add(long now, SimulatedMachine m, double work, boolean told, RuleViolations breaks) {
         sent.add(new Sent(now, work, told));
         while (sent.peek().at <= now - draw.figures().windowUs()) {
             sent.poll();
         }
         double mean = draw.meanWork();
         double capacity =
-                m.cores * m.speed * Draw.CAPACITY * m.warmth() * draw.figures().windowUs();
+                m.cores
+                        * m.speed
+                        * GeneratedDeployment.CAPACITY
+                        * m.warmth()
+                        * draw.figures().windowUs();
         double n = draw.figures().multiple() * capacity / mean;
         double all = sent.stream().mapToDouble(Sent::work).sum() / mean;
         double informed = sent.stream().filter(Sent::told).mapToDouble(Sent::work).sum() / mean;
--- a/src/measure/java/calicostream/deployments/package-info.java
+++ b/src/measure/java/calicostream/deployments/package-info.java
@@ -5,6 +5,7 @@
  * beside the plainest policy of least load. It owns a simple model of engines that run all they
  * hold at once: cores and disks are one bottleneck for all that runs, memory is granted whole at
  * the start of a run and, where it is short, waited for, cut or overcommitted; there are no ticks,
- * no streams and no messages between front ends. Read {@link calicostream.deployments.Play} first.
+ * no streams and no messages between front ends. Read {@link
+ * calicostream.deployments.DeploymentRun} first.
  */
 package calicostream.deployments;
--- a/src/measure/java/calicostream/flight/suite/FlightRuns.java
+++ b/src/measure/java/calicostream/flight/suite/FlightRuns.java
@@ -66,10 +66,11 @@
         ExecutorService threads = Executors.newFixedThreadPool(8);
         AtomicInteger done = new AtomicInteger();
         Script script = new Script();
-        try (Rig rig = new Rig(script, 3, 256, Files.createTempDirectory(folder, "kills"))) {
+        try (FlightHarness rig =
+                new FlightHarness(script, 3, 256, Files.createTempDirectory(folder, "kills"))) {
             FlightSqlClient client = rig.client();
             List<Future<?>> all = new ArrayList<>();
-            List<EngineStand> ever = new ArrayList<>(rig.engines);
+            List<FakeFlightEngine> ever = new ArrayList<>(rig.engines);
             int killAfter = random.nextInt(LOADS);
             Act[] acts = {Act.SLOW, Act.ANSWERS, Act.DIES_DURING, Act.DIES_BEFORE, Act.DIES_AFTER};
             script.next(
@@ -85,13 +86,16 @@
                                         if (transaction) {
                                             FlightSqlClient.Transaction txn =
                                                     client.beginTransaction(
-                                                            Rig.options("lookup", 1500));
+                                                            FlightHarness.options("lookup", 1500));
                                             client.executeUpdate(
-                                                    sql, txn, Rig.options("stat-load", 1500));
-                                            client.commit(txn, Rig.options("stat-load", 1500));
+                                                    sql,
+                                                    txn,
+                                                    FlightHarness.options("stat-load", 1500));
+                                            client.commit(
+                                                    txn, FlightHarness.options("stat-load", 1500));
                                         } else {
                                             client.executeUpdate(
-                                                    sql, Rig.options("stat-load", 1500));
+                                                    sql, FlightHarness.options("stat-load", 1500));
                                         }
                                     } catch (FlightRuntimeException e) {
                                         // Told to its client; whether it ran is counted at the
@@ -100,7 +104,7 @@
                                     done.incrementAndGet();
                                 }));
             }
-            Rig.await("some are done", () -> done.get() >= killAfter / 2);
+            FlightHarness.await("some are done", () -> done.get() >= killAfter / 2);
             rig.engines.get(random.nextInt(3)).die();
             for (Future<?> each : all) {
                 each.get(30, TimeUnit.SECONDS);
@@ -122,21 +126,22 @@
         long slowest = 0;
         Script script = new Script();
         script.always("get", Act.HANGS);
-        try (Rig rig = new Rig(script, 1, 256, Files.createTempDirectory(folder, "cancels"))) {
+        try (FlightHarness rig =
+                new FlightHarness(script, 1, 256, Files.createTempDirectory(folder, "cancels"))) {
             ManagedChannel channel =
                     NettyChannelBuilder.forAddress("127.0.0.1", rig.port()).usePlaintext().build();
             FlightServiceGrpc.FlightServiceBlockingStub stub =
                     FlightServiceGrpc.newBlockingStub(channel);
-            EngineStand engine = rig.engines.get(0);
+            FakeFlightEngine engine = rig.engines.get(0);
             for (int i = 0; i < CANCELS; i++) {
-                Flight.FlightInfo info = stub.getFlightInfo(Raw.query("select rows=1"));
+                Flight.FlightInfo info = stub.getFlightInfo(RawFlightClient.query("select rows=1"));
                 ClientCallStreamObserver<Flight.Ticket> call =
-                        Raw.unread(
+                        RawFlightClient.unread(
                                 channel,
                                 info.getEndpoint(0).getTicket(),
                                 new CompletableFuture<>());
                 int wanted = i + 1;
-                Rig.await("at the engine", () -> rig.count("get") == wanted);
+                FlightHarness.await("at the engine", () -> rig.count("get") == wanted);
                 long at = System.nanoTime();
                 if (i % 2 == 0) {
                     call.cancel("no longer wanted", null);
@@ -152,7 +157,7 @@
                                             .build())
                             .next();
                 }
-                Rig.await("freed", () -> engine.cancelledAt().size() == wanted);
+                FlightHarness.await("freed", () -> engine.cancelledAt().size() == wanted);
                 slowest = Math.max(slowest, engine.cancelledAt().get(i) - at);
             }
             channel.shutdownNow();
--- a/src/measure/java/calicostream/mass/Time.java
+++ b/src/measure/java/calicostream/mass/FleetClock.java
@@ -4,7 +4,7 @@
 import java.util.PriorityQueue;
 
 /** Virtual time: what is due next, in the order made where due together. */
-public final class Time {
+public final class FleetClock {
     private record Due(long at, long number, Runnable work) {}
 
     private final PriorityQueue<Due> due =
--- a/src/measure/java/calicostream/mass/EngineModel.java
+++ b/src/measure/java/calicostream/mass/FleetEngineModel.java
@@ -15,7 +15,7 @@
  * An engine whose cores are shared by all that runs; it keeps the accounts of what was sent to it
  * while it was cold.
  */
-final class EngineModel {
+final class FleetEngineModel {
     /** A query on it; {@code left} is its work in core-microseconds. */
     static final class Run {
         final int threads;
@@ -37,8 +37,8 @@
     final int zone;
     final int cores;
     final Map<Integer, Integer> connections = new HashMap<>();
-    private final Time time;
-    private final Fleet.Shape shape;
+    private final FleetClock time;
+    private final SimulatedFleet.Shape shape;
     private final List<Run> running = new ArrayList<>();
     private final ArrayDeque<Seen> seen = new ArrayDeque<>();
     private final ArrayDeque<double[]> coldSent = new ArrayDeque<>();
@@ -49,7 +49,13 @@
     private long advancedAt;
     private long version;
 
-    EngineModel(Time time, Fleet.Shape shape, long id, int zone, int cores, long bornUs) {
+    FleetEngineModel(
+            FleetClock time,
+            SimulatedFleet.Shape shape,
+            long id,
+            int zone,
+            int cores,
+            long bornUs) {
         this.time = time;
         this.shape = shape;
         this.id = id;
@@ -127,7 +133,7 @@
         return shape.rules().slowStartMultiple()
                 * shape.rules().slowStartShare()
                 * cores
-                * Fleet.CAPACITY
+                * SimulatedFleet.CAPACITY
                 * shape.rules().slowStartWindowUs();
     }
 
--- a/src/measure/java/calicostream/mass/MassRuns.java
+++ b/src/measure/java/calicostream/mass/FleetRuns.java
@@ -6,27 +6,27 @@
 import java.util.Locale;
 
 /** Runs that tests and the measurement share. */
-public final class MassRuns {
+public final class FleetRuns {
     private static final int REPLACED = 20;
     private static final int MOST_REPLACED = 48;
     private static final int ACCEPTED =
             100; // connections that an engine of the model accepts: one for each front end
     private static final long S = 1_000_000;
 
-    private MassRuns() {}
+    private FleetRuns() {}
 
     /**
      * So many front ends are killed at once and start again 3 s later, all in one second, while
      * engines are replaced.
      */
-    static List<EngineModel> storm(Fleet fleet, int killed, int replaced) {
-        List<EngineModel> old = fleet.engines();
-        List<EngineModel> cold = new ArrayList<>();
+    static List<FleetEngineModel> storm(SimulatedFleet fleet, int killed, int replaced) {
+        List<FleetEngineModel> old = fleet.engines();
+        List<FleetEngineModel> cold = new ArrayList<>();
         for (int i = 0; i < killed; i++) {
             fleet.kill(i);
         }
         for (int i = 0; i < replaced; i++) {
-            EngineModel e = old.get(i);
+            FleetEngineModel e = old.get(i);
             fleet.time.after(i * S / 10, () -> cold.add(fleet.add(fleet.time.now())));
             fleet.time.after(S + i * S / 10, () -> fleet.drain(e));
         }
@@ -39,7 +39,7 @@
         return cold;
     }
 
-    static List<EngineModel> herd(Fleet fleet) {
+    static List<FleetEngineModel> herd(SimulatedFleet fleet) {
         return storm(fleet, 70, REPLACED);
     }
 
@@ -47,12 +47,12 @@
      * Two in three of thirty front ends are killed at once, while half of the few engines are
      * replaced.
      */
-    static List<EngineModel> throng(Fleet fleet) {
+    static List<FleetEngineModel> throng(SimulatedFleet fleet) {
         return storm(fleet, 20, 4);
     }
 
     /** Six in ten engines are replaced: the cold ones are needed. */
-    static List<EngineModel> join(Fleet fleet) {
+    static List<FleetEngineModel> join(SimulatedFleet fleet) {
         return storm(fleet, 0, MOST_REPLACED);
     }
 
@@ -60,12 +60,12 @@
      * Six in ten engines of the vast fleet are replaced within 7 s, while the list's source goes
      * away for 3 s.
      */
-    static List<EngineModel> vastJoin(Fleet fleet) {
-        List<EngineModel> old = fleet.engines();
-        List<EngineModel> cold = new ArrayList<>();
+    static List<FleetEngineModel> vastJoin(SimulatedFleet fleet) {
+        List<FleetEngineModel> old = fleet.engines();
+        List<FleetEngineModel> cold = new ArrayList<>();
         int replaced = old.size() * 6 / 10;
         for (int i = 0; i < replaced; i++) {
-            EngineModel e = old.get(i);
+            FleetEngineModel e = old.get(i);
             fleet.time.after(i * 7 * S / replaced, () -> cold.add(fleet.add(fleet.time.now())));
             fleet.time.after(S + i * 7 * S / replaced, () -> fleet.drain(e));
         }
@@ -77,8 +77,8 @@
     /**
      * A zone's engines die at once, which the list tells after 4 s, and are back cold after 5 s.
      */
-    static List<EngineModel> vastZone(Fleet fleet) {
-        List<EngineModel> lost = fleet.engines().stream().filter(e -> e.zone == 1).toList();
+    static List<FleetEngineModel> vastZone(SimulatedFleet fleet) {
+        List<FleetEngineModel> lost = fleet.engines().stream().filter(e -> e.zone == 1).toList();
         lost.forEach(e -> fleet.lose(e, 4 * S, 5 * S));
         fleet.run(24 * S);
         return lost;
@@ -88,15 +88,15 @@
      * Runs them for so long past their first seconds, in which all connections are new; those are
      * not looked at.
      */
-    static void settled(long us, Fleet... fleets) {
-        for (Fleet each : fleets) {
+    static void settled(long us, SimulatedFleet... fleets) {
+        for (SimulatedFleet each : fleets) {
             each.run(10 * S);
             each.forgetLooks();
             each.run(us);
         }
     }
 
-    static double peak(List<EngineModel> cold) {
+    static double peak(List<FleetEngineModel> cold) {
         return cold.stream().mapToDouble(e -> e.coldPeak).max().orElse(0);
     }
 
@@ -104,7 +104,7 @@
      * Work sent to cold engines against what they could do in that time, which is a part of what
      * the rule allows.
      */
-    static double use(Fleet fleet, List<EngineModel> cold) {
+    static double use(SimulatedFleet fleet, List<FleetEngineModel> cold) {
         double windows =
                 fleet.shape.rules().warmUpUs() / (double) fleet.shape.rules().slowStartWindowUs();
         return cold.stream()
@@ -120,16 +120,16 @@
 
     /** Figures of the measurement, in order. */
     public static List<String> figures(long seed) {
-        Fleet herd = Fleet.ofModules(Fleet.Shape.usual(), seed);
-        Fleet join = Fleet.ofModules(Fleet.Shape.usual(), seed);
+        SimulatedFleet herd = SimulatedFleet.ofModules(SimulatedFleet.Shape.usual(), seed);
+        SimulatedFleet join = SimulatedFleet.ofModules(SimulatedFleet.Shape.usual(), seed);
         herd.run(10 * S);
         join.run(10 * S);
-        List<EngineModel> started = herd(herd);
-        List<EngineModel> joined = join(join);
+        List<FleetEngineModel> started = herd(herd);
+        List<FleetEngineModel> joined = join(join);
         herd.run(14 * S);
         join.run(14 * S);
-        Fleet calm = Fleet.ofModules(Fleet.Shape.usual(), seed);
-        Fleet chance = Fleet.byChance(Fleet.Shape.usual(), seed);
+        SimulatedFleet calm = SimulatedFleet.ofModules(SimulatedFleet.Shape.usual(), seed);
+        SimulatedFleet chance = SimulatedFleet.byChance(SimulatedFleet.Shape.usual(), seed);
         settled(50 * S, calm, chance);
         int violations = herd.violationCount() + join.violationCount() + calm.violationCount();
         List<String> out = new ArrayList<>();
@@ -162,12 +162,12 @@
     }
 
     private static List<String> vastFigures(long seed) {
-        Fleet join = Fleet.ofModules(Fleet.Shape.vast(), seed);
-        Fleet zone = Fleet.ofModules(Fleet.Shape.vast(), seed);
+        SimulatedFleet join = SimulatedFleet.ofModules(SimulatedFleet.Shape.vast(), seed);
+        SimulatedFleet zone = SimulatedFleet.ofModules(SimulatedFleet.Shape.vast(), seed);
         join.run(10 * S);
         zone.run(10 * S);
-        List<EngineModel> joined = vastJoin(join);
-        List<EngineModel> back = vastZone(zone);
+        List<FleetEngineModel> joined = vastJoin(join);
+        List<FleetEngineModel> back = vastZone(zone);
         List<String> out = new ArrayList<>();
         out.add("vast_violations=" + (join.violationCount() + zone.violationCount()));
         out.add(
@@ -196,7 +196,7 @@
         return out;
     }
 
-    private static double connections(Fleet fleet) {
+    private static double connections(SimulatedFleet fleet) {
         return fleet.engines().stream().mapToInt(e -> e.mostConnections).max().orElse(0)
                 / (double) ACCEPTED;
     }
--- a/src/measure/java/calicostream/mass/PlainRouter.java
+++ b/src/measure/java/calicostream/mass/LeastLoadedRouter.java
@@ -17,11 +17,11 @@
  * What policies to compare with have in common: each query goes out once, and all that they do not
  * heed is passed over.
  */
-public abstract class PlainRouter implements QueryRouter {
+public abstract class LeastLoadedRouter implements QueryRouter {
     protected final RouterActions actions;
     protected final TreeMap<Long, EngineEndpoint> ready = new TreeMap<>();
 
-    protected PlainRouter(RouterActions actions) {
+    protected LeastLoadedRouter(RouterActions actions) {
         this.actions = actions;
     }
 
--- a/src/measure/java/calicostream/mass/ByChance.java
+++ b/src/measure/java/calicostream/mass/RandomChoice.java
@@ -7,10 +7,10 @@
 import java.util.SplittableRandom;
 
 /** The baseline: each query goes to an engine drawn from those listed as ready, once. */
-final class ByChance extends PlainRouter {
+final class RandomChoice extends LeastLoadedRouter {
     private final SplittableRandom random;
 
-    ByChance(RouterActions actions, long seed) {
+    RandomChoice(RouterActions actions, long seed) {
         super(actions);
         random = new SplittableRandom(seed);
     }
--- a/src/measure/java/calicostream/mass/ListSource.java
+++ b/src/measure/java/calicostream/mass/SimulatedDiscovery.java
@@ -13,7 +13,7 @@
  * before an older one, and not at all while the source is away; a front end that has lost it asks
  * again as {@link WatchBackoff} says.
  */
-final class ListSource {
+final class SimulatedDiscovery {
     private static final double TWICE = 0.2;
     private static final long CALL = 1_000; // us for a call to be answered or refused
 
@@ -75,7 +75,7 @@
         }
     }
 
-    private final Time time;
+    private final FleetClock time;
     private final SplittableRandom random;
     private final long lateUs;
     private final List<Change> changes = new ArrayList<>();
@@ -84,7 +84,7 @@
     private boolean away;
 
     /** Changes come up to so late; 0: at once and in order. */
-    ListSource(Time time, SplittableRandom random, long lateUs) {
+    SimulatedDiscovery(FleetClock time, SplittableRandom random, long lateUs) {
         this.time = time;
         this.random = random;
         this.lateUs = lateUs;
--- a/src/measure/java/calicostream/mass/Fleet.java
+++ b/src/measure/java/calicostream/mass/SimulatedFleet.java
@@ -28,7 +28,7 @@
  * A fleet of front ends and engines over some virtual time; the accounts are read when {@link #run}
  * returns.
  */
-final class Fleet {
+final class SimulatedFleet {
     /**
      * What is drawn: numbers, queries a second over all, the rules, and the time a client waits.
      */
@@ -109,12 +109,12 @@
         60_000, 2_400_000, 2_000_000
     }; // core-us: lookup, report, load
     private static final int[] THREADS = {1, 4, 2};
-    final Time time = new Time();
+    final FleetClock time = new FleetClock();
     final Shape shape;
     private final SplittableRandom random;
-    private final Map<Long, EngineModel> engines = new LinkedHashMap<>();
-    final ListSource list;
-    private final List<GatewayModel> gateways = new ArrayList<>();
+    private final Map<Long, FleetEngineModel> engines = new LinkedHashMap<>();
+    final SimulatedDiscovery list;
+    private final List<SimulatedFrontEnd> gateways = new ArrayList<>();
     private final double[] shares;
     private final Map<String, Integer> violations = new TreeMap<>();
     private final BiFunction<Integer, RouterActions, QueryRouter> maker;
@@ -123,23 +123,25 @@
     private long nextEngine = 1000;
 
     /** With the decision module in each gateway. */
-    static Fleet ofModules(Shape shape, long seed) {
-        return new Fleet(
+    static SimulatedFleet ofModules(Shape shape, long seed) {
+        return new SimulatedFleet(
                 shape,
                 seed,
                 (index, actions) -> new AffinityRouter(settings(shape, index), actions));
     }
 
     /** With a choice by chance among all engines listed as ready in each. */
-    static Fleet byChance(Shape shape, long seed) {
-        return new Fleet(shape, seed, (index, actions) -> new ByChance(actions, seed + index));
+    static SimulatedFleet byChance(Shape shape, long seed) {
+        return new SimulatedFleet(
+                shape, seed, (index, actions) -> new RandomChoice(actions, seed + index));
     }
 
-    private Fleet(Shape shape, long seed, BiFunction<Integer, RouterActions, QueryRouter> maker) {
+    private SimulatedFleet(
+            Shape shape, long seed, BiFunction<Integer, RouterActions, QueryRouter> maker) {
         this.shape = shape;
         this.maker = maker;
         random = new SplittableRandom(seed);
-        list = new ListSource(time, new SplittableRandom(seed + 1), shape.listLateUs);
+        list = new SimulatedDiscovery(time, new SplittableRandom(seed + 1), shape.listLateUs);
         shares = new double[shape.gateways];
         double all = 0;
         for (int i = 0; i < shares.length; i++) { // Some see several times the mean.
@@ -211,13 +213,13 @@
     // -----------------------------------------------------------------------------------
     /** A front end begins, knowing nothing but the list. */
     void start(int index) {
-        GatewayModel g = new GatewayModel(this, index, index % shape.zones, maker);
+        SimulatedFrontEnd g = new SimulatedFrontEnd(this, index, index % shape.zones, maker);
         gateways.set(index, g);
         g.roster(
                 EndpointUpdate.CACHED,
                 engines.values().stream()
                         .filter(e -> e.state != EngineLifecycle.REMOVED)
-                        .map(EngineModel::entry)
+                        .map(FleetEngineModel::entry)
                         .toList());
         g.reader = list.follow(index, changed -> g.roster(EndpointUpdate.INCREMENTAL, changed));
     }
@@ -227,9 +229,9 @@
     }
 
     /** An engine begins, cold, and the list tells it to all. */
-    EngineModel add(long bornUs) {
-        EngineModel e =
-                new EngineModel(
+    FleetEngineModel add(long bornUs) {
+        FleetEngineModel e =
+                new FleetEngineModel(
                         time, shape, nextEngine++, engines.size() % shape.zones, CORES, bornUs);
         engines.put(e.id, e);
         list.tell(e.entry());
@@ -237,7 +239,7 @@
     }
 
     /** One engine is told to drain; it has gone some time later. */
-    void drain(EngineModel e) {
+    void drain(FleetEngineModel e) {
         e.state = EngineLifecycle.DRAINING;
         list.tell(e.entry());
         time.after(
@@ -249,7 +251,7 @@
     }
 
     /** Its process dies with what it runs, which the list tells late, and comes back cold. */
-    void lose(EngineModel e, long toldAfter, long backAfter) {
+    void lose(FleetEngineModel e, long toldAfter, long backAfter) {
         e.die();
         time.after(toldAfter, () -> list.tell(e.entry()));
         time.after(
@@ -266,7 +268,7 @@
         time.after(
                 (long) (-mean * Math.log(1 - random.nextDouble())),
                 () -> {
-                    GatewayModel g = gateways.get(index);
+                    SimulatedFrontEnd g = gateways.get(index);
                     if (g.alive) {
                         double draw = random.nextDouble();
                         int queryClass = draw < 0.7 ? 0 : draw < 0.9 ? 1 : 2;
@@ -277,12 +279,12 @@
     }
 
     private void look() {
-        List<EngineModel> warm =
+        List<FleetEngineModel> warm =
                 engines.values().stream()
                         .filter(e -> e.state == EngineLifecycle.READY && !e.cold())
                         .toList();
-        double mean = warm.stream().mapToDouble(EngineModel::load).average().orElse(0);
-        double most = warm.stream().mapToDouble(EngineModel::load).max().orElse(0);
+        double mean = warm.stream().mapToDouble(FleetEngineModel::load).average().orElse(0);
+        double most = warm.stream().mapToDouble(FleetEngineModel::load).max().orElse(0);
         if (mean > 0) {
             fullest.add(most / mean);
         }
@@ -290,7 +292,7 @@
     }
 
     private void idle() {
-        gateways.stream().filter(g -> g.alive).forEach(GatewayModel::closeIdle);
+        gateways.stream().filter(g -> g.alive).forEach(SimulatedFrontEnd::closeIdle);
         time.after(500_000, this::idle);
     }
 
@@ -304,7 +306,7 @@
         return ++queries;
     }
 
-    EngineModel engine(long id) {
+    FleetEngineModel engine(long id) {
         return engines.get(id);
     }
 
@@ -338,11 +340,11 @@
         return violations;
     }
 
-    List<EngineModel> engines() {
+    List<FleetEngineModel> engines() {
         return List.copyOf(engines.values());
     }
 
-    List<GatewayModel> gateways() {
+    List<SimulatedFrontEnd> gateways() {
         return gateways;
     }
 
@@ -356,7 +358,7 @@
         fullest.clear();
     }
 
-    double perQuery(java.util.function.ToLongFunction<GatewayModel> of) {
+    double perQuery(java.util.function.ToLongFunction<SimulatedFrontEnd> of) {
         return gateways.stream().mapToLong(of).sum()
                 / (double) Math.max(1, gateways.stream().mapToLong(g -> g.asked).sum());
     }
--- a/src/measure/java/calicostream/mass/GatewayModel.java
+++ b/src/measure/java/calicostream/mass/SimulatedFrontEnd.java
@@ -20,14 +20,14 @@
  * One front end: a module, what it has out, its connections, and a check of each thing that it
  * does.
  */
-final class GatewayModel implements RouterActions {
+final class SimulatedFrontEnd implements RouterActions {
     private static final class Open {
         final Query query;
         final long deadline;
         int attempts;
         boolean answered, mayHaveRun;
-        EngineModel.Run run;
-        EngineModel at;
+        FleetEngineModel.Run run;
+        FleetEngineModel at;
         long sentAt;
         boolean counted;
 
@@ -37,7 +37,7 @@
         }
     }
 
-    private final Fleet fleet;
+    private final SimulatedFleet fleet;
     private final int index;
     final int zone;
     private final Map<Long, Open> open = new HashMap<>();
@@ -48,10 +48,10 @@
     private final QueryRouter router;
     long handshakes, crossed, served, failed, refused, asked;
     boolean alive = true;
-    ListSource.Reader reader;
+    SimulatedDiscovery.Reader reader;
 
-    GatewayModel(
-            Fleet fleet,
+    SimulatedFrontEnd(
+            SimulatedFleet fleet,
             int index,
             int zone,
             BiFunction<Integer, RouterActions, QueryRouter> maker) {
@@ -91,7 +91,7 @@
         Open o = new Open(query, fleet.time.now() + fleet.shape.deadlineUs());
         open.put(query.id(), o);
         fleet.time.after(
-                fleet.shape.deadlineUs() + Fleet.LATE,
+                fleet.shape.deadlineUs() + SimulatedFleet.LATE,
                 () -> {
                     if (alive && !o.answered) {
                         fleet.violation("no answer in time");
@@ -103,7 +103,7 @@
     @Override
     public void startAttempt(long id, long engine, long giveUpAt) {
         Open o = open.get(id);
-        EngineModel e = fleet.engine(engine);
+        FleetEngineModel e = fleet.engine(engine);
         int attempt = o.attempts++;
         if (o.at != null || o.answered) {
             fleet.violation("two attempts at once");
@@ -114,7 +114,7 @@
         if (!told.contains(engine)) {
             fleet.violation("sent to an engine that is not listed as ready");
         }
-        if (attempt >= Fleet.ATTEMPTS) {
+        if (attempt >= SimulatedFleet.ATTEMPTS) {
             fleet.violation("too many attempts");
         }
         o.at = e;
@@ -127,11 +127,11 @@
         linkUsed.put(engine, fleet.time.now());
         linkOut.merge(engine, 1, Integer::sum);
         crossed += e.zone == zone ? 0 : 1;
-        long way = (e.zone == zone ? Fleet.NEAR : Fleet.FAR) * (isNew ? 3 : 1);
+        long way = (e.zone == zone ? SimulatedFleet.NEAR : SimulatedFleet.FAR) * (isNew ? 3 : 1);
         fleet.time.after(way, () -> arrive(o, attempt, e));
     }
 
-    private void arrive(Open o, int attempt, EngineModel e) {
+    private void arrive(Open o, int attempt, FleetEngineModel e) {
         if (!alive || o.at != e || o.attempts != attempt + 1) {
             return;
         }
@@ -140,12 +140,12 @@
             return;
         }
         if (fleet.time.now() - withdrawnAt.getOrDefault(e.id, fleet.time.now())
-                > Fleet.LONGEST_WAY) {
+                > SimulatedFleet.LONGEST_WAY) {
             fleet.violation("sent after word that the engine drains");
         }
         o.counted = true;
         o.run =
-                new EngineModel.Run(
+                new FleetEngineModel.Run(
                         fleet.work(o.query.queryClass()),
                         fleet.threads(o.query.queryClass()),
                         ok -> end(o, attempt, ok ? AttemptOutcome.OK : AttemptOutcome.RESET));
@@ -156,7 +156,7 @@
         if (!alive || o.at == null || o.attempts != attempt + 1) {
             return;
         }
-        EngineModel e = o.at;
+        FleetEngineModel e = o.at;
         o.at = null;
         o.run = null;
         o.mayHaveRun |= outcome.mayHaveRun;
@@ -191,7 +191,8 @@
                         link -> {
                             boolean idle =
                                     linkOut.getOrDefault(link.getKey(), 0) == 0
-                                            && fleet.time.now() - link.getValue() > Fleet.IDLE;
+                                            && fleet.time.now() - link.getValue()
+                                                    > SimulatedFleet.IDLE;
                             if (idle) {
                                 fleet.engine(link.getKey()).connect(index, -1);
                             }
--- a/src/measure/java/calicostream/measure/FlightMeasure.java
+++ b/src/measure/java/calicostream/measure/FlightMeasure.java
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.measure;
 
-import calicostream.flight.suite.EngineStand;
+import calicostream.flight.suite.FakeFlightEngine;
 import calicostream.flight.suite.FlightRuns;
-import calicostream.flight.suite.Raw;
-import calicostream.wire.ChangeLogStand;
-import calicostream.wire.Program;
+import calicostream.flight.suite.RawFlightClient;
+import calicostream.wire.FakeDiscoveryServer;
+import calicostream.wire.ServerProgram;
 import io.grpc.ManagedChannel;
 import io.grpc.Status;
 import io.grpc.netty.NettyChannelBuilder;
@@ -64,7 +64,7 @@
     };
     private final BufferAllocator allocator = new RootAllocator();
     private final Path folder = Files.createTempDirectory("flight-measure");
-    private final ChangeLogStand log = new ChangeLogStand();
+    private final FakeDiscoveryServer log = new FakeDiscoveryServer();
     private final List<Process> processes = new ArrayList<>();
     private final List<AutoCloseable> clients = new ArrayList<>();
     private Process front;
@@ -75,7 +75,7 @@
     /** {@code engine}: serves as the engine's process. */
     public static void main(String[] args) throws Exception {
         if (args.length == 1 && args[0].equals("engine")) {
-            System.out.println("port " + EngineStand.alone().address().getPort());
+            System.out.println("port " + FakeFlightEngine.alone().address().getPort());
             Thread.currentThread().join();
         }
         FlightMeasure measure = new FlightMeasure();
@@ -139,11 +139,11 @@
         InetSocketAddress engine =
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), enginePort);
         Path config =
-                Program.configure(
+                ServerProgram.configure(
                         folder,
                         0,
                         log.port(),
-                        List.of(Program.endpoint("e1", engine, "Ready", 0)),
+                        List.of(ServerProgram.endpoint("e1", engine, "Ready", 0)),
                         8192);
         Files.writeString(
                 config,
@@ -268,7 +268,11 @@
         ManagedChannel channel = channel(frontPort);
         List<ClientCallStreamObserver<Flight.Ticket>> calls = new ArrayList<>();
         for (int i = 0; i < STALLED; i++) {
-            calls.add(Raw.unread(channel, Raw.ticket(channel, LARGE), new CompletableFuture<>()));
+            calls.add(
+                    RawFlightClient.unread(
+                            channel,
+                            RawFlightClient.ticket(channel, LARGE),
+                            new CompletableFuture<>()));
         }
         Thread.sleep(2000);
         calls.forEach(each -> each.cancel("read nothing", null));
@@ -303,7 +307,7 @@
         FlightServiceGrpc.FlightServiceBlockingStub stub =
                 FlightServiceGrpc.newBlockingStub(channel);
         Flight.FlightDescriptor first =
-                stub.pollFlightInfo(Raw.query("select rows=1 polls=1000000 hold"))
+                stub.pollFlightInfo(RawFlightClient.query("select rows=1 polls=1000000 hold"))
                         .getFlightDescriptor();
         Flight.PollInfo told =
                 stub.pollFlightInfo(first); // The engine has told half, and keeps the next answer.
--- a/src/measure/java/calicostream/measure/MassMeasure.java
+++ b/src/measure/java/calicostream/measure/MassMeasure.java
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.measure;
 
-import calicostream.mass.MassRuns;
-import calicostream.wire.ChangeLogStand;
-import calicostream.wire.Program;
-import calicostream.wire.RespStand;
+import calicostream.mass.FleetRuns;
+import calicostream.wire.FakeDiscoveryServer;
+import calicostream.wire.FakeRespEngine;
+import calicostream.wire.ServerProgram;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -26,7 +26,7 @@
     public static void main(String[] args) throws Exception {
         long seed = args.length > 0 ? Long.parseLong(args[0]) : 1;
         System.out.println("seed " + seed);
-        List<String> figures = new ArrayList<>(MassRuns.figures(seed));
+        List<String> figures = new ArrayList<>(FleetRuns.figures(seed));
         long[] taken = new long[STARTS];
         for (int i = 0; i < STARTS; i++) {
             taken[i] = firstAnswerMs();
@@ -41,17 +41,18 @@
 
     private static long firstAnswerMs() throws Exception {
         Path folder = Files.createTempDirectory("mass-measure");
-        try (ChangeLogStand log = new ChangeLogStand();
-                RespStand engine = new RespStand()) {
+        try (FakeDiscoveryServer log = new FakeDiscoveryServer();
+                FakeRespEngine engine = new FakeRespEngine()) {
             Path config =
-                    Program.configure(
+                    ServerProgram.configure(
                             folder,
                             0,
                             log.port(),
-                            List.of(Program.endpoint("e1", engine.address(), "Ready", 0)),
+                            List.of(ServerProgram.endpoint("e1", engine.address(), "Ready", 0)),
                             1024);
             ProcessBuilder builder =
-                    new ProcessBuilder("/bin/sh", "-c", Program.run()).redirectErrorStream(true);
+                    new ProcessBuilder("/bin/sh", "-c", ServerProgram.run())
+                            .redirectErrorStream(true);
             builder.environment().put("NODE_CONFIG", config.toString());
             builder.environment().put("TMPDIR", folder.toString());
             long from = System.nanoTime();
@@ -65,7 +66,7 @@
                 if (line == null) {
                     throw new IOException("the program ended");
                 }
-                Program.ask(Program.portIn(line), engine, 1);
+                ServerProgram.ask(ServerProgram.portIn(line), engine, 1);
                 return (System.nanoTime() - from) / 1_000_000;
             } finally {
                 process.destroyForcibly().waitFor();
--- a/src/measure/java/calicostream/rig/Await.java
+++ b/src/measure/java/calicostream/rig/Await.java
@@ -13,7 +13,7 @@
 
     /** Fails after the rig's patience with what it is told then. */
     static void until(Callable<Boolean> condition, Supplier<String> otherwise) throws Exception {
-        long end = System.nanoTime() + Proc.PATIENCE_MS * 1_000_000;
+        long end = System.nanoTime() + ServerProcess.PATIENCE_MS * 1_000_000;
         while (!condition.call()) {
             if (System.nanoTime() - end > 0) {
                 throw new AssertionError(otherwise.get());
--- a/src/measure/java/calicostream/rig/Fleet.java
+++ b/src/measure/java/calicostream/rig/ClusterFleet.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.rig;
 
-import calicostream.wire.Program;
+import calicostream.wire.ServerProgram;
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
 import java.io.IOException;
@@ -24,7 +24,7 @@
  * between any two; engines, change log and clients are stand-ins that all of them share. One thread
  * uses it; {@link #close} ends every process, whatever state it is in.
  */
-final class Fleet implements AutoCloseable {
+final class ClusterFleet implements AutoCloseable {
     /**
      * @param voters the first of the members, 3 or 5
      * @param clustered false for the same processes with the cluster off
@@ -50,35 +50,36 @@
 
     private static final int ENGINES = 2;
     private static final long SERVICE_MS = 3;
-    final History history;
-    final Load load;
-    final Relays relays;
-    final ResourceStand resource;
+    final OperationHistory history;
+    final LoadGenerator load;
+    final LinkProxies relays;
+    final FakeFencedResource resource;
     private final Plan plan;
     private final Path folder;
-    private final List<EngineStand> engines = new ArrayList<>();
-    private final ListStand list = new ListStand();
+    private final List<FakeCountingEngine> engines = new ArrayList<>();
+    private final FakeEndpointList list = new FakeEndpointList();
     private final List<InetSocketAddress> addresses = new ArrayList<>();
-    private final Map<Integer, Relays.Link> links = new HashMap<>();
-    private final Map<Integer, Proc> running = new HashMap<>();
+    private final Map<Integer, LinkProxies.Link> links = new HashMap<>();
+    private final Map<Integer, ServerProcess> running = new HashMap<>();
     private final Map<Integer, Integer> admins = new HashMap<>();
     private final Map<Integer, Integer> generations = new HashMap<>();
     private String cluster = "rig";
     private long tokensAbove;
     private List<Integer> voters;
-    private final List<Proc> all = new ArrayList<>();
+    private final List<ServerProcess> all = new ArrayList<>();
 
-    Fleet(Path folder, Plan plan, History history, long askEveryMs) throws IOException {
+    ClusterFleet(Path folder, Plan plan, OperationHistory history, long askEveryMs)
+            throws IOException {
         this.folder = folder;
         this.plan = plan;
         this.history = history;
         voters = members().subList(0, plan.voters());
         for (int i = 0; i < ENGINES; i++) {
-            engines.add(new EngineStand(i, SERVICE_MS, history));
+            engines.add(new FakeCountingEngine(i, SERVICE_MS, history));
         }
-        load = new Load(history, askEveryMs);
-        relays = new Relays();
-        resource = new ResourceStand(history);
+        load = new LoadGenerator(history, askEveryMs);
+        relays = new LinkProxies();
+        resource = new FakeFencedResource(history);
         InetAddress own = ownAddress();
         for (int i = 1; i <= plan.members(); i++) {
             addresses.add(free(own));
@@ -140,19 +141,19 @@
 
     /** Starts a member's process. {@code properties} are the virtual machine's. */
     void launch(int member, String... properties) throws IOException {
-        Proc proc = proc(member, member, properties);
+        ServerProcess proc = proc(member, member, properties);
         running.put(member, proc);
     }
 
     /** A further process with the settings of a member but for its folder of settings. */
-    Proc proc(int member, int place, String... properties) throws IOException {
+    ServerProcess proc(int member, int place, String... properties) throws IOException {
         Path home =
                 Files.createDirectories(folder.resolve((plan.clustered() ? "m" : "off") + place));
         List<String> known = new ArrayList<>();
         for (int i = 0; i < engines.size(); i++) {
-            known.add(Program.endpoint("e" + i, engines.get(i).address(), "Ready", 0));
+            known.add(ServerProgram.endpoint("e" + i, engines.get(i).address(), "Ready", 0));
         }
-        Path config = Program.configure(home, 0, list.port(), known, 256);
+        Path config = ServerProgram.configure(home, 0, list.port(), known, 256);
         List<String> command =
                 new ArrayList<>(
                         List.of(
@@ -167,10 +168,10 @@
         if (plan.clustered()) {
             command.addAll(
                     List.of(
-                            "-Dcalicostream.cluster.disks=calicostream.rig.RigDisks",
-                            "-D" + RigDisks.PROPERTY + "=" + disk(place),
-                            "-Dcalicostream.lease.tasks=calicostream.rig.RigTasks",
-                            "-D" + RigTasks.PROPERTY + "=" + resource.port() + " m" + place));
+                            "-Dcalicostream.cluster.disks=calicostream.rig.FaultInjectingDisks",
+                            "-D" + FaultInjectingDisks.PROPERTY + "=" + disk(place),
+                            "-Dcalicostream.lease.tasks=calicostream.rig.HarnessTasks",
+                            "-D" + HarnessTasks.PROPERTY + "=" + resource.port() + " m" + place));
         }
         command.addAll(List.of(properties));
         command.addAll(
@@ -186,7 +187,7 @@
                     "NODE_CLUSTER",
                     Files.writeString(home.resolve("cluster.toml"), settings(member)).toString());
         }
-        Proc proc = new Proc("member " + member, command, environment);
+        ServerProcess proc = new ServerProcess("member " + member, command, environment);
         all.add(proc);
         return proc;
     }
@@ -248,7 +249,7 @@
     }
 
     /** What the member's disk does from now on, at its next call. */
-    void disk(int member, RigDisks.Lie lie, long amount) throws IOException {
+    void disk(int member, FaultInjectingDisks.Lie lie, long amount) throws IOException {
         Path next = Files.writeString(folder.resolve("disk.next"), lie + " " + amount);
         Files.move(
                 next,
@@ -264,7 +265,7 @@
 
     /** The second one, on a device without faults. */
     Path marks(int member) {
-        return folder.resolve(cluster + "-" + RigDisks.HONEST + member);
+        return folder.resolve(cluster + "-" + FaultInjectingDisks.HONEST + member);
     }
 
     /**
@@ -284,14 +285,14 @@
     }
 
     void awaitServing(int member) throws Exception {
-        Proc proc = running.get(member);
-        admins.put(member, Program.portIn(proc.awaitLine("operators call on port")));
+        ServerProcess proc = running.get(member);
+        admins.put(member, ServerProgram.portIn(proc.awaitLine("operators call on port")));
         resume(member);
     }
 
     /** Clients ask this front end again. */
     void resume(int member) throws Exception {
-        load.begin(member, Program.portIn(running.get(member).awaitLine("listens on port")));
+        load.begin(member, ServerProgram.portIn(running.get(member).awaitLine("listens on port")));
     }
 
     /** Ends what a test did and did not end: all run, on whole links and disks. */
@@ -300,7 +301,7 @@
         List<Integer> missing = new ArrayList<>();
         for (int each : members()) {
             running.get(each).signal("CONT");
-            disk(each, RigDisks.Lie.HONEST, 0);
+            disk(each, FaultInjectingDisks.Lie.HONEST, 0);
             if (!running.get(each).isAlive()) {
                 missing.add(each);
                 launch(each);
@@ -311,7 +312,7 @@
         }
     }
 
-    Proc proc(int member) {
+    ServerProcess proc(int member) {
         return running.get(member);
     }
 
@@ -341,7 +342,7 @@
     // ---- Links
     // -------------------------------------------------------------------------------------------
 
-    Relays.Link link(int from, int to) {
+    LinkProxies.Link link(int from, int to) {
         return links.get(key(from, to));
     }
 
@@ -378,7 +379,7 @@
 
     /** What the member tells operators of the cluster. */
     JsonObject signs(int member) throws IOException {
-        String answer = Program.call(admins.get(member), "GET /-/cluster");
+        String answer = ServerProgram.call(admins.get(member), "GET /-/cluster");
         if (!answer.startsWith("HTTP/1.1 200 ")) {
             throw new AssertionError("member " + member + " tells no signs: " + answer);
         }
@@ -387,12 +388,12 @@
 
     /** Operators' words to a member; the status line and, behind it, what was said. */
     String tell(int member, String words) throws IOException {
-        return Program.call(admins.get(member), "POST /-/cluster/" + words);
+        return ServerProgram.call(admins.get(member), "POST /-/cluster/" + words);
     }
 
     /** Whether its front end is ready, as the operators' address says. */
     boolean isReady(int member) throws IOException {
-        return Program.call(admins.get(member), "GET /-/ready").startsWith("HTTP/1.1 200 ");
+        return ServerProgram.call(admins.get(member), "GET /-/ready").startsWith("HTTP/1.1 200 ");
     }
 
     /** Waits until the member's signs are so. */
@@ -447,12 +448,12 @@
 
     @Override
     public void close() throws IOException {
-        all.forEach(Proc::close);
+        all.forEach(ServerProcess::close);
         load.close();
         relays.close();
         resource.close();
         list.close();
-        for (EngineStand each : engines) {
+        for (FakeCountingEngine each : engines) {
             each.close();
         }
     }
--- a/src/measure/java/calicostream/rig/ClusterMeasure.java
+++ b/src/measure/java/calicostream/rig/ClusterMeasure.java
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.rig;
 
-import calicostream.rig.History.Act;
-import calicostream.rig.RigDisks.Lie;
+import calicostream.rig.FaultInjectingDisks.Lie;
+import calicostream.rig.OperationHistory.Act;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -58,8 +58,8 @@
 
     private final long began = System.nanoTime();
     private final Random random;
-    private final Twins twins;
-    private final Fleet fleet;
+    private final StandaloneFrontEnds twins;
+    private final ClusterFleet fleet;
     private final Set<String> kinds = new TreeSet<>();
     private final List<Long> killed = new ArrayList<>();
     private boolean budgets; // whether this version runs them
@@ -68,9 +68,10 @@
     private ClusterMeasure(Path folder, long seed) throws IOException {
         random = new Random(seed);
         twins =
-                new Twins(
+                new StandaloneFrontEnds(
                         folder,
-                        new Fleet.Plan(MEMBERS, VOTERS, true, Fleet.Plan.QUICK + BUDGETS),
+                        new ClusterFleet.Plan(
+                                MEMBERS, VOTERS, true, ClusterFleet.Plan.QUICK + BUDGETS),
                         TWINNED,
                         ASK_EVERY_MS);
         fleet = twins.on;
@@ -99,7 +100,7 @@
         long seed = args.length > 0 ? Long.parseLong(args[0]) : 1;
         Path folder = Files.createTempDirectory("cluster");
         ClusterMeasure measure = new ClusterMeasure(folder, seed);
-        try (Twins ending = measure.twins) {
+        try (StandaloneFrontEnds ending = measure.twins) {
             System.out.println(measure.run(seed));
         } finally {
             try (Stream<Path> files = Files.walk(folder)) {
@@ -338,7 +339,7 @@
 
     private void second() throws Exception {
         int first = follower();
-        try (Proc second = fleet.proc(first, first + 10)) {
+        try (ServerProcess second = fleet.proc(first, first + 10)) {
             Await.until(() -> !second.isAlive(), () -> "two processes run on one folder");
         }
     }
@@ -347,9 +348,10 @@
     // -----------------------------------------------------------------------------------------
 
     private String line(long seed, long from, long to) {
-        Judge judge = new Judge(fleet.history.copy());
-        Judge without = new Judge(twins.off.history.copy());
-        List<Long> handovers = judge.handovers(RigTasks.LEASE, killed).stream().sorted().toList();
+        OperationHistoryChecker judge = new OperationHistoryChecker(fleet.history.copy());
+        OperationHistoryChecker without = new OperationHistoryChecker(twins.off.history.copy());
+        List<Long> handovers =
+                judge.handovers(HarnessTasks.LEASE, killed).stream().sorted().toList();
         long lost = judge.lost().size() + judge.answeredTwice().size() + judge.ranTwice().size();
         System.out.printf(
                 Locale.ROOT,
@@ -371,8 +373,8 @@
         System.out.printf(
                 Locale.ROOT,
                 "refused %d with the cluster, %d without%n",
-                judge.ended(TWINNED, from, to, History.Answer.REFUSED),
-                without.ended(TWINNED, from, to, History.Answer.REFUSED));
+                judge.ended(TWINNED, from, to, OperationHistory.Answer.REFUSED),
+                without.ended(TWINNED, from, to, OperationHistory.Answer.REFUSED));
         System.out.println(
                 "refused with the cluster, by front end, in seconds since the start: "
                         + refusals());
@@ -403,7 +405,7 @@
                         : String.format(
                                 Locale.ROOT,
                                 "%.2f",
-                                Judge.percentile(handovers, 0.99) / 1e6 / TTL_MS),
+                                OperationHistoryChecker.percentile(handovers, 0.99) / 1e6 / TTL_MS),
                 judge.served(TWINNED, from, to) / without.served(TWINNED, from, to),
                 seed);
     }
@@ -411,7 +413,7 @@
     private Map<Integer, Map<Long, Integer>> refusals() {
         Map<Integer, Map<Long, Integer>> out = new TreeMap<>();
         fleet.history.copy().answered().stream()
-                .filter(each -> each.answer() == History.Answer.REFUSED)
+                .filter(each -> each.answer() == OperationHistory.Answer.REFUSED)
                 .forEach(
                         each ->
                                 out.computeIfAbsent(each.front(), key -> new TreeMap<>())
@@ -422,7 +424,7 @@
         return out;
     }
 
-    private static double waited(Judge judge, long from, long to) {
-        return Judge.percentile(judge.waits(TWINNED, from, to), 0.99) / 1e6;
+    private static double waited(OperationHistoryChecker judge, long from, long to) {
+        return OperationHistoryChecker.percentile(judge.waits(TWINNED, from, to), 0.99) / 1e6;
     }
 }
--- a/src/measure/java/calicostream/rig/EngineStand.java
+++ b/src/measure/java/calicostream/rig/FakeCountingEngine.java
@@ -22,29 +22,29 @@
  * An engine that serves each request after a fixed time, unless it is called off, and records when
  * each ran.
  */
-final class EngineStand implements AutoCloseable {
+final class FakeCountingEngine implements AutoCloseable {
     private static final int CORES = 12;
     private final ServerSocket server = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
     private final Set<Socket> peers = ConcurrentHashMap.newKeySet();
     private final Map<String, Long> running = new ConcurrentHashMap<>();
     private final ScheduledExecutorService timer =
-            Executors.newSingleThreadScheduledExecutor(Stands.daemons("engine"));
+            Executors.newSingleThreadScheduledExecutor(FakeServers.daemons("engine"));
     private final int number;
     private final long serviceMs;
-    private final History history;
+    private final OperationHistory history;
 
-    EngineStand(int number, long serviceMs, History history) throws IOException {
+    FakeCountingEngine(int number, long serviceMs, OperationHistory history) throws IOException {
         this.number = number;
         this.serviceMs = serviceMs;
         this.history = history;
-        Stands.daemon(
+        FakeServers.daemon(
                 "engine's door",
                 () -> {
                     while (!server.isClosed()) {
                         Socket peer = server.accept();
                         peer.setTcpNoDelay(true);
                         peers.add(peer);
-                        Stands.daemon("engine's peer", () -> serve(peer));
+                        FakeServers.daemon("engine's peer", () -> serve(peer));
                     }
                 });
     }
@@ -75,7 +75,7 @@
     private boolean ended(String id) {
         Long from = running.remove(id);
         if (from != null) {
-            history.add(new History.Ran(id, number, from, System.nanoTime()));
+            history.add(new OperationHistory.Ran(id, number, from, System.nanoTime()));
         }
         return from != null;
     }
--- a/src/measure/java/calicostream/rig/ListStand.java
+++ b/src/measure/java/calicostream/rig/FakeEndpointList.java
@@ -16,14 +16,14 @@
  * A change log with any number of followers and nothing new to tell, which says each half second
  * that it is there.
  */
-final class ListStand implements AutoCloseable {
+final class FakeEndpointList implements AutoCloseable {
     private final ServerSocket server = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
     private final Set<Socket> followers = ConcurrentHashMap.newKeySet();
     private final ScheduledExecutorService beat =
-            Executors.newSingleThreadScheduledExecutor(Stands.daemons("change log"));
+            Executors.newSingleThreadScheduledExecutor(FakeServers.daemons("change log"));
 
-    ListStand() throws IOException {
-        Stands.daemon(
+    FakeEndpointList() throws IOException {
+        FakeServers.daemon(
                 "change log's door",
                 () -> {
                     while (!server.isClosed()) {
--- a/src/measure/java/calicostream/rig/ResourceStand.java
+++ b/src/measure/java/calicostream/rig/FakeFencedResource.java
@@ -18,25 +18,25 @@
  * its check that it holds the lease. Tokens are checked unless the rig takes that away, which is
  * the control. Every act is recorded as it is decided, one at a time.
  */
-final class ResourceStand implements AutoCloseable {
+final class FakeFencedResource implements AutoCloseable {
     private final ServerSocket server = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
     private final Set<Socket> peers = ConcurrentHashMap.newKeySet();
-    private History history;
+    private OperationHistory history;
     private FencingTokenGuard fence = new FencingTokenGuard();
     private boolean fenced = true;
     private boolean gate;
     private String held = "";
     private long last = -1;
 
-    ResourceStand(History history) throws IOException {
+    FakeFencedResource(OperationHistory history) throws IOException {
         this.history = history;
-        Stands.daemon(
+        FakeServers.daemon(
                 "resource's door",
                 () -> {
                     while (!server.isClosed()) {
                         Socket peer = server.accept();
                         peers.add(peer);
-                        Stands.daemon("resource's peer", () -> serve(peer));
+                        FakeServers.daemon("resource's peer", () -> serve(peer));
                     }
                 });
     }
@@ -46,7 +46,7 @@
     }
 
     /** Records there from now on, and checks tokens or does not. What it knew of tokens stays. */
-    synchronized void begin(History into, boolean checks) {
+    synchronized void begin(OperationHistory into, boolean checks) {
         history = into;
         fenced = checks;
     }
@@ -59,7 +59,7 @@
 
     /** Who is held at the gate, waited for. */
     synchronized String awaitHeld() throws InterruptedException {
-        long end = System.nanoTime() + Proc.PATIENCE_MS * 1_000_000;
+        long end = System.nanoTime() + ServerProcess.PATIENCE_MS * 1_000_000;
         while (held.isEmpty() && System.nanoTime() < end) {
             wait(100);
         }
@@ -119,7 +119,7 @@
         boolean outdated = fence.admit(lease, token).isPresent();
         boolean done = !fenced || !outdated;
         long now = System.nanoTime();
-        history.add(new History.Act(lease, token, who, number, now, done));
+        history.add(new OperationHistory.Act(lease, token, who, number, now, done));
         last = done ? now : last;
         return done ? "DONE" : "REFUSED " + fence.highestToken(lease);
     }
--- a/src/measure/java/calicostream/rig/Stands.java
+++ b/src/measure/java/calicostream/rig/FakeServers.java
@@ -4,12 +4,12 @@
 import java.util.concurrent.ThreadFactory;
 
 /** Threads of stand-ins: they end with the connection that they serve, or with the rig. */
-final class Stands {
+final class FakeServers {
     interface Work {
         void run() throws Exception;
     }
 
-    private Stands() {}
+    private FakeServers() {}
 
     static void daemon(String name, Work work) {
         daemons(name)
--- a/src/measure/java/calicostream/rig/RigDisks.java
+++ b/src/measure/java/calicostream/rig/FaultInjectingDisks.java
@@ -24,7 +24,7 @@
  * is on another device, which has no faults. Only processes die here and never the machine, so that
  * nothing is forced to the real device: how long that takes is another matter than what is tested.
  */
-public final class RigDisks implements DiskProvider {
+public final class FaultInjectingDisks implements DiskProvider {
     static final String PROPERTY = "calicostream.rig.disk";
     static final String HONEST = "marks";
 
--- a/src/measure/java/calicostream/rig/RigTasks.java
+++ b/src/measure/java/calicostream/rig/HarnessTasks.java
@@ -20,7 +20,7 @@
  * A leased task in a member's own process: while it holds, it acts at the rig's resource every so
  * often.
  */
-public final class RigTasks implements LeasedTaskProvider {
+public final class HarnessTasks implements LeasedTaskProvider {
     static final String LEASE = "rig";
 
     /** The resource's port, and the member's name. */
--- a/src/measure/java/calicostream/rig/Relays.java
+++ b/src/measure/java/calicostream/rig/LinkProxies.java
@@ -22,18 +22,18 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * All relays, on one selector thread of their own; {@link Passage} decides, this moves the bytes.
- * Any thread may open links and switch faults. An error on a connection ends that connection as it
- * would end without a relay; {@link #close} ends everything.
+ * All relays, on one selector thread of their own; {@link ProxiedLink} decides, this moves the
+ * bytes. Any thread may open links and switch faults. An error on a connection ends that connection
+ * as it would end without a relay; {@link #close} ends everything.
  */
-final class Relays implements AutoCloseable {
+final class LinkProxies implements AutoCloseable {
     private final Selector selector = Selector.open();
     private final Queue<Runnable> work = new ConcurrentLinkedQueue<>();
     private final List<Both> connections = new ArrayList<>();
     private final Thread thread = new Thread(this::run, "relays");
     private volatile boolean closed;
 
-    Relays() throws IOException {
+    LinkProxies() throws IOException {
         thread.setDaemon(true);
         thread.start();
     }
@@ -57,7 +57,7 @@
             return (InetSocketAddress) listener.getLocalAddress();
         }
 
-        /** Takes hold soon, not at once; {@link Relays#settle} waits for it. */
+        /** Takes hold soon, not at once; {@link LinkProxies#settle} waits for it. */
         void set(LinkFault to) {
             post(
                     () -> {
@@ -268,10 +268,10 @@
         private final class Flow {
             final SocketChannel from;
             final SocketChannel to;
-            final Passage passage = new Passage();
+            final ProxiedLink passage = new ProxiedLink();
             final ByteBuffer bytes =
                     ByteBuffer.allocate(
-                            Passage.ROOM); // What waits, from 0 to what the passage holds.
+                            ProxiedLink.ROOM); // What waits, from 0 to what the passage holds.
             boolean ended;
             boolean blocked;
 
--- a/src/measure/java/calicostream/rig/Load.java
+++ b/src/measure/java/calicostream/rig/LoadGenerator.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.rig;
 
-import calicostream.rig.History.Answer;
+import calicostream.rig.OperationHistory.Answer;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -21,16 +21,16 @@
  * Clients in open loop: one connection to each front end, a request on each so often, whatever
  * became of those before. Every request and every end of one is recorded.
  */
-final class Load implements AutoCloseable {
+final class LoadGenerator implements AutoCloseable {
     private static final Pattern ID = Pattern.compile("\"id\":(\\d+)");
     private static final int DEADLINE_MS = 4000;
-    private final History history;
+    private final OperationHistory history;
     private final Map<Integer, Client> clients = new ConcurrentHashMap<>();
     private final ScheduledExecutorService timer =
-            Executors.newSingleThreadScheduledExecutor(Stands.daemons("load"));
+            Executors.newSingleThreadScheduledExecutor(FakeServers.daemons("load"));
     private final AtomicLong numbers = new AtomicLong();
 
-    Load(History history, long everyMs) {
+    LoadGenerator(OperationHistory history, long everyMs) {
         this.history = history;
         timer.scheduleAtFixedRate(
                 () -> clients.values().forEach(Client::ask),
@@ -43,7 +43,7 @@
     void begin(int front, int port) throws IOException {
         Client client = new Client(front, port);
         clients.put(front, client);
-        Stands.daemon("client of " + front, client::read);
+        FakeServers.daemon("client of " + front, client::read);
     }
 
     /**
@@ -60,7 +60,7 @@
     /** Asks nothing more and waits until everything asked has its end. */
     void settle() throws Exception {
         timer.shutdown();
-        timer.awaitTermination(Proc.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        timer.awaitTermination(ServerProcess.PATIENCE_MS, TimeUnit.MILLISECONDS);
         for (Client each : clients.values()) {
             Await.until(
                     () -> each.open.isEmpty(),
@@ -112,7 +112,7 @@
                                                 + DEADLINE_MS
                                                 + ",\"content\":\"c2VsZWN0IDE=\"}}\n")
                                         .getBytes(StandardCharsets.US_ASCII));
-                history.add(new History.Asked(id, front, at));
+                history.add(new OperationHistory.Asked(id, front, at));
             } catch (IOException e) {
                 open.remove(number);
                 broken = true; // The reader notes what else was open on it.
@@ -130,7 +130,7 @@
                         long number = Long.parseLong(id.group(1));
                         open.remove(number);
                         history.add(
-                                new History.Answered(
+                                new OperationHistory.Answered(
                                         String.format("%016x", number),
                                         front,
                                         System.nanoTime(),
@@ -148,7 +148,8 @@
             open.forEach(
                     (number, id) ->
                             history.add(
-                                    new History.Dropped(id, front, System.nanoTime(), expected)));
+                                    new OperationHistory.Dropped(
+                                            id, front, System.nanoTime(), expected)));
             open.clear();
         }
     }
--- a/src/measure/java/calicostream/rig/History.java
+++ b/src/measure/java/calicostream/rig/OperationHistory.java
@@ -9,7 +9,7 @@
  * adds; {@link #copy} is what a judge reads. Nothing in here was told by a process of the program
  * about itself.
  */
-final class History {
+final class OperationHistory {
     /** A client wrote a whole request to a front end. */
     record Asked(String id, int front, long at) {}
 
--- a/src/measure/java/calicostream/rig/Judge.java
+++ b/src/measure/java/calicostream/rig/OperationHistoryChecker.java
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.rig;
 
-import calicostream.rig.History.Act;
-import calicostream.rig.History.Answer;
-import calicostream.rig.History.Answered;
-import calicostream.rig.History.Asked;
-import calicostream.rig.History.Dropped;
-import calicostream.rig.History.Ran;
+import calicostream.rig.OperationHistory.Act;
+import calicostream.rig.OperationHistory.Answer;
+import calicostream.rig.OperationHistory.Answered;
+import calicostream.rig.OperationHistory.Asked;
+import calicostream.rig.OperationHistory.Dropped;
+import calicostream.rig.OperationHistory.Ran;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Comparator;
@@ -21,10 +21,10 @@
  * Judges what was recorded; pure, and without any class of the program, so that both can't be wrong
  * in the same way.
  */
-final class Judge {
-    private final History.All all;
+final class OperationHistoryChecker {
+    private final OperationHistory.All all;
 
-    Judge(History.All all) {
+    OperationHistoryChecker(OperationHistory.All all) {
         this.all = all;
     }
 
--- a/src/measure/java/calicostream/rig/Passage.java
+++ b/src/measure/java/calicostream/rig/ProxiedLink.java
@@ -9,7 +9,7 @@
  * and no sockets. Times are monotonic nanoseconds and never go back. At most {@link #ROOM} bytes
  * wait; what does not fit is not read, so that the sender feels it.
  */
-final class Passage {
+final class ProxiedLink {
     static final int ROOM = 64 * 1024;
     private static final long NEVER = Long.MAX_VALUE;
     private static final long BURST =
--- a/src/measure/java/calicostream/rig/Proc.java
+++ b/src/measure/java/calicostream/rig/ServerProcess.java
@@ -19,7 +19,7 @@
  * A process that the rig started: its log is read as it comes, signals go to its own id alone, and
  * it never outlives the rig. Any thread.
  */
-final class Proc implements AutoCloseable {
+final class ServerProcess implements AutoCloseable {
     static final long PATIENCE_MS = 30_000;
     private static final Set<Process> ALL = ConcurrentHashMap.newKeySet();
 
@@ -33,7 +33,8 @@
     private final List<String> lines = new ArrayList<>();
     private boolean ended;
 
-    Proc(String name, List<String> command, Map<String, String> environment) throws IOException {
+    ServerProcess(String name, List<String> command, Map<String, String> environment)
+            throws IOException {
         this.name = name;
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().putAll(environment);
--- a/src/measure/java/calicostream/rig/Twins.java
+++ b/src/measure/java/calicostream/rig/StandaloneFrontEnds.java
@@ -13,25 +13,26 @@
  * the same time. What is done to such a process is done to its twin as well, so that what is left
  * between the two is the cluster alone. One thread.
  */
-final class Twins implements AutoCloseable {
-    final Fleet on;
-    final Fleet off;
+final class StandaloneFrontEnds implements AutoCloseable {
+    final ClusterFleet on;
+    final ClusterFleet off;
     final Set<Integer> twinned;
     private final List<Integer> starting = new ArrayList<>();
 
-    Twins(Path folder, Fleet.Plan plan, Set<Integer> twinned, long askEveryMs) throws IOException {
+    StandaloneFrontEnds(Path folder, ClusterFleet.Plan plan, Set<Integer> twinned, long askEveryMs)
+            throws IOException {
         this.twinned = twinned;
         on =
-                new Fleet(
+                new ClusterFleet(
                         Files.createDirectories(folder.resolve("on")),
                         plan,
-                        new History(),
+                        new OperationHistory(),
                         askEveryMs);
         off =
-                new Fleet(
+                new ClusterFleet(
                         Files.createDirectories(folder.resolve("off")),
-                        new Fleet.Plan(plan.members(), plan.voters(), false, ""),
-                        new History(),
+                        new ClusterFleet.Plan(plan.members(), plan.voters(), false, ""),
+                        new OperationHistory(),
                         askEveryMs);
     }
 
--- a/src/test/java/calicostream/cluster/process/MemberProcessTest.java
+++ b/src/test/java/calicostream/cluster/process/MemberProcessTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicostream.wire.ChangeLogStand;
+import calicostream.wire.FakeDiscoveryServer;
 import com.eclipsesource.json.JsonObject;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -20,12 +20,12 @@
     private static final int MAX_ATTEMPTS = 20;
     @TempDir private Path folder;
     private final List<MemberProcess> members = new ArrayList<>();
-    private ChangeLogStand changes;
+    private FakeDiscoveryServer changes;
     private List<Integer> ports;
 
     @BeforeEach
     void choosePorts() throws Exception {
-        changes = new ChangeLogStand();
+        changes = new FakeDiscoveryServer();
         ports = MemberProcess.ports(4);
     }
 
--- a/src/test/java/calicostream/deployments/DeploymentsTest.java
+++ b/src/test/java/calicostream/deployments/DeploymentsTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicostream.deployments.Draw.Trouble;
-import calicostream.deployments.Draw.What;
+import calicostream.deployments.GeneratedDeployment.Trouble;
+import calicostream.deployments.GeneratedDeployment.What;
 import calicostream.routing.AffinityRouter;
 import calicostream.routing.AttemptLimits;
 import calicostream.routing.EndpointUpdate;
@@ -56,9 +56,9 @@
     @Test
     void bothFormsOfTheSettingsAreReadAlike() {
         for (int i = 0; i < DRAWN; i++) {
-            Draw d = Drawing.of(SEED, i);
-            Draw other =
-                    new Draw(
+            GeneratedDeployment d = DeploymentGenerator.of(SEED, i);
+            GeneratedDeployment other =
+                    new GeneratedDeployment(
                             d.seed(),
                             i + 1,
                             d.size(),
@@ -69,7 +69,10 @@
                             d.kinds(),
                             d.lanes(),
                             d.troubles());
-            assertEquals(Wording.settings(d, 0, 0), Wording.settings(other, 0, 0), d.toString());
+            assertEquals(
+                    SettingsWriter.settings(d, 0, 0),
+                    SettingsWriter.settings(other, 0, 0),
+                    d.toString());
         }
     }
 
@@ -99,7 +102,7 @@
             })
     void theCheckerFindsWhatBreaks(String rule) {
         for (int i = 0; i < 4 * DRAWN; i++) {
-            Draw draw = Drawing.of(SEED, i);
+            GeneratedDeployment draw = DeploymentGenerator.of(SEED, i);
             if (draw.size().engines() > 10) {
                 continue;
             }
@@ -109,10 +112,11 @@
                                     new Trouble(What.ROLL, S, 6 * S, 0.6),
                                     new Trouble(What.HANG, 2 * S, 8 * S, 0.3),
                                     new Trouble(What.LIST_LATE, 2 * S, 4 * S, 1)));
-            Breaks found =
-                    Play.of(draw, (settings, actions) -> bad(rule, settings, actions)).breaks();
+            RuleViolations found =
+                    DeploymentRun.of(draw, (settings, actions) -> bad(rule, settings, actions))
+                            .breaks();
             if (found.count(rule) > 0
-                    && Play.of(draw, AffinityRouter::new).breaks().count(rule) == 0) {
+                    && DeploymentRun.of(draw, AffinityRouter::new).breaks().count(rule) == 0) {
                 return;
             }
         }
--- a/src/test/java/calicostream/flight/suite/ClientsTest.java
+++ b/src/test/java/calicostream/flight/suite/ClientsTest.java
@@ -58,11 +58,11 @@
 class ClientsTest {
     @TempDir Path folder;
     private final Script script = new Script();
-    private Rig rig;
+    private FlightHarness rig;
     private ManagedChannel channel;
 
-    private Rig start(String... keys) throws Exception {
-        rig = new Rig(script, 2, folder, keys);
+    private FlightHarness start(String... keys) throws Exception {
+        rig = new FlightHarness(script, 2, folder, keys);
         channel = NettyChannelBuilder.forAddress("127.0.0.1", rig.port()).usePlaintext().build();
         return rig;
     }
@@ -175,7 +175,10 @@
                 }) {
             assertEquals(
                     Status.Code.UNAUTHENTICATED,
-                    code(() -> stub(authorization(none)).getFlightInfo(Raw.query("select"))),
+                    code(
+                            () ->
+                                    stub(authorization(none))
+                                            .getFlightInfo(RawFlightClient.query("select"))),
                     none);
         }
         assertEquals(
@@ -183,13 +186,13 @@
                 code(
                         () ->
                                 FlightServiceGrpc.newBlockingStub(channel)
-                                        .getFlightInfo(Raw.query("select"))));
+                                        .getFlightInfo(RawFlightClient.query("select"))));
         String token = token("ann:secret");
         assertTrue(token.startsWith("Bearer "));
         assertEquals(
                 1,
                 stub(authorization(token))
-                        .getFlightInfo(Raw.query("select rows=1"))
+                        .getFlightInfo(RawFlightClient.query("select rows=1"))
                         .getEndpointCount());
         assertTrue(token("bob:other").startsWith("Bearer "));
     }
@@ -199,7 +202,7 @@
         startWithUsers();
         FlightServiceGrpc.FlightServiceBlockingStub ann = stub(authorization(token("ann:secret")));
         FlightServiceGrpc.FlightServiceBlockingStub bob = stub(authorization(token("bob:other")));
-        Flight.FlightInfo info = ann.getFlightInfo(Raw.query("select rows=1"));
+        Flight.FlightInfo info = ann.getFlightInfo(RawFlightClient.query("select rows=1"));
         Flight.Ticket hers = info.getEndpoint(0).getTicket();
         Flight.Ticket none =
                 FlightWire.ticket(
@@ -274,9 +277,10 @@
                                 .build())
                 .next();
         ann.doAction(Flight.Action.newBuilder().setType(FlightWire.CLOSE_SESSION).build()).next();
-        Rig.await("rolled back", () -> rig.count("rollback") == 1);
+        FlightHarness.await("rolled back", () -> rig.count("rollback") == 1);
         assertEquals(
-                Status.Code.UNAUTHENTICATED, code(() -> ann.getFlightInfo(Raw.query("select"))));
+                Status.Code.UNAUTHENTICATED,
+                code(() -> ann.getFlightInfo(RawFlightClient.query("select"))));
     }
 
     @Test
@@ -342,11 +346,12 @@
         long seed = new Random().nextLong();
         System.out.println("malformedMessagesAreToldToBeSo: seed " + seed);
         Random random = new Random(seed);
-        byte[] real = Raw.query("select rows=1").toByteArray();
+        byte[] real = RawFlightClient.query("select rows=1").toByteArray();
         int[] answered = new int[1];
         for (var method : FlightServiceGrpc.getServiceDescriptor().getMethods()) {
             MethodDescriptor<byte[], byte[]> raw =
-                    MethodDescriptor.<byte[], byte[]>newBuilder(Raw.BYTES, Raw.BYTES)
+                    MethodDescriptor.<byte[], byte[]>newBuilder(
+                                    RawFlightClient.BYTES, RawFlightClient.BYTES)
                             .setType(MethodDescriptor.MethodType.SERVER_STREAMING)
                             .setFullMethodName(method.getFullMethodName())
                             .build();
@@ -362,7 +367,8 @@
                                     channel,
                                     raw,
                                     CallOptions.DEFAULT.withDeadlineAfter(
-                                            Rig.PATIENCE_S, java.util.concurrent.TimeUnit.SECONDS),
+                                            FlightHarness.PATIENCE_S,
+                                            java.util.concurrent.TimeUnit.SECONDS),
                                     message)
                             .forEachRemaining(each -> {});
                     answered[0]++;
@@ -375,7 +381,10 @@
         }
         assertTrue(answered[0] > 0, "some near misses are no misses");
         FlightSqlClient client = rig.client();
-        assertEquals("ok", Ops.rows(client, client.execute("select rows=3", Ops.LOOKUP), 3));
+        assertEquals(
+                "ok",
+                FlightOperations.rows(
+                        client, client.execute("select rows=3", FlightOperations.LOOKUP), 3));
         rig.awaitFigure("calls", 0);
     }
 
@@ -390,10 +399,12 @@
                         .addPath("x")
                         .build();
         assertEquals(Status.Code.INVALID_ARGUMENT, code(() -> stub.getFlightInfo(path)));
-        assertEquals(Status.Code.INVALID_ARGUMENT, code(() -> stub.getFlightInfo(Raw.query("  "))));
         assertEquals(
                 Status.Code.INVALID_ARGUMENT,
-                code(() -> stub.getFlightInfo(Raw.query("bad syntax"))));
+                code(() -> stub.getFlightInfo(RawFlightClient.query("  "))));
+        assertEquals(
+                Status.Code.INVALID_ARGUMENT,
+                code(() -> stub.getFlightInfo(RawFlightClient.query("bad syntax"))));
         assertEquals(
                 Status.Code.INVALID_ARGUMENT,
                 code(
--- a/src/test/java/calicostream/flight/suite/ConformanceTest.java
+++ b/src/test/java/calicostream/flight/suite/ConformanceTest.java
@@ -101,10 +101,10 @@
     private String run(Case each, boolean alone) throws Exception {
         Path own = Files.createTempDirectory(folder, "case");
         Script script = new Script();
-        try (Rig rig = new Rig(script, alone ? 1 : 2, own)) {
+        try (FlightHarness rig = new FlightHarness(script, alone ? 1 : 2, own)) {
             Runnable arm = () -> script.next(each.kind, each.act);
             var client = alone ? rig.client(rig.engines.get(0).address().getPort()) : rig.client();
-            String got = Ops.outcome(Ops.ALL.get(each.op), client, arm);
+            String got = FlightOperations.outcome(FlightOperations.ALL.get(each.op), client, arm);
             boolean load =
                     List.of("update", "prepared-update", "txn-update", "ingest").contains(each.op);
             boolean twice =
--- a/src/test/java/calicostream/flight/suite/EngineStand.java
+++ b/src/test/java/calicostream/flight/suite/FakeFlightEngine.java
@@ -53,7 +53,7 @@
  * to do, and misbehaves as its script says. One lock guards its state; all stand-ins share a few
  * threads.
  */
-public final class EngineStand implements AutoCloseable {
+public final class FakeFlightEngine implements AutoCloseable {
     private static final Metadata.Key<String> NEVER =
             Metadata.Key.of("calicostream-never-ran", Metadata.ASCII_STRING_MARSHALLER);
     private static final Pattern NUMBER = Pattern.compile("(rows|batch|width|parts|polls)=(\\d+)");
@@ -76,7 +76,7 @@
     private int named;
     volatile Runnable onDrain = () -> {};
 
-    EngineStand(Script script) throws IOException {
+    FakeFlightEngine(Script script) throws IOException {
         this.script = script;
         server =
                 NettyServerBuilder.forAddress(
@@ -105,8 +105,8 @@
     }
 
     /** An engine that answers as it should, for a process of its own. */
-    public static EngineStand alone() throws IOException {
-        return new EngineStand(new Script());
+    public static FakeFlightEngine alone() throws IOException {
+        return new FakeFlightEngine(new Script());
     }
 
     private ServerServiceDefinition service() {
@@ -114,7 +114,7 @@
         MethodDescriptor<Flight.Ticket, byte[]> get =
                 FlightServiceGrpc.getDoGetMethod().toBuilder(
                                 FlightServiceGrpc.getDoGetMethod().getRequestMarshaller(),
-                                Raw.BYTES)
+                                RawFlightClient.BYTES)
                         .build();
         ServerServiceDefinition.Builder out =
                 ServerServiceDefinition.builder(FlightServiceGrpc.SERVICE_NAME);
@@ -457,7 +457,7 @@
                         String text = text(any(request.getCmd()));
                         int polls = number(text, "polls", 2);
                         int now;
-                        synchronized (EngineStand.this) {
+                        synchronized (FakeFlightEngine.this) {
                             now = polled.merge(text, 1, Integer::sum);
                         }
                         Flight.PollInfo.Builder told =
@@ -499,7 +499,7 @@
                             to.onNext(messages.next());
                         }
                         if (!to.isCancelled() && !messages.hasNext() && act == Act.CUT_AT_END) {
-                            THREADS.schedule(EngineStand.this::die, 50, TimeUnit.MILLISECONDS);
+                            THREADS.schedule(FakeFlightEngine.this::die, 50, TimeUnit.MILLISECONDS);
                         } else if (!to.isCancelled() && !messages.hasNext()) {
                             to.onCompleted();
                             dieAfter(act);
@@ -524,7 +524,7 @@
                         to.onNext(messages.next());
                     }
                 }
-                THREADS.schedule(EngineStand.this::die, 50, TimeUnit.MILLISECONDS);
+                THREADS.schedule(FakeFlightEngine.this::die, 50, TimeUnit.MILLISECONDS);
                 return;
             }
             if (act == Act.BAD_PROTOBUF) {
@@ -580,7 +580,7 @@
                             ? Any.getDefaultInstance()
                             : any(request.getBody());
             Message result = null;
-            synchronized (EngineStand.this) {
+            synchronized (FakeFlightEngine.this) {
                 switch (request.getType()) {
                     case FlightWire.CREATE_PREPARED:
                     case FlightWire.CREATE_PREPARED_PLAN:
@@ -705,7 +705,7 @@
             if (request.getType().equals(FlightWire.END_TRANSACTION)) {
                 FlightSql.ActionEndTransactionRequest end =
                         unpack(any(request.getBody()), FlightSql.ActionEndTransactionRequest.class);
-                synchronized (EngineStand.this) {
+                synchronized (FakeFlightEngine.this) {
                     transactions.remove(end.getTransactionId().toStringUtf8());
                     did(
                             end.getAction()
@@ -844,7 +844,7 @@
                             unpack(command, FlightSql.CommandPreparedStatementQuery.class)
                                     .getPreparedStatementHandle();
                     known(handle);
-                    synchronized (EngineStand.this) {
+                    synchronized (FakeFlightEngine.this) {
                         bound.put(handle.toStringUtf8(), value);
                     }
                     return FlightSql.DoPutPreparedStatementResult.newBuilder()
@@ -863,7 +863,7 @@
         }
 
         private void known(ByteString handle) {
-            synchronized (EngineStand.this) {
+            synchronized (FakeFlightEngine.this) {
                 if (!prepared.containsKey(handle.toStringUtf8())) {
                     throw Status.NOT_FOUND
                             .withDescription("no such statement")
--- a/src/test/java/calicostream/flight/suite/Rig.java
+++ b/src/test/java/calicostream/flight/suite/FlightHarness.java
@@ -35,7 +35,7 @@
  * The front end's parts with a loop of their own in this process, and stand-in engines that share a
  * script.
  */
-public final class Rig implements AutoCloseable {
+public final class FlightHarness implements AutoCloseable {
     static final long PATIENCE_S = 30;
     private static final long LOOK_AGAIN_NS = 200_000;
     private static final String SETTINGS =
@@ -77,12 +77,12 @@
     final Admission admission;
     final Gateway gateway;
     final Script script;
-    final List<EngineStand> engines = new ArrayList<>();
+    final List<FakeFlightEngine> engines = new ArrayList<>();
     private final List<FlightSqlClient> clients = new ArrayList<>();
     private final List<EngineEndpoint> listed = new ArrayList<>();
 
     /** Keys of {@code flight.json}, each {@code "name":value}; as many engines as said. */
-    public Rig(Script script, int engineCount, int cores, Path folder, String... keys)
+    public FlightHarness(Script script, int engineCount, int cores, Path folder, String... keys)
             throws Exception {
         this.script = script;
         String json =
@@ -114,7 +114,7 @@
                         });
         front = new FlightSqlServer(loop, gateway, config, settings, admission, side);
         for (int i = 0; i < engineCount; i++) {
-            EngineStand engine = new EngineStand(script);
+            FakeFlightEngine engine = new FakeFlightEngine(script);
             engines.add(engine);
             listed.add(new EngineEndpoint(i + 1, 0, 0, 0, 0, EngineLifecycle.READY));
             side.setAddress(i + 1, engine.address());
@@ -137,7 +137,8 @@
         thread.start();
     }
 
-    public Rig(Script script, int engineCount, Path folder, String... keys) throws Exception {
+    public FlightHarness(Script script, int engineCount, Path folder, String... keys)
+            throws Exception {
         this(script, engineCount, 16, folder, keys);
     }
 
@@ -152,9 +153,9 @@
     }
 
     /** The engine at the same number is replaced by a new process. */
-    EngineStand restart(int number) throws Exception {
+    FakeFlightEngine restart(int number) throws Exception {
         engines.get(number).die();
-        EngineStand fresh = new EngineStand(script);
+        FakeFlightEngine fresh = new FakeFlightEngine(script);
         engines.set(number, fresh);
         fresh.onDrain = () -> loop.post(() -> state(number + 1, EngineLifecycle.DRAINING));
         onLoop(
@@ -278,6 +279,6 @@
                     return null;
                 });
         side.close();
-        engines.forEach(EngineStand::close);
+        engines.forEach(FakeFlightEngine::close);
     }
 }
--- a/src/test/java/calicostream/flight/suite/Ops.java
+++ b/src/test/java/calicostream/flight/suite/FlightOperations.java
@@ -29,14 +29,14 @@
  * What clients do, each with the kind of the engine's call that the case is about, and what comes
  * of it in one word.
  */
-final class Ops {
+final class FlightOperations {
     /** Does it; {@code arm} is run just before the step that the case is about. */
     interface Op {
         String run(FlightSqlClient client, Runnable arm) throws Exception;
     }
 
-    static final CallOption[] LOOKUP = Rig.options("lookup");
-    static final CallOption[] LOAD = Rig.options("stat-load");
+    static final CallOption[] LOOKUP = FlightHarness.options("lookup");
+    static final CallOption[] LOAD = FlightHarness.options("stat-load");
     static final Map<String, Op> ALL = new LinkedHashMap<>();
 
     static {
@@ -212,7 +212,7 @@
                 });
     }
 
-    private Ops() {}
+    private FlightOperations() {}
 
     private interface Metadata {
         FlightInfo ask(FlightSqlClient client);
--- a/src/test/java/calicostream/flight/suite/HardCasesTest.java
+++ b/src/test/java/calicostream/flight/suite/HardCasesTest.java
@@ -53,15 +53,15 @@
  * much of each.
  */
 class HardCasesTest {
-    private static final long PATIENCE_S = Rig.PATIENCE_S;
+    private static final long PATIENCE_S = FlightHarness.PATIENCE_S;
     @TempDir Path folder;
     private final Script script = new Script();
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private final List<ManagedChannel> channels = new ArrayList<>();
-    private Rig rig;
+    private FlightHarness rig;
 
     private FlightSqlClient start(int engines, String... keys) throws Exception {
-        rig = new Rig(script, engines, 4096, folder, keys);
+        rig = new FlightHarness(script, engines, 4096, folder, keys);
         return rig.client();
     }
 
@@ -84,8 +84,8 @@
         return out;
     }
 
-    private static String outcome(Ops.Op op, FlightSqlClient client) {
-        return Ops.outcome(op, client, () -> {});
+    private static String outcome(FlightOperations.Op op, FlightSqlClient client) {
+        return FlightOperations.outcome(op, client, () -> {});
     }
 
     // ---- Cuts
@@ -102,14 +102,22 @@
         assertEquals(
                 "ok",
                 outcome(
-                        (c, arm) -> Ops.rows(c, c.execute("select rows=50", Ops.LOOKUP), 50),
+                        (c, arm) ->
+                                FlightOperations.rows(
+                                        c,
+                                        c.execute("select rows=50", FlightOperations.LOOKUP),
+                                        50),
                         client));
         assertEquals(2, rig.count("get"), "the cut one and its repair");
         script.next("get", Act.CUT_AT_END);
         assertEquals(
                 "failed",
                 outcome(
-                        (c, arm) -> Ops.rows(c, c.execute("select rows=51", Ops.LOOKUP), 51),
+                        (c, arm) ->
+                                FlightOperations.rows(
+                                        c,
+                                        c.execute("select rows=51", FlightOperations.LOOKUP),
+                                        51),
                         client));
         assertEquals(3, rig.count("get"), "never a second attempt once the stream has begun");
     }
@@ -121,38 +129,41 @@
         assertEquals(
                 "ok",
                 outcome(
-                        (c, arm) -> Ops.rows(c, c.execute("select rows=5", Ops.LOOKUP), 5),
+                        (c, arm) ->
+                                FlightOperations.rows(
+                                        c, c.execute("select rows=5", FlightOperations.LOOKUP), 5),
                         client));
     }
 
     @Test
     void engineDiesBetweenGetFlightInfoAndDoGet() throws Exception {
         FlightSqlClient client = start(2);
-        FlightInfo info = client.execute("select rows=5", Ops.LOOKUP);
-        EngineStand asked =
+        FlightInfo info = client.execute("select rows=5", FlightOperations.LOOKUP);
+        FakeFlightEngine asked =
                 rig.engines.stream()
                         .filter(each -> each.count("schema") > 0)
                         .findFirst()
                         .orElseThrow();
         asked.die();
-        assertEquals("ok", outcome((c, arm) -> Ops.rows(c, info, 5), client));
+        assertEquals("ok", outcome((c, arm) -> FlightOperations.rows(c, info, 5), client));
     }
 
     @Test
     void partsOfALostEngineAreNotFoundAndOthersAreRead() throws Exception {
         FlightSqlClient client = start(2, "\"endpoints\":\"several\"");
-        FlightInfo info = client.execute("select rows=5 parts=3", Ops.LOOKUP);
+        FlightInfo info = client.execute("select rows=5 parts=3", FlightOperations.LOOKUP);
         assertEquals(3, info.getEndpoints().size());
-        assertEquals(List.of(0, 1, 2, 3, 4), Ops.ids(client, info).subList(0, 5));
-        FlightInfo later = client.execute("select rows=6 parts=2", Ops.LOOKUP);
+        assertEquals(List.of(0, 1, 2, 3, 4), FlightOperations.ids(client, info).subList(0, 5));
+        FlightInfo later = client.execute("select rows=6 parts=2", FlightOperations.LOOKUP);
         int number =
                 rig.engines.get(0).count("info") > 0 && rig.engines.get(1).count("info") == 0
                         ? 0
                         : 1;
-        EngineStand kept = rig.engines.get(1 - number);
+        FakeFlightEngine kept = rig.engines.get(1 - number);
         if (kept.count("info") == 0) {
             rig.restart(number);
-            assertEquals("not_found", outcome((c, arm) -> Ops.rows(c, later, -1), client));
+            assertEquals(
+                    "not_found", outcome((c, arm) -> FlightOperations.rows(c, later, -1), client));
         }
     }
 
@@ -160,10 +171,11 @@
     void ticketFetchedTwiceAtTheSameTimeServesOnce() throws Exception {
         FlightSqlClient client = start(2);
         for (int i = 0; i < 10; i++) {
-            FlightInfo info = client.execute("select rows=5", Ops.LOOKUP);
+            FlightInfo info = client.execute("select rows=5", FlightOperations.LOOKUP);
             Future<String> one =
-                    threads.submit(() -> outcome((c, arm) -> Ops.rows(c, info, 5), client));
-            String other = outcome((c, arm) -> Ops.rows(c, info, 5), client);
+                    threads.submit(
+                            () -> outcome((c, arm) -> FlightOperations.rows(c, info, 5), client));
+            String other = outcome((c, arm) -> FlightOperations.rows(c, info, 5), client);
             List<String> both =
                     new ArrayList<>(List.of(one.get(PATIENCE_S, TimeUnit.SECONDS), other));
             both.sort(null);
@@ -178,12 +190,14 @@
     @ValueSource(strings = {"DIES_BEFORE", "DIES_DURING", "ERRS"})
     void lostCommitIsUnknownAndNeverSentAgain(String act) throws Exception {
         FlightSqlClient client = start(2);
-        FlightSqlClient.Transaction txn = client.beginTransaction(Ops.LOOKUP);
-        assertEquals(3, client.executeUpdate("insert", txn, Ops.LOAD));
+        FlightSqlClient.Transaction txn = client.beginTransaction(FlightOperations.LOOKUP);
+        assertEquals(3, client.executeUpdate("insert", txn, FlightOperations.LOAD));
         script.next(FlightWire.END_TRANSACTION, Act.valueOf(act));
         for (int i = 0; i < 3; i++) { // Each further use is told the same.
             FlightRuntimeException told =
-                    assertThrows(FlightRuntimeException.class, () -> client.commit(txn, Ops.LOAD));
+                    assertThrows(
+                            FlightRuntimeException.class,
+                            () -> client.commit(txn, FlightOperations.LOAD));
             assertEquals(FlightStatusCode.UNKNOWN, told.status().code());
             assertTrue(told.getMessage().contains("outcome unknown"), told.getMessage());
         }
@@ -194,19 +208,21 @@
     @Test
     void transactionOfALostEngineIsDeadAtOnce() throws Exception {
         FlightSqlClient client = start(2);
-        FlightSqlClient.Transaction txn = client.beginTransaction(Ops.LOOKUP);
+        FlightSqlClient.Transaction txn = client.beginTransaction(FlightOperations.LOOKUP);
         int holder = rig.engines.get(0).count("transactions") > 0 ? 0 : 1;
         rig.restart(holder);
         assertEquals(
                 "dead",
                 outcome(
-                        (c, arm) -> Long.toString(c.executeUpdate("insert", txn, Ops.LOAD)),
+                        (c, arm) ->
+                                Long.toString(
+                                        c.executeUpdate("insert", txn, FlightOperations.LOAD)),
                         client));
         assertEquals(
                 "dead",
                 outcome(
                         (c, arm) -> {
-                            c.commit(txn, Ops.LOAD);
+                            c.commit(txn, FlightOperations.LOAD);
                             return "ok";
                         },
                         client));
@@ -216,8 +232,8 @@
     @Test
     void drainLeavesTimeToCommitAndNoMore() throws Exception {
         FlightSqlClient client = start(2);
-        FlightSqlClient.Transaction kept = client.beginTransaction(Ops.LOOKUP);
-        client.executeUpdate("insert", kept, Ops.LOAD);
+        FlightSqlClient.Transaction kept = client.beginTransaction(FlightOperations.LOOKUP);
+        client.executeUpdate("insert", kept, FlightOperations.LOAD);
         int holder = rig.engines.get(0).count("transactions") > 0 ? 0 : 1;
         rig.onLoop(
                 () -> {
@@ -227,29 +243,31 @@
         assertEquals(
                 "invalid_argument",
                 outcome(
-                        (c, arm) -> Long.toString(c.executeUpdate("insert", kept, Ops.LOAD)),
+                        (c, arm) ->
+                                Long.toString(
+                                        c.executeUpdate("insert", kept, FlightOperations.LOAD)),
                         client),
                 "nothing new in it, only its end");
-        client.commit(kept, Ops.LOAD);
+        client.commit(kept, FlightOperations.LOAD);
         assertEquals(1, rig.engines.get(holder).count("commit"));
     }
 
     @Test
     void drainRollsBackWhatItsClientDoesNotEnd() throws Exception {
         FlightSqlClient client = start(2);
-        FlightSqlClient.Transaction left = client.beginTransaction(Ops.LOOKUP);
+        FlightSqlClient.Transaction left = client.beginTransaction(FlightOperations.LOOKUP);
         int holder = rig.engines.get(0).count("transactions") > 0 ? 0 : 1;
         rig.onLoop(
                 () -> {
                     rig.state(holder + 1, EngineLifecycle.DRAINING);
                     return null;
                 });
-        Rig.await("rolled back", () -> rig.engines.get(holder).count("rollback") == 1);
+        FlightHarness.await("rolled back", () -> rig.engines.get(holder).count("rollback") == 1);
         assertEquals(
                 "dead",
                 outcome(
                         (c, arm) -> {
-                            c.commit(left, Ops.LOAD);
+                            c.commit(left, FlightOperations.LOAD);
                             return "ok";
                         },
                         client));
@@ -259,8 +277,8 @@
     @Test
     void idleTransactionIsRolledBackAndItsEngineFreed() throws Exception {
         FlightSqlClient client = start(1, "\"transaction_idle_ms\":100");
-        client.beginTransaction(Ops.LOOKUP);
-        Rig.await(
+        client.beginTransaction(FlightOperations.LOOKUP);
+        FlightHarness.await(
                 "rolled back", () -> rig.count("rollback") == 1 && rig.count("transactions") == 0);
         rig.awaitFigure("transactions", 0);
     }
@@ -268,7 +286,7 @@
     @Test
     void secondStatementInATransactionIsTurnedAway() throws Exception {
         FlightSqlClient client = start(1);
-        FlightSqlClient.Transaction txn = client.beginTransaction(Ops.LOOKUP);
+        FlightSqlClient.Transaction txn = client.beginTransaction(FlightOperations.LOOKUP);
         script.next("put", Act.HANGS);
         Future<String> first =
                 threads.submit(
@@ -279,20 +297,23 @@
                                                         c.executeUpdate(
                                                                 "insert",
                                                                 txn,
-                                                                Rig.options("stat-load", 1500))),
+                                                                FlightHarness.options(
+                                                                        "stat-load", 1500))),
                                         client));
-        Rig.await("out", () -> rig.count("put") == 1);
+        FlightHarness.await("out", () -> rig.count("put") == 1);
         assertEquals(
                 "invalid_argument",
                 outcome(
-                        (c, arm) -> Long.toString(c.executeUpdate("insert", txn, Ops.LOAD)),
+                        (c, arm) ->
+                                Long.toString(
+                                        c.executeUpdate("insert", txn, FlightOperations.LOAD)),
                         client));
         assertEquals("timed_out", first.get(PATIENCE_S, TimeUnit.SECONDS));
         assertEquals(
                 "dead",
                 outcome(
                         (c, arm) -> {
-                            c.commit(txn, Ops.LOAD);
+                            c.commit(txn, FlightOperations.LOAD);
                             return "ok";
                         },
                         client),
@@ -302,15 +323,18 @@
     @Test
     void tooManyTransactionsOfOneClientAreTurnedAway() throws Exception {
         FlightSqlClient client = start(1, "\"transactions_per_client\":2");
-        FlightSqlClient.Transaction first = client.beginTransaction(Ops.LOOKUP);
-        client.beginTransaction(Ops.LOOKUP);
+        FlightSqlClient.Transaction first = client.beginTransaction(FlightOperations.LOOKUP);
+        client.beginTransaction(FlightOperations.LOOKUP);
         assertEquals(
                 "resource_exhausted",
                 outcome(
-                        (c, arm) -> new String(c.beginTransaction(Ops.LOOKUP).getTransactionId()),
+                        (c, arm) ->
+                                new String(
+                                        c.beginTransaction(FlightOperations.LOOKUP)
+                                                .getTransactionId()),
                         client));
-        client.rollback(first, Ops.LOOKUP);
-        client.beginTransaction(Ops.LOOKUP);
+        client.rollback(first, FlightOperations.LOOKUP);
+        client.beginTransaction(FlightOperations.LOOKUP);
         assertEquals(2, rig.count("transactions"));
     }
 
@@ -319,38 +343,56 @@
     @Test
     void preparedStatementOutlivesEveryEngineItWasMadeOn() throws Exception {
         FlightSqlClient client = start(2);
-        try (FlightSqlClient.PreparedStatement made = client.prepare("select rows=2", Ops.LOOKUP)) {
-            assertEquals(List.of(0, 1), Ops.ids(client, made.execute(Ops.LOOKUP)));
+        try (FlightSqlClient.PreparedStatement made =
+                client.prepare("select rows=2", FlightOperations.LOOKUP)) {
+            assertEquals(
+                    List.of(0, 1),
+                    FlightOperations.ids(client, made.execute(FlightOperations.LOOKUP)));
             rig.restart(0);
-            assertEquals(List.of(0, 1), Ops.ids(client, made.execute(Ops.LOOKUP)));
+            assertEquals(
+                    List.of(0, 1),
+                    FlightOperations.ids(client, made.execute(FlightOperations.LOOKUP)));
             rig.restart(1);
-            assertEquals(List.of(0, 1), Ops.ids(client, made.execute(Ops.LOOKUP)));
-            rig.engines.forEach(EngineStand::forget); // Handles end without a word.
-            assertEquals(List.of(0, 1), Ops.ids(client, made.execute(Ops.LOOKUP)));
+            assertEquals(
+                    List.of(0, 1),
+                    FlightOperations.ids(client, made.execute(FlightOperations.LOOKUP)));
+            rig.engines.forEach(FakeFlightEngine::forget); // Handles end without a word.
+            assertEquals(
+                    List.of(0, 1),
+                    FlightOperations.ids(client, made.execute(FlightOperations.LOOKUP)));
         }
-        Rig.await("closed everywhere", () -> rig.count("prepared") == 0);
+        FlightHarness.await("closed everywhere", () -> rig.count("prepared") == 0);
     }
 
     @Test
     void parametersThatDoNotFitAreTurnedAwayUnsent() throws Exception {
         FlightSqlClient client = start(1);
         try (FlightSqlClient.PreparedStatement made =
-                client.prepare("select rows=1 ? ?", Ops.LOOKUP)) {
+                client.prepare("select rows=1 ? ?", FlightOperations.LOOKUP)) {
             assertEquals(
                     "invalid_argument",
-                    outcome((c, arm) -> Ops.ids(c, made.execute(Ops.LOOKUP)).toString(), client),
+                    outcome(
+                            (c, arm) ->
+                                    FlightOperations.ids(c, made.execute(FlightOperations.LOOKUP))
+                                            .toString(),
+                            client),
                     "missing");
         }
         for (int given : new int[] {1, 3}) {
-            try (FlightSqlClient.PreparedStatement made = client.prepare("insert ? ?", Ops.LOOKUP);
+            try (FlightSqlClient.PreparedStatement made =
+                            client.prepare("insert ? ?", FlightOperations.LOOKUP);
                     var root = Data.bound(new int[given])) {
                 made.setParameters(root);
                 assertEquals(
                         "invalid_argument",
-                        outcome((c, arm) -> Long.toString(made.executeUpdate(Ops.LOAD)), client));
+                        outcome(
+                                (c, arm) ->
+                                        Long.toString(made.executeUpdate(FlightOperations.LOAD)),
+                                client));
             }
         }
-        try (FlightSqlClient.PreparedStatement made = client.prepare("insert ?", Ops.LOOKUP);
+        try (FlightSqlClient.PreparedStatement made =
+                        client.prepare("insert ?", FlightOperations.LOOKUP);
                 var text =
                         org.apache.arrow.vector.VectorSchemaRoot.create(
                                 new org.apache.arrow.vector.types.pojo.Schema(
@@ -360,7 +402,9 @@
             made.setParameters(text);
             assertEquals(
                     "invalid_argument",
-                    outcome((c, arm) -> Long.toString(made.executeUpdate(Ops.LOAD)), client),
+                    outcome(
+                            (c, arm) -> Long.toString(made.executeUpdate(FlightOperations.LOAD)),
+                            client),
                     "the wrong type");
         }
         assertEquals(0, rig.count("put") + rig.count("get") + rig.count("info"));
@@ -369,13 +413,18 @@
     @Test
     void leastRecentlyUsedStatementGoesAtTheBound() throws Exception {
         FlightSqlClient client = start(1, "\"statements_per_client\":2");
-        FlightSqlClient.PreparedStatement first = client.prepare("select rows=1", Ops.LOOKUP);
-        client.prepare("select rows=1", Ops.LOOKUP);
-        client.prepare("select rows=1", Ops.LOOKUP);
+        FlightSqlClient.PreparedStatement first =
+                client.prepare("select rows=1", FlightOperations.LOOKUP);
+        client.prepare("select rows=1", FlightOperations.LOOKUP);
+        client.prepare("select rows=1", FlightOperations.LOOKUP);
         assertEquals(
                 "not_found",
-                outcome((c, arm) -> Ops.ids(c, first.execute(Ops.LOOKUP)).toString(), client));
-        Rig.await("closed at the engine", () -> rig.count("prepared") == 2);
+                outcome(
+                        (c, arm) ->
+                                FlightOperations.ids(c, first.execute(FlightOperations.LOOKUP))
+                                        .toString(),
+                        client));
+        FlightHarness.await("closed at the engine", () -> rig.count("prepared") == 2);
     }
 
     // ---- Size
@@ -388,17 +437,22 @@
                     assertThrows(
                             FlightRuntimeException.class,
                             () ->
-                                    Ops.rows(
+                                    FlightOperations.rows(
                                             client,
                                             client.execute(
-                                                    "select rows=100000 width=100", Ops.LOOKUP),
+                                                    "select rows=100000 width=100",
+                                                    FlightOperations.LOOKUP),
                                             0));
             assertEquals(FlightStatusCode.RESOURCE_EXHAUSTED, told.status().code());
             assertTrue(told.getMessage().contains("200000"), told.getMessage());
             assertEquals(
                     "ok",
                     outcome(
-                            (c, arm) -> Ops.rows(c, c.execute("select rows=3", Ops.LOOKUP), 3),
+                            (c, arm) ->
+                                    FlightOperations.rows(
+                                            c,
+                                            c.execute("select rows=3", FlightOperations.LOOKUP),
+                                            3),
                             client));
         }
         assertEquals(10, rig.count("get"), "no attempt was made twice");
@@ -411,13 +465,20 @@
                 "resource_exhausted",
                 outcome(
                         (c, arm) ->
-                                Ops.rows(c, c.execute("select rows=1000 width=200", Ops.LOOKUP), 0),
+                                FlightOperations.rows(
+                                        c,
+                                        c.execute(
+                                                "select rows=1000 width=200",
+                                                FlightOperations.LOOKUP),
+                                        0),
                         client));
         assertEquals(1, rig.count("get"));
         assertEquals(
                 "ok",
                 outcome(
-                        (c, arm) -> Ops.rows(c, c.execute("select rows=3", Ops.LOOKUP), 3),
+                        (c, arm) ->
+                                FlightOperations.rows(
+                                        c, c.execute("select rows=3", FlightOperations.LOOKUP), 3),
                         client));
     }
 
@@ -427,8 +488,9 @@
         int rows = 64;
         FlightInfo info =
                 client.execute(
-                        "select batch=64 width=" + ((1 << 20) - 64) + " rows=" + rows, Ops.LOOKUP);
-        assertEquals("ok", Ops.rows(client, info, rows));
+                        "select batch=64 width=" + ((1 << 20) - 64) + " rows=" + rows,
+                        FlightOperations.LOOKUP);
+        assertEquals("ok", FlightOperations.rows(client, info, rows));
     }
 
     @Test
@@ -436,9 +498,10 @@
         FlightSqlClient client = start(1);
         for (String[] each :
                 new String[][] {{"dictionary", "blue"}, {"nested", "[0,1]"}, {"none", null}}) {
-            FlightInfo info = client.execute("select special=" + each[0], Ops.LOOKUP);
+            FlightInfo info = client.execute("select special=" + each[0], FlightOperations.LOOKUP);
             try (FlightStream stream =
-                    client.getStream(info.getEndpoints().get(0).getTicket(), Ops.LOOKUP)) {
+                    client.getStream(
+                            info.getEndpoints().get(0).getTicket(), FlightOperations.LOOKUP)) {
                 assertTrue(stream.next());
                 assertEquals(2, stream.getRoot().getRowCount());
                 if (each[1] == null) {
@@ -485,9 +548,10 @@
             ManagedChannel channel = lazy[i % group];
             CompletableFuture<Status> end = new CompletableFuture<>();
             end.thenAccept(ended::add);
-            Raw.unread(
+            RawFlightClient.unread(
                     channel,
-                    Raw.ticket(channel, "select rows=40000 batch=1000 width=50", "report"),
+                    RawFlightClient.ticket(
+                            channel, "select rows=40000 batch=1000 width=50", "report"),
                     end);
             if (i % group == 0) {
                 int open = i;
@@ -514,7 +578,11 @@
         long began = System.nanoTime();
         for (int i = 0; i < 50; i++) {
             assertEquals(
-                    "ok", Ops.rows(client, client.execute("select rows=3 n=" + i, Ops.LOOKUP), 3));
+                    "ok",
+                    FlightOperations.rows(
+                            client,
+                            client.execute("select rows=3 n=" + i, FlightOperations.LOOKUP),
+                            3));
         }
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began) / 50;
     }
@@ -529,35 +597,42 @@
                         "\"hold_bytes\":1000");
         ManagedChannel channel = channel();
         for (int i = 0; i < 2; i++) {
-            Raw.unread(
+            RawFlightClient.unread(
                     channel,
-                    Raw.ticket(channel, "select rows=40000 batch=1000 width=50"),
+                    RawFlightClient.ticket(channel, "select rows=40000 batch=1000 width=50"),
                     new CompletableFuture<>());
         }
-        Rig.await("both flow", () -> rig.admission.openStreams() == 2);
+        FlightHarness.await("both flow", () -> rig.admission.openStreams() == 2);
         assertEquals(
                 "refused",
                 outcome(
-                        (c, arm) -> Ops.rows(c, c.execute("select rows=40000", Ops.LOOKUP), 40_000),
+                        (c, arm) ->
+                                FlightOperations.rows(
+                                        c,
+                                        c.execute("select rows=40000", FlightOperations.LOOKUP),
+                                        40_000),
                         client));
         assertEquals(
                 "ok",
                 outcome(
-                        (c, arm) -> Ops.rows(c, c.execute("select rows=3", Ops.LOOKUP), 3),
+                        (c, arm) ->
+                                FlightOperations.rows(
+                                        c, c.execute("select rows=3", FlightOperations.LOOKUP), 3),
                         client));
         channel.shutdownNow();
-        Rig.await("none flows", () -> rig.admission.openStreams() == 0);
+        FlightHarness.await("none flows", () -> rig.admission.openStreams() == 0);
     }
 
     @Test
     void streamOfAClientThatStopsReadingEndsInTime() throws Exception {
         start(1, "\"stall_ms\":200", "\"hold_bytes\":1000");
         ManagedChannel channel = channel();
-        Raw.unread(
+        RawFlightClient.unread(
                 channel,
-                Raw.ticket(channel, "select rows=400000 batch=1000 width=50"),
+                RawFlightClient.ticket(channel, "select rows=400000 batch=1000 width=50"),
                 new CompletableFuture<>());
-        Rig.await("the engine is freed", () -> !rig.engines.get(0).cancelledAt().isEmpty());
+        FlightHarness.await(
+                "the engine is freed", () -> !rig.engines.get(0).cancelledAt().isEmpty());
         rig.awaitFigure("streams", 0);
         rig.awaitFigure("calls", 0);
     }
@@ -569,11 +644,12 @@
         ManagedChannel channel = channel();
         script.next("get", sql.endsWith("=1") ? Act.HANGS : Act.ANSWERS);
         ClientCallStreamObserver<Flight.Ticket> call =
-                Raw.unread(channel, Raw.ticket(channel, sql), new CompletableFuture<>());
-        Rig.await("at the engine", () -> rig.count("get") == 1);
+                RawFlightClient.unread(
+                        channel, RawFlightClient.ticket(channel, sql), new CompletableFuture<>());
+        FlightHarness.await("at the engine", () -> rig.count("get") == 1);
         long at = System.nanoTime();
         call.cancel("no longer wanted", null);
-        Rig.await("freed", () -> !rig.engines.get(0).cancelledAt().isEmpty());
+        FlightHarness.await("freed", () -> !rig.engines.get(0).cancelledAt().isEmpty());
         long ms = TimeUnit.NANOSECONDS.toMillis(rig.engines.get(0).cancelledAt().get(0) - at);
         assertTrue(ms < 1000, ms + " ms"); // The aim is 100; the measurement keeps to that.
         rig.awaitFigure("calls", 0);
@@ -588,9 +664,10 @@
                 outcome(
                         (c, arm) ->
                                 Long.toString(
-                                        c.executeUpdate("insert", Rig.options("stat-load", 300))),
+                                        c.executeUpdate(
+                                                "insert", FlightHarness.options("stat-load", 300))),
                         client));
-        Rig.await("freed", () -> rig.engines.get(0).cancelledAt().size() == 1);
+        FlightHarness.await("freed", () -> rig.engines.get(0).cancelledAt().size() == 1);
         rig.awaitFigure("calls", 0);
         assertEquals(0, rig.count("update"));
     }
@@ -602,7 +679,8 @@
     void drainLetsWhatIsUnderWayEnd(String op) throws Exception {
         FlightSqlClient client = start(2);
         script.next(op.equals("stream") ? "get" : "put", Act.DRAINS);
-        assertEquals("ok", Ops.outcome(Ops.ALL.get(op), client, () -> {}));
+        assertEquals(
+                "ok", FlightOperations.outcome(FlightOperations.ALL.get(op), client, () -> {}));
     }
 
     @Test
@@ -612,7 +690,7 @@
         CompletableFuture<String> end = new CompletableFuture<>();
         StreamObserver<Flight.FlightData> up = put(end);
         up.onNext(schema());
-        Rig.await("tried on the other", () -> rig.count("put") == 2);
+        FlightHarness.await("tried on the other", () -> rig.count("put") == 2);
         up.onNext(Data.batch(0, 10, 4));
         up.onCompleted();
         assertEquals("ok 10", end.get(PATIENCE_S, TimeUnit.SECONDS));
@@ -692,7 +770,7 @@
     void deadlineThatPassesInAPhaseEndsTheCallThere(String phase) throws Exception {
         FlightSqlClient client = start(1);
         script.always(phase, Act.HANGS);
-        var soon = Rig.options(phase.equals("put") ? "stat-load" : "lookup", 400);
+        var soon = FlightHarness.options(phase.equals("put") ? "stat-load" : "lookup", 400);
         String got =
                 outcome(
                         (c, arm) -> {
@@ -704,7 +782,7 @@
                                 case FlightWire.BEGIN_TRANSACTION:
                                     return c.beginTransaction(soon).toString();
                                 case "poll":
-                                    return Ops.poll(
+                                    return FlightOperations.poll(
                                             FlightServiceGrpc.newBlockingStub(channel())
                                                     .withDeadlineAfter(400, TimeUnit.MILLISECONDS),
                                             c,
@@ -732,8 +810,9 @@
         FlightSqlClient client = start(2);
         FlightServiceGrpc.FlightServiceBlockingStub stub =
                 FlightServiceGrpc.newBlockingStub(channel());
-        assertEquals("ok", Ops.poll(stub, client, "select rows=7 polls=4", 7));
-        Flight.PollInfo first = stub.pollFlightInfo(Raw.query("select rows=7 polls=1000000"));
+        assertEquals("ok", FlightOperations.poll(stub, client, "select rows=7 polls=4", 7));
+        Flight.PollInfo first =
+                stub.pollFlightInfo(RawFlightClient.query("select rows=7 polls=1000000"));
         assertTrue(first.hasFlightDescriptor());
         Flight.PollInfo second = stub.pollFlightInfo(first.getFlightDescriptor());
         assertTrue(second.getProgress() >= first.getProgress());
@@ -768,16 +847,16 @@
         ManagedChannel channel = channel();
         FlightServiceGrpc.FlightServiceBlockingStub stub =
                 FlightServiceGrpc.newBlockingStub(channel);
-        Flight.FlightInfo info = stub.getFlightInfo(Raw.query("select rows=1"));
+        Flight.FlightInfo info = stub.getFlightInfo(RawFlightClient.query("select rows=1"));
         script.next("get", Act.HANGS);
         CompletableFuture<Status> end = new CompletableFuture<>();
-        Raw.unread(channel, info.getEndpoint(0).getTicket(), end).request(1);
-        Rig.await("out", () -> rig.count("get") == 1);
+        RawFlightClient.unread(channel, info.getEndpoint(0).getTicket(), end).request(1);
+        FlightHarness.await("out", () -> rig.count("get") == 1);
         ByteString request =
                 Flight.CancelFlightInfoRequest.newBuilder().setInfo(info).build().toByteString();
         assertTrue(stub.doAction(action(FlightWire.CANCEL_INFO, request)).hasNext());
         assertEquals(Status.Code.CANCELLED, end.get(PATIENCE_S, TimeUnit.SECONDS).getCode());
-        Rig.await("freed", () -> rig.engines.get(0).cancelledAt().size() == 1);
+        FlightHarness.await("freed", () -> rig.engines.get(0).cancelledAt().size() == 1);
         assertEquals(
                 Status.Code.NOT_FOUND,
                 assertThrows(
@@ -795,7 +874,7 @@
         FlightServiceGrpc.FlightServiceBlockingStub stub =
                 FlightServiceGrpc.newBlockingStub(channel());
         Flight.FlightEndpoint endpoint =
-                stub.getFlightInfo(Raw.query("select rows=2")).getEndpoint(0);
+                stub.getFlightInfo(RawFlightClient.query("select rows=2")).getEndpoint(0);
         ByteString request =
                 Flight.RenewFlightEndpointRequest.newBuilder()
                         .setEndpoint(endpoint)
@@ -816,7 +895,10 @@
                                                 .hasNext())
                         .getStatus()
                         .getCode());
-        assertEquals("ok", Ops.rows(client, client.execute("select rows=1", Ops.LOOKUP), 1));
+        assertEquals(
+                "ok",
+                FlightOperations.rows(
+                        client, client.execute("select rows=1", FlightOperations.LOOKUP), 1));
     }
 
     // ---- Catalogs
@@ -832,7 +914,8 @@
                     threads.submit(
                             () -> {
                                 go.await();
-                                return Ops.outcome(Ops.ALL.get("catalogs"), client, () -> {});
+                                return FlightOperations.outcome(
+                                        FlightOperations.ALL.get("catalogs"), client, () -> {});
                             }));
         }
         go.countDown();
@@ -840,8 +923,10 @@
             assertEquals("ok", each.get(PATIENCE_S, TimeUnit.SECONDS));
         }
         assertEquals(1, rig.count("get"));
-        client.executeUpdate("create table t", Ops.LOAD);
-        assertEquals("ok", Ops.outcome(Ops.ALL.get("catalogs"), client, () -> {}));
+        client.executeUpdate("create table t", FlightOperations.LOAD);
+        assertEquals(
+                "ok",
+                FlightOperations.outcome(FlightOperations.ALL.get("catalogs"), client, () -> {}));
         assertEquals(2, rig.count("get"), "dropped by DDL");
     }
 
@@ -855,18 +940,22 @@
         FlightServiceGrpc.FlightServiceBlockingStub stub =
                 FlightServiceGrpc.newBlockingStub(channel);
         for (int i = 0; i < 3; i++) {
-            Raw.unread(channel, Raw.ticket(channel, "select rows=1"), new CompletableFuture<>());
+            RawFlightClient.unread(
+                    channel,
+                    RawFlightClient.ticket(channel, "select rows=1"),
+                    new CompletableFuture<>());
         }
         rig.awaitFigure("streams", 3);
         StatusRuntimeException told =
                 assertThrows(
-                        StatusRuntimeException.class, () -> Raw.ticket(channel, "select rows=1"));
+                        StatusRuntimeException.class,
+                        () -> RawFlightClient.ticket(channel, "select rows=1"));
         assertEquals(Status.Code.UNAVAILABLE, told.getStatus().getCode());
         assertTrue(told.getTrailers().containsKey(calicostream.grpc.GrpcStatuses.STAY_AWAY));
         assertEquals(
                 1,
                 FlightServiceGrpc.newBlockingStub(channel())
-                        .getFlightInfo(Raw.query("select rows=1"))
+                        .getFlightInfo(RawFlightClient.query("select rows=1"))
                         .getEndpointCount(),
                 "another client has a share of its own");
     }
@@ -883,7 +972,8 @@
                 FlightServiceGrpc.newBlockingStub(channel())
                         .withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers));
         Flight.FlightDescriptor next =
-                stub.pollFlightInfo(Raw.query("select rows=1 polls=5")).getFlightDescriptor();
+                stub.pollFlightInfo(RawFlightClient.query("select rows=1 polls=5"))
+                        .getFlightDescriptor();
         Flight.PollInfo told = stub.pollFlightInfo(next);
         int before = Thread.activeCount();
         ManagedChannel channel =
@@ -935,7 +1025,9 @@
                         .withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers));
         script.next("get", Act.SLOW);
         Flight.Ticket ticket =
-                stub.getFlightInfo(Raw.query("select rows=1")).getEndpoint(0).getTicket();
+                stub.getFlightInfo(RawFlightClient.query("select rows=1"))
+                        .getEndpoint(0)
+                        .getTicket();
         List<String> other = new ArrayList<>();
         CompletableFuture<Void> done = new CompletableFuture<>();
         rig.onLoop(
@@ -983,20 +1075,24 @@
     @Test
     void handleOfAnElderProcessSaysWhatToDo() throws Exception {
         FlightSqlClient elder = start(1);
-        FlightInfo info = elder.execute("select rows=1", Ops.LOOKUP);
-        FlightSqlClient.Transaction txn = elder.beginTransaction(Ops.LOOKUP);
-        try (Rig younger =
-                new Rig(
+        FlightInfo info = elder.execute("select rows=1", FlightOperations.LOOKUP);
+        FlightSqlClient.Transaction txn = elder.beginTransaction(FlightOperations.LOOKUP);
+        try (FlightHarness younger =
+                new FlightHarness(
                         new Script(),
                         1,
                         java.nio.file.Files.createTempDirectory(folder, "younger"))) {
             FlightSqlClient client = younger.client();
             FlightRuntimeException told =
-                    assertThrows(FlightRuntimeException.class, () -> Ops.rows(client, info, 1));
+                    assertThrows(
+                            FlightRuntimeException.class,
+                            () -> FlightOperations.rows(client, info, 1));
             assertEquals(FlightStatusCode.NOT_FOUND, told.status().code());
             assertTrue(told.status().metadata().containsKey("grpc-retry-pushback-ms"));
             FlightRuntimeException dead =
-                    assertThrows(FlightRuntimeException.class, () -> client.commit(txn, Ops.LOAD));
+                    assertThrows(
+                            FlightRuntimeException.class,
+                            () -> client.commit(txn, FlightOperations.LOAD));
             assertTrue(dead.getMessage().contains("dead or ended"), dead.getMessage());
         }
     }
--- a/src/test/java/calicostream/flight/suite/Raw.java
+++ b/src/test/java/calicostream/flight/suite/RawFlightClient.java
@@ -22,7 +22,7 @@
 import org.apache.arrow.flight.sql.impl.FlightSql;
 
 /** Flight by gRPC alone: messages that may be none, and calls that read nothing. */
-public final class Raw {
+public final class RawFlightClient {
     static final MethodDescriptor.Marshaller<byte[]> BYTES =
             new MethodDescriptor.Marshaller<>() {
                 @Override
@@ -40,7 +40,7 @@
                 }
             };
 
-    private Raw() {}
+    private RawFlightClient() {}
 
     public static Flight.FlightDescriptor query(String sql) {
         return FlightWire.descriptor(
--- a/src/test/java/calicostream/mass/MassTest.java
+++ b/src/test/java/calicostream/mass/FleetSimulationTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** A hundred front ends that can't talk and eighty engines, in virtual time. */
-class MassTest {
+class FleetSimulationTest {
     private static final long S = 1_000_000;
     private static final long SEED = 20261201;
 
@@ -22,11 +22,12 @@
     @ParameterizedTest
     @CsvSource({"100", "80", "130"})
     void aColdEngineIsSparedByAllTogetherHoweverManyStart(int told) {
-        Fleet fleet = Fleet.ofModules(Fleet.Shape.usual().told(told), SEED);
+        SimulatedFleet fleet =
+                SimulatedFleet.ofModules(SimulatedFleet.Shape.usual().told(told), SEED);
         fleet.run(10 * S);
-        List<EngineModel> cold = MassRuns.herd(fleet);
+        List<FleetEngineModel> cold = FleetRuns.herd(fleet);
         fleet.run(14 * S);
-        double peak = MassRuns.peak(cold);
+        double peak = FleetRuns.peak(cold);
         double most =
                 told >= 100
                         ? 1
@@ -42,11 +43,11 @@
     @Test
     void thirtyFrontEndsTogetherSpareAFewColdEngines() {
         for (long seed = SEED; seed < SEED + 3; seed++) {
-            Fleet fleet = Fleet.ofModules(Fleet.Shape.throng(), seed);
+            SimulatedFleet fleet = SimulatedFleet.ofModules(SimulatedFleet.Shape.throng(), seed);
             fleet.run(10 * S);
-            List<EngineModel> cold = MassRuns.throng(fleet);
+            List<FleetEngineModel> cold = FleetRuns.throng(fleet);
             fleet.run(14 * S);
-            double peak = MassRuns.peak(cold);
+            double peak = FleetRuns.peak(cold);
             assertTrue(peak > 0 && peak <= 1, "seed " + seed + ": peak " + peak);
             assertEquals(Map.of(), fleet.violations(), "seed " + seed);
         }
@@ -54,21 +55,21 @@
 
     @Test
     void coldEnginesAreUsedWhereTheyAreNeeded() {
-        Fleet fleet = Fleet.ofModules(Fleet.Shape.usual(), SEED);
+        SimulatedFleet fleet = SimulatedFleet.ofModules(SimulatedFleet.Shape.usual(), SEED);
         fleet.run(10 * S);
-        List<EngineModel> cold = MassRuns.join(fleet);
+        List<FleetEngineModel> cold = FleetRuns.join(fleet);
         fleet.run(14 * S);
-        double use = MassRuns.use(fleet, cold);
+        double use = FleetRuns.use(fleet, cold);
         assertTrue(use > 0.5, "use " + use);
-        assertTrue(MassRuns.peak(cold) <= 1, "peak " + MassRuns.peak(cold));
+        assertTrue(FleetRuns.peak(cold) <= 1, "peak " + FleetRuns.peak(cold));
         assertEquals(Map.of(), fleet.violations());
     }
 
     @Test
     void theyDoNotHerdAndKeepToFewConnections() {
-        Fleet modules = Fleet.ofModules(Fleet.Shape.usual(), SEED);
-        Fleet chance = Fleet.byChance(Fleet.Shape.usual(), SEED);
-        MassRuns.settled(30 * S, modules, chance);
+        SimulatedFleet modules = SimulatedFleet.ofModules(SimulatedFleet.Shape.usual(), SEED);
+        SimulatedFleet chance = SimulatedFleet.byChance(SimulatedFleet.Shape.usual(), SEED);
+        FleetRuns.settled(30 * S, modules, chance);
         String figures = modules.fullest(0.99) + " against " + chance.fullest(0.99);
         assertTrue(modules.fullest(0.99) < chance.fullest(0.99), figures);
         double handshakes = modules.perQuery(g -> g.handshakes);
@@ -78,7 +79,7 @@
 
     @Test
     void theyStayInTheirZoneWhileItsEnginesAreEasy() {
-        Fleet fleet = Fleet.ofModules(Fleet.Shape.usual(), SEED);
+        SimulatedFleet fleet = SimulatedFleet.ofModules(SimulatedFleet.Shape.usual(), SEED);
         fleet.run(30 * S);
         double crossed = fleet.perQuery(g -> g.crossed);
         assertTrue(crossed < 0.25, crossed + " of the queries cross zones");
@@ -92,7 +93,7 @@
      */
     @Test
     void aZoneThatLosesItsEnginesIsServedByTheOthers() {
-        Fleet fleet = Fleet.ofModules(Fleet.Shape.usual(), SEED);
+        SimulatedFleet fleet = SimulatedFleet.ofModules(SimulatedFleet.Shape.usual(), SEED);
         fleet.run(10 * S);
         fleet.engines().stream().filter(e -> e.zone == 1).forEach(fleet::drain);
         fleet.run(30 * S);
@@ -114,20 +115,20 @@
     @Test
     void aVastFleetUsesItsColdEnginesAndKeepsTheRules() {
         for (long seed = SEED; seed < SEED + 3; seed++) {
-            Fleet join = Fleet.ofModules(Fleet.Shape.vast(), seed);
-            Fleet zone = Fleet.ofModules(Fleet.Shape.vast(), seed);
+            SimulatedFleet join = SimulatedFleet.ofModules(SimulatedFleet.Shape.vast(), seed);
+            SimulatedFleet zone = SimulatedFleet.ofModules(SimulatedFleet.Shape.vast(), seed);
             join.run(10 * S);
             zone.run(10 * S);
-            List<EngineModel> cold = MassRuns.vastJoin(join);
-            List<EngineModel> back = MassRuns.vastZone(zone);
+            List<FleetEngineModel> cold = FleetRuns.vastJoin(join);
+            List<FleetEngineModel> back = FleetRuns.vastZone(zone);
             String run = "seed " + seed + ": ";
             assertEquals(Map.of(), join.violations(), run);
             assertEquals(Map.of(), zone.violations(), run);
             assertTrue(
-                    MassRuns.peak(cold) <= 1 && MassRuns.peak(back) <= 1,
-                    run + MassRuns.peak(cold) + ", " + MassRuns.peak(back));
-            assertTrue(MassRuns.use(join, cold) > 0.5, run + MassRuns.use(join, cold));
-            assertTrue(MassRuns.use(zone, back) > 0.5, run + MassRuns.use(zone, back));
+                    FleetRuns.peak(cold) <= 1 && FleetRuns.peak(back) <= 1,
+                    run + FleetRuns.peak(cold) + ", " + FleetRuns.peak(back));
+            assertTrue(FleetRuns.use(join, cold) > 0.5, run + FleetRuns.use(join, cold));
+            assertTrue(FleetRuns.use(zone, back) > 0.5, run + FleetRuns.use(zone, back));
         }
     }
 }
--- a/src/test/java/calicostream/packaged/PackagedTest.java
+++ b/src/test/java/calicostream/packaged/PackagedTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicostream.wire.ChangeLogStand;
-import calicostream.wire.Program;
-import calicostream.wire.RespStand;
+import calicostream.wire.FakeDiscoveryServer;
+import calicostream.wire.FakeRespEngine;
+import calicostream.wire.ServerProgram;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -137,7 +137,7 @@
                                 + ", but the class path has not the libraries of"
                                 + " target/lib-cluster; README.md has the command"
                                 + " [cluster-libraries-missing]"),
-                refused(Program.run(), settings));
+                refused(ServerProgram.run(), settings));
         String command =
                 Files.readAllLines(Path.of("README.md")).stream()
                         .filter(l -> l.contains("target/lib-cluster/*"))
@@ -157,7 +157,9 @@
         ProcessBuilder builder =
                 new ProcessBuilder("/bin/sh", "-c", command).redirectErrorStream(true);
         builder.environment()
-                .put("NODE_CONFIG", Program.configure(folder, 0, 1, List.of(), 1024).toString());
+                .put(
+                        "NODE_CONFIG",
+                        ServerProgram.configure(folder, 0, 1, List.of(), 1024).toString());
         builder.environment().put("NODE_CLUSTER", cluster.toString());
         Process process = builder.start();
         try {
@@ -176,7 +178,7 @@
     private Set<String> loaded(String deploy) throws Exception {
         Path log = folder.resolve("loaded");
         String command =
-                Program.run()
+                ServerProgram.run()
                         .replace(
                                 "exec java ",
                                 "exec "
@@ -186,19 +188,19 @@
                                         + ":uptime -Dcalicostream.deploy="
                                         + deploy
                                         + " ");
-        try (ChangeLogStand changes = new ChangeLogStand();
-                RespStand engine = new RespStand()) {
+        try (FakeDiscoveryServer changes = new FakeDiscoveryServer();
+                FakeRespEngine engine = new FakeRespEngine()) {
             ProcessBuilder builder =
                     new ProcessBuilder("/bin/sh", "-c", command).redirectErrorStream(true);
             builder.environment()
                     .put(
                             "NODE_CONFIG",
-                            Program.configure(
+                            ServerProgram.configure(
                                             folder,
                                             0,
                                             changes.port(),
                                             List.of(
-                                                    Program.endpoint(
+                                                    ServerProgram.endpoint(
                                                             "e1", engine.address(), "Ready", 0)),
                                             1024)
                                     .toString());
@@ -210,7 +212,7 @@
                 while (line != null && !line.contains("listens on port")) {
                     line = lines.readLine();
                 }
-                Program.ask(Program.portIn(line), engine, 1);
+                ServerProgram.ask(ServerProgram.portIn(line), engine, 1);
                 process.toHandle()
                         .destroy(); // Unlike the process's own call it leaves the log open.
                 while (lines.readLine() != null) {
--- a/src/test/java/calicostream/platform/FrontRig.java
+++ b/src/test/java/calicostream/platform/JsonRpcServerHarness.java
@@ -16,7 +16,7 @@
 import calicostream.routing.EngineEndpoint;
 import calicostream.routing.EngineLifecycle;
 import calicostream.routing.SettingsParser;
-import calicostream.wire.Program;
+import calicostream.wire.ServerProgram;
 import calicostream.wire.SocketTable;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -38,7 +38,7 @@
  * thread happens in one turn: what arrives at a socket meanwhile is there and unread, whatever the
  * test does next, so that two events cross in a known order.
  */
-final class FrontRig implements AutoCloseable {
+final class JsonRpcServerHarness implements AutoCloseable {
     static final int WIDE = 0;
     static final int NARROW = 1; // a kind of engine that takes two requests at once
     static final int LOOK = 0;
@@ -112,7 +112,7 @@
         }
     }
 
-    FrontRig() throws Exception {
+    JsonRpcServerHarness() throws Exception {
         loop = new SelectorLoop(clock, new Deadlines());
         side = new RespEngineClient(loop, settings.classNames(), settings.connectionSettings(), 16);
         gateway = new Gateway(clock, loop.deadlines(), settings.settings(), RequestListener.NONE);
@@ -176,7 +176,7 @@
 
     /** Waits until so many requests are in hand. */
     void awaitOpen(int count) throws Exception {
-        for (long end = System.nanoTime() + Program.PATIENCE_MS * 1_000_000;
+        for (long end = System.nanoTime() + ServerProgram.PATIENCE_MS * 1_000_000;
                 on(gateway::openRequests) != count; ) {
             if (System.nanoTime() > end) {
                 throw new AssertionError(
@@ -245,7 +245,7 @@
             this.port = port;
             socket = new Socket(InetAddress.getLoopbackAddress(), port);
             socket.setTcpNoDelay(true);
-            socket.setSoTimeout((int) Program.PATIENCE_MS);
+            socket.setSoTimeout((int) ServerProgram.PATIENCE_MS);
             in =
                     new BufferedReader(
                             new InputStreamReader(
@@ -316,7 +316,7 @@
         }
 
         String answer() throws InterruptedException {
-            return answers.poll(Program.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            return answers.poll(ServerProgram.PATIENCE_MS, TimeUnit.MILLISECONDS);
         }
     }
 
--- a/src/test/java/calicostream/platform/ProbesTest.java
+++ b/src/test/java/calicostream/platform/LoadProbeTest.java
@@ -13,9 +13,9 @@
 import calicostream.routing.EngineEndpoint;
 import calicostream.routing.EngineLifecycle;
 import calicostream.routing.SettingsParser;
-import calicostream.wire.LateStand;
-import calicostream.wire.Program;
-import calicostream.wire.RespStand;
+import calicostream.wire.FakeRespEngine;
+import calicostream.wire.ServerProgram;
+import calicostream.wire.UnacceptingServer;
 import java.io.IOException;
 import java.util.List;
 import java.util.concurrent.Callable;
@@ -27,7 +27,7 @@
  * What becomes of the module's questions how an engine fares, against an engine that answers as a
  * test says.
  */
-class ProbesTest {
+class LoadProbeTest {
     private static final long IDLE_US = 10_000_000;
     private static final String SETTINGS =
             "lanes.count=1\n"
@@ -42,9 +42,9 @@
                     + IDLE_US
                     + "\nstats.how=on_probe\nstats.columns=inflight,queue,x0\n";
     private static final long ID = 1;
-    private final FrontRig.SetClock clock = new FrontRig.SetClock();
+    private final JsonRpcServerHarness.SetClock clock = new JsonRpcServerHarness.SetClock();
     private final SettingsParser settings = SettingsParser.ofLines(SETTINGS);
-    private RespStand stand;
+    private FakeRespEngine stand;
     private SelectorLoop loop;
     private SelectorLoopThread thread;
     private RespEngineClient side;
@@ -52,7 +52,7 @@
 
     @BeforeEach
     void start() throws Exception {
-        stand = new RespStand();
+        stand = new FakeRespEngine();
         loop = new SelectorLoop(clock, new Deadlines());
         side = new RespEngineClient(loop, settings.classNames(), settings.connectionSettings(), 16);
         gateway = new Gateway(clock, loop.deadlines(), settings.settings(), RequestListener.NONE);
@@ -120,7 +120,7 @@
     @Test
     void whoCanNotBeReachedIsLeftOut() throws Exception {
         stand.die();
-        for (long end = System.nanoTime() + Program.PATIENCE_MS * 1_000_000;
+        for (long end = System.nanoTime() + ServerProgram.PATIENCE_MS * 1_000_000;
                 on(gateway::excludedEngines) == 0; ) {
             assertTrue(System.nanoTime() < end, "the engine is still used");
             on(
@@ -177,7 +177,7 @@
      */
     @Test
     void anEngineThatMovesUnderAQuestionIsNotLeftOut() throws Exception {
-        try (LateStand late = new LateStand()) {
+        try (UnacceptingServer late = new UnacceptingServer()) {
             on(
                     () -> {
                         side.setAddress(ID, late.address());
--- a/src/test/java/calicostream/platform/RaceConditionTest.java
+++ b/src/test/java/calicostream/platform/RaceConditionTest.java
@@ -1,24 +1,24 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.platform;
 
-import static calicostream.platform.FrontRig.KEYED;
-import static calicostream.platform.FrontRig.LOAD;
-import static calicostream.platform.FrontRig.LOOK;
-import static calicostream.platform.FrontRig.id;
-import static calicostream.platform.FrontRig.interrupt;
-import static calicostream.platform.FrontRig.request;
+import static calicostream.platform.JsonRpcServerHarness.KEYED;
+import static calicostream.platform.JsonRpcServerHarness.LOAD;
+import static calicostream.platform.JsonRpcServerHarness.LOOK;
+import static calicostream.platform.JsonRpcServerHarness.id;
+import static calicostream.platform.JsonRpcServerHarness.interrupt;
+import static calicostream.platform.JsonRpcServerHarness.request;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicostream.platform.FrontRig.Asker;
-import calicostream.platform.FrontRig.Client;
+import calicostream.platform.JsonRpcServerHarness.Asker;
+import calicostream.platform.JsonRpcServerHarness.Client;
 import calicostream.routing.EngineLifecycle;
-import calicostream.wire.LateStand;
-import calicostream.wire.RespStand;
+import calicostream.wire.FakeRespEngine;
 import calicostream.wire.SocketTable;
+import calicostream.wire.UnacceptingServer;
 import java.net.ConnectException;
 import java.net.Socket;
 import java.util.ArrayList;
@@ -38,13 +38,13 @@
 class RaceConditionTest {
     private static final long ENGINE = 1;
     private static final long OTHER = 2;
-    private FrontRig rig;
-    private RespStand stand;
+    private JsonRpcServerHarness rig;
+    private FakeRespEngine stand;
 
     @BeforeEach
     void start() throws Exception {
-        rig = new FrontRig();
-        stand = new RespStand();
+        rig = new JsonRpcServerHarness();
+        stand = new FakeRespEngine();
     }
 
     @AfterEach
@@ -58,7 +58,7 @@
      * sent.
      */
     private void warm(Client by) throws Exception {
-        warm(by, FrontRig.WIDE);
+        warm(by, JsonRpcServerHarness.WIDE);
     }
 
     private void warm(Client by, int kind) throws Exception {
@@ -68,7 +68,7 @@
 
     /** An engine with no room for more; the handle of one of the two requests that take it. */
     private long full(Client by) throws Exception {
-        warm(by, FrontRig.NARROW);
+        warm(by, JsonRpcServerHarness.NARROW);
         Asker asker = new Asker();
         long first =
                 rig.on(
@@ -190,7 +190,7 @@
     void noneThatWaitsIsSentAsItsClientsOthersAreCalledOff() throws Exception {
         Client leaves = rig.client();
         Client stays = rig.client();
-        warm(stays, FrontRig.NARROW);
+        warm(stays, JsonRpcServerHarness.NARROW);
         leaves.send(
                 request("look", 1) + request("look", 2) + request("look", 3) + request("look", 4));
         twoAreHeardOf();
@@ -204,7 +204,7 @@
 
     @Test
     void aFurtherAttemptIsNotSentOnceTheClientHasGone() throws Exception {
-        try (RespStand other = new RespStand()) {
+        try (FakeRespEngine other = new FakeRespEngine()) {
             Asker asker = new Asker();
             rig.listed(ENGINE, stand.address());
             rig.on(
@@ -220,7 +220,11 @@
             asker.left = false;
             rig.on(
                     () -> {
-                        rig.list(ENGINE, FrontRig.WIDE, stand.address(), EngineLifecycle.DRAINING);
+                        rig.list(
+                                ENGINE,
+                                JsonRpcServerHarness.WIDE,
+                                stand.address(),
+                                EngineLifecycle.DRAINING);
                         rig.ask(asker, LOOK, 2);
                         return null;
                     });
@@ -231,7 +235,7 @@
     /** The connection comes up a second late, and the client has gone meanwhile. */
     @Test
     void whatWaitedForItsConnectionIsNotSentOnceItsClientHasGone() throws Exception {
-        try (LateStand late = new LateStand()) {
+        try (UnacceptingServer late = new UnacceptingServer()) {
             Asker asker = new Asker();
             rig.listed(ENGINE, late.address());
             rig.on(
@@ -277,7 +281,7 @@
     /** A repeat is allowed for as long as its window says; its connection comes up after that. */
     @Test
     void aRepeatWhoseWindowHasPassedIsNotSentWhenItsConnectionComesUp() throws Exception {
-        try (LateStand late = new LateStand()) {
+        try (UnacceptingServer late = new UnacceptingServer()) {
             Asker asker = new Asker();
             rig.listed(ENGINE, stand.address());
             rig.on(
@@ -291,7 +295,7 @@
             SocketTable.awaitAsked(late.address().getPort());
             rig.on(
                     () -> {
-                        rig.clock.advance(FrontRig.WINDOW_MS * 1000);
+                        rig.clock.advance(JsonRpcServerHarness.WINDOW_MS * 1000);
                         return null;
                     });
             Socket opened = late.open();
@@ -327,7 +331,7 @@
      */
     @Test
     void aRequestDoesNotReachWhoHasItsEnginesOldAddress() throws Exception {
-        try (LateStand old = new LateStand()) {
+        try (UnacceptingServer old = new UnacceptingServer()) {
             Asker asker = new Asker();
             rig.listed(ENGINE, old.address());
             rig.on(
@@ -347,7 +351,7 @@
     /** The engine drains in the turn in which a request waits for its connection. */
     @Test
     void whatWaitedForItsConnectionIsNotSentOnceItsEngineDrains() throws Exception {
-        try (LateStand late = new LateStand()) {
+        try (UnacceptingServer late = new UnacceptingServer()) {
             Asker asker = new Asker();
             rig.listed(ENGINE, late.address());
             rig.on(
@@ -358,8 +362,16 @@
             SocketTable.awaitAsked(late.address().getPort());
             rig.on(
                     () -> {
-                        rig.list(ENGINE, FrontRig.WIDE, late.address(), EngineLifecycle.DRAINING);
-                        rig.list(OTHER, FrontRig.WIDE, stand.address(), EngineLifecycle.READY);
+                        rig.list(
+                                ENGINE,
+                                JsonRpcServerHarness.WIDE,
+                                late.address(),
+                                EngineLifecycle.DRAINING);
+                        rig.list(
+                                OTHER,
+                                JsonRpcServerHarness.WIDE,
+                                stand.address(),
+                                EngineLifecycle.READY);
                         return null;
                     });
             SocketTable.awaitNobodyAsks(late.address().getPort());
--- a/src/test/java/calicostream/rig/BudgetsTest.java
+++ b/src/test/java/calicostream/rig/BudgetsTest.java
@@ -38,16 +38,16 @@
                     + CAP
                     + "\nfloor = 1\n[tenants.east]\nweight = 3\nclients = [\"127.0.0.0/8\"]\n"
                     + "[tenants.others]\n";
-    private final History history = new History();
-    private Fleet fleet;
+    private final OperationHistory history = new OperationHistory();
+    private ClusterFleet fleet;
     private long begun;
 
     @BeforeAll
     void start(@TempDir Path folder) throws Exception {
         fleet =
-                new Fleet(
+                new ClusterFleet(
                         folder,
-                        new Fleet.Plan(3, 3, true, Fleet.Plan.QUICK + BUDGETS),
+                        new ClusterFleet.Plan(3, 3, true, ClusterFleet.Plan.QUICK + BUDGETS),
                         history,
                         10);
         fleet.startAll();
@@ -64,7 +64,7 @@
 
     @AfterEach
     void noEngineRanMoreThanItsCap() {
-        Judge judge = new Judge(history.copy());
+        OperationHistoryChecker judge = new OperationHistoryChecker(history.copy());
         assertEquals(0, judge.overCap(CAP));
         assertEquals(List.of(), judge.ranTwice());
         assertTrue(judge.overCap(0) > 100, "what ran was recorded");
@@ -119,10 +119,12 @@
         Await.pass(1_000);
         long now = System.nanoTime();
         Await.until(
-                () -> new Judge(history.copy()).ended(fronts, begun, now, null) == 0,
+                () ->
+                        new OperationHistoryChecker(history.copy()).ended(fronts, begun, now, null)
+                                == 0,
                 () -> "some were not answered");
-        Judge judge = new Judge(history.copy());
-        assertEquals(0, judge.ended(fronts, begun, now, History.Answer.FAILED), "failed");
+        OperationHistoryChecker judge = new OperationHistoryChecker(history.copy());
+        assertEquals(0, judge.ended(fronts, begun, now, OperationHistory.Answer.FAILED), "failed");
         assertTrue(
                 judge.served(fronts, begun, now) > 0.9,
                 "share served " + judge.served(fronts, begun, now));
--- a/src/test/java/calicostream/rig/LeasesTest.java
+++ b/src/test/java/calicostream/rig/LeasesTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicostream.rig.History.Act;
+import calicostream.rig.OperationHistory.Act;
 import java.nio.file.Path;
 import java.util.Comparator;
 import java.util.List;
@@ -26,12 +26,12 @@
 class LeasesTest {
     private static final List<Integer> VOTERS = List.of(1, 2, 3);
     private static final long TTL_MS = 1_000;
-    private History acts;
-    private Fleet fleet;
+    private OperationHistory acts;
+    private ClusterFleet fleet;
 
     @BeforeAll
     void start(@TempDir Path folder) throws Exception {
-        fleet = new Fleet(folder, Fleet.Plan.of(5, 3), new History(), 20);
+        fleet = new ClusterFleet(folder, ClusterFleet.Plan.of(5, 3), new OperationHistory(), 20);
         fleet.startAll();
     }
 
@@ -45,7 +45,7 @@
 
     /** Each test's acts in a record of its own. */
     private void record(boolean fenced) {
-        acts = new History();
+        acts = new OperationHistory();
         fleet.resource.begin(acts, fenced);
     }
 
@@ -87,7 +87,7 @@
     private Act stopBetweenCheckAndAct() throws Exception {
         fleet.resource.closeGate();
         String holder = fleet.resource.awaitHeld();
-        Proc proc = fleet.proc(number(holder));
+        ServerProcess proc = fleet.proc(number(holder));
         proc.signal("STOP");
         Act next;
         try {
@@ -124,7 +124,7 @@
     void holderStoppedBetweenCheckAndActIsRefused() throws Exception {
         assertFalse(
                 stopBetweenCheckAndAct().done(), "its late act must have come, and been refused");
-        assertEquals(List.of(), new Judge(acts.copy()).doubleActs());
+        assertEquals(List.of(), new OperationHistoryChecker(acts.copy()).doubleActs());
     }
 
     /**
@@ -137,7 +137,7 @@
         awaitAct(System.nanoTime());
         assertTrue(stopBetweenCheckAndAct().done());
         assertFalse(
-                new Judge(acts.copy()).doubleActs().isEmpty(),
+                new OperationHistoryChecker(acts.copy()).doubleActs().isEmpty(),
                 "the judge finds no double act where there is one");
     }
 
@@ -155,7 +155,7 @@
         Await.pass(TTL_MS / 2);
         fleet.heal();
         awaitAct(System.nanoTime());
-        Judge judge = new Judge(acts.copy());
+        OperationHistoryChecker judge = new OperationHistoryChecker(acts.copy());
         assertEquals(List.of(), judge.doubleActs());
         assertTrue(
                 acts.copy().acts().stream()
@@ -178,7 +178,7 @@
                                         .asObject()
                                         .get("tasks")
                                         .asObject()
-                                        .get(RigTasks.LEASE)
+                                        .get(HarnessTasks.LEASE)
                                         .asObject()
                                         .get("state")
                                         .asString();
@@ -198,28 +198,29 @@
         long killed = System.nanoTime();
         fleet.kill(number(holder));
         awaitSuccessor(holder);
-        Judge judge = new Judge(acts.copy());
+        OperationHistoryChecker judge = new OperationHistoryChecker(acts.copy());
         assertEquals(List.of(), judge.doubleActs());
         assertTrue(
-                judge.handovers(RigTasks.LEASE, List.of(killed)).get(0) < 4 * TTL_MS * 1_000_000,
+                judge.handovers(HarnessTasks.LEASE, List.of(killed)).get(0)
+                        < 4 * TTL_MS * 1_000_000,
                 "on any machine within four times its lease; twice is measured, not tested");
     }
 
     @Test
     void plannedStopHandsOverAtOnce() throws Exception {
         String holder = awaitTurns();
-        Proc proc = fleet.proc(number(holder));
+        ServerProcess proc = fleet.proc(number(holder));
         long stopped = System.nanoTime();
         assertEquals(143, fleet.stop(number(holder)));
         awaitSuccessor(holder);
-        assertEquals(List.of(), new Judge(acts.copy()).doubleActs());
+        assertEquals(List.of(), new OperationHistoryChecker(acts.copy()).doubleActs());
         Act last = lastOf(holder);
         Act next =
                 acts.copy().acts().stream()
                         .filter(a -> a.done() && a.token() > last.token())
                         .min(Comparator.comparingLong(Act::at))
                         .orElseThrow();
-        proc.awaitLine("lease-given-back lease=" + RigTasks.LEASE + " token=" + last.token());
+        proc.awaitLine("lease-given-back lease=" + HarnessTasks.LEASE + " token=" + last.token());
         assertTrue(
                 next.at() - last.at() < TTL_MS * 1_000_000,
                 "handed over in " + (next.at() - last.at()) / 1_000_000 + " ms");
