--- a/src/test/java/calicostream/rig/RelaysTest.java
+++ b/src/test/java/calicostream/rig/LinkProxiesTest.java
@@ -19,20 +19,20 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The relay on real sockets; what passes when is {@link PassageTest}'s. */
-class RelaysTest {
+/** The relay on real sockets; what passes when is {@link ProxiedLinkTest}'s. */
+class LinkProxiesTest {
     private final InetAddress here = InetAddress.getLoopbackAddress();
-    private Relays relays;
+    private LinkProxies relays;
     private ServerSocket target;
-    private Relays.Link link;
+    private LinkProxies.Link link;
     private Socket near;
     private Socket far;
 
     @BeforeEach
     void connect() throws IOException {
-        relays = new Relays();
+        relays = new LinkProxies();
         target = new ServerSocket(0, 8, here);
-        target.setSoTimeout((int) Proc.PATIENCE_MS);
+        target.setSoTimeout((int) ServerProcess.PATIENCE_MS);
         link =
                 relays.open(
                         new InetSocketAddress(here, 0),
@@ -43,8 +43,8 @@
     private void open() throws IOException {
         near = new Socket(here, link.at().getPort());
         far = target.accept();
-        far.setSoTimeout((int) Proc.PATIENCE_MS);
-        near.setSoTimeout((int) Proc.PATIENCE_MS);
+        far.setSoTimeout((int) ServerProcess.PATIENCE_MS);
+        near.setSoTimeout((int) ServerProcess.PATIENCE_MS);
     }
 
     @AfterEach
@@ -63,7 +63,7 @@
     void megabytePassesWhole() throws Exception {
         byte[] sent = new byte[1 << 20];
         new Random(1).nextBytes(sent);
-        Stands.daemon("writer", () -> near.getOutputStream().write(sent));
+        FakeServers.daemon("writer", () -> near.getOutputStream().write(sent));
         assertArrayEquals(sent, passed(sent.length));
         assertEquals(sent.length, link.bytes());
         near.close();
@@ -77,7 +77,7 @@
         near.getOutputStream().write(7);
         far.setSoTimeout(100);
         assertThrows(SocketTimeoutException.class, () -> far.getInputStream().read());
-        far.setSoTimeout((int) Proc.PATIENCE_MS);
+        far.setSoTimeout((int) ServerProcess.PATIENCE_MS);
         link.set(LinkFault.NONE);
         assertEquals(7, far.getInputStream().read());
     }
@@ -87,7 +87,7 @@
         link.set(LinkFault.CUT);
         assertThrows(SocketException.class, () -> near.getInputStream().read());
         Socket again = new Socket(here, link.at().getPort());
-        again.setSoTimeout((int) Proc.PATIENCE_MS);
+        again.setSoTimeout((int) ServerProcess.PATIENCE_MS);
         assertThrows(SocketException.class, () -> again.getInputStream().read());
         link.set(LinkFault.NONE);
         relays.settle();
--- a/src/test/java/calicostream/rig/LostQuorumTest.java
+++ b/src/test/java/calicostream/rig/LostQuorumTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicostream.rig.History.Act;
-import calicostream.rig.History.Answer;
+import calicostream.rig.OperationHistory.Act;
+import calicostream.rig.OperationHistory.Answer;
 import com.eclipsesource.json.JsonObject;
 import java.nio.file.Path;
 import java.util.List;
@@ -18,7 +18,7 @@
 class LostQuorumTest {
     private static final List<Integer> LOST = List.of(1, 2);
     private static final List<Integer> LEFT = List.of(3, 4, 5);
-    private final History history = new History();
+    private final OperationHistory history = new OperationHistory();
 
     private long highestToken() {
         return history.copy().acts().stream()
@@ -30,7 +30,8 @@
 
     @Test
     void thePagesProcedureBringsTheServiceBack(@TempDir Path folder) throws Exception {
-        try (Fleet fleet = new Fleet(folder, Fleet.Plan.of(5, 3), history, 20)) {
+        try (ClusterFleet fleet =
+                new ClusterFleet(folder, ClusterFleet.Plan.of(5, 3), history, 20)) {
             fleet.startAll();
             fleet.awaitLeader(List.of(1, 2, 3));
             Await.until(() -> fleet.resource.last() > 0, () -> "nobody acts");
@@ -81,7 +82,7 @@
 
             fleet.load.settle();
             long now = System.nanoTime();
-            Judge judge = new Judge(history.copy());
+            OperationHistoryChecker judge = new OperationHistoryChecker(history.copy());
             assertEquals(List.of(), judge.doubleActs());
             assertEquals(List.of(), judge.lost());
             assertEquals(List.of(), judge.answeredTwice());
--- a/src/test/java/calicostream/rig/MembersTest.java
+++ b/src/test/java/calicostream/rig/MembersTest.java
@@ -34,13 +34,13 @@
             2_500; // than session, lease, election and missed heartbeats
     private static final long USUAL_NANOS =
             1_000_000_000L; // of an answer, on a machine with much else to do
-    private final History history = new History();
-    private Fleet fleet;
+    private final OperationHistory history = new OperationHistory();
+    private ClusterFleet fleet;
     private long begun;
 
     @BeforeAll
     void start(@TempDir Path folder) throws Exception {
-        fleet = new Fleet(folder, Fleet.Plan.of(5, 3), history, ASK_EVERY_MS);
+        fleet = new ClusterFleet(folder, ClusterFleet.Plan.of(5, 3), history, ASK_EVERY_MS);
         fleet.startAll();
         assertEquals(
                 "[\"1.0\",\"2.0\",\"3.0\"]",
@@ -60,7 +60,7 @@
     @AfterEach
     void nothingWasDoubled() throws Exception {
         Await.until(() -> fleet.resource.last() > begun, () -> "nobody acted under the lease");
-        Judge judge = new Judge(history.copy());
+        OperationHistoryChecker judge = new OperationHistoryChecker(history.copy());
         assertEquals(List.of(), judge.answeredTwice());
         assertEquals(List.of(), judge.ranTwice());
         assertEquals(List.of(), judge.doubleActs());
@@ -68,9 +68,9 @@
 
     @AfterAll
     void end() throws Exception {
-        try (Fleet ending = fleet) {
+        try (ClusterFleet ending = fleet) {
             ending.load.settle();
-            assertEquals(List.of(), new Judge(history.copy()).lost());
+            assertEquals(List.of(), new OperationHistoryChecker(history.copy()).lost());
         }
     }
 
@@ -88,14 +88,18 @@
     private void assertServedThroughout(Set<Integer> fronts) throws Exception {
         long now = System.nanoTime();
         Await.until(
-                () -> new Judge(history.copy()).ended(fronts, begun, now, null) == 0,
+                () ->
+                        new OperationHistoryChecker(history.copy()).ended(fronts, begun, now, null)
+                                == 0,
                 () -> "some were not answered");
-        Judge judge = new Judge(history.copy());
+        OperationHistoryChecker judge = new OperationHistoryChecker(history.copy());
         List<Long> waits = judge.waits(fronts, begun, now);
         assertTrue(waits.size() > 10, waits.size() + " answers");
         assertTrue(
-                Judge.percentile(waits, 0.99) < USUAL_NANOS,
-                "answers took " + Judge.percentile(waits, 0.99) / 1_000_000 + " ms");
+                OperationHistoryChecker.percentile(waits, 0.99) < USUAL_NANOS,
+                "answers took "
+                        + OperationHistoryChecker.percentile(waits, 0.99) / 1_000_000
+                        + " ms");
         for (int front : fronts) {
             long silence = judge.longestSilence(front, begun, now);
             assertTrue(
@@ -225,7 +229,7 @@
 
     @Test
     void secondProcessOnAFolderEndsAndTheFirstGoesOn() throws Exception {
-        Proc second = fleet.proc(2, 12);
+        ServerProcess second = fleet.proc(2, 12);
         assertNotEquals(0, second.awaitExit());
         second.awaitLine("folder-in-use");
         assertTrue(fleet.signs(2).getBoolean("session_alive", false));
@@ -255,10 +259,10 @@
         int leader = fleet.awaitLeader(VOTERS);
         int voter = others(VOTERS, leader).get(1);
         long seen = fleet.signs(voter).getLong("applied", 0);
-        fleet.disk(voter, RigDisks.Lie.FORGETS, 0);
+        fleet.disk(voter, FaultInjectingDisks.Lie.FORGETS, 0);
         fleet.awaitSigns(voter, "more of the log", signs -> signs.getLong("applied", 0) > seen + 3);
         fleet.kill(voter);
-        fleet.disk(voter, RigDisks.Lie.HONEST, 0);
+        fleet.disk(voter, FaultInjectingDisks.Lie.HONEST, 0);
         fleet.start(voter);
         readmit(voter);
         assertServedThroughout(others(voter));
@@ -318,7 +322,7 @@
     @Test
     void fullAndReadOnlyDisksAreNamedAndCostTheirVotersUntilARestart() throws Exception {
         int full = fleet.awaitLeader(VOTERS);
-        awaitFailed(full, RigDisks.Lie.FULL, "full");
+        awaitFailed(full, FaultInjectingDisks.Lie.FULL, "full");
         fleet.awaitSigns(
                 full,
                 "its session by the others",
@@ -328,7 +332,7 @@
         int leader = fleet.awaitLeader(others(VOTERS, full));
         int readOnly = others(others(VOTERS, full), leader).get(0);
         assertTrue(fleet.isReady(full));
-        awaitFailed(readOnly, RigDisks.Lie.READ_ONLY, "read_only");
+        awaitFailed(readOnly, FaultInjectingDisks.Lie.READ_ONLY, "read_only");
         fleet.awaitSigns(leader, "no quorum", signs -> signs.getInt("no_quorum_ms", 0) > 0);
         fleet.awaitSigns(
                 full,
@@ -343,7 +347,7 @@
         List<Integer> failed = List.of(full, readOnly);
         for (int voter : failed) {
             assertEquals(STOPPED, fleet.stop(voter));
-            fleet.disk(voter, RigDisks.Lie.HONEST, 0);
+            fleet.disk(voter, FaultInjectingDisks.Lie.HONEST, 0);
             fleet.launch(voter);
         }
         for (int voter : failed) {
@@ -357,7 +361,8 @@
         }
     }
 
-    private void awaitFailed(int voter, RigDisks.Lie lie, String named) throws Exception {
+    private void awaitFailed(int voter, FaultInjectingDisks.Lie lie, String named)
+            throws Exception {
         fleet.disk(voter, lie, 0);
         String code = "disk-" + named.replace('_', '-');
         JsonObject signs =
@@ -377,7 +382,7 @@
     @Test
     void leaderOnASlowDiskLosesTheLeadAndServesOn() throws Exception {
         int leader = fleet.awaitLeader(VOTERS);
-        fleet.disk(leader, RigDisks.Lie.SLOW, 1_500);
+        fleet.disk(leader, FaultInjectingDisks.Lie.SLOW, 1_500);
         try {
             assertNotEquals(leader, fleet.awaitLeader(others(VOTERS, leader)));
             fleet.awaitSigns(
@@ -385,7 +390,7 @@
                     "that it is slow",
                     signs -> signs.get("disk").asObject().getInt("slow_syncs", 0) > 0);
         } finally {
-            fleet.disk(leader, RigDisks.Lie.HONEST, 0);
+            fleet.disk(leader, FaultInjectingDisks.Lie.HONEST, 0);
         }
         assertServedThroughout(Set.copyOf(ALL));
         fleet.awaitSigns(
--- a/src/test/java/calicostream/rig/JudgeTest.java
+++ b/src/test/java/calicostream/rig/OperationHistoryCheckerTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicostream.rig.History.Act;
-import calicostream.rig.History.Answer;
-import calicostream.rig.History.Answered;
-import calicostream.rig.History.Asked;
-import calicostream.rig.History.Dropped;
-import calicostream.rig.History.Ran;
+import calicostream.rig.OperationHistory.Act;
+import calicostream.rig.OperationHistory.Answer;
+import calicostream.rig.OperationHistory.Answered;
+import calicostream.rig.OperationHistory.Asked;
+import calicostream.rig.OperationHistory.Dropped;
+import calicostream.rig.OperationHistory.Ran;
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
@@ -18,11 +18,11 @@
  * A judge that never finds anything proves nothing: each of its findings is shown a history that
  * has it, and one that has not.
  */
-class JudgeTest {
-    private final History history = new History();
+class OperationHistoryCheckerTest {
+    private final OperationHistory history = new OperationHistory();
 
-    private Judge judge() {
-        return new Judge(history.copy());
+    private OperationHistoryChecker judge() {
+        return new OperationHistoryChecker(history.copy());
     }
 
     private void act(long token, String who, long number, boolean done) {
--- a/src/test/java/calicostream/rig/PassageTest.java
+++ b/src/test/java/calicostream/rig/ProxiedLinkTest.java
@@ -8,9 +8,9 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-class PassageTest {
+class ProxiedLinkTest {
     private static final long MS = 1_000_000;
-    private final Passage passage = new Passage();
+    private final ProxiedLink passage = new ProxiedLink();
 
     @Test
     void healthyLinkPassesAllAtOnce() {
@@ -18,7 +18,7 @@
         assertEquals(100, passage.due(0));
         passage.gave(100);
         assertEquals(0, passage.held());
-        assertEquals(Passage.ROOM, passage.room());
+        assertEquals(ProxiedLink.ROOM, passage.room());
     }
 
     @Test
@@ -45,7 +45,7 @@
         passage.set(LinkFault.SWALLOW, 0);
         passage.took(100, 0);
         assertEquals(0, passage.due(0));
-        assertEquals(Passage.ROOM, passage.room());
+        assertEquals(ProxiedLink.ROOM, passage.room());
         assertFalse(passage.isOver());
         passage.set(LinkFault.NONE, MS);
         assertTrue(passage.isOver(), "its stream has a hole");
@@ -96,7 +96,7 @@
     void randomFaultsKeepTheCounts() {
         for (long seed = 1; seed <= 300; seed++) {
             Random random = new Random(seed);
-            Passage each = new Passage();
+            ProxiedLink each = new ProxiedLink();
             long now = 0;
             long in = 0;
             long out = 0;
@@ -120,7 +120,7 @@
                 }
                 int room = each.room();
                 assertTrue(
-                        room >= 0 && (swallowed || room + each.held() <= Passage.ROOM),
+                        room >= 0 && (swallowed || room + each.held() <= ProxiedLink.ROOM),
                         "seed " + seed);
                 int n = room == 0 ? 0 : random.nextInt(Math.min(room, 9000) + 1);
                 if (n > 0) {
--- a/src/test/java/calicostream/wire/Arrivals.java
+++ b/src/test/java/calicostream/wire/Arrivals.java
@@ -8,9 +8,9 @@
 
 /** The attempts that have arrived at a stand-in engine. */
 final class Arrivals {
-    private final BlockingQueue<Stand.Asked> asked = new LinkedBlockingQueue<>();
+    private final BlockingQueue<TestServer.Asked> asked = new LinkedBlockingQueue<>();
 
-    void add(Stand.Asked attempt) {
+    void add(TestServer.Asked attempt) {
         asked.add(attempt);
     }
 
@@ -18,8 +18,8 @@
         return asked.size();
     }
 
-    Stand.Asked next() throws InterruptedException {
-        Stand.Asked next = asked.poll(Program.PATIENCE_MS, TimeUnit.MILLISECONDS);
+    TestServer.Asked next() throws InterruptedException {
+        TestServer.Asked next = asked.poll(ServerProgram.PATIENCE_MS, TimeUnit.MILLISECONDS);
         if (next == null) {
             throw new AssertionError("nothing arrived at the engine");
         }
@@ -27,7 +27,7 @@
     }
 
     static void awaitCancel(CountDownLatch cancelled) throws InterruptedException {
-        if (!cancelled.await(Program.PATIENCE_MS, TimeUnit.MILLISECONDS)) {
+        if (!cancelled.await(ServerProgram.PATIENCE_MS, TimeUnit.MILLISECONDS)) {
             throw new AssertionError("the attempt was not given up");
         }
     }
--- a/src/test/java/calicostream/wire/ConfigurationTest.java
+++ b/src/test/java/calicostream/wire/ConfigurationTest.java
@@ -33,7 +33,7 @@
             })
     void badConfigurationEndsTheProgramWithOneLine(String text) throws Exception {
         Process process =
-                Program.launch(folder, Files.writeString(folder.resolve("bad.json"), text));
+                ServerProgram.launch(folder, Files.writeString(folder.resolve("bad.json"), text));
         List<String> said = process.inputReader().lines().toList();
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(2, process.exitValue());
@@ -46,17 +46,19 @@
      */
     @Test
     void fileThatChangesIsReadWhereTheSignalIsIgnored() throws Exception {
-        try (ChangeLogStand log = new ChangeLogStand();
-                ChangeLogStand log2 = new ChangeLogStand();
-                RespStand engine = new RespStand()) {
-            List<String> engines = List.of(Program.endpoint("e1", engine.address(), "Ready", 0));
-            Path config = Program.configure(folder, 0, log.port(), engines, 1024);
-            try (Program program = Program.deaf(folder, config)) {
+        try (FakeDiscoveryServer log = new FakeDiscoveryServer();
+                FakeDiscoveryServer log2 = new FakeDiscoveryServer();
+                FakeRespEngine engine = new FakeRespEngine()) {
+            List<String> engines =
+                    List.of(ServerProgram.endpoint("e1", engine.address(), "Ready", 0));
+            Path config = ServerProgram.configure(folder, 0, log.port(), engines, 1024);
+            try (ServerProgram program = ServerProgram.deaf(folder, config)) {
                 program.awaitLine("SIGHUP is ignored");
                 assertEquals("1", log.follow());
                 program.awaitLine("listens on port");
                 String whole =
-                        Files.readString(Program.configure(folder, 0, log2.port(), engines, 1024));
+                        Files.readString(
+                                ServerProgram.configure(folder, 0, log2.port(), engines, 1024));
                 Files.writeString(config, whole.substring(0, whole.length() / 2));
                 program.awaitLine("the configuration stays as it was");
                 program.hangUp(); // Changes nothing: it is not heard.
@@ -73,20 +75,20 @@
      */
     @Test
     void withoutTheChangeLogClientsComeSevenSecondsAfterTheStart() throws Exception {
-        try (ChangeLogStand log = new ChangeLogStand();
-                RespStand engine = new RespStand()) {
+        try (FakeDiscoveryServer log = new FakeDiscoveryServer();
+                FakeRespEngine engine = new FakeRespEngine()) {
             long from = System.nanoTime();
-            try (Program program =
-                    new Program(
+            try (ServerProgram program =
+                    new ServerProgram(
                             folder,
                             log.port(),
-                            List.of(Program.endpoint("e1", engine.address(), "Ready", 0)))) {
+                            List.of(ServerProgram.endpoint("e1", engine.address(), "Ready", 0)))) {
                 program.awaitLine("the change log has not told all");
                 int port = program.port("listens on port");
                 assertTrue(
                         System.nanoTime() - from >= 7_000_000_000L,
                         "it came before the list could");
-                Program.ask(port, engine, 1);
+                ServerProgram.ask(port, engine, 1);
             }
         }
     }
--- a/src/test/java/calicostream/wire/Exchange.java
+++ b/src/test/java/calicostream/wire/Exchange.java
@@ -34,16 +34,16 @@
 public final class Exchange implements AutoCloseable {
     private final Map<String, Socket> clients = new HashMap<>();
     private final Map<String, BufferedReader> readers = new HashMap<>();
-    private final Map<String, RespStand> engines = new HashMap<>();
+    private final Map<String, FakeRespEngine> engines = new HashMap<>();
     private final List<Socket> crowd = new ArrayList<>();
-    private final Map<String, ChangeLogStand> logs =
-            Map.of("log", new ChangeLogStand(), "log2", new ChangeLogStand());
+    private final Map<String, FakeDiscoveryServer> logs =
+            Map.of("log", new FakeDiscoveryServer(), "log2", new FakeDiscoveryServer());
     private final Path folder;
     private int sockets = 1024;
     private final Map<String, String> settings = new HashMap<>();
     private final List<String> known = new ArrayList<>();
-    private Program program;
-    private Program successor;
+    private ServerProgram program;
+    private ServerProgram successor;
     private int port;
     private int admin;
     private int successorAdmin;
@@ -111,7 +111,7 @@
                 sockets = Integer.parseInt(word.substring(8));
             } else if (word.startsWith("starts unheard")) {
                 know(word.substring(14));
-                program = new Program(folder, 0, logs.get("log").port(), known, sockets);
+                program = new ServerProgram(folder, 0, logs.get("log").port(), known, sockets);
                 admin = program.port("operators call on port");
             } else if (word.startsWith("quiet ")) {
                 assertTrue(
@@ -139,7 +139,7 @@
                 program.hangUp();
                 program.awaitLine("stays as it was");
             } else if (word.startsWith("hup ")) {
-                Program.configure(
+                ServerProgram.configure(
                         folder, 0, logs.get(word.substring(4)).port(), List.of(), sockets);
                 program.hangUp();
             } else {
@@ -157,15 +157,15 @@
     private void know(String names) throws IOException {
         for (String name : names.trim().split(" ")) {
             if (!name.isEmpty()) {
-                engines.put(name, new RespStand());
-                known.add(Program.endpoint(name, engines.get(name).address(), "Ready", 0));
+                engines.put(name, new FakeRespEngine());
+                known.add(ServerProgram.endpoint(name, engines.get(name).address(), "Ready", 0));
             }
         }
     }
 
-    private Program started(int listen) throws IOException {
-        Program started =
-                new Program(folder, listen, logs.get("log").port(), known, sockets, settings);
+    private ServerProgram started(int listen) throws IOException {
+        ServerProgram started =
+                new ServerProgram(folder, listen, logs.get("log").port(), known, sockets, settings);
         assertEquals("1", logs.get("log").follow());
         return started;
     }
@@ -206,9 +206,9 @@
         }
         if (text.startsWith("until ")) {
             String expected = text.substring(6);
-            for (long end = System.nanoTime() + Program.PATIENCE_MS * 1_000_000; true; ) {
+            for (long end = System.nanoTime() + ServerProgram.PATIENCE_MS * 1_000_000; true; ) {
                 String got =
-                        Program.call(
+                        ServerProgram.call(
                                 name.startsWith("a") ? admin : successorAdmin, "GET /-/metrics");
                 if (System.nanoTime() > end || pattern(expected).matcher(got).matches()) {
                     matches(expected, got);
@@ -235,11 +235,11 @@
 
     private Socket socket(int to) throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), to);
-        socket.setSoTimeout((int) Program.PATIENCE_MS);
+        socket.setSoTimeout((int) ServerProgram.PATIENCE_MS);
         return socket;
     }
 
-    private void log(ChangeLogStand log, char sign, String text) throws IOException {
+    private void log(FakeDiscoveryServer log, char sign, String text) throws IOException {
         if (sign == '<') {
             assertEquals(text, log.follow());
         } else if (text.equals("close")) {
@@ -255,7 +255,7 @@
 
     private String events(String text) {
         String event = text.replace("@@", Long.toString(System.currentTimeMillis()));
-        for (Map.Entry<String, RespStand> e : engines.entrySet()) {
+        for (Map.Entry<String, FakeRespEngine> e : engines.entrySet()) {
             event =
                     event.replace(
                             "@" + e.getKey(), "127.0.0.1:" + e.getValue().address().getPort());
@@ -264,9 +264,9 @@
     }
 
     private void engine(String name, char sign, String text) throws IOException {
-        RespStand engine = engines.get(name);
+        FakeRespEngine engine = engines.get(name);
         if (engine == null) {
-            engines.put(name, engine = new RespStand());
+            engines.put(name, engine = new FakeRespEngine());
         }
         if (sign == '<') {
             matches(text, engine.command());
@@ -354,15 +354,15 @@
 
     @Override
     public void close() throws IOException {
-        for (Program each : new Program[] {program, successor}) {
+        for (ServerProgram each : new ServerProgram[] {program, successor}) {
             if (each != null) {
                 each.close();
             }
         }
-        for (ChangeLogStand log : logs.values()) {
+        for (FakeDiscoveryServer log : logs.values()) {
             log.close();
         }
-        for (RespStand engine : engines.values()) {
+        for (FakeRespEngine engine : engines.values()) {
             engine.close();
         }
         crowd.addAll(clients.values());
--- a/src/test/java/calicostream/wire/ChangeLogStand.java
+++ b/src/test/java/calicostream/wire/FakeDiscoveryServer.java
@@ -13,14 +13,14 @@
 import java.util.concurrent.TimeUnit;
 
 /** A stand-in for the change log: one follower at a time, told what a test says. */
-public final class ChangeLogStand implements AutoCloseable {
+public final class FakeDiscoveryServer implements AutoCloseable {
     private static final int SIGN_MS = 200;
     private final ServerSocket server = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
     private Socket follower;
     private ScheduledExecutorService awake;
 
-    public ChangeLogStand() throws IOException {
-        server.setSoTimeout((int) Program.PATIENCE_MS);
+    public FakeDiscoveryServer() throws IOException {
+        server.setSoTimeout((int) ServerProgram.PATIENCE_MS);
     }
 
     public int port() {
@@ -58,7 +58,7 @@
     /** Takes a follower and says nothing to it, until it goes. */
     public void hold() throws IOException {
         try (Socket silent = server.accept()) {
-            silent.setSoTimeout((int) Program.PATIENCE_MS);
+            silent.setSoTimeout((int) ServerProgram.PATIENCE_MS);
             silent.getInputStream().readAllBytes();
         }
     }
--- a/src/test/java/calicostream/wire/PlatformStand.java
+++ b/src/test/java/calicostream/wire/FakePlatform.java
@@ -18,7 +18,7 @@
 import java.util.regex.Pattern;
 
 /** JSON-RPC clients and RESP engines. */
-final class PlatformStand implements Stand {
+final class FakePlatform implements TestServer {
     private final Map<Integer, CompletableFuture<String>> answers = new ConcurrentHashMap<>();
     private Socket client;
     private int lastId;
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public void connect(Program program) throws IOException {
+    public void connect(ServerProgram program) throws IOException {
         client = new Socket(InetAddress.getLoopbackAddress(), program.port("listens on port"));
         BufferedReader in =
                 new BufferedReader(
@@ -82,7 +82,7 @@
         return new Answer() {
             @Override
             public String await() throws Exception {
-                return answer.get(Program.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                return answer.get(ServerProgram.PATIENCE_MS, TimeUnit.MILLISECONDS);
             }
 
             @Override
@@ -125,7 +125,7 @@
 
     /** Reads one connection and sorts what comes on it by attempt. */
     private static final class RespEngine implements Engine {
-        final RespStand stand = new RespStand();
+        final FakeRespEngine stand = new FakeRespEngine();
         final Arrivals asked = new Arrivals();
         final Map<String, CountDownLatch> stops = new ConcurrentHashMap<>();
 
@@ -200,7 +200,7 @@
 
             @Override
             public void awaitCancel() throws InterruptedException {
-                if (!stops.get(id).await(Program.PATIENCE_MS, TimeUnit.MILLISECONDS)) {
+                if (!stops.get(id).await(ServerProgram.PATIENCE_MS, TimeUnit.MILLISECONDS)) {
                     throw new AssertionError("the attempt was not given up");
                 }
             }
--- a/src/test/java/calicostream/wire/RespStand.java
+++ b/src/test/java/calicostream/wire/FakeRespEngine.java
@@ -23,7 +23,7 @@
  * A stand-in engine that speaks RESP as a test tells it to; commands come from all its connections
  * in one line.
  */
-public final class RespStand implements AutoCloseable {
+public final class FakeRespEngine implements AutoCloseable {
     private final ServerSocket server = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
     private final BlockingQueue<Command> commands = new LinkedBlockingQueue<>();
     private final Queue<Peer> peers = new ConcurrentLinkedQueue<>();
@@ -35,8 +35,8 @@
 
     private record Peer(Socket socket, CountDownLatch ended) {}
 
-    public RespStand() throws IOException {
-        PlatformStand.daemon(
+    public FakeRespEngine() throws IOException {
+        FakePlatform.daemon(
                 () -> {
                     while (true) {
                         Peer peer = new Peer(server.accept(), new CountDownLatch(1));
@@ -45,7 +45,7 @@
                             // socket closes.
                             reset(peer);
                         }
-                        PlatformStand.daemon(() -> read(peer));
+                        FakePlatform.daemon(() -> read(peer));
                     }
                 });
     }
@@ -71,7 +71,7 @@
      * its own.
      */
     public String command() throws IOException {
-        Command next = next((int) Program.PATIENCE_MS);
+        Command next = next((int) ServerProgram.PATIENCE_MS);
         if (next == null) {
             throw new IOException("no command came");
         }
@@ -164,7 +164,7 @@
     /** Whether the other side ends the connection of the last command. */
     public boolean ended() throws IOException {
         try {
-            return last.ended.await(Program.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            return last.ended.await(ServerProgram.PATIENCE_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             throw new IOException(e);
         }
--- a/src/test/java/calicostream/wire/FaultRunsTest.java
+++ b/src/test/java/calicostream/wire/FaultRunsTest.java
@@ -25,28 +25,28 @@
     @Nested
     class Platform extends Runs {
         @Override
-        Stand stand() {
-            return new PlatformStand();
+        TestServer stand() {
+            return new FakePlatform();
         }
     }
 
     @Nested
     class Flight extends Runs {
         @Override
-        Stand stand() {
-            return new FlightStand();
+        TestServer stand() {
+            return new FlightTestServer();
         }
     }
 
     abstract static class Runs {
         @TempDir Path folder;
-        private final Stand stand = stand();
-        private final List<Stand.Engine> engines = new ArrayList<>();
-        private ChangeLogStand log;
-        private Program program;
+        private final TestServer stand = stand();
+        private final List<TestServer.Engine> engines = new ArrayList<>();
+        private FakeDiscoveryServer log;
+        private ServerProgram program;
         private int admin;
 
-        abstract Stand stand();
+        abstract TestServer stand();
 
         private void start(int count) throws Exception {
             List<String> known = new ArrayList<>();
@@ -54,8 +54,8 @@
                 engines.add(stand.engine());
                 known.add(entry(i, "Ready", 0));
             }
-            log = new ChangeLogStand();
-            program = new Program(folder, log.port(), known, stand.deploy());
+            log = new FakeDiscoveryServer();
+            program = new ServerProgram(folder, log.port(), known, stand.deploy());
             log.follow();
             log.stayAwake();
             admin = program.port("operators call on port");
@@ -63,14 +63,15 @@
         }
 
         private String entry(int engine, String status, long sinceMs) {
-            return Program.endpoint("e" + engine, engines.get(engine).address(), status, sinceMs);
+            return ServerProgram.endpoint(
+                    "e" + engine, engines.get(engine).address(), status, sinceMs);
         }
 
         /** The engine at which an attempt has arrived. */
-        private Stand.Engine arrivedAt() throws InterruptedException {
-            long end = System.nanoTime() + Program.PATIENCE_MS * 1_000_000;
+        private TestServer.Engine arrivedAt() throws InterruptedException {
+            long end = System.nanoTime() + ServerProgram.PATIENCE_MS * 1_000_000;
             while (System.nanoTime() < end) {
-                for (Stand.Engine e : engines) {
+                for (TestServer.Engine e : engines) {
                     if (e.waiting() > 0) {
                         return e;
                     }
@@ -81,7 +82,7 @@
         }
 
         private int waiting() {
-            return engines.stream().mapToInt(Stand.Engine::waiting).sum();
+            return engines.stream().mapToInt(TestServer.Engine::waiting).sum();
         }
 
         @AfterEach
@@ -90,7 +91,7 @@
             program.close();
             log.close();
             stand.close();
-            for (Stand.Engine e : engines) {
+            for (TestServer.Engine e : engines) {
                 e.die();
             }
         }
@@ -98,8 +99,8 @@
         @Test
         void readIsServed() throws Exception {
             start(1);
-            Stand.Answer answer = stand.ask("lookup", READ, 3000);
-            Stand.Asked asked = engines.get(0).next();
+            TestServer.Answer answer = stand.ask("lookup", READ, 3000);
+            TestServer.Asked asked = engines.get(0).next();
             assertEquals(READ, asked.sql());
             asked.serve("row");
             assertEquals("served row", answer.await());
@@ -108,8 +109,8 @@
         @Test
         void readOfDeadEngineGoesToAnother() throws Exception {
             start(2);
-            Stand.Answer answer = stand.ask("report", READ, 9000);
-            Stand.Engine first = arrivedAt();
+            TestServer.Answer answer = stand.ask("report", READ, 9000);
+            TestServer.Engine first = arrivedAt();
             first.next();
             first.die();
             engines.remove(first);
@@ -120,15 +121,15 @@
         @Test
         void loadOfDeadEngineFailsAndNeverRunsAgain() throws Exception {
             start(2);
-            Stand.Answer answer = stand.ask("stat-load", LOAD, 9000);
-            Stand.Engine first = arrivedAt();
+            TestServer.Answer answer = stand.ask("stat-load", LOAD, 9000);
+            TestServer.Engine first = arrivedAt();
             first.next();
             first.die();
             engines.remove(first);
             assertEquals("failed", answer.await());
             // A read asked for afterwards arrives alone: the load was not sent again before it.
-            Stand.Answer after = stand.ask("lookup", READ, 9000);
-            Stand.Asked asked = engines.get(0).next();
+            TestServer.Answer after = stand.ask("lookup", READ, 9000);
+            TestServer.Asked asked = engines.get(0).next();
             assertEquals(READ, asked.sql());
             asked.serve("row");
             assertEquals("served row", after.await());
@@ -138,7 +139,7 @@
         @Test
         void loadThatBrokeFails() throws Exception {
             start(2);
-            Stand.Answer answer = stand.ask("stat-load", LOAD, 9000);
+            TestServer.Answer answer = stand.ask("stat-load", LOAD, 9000);
             arrivedAt().next().broke();
             assertEquals("failed", answer.await());
             assertEquals(0, waiting());
@@ -147,8 +148,8 @@
         @Test
         void loadTurnedAwayUnseenGoesToAnother() throws Exception {
             start(2);
-            Stand.Answer answer = stand.ask("stat-load", LOAD, 9000);
-            Stand.Engine first = arrivedAt();
+            TestServer.Answer answer = stand.ask("stat-load", LOAD, 9000);
+            TestServer.Engine first = arrivedAt();
             first.next().full();
             arrivedAt().next().serve("7");
             assertEquals("served 7", answer.await());
@@ -157,8 +158,8 @@
         @Test
         void streamCutHalfwayIsNeverServed() throws Exception {
             start(1);
-            Stand.Answer answer = stand.ask("report", READ, 4000);
-            Stand.Asked asked = engines.get(0).next();
+            TestServer.Answer answer = stand.ask("report", READ, 4000);
+            TestServer.Asked asked = engines.get(0).next();
             asked.half();
             engines.get(0).die();
             String told = answer.await();
@@ -168,27 +169,27 @@
         @Test
         void nothingNewGoesToDrainingEngine() throws Exception {
             start(2);
-            Stand.Answer before = stand.ask("lookup", READ, 9000);
-            Stand.Engine first = arrivedAt();
-            Stand.Asked running = first.next();
+            TestServer.Answer before = stand.ask("lookup", READ, 9000);
+            TestServer.Engine first = arrivedAt();
+            TestServer.Asked running = first.next();
             int index = engines.indexOf(first);
-            log.tell(2, Program.event(2, false, List.of(entry(index, "Terminating", 0))));
+            log.tell(2, ServerProgram.event(2, false, List.of(entry(index, "Terminating", 0))));
             // The log is read in order, and the figures tell that what came behind the drain has
             // been read.
             String third =
-                    Program.endpoint(
+                    ServerProgram.endpoint(
                             "e9",
                             new InetSocketAddress(InetAddress.getLoopbackAddress(), 1),
                             "Terminating",
                             0);
-            log.tell(3, Program.event(3, false, List.of(third)));
-            long end = System.nanoTime() + Program.PATIENCE_MS * 1_000_000;
-            while (!Program.call(admin, "GET /-/metrics").contains("\"pool_size\":3")
+            log.tell(3, ServerProgram.event(3, false, List.of(third)));
+            long end = System.nanoTime() + ServerProgram.PATIENCE_MS * 1_000_000;
+            while (!ServerProgram.call(admin, "GET /-/metrics").contains("\"pool_size\":3")
                     && System.nanoTime() < end) {
                 Thread.onSpinWait();
             }
-            Stand.Engine other = engines.get(1 - index);
-            List<Stand.Answer> later = new ArrayList<>();
+            TestServer.Engine other = engines.get(1 - index);
+            List<TestServer.Answer> later = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
                 later.add(stand.ask("lookup", READ, 9000));
                 other.next().serve("row");
@@ -196,7 +197,7 @@
             assertEquals(0, first.waiting());
             running.serve("old row");
             assertEquals("served old row", before.await());
-            for (Stand.Answer answer : later) {
+            for (TestServer.Answer answer : later) {
                 assertEquals("served row", answer.await());
             }
         }
@@ -205,25 +206,25 @@
         @Test
         void engineTakenOutByHandGetsNothingUntilItIsPutBack() throws Exception {
             start(2);
-            Stand.Answer before = stand.ask("lookup", READ, 9000);
-            Stand.Engine first = arrivedAt();
+            TestServer.Answer before = stand.ask("lookup", READ, 9000);
+            TestServer.Engine first = arrivedAt();
             first.next().serve("row");
             assertEquals("served row", before.await());
             String path = "POST /-/engines/e" + engines.indexOf(first);
-            assertTrue(Program.call(admin, path + "/disable").startsWith("HTTP/1.1 200 "));
-            Stand.Engine other = engines.get(1 - engines.indexOf(first));
+            assertTrue(ServerProgram.call(admin, path + "/disable").startsWith("HTTP/1.1 200 "));
+            TestServer.Engine other = engines.get(1 - engines.indexOf(first));
             for (int i = 0; i < 5; i++) {
-                Stand.Answer answer = stand.ask("lookup", READ, 9000);
+                TestServer.Answer answer = stand.ask("lookup", READ, 9000);
                 other.next().serve("row");
                 assertEquals("served row", answer.await());
             }
-            String figures = Program.call(admin, "GET /-/metrics");
+            String figures = ServerProgram.call(admin, "GET /-/metrics");
             assertTrue(
                     figures.endsWith(
                             "{\"ok\":{\"lookup\":6,\"report\":0,\"stat-load\":0},\"shed\":{\"lookup\":0,\"report\":0,\"stat-load\":0},\"errors\":{\"lookup\":0,\"report\":0,\"stat-load\":0},\"tries\":6,\"active\":0,\"pool_size\":2,\"pool_ejected\":1}\n"),
                     figures);
-            assertTrue(Program.call(admin, path + "/enable").startsWith("HTTP/1.1 200 "));
-            Stand.Answer after = stand.ask("lookup", READ, 9000);
+            assertTrue(ServerProgram.call(admin, path + "/enable").startsWith("HTTP/1.1 200 "));
+            TestServer.Answer after = stand.ask("lookup", READ, 9000);
             first.next().serve("row");
             assertEquals("served row", after.await());
         }
@@ -234,10 +235,10 @@
             engines.add(stand.engine());
             log.tell(
                     2,
-                    Program.event(
+                    ServerProgram.event(
                             2, false, List.of(entry(1, "Ready", System.currentTimeMillis()))));
-            List<Stand.Answer> answers = new ArrayList<>();
-            long end = System.nanoTime() + Program.PATIENCE_MS * 1_000_000;
+            List<TestServer.Answer> answers = new ArrayList<>();
+            long end = System.nanoTime() + ServerProgram.PATIENCE_MS * 1_000_000;
             int asked = 0;
             while (engines.get(1).waiting() == 0
                     && System.nanoTime() < end) { // until its start has arrived
@@ -247,7 +248,7 @@
             for (int i = 0; i < 40 && asked < 1000; i++) {
                 answers.add(stand.ask("lookup", "select 1 from s_" + asked++ + ".t", 1500));
             }
-            for (Stand.Answer answer :
+            for (TestServer.Answer answer :
                     answers) { // No engine answers: all end by themselves, one by one.
                 String told = answer.await();
                 assertTrue(told.equals("refused") || told.equals("deadline"), told);
@@ -264,8 +265,8 @@
         @Test
         void clientThatCancelsFreesTheEngine() throws Exception {
             start(1);
-            Stand.Answer answer = stand.ask("report", READ, 9000);
-            Stand.Asked asked = engines.get(0).next();
+            TestServer.Answer answer = stand.ask("report", READ, 9000);
+            TestServer.Asked asked = engines.get(0).next();
             answer.cancel();
             asked.awaitCancel();
         }
@@ -273,8 +274,8 @@
         @Test
         void deadlineEndsTheRequestAndTheAttempt() throws Exception {
             start(1);
-            Stand.Answer answer = stand.ask("report", READ, 4000);
-            Stand.Asked asked = engines.get(0).next();
+            TestServer.Answer answer = stand.ask("report", READ, 4000);
+            TestServer.Asked asked = engines.get(0).next();
             assertEquals("deadline", answer.await());
             asked.awaitCancel();
         }
--- a/src/test/java/calicostream/wire/FlightFrontTest.java
+++ b/src/test/java/calicostream/wire/FlightFrontTest.java
@@ -27,24 +27,24 @@
  * used.
  */
 class FlightFrontTest {
-    private static final CallOption[] LOOKUP = FlightStand.options("lookup", 15_000);
+    private static final CallOption[] LOOKUP = FlightTestServer.options("lookup", 15_000);
     @TempDir Path folder;
-    private final FlightStand stand = new FlightStand();
+    private final FlightTestServer stand = new FlightTestServer();
     private final ExecutorService thread = Executors.newSingleThreadExecutor();
-    private Stand.Engine engine;
-    private ChangeLogStand log;
-    private Program program;
+    private TestServer.Engine engine;
+    private FakeDiscoveryServer log;
+    private ServerProgram program;
     private FlightSqlClient client;
 
     @BeforeEach
     void start() throws Exception {
         engine = stand.engine();
-        log = new ChangeLogStand();
+        log = new FakeDiscoveryServer();
         program =
-                new Program(
+                new ServerProgram(
                         folder,
                         log.port(),
-                        List.of(Program.endpoint("e1", engine.address(), "Ready", 0)),
+                        List.of(ServerProgram.endpoint("e1", engine.address(), "Ready", 0)),
                         stand.deploy());
         log.follow();
         log.stayAwake();
@@ -64,9 +64,13 @@
     /** At an upgrade a second process starts beside the first, on the same address. */
     @Test
     void secondProcessListensOnTheSameAddress() throws Exception {
-        String known = Program.endpoint("e1", engine.address(), "Ready", 0);
-        try (Program second =
-                new Program(folder, log.port(), List.of(known), FlightStand.deploy(stand.port()))) {
+        String known = ServerProgram.endpoint("e1", engine.address(), "Ready", 0);
+        try (ServerProgram second =
+                new ServerProgram(
+                        folder,
+                        log.port(),
+                        List.of(known),
+                        FlightTestServer.deploy(stand.port()))) {
             log.follow();
             assertEquals(stand.port(), second.port("Flight SQL listens on port"));
         }
@@ -89,7 +93,7 @@
         FlightInfo info = client.execute("select 1 from a_1.t", LOOKUP);
         Future<String> row = thread.submit(() -> firstRow(info));
         engine.next().serve("x");
-        assertEquals("x", row.get(Program.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertEquals("x", row.get(ServerProgram.PATIENCE_MS, TimeUnit.MILLISECONDS));
         assertStatus(FlightStatusCode.NOT_FOUND, () -> firstRow(info));
         assertEquals(0, engine.waiting());
     }
@@ -99,12 +103,12 @@
         assertStatus(FlightStatusCode.INVALID_ARGUMENT, () -> client.execute(" ", LOOKUP));
         assertStatus(
                 FlightStatusCode.INVALID_ARGUMENT,
-                () -> client.execute("select 1", FlightStand.options("what", 15_000)));
+                () -> client.execute("select 1", FlightTestServer.options("what", 15_000)));
         assertStatus(
                 FlightStatusCode.INVALID_ARGUMENT,
                 () -> client.executeUpdate("insert into a_1.t select 1", LOOKUP));
-        FlightInfo info = client.execute("select 1", FlightStand.options("stat-load", 15_000));
-        CallOption[] asLoad = FlightStand.options("stat-load", 15_000);
+        FlightInfo info = client.execute("select 1", FlightTestServer.options("stat-load", 15_000));
+        CallOption[] asLoad = FlightTestServer.options("stat-load", 15_000);
         assertStatus(
                 FlightStatusCode.INVALID_ARGUMENT,
                 () -> {
--- a/src/test/java/calicostream/wire/FlightStand.java
+++ b/src/test/java/calicostream/wire/FlightTestServer.java
@@ -43,7 +43,7 @@
 import org.apache.arrow.vector.VectorSchemaRoot;
 
 /** Flight SQL clients and engines. */
-final class FlightStand implements Stand {
+final class FlightTestServer implements TestServer {
     private final BufferAllocator allocator = new RootAllocator();
     private final ExecutorService threads =
             Executors.newCachedThreadPool(
@@ -81,7 +81,7 @@
     }
 
     @Override
-    public void connect(Program program) throws IOException {
+    public void connect(ServerProgram program) throws IOException {
         port = program.port("Flight SQL listens on port");
         flight =
                 FlightClient.builder(allocator, Location.forGrpcInsecure("127.0.0.1", port))
@@ -122,12 +122,12 @@
         return new Answer() {
             @Override
             public String await() throws Exception {
-                return answer.get(Program.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                return answer.get(ServerProgram.PATIENCE_MS, TimeUnit.MILLISECONDS);
             }
 
             @Override
             public void cancel() throws Exception {
-                stream.get(Program.PATIENCE_MS, TimeUnit.MILLISECONDS)
+                stream.get(ServerProgram.PATIENCE_MS, TimeUnit.MILLISECONDS)
                         .cancel("no longer wanted", null);
             }
         };
--- a/src/test/java/calicostream/wire/RunTermsTest.java
+++ b/src/test/java/calicostream/wire/RunTermsTest.java
@@ -47,17 +47,17 @@
     @Test
     void runIsOneCommandThatTakesTheShellsPlace() throws IOException {
         assertTrue(
-                Program.run()
+                ServerProgram.run()
                         .matches(
                                 "trap '' HUP; exec java( -[\\w:+.=-]+)* -jar"
                                         + " target/calicostream\\.jar serve"),
-                Program.run());
+                ServerProgram.run());
     }
 
     /** {@code run} by the shell, as the platform does it, on the classes that the tests run on. */
     private Process launch(Path config) throws IOException {
         String command =
-                Program.run()
+                ServerProgram.run()
                         .replace("exec java ", "exec \"$0\" ")
                         .replace("-jar target/calicostream.jar", "\"$@\"");
         ProcessBuilder builder =
@@ -83,20 +83,22 @@
             line = log.readLine();
         }
         assertTrue(line != null, "it ended");
-        return Program.portIn(line);
+        return ServerProgram.portIn(line);
     }
 
     @Test
     void onceItServesItOpensSocketsAndNothingElse() throws Exception {
-        try (ChangeLogStand log = new ChangeLogStand();
-                RespStand engine = new RespStand()) {
+        try (FakeDiscoveryServer log = new FakeDiscoveryServer();
+                FakeRespEngine engine = new FakeRespEngine()) {
             Process process =
                     launch(
-                            Program.configure(
+                            ServerProgram.configure(
                                     folder,
                                     0,
                                     log.port(),
-                                    List.of(Program.endpoint("e1", engine.address(), "Ready", 0)),
+                                    List.of(
+                                            ServerProgram.endpoint(
+                                                    "e1", engine.address(), "Ready", 0)),
                                     1024));
             try (BufferedReader lines = process.inputReader(StandardCharsets.UTF_8)) {
                 log.follow();
@@ -105,7 +107,7 @@
                 Set<String> before = files(process.pid());
                 Files.setAttribute(folder, "lastAccessTime", FileTime.fromMillis(1000));
                 for (int i = 1; i <= 200; i++) {
-                    Program.ask(port, engine, i);
+                    ServerProgram.ask(port, engine, i);
                     assertEquals(before, files(process.pid()), "files open while it serves");
                 }
                 FileTime listed = (FileTime) Files.getAttribute(folder, "lastAccessTime");
@@ -125,15 +127,17 @@
      */
     @Test
     void aHangUpAtAnyMomentOfTheStartEndsNothing() throws Exception {
-        try (ChangeLogStand log = new ChangeLogStand();
-                RespStand engine = new RespStand()) {
+        try (FakeDiscoveryServer log = new FakeDiscoveryServer();
+                FakeRespEngine engine = new FakeRespEngine()) {
             Process process =
                     launch(
-                            Program.configure(
+                            ServerProgram.configure(
                                     folder,
                                     0,
                                     log.port(),
-                                    List.of(Program.endpoint("e1", engine.address(), "Ready", 0)),
+                                    List.of(
+                                            ServerProgram.endpoint(
+                                                    "e1", engine.address(), "Ready", 0)),
                                     1024));
             String java =
                     Path.of(System.getProperty("java.home"), "bin", "java").toRealPath().toString();
@@ -149,7 +153,7 @@
             try (BufferedReader lines = process.inputReader(StandardCharsets.UTF_8)) {
                 log.follow();
                 int port = port(lines);
-                Program.ask(port, engine, 1);
+                ServerProgram.ask(port, engine, 1);
                 assertTrue(hangUps.isAlive(), "signals came all the time");
             } finally {
                 hangUps.destroyForcibly().waitFor();
@@ -158,7 +162,7 @@
         }
     }
 
-    private void look(Process process, int port, RespStand engine) throws Exception {
+    private void look(Process process, int port, FakeRespEngine engine) throws Exception {
         assertEquals(0, process.children().count(), "child processes");
         Path proc = Path.of("/proc/" + process.pid());
         try (Stream<Path> tasks = Files.list(proc.resolve("task"))) {
@@ -191,7 +195,7 @@
                 process.info().totalCpuDuration().orElseThrow().minus(used).toNanos()
                         / (double) (System.nanoTime() - from);
         assertTrue(share < 0.5, "an idle front end uses " + share + " of a core");
-        Program.ask(port, engine, 1000);
+        ServerProgram.ask(port, engine, 1000);
     }
 
     private boolean accessTimesTell() throws IOException {
--- a/src/test/java/calicostream/wire/Program.java
+++ b/src/test/java/calicostream/wire/ServerProgram.java
@@ -19,7 +19,7 @@
  * The program as a process of its own, with a configuration written for a test; it listens on ports
  * it picks.
  */
-public final class Program implements AutoCloseable {
+public final class ServerProgram implements AutoCloseable {
     public static final long PATIENCE_MS = 20_000;
     private static final String SETTINGS =
             "{'balancers':1,'self_index':0,'az':0,'zones':['hall-a','hall-b'],"
@@ -42,13 +42,14 @@
     private final StringBuilder seen = new StringBuilder();
 
     /** Engines as change-log entries; extra files go beside each other as the deploy folder. */
-    public Program(Path folder, int changelogPort, List<String> endpoints, String... deployFiles)
+    public ServerProgram(
+            Path folder, int changelogPort, List<String> endpoints, String... deployFiles)
             throws IOException {
         this(folder, changelogPort, endpoints, 1024, deployFiles);
     }
 
     /** The same with a limit on descriptors, which the program heeds by itself. */
-    public Program(
+    public ServerProgram(
             Path folder,
             int changelogPort,
             List<String> endpoints,
@@ -59,7 +60,7 @@
     }
 
     /** The same where clients connect to this port; 0 lets the program pick one. */
-    public Program(
+    public ServerProgram(
             Path folder,
             int port,
             int changelogPort,
@@ -76,7 +77,7 @@
     }
 
     /** The same with a part of the settings written otherwise. */
-    public Program(
+    public ServerProgram(
             Path folder,
             int port,
             int changelogPort,
@@ -96,14 +97,14 @@
         log = process.inputReader(StandardCharsets.UTF_8);
     }
 
-    private Program(Process process) {
+    private ServerProgram(Process process) {
         this.process = process;
         log = process.inputReader(StandardCharsets.UTF_8);
     }
 
     /** The program started with SIGHUP ignored, as nohup does it. */
-    public static Program deaf(Path folder, Path config) throws IOException {
-        return new Program(
+    public static ServerProgram deaf(Path folder, Path config) throws IOException {
+        return new ServerProgram(
                 launch(folder, config, "/bin/sh", "-c", "trap '' HUP; exec \"$0\" \"$@\""));
     }
 
@@ -196,7 +197,7 @@
     }
 
     /** One request on a connection of its own, served by the engine. */
-    public static void ask(int port, RespStand engine, int number) throws IOException {
+    public static void ask(int port, FakeRespEngine engine, int number) throws IOException {
         String id = String.format("%016x", number);
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
             client.setSoTimeout((int) PATIENCE_MS);
--- a/src/test/java/calicostream/wire/SocketTable.java
+++ b/src/test/java/calicostream/wire/SocketTable.java
@@ -43,7 +43,7 @@
     }
 
     private static void await(String what, Predicate<Row> found) throws IOException {
-        long end = System.nanoTime() + Program.PATIENCE_MS * 1_000_000;
+        long end = System.nanoTime() + ServerProgram.PATIENCE_MS * 1_000_000;
         while (rows().stream().noneMatch(found)) {
             if (System.nanoTime() > end) {
                 throw new AssertionError("no socket " + what);
@@ -61,7 +61,7 @@
 
     /** Waits until the socket with these ports is gone, as the other side has reset it. */
     public static void awaitReset(int local, int remote) throws IOException {
-        long end = System.nanoTime() + Program.PATIENCE_MS * 1_000_000;
+        long end = System.nanoTime() + ServerProgram.PATIENCE_MS * 1_000_000;
         while (rows().stream().anyMatch(r -> r.local == local && r.remote == remote)) {
             if (System.nanoTime() > end) {
                 throw new AssertionError("a socket that was not reset");
@@ -85,7 +85,7 @@
 
     /** Waits until nothing lies unread in the socket with these ports, or it is closed. */
     public static void awaitRead(int local, int remote) throws IOException {
-        long end = System.nanoTime() + Program.PATIENCE_MS * 1_000_000;
+        long end = System.nanoTime() + ServerProgram.PATIENCE_MS * 1_000_000;
         while (rows().stream()
                 .anyMatch(r -> r.local == local && r.remote == remote && r.unread > 0)) {
             if (System.nanoTime() > end) {
@@ -105,7 +105,7 @@
      * the selector's next turn.
      */
     public static void awaitNobodyAsks(int remote) throws IOException {
-        long end = System.nanoTime() + Program.PATIENCE_MS * 1_000_000;
+        long end = System.nanoTime() + ServerProgram.PATIENCE_MS * 1_000_000;
         while (rows().stream().anyMatch(r -> r.remote == remote && r.state == SYN_SENT)) {
             if (System.nanoTime() > end) {
                 throw new AssertionError("it is still on its way there");
--- a/src/test/java/calicostream/wire/Stand.java
+++ b/src/test/java/calicostream/wire/TestServer.java
@@ -4,7 +4,7 @@
 import java.net.InetSocketAddress;
 
 /** One protocol's stand-in clients and engines, so that the same fault runs play on each. */
-interface Stand extends AutoCloseable {
+interface TestServer extends AutoCloseable {
     /** An engine of this protocol. */
     interface Engine {
         InetSocketAddress address();
@@ -50,7 +50,7 @@
     /** Files of the deploy folder that the program needs, name and text in turn. */
     String[] deploy();
 
-    void connect(Program program) throws Exception;
+    void connect(ServerProgram program) throws Exception;
 
     Answer ask(String queryClass, String sql, int waitMs) throws Exception;
 }
--- a/src/test/java/calicostream/wire/LateStand.java
+++ b/src/test/java/calicostream/wire/UnacceptingServer.java
@@ -13,12 +13,12 @@
  * An engine whose connections don't come up until a test says so: others wait before them, and the
  * system takes no more.
  */
-public final class LateStand implements AutoCloseable {
+public final class UnacceptingServer implements AutoCloseable {
     private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     private final List<Socket> sockets = new ArrayList<>();
 
-    public LateStand() throws IOException {
-        server.setSoTimeout((int) Program.PATIENCE_MS);
+    public UnacceptingServer() throws IOException {
+        server.setSoTimeout((int) ServerProgram.PATIENCE_MS);
         for (int i = 0; i < 2; i++) { // One more than its backlog.
             sockets.add(new Socket(server.getInetAddress(), server.getLocalPort()));
         }
@@ -34,7 +34,7 @@
             sockets.add(server.accept());
         }
         Socket late = server.accept();
-        late.setSoTimeout((int) Program.PATIENCE_MS);
+        late.setSoTimeout((int) ServerProgram.PATIENCE_MS);
         sockets.add(late);
         return late;
     }
