--- a/src/test/java/calicostream/packaged/PackagedTest.java
+++ b/src/test/java/calicostream/packaged/PackagedTest.java
@@ -46,7 +46,7 @@
                     "calicostream.booking.",
                     "calicostream.daemon.FlightComponent",
                     "calicostream.daemon.ClusterComponent",
-                    "calicostream.daemon.LeaseLayer",
+                    "calicostream.daemon.EjectionHintBridge",
                     "io.grpc.",
                     "io.netty.",
                     "com.google.",
--- a/src/test/java/calicostream/wire/RunTermsTest.java
+++ b/src/test/java/calicostream/wire/RunTermsTest.java
@@ -38,6 +38,7 @@
                     "discovery",
                     "net",
                     "platform",
+                    "routing",
                     "sql",
                     "syslog");
     private static final int MOST_THREADS = 20;
