--- a/src/main/java/calicostream/platform/FrontEndServer.java
+++ b/src/main/java/calicostream/platform/FrontEndServer.java
@@ -325,7 +325,7 @@
         gateway.processesChanged(handover.processCount(), handover.rankByAge());
         Descriptors part =
                 Descriptors.of(config.sockets() / handover.processCount(), descriptors.own());
-        front.most(part.clients());
+        front.setMaxClients(part.clients());
         engines.setMaxConnections(part.engines());
     }
 
@@ -360,7 +360,7 @@
         handover.publishListening(false);
         services.forEach(Service::stopListening);
         try {
-            front.retire(restsUntil, last);
+            front.drain(restsUntil, last);
         } catch (IOException e) {
             LOG.warn("listener: {}", e.toString());
         }
@@ -375,7 +375,7 @@
             LOG.info(
                     "served out; left: {} requests, clients {}",
                     gateway.openRequests(),
-                    front.left());
+                    front.describeClients());
             loop.stop();
         } else {
             loop.deadlines().add(now + LOOK_AGAIN, this::retired, last);
--- a/src/test/java/calicostream/platform/JsonRpcServerHarness.java
+++ b/src/test/java/calicostream/platform/JsonRpcServerHarness.java
@@ -127,7 +127,7 @@
         on(
                 () -> {
                     gateway.start(side, List.of());
-                    front.most(100);
+                    front.setMaxClients(100);
                     front.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
                     return null;
                 });
@@ -193,7 +193,7 @@
     /** The same where the process ends so soon. */
     void retire(long lastIn) throws IOException {
         retired = true;
-        front.retire(clock.now(), clock.now() + lastIn);
+        front.drain(clock.now(), clock.now() + lastIn);
     }
 
     @Override
