--- a/src/main/java/calicostream/platform/ConfigFileWatcher.java
+++ b/src/main/java/calicostream/platform/ConfigFileWatcher.java
@@ -22,6 +22,7 @@
         seen = look();
     }
 
+    /** The watched file. */
     public Path file() {
         return file;
     }
--- a/src/main/java/calicostream/platform/EndpointListDecoder.java
+++ b/src/main/java/calicostream/platform/EndpointListDecoder.java
@@ -37,6 +37,12 @@
     private final List<String> kinds;
     private final Map<Long, Start> starts = new LinkedHashMap<>();
 
+    /**
+     * Creates a decoder that knows no engine.
+     *
+     * @param zones the names of zones, whose indexes the router uses
+     * @param kinds the names of engine kinds, likewise
+     */
     public EndpointListDecoder(Clock clock, List<String> zones, List<String> kinds) {
         this.clock = clock;
         this.zones = zones;
--- a/src/main/java/calicostream/platform/EventStream.java
+++ b/src/main/java/calicostream/platform/EventStream.java
@@ -17,7 +17,9 @@
     private final StringBuilder line = new StringBuilder();
     private final StringBuilder data = new StringBuilder();
     private String status;
-    private boolean chunked, inBody, skipsChunkEnd;
+    private boolean chunked;
+    private boolean inBody;
+    private boolean skipsChunkEnd;
     private long chunkLeft;
 
     EventStream(Consumer<String> event) {
--- a/src/main/java/calicostream/platform/FrontEndConfig.java
+++ b/src/main/java/calicostream/platform/FrontEndConfig.java
@@ -29,6 +29,11 @@
         SettingsParser settings) {
     private static final int FEWEST_SOCKETS = 64;
 
+    /**
+     * Reads a configuration file.
+     *
+     * @throws SettingsException where it can't be read or is invalid
+     */
     public static FrontEndConfig read(Path path) {
         try {
             return parse(Files.readString(path));
--- a/src/main/java/calicostream/platform/FrontEndServer.java
+++ b/src/main/java/calicostream/platform/FrontEndServer.java
@@ -57,7 +57,9 @@
     private final EngineClient engines;
     private final HotRestart handover;
     private final AdminServer admin;
-    private boolean started, listening, ending;
+    private boolean started;
+    private boolean listening;
+    private boolean ending;
     private IOException failed;
     private final long startedAt;
     private final CountDownLatch done = new CountDownLatch(1);
@@ -132,10 +134,10 @@
                 () -> {
                     try {
                         InetSocketAddress to = FrontEndConfig.read(path).changelog();
-                        LOG.info("configuration read anew, change log at {}", to);
+                        LOG.info("configuration reloaded, discovery endpoint {}", to);
                         log.move(to);
                     } catch (SettingsException e) {
-                        LOG.warn("the configuration stays as it was: {}", e.getMessage());
+                        LOG.warn("configuration not reloaded: {}", e.getMessage());
                     }
                 });
     }
@@ -147,8 +149,8 @@
      */
     public void follow(ConfigFileWatcher watch) {
         LOG.info(
-                "SIGHUP is ignored, as this process was started: a new configuration is taken once"
-                        + " its file changes");
+                "SIGHUP is ignored by this process: the configuration is reloaded when its file"
+                        + " changes");
         loop.post(() -> look(watch));
     }
 
@@ -182,11 +184,11 @@
             loop.runNextIteration(() -> warm(warmUp));
             return;
         }
-        LOG.info("{}, warmed up by {} requests", config.name(), warmUp.answers());
+        LOG.info("{}: warm-up completed with {} requests", config.name(), warmUp.answers());
         try {
             if (admin != null) {
                 admin.listen(config.admin());
-                LOG.info("operators call on port {}", admin.port());
+                LOG.info("admin API on port {}", admin.port());
             }
         } catch (IOException e) {
             failed = e;
@@ -211,7 +213,7 @@
             return;
         }
         if (!current) {
-            LOG.warn("the change log has not told all: serving by the list known so far");
+            LOG.warn("endpoint list may be incomplete: the discovery stream is not up to date");
         }
         try {
             listen();
@@ -224,10 +226,10 @@
     private void listen() throws IOException {
         gateway.learnedRunTimes(handover.predecessorRunTimes());
         front.listen(config.listen());
-        LOG.info("listens on port {}", front.port());
+        LOG.info("listening on port {}", front.port());
         for (Service each : services) {
             each.start();
-            LOG.info("{} listens on port {}", each.name(), each.port());
+            LOG.info("{} listening on port {}", each.name(), each.port());
         }
         listening = true;
         handover.publishListening(true);
@@ -238,7 +240,7 @@
         loop.post(
                 () -> {
                     ending = true;
-                    LOG.info("SIGTERM: {} requests are open", gateway.openRequests());
+                    LOG.info("SIGTERM received: {} requests in flight", gateway.openRequests());
                     if (!listening) {
                         loop.stop();
                         return;
@@ -246,7 +248,7 @@
                     handover.poll();
                     long now = loop.clock().now();
                     if (handover.hasSuccessor()) {
-                        LOG.info("another process of this front end listens: no more clients here");
+                        LOG.info("draining: a successor process accepts new clients");
                         retire(now + REST_ON, lastMoment(now, LONGEST_HAND_OVER));
                     } else {
                         loop.deadlines()
@@ -373,7 +375,7 @@
     private void retired(long now, long last) {
         if (gateway.openRequests() == 0 && front.isEmpty() || now >= last) {
             LOG.info(
-                    "served out; left: {} requests, clients {}",
+                    "drained: {} requests in flight, clients {}",
                     gateway.openRequests(),
                     front.describeClients());
             loop.stop();
--- a/src/main/java/calicostream/platform/JsonRpc.java
+++ b/src/main/java/calicostream/platform/JsonRpc.java
@@ -2,6 +2,7 @@
 package calicostream.platform;
 
 import java.nio.charset.StandardCharsets;
+import java.util.Base64;
 import java.util.Set;
 import java.util.regex.Pattern;
 
@@ -38,7 +39,12 @@
             Pattern.compile("[!-~&&[^,=]]{1,64}"); // fits into engines' lists of fields
     private static final double MOST = 1e12; // of an estimate: beyond any work or memory there is
 
-    String version, method, requestId, content, paramsId, order;
+    String version;
+    String method;
+    String requestId;
+    String content;
+    String paramsId;
+    String order;
 
     /** By which engines know a repeat, or null; it passes on unchanged. */
     String repeatKey;
@@ -46,8 +52,11 @@
     double id = Double.NaN;
     double wait = Double.NaN;
     double paramsNumber = Double.NaN;
-    double work, memory, retry;
-    boolean isObject, hasParams;
+    double work;
+    double memory;
+    double retry;
+    boolean isObject;
+    boolean hasParams;
     private boolean mistyped;
     private final byte[] text;
     private int at;
@@ -307,7 +316,7 @@
 
     static byte[] result(long id, byte[] rows) {
         byte[] number = Resp.ascii(Long.toString(id));
-        byte[] body = java.util.Base64.getEncoder().encode(rows);
+        byte[] body = Base64.getEncoder().encode(rows);
         byte[] out =
                 new byte
                         [RESULT_HEAD.length
--- a/src/main/java/calicostream/platform/ServerComponents.java
+++ b/src/main/java/calicostream/platform/ServerComponents.java
@@ -21,6 +21,7 @@
         EngineClient engines,
         Function<RequestResult, byte[]> text,
         List<Service> services) {
+    /** Copies the list of services. */
     public ServerComponents {
         services = List.copyOf(services);
     }
--- a/src/main/java/calicostream/platform/WarmUp.java
+++ b/src/main/java/calicostream/platform/WarmUp.java
@@ -46,7 +46,8 @@
     private final String content =
             Base64.getEncoder().encodeToString(STATEMENT.getBytes(StandardCharsets.UTF_8));
     private long end;
-    private int made, answers;
+    private int made;
+    private int answers;
 
     WarmUp(RouterSettings settings, List<String> classNames) {
         this.classNames = classNames;
--- a/src/measure/java/calicostream/measure/FlightMeasure.java
+++ b/src/measure/java/calicostream/measure/FlightMeasure.java
@@ -156,7 +156,7 @@
                     + "\"metadata_life_ms\":60000,\"calls\":20000,\"calls_per_client\":20000}");
         Path frontOut = folder.resolve("front.out");
         front = launch(frontOut, FRONT_HEAP, "calicostream.Main", "serve");
-        frontPort = port(frontOut, "Flight SQL listens on port");
+        frontPort = port(frontOut, "Flight SQL listening on port");
     }
 
     private FlightSqlClient client(int port) {
--- a/src/measure/java/calicostream/measure/MassMeasure.java
+++ b/src/measure/java/calicostream/measure/MassMeasure.java
@@ -60,7 +60,7 @@
             try (BufferedReader lines = process.inputReader(StandardCharsets.UTF_8)) {
                 log.follow();
                 String line = lines.readLine();
-                while (line != null && !line.contains("listens on port")) {
+                while (line != null && !line.contains("listening on port")) {
                     line = lines.readLine();
                 }
                 if (line == null) {
--- a/src/measure/java/calicostream/rig/StandaloneFrontEnds.java
+++ b/src/measure/java/calicostream/rig/StandaloneFrontEnds.java
@@ -84,8 +84,8 @@
     boolean look() throws Exception {
         for (int each : List.copyOf(starting)) {
             boolean twin = twinned.contains(each);
-            if (on.proc(each).hasSaid("listens on port")
-                    && (!twin || off.proc(each).hasSaid("listens on port"))) {
+            if (on.proc(each).hasSaid("listening on port")
+                    && (!twin || off.proc(each).hasSaid("listening on port"))) {
                 on.awaitServing(each);
                 if (twin) {
                     off.awaitServing(each);
--- a/src/test/java/calicostream/packaged/PackagedTest.java
+++ b/src/test/java/calicostream/packaged/PackagedTest.java
@@ -209,7 +209,7 @@
             try (BufferedReader lines = process.inputReader(StandardCharsets.UTF_8)) {
                 changes.follow();
                 String line = lines.readLine();
-                while (line != null && !line.contains("listens on port")) {
+                while (line != null && !line.contains("listening on port")) {
                     line = lines.readLine();
                 }
                 ServerProgram.ask(ServerProgram.portIn(line), engine, 1);
--- a/src/test/java/calicostream/wire/FaultRunsTest.java
+++ b/src/test/java/calicostream/wire/FaultRunsTest.java
@@ -58,7 +58,7 @@
             program = new ServerProgram(folder, log.port(), known, stand.deploy());
             log.follow();
             log.stayAwake();
-            admin = program.port("operators call on port");
+            admin = program.port("admin API on port");
             stand.connect(program);
         }
 
--- a/src/test/java/calicostream/wire/FlightFrontTest.java
+++ b/src/test/java/calicostream/wire/FlightFrontTest.java
@@ -72,7 +72,7 @@
                         List.of(known),
                         FlightTestServer.deploy(stand.port()))) {
             log.follow();
-            assertEquals(stand.port(), second.port("Flight SQL listens on port"));
+            assertEquals(stand.port(), second.port("Flight SQL listening on port"));
         }
     }
 
--- a/src/test/java/calicostream/wire/RunTermsTest.java
+++ b/src/test/java/calicostream/wire/RunTermsTest.java
@@ -79,7 +79,7 @@
     /** Where it listens, by its log, which is read up to there. */
     private static int port(BufferedReader log) throws IOException {
         String line = log.readLine();
-        while (line != null && !line.contains("listens on port")) {
+        while (line != null && !line.contains("listening on port")) {
             line = log.readLine();
         }
         assertTrue(line != null, "it ended");
