--- a/src/main/java/calicostream/flight/front/FlightSqlServer.java
+++ b/src/main/java/calicostream/flight/front/FlightSqlServer.java
@@ -7,6 +7,7 @@
 import calicostream.flight.FlightConfig;
 import calicostream.flight.engine.FlightEngineClient;
 import calicostream.flight.state.Admission;
+import calicostream.flight.state.CoalescingCache;
 import calicostream.flight.wire.FlightFrame;
 import calicostream.flight.wire.FlightWire;
 import calicostream.net.SelectorLoop;
@@ -209,7 +210,7 @@
 
     /** One line of figures for the operators. */
     public String figures() {
-        long[] shared = catalogs.shared().counts();
+        CoalescingCache.LookupCounts shared = catalogs.shared().counts();
         return "calls="
                 + desk.admission.openCalls()
                 + " clients="
@@ -227,11 +228,11 @@
                 + " sessions="
                 + logins.sessions().size()
                 + " metadata_hits="
-                + shared[0]
+                + shared.hits()
                 + " metadata_shared="
-                + shared[1]
+                + shared.joined()
                 + " metadata_asked="
-                + shared[2];
+                + shared.misses();
     }
 
     // ---- Engines
--- a/src/main/java/calicostream/flight/state/Admission.java
+++ b/src/main/java/calicostream/flight/state/Admission.java
@@ -7,11 +7,11 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Bounds on what clients have open at once: calls of one client, calls in all, streams, and bytes
- * that results hold. Calls are counted on one thread; streams and bytes from any.
+ * Admission control: limits the open calls per client and in total, the open streams, and the bytes
+ * of buffered results. Calls are counted on one thread; streams and bytes on any thread.
  */
 public final class Admission {
-    /** Why a call is turned away, or that it is not. */
+    /** The outcome of an admission check: admitted, or the limit that rejected the call. */
     public enum Decision {
         ADMITTED,
         CLIENT_LIMIT_REACHED,
@@ -28,14 +28,18 @@
     private final AtomicInteger openStreams = new AtomicInteger();
     private int openCalls;
 
-    public Admission(int mostCalls, int mostOfClient, long mostBytes, int mostStreams) {
-        this.maxStreams = mostStreams;
-        this.maxCalls = mostCalls;
-        this.maxCallsPerClient = mostOfClient;
-        this.maxBytes = mostBytes;
+    /** Creates the limits; {@code maxBytes} bounds the memory of all results. */
+    public Admission(int maxCalls, int maxCallsPerClient, long maxBytes, int maxStreams) {
+        this.maxStreams = maxStreams;
+        this.maxCalls = maxCalls;
+        this.maxCallsPerClient = maxCallsPerClient;
+        this.maxBytes = maxBytes;
     }
 
-    /** Takes a call, unless a bound forbids it; each one taken must {@link #leave} once. */
+    /**
+     * Admits a call unless a limit is reached; {@link #callEnded} must follow once per admitted
+     * call.
+     */
     public Decision admit(String client) {
         if (openCalls >= maxCalls) {
             return Decision.TOTAL_LIMIT_REACHED;
@@ -51,65 +55,75 @@
         return Decision.ADMITTED;
     }
 
+    /**
+     * Ends an admitted call.
+     *
+     * @throws IllegalStateException if the client has no open call
+     */
     public void callEnded(String client) {
         Integer count = calls.get(client);
         if (count == null) {
-            throw new IllegalStateException("left more often than entered");
+            throw new IllegalStateException("callEnded without an admitted call");
         }
         calls.compute(client, (name, n) -> n == 1 ? null : n - 1);
         openCalls--;
     }
 
     /**
-     * Sets room aside for a held part of a result; false where there is none. Held results take
-     * three quarters at most: clients that don't read theirs must not shut out the calls of others.
-     * From any thread.
+     * Reserves memory for a buffered part of a result; false if there is not enough. Buffered
+     * results use at most three quarters of the limit, so that clients that do not read their
+     * results cannot block the calls of others. Thread-safe.
      */
     public boolean reserve(long amount) {
-        long most = maxBytes / 4 * 3;
-        long before = bytesInUse.getAndUpdate(held -> held + amount <= most ? held + amount : held);
-        return before + amount <= most;
+        long limit = maxBytes / 4 * 3;
+        long before =
+                bytesInUse.getAndUpdate(used -> used + amount <= limit ? used + amount : used);
+        return before + amount <= limit;
     }
 
     /**
-     * Counts what a client has sent and is here now, whatever the bound: past it new calls are
-     * turned away.
+     * Adds bytes already received from a client, regardless of the limit. Above the limit, new
+     * calls are rejected. Thread-safe.
      */
     public void charge(long amount) {
         bytesInUse.addAndGet(amount);
     }
 
-    /** Gives room back. From any thread. */
+    /** Releases reserved or charged bytes. Thread-safe. */
     public void release(long amount) {
         bytesInUse.addAndGet(-amount);
     }
 
     /**
-     * Lets a stream begin, which may take a window of memory for as long as its client reads
-     * nothing. From any thread.
+     * Opens a stream; false if the limit is reached. An open stream may use one flow-control window
+     * of memory while its client reads nothing. Thread-safe.
      */
     public boolean beginStream() {
         int before = openStreams.getAndUpdate(n -> n < maxStreams ? n + 1 : n);
         return before < maxStreams;
     }
 
-    /** A stream that began has ended. From any thread. */
+    /** Closes an open stream. Thread-safe. */
     public void endStream() {
         openStreams.decrementAndGet();
     }
 
+    /** The number of open streams. */
     public int openStreams() {
         return openStreams.get();
     }
 
+    /** The number of open calls of all clients. */
     public int openCalls() {
         return openCalls;
     }
 
+    /** The number of clients with at least one open call. */
     public int clientsWithCalls() {
         return calls.size();
     }
 
+    /** The bytes reserved and charged at present. */
     public long bytesInUse() {
         return bytesInUse.get();
     }
--- a/src/main/java/calicostream/flight/state/CatalogChangeDetector.java
+++ b/src/main/java/calicostream/flight/state/CatalogChangeDetector.java
@@ -5,11 +5,11 @@
 import java.util.Set;
 
 /**
- * What a statement's first word says of its effect on catalogs. Only a hint: what it forgets comes
- * back when asked for.
+ * Detects from the first keyword of a SQL statement whether it may change a catalog. The result is
+ * only a hint for cache invalidation.
  */
 public final class CatalogChangeDetector {
-    private static final Set<String> CHANGES =
+    private static final Set<String> DDL_KEYWORDS =
             Set.of(
                     "CREATE",
                     "DROP",
@@ -24,7 +24,9 @@
 
     private CatalogChangeDetector() {}
 
-    /** Whether tables, schemas or catalogs may be others after it. */
+    /**
+     * Whether the statement may change tables, schemas or catalogs. Leading comments are skipped.
+     */
     public static boolean changesCatalog(String sql) {
         int at = 0;
         while (at < sql.length()) {
@@ -45,6 +47,6 @@
         while (end < sql.length() && Character.isLetter(sql.charAt(end))) {
             end++;
         }
-        return CHANGES.contains(sql.substring(at, end).toUpperCase(Locale.ROOT));
+        return DDL_KEYWORDS.contains(sql.substring(at, end).toUpperCase(Locale.ROOT));
     }
 }
--- a/src/main/java/calicostream/flight/state/CoalescingCache.java
+++ b/src/main/java/calicostream/flight/state/CoalescingCache.java
@@ -8,18 +8,26 @@
 import java.util.Map;
 
 /**
- * Answers that many clients ask for: equal questions at the same time share one attempt, and an
- * answer lives for a while, unless its catalog changes. An attempt that began before a change is
- * not kept, as it may not have seen it. {@code W} is who waits, {@code V} the answer.
+ * A cache that coalesces concurrent lookups of the same key into one attempt. A value expires after
+ * its time to live, or when its catalog changes. The result of an attempt that began before a
+ * change is not cached, because it may be stale.
+ *
+ * @param <W> the waiting caller
+ * @param <V> the cached value
  */
 public final class CoalescingCache<W, V> {
-    /** What to do with a question: answer it now, wait for an attempt under way, or make one. */
+    /**
+     * The outcome of a lookup: cached, joined to a pending attempt, or to be fetched by the caller.
+     */
     public enum Lookup {
         HIT,
         JOINED,
         MISS
     }
 
+    /** The number of lookups by outcome since the start. */
+    public record LookupCounts(long hits, long joined, long misses) {}
+
     private static final class PendingLookup<W> {
         final List<W> waiters = new ArrayList<>();
         final long epoch;
@@ -29,123 +37,130 @@
         }
     }
 
-    private record CachedAnswer<V>(String catalog, V answer, long bytes, long expiresAt) {}
+    private record CachedValue<V>(String catalog, V value, long bytes, long expiresAt) {}
 
     private final long timeToLiveUs;
     private final long maxBytes;
     private final Map<String, PendingLookup<W>> pending = new HashMap<>();
-    private final LinkedHashMap<String, CachedAnswer<V>> cache =
+    private final LinkedHashMap<String, CachedValue<V>> cache =
             new LinkedHashMap<>(16, 0.75f, true);
     private long cachedBytes;
     private long epoch;
-    private long hits, joined, misses;
-
-    public CoalescingCache(long lifeUs, long mostBytes) {
-        this.timeToLiveUs = lifeUs;
-        this.maxBytes = mostBytes;
+    private long hits;
+    private long joined;
+    private long misses;
+
+    /** Creates an empty cache; a time to live of 0 microseconds disables caching. */
+    public CoalescingCache(long timeToLiveUs, long maxBytes) {
+        this.timeToLiveUs = timeToLiveUs;
+        this.maxBytes = maxBytes;
     }
 
-    /** A question of somebody who waits for its answer, unless it is there. */
-    public Lookup lookUp(long now, String question, W who) {
-        if (find(now, question) != null) {
+    /** Looks up a key; on a miss or a join the caller is registered as a waiter. */
+    public Lookup lookUp(long now, String key, W waiter) {
+        if (find(now, key) != null) {
             hits++;
             return Lookup.HIT;
         }
-        PendingLookup<W> under = pending.get(question);
-        if (under != null
-                && under.epoch == epoch) { // One that began before a change is not waited for.
-            under.waiters.add(who);
+        PendingLookup<W> attempt = pending.get(key);
+        // An attempt that began before a catalog change may be stale and is not joined.
+        if (attempt != null && attempt.epoch == epoch) {
+            attempt.waiters.add(waiter);
             joined++;
             return Lookup.JOINED;
         }
         misses++;
-        pending.put(question, new PendingLookup<>(epoch));
-        pending.get(question).waiters.add(who);
+        pending.put(key, new PendingLookup<>(epoch));
+        pending.get(key).waiters.add(waiter);
         return Lookup.MISS;
     }
 
-    /** The answer, if it is kept and not too old. */
-    public V find(long now, String question) {
-        CachedAnswer<V> found = cache.get(question);
+    /** The cached value, or null if there is none or it has expired. */
+    public V find(long now, String key) {
+        CachedValue<V> found = cache.get(key);
         if (found != null && found.expiresAt <= now) {
-            evict(question);
+            evict(key);
             return null;
         }
-        return found == null ? null : found.answer;
+        return found == null ? null : found.value;
     }
 
-    /** The number of the present state of all catalogs, to be given back with an answer. */
+    /** The current catalog epoch, to be passed to {@link #complete} or {@link #failed}. */
     public long epoch() {
         return epoch;
     }
 
-    /** The attempt made in this epoch brought an answer; those who waited for it are returned. */
+    /** Completes the attempt of an epoch with a value and returns its waiters. */
     public List<W> complete(
-            long now, String question, long askedIn, String catalog, V answer, long size) {
-        if (askedIn == epoch && size <= maxBytes / 4 && timeToLiveUs > 0) {
-            evict(question);
-            cache.put(question, new CachedAnswer<>(catalog, answer, size, now + timeToLiveUs));
+            long now, String key, long attemptEpoch, String catalog, V value, long size) {
+        if (attemptEpoch == epoch && size <= maxBytes / 4 && timeToLiveUs > 0) {
+            evict(key);
+            cache.put(key, new CachedValue<>(catalog, value, size, now + timeToLiveUs));
             cachedBytes += size;
             while (cachedBytes > maxBytes) {
                 evict(cache.keySet().iterator().next());
             }
         }
-        return takeWaiters(question, askedIn);
+        return takeWaiters(key, attemptEpoch);
     }
 
-    /** The attempt made in this epoch brought no answer. */
-    public List<W> failed(String question, long askedIn) {
-        return takeWaiters(question, askedIn);
+    /** Fails the attempt of an epoch and returns its waiters. */
+    public List<W> failed(String key, long attemptEpoch) {
+        return takeWaiters(key, attemptEpoch);
     }
 
-    private List<W> takeWaiters(String question, long askedIn) {
-        PendingLookup<W> under = pending.get(question);
-        if (under == null || under.epoch != askedIn) {
+    private List<W> takeWaiters(String key, long attemptEpoch) {
+        PendingLookup<W> attempt = pending.get(key);
+        if (attempt == null || attempt.epoch != attemptEpoch) {
             return List.of();
         }
-        pending.remove(question);
-        return under.waiters;
+        pending.remove(key);
+        return attempt.waiters;
     }
 
-    /** Somebody who waits has left; true: nobody waits any more, and the attempt is not needed. */
-    public boolean waiterGone(String question, W who) {
-        PendingLookup<W> under = pending.get(question);
-        if (under == null || !under.waiters.remove(who)) {
+    /** Removes a waiter; true if it was the last one, so that the attempt can be cancelled. */
+    public boolean waiterGone(String key, W waiter) {
+        PendingLookup<W> attempt = pending.get(key);
+        if (attempt == null || !attempt.waiters.remove(waiter)) {
             return false;
         }
-        if (under.waiters.isEmpty()) {
-            pending.remove(question);
+        if (attempt.waiters.isEmpty()) {
+            pending.remove(key);
             return true;
         }
         return false;
     }
 
-    /** A catalog has changed, or any of them may have where its name is empty. */
+    /**
+     * Invalidates the values of a catalog and those not tied to one catalog; all values if the name
+     * is empty.
+     */
     public void invalidate(String catalog) {
         epoch++;
         List<String> stale = new ArrayList<>();
         cache.forEach(
-                (question, each) -> {
+                (key, each) -> {
                     if (catalog.isEmpty()
                             || each.catalog.isEmpty()
                             || each.catalog.equals(catalog)) {
-                        stale.add(question);
+                        stale.add(key);
                     }
                 });
         stale.forEach(this::evict);
     }
 
-    private void evict(String question) {
-        CachedAnswer<V> gone = cache.remove(question);
+    private void evict(String key) {
+        CachedValue<V> gone = cache.remove(key);
         cachedBytes -= gone == null ? 0 : gone.bytes;
     }
 
+    /** The total size of the cached values in bytes. */
     public long cachedBytes() {
         return cachedBytes;
     }
 
-    /** Questions answered from memory, that shared an attempt, and that made one. */
-    public long[] counts() {
-        return new long[] {hits, joined, misses};
+    /** The number of lookups by outcome. */
+    public LookupCounts counts() {
+        return new LookupCounts(hits, joined, misses);
     }
 }
--- a/src/main/java/calicostream/flight/state/HandleTable.java
+++ b/src/main/java/calicostream/flight/state/HandleTable.java
@@ -2,16 +2,19 @@
 package calicostream.flight.state;
 
 import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.function.Consumer;
+import java.util.function.Predicate;
 import java.util.function.Supplier;
 
 /**
- * Things that clients have been given a name for. Each belongs to one owner; to all others it does
- * not exist. A thing is forgotten when its time is over, and the least recently used of an owner,
- * then of all, when there are too many.
+ * A bounded table of values that clients refer to by handle. Each value is visible to its owner
+ * only. A value expires when idle for its time to live; at a limit, the least recently used value
+ * of the owner, or of the table, is evicted.
  */
 public final class HandleTable<T> {
     private record Entry<T>(String owner, T value, long expiresAt) {}
@@ -21,33 +24,41 @@
     private final int maxEntriesPerOwner;
     private final long timeToLiveUs;
     private final LinkedHashMap<String, Entry<T>> entries = new LinkedHashMap<>(16, 0.75f, true);
-    private final Map<String, Integer> entriesPerOwner = new java.util.HashMap<>();
+    private final Map<String, Integer> entriesPerOwner = new HashMap<>();
 
-    /** {@code names} must be beyond guessing; {@code keptUs} counts from the last use. */
-    public HandleTable(Supplier<String> names, int most, int mostOfOwner, long keptUs) {
+    /**
+     * Creates an empty table. {@code names} must supply unguessable handles; the time to live
+     * counts from the last use, in microseconds.
+     */
+    public HandleTable(
+            Supplier<String> names, int maxEntries, int maxEntriesPerOwner, long timeToLiveUs) {
         this.names = names;
-        this.maxEntries = most;
-        this.maxEntriesPerOwner = mostOfOwner;
-        this.timeToLiveUs = keptUs;
+        this.maxEntries = maxEntries;
+        this.maxEntriesPerOwner = maxEntriesPerOwner;
+        this.timeToLiveUs = timeToLiveUs;
     }
 
-    /** Keeps a thing under a new name, which is added to; what had to go for it is returned. */
-    public List<T> put(long now, String owner, T thing, StringBuilder name) {
+    /**
+     * Stores a value under a new handle, appends the handle to {@code name}, and returns the
+     * evicted values.
+     */
+    public List<T> put(long now, String owner, T value, StringBuilder name) {
         List<T> out = new ArrayList<>();
         if (entriesPerOwner.getOrDefault(owner, 0) >= maxEntriesPerOwner) {
             out.addAll(evict(each -> each.owner.equals(owner)));
         } else if (entries.size() >= maxEntries) {
             out.addAll(evict(each -> true));
         }
-        String made = names.get();
-        name.append(made);
-        entries.put(made, new Entry<>(owner, thing, now + timeToLiveUs));
+        String handle = names.get();
+        name.append(handle);
+        entries.put(handle, new Entry<>(owner, value, now + timeToLiveUs));
         entriesPerOwner.merge(owner, 1, Integer::sum);
         return out;
     }
 
-    private List<T> evict(java.util.function.Predicate<Entry<T>> which) {
-        for (Map.Entry<String, Entry<T>> each : entries.entrySet()) { // least recently used first
+    private List<T> evict(Predicate<Entry<T>> which) {
+        // The map iterates in access order, least recently used first.
+        for (Map.Entry<String, Entry<T>> each : entries.entrySet()) {
             if (which.test(each.getValue())) {
                 return List.of(drop(each.getKey()).value);
             }
@@ -64,7 +75,8 @@
     }
 
     /**
-     * The thing, if it is this owner's; its time begins anew. Null otherwise, whatever the reason.
+     * The value if it belongs to this owner, with its expiry renewed; null if it is unknown,
+     * expired or owned by another.
      */
     public T get(long now, String owner, String name) {
         Entry<T> found = entries.get(name);
@@ -75,7 +87,7 @@
         return found.value;
     }
 
-    /** Takes it out, if it is this owner's. */
+    /** Removes and returns the value if it belongs to this owner; otherwise null. */
     public T remove(long now, String owner, String name) {
         T found = get(now, owner, name);
         if (found != null) {
@@ -84,17 +96,17 @@
         return found;
     }
 
-    /** Takes out all that an owner has. */
+    /** Removes and returns all values of an owner. */
     public List<T> removeAll(String owner) {
         return removeIf(each -> each.owner.equals(owner));
     }
 
-    /** Takes out what nobody has used for too long. */
+    /** Removes and returns the expired values. */
     public List<T> expire(long now) {
         return removeIf(each -> each.expiresAt <= now);
     }
 
-    private List<T> removeIf(java.util.function.Predicate<Entry<T>> which) {
+    private List<T> removeIf(Predicate<Entry<T>> which) {
         List<T> out = new ArrayList<>();
         List<String> gone = new ArrayList<>();
         for (Iterator<Map.Entry<String, Entry<T>>> each = entries.entrySet().iterator();
@@ -108,11 +120,13 @@
         return out;
     }
 
+    /** The number of values, including expired ones not yet removed. */
     public int size() {
         return entries.size();
     }
 
-    public void forEach(java.util.function.Consumer<T> visit) {
+    /** Calls {@code visit} with each value. */
+    public void forEach(Consumer<T> visit) {
         entries.values().forEach(each -> visit.accept(each.value));
     }
 }
--- a/src/main/java/calicostream/flight/state/PreparedStatement.java
+++ b/src/main/java/calicostream/flight/state/PreparedStatement.java
@@ -8,77 +8,87 @@
 import java.util.Map;
 
 /**
- * A statement that a client prepared, and the handles that engines gave for it. An engine's handle
- * serves one execution at a time, since parameters are bound to it: it is lent out and given back,
- * made where none rests, and forgotten with its engine. {@code B} is what is bound, {@code H} an
- * engine's handle.
+ * A client's prepared statement with a pool of engine handles. A handle serves one execution at a
+ * time, because parameters are bound to it. Handles are acquired and released per execution, and
+ * dropped when their engine is lost.
+ *
+ * @param <B> the bound parameters
+ * @param <H> the engine's handle
  */
 public final class PreparedStatement<B, H> {
-    /** A handle at an engine. */
+    /** A statement handle of one engine. */
     public record EngineHandle<H>(long engine, H handle) {}
 
-    /** A parameter's type in words, the same for equal types; its name is for messages only. */
+    /** A parameter; {@code type} is a canonical description, and the name is for messages only. */
     public record Parameter(String name, String type) {}
 
-    private static final int MAX_IDLE_PER_ENGINE = 4; // of one engine
+    private static final int MAX_IDLE_PER_ENGINE = 4;
     private final Map<Long, ArrayDeque<H>> idleHandles = new HashMap<>();
-    private final List<Parameter> parameters; // null: the engine told none
+    // Null if the engine did not report any parameter schema.
+    private final List<Parameter> parameters;
     private B boundParameters;
     private boolean closed;
 
+    /** Creates a statement; {@code parameters} is null if the engine reported no schema. */
     public PreparedStatement(List<Parameter> parameters) {
         this.parameters = parameters;
     }
 
-    /** A handle of this engine that no execution uses, or null: one has to be made. */
+    /** Takes an idle handle of this engine, or null if a new one has to be created. */
     public H acquire(long engine) {
-        ArrayDeque<H> some = idleHandles.get(engine);
-        return some == null ? null : some.poll();
+        ArrayDeque<H> handles = idleHandles.get(engine);
+        return handles == null ? null : handles.poll();
     }
 
-    /** Gives back a handle that may serve again; false: it must be closed at the engine. */
+    /** Returns a handle to the pool; false if the caller must close it at the engine. */
     public boolean release(long engine, H handle) {
-        ArrayDeque<H> some = idleHandles.computeIfAbsent(engine, any -> new ArrayDeque<>());
-        if (closed || some.size() >= MAX_IDLE_PER_ENGINE) {
+        ArrayDeque<H> handles = idleHandles.computeIfAbsent(engine, any -> new ArrayDeque<>());
+        if (closed || handles.size() >= MAX_IDLE_PER_ENGINE) {
             return false;
         }
-        some.push(handle);
+        handles.push(handle);
         return true;
     }
 
-    /** The engine's process has ended, and its handles with it. */
+    /** Drops the handles of an engine whose process has ended. */
     public void engineLost(long engine) {
         idleHandles.remove(engine);
     }
 
-    /** The statement is over; these have to be closed at their engines. */
+    /** Closes the statement; the returned handles have to be closed at their engines. */
     public List<EngineHandle<H>> close() {
         List<EngineHandle<H>> out = new ArrayList<>();
         idleHandles.forEach(
-                (engine, some) ->
-                        some.forEach(handle -> out.add(new EngineHandle<>(engine, handle))));
+                (engine, handles) ->
+                        handles.forEach(handle -> out.add(new EngineHandle<>(engine, handle))));
         idleHandles.clear();
         closed = true;
         return out;
     }
 
+    /** Whether the statement is closed. */
     public boolean isClosed() {
         return closed;
     }
 
-    /** Binds what executions from now on run with. */
-    public void bind(B what) {
-        boundParameters = what;
+    /** Sets the parameters for subsequent executions. */
+    public void bind(B newParameters) {
+        boundParameters = newParameters;
     }
 
+    /** The bound parameters, or null if there are none. */
     public B boundParameters() {
         return boundParameters;
     }
 
-    /** Why these parameters can't be bound, or null. {@code got} null: none were sent. */
+    /**
+     * Why these parameters can't be bound, or null if they can; {@code got} is null if none were
+     * sent.
+     */
     public String parameterError(List<Parameter> got, long rows) {
         if (parameters == null) {
-            return null; // Not known here: the engine is asked.
+            // Without a schema, validation is left to the engine.
+            return null;
         }
         int wanted = parameters.size();
         int have = got == null ? 0 : got.size();
--- a/src/main/java/calicostream/flight/state/QueryPoll.java
+++ b/src/main/java/calicostream/flight/state/QueryPoll.java
@@ -5,9 +5,11 @@
 import java.util.List;
 
 /**
- * A long query that its client asks for again and again: how far it is, and who waits to hear more.
- * A call waits until there is news that it has not heard. {@code W} is who waits, {@code V} what
- * the query ended with.
+ * The progress of a long-running query that its client polls. A poll waits until the query has a
+ * newer version than the caller has seen.
+ *
+ * @param <W> the waiting caller
+ * @param <V> the outcome of the query
  */
 public final class QueryPoll<W, V> {
     private record Waiter<W>(W caller, long seenVersion) {}
@@ -18,38 +20,41 @@
     private long version;
     private V outcome;
 
-    public QueryPoll(int most) {
-        this.maxWaiters = most;
+    /** Creates the state of a running query with a limit on concurrent waiters. */
+    public QueryPoll(int maxWaiters) {
+        this.maxWaiters = maxWaiters;
     }
 
-    /** Waits for news beyond what was heard; false: there is some now, or too many wait. */
-    public boolean await(W who, long heard) {
-        if (outcome != null || version > heard || waiters.size() >= maxWaiters) {
+    /**
+     * Registers a waiter; false if a newer version exists already or the waiter limit is reached.
+     */
+    public boolean await(W caller, long seenVersion) {
+        if (outcome != null || version > seenVersion || waiters.size() >= maxWaiters) {
             return false;
         }
-        waiters.add(new Waiter<>(who, heard));
+        waiters.add(new Waiter<>(caller, seenVersion));
         return true;
     }
 
     /**
-     * The engine tells a share done, from 0 to 1; who waits is to be told. What goes back, or is no
-     * share, is no news.
+     * Records the completed fraction, from 0 to 1, and returns the waiters to notify. Values that
+     * are out of range or do not increase are ignored.
      */
-    public List<W> progressed(double to) {
-        if (outcome != null || !(to > fractionDone) || to > 1) {
+    public List<W> progressed(double fraction) {
+        if (outcome != null || !(fraction > fractionDone) || fraction > 1) {
             return List.of();
         }
-        fractionDone = to;
+        fractionDone = fraction;
         version++;
         return wake();
     }
 
-    /** The query ended, whichever way. */
-    public List<W> ended(V with) {
+    /** Records the outcome of the query and returns the waiters to notify. */
+    public List<W> ended(V finalOutcome) {
         if (outcome != null) {
             return List.of();
         }
-        outcome = with;
+        outcome = finalOutcome;
         version++;
         return wake();
     }
@@ -60,22 +65,27 @@
         return out;
     }
 
-    public void callerGone(W who) {
-        waiters.removeIf(each -> each.caller.equals(who));
+    /** Removes a waiter. */
+    public void callerGone(W caller) {
+        waiters.removeIf(each -> each.caller.equals(caller));
     }
 
+    /** The completed fraction, from 0 to 1. */
     public double fractionDone() {
         return outcome != null ? 1 : fractionDone;
     }
 
+    /** The version, which increases with each change. */
     public long version() {
         return version;
     }
 
+    /** The outcome, or null while the query runs. */
     public V outcome() {
         return outcome;
     }
 
+    /** The number of waiters. */
     public int waiters() {
         return waiters.size();
     }
--- a/src/main/java/calicostream/flight/state/ResultBuffering.java
+++ b/src/main/java/calicostream/flight/state/ResultBuffering.java
@@ -2,14 +2,14 @@
 package calicostream.flight.state;
 
 /**
- * What becomes of one attempt's result as its parts arrive. Up to {@code holdBytes} it is held, so
- * that a break costs no more than another attempt; past that, or where there is no room to hold it,
- * the stream begins. Owned by the attempt.
+ * Decides whether the parts of one attempt's result are buffered or streamed. Up to {@code
+ * maxBufferedBytes} the result is buffered, so that a failure can be retried; beyond that, or
+ * without memory to buffer it, streaming starts. Owned by the attempt.
  */
 public final class ResultBuffering {
     /**
-     * What to do with a part: keep it, begin the stream with all that is kept and this, pass it on,
-     * or give up.
+     * What to do with a part: buffer it, start the stream with all buffered parts and this one,
+     * forward it, or fail.
      */
     public enum Decision {
         BUFFER,
@@ -25,17 +25,19 @@
     private boolean streaming;
 
     /**
-     * {@code mostBytes} 0: no bound. Where the result {@code mayBegin} not, what can't be held is
-     * too long.
+     * Creates the decision state. A {@code maxResultBytes} of 0 means no limit. Without {@code
+     * mayStream}, a result that cannot be buffered is too long.
      */
-    public ResultBuffering(long holdBytes, long mostBytes, boolean mayBegin) {
-        this.maxBufferedBytes = holdBytes;
-        this.maxResultBytes = mostBytes;
-        this.mayStream = mayBegin;
+    public ResultBuffering(long maxBufferedBytes, long maxResultBytes, boolean mayStream) {
+        this.maxBufferedBytes = maxBufferedBytes;
+        this.maxResultBytes = maxResultBytes;
+        this.mayStream = mayStream;
     }
 
-    /** {@code room}: whether so much can be held beside all else that is. */
-    public Decision next(long bytes, boolean room) {
+    /**
+     * Decides on the next part; {@code hasMemory} tells whether memory to buffer it is available.
+     */
+    public Decision next(long bytes, boolean hasMemory) {
         receivedBytes += bytes;
         if (maxResultBytes > 0 && receivedBytes > maxResultBytes) {
             return Decision.TOO_LONG;
@@ -43,7 +45,7 @@
         if (streaming) {
             return Decision.FORWARD;
         }
-        if (receivedBytes <= maxBufferedBytes && room) {
+        if (receivedBytes <= maxBufferedBytes && hasMemory) {
             return Decision.BUFFER;
         }
         if (!mayStream) {
@@ -53,17 +55,19 @@
         return Decision.START_STREAM;
     }
 
-    /** The bound that a result which is too long was over. */
+    /** The limit in bytes that a too long result exceeded. */
     public long exceededLimit() {
         return maxResultBytes > 0 && receivedBytes > maxResultBytes || mayStream
                 ? maxResultBytes
                 : maxBufferedBytes;
     }
 
+    /** Whether streaming has started. */
     public boolean isStreaming() {
         return streaming;
     }
 
+    /** The bytes received so far. */
     public long receivedBytes() {
         return receivedBytes;
     }
--- a/src/main/java/calicostream/flight/state/Transactions.java
+++ b/src/main/java/calicostream/flight/state/Transactions.java
@@ -9,23 +9,24 @@
 import java.util.function.Supplier;
 
 /**
- * Transactions of clients, each pinned to the engine that holds it. One thing happens in a
- * transaction at a time, and nothing of it is ever tried elsewhere. It ends by its client's word,
- * by idling past its lease, or with its engine; for a while after that each further use is told how
- * it ended. {@code H} is an engine's handle.
+ * The table of client transactions, each pinned to one engine. A transaction runs one operation at
+ * a time, and its operations are never retried on another engine. It ends on commit or rollback, on
+ * idle timeout, or with its engine; afterwards a tombstone reports how it ended.
  *
- * <p>States: OPEN, BUSY (a statement runs), ENDING (commit or rollback is out), DEAD and ENDED
- * (remembered).
+ * <p>States: OPEN, BUSY (a statement runs), ENDING (commit or rollback sent), DEAD and ENDED
+ * (tombstones).
+ *
+ * @param <H> the engine's handle
  */
 public final class Transactions<H> {
-    /** What a client wants to do in a transaction. */
+    /** The operation that a client requests in a transaction. */
     public enum Purpose {
         STATEMENT,
         COMMIT,
         ROLLBACK
     }
 
-    /** Whether it may, or why not. */
+    /** Whether an operation is granted, or why not. */
     public enum UseDecision {
         GRANTED,
         UNKNOWN,
@@ -35,9 +36,7 @@
         OUTCOME_UNKNOWN
     }
 
-    /**
-     * How a statement or an end in a transaction went; {@code LOST}: it may have run, nobody knows.
-     */
+    /** The result of an operation; {@code LOST} means that it may or may not have run. */
     public enum UseResult {
         DONE,
         NEVER_SENT,
@@ -53,8 +52,8 @@
     }
 
     /**
-     * Bounds: transactions of a client and on an engine, idle time, time to end on a drain, memory
-     * of ended ones.
+     * Limits on transactions per client and per engine, and the idle timeout, drain timeout and
+     * tombstone retention in microseconds.
      */
     public record Limits(
             int perClient,
@@ -63,17 +62,28 @@
             long drainTimeoutUs,
             long tombstoneUs) {}
 
-    /** One transaction. */
+    /** One client transaction, changed by the enclosing table only. */
     public static final class Transaction<H> {
+        /** The name that the client uses. */
         public final String name;
+
+        /** The client that owns the transaction. */
         public final String owner;
+
+        /** The identifier of the engine. */
         public final long engine;
+
+        /** The handle of the transaction at the engine. */
         public final H handle;
+
         private final LinkedHashMap<String, H> savepoints = new LinkedHashMap<>();
         private State state = State.OPEN;
         private Purpose endingBy;
-        private long lastUsedAt, drainDeadline, forgetAt;
-        private boolean outcomeUnknown, abandoned;
+        private long lastUsedAt;
+        private long drainDeadline;
+        private long forgetAt;
+        private boolean outcomeUnknown;
+        private boolean abandoned;
         private String endReason = "";
 
         private Transaction(String name, String owner, long engine, H handle, long now) {
@@ -84,7 +94,7 @@
             lastUsedAt = now;
         }
 
-        /** Why it is dead, in words for its client. */
+        /** The reason why the transaction is dead, for error messages. */
         public String endReason() {
             return endReason;
         }
@@ -100,16 +110,15 @@
     private final Map<String, Integer> countPerClient = new HashMap<>();
     private final Map<Long, Integer> countPerEngine = new HashMap<>();
 
-    public Transactions(Supplier<String> names, Limits bounds) {
+    /** Creates an empty table; {@code names} must supply unguessable names. */
+    public Transactions(Supplier<String> names, Limits limits) {
         this.names = names;
-        this.limits = bounds;
+        this.limits = limits;
     }
 
-    // ---- Beginning
-    // ------------------------------------------------------------------------------------
     /**
-     * Counts a transaction that is being begun; false: the client has its share. Ends with begun or
-     * notBegun.
+     * Reserves a transaction for a client; false if its limit is reached. {@link #begin} or {@link
+     * #releaseReservation} must follow once.
      */
     public boolean reserve(String owner) {
         if (countPerClient.getOrDefault(owner, 0) >= limits.perClient) {
@@ -119,14 +128,14 @@
         return true;
     }
 
-    /** The engine did not begin it, or its client does not want it any more. */
+    /** Releases a reservation whose transaction was not begun or is no longer wanted. */
     public void releaseReservation(String owner) {
         countPerClient.compute(owner, (name, n) -> n == 1 ? null : n - 1);
     }
 
     /**
-     * The engine began it. Null: the engine has its share, and the engine's transaction is to be
-     * rolled back.
+     * Adds a transaction that the engine began. Null if the limit of the engine is reached: the
+     * reservation is released, and the caller must roll back at the engine.
      */
     public Transaction<H> begin(long now, String owner, long engine, H handle) {
         if (countPerEngine.getOrDefault(engine, 0) >= limits.perEngine) {
@@ -134,20 +143,18 @@
             return null;
         }
         countPerEngine.merge(engine, 1, Integer::sum);
-        Transaction<H> made = new Transaction<>(names.get(), owner, engine, handle, now);
-        transactions.put(made.name, made);
-        return made;
+        Transaction<H> txn = new Transaction<>(names.get(), owner, engine, handle, now);
+        transactions.put(txn.name, txn);
+        return txn;
     }
 
-    // ---- Use
-    // ------------------------------------------------------------------------------------------
-    /** The transaction under this name, if it is this owner's. */
+    /** The transaction of this name if it belongs to this owner; otherwise null. */
     public Transaction<H> find(String owner, String name) {
         Transaction<H> found = transactions.get(name);
         return found == null || !found.owner.equals(owner) ? null : found;
     }
 
-    /** Asks to do something in it; if granted, {@link #done} must follow once. */
+    /** Requests an operation; if granted, {@link #useEnded} must follow once. */
     public UseDecision tryUse(long now, Transaction<H> txn, Purpose purpose) {
         if (txn == null || txn.state == State.ENDED && !txn.outcomeUnknown) {
             return UseDecision.UNKNOWN;
@@ -171,8 +178,8 @@
     }
 
     /**
-     * What was granted is over. A commit that was lost leaves its outcome unknown, a lost statement
-     * the transaction dead. True: the engine is to be told to roll it back, as nobody else will.
+     * Ends a granted operation. A lost commit leaves the outcome unknown; a lost statement makes
+     * the transaction dead. True if the caller must roll it back at the engine.
      */
     public boolean useEnded(long now, Transaction<H> txn, UseResult result) {
         if (!txn.isLive()) {
@@ -211,38 +218,35 @@
         countPerEngine.compute(txn.engine, (engine, n) -> n == 1 ? null : n - 1);
     }
 
-    /** How it stands, with nothing done about it; GRANTED: it lives. */
+    /** The current status without side effects; {@code GRANTED} means that it is live. */
     public UseDecision status(Transaction<H> txn) {
-        return txn.isLive()
-                ? UseDecision.GRANTED
-                : txn.outcomeUnknown
-                        ? UseDecision.OUTCOME_UNKNOWN
-                        : txn.state == State.DEAD ? UseDecision.DEAD : UseDecision.UNKNOWN;
+        if (txn.isLive()) {
+            return UseDecision.GRANTED;
+        }
+        if (txn.outcomeUnknown) {
+            return UseDecision.OUTCOME_UNKNOWN;
+        }
+        return txn.state == State.DEAD ? UseDecision.DEAD : UseDecision.UNKNOWN;
     }
 
-    /** Whether its engine drains, so that it can only be ended. */
+    /** Whether the engine is draining, so that only commit and rollback are granted. */
     public boolean isDraining(Transaction<H> txn) {
         return txn.isLive() && txn.drainDeadline > 0;
     }
 
-    // ---- Savepoints
-    // -----------------------------------------------------------------------------------
-    /** A savepoint that the engine made. */
+    /** Adds a savepoint that the engine created and returns its name. */
     public String addSavepoint(Transaction<H> txn, H handle) {
         String name = names.get();
         txn.savepoints.put(name, handle);
         return name;
     }
 
-    /** The engine's handle of a savepoint, or null where there is none of that name any more. */
+    /** The engine's handle of a savepoint, or null if there is none of that name. */
     public H savepointHandle(Transaction<H> txn, String name) {
         return txn.savepoints.get(name);
     }
 
-    /**
-     * The transaction and name of a savepoint of this owner, which may be in any of its
-     * transactions.
-     */
+    /** The transaction of this owner that contains the savepoint, or null. */
     public Transaction<H> findBySavepoint(String owner, String name) {
         for (Transaction<H> txn : transactions.values()) {
             if (txn.owner.equals(owner) && txn.savepoints.containsKey(name)) {
@@ -252,7 +256,7 @@
         return null;
     }
 
-    /** Rolled back to: later ones are gone. Released: this one, too. */
+    /** Removes the savepoints after this one, and this one too if it was released. */
     public void savepointEnded(Transaction<H> txn, String name, boolean released) {
         List<String> names = new ArrayList<>(txn.savepoints.keySet());
         int at = names.indexOf(name);
@@ -261,9 +265,7 @@
         }
     }
 
-    // ---- Time and engines
-    // -----------------------------------------------------------------------------
-    /** The engine's process has ended. */
+    /** Ends the transactions of an engine whose process has ended. */
     public void engineLost(long now, long engine) {
         for (Transaction<H> txn : transactions.values()) {
             if (txn.engine == engine && txn.isLive()) {
@@ -275,7 +277,7 @@
         }
     }
 
-    /** The engine drains: what is left of the time is for ending its transactions. */
+    /** Starts the drain deadline for the transactions of an engine. */
     public void engineDraining(long now, long engine) {
         for (Transaction<H> txn : transactions.values()) {
             if (txn.engine == engine && txn.isLive() && txn.drainDeadline == 0) {
@@ -284,7 +286,7 @@
         }
     }
 
-    /** The engine takes work again: what the drain had not ended goes on. */
+    /** Clears the drain deadline of the transactions of an engine that accepts work again. */
     public void engineReady(long now, long engine) {
         for (Transaction<H> txn : transactions.values()) {
             if (txn.engine == engine && txn.isLive() && txn.drainDeadline > now) {
@@ -293,7 +295,7 @@
         }
     }
 
-    /** The client is gone: what it has open is to be rolled back. */
+    /** Marks the transactions of a disconnected client for rollback. */
     public void clientGone(long now, String owner) {
         for (Transaction<H> txn : transactions.values()) {
             if (txn.owner.equals(owner) && txn.isLive()) {
@@ -303,9 +305,8 @@
     }
 
     /**
-     * What has to be rolled back at its engine now, and counts as dead from here on: idle past its
-     * lease, left by its client, or on an engine whose drain leaves no more time. Ended ones are
-     * forgotten in time.
+     * Marks expired transactions dead and returns those that the caller must roll back at their
+     * engines: idle, abandoned, or past the drain deadline. Old tombstones are removed.
      */
     public List<Transaction<H>> takeExpired(long now) {
         List<Transaction<H>> out = new ArrayList<>();
@@ -313,18 +314,12 @@
             boolean drained = txn.drainDeadline > 0 && now >= txn.drainDeadline;
             if (txn.state == State.OPEN
                     && (drained || txn.abandoned || now - txn.lastUsedAt >= limits.idleTimeoutUs)) {
-                kill(
-                        now,
-                        txn,
-                        drained
-                                ? "its engine drained"
-                                : txn.abandoned
-                                        ? "it was left by its client"
-                                        : "it idled past its lease");
+                kill(now, txn, expiryReason(txn, drained));
                 out.add(txn);
             } else if (txn.isLive() && drained) {
                 boolean commit = txn.state == State.ENDING && txn.endingBy == Purpose.COMMIT;
-                if (!commit) { // A commit that is out has its answer, or none.
+                // A commit in flight is left to its reply or its loss.
+                if (!commit) {
                     kill(now, txn, "its engine drained");
                 }
             }
@@ -333,14 +328,24 @@
         return out;
     }
 
+    private static String expiryReason(Transaction<?> txn, boolean drained) {
+        if (drained) {
+            return "its engine drained";
+        }
+        return txn.abandoned ? "it was left by its client" : "it idled past its lease";
+    }
+
+    /** The number of live transactions. */
     public int openTransactions() {
         return (int) transactions.values().stream().filter(Transaction::isLive).count();
     }
 
+    /** The number of live transactions of an engine. */
     public int openOnEngine(long engine) {
         return countPerEngine.getOrDefault(engine, 0);
     }
 
+    /** The number of live and reserved transactions of a client. */
     public int openOfClient(String owner) {
         return countPerClient.getOrDefault(owner, 0);
     }
--- a/src/test/java/calicostream/flight/state/StatePropertyTest.java
+++ b/src/test/java/calicostream/flight/state/StatePropertyTest.java
@@ -25,31 +25,29 @@
 import net.jqwik.api.Provide;
 import net.jqwik.api.constraints.IntRange;
 
-/** The other decisions of the front, each against a model of a few lines. */
+/** Property tests of the decision classes, each compared with a small reference model. */
 class StatePropertyTest {
-    record Step3(int kind, int a, int b) {}
+    record Step(int kind, int a, int b) {}
 
     @Provide
-    Arbitrary<List<Step3>> steps() {
+    Arbitrary<List<Step>> steps() {
         return Combinators.combine(
                         Arbitraries.integers().between(0, 6),
                         Arbitraries.integers().between(0, 9),
                         Arbitraries.integers().between(0, 200))
-                .as(Step3::new)
+                .as(Step::new)
                 .list()
                 .ofMaxSize(150);
     }
 
-    // ---- Handles
-    // ----------------------------------------------------------------------------------------
     @Property(tries = 1000)
-    void handlesBelongToTheirOwnersWithinBounds(@ForAll("steps") List<Step3> steps) {
+    void handlesAreOwnedAndBounded(@ForAll("steps") List<Step> steps) {
         int[] made = new int[1];
         HandleTable<Integer> handles = new HandleTable<>(() -> "h" + made[0]++, 6, 3, 500);
         record Kept(String owner, int thing, long until) {}
         LinkedHashMap<String, Kept> model = new LinkedHashMap<>(16, 0.75f, true);
         long now = 0;
-        for (Step3 step : steps) {
+        for (Step step : steps) {
             now += step.b;
             String owner = "o" + step.a % 4;
             String name = "h" + step.a;
@@ -108,15 +106,13 @@
         }
     }
 
-    // ---- Prepared statements
-    // ----------------------------------------------------------------------------
     @Property(tries = 1000)
-    void anEnginesHandleServesOneAtATime(@ForAll("steps") List<Step3> steps) {
+    void engineHandleServesOneExecutionAtATime(@ForAll("steps") List<Step> steps) {
         PreparedStatement<String, String> statement = new PreparedStatement<>(null);
         Map<Long, Set<String>> lent = new HashMap<>();
         Map<Long, Set<String>> resting = new HashMap<>();
         int made = 0;
-        for (Step3 step : steps) {
+        for (Step step : steps) {
             long engine = step.a % 3;
             Set<String> out = lent.computeIfAbsent(engine, any -> new HashSet<>());
             Set<String> in = resting.computeIfAbsent(engine, any -> new HashSet<>());
@@ -157,7 +153,7 @@
     }
 
     @Property
-    void parametersAreTakenIfTheyFitAndOnlyThen(
+    void parametersAreAcceptedOnlyIfTheyMatch(
             @ForAll("types") List<String> wanted,
             @ForAll("types") List<String> got,
             @ForAll @IntRange(max = 2) int rows) {
@@ -170,10 +166,8 @@
         assertEquals(fits, fault == null, fault);
     }
 
-    // ---- Results
-    // ----------------------------------------------------------------------------------------
     @Property
-    void aResultIsHeldUpToItsBoundThenFlows(
+    void resultIsBufferedUpToItsLimitThenStreamed(
             @ForAll("sizes") List<Integer> sizes,
             @ForAll @IntRange(max = 300) int hold,
             @ForAll @IntRange(max = 900) int most,
@@ -207,19 +201,17 @@
     }
 
     @Example
-    void whereThereIsNoRoomTheStreamBeginsAtOnce() {
+    void streamStartsAtOnceWithoutMemory() {
         assertEquals(Decision.START_STREAM, new ResultBuffering(1000, 0, true).next(10, false));
         assertEquals(Decision.TOO_LONG, new ResultBuffering(1000, 0, false).next(10, false));
     }
 
-    // ---- Admission
-    // --------------------------------------------------------------------------------------
     @Property(tries = 500)
-    void boundsHoldWhateverComesAndGoes(@ForAll("steps") List<Step3> steps) {
+    void admissionLimitsHold(@ForAll("steps") List<Step> steps) {
         Admission admission = new Admission(8, 3, 1000, 5);
         Map<String, Integer> open = new HashMap<>();
         long held = 0;
-        for (Step3 step : steps) {
+        for (Step step : steps) {
             String client = "c" + step.a % 4;
             int his = open.getOrDefault(client, 0);
             int all = open.values().stream().mapToInt(n -> n).sum();
@@ -254,7 +246,7 @@
     }
 
     @Example
-    void streamsOverTheirBoundDoNotBegin() {
+    void streamsAboveTheLimitAreRejected() {
         Admission admission = new Admission(8, 3, 1000, 2);
         assertTrue(admission.beginStream() && admission.beginStream());
         assertFalse(admission.beginStream());
@@ -263,10 +255,8 @@
         assertEquals(2, admission.openStreams());
     }
 
-    // ---- Shared answers
-    // ---------------------------------------------------------------------------------
     @Property(tries = 1000)
-    void everyWaiterHearsOnceAndNoAnswerIsOlderThanAChange(@ForAll("steps") List<Step3> steps) {
+    void waitersAreNotifiedOnceAndValuesAreNeverStale(@ForAll("steps") List<Step> steps) {
         CoalescingCache<Integer, Long> shared = new CoalescingCache<>(300, 1000);
         record Attempt(String question, long epoch, long startedIn) {}
         List<Attempt> under = new ArrayList<>();
@@ -274,7 +264,7 @@
         int who = 0;
         long now = 0;
         long version = 0; // of the catalogs: an answer is the version that its attempt saw
-        for (Step3 step : steps) {
+        for (Step step : steps) {
             now += step.b / 4;
             String question = "q" + step.a % 3;
             if (step.kind <= 2) {
@@ -321,10 +311,8 @@
         }
     }
 
-    // ---- Progress, effects, sessions
-    // --------------------------------------------------------------------
     @Property
-    void progressNeverGoesBackAndWakesWhoWaits(@ForAll("shares") List<Double> shares) {
+    void progressIsMonotonicAndNotifiesWaiters(@ForAll("shares") List<Double> shares) {
         QueryPoll<Integer, String> progress = new QueryPoll<>(100);
         double best = 0;
         for (int i = 0; i < shares.size(); i++) {
@@ -350,7 +338,7 @@
     }
 
     @Example
-    void firstWordsTellWhatChangesCatalogs() {
+    void firstKeywordDetectsCatalogChanges() {
         for (String yes :
                 List.of(
                         "create table t",
@@ -373,7 +361,7 @@
     }
 
     @Example
-    void sessionsEndInTimeAndCheckTheirOptions() {
+    void sessionsExpireAndValidateOptions() {
         int[] made = new int[1];
         FlightSessions sessions =
                 new FlightSessions(() -> "s" + made[0]++, Set.of("lookup"), 2, 100);
--- a/src/test/java/calicostream/flight/state/TransactionsPropertyTest.java
+++ b/src/test/java/calicostream/flight/state/TransactionsPropertyTest.java
@@ -24,11 +24,11 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** Random lives of transactions against a model that only knows what was said to their clients. */
+/** Compares random transaction histories with a reference model of the replies to clients. */
 class TransactionsPropertyTest {
     private static final Limits BOUNDS = new Limits(3, 4, 1000, 100, 5000);
 
-    /** One thing that happens; {@code pick} chooses which transaction, owner or engine. */
+    /** One random operation; {@code pick} chooses which transaction, owner or engine. */
     record Step(int kind, int pick, int time) {}
 
     @Provide
@@ -42,12 +42,16 @@
                 .ofMaxSize(120);
     }
 
-    /** What a client has been told of its transaction. */
+    /** The state of a transaction as its client has observed it. */
     private static final class Known {
         final Transaction<String> txn;
-        boolean inUse, over, unknown, draining;
+        boolean inUse;
+        boolean over;
+        boolean unknown;
+        boolean draining;
         Purpose purpose;
-        long drainAt, usedAt;
+        long drainAt;
+        long usedAt;
 
         Known(Transaction<String> txn) {
             this.txn = txn;
@@ -55,7 +59,7 @@
     }
 
     @Property(tries = 2000)
-    void noTransactionDoesTwoThingsOrLivesOn(@ForAll("lives") List<Step> life) {
+    void operationsAreExclusiveAndEndedTransactionsStayEnded(@ForAll("lives") List<Step> life) {
         int[] names = new int[1];
         Transactions<String> all = new Transactions<>(() -> "n" + names[0]++, BOUNDS);
         List<Known> known = new ArrayList<>();
@@ -175,7 +179,7 @@
     }
 
     @Property
-    void nobodyElseFindsIt(@ForAll int a, @ForAll int b) {
+    void onlyTheOwnerFindsATransaction(@ForAll int a, @ForAll int b) {
         Transactions<String> all = new Transactions<>(() -> "name", BOUNDS);
         assertTrue(all.reserve("u" + a));
         all.begin(0, "u" + a, 1, "h");
@@ -183,7 +187,7 @@
     }
 
     @Property
-    void savepointsGoFromTheEndOn(@ForAll("cuts") int cut, @ForAll boolean release) {
+    void rollbackAndReleaseRemoveLaterSavepoints(@ForAll("cuts") int cut, @ForAll boolean release) {
         int[] names = new int[1];
         Transactions<String> all = new Transactions<>(() -> "n" + names[0]++, BOUNDS);
         assertTrue(all.reserve("o"));
