--- a/src/main/java/calicostream/platform/FrontEndServer.java
+++ b/src/main/java/calicostream/platform/FrontEndServer.java
@@ -364,7 +364,7 @@
         try {
             front.drain(restsUntil, last);
         } catch (IOException e) {
-            LOG.warn("listener: {}", e.toString());
+            LOG.warn("listener not closed: {}", e.toString());
         }
         loop.deadlines().add(loop.clock().now() + LOOK_AGAIN, this::retired, last + LAST_WORDS);
         // Deadlines may lie beyond SIGKILL, and a request that this process ends without an answer
