--- a/src/main/java/calicostream/flight/engine/EngineCall.java
+++ b/src/main/java/calicostream/flight/engine/EngineCall.java
@@ -59,10 +59,10 @@
         this.attempt = attempt;
         sent.merge(with);
         sent.put(
-                GrpcStatuses.CLASS,
+                GrpcStatuses.QUERY_CLASS,
                 engines.settings.classNames().get(attempt.request().queryClass()));
-        sent.put(GrpcStatuses.REQUEST, attempt.request().id());
-        sent.put(GrpcStatuses.URGENCY, Integer.toString(attempt.request().priority()));
+        sent.put(GrpcStatuses.REQUEST_ID, attempt.request().id());
+        sent.put(GrpcStatuses.PRIORITY, Integer.toString(attempt.request().priority()));
     }
 
     final void begin(ManagedChannel up) {
@@ -114,7 +114,7 @@
     /** The attempt has ended; the first end told counts. */
     final void finish(AttemptOutcome outcome, RequestResult result) {
         if (over.compareAndSet(false, true)) {
-            LoadReport report = GrpcStatuses.report(headers.get(), trailers.get());
+            LoadReport report = GrpcStatuses.loadReport(headers.get(), trailers.get());
             engines.loop.post(
                     () -> {
                         ended(outcome);
@@ -133,7 +133,7 @@
     /** The request has its final answer, and the engine no fault in it. */
     final void conclude(Status word) {
         if (over.compareAndSet(false, true)) {
-            LoadReport report = GrpcStatuses.report(headers.get(), trailers.get());
+            LoadReport report = GrpcStatuses.loadReport(headers.get(), trailers.get());
             engines.loop.post(
                     () -> {
                         ended(AttemptOutcome.CANCELLED);
@@ -163,7 +163,7 @@
     }
 
     AttemptOutcome outcome(Status status) {
-        return GrpcStatuses.outcome(status, trailers.get(), attempt.request().isNonIdempotent());
+        return GrpcStatuses.outcomeOf(status, trailers.get(), attempt.request().isNonIdempotent());
     }
 
     final boolean isOwnWord(Status status) {
--- a/src/main/java/calicostream/flight/engine/FlightEngineClient.java
+++ b/src/main/java/calicostream/flight/engine/FlightEngineClient.java
@@ -96,8 +96,9 @@
         return thread;
     }
 
-    Gateway gateway() {
-        return gateway;
+    @Override
+    protected Gateway gateway() {
+        return super.gateway();
     }
 
     /**
@@ -126,7 +127,7 @@
     public void send(Attempt attempt) {
         EngineCall call = callFor(attempt);
         attempt.setContext(call);
-        channels.start(attempt, call::begin);
+        channels().start(attempt, call::begin);
     }
 
     private EngineCall callFor(Attempt attempt) {
@@ -172,7 +173,7 @@
     }
 
     @Override
-    protected void cancel(Attempt attempt) {
+    protected void cancelSent(Attempt attempt) {
         if (attempt.context() instanceof EngineCall call) {
             call.context.cancel(null);
         }
@@ -245,13 +246,13 @@
 
     /** Ends all channels; for the end of the process and of tests. */
     public void close() {
-        channels.close();
+        channels().close();
         threads.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
     /** One action at one engine, now or never; its end is told on the loop. */
     public void act(long engine, String action, ByteString body, Consumer<Status> then) {
-        ManagedChannel channel = channels.ready(engine);
+        ManagedChannel channel = channels().readyChannel(engine);
         if (channel == null) {
             loop.runBeforeSelect(() -> then.accept(Status.UNAVAILABLE));
             return;
--- a/src/main/java/calicostream/flight/front/CallContext.java
+++ b/src/main/java/calicostream/flight/front/CallContext.java
@@ -36,9 +36,9 @@
     private boolean headersSent;
 
     private CallContext(Metadata headers, String remote) {
-        queryClass = headers.get(GrpcStatuses.CLASS);
+        queryClass = headers.get(GrpcStatuses.QUERY_CLASS);
         authorization = headers.get(AUTHORIZATION);
-        String given = headers.get(GrpcStatuses.REQUEST);
+        String given = headers.get(GrpcStatuses.REQUEST_ID);
         requestId = given != null && given.matches("[A-Za-z0-9._-]{1,64}") ? given : null;
         cookie = sessionOf(headers);
         this.remote = remote;
--- a/src/main/java/calicostream/flight/front/ServerCall.java
+++ b/src/main/java/calicostream/flight/front/ServerCall.java
@@ -85,7 +85,7 @@
             answered = true;
             Metadata trailers = new Metadata();
             if (stayAwayMs >= 0) {
-                trailers.put(GrpcStatuses.STAY_AWAY, Long.toString(stayAwayMs));
+                trailers.put(GrpcStatuses.RETRY_PUSHBACK, Long.toString(stayAwayMs));
             }
             out.onError(status.asRuntimeException(trailers));
         }
--- a/src/main/java/calicostream/grpc/EngineChannels.java
+++ b/src/main/java/calicostream/grpc/EngineChannels.java
@@ -17,151 +17,175 @@
 import java.util.function.Function;
 
 /**
- * A gRPC channel to each engine. An attempt starts only on a channel that is up: until then nothing
- * of it has gone out, so a failure to connect proves that it never ran, and a drain can still take
- * it back.
+ * Owns a gRPC channel to each engine. An attempt starts only on a channel that is ready: until then
+ * nothing of it has been sent, so a failure to connect proves that it never ran, and a drain can
+ * still cancel it. Only the event loop may call the methods.
  */
 public final class EngineChannels {
     private final SelectorLoop loop;
-    private final ConnectionSettings wiring;
+    private final ConnectionSettings settings;
     private final Function<InetSocketAddress, ManagedChannel> dial;
-    private final Map<Long, Peer> peers = new HashMap<>();
+    private final Map<Long, EngineChannel> engineChannels = new HashMap<>();
     private Gateway gateway;
 
-    private record Waiting(Attempt attempt, Consumer<ManagedChannel> begin) {}
+    /** An attempt that starts once its engine's channel is ready. */
+    private record WaitingAttempt(Attempt attempt, Consumer<ManagedChannel> starter) {}
 
-    private static final class Peer {
-        final InetSocketAddress address;
-        final ManagedChannel channel;
-        final List<Waiting> waiting = new ArrayList<>();
-        ConnectivityState seen;
+    /** The channel to one engine, with the attempts that wait for it. */
+    private static final class EngineChannel {
+        private final InetSocketAddress address;
+        private final ManagedChannel channel;
+        private final List<WaitingAttempt> waiting = new ArrayList<>();
+        private ConnectivityState lastState;
 
-        Peer(InetSocketAddress address, ManagedChannel channel) {
+        EngineChannel(InetSocketAddress address, ManagedChannel channel) {
             this.address = address;
             this.channel = channel;
         }
     }
 
-    /** The channels dialled must leave further attempts to the module: {@code disableRetry()}. */
+    /**
+     * Starts without channels.
+     *
+     * @param dial makes the channel to an address; retries are the router's, so the channel must
+     *     have {@code disableRetry()}
+     */
     public EngineChannels(
             SelectorLoop loop,
-            ConnectionSettings wiring,
+            ConnectionSettings settings,
             Function<InetSocketAddress, ManagedChannel> dial) {
         this.loop = loop;
-        this.wiring = wiring;
+        this.settings = settings;
         this.dial = dial;
     }
 
-    public void attach(Gateway to) {
-        gateway = to;
+    /** Sets where starts and failures of attempts are reported; called before anything else. */
+    public void attach(Gateway newGateway) {
+        gateway = newGateway;
     }
 
-    public void locate(long engine, InetSocketAddress address) {
-        Peer old = peers.get(engine);
+    /** Sets where an engine listens; a changed address replaces its channel. */
+    public void setAddress(long engine, InetSocketAddress address) {
+        EngineChannel old = engineChannels.get(engine);
         if (old == null || !old.address.equals(address)) {
             replace(engine, old, address);
         }
     }
 
-    private void replace(long engine, Peer old, InetSocketAddress address) {
-        peers.put(engine, new Peer(address, dial.apply(address)));
+    private void replace(long engine, EngineChannel old, InetSocketAddress address) {
+        engineChannels.put(engine, new EngineChannel(address, dial.apply(address)));
         if (old != null) {
-            takeBack(old);
-            old.channel.shutdown(); // What runs on it may finish.
+            failWaiting(old);
+            // An orderly shutdown: calls in flight may complete.
+            old.channel.shutdown();
         }
     }
 
-    /** New calls go by a new channel. */
-    public void renewed(long engine) {
-        Peer old = peers.get(engine);
+    /** Replaces the channel of an engine, so that new calls use no connection from before. */
+    public void engineReinstated(long engine) {
+        EngineChannel old = engineChannels.get(engine);
         if (old != null) {
             replace(engine, old, old.address);
         }
     }
 
-    /** Runs {@code begin} once the engine's channel is up, or ends the attempt as never sent. */
-    public void start(Attempt attempt, Consumer<ManagedChannel> begin) {
-        Peer peer = peers.get(attempt.engine());
-        if (peer == null) {
+    /**
+     * Runs {@code starter} once the engine's channel is ready, or ends the attempt as {@link
+     * AttemptOutcome#CONNECT_FAILED}.
+     */
+    public void start(Attempt attempt, Consumer<ManagedChannel> starter) {
+        EngineChannel target = engineChannels.get(attempt.engine());
+        if (target == null) {
             gateway.attemptEnded(attempt, AttemptOutcome.CONNECT_FAILED, null, null);
-        } else if (peer.channel.getState(true) == ConnectivityState.READY) {
-            begin(peer, attempt, begin);
+        } else if (target.channel.getState(true) == ConnectivityState.READY) {
+            startNow(target, new WaitingAttempt(attempt, starter));
         } else {
-            Waiting waiting = new Waiting(attempt, begin);
-            peer.waiting.add(waiting);
-            peer.channel.resetConnectBackoff();
-            watch(peer);
-            long patience = loop.clock().now() + wiring.dialTimeoutUs();
-            loop.deadlines().add(patience, (now, ref) -> fail(peer, waiting), 0);
+            startWhenReady(target, new WaitingAttempt(attempt, starter));
         }
     }
 
-    /** The engine's channel if it is up now, else null. */
-    public ManagedChannel ready(long engine) {
-        Peer peer = peers.get(engine);
-        return peer != null && peer.channel.getState(false) == ConnectivityState.READY
-                ? peer.channel
-                : null;
+    private void startNow(EngineChannel target, WaitingAttempt ready) {
+        ready.starter.accept(target.channel);
+        // gRPC does not report the write itself: a start on a ready channel counts as one.
+        gateway.attemptWritten(ready.attempt);
     }
 
-    /** Whether the attempt had not gone out, and now will not. */
-    public boolean takeBack(Attempt attempt) {
-        Peer peer = peers.get(attempt.engine());
-        return peer != null && peer.waiting.removeIf(each -> each.attempt == attempt);
+    private void startWhenReady(EngineChannel target, WaitingAttempt waiting) {
+        target.waiting.add(waiting);
+        target.channel.resetConnectBackoff();
+        watchState(target);
+        long dialDeadline = loop.clock().now() + settings.dialTimeoutUs();
+        loop.deadlines().add(dialDeadline, (now, reference) -> failIfWaiting(target, waiting), 0);
     }
 
-    public void withdrawn(long engine) {
-        Peer peer = peers.get(engine);
-        if (peer != null) {
-            takeBack(peer);
+    /** The engine's channel if it is ready now, else null. */
+    public ManagedChannel readyChannel(long engine) {
+        EngineChannel target = engineChannels.get(engine);
+        if (target == null || target.channel.getState(false) != ConnectivityState.READY) {
+            return null;
         }
+        return target.channel;
     }
 
     /**
-     * The channel ends with its engine, and so do its calls: a machine cut off would never end
-     * them.
+     * Cancels an attempt that waits for its channel.
+     *
+     * @return false: it does not wait, so it may have been sent
      */
-    public void gone(long engine) {
-        Peer peer = peers.remove(engine);
-        if (peer != null) {
-            takeBack(peer);
-            peer.channel.shutdownNow();
+    public boolean cancelUnsent(Attempt attempt) {
+        EngineChannel target = engineChannels.get(attempt.engine());
+        return target != null && target.waiting.removeIf(each -> each.attempt == attempt);
+    }
+
+    /** Ends the attempts that wait for the channel of a draining engine. */
+    public void engineDraining(long engine) {
+        EngineChannel target = engineChannels.get(engine);
+        if (target != null) {
+            failWaiting(target);
         }
     }
 
-    public void close() {
-        peers.values().forEach(peer -> peer.channel.shutdownNow());
+    /**
+     * Closes the channel of a removed engine at once and its calls with it: calls to a machine that
+     * is cut off would never end by themselves.
+     */
+    public void engineRemoved(long engine) {
+        EngineChannel removed = engineChannels.remove(engine);
+        if (removed != null) {
+            failWaiting(removed);
+            removed.channel.shutdownNow();
+        }
     }
 
-    private void begin(Peer peer, Attempt attempt, Consumer<ManagedChannel> begin) {
-        begin.accept(peer.channel);
-        gateway.attemptWritten(
-                attempt); // gRPC tells no more than that the call went to a channel which is up.
+    /** Closes all channels at once, with their calls. */
+    public void close() {
+        engineChannels.values().forEach(each -> each.channel.shutdownNow());
     }
 
-    private void takeBack(Peer peer) {
-        List.copyOf(peer.waiting).forEach(each -> fail(peer, each));
+    private void failWaiting(EngineChannel target) {
+        List.copyOf(target.waiting).forEach(each -> failIfWaiting(target, each));
     }
 
-    private void fail(Peer peer, Waiting waiting) {
-        if (peer.waiting.remove(waiting)) {
+    private void failIfWaiting(EngineChannel target, WaitingAttempt waiting) {
+        if (target.waiting.remove(waiting)) {
             gateway.attemptEnded(waiting.attempt, AttemptOutcome.CONNECT_FAILED, null, null);
         }
     }
 
-    private void watch(Peer peer) {
-        ConnectivityState state = peer.channel.getState(true);
+    /** Acts on the channel's state, and again on each change while attempts wait for it. */
+    private void watchState(EngineChannel target) {
+        ConnectivityState state = target.channel.getState(true);
         if (state == ConnectivityState.READY) {
-            List<Waiting> ready = List.copyOf(peer.waiting);
-            peer.waiting.clear();
-            ready.forEach(each -> begin(peer, each.attempt, each.begin));
+            List<WaitingAttempt> ready = List.copyOf(target.waiting);
+            target.waiting.clear();
+            ready.forEach(each -> startNow(target, each));
         } else if (state == ConnectivityState.TRANSIENT_FAILURE
-                && peer.seen == ConnectivityState.CONNECTING) {
-            takeBack(peer);
+                && target.lastState == ConnectivityState.CONNECTING) {
+            failWaiting(target);
         }
-        peer.seen = state;
-        if (!peer.waiting.isEmpty()) {
-            peer.channel.notifyWhenStateChanged(state, () -> loop.post(() -> watch(peer)));
+        target.lastState = state;
+        if (!target.waiting.isEmpty()) {
+            target.channel.notifyWhenStateChanged(state, () -> loop.post(() -> watchState(target)));
         }
     }
 }
--- a/src/main/java/calicostream/grpc/GrpcEngineClient.java
+++ b/src/main/java/calicostream/grpc/GrpcEngineClient.java
@@ -6,53 +6,67 @@
 import calicostream.core.Gateway;
 import java.net.InetSocketAddress;
 
-/** An engine side over gRPC; a kind of call adds how an attempt begins and how it is called off. */
+/**
+ * An engine client over gRPC; a subclass adds how an attempt starts and how it is cancelled. The
+ * gateway's thread makes all calls.
+ */
 public abstract class GrpcEngineClient implements EngineClient {
-    protected final EngineChannels channels;
-    protected Gateway gateway;
+    private final EngineChannels channels;
+    private Gateway gateway;
 
+    /** Uses these channels and attaches them to the gateway that it is attached to itself. */
     protected GrpcEngineClient(EngineChannels channels) {
         this.channels = channels;
     }
 
-    /** Calls an attempt off that has gone out. */
-    protected abstract void cancel(Attempt attempt);
+    /** Cancels an attempt that has been sent. */
+    protected abstract void cancelSent(Attempt attempt);
+
+    /** The channels to the engines. */
+    protected final EngineChannels channels() {
+        return channels;
+    }
+
+    /** The gateway, or null before {@link #attach}. */
+    protected Gateway gateway() {
+        return gateway;
+    }
 
     @Override
-    public void attach(Gateway to) {
-        gateway = to;
-        channels.attach(to);
+    public void attach(Gateway newGateway) {
+        gateway = newGateway;
+        channels.attach(newGateway);
     }
 
     @Override
     public void setAddress(long engine, InetSocketAddress address) {
-        channels.locate(engine, address);
+        channels.setAddress(engine, address);
     }
 
     @Override
     public void stop(Attempt attempt) {
-        if (!channels.takeBack(attempt)) {
-            cancel(attempt);
+        if (!channels.cancelUnsent(attempt)) {
+            cancelSent(attempt);
         }
     }
 
     @Override
     public void priorityChanged(Attempt attempt) {
-        // gRPC has no word for the priority of a call that runs; the next attempt carries it.
+        // gRPC cannot change the priority of a call in flight; the next attempt carries it.
     }
 
     @Override
     public void engineDraining(long engine) {
-        channels.withdrawn(engine);
+        channels.engineDraining(engine);
     }
 
     @Override
     public void engineReinstated(long engine) {
-        channels.renewed(engine);
+        channels.engineReinstated(engine);
     }
 
     @Override
     public void engineRemoved(long engine) {
-        channels.gone(engine);
+        channels.engineRemoved(engine);
     }
 }
--- a/src/main/java/calicostream/grpc/GrpcStatuses.java
+++ b/src/main/java/calicostream/grpc/GrpcStatuses.java
@@ -6,31 +6,36 @@
 import io.grpc.Metadata;
 import io.grpc.Status;
 
-/** What gRPC's statuses, headers and trailers mean to the core. */
+/** The names and the meaning of the gRPC statuses, headers and trailers that calls carry. */
 public final class GrpcStatuses {
-    /** On a call: its class of query, by name. */
-    public static final String CLASS_NAME = "calicostream-class";
+    /** Name of {@link #QUERY_CLASS}. */
+    public static final String QUERY_CLASS_HEADER = "calicostream-class";
 
-    public static final Metadata.Key<String> CLASS = key(CLASS_NAME);
+    /** Header of a call and of an attempt: the name of the query class. */
+    public static final Metadata.Key<String> QUERY_CLASS = key(QUERY_CLASS_HEADER);
 
-    /** On an attempt: the request's id, the same on each of its attempts. */
-    public static final Metadata.Key<String> REQUEST = key("x-request-id");
+    /** Header of an attempt: the request's id, the same on each attempt of the request. */
+    public static final Metadata.Key<String> REQUEST_ID = key("x-request-id");
 
-    /** On an attempt: its priority, 0 to 3. */
-    public static final Metadata.Key<String> URGENCY = key("calicostream-urgency");
+    /** Header of an attempt: its priority, 0 to 3. */
+    public static final Metadata.Key<String> PRIORITY = key("calicostream-urgency");
 
-    /** On an engine's RESOURCE_EXHAUSTED: "true" proves that the statement never ran. */
+    /** Trailer of RESOURCE_EXHAUSTED: "true" proves that the statement never ran. */
     public static final Metadata.Key<String> NEVER_RAN = key("calicostream-never-ran");
 
-    /** On an engine's answer: its load report, in ORCA's text form. */
-    public static final Metadata.Key<String> LOAD = key("endpoint-load-metrics");
+    /** Header or trailer of an engine's response: its load report, in ORCA's text form. */
+    public static final Metadata.Key<String> LOAD_REPORT = key("endpoint-load-metrics");
 
-    /** On a refusal: for how many milliseconds to stay away; gRPC's own name for that. */
-    public static final String STAY_AWAY_NAME = "grpc-retry-pushback-ms";
+    /** Name of {@link #RETRY_PUSHBACK}, which gRPC defines. */
+    public static final String RETRY_PUSHBACK_HEADER = "grpc-retry-pushback-ms";
 
-    public static final Metadata.Key<String> STAY_AWAY = key(STAY_AWAY_NAME);
-    private static final String REPORT_FORM = "TEXT ";
-    private static final String NAMED = "named_metrics.";
+    /** Trailer of a rejection: the retry-after time in milliseconds. */
+    public static final Metadata.Key<String> RETRY_PUSHBACK = key(RETRY_PUSHBACK_HEADER);
+
+    private static final String ORCA_TEXT_PREFIX = "TEXT ";
+    private static final String NAMED_METRIC_PREFIX = "named_metrics.";
+    private static final String CPU_UTILIZATION = "cpu_utilization";
+    private static final String UTILIZATION_COLUMN = "util";
 
     private GrpcStatuses() {}
 
@@ -39,15 +44,19 @@
     }
 
     /**
-     * The outcome that a failed call proves. RESOURCE_EXHAUSTED is also what an engine says that
-     * ran out of memory half-way, so for a query that must not run twice it counts as "full" only
-     * with the trailer.
+     * The outcome that the status of a failed call proves. An engine that runs out of memory in the
+     * middle of a query also ends it as RESOURCE_EXHAUSTED, so for a non-idempotent query that
+     * means "overloaded" only with the trailer {@link #NEVER_RAN}.
+     *
+     * @param trailers the call's trailers, or null
      */
-    public static AttemptOutcome outcome(Status status, Metadata trailers, boolean once) {
+    public static AttemptOutcome outcomeOf(
+            Status status, Metadata trailers, boolean isNonIdempotent) {
         switch (status.getCode()) {
             case RESOURCE_EXHAUSTED:
-                boolean proven = trailers != null && "true".equals(trailers.get(NEVER_RAN));
-                return proven || !once ? AttemptOutcome.OVERLOADED : AttemptOutcome.ERROR;
+                return isNonIdempotent && !provesNeverRan(trailers)
+                        ? AttemptOutcome.ERROR
+                        : AttemptOutcome.OVERLOADED;
             case DEADLINE_EXCEEDED:
                 return AttemptOutcome.TIMEOUT;
             case CANCELLED:
@@ -59,32 +68,54 @@
         }
     }
 
+    private static boolean provesNeverRan(Metadata trailers) {
+        return trailers != null && "true".equals(trailers.get(NEVER_RAN));
+    }
+
     /**
      * The load report in ORCA's text form, {@code TEXT
-     * cpu_utilization=0.6,named_metrics.inflight=7}, or null.
+     * cpu_utilization=0.6,named_metrics.inflight=7}; one in the trailers goes before one in the
+     * headers.
+     *
+     * @param headers the response's headers, or null
+     * @param trailers the response's trailers, or null
+     * @return null if there is no report or it is malformed
      */
-    public static LoadReport report(Metadata headers, Metadata trailers) {
-        String late = trailers == null ? null : trailers.get(LOAD);
-        String text = late != null || headers == null ? late : headers.get(LOAD);
-        if (text == null || !text.startsWith(REPORT_FORM)) {
+    public static LoadReport loadReport(Metadata headers, Metadata trailers) {
+        String text = loadReportText(headers, trailers);
+        if (text == null || !text.startsWith(ORCA_TEXT_PREFIX)) {
             return null;
         }
-        LoadReport out = LoadReport.EMPTY;
-        for (String pair : text.substring(REPORT_FORM.length()).split(",")) {
-            int at = pair.indexOf('=');
-            String name = at < 0 ? "" : pair.substring(0, at).trim();
-            try {
-                double value = Double.parseDouble(pair.substring(at + 1).trim());
-                out =
-                        name.equals("cpu_utilization")
-                                ? out.withColumn("util", value)
-                                : name.startsWith(NAMED)
-                                        ? out.withColumn(name.substring(NAMED.length()), value)
-                                        : out;
-            } catch (NumberFormatException e) {
-                return null;
+        LoadReport report = LoadReport.EMPTY;
+        try {
+            for (String pair : text.substring(ORCA_TEXT_PREFIX.length()).split(",")) {
+                report = withMetric(report, pair);
             }
+        } catch (NumberFormatException e) {
+            return null;
+        }
+        return report;
+    }
+
+    private static String loadReportText(Metadata headers, Metadata trailers) {
+        String inTrailers = trailers == null ? null : trailers.get(LOAD_REPORT);
+        if (inTrailers != null || headers == null) {
+            return inTrailers;
+        }
+        return headers.get(LOAD_REPORT);
+    }
+
+    /** Adds a pair {@code name=value}; the value of an unknown name must be a number, too. */
+    private static LoadReport withMetric(LoadReport report, String pair) {
+        int separator = pair.indexOf('=');
+        String name = separator < 0 ? "" : pair.substring(0, separator).trim();
+        double value = Double.parseDouble(pair.substring(separator + 1).trim());
+        if (name.equals(CPU_UTILIZATION)) {
+            return report.withColumn(UTILIZATION_COLUMN, value);
+        }
+        if (name.startsWith(NAMED_METRIC_PREFIX)) {
+            return report.withColumn(name.substring(NAMED_METRIC_PREFIX.length()), value);
         }
-        return out;
+        return report;
     }
 }
--- a/src/test/java/calicostream/flight/suite/HardCasesTest.java
+++ b/src/test/java/calicostream/flight/suite/HardCasesTest.java
@@ -723,7 +723,7 @@
 
     private StreamObserver<Flight.FlightData> put(CompletableFuture<String> end) {
         Metadata headers = new Metadata();
-        headers.put(calicostream.grpc.GrpcStatuses.CLASS, "stat-load");
+        headers.put(calicostream.grpc.GrpcStatuses.QUERY_CLASS, "stat-load");
         return FlightServiceGrpc.newStub(channel())
                 .withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers))
                 .doPut(
@@ -951,7 +951,7 @@
                         StatusRuntimeException.class,
                         () -> RawFlightClient.ticket(channel, "select rows=1"));
         assertEquals(Status.Code.UNAVAILABLE, told.getStatus().getCode());
-        assertTrue(told.getTrailers().containsKey(calicostream.grpc.GrpcStatuses.STAY_AWAY));
+        assertTrue(told.getTrailers().containsKey(calicostream.grpc.GrpcStatuses.RETRY_PUSHBACK));
         assertEquals(
                 1,
                 FlightServiceGrpc.newBlockingStub(channel())
@@ -966,7 +966,7 @@
         script.next("poll", Act.ANSWERS).always("poll", Act.HANGS);
         Metadata headers = new Metadata();
         headers.put(
-                calicostream.grpc.GrpcStatuses.CLASS,
+                calicostream.grpc.GrpcStatuses.QUERY_CLASS,
                 "report"); // Time enough to have them all there on a slow machine, too.
         FlightServiceGrpc.FlightServiceBlockingStub stub =
                 FlightServiceGrpc.newBlockingStub(channel())
@@ -1019,7 +1019,7 @@
     void sameRequestIdOnBothFrontsIsTwoRequests() throws Exception {
         start(1);
         Metadata headers = new Metadata();
-        headers.put(calicostream.grpc.GrpcStatuses.REQUEST, "same-id");
+        headers.put(calicostream.grpc.GrpcStatuses.REQUEST_ID, "same-id");
         FlightServiceGrpc.FlightServiceBlockingStub stub =
                 FlightServiceGrpc.newBlockingStub(channel())
                         .withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers));
--- a/src/test/java/calicostream/flight/suite/RawFlightClient.java
+++ b/src/test/java/calicostream/flight/suite/RawFlightClient.java
@@ -58,7 +58,7 @@
     /** The same, of a class. */
     static Flight.Ticket ticket(Channel channel, String sql, String queryClass) {
         Metadata headers = new Metadata();
-        headers.put(GrpcStatuses.CLASS, queryClass);
+        headers.put(GrpcStatuses.QUERY_CLASS, queryClass);
         return ticket(
                 ClientInterceptors.intercept(
                         channel, MetadataUtils.newAttachHeadersInterceptor(headers)),
--- a/src/test/java/calicostream/grpc/BalancingChannelTest.java
+++ b/src/test/java/calicostream/grpc/BalancingChannelTest.java
@@ -34,12 +34,12 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The plug-in before stand-in gRPC servers. */
+/** {@link BalancingChannel} against fake gRPC engines. */
 class BalancingChannelTest {
     private static final MethodDescriptor<StringValue, StringValue> RUN =
             MethodDescriptor.<StringValue, StringValue>newBuilder()
                     .setType(MethodDescriptor.MethodType.UNARY)
-                    .setFullMethodName("stand.Engine/Run")
+                    .setFullMethodName("fake.Engine/Run")
                     .setRequestMarshaller(ProtoUtils.marshaller(StringValue.getDefaultInstance()))
                     .setResponseMarshaller(ProtoUtils.marshaller(StringValue.getDefaultInstance()))
                     .build();
@@ -76,14 +76,14 @@
                                         .directExecutor()
                                         .build(),
                         RequestListener.NONE);
-        List<EngineEndpoint> roster = new ArrayList<>();
+        List<EngineEndpoint> endpoints = new ArrayList<>();
         Map<Long, InetSocketAddress> addresses = new HashMap<>();
         for (UnaryOperator<String> engine : engines) {
             Server server =
                     NettyServerBuilder.forAddress(
                                     new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                             .addService(
-                                    ServerServiceDefinition.builder("stand.Engine")
+                                    ServerServiceDefinition.builder("fake.Engine")
                                             .addMethod(
                                                     RUN,
                                                     ServerCalls.asyncUnaryCall(
@@ -105,11 +105,11 @@
                             .start();
             servers.add(server);
             long id = servers.size();
-            roster.add(new EngineEndpoint(id, 0, 0, 0, 0, EngineLifecycle.READY));
+            endpoints.add(new EngineEndpoint(id, 0, 0, 0, 0, EngineLifecycle.READY));
             addresses.put(
                     id, new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getPort()));
         }
-        channel.roster(EndpointUpdate.COMPLETE, roster, addresses);
+        channel.endpointsChanged(EndpointUpdate.COMPLETE, endpoints, addresses);
     }
 
     private String call(String queryClass, long waitMs) {
@@ -131,21 +131,21 @@
     }
 
     @Test
-    void aCallIsServed() throws Exception {
+    void callIsServed() throws Exception {
         start(List.of(x -> x + " done"));
         assertEquals("x done", call("look", 8000));
         assertEquals(1, runs.get());
     }
 
     @Test
-    void aReadGoesToAnotherEngineAndALoadDoesNot() throws Exception {
-        AtomicInteger tries = new AtomicInteger();
+    void idempotentCallIsRetriedAndNonIdempotentCallIsNot() throws Exception {
+        AtomicInteger attempts = new AtomicInteger();
         UnaryOperator<String> first =
-                x -> tries.incrementAndGet() == 1 ? unavailable(x) : x + " done";
+                x -> attempts.incrementAndGet() == 1 ? unavailable(x) : x + " done";
         start(List.of(first, first));
         assertEquals("x done", call("look", 8000));
         assertEquals(2, runs.get());
-        tries.set(0);
+        attempts.set(0);
         assertEquals(
                 Status.Code.UNAVAILABLE,
                 assertThrows(StatusRuntimeException.class, () -> call("load", 8000))
@@ -155,16 +155,16 @@
     }
 
     @Test
-    void withNoEngineItIsRefusedWithAWait() throws Exception {
+    void callWithoutEnginesIsRejectedWithRetryAfter() throws Exception {
         start(List.of());
-        StatusRuntimeException refused =
+        StatusRuntimeException rejection =
                 assertThrows(StatusRuntimeException.class, () -> call("look", 8000));
-        assertEquals(Status.Code.UNAVAILABLE, refused.getStatus().getCode());
-        assertTrue(Long.parseLong(refused.getTrailers().get(GrpcStatuses.STAY_AWAY)) > 0);
+        assertEquals(Status.Code.UNAVAILABLE, rejection.getStatus().getCode());
+        assertTrue(Long.parseLong(rejection.getTrailers().get(GrpcStatuses.RETRY_PUSHBACK)) > 0);
     }
 
     @Test
-    void aCallWithoutAClassIsMalformed() throws Exception {
+    void callWithUnknownClassIsInvalid() throws Exception {
         start(List.of(x -> x));
         assertEquals(
                 Status.Code.INVALID_ARGUMENT,
