--- a/src/test/java/calicostream/flight/state/StatePropertyTest.java
+++ b/src/test/java/calicostream/flight/state/StatePropertyTest.java
@@ -44,7 +44,7 @@
     void handlesAreOwnedAndBounded(@ForAll("steps") List<Step> steps) {
         int[] made = new int[1];
         HandleTable<Integer> handles = new HandleTable<>(() -> "h" + made[0]++, 6, 3, 500);
-        record Kept(String owner, int thing, long until) {}
+        record Kept(String owner, int value, long until) {}
         LinkedHashMap<String, Kept> model = new LinkedHashMap<>(16, 0.75f, true);
         long now = 0;
         for (Step step : steps) {
@@ -57,9 +57,9 @@
                 case 1:
                 case 2:
                     StringBuilder got = new StringBuilder();
-                    int thing = made[0];
-                    List<Integer> gone = handles.put(now, owner, thing, got);
-                    List<Integer> wanted = new ArrayList<>();
+                    int value = made[0];
+                    List<Integer> gone = handles.put(now, owner, value, got);
+                    List<Integer> expected = new ArrayList<>();
                     boolean full =
                             model.values().stream().filter(k -> k.owner.equals(owner)).count() >= 3;
                     if (full || model.size() >= 6) {
@@ -69,10 +69,10 @@
                                         .findFirst()
                                         .orElseThrow()
                                         .getKey();
-                        wanted.add(model.remove(first).thing);
+                        expected.add(model.remove(first).value);
                     }
-                    assertEquals(wanted, gone);
-                    model.put(got.toString(), new Kept(owner, thing, now + 500));
+                    assertEquals(expected, gone);
+                    model.put(got.toString(), new Kept(owner, value, now + 500));
                     break;
                 case 3:
                 case 4:
@@ -80,24 +80,24 @@
                         Kept kept = model.containsKey(name) ? model.get(name) : null;
                         boolean there =
                                 kept != null && kept.owner.equals(owner) && kept.until > now;
-                        assertEquals(there ? kept.thing : null, handles.get(now, owner, name));
+                        assertEquals(there ? kept.value : null, handles.get(now, owner, name));
                         if (there) {
-                            model.put(name, new Kept(owner, kept.thing, now + 500));
+                            model.put(name, new Kept(owner, kept.value, now + 500));
                         }
                         break;
                     }
                 case 5:
                     {
                         Set<Integer> due = new HashSet<>();
-                        model.values().removeIf(k -> k.until <= at && due.add(k.thing));
+                        model.values().removeIf(k -> k.until <= at && due.add(k.value));
                         assertEquals(due, new HashSet<>(handles.expire(now)));
                         break;
                     }
                 default:
                     {
-                        Set<Integer> his = new HashSet<>();
-                        model.values().removeIf(k -> k.owner.equals(owner) && his.add(k.thing));
-                        assertEquals(his, new HashSet<>(handles.removeAll(owner)));
+                        Set<Integer> owned = new HashSet<>();
+                        model.values().removeIf(k -> k.owner.equals(owner) && owned.add(k.value));
+                        assertEquals(owned, new HashSet<>(handles.removeAll(owner)));
                         break;
                     }
             }
@@ -109,13 +109,13 @@
     @Property(tries = 1000)
     void engineHandleServesOneExecutionAtATime(@ForAll("steps") List<Step> steps) {
         PreparedStatement<String, String> statement = new PreparedStatement<>(null);
-        Map<Long, Set<String>> lent = new HashMap<>();
-        Map<Long, Set<String>> resting = new HashMap<>();
+        Map<Long, Set<String>> acquired = new HashMap<>();
+        Map<Long, Set<String>> idle = new HashMap<>();
         int made = 0;
         for (Step step : steps) {
             long engine = step.a % 3;
-            Set<String> out = lent.computeIfAbsent(engine, any -> new HashSet<>());
-            Set<String> in = resting.computeIfAbsent(engine, any -> new HashSet<>());
+            Set<String> out = acquired.computeIfAbsent(engine, any -> new HashSet<>());
+            Set<String> in = idle.computeIfAbsent(engine, any -> new HashSet<>());
             if (step.kind <= 3) {
                 String handle = statement.acquire(engine);
                 assertEquals(in.isEmpty(), handle == null);
@@ -124,7 +124,7 @@
                 } else {
                     assertTrue(in.remove(handle));
                 }
-                assertTrue(out.add(handle), "lent to one only");
+                assertTrue(out.add(handle), "a handle serves one execution");
             } else if (step.kind <= 5 && !out.isEmpty()) {
                 String handle = out.iterator().next();
                 out.remove(handle);
@@ -141,9 +141,9 @@
         Set<String> toClose = new HashSet<>();
         statement.close().forEach(each -> toClose.add(each.handle()));
         Set<String> rest = new HashSet<>();
-        resting.values().forEach(rest::addAll);
+        idle.values().forEach(rest::addAll);
         assertEquals(rest, toClose);
-        assertFalse(statement.release(1, "late"), "what comes back late is closed");
+        assertFalse(statement.release(1, "late"), "a handle released late is closed");
         assertNull(statement.acquire(1));
     }
 
@@ -154,12 +154,12 @@
 
     @Property
     void parametersAreAcceptedOnlyIfTheyMatch(
-            @ForAll("types") List<String> wanted,
+            @ForAll("types") List<String> expected,
             @ForAll("types") List<String> got,
             @ForAll @IntRange(max = 2) int rows) {
         PreparedStatement<String, String> statement =
-                new PreparedStatement<>(wanted.stream().map(t -> new Parameter("p", t)).toList());
-        boolean fits = wanted.equals(got) && (wanted.isEmpty() || rows > 0);
+                new PreparedStatement<>(expected.stream().map(t -> new Parameter("p", t)).toList());
+        boolean fits = expected.equals(got) && (expected.isEmpty() || rows > 0);
         String fault =
                 statement.parameterError(
                         got.stream().map(t -> new Parameter("q", t)).toList(), rows);
@@ -169,32 +169,46 @@
     @Property
     void resultIsBufferedUpToItsLimitThenStreamed(
             @ForAll("sizes") List<Integer> sizes,
-            @ForAll @IntRange(max = 300) int hold,
-            @ForAll @IntRange(max = 900) int most,
-            @ForAll boolean mayBegin) {
-        ResultBuffering gate = new ResultBuffering(hold, most, mayBegin);
+            @ForAll @IntRange(max = 300) int maxBuffered,
+            @ForAll @IntRange(max = 900) int maxResult,
+            @ForAll boolean mayStream) {
+        ResultBuffering buffering = new ResultBuffering(maxBuffered, maxResult, mayStream);
         long seen = 0;
-        boolean begun = false;
+        boolean streaming = false;
         for (int size : sizes) {
             seen += size;
-            Decision wanted =
-                    most > 0 && seen > most
-                            ? Decision.TOO_LONG
-                            : begun
-                                    ? Decision.FORWARD
-                                    : seen <= hold
-                                            ? Decision.BUFFER
-                                            : mayBegin ? Decision.START_STREAM : Decision.TOO_LONG;
-            assertEquals(wanted, gate.next(size, true));
-            begun |= wanted == Decision.START_STREAM;
-            assertEquals(begun, gate.isStreaming());
-            if (wanted == Decision.TOO_LONG) {
-                assertEquals(most > 0 && seen > most ? most : hold, gate.exceededLimit());
+            Decision expected =
+                    expectedBuffering(
+                            maxResult > 0 && seen > maxResult,
+                            streaming,
+                            seen <= maxBuffered,
+                            mayStream);
+            assertEquals(expected, buffering.next(size, true));
+            streaming |= expected == Decision.START_STREAM;
+            assertEquals(streaming, buffering.isStreaming());
+            if (expected == Decision.TOO_LONG) {
+                assertEquals(
+                        maxResult > 0 && seen > maxResult ? maxResult : maxBuffered,
+                        buffering.exceededLimit());
                 return;
             }
         }
     }
 
+    private static Decision expectedBuffering(
+            boolean overLimit, boolean streaming, boolean fitsBuffer, boolean mayStream) {
+        if (overLimit) {
+            return Decision.TOO_LONG;
+        }
+        if (streaming) {
+            return Decision.FORWARD;
+        }
+        if (fitsBuffer) {
+            return Decision.BUFFER;
+        }
+        return mayStream ? Decision.START_STREAM : Decision.TOO_LONG;
+    }
+
     @Provide
     Arbitrary<List<Integer>> sizes() {
         return Arbitraries.integers().between(0, 200).list().ofMaxSize(12);
@@ -210,41 +224,50 @@
     void admissionLimitsHold(@ForAll("steps") List<Step> steps) {
         Admission admission = new Admission(8, 3, 1000, 5);
         Map<String, Integer> open = new HashMap<>();
-        long held = 0;
+        long bytesInUse = 0;
         for (Step step : steps) {
             String client = "c" + step.a % 4;
-            int his = open.getOrDefault(client, 0);
+            int owned = open.getOrDefault(client, 0);
             int all = open.values().stream().mapToInt(n -> n).sum();
             if (step.kind <= 3) {
-                Admission.Decision wanted =
-                        all >= 8
-                                ? Admission.Decision.TOTAL_LIMIT_REACHED
-                                : held >= 1000
-                                        ? Admission.Decision.MEMORY_LIMIT_REACHED
-                                        : his >= 3
-                                                ? Admission.Decision.CLIENT_LIMIT_REACHED
-                                                : Admission.Decision.ADMITTED;
-                assertEquals(wanted, admission.admit(client));
-                open.merge(client, wanted == Admission.Decision.ADMITTED ? 1 : 0, Integer::sum);
-            } else if (step.kind == 4 && his > 0) {
+                Admission.Decision expected = expectedAdmission(all, bytesInUse, owned);
+                assertEquals(expected, admission.admit(client));
+                open.merge(client, expected == Admission.Decision.ADMITTED ? 1 : 0, Integer::sum);
+            } else if (step.kind == 4 && owned > 0) {
                 admission.callEnded(client);
                 open.merge(client, -1, Integer::sum);
             } else if (step.kind == 5) {
                 boolean room = admission.reserve(step.b);
-                assertEquals(held + step.b <= 750, room, "held results leave a quarter for others");
-                held += room ? step.b : 0;
+                assertEquals(
+                        bytesInUse + step.b <= 750,
+                        room,
+                        "buffered results use at most three quarters");
+                bytesInUse += room ? step.b : 0;
             } else if (step.kind == 6 && step.a > 6) {
                 admission.charge(step.b);
-                held += step.b;
-            } else if (step.kind == 6 && held > 0) {
-                admission.release(held / 2);
-                held -= held / 2;
+                bytesInUse += step.b;
+            } else if (step.kind == 6 && bytesInUse > 0) {
+                admission.release(bytesInUse / 2);
+                bytesInUse -= bytesInUse / 2;
             }
-            assertEquals(held, admission.bytesInUse());
+            assertEquals(bytesInUse, admission.bytesInUse());
             assertEquals(open.values().stream().mapToInt(n -> n).sum(), admission.openCalls());
         }
     }
 
+    private static Admission.Decision expectedAdmission(
+            int openCalls, long bytesInUse, int openOfClient) {
+        if (openCalls >= 8) {
+            return Admission.Decision.TOTAL_LIMIT_REACHED;
+        }
+        if (bytesInUse >= 1000) {
+            return Admission.Decision.MEMORY_LIMIT_REACHED;
+        }
+        return openOfClient >= 3
+                ? Admission.Decision.CLIENT_LIMIT_REACHED
+                : Admission.Decision.ADMITTED;
+    }
+
     @Example
     void streamsAboveTheLimitAreRejected() {
         Admission admission = new Admission(8, 3, 1000, 2);
@@ -259,11 +282,12 @@
     void waitersAreNotifiedOnceAndValuesAreNeverStale(@ForAll("steps") List<Step> steps) {
         CoalescingCache<Integer, Long> shared = new CoalescingCache<>(300, 1000);
         record Attempt(String question, long epoch, long startedIn) {}
-        List<Attempt> under = new ArrayList<>();
+        List<Attempt> attempts = new ArrayList<>();
         Map<Integer, String> waiting = new HashMap<>();
         int who = 0;
         long now = 0;
-        long version = 0; // of the catalogs: an answer is the version that its attempt saw
+        // The version of the catalogs; a value is the version that its attempt saw.
+        long version = 0;
         for (Step step : steps) {
             now += step.b / 4;
             String question = "q" + step.a % 3;
@@ -275,12 +299,12 @@
                 } else {
                     waiting.put(who, question);
                     if (did == Lookup.MISS) {
-                        under.add(new Attempt(question, shared.epoch(), version));
+                        attempts.add(new Attempt(question, shared.epoch(), version));
                     }
                 }
-            } else if (step.kind <= 4 && !under.isEmpty()) {
-                Attempt attempt = under.remove(step.a % under.size());
-                List<Integer> heard =
+            } else if (step.kind <= 4 && !attempts.isEmpty()) {
+                Attempt attempt = attempts.remove(step.a % attempts.size());
+                List<Integer> notified =
                         step.kind == 3
                                 ? shared.complete(
                                         now,
@@ -290,11 +314,11 @@
                                         attempt.startedIn,
                                         10)
                                 : shared.failed(attempt.question, attempt.epoch);
-                for (int each : heard) {
+                for (int each : notified) {
                     assertEquals(
                             attempt.question,
                             waiting.remove(each),
-                            "each waiter hears once, of its own question");
+                            "each waiter is notified once, for its own key");
                 }
             } else if (step.kind == 5) {
                 shared.invalidate("");
@@ -312,15 +336,15 @@
     }
 
     @Property
-    void progressIsMonotonicAndNotifiesWaiters(@ForAll("shares") List<Double> shares) {
+    void progressIsMonotonicAndNotifiesWaiters(@ForAll("fractions") List<Double> fractions) {
         QueryPoll<Integer, String> progress = new QueryPoll<>(100);
         double best = 0;
-        for (int i = 0; i < shares.size(); i++) {
-            long heard = progress.version();
-            assertTrue(progress.await(i, heard));
-            boolean news = shares.get(i) > best && shares.get(i) <= 1;
-            assertEquals(news ? List.of(i) : List.of(), progress.progressed(shares.get(i)));
-            best = news ? shares.get(i) : best;
+        for (int i = 0; i < fractions.size(); i++) {
+            long seenVersion = progress.version();
+            assertTrue(progress.await(i, seenVersion));
+            boolean increased = fractions.get(i) > best && fractions.get(i) <= 1;
+            assertEquals(increased ? List.of(i) : List.of(), progress.progressed(fractions.get(i)));
+            best = increased ? fractions.get(i) : best;
             assertEquals(best, progress.fractionDone());
             progress.callerGone(i);
             assertEquals(0, progress.waiters());
@@ -333,7 +357,7 @@
     }
 
     @Provide
-    Arbitrary<List<Double>> shares() {
+    Arbitrary<List<Double>> fractions() {
         return Arbitraries.doubles().between(-0.5, 1.5).list().ofMaxSize(10);
     }
 
@@ -386,7 +410,7 @@
         assertNull(sessions.find(100, "s0"), "a token ends a set time after its login");
         FlightSessions.Session anyone = sessions.open(100, "");
         assertEquals(anyone, sessions.find(199, "s1"));
-        assertEquals(anyone, sessions.find(290, "s1"), "without login it ends when nobody uses it");
+        assertEquals(anyone, sessions.find(290, "s1"), "without login it expires when idle");
         sessions.open(290, "");
         sessions.open(290, "");
         assertNull(sessions.find(291, "s1"), "the least recently used one goes");
