--- a/src/test/java/calicostream/DocumentationTest.java
+++ b/src/test/java/calicostream/DocumentationTest.java
@@ -28,7 +28,8 @@
                     "CONTRIBUTING.md",
                     "docs/glossary.md",
                     "docs/on-call.md",
-                    "docs/design/request-lifecycle.md");
+                    "docs/design/request-lifecycle.md",
+                    "docs/design/race-conditions.md");
     private static final Path ON_CALL = Path.of("docs/on-call.md");
     private static final Pattern CODE_NAME =
             Pattern.compile("`([A-Z][a-z]+[A-Za-z]*)(?:\\.([a-z]\\w*))?`");
