--- a/src/main/java/calicostream/core/Attempt.java
+++ b/src/main/java/calicostream/core/Attempt.java
@@ -1,93 +1,96 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.core;
 
-/** One send of a {@link Request} to an engine. Times are the gateway's clock, in microseconds. */
+/**
+ * One attempt to run a {@link Request} on an engine. Times are in microseconds of the gateway's
+ * clock.
+ */
 public final class Attempt {
     private final Request request;
     private final int number;
     private final long engine;
     private final long sentAt;
-    private final long giveUpAt;
+    private final long timeoutAt;
     private final long latestSendTime;
     private AttemptState state = AttemptState.CREATED;
     private long handle;
     private AttemptContext context;
 
-    Attempt(Request request, int number, long engine, long sentAt, long giveUpAt) {
+    Attempt(Request request, int number, long engine, long sentAt, long timeoutAt) {
         this.request = request;
         this.number = number;
         this.engine = engine;
         this.sentAt = sentAt;
-        this.giveUpAt = giveUpAt;
-        latestSendTime = Math.min(giveUpAt, request.retryableUntil());
+        this.timeoutAt = timeoutAt;
+        latestSendTime = Math.min(timeoutAt, request.retryDeadline());
     }
 
-    // ---- State, changed by AttemptLifecycle only
+    // State, changed by AttemptLifecycle only
 
-    /** Passes to the next state; an illegal transition is a fault of the gateway. */
-    void become(AttemptState next) {
-        assert state.canBecome(next) : state + " cannot become " + next;
-        state = next;
+    /** Changes the state; an illegal transition is a bug in the gateway. */
+    void transitionTo(AttemptState nextState) {
+        assert state.canTransitionTo(nextState) : state + " cannot transition to " + nextState;
+        state = nextState;
     }
 
-    /** Whether the engine client has it and what is reported of it counts. */
+    /** Returns whether the attempt was sent and is neither cancelled nor ended. */
     boolean isInFlight() {
         return state == AttemptState.IN_FLIGHT;
     }
 
-    /** Whether its end is known. */
+    /** Returns whether the outcome of the attempt is known. */
     boolean isEnded() {
         return state == AttemptState.ENDED;
     }
 
-    /** Sets its handle, once. */
+    /** Sets the handle of the attempt; called once. */
     void assignHandle(long newHandle) {
         handle = newHandle;
     }
 
-    /** From when on it must not be sent any more. */
+    /** Returns the time from which the attempt must no longer be sent. */
     long latestSendTime() {
         return latestSendTime;
     }
 
-    // ---- What it is
+    // Properties
 
-    /** The request that it is an attempt of. */
+    /** Returns the request that this attempt belongs to. */
     public Request request() {
         return request;
     }
 
-    /** Its number among the attempts of its request, from 0. */
+    /** Returns the index of this attempt among the attempts of its request, from 0. */
     public int number() {
         return number;
     }
 
-    /** The id of the engine that it goes to. */
+    /** Returns the id of the engine that the attempt is sent to. */
     public long engine() {
         return engine;
     }
 
-    /** When it was handed to the engine client. */
+    /** Returns the time at which the attempt was passed to the engine client. */
     public long sentAt() {
         return sentAt;
     }
 
-    /** When the gateway gives it up unless its result stream has begun. */
+    /** Returns the time at which the attempt times out unless its result stream has started. */
     public long giveUpAt() {
-        return giveUpAt;
+        return timeoutAt;
     }
 
-    /** Its handle in the gateway's slot table. */
+    /** Returns the handle of the attempt in the gateway's slot table. */
     public long handle() {
         return handle;
     }
 
-    /** What the engine client keeps with it, or null. */
+    /** Returns the state that the engine client attached to the attempt, or null. */
     public AttemptContext context() {
         return context;
     }
 
-    /** Set by the engine client, which alone uses it. */
+    /** Attaches state of the engine client; the gateway does not use it. */
     public void setContext(AttemptContext newContext) {
         context = newContext;
     }
--- a/src/main/java/calicostream/core/AttemptContext.java
+++ b/src/main/java/calicostream/core/AttemptContext.java
@@ -2,7 +2,7 @@
 package calicostream.core;
 
 /**
- * What an engine client keeps with an {@link Attempt}, such as the call on its connection. The
- * gateway never looks into it.
+ * State that an engine client attaches to an {@link Attempt}, such as the call on its connection.
+ * Opaque to the gateway.
  */
 public interface AttemptContext {}
--- a/src/main/java/calicostream/core/AttemptEnd.java
+++ b/src/main/java/calicostream/core/AttemptEnd.java
@@ -5,11 +5,11 @@
 import calicostream.routing.LoadReport;
 
 /**
- * The end of an attempt, until the router is notified of it.
+ * The outcome of an ended attempt, queued until the router is notified of it.
  *
  * @param report the engine's load report, or null
  * @param result the complete result, or null
- * @param status a final status of the request in place of a result, or null
+ * @param status the final status of the request if it is answered without a result, or null
  */
 record AttemptEnd(
         Attempt attempt,
--- a/src/main/java/calicostream/core/AttemptLifecycle.java
+++ b/src/main/java/calicostream/core/AttemptLifecycle.java
@@ -11,9 +11,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes each attempt from the router's request for it to its one end, and owns the transitions of
- * {@link AttemptState}. The router is notified of ends in order, and never from inside its own
- * event. One thread.
+ * Manages each attempt from the router's request to start it until it ends, and performs the
+ * transitions of {@link AttemptState}. Each attempt ends exactly once. The router is notified of
+ * ended attempts in order, and never while it handles another event. Not thread-safe.
  */
 final class AttemptLifecycle {
     private static final Logger LOG = LoggerFactory.getLogger(AttemptLifecycle.class);
@@ -26,10 +26,10 @@
     private final EndpointTable endpoints;
     private final SlotTable<Attempt> attempts = new SlotTable<>();
     private final ArrayDeque<AttemptEnd> undeliveredEnds = new ArrayDeque<>();
-    private final Deadlines.Target timedOut = this::timedOut;
-    private final Deadlines.Target cancellationDelivered = this::cancellationDelivered;
+    private final Deadlines.Callback timeoutCallback = this::onTimeout;
+    private final Deadlines.Callback cancellationDeliveredCallback = this::onCancellationDelivered;
     private EngineClient engines;
-    private boolean isDelivering;
+    private boolean isDeliveringEnds;
 
     AttemptLifecycle(
             Clock clock,
@@ -46,30 +46,38 @@
         maxAttempts = settings.attemptLimits().maxAttempts();
     }
 
-    /** Sets the way to the engines, before the first attempt. */
+    /** Sets the engine client; called before the first attempt. */
     void attach(EngineClient engineClient) {
         engines = engineClient;
     }
 
-    // ---- Start
+    // Start
 
-    /** Starts an attempt, or ends it at once where it must not be sent. */
-    void start(long handle, long engine, long giveUpAt) {
+    /**
+     * Starts an attempt, or ends it immediately if it must not be sent.
+     *
+     * @param routerTimeoutAt when the router wants the attempt to time out; 0 for the deadline of
+     *     the request
+     */
+    void start(long handle, long engine, long routerTimeoutAt) {
         long now = clock.now();
         Request request = requests.find(handle);
         if (request == null) {
-            LOG.error("attempt for a request that has been answered");
+            LOG.error("router started an attempt for a request that already has its final answer");
             return;
         }
-        long until = giveUpAt > 0 ? Math.min(giveUpAt, request.deadline()) : request.deadline();
-        Attempt attempt = new Attempt(request, request.attempts(), engine, now, until);
+        long timeoutAt =
+                routerTimeoutAt > 0
+                        ? Math.min(routerTimeoutAt, request.deadline())
+                        : request.deadline();
+        Attempt attempt = new Attempt(request, request.attemptCount(), engine, now, timeoutAt);
         attempt.assignHandle(attempts.add(attempt));
-        boolean isForbidden = isForbidden(attempt, now);
+        boolean mustNotSend = mustNotSend(attempt, now);
         request.countAttempt();
-        if (isForbidden) {
+        if (mustNotSend) {
             end(attempt, AttemptOutcome.NOT_STARTED);
         } else if (request.responseHandler().isClientGone(request.tag())) {
-            requests.abandonWithAttempt(request);
+            requests.abandonWithoutRouterEvent(request);
             end(attempt, AttemptOutcome.NOT_STARTED);
         } else if (!endpoints.isReady(engine)) {
             end(attempt, AttemptOutcome.CONNECT_FAILED);
@@ -78,25 +86,30 @@
         }
     }
 
-    /** Neither a second attempt at once nor a second run, whatever the router asks. */
-    private boolean isForbidden(Attempt attempt, long now) {
+    /**
+     * Returns whether the attempt must not be sent although the router started it: the request is
+     * answered or has an active attempt, or the attempt could run a non-idempotent request twice,
+     * is too late or exceeds the maximum number of attempts.
+     */
+    private boolean mustNotSend(Attempt attempt, long now) {
         Request request = attempt.request();
-        boolean once = request.isNonIdempotent() || request.state() == RequestState.STREAMING;
+        boolean mustNotRunTwice =
+                request.isNonIdempotent() || request.state() == RequestState.STREAMING;
         return request.isAnswered()
                 || request.activeAttempt() != null
-                || once && request.mayHaveRun()
+                || mustNotRunTwice && request.mayHaveRun()
                 || now >= attempt.latestSendTime()
-                || request.attempts() >= maxAttempts;
+                || request.attemptCount() >= maxAttempts;
     }
 
     private void send(Attempt attempt) {
-        attempt.become(AttemptState.IN_FLIGHT);
-        attempt.request().activate(attempt);
-        deadlines.add(attempt.giveUpAt(), timedOut, attempt.handle());
+        attempt.transitionTo(AttemptState.IN_FLIGHT);
+        attempt.request().setActiveAttempt(attempt);
+        deadlines.add(attempt.giveUpAt(), timeoutCallback, attempt.handle());
         engines.send(attempt);
     }
 
-    /** Whether an attempt may be sent now; see {@link Gateway#maySend}. */
+    /** Returns whether an attempt may be sent now; see {@link Gateway#maySend}. */
     boolean maySend(Attempt attempt) {
         Request request = attempt.request();
         if (attempt.isInFlight() && request.responseHandler().isClientGone(request.tag())) {
@@ -105,9 +118,9 @@
         return attempt.isInFlight() && clock.now() < attempt.latestSendTime();
     }
 
-    // ---- Progress
+    // Progress
 
-    /** The first part of a result has come; see {@link Gateway#streamBegan}. */
+    /** Handles the first part of a result stream; see {@link Gateway#streamBegan}. */
     void streamBegan(Attempt attempt, ResultStreamHandle stream) {
         Request request = attempt.request();
         if (attempt.isInFlight() && !request.isAnswered()) {
@@ -116,8 +129,8 @@
         }
     }
 
-    /** A notification about an attempt that still runs. */
-    void progressed(Attempt attempt, ProgressKind kind, double amount) {
+    /** Handles a progress report of a running attempt. */
+    void reportProgress(Attempt attempt, ProgressKind kind, double amount) {
         if (attempt.isInFlight()) {
             engines.attemptAcknowledged(attempt);
             long query = attempt.request().handle();
@@ -129,43 +142,50 @@
         }
     }
 
-    // ---- End
+    // End
 
-    /** The engine client reports an end; false: the attempt was cancelled or has ended. */
+    /**
+     * Handles an attempt end that the engine client reports.
+     *
+     * @return false if the report is ignored because the attempt was cancelled or has ended
+     */
     boolean reportEnd(AttemptEnd end) {
         return end.attempt().isInFlight() && end(end);
     }
 
-    /** Cancels an attempt; it ends when its engine has had time to receive the cancellation. */
+    /**
+     * Cancels an attempt. It ends {@link Gateway#CANCEL_DELIVERY_MICROS} later, when its engine has
+     * had time to receive the cancellation.
+     */
     void cancel(long handle, int number) {
         Request request = requests.find(handle);
         Attempt attempt = request == null ? null : request.activeAttempt();
         if (attempt != null && attempt.number() == number && attempt.isInFlight()) {
             engines.stop(attempt);
-            attempt.become(AttemptState.CANCELLING);
+            attempt.transitionTo(AttemptState.CANCELLING);
             deadlines.add(
                     clock.now() + Gateway.CANCEL_DELIVERY_MICROS,
-                    cancellationDelivered,
+                    cancellationDeliveredCallback,
                     attempt.handle());
         }
     }
 
-    private void cancellationDelivered(long now, long handle) {
+    private void onCancellationDelivered(long now, long handle) {
         Attempt attempt = attempts.get(handle);
         if (attempt != null) {
             end(attempt, AttemptOutcome.CANCELLED);
         }
     }
 
-    private void timedOut(long now, long handle) {
+    private void onTimeout(long now, long handle) {
         Attempt attempt = attempts.get(handle);
         if (attempt != null && attempt.request().state() != RequestState.STREAMING) {
-            giveUp(attempt, AttemptOutcome.TIMEOUT);
+            abort(attempt, AttemptOutcome.TIMEOUT);
         }
     }
 
-    /** Ends an attempt at once, whatever its engine says of it later. */
-    void giveUp(Attempt attempt, AttemptOutcome outcome) {
+    /** Ends an attempt immediately and ignores later reports from its engine. */
+    void abort(Attempt attempt, AttemptOutcome outcome) {
         if (!attempt.isEnded()) {
             engines.stop(attempt);
             end(attempt, outcome);
@@ -180,18 +200,18 @@
         if (attempts.remove(end.attempt().handle()) == null) {
             return false;
         }
-        end.attempt().become(AttemptState.ENDED);
+        end.attempt().transitionTo(AttemptState.ENDED);
         undeliveredEnds.add(end);
         deliverEnds();
         return true;
     }
 
-    /** Notifies the router of ends in order; while it is active, they wait. */
+    /** Notifies the router of ended attempts in order, unless it is handling an event. */
     void deliverEnds() {
-        if (router.isRouterActive() || isDelivering) {
+        if (router.isRouterActive() || isDeliveringEnds) {
             return;
         }
-        isDelivering = true;
+        isDeliveringEnds = true;
         try {
             for (AttemptEnd end = undeliveredEnds.poll();
                     end != null;
@@ -199,25 +219,25 @@
                 deliver(end);
             }
         } finally {
-            isDelivering = false;
+            isDeliveringEnds = false;
         }
     }
 
     private void deliver(AttemptEnd end) {
         Attempt attempt = end.attempt();
         Request request = attempt.request();
-        request.deactivate(attempt);
+        request.clearActiveAttempt(attempt);
         if (request.isAnswered()) {
             requests.releaseKey(request);
         }
         request.recordOutcome(attempt, end.outcome());
         engines.attemptEnded(attempt, end.outcome(), end.report());
         long now = clock.now();
-        requests.answerByAttemptEnd(request, end);
-        router.deliver(r -> r.attemptEnded(now, resultOf(end, now)));
+        requests.answerFromAttemptEnd(request, end);
+        router.deliver(r -> r.attemptEnded(now, toAttemptResult(end, now)));
     }
 
-    private static AttemptResult resultOf(AttemptEnd end, long now) {
+    private static AttemptResult toAttemptResult(AttemptEnd end, long now) {
         Attempt attempt = end.attempt();
         Request request = attempt.request();
         return new AttemptResult(
--- a/src/main/java/calicostream/core/AttemptState.java
+++ b/src/main/java/calicostream/core/AttemptState.java
@@ -4,22 +4,23 @@
 import java.util.EnumSet;
 import java.util.Set;
 
-/** The states of an {@link Attempt}, in the order in which it can pass them. */
+/** The states of an {@link Attempt}; transitions only lead to a later state. */
 enum AttemptState {
-    /** The router asked for it; it has not been handed to the engine client. */
+    /** Requested by the router, but not yet passed to the engine client. */
     CREATED,
-    /** The engine client has it, and its end is to be reported. */
+    /** Passed to the engine client, which will report the outcome. */
     IN_FLIGHT,
     /**
-     * Cancelled; it counts as in flight until its engine has had time to receive the cancellation.
+     * Cancelled, but still counted as in flight until the engine has had time to receive the
+     * cancellation.
      */
     CANCELLING,
-    /** Its end is known; the router is notified in turn. */
+    /** The outcome is known; the router has been or will be notified of it. */
     ENDED;
 
-    /** Whether an attempt may pass from this state to the other one. */
-    boolean canBecome(AttemptState next) {
-        return successors().contains(next);
+    /** Returns whether an attempt may change from this state to the given one. */
+    boolean canTransitionTo(AttemptState nextState) {
+        return successors().contains(nextState);
     }
 
     private Set<AttemptState> successors() {
--- a/src/main/java/calicostream/core/Clock.java
+++ b/src/main/java/calicostream/core/Clock.java
@@ -2,9 +2,10 @@
 package calicostream.core;
 
 /**
- * The process's time in microseconds. It starts at Unix time and goes on with the monotonic clock,
- * so that a step of the system's wall clock, in either direction, never reaches the gateway; only
- * start times given in Unix time are converted. Safe for use by several threads.
+ * The clock of the process, in microseconds. It reads Unix time once at start and then follows the
+ * monotonic clock, so that a later step of the system's wall clock, forwards or backwards, does not
+ * affect the gateway. Only start times given in Unix time are converted with the wall clock.
+ * Thread-safe.
  */
 public class Clock {
     private static final int MICROS_PER_MILLI = 1000;
@@ -13,12 +14,16 @@
     private final long unixMicrosAtStart = System.currentTimeMillis() * MICROS_PER_MILLI;
     private final long nanosAtStart = System.nanoTime();
 
-    /** The time now, in microseconds; it never goes backwards. */
+    /** Returns the current time in microseconds; it never goes backwards. */
     public long now() {
         return unixMicrosAtStart + (System.nanoTime() - nanosAtStart) / NANOS_PER_MICRO;
     }
 
-    /** This clock's time of a Unix time in milliseconds; never in the future, and 0 stays 0. */
+    /**
+     * Converts a Unix time in milliseconds to this clock's time in microseconds.
+     *
+     * @return a time that is not in the future, or 0 if {@code millis} is 0 or negative
+     */
     public long ofUnixMillis(long millis) {
         if (millis <= 0) {
             return 0;
--- a/src/main/java/calicostream/core/Deadlines.java
+++ b/src/main/java/calicostream/core/Deadlines.java
@@ -4,23 +4,23 @@
 import java.util.Arrays;
 
 /**
- * Every deadline of the process in one binary heap, earliest first, equal ones in the order in
- * which they were added. One thread. Times are microseconds of the process's {@link Clock}.
+ * A binary heap of deadlines, ordered by time and, for equal times, by insertion. Times are in
+ * microseconds of the process's {@link Clock}. Not thread-safe.
  *
- * <p>Entries are never taken out: a target ignores a reference whose entry is over, as {@link
- * SlotTable} handles allow. The heap lies in parallel arrays, one entry an index, so that adding a
- * deadline allocates nothing.
+ * <p>A deadline cannot be removed. If its subject has ended before it passes, the callback ignores
+ * the call; a {@link SlotTable} handle passed as the argument allows it to detect this. The heap is
+ * stored in parallel arrays, so that adding a deadline allocates no object.
  */
 public final class Deadlines {
-    /** Gets a deadline that has passed. */
-    public interface Target {
+    /** Called when a deadline has passed. */
+    public interface Callback {
         /**
-         * The deadline has passed.
+         * Handles a deadline that has passed.
          *
-         * @param now the time at which deadlines are run, not before the deadline
-         * @param reference as given when the deadline was added
+         * @param now the current time, at or after the deadline
+         * @param argument the value that was given when the deadline was added
          */
-        void due(long now, long reference);
+        void onDeadline(long now, long argument);
     }
 
     /** The time of a deadline that never passes. */
@@ -28,53 +28,56 @@
 
     private static final int INITIAL_CAPACITY = 256;
 
-    // The heap: the children of the entry at index i are at 2 * i + 1 and 2 * i + 2.
-    private long[] due = new long[INITIAL_CAPACITY];
-    private long[] sequence = new long[INITIAL_CAPACITY];
-    private long[] reference = new long[INITIAL_CAPACITY];
-    private Target[] target = new Target[INITIAL_CAPACITY];
+    // Binary heap: the children of the entry at index i are at 2 * i + 1 and 2 * i + 2.
+    private long[] times = new long[INITIAL_CAPACITY];
+    private long[] sequenceNumbers = new long[INITIAL_CAPACITY];
+    private long[] arguments = new long[INITIAL_CAPACITY];
+    private Callback[] callbacks = new Callback[INITIAL_CAPACITY];
     private int size;
-    private long nextSequence;
+    private long nextSequenceNumber;
 
     /**
      * Adds a deadline.
      *
-     * @param at when it passes
-     * @param newTarget who is notified
-     * @param newReference what the target is given
+     * @param time when the deadline passes
+     * @param callback called when the deadline has passed
+     * @param argument passed to the callback
      */
-    public void add(long at, Target newTarget, long newReference) {
-        if (size == due.length) {
+    public void add(long time, Callback callback, long argument) {
+        if (size == times.length) {
             grow();
         }
         int index = size++;
-        long number = nextSequence++;
-        while (index > 0 && due[(index - 1) / 2] > at) {
+        long sequenceNumber = nextSequenceNumber++;
+        while (index > 0 && times[(index - 1) / 2] > time) {
             move((index - 1) / 2, index);
             index = (index - 1) / 2;
         }
-        put(index, at, number, newTarget, newReference);
+        put(index, time, sequenceNumber, callback, argument);
     }
 
     private void grow() {
-        due = Arrays.copyOf(due, size * 2);
-        sequence = Arrays.copyOf(sequence, size * 2);
-        reference = Arrays.copyOf(reference, size * 2);
-        target = Arrays.copyOf(target, size * 2);
+        times = Arrays.copyOf(times, size * 2);
+        sequenceNumbers = Arrays.copyOf(sequenceNumbers, size * 2);
+        arguments = Arrays.copyOf(arguments, size * 2);
+        callbacks = Arrays.copyOf(callbacks, size * 2);
     }
 
-    /** When the next deadline passes, or {@link #NEVER}. */
+    /** Returns the time of the earliest deadline, or {@link #NEVER} if there is none. */
     public long next() {
-        return size == 0 ? NEVER : due[0];
+        return size == 0 ? NEVER : times[0];
     }
 
-    /** Notifies the targets of all deadlines passed by now, also of those added meanwhile. */
+    /**
+     * Removes all deadlines up to {@code now} and calls their callbacks, including deadlines that a
+     * callback adds.
+     */
     public void run(long now) {
-        while (size > 0 && due[0] <= now) {
-            Target firstTarget = target[0];
-            long firstReference = reference[0];
+        while (size > 0 && times[0] <= now) {
+            Callback callback = callbacks[0];
+            long argument = arguments[0];
             removeFirst();
-            firstTarget.due(now, firstReference);
+            callback.onDeadline(now, argument);
         }
     }
 
@@ -92,22 +95,22 @@
             index = child;
         }
         move(last, index);
-        target[last] = null;
+        callbacks[last] = null;
     }
 
     private boolean isBefore(int left, int right) {
-        return due[left] < due[right]
-                || due[left] == due[right] && sequence[left] < sequence[right];
+        return times[left] < times[right]
+                || times[left] == times[right] && sequenceNumbers[left] < sequenceNumbers[right];
     }
 
     private void move(int from, int to) {
-        put(to, due[from], sequence[from], target[from], reference[from]);
+        put(to, times[from], sequenceNumbers[from], callbacks[from], arguments[from]);
     }
 
-    private void put(int index, long at, long number, Target newTarget, long newReference) {
-        due[index] = at;
-        sequence[index] = number;
-        target[index] = newTarget;
-        reference[index] = newReference;
+    private void put(int index, long time, long sequenceNumber, Callback callback, long argument) {
+        times[index] = time;
+        sequenceNumbers[index] = sequenceNumber;
+        callbacks[index] = callback;
+        arguments[index] = argument;
     }
 }
--- a/src/main/java/calicostream/core/EndpointTable.java
+++ b/src/main/java/calicostream/core/EndpointTable.java
@@ -11,14 +11,17 @@
 import java.util.Set;
 
 /**
- * The engines of the endpoint list, those that operators have disabled and those that they have
- * reinstated, and what follows for the use of each. Holds state only: it notifies nobody. One
- * thread. Times are the gateway's clock, in microseconds.
+ * Combines the engines of the endpoint list with those that operators have disabled or reinstated,
+ * and determines from both whether an engine may be used. Holds state only and sends no
+ * notifications. Times are in microseconds of the gateway's clock. Not thread-safe.
  */
 final class EndpointTable {
     private final Map<Long, EngineEndpoint> listed = new HashMap<>();
-    private final Set<Long> disabled = new HashSet<>(); // whatever the endpoint list says
-    private final Map<Long, Long> reinstatedAt = new HashMap<>(); // until they have warmed up
+    private final Set<Long> disabled = new HashSet<>(); // by operators, listed or not
+
+    /** When each engine was reinstated; entries may be deleted after the warm-up. */
+    private final Map<Long, Long> reinstatementTimes = new HashMap<>();
+
     private final long warmUpMicros;
 
     EndpointTable(long warmUpMicros) {
@@ -26,9 +29,9 @@
     }
 
     /**
-     * Takes an engine as the endpoint list names it; one that is removed is forgotten.
+     * Stores the entry of the endpoint list for an engine, or deletes it if the engine is removed.
      *
-     * @return what the list said of the engine before, or null
+     * @return the previous entry of the engine, or null
      */
     EngineEndpoint update(EngineEndpoint engine) {
         return engine.lifecycle() == EngineLifecycle.REMOVED
@@ -36,50 +39,50 @@
                 : listed.put(engine.id(), engine);
     }
 
-    /** The listed engines that a new complete list does not name. */
+    /** Returns the listed engines that are missing from a new complete list. */
     Collection<EngineEndpoint> missingFrom(List<EngineEndpoint> completeList) {
         Map<Long, EngineEndpoint> missing = new HashMap<>(listed);
         completeList.forEach(engine -> missing.remove(engine.id()));
         return missing.values();
     }
 
-    /** The engine as the endpoint list names it, or null. */
+    /** Returns the entry of the endpoint list for an engine, or null. */
     EngineEndpoint find(long engine) {
         return listed.get(engine);
     }
 
-    /** All engines as the endpoint list names them. */
+    /** Returns all entries of the endpoint list. */
     Collection<EngineEndpoint> listed() {
         return listed.values();
     }
 
     /**
-     * A listed engine as router and engine client may use it: a disabled one drains, and a
-     * reinstated one started no earlier than it was reinstated.
+     * Applies the operators' commands to an entry of the endpoint list: a disabled engine is
+     * treated as draining, and a reinstated engine as started no earlier than it was reinstated.
      */
-    EngineEndpoint usable(EngineEndpoint engine) {
-        boolean ready = engine.lifecycle() == EngineLifecycle.READY;
-        if (ready && disabled.contains(engine.id())) {
+    EngineEndpoint effectiveEndpoint(EngineEndpoint engine) {
+        boolean isListedReady = engine.lifecycle() == EngineLifecycle.READY;
+        if (isListedReady && disabled.contains(engine.id())) {
             return engine.withLifecycle(EngineLifecycle.DRAINING);
         }
-        long reinstated = reinstatedAt.getOrDefault(engine.id(), 0L);
-        return ready && reinstated > engine.startedAtUs()
-                ? engine.withStartTime(reinstated)
+        long reinstatedAt = reinstatementTimes.getOrDefault(engine.id(), 0L);
+        return isListedReady && reinstatedAt > engine.startedAtUs()
+                ? engine.withStartTime(reinstatedAt)
                 : engine;
     }
 
-    /** Whether the engine is listed and neither the list nor an operator forbids its use. */
+    /** Returns whether the engine is listed as ready and no operator has disabled it. */
     boolean isReady(long engine) {
         EngineEndpoint endpoint = listed.get(engine);
-        return endpoint != null && usable(endpoint).lifecycle() == EngineLifecycle.READY;
+        return endpoint != null && effectiveEndpoint(endpoint).lifecycle() == EngineLifecycle.READY;
     }
 
-    /** Whether the engine is listed, or was when it was disabled. */
+    /** Returns whether the engine is listed or disabled. */
     boolean isKnown(long engine) {
         return listed.containsKey(engine) || disabled.contains(engine);
     }
 
-    /** Whether an operator has disabled the engine. */
+    /** Returns whether an operator has disabled the engine. */
     boolean isDisabled(long engine) {
         return disabled.contains(engine);
     }
@@ -87,20 +90,23 @@
     /**
      * Disables an engine.
      *
-     * @return false: it was disabled already
+     * @return false if the engine was already disabled
      */
     boolean disable(long engine) {
         boolean changed = disabled.add(engine);
         if (changed) {
-            reinstatedAt.remove(engine);
+            reinstatementTimes.remove(engine);
         }
         return changed;
     }
 
-    /** Enables an engine as of a time; forgets reinstatements whose warm-up is over by now. */
-    void enable(long engine, long at, long now) {
+    /**
+     * Enables an engine as reinstated at the given time, and deletes the reinstatement times of
+     * engines whose warm-up has ended by now.
+     */
+    void enable(long engine, long reinstatedAt, long now) {
         disabled.remove(engine);
-        reinstatedAt.values().removeIf(each -> now - each > warmUpMicros);
-        reinstatedAt.put(engine, at);
+        reinstatementTimes.values().removeIf(time -> now - time > warmUpMicros);
+        reinstatementTimes.put(engine, reinstatedAt);
     }
 }
--- a/src/main/java/calicostream/core/EngineAdministration.java
+++ b/src/main/java/calicostream/core/EngineAdministration.java
@@ -11,7 +11,7 @@
 
 /**
  * Applies updates of the endpoint list and the operators' commands to the {@link EndpointTable},
- * and notifies the listener, the engine client and the router of what changed. One thread.
+ * and notifies the listener, the engine client and the router of the changes. Not thread-safe.
  */
 final class EngineAdministration {
     private static final Logger LOG = LoggerFactory.getLogger(EngineAdministration.class);
@@ -30,20 +30,21 @@
         this.listener = listener;
     }
 
-    /** Sets the way to the engines, before anything else. */
+    /** Sets the engine client; called before any other method. */
     void attach(EngineClient engineClient) {
         engines = engineClient;
     }
 
     /**
-     * The endpoint list changed. The engine client takes back what has not been sent to an engine
-     * that drains; the router is notified of their ends after it is notified of the list, so that
-     * it does not choose the same engine again.
+     * Applies an update of the endpoint list. For a draining engine, the engine client ends the
+     * attempts that are not yet sent. The router is notified of the list before it is notified of
+     * these ended attempts, so that it does not select the same engine again.
      */
     void endpointsChanged(EndpointUpdate kind, List<EngineEndpoint> list) {
-        router.runPostponingEvents(() -> apply(kind, list));
-        List<EngineEndpoint> usable = list.stream().map(endpoints::usable).toList();
-        router.deliver(r -> r.endpointsChanged(clock.now(), kind, usable));
+        router.runDeferringEvents(() -> apply(kind, list));
+        List<EngineEndpoint> effectiveEndpoints =
+                list.stream().map(endpoints::effectiveEndpoint).toList();
+        router.deliver(r -> r.endpointsChanged(clock.now(), kind, effectiveEndpoints));
     }
 
     private void apply(EndpointUpdate kind, List<EngineEndpoint> list) {
@@ -60,14 +61,14 @@
         if (!engine.equals(previous)) {
             listener.engineChanged(engine);
         }
-        if (endpoints.usable(engine).lifecycle() == EngineLifecycle.DRAINING) {
+        if (endpoints.effectiveEndpoint(engine).lifecycle() == EngineLifecycle.DRAINING) {
             engines.engineDraining(engine.id());
         } else if (engine.lifecycle() == EngineLifecycle.REMOVED) {
             engines.engineRemoved(engine.id());
         }
     }
 
-    /** Disables an engine, whatever the endpoint list says of it. */
+    /** Disables an engine, regardless of its state in the endpoint list. */
     void disable(long engine) {
         if (endpoints.disable(engine)) {
             LOG.info("engine {} disabled by an operator", Long.toHexString(engine));
@@ -75,10 +76,13 @@
         }
     }
 
-    /** Enables an engine as of a time; it was restarted meanwhile, so it has to warm up. */
-    void enable(long engine, long at) {
+    /**
+     * Enables an engine as reinstated at the given time. Operators enable an engine after a
+     * restart, so it has to warm up from then on.
+     */
+    void enable(long engine, long reinstatedAt) {
         LOG.info("engine {} enabled by an operator", Long.toHexString(engine));
-        endpoints.enable(engine, at, clock.now());
+        endpoints.enable(engine, reinstatedAt, clock.now());
         engines.engineReinstated(engine);
         reapply(engine);
         router.deliver(r -> r.engineReinstated(clock.now(), engine));
@@ -91,7 +95,7 @@
         }
     }
 
-    /** Another front end probed an engine; see {@link Gateway#applyEjectionHint}. */
+    /** Applies the probe result of another front end; see {@link Gateway#applyEjectionHint}. */
     void applyEjectionHint(long engine, boolean served) {
         if (!router.isEjected(engine)) {
             return;
@@ -104,7 +108,7 @@
         }
     }
 
-    /** The number of listed engines that are disabled or ejected. */
+    /** Returns the number of listed engines that are disabled or ejected. */
     int excludedEngines() {
         return (int)
                 endpoints.listed().stream()
@@ -113,7 +117,11 @@
                         .count();
     }
 
-    /** The ids of the usable engines that are ejected, or of those that are not, ascending. */
+    /**
+     * Returns the ids of the ready engines in ascending order.
+     *
+     * @param ejected true for those that the router has ejected, false for the others
+     */
     long[] readyEngines(boolean ejected) {
         return endpoints.listed().stream()
                 .mapToLong(EngineEndpoint::id)
--- a/src/main/java/calicostream/core/EngineClient.java
+++ b/src/main/java/calicostream/core/EngineClient.java
@@ -6,89 +6,93 @@
 import java.net.InetSocketAddress;
 
 /**
- * The way to the engines. The gateway's thread makes all calls; they take effect at once or later.
- * The end of an attempt is reported by {@link Gateway#attemptEnded}, once, unless {@link #stop}
- * came first.
+ * Sends attempts to engines. All calls are made by the gateway's thread and may take effect
+ * asynchronously. The client reports the end of each attempt once, by {@link Gateway#attemptEnded},
+ * unless {@link #stop} was called for it before.
  */
 public interface EngineClient {
-    /** Sets where ends and progress of attempts are reported; called once, before anything else. */
+    /** Sets the gateway to which attempts are reported; called once, before any other method. */
     void attach(Gateway gateway);
 
-    /** Where an engine listens; called before the first send to it and when that changes. */
+    /** Sets the address of an engine; called before the first send and after each change. */
     void setAddress(long engine, InetSocketAddress address);
 
     /**
-     * Whether the router may be notified of a request now. If not, the engine client keeps it until
-     * {@link Gateway#admit} or {@link Gateway#reject}, or until it is {@linkplain
-     * Request#isAnswered answered}.
+     * Returns whether a request may be passed to the router now. If not, the engine client queues
+     * it until it calls {@link Gateway#admit} or {@link Gateway#reject}, or until the request is
+     * {@linkplain Request#isAnswered answered}.
      */
     default boolean admits(Request request) {
         return true;
     }
 
     /**
-     * Whether the tenant of a request has capacity at an engine now. Asked many times a request, so
-     * the answer comes from memory.
+     * Returns whether the tenant of a request has capacity at an engine now. Called many times per
+     * request, so it must be answered from memory.
      */
     default boolean hasTenantCapacity(Request request, long engine) {
         return true;
     }
 
     /**
-     * An attempt ended, whoever ended it; called before the router is notified of it.
+     * Handles the end of an attempt, whatever caused it; called before the router is notified.
      *
      * @param report the engine's load report, or null
      */
     default void attemptEnded(Attempt attempt, AttemptOutcome outcome, LoadReport report) {}
 
     /**
-     * When the engine's process started according to the endpoint list, which is the same for all
-     * that read it; called with each update of the engine.
+     * Sets the start time of the engine's process; called with each update of the engine. The time
+     * is taken from the endpoint list and is therefore the same in all front ends.
      */
     default void engineStarted(long engine, long unixMillis) {}
 
-    /** The engine has confirmed that it has the attempt. */
+    /** Handles the engine's confirmation that it has received the attempt. */
     default void attemptAcknowledged(Attempt attempt) {}
 
     /**
-     * A load probe of an engine ended.
+     * Handles the end of a load probe.
      *
      * @param report the engine's load report, or null
      */
     default void loadReported(long engine, LoadReport report) {}
 
     /**
-     * Starts an attempt; nothing of it may be sent after {@link #engineDraining} for its engine.
+     * Sends an attempt, now or later; no byte of it may be sent after {@link #engineDraining} for
+     * its engine.
      */
     void send(Attempt attempt);
 
-    /** Stops an attempt; nothing more need be reported of it. */
+    /** Cancels an attempt; the client need not report on it any more. */
     void stop(Attempt attempt);
 
     /**
-     * Probes the load of an engine; the probe ends in one {@link Gateway#probeCompleted}, later.
+     * Starts a load probe of an engine; the client later calls {@link Gateway#probeCompleted} once.
      *
-     * @return false: the engine cannot be probed, and no report follows
+     * @return false if the engine cannot be probed; {@link Gateway#probeCompleted} is not called
      */
     default boolean probe(long engine) {
         return false;
     }
 
     /**
-     * Sets the largest number of connections to all engines together, where the client has such a
-     * bound.
+     * Sets the maximum number of connections to all engines together, for clients that have such a
+     * limit.
      */
     default void setMaxConnections(int connections) {}
 
-    /** The priority of an attempt in flight has changed. */
+    /** Handles a changed priority of an attempt that is in flight. */
     void priorityChanged(Attempt attempt);
 
-    /** The engine drains: what has not been sent to it must not be sent. */
+    /** Handles a draining engine: attempts that are not yet sent must not be sent to it. */
     void engineDraining(long engine);
 
-    /** An operator has reinstated the engine: nothing new may use a connection from before. */
+    /**
+     * Handles an engine that an operator has reinstated: new attempts must not use connections that
+     * were opened before.
+     */
     void engineReinstated(long engine);
 
-    /** The engine's process has ended: attempts there end, and all its state is forgotten. */
+    /** Handles the end of an engine's process: ends its attempts and deletes its state. */
     void engineRemoved(long engine);
 }
--- a/src/main/java/calicostream/core/FailureReason.java
+++ b/src/main/java/calicostream/core/FailureReason.java
@@ -3,10 +3,10 @@
 
 /** Why a request failed. */
 public enum FailureReason {
-    /** Its deadline passed. */
+    /** The deadline of the request passed. */
     DEADLINE,
-    /** Its engine failed it, or none could be found for it. */
+    /** The engine failed the request, or no engine could be selected. */
     ENGINE,
-    /** Its result stream broke after a part had gone to the client. */
+    /** The result stream ended early, after a part of it was sent to the client. */
     STREAM_BROKEN
 }
--- a/src/main/java/calicostream/core/FinalStatus.java
+++ b/src/main/java/calicostream/core/FinalStatus.java
@@ -2,7 +2,7 @@
 package calicostream.core;
 
 /**
- * A final answer to a request that is not a result and that says nothing of its engine, in the
- * engine client's form: no engine can run the statement, say. The gateway never looks into it.
+ * A final answer that is not a result and does not indicate a problem of the engine, for example
+ * that no engine can run the statement. Defined by the engine client and opaque to the gateway.
  */
 public interface FinalStatus {}
--- a/src/main/java/calicostream/core/Gateway.java
+++ b/src/main/java/calicostream/core/Gateway.java
@@ -14,21 +14,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Requests, attempts and outcomes between protocol servers and engine clients, whatever protocols
- * these speak: the facade that both sides, the operators' tools and the router call. One thread.
+ * The facade between protocol servers, engine clients, the operators' tools and the router. It
+ * passes requests, attempts and outcomes between them, independently of their protocols. Not
+ * thread-safe.
  *
- * <p>It carries out what the router asks and keeps the promises that no protocol server or engine
- * client may break: one final answer a request, one end an attempt, never two attempts at once, and
- * neither a second send nor a rejection of a non-idempotent query once it may have run. {@link
- * RequestLifecycle} and {@link AttemptLifecycle} hold these promises.
+ * <p>The gateway executes the router's actions and enforces these invariants, whatever a protocol
+ * server or an engine client does: each request gets one final answer, each attempt ends once, a
+ * request never has two concurrent attempts, and a non-idempotent query that may have run is
+ * neither sent again nor rejected. {@link RequestLifecycle} and {@link AttemptLifecycle} implement
+ * them.
  */
 public final class Gateway implements RouterActions {
     private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
 
     /**
-     * How long a cancelled attempt still counts as in flight after its engine was sent the
-     * cancellation. The next attempt goes by another connection, whose bytes may overtake the
-     * cancellation. No final answer waits for this.
+     * How long a cancelled attempt is still counted as in flight after the cancellation was sent.
+     * The next attempt uses another connection, whose bytes could overtake the cancellation. Final
+     * answers are not delayed by it.
      */
     public static final long CANCEL_DELIVERY_MICROS = 10_000;
 
@@ -40,10 +42,10 @@
     private final LoadProbes probes;
     private final RequestLifecycle requests;
     private final AttemptLifecycle attempts;
-    private final Deadlines.Target routerTimer;
+    private final Deadlines.Callback routerTimerCallback;
 
     /**
-     * A gateway that is not started.
+     * Creates a gateway that is not started.
      *
      * @param deadlines run by the thread that calls the gateway
      * @param listener notified of final answers and of changes to engines
@@ -59,14 +61,14 @@
         requests = new RequestLifecycle(clock, deadlines, settings, router, listener);
         attempts = new AttemptLifecycle(clock, deadlines, settings, router, requests, endpoints);
         requests.attach(attempts);
-        routerTimer = (now, token) -> router.deliver(r -> r.timerFired(now, token));
+        routerTimerCallback = (now, token) -> router.deliver(r -> r.timerFired(now, token));
     }
 
     private void deliverAttemptEnds() {
         attempts.deliverEnds();
     }
 
-    /** Sets how the processes of this front end share keys; before the start. */
+    /** Sets how the processes of this front end share ordered keys; called before the start. */
     public void attachKeyOwnership(KeyOwnership ownership) {
         requests.keyQueue().attach(ownership);
     }
@@ -74,74 +76,78 @@
     /**
      * Starts the router.
      *
-     * @param engines the way to the engines
-     * @param known the engines last known
+     * @param engines the client that sends attempts to the engines
+     * @param cachedEngines the engines of the last endpoint list that this front end stored
      */
-    public void start(EngineClient engines, List<EngineEndpoint> known) {
+    public void start(EngineClient engines, List<EngineEndpoint> cachedEngines) {
         administration.attach(engines);
         probes.attach(engines);
         requests.attach(engines);
         attempts.attach(engines);
         engines.attach(this);
         router.deliver(r -> r.start(clock.now()));
-        administration.endpointsChanged(EndpointUpdate.CACHED, known);
+        administration.endpointsChanged(EndpointUpdate.CACHED, cachedEngines);
     }
 
-    // ---- From protocol servers
+    // Called by protocol servers
 
     /**
-     * Accepts a request. Its answer goes to its response handler, maybe before this returns.
+     * Accepts a request. Its response handler gets the final answer, possibly before this method
+     * returns.
      *
-     * @return its handle
+     * @return the handle of the request
      */
     public long accept(IncomingRequest incoming) {
         return requests.accept(incoming);
     }
 
     /**
-     * The client has left or takes no answer any more: no answer is owed, and an attempt in flight
-     * is cancelled.
+     * Abandons a request whose client has disconnected or cancelled it: no answer is delivered, and
+     * an attempt in flight is cancelled.
      */
     public void abandon(long handle) {
         requests.abandon(handle);
     }
 
-    /** Counts a request that was rejected before it was accepted, for this front end's limits. */
+    /** Counts a request that a limit of this front end rejected before it was accepted. */
     public void recordRejection(int queryClass) {
         requests.metrics().recordRequestEnd(queryClass, RequestOutcome.REJECTED);
     }
 
     /**
-     * Answers all open requests, as the process ends: those that may safely be sent again are
-     * rejected, the others fail.
+     * Answers all open requests before the process ends: requests that the client may safely send
+     * again are rejected, the others fail.
      */
     public void terminateAll() {
         requests.terminateAll();
     }
 
-    /** The number of requests without a final answer. */
+    /** Returns the number of requests without a final answer. */
     public int openRequests() {
         return requests.openRequests();
     }
 
-    // ---- From engine clients
+    // Called by engine clients
 
-    /** Passes a request on to the router that {@link EngineClient#admits} kept back. */
+    /** Passes a request to the router that {@link EngineClient#admits} did not admit before. */
     public void admit(Request request) {
         requests.admit(request);
     }
 
-    /** Rejects a request that {@link EngineClient#admits} kept back, or was just asked for. */
+    /**
+     * Rejects a request that {@link EngineClient#admits} did not admit; may be called from inside
+     * that method.
+     */
     public void reject(Request request, long retryAfterUs) {
         requests.rejectQueued(request, retryAfterUs);
     }
 
     /**
-     * An attempt ended.
+     * Reports the end of an attempt.
      *
      * @param report the engine's load report, or null
      * @param result the complete result, or null
-     * @return false: it had been cancelled or had ended before, and this end is ignored
+     * @return false if the report is ignored because the attempt was cancelled or has ended before
      */
     public boolean attemptEnded(
             Attempt attempt, AttemptOutcome outcome, LoadReport report, RequestResult result) {
@@ -149,82 +155,85 @@
     }
 
     /**
-     * An attempt ended with a status that is final for its request and says nothing of its engine:
-     * no engine can run the statement, or its result is larger than the front end forwards.
+     * Reports that an attempt ended with a final status of its request that does not indicate a
+     * problem of the engine: for example, no engine can run the statement, or the result is larger
+     * than the front end forwards.
      */
     public void attemptConcluded(Attempt attempt, LoadReport report, FinalStatus status) {
         attempts.reportEnd(new AttemptEnd(attempt, AttemptOutcome.CANCELLED, report, null, status));
     }
 
     /**
-     * The first part of an attempt's result goes to the client before its end is known: no deadline
-     * of the gateway's ends it from now on, and its end is the request's, complete or not.
+     * Reports that the first part of an attempt's result is sent to the client before the attempt
+     * has ended. From now on the gateway applies no deadline to the attempt, and its end, complete
+     * or not, is the end of the request.
      */
     public void streamBegan(Attempt attempt, ResultStreamHandle stream) {
         attempts.streamBegan(attempt, stream);
     }
 
-    /** An attempt that still runs made progress. */
+    /** Reports progress of a running attempt. */
     public void attemptProgressed(Attempt attempt, ProgressKind kind, double amount) {
-        attempts.progressed(attempt, kind, amount);
+        attempts.reportProgress(attempt, kind, amount);
     }
 
-    /** The last byte of an attempt was written to its engine, whatever became of it since. */
+    /** Counts an attempt whose last byte was written to its engine, even if it has ended since. */
     public void attemptWritten(Attempt attempt) {
         requests.metrics().recordAttemptWritten();
     }
 
     /**
-     * Whether an attempt that has waited in the engine client may be sent now. If not, it has
-     * ended, or the engine client ends it as one that never ran. Must not be called while the
-     * router acts.
+     * Returns whether an attempt that was queued in the engine client may be sent now. If not, it
+     * has ended, or the engine client must end it with an outcome that says that it never ran. Must
+     * not be called while the router handles an event.
      */
     public boolean maySend(Attempt attempt) {
         return attempts.maySend(attempt);
     }
 
-    /** A load probe ended; the report is null where none came. */
+    /** Reports the end of a load probe; the report is null if none was received. */
     public void probeCompleted(long engine, AttemptOutcome outcome, LoadReport report) {
-        probes.completed(engine, outcome, report);
+        probes.complete(engine, outcome, report);
     }
 
-    // ---- From discovery and operators
+    // Called by endpoint discovery and by operators' tools
 
     /**
-     * The endpoint list changed. What has not been sent to an engine that drains is taken back
-     * before the router is notified of the list.
+     * Applies an update of the endpoint list. Attempts for a draining engine that are not yet sent
+     * are withdrawn before the router is notified of the list.
      */
     public void endpointsChanged(EndpointUpdate kind, List<EngineEndpoint> list) {
         administration.endpointsChanged(kind, list);
     }
 
-    /** What has become of requests and attempts so far. */
+    /** Returns the counters of requests and attempts. */
     public RequestMetrics metrics() {
         return requests.metrics();
     }
 
-    /** The number of engines in the endpoint list, whatever their state. */
+    /** Returns the number of engines in the endpoint list, in any state. */
     public int listedEngines() {
         return endpoints.listed().size();
     }
 
-    /** The number of these that are disabled or ejected now, each counted once. */
+    /** Returns the number of listed engines that are disabled, ejected or both. */
     public int excludedEngines() {
         return administration.excludedEngines();
     }
 
     /**
-     * The ids of the engines that neither the list nor an operator forbids to use, ascending.
+     * Returns the ids of the engines that are listed as ready and not disabled, in ascending order.
      *
-     * @param ejected only those that the router has ejected, else only the others
+     * @param ejected true for those that the router has ejected, false for the others
      */
     public long[] readyEngines(boolean ejected) {
         return administration.readyEngines(ejected);
     }
 
     /**
-     * Another front end probed an engine: a hint when to probe it here. It does nothing where the
-     * router has not ejected the engine, and keeps nothing away from the engine.
+     * Applies an ejection hint: the result of another front end's probe, which postpones or hastens
+     * the next probe by this front end. A hint has no effect on an engine that the router has not
+     * ejected, and never ejects an engine.
      *
      * @param served whether the engine served the other front end
      */
@@ -232,53 +241,61 @@
         administration.applyEjectionHint(engine, served);
     }
 
-    /** Whether an engine has this id, or had it when it was disabled. */
+    /** Returns whether an engine with this id is listed or disabled. */
     public boolean isKnownEngine(long engine) {
         return endpoints.isKnown(engine);
     }
 
-    /** Whether an operator has disabled the engine. */
+    /** Returns whether an operator has disabled the engine. */
     public boolean isDisabled(long engine) {
         return endpoints.isDisabled(engine);
     }
 
-    /** Disables an engine, whatever the endpoint list says of it, until it is enabled. */
+    /** Disables an engine, regardless of its state in the endpoint list, until it is enabled. */
     public void disable(long engine) {
         administration.disable(engine);
     }
 
-    /** Enables an engine as of a time; it was restarted meanwhile, so it has to warm up. */
-    public void enable(long engine, long at) {
-        administration.enable(engine, at);
+    /**
+     * Enables an engine as reinstated at the given time. Operators enable an engine after a
+     * restart, so it has to warm up from then on.
+     */
+    public void enable(long engine, long reinstatedAt) {
+        administration.enable(engine, reinstatedAt);
     }
 
-    // ---- From the other processes of this front end
+    // Called for the other processes of this front end
 
     /**
-     * So many processes serve this front end's clients together.
+     * Sets how many processes of this front end serve its clients.
      *
-     * @param place the number of this one among them, from 0
+     * @param processes the number of processes, including this one
+     * @param index the index of this process among them, from 0
      */
-    public void processesChanged(int processes, int place) {
-        requests.keyQueue().countOtherProcesses(clock.now());
-        router.deliver(r -> r.processesChanged(clock.now(), processes, place));
+    public void processesChanged(int processes, int index) {
+        requests.keyQueue().updateOtherProcesses(clock.now());
+        router.deliver(r -> r.processesChanged(clock.now(), processes, index));
     }
 
-    /** The run times by query class that the router has learned, for another process. */
+    /**
+     * Returns the run times that the router has learned, to be passed to another process.
+     *
+     * @return microseconds by index of the query class, 0 if none is learned
+     */
     public double[] learnedRunTimes() {
         return router.learnedRunTimes();
     }
 
-    /** The run times that another process has learned. */
+    /** Restores the run times that another process has learned. */
     public void learnedRunTimes(double[] byQueryClass) {
         router.deliver(r -> r.restoreLearnedRunTimes(byQueryClass));
     }
 
-    // ---- The router's actions
+    // Actions requested by the router
 
     @Override
-    public void startAttempt(long query, long engine, long giveUpAt) {
-        attempts.start(query, engine, giveUpAt);
+    public void startAttempt(long query, long engine, long timeoutAt) {
+        attempts.start(query, engine, timeoutAt);
     }
 
     @Override
@@ -287,8 +304,8 @@
     }
 
     @Override
-    public void cancelAttempt(long query, int number) {
-        attempts.cancel(query, number);
+    public void cancelAttempt(long query, int attempt) {
+        attempts.cancel(query, attempt);
     }
 
     @Override
@@ -308,7 +325,7 @@
 
     @Override
     public void scheduleTimer(long delayUs, long token) {
-        deadlines.add(clock.now() + delayUs, routerTimer, token);
+        deadlines.add(clock.now() + delayUs, routerTimerCallback, token);
     }
 
     @Override
@@ -318,7 +335,7 @@
 
     @Override
     public void watchEndpoints() {
-        // Updates come unasked: discovery watches the endpoint list from the start.
+        // Not needed: endpoint discovery watches the endpoint list from the start.
     }
 
     @Override
--- a/src/main/java/calicostream/core/IncomingRequest.java
+++ b/src/main/java/calicostream/core/IncomingRequest.java
@@ -4,14 +4,14 @@
 import calicostream.routing.Query;
 
 /**
- * A request as a protocol server hands it to {@link Gateway#accept}.
+ * A request as a protocol server passes it to {@link Gateway#accept}.
  *
- * @param responseHandler gets the one answer
- * @param tag names the request towards its response handler
- * @param id names the request in logs and towards engines
- * @param query what the router decides by; its id is assigned by the gateway
+ * @param responseHandler gets the final answer
+ * @param tag identifies the request to its response handler
+ * @param id identifies the request in logs and to engines
+ * @param query the attributes that the router decides by; the gateway assigns its id
  * @param body the text of the statement; not copied
- * @param operation what the text does not say, or null
+ * @param operation the operation if the text does not describe it completely, or null
  */
 public record IncomingRequest(
         ResponseHandler responseHandler,
@@ -21,9 +21,9 @@
         byte[] body,
         RequestOperation operation) {
     /**
-     * A request without an operation, which any engine may run.
+     * Creates a request without an operation that any engine may run.
      *
-     * @param timeLeftMicros time until its deadline, in microseconds
+     * @param timeLeftMicros the time until the deadline of the request, in microseconds
      */
     public static IncomingRequest of(
             ResponseHandler responseHandler,
@@ -38,12 +38,12 @@
     }
 
     /**
-     * The same request with an operation.
+     * Returns the same request with an operation.
      *
-     * @param stickyEngine the only engine that may run it, or 0
+     * @param stickyEngine the id of the only engine that may run the request, or 0 for any engine
      */
-    public IncomingRequest withOperation(RequestOperation asked, long stickyEngine) {
-        Query sticky =
+    public IncomingRequest withOperation(RequestOperation newOperation, long stickyEngine) {
+        Query stickyQuery =
                 new Query(
                         query.id(),
                         query.queryClass(),
@@ -55,6 +55,6 @@
                         query.tableGroup(),
                         query.clientRetry(),
                         stickyEngine);
-        return new IncomingRequest(responseHandler, tag, id, sticky, body, asked);
+        return new IncomingRequest(responseHandler, tag, id, stickyQuery, body, newOperation);
     }
 }
--- a/src/main/java/calicostream/core/KeyOwnership.java
+++ b/src/main/java/calicostream/core/KeyOwnership.java
@@ -2,11 +2,11 @@
 package calicostream.core;
 
 /**
- * Which process of this front end runs the requests of a key, where two serve side by side. One
- * thread calls it, and no call blocks.
+ * Decides which process of this front end runs the requests of an ordered key while two processes
+ * serve side by side. Not thread-safe; no call blocks.
  */
 public interface KeyOwnership {
-    /** One process alone owns every key. */
+    /** The ownership of a single process, which owns every key. */
     KeyOwnership ALONE =
             new KeyOwnership() {
                 @Override
@@ -24,17 +24,18 @@
             };
 
     /**
-     * Whether a further request of the key may run here now. If not, another process owns the key
-     * or is ahead in waiting for it, and the caller tries again soon; the first to try is next.
+     * Tries to acquire a key, and returns whether a further request of it may run here now. If not,
+     * another process owns the key or began to wait for it earlier, and the caller must try again
+     * soon. Waiting processes acquire the key in the order in which they first tried.
      */
     boolean tryAcquire(long key);
 
-    /** Releases a key: no request of it runs here, and its quiet period is over. */
+    /** Releases a key when no request of it runs here and its quiet period has ended. */
     void release(long key);
 
     /**
-     * The number of other processes of this front end that are alive. The keys of one that has
-     * ended are free at once.
+     * Returns the number of other live processes of this front end. The keys of a process that ends
+     * are released immediately.
      */
     int otherProcesses();
 }
--- a/src/main/java/calicostream/core/KeyedRequestQueue.java
+++ b/src/main/java/calicostream/core/KeyedRequestQueue.java
@@ -7,134 +7,142 @@
 import java.util.function.Consumer;
 
 /**
- * Queues requests whose key another process of this front end owns, in the order accepted. The
- * router keeps those in order that pass; a key is released once no request of it is left and its
- * quiet period is over. One thread.
+ * Queues requests whose ordered key is owned by another process of this front end, in the order of
+ * acceptance. The router keeps dispatched requests of a key in order. A key is released when no
+ * request of it runs and its quiet period has ended. Not thread-safe.
  */
 final class KeyedRequestQueue<R> {
-    /** Time between two attempts to acquire a key that another process owns. */
+    /** The interval at which this process tries to acquire a key that another process owns. */
     static final long RETRY_INTERVAL_MICROS = 5_000;
 
-    /** The requests of one key. */
+    /** The queue and the state of one ordered key. */
     private static final class KeyState<R> {
         private final ArrayDeque<R> waiting = new ArrayDeque<>();
-        private int running; // requests that have passed and not ended
-        private long quietUntil;
+        private int runningCount; // dispatched requests that have not ended
+        private long quietPeriodEnd;
         private boolean isRetryScheduled;
-        private boolean isQuiet;
+        private boolean isInQuietPeriod;
     }
 
     private final Clock clock;
     private final Deadlines deadlines;
     private final long quietPeriodMicros;
-    private final Consumer<R> next;
+    private final Consumer<R> dispatcher;
     private final Map<Long, KeyState<R>> keys = new HashMap<>();
-    private final Deadlines.Target retry = this::retry;
-    private final Deadlines.Target quietPeriodEnded = this::quietPeriodEnded;
+    private final Deadlines.Callback retryCallback = this::onRetry;
+    private final Deadlines.Callback quietPeriodCallback = this::onQuietPeriodEnd;
     private KeyOwnership ownership = KeyOwnership.ALONE;
     private int otherProcesses;
-    private long processLostAt = Long.MIN_VALUE / 2;
+
+    /** When another process last ended. Half the minimum, as subtracting the minimum overflows. */
+    private long processEndedAt = Long.MIN_VALUE / 2;
 
     /**
-     * An empty queue.
+     * Creates an empty queue.
      *
-     * @param next gets each request that may run here
+     * @param dispatcher gets each request that may run here
      */
-    KeyedRequestQueue(Clock clock, Deadlines deadlines, long quietPeriodMicros, Consumer<R> next) {
+    KeyedRequestQueue(
+            Clock clock, Deadlines deadlines, long quietPeriodMicros, Consumer<R> dispatcher) {
         this.clock = clock;
         this.deadlines = deadlines;
         this.quietPeriodMicros = quietPeriodMicros;
-        this.next = next;
+        this.dispatcher = dispatcher;
     }
 
-    /** Sets who says which process owns a key; before the first request. */
+    /** Sets the source of key ownership; called before the first request. */
     void attach(KeyOwnership keyOwnership) {
         ownership = keyOwnership;
     }
 
-    /** Lets the request pass, now or when this process owns its key. */
+    /** Dispatches the request, now or as soon as this process owns its key. */
     void add(long key, R request) {
         KeyState<R> state = keys.computeIfAbsent(key, k -> new KeyState<>());
         state.waiting.add(request);
         if (state.waiting.size() == 1) {
-            advance(clock.now(), key, state);
+            dispatchWaiting(clock.now(), key, state);
         }
     }
 
-    private void advance(long now, long key, KeyState<R> state) {
-        while (!state.waiting.isEmpty() && mayRun(now, key, state)) {
-            state.running++;
-            next.accept(state.waiting.poll());
+    private void dispatchWaiting(long now, long key, KeyState<R> state) {
+        while (!state.waiting.isEmpty() && canDispatch(now, key, state)) {
+            state.runningCount++;
+            dispatcher.accept(state.waiting.poll());
         }
         if (!state.waiting.isEmpty() && !state.isRetryScheduled) {
             state.isRetryScheduled = true;
-            deadlines.add(now + RETRY_INTERVAL_MICROS, retry, key);
+            deadlines.add(now + RETRY_INTERVAL_MICROS, retryCallback, key);
         }
     }
 
-    private boolean mayRun(long now, long key, KeyState<R> state) {
-        countOtherProcesses(now);
-        boolean isOwned = state.running > 0 || state.isQuiet;
-        return (isOwned || now - processLostAt >= quietPeriodMicros) && ownership.tryAcquire(key);
+    private boolean canDispatch(long now, long key, KeyState<R> state) {
+        updateOtherProcesses(now);
+        boolean isOwnedHere = state.runningCount > 0 || state.isInQuietPeriod;
+        return (isOwnedHere || now - processEndedAt >= quietPeriodMicros)
+                && ownership.tryAcquire(key);
     }
 
     /**
-     * Counts the other processes. One that ends releases its keys at once, also those in their
-     * quiet period: no key is acquired until that would be over.
+     * Updates the number of other processes. A process that ends releases its keys immediately,
+     * even during their quiet period; therefore no new key is acquired until one quiet period has
+     * passed.
      */
-    void countOtherProcesses(long now) {
-        int alive = ownership.otherProcesses();
-        if (alive < otherProcesses) {
-            processLostAt = now;
+    void updateOtherProcesses(long now) {
+        int liveProcesses = ownership.otherProcesses();
+        if (liveProcesses < otherProcesses) {
+            processEndedAt = now;
         }
-        otherProcesses = alive;
+        otherProcesses = liveProcesses;
     }
 
-    private void retry(long now, long key) {
+    private void onRetry(long now, long key) {
         KeyState<R> state = keys.get(key);
         if (state != null) {
             state.isRetryScheduled = false;
-            advance(now, key, state);
-            forgetIfUnused(key, state);
+            dispatchWaiting(now, key, state);
+            removeIfUnused(key, state);
         }
     }
 
-    /** The request is answered and no attempt of it is in flight, whether it has passed or not. */
+    /**
+     * Handles the end of a request, which may have been dispatched or not. It is answered, and no
+     * attempt of it is in flight.
+     */
     void requestEnded(long key, R request) {
         KeyState<R> state = keys.get(key);
         if (state == null || state.waiting.remove(request)) {
             return;
         }
-        state.running--;
-        if (state.running == 0) {
-            state.quietUntil = clock.now() + quietPeriodMicros;
-            beginQuietPeriod(key, state);
+        state.runningCount--;
+        if (state.runningCount == 0) {
+            state.quietPeriodEnd = clock.now() + quietPeriodMicros;
+            startQuietPeriod(key, state);
         }
     }
 
-    private void beginQuietPeriod(long key, KeyState<R> state) {
-        if (!state.isQuiet) {
-            state.isQuiet = true;
-            deadlines.add(state.quietUntil, quietPeriodEnded, key);
+    private void startQuietPeriod(long key, KeyState<R> state) {
+        if (!state.isInQuietPeriod) {
+            state.isInQuietPeriod = true;
+            deadlines.add(state.quietPeriodEnd, quietPeriodCallback, key);
         }
     }
 
-    /** A request that ran meanwhile has prolonged the quiet period. */
-    private void quietPeriodEnded(long now, long key) {
+    /** Releases the key unless a request that ran meanwhile has extended the quiet period. */
+    private void onQuietPeriodEnd(long now, long key) {
         KeyState<R> state = keys.get(key);
-        state.isQuiet = false;
-        if (state.running == 0 && now < state.quietUntil) {
-            beginQuietPeriod(key, state);
-        } else if (state.running == 0) {
+        state.isInQuietPeriod = false;
+        if (state.runningCount == 0 && now < state.quietPeriodEnd) {
+            startQuietPeriod(key, state);
+        } else if (state.runningCount == 0) {
             ownership.release(key);
-            advance(now, key, state);
-            forgetIfUnused(key, state);
+            dispatchWaiting(now, key, state);
+            removeIfUnused(key, state);
         }
     }
 
-    private void forgetIfUnused(long key, KeyState<R> state) {
-        boolean isScheduled = state.isQuiet || state.isRetryScheduled;
-        if (state.running == 0 && state.waiting.isEmpty() && !isScheduled) {
+    private void removeIfUnused(long key, KeyState<R> state) {
+        boolean hasPendingDeadline = state.isInQuietPeriod || state.isRetryScheduled;
+        if (state.runningCount == 0 && state.waiting.isEmpty() && !hasPendingDeadline) {
             keys.remove(key);
         }
     }
--- a/src/main/java/calicostream/core/LoadProbes.java
+++ b/src/main/java/calicostream/core/LoadProbes.java
@@ -4,7 +4,7 @@
 import calicostream.routing.AttemptOutcome;
 import calicostream.routing.LoadReport;
 
-/** Load probes between the router, which asks for them, and the engine client. One thread. */
+/** Passes load probes between the router and the engine client. Not thread-safe. */
 final class LoadProbes {
     private final Clock clock;
     private final Deadlines deadlines;
@@ -19,20 +19,20 @@
         this.router = router;
     }
 
-    /** Sets the way to the engines, before anything else. */
+    /** Sets the engine client; called before any other method. */
     void attach(EngineClient engineClient) {
         engines = engineClient;
     }
 
-    /** Probes an engine; one that cannot be probed ends the probe later, as not started. */
+    /** Starts a probe. If the engine cannot be probed, the probe ends later as not started. */
     void start(long engine) {
         if (!endpoints.isReady(engine) || !engines.probe(engine)) {
             completeLater(engine, AttemptOutcome.NOT_STARTED, null);
         }
     }
 
-    /** A probe ended; the report is null where none came. */
-    void completed(long engine, AttemptOutcome outcome, LoadReport report) {
+    /** Handles the end of a probe; the report is null if none was received. */
+    void complete(long engine, AttemptOutcome outcome, LoadReport report) {
         if (router.isRouterActive()) {
             completeLater(engine, outcome, report);
         } else {
@@ -41,8 +41,8 @@
         }
     }
 
-    /** The router must not be called from inside its own event. */
+    /** Defers the notification, as the router must not be called while it handles an event. */
     private void completeLater(long engine, AttemptOutcome outcome, LoadReport report) {
-        deadlines.add(clock.now(), (now, id) -> completed(id, outcome, report), engine);
+        deadlines.add(clock.now(), (now, id) -> complete(id, outcome, report), engine);
     }
 }
--- a/src/main/java/calicostream/core/Request.java
+++ b/src/main/java/calicostream/core/Request.java
@@ -8,8 +8,8 @@
 import calicostream.routing.QueryClass;
 
 /**
- * A request from its acceptance to its one final answer. Times are the gateway's clock, in
- * microseconds.
+ * The state of an accepted request until its final answer. Times are in microseconds of the
+ * gateway's clock.
  */
 public final class Request {
     private static final int DEFAULT_PRIORITY = 1;
@@ -22,10 +22,13 @@
     private long handle;
     private int tenant;
     private int priority = DEFAULT_PRIORITY;
-    private int attempts;
+    private int attemptCount;
     private boolean mayHaveRun;
-    private long firstRiskySendAt; // when the first attempt that may have run was sent
-    private boolean hasLeftKeyQueue;
+
+    /** When the first of the attempts that may have run was sent; valid if {@code mayHaveRun}. */
+    private long firstPossibleRunSentAt;
+
+    private boolean isKeyReleased;
     private Attempt activeAttempt;
     private Attempt previousAttempt;
 
@@ -36,194 +39,210 @@
         deadline = acceptedAt + incoming.query().timeLeftUs();
     }
 
-    // ---- State, changed by RequestLifecycle and AttemptLifecycle only
+    // State, changed by RequestLifecycle and AttemptLifecycle only
 
-    /** Where it stands between acceptance and answer. */
+    /** Returns the state between acceptance and final answer. */
     RequestState state() {
         return state;
     }
 
-    /** Passes to the next state; an illegal transition is a fault of the gateway. */
-    void become(RequestState next) {
-        assert state.canBecome(next) : id() + ": " + state + " cannot become " + next;
-        state = next;
+    /** Changes the state; an illegal transition is a bug in the gateway. */
+    void transitionTo(RequestState nextState) {
+        assert state.canTransitionTo(nextState)
+                : id() + ": " + state + " cannot transition to " + nextState;
+        state = nextState;
     }
 
-    /** Sets its handle, once. */
+    /** Sets the handle of the request; called once. */
     void assignHandle(long newHandle) {
         handle = newHandle;
     }
 
-    /** Sets its priority for this and further attempts. */
+    /** Sets the priority of the current attempt and of later ones. */
     void setPriority(int newPriority) {
         priority = newPriority;
     }
 
-    /** Counts an attempt that the router asked for. */
+    /** Counts an attempt that the router has requested. */
     void countAttempt() {
-        attempts++;
+        attemptCount++;
     }
 
-    /** The number of attempts that the router asked for. */
-    int attempts() {
-        return attempts;
+    /** Returns the number of attempts that the router has requested. */
+    int attemptCount() {
+        return attemptCount;
     }
 
-    /** The attempt that was sent and whose end the router does not know, or null. */
+    /** Returns the sent attempt whose end the router was not yet notified of, or null. */
     Attempt activeAttempt() {
         return activeAttempt;
     }
 
-    /** An attempt is sent. */
-    void activate(Attempt attempt) {
+    /** Records that an attempt is being sent. */
+    void setActiveAttempt(Attempt attempt) {
         activeAttempt = attempt;
     }
 
-    /** An attempt has ended; nothing happens where it had not been sent. */
-    void deactivate(Attempt attempt) {
+    /** Records that an attempt has ended; does nothing if the attempt was not sent. */
+    void clearActiveAttempt(Attempt attempt) {
         if (activeAttempt == attempt) {
             activeAttempt = null;
             previousAttempt = attempt;
         }
     }
 
-    /** Notes whether the attempt may have run at its engine. */
+    /** Records whether the attempt may have run on its engine. */
     void recordOutcome(Attempt attempt, AttemptOutcome outcome) {
         if (outcome.mayHaveRun && !mayHaveRun) {
             mayHaveRun = true;
-            firstRiskySendAt = attempt.sentAt();
+            firstPossibleRunSentAt = attempt.sentAt();
         }
     }
 
-    /** Whether one of its attempts may have run. */
+    /** Returns whether an ended attempt of the request may have run. */
     boolean mayHaveRun() {
         return mayHaveRun;
     }
 
-    /** Takes it out of its key's queue; false: that was done before. */
-    boolean leaveKeyQueue() {
-        boolean isFirst = !hasLeftKeyQueue;
-        hasLeftKeyQueue = true;
-        return isFirst;
+    /**
+     * Records that the request neither runs under its ordered key nor waits for it any more.
+     *
+     * @return false if that was recorded before
+     */
+    boolean markKeyReleased() {
+        boolean isFirstCall = !isKeyReleased;
+        isKeyReleased = true;
+        return isFirstCall;
     }
 
-    // ---- What its class says of retries
+    // Settings of the query class
 
-    /** Whether it is a load, which engines take as an update and which locks its tables. */
+    /** Returns whether the request is a load: an update that locks the tables it writes. */
     public boolean isLoad() {
         return queryClassSettings.load();
     }
 
-    /** Whether it must not run twice: by its class, or as its engine holds what it changes. */
+    /**
+     * Returns whether the request must not run twice: its query class is non-idempotent, or its
+     * sticky engine holds the state that it changes.
+     */
     public boolean isNonIdempotent() {
         return stickyEngine() != 0
                 || queryClassSettings.idempotency() == Idempotency.NON_IDEMPOTENT;
     }
 
-    /** Whether its client may send it again, to any front end, though it may have run. */
+    /**
+     * Returns whether the client may send the request again, to any front end, even if it may have
+     * run.
+     */
     boolean isSafeToRetryByClient() {
         return !isNonIdempotent()
                 && (queryClassSettings.idempotency() == Idempotency.IDEMPOTENT
                         || queryClassSettings.idempotencyScope() == IdempotencyScope.ALL);
     }
 
-    /** Until when a further attempt may be sent, as far as what may have run bounds that. */
-    long retryableUntil() {
-        boolean bounded =
+    /**
+     * Returns the end of the retry window, which begins when the first attempt that may have run is
+     * sent; {@link Long#MAX_VALUE} if no attempt may have run or no idempotency key limits retries.
+     */
+    long retryDeadline() {
+        boolean isLimited =
                 mayHaveRun && queryClassSettings.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY;
-        return bounded ? firstRiskySendAt + queryClassSettings.retryWindowUs() : Long.MAX_VALUE;
+        return isLimited
+                ? firstPossibleRunSentAt + queryClassSettings.retryWindowUs()
+                : Long.MAX_VALUE;
     }
 
-    /** Whether it runs in order with the other requests of its key. */
+    /** Returns whether the request runs in order with the other requests of its key. */
     boolean isOrderedByKey() {
         return queryClassSettings.orderedByKey() && key() != 0;
     }
 
-    // ---- What it is
+    // Properties
 
-    /** The key whose requests run in order, or 0. */
+    /** Returns the ordered key of the request, or 0. */
     long key() {
         return incoming.query().key();
     }
 
-    /** What the router decides by, with the time that is left. */
+    /** Returns the query for the router, with the time left until the deadline. */
     Query queryAt(long now) {
         return incoming.query().withId(handle).withTimeLeft(deadline - now);
     }
 
-    /** When it was accepted. */
+    /** Returns the time at which the request was accepted. */
     long acceptedAt() {
         return acceptedAt;
     }
 
-    /** Its handle in the gateway's slot table. */
+    /** Returns the handle of the request in the gateway's slot table. */
     public long handle() {
         return handle;
     }
 
-    /** Gets its one final answer. */
+    /** Returns the handler that gets the final answer. */
     public ResponseHandler responseHandler() {
         return incoming.responseHandler();
     }
 
-    /** Names the request towards its response handler. */
+    /** Returns the tag that identifies the request to its response handler. */
     public long tag() {
         return incoming.tag();
     }
 
-    /** Names the request in logs and towards engines. */
+    /** Returns the id that identifies the request in logs and to engines. */
     public String id() {
         return incoming.id();
     }
 
-    /** The index of its query class. */
+    /** Returns the index of the query class. */
     public int queryClass() {
         return incoming.query().queryClass();
     }
 
-    /** The text of its statement; not copied. */
+    /** Returns the text of the statement; not copied. */
     public byte[] body() {
         return incoming.body();
     }
 
-    /** What to do where the body's text does not say it all, or null. */
+    /** Returns the operation if the body does not describe it completely, or null. */
     public RequestOperation operation() {
         return incoming.operation();
     }
 
-    /** The one engine that may run it, or 0. */
+    /** Returns the id of the only engine that may run the request, or 0 for any engine. */
     public long stickyEngine() {
         return incoming.query().stickyEngine();
     }
 
-    /** When it must have been answered. */
+    /** Returns the time by which the request must have its final answer. */
     public long deadline() {
         return deadline;
     }
 
-    /** The tenant that the engine client assigned, 0 before. */
+    /** Returns the index of the tenant that the engine client assigned, 0 until then. */
     public int tenant() {
         return tenant;
     }
 
-    /** For an engine client that tells tenants apart; the gateway does not use it. */
+    /** Sets the tenant, for engine clients with per-tenant limits; not used by the gateway. */
     public void assignTenant(int newTenant) {
         tenant = newTenant;
     }
 
-    /** Whether it has had its final answer or its client has left. */
+    /** Returns whether the request has its final answer or was abandoned by its client. */
     public boolean isAnswered() {
         return state == RequestState.ANSWERED;
     }
 
-    /** How urgent it is to engines, as the router decided last. */
+    /** Returns the priority on engines that the router assigned last. */
     public int priority() {
         return priority;
     }
 
     /**
-     * The attempt that ended last, or null. An engine client makes sure that the cancellation of
-     * that one is sent before the next one.
+     * Returns the attempt that ended last, or null. The engine client must send its cancellation
+     * before it sends the next attempt.
      */
     public Attempt previousAttempt() {
         return previousAttempt;
--- a/src/main/java/calicostream/core/RequestLifecycle.java
+++ b/src/main/java/calicostream/core/RequestLifecycle.java
@@ -8,11 +8,11 @@
 import java.util.List;
 
 /**
- * Takes each request from its acceptance to its one final answer, and owns the transitions of
- * {@link RequestState}. One thread.
+ * Manages each request from its acceptance until its final answer, and performs the transitions of
+ * {@link RequestState}. Each request gets exactly one final answer. Not thread-safe.
  */
 final class RequestLifecycle {
-    /** The router fails a query this many of its ticks before the deadline, at most. */
+    /** The router fails a query at most this many of its ticks before the deadline. */
     private static final int DEADLINE_SLACK_TICKS = 4;
 
     private static final int MICROS_PER_MILLI = 1000;
@@ -25,7 +25,7 @@
     private final RequestMetrics metrics;
     private final KeyedRequestQueue<Request> keyQueue;
     private final SlotTable<Request> requests = new SlotTable<>();
-    private final Deadlines.Target deadlinePassed = this::deadlinePassed;
+    private final Deadlines.Callback deadlineCallback = this::onDeadlinePassed;
     private AttemptLifecycle attempts;
     private EngineClient engines;
 
@@ -49,44 +49,44 @@
                         this::offerToEngineClient);
     }
 
-    /** Sets who ends the attempts of a request that is answered, before anything else. */
+    /** Sets the attempt lifecycle, which ends the attempts of answered requests; called first. */
     void attach(AttemptLifecycle attemptLifecycle) {
         attempts = attemptLifecycle;
     }
 
-    /** Sets the way to the engines, before the first request. */
+    /** Sets the engine client; called before the first request. */
     void attach(EngineClient engineClient) {
         engines = engineClient;
     }
 
-    /** What has become of requests and attempts so far. */
+    /** Returns the counters of requests and attempts. */
     RequestMetrics metrics() {
         return metrics;
     }
 
-    /** The requests whose keys another process of this front end serves. */
+    /** Returns the queue of requests whose ordered key another process of this front end owns. */
     KeyedRequestQueue<Request> keyQueue() {
         return keyQueue;
     }
 
-    /** The number of requests without a final answer. */
+    /** Returns the number of requests without a final answer. */
     int openRequests() {
         return requests.size();
     }
 
-    /** The request with this handle that has no final answer yet, or null. */
+    /** Returns the open request with this handle, or null. */
     Request find(long handle) {
         return requests.get(handle);
     }
 
-    // ---- Acceptance
+    // Acceptance
 
     /** Accepts a request; see {@link Gateway#accept}. */
     long accept(IncomingRequest incoming) {
         int queryClass = incoming.query().queryClass();
         Request request = new Request(incoming, settings.classes().get(queryClass), clock.now());
         request.assignHandle(requests.add(request));
-        deadlines.add(request.deadline(), deadlinePassed, request.handle());
+        deadlines.add(request.deadline(), deadlineCallback, request.handle());
         if (request.isOrderedByKey()) {
             keyQueue.add(request.key(), request);
         } else {
@@ -101,30 +101,30 @@
         }
     }
 
-    /** Passes a request on to the router, unless it has been or is answered. */
+    /** Passes a request to the router, unless it was passed before or is answered. */
     void admit(Request request) {
         long now = clock.now();
         if (request.state() == RequestState.QUEUED) {
-            request.become(RequestState.ROUTED);
+            request.transitionTo(RequestState.ROUTED);
             router.deliver(r -> r.queryAccepted(now, request.queryAt(now)));
         }
     }
 
-    /** The first part of its result goes to the client. */
+    /** Starts the result stream to the client. */
     void beginStream(Request request, ResultStreamHandle stream) {
-        request.become(RequestState.STREAMING);
+        request.transitionTo(RequestState.STREAMING);
         request.responseHandler().streamBegan(request.tag(), stream);
     }
 
-    // ---- What the router decides while it runs
+    // Called for actions and queries of the router
 
-    /** Whether the request's tenant has capacity at the engine. */
+    /** Returns whether the request's tenant has capacity at the engine. */
     boolean hasTenantCapacity(long handle, long engine) {
         Request request = requests.get(handle);
         return request == null || engines.hasTenantCapacity(request, engine);
     }
 
-    /** Sets the priority of the request, and of its attempt that is in flight. */
+    /** Sets the priority of the request and of its attempt in flight. */
     void setPriority(long handle, int priority) {
         Request request = requests.get(handle);
         if (request == null || request.priority() == priority) {
@@ -137,26 +137,26 @@
         }
     }
 
-    // ---- Final answers
+    // Final answers
 
-    /** Rejects a request that the router does not know yet. */
+    /** Rejects a request that was not yet passed to the router. */
     void rejectQueued(Request request, long retryAfterMicros) {
         if (request.state() == RequestState.QUEUED) {
             reject(request.handle(), retryAfterMicros);
         }
     }
 
-    /** Rejects a request, or fails it where its client must not send it again. */
+    /** Rejects a request, or fails it if the client must not send it again. */
     void reject(long handle, long retryAfterMicros) {
         Request request = requests.get(handle);
         if (request == null || request.isAnswered()) {
             return;
         }
-        boolean neverRan = !request.mayHaveRun() && request.activeAttempt() == null;
-        if (neverRan || request.isSafeToRetryByClient()) {
+        boolean cannotHaveRun = !request.mayHaveRun() && request.activeAttempt() == null;
+        if (cannotHaveRun || request.isSafeToRetryByClient()) {
             close(request, RequestOutcome.REJECTED);
             request.responseHandler().rejected(request.tag(), retryAfterMicros / MICROS_PER_MILLI);
-        } else { // A rejection would promise the client that it may send the request again.
+        } else { // A rejection would tell the client that a retry is safe.
             fail(handle);
         }
     }
@@ -167,9 +167,9 @@
         if (request == null || request.isAnswered()) {
             return;
         }
-        long slack = DEADLINE_SLACK_TICKS * settings.tickUs();
-        boolean late = clock.now() + slack >= request.deadline();
-        fail(request, late ? FailureReason.DEADLINE : FailureReason.ENGINE);
+        long slackMicros = DEADLINE_SLACK_TICKS * settings.tickUs();
+        boolean isNearDeadline = clock.now() + slackMicros >= request.deadline();
+        fail(request, isNearDeadline ? FailureReason.DEADLINE : FailureReason.ENGINE);
     }
 
     private void fail(Request request, FailureReason reason) {
@@ -177,8 +177,8 @@
         request.responseHandler().failed(request.tag(), reason);
     }
 
-    /** Answers a request by the end of its attempt where that is final. */
-    void answerByAttemptEnd(Request request, AttemptEnd end) {
+    /** Answers a request from the end of its attempt, if that is final. */
+    void answerFromAttemptEnd(Request request, AttemptEnd end) {
         if (request.isAnswered()) {
             return;
         }
@@ -193,7 +193,7 @@
         }
     }
 
-    /** The client has left: no answer is owed, and an attempt in flight is cancelled. */
+    /** Abandons a request: no answer is delivered, and an attempt in flight is cancelled. */
     void abandon(long handle) {
         Request request = requests.get(handle);
         if (request != null) {
@@ -205,18 +205,19 @@
         }
     }
 
-    /** The client has left, and the router learns it from the end of the attempt. */
-    void abandonWithAttempt(Request request) {
+    /** Abandons a request whose current attempt ends now, which also informs the router. */
+    void abandonWithoutRouterEvent(Request request) {
         close(request, RequestOutcome.ABANDONED);
     }
 
-    /** Answers all open requests at the end of the process; see {@link Gateway#terminateAll}. */
+    /** Answers all open requests before the process ends; see {@link Gateway#terminateAll}. */
     void terminateAll() {
-        List<Request> open = new ArrayList<>();
-        requests.forEach(open::add);
-        // Those without an attempt first: the end of an attempt frees capacity for them.
-        open.sort(Comparator.comparing(request -> request.activeAttempt() != null));
-        open.forEach(this::terminate);
+        List<Request> unanswered = new ArrayList<>();
+        requests.forEach(unanswered::add);
+        // Requests without an attempt come first: the end of an attempt frees capacity, with which
+        // the router would send them.
+        unanswered.sort(Comparator.comparing(request -> request.activeAttempt() != null));
+        unanswered.forEach(this::terminate);
     }
 
     private void terminate(Request request) {
@@ -231,8 +232,11 @@
                 });
     }
 
-    /** The last guard against a lost request: the router normally answers just before this. */
-    private void deadlinePassed(long now, long handle) {
+    /**
+     * Answers a request whose deadline has passed. The router normally answers shortly before; this
+     * ensures an answer if it does not.
+     */
+    private void onDeadlinePassed(long now, long handle) {
         Request request = requests.get(handle);
         if (request == null || request.state() == RequestState.STREAMING) {
             return;
@@ -248,29 +252,29 @@
                 });
     }
 
-    /** Counts the one final answer and gives up the attempt that is in flight. */
+    /** Records the final answer, and ends the active attempt or else leaves the key queue. */
     private void close(Request request, RequestOutcome outcome) {
-        request.become(RequestState.ANSWERED);
+        request.transitionTo(RequestState.ANSWERED);
         metrics.recordRequestEnd(request.queryClass(), outcome);
         listener.requestEnded(
                 request.id(),
                 request.queryClass(),
                 outcome,
-                request.attempts(),
+                request.attemptCount(),
                 clock.now() - request.acceptedAt());
         requests.remove(request.handle());
         if (request.activeAttempt() != null) {
-            attempts.giveUp(request.activeAttempt(), AttemptOutcome.CANCELLED);
+            attempts.abort(request.activeAttempt(), AttemptOutcome.CANCELLED);
         } else {
             releaseKey(request);
         }
     }
 
-    /** Releases the request's place in its key's order, once no attempt of it is in flight. */
+    /** Removes an answered request from its key queue once no attempt of it is active. */
     void releaseKey(Request request) {
         if (request.isOrderedByKey()
                 && request.activeAttempt() == null
-                && request.leaveKeyQueue()) {
+                && request.markKeyReleased()) {
             keyQueue.requestEnded(request.key(), request);
         }
     }
--- a/src/main/java/calicostream/core/RequestListener.java
+++ b/src/main/java/calicostream/core/RequestListener.java
@@ -4,22 +4,22 @@
 import calicostream.routing.EngineEndpoint;
 
 /**
- * Notified of final answers and of changes to engines, for the operators' records. The gateway's
- * thread calls it; it must not call the gateway.
+ * Receives final answers and changes of engines, for the operators' logs. Called by the gateway's
+ * thread; must not call the gateway.
  */
 public interface RequestListener {
     /** A listener that records nothing. */
     RequestListener NONE = new RequestListener() {};
 
     /**
-     * A request had its one final answer, or its client left.
+     * Called when a request has its final answer or was abandoned by its client.
      *
-     * @param attempts the number of attempts that the router asked for
+     * @param attemptCount the number of attempts that the router requested
      * @param elapsedUs the time since the request was accepted, in microseconds
      */
     default void requestEnded(
-            String id, int queryClass, RequestOutcome outcome, int attempts, long elapsedUs) {}
+            String id, int queryClass, RequestOutcome outcome, int attemptCount, long elapsedUs) {}
 
-    /** The endpoint list names an engine in a new way; one that is gone is {@code REMOVED}. */
+    /** Called when an entry of the endpoint list changes; a deleted engine is {@code REMOVED}. */
     default void engineChanged(EngineEndpoint engine) {}
 }
--- a/src/main/java/calicostream/core/RequestMetrics.java
+++ b/src/main/java/calicostream/core/RequestMetrics.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * What has become of requests and attempts since the process began. The one place where it is
- * counted; one thread.
+ * Counters of ended requests and written attempts since the process started; nothing else counts
+ * them. Not thread-safe.
  */
 public final class RequestMetrics {
     /** For each outcome, the number of requests by the index of their query class. */
@@ -28,12 +28,12 @@
         attemptsWritten++;
     }
 
-    /** The number of requests of the class that ended so. */
+    /** Returns the number of requests of the query class that ended with this outcome. */
     public long requestsEnded(RequestOutcome outcome, int queryClass) {
         return endedRequests.get(outcome)[queryClass];
     }
 
-    /** The number of attempts whose last byte has been written to an engine. */
+    /** Returns the number of attempts whose last byte was written to an engine. */
     public long attemptsWritten() {
         return attemptsWritten;
     }
--- a/src/main/java/calicostream/core/RequestOperation.java
+++ b/src/main/java/calicostream/core/RequestOperation.java
@@ -2,7 +2,7 @@
 package calicostream.core;
 
 /**
- * What a request asks of an engine where the text of its body does not say it all. The gateway
- * carries it from the response handler's protocol to the engine client and never looks into it.
+ * The operation of a request whose body does not describe it completely. The gateway passes it from
+ * the protocol server to the engine client; opaque to the gateway.
  */
 public interface RequestOperation {}
--- a/src/main/java/calicostream/core/RequestOutcome.java
+++ b/src/main/java/calicostream/core/RequestOutcome.java
@@ -3,12 +3,12 @@
 
 /** How a request ended. */
 public enum RequestOutcome {
-    /** Its complete result was delivered. */
+    /** The complete result was delivered. */
     SERVED,
-    /** It was rejected, and the client may safely send it again. */
+    /** The request was rejected, and the client may safely send it again. */
     REJECTED,
-    /** It failed, or got a final status; nothing is promised about its effect. */
+    /** The request failed or got a final status; it may or may not have taken effect. */
     FAILED,
-    /** Its client left before there was an answer. */
+    /** The client disconnected or cancelled the request before the final answer. */
     ABANDONED
 }
--- a/src/main/java/calicostream/core/RequestResult.java
+++ b/src/main/java/calicostream/core/RequestResult.java
@@ -2,7 +2,7 @@
 package calicostream.core;
 
 /**
- * The complete result of a request in the engine client's form. The gateway hands it from the
- * engine client to the request's {@link ResponseHandler} and never looks into it.
+ * The complete result of a request. Defined by the engine client and passed to the request's {@link
+ * ResponseHandler}; opaque to the gateway.
  */
 public interface RequestResult {}
--- a/src/main/java/calicostream/core/RequestState.java
+++ b/src/main/java/calicostream/core/RequestState.java
@@ -4,20 +4,20 @@
 import java.util.EnumSet;
 import java.util.Set;
 
-/** The states of a {@link Request}, in the order in which it can pass them. */
+/** The states of a {@link Request}; transitions only lead to a later state. */
 enum RequestState {
-    /** Accepted; the router has not been notified of it yet. */
+    /** Accepted, but not yet passed to the router. */
     QUEUED,
-    /** The router decides when and where it is attempted. */
+    /** Passed to the router, which decides when and where an attempt is sent. */
     ROUTED,
-    /** A part of its result has gone to the client: no other attempt, no deadline. */
+    /** A part of the result was sent to the client: no other attempt and no deadline. */
     STREAMING,
-    /** It has had its final answer, or its client has left. */
+    /** Has its final answer, or was abandoned by the client. */
     ANSWERED;
 
-    /** Whether a request may pass from this state to the other one. */
-    boolean canBecome(RequestState next) {
-        return successors().contains(next);
+    /** Returns whether a request may change from this state to the given one. */
+    boolean canTransitionTo(RequestState nextState) {
+        return successors().contains(nextState);
     }
 
     private Set<RequestState> successors() {
--- a/src/main/java/calicostream/core/ResponseHandler.java
+++ b/src/main/java/calicostream/core/ResponseHandler.java
@@ -5,60 +5,63 @@
 import java.net.InetSocketAddress;
 
 /**
- * The protocol server that a request came from. Each request that {@link Gateway#accept} took gets
- * exactly one of {@link #served}, {@link #concluded}, {@link #rejected} and {@link #failed}, unless
- * it is abandoned. The gateway's thread makes all calls.
+ * The protocol server that a request came from. For each accepted request, exactly one of {@link
+ * #served}, {@link #concluded}, {@link #rejected} and {@link #failed} is called, unless the request
+ * is abandoned. All calls are made by the gateway's thread.
  */
 public interface ResponseHandler {
     /**
-     * The request is served.
+     * Answers the request with its result, or ends its result stream.
      *
-     * @param result the complete result in the engine client's form; null after {@link
-     *     #streamBegan}, where it means that the stream is complete
+     * @param result the complete result as the engine client produced it; null after {@link
+     *     #streamBegan}, when the stream is complete
      */
     void served(long tag, RequestResult result);
 
-    /** The result begins, and goes on as the client takes it; another call marks its end. */
+    /**
+     * Starts a result stream, which continues at the pace of the client; {@link #served} or {@link
+     * #failed} ends it.
+     */
     default void streamBegan(long tag, ResultStreamHandle stream) {
-        throw new IllegalStateException("this protocol server takes complete results only");
+        throw new IllegalStateException("this protocol server does not support result streams");
     }
 
-    /** The request is answered by a final status, for protocol servers that know its form. */
+    /** Answers the request with a final status; fails it if the protocol has no such status. */
     default void concluded(long tag, FinalStatus status) {
         failed(tag, FailureReason.ENGINE);
     }
 
-    /** The request is rejected; the client may safely send it again, best after this time. */
+    /** Rejects the request; the client may safely send it again, preferably after this time. */
     void rejected(long tag, long retryAfterMs);
 
-    /** The request failed, with nothing promised about its effect. */
+    /** Fails the request, which may or may not have taken effect. */
     void failed(long tag, FailureReason reason);
 
     /**
-     * Whether the client has cancelled this request or disconnected, also where that has arrived
-     * but was not handled yet. Asked right before an attempt goes to an engine, maybe while the
-     * request is being accepted; must not call the gateway.
+     * Returns whether the client has cancelled this request or disconnected, including a
+     * cancellation that was received but not yet handled. Called immediately before an attempt is
+     * sent, possibly while the request is being accepted; must not call the gateway.
      */
     default boolean isClientGone(long tag) {
         return false;
     }
 
-    /** The login that an open request was sent under, or null where the protocol has none. */
+    /** Returns the login of an open request, or null if the protocol has none. */
     default String login(long tag) {
         return null;
     }
 
-    /** The catalog that an open request is for, or null where the protocol has none. */
+    /** Returns the catalog of an open request, or null if the protocol has none. */
     default String catalog(long tag) {
         return null;
     }
 
-    /** Our address that the client of an open request connected to, or null if unknown. */
+    /** Returns the local address that the client of an open request connected to, or null. */
     default InetSocketAddress localAddress(long tag) {
         return null;
     }
 
-    /** The address of the client of an open request, or null if unknown. */
+    /** Returns the address of the client of an open request, or null if unknown. */
     default InetAddress clientAddress(long tag) {
         return null;
     }
--- a/src/main/java/calicostream/core/ResultStreamHandle.java
+++ b/src/main/java/calicostream/core/ResultStreamHandle.java
@@ -2,7 +2,7 @@
 package calicostream.core;
 
 /**
- * A result that goes to the client while its engine still produces it. The gateway hands it from
- * the engine client to the request's {@link ResponseHandler} and never looks into it.
+ * A result stream that is sent to the client while the engine still produces it. Defined by the
+ * engine client and passed to the request's {@link ResponseHandler}; opaque to the gateway.
  */
 public interface ResultStreamHandle {}
--- a/src/main/java/calicostream/core/RouterDriver.java
+++ b/src/main/java/calicostream/core/RouterDriver.java
@@ -6,43 +6,43 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Calls the router, one event at a time, and never from inside another one of its events. A fault
- * of the router costs the event that it happened in; the request's deadline still answers the
- * request. One thread.
+ * Delivers events to the router one at a time, never while it handles another event. An exception
+ * thrown by the router is logged and aborts only the current event; an affected request is still
+ * answered at its deadline. Not thread-safe.
  */
 final class RouterDriver {
     private static final Logger LOG = LoggerFactory.getLogger(RouterDriver.class);
-    private static final int MAX_LOGGED_FAULTS = 20;
+    private static final int MAX_LOGGED_FAILURES = 20;
 
-    /** An event for the router. */
+    /** An event that is delivered to the router. */
     interface RouterEvent {
-        /** Delivers the event. */
+        /** Calls the method of the router that handles the event. */
         void deliverTo(QueryRouter router);
     }
 
     private final QueryRouter router;
     private final Runnable afterEvent;
     private boolean isRouterActive;
-    private long faults;
+    private long failures;
 
     /**
-     * Drives a router.
+     * Creates a driver.
      *
-     * @param afterEvent runs after each event, when the router may be called again
+     * @param afterEvent run after each event, when the router may be called again
      */
     RouterDriver(QueryRouter router, Runnable afterEvent) {
         this.router = router;
         this.afterEvent = afterEvent;
     }
 
-    /** Delivers one event, then what was postponed meanwhile. */
+    /** Delivers one event, then the notifications that were deferred meanwhile. */
     void deliver(RouterEvent event) {
         isRouterActive = true;
         try {
             event.deliverTo(router);
         } catch (RuntimeException e) {
-            if (faults++ < MAX_LOGGED_FAULTS) {
-                LOG.error("router failed", e);
+            if (failures++ < MAX_LOGGED_FAILURES) {
+                LOG.error("router threw an exception while handling an event", e);
             }
         } finally {
             isRouterActive = false;
@@ -50,8 +50,8 @@
         afterEvent.run();
     }
 
-    /** Runs a step as if the router were active: what the step brings about is postponed. */
-    void runPostponingEvents(Runnable step) {
+    /** Runs a step as if the router were active, so that notifications it causes are deferred. */
+    void runDeferringEvents(Runnable step) {
         isRouterActive = true;
         try {
             step.run();
@@ -60,17 +60,17 @@
         }
     }
 
-    /** Whether an event is being delivered, so that the router must not be called. */
+    /** Returns whether an event is being delivered, so that the router must not be called. */
     boolean isRouterActive() {
         return isRouterActive;
     }
 
-    /** Whether the router has ejected the engine. */
+    /** Returns whether the router has ejected the engine. */
     boolean isEjected(long engine) {
         return router.isEjected(engine);
     }
 
-    /** The run time that the router has learned for each query class, in microseconds; 0: none. */
+    /** Returns the learned run time of each query class in microseconds, 0 if none is learned. */
     double[] learnedRunTimes() {
         return router.learnedRunTimes();
     }
--- a/src/main/java/calicostream/core/Service.java
+++ b/src/main/java/calicostream/core/Service.java
@@ -4,30 +4,30 @@
 import java.io.IOException;
 
 /**
- * A part of the process that starts and ends with the front end, such as the server of another
- * protocol. The event loop's thread makes all calls except {@link #awaitTermination}.
+ * A component that starts and ends with the front end, such as the server of another protocol. All
+ * calls except {@link #awaitTermination} are made by the event loop's thread.
  */
 public interface Service {
-    /** Its name in the log. */
+    /** Returns the name of the service in the log. */
     String name();
 
     /**
-     * Opens it, once, when the front end has begun to listen.
+     * Starts the service; called once, after the front end has started to listen.
      *
-     * @throws IOException it cannot listen
+     * @throws IOException if the service cannot listen
      */
     void start() throws IOException;
 
-    /** The port it listens on, once started. */
+    /** Returns the port that the started service listens on. */
     int port();
 
     /**
-     * Accepts nothing new, and lets what is in flight go on. May be called more than once, and
-     * before {@link #start}.
+     * Stops accepting connections and requests; requests in flight continue. May be called more
+     * than once, and before {@link #start}.
      */
     void stopListening();
 
-    /** Its status for operators beside the metrics of all, as a JSON object; null: none. */
+    /** Returns the status for operators, in addition to the metrics, as a JSON object, or null. */
     default String statusJson() {
         return null;
     }
@@ -35,17 +35,18 @@
     /**
      * Runs an administrative command.
      *
-     * @return null: it knows no such command; empty: done; else one line that says why not
+     * @return null if the command is unknown, an empty string if it succeeded, otherwise one line
+     *     with the reason of the failure
      */
     default String administer(String command) {
         return null;
     }
 
     /**
-     * Waits, for a bounded time, until what was answered has gone out. Called at the end of the
-     * process, not by the event loop's thread.
+     * Waits for a bounded time until all answers are sent. Called at the end of the process, by a
+     * thread other than the event loop's.
      *
-     * @throws InterruptedException the wait was interrupted
+     * @throws InterruptedException if the wait was interrupted
      */
     void awaitTermination() throws InterruptedException;
 }
--- a/src/main/java/calicostream/core/SlotTable.java
+++ b/src/main/java/calicostream/core/SlotTable.java
@@ -5,9 +5,9 @@
 import java.util.function.Consumer;
 
 /**
- * A table of numbered slots. A handle names a slot and its generation, so that a handle which a
- * timer or a late answer keeps past the end of its entry finds nothing rather than the slot's next
- * entry. Handles are above 0. One thread.
+ * A table of entries that are looked up by handle. A handle consists of a slot index and the slot's
+ * generation, so that a stale handle, held by a timer or a late answer, finds no entry instead of
+ * the next entry in the same slot. Handles are positive. Not thread-safe.
  */
 public final class SlotTable<T> {
     private static final int INDEX_BITS = 20;
@@ -19,20 +19,20 @@
     private long[] generations = new long[INITIAL_CAPACITY];
     private int[] freeIndexes = new int[INITIAL_CAPACITY];
     private int freeCount;
-    private int usedSlots; // slots that have ever held an entry
+    private int usedSlotCount; // number of slots that have ever held an entry
     private int size;
 
     /**
      * Adds an entry.
      *
-     * @return its handle
-     * @throws IllegalStateException there is no free slot
+     * @return the handle of the entry
+     * @throws IllegalStateException if there is no free slot
      */
     public long add(T entry) {
-        int index = freeCount > 0 ? freeIndexes[--freeCount] : usedSlots++;
+        int index = freeCount > 0 ? freeIndexes[--freeCount] : usedSlotCount++;
         if (index >= MAX_ENTRIES) {
-            usedSlots--;
-            throw new IllegalStateException("slot table full");
+            usedSlotCount--;
+            throw new IllegalStateException("slot table is full");
         }
         if (index >= entries.length) {
             entries = Arrays.copyOf(entries, index * 2);
@@ -44,16 +44,16 @@
         return ++generations[index] << INDEX_BITS | index;
     }
 
-    /** The entry with this handle, or null where it has been removed. */
+    /** Returns the entry with this handle, or null if it was removed. */
     @SuppressWarnings("unchecked")
     public T get(long handle) {
         int index = (int) (handle & INDEX_MASK);
         boolean isCurrent =
-                handle > 0 && index < usedSlots && generations[index] == handle >>> INDEX_BITS;
+                handle > 0 && index < usedSlotCount && generations[index] == handle >>> INDEX_BITS;
         return isCurrent ? (T) entries[index] : null;
     }
 
-    /** Removes the entry with this handle; null where it has been removed before. */
+    /** Removes and returns the entry with this handle; null if it was removed before. */
     public T remove(long handle) {
         T entry = get(handle);
         if (entry != null) {
@@ -65,15 +65,15 @@
         return entry;
     }
 
-    /** The number of entries. */
+    /** Returns the number of entries. */
     public int size() {
         return size;
     }
 
-    /** Visits all entries, in the order of their slots. */
+    /** Calls the visitor with each entry, in slot order. */
     @SuppressWarnings("unchecked")
     public void forEach(Consumer<T> visitor) {
-        for (int index = 0; index < usedSlots; index++) {
+        for (int index = 0; index < usedSlotCount; index++) {
             if (entries[index] != null) {
                 visitor.accept((T) entries[index]);
             }
--- a/src/main/java/calicostream/core/TextResult.java
+++ b/src/main/java/calicostream/core/TextResult.java
@@ -2,8 +2,8 @@
 package calicostream.core;
 
 /**
- * A complete result as text.
+ * A complete result as encoded text.
  *
- * @param text the bytes as the engine wrote them; not copied, so neither side may change them
+ * @param text the bytes as the engine sent them; not copied, so they must not be changed
  */
 public record TextResult(byte[] text) implements RequestResult {}
--- a/src/main/java/calicostream/core/package-info.java
+++ b/src/main/java/calicostream/core/package-info.java
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 /**
- * The gateway between protocol servers and engine clients: it owns the life cycles of requests and
- * attempts, the endpoint table and the calls into the router. It knows no protocol, no socket and
- * no file, and where to send a query is the decision of {@link calicostream.routing.QueryRouter}.
+ * The gateway between protocol servers and engine clients. It manages the life cycles of requests
+ * and attempts, the endpoint table and the calls to the router. It is independent of protocols,
+ * sockets and files. {@link calicostream.routing.QueryRouter} selects the engine for each query.
  * Read {@link calicostream.core.Gateway} first, then {@link calicostream.core.RequestLifecycle}.
  */
 package calicostream.core;
--- a/src/measure/java/calicostream/core/GatewayHarness.java
+++ b/src/measure/java/calicostream/core/GatewayHarness.java
@@ -14,12 +14,12 @@
 import java.util.stream.LongStream;
 
 /**
- * A {@link Gateway} between a fake engine client and a response handler that records its calls, on
- * a clock that the test advances (microseconds). One thread.
+ * A {@link Gateway} with a fake engine client and response handler, both implemented by this class,
+ * which records their calls. The test advances the clock, in microseconds. Not thread-safe.
  */
 public class GatewayHarness implements EngineClient, ResponseHandler {
-    /** Settings with a query class of lookups and one of loads. */
-    public static final String TWO_CLASSES =
+    /** Settings with two query classes: 0 for idempotent lookups, 1 for non-idempotent loads. */
+    public static final String LOOKUP_AND_LOAD_SETTINGS =
             "lanes.count=2\n"
                     + "lanes.0.name=look\n"
                     + "lanes.0.effect=repeatable\n"
@@ -45,30 +45,31 @@
     public final Deadlines deadlines = new Deadlines();
     public final Gateway gateway;
 
-    /** In the order in which they were sent. */
+    /** The sent attempts, in order. */
     public final List<Attempt> sent = new ArrayList<>();
 
-    /** The calls to engine client and response handler, a line each. */
-    public final List<String> notifications = new ArrayList<>();
+    /** The recorded calls to the engine client and the response handler, one line each. */
+    public final List<String> recordedCalls = new ArrayList<>();
 
-    /** The ended attempts, each as its engine and outcome. */
+    /** The ended attempts in order, each as "engine outcome". */
     public final List<String> endedAttempts = new ArrayList<>();
 
-    /** The requests that were not admitted, while {@link #keepsRequests}. */
-    public final List<Request> keptRequests = new ArrayList<>();
+    /** The requests that were not admitted while {@link #holdsRequests} was set. */
+    public final List<Request> heldRequests = new ArrayList<>();
 
-    /** Engines where no tenant has capacity. */
+    /** The ids of engines where no tenant has capacity. */
     public final Set<Long> enginesWithoutCapacity = new HashSet<>();
 
-    /** Tags of requests whose clients have gone, of which the gateway is not notified. */
-    public final Set<Long> goneClients = new HashSet<>();
+    /** The tags of requests whose clients are gone without notifying the gateway. */
+    public final Set<Long> goneClientTags = new HashSet<>();
 
-    /** Whether the engine client keeps requests back from the router. */
-    public boolean keepsRequests;
+    /** Whether the engine client holds new requests instead of admitting them to the router. */
+    public boolean holdsRequests;
 
-    /** How attempts end while they are being sent; null: when the test ends them. */
+    /** The outcome with which attempts end inside {@link #send}; null: the test ends them. */
     public AttemptOutcome immediateOutcome;
 
+    /** The current time of the gateway's clock, in microseconds. */
     public long time = 1_000_000;
 
     public GatewayHarness(String settings) {
@@ -85,27 +86,27 @@
                         RequestListener.NONE);
     }
 
-    public static EngineEndpoint engine(long id, EngineLifecycle state) {
-        return new EngineEndpoint(id, 0, 0, 0, 0, state);
+    public static EngineEndpoint engine(long id, EngineLifecycle lifecycle) {
+        return new EngineEndpoint(id, 0, 0, 0, 0, lifecycle);
     }
 
-    /** All of these engines are ready. */
+    /** Starts the gateway with these engines, all ready. */
     public void start(long... engines) {
         gateway.start(
                 this,
                 LongStream.of(engines).mapToObj(id -> engine(id, EngineLifecycle.READY)).toList());
     }
 
-    /** Advances the clock, and runs each deadline on the way. */
-    public void advance(long us) {
-        for (long end = time + us; time < end; ) {
-            time = Math.max(time, Math.min(end, deadlines.next()));
+    /** Advances the clock and runs each deadline at its time. */
+    public void advance(long micros) {
+        for (long endTime = time + micros; time < endTime; ) {
+            time = Math.max(time, Math.min(endTime, deadlines.next()));
             deadlines.run(time);
         }
     }
 
     @Override
-    public void attach(Gateway to) {}
+    public void attach(Gateway attachedGateway) {}
 
     @Override
     public void setAddress(long engine, InetSocketAddress address) {}
@@ -120,15 +121,15 @@
 
     @Override
     public void stop(Attempt attempt) {
-        notifications.add("stop " + attempt.number());
+        recordedCalls.add("stop " + attempt.number());
     }
 
     @Override
     public boolean admits(Request request) {
-        if (keepsRequests) {
-            keptRequests.add(request);
+        if (holdsRequests) {
+            heldRequests.add(request);
         }
-        return !keepsRequests;
+        return !holdsRequests;
     }
 
     @Override
@@ -146,27 +147,27 @@
 
     @Override
     public void engineDraining(long engine) {
-        notifications.add("draining " + engine);
+        recordedCalls.add("draining " + engine);
     }
 
     @Override
     public void engineReinstated(long engine) {
-        notifications.add("reinstated " + engine);
+        recordedCalls.add("reinstated " + engine);
     }
 
     @Override
     public void engineRemoved(long engine) {
-        notifications.add("removed " + engine);
+        recordedCalls.add("removed " + engine);
     }
 
     @Override
     public boolean isClientGone(long tag) {
-        return goneClients.contains(tag);
+        return goneClientTags.contains(tag);
     }
 
     @Override
     public void served(long tag, RequestResult result) {
-        notifications.add(
+        recordedCalls.add(
                 result == null
                         ? "completed " + tag
                         : "served " + tag + " " + new String(((TextResult) result).text()));
@@ -174,21 +175,21 @@
 
     @Override
     public void streamBegan(long tag, ResultStreamHandle stream) {
-        notifications.add("streaming " + tag + " " + stream);
+        recordedCalls.add("streaming " + tag + " " + stream);
     }
 
     @Override
     public void concluded(long tag, FinalStatus status) {
-        notifications.add("concluded " + tag + " " + status);
+        recordedCalls.add("concluded " + tag + " " + status);
     }
 
     @Override
     public void rejected(long tag, long retryAfterMs) {
-        notifications.add("rejected " + tag);
+        recordedCalls.add("rejected " + tag);
     }
 
     @Override
     public void failed(long tag, FailureReason reason) {
-        notifications.add("failed " + tag + " " + reason);
+        recordedCalls.add("failed " + tag + " " + reason);
     }
 }
--- a/src/test/java/calicostream/core/DeadlinesTest.java
+++ b/src/test/java/calicostream/core/DeadlinesTest.java
@@ -7,17 +7,20 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The order of {@link Deadlines}. */
+/** Tests the order in which {@link Deadlines} calls its callbacks. */
 class DeadlinesTest {
     @Test
-    void deadlinesPassInOrderAndEqualOnesAsAdded() {
-        Deadlines heap = new Deadlines();
-        List<Long> seen = new ArrayList<>();
+    void deadlinesAreRunByTimeThenInsertionOrder() {
+        Deadlines deadlines = new Deadlines();
+        List<Long> calledArguments = new ArrayList<>();
         for (int i = 0; i < 1000; i++) {
-            heap.add(i * 7919L % 100, (now, ref) -> seen.add(ref), i * 7919L % 100 * 1000 + i);
+            deadlines.add(
+                    i * 7919L % 100,
+                    (now, argument) -> calledArguments.add(argument),
+                    i * 7919L % 100 * 1000 + i);
         }
-        heap.run(1000);
-        assertEquals(seen.stream().sorted().toList(), seen);
-        assertEquals(1000, seen.size());
+        deadlines.run(1000);
+        assertEquals(calledArguments.stream().sorted().toList(), calledArguments);
+        assertEquals(1000, calledArguments.size());
     }
 }
--- a/src/test/java/calicostream/core/LifecycleStateTest.java
+++ b/src/test/java/calicostream/core/LifecycleStateTest.java
@@ -6,28 +6,31 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The transitions of {@link RequestState} and {@link AttemptState}. */
+/** Tests the transitions of {@link RequestState} and {@link AttemptState}. */
 class LifecycleStateTest {
     @Test
-    void requestStatesPassForwardOnlyAndStreamOnlyOnceRouted() {
+    void requestStatesMoveForwardAndStreamOnlyAfterRouting() {
         for (RequestState from : RequestState.values()) {
             for (RequestState to : RequestState.values()) {
                 boolean isForward = to.ordinal() > from.ordinal();
                 boolean skipsRouter = from == RequestState.QUEUED && to == RequestState.STREAMING;
-                assertTrue(from.canBecome(to) == (isForward && !skipsRouter), from + " to " + to);
+                assertTrue(
+                        from.canTransitionTo(to) == (isForward && !skipsRouter),
+                        from + " to " + to);
             }
         }
     }
 
     @Test
-    void attemptStatesPassForwardOnlyAndOnlyAnAttemptInFlightIsCancelled() {
+    void attemptStatesMoveForwardAndCancelOnlyFromInFlight() {
         for (AttemptState from : AttemptState.values()) {
             for (AttemptState to : AttemptState.values()) {
                 boolean isForward = to.ordinal() > from.ordinal();
                 boolean skipsSend = from == AttemptState.CREATED && to == AttemptState.CANCELLING;
-                assertTrue(from.canBecome(to) == (isForward && !skipsSend), from + " to " + to);
+                assertTrue(
+                        from.canTransitionTo(to) == (isForward && !skipsSend), from + " to " + to);
             }
         }
-        assertFalse(AttemptState.ENDED.canBecome(AttemptState.IN_FLIGHT));
+        assertFalse(AttemptState.ENDED.canTransitionTo(AttemptState.IN_FLIGHT));
     }
 }
--- a/src/test/java/calicostream/core/SlotTableTest.java
+++ b/src/test/java/calicostream/core/SlotTableTest.java
@@ -7,10 +7,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Handles of a {@link SlotTable}. */
+/** Tests the handles of a {@link SlotTable}. */
 class SlotTableTest {
     @Test
-    void handlesOfPastEntriesFindNothing() {
+    void handleOfRemovedEntryFindsNoEntry() {
         SlotTable<String> slots = new SlotTable<>();
         long first = slots.add("a");
         slots.remove(first);
