--- a/src/test/java/calicostream/core/EngineAdministrationTest.java
+++ b/src/test/java/calicostream/core/EngineAdministrationTest.java
@@ -23,7 +23,7 @@
     private final List<String> recordedCalls = harness.recordedCalls;
     private int endedAttemptCount;
     private long failingEngine;
-    private long preferredEngine;
+    private long observedEngine;
 
     private long accept(int queryClass, long tag, long timeLeftMicros) {
         return gateway.accept(
@@ -72,9 +72,9 @@
      * Accepts a lookup every 50 ms for a time. Attempts fail on the failing engine and succeed on
      * the others.
      *
-     * @return the number of attempts that were sent to the preferred engine
+     * @return the number of attempts that were sent to the observed engine
      */
-    private int countSentToPreferredEngine(long micros, Runnable beforeLookup) {
+    private int countSentToObservedEngine(long micros, Runnable beforeLookup) {
         int sentBefore = sent.size();
         for (long endTime = harness.time + micros; harness.time < endTime; advance(50_000)) {
             beforeLookup.run();
@@ -92,7 +92,7 @@
         }
         return (int)
                 sent.subList(sentBefore, sent.size()).stream()
-                        .filter(attempt -> attempt.engine() == preferredEngine)
+                        .filter(attempt -> attempt.engine() == observedEngine)
                         .count();
     }
 
@@ -104,11 +104,11 @@
                         engine(7, EngineLifecycle.READY),
                         engine(8, EngineLifecycle.READY),
                         engine(9, EngineLifecycle.READY)));
-        countSentToPreferredEngine(1_000_000, () -> {});
+        countSentToObservedEngine(1_000_000, () -> {});
         failingEngine = sent.get(0).engine();
-        preferredEngine = failingEngine;
+        observedEngine = failingEngine;
         assertTrue(
-                countSentToPreferredEngine(30_000_000, () -> {}) >= 3,
+                countSentToObservedEngine(30_000_000, () -> {}) >= 3,
                 "without hints, the front end probes the engine");
         assertEquals(
                 List.of(failingEngine), Arrays.stream(gateway.readyEngines(true)).boxed().toList());
@@ -116,15 +116,15 @@
         gateway.applyEjectionHint(failingEngine, false);
         assertEquals(
                 0,
-                countSentToPreferredEngine(
+                countSentToObservedEngine(
                         30_000_000, () -> gateway.applyEjectionHint(failingEngine, false)));
         assertTrue(
-                countSentToPreferredEngine(9_000_000, () -> {}) >= 1,
+                countSentToObservedEngine(9_000_000, () -> {}) >= 1,
                 "after the hints have ended, the front end probes again");
         gateway.applyEjectionHint(failingEngine, true);
         failingEngine = 0;
         assertTrue(
-                countSentToPreferredEngine(500_000, () -> {}) >= 1,
+                countSentToObservedEngine(500_000, () -> {}) >= 1,
                 "the reinstated engine is sent a query soon");
         assertEquals(0, gateway.readyEngines(true).length);
         gateway.applyEjectionHint(7, false);
