--- a/src/main/java/calicostream/routing/AffinityRouter.java
+++ b/src/main/java/calicostream/routing/AffinityRouter.java
@@ -4,8 +4,9 @@
 import java.util.List;
 
 /**
- * Routes queries to engines by table affinity: dispatches each event to the parts that decide, one
- * job each. Times are microseconds, work is core-microseconds. Called by one thread at a time.
+ * Routes queries to engines by table affinity. Passes each event to the components that make the
+ * individual decisions. Times are in microseconds and work is in core-microseconds. Calls must not
+ * overlap.
  */
 public final class AffinityRouter implements QueryRouter {
     private final RouterActions actions;
@@ -31,10 +32,10 @@
     private long nextCleanupAt;
 
     /**
-     * Creates a router that knows no engines yet.
+     * Creates a router with an empty engine table.
      *
-     * @param settings the deployment's settings
-     * @param actions takes what the router decides
+     * @param settings settings of the deployment
+     * @param actions receives the decisions of the router
      */
     public AffinityRouter(RouterSettings settings, RouterActions actions) {
         this.actions = actions;
@@ -150,7 +151,7 @@
             tick(now);
             return;
         }
-        QueryState query = lifecycle.find(RouterTimers.queryOf(token));
+        QueryState query = lifecycle.find(RouterTimers.queryIdOf(token));
         if (query != null && !query.isDone() && !query.isStreaming()) {
             lifecycle.finish(query, false);
             dispatcher.dispatchQueued(now);
@@ -159,11 +160,11 @@
 
     private void tick(long now) {
         timers.scheduleTick();
-        long sinceLastTick = now - lastTickAt;
+        long microsSinceLastTick = now - lastTickAt;
         lastTickAt = now;
-        progressMonitor.checkSilence(now, sinceLastTick);
-        capacity.updateAverages(1 - Math.exp(-sinceLastTick / DecayingSum.DECAY_MICROS));
-        retryBudget.removeOld(now);
+        progressMonitor.checkSilence(now, microsSinceLastTick);
+        capacity.updateAverages(1 - Math.exp(-microsSinceLastTick / DecayingSum.DECAY_MICROS));
+        retryBudget.removeExpired(now);
         listRequester.tick(now);
         queue.expire(now, lifecycle);
         dispatcher.dispatchQueued(now);
@@ -188,7 +189,7 @@
         EngineState engine = engines.find(engineId);
         if (engine != null) {
             outliers.reinstate(engine);
-            engine.ejection().setProbeOwed(true);
+            engine.ejection().setProbeRequested(true);
             dispatcher.dispatchQueued(now);
         }
     }
@@ -214,7 +215,7 @@
         return engine != null && engine.ejection().isEjected();
     }
 
-    /** Returns the number of table groups that something is kept for. */
+    /** Returns the number of table groups that are kept in memory. */
     int tableGroups() {
         return groups.size();
     }
--- a/src/main/java/calicostream/routing/AffinitySelector.java
+++ b/src/main/java/calicostream/routing/AffinitySelector.java
@@ -6,27 +6,36 @@
 import java.util.function.Predicate;
 
 /**
- * Selects the engine of a query among the eligible ones by P-DACA: engines of the table group's
- * affinity set first, others where those are busy.
+ * Selects the engine of a query among the eligible ones with the P-DACA algorithm: engines of the
+ * table group's affinity set are preferred, other engines are used when those are busy.
  */
 final class AffinitySelector {
     /**
-     * Rank under which an engine of the affinity set is chosen: tables in memory are worth a wait.
+     * Rank below which an engine of the affinity set is chosen. It is higher than {@link
+     * #MAX_OTHER_RANK} because tables in memory justify some waiting.
      */
     static final int MAX_AFFINITY_RANK = 6;
 
-    /** Rank under which another engine is chosen, which has to read the tables first. */
+    /**
+     * Rank below which an engine outside the affinity set is chosen; it must read the tables first.
+     */
     private static final int MAX_OTHER_RANK = 3;
 
-    /** Time until an unused engine leaves an affinity set. */
+    /** Time after which an unused engine is removed from an affinity set. */
     private static final long AFFINITY_IDLE_MICROS = 20_000_000;
 
-    /** Threads per core that tell loads apart where most of the load is that of others. */
+    /**
+     * Difference in threads per core from which two loads count as different when most of the load
+     * comes from other gateways.
+     */
     private static final double LOAD_STEP = 0.25;
 
     private static final double MIN_LOAD_STEP = 1e-6;
 
-    /** Threads per core up to which the routing cost leads, where connections cost. */
+    /**
+     * Threads per core up to which the routing cost outweighs the load when connections have a
+     * cost.
+     */
     private static final double LOW_LOAD = 1.0;
 
     private final RouterSettings settings;
@@ -46,13 +55,13 @@
     }
 
     /**
-     * Selects an engine and extends the group's affinity set if that is overloaded.
+     * Selects an engine, and extends the group's affinity set if the set is empty or overloaded.
      *
-     * @param eligible engines that may take the query; not empty
+     * @param eligible engines that may run the query; not empty
      */
     EngineState select(long now, QueryState query, List<EngineState> eligible) {
         TableGroup group = query.tableGroup();
-        group.removeUnusedAffinity(now, AFFINITY_IDLE_MICROS);
+        group.expireAffinity(now, AFFINITY_IDLE_MICROS);
         if (group.affinitySet().isEmpty() || isOverloaded(now, group)) {
             addLeastLoaded(now, group, eligible);
         }
@@ -61,23 +70,26 @@
         Comparator<EngineState> order =
                 Comparator.comparingInt((EngineState engine) -> rank(query, engine))
                         .thenComparing(leastLoaded);
-        EngineState inside = first(eligible, hasAffinity, order);
-        if (inside != null && rank(query, inside) < MAX_AFFINITY_RANK) {
-            return inside;
+        EngineState affinityEngine = best(eligible, hasAffinity, order);
+        if (affinityEngine != null && rank(query, affinityEngine) < MAX_AFFINITY_RANK) {
+            return affinityEngine;
         }
-        EngineState outside = first(eligible, hasAffinity.negate(), order);
-        if (outside != null && rank(query, outside) < MAX_OTHER_RANK) {
-            return outside;
+        EngineState otherEngine = best(eligible, hasAffinity.negate(), order);
+        if (otherEngine != null && rank(query, otherEngine) < MAX_OTHER_RANK) {
+            return otherEngine;
         }
-        return first(eligible, inside != null ? hasAffinity : engine -> true, leastLoaded);
+        return best(eligible, affinityEngine != null ? hasAffinity : engine -> true, leastLoaded);
     }
 
-    /** Returns the query's rank on an engine: how many queries there are due before it. */
+    /**
+     * Returns the query's rank on an engine: the number of running queries there that are due
+     * earlier.
+     */
     private static int rank(QueryState query, EngineState engine) {
         return engine.runningDueBefore(query.due());
     }
 
-    private static EngineState first(
+    private static EngineState best(
             List<EngineState> engines,
             Predicate<EngineState> condition,
             Comparator<EngineState> order) {
@@ -85,8 +97,8 @@
     }
 
     /**
-     * Orders engines by load in steps, and where that is low by routing cost first; the group's
-     * ranking decides between equal ones.
+     * Orders engines by load in discrete steps, and by routing cost among engines with a low load.
+     * Ties are resolved by the group's engine ranking.
      */
     private Comparator<EngineState> leastLoaded(long now) {
         double othersShare =
@@ -104,15 +116,15 @@
 
     private void addLeastLoaded(long now, TableGroup group, List<EngineState> eligible) {
         EngineState added =
-                first(eligible, engine -> !group.hasAffinity(engine.id()), leastLoaded(now));
+                best(eligible, engine -> !group.hasAffinity(engine.id()), leastLoaded(now));
         if (added != null) {
             group.addToAffinitySet(now, added.id());
         }
     }
 
     /**
-     * Returns whether the group's share of our work exceeds its affinity set's share of the cores,
-     * corrected by the load of the set.
+     * Returns whether the group's share of this gateway's work, scaled by the load of its affinity
+     * set relative to the fleet, exceeds the set's share of the cores.
      */
     private boolean isOverloaded(long now, TableGroup group) {
         double load = 0;
@@ -124,7 +136,7 @@
         }
         double share = groups.workShare(now, group);
         double meanLoad = load / group.affinitySet().size();
-        double strain = Math.max(1, meanLoad / Math.max(LOAD_STEP, capacity.meanLoadPerCore()));
-        return share * strain > cores / Math.max(1, engines.readyCores());
+        double loadRatio = Math.max(1, meanLoad / Math.max(LOAD_STEP, capacity.meanLoadPerCore()));
+        return share * loadRatio > cores / Math.max(1, engines.readyCores());
     }
 }
--- a/src/main/java/calicostream/routing/AttemptLimits.java
+++ b/src/main/java/calicostream/routing/AttemptLimits.java
@@ -2,10 +2,10 @@
 package calicostream.routing;
 
 /**
- * What the deployment allows a gateway to do for a query.
+ * Limits that the deployment sets on what a gateway does for a query.
  *
  * @param probes whether engines may be probed for their load
  * @param cancel whether attempts may be cancelled
- * @param maxAttempts attempts for a query, the first included
+ * @param maxAttempts maximum number of attempts for a query, including the first
  */
 public record AttemptLimits(boolean probes, boolean cancel, int maxAttempts) {}
--- a/src/main/java/calicostream/routing/AttemptOutcome.java
+++ b/src/main/java/calicostream/routing/AttemptOutcome.java
@@ -1,23 +1,23 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.routing;
 
-/** How an attempt or a load probe ended. */
+/** Outcome of an attempt or a load probe. */
 public enum AttemptOutcome {
     /** The engine answered. */
     OK(true),
     /** The engine answered with an error. */
     ERROR(true),
-    /** The engine rejected the query for its load. */
+    /** The engine rejected the query because of its load. */
     OVERLOADED(false),
-    /** No answer came in time. */
+    /** No answer arrived within the time limit. */
     TIMEOUT(true),
     /** No connection could be opened. */
     CONNECT_FAILED(false),
-    /** The attempt ended with the engine's process. */
+    /** The engine's process ended during the attempt. */
     RESET(true),
     /**
-     * The attempt ended with its connection alone, or by an answer that cannot be read. The
-     * simulator's wire has no code for it.
+     * The connection failed while the engine's process kept running, or the answer could not be
+     * parsed. The simulator's protocol has no code for this outcome.
      */
     CONNECTION_BROKEN(true),
     /** The gateway cancelled the attempt. */
@@ -25,7 +25,7 @@
     /** The gateway could not start the attempt. */
     NOT_STARTED(false);
 
-    /** Whether the query may have run, wholly or in part. */
+    /** Whether the query may have run, completely or partially. */
     public final boolean mayHaveRun;
 
     AttemptOutcome(boolean mayHaveRun) {
--- a/src/main/java/calicostream/routing/AttemptResult.java
+++ b/src/main/java/calicostream/routing/AttemptResult.java
@@ -2,17 +2,17 @@
 package calicostream.routing;
 
 /**
- * The end of an attempt.
+ * The result of a finished attempt.
  *
  * @param query id of the query
  * @param attempt number of the attempt, from 0
  * @param engine id of the engine
- * @param outcome how it ended
- * @param requestAnswered whether the client has its final answer
+ * @param outcome outcome of the attempt
+ * @param requestAnswered whether the client has received its final answer
  * @param elapsedUs time since the attempt started, in microseconds
- * @param workMs work that the query took in core-milliseconds, 0 if not reported
- * @param memoryMb memory that the query took in megabytes, 0 if not reported
- * @param loadReport the engine's load report, or null if none came
+ * @param workMs work of the query in core-milliseconds, 0 if not reported
+ * @param memoryMb memory used by the query in megabytes, 0 if not reported
+ * @param loadReport load report of the engine, or null if there was none
  */
 public record AttemptResult(
         long query,
--- a/src/main/java/calicostream/routing/AttemptResultHandler.java
+++ b/src/main/java/calicostream/routing/AttemptResultHandler.java
@@ -1,7 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.routing;
 
-/** Handles the end of an attempt: the query is answered, attempted again or given up. */
+/**
+ * Handles the result of an attempt: closes the query, starts or queues another attempt, or sends
+ * the final answer.
+ */
 final class AttemptResultHandler {
     private final QueryLifecycle lifecycle;
     private final AttemptStarter starter;
@@ -25,7 +28,7 @@
         this.dispatcher = dispatcher;
     }
 
-    /** Takes in the end of the query's running attempt. */
+    /** Handles the end of the query's running attempt. */
     void attemptEnded(long now, QueryState query, AttemptResult result) {
         EngineState engine = starter.end(query);
         keyQueues.attemptEnded(now, query, result.outcome());
--- a/src/main/java/calicostream/routing/AttemptStarter.java
+++ b/src/main/java/calicostream/routing/AttemptStarter.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.routing;
 
-/** Starts attempts on engines and keeps account of those that run. */
+/** Starts attempts on engines and tracks the running ones. */
 final class AttemptStarter {
     private final RouterActions actions;
     private final RetryBudget retryBudget;
@@ -43,7 +43,7 @@
         actions.startAttempt(query.id(), engine.id(), 0);
     }
 
-    /** Takes in that the query's attempt ended, and returns the engine that ran it. */
+    /** Records the end of the query's attempt and returns the engine that ran it. */
     EngineState end(QueryState query) {
         EngineState engine = query.engine();
         query.attemptEnded();
--- a/src/main/java/calicostream/routing/CapacityEstimator.java
+++ b/src/main/java/calicostream/routing/CapacityEstimator.java
@@ -2,38 +2,47 @@
 package calicostream.routing;
 
 /**
- * Estimates the load of engines and the capacity they have left, from load reports and from what
- * this gateway runs itself.
+ * Estimates the load and the remaining capacity of engines from load reports and from the attempts
+ * that this gateway runs itself.
  */
 final class CapacityEstimator {
-    /** Threads per reported core at most: work done falls beyond one to two. */
+    /**
+     * Maximum threads per core on engines that report utilization; throughput drops above one to
+     * two.
+     */
     static final double THREADS_PER_CORE = 1.9;
 
-    /** The same where cores are not reported: a third of the threads wait for disks. */
+    /**
+     * Maximum threads per core on engines that do not report utilization. It is higher because
+     * about a third of their threads wait for disks.
+     */
     static final double THREADS_PER_UNREPORTED_CORE = 2.7;
 
     /** Utilization at which an engine's capacity is used up. */
     private static final double FULL_UTILIZATION = 0.85;
 
-    /** Time over which loads are smoothed: that of a few queries. */
+    /** Time over which loads are smoothed, about the run time of a few queries. */
     private static final double SMOOTHING_MICROS = 1_000_000;
 
-    /** Largest weight of one report against earlier ones, as reports are noisy. */
+    /** Maximum weight of one report against earlier ones, because reports are noisy. */
     private static final double MAX_REPORT_WEIGHT = 0.4;
 
-    /** Least weight of one report in the fleet's average: some ten count. */
-    private static final double FLEET_REPORT_WEIGHT = 0.08;
+    /**
+     * Minimum weight of one report in the fleet's average, which is then dominated by about the
+     * last ten reports.
+     */
+    private static final double MIN_FLEET_REPORT_WEIGHT = 0.08;
 
-    /** Reports that the assumption before the first one counts for. */
+    /** Number of reports that the initial assumption counts as. */
     private static final int PRIOR_REPORTS = 2;
 
-    /** Threads that fill an engine which rejects a query, relative to its capacity. */
-    private static final double REJECTING_LOAD = 2;
+    /** Load assumed for an engine that rejects a query, as a multiple of its capacity. */
+    private static final double REJECTION_LOAD_FACTOR = 2;
 
-    /** Jitter of a query that takes unknown load as it is on average. */
+    /** Jitter with which unknown load is assumed to be equal to the average load. */
     private static final double MEAN_JITTER = 0.5;
 
-    /** Least share of the traffic assumed for this gateway, relative to an equal one. */
+    /** Minimum share of the traffic assumed for this gateway, relative to an equal distribution. */
     private static final double MIN_TRAFFIC_SHARE = 0.5;
 
     private final RouterSettings settings;
@@ -55,10 +64,13 @@
         this.ownLoad = ownLoad;
     }
 
-    /** Returns whether the threads on an engine, own and others', leave room for the query's. */
+    /**
+     * Returns whether an engine has capacity for the query's threads beside the threads that this
+     * and other gateways use there.
+     */
     boolean hasCapacity(long now, QueryState query, EngineState engine) {
         QueryClass queryClass = query.queryClass();
-        // A load stops other loads and waiting classes of its table group on its engine.
+        // A load blocks other loads, and classes that wait for loads, of the same table group.
         boolean blocked =
                 (queryClass.load() || queryClass.waitsForLoads())
                         && query.tableGroup().hasRunningLoad(engine.id());
@@ -70,34 +82,34 @@
     }
 
     /**
-     * Returns the threads of other gateways on an engine: its report, fading into the fleet's
-     * average. What is not known is taken higher for some queries than for others, so that many
-     * gateways in doubt send a part of them.
+     * Returns the threads of other gateways on an engine: its last report, blended into the fleet's
+     * average as the report ages. The average is scaled by the query's jitter, so that gateways
+     * without recent reports send only some of their queries to the engine instead of all or none.
      */
     private double otherThreads(EngineState engine, long now, double jitter) {
-        double trust = engine.load().trust(now);
-        // What a warming-up engine runs is kept low by its slow start.
-        double unknown = slowStart.isWarmingUp(engine, now) ? 0 : 1 - trust;
-        return trust * engine.load().otherThreads()
-                + unknown * otherThreadsPerCore * (MEAN_JITTER + jitter) * engine.cores();
+        double confidence = engine.load().confidence(now);
+        // Slow start keeps the load of a warming-up engine low.
+        double averageWeight = slowStart.isWarmingUp(engine, now) ? 0 : 1 - confidence;
+        return confidence * engine.load().otherThreads()
+                + averageWeight * otherThreadsPerCore * (MEAN_JITTER + jitter) * engine.cores();
     }
 
-    /** Returns the threads per core on an engine, own and others'. */
+    /** Returns the threads per core on an engine, of this and other gateways. */
     double loadPerCore(EngineState engine, long now) {
         return (engine.ownThreads() + otherThreads(engine, now, MEAN_JITTER)) / engine.cores();
     }
 
-    /** Returns the threads per core in the fleet, own and others'. */
+    /** Returns the mean threads per core in the fleet, of this and other gateways. */
     double meanLoadPerCore() {
         return ownLoad.threads() / Math.max(1, engines.readyCores()) + otherThreadsPerCore;
     }
 
-    /** Returns the threads per core of other gateways in the fleet. */
+    /** Returns the mean threads per core that other gateways use in the fleet. */
     double meanOtherThreadsPerCore() {
         return otherThreadsPerCore;
     }
 
-    /** Returns this gateway's part of the traffic, as far as load reports tell. */
+    /** Returns this gateway's share of the traffic as estimated from load reports. */
     double ownTrafficShare() {
         double own = ownLoad.averageThreads() / Math.max(1, engines.readyCores());
         return Math.max(
@@ -105,62 +117,69 @@
                 own / Math.max(1e-9, own + otherThreadsPerCore));
     }
 
-    /** Takes in a load report of an engine. */
+    /** Records a load report of an engine. */
     void recordReport(long now, EngineState engine, LoadReport report) {
         threadsPerCore =
                 Double.isNaN(report.utilization()) ? THREADS_PER_UNREPORTED_CORE : THREADS_PER_CORE;
-        double threads = otherThreads(engine, report);
+        double threads = reportedOtherThreads(engine, report);
         if (Double.isNaN(threads)) {
             return;
         }
         double age = (now - engine.load().updatedAt()) / SMOOTHING_MICROS;
         engine.load().update(now, threads, Math.min(MAX_REPORT_WEIGHT, age));
         reports++;
-        double fleetWeight = Math.max(FLEET_REPORT_WEIGHT, 1.0 / (reports + PRIOR_REPORTS));
+        double fleetWeight = Math.max(MIN_FLEET_REPORT_WEIGHT, 1.0 / (reports + PRIOR_REPORTS));
         otherThreadsPerCore += (threads / engine.cores() - otherThreadsPerCore) * fleetWeight;
     }
 
     /**
-     * Returns the threads that a report leaves to other gateways: those of the queries that are not
-     * ours, or fewer where the cores are not all busy. NaN if neither is reported.
+     * Returns the threads of other gateways according to a report: those of queries that are not
+     * this gateway's, or fewer if the cores are not all busy. Returns NaN if the report has neither
+     * queries nor utilization.
      */
-    private double otherThreads(EngineState engine, LoadReport report) {
-        double counted =
+    private double reportedOtherThreads(EngineState engine, LoadReport report) {
+        double threadsByCount =
                 (report.running() - engine.runningQueries()) * ownLoad.averageThreadsPerQuery();
-        // Cores may idle while queries wait for something else that is full.
-        double busy =
+        // Cores may be idle while queries wait for another resource that is saturated.
+        double threadsByUtilization =
                 report.highestUtilization() / FULL_UTILIZATION * threadsPerCore * engine.cores()
                         - engine.ownThreads();
-        if (Double.isNaN(counted)) {
-            return Math.max(0, busy);
+        if (Double.isNaN(threadsByCount)) {
+            return Math.max(0, threadsByUtilization);
         }
-        // On a full engine, queries beyond its capacity wait.
+        // A saturated engine may queue queries, so that its utilization understates the load.
         boolean hasIdleCores =
                 Math.max(report.utilization(), report.highestUtilization()) < FULL_UTILIZATION;
-        return Math.max(0, hasIdleCores ? Math.min(counted, busy) : counted);
+        return Math.max(
+                0, hasIdleCores ? Math.min(threadsByCount, threadsByUtilization) : threadsByCount);
     }
 
-    /** Takes in that queries wait for memory on an engine: it is full whatever its cores report. */
+    /**
+     * Records that queries wait for memory on an engine; it counts as full regardless of its
+     * utilization.
+     */
     void recordMemoryShortage(long now, EngineState engine) {
         engine.load().update(now, threadsPerCore * engine.cores(), MAX_REPORT_WEIGHT);
     }
 
-    /** Takes in that an engine rejected a query for its load. */
+    /** Records that an engine rejected a query because of its load. */
     void recordRejection(long now, EngineState engine) {
-        engine.load().update(now, REJECTING_LOAD * threadsPerCore * engine.cores(), 1);
+        engine.load().update(now, REJECTION_LOAD_FACTOR * threadsPerCore * engine.cores(), 1);
     }
 
     /**
-     * Updates the averages; without reports, other gateways are assumed to do as much as this one.
+     * Updates the averages. Without load reports, each other gateway is assumed to cause the same
+     * load as this one.
      *
-     * @param weight part of the difference by which averages move towards the present
+     * @param weight weight of the current values in the averages, from 0 to 1
      */
     void updateAverages(double weight) {
         ownLoad.updateAverages(weight);
-        double assumed =
+        double assumedThreadsPerCore =
                 (settings.gateways() - 1)
                         * ownLoad.averageThreads()
                         / Math.max(1, engines.readyCores());
-        otherThreadsPerCore = reports > 0 ? otherThreadsPerCore * (1 - weight) : assumed;
+        otherThreadsPerCore =
+                reports > 0 ? otherThreadsPerCore * (1 - weight) : assumedThreadsPerCore;
     }
 }
--- a/src/main/java/calicostream/routing/ClassStatistics.java
+++ b/src/main/java/calicostream/routing/ClassStatistics.java
@@ -1,39 +1,42 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.routing;
 
-/** Learns what the queries of one class need: work, memory and run time. */
+/** Collects statistics on the work, memory and run time of the queries of one class. */
 final class ClassStatistics {
-    /** Answers after which the run time of a class is more reliable than the assumption. */
-    private static final int RELIABLE_RUNS = 10;
+    /** Number of answers after which the run time of a class is used instead of the default. */
+    private static final int MIN_RELIABLE_RUNS = 10;
 
-    /** Work of a query, in core-microseconds, of whose class nothing is known yet. */
-    private static final double UNKNOWN_WORK_MICROS = 1_000_000;
+    /** Work in core-microseconds assumed for a query of a class without statistics. */
+    private static final double DEFAULT_WORK_MICROS = 1_000_000;
 
-    /** Growth with each answer by which the least run time of a class is forgotten. */
-    private static final double LEAST_RUN_GROWTH = 1.002;
+    /**
+     * Factor per answer by which the minimum run time of a class may rise, so that old minimums
+     * expire.
+     */
+    private static final double MIN_RUN_GROWTH = 1.002;
 
     private final LogRatioEstimator workRatio = new LogRatioEstimator();
     private final LogRatioEstimator memoryRatio = new LogRatioEstimator();
     private final DecayingSum requestedWork = new DecayingSum();
     private double typicalWorkMicros;
     private double averageRunMicros;
-    private double leastRunMicros;
+    private double minRunMicros;
     private double admittedWorkMicros;
     private int workSamples;
     private int runSamples;
 
     /**
-     * Returns the work of a query in core-microseconds: its estimate corrected by what answers
-     * taught, or the typical work of the class if it has no estimate.
+     * Returns the work of a query in core-microseconds: its estimate corrected by the ratio learned
+     * from answers, or the typical work of the class if it has no estimate.
      */
     double expectedWorkMicros(Query query) {
-        double typical = typicalWorkMicros > 0 ? typicalWorkMicros : UNKNOWN_WORK_MICROS;
+        double typical = typicalWorkMicros > 0 ? typicalWorkMicros : DEFAULT_WORK_MICROS;
         return query.estimatedWorkUs() <= 0
                 ? typical
                 : query.estimatedWorkUs() * workRatio.upperRatio(0);
     }
 
-    /** Takes in the work of one query, measured or expected. */
+    /** Records the measured or expected work of one query. */
     void recordWork(double workMicros) {
         workSamples++;
         typicalWorkMicros +=
@@ -41,31 +44,31 @@
     }
 
     /**
-     * Takes in an accepted query and returns the work that the slow start of engines counts for
-     * each query of the class.
+     * Records an accepted query and returns the work in core-microseconds that slow start charges
+     * for each query of the class.
      */
     double recordRequest(long now, double expectedWorkMicros, int threads) {
-        // The run time includes waits; it bounds estimates that no answer has corrected.
+        // The run time includes waits, so it is an upper bound for uncorrected estimates.
         double runWork = averageRunMicros * threads;
-        boolean uncorrected = !workRatio.hasSamples() && runSamples >= RELIABLE_RUNS;
-        double limit = uncorrected ? runWork : typicalWorkMicros;
-        boolean assumed = typicalWorkMicros <= 0 || leastRunMicros > 0;
+        boolean estimatesUncorrected = !workRatio.hasSamples() && runSamples >= MIN_RELIABLE_RUNS;
+        double limit = estimatesUncorrected ? runWork : typicalWorkMicros;
+        boolean workNotMeasured = typicalWorkMicros <= 0 || minRunMicros > 0;
         admittedWorkMicros =
-                assumed
+                workNotMeasured
                         ? Math.max(expectedWorkMicros, runWork)
                         : Math.min(limit, typicalWorkMicros);
         requestedWork.add(now, admittedWorkMicros);
         return admittedWorkMicros;
     }
 
-    /** Takes in the run time of a successful attempt. */
-    void recordRun(long elapsedMicros) {
+    /** Records the run time of a successful attempt. */
+    void recordRunTime(long elapsedMicros) {
         runSamples++;
         averageRunMicros +=
                 (elapsedMicros - averageRunMicros) * LearningRate.afterSamples(runSamples);
     }
 
-    /** Takes in the measured work of a query, of which there may be an estimate. */
+    /** Records the measured work of a query and its estimate, if it has one. */
     void recordMeasuredWork(double workMicros, double estimatedWorkMicros) {
         workRatio.record(workMicros, estimatedWorkMicros);
         if (estimatedWorkMicros <= 0) {
@@ -74,15 +77,14 @@
     }
 
     /**
-     * Takes the least run time for the work, where neither estimates nor answers tell of work: a
-     * query needs at most what its threads need where little else runs.
+     * Infers the typical work from the minimum run time if neither estimates nor answers report
+     * work. At low load, run time times threads is an upper bound for the work.
      */
-    void assumeWorkFromRuns(int threads) {
-        if (runSamples >= RELIABLE_RUNS) {
-            double bound =
-                    leastRunMicros > 0 ? leastRunMicros * LEAST_RUN_GROWTH : averageRunMicros;
-            leastRunMicros = Math.min(averageRunMicros, bound);
-            typicalWorkMicros = leastRunMicros * threads;
+    void inferWorkFromRunTimes(int threads) {
+        if (runSamples >= MIN_RELIABLE_RUNS) {
+            double bound = minRunMicros > 0 ? minRunMicros * MIN_RUN_GROWTH : averageRunMicros;
+            minRunMicros = Math.min(averageRunMicros, bound);
+            typicalWorkMicros = minRunMicros * threads;
         }
     }
 
@@ -90,12 +92,15 @@
         memoryRatio.record(usedMegabytes, estimatedMegabytes);
     }
 
-    /** Takes over a least run time that another process learned, if this one knows nothing yet. */
+    /**
+     * Restores a minimum run time learned by another process, unless this one has reliable
+     * statistics already.
+     */
     void restore(double runMicros, int threads) {
-        if (runMicros > 0 && runSamples < RELIABLE_RUNS) {
-            runSamples = RELIABLE_RUNS;
+        if (runMicros > 0 && runSamples < MIN_RELIABLE_RUNS) {
+            runSamples = MIN_RELIABLE_RUNS;
             averageRunMicros = runMicros;
-            leastRunMicros = runMicros;
+            minRunMicros = runMicros;
             typicalWorkMicros = runMicros * threads;
         }
     }
@@ -116,8 +121,8 @@
         return averageRunMicros;
     }
 
-    double leastRunMicros() {
-        return leastRunMicros;
+    double minRunMicros() {
+        return minRunMicros;
     }
 
     double admittedWorkMicros() {
--- a/src/main/java/calicostream/routing/DecayingSum.java
+++ b/src/main/java/calicostream/routing/DecayingSum.java
@@ -3,7 +3,10 @@
 
 /** Sums amounts whose weight decays exponentially with their age. */
 final class DecayingSum {
-    /** Time in which an amount decays to a third; a gateway with few queries needs it this long. */
+    /**
+     * Time in which an amount decays to a third (1/e). Gateways with few queries need a period this
+     * long for a usable average.
+     */
     static final double DECAY_MICROS = 20_000_000;
 
     private double sum;
--- a/src/main/java/calicostream/routing/EjectionCause.java
+++ b/src/main/java/calicostream/routing/EjectionCause.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.routing;
 
-/** Says why an engine is ejected, and whether that is certain or a suspicion. */
+/** Cause of an ejection, and whether it proves a failure or is only a suspicion. */
 enum EjectionCause {
     CONNECT_FAILED("CONNECT_FAILED", true),
     RESET("RESET", true),
@@ -9,7 +9,7 @@
     TIMEOUT("TIMEOUT", false),
     ERROR("ERROR", false),
     SILENCE("silent", false),
-    /** Another gateway's probe of the engine failed; it only prolongs an ejection. */
+    /** A probe by another gateway failed; it can only prolong an existing ejection. */
     PEER_PROBE_FAILED("CANCELLED", true);
 
     private final String logText;
@@ -20,12 +20,12 @@
         this.certain = certain;
     }
 
-    /** Returns the cause as the operators' log names it. */
+    /** Returns the text of the cause in the operators' log. */
     String logText() {
         return logText;
     }
 
-    /** Returns whether the engine is ejected however many others are. */
+    /** Returns whether the engine is ejected regardless of how many others are ejected. */
     boolean isCertain() {
         return certain;
     }
--- a/src/main/java/calicostream/routing/EjectionState.java
+++ b/src/main/java/calicostream/routing/EjectionState.java
@@ -3,15 +3,15 @@
 
 /** Holds the failure score of one engine and whether it is ejected; see {@link OutlierDetector}. */
 final class EjectionState {
-    /** Time until the first probe after an ejection; doubled at each ejection that follows. */
+    /** Time from the first ejection to the first probe; doubled at each following ejection. */
     private static final long INITIAL_EJECTION_MICROS = 1_000_000;
 
-    /** Shorter than most faults last, so that a recovery is noticed. */
+    /** Maximum ejection time; shorter than most faults, so that a recovery is detected soon. */
     private static final long MAX_EJECTION_MICROS = 8_000_000;
 
     private double failureScore;
     private boolean ejected;
-    private boolean probeOwed;
+    private boolean probeRequested;
     private long ejectedUntil;
     private long nextProbeAt;
     private long nextEjectionMicros = INITIAL_EJECTION_MICROS;
@@ -28,8 +28,8 @@
     }
 
     /**
-     * Clears the score and the ejection; a result of an attempt from before it stays without
-     * effect.
+     * Resets the failure score and ends the ejection. The time of its end is kept, so that
+     * successes of attempts sent before it are still ignored.
      */
     void reinstate() {
         failureScore = 0;
@@ -45,26 +45,29 @@
         return ejected;
     }
 
-    boolean isEjectedUntilLaterThan(long time) {
+    boolean isBeforeEjectionEnd(long time) {
         return time < ejectedUntil;
     }
 
-    /** Returns whether the engine is ejected and one query may find out how it fares. */
+    /** Returns whether the engine is ejected and one query may be sent to it as a probe. */
     boolean isProbeDue(long now) {
         return ejected && now >= Math.max(ejectedUntil, nextProbeAt);
     }
 
-    /** Keeps probes after ejection from following each other at once. */
+    /** Prevents the next probe of an ejected engine before the given time. */
     void postponeProbe(long until) {
         nextProbeAt = until;
     }
 
-    /** Returns whether the engine is to be sent a query soon, though no table group prefers it. */
-    boolean isProbeOwed() {
-        return probeOwed;
+    /**
+     * Returns whether the next suitable query should be sent to the engine, even if no table group
+     * prefers it.
+     */
+    boolean isProbeRequested() {
+        return probeRequested;
     }
 
-    void setProbeOwed(boolean owed) {
-        probeOwed = owed;
+    void setProbeRequested(boolean requested) {
+        probeRequested = requested;
     }
 }
--- a/src/main/java/calicostream/routing/EndpointListRequester.java
+++ b/src/main/java/calicostream/routing/EndpointListRequester.java
@@ -2,7 +2,8 @@
 package calicostream.routing;
 
 /**
- * Requests the endpoint list, and again after a failure, where the deployment sends it on request.
+ * Requests the endpoint list and retries after a failure, if the deployment sends the list only on
+ * request.
  */
 final class EndpointListRequester {
     private static final long RETRY_DELAY_MICROS = 1_000_000;
--- a/src/main/java/calicostream/routing/EndpointListUpdater.java
+++ b/src/main/java/calicostream/routing/EndpointListUpdater.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Brings the known engines in line with the endpoint list. */
+/** Applies updates of the endpoint list to the engine table. */
 final class EndpointListUpdater {
     private final List<EngineKind> kinds;
     private final EngineTable engines;
@@ -29,7 +29,11 @@
         this.costs = costs;
     }
 
-    /** Takes in endpoints; {@code update} says what it means that others are not among them. */
+    /**
+     * Applies an update of the endpoint list.
+     *
+     * @param update determines how engines that are missing from {@code endpoints} are handled
+     */
     void update(long now, EndpointUpdate update, List<EngineEndpoint> endpoints) {
         if (update != EndpointUpdate.INCREMENTAL) {
             markOthersRemoved(endpoints);
@@ -43,7 +47,7 @@
                 outliers.reinstate(engine);
             }
         }
-        engines.all().removeIf(engine -> isForgettable(now, engine));
+        engines.all().removeIf(engine -> isRemovable(now, engine));
         groups.removeAffinityIf(id -> !engines.isReady(id));
         costs.assign();
     }
@@ -59,8 +63,8 @@
     }
 
     private void updateEngine(long now, EngineEndpoint endpoint, boolean isCached) {
-        EngineState known = engines.find(endpoint.id());
-        EngineState engine = known != null ? known : new EngineState(endpoint);
+        EngineState existing = engines.find(endpoint.id());
+        EngineState engine = existing != null ? existing : new EngineState(endpoint);
         boolean restarted = endpoint.startedAtUs() > engine.endpoint().startedAtUs();
         engine.setEndpoint(endpoint);
         engine.setCores(coresOf(endpoint));
@@ -71,10 +75,10 @@
             outliers.reinstate(engine);
             engine.load().discard();
         }
-        if (known == null) {
+        if (existing == null) {
             engines.add(engine);
             if (isCached) {
-                slowStart.recordUnknownPast(now, engine);
+                slowStart.exhaustWindowAfterRestart(now, engine);
             }
         }
     }
@@ -83,8 +87,11 @@
         return endpoint.kind() < kinds.size() ? Math.max(1, kinds.get(endpoint.kind()).cores()) : 1;
     }
 
-    /** A removed engine is remembered while it may come back warming up. */
-    private boolean isForgettable(long now, EngineState engine) {
+    /**
+     * A removed engine is kept while it is warming up, so that its slow start continues if it
+     * returns.
+     */
+    private boolean isRemovable(long now, EngineState engine) {
         return !engine.isReady() && engine.isIdle() && !slowStart.isWarmingUp(engine, now);
     }
 }
--- a/src/main/java/calicostream/routing/EndpointUpdate.java
+++ b/src/main/java/calicostream/routing/EndpointUpdate.java
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.routing;
 
-/** How a list of engines relates to the one before. */
+/** Kind of an update of the endpoint list. */
 public enum EndpointUpdate {
-    /** It names the engines that changed; the others stay as they were. */
+    /** The list contains only the engines that changed. */
     INCREMENTAL,
-    /** It names all engines; others have been removed. */
+    /** The list contains all engines; engines that are missing from it have been removed. */
     COMPLETE,
-    /** It names all engines as last known before this gateway started. */
+    /** The list contains all engines as last known before this gateway started. */
     CACHED,
-    /** The request for the list failed; there is none. */
+    /** The request for the list failed; the update has no endpoints. */
     FAILED
 }
--- a/src/main/java/calicostream/routing/EngineCapabilities.java
+++ b/src/main/java/calicostream/routing/EngineCapabilities.java
@@ -2,11 +2,11 @@
 package calicostream.routing;
 
 /**
- * What the engines of a deployment heed and report.
+ * Optional features that the engines of a deployment support.
  *
- * @param memoryGrants whether an attempt may be granted memory
- * @param priorities whether an attempt may have a priority
- * @param maxMemoryGrant largest grant as a part of an engine's memory
+ * @param memoryGrants whether engines accept a memory grant for an attempt
+ * @param priorities whether engines accept a priority for an attempt
+ * @param maxMemoryGrant largest memory grant as a share of the engine's memory
  * @param progressPeriodUs time between progress reports of an attempt in microseconds, 0 for none
  */
 public record EngineCapabilities(
--- a/src/main/java/calicostream/routing/EngineEligibility.java
+++ b/src/main/java/calicostream/routing/EngineEligibility.java
@@ -4,9 +4,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Determines which engines a query may go to now. */
+/** Determines the engines that may run a query now. */
 final class EngineEligibility {
-    /** Engines outside the affinity set that are considered: more would read the tables, too. */
+    /**
+     * Maximum number of engines considered outside the affinity set. Each additional engine may
+     * have to read the tables as well.
+     */
     private static final int MAX_OTHER_ENGINES = 12;
 
     private final RouterActions actions;
@@ -28,15 +31,15 @@
         this.retryPolicy = retryPolicy;
     }
 
-    /** Engines with capacity for a query, apart by how far they are to be trusted. */
+    /** Engines with capacity for a query, grouped by their health. */
     private static final class Candidates {
         private final List<EngineState> healthy = new ArrayList<>();
         private final List<EngineState> failing = new ArrayList<>();
         private final List<EngineState> ejected = new ArrayList<>();
-        private boolean hasSound;
+        private boolean hasAvailable;
 
         List<EngineState> best() {
-            if (!hasSound) {
+            if (!hasAvailable) {
                 return ejected;
             }
             return healthy.isEmpty() ? failing : healthy;
@@ -44,9 +47,9 @@
     }
 
     /**
-     * Returns the engines of the affinity set and the next others in the group's ranking that may
-     * take the query; ejected ones only if no other one is allowed, and a single one that is due
-     * for a probe.
+     * Returns the engines that may run the query, from the affinity set and from the next engines
+     * in the group's ranking. Ejected engines are returned only if no other engine is allowed. If
+     * an engine is due for a probe, it is the only one returned.
      */
     List<EngineState> eligible(long now, QueryState query) {
         Candidates candidates = new Candidates();
@@ -61,52 +64,54 @@
             if (query.isIdempotent() && isProbeDue(now, query, engine)) {
                 return List.of(engine);
             }
-            boolean sound = !engine.ejection().isEjected() && !query.failedLastOn(engine);
-            candidates.hasSound |= sound;
-            others += sound && !preferred ? 1 : 0;
+            boolean available = !engine.ejection().isEjected() && !query.failedLastOn(engine);
+            candidates.hasAvailable |= available;
+            others += available && !preferred ? 1 : 0;
             if (capacity.hasCapacity(now, query, engine)) {
-                listFor(query, engine, sound, candidates).add(engine);
+                candidatesFor(query, engine, available, candidates).add(engine);
             }
         }
         return candidates.best();
     }
 
-    private static List<EngineState> listFor(
-            QueryState query, EngineState engine, boolean sound, Candidates candidates) {
-        if (!sound) {
+    private static List<EngineState> candidatesFor(
+            QueryState query, EngineState engine, boolean available, Candidates candidates) {
+        if (!available) {
             return candidates.ejected;
         }
-        // An immediate error costs little, but not for a query that may not run again or was tried.
+        // A failing engine may get first attempts of idempotent queries: an immediate error costs
+        // them little. Retries and other queries prefer healthy engines.
         boolean mayFail = query.attempts() == 0 && query.isIdempotent();
         return engine.ejection().failureScore() == 0 || mayFail
                 ? candidates.healthy
                 : candidates.failing;
     }
 
-    /** Returns whether the query is to probe an ejected or reinstated engine. */
+    /** Returns whether the query should be sent to an ejected or reinstated engine as a probe. */
     private boolean isProbeDue(long now, QueryState query, EngineState engine) {
         if (query.failedLastOn(engine)) {
             return false;
         }
         return engine.ejection().isProbeDue(now) && engine.isIdle()
-                || engine.ejection().isProbeOwed() && capacity.hasCapacity(now, query, engine);
+                || engine.ejection().isProbeRequested() && capacity.hasCapacity(now, query, engine);
     }
 
     /**
-     * Returns what the rules allow: state, placement, repeats, slow start and tenant capacity. The
-     * tenant's capacity is asked last, and only of engines that the rest allows.
+     * Returns whether the rules allow the query on the engine: lifecycle, placement, idempotency,
+     * slow start and tenant capacity. Tenant capacity is checked last, because the gateway is
+     * called for it and engines that fail another rule need no check.
      */
     private boolean isAllowed(long now, QueryState query, EngineState engine) {
         long stickyEngine = query.request().stickyEngine();
         return (stickyEngine == 0 || stickyEngine == engine.id())
                 && engine.isReady()
-                && isPlacedRight(query.queryClass(), engine.endpoint())
+                && matchesPlacement(query.queryClass(), engine.endpoint())
                 && retryPolicy.mayRunOn(now, query, engine.endpoint())
                 && slowStart.allows(now, query, engine)
                 && actions.hasTenantCapacity(query.id(), engine.id());
     }
 
-    private static boolean isPlacedRight(QueryClass queryClass, EngineEndpoint endpoint) {
+    private static boolean matchesPlacement(QueryClass queryClass, EngineEndpoint endpoint) {
         return (queryClass.zones().isEmpty() || queryClass.zones().contains(endpoint.zone()))
                 && (queryClass.kinds().isEmpty() || queryClass.kinds().contains(endpoint.kind()));
     }
--- a/src/main/java/calicostream/routing/EngineEndpoint.java
+++ b/src/main/java/calicostream/routing/EngineEndpoint.java
@@ -2,24 +2,24 @@
 package calicostream.routing;
 
 /**
- * An engine as the endpoint list names it.
+ * An engine in the endpoint list.
  *
- * @param id its id, which survives restarts
- * @param kind index of its kind of machine
- * @param cell index of its cell
- * @param zone index of its zone
- * @param startedAtUs when its process started in microseconds, 0 for long ago
- * @param lifecycle state of its process
+ * @param id id of the engine, which survives restarts
+ * @param kind index of the engine's kind
+ * @param cell index of the engine's cell
+ * @param zone index of the engine's zone
+ * @param startedAtUs start time of the engine's process in microseconds, 0 if it is not recent
+ * @param lifecycle state of the engine's process
  */
 public record EngineEndpoint(
         long id, int kind, int cell, int zone, long startedAtUs, EngineLifecycle lifecycle) {
-    /** Returns the same engine in another state. */
-    public EngineEndpoint withLifecycle(EngineLifecycle other) {
-        return new EngineEndpoint(id, kind, cell, zone, startedAtUs, other);
+    /** Returns a copy with another lifecycle state. */
+    public EngineEndpoint withLifecycle(EngineLifecycle newLifecycle) {
+        return new EngineEndpoint(id, kind, cell, zone, startedAtUs, newLifecycle);
     }
 
-    /** Returns the same engine, started at another time in microseconds. */
-    public EngineEndpoint withStartTime(long micros) {
-        return new EngineEndpoint(id, kind, cell, zone, micros, lifecycle);
+    /** Returns a copy with another start time in microseconds. */
+    public EngineEndpoint withStartTime(long newStartedAtUs) {
+        return new EngineEndpoint(id, kind, cell, zone, newStartedAtUs, lifecycle);
     }
 }
--- a/src/main/java/calicostream/routing/EngineFeedback.java
+++ b/src/main/java/calicostream/routing/EngineFeedback.java
@@ -2,7 +2,8 @@
 package calicostream.routing;
 
 /**
- * Learns from ended attempts and load probes: about engines' health and load, and about classes.
+ * Updates engine health, engine load and class statistics from the results of attempts and load
+ * probes.
  */
 final class EngineFeedback {
     private final WorkEstimator work;
@@ -21,33 +22,33 @@
         this.prober = prober;
     }
 
-    /** Takes in the load report that came with the end of an attempt. */
+    /** Records the load report that arrived with the end of an attempt. */
     void recordReport(long now, EngineState engine, LoadReport report) {
         capacity.recordReport(now, engine, report);
     }
 
     /**
-     * Takes in the result of an attempt. An error may be the query's own: it counts as the engine's
-     * failure once another engine has answered the same query.
+     * Records the result of an attempt. An error may be caused by the query itself, so it counts as
+     * a failure of the engine only after another engine has answered the same query.
      */
     void recordResult(long now, QueryState query, EngineState engine, AttemptResult result) {
         switch (result.outcome()) {
-            case CONNECT_FAILED -> recordDown(now, engine, EjectionCause.CONNECT_FAILED);
-            case RESET -> recordDown(now, engine, EjectionCause.RESET);
+            case CONNECT_FAILED -> recordUnavailable(now, engine, EjectionCause.CONNECT_FAILED);
+            case RESET -> recordUnavailable(now, engine, EjectionCause.RESET);
             case CONNECTION_BROKEN -> outliers.recordBrokenConnection(now, engine);
             case TIMEOUT -> recordTimeout(now, engine);
             case ERROR -> query.recordError(engine);
             case OVERLOADED -> capacity.recordRejection(now, engine);
             case OK -> recordAnswer(now, query, engine, result);
             case CANCELLED, NOT_STARTED -> {
-                // Says nothing of the engine.
+                // No evidence about the health of the engine.
             }
             default -> throw new IllegalArgumentException(result.outcome().toString());
         }
     }
 
-    private void recordDown(long now, EngineState engine, EjectionCause cause) {
-        // It may come back before the endpoint list names its start.
+    private void recordUnavailable(long now, EngineState engine, EjectionCause cause) {
+        // The engine may restart before the endpoint list reports its new start time.
         engine.slowStart().restart(now);
         outliers.eject(now, engine, cause);
     }
@@ -68,7 +69,7 @@
         }
     }
 
-    /** Takes in the end of a load probe; {@code report} is null if none came. */
+    /** Records the end of a load probe; {@code report} is null if the probe returned none. */
     void recordProbe(long now, EngineState engine, AttemptOutcome outcome, LoadReport report) {
         engine.probe().end();
         if (report != null && outcome == AttemptOutcome.OK) {
--- a/src/main/java/calicostream/routing/EngineKind.java
+++ b/src/main/java/calicostream/routing/EngineKind.java
@@ -2,7 +2,7 @@
 package calicostream.routing;
 
 /**
- * A kind of machine that engines run on.
+ * A kind of engine, defined by its machine size.
  *
  * @param cores number of cores
  * @param memoryMb memory in megabytes
--- a/src/main/java/calicostream/routing/EngineLifecycle.java
+++ b/src/main/java/calicostream/routing/EngineLifecycle.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.routing;
 
-/** State of an engine's process as the endpoint list knows it. */
+/** State of an engine's process in the endpoint list. */
 public enum EngineLifecycle {
     REMOVED,
     READY,
--- a/src/main/java/calicostream/routing/EngineState.java
+++ b/src/main/java/calicostream/routing/EngineState.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Holds what this gateway knows of one engine and what it runs there. */
+/** Holds the state of one engine and the queries that this gateway runs on it. */
 final class EngineState {
     private final List<QueryState> running = new ArrayList<>();
     private final EjectionState ejection = new EjectionState();
@@ -44,7 +44,9 @@
         this.cores = cores;
     }
 
-    /** Returns what a query pays beside its work to go there; see {@link RoutingCosts}. */
+    /**
+     * Returns the cost of sending a query to the engine beside its work; see {@link RoutingCosts}.
+     */
     double routingCost() {
         return routingCost;
     }
@@ -53,7 +55,7 @@
         this.routingCost = routingCost;
     }
 
-    /** Returns the threads of this gateway's queries there. */
+    /** Returns the number of threads of this gateway's queries on the engine. */
     double ownThreads() {
         return ownThreads;
     }
@@ -76,7 +78,7 @@
         return running.isEmpty();
     }
 
-    /** Returns how many of this gateway's queries there are due before that time. */
+    /** Returns how many of this gateway's queries on the engine are due before the given time. */
     int runningDueBefore(long time) {
         int count = 0;
         for (QueryState query : running) {
--- a/src/main/java/calicostream/routing/EngineTable.java
+++ b/src/main/java/calicostream/routing/EngineTable.java
@@ -4,13 +4,13 @@
 import java.util.Collection;
 import java.util.TreeMap;
 
-/** Holds the known engines by id. */
+/** Holds the engines of the endpoint list by id, and removed engines until they are cleaned up. */
 final class EngineTable {
     private final TreeMap<Long, EngineState> engines = new TreeMap<>();
     private int version;
     private double readyCores;
 
-    /** Returns the engine, or null if it is not known. */
+    /** Returns the engine, or null if the table does not contain it. */
     EngineState find(long id) {
         return engines.get(id);
     }
@@ -19,7 +19,7 @@
         engines.put(engine.id(), engine);
     }
 
-    /** Returns all engines in the order of their ids; removing from it removes them here. */
+    /** Returns a live view of all engines in the order of their ids; it supports removal. */
     Collection<EngineState> all() {
         return engines.values();
     }
@@ -33,7 +33,7 @@
         return engine != null && engine.isReady();
     }
 
-    /** Takes in that engines were added or changed. */
+    /** Updates the version and the core count after engines were added or changed. */
     void endpointsChanged() {
         version++;
         readyCores = 0;
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Returns a number that changes with the endpoint list. */
+    /** Returns a version that changes with each update of the endpoint list. */
     int version() {
         return version;
     }
--- a/src/main/java/calicostream/routing/GatewayProcesses.java
+++ b/src/main/java/calicostream/routing/GatewayProcesses.java
@@ -1,7 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.routing;
 
-/** Knows how many processes are this one gateway for now, and which of them this one is. */
+/**
+ * Holds how many processes currently form this gateway, and the index of this process among them.
+ */
 final class GatewayProcesses {
     private int count = 1;
     private int index;
@@ -11,12 +13,12 @@
         index = newIndex;
     }
 
-    /** Returns the number of processes that share what the gateway is allowed; at least one. */
+    /** Returns the number of processes that share the limits of this gateway; at least one. */
     int count() {
         return count;
     }
 
-    /** Returns the number of this process among them, from 0. */
+    /** Returns the index of this process among them, from 0. */
     int index() {
         return index;
     }
--- a/src/main/java/calicostream/routing/Idempotency.java
+++ b/src/main/java/calicostream/routing/Idempotency.java
@@ -3,10 +3,10 @@
 
 /** Whether a query of a class may run more than once. */
 public enum Idempotency {
-    /** It may. */
+    /** A query may run any number of times. */
     IDEMPOTENT,
-    /** It may where engines discard repeats by its key, within a scope and a time. */
+    /** A query may be repeated where and while engines deduplicate it by its idempotency key. */
     IDEMPOTENT_WITH_KEY,
-    /** It may not. */
+    /** A query must not run more than once. */
     NON_IDEMPOTENT
 }
--- a/src/main/java/calicostream/routing/IdempotencyScope.java
+++ b/src/main/java/calicostream/routing/IdempotencyScope.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.routing;
 
-/** Which engines discard each other's repeats of a query with an idempotency key. */
+/** Set of engines that deduplicate repeats of a query by its idempotency key. */
 public enum IdempotencyScope {
     ALL,
     ZONE,
--- a/src/main/java/calicostream/routing/LearningRate.java
+++ b/src/main/java/calicostream/routing/LearningRate.java
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.routing;
 
-/** Gives the weight of one sample in a moving average that starts as a plain mean. */
+/** Computes the weight of a sample in a moving average that starts as a plain mean. */
 final class LearningRate {
-    /** Weight of one sample once many have been seen: some thirty of them count. */
+    /** Weight of a sample after many samples; the average then covers about thirty of them. */
     static final double MINIMUM = 0.03;
 
     private LearningRate() {}
@@ -11,7 +11,7 @@
     /**
      * Returns the weight of the latest sample.
      *
-     * @param samples how many samples there are, this one included
+     * @param samples number of samples, including the latest
      */
     static double afterSamples(int samples) {
         return Math.max(MINIMUM, 1.0 / samples);
--- a/src/main/java/calicostream/routing/LoadEstimate.java
+++ b/src/main/java/calicostream/routing/LoadEstimate.java
@@ -1,26 +1,31 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.routing;
 
-/** Holds the threads of other gateways on one engine, as its load reports tell. */
+/** Holds the threads that other gateways use on one engine, estimated from its load reports. */
 final class LoadEstimate {
-    /** Time in which trust in a report decays to a third: that of typical runs. */
-    private static final double TRUST_DECAY_MICROS = 2_500_000;
+    /**
+     * Time in which the confidence in a report decays to a third (1/e), about a typical run time.
+     */
+    private static final double CONFIDENCE_DECAY_MICROS = 2_500_000;
 
     private double otherThreads;
     private long updatedAt = Timestamps.NEVER_MICROS;
 
-    /** Returns the trust in the last report, from 1 down to 0 as it ages. */
-    double trust(long now) {
-        return Math.exp((updatedAt - now) / TRUST_DECAY_MICROS);
+    /** Returns the confidence in the last report, which falls from 1 to 0 as the report ages. */
+    double confidence(long now) {
+        return Math.exp((updatedAt - now) / CONFIDENCE_DECAY_MICROS);
     }
 
-    /** Takes in threads as reported, weighed against what earlier reports are still worth. */
+    /**
+     * Records reported threads with the given weight, or a higher one if the previous report is
+     * old.
+     */
     void update(long now, double threads, double weight) {
-        otherThreads += (threads - otherThreads) * Math.max(1 - trust(now), weight);
+        otherThreads += (threads - otherThreads) * Math.max(1 - confidence(now), weight);
         updatedAt = now;
     }
 
-    /** Makes the next report replace this estimate. */
+    /** Discards the estimate; the next report replaces it. */
     void discard() {
         updatedAt = Timestamps.NEVER_MICROS;
     }
--- a/src/main/java/calicostream/routing/LoadProbeState.java
+++ b/src/main/java/calicostream/routing/LoadProbeState.java
@@ -35,7 +35,7 @@
         waitingQueries.add(query);
     }
 
-    /** Lets the queries that wait for the probe go on. */
+    /** Releases the queries that wait for the probe. */
     void releaseWaiting() {
         waitingQueries.forEach(QueryState::loadProbeEnded);
         waitingQueries.clear();
--- a/src/main/java/calicostream/routing/LoadProber.java
+++ b/src/main/java/calicostream/routing/LoadProber.java
@@ -3,27 +3,29 @@
 
 import java.util.List;
 
-/** Asks engines for their load before a query goes to one, and lets the query wait for that. */
+/** Probes the load of engines before a query is sent, and delays the query until the probes end. */
 final class LoadProber {
-    /** Load probes per core and second from all gateways: engines answer some four at least. */
+    /** Load probes per core and second from all gateways; engines answer at least about four. */
     static final double PROBES_PER_CORE_AND_SECOND = 3;
 
-    /** Engines probed for a query: two find most of the best. */
+    /** Engines probed for a query; two give most of the benefit of probing all. */
     private static final int PROBED_ENGINES = 2;
 
-    /** Part of the queries that probe in an idle fleet, whose engines may fill unnoticed. */
+    /** Share of queries that probe in an idle fleet, so that a rising load is still detected. */
     private static final double MIN_PROBING_SHARE = 0.2;
 
-    /** Age up to which a report is as good as a new one: those are as late. */
+    /** Age up to which a report counts as current; the report of a new probe is delayed as much. */
     private static final long FRESH_REPORT_MICROS = 150_000;
 
-    /** Time that a query waits for load probes: short against latency objectives. */
+    /** Maximum time that a query waits for load probes; short compared to latency objectives. */
     private static final long MAX_WAIT_MICROS = 30_000;
 
-    /** Time between probes for one query: reports change no faster. */
+    /** Minimum time between probes for one query; reports do not change faster. */
     private static final long PROBE_INTERVAL_MICROS = 250_000;
 
-    /** Time until the next probe of an engine that reported nothing or rejected the probe. */
+    /**
+     * Time until the next probe of an engine that rejected a probe or returned no usable report.
+     */
     private static final long FAILED_PROBE_DELAY_MICROS = 1_000_000;
 
     private static final double MICROS_PER_SECOND = 1e6;
@@ -45,9 +47,9 @@
     }
 
     /**
-     * Probes the first eligible engines whose load is not known.
+     * Probes some of the eligible engines whose load is not current.
      *
-     * @return whether the query is to wait for the answers
+     * @return whether the query must wait for the probes to end
      */
     boolean mustAwaitProbes(long now, QueryState query, List<EngineState> eligible) {
         if (!isProbing(query)) {
@@ -64,13 +66,13 @@
     }
 
     private boolean isProbing(QueryState query) {
-        boolean possible =
+        boolean isProbingEnabled =
                 settings.attemptLimits().probes() && settings.loadReporting() != LoadReporting.NONE;
-        return possible && !isSkipped(query);
+        return isProbingEnabled && !skipsProbing(query);
     }
 
-    /** The less loaded the fleet is, the fewer queries probe. */
-    private boolean isSkipped(QueryState query) {
+    /** Fewer queries probe while the load of the fleet is low. */
+    private boolean skipsProbing(QueryState query) {
         double utilization = capacity.meanLoadPerCore() / CapacityEstimator.THREADS_PER_CORE;
         return query.jitter() > MIN_PROBING_SHARE + utilization;
     }
@@ -89,7 +91,10 @@
         }
     }
 
-    /** Returns this process's part of the probes that an engine answers, as time between them. */
+    /**
+     * Returns the time between probes of an engine by this process, so that all gateway processes
+     * together stay within {@link #PROBES_PER_CORE_AND_SECOND}.
+     */
     private long probeIntervalMicros(EngineState engine) {
         return (long)
                 (MICROS_PER_SECOND
@@ -98,7 +103,7 @@
                         / (PROBES_PER_CORE_AND_SECOND * engine.cores()));
     }
 
-    /** Takes in that a probe ended and its report, if there was one, has been taken in. */
+    /** Handles the end of a probe; its report, if there was one, has already been recorded. */
     void probeEnded(long now, EngineState engine) {
         if (engine.load().updatedAt() != now) {
             engine.probe().postpone(now + FAILED_PROBE_DELAY_MICROS);
--- a/src/main/java/calicostream/routing/LoadReport.java
+++ b/src/main/java/calicostream/routing/LoadReport.java
@@ -2,23 +2,23 @@
 package calicostream.routing;
 
 /**
- * An engine's report of its load.
+ * A load report of an engine.
  *
- * @param running queries in flight there, NaN if not reported
- * @param utilization utilization of its cores from 0 to 1, NaN if not reported
- * @param saturation the fullest of what its queries share beside the cores, memory granted or disks
- *     busy, as a share; 0 if not reported
+ * @param running number of running queries, NaN if not reported
+ * @param utilization utilization of the cores from 0 to 1, NaN if not reported
+ * @param saturation utilization of the most saturated shared resource beside the cores, such as
+ *     granted memory or disks; 0 if not reported
  */
 public record LoadReport(double running, double utilization, double saturation) {
-    /** A report without any figure. */
+    /** A report without any value. */
     public static final LoadReport EMPTY = new LoadReport(Double.NaN, Double.NaN, 0);
 
-    /** Creates a report of queries and cores alone. */
+    /** Creates a report without the saturation of other resources. */
     public LoadReport(double running, double utilization) {
         this(running, utilization, 0);
     }
 
-    /** Returns the highest share that is reported, NaN if none is. */
+    /** Returns the highest reported utilization of any resource, NaN if none is reported. */
     public double highestUtilization() {
         boolean reportsSaturation = saturation > 0;
         if (!reportsSaturation) {
@@ -28,9 +28,9 @@
     }
 
     /**
-     * Returns this report with a column of the engine's report set.
+     * Returns a copy with one column of the engine's report set.
      *
-     * @param column name of the column as the settings give it; an unknown one changes nothing
+     * @param column name of the column in the settings; unknown columns are ignored
      */
     public LoadReport withColumn(String column, double value) {
         switch (column) {
--- a/src/main/java/calicostream/routing/LoadReporting.java
+++ b/src/main/java/calicostream/routing/LoadReporting.java
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.routing;
 
-/** When engines report their load. */
+/** When engines send load reports. */
 public enum LoadReporting {
     /** With each answer. */
     WITH_ANSWERS,
-    /** With answers to load probes only. */
+    /** Only with the results of load probes. */
     ON_PROBE,
     /** Never. */
     NONE
--- a/src/main/java/calicostream/routing/LogRatioEstimator.java
+++ b/src/main/java/calicostream/routing/LogRatioEstimator.java
@@ -2,14 +2,17 @@
 package calicostream.routing;
 
 /**
- * Learns how far actual figures lie from their estimates: the mean and the variance of the natural
- * logarithm of their ratio.
+ * Estimates the mean and the variance of the natural logarithm of the ratio between actual values
+ * and their estimates.
  */
 final class LogRatioEstimator {
-    /** Largest logarithmic step of one sample, so that one bad plan does not set the scale. */
+    /**
+     * Maximum logarithmic deviation counted for one sample; limits the effect of a single bad query
+     * plan.
+     */
     private static final double MAX_LOG_STEP = 1.5;
 
-    /** Samples that the assumption before the first sample counts for. */
+    /** Number of samples that the initial assumption counts as. */
     private static final int PRIOR_SAMPLES = 2;
 
     private static final double INITIAL_VARIANCE = 0.25;
@@ -18,7 +21,7 @@
     private double variance = INITIAL_VARIANCE;
     private int samples;
 
-    /** Takes in an actual figure and its estimate; ignored unless both are positive. */
+    /** Records an actual value and its estimate; ignored unless both are positive. */
     void record(double actual, double estimate) {
         if (actual <= 0 || estimate <= 0) {
             return;
@@ -31,7 +34,10 @@
         mean += step * weight;
     }
 
-    /** Returns the factor from an estimate to the figure so many deviations above the mean. */
+    /**
+     * Returns the ratio of actual value to estimate at the given number of standard deviations
+     * above the mean.
+     */
     double upperRatio(double deviations) {
         return Math.exp(mean + deviations * standardDeviation());
     }
--- a/src/main/java/calicostream/routing/OrderedKeyQueue.java
+++ b/src/main/java/calicostream/routing/OrderedKeyQueue.java
@@ -4,7 +4,8 @@
 import java.util.ArrayDeque;
 
 /**
- * Holds the queries of one key in the order accepted, and what must settle before the next starts.
+ * Holds the queries of one ordered key in the order accepted, and the attempts and quiet period
+ * that block the next one.
  */
 final class OrderedKeyQueue {
     private final ArrayDeque<QueryState> queries = new ArrayDeque<>();
@@ -19,19 +20,22 @@
         return queries.peek() == query;
     }
 
-    /** Takes out a query that is answered, whose last attempt may still run. */
-    void answered(QueryState query) {
+    /** Removes a closed query and keeps the key blocked while its last attempt is still running. */
+    void queryClosed(QueryState query) {
         queries.remove(query);
         unsettledAttempts += query.hasAttempt() ? 1 : 0;
     }
 
-    /** Takes in the end of an attempt whose query was answered before. */
-    void answeredAttemptEnded() {
+    /** Records the end of an attempt whose query was closed earlier. */
+    void closedQueryAttemptEnded() {
         unsettledAttempts--;
     }
 
-    /** Keeps the next query back, as an attempt may still run on its engine. */
-    void stayQuiet(long until) {
+    /**
+     * Blocks the next query until the given time, because an attempt may still be running on its
+     * engine.
+     */
+    void startQuietPeriod(long until) {
         quietUntil = Math.max(quietUntil, until);
     }
 
--- a/src/main/java/calicostream/routing/OrderedKeyQueues.java
+++ b/src/main/java/calicostream/routing/OrderedKeyQueues.java
@@ -4,7 +4,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Keeps queries of one key in order where their class asks for it, one at a time. */
+/**
+ * Serializes queries with the same ordered key in the order accepted, for classes that require it.
+ */
 final class OrderedKeyQueues {
     private final ProtectionRules rules;
     private final Map<Long, OrderedKeyQueue> queues = new HashMap<>();
@@ -14,12 +16,15 @@
         this.rules = rules;
     }
 
-    /** Waits out what an earlier process of this gateway may have left running. */
+    /**
+     * Starts a quiet period, because an earlier process of this gateway may have left attempts
+     * running.
+     */
     void start(long now) {
         startupQuietUntil = now + rules.keyQuietPeriodUs();
     }
 
-    /** Returns the queue for a query, or null if it need not keep an order. */
+    /** Returns the queue for a query, or null if the query has no ordered key. */
     OrderedKeyQueue find(Query query, QueryClass queryClass) {
         if (!queryClass.orderedByKey() || query.key() == 0) {
             return null;
@@ -27,24 +32,24 @@
         return queues.computeIfAbsent(query.key(), key -> new OrderedKeyQueue());
     }
 
-    /** Returns whether all earlier queries of the query's key have settled. */
+    /** Returns whether no earlier query of the same ordered key is open or may still be running. */
     boolean mayStart(long now, QueryState query) {
         OrderedKeyQueue queue = query.keyQueue();
         return queue == null
                 || queue.isFirst(query) && queue.isSettled(now) && now >= startupQuietUntil;
     }
 
-    /** Takes in the end of a query's attempt. */
+    /** Records the end of a query's attempt. */
     void attemptEnded(long now, QueryState query, AttemptOutcome outcome) {
         OrderedKeyQueue queue = query.keyQueue();
         if (queue == null) {
             return;
         }
         if (mayStillRun(outcome)) {
-            queue.stayQuiet(now + rules.keyQuietPeriodUs());
+            queue.startQuietPeriod(now + rules.keyQuietPeriodUs());
         }
         if (query.isDone()) {
-            queue.answeredAttemptEnded();
+            queue.closedQueryAttemptEnded();
         }
     }
 
@@ -55,7 +60,7 @@
                 || outcome == AttemptOutcome.CANCELLED;
     }
 
-    /** Forgets keys of which nothing is in flight: clients may name any number of them. */
+    /** Removes idle keys; clients may use any number of keys. */
     void removeIdle(long now) {
         queues.values().removeIf(queue -> queue.isIdle(now));
     }
--- a/src/main/java/calicostream/routing/OutlierDetector.java
+++ b/src/main/java/calicostream/routing/OutlierDetector.java
@@ -2,20 +2,29 @@
 package calicostream.routing;
 
 /**
- * Detects engines that fail, ejects them and reinstates them; a query that may be repeated probes
- * an ejected engine now and then.
+ * Detects failing engines, ejects them and reinstates them. Idempotent queries serve as occasional
+ * probes of ejected engines.
  */
 final class OutlierDetector {
-    /** Failures in a row that eject an engine. */
+    /** Consecutive failures after which an engine is ejected. */
     static final int EJECTION_SCORE = 3;
 
-    /** Weight of a broken connection among the failures: the network breaks them, too. */
+    /**
+     * Weight of a broken connection as a failure; below 1 because network faults break connections,
+     * too.
+     */
     private static final double BROKEN_CONNECTION_WEIGHT = 0.4;
 
-    /** Largest part of the fleet ejected on suspicion: beyond that it is load. */
+    /**
+     * Maximum share of the fleet that is ejected on suspicion; more suspected engines indicate
+     * overload rather than faults.
+     */
     private static final double MAX_SUSPECTED_SHARE = 0.34;
 
-    /** Time between probes after ejection: queries that fail at once would draw all others. */
+    /**
+     * Minimum time between probes of an ejected engine. An engine that fails immediately would
+     * otherwise attract all queries as probes.
+     */
     private static final long PROBE_INTERVAL_MICROS = 500_000;
 
     private final EngineTable engines;
@@ -27,7 +36,9 @@
         this.actions = actions;
     }
 
-    /** Adds a failure to an engine's score and ejects the engine if that makes it an outlier. */
+    /**
+     * Adds a failure to an engine's score and ejects the engine if the score reaches the threshold.
+     */
     void recordFailure(long now, EngineState engine, EjectionCause cause) {
         addFailure(now, engine, cause, 1);
     }
@@ -42,13 +53,16 @@
         }
     }
 
-    /** Ejects an engine; on suspicion only while few are ejected, as beyond that it is load. */
+    /**
+     * Ejects an engine. On suspicion, it is ejected only while few engines are ejected, because
+     * many suspected engines indicate overload.
+     */
     void eject(long now, EngineState engine, EjectionCause cause) {
         EjectionState state = engine.ejection();
         boolean hasNoEffect =
                 cause == EjectionCause.PEER_PROBE_FAILED
                         ? !state.isEjected()
-                        : state.isEjected() && state.isEjectedUntilLaterThan(now);
+                        : state.isEjected() && state.isBeforeEjectionEnd(now);
         if (hasNoEffect
                 || !cause.isCertain() && ejectedEngines >= MAX_SUSPECTED_SHARE * engines.size()) {
             return;
@@ -59,21 +73,24 @@
         actions.log("engine " + engineId + " ejected: " + cause.logText());
     }
 
-    /** Clears an engine's failure score and puts it back if it is ejected. */
+    /** Resets the failure score of an engine and ends its ejection. */
     void reinstate(EngineState engine) {
         ejectedEngines -= engine.ejection().isEjected() ? 1 : 0;
         engine.ejection().reinstate();
     }
 
-    /** Takes in that an attempt starts on an engine, which makes it a probe if it is ejected. */
+    /** Records the start of an attempt, which is a probe if the engine is ejected. */
     void recordAttempt(long now, EngineState engine) {
         engine.ejection().postponeProbe(now + PROBE_INTERVAL_MICROS);
-        engine.ejection().setProbeOwed(false);
+        engine.ejection().setProbeRequested(false);
     }
 
-    /** Takes in an answer to an attempt sent at that time; an earlier ejection outlasts it. */
+    /**
+     * Records an answer to an attempt sent at the given time. The engine stays ejected if the
+     * attempt was sent before the ejection time ended.
+     */
     void recordSuccess(EngineState engine, long sentAt) {
-        if (!engine.ejection().isEjectedUntilLaterThan(sentAt)) {
+        if (!engine.ejection().isBeforeEjectionEnd(sentAt)) {
             reinstate(engine);
         }
     }
--- a/src/main/java/calicostream/routing/OwnLoad.java
+++ b/src/main/java/calicostream/routing/OwnLoad.java
@@ -1,7 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.routing;
 
-/** Counts the queries and threads that this gateway has on engines, now and on average. */
+/**
+ * Tracks the current and average number of queries and threads that this gateway runs on engines.
+ */
 final class OwnLoad {
     private double threads;
     private int queries;
@@ -18,7 +20,7 @@
         queries--;
     }
 
-    /** Moves the averages towards what runs now, by this part of the difference. */
+    /** Moves the averages towards the current values by the given part of the difference. */
     void updateAverages(double weight) {
         averageThreads += (threads - averageThreads) * weight;
         averageQueries += (queries - averageQueries) * weight;
--- a/src/main/java/calicostream/routing/ProgressKind.java
+++ b/src/main/java/calicostream/routing/ProgressKind.java
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.routing;
 
-/** What a progress report of an attempt is about. */
+/** Kind of a progress report of an attempt. */
 public enum ProgressKind {
-    /** The part of the work that is done. */
+    /** The completed share of the work. */
     FRACTION_DONE,
-    /** The query spills to disk for want of memory. */
+    /** The query spills to disk because it lacks memory. */
     SPILLING,
     /** The query waits for memory. */
     WAITING_FOR_MEMORY,
--- a/src/main/java/calicostream/routing/ProgressMonitor.java
+++ b/src/main/java/calicostream/routing/ProgressMonitor.java
@@ -1,24 +1,38 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.routing;
 
-/** Watches running attempts: migrates slow ones, gives up hopeless ones, notices silent engines. */
+/**
+ * Monitors running attempts: migrates slow ones, fails queries that cannot meet their deadline, and
+ * detects silent engines.
+ */
 final class ProgressMonitor {
-    /** Fresh runs that must fit into the rest of an attempt before it migrates. */
-    private static final double MIGRATION_GAIN = 2.0;
+    /**
+     * Minimum ratio of the projected remaining time to the expected run time elsewhere for a
+     * migration.
+     */
+    private static final double MIN_MIGRATION_GAIN = 2.0;
 
-    /** Part of the projected rest that must miss the deadline to give up. */
-    private static final double HOPELESS_SHARE = 0.7;
+    /**
+     * A query fails early if even this share of its projected remaining time exceeds the deadline.
+     */
+    private static final double MIN_REMAINING_SHARE = 0.7;
 
-    /** Least share done that is assumed, as the first reports round it down. */
+    /** Minimum completed share assumed, because the first progress reports are rounded down. */
     private static final double MIN_FRACTION_DONE = 0.005;
 
-    /** Expected runs without an answer that make an engine silent, where it reports no progress. */
+    /**
+     * Multiple of the expected run time without an answer after which an engine counts as silent,
+     * if it sends no progress reports.
+     */
     private static final double SILENT_RUNS = 10;
 
-    /** Periods of progress reports without one that make an engine silent. */
+    /**
+     * Multiple of the progress report period without a report after which an engine counts as
+     * silent.
+     */
     private static final double SILENT_PERIODS = 1.4;
 
-    /** Time without a tick after which silence may be this process's own. */
+    /** Time between ticks above which missing progress may be caused by this process itself. */
     private static final long STALLED_TICK_MICROS = 400_000;
 
     private final RouterSettings settings;
@@ -44,56 +58,66 @@
         this.retryPolicy = retryPolicy;
     }
 
-    /** Takes in progress of an attempt that runs. */
+    /** Handles a progress report of a running attempt. */
     void recordProgress(long now, QueryState query, QueryProgress progress) {
         query.recordProgress(now);
         if (progress.kind() == ProgressKind.WAITING_FOR_MEMORY) {
             capacity.recordMemoryShortage(now, query.engine());
         }
         if (progress.kind() == ProgressKind.FRACTION_DONE && isCancelUseful(query)) {
-            judge(now, query, Math.min(1, Math.max(MIN_FRACTION_DONE, progress.amount())));
+            migrateOrFail(now, query, Math.min(1, Math.max(MIN_FRACTION_DONE, progress.amount())));
         }
     }
 
-    /** Without load reports nothing would show whether a cancelled attempt frees its engine. */
+    /**
+     * Without load reports it is unknown whether a cancelled attempt frees capacity on its engine.
+     */
     private boolean isCancelUseful(QueryState query) {
-        return settings.loadReporting() != LoadReporting.NONE && isWatched(query);
+        return settings.loadReporting() != LoadReporting.NONE && isMonitored(query);
     }
 
-    private static boolean isWatched(QueryState query) {
+    private static boolean isMonitored(QueryState query) {
         return !query.isDone() && !query.isCancelled() && !query.isStreaming();
     }
 
-    /** A bad plan, or an engine gone slow, shows as a run far longer than a fresh one would be. */
-    private void judge(long now, QueryState query, double fractionDone) {
-        double rest = (now - query.sentAt()) * (1 - fractionDone) / fractionDone;
-        boolean slow = rest > migrationThreshold(query);
+    /**
+     * Migrates an attempt that takes much longer than a new run elsewhere, because of a bad query
+     * plan or a slow engine, or fails the query if it cannot meet its deadline.
+     */
+    private void migrateOrFail(long now, QueryState query, double fractionDone) {
+        double remainingMicros = (now - query.sentAt()) * (1 - fractionDone) / fractionDone;
+        boolean slow = remainingMicros > migrationThreshold(query);
         if (slow && !query.isMigrated() && retryPolicy.mayMigrate(now, query)) {
-            query.setMigrated(); // If it is as slow on another engine, the query itself is long.
+            // At most one migration: if another engine is as slow, the query itself is long.
+            query.setMigrated();
             lifecycle.cancelAttempt(query);
-        } else if (now + rest * HOPELESS_SHARE > query.deadline()
+        } else if (now + remainingMicros * MIN_REMAINING_SHARE > query.deadline()
                 && settings.attemptLimits().cancel()) {
             lifecycle.finish(query, false);
         }
     }
 
-    /** Returns the rest of a run, in microseconds, from which a fresh run elsewhere is better. */
+    /**
+     * Returns the remaining time in microseconds above which a new run on another engine is better.
+     */
     private double migrationThreshold(QueryState query) {
-        // Where connections cost, the other engine may need one.
-        double gain = settings.costs().handshake() > 0 ? 2 * MIGRATION_GAIN : MIGRATION_GAIN;
-        ClassStatistics known = query.statistics();
-        double uncertainty = gain * Math.exp(known.workRatio().standardDeviation());
-        return uncertainty * Math.max(work.freshRunMicros(query), known.averageRunMicros());
+        // The other engine may need a new connection.
+        double gain =
+                settings.costs().handshake() > 0 ? 2 * MIN_MIGRATION_GAIN : MIN_MIGRATION_GAIN;
+        ClassStatistics statistics = query.statistics();
+        double requiredGain = gain * Math.exp(statistics.workRatio().standardDeviation());
+        return requiredGain
+                * Math.max(work.expectedRunMicros(query), statistics.averageRunMicros());
     }
 
     /**
-     * Looks for attempts whose engines are silent.
+     * Detects attempts on silent engines.
      *
-     * @param sinceLastTick microseconds since the last call; after a long time progress is overdue
-     *     by this process's own fault
+     * @param microsSinceLastTick time since the previous call; after a long pause, progress may be
+     *     overdue because this process was paused
      */
-    void checkSilence(long now, long sinceLastTick) {
-        if (sinceLastTick > STALLED_TICK_MICROS) {
+    void checkSilence(long now, long microsSinceLastTick) {
+        if (microsSinceLastTick > STALLED_TICK_MICROS) {
             resumedAt = now;
         }
         for (QueryState query : lifecycle.snapshot()) {
@@ -102,27 +126,28 @@
     }
 
     /**
-     * A query whose progress report is overdue, or without these its answer by far, is lost: it
-     * migrates, and the failure counts for the engine. Meant for hangs, lost messages, crashes and
-     * cut links that nothing reports. A report that is late costs the work done.
+     * Records a failure of the engine and migrates the query if its progress report is overdue, or
+     * its answer if the engine sends no progress reports. This detects hangs, lost messages,
+     * crashes and network partitions that cause no error. A report that is only late costs the work
+     * done so far.
      */
     private void checkSilence(long now, QueryState query) {
-        if (!query.hasAttempt() || !isWatched(query)) {
+        if (!query.hasAttempt() || !isMonitored(query)) {
             return;
         }
-        long heardAt = Math.max(query.lastProgressAt(), resumedAt);
-        if (now - heardAt > patienceMicros(query)) {
+        long lastSignalAt = Math.max(query.lastProgressAt(), resumedAt);
+        if (now - lastSignalAt > silenceTimeoutMicros(query)) {
             outliers.recordFailure(now, query.engine(), EjectionCause.SILENCE);
             query.recordProgress(now);
             if (retryPolicy.mayMigrate(now, query)
-                    && now + work.freshRunMicros(query) < query.due()) {
+                    && now + work.expectedRunMicros(query) < query.due()) {
                 lifecycle.cancelAttempt(query);
             }
         }
     }
 
-    private double patienceMicros(QueryState query) {
+    private double silenceTimeoutMicros(QueryState query) {
         long period = settings.engineCapabilities().progressPeriodUs();
-        return period > 0 ? SILENT_PERIODS * period : SILENT_RUNS * work.freshRunMicros(query);
+        return period > 0 ? SILENT_PERIODS * period : SILENT_RUNS * work.expectedRunMicros(query);
     }
 }
--- a/src/main/java/calicostream/routing/ProtectionRules.java
+++ b/src/main/java/calicostream/routing/ProtectionRules.java
@@ -2,17 +2,18 @@
 package calicostream.routing;
 
 /**
- * Rules that protect engines and keys from what gateways do together.
+ * Rules that protect engines and ordered keys from the combined traffic of all gateways.
  *
- * @param slowStartShare part of its full capacity that an engine has while it warms up
- * @param slowStartMultiple work that an engine may be sent in a window, relative to that capacity
- * @param slowStartWindowUs length of the window in microseconds
- * @param warmUpUs time from an engine's start until it is warm, in microseconds
- * @param keyQuietPeriodUs time in which no query of a key starts after an attempt of the same key
- *     that may still run, in microseconds
- * @param retryBudgetFree retries that are allowed in a window whatever the traffic
- * @param retryBudgetRatio further retries, relative to the accepted queries of the window
- * @param retryBudgetWindowUs length of that window in microseconds, 0 for no budget
+ * @param slowStartShare share of its full capacity that an engine has while it warms up
+ * @param slowStartMultiple work that may be sent to an engine in a window, relative to that
+ *     capacity
+ * @param slowStartWindowUs length of the slow-start window in microseconds
+ * @param warmUpUs time from the start of an engine until it is warm, in microseconds
+ * @param keyQuietPeriodUs quiet period in microseconds: time for which an ordered key is blocked
+ *     after the end of an attempt that may still be running on its engine
+ * @param retryBudgetFree retries allowed in a window regardless of the traffic
+ * @param retryBudgetRatio additional retries, relative to the queries accepted in the window
+ * @param retryBudgetWindowUs length of the retry budget's window in microseconds, 0 for no budget
  */
 public record ProtectionRules(
         double slowStartShare,
--- a/src/main/java/calicostream/routing/Query.java
+++ b/src/main/java/calicostream/routing/Query.java
@@ -4,17 +4,17 @@
 /**
  * A query of a client.
  *
- * @param id unique among all queries of the gateway
+ * @param id id, unique among all queries of the gateway
  * @param queryClass index of its class
  * @param tenant index of its tenant
- * @param key key whose queries keep their order if the class asks for it, 0 for none
+ * @param key ordered key, whose queries run in order if the class requires it; 0 for none
  * @param timeLeftUs time until the client's deadline in microseconds
- * @param estimatedWorkUs estimate of its work in core-microseconds, 0 for none
- * @param estimatedMemoryMb estimate of its memory in megabytes, 0 for none
- * @param tableGroup number of the group of tables that it reads
- * @param clientRetry whether the client repeats an earlier query
- * @param stickyEngine id of the one engine that holds what the query needs, 0 for none; such a
- *     query never runs twice
+ * @param estimatedWorkUs estimated work in core-microseconds, 0 for none
+ * @param estimatedMemoryMb estimated memory in megabytes, 0 for none
+ * @param tableGroup number of the table group that the query reads
+ * @param clientRetry whether the query is a retry by the client
+ * @param stickyEngine id of the only engine that has the state needed by the query, 0 for none; a
+ *     query with a sticky engine never runs twice
  */
 public record Query(
         long id,
@@ -27,14 +27,14 @@
         int tableGroup,
         boolean clientRetry,
         long stickyEngine) {
-    /** Returns the same query with another time left in microseconds. */
-    public Query withTimeLeft(long micros) {
+    /** Returns a copy with another time left in microseconds. */
+    public Query withTimeLeft(long newTimeLeftUs) {
         return new Query(
                 id,
                 queryClass,
                 tenant,
                 key,
-                micros,
+                newTimeLeftUs,
                 estimatedWorkUs,
                 estimatedMemoryMb,
                 tableGroup,
@@ -42,10 +42,10 @@
                 stickyEngine);
     }
 
-    /** Returns the same query under another id. */
-    public Query withId(long other) {
+    /** Returns a copy with another id. */
+    public Query withId(long newId) {
         return new Query(
-                other,
+                newId,
                 queryClass,
                 tenant,
                 key,
--- a/src/main/java/calicostream/routing/QueryAdmission.java
+++ b/src/main/java/calicostream/routing/QueryAdmission.java
@@ -1,7 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.routing;
 
-/** Takes in accepted queries: what they need, whom they belong to and what they are worth. */
+/**
+ * Admits accepted queries: creates their state, determines their dispatch value and records them in
+ * the statistics.
+ */
 final class QueryAdmission {
     private final RouterSettings settings;
     private final WorkEstimator work;
@@ -29,12 +32,12 @@
         return request.queryClass() < settings.classes().size();
     }
 
-    /** Takes in a query of a known class. */
+    /** Admits a query of a known class. */
     QueryState admit(long now, Query request) {
         QueryState query = createState(now, request);
         double weight = query.queryClass().priorityWeight();
-        double worth = weight * (query.isOverQuota() ? settings.overQuotaWeight() : 1);
-        query.setDispatchValue(worth / Math.max(query.expectedWorkMicros(), 1));
+        double value = weight * (query.isOverQuota() ? settings.overQuotaWeight() : 1);
+        query.setDispatchValue(value / Math.max(query.expectedWorkMicros(), 1));
         resources.recordRequest(query);
         work.recordRequest(now, query);
         groups.recordRequest(now, query);
@@ -55,13 +58,14 @@
                 request,
                 queryClass,
                 statistics,
-                groups.use(now, request.tableGroup()),
+                groups.findOrCreate(now, request.tableGroup()),
                 keyQueues.find(request, queryClass),
                 !quota.tryAcquire(now, request.tenant()));
     }
 
     /**
-     * What a query with a sticky engine needs lies there, so that it cannot be repeated elsewhere.
+     * Returns the class of a query. A query with a sticky engine depends on state of that engine
+     * and cannot be retried on another one, so it is treated as non-idempotent.
      */
     private QueryClass classOf(Query request) {
         QueryClass queryClass = settings.classes().get(request.queryClass());
--- a/src/main/java/calicostream/routing/QueryDispatcher.java
+++ b/src/main/java/calicostream/routing/QueryDispatcher.java
@@ -3,7 +3,7 @@
 
 import java.util.List;
 
-/** Dispatches a query to the best engine that may take it, if there is one now. */
+/** Dispatches queries to the best eligible engine, or queues them if there is none. */
 final class QueryDispatcher {
     private final OrderedKeyQueues keyQueues;
     private final RetryBudget retryBudget;
@@ -30,14 +30,17 @@
         this.starter = starter;
     }
 
-    /** Returns whether the query's next attempt may start, if an engine has capacity. */
+    /**
+     * Returns whether the rules for ordered keys and the retry budget allow the query's next
+     * attempt.
+     */
     boolean mayStart(long now, QueryState query) {
         return query.attempts() == 0
                 ? keyQueues.mayStart(now, query)
                 : retryBudget.allowsRetry(now);
     }
 
-    /** Starts an attempt and takes the query from the queue, if an engine may take it now. */
+    /** Starts an attempt and removes the query from the queue if an engine can run it now. */
     boolean tryDispatch(long now, QueryState query) {
         if (query.hasAttempt() || query.isDone() || !mayStart(now, query)) {
             return false;
--- a/src/main/java/calicostream/routing/QueryLifecycle.java
+++ b/src/main/java/calicostream/routing/QueryLifecycle.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Holds the queries in hand and brings each to its one final answer. */
+/** Tracks the open queries and ensures that each gets exactly one final answer. */
 final class QueryLifecycle {
-    /** Time that the client of a rejected query is asked to wait: that of a few lookups. */
+    /** Retry-after time of a rejected query, about the run time of a few lookups. */
     private static final long RETRY_AFTER_MICROS = 300_000;
 
     private final AttemptLimits limits;
@@ -31,23 +31,24 @@
         queries.put(query.id(), query);
     }
 
-    /** Returns the query, or null if it is not in hand any more. */
+    /** Returns the query, or null if it is closed and has no running attempt. */
     QueryState find(long id) {
         return queries.get(id);
     }
 
-    /** Returns the queries in hand in the order accepted, as they are now. */
+    /** Returns a copy of the current queries in the order accepted. */
     List<QueryState> snapshot() {
         return List.copyOf(queries.values());
     }
 
     /**
-     * Gives the final answer.
+     * Sends the final answer and closes the query.
      *
-     * @param rejectIfHarmless whether to answer that the client may try again, if that does no harm
+     * @param rejectIfRetrySafe whether to reject the query, so that the client retries it, if that
+     *     is safe
      */
-    void finish(QueryState query, boolean rejectIfHarmless) {
-        if (rejectIfHarmless && retryPolicy.isRepeatHarmless(query)) {
+    void finish(QueryState query, boolean rejectIfRetrySafe) {
+        if (rejectIfRetrySafe && retryPolicy.isClientRetrySafe(query)) {
             actions.reject(query.id(), RETRY_AFTER_MICROS);
         } else {
             actions.fail(query.id());
@@ -55,7 +56,7 @@
         close(query);
     }
 
-    /** Cancels the attempt, if one runs; its end still comes. */
+    /** Cancels the running attempt, if any; its result still follows. */
     void cancelAttempt(QueryState query) {
         boolean cancellable = query.hasAttempt() && !query.isCancelled() && !query.isStreaming();
         if (cancellable && limits.cancel()) {
@@ -64,7 +65,7 @@
         }
     }
 
-    /** Takes in that the query has its answer; an attempt that still runs is waited for. */
+    /** Closes the query. Its state is kept until a running attempt has ended. */
     void close(QueryState query) {
         boolean wasOpen = !query.isDone();
         query.setDone();
@@ -74,7 +75,7 @@
             queries.remove(query.id());
         }
         if (wasOpen && query.keyQueue() != null) {
-            query.keyQueue().answered(query);
+            query.keyQueue().queryClosed(query);
         }
     }
 }
--- a/src/main/java/calicostream/routing/QueryQueue.java
+++ b/src/main/java/calicostream/routing/QueryQueue.java
@@ -5,9 +5,12 @@
 import java.util.Comparator;
 import java.util.TreeSet;
 
-/** Queues queries that no engine can take now, the most worth for its work first. */
+/** Queues queries that no engine can run now, in descending order of their dispatch value. */
 final class QueryQueue {
-    /** Queued queries that may find no engine before the rest waits for the next event. */
+    /**
+     * Number of queued queries that may fail to find an engine before the remaining ones are left
+     * until the next event.
+     */
     private static final int MAX_FAILED_DISPATCHES = 6;
 
     private final WorkEstimator work;
@@ -42,12 +45,12 @@
     }
 
     /**
-     * Moves queries back that can no longer reach their latency objective, and rejects those that
-     * an answer would come too late for.
+     * Lowers the dispatch value of queries that can no longer meet their latency objective, and
+     * rejects queries whose answer would come too late to have any value.
      */
     void expire(long now, QueryLifecycle lifecycle) {
         for (QueryState query : new ArrayList<>(queue)) {
-            if (!query.isLate() && isGoingToBeLate(now, query)) {
+            if (!query.isLate() && willMissObjective(now, query)) {
                 queue.remove(query);
                 query.setLate();
                 queue.add(query);
@@ -58,8 +61,8 @@
         }
     }
 
-    private boolean isGoingToBeLate(long now, QueryState query) {
-        double run = Math.max(work.freshRunMicros(query), query.statistics().averageRunMicros());
+    private boolean willMissObjective(long now, QueryState query) {
+        double run = Math.max(work.expectedRunMicros(query), query.statistics().averageRunMicros());
         return now + run > query.due();
     }
 
--- a/src/main/java/calicostream/routing/QueryState.java
+++ b/src/main/java/calicostream/routing/QueryState.java
@@ -3,7 +3,9 @@
 
 import java.util.SplittableRandom;
 
-/** Holds a query from its arrival until its answer and the end of its last attempt. */
+/**
+ * Holds the state of a query from its arrival until it is answered and its last attempt has ended.
+ */
 final class QueryState {
     private final Query request;
     private final QueryClass queryClass;
@@ -21,7 +23,7 @@
     private EngineState engine;
     private EngineState lastFailedEngine;
     private EngineState lastErrorEngine;
-    private EngineEndpoint firstRunAt;
+    private EngineEndpoint firstRunEndpoint;
     private long sentAt;
     private long lastProgressAt;
     private long retryWindowEnd;
@@ -64,7 +66,7 @@
         return request;
     }
 
-    /** Returns the query's class; not idempotent for a query with a sticky engine. */
+    /** Returns the class of the query; non-idempotent for a query with a sticky engine. */
     QueryClass queryClass() {
         return queryClass;
     }
@@ -81,12 +83,12 @@
         return tableGroup;
     }
 
-    /** Returns the queue of the query's key, or null if it need not keep an order. */
+    /** Returns the queue of the query's ordered key, or null if it has none. */
     OrderedKeyQueue keyQueue() {
         return keyQueue;
     }
 
-    /** Returns when the query has missed its latency objective. */
+    /** Returns the time at which the query misses its latency objective. */
     long due() {
         return due;
     }
@@ -99,17 +101,17 @@
         return expectedWorkMicros;
     }
 
-    /** Returns a random number from 0 to 1 that stays the query's own. */
+    /** Returns a random number from 0 to 1 that is fixed for the query. */
     double jitter() {
         return jitter;
     }
 
-    /** Returns whether its tenant had used up its quota when the query arrived. */
+    /** Returns whether the tenant had used up its quota when the query arrived. */
     boolean isOverQuota() {
         return overQuota;
     }
 
-    /** Returns the worth of an answer for the work it takes; see {@link QueryQueue}. */
+    /** Returns the value of an answer per unit of work; see {@link QueryQueue}. */
     double dispatchValue() {
         return dispatchValue;
     }
@@ -120,9 +122,9 @@
 
     // Attempts
 
-    /** Takes in that the next attempt starts; the query has no other that runs. */
-    void attemptStarted(long now, EngineState on) {
-        engine = on;
+    /** Records the start of the next attempt; no other attempt of the query may be running. */
+    void attemptStarted(long now, EngineState targetEngine) {
+        engine = targetEngine;
         sentAt = now;
         lastProgressAt = now;
         cancelled = false;
@@ -137,17 +139,17 @@
         return engine != null;
     }
 
-    /** Returns whether that attempt runs now. */
+    /** Returns whether the given attempt is running. */
     boolean isRunning(int attempt) {
         return engine != null && attempt == attempts - 1;
     }
 
-    /** Returns the engine that runs the query now, or null. */
+    /** Returns the engine that is running the query, or null. */
     EngineState engine() {
         return engine;
     }
 
-    /** Returns how many attempts have started. */
+    /** Returns the number of attempts started. */
     int attempts() {
         return attempts;
     }
@@ -168,29 +170,32 @@
         cancelled = true;
     }
 
-    /** Takes in an attempt that ended without an answer. */
-    void attemptFailed(EngineState on, AttemptOutcome outcome) {
+    /** Records an attempt that ended without an answer. */
+    void attemptFailed(EngineState failedEngine, AttemptOutcome outcome) {
         if (outcome.mayHaveRun && !mayHaveRun) {
             retryWindowEnd = sentAt + queryClass.retryWindowUs();
-            firstRunAt = on.endpoint();
+            firstRunEndpoint = failedEngine.endpoint();
             mayHaveRun = true;
         }
-        lastFailedEngine = on;
+        lastFailedEngine = failedEngine;
     }
 
-    /** Returns whether an attempt that has ended may have run, wholly or in part. */
+    /** Returns whether an ended attempt may have run, completely or partially. */
     boolean mayHaveRun() {
         return mayHaveRun;
     }
 
-    /** Returns the end of the time in which an idempotency key is known, once it may have run. */
+    /**
+     * Returns the time until which engines deduplicate the query by its idempotency key; set when
+     * the query may first have run.
+     */
     long retryWindowEnd() {
         return retryWindowEnd;
     }
 
-    /** Returns where the query may have run first, or null. */
-    EngineEndpoint firstRunAt() {
-        return firstRunAt;
+    /** Returns the engine on which the query may have run first, or null. */
+    EngineEndpoint firstRunEndpoint() {
+        return firstRunEndpoint;
     }
 
     boolean failedLastOn(EngineState candidate) {
@@ -198,24 +203,25 @@
     }
 
     /**
-     * Takes in an error answer: the second one, from an engine that otherwise answers as the first
-     * does, says that the query itself is at fault.
+     * Records an error answer. A second error from a different engine means that the query itself
+     * causes the errors, if neither engine has a failure score.
      */
-    void recordError(EngineState on) {
+    void recordError(EngineState errorEngine) {
         erroneous =
                 lastErrorEngine != null
-                        && lastErrorEngine != on
-                        && lastErrorEngine.ejection().failureScore() + on.ejection().failureScore()
+                        && lastErrorEngine != errorEngine
+                        && lastErrorEngine.ejection().failureScore()
+                                        + errorEngine.ejection().failureScore()
                                 == 0;
-        lastErrorEngine = on;
+        lastErrorEngine = errorEngine;
     }
 
-    /** Returns the engine that answered with an error last, or null. */
+    /** Returns the engine that last answered with an error, or null. */
     EngineState lastErrorEngine() {
         return lastErrorEngine;
     }
 
-    /** Returns whether the query itself is the reason of its errors. */
+    /** Returns whether the query itself causes its errors. */
     boolean isErroneous() {
         return erroneous;
     }
@@ -238,7 +244,7 @@
         return streaming;
     }
 
-    /** Returns whether the query has been taken off an engine for its slow progress. */
+    /** Returns whether the query has been migrated because of slow progress. */
     boolean isMigrated() {
         return migrated;
     }
@@ -281,12 +287,12 @@
         done = true;
     }
 
-    /** Returns whether the query was found unable to reach its latency objective. */
+    /** Returns whether the query was marked as unable to meet its latency objective. */
     boolean isLate() {
         return late;
     }
 
-    /** Lowers the dispatch value of a query that can no longer reach its latency objective. */
+    /** Marks the query as unable to meet its latency objective and lowers its dispatch value. */
     void setLate() {
         late = true;
         dispatchValue *= queryClass.lateWeightFactor();
--- a/src/main/java/calicostream/routing/RendezvousRanking.java
+++ b/src/main/java/calicostream/routing/RendezvousRanking.java
@@ -11,11 +11,17 @@
  * engines and tables stay in memory there.
  */
 final class RendezvousRanking {
-    /** Odd and irregular, so that neighbouring ids give unrelated hashes. */
+    /**
+     * Odd multiplier with an irregular bit pattern, so that consecutive ids give independent
+     * hashes.
+     */
     static final long HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
 
-    /** Effect of the routing cost: at 1% of a query's worth an engine leads half as often. */
-    private static final double COST_EFFECT = 100;
+    /**
+     * Weight of the routing cost: a cost of 1% of a query's value halves how often an engine ranks
+     * first.
+     */
+    private static final double COST_WEIGHT = 100;
 
     private static final double MIN_HASH = 1e-12;
 
@@ -25,23 +31,23 @@
         this.engines = engines;
     }
 
-    /** Returns a hash of an engine and a number, from 0 to 1. */
+    /** Returns a hash of an engine and a number, scaled to the range from 0 to 1. */
     static double hash(EngineState engine, long number) {
         return new SplittableRandom(engine.id() * HASH_MULTIPLIER + number).nextDouble();
     }
 
-    /** Returns all engines, the most preferred first. */
+    /** Returns all engines, most preferred first. */
     List<EngineState> rank(TableGroup group) {
         if (!group.isRankedAt(engines.version())) {
             List<EngineState> ranking = new ArrayList<>(engines.all());
-            ranking.sort(Comparator.comparingDouble(engine -> position(group, engine)));
+            ranking.sort(Comparator.comparingDouble(engine -> weightedHash(group, engine)));
             group.setRanking(engines.version(), ranking);
         }
         return group.ranking();
     }
 
-    private static double position(TableGroup group, EngineState engine) {
+    private static double weightedHash(TableGroup group, EngineState engine) {
         double hash = Math.max(MIN_HASH, hash(engine, group.number()));
-        return (1 + COST_EFFECT * engine.routingCost()) * -Math.log(hash);
+        return (1 + COST_WEIGHT * engine.routingCost()) * -Math.log(hash);
     }
 }
--- a/src/main/java/calicostream/routing/ResourceAssigner.java
+++ b/src/main/java/calicostream/routing/ResourceAssigner.java
@@ -1,16 +1,19 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.routing;
 
-/** Assigns attempts their memory and their priority on the engine, where engines heed these. */
+/** Assigns a memory grant and a priority to attempts, if engines support these. */
 final class ResourceAssigner {
-    /** Deviations above the mean need in a memory grant: spilling to disk costs more. */
+    /**
+     * Standard deviations above the mean demand in a memory grant; spilling to disk costs more than
+     * an unused grant.
+     */
     private static final double GRANT_DEVIATIONS = 1.4;
 
-    /** Worth for work, relative to the mean, from which a query has high priority. */
-    private static final double HIGH_VALUE = 2.0;
+    /** Dispatch value relative to the mean above which a query has high priority. */
+    private static final double HIGH_VALUE_RATIO = 2.0;
 
     private static final int HIGH_PRIORITY = 3;
-    private static final int USUAL_PRIORITY = 1;
+    private static final int NORMAL_PRIORITY = 1;
     private static final int LOW_PRIORITY = 0;
 
     private final EngineCapabilities capabilities;
@@ -23,7 +26,7 @@
         this.actions = actions;
     }
 
-    /** Takes in an accepted query. */
+    /** Records an accepted query in the means. */
     void recordRequest(QueryState query) {
         double weight = query.queryClass().priorityWeight();
         meanWeight += (weight - meanWeight) * LearningRate.MINIMUM;
@@ -37,7 +40,10 @@
         }
     }
 
-    /** Returns the need that answers taught, or 0 where none has and the engine chooses. */
+    /**
+     * Returns the memory demand learned from answers, or 0 without samples, so that the engine
+     * decides.
+     */
     private static double memoryMegabytes(QueryState query) {
         LogRatioEstimator memoryRatio = query.statistics().memoryRatio();
         return memoryRatio.hasSamples()
@@ -49,8 +55,8 @@
         if (query.isOverQuota() || now > query.due()) {
             return LOW_PRIORITY;
         }
-        return query.dispatchValue() * meanWorkMicros > HIGH_VALUE * meanWeight
+        return query.dispatchValue() * meanWorkMicros > HIGH_VALUE_RATIO * meanWeight
                 ? HIGH_PRIORITY
-                : USUAL_PRIORITY;
+                : NORMAL_PRIORITY;
     }
 }
--- a/src/main/java/calicostream/routing/RetryBudget.java
+++ b/src/main/java/calicostream/routing/RetryBudget.java
@@ -3,7 +3,7 @@
 
 import java.util.ArrayDeque;
 
-/** Keeps retries within a ratio of the queries accepted in a sliding window. */
+/** Limits retries to a ratio of the queries accepted in a sliding window, plus a fixed number. */
 final class RetryBudget {
     private final ProtectionRules rules;
     private final GatewayProcesses processes;
@@ -23,9 +23,9 @@
         retryTimes.add(now);
     }
 
-    /** Returns whether one more retry stays within the budget. */
+    /** Returns whether another retry is within the budget. */
     boolean allowsRetry(long now) {
-        removeOld(now);
+        removeExpired(now);
         return rules.retryBudgetWindowUs() <= 0 || retryTimes.size() + 1 <= limit();
     }
 
@@ -34,8 +34,8 @@
                 + rules.retryBudgetRatio() * queryTimes.size();
     }
 
-    /** Forgets what has left the window. */
-    void removeOld(long now) {
+    /** Removes entries that are older than the window. */
+    void removeExpired(long now) {
         removeBefore(queryTimes, now - rules.retryBudgetWindowUs() + 1);
         removeBefore(retryTimes, now - rules.retryBudgetWindowUs());
     }
--- a/src/main/java/calicostream/routing/RetryPolicy.java
+++ b/src/main/java/calicostream/routing/RetryPolicy.java
@@ -2,8 +2,8 @@
 package calicostream.routing;
 
 /**
- * Decides whether a query may be attempted again, and where, by its idempotency, the attempts made
- * and the time left.
+ * Decides whether a query may be retried, and on which engines, based on its idempotency, its
+ * attempts and the time left.
  */
 final class RetryPolicy {
     private final AttemptLimits limits;
@@ -16,7 +16,7 @@
         this.work = work;
     }
 
-    /** Returns whether a query whose attempt failed so may have another one. */
+    /** Returns whether a query may be retried after an attempt failed with the given outcome. */
     boolean mayRetry(long now, QueryState query, AttemptOutcome outcome) {
         boolean exhausted =
                 query.attempts() >= limits.maxAttempts()
@@ -36,33 +36,33 @@
         };
     }
 
-    /** Returns whether a query may run on an engine, given where it may have run before. */
+    /** Returns whether a query may run on an engine, considering where it may have run before. */
     boolean mayRunOn(long now, QueryState query, EngineEndpoint endpoint) {
         if (!query.mayHaveRun() || query.isIdempotent()) {
             return true;
         }
-        return mayRunAgain(now, query) && discardsRepeats(query, endpoint);
+        return mayRunAgain(now, query) && deduplicates(query, endpoint);
     }
 
-    private static boolean discardsRepeats(QueryState query, EngineEndpoint endpoint) {
+    private static boolean deduplicates(QueryState query, EngineEndpoint endpoint) {
         return switch (query.queryClass().idempotencyScope()) {
             case ALL -> true;
-            case ZONE -> endpoint.zone() == query.firstRunAt().zone();
-            case CELL -> endpoint.cell() == query.firstRunAt().cell();
+            case ZONE -> endpoint.zone() == query.firstRunEndpoint().zone();
+            case CELL -> endpoint.cell() == query.firstRunEndpoint().cell();
         };
     }
 
-    /** Returns whether a running query may be cancelled to start again elsewhere. */
+    /** Returns whether a running query may be cancelled and restarted on another engine. */
     boolean mayMigrate(long now, QueryState query) {
         return limits.cancel()
                 && query.isIdempotent()
                 && query.attempts() < limits.maxAttempts()
                 && budget.allowsRetry(now)
-                && now + work.freshRunMicros(query) < query.deadline();
+                && now + work.expectedRunMicros(query) < query.deadline();
     }
 
-    /** Returns whether a client that repeats the query by itself does no harm. */
-    boolean isRepeatHarmless(QueryState query) {
+    /** Returns whether a retry by the client is safe. */
+    boolean isClientRetrySafe(QueryState query) {
         if (query.isIdempotent() || !query.hasAttempt() && !query.mayHaveRun()) {
             return true;
         }
--- a/src/main/java/calicostream/routing/RouterActions.java
+++ b/src/main/java/calicostream/routing/RouterActions.java
@@ -2,55 +2,58 @@
 package calicostream.routing;
 
 /**
- * What the router asks of the gateway. Each action takes effect at once, in the order called, and
- * must not call back into the router.
+ * Actions that the router requests from the gateway. Each action takes effect immediately, in the
+ * order called, and must not call back into the router.
  */
 public interface RouterActions {
     /**
-     * Starts the next attempt of a query, numbered 0, 1, 2 and so on.
+     * Starts the next attempt of a query; attempts are numbered from 0.
      *
-     * @param giveUpAt when to stop waiting for the engine in microseconds, 0 for the query's
+     * @param timeoutAt time in microseconds at which the attempt times out, 0 for the query's
      *     deadline
      */
-    void startAttempt(long query, long engine, long giveUpAt);
+    void startAttempt(long query, long engine, long timeoutAt);
 
     /** Cancels an attempt; its {@link AttemptResult} still follows. */
     void cancelAttempt(long query, int attempt);
 
     /**
-     * Gives the final answer that the query is rejected: to try again does no harm.
+     * Rejects the query as its final answer; the client can safely retry it.
      *
-     * @param retryAfterUs time that the client had best wait, in microseconds
+     * @param retryAfterUs recommended delay before the retry, in microseconds
      */
     void reject(long query, long retryAfterUs);
 
-    /** Gives the final answer that the query failed; it may have run. */
+    /** Fails the query as its final answer; the query may have run. */
     void fail(long query);
 
     /**
-     * Sets the resources of the query's next attempts.
+     * Sets the resources of the query's following attempts.
      *
-     * @param memoryMb memory grant in megabytes, 0 to leave it to the engine
-     * @param priority from 0 to 3, usually 1
+     * @param memoryMb memory grant in megabytes, 0 to let the engine decide
+     * @param priority priority from 0 to 3, normally 1
      */
     void assignResources(long query, double memoryMb, int priority);
 
-    /** Asks for {@link QueryRouter#timerFired} with this token after a delay in microseconds. */
+    /**
+     * Schedules a call of {@link QueryRouter#timerFired} with the token after a delay in
+     * microseconds.
+     */
     void scheduleTimer(long delayUs, long token);
 
-    /** Asks an engine for a load report; {@link QueryRouter#probeCompleted} follows. */
+    /** Requests a load report from an engine; {@link QueryRouter#probeCompleted} follows. */
     void probeLoad(long engine);
 
     /**
-     * Asks for the endpoint list and its changes from now on; used only where {@link
+     * Requests the endpoint list and its subsequent changes; used only if {@link
      * RouterSettings#watchEndpointsOnRequest} is set.
      */
     void watchEndpoints();
 
     /**
-     * Returns whether the query's tenant has capacity at an engine now. It may only grow until the
-     * router is next called, but for the attempts that the router starts. Called for each engine
-     * that is considered, so it must not block.
+     * Returns whether the query's tenant has capacity on an engine now. Until the next call of the
+     * router, this capacity may only grow, except for attempts that the router starts. The router
+     * calls this for each engine it considers, so it must not block.
      */
     default boolean hasTenantCapacity(long query, long engine) {
         return true;
--- a/src/main/java/calicostream/routing/RouterSettings.java
+++ b/src/main/java/calicostream/routing/RouterSettings.java
@@ -4,21 +4,21 @@
 import java.util.List;
 
 /**
- * Start-up settings of a deployment.
+ * Startup settings of a deployment.
  *
  * @param gateways number of gateways that share the engines
- * @param index this gateway's number among them, from 0
+ * @param index index of this gateway among them, from 0
  * @param zone index of this gateway's zone
- * @param costs what is paid for beside a query's own work
+ * @param costs costs of sending a query beside its own work
  * @param engineKinds kinds of engines by index
- * @param classes classes of queries by index
+ * @param classes query classes by index
  * @param tenants limits of tenants by index
- * @param overQuotaWeight part of its worth left to a query of a tenant beyond its quota
- * @param attemptLimits what the deployment allows for a query
- * @param protectionRules rules that protect engines and keys
- * @param engineCapabilities what engines heed and report
- * @param loadReporting when engines report their load
- * @param watchEndpointsOnRequest whether the endpoint list comes only on request
+ * @param overQuotaWeight factor on the value of a query whose tenant exceeds its quota
+ * @param attemptLimits limits on the handling of a query
+ * @param protectionRules rules that protect engines and ordered keys
+ * @param engineCapabilities optional features that engines support
+ * @param loadReporting when engines send load reports
+ * @param watchEndpointsOnRequest whether the endpoint list must be requested
  * @param tickUs resolution of the gateway's timers in microseconds
  */
 public record RouterSettings(
@@ -36,9 +36,9 @@
         LoadReporting loadReporting,
         boolean watchEndpointsOnRequest,
         long tickUs) {
-    /** Returns the same settings for engines that report no progress. */
+    /** Returns a copy for engines that send no progress reports. */
     public RouterSettings withoutProgressNotes() {
-        EngineCapabilities silent =
+        EngineCapabilities capabilitiesWithoutProgress =
                 new EngineCapabilities(
                         engineCapabilities.memoryGrants(),
                         engineCapabilities.priorities(),
@@ -55,7 +55,7 @@
                 overQuotaWeight,
                 attemptLimits,
                 protectionRules,
-                silent,
+                capabilitiesWithoutProgress,
                 loadReporting,
                 watchEndpointsOnRequest,
                 tickUs);
--- a/src/main/java/calicostream/routing/RouterTimers.java
+++ b/src/main/java/calicostream/routing/RouterTimers.java
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.routing;
 
-/** Schedules the router's timers: its tick, and one for the answer to each query. */
+/** Schedules the router's periodic tick and one timer for the answer to each query. */
 final class RouterTimers {
-    /** Time between ticks; short against latency objectives. */
+    /** Time between ticks; short compared to latency objectives. */
     static final long TICK_MICROS = 50_000;
 
-    /** Token of the tick's timer; a query's timer has its id plus one. */
+    /** Timer token of the tick; the token of a query's timer is its id plus one. */
     static final long TICK_TOKEN = 0;
 
-    /** Ticks of the gateway before the client's deadline at which a query is answered. */
+    /** Number of gateway timer ticks before the client's deadline at which a query is answered. */
     private static final long ANSWER_LEAD_TICKS = 2;
 
     private final RouterActions actions;
@@ -24,14 +24,14 @@
         actions.scheduleTimer(TICK_MICROS, TICK_TOKEN);
     }
 
-    /** Schedules the last moment at which a query can be answered. */
+    /** Schedules the timer for the last time at which a query can be answered. */
     void scheduleAnswer(Query query) {
         long delay = query.timeLeftUs() - ANSWER_LEAD_TICKS * gatewayTickMicros;
         actions.scheduleTimer(Math.max(1, delay), query.id() + 1);
     }
 
-    /** Returns the query whose answer is due, given a token other than the tick's. */
-    static long queryOf(long token) {
+    /** Returns the id of the query that the token of an answer timer belongs to. */
+    static long queryIdOf(long token) {
         return token - 1;
     }
 }
--- a/src/main/java/calicostream/routing/RoutingCostAssigner.java
+++ b/src/main/java/calicostream/routing/RoutingCostAssigner.java
@@ -5,12 +5,12 @@
 import java.util.List;
 
 /**
- * Assigns each engine its routing cost: another zone costs, and so do engines beyond the few of
- * this gateway's own, whose connections stay open.
+ * Assigns a routing cost to each engine: the cost of another zone, and the cost of a connection for
+ * engines outside the small set to which this gateway keeps connections open.
  */
 final class RoutingCostAssigner {
-    /** Engines that a gateway keeps to where connections cost. */
-    private static final int HOME_ENGINES = 10;
+    /** Number of engines to which a gateway keeps connections if connections have a cost. */
+    private static final int CONNECTED_ENGINES = 10;
 
     private final RouterSettings settings;
     private final EngineTable engines;
@@ -21,24 +21,24 @@
     }
 
     void assign() {
-        List<EngineState> homes = homeEngines();
+        List<EngineState> connectedEngines = connectedEngines();
         boolean handshakesAreFree = settings.costs().handshake() <= 0;
         for (EngineState engine : engines.all()) {
-            boolean connected = handshakesAreFree || homes.contains(engine);
+            boolean connected = handshakesAreFree || connectedEngines.contains(engine);
             double handshake = connected ? 0 : settings.costs().handshake();
             double crossZone = isInOwnZone(engine) ? 0 : settings.costs().crossZone();
             engine.setRoutingCost(handshake + crossZone);
         }
     }
 
-    private List<EngineState> homeEngines() {
+    private List<EngineState> connectedEngines() {
         Comparator<EngineState> ownZoneFirst = Comparator.comparing(engine -> !isInOwnZone(engine));
         return engines.all().stream()
                 .filter(EngineState::isReady)
                 .sorted(
                         ownZoneFirst.thenComparingDouble(
                                 engine -> RendezvousRanking.hash(engine, settings.index())))
-                .limit(HOME_ENGINES)
+                .limit(CONNECTED_ENGINES)
                 .toList();
     }
 
--- a/src/main/java/calicostream/routing/RoutingCosts.java
+++ b/src/main/java/calicostream/routing/RoutingCosts.java
@@ -2,9 +2,9 @@
 package calicostream.routing;
 
 /**
- * What is paid for beside a query's own work, relative to the worth of a usual query.
+ * Costs of sending a query beside its own work, relative to the value of a typical query.
  *
  * @param crossZone cost of sending a query to another zone
- * @param handshake cost of opening a connection for it
+ * @param handshake cost of opening a connection for a query
  */
 public record RoutingCosts(double crossZone, double handshake) {}
--- a/src/main/java/calicostream/routing/SettingsParser.java
+++ b/src/main/java/calicostream/routing/SettingsParser.java
@@ -12,8 +12,8 @@
 import java.util.Map;
 
 /**
- * Reads the start-up settings of a deployment, from {@code path=value} lines as on the simulator's
- * wire or from nested JSON as in a front end's configuration. Unknown keys are ignored.
+ * Parses the startup settings of a deployment, from {@code path=value} lines as in the simulator's
+ * protocol or from nested JSON as in the configuration of a front end. Unknown keys are ignored.
  */
 public final class SettingsParser {
     private static final int MAX_ITEMS = 65536;
@@ -29,7 +29,7 @@
     }
 
     /**
-     * Reads settings of one {@code path=value} a line.
+     * Parses settings with one {@code path=value} pair per line.
      *
      * @throws SettingsException if a line has no key
      */
@@ -41,13 +41,14 @@
                 values.put(
                         line.substring(0, separator).trim(), line.substring(separator + 1).trim());
             } else if (!line.isBlank()) {
-                throw new SettingsException("bad setting: no '=' in '" + line.trim() + "'");
+                throw new SettingsException(
+                        "invalid setting: missing '=' in '" + line.trim() + "'");
             }
         }
         return new SettingsParser(values);
     }
 
-    /** Reads settings of nested JSON. */
+    /** Parses settings in nested JSON. */
     public static SettingsParser ofJson(JsonObject settings) {
         Map<String, String> values = new HashMap<>();
         flatten("", settings, values);
@@ -55,8 +56,8 @@
     }
 
     /**
-     * Puts nested JSON under the keys of the flat form: {@code a.b}, {@code a.count} and {@code
-     * a.0.b} for lists of objects, and plain lists joined by commas.
+     * Flattens nested JSON to the keys of the line format: {@code a.b} for members, {@code a.count}
+     * and {@code a.0.b} for lists of objects, and comma-separated values for lists of scalars.
      */
     private static void flatten(String path, JsonValue value, Map<String, String> target) {
         if (value.isObject()) {
@@ -75,26 +76,26 @@
                     flatten(path + "." + i, items.get(i), target);
                 }
             } else {
-                List<String> plain = new ArrayList<>();
-                items.forEach(item -> plain.add(plain(item)));
-                target.put(path, String.join(",", plain));
+                List<String> scalars = new ArrayList<>();
+                items.forEach(item -> scalars.add(scalarText(item)));
+                target.put(path, String.join(",", scalars));
             }
         } else {
-            target.put(path, plain(value));
+            target.put(path, scalarText(value));
         }
     }
 
-    private static String plain(JsonValue value) {
-        String scalar = value.isString() ? value.asString() : value.toString();
-        return value.isNull() ? "" : scalar.replace(' ', '_').replace(',', '_');
+    private static String scalarText(JsonValue value) {
+        String text = value.isString() ? value.asString() : value.toString();
+        return value.isNull() ? "" : text.replace(' ', '_').replace(',', '_');
     }
 
-    /** Returns the columns of engines' load reports, in their order. */
+    /** Returns the column names of engines' load reports, in order. */
     public List<String> loadReportColumns() {
         return loadReportColumns;
     }
 
-    /** Returns whether answers report the work that the query took. */
+    /** Returns whether answers report the work of the query. */
     public boolean reportsWork() {
         return flag("family_info.tells_cost", false);
     }
@@ -102,7 +103,7 @@
     /**
      * Returns the settings of the router.
      *
-     * @throws SettingsException if a value cannot be read
+     * @throws SettingsException if a value is invalid
      */
     public RouterSettings settings() {
         AttemptLimits limits =
@@ -234,7 +235,7 @@
         }
     }
 
-    /** Returns the names of the classes by index. */
+    /** Returns the names of the query classes by index. */
     public List<String> classNames() {
         List<String> names = new ArrayList<>();
         for (int i = 0; i < count("lanes.count"); i++) {
@@ -253,7 +254,7 @@
         return list("flavors");
     }
 
-    /** Returns the limits of connections, which have no part in the decisions. */
+    /** Returns the limits of connections, which do not affect routing decisions. */
     public ConnectionSettings connectionSettings() {
         return new ConnectionSettings(
                 integer("ceilings.dial_timeout_us", 250_000),
@@ -265,14 +266,14 @@
     }
 
     /**
-     * Limits of connections to engines, and of what clients are asked.
+     * Limits of connections to engines and of retry-after times.
      *
-     * @param dialTimeoutUs time to open a connection in microseconds
+     * @param dialTimeoutUs timeout for opening a connection in microseconds
      * @param idleUs time after which an idle connection is closed in microseconds
-     * @param maxStreamsPerConnection attempts at a time on one connection
-     * @param maxRetryAfterUs longest time that a client may be asked to wait in microseconds
+     * @param maxStreamsPerConnection maximum number of concurrent attempts on a connection
+     * @param maxRetryAfterUs maximum retry-after time in microseconds
      * @param progressPeriodUs time between progress reports in microseconds, 0 for none
-     * @param connectionsAreCostly whether opening a connection is paid for
+     * @param connectionsAreCostly whether opening a connection has a cost
      */
     public record ConnectionSettings(
             long dialTimeoutUs,
@@ -341,6 +342,6 @@
     }
 
     private SettingsException invalid(String key) {
-        return new SettingsException("bad setting: " + key + "=" + values.get(key));
+        return new SettingsException("invalid setting: " + key + "=" + values.get(key));
     }
 }
--- a/src/main/java/calicostream/routing/SlowStartLimiter.java
+++ b/src/main/java/calicostream/routing/SlowStartLimiter.java
@@ -4,16 +4,19 @@
 import java.util.function.Predicate;
 
 /**
- * Limits the work sent to engines that are warming up to this gateway's part of what they may get.
+ * Limits the work sent to warming-up engines to this gateway's part of their slow-start capacity.
  */
 final class SlowStartLimiter {
-    /** Largest part of the allowance used, as typical work is an estimate. */
-    static final double USED_SHARE = 0.8;
+    /** Share of the allowance that is used, because the work of queries is only an estimate. */
+    static final double ALLOWANCE_SHARE = 0.8;
 
-    /** Work of a core at capacity: 85% utilization, and some cores are slower. */
-    static final double CORE_YIELD = 0.75;
+    /**
+     * Work of a core at capacity relative to its nominal speed: 85% utilization, and some cores are
+     * slower.
+     */
+    static final double CORE_EFFICIENCY = 0.75;
 
-    /** Turns in a slow-start window; shorter turns waste less of it. */
+    /** Maximum number of turns in a slow-start window; shorter turns waste less of the window. */
     private static final int TURNS_PER_WINDOW = 4;
 
     private static final int HASH_SHIFT = 33;
@@ -35,16 +38,17 @@
     }
 
     /**
-     * Allows an engine nothing more for a window: this process has restarted and does not know what
-     * its predecessor sent. A predecessor that still runs makes that known by itself.
+     * Exhausts the allowance of a warming-up engine for one window, because this process has
+     * restarted and the work sent by its predecessor is unknown. A predecessor that is still
+     * running is counted by {@link GatewayProcesses} instead.
      */
-    void recordUnknownPast(long now, EngineState engine) {
+    void exhaustWindowAfterRestart(long now, EngineState engine) {
         if (processes.count() == 1 && isWarmingUp(engine, now)) {
             engine.slowStart().add(SlowStartEntry.exhausting(now));
         }
     }
 
-    /** Takes in that a query is sent to an engine. */
+    /** Records the work of a query sent to an engine. */
     void recordAttempt(long now, QueryState query, EngineState engine) {
         if (isWarmingUp(engine, now)) {
             double workMicros = query.statistics().admittedWorkMicros();
@@ -54,10 +58,13 @@
     }
 
     /**
-     * Returns whether a query may be sent to an engine. In each window a warming-up engine may be
-     * sent an equal part of the work by each gateway. A class whose queries are more than that has
-     * its share of it apart, and gateways take turns by number: one query a turn, so often that all
-     * turns which touch a window stay within it. Classes with few queries have longer turns.
+     * Returns whether slow start allows a query on an engine. In each window, all gateways may send
+     * equal parts of a warming-up engine's allowance.
+     *
+     * <p>A class whose queries exceed that part has a separate share of the allowance, and gateways
+     * send its queries in turns ordered by their index. Each gateway sends one query per turn, and
+     * the cycle is long enough that all turns which overlap a window stay within the allowance.
+     * Classes with few queries have longer turns.
      */
     boolean allows(long now, QueryState query, EngineState engine) {
         double window = rules.slowStartWindowUs();
@@ -65,23 +72,29 @@
         if (!isWarmingUp(engine, now)) {
             return true;
         }
-        ClassStatistics known = query.statistics();
+        ClassStatistics statistics = query.statistics();
         int gateways = gatewayCount();
         double limit = limitPerGateway(engine, window, gateways);
-        boolean apart = limit < known.admittedWorkMicros();
-        Predicate<ClassStatistics> countsToo =
-                other -> apart ? other == known : other.admittedWorkMicros() <= limit;
-        double sent = sentWork(engine, countsToo);
-        double share = requestedWork(now, countsToo);
-        double part = limit * share / Math.max(1, work.requestedWork(now));
-        if (apart && sent <= 0 && isInTurn(now, known, engine, new Turns(share, part, gateways))) {
+        boolean hasSeparateShare = limit < statistics.admittedWorkMicros();
+        Predicate<ClassStatistics> countedClasses =
+                other ->
+                        hasSeparateShare
+                                ? other == statistics
+                                : other.admittedWorkMicros() <= limit;
+        double sentWork = sentWork(engine, countedClasses);
+        double requestedWork = requestedWork(now, countedClasses);
+        double allowedWork = limit * requestedWork / Math.max(1, work.requestedWork(now));
+        if (hasSeparateShare
+                && sentWork <= 0
+                && isInTurn(
+                        now, statistics, engine, new Turns(requestedWork, allowedWork, gateways))) {
             return true;
         }
-        return sent + known.admittedWorkMicros() <= part;
+        return sentWork + statistics.admittedWorkMicros() <= allowedWork;
     }
 
     /**
-     * What the turns of a class are computed from.
+     * Inputs for the computation of a class's turns.
      *
      * @param requestedWork recently requested work of the class, in core-microseconds
      * @param allowedWork work of the class that this gateway may send in a window
@@ -89,53 +102,59 @@
      */
     private record Turns(double requestedWork, double allowedWork, int gateways) {}
 
-    private boolean isInTurn(long now, ClassStatistics known, EngineState engine, Turns turns) {
+    private boolean isInTurn(
+            long now, ClassStatistics statistics, EngineState engine, Turns turns) {
         double window = rules.slowStartWindowUs();
-        double workMicros = known.admittedWorkMicros();
-        double longTurn =
+        double workMicros = statistics.admittedWorkMicros();
+        double targetTurn =
                 Math.sqrt(
                         2 * window * DecayingSum.DECAY_MICROS * workMicros / turns.requestedWork());
-        double turn = Math.min(2 * window, Math.max(window / TURNS_PER_WINDOW, longTurn));
-        double cycle = (window + turn) * workMicros / turns.allowedWork();
-        long number =
+        double turnMicros = Math.min(2 * window, Math.max(window / TURNS_PER_WINDOW, targetTurn));
+        double cycleMicros = (window + turnMicros) * workMicros / turns.allowedWork();
+        long turnIndex =
                 Math.floorMod(
                         settings.index() * processes.count()
                                 + processes.index()
                                 + (engine.id() * RendezvousRanking.HASH_MULTIPLIER >>> HASH_SHIFT),
                         turns.gateways());
-        long sinceStart = now - engine.slowStart().startedAt();
-        return (sinceStart + cycle * number / turns.gateways()) % cycle < turn;
+        long sinceStartMicros = now - engine.slowStart().startedAt();
+        return (sinceStartMicros + cycleMicros * turnIndex / turns.gateways()) % cycleMicros
+                < turnMicros;
     }
 
     private int gatewayCount() {
         return Math.max(settings.gateways(), settings.index() + 1) * processes.count();
     }
 
-    /** Work in core-microseconds that one gateway process may send an engine in a window. */
+    /**
+     * Returns the work in core-microseconds that one gateway process may send to an engine in a
+     * window.
+     */
     private double limitPerGateway(EngineState engine, double window, int gateways) {
-        return USED_SHARE
+        return ALLOWANCE_SHARE
                 * rules.slowStartMultiple()
                 * rules.slowStartShare()
                 * engine.cores()
-                * CORE_YIELD
+                * CORE_EFFICIENCY
                 * window
                 / gateways;
     }
 
-    // The streams' sums are compensated; a loop would give other last digits.
-    private double sentWork(EngineState engine, Predicate<ClassStatistics> countsToo) {
+    // Stream sums use compensated summation; a loop would round the last digits differently.
+    private double sentWork(EngineState engine, Predicate<ClassStatistics> countedClasses) {
         return engine.slowStart().sent().stream()
-                .mapToDouble(entry -> isCounted(entry, countsToo) ? entry.workMicros() : 0)
+                .mapToDouble(entry -> isCounted(entry, countedClasses) ? entry.workMicros() : 0)
                 .sum();
     }
 
-    private boolean isCounted(SlowStartEntry entry, Predicate<ClassStatistics> countsToo) {
-        return entry.concernsAllClasses() || countsToo.test(work.statistics(entry.queryClass()));
+    private boolean isCounted(SlowStartEntry entry, Predicate<ClassStatistics> countedClasses) {
+        return entry.appliesToAllClasses()
+                || countedClasses.test(work.statistics(entry.queryClass()));
     }
 
-    private double requestedWork(long now, Predicate<ClassStatistics> countsToo) {
+    private double requestedWork(long now, Predicate<ClassStatistics> countedClasses) {
         return work.allStatistics().stream()
-                .filter(countsToo)
+                .filter(countedClasses)
                 .mapToDouble(other -> other.requestedWork(now))
                 .sum();
     }
--- a/src/main/java/calicostream/routing/SlowStartState.java
+++ b/src/main/java/calicostream/routing/SlowStartState.java
@@ -4,7 +4,7 @@
 import java.util.ArrayDeque;
 
 /**
- * Holds since when one engine warms up and what it was sent meanwhile; see {@link
+ * Holds the start time of one engine and the work sent during its warm-up; see {@link
  * SlowStartLimiter}.
  */
 final class SlowStartState {
@@ -15,12 +15,12 @@
         return startedAt;
     }
 
-    /** Takes in that the engine started at that time, unless it is known to have started later. */
+    /** Records a start time of the engine, unless a later one is known. */
     void recordStart(long time) {
         startedAt = Math.max(startedAt, time);
     }
 
-    /** Takes in that the engine may have restarted now. */
+    /** Records that the engine may have restarted now. */
     void restart(long now) {
         startedAt = now;
     }
@@ -29,7 +29,7 @@
         sent.add(entry);
     }
 
-    /** Returns what was sent, oldest first; the caller removes what is too old to count. */
+    /** Returns the entries sent, oldest first; the caller removes expired ones. */
     ArrayDeque<SlowStartEntry> sent() {
         return sent;
     }
--- a/src/main/java/calicostream/routing/TableGroup.java
+++ b/src/main/java/calicostream/routing/TableGroup.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 
-/** Holds a group of tables: its affinity set, its engine ranking and its running loads. */
+/** Holds the affinity set, the engine ranking and the running loads of a table group. */
 final class TableGroup {
     private final int number;
     private final TreeMap<Long, Long> lastUseByEngine = new TreeMap<>();
@@ -16,7 +16,7 @@
     private final DecayingSum requestedWork = new DecayingSum();
     private List<EngineState> ranking = List.of();
     private int rankingVersion = -1;
-    private long usedAt;
+    private long lastUsedAt;
 
     TableGroup(int number) {
         this.number = number;
@@ -26,15 +26,17 @@
         return number;
     }
 
-    void use(long now) {
-        usedAt = now;
+    void recordUse(long now) {
+        lastUsedAt = now;
     }
 
     boolean isIdle(long now, long idleMicros) {
-        return loadsByEngine.isEmpty() && now - usedAt > idleMicros;
+        return loadsByEngine.isEmpty() && now - lastUsedAt > idleMicros;
     }
 
-    /** Returns the ids of the engines that hold the group's tables in memory, in their order. */
+    /**
+     * Returns the ids of the engines that hold the group's tables in memory, in ascending order.
+     */
     Set<Long> affinitySet() {
         return lastUseByEngine.keySet();
     }
@@ -47,15 +49,15 @@
         lastUseByEngine.put(engine, now);
     }
 
-    /** Keeps an engine in the affinity set if it is there. */
+    /** Updates the time of last use of an engine, if it is in the affinity set. */
     void refreshAffinity(long now, long engine) {
         if (lastUseByEngine.containsKey(engine)) {
             lastUseByEngine.put(engine, now);
         }
     }
 
-    void removeUnusedAffinity(long now, long idleMicros) {
-        lastUseByEngine.values().removeIf(used -> now - used > idleMicros);
+    void expireAffinity(long now, long idleMicros) {
+        lastUseByEngine.values().removeIf(lastUsed -> now - lastUsed > idleMicros);
     }
 
     void removeAffinityIf(Predicate<Long> isUnavailable) {
@@ -83,7 +85,7 @@
         return rankingVersion == version;
     }
 
-    /** Keeps a ranking of all engines for as long as the endpoint list has that version. */
+    /** Caches a ranking of all engines for a version of the endpoint list. */
     void setRanking(int version, List<EngineState> newRanking) {
         rankingVersion = version;
         ranking = newRanking;
--- a/src/main/java/calicostream/routing/TableGroups.java
+++ b/src/main/java/calicostream/routing/TableGroups.java
@@ -4,21 +4,21 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 
-/** Holds the table groups in use and the work requested of each. */
+/** Holds the table groups in use and the work requested for each. */
 final class TableGroups {
-    /** Time until an unused group is forgotten: longer than any deadline. */
+    /** Time after which an unused group is removed; longer than any deadline. */
     static final long GROUP_IDLE_MICROS = 60_000_000;
 
     private final TreeMap<Integer, TableGroup> groups = new TreeMap<>();
     private final DecayingSum requestedWork = new DecayingSum();
 
-    TableGroup use(long now, int number) {
+    TableGroup findOrCreate(long now, int number) {
         TableGroup group = groups.computeIfAbsent(number, TableGroup::new);
-        group.use(now);
+        group.recordUse(now);
         return group;
     }
 
-    /** Takes in an accepted query of a group. */
+    /** Records the expected work of an accepted query for its group. */
     void recordRequest(long now, QueryState query) {
         double workMicros =
                 Math.min(query.expectedWorkMicros(), query.statistics().typicalWorkMicros());
@@ -35,7 +35,7 @@
         groups.values().forEach(group -> group.removeAffinityIf(isUnavailable));
     }
 
-    /** Forgets unused groups: clients may name any number of them. */
+    /** Removes unused groups; clients may use any number of groups. */
     void removeIdle(long now) {
         groups.values().removeIf(group -> group.isIdle(now, GROUP_IDLE_MICROS));
     }
--- a/src/main/java/calicostream/routing/TenantLimit.java
+++ b/src/main/java/calicostream/routing/TenantLimit.java
@@ -4,6 +4,6 @@
 /**
  * Quota of a tenant.
  *
- * @param queriesPerSecond queries per second over all gateways, 0 for no limit
+ * @param queriesPerSecond queries per second across all gateways, 0 for no limit
  */
 public record TenantLimit(double queriesPerSecond) {}
--- a/src/main/java/calicostream/routing/TenantQuota.java
+++ b/src/main/java/calicostream/routing/TenantQuota.java
@@ -4,10 +4,11 @@
 import java.util.List;
 
 /**
- * Separates queries within their tenant's quota from those beyond it, by a token bucket a tenant.
+ * Distinguishes queries within the quota of their tenant from those over quota, with one token
+ * bucket per tenant.
  */
 final class TenantQuota {
-    /** Queries that a tenant may save up besides a second of its quota. */
+    /** Capacity of a token bucket beyond the quota of one second. */
     private static final double BURST_QUERIES = 4;
 
     private static final double MICROS_PER_SECOND = 1e6;
@@ -26,8 +27,8 @@
     /**
      * Takes a token for a query.
      *
-     * @return whether the tenant is within its share of the quota, as estimated from this gateway's
-     *     share of the traffic
+     * @return whether the tenant is within this gateway's share of its quota, which follows the
+     *     gateway's estimated share of the traffic
      */
     boolean tryAcquire(long now, int tenant) {
         refill(now);
--- a/src/main/java/calicostream/routing/Timestamps.java
+++ b/src/main/java/calicostream/routing/Timestamps.java
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.routing;
 
-/** Holds the special points in time that decisions compare with. */
+/** Defines special timestamps for comparisons. */
 final class Timestamps {
-    /** Earlier than any event; far enough from the end of the range that differences fit a long. */
+    /** Time before any event; differences from it do not overflow a long. */
     static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
     private Timestamps() {}
--- a/src/main/java/calicostream/routing/WorkEstimator.java
+++ b/src/main/java/calicostream/routing/WorkEstimator.java
@@ -4,9 +4,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Estimates how much work queries need and how long they would run, from what answers taught. */
+/** Estimates the work and the run time of queries from the answers received. */
 final class WorkEstimator {
-    /** Largest slowdown that one answer may suggest, so that a stray one does not count. */
+    /** Maximum slowdown recorded for one answer; limits the effect of outliers. */
     private static final double MAX_SLOWDOWN = 6;
 
     private static final double INITIAL_SLOWDOWN = 1.3;
@@ -31,7 +31,7 @@
         return statistics;
     }
 
-    /** Takes in an accepted query. */
+    /** Records an accepted query. */
     void recordRequest(long now, QueryState query) {
         double work =
                 query.statistics()
@@ -45,37 +45,37 @@
         return requestedWork.get(now);
     }
 
-    /** Returns how long the query would run from its start, in microseconds. */
-    double freshRunMicros(QueryState query) {
+    /** Returns the expected run time of the query from its start, in microseconds. */
+    double expectedRunMicros(QueryState query) {
         return query.expectedWorkMicros() / query.queryClass().threads() * slowdown;
     }
 
-    /** Learns from a successful attempt. */
+    /** Records the run time, work and memory reported with a successful attempt. */
     void recordAnswer(QueryState query, AttemptResult result) {
-        ClassStatistics known = query.statistics();
+        ClassStatistics classStatistics = query.statistics();
         int threads = query.queryClass().threads();
         double estimatedWorkMicros = query.request().estimatedWorkUs();
-        known.recordRun(result.elapsedUs());
+        classStatistics.recordRunTime(result.elapsedUs());
         double workMicros = result.workMs() * MICROS_PER_MILLI;
         if (workMicros > 0) {
             double threadMicros = result.elapsedUs() * threads;
             slowdown +=
                     (Math.min(MAX_SLOWDOWN, threadMicros / workMicros) - slowdown)
                             * LearningRate.MINIMUM;
-            known.recordMeasuredWork(workMicros, estimatedWorkMicros);
+            classStatistics.recordMeasuredWork(workMicros, estimatedWorkMicros);
         }
         if (workMicros <= 0 && estimatedWorkMicros <= 0) {
-            known.assumeWorkFromRuns(threads);
+            classStatistics.inferWorkFromRunTimes(threads);
         }
-        known.recordMemory(result.memoryMb(), query.request().estimatedMemoryMb());
+        classStatistics.recordMemory(result.memoryMb(), query.request().estimatedMemoryMb());
     }
 
-    /** Returns the least run time learned for each class, in the order of the settings. */
+    /** Returns the minimum run time learned for each class, in the order of the settings. */
     double[] learnedRunTimes() {
-        return statistics.stream().mapToDouble(ClassStatistics::leastRunMicros).toArray();
+        return statistics.stream().mapToDouble(ClassStatistics::minRunMicros).toArray();
     }
 
-    /** Takes over run times that another process learned; see {@link #learnedRunTimes}. */
+    /** Restores run times learned by another process; see {@link #learnedRunTimes}. */
     void restoreLearnedRunTimes(double[] runTimesMicros) {
         for (int i = 0; i < Math.min(runTimesMicros.length, statistics.size()); i++) {
             statistics.get(i).restore(runTimesMicros[i], classes.get(i).threads());
--- a/src/main/java/calicostream/routing/package-info.java
+++ b/src/main/java/calicostream/routing/package-info.java
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 /**
- * Owns every decision of a gateway about its queries: which engine runs a query and when, whether a
- * failed attempt is retried, and which engines are ejected. It knows no sockets, clocks, files or
- * threads; events and the time come in through {@link calicostream.routing.QueryRouter}, decisions
- * go out through {@link calicostream.routing.RouterActions}. Read {@link
- * calicostream.routing.AffinityRouter} first, which dispatches each event to the parts that decide.
+ * Makes all routing decisions of a gateway: which engine runs a query and when, whether a failed
+ * attempt is retried, and which engines are ejected. The package uses no sockets, clocks, files or
+ * threads: it receives events with their time through {@link calicostream.routing.QueryRouter} and
+ * returns decisions through {@link calicostream.routing.RouterActions}. Start reading at {@link
+ * calicostream.routing.AffinityRouter}, which passes each event to the components that decide.
  */
 package calicostream.routing;
--- a/src/test/java/calicostream/routing/AffinityTest.java
+++ b/src/test/java/calicostream/routing/AffinityTest.java
@@ -14,154 +14,165 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which engines queries of a table group go to, and when a group gains or loses one. */
+/** Tests which engines run the queries of a table group, and how affinity sets grow and shrink. */
 class AffinityTest {
     private static final QueryClass LOOKUP = lookupClass(Idempotency.IDEMPOTENT);
 
-    private static Set<Long> engines(RecordingActions gateway) {
-        Set<Long> out = new HashSet<>();
-        gateway.attempts.forEach(s -> out.add(s.engine()));
-        return out;
+    private static Set<Long> enginesUsed(RecordingActions gateway) {
+        Set<Long> engines = new HashSet<>();
+        gateway.attempts.forEach(attempt -> engines.add(attempt.engine()));
+        return engines;
     }
 
     @Test
-    void groupStaysOnItsEngineAndAnotherGatewayPrefersTheSame() {
-        RecordingActions a = RecordingActions.with(6, LOOKUP);
-        RecordingActions b = RecordingActions.with(6, LOOKUP);
+    void tableGroupKeepsItsEngineAcrossGateways() {
+        RecordingActions first = RecordingActions.withEngines(6, LOOKUP);
+        RecordingActions second = RecordingActions.withEngines(6, LOOKUP);
         for (int i = 0; i < 5; i++) {
-            a.accept(i, 0, 0, 0, 9, 100 * MILLIS);
-            a.end(a.last(), AttemptOutcome.OK, 100, 50);
-            b.accept(i, 0, 0, 0, 9, 100 * MILLIS);
-            b.end(b.last(), AttemptOutcome.OK, 100, 50);
+            first.accept(i, 0, 0, 0, 9, 100 * MILLIS);
+            first.endAttempt(first.lastAttempt(), AttemptOutcome.OK, 100, 50);
+            second.accept(i, 0, 0, 0, 9, 100 * MILLIS);
+            second.endAttempt(second.lastAttempt(), AttemptOutcome.OK, 100, 50);
         }
-        assertEquals(1, engines(a).size());
-        assertEquals(engines(a), engines(b));
+        assertEquals(1, enginesUsed(first).size());
+        assertEquals(enginesUsed(first), enginesUsed(second));
     }
 
-    /** Nothing of a transaction goes to another engine, nor twice, nor against the rules. */
+    /**
+     * Queries of a transaction must not run on another engine, run twice, or start while their
+     * engine drains.
+     */
     @Test
-    void stickyQueryGoesToItsEngineOnceOrNowhere() {
-        RecordingActions gateway = RecordingActions.with(6, LOOKUP);
+    void stickyQueryRunsOnlyOnItsEngineAndNeverTwice() {
+        RecordingActions gateway = RecordingActions.withEngines(6, LOOKUP);
         for (int i = 0; i < 12; i++) {
-            long pin = 1 + i % 6;
-            gateway.acceptSticky(i, 0, pin);
-            assertEquals(pin, gateway.lastOf(i).engine());
-            gateway.end(gateway.lastOf(i), i % 2 == 0 ? AttemptOutcome.ERROR : AttemptOutcome.OK);
+            long stickyEngine = 1 + i % 6;
+            gateway.acceptSticky(i, 0, stickyEngine);
+            assertEquals(stickyEngine, gateway.lastAttemptOf(i).engine());
+            gateway.endAttempt(
+                    gateway.lastAttemptOf(i),
+                    i % 2 == 0 ? AttemptOutcome.ERROR : AttemptOutcome.OK);
         }
-        assertEquals(12, gateway.attempts.size(), "an error is no reason to try again");
-        gateway.endpoints(EndpointUpdate.INCREMENTAL, engine(3, 0, EngineLifecycle.DRAINING));
+        assertEquals(12, gateway.attempts.size(), "a sticky query is not retried after an error");
+        gateway.updateEndpoints(EndpointUpdate.INCREMENTAL, engine(3, 0, EngineLifecycle.DRAINING));
         gateway.acceptSticky(100, 0, 3);
-        assertEquals(12, gateway.attempts.size(), "its engine drains");
-        gateway.endpoints(EndpointUpdate.INCREMENTAL, engine(3, 0, EngineLifecycle.READY));
-        assertEquals(3, gateway.lastOf(100).engine());
-        gateway.end(gateway.lastOf(100), AttemptOutcome.OVERLOADED);
+        assertEquals(12, gateway.attempts.size(), "the sticky engine is draining");
+        gateway.updateEndpoints(EndpointUpdate.INCREMENTAL, engine(3, 0, EngineLifecycle.READY));
+        assertEquals(3, gateway.lastAttemptOf(100).engine());
+        gateway.endAttempt(gateway.lastAttemptOf(100), AttemptOutcome.OVERLOADED);
         assertEquals(
-                3, gateway.lastOf(100).engine(), "what never ran may wait for the same engine");
+                3,
+                gateway.lastAttemptOf(100).engine(),
+                "a query that did not run may be retried on its engine");
     }
 
     @Test
-    void queryLeavesTheAffinitySetWhenTooManyAreDueBeforeItThere() {
-        RecordingActions gateway = RecordingActions.with(2, LOOKUP);
+    void queryUsesOtherEngineWhenAffinityEngineIsBusy() {
+        RecordingActions gateway = RecordingActions.withEngines(2, LOOKUP);
         for (int i = 100; i < 120; i++) {
             gateway.accept(i, 0, 0, 0, i, 100 * MILLIS);
-            gateway.end(gateway.last(), AttemptOutcome.OK, 100, 50);
+            gateway.endAttempt(gateway.lastAttempt(), AttemptOutcome.OK, 100, 50);
         }
         for (int i = 0; i <= AffinitySelector.MAX_AFFINITY_RANK; i++) {
             gateway.accept(i, 0);
             gateway.now += 1;
         }
-        long home = gateway.lastOf(0).engine();
+        long affinityEngine = gateway.lastAttemptOf(0).engine();
         for (int i = 0; i < AffinitySelector.MAX_AFFINITY_RANK; i++) {
-            assertEquals(home, gateway.lastOf(i).engine());
+            assertEquals(affinityEngine, gateway.lastAttemptOf(i).engine());
         }
-        assertNotEquals(home, gateway.last().engine());
+        assertNotEquals(affinityEngine, gateway.lastAttempt().engine());
     }
 
     @Test
-    void loadedGroupGainsTheEngineThatReportsLeast() {
-        RecordingActions gateway = RecordingActions.with(3, LOOKUP);
+    void overloadedAffinitySetGainsLeastLoadedEngine() {
+        RecordingActions gateway = RecordingActions.withEngines(3, LOOKUP);
         gateway.accept(1, 0);
-        long home = gateway.last().engine();
-        long busy = home == 1 ? 2 : 1;
-        long idle = 6 - home - busy;
-        gateway.report(home, 9);
-        gateway.report(busy, 6);
-        gateway.report(idle, 0);
+        long affinityEngine = gateway.lastAttempt().engine();
+        long busyEngine = affinityEngine == 1 ? 2 : 1;
+        long idleEngine = 6 - affinityEngine - busyEngine;
+        gateway.reportRunning(affinityEngine, 9);
+        gateway.reportRunning(busyEngine, 6);
+        gateway.reportRunning(idleEngine, 0);
         gateway.accept(2, 0);
-        assertEquals(idle, gateway.last().engine());
+        assertEquals(idleEngine, gateway.lastAttempt().engine());
     }
 
     @Test
-    void unusedEngineLeavesTheAffinitySet() {
-        RecordingActions gateway = RecordingActions.with(4, LOOKUP);
+    void unusedEngineIsRemovedFromAffinitySet() {
+        RecordingActions gateway = RecordingActions.withEngines(4, LOOKUP);
         gateway.accept(1, 0);
-        long home = gateway.last().engine();
-        gateway.end(gateway.last(), AttemptOutcome.OK);
+        long affinityEngine = gateway.lastAttempt().engine();
+        gateway.endAttempt(gateway.lastAttempt(), AttemptOutcome.OK);
         gateway.advance(21 * SECONDS);
-        for (long e = 1; e <= 4; e++) {
-            gateway.report(e, e == home ? 8 : 0);
+        for (long engine = 1; engine <= 4; engine++) {
+            gateway.reportRunning(engine, engine == affinityEngine ? 8 : 0);
         }
         gateway.accept(2, 0);
-        assertNotEquals(home, gateway.last().engine());
+        assertNotEquals(affinityEngine, gateway.lastAttempt().engine());
     }
 
     @Test
-    void ownZoneIsPreferredOnlyWhereCrossingZonesCosts() {
-        int[] home = new int[2];
+    void ownZoneIsPreferredOnlyWithCrossZoneCost() {
+        int[] ownZoneAttempts = new int[2];
         for (int i = 0; i < 2; i++) {
-            RouterSettings s = RecordingActions.settings(1, LOOKUP);
+            RouterSettings defaults = RecordingActions.settings(1, LOOKUP);
             RecordingActions gateway =
-                    RecordingActions.with(
+                    RecordingActions.withEngines(
                             new RouterSettings(
                                     1,
                                     0,
                                     1,
                                     new RoutingCosts(i * 0.04, 0),
-                                    s.engineKinds(),
-                                    s.classes(),
-                                    s.tenants(),
+                                    defaults.engineKinds(),
+                                    defaults.classes(),
+                                    defaults.tenants(),
                                     1,
-                                    s.attemptLimits(),
-                                    s.protectionRules(),
-                                    s.engineCapabilities(),
-                                    s.loadReporting(),
+                                    defaults.attemptLimits(),
+                                    defaults.protectionRules(),
+                                    defaults.engineCapabilities(),
+                                    defaults.loadReporting(),
                                     false,
-                                    s.tickUs()),
+                                    defaults.tickUs()),
                             8);
-            for (int q = 0; q < 200; q++) {
-                gateway.accept(q, 0, 0, 0, q, 100 * MILLIS);
-                home[i] += gateway.last().engine() % 2;
-                gateway.end(gateway.last(), AttemptOutcome.OK, 100, 50);
+            for (int id = 0; id < 200; id++) {
+                gateway.accept(id, 0, 0, 0, id, 100 * MILLIS);
+                ownZoneAttempts[i] += gateway.lastAttempt().engine() % 2;
+                gateway.endAttempt(gateway.lastAttempt(), AttemptOutcome.OK, 100, 50);
             }
         }
-        assertTrue(home[0] > 70 && home[0] < 130, home[0] + " of 200 at home without a price");
-        assertTrue(home[1] > 150, home[1] + " of 200 at home with one");
+        assertTrue(
+                ownZoneAttempts[0] > 70 && ownZoneAttempts[0] < 130,
+                ownZoneAttempts[0] + " of 200 in the own zone without a cost");
+        assertTrue(
+                ownZoneAttempts[1] > 150,
+                ownZoneAttempts[1] + " of 200 in the own zone with a cost");
     }
 
     @Test
-    void unusedTableGroupsAreForgotten() {
-        RecordingActions gateway = RecordingActions.with(4, LOOKUP);
+    void idleTableGroupsAreRemoved() {
+        RecordingActions gateway = RecordingActions.withEngines(4, LOOKUP);
         for (int i = 0; i < 3000; i++) {
             gateway.accept(i, 0, 0, 0, i, 100 * MILLIS);
-            gateway.end(gateway.last(), AttemptOutcome.OK, 100, 50);
+            gateway.endAttempt(gateway.lastAttempt(), AttemptOutcome.OK, 100, 50);
             gateway.advance(100 * MILLIS);
         }
         assertTrue(
                 gateway.router.tableGroups() <= 1300,
-                gateway.router.tableGroups() + " of 3000 in five minutes");
+                gateway.router.tableGroups() + " of 3000 table groups kept after five minutes");
     }
 
     @Test
-    void loadAndQueriesThatWaitForItAreKeptApart() {
+    void loadBlocksOtherLoadsAndWaitingQueries() {
         QueryClass load =
                 queryClass(Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL, false, 2, true);
-        RecordingActions gateway = RecordingActions.with(3, LOOKUP, load);
+        RecordingActions gateway = RecordingActions.withEngines(3, LOOKUP, load);
         gateway.accept(1, 1);
         gateway.accept(2, 0);
-        assertNotEquals(gateway.lastOf(1).engine(), gateway.lastOf(2).engine());
-        gateway.end(gateway.lastOf(1), AttemptOutcome.OK);
+        assertNotEquals(gateway.lastAttemptOf(1).engine(), gateway.lastAttemptOf(2).engine());
+        gateway.endAttempt(gateway.lastAttemptOf(1), AttemptOutcome.OK);
         gateway.accept(3, 1);
         gateway.accept(4, 1);
-        assertNotEquals(gateway.lastOf(3).engine(), gateway.lastOf(4).engine());
+        assertNotEquals(gateway.lastAttemptOf(3).engine(), gateway.lastAttemptOf(4).engine());
     }
 }
--- a/src/test/java/calicostream/routing/EmbeddingTest.java
+++ b/src/test/java/calicostream/routing/EmbeddingTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The example of the README, as an embedder would write it. */
+/** Tests that the embedding example of the README runs. */
 class EmbeddingTest {
     private long now = 5_000_000;
 
@@ -36,6 +36,6 @@
         router.timerFired(clock(), 2);
         assertEquals(1, actions.attempts.size());
         assertEquals(7, actions.attempts.get(0).engine());
-        assertEquals(0, actions.answers(1));
+        assertEquals(0, actions.finalAnswerCount(1));
     }
 }
--- a/src/test/java/calicostream/routing/ModuleShapeTest.java
+++ b/src/test/java/calicostream/routing/ModuleShapeTest.java
@@ -25,7 +25,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The decision module stays pure, in small parts that only the router and its parts use. */
+/**
+ * Checks the structure of the routing package: no I/O, clock or threads, limited file and method
+ * sizes, and components that are not used outside the package.
+ */
 class ModuleShapeTest {
     private static final Path SOURCES = Path.of("src/main/java/calicostream/routing");
     private static final int MAX_FILE_LINES = 400;
@@ -37,12 +40,12 @@
     private static final JavaClasses CLASSES =
             new ClassFileImporter().importPath(Path.of("target/classes/calicostream/routing"));
 
-    private static final DescribedPredicate<JavaClass> ROUTER_PART =
+    private static final DescribedPredicate<JavaClass> ROUTER_COMPONENT =
             DescribedPredicate.describe(
-                    "a part of the router",
+                    "an internal component of the router",
                     type ->
                             type.getPackageName().equals(AffinityRouter.class.getPackageName())
-                                    && isPart(type));
+                                    && isRouterComponent(type));
 
     private static List<Path> sources() throws IOException {
         try (Stream<Path> files = Files.list(SOURCES)) {
@@ -73,7 +76,7 @@
     }
 
     @Test
-    void filesKeepTheirLengthAndWidth() throws IOException {
+    void sourceFilesStayWithinSizeLimits() throws IOException {
         List<String> tooLong = new ArrayList<>();
         for (Path file : sources()) {
             List<String> lines = Files.readAllLines(file);
@@ -85,7 +88,10 @@
         assertEquals(List.of(), tooLong);
     }
 
-    /** Members lie at the formatter's first indentation, so that their ends are found by it. */
+    /**
+     * Finds members by the formatter's indentation of four spaces, and returns those over the line
+     * limit.
+     */
     private static List<String> longMembers(Path file) throws IOException {
         List<String> tooLong = new ArrayList<>();
         List<String> lines = Files.readAllLines(file);
@@ -105,7 +111,7 @@
     }
 
     @Test
-    void methodsFitOnOneScreen() throws IOException {
+    void methodsStayWithinLineLimit() throws IOException {
         List<String> tooLong = new ArrayList<>();
         for (Path file : sources()) {
             tooLong.addAll(longMembers(file));
@@ -113,53 +119,56 @@
         assertEquals(List.of(), tooLong);
     }
 
-    /** This long member on purpose shows that the bound on methods sees anything at all. */
+    /** Verifies that the line limit detects a method that is one line too long. */
     @Test
-    void theMethodBoundSeesAnOffender(@TempDir Path folder) throws IOException {
+    void lineLimitDetectsLongMethod(@TempDir Path folder) throws IOException {
         String body = "        count++;\n".repeat(MAX_METHOD_LINES - 2);
         Path allowed = folder.resolve("Allowed.java");
         Files.writeString(allowed, "class Allowed {\n    void count() {\n" + body + "    }\n}\n");
         assertEquals(List.of(), longMembers(allowed));
-        Path offender = folder.resolve("Offender.java");
-        String oneMore = body + "        count++;\n";
+        Path tooLong = folder.resolve("TooLong.java");
+        String oneLineMore = body + "        count++;\n";
         Files.writeString(
-                offender, "class Offender {\n    void count() {\n" + oneMore + "    }\n}\n");
-        assertEquals(List.of("Offender.java: void count() {"), longMembers(offender));
+                tooLong, "class TooLong {\n    void count() {\n" + oneLineMore + "    }\n}\n");
+        assertEquals(List.of("TooLong.java: void count() {"), longMembers(tooLong));
     }
 
-    /** Parts of the router are classes with behaviour or state; the others are its port's types. */
-    private static boolean isPart(JavaClass type) {
-        boolean isPortType =
+    /**
+     * Components are classes with behaviour or state; the other types form the router's public
+     * interface.
+     */
+    private static boolean isRouterComponent(JavaClass type) {
+        boolean isPublicInterface =
                 type.isInterface()
                         || type.isRecord() && type.getModifiers().contains(JavaModifier.PUBLIC)
                         || type.isEnum() && type.getModifiers().contains(JavaModifier.PUBLIC);
-        return !isPortType
+        return !isPublicInterface
                 && !type.isEquivalentTo(AffinityRouter.class)
                 && !type.isEquivalentTo(SettingsParser.class);
     }
 
-    private static ArchRule partsAreUsedByTheRouterAlone() {
+    private static ArchRule componentsAreUsedOnlyInThisPackage() {
         return noClasses()
                 .that()
                 .resideOutsideOfPackage("calicostream.routing..")
                 .should()
-                .dependOnClassesThat(ROUTER_PART);
+                .dependOnClassesThat(ROUTER_COMPONENT);
     }
 
     @Test
-    void eachPartIsUsedByTheRouterOrItsPartsAlone() {
-        partsAreUsedByTheRouterAlone().check(ALL_CLASSES);
-        List<String> publicParts = new ArrayList<>();
+    void componentsAreInternalToThePackage() {
+        componentsAreUsedOnlyInThisPackage().check(ALL_CLASSES);
+        List<String> publicComponents = new ArrayList<>();
         for (JavaClass type : CLASSES) {
-            if (ROUTER_PART.test(type) && type.getModifiers().contains(JavaModifier.PUBLIC)) {
-                publicParts.add(type.getSimpleName());
+            if (ROUTER_COMPONENT.test(type) && type.getModifiers().contains(JavaModifier.PUBLIC)) {
+                publicComponents.add(type.getSimpleName());
             }
         }
-        assertEquals(List.of(), publicParts);
-        assertTrue(ROUTER_PART.test(CLASSES.get(RetryBudget.class)));
+        assertEquals(List.of(), publicComponents);
+        assertTrue(ROUTER_COMPONENT.test(CLASSES.get(RetryBudget.class)));
     }
 
-    /** The deploy file has a line {@code KEY = ["FILE", ...]} for each kind of source. */
+    /** Returns the files of a {@code KEY = ["FILE", ...]} line of the deploy file. */
     private static Set<String> filesOf(String key) throws IOException {
         Set<String> files = new TreeSet<>();
         for (String line : Files.readAllLines(DEPLOY_FILE)) {
@@ -174,11 +183,11 @@
     }
 
     @Test
-    void deployFileNamesEveryFileWithDecisions() throws IOException {
+    void deployFileListsAllComponentSources() throws IOException {
         Set<String> expected = new TreeSet<>();
         expected.add(SOURCES + "/AffinityRouter.java");
         for (JavaClass type : CLASSES) {
-            if (type.isTopLevelClass() && ROUTER_PART.test(type)) {
+            if (type.isTopLevelClass() && ROUTER_COMPONENT.test(type)) {
                 expected.add(SOURCES + "/" + type.getSimpleName() + ".java");
             }
         }
@@ -187,14 +196,15 @@
     }
 
     @Test
-    void decisionsReadNoClockAndDoNoInputOrOutput() {
+    void packageUsesNoInputOutputClockOrThread() {
         noInputOutputClockOrThread().check(CLASSES);
     }
 
-    /** A class that breaks the rule on purpose shows that the rule sees anything at all. */
+    /** Verifies that the rule detects a violation, with this test class, which reads files. */
     @Test
-    void theRuleSeesAnOffender() {
-        JavaClasses offender = new ClassFileImporter().importClasses(ModuleShapeTest.class);
-        assertThrows(AssertionError.class, () -> noInputOutputClockOrThread().check(offender));
+    void dependencyRuleDetectsViolation() {
+        JavaClasses violatingClasses = new ClassFileImporter().importClasses(ModuleShapeTest.class);
+        assertThrows(
+                AssertionError.class, () -> noInputOutputClockOrThread().check(violatingClasses));
     }
 }
--- a/src/test/java/calicostream/routing/RandomEventsTest.java
+++ b/src/test/java/calicostream/routing/RandomEventsTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Random events: whatever happens, the rules hold. Their order comes from the seed alone. */
+/** Checks the routing rules under random events. The seed determines the sequence of events. */
 class RandomEventsTest {
     private static final int ENGINES = 6;
     private static final AttemptOutcome[] OUTCOMES = {
@@ -32,21 +32,21 @@
         AttemptOutcome.TIMEOUT
     };
 
-    private final Map<Long, EngineLifecycle> states = new HashMap<>();
-    private final Map<Long, Integer> classOf = new HashMap<>();
-    private final Map<Long, Long> keyOf = new HashMap<>();
-    private final Map<Long, Long> deadline = new HashMap<>();
-    private final Set<Long> answered = new HashSet<>();
-    private final Set<Long> mayHaveRun = new HashSet<>();
-    private final Map<Long, RecordingActions.Attempt> out = new HashMap<>();
-    private int seen;
-    private int cancelsSeen;
-    private int rejectionsSeen;
-    private int failuresSeen;
+    private final Map<Long, EngineLifecycle> lifecycles = new HashMap<>();
+    private final Map<Long, Integer> classByQuery = new HashMap<>();
+    private final Map<Long, Long> keyByQuery = new HashMap<>();
+    private final Map<Long, Long> deadlineByQuery = new HashMap<>();
+    private final Set<Long> answeredQueries = new HashSet<>();
+    private final Set<Long> queriesThatMayHaveRun = new HashSet<>();
+    private final Map<Long, RecordingActions.Attempt> runningAttempts = new HashMap<>();
+    private int checkedAttempts;
+    private int checkedCancels;
+    private int checkedRejections;
+    private int checkedFailures;
 
     private RecordingActions startRouter() {
         RecordingActions gateway =
-                RecordingActions.with(
+                RecordingActions.withEngines(
                         RecordingActions.settings(
                                 2,
                                 3,
@@ -73,8 +73,8 @@
                                         false),
                                 RecordingActions.placedClass(List.of(1), List.of())),
                         ENGINES);
-        for (long e = 1; e <= ENGINES; e++) {
-            states.put(e, EngineLifecycle.READY);
+        for (long engine = 1; engine <= ENGINES; engine++) {
+            lifecycles.put(engine, EngineLifecycle.READY);
         }
         return gateway;
     }
@@ -85,129 +85,143 @@
         Random random = new Random(seed);
         RecordingActions gateway = startRouter();
         for (int i = 1; i <= 1500; i++) {
-            step(random, gateway, i);
-            check(gateway);
+            applyRandomEvent(random, gateway, i);
+            checkRules(gateway);
         }
         for (int i = 0; i < 60; i++) {
             gateway.advance(500 * MILLIS);
-            new ArrayList<>(out.values()).forEach(s -> end(gateway, s, AttemptOutcome.TIMEOUT));
-            check(gateway);
+            new ArrayList<>(runningAttempts.values())
+                    .forEach(attempt -> endAttempt(gateway, attempt, AttemptOutcome.TIMEOUT));
+            checkRules(gateway);
         }
-        assertEquals(classOf.keySet(), answered, "every query has its answer");
-        assertTrue(seen > 400, "too few attempts: " + seen);
+        assertEquals(classByQuery.keySet(), answeredQueries, "every query has a final answer");
+        assertTrue(checkedAttempts > 400, "too few attempts: " + checkedAttempts);
     }
 
-    private void step(Random random, RecordingActions gateway, long id) {
-        int dice = random.nextInt(10);
-        if (dice < 5) {
+    private void applyRandomEvent(Random random, RecordingActions gateway, long id) {
+        int event = random.nextInt(10);
+        if (event < 5) {
             int queryClass = random.nextInt(4);
-            classOf.put(id, queryClass);
-            keyOf.put(id, queryClass == 1 ? 1L + random.nextInt(4) : 0L);
-            deadline.put(id, gateway.now + 10 * SECONDS);
+            classByQuery.put(id, queryClass);
+            keyByQuery.put(id, queryClass == 1 ? 1L + random.nextInt(4) : 0L);
+            deadlineByQuery.put(id, gateway.now + 10 * SECONDS);
             gateway.accept(
                     id,
                     queryClass,
                     0,
-                    keyOf.get(id),
+                    keyByQuery.get(id),
                     random.nextInt(5),
                     (20 + random.nextInt(400)) * MILLIS);
-        } else if (dice < 8 && !out.isEmpty()) {
-            List<RecordingActions.Attempt> all = new ArrayList<>(out.values());
-            all.sort((a, b) -> Long.compare(a.query(), b.query()));
-            end(
+        } else if (event < 8 && !runningAttempts.isEmpty()) {
+            List<RecordingActions.Attempt> attempts = new ArrayList<>(runningAttempts.values());
+            attempts.sort((first, second) -> Long.compare(first.query(), second.query()));
+            endAttempt(
                     gateway,
-                    all.get(random.nextInt(all.size())),
+                    attempts.get(random.nextInt(attempts.size())),
                     OUTCOMES[random.nextInt(OUTCOMES.length)]);
-        } else if (dice == 8) {
+        } else if (event == 8) {
             long engine = 1 + random.nextInt(ENGINES);
-            EngineLifecycle state =
+            EngineLifecycle lifecycle =
                     random.nextInt(3) == 0
                             ? EngineLifecycle.values()[random.nextInt(3)]
                             : EngineLifecycle.READY;
-            states.put(engine, state);
-            gateway.endpoints(
+            lifecycles.put(engine, lifecycle);
+            gateway.updateEndpoints(
                     EndpointUpdate.INCREMENTAL,
                     RecordingActions.engine(
-                            engine, random.nextInt(4) == 0 ? gateway.now : 0, state));
+                            engine, random.nextInt(4) == 0 ? gateway.now : 0, lifecycle));
         } else {
-            out.values().stream()
-                    .min((a, b) -> Long.compare(a.query(), b.query()))
+            runningAttempts.values().stream()
+                    .min((first, second) -> Long.compare(first.query(), second.query()))
                     .ifPresent(
-                            s ->
+                            attempt ->
                                     gateway.router.progress(
                                             gateway.now,
                                             new QueryProgress(
-                                                    s.query(),
-                                                    s.attempt(),
+                                                    attempt.query(),
+                                                    attempt.number(),
                                                     ProgressKind.FRACTION_DONE,
                                                     random.nextDouble())));
             gateway.advance(random.nextInt(300) * MILLIS);
         }
     }
 
-    private void end(RecordingActions gateway, RecordingActions.Attempt s, AttemptOutcome outcome) {
-        out.remove(s.query());
+    private void endAttempt(
+            RecordingActions gateway, RecordingActions.Attempt attempt, AttemptOutcome outcome) {
+        runningAttempts.remove(attempt.query());
         if (outcome.mayHaveRun) {
-            mayHaveRun.add(s.query());
+            queriesThatMayHaveRun.add(attempt.query());
         }
-        if (outcome == AttemptOutcome.OK && answered.add(s.query())) {
-            gateway.end(s, outcome, 100, 50);
+        if (outcome == AttemptOutcome.OK && answeredQueries.add(attempt.query())) {
+            gateway.endAttempt(attempt, outcome, 100, 50);
         } else {
-            gateway.end(s, outcome);
+            gateway.endAttempt(attempt, outcome);
         }
     }
 
-    private void check(RecordingActions gateway) {
-        boolean more = true;
-        while (more) {
-            more = false;
-            for (; rejectionsSeen < gateway.rejected.size(); rejectionsSeen++) {
-                long q = gateway.rejected.get(rejectionsSeen);
-                assertTrue(answered.add(q), "second answer");
+    private void checkRules(RecordingActions gateway) {
+        boolean hasNewEvents = true;
+        while (hasNewEvents) {
+            hasNewEvents = false;
+            for (; checkedRejections < gateway.rejectedQueries.size(); checkedRejections++) {
+                long query = gateway.rejectedQueries.get(checkedRejections);
+                assertTrue(answeredQueries.add(query), "second final answer");
                 assertTrue(
-                        classOf.get(q) == 0 || classOf.get(q) == 3 || !mayHaveRun.contains(q),
-                        "false promise");
-                assertTrue(gateway.now <= deadline.get(q) + SECONDS);
+                        classByQuery.get(query) == 0
+                                || classByQuery.get(query) == 3
+                                || !queriesThatMayHaveRun.contains(query),
+                        "rejected although it may have run");
+                assertTrue(gateway.now <= deadlineByQuery.get(query) + SECONDS);
             }
-            for (; failuresSeen < gateway.failed.size(); failuresSeen++) {
-                assertTrue(answered.add(gateway.failed.get(failuresSeen)), "second answer");
+            for (; checkedFailures < gateway.failedQueries.size(); checkedFailures++) {
+                assertTrue(
+                        answeredQueries.add(gateway.failedQueries.get(checkedFailures)),
+                        "second final answer");
             }
-            for (; seen < gateway.attempts.size(); seen++) {
-                checkSend(gateway.attempts.get(seen));
+            for (; checkedAttempts < gateway.attempts.size(); checkedAttempts++) {
+                checkAttempt(gateway.attempts.get(checkedAttempts));
             }
-            for (; cancelsSeen < gateway.cancelled.size(); cancelsSeen++) {
-                RecordingActions.Attempt s = out.get(gateway.cancelled.get(cancelsSeen).query());
-                if (s != null) {
-                    more = true;
-                    end(gateway, s, AttemptOutcome.CANCELLED);
+            for (; checkedCancels < gateway.cancelledAttempts.size(); checkedCancels++) {
+                RecordingActions.Attempt attempt =
+                        runningAttempts.get(gateway.cancelledAttempts.get(checkedCancels).query());
+                if (attempt != null) {
+                    hasNewEvents = true;
+                    endAttempt(gateway, attempt, AttemptOutcome.CANCELLED);
                 }
             }
         }
     }
 
-    private void checkSend(RecordingActions.Attempt s) {
-        int queryClass = classOf.get(s.query());
+    private void checkAttempt(RecordingActions.Attempt attempt) {
+        int queryClass = classByQuery.get(attempt.query());
         assertEquals(
                 EngineLifecycle.READY,
-                states.get(s.engine()),
+                lifecycles.get(attempt.engine()),
                 "sent to an engine that is not ready");
-        assertFalse(queryClass == 1 && mayHaveRun.contains(s.query()), "ran twice");
-        assertTrue(s.attempt() < 3, "too many attempts");
-        assertTrue(queryClass != 3 || s.engine() % 2 == 1, "out of place");
-        if (keyOf.get(s.query()) != 0) {
-            long key = keyOf.get(s.query());
+        assertFalse(
+                queryClass == 1 && queriesThatMayHaveRun.contains(attempt.query()),
+                "non-idempotent query may run twice");
+        assertTrue(attempt.number() < 3, "too many attempts");
+        assertTrue(
+                queryClass != 3 || attempt.engine() % 2 == 1, "sent to a zone outside its class");
+        if (keyByQuery.get(attempt.query()) != 0) {
+            long key = keyByQuery.get(attempt.query());
             assertTrue(
-                    out.keySet().stream().noneMatch(q -> keyOf.get(q) == key),
-                    "two of one key at once");
+                    runningAttempts.keySet().stream()
+                            .noneMatch(query -> keyByQuery.get(query) == key),
+                    "two running queries of one ordered key");
             assertTrue(
-                    classOf.keySet().stream()
+                    classByQuery.keySet().stream()
                             .noneMatch(
-                                    q ->
-                                            q < s.query()
-                                                    && keyOf.get(q) == key
-                                                    && !answered.contains(q)),
-                    "out of order");
+                                    query ->
+                                            query < attempt.query()
+                                                    && keyByQuery.get(query) == key
+                                                    && !answeredQueries.contains(query)),
+                    "queries of an ordered key out of order");
         }
-        assertEquals(null, out.put(s.query(), s), "two attempts at once");
+        assertEquals(
+                null,
+                runningAttempts.put(attempt.query(), attempt),
+                "two running attempts of one query");
     }
 }
