--- a/src/test/java/calicostream/routing/RecordingActions.java
+++ b/src/test/java/calicostream/routing/RecordingActions.java
@@ -4,24 +4,25 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Drives a router by hand and records the actions it takes. */
+/** Drives a router with events and records the actions that it requests. */
 final class RecordingActions implements RouterActions {
+    // Units of the router's clock, in microseconds.
     static final long MILLIS = 1000;
     static final long SECONDS = 1_000_000;
-    static final long START = 100 * SECONDS;
+    static final long START_MICROS = 100 * SECONDS;
 
-    record Attempt(long at, long query, long engine, int attempt) {}
+    record Attempt(long startedAt, long query, long engine, int number) {}
 
     final List<Attempt> attempts = new ArrayList<>();
-    final List<Long> rejected = new ArrayList<>();
-    final List<Long> failed = new ArrayList<>();
-    final List<Attempt> cancelled = new ArrayList<>();
-    final List<Long> probed = new ArrayList<>();
-    final List<double[]> resources = new ArrayList<>();
-    final List<String> logged = new ArrayList<>();
+    final List<Long> rejectedQueries = new ArrayList<>();
+    final List<Long> failedQueries = new ArrayList<>();
+    final List<Attempt> cancelledAttempts = new ArrayList<>();
+    final List<Long> probedEngines = new ArrayList<>();
+    final List<double[]> assignedResources = new ArrayList<>();
+    final List<String> logLines = new ArrayList<>();
     final List<long[]> timers = new ArrayList<>();
     int watchRequests;
-    long now = START;
+    long now = START_MICROS;
     final AffinityRouter router;
 
     RecordingActions(RouterSettings settings) {
@@ -29,11 +30,11 @@
         router.start(now);
     }
 
-    static RecordingActions with(int engines, QueryClass... classes) {
-        return with(settings(1, classes), engines);
+    static RecordingActions withEngines(int engines, QueryClass... classes) {
+        return withEngines(settings(1, classes), engines);
     }
 
-    static RecordingActions with(RouterSettings settings, int engines) {
+    static RecordingActions withEngines(RouterSettings settings, int engines) {
         RecordingActions gateway = new RecordingActions(settings);
         List<EngineEndpoint> list = new ArrayList<>();
         for (int i = 1; i <= engines; i++) {
@@ -49,21 +50,21 @@
 
     static RouterSettings settings(
             int gateways,
-            int attempts,
-            double ration,
+            int maxAttempts,
+            double retryRatio,
             boolean probes,
             List<TenantLimit> tenants,
             QueryClass... classes) {
-        return settings(gateways, attempts, ration, probes, tenants, false, classes);
+        return settings(gateways, maxAttempts, retryRatio, probes, tenants, false, classes);
     }
 
     static RouterSettings settings(
             int gateways,
-            int attempts,
-            double ration,
+            int maxAttempts,
+            double retryRatio,
             boolean probes,
             List<TenantLimit> tenants,
-            boolean onRequest,
+            boolean watchOnRequest,
             QueryClass... classes) {
         return new RouterSettings(
                 gateways,
@@ -74,7 +75,7 @@
                 List.of(classes),
                 tenants,
                 0.05,
-                new AttemptLimits(probes, true, attempts),
+                new AttemptLimits(probes, true, maxAttempts),
                 new ProtectionRules(
                         0.3,
                         2.5,
@@ -82,22 +83,22 @@
                         10 * SECONDS,
                         300 * MILLIS,
                         3,
-                        ration,
-                        ration > 0 ? 5 * SECONDS : 0),
+                        retryRatio,
+                        retryRatio > 0 ? 5 * SECONDS : 0),
                 new EngineCapabilities(true, true, 0.4, 500 * MILLIS),
                 probes ? LoadReporting.ON_PROBE : LoadReporting.WITH_ANSWERS,
-                onRequest,
+                watchOnRequest,
                 5 * MILLIS);
     }
 
-    static QueryClass lookupClass(Idempotency effect) {
-        return queryClass(effect, IdempotencyScope.ALL, false, 1, false);
+    static QueryClass lookupClass(Idempotency idempotency) {
+        return queryClass(idempotency, IdempotencyScope.ALL, false, 1, false);
     }
 
     static QueryClass queryClass(
-            Idempotency effect,
+            Idempotency idempotency,
             IdempotencyScope scope,
-            boolean inOrder,
+            boolean orderedByKey,
             int threads,
             boolean load) {
         return new QueryClass(
@@ -106,10 +107,10 @@
                 10 * SECONDS,
                 1,
                 0.3,
-                effect,
+                idempotency,
                 scope,
                 3 * SECONDS,
-                inOrder,
+                orderedByKey,
                 false,
                 threads,
                 load,
@@ -138,11 +139,11 @@
     }
 
     /** Engines with odd ids are in zone 1 and cell 1, the others in zone 0 and cell 0. */
-    static EngineEndpoint engine(long id, long born, EngineLifecycle state) {
-        return new EngineEndpoint(id, 0, (int) (id % 2), (int) (id % 2), born, state);
+    static EngineEndpoint engine(long id, long startedAtUs, EngineLifecycle lifecycle) {
+        return new EngineEndpoint(id, 0, (int) (id % 2), (int) (id % 2), startedAtUs, lifecycle);
     }
 
-    void endpoints(EndpointUpdate kind, EngineEndpoint... engines) {
+    void updateEndpoints(EndpointUpdate kind, EngineEndpoint... engines) {
         router.endpointsChanged(now, kind, List.of(engines));
     }
 
@@ -150,58 +151,63 @@
         accept(id, queryClass, 0, 0, 0, 100 * MILLIS);
     }
 
-    void accept(long id, int queryClass, int tenant, long key, int group, double cost) {
+    void accept(long id, int queryClass, int tenant, long key, int group, double workUs) {
         router.queryAccepted(
                 now,
-                new Query(id, queryClass, tenant, key, 10 * SECONDS, cost, 100, group, false, 0));
+                new Query(id, queryClass, tenant, key, 10 * SECONDS, workUs, 100, group, false, 0));
     }
 
-    /** A query that only this engine may run. */
+    /** Accepts a query that only the given engine may run. */
     void acceptSticky(long id, int queryClass, long engine) {
         router.queryAccepted(
                 now,
                 new Query(id, queryClass, 0, 0, 10 * SECONDS, 100 * MILLIS, 100, 0, false, engine));
     }
 
-    Attempt last() {
+    Attempt lastAttempt() {
         return attempts.get(attempts.size() - 1);
     }
 
-    boolean last(long query) {
-        return !attempts.isEmpty() && last().query == query;
+    /** Returns whether the latest attempt belongs to the query. */
+    boolean isLastAttemptOf(long query) {
+        return !attempts.isEmpty() && lastAttempt().query == query;
     }
 
-    Attempt lastOf(long query) {
-        return attempts.stream().filter(s -> s.query == query).reduce((a, b) -> b).orElse(null);
+    /** Returns the latest attempt of the query, or null if it was not sent. */
+    Attempt lastAttemptOf(long query) {
+        return attempts.stream()
+                .filter(attempt -> attempt.query == query)
+                .reduce((earlier, later) -> later)
+                .orElse(null);
     }
 
-    void end(Attempt s, AttemptOutcome outcome) {
-        end(s, outcome, 0, 0);
+    void endAttempt(Attempt attempt, AttemptOutcome outcome) {
+        endAttempt(attempt, outcome, 0, 0);
     }
 
-    void end(Attempt s, AttemptOutcome outcome, double workMs, double memoryMb) {
+    void endAttempt(Attempt attempt, AttemptOutcome outcome, double workMs, double memoryMb) {
         router.attemptEnded(
                 now,
                 new AttemptResult(
-                        s.query,
-                        s.attempt,
-                        s.engine,
+                        attempt.query,
+                        attempt.number,
+                        attempt.engine,
                         outcome,
                         outcome == AttemptOutcome.OK,
-                        now - s.at,
+                        now - attempt.startedAt,
                         workMs,
                         memoryMb,
                         null));
     }
 
-    void report(long engine, double running) {
+    void reportRunning(long engine, double running) {
         router.probeCompleted(now, engine, AttemptOutcome.OK, new LoadReport(running, Double.NaN));
     }
 
-    /** Lets time pass, with every timer that falls due on the way. */
-    void advance(long us) {
-        long until = now + us;
-        for (long[] due = next(until); due != null; due = next(until)) {
+    /** Advances the clock and fires each timer that expires on the way. */
+    void advance(long micros) {
+        long until = now + micros;
+        for (long[] due = nextTimer(until); due != null; due = nextTimer(until)) {
             timers.remove(due);
             now = Math.max(now, due[0]);
             router.timerFired(now, due[1]);
@@ -209,42 +215,43 @@
         now = until;
     }
 
-    private long[] next(long until) {
+    private long[] nextTimer(long until) {
         return timers.stream()
-                .filter(t -> t[0] <= until)
+                .filter(timer -> timer[0] <= until)
                 .min((a, b) -> Long.compare(a[0], b[0]))
                 .orElse(null);
     }
 
-    long answers(long query) {
-        return rejected.stream().filter(q -> q == query).count()
-                + failed.stream().filter(q -> q == query).count();
+    /** Returns how often the router rejected or failed the query. */
+    long finalAnswerCount(long query) {
+        return rejectedQueries.stream().filter(id -> id == query).count()
+                + failedQueries.stream().filter(id -> id == query).count();
     }
 
     @Override
     public void startAttempt(long query, long engine, long giveUpAt) {
-        int attempt = (int) attempts.stream().filter(s -> s.query == query).count();
-        attempts.add(new Attempt(now, query, engine, attempt));
+        int number = (int) attempts.stream().filter(attempt -> attempt.query == query).count();
+        attempts.add(new Attempt(now, query, engine, number));
     }
 
     @Override
     public void cancelAttempt(long query, int attempt) {
-        cancelled.add(new Attempt(now, query, 0, attempt));
+        cancelledAttempts.add(new Attempt(now, query, 0, attempt));
     }
 
     @Override
     public void reject(long query, long retryAfterUs) {
-        rejected.add(query);
+        rejectedQueries.add(query);
     }
 
     @Override
     public void fail(long query) {
-        failed.add(query);
+        failedQueries.add(query);
     }
 
     @Override
     public void assignResources(long query, double memoryMb, int priority) {
-        resources.add(new double[] {query, memoryMb, priority});
+        assignedResources.add(new double[] {query, memoryMb, priority});
     }
 
     @Override
@@ -254,7 +261,7 @@
 
     @Override
     public void probeLoad(long engine) {
-        probed.add(engine);
+        probedEngines.add(engine);
     }
 
     @Override
@@ -264,6 +271,6 @@
 
     @Override
     public void log(String text) {
-        logged.add(text);
+        logLines.add(text);
     }
 }
--- a/src/test/java/calicostream/routing/RulesTest.java
+++ b/src/test/java/calicostream/routing/RulesTest.java
@@ -16,214 +16,220 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Each of the seven rules, one case at a time. */
+/** Tests each of the seven routing rules on its own. */
 class RulesTest {
     private static final QueryClass LOOKUP = lookupClass(Idempotency.IDEMPOTENT);
     private static final QueryClass NON_IDEMPOTENT_LOOKUP = lookupClass(Idempotency.NON_IDEMPOTENT);
 
     @Test
-    void unansweredQueryEndsBeforeItsDeadlineByOwnTimer() {
-        RecordingActions gateway = RecordingActions.with(2, NON_IDEMPOTENT_LOOKUP);
+    void unansweredQueryFailsBeforeItsDeadline() {
+        RecordingActions gateway = RecordingActions.withEngines(2, NON_IDEMPOTENT_LOOKUP);
         gateway.accept(1, 0);
         gateway.advance(10 * SECONDS);
-        assertEquals(List.of(1L), gateway.failed);
-        gateway.end(gateway.last(), AttemptOutcome.TIMEOUT);
-        assertEquals(1, gateway.answers(1));
+        assertEquals(List.of(1L), gateway.failedQueries);
+        gateway.endAttempt(gateway.lastAttempt(), AttemptOutcome.TIMEOUT);
+        assertEquals(1, gateway.finalAnswerCount(1));
     }
 
     @Test
-    void queryWithoutAnyEngineIsRejected() {
-        RecordingActions gateway = RecordingActions.with(0, LOOKUP);
+    void queryIsRejectedWithoutEngines() {
+        RecordingActions gateway = RecordingActions.withEngines(0, LOOKUP);
         gateway.accept(1, 0);
         gateway.advance(10 * SECONDS);
-        assertEquals(List.of(1L), gateway.rejected);
+        assertEquals(List.of(1L), gateway.rejectedQueries);
         assertTrue(gateway.attempts.isEmpty());
     }
 
     @Test
-    void lateAndRepeatedEventsForEndedQueriesAreIgnored() {
-        RecordingActions gateway = RecordingActions.with(2, LOOKUP);
+    void lateAndRepeatedEventsOfClosedQueriesAreIgnored() {
+        RecordingActions gateway = RecordingActions.withEngines(2, LOOKUP);
         gateway.accept(1, 0);
-        RecordingActions.Attempt s = gateway.last();
-        gateway.end(s, AttemptOutcome.OK);
-        gateway.end(s, AttemptOutcome.TIMEOUT);
+        RecordingActions.Attempt attempt = gateway.lastAttempt();
+        gateway.endAttempt(attempt, AttemptOutcome.OK);
+        gateway.endAttempt(attempt, AttemptOutcome.TIMEOUT);
         gateway.router.queryAbandoned(gateway.now, 1);
         gateway.router.queryAbandoned(gateway.now, 77);
         gateway.advance(11 * SECONDS);
-        assertEquals(0, gateway.answers(1));
+        assertEquals(0, gateway.finalAnswerCount(1));
         assertEquals(1, gateway.attempts.size());
     }
 
     @Test
-    void abandonedQueryIsNotSentAgain() {
-        RecordingActions gateway = RecordingActions.with(2, LOOKUP);
+    void abandonedQueryIsNotRetried() {
+        RecordingActions gateway = RecordingActions.withEngines(2, LOOKUP);
         gateway.accept(1, 0);
         gateway.router.queryAbandoned(gateway.now, 1);
-        gateway.end(gateway.last(), AttemptOutcome.RESET);
+        gateway.endAttempt(gateway.lastAttempt(), AttemptOutcome.RESET);
         gateway.advance(11 * SECONDS);
         assertEquals(1, gateway.attempts.size());
-        assertEquals(0, gateway.answers(1));
+        assertEquals(0, gateway.finalAnswerCount(1));
     }
 
     @Test
-    void nonIdempotentQueryIsRetriedOnlyWhileItProvablyNeverRan() {
-        RecordingActions gateway = RecordingActions.with(3, NON_IDEMPOTENT_LOOKUP);
+    void nonIdempotentQueryIsRetriedOnlyIfItNeverRan() {
+        RecordingActions gateway = RecordingActions.withEngines(3, NON_IDEMPOTENT_LOOKUP);
         gateway.accept(1, 0);
-        gateway.end(gateway.last(), AttemptOutcome.OVERLOADED);
+        gateway.endAttempt(gateway.lastAttempt(), AttemptOutcome.OVERLOADED);
         assertEquals(2, gateway.attempts.size());
-        gateway.end(gateway.last(), AttemptOutcome.ERROR);
+        gateway.endAttempt(gateway.lastAttempt(), AttemptOutcome.ERROR);
         gateway.advance(11 * SECONDS);
         assertEquals(2, gateway.attempts.size());
-        assertEquals(List.of(1L), gateway.failed);
-        assertTrue(gateway.rejected.isEmpty());
+        assertEquals(List.of(1L), gateway.failedQueries);
+        assertTrue(gateway.rejectedQueries.isEmpty());
     }
 
     @Test
-    void keyedRepeatStaysInScopeAndWindow() {
-        QueryClass zone =
+    void retryByKeyStaysInScopeAndWindow() {
+        QueryClass queryClass =
                 queryClass(Idempotency.IDEMPOTENT_WITH_KEY, IdempotencyScope.ZONE, false, 1, false);
-        RecordingActions gateway = RecordingActions.with(6, zone);
+        RecordingActions gateway = RecordingActions.withEngines(6, queryClass);
         gateway.accept(1, 0);
-        RecordingActions.Attempt first = gateway.last();
-        gateway.end(first, AttemptOutcome.RESET);
+        RecordingActions.Attempt first = gateway.lastAttempt();
+        gateway.endAttempt(first, AttemptOutcome.RESET);
         assertEquals(2, gateway.attempts.size());
-        assertNotEquals(first.engine(), gateway.last().engine());
-        assertEquals(first.engine() % 2, gateway.last().engine() % 2);
+        assertNotEquals(first.engine(), gateway.lastAttempt().engine());
+        assertEquals(first.engine() % 2, gateway.lastAttempt().engine() % 2);
         gateway.advance(3 * SECONDS);
-        gateway.end(gateway.last(), AttemptOutcome.RESET);
+        gateway.endAttempt(gateway.lastAttempt(), AttemptOutcome.RESET);
         assertEquals(2, gateway.attempts.size());
-        assertEquals(List.of(1L), gateway.failed);
+        assertEquals(List.of(1L), gateway.failedQueries);
     }
 
     @Test
-    void keyedQueryThatMayHaveRunIsRejectedOnlyWhereAllEnginesDiscardRepeats() {
+    void keyedQueryThatMayHaveRunIsRejectedOnlyInScopeAll() {
         for (IdempotencyScope scope : IdempotencyScope.values()) {
             RecordingActions gateway =
-                    RecordingActions.with(
+                    RecordingActions.withEngines(
                             1, queryClass(Idempotency.IDEMPOTENT_WITH_KEY, scope, false, 1, false));
             gateway.accept(1, 0);
-            gateway.endpoints(EndpointUpdate.INCREMENTAL, engine(1, 0, EngineLifecycle.REMOVED));
-            gateway.end(gateway.last(), AttemptOutcome.RESET);
+            gateway.updateEndpoints(
+                    EndpointUpdate.INCREMENTAL, engine(1, 0, EngineLifecycle.REMOVED));
+            gateway.endAttempt(gateway.lastAttempt(), AttemptOutcome.RESET);
             gateway.advance(11 * SECONDS);
-            assertEquals(scope == IdempotencyScope.ALL ? 1 : 0, gateway.rejected.size());
-            assertEquals(scope == IdempotencyScope.ALL ? 0 : 1, gateway.failed.size());
+            assertEquals(scope == IdempotencyScope.ALL ? 1 : 0, gateway.rejectedQueries.size());
+            assertEquals(scope == IdempotencyScope.ALL ? 0 : 1, gateway.failedQueries.size());
         }
     }
 
     @Test
-    void nothingGoesToDrainingOrRemovedEngines() {
-        RecordingActions gateway = RecordingActions.with(2, LOOKUP);
-        gateway.endpoints(EndpointUpdate.INCREMENTAL, engine(1, 0, EngineLifecycle.DRAINING));
+    void drainingAndRemovedEnginesGetNoQueries() {
+        RecordingActions gateway = RecordingActions.withEngines(2, LOOKUP);
+        gateway.updateEndpoints(EndpointUpdate.INCREMENTAL, engine(1, 0, EngineLifecycle.DRAINING));
         for (int i = 0; i < 20; i++) {
             gateway.accept(i, 0, 0, 0, i, 100 * MILLIS);
         }
-        assertTrue(gateway.attempts.stream().allMatch(s -> s.engine() == 2));
-        int before = gateway.attempts.size();
-        gateway.endpoints(EndpointUpdate.COMPLETE, engine(3, 0, EngineLifecycle.READY));
+        assertTrue(gateway.attempts.stream().allMatch(attempt -> attempt.engine() == 2));
+        int attemptsBefore = gateway.attempts.size();
+        gateway.updateEndpoints(EndpointUpdate.COMPLETE, engine(3, 0, EngineLifecycle.READY));
         gateway.accept(100, 0);
         assertTrue(
-                gateway.attempts.subList(before, gateway.attempts.size()).stream()
-                        .allMatch(s -> s.engine() == 3));
+                gateway.attempts.subList(attemptsBefore, gateway.attempts.size()).stream()
+                        .allMatch(attempt -> attempt.engine() == 3));
     }
 
     @Test
-    void queriesOfOneKeyRunOneAtATimeInOrderAndPauseAfterAnUnknownEnd() {
-        QueryClass ordered =
+    void orderedKeyRunsSeriallyWithQuietPeriodAfterReset() {
+        QueryClass queryClass =
                 queryClass(Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL, true, 1, false);
-        RecordingActions gateway = RecordingActions.with(3, ordered);
-        gateway.advance(300 * MILLIS); // Keys stay quiet after a start.
+        RecordingActions gateway = RecordingActions.withEngines(3, queryClass);
+        // Ordered keys have a quiet period after startup.
+        gateway.advance(300 * MILLIS);
         gateway.accept(1, 0, 0, 7, 1, 100 * MILLIS);
         gateway.accept(2, 0, 0, 7, 1, 100 * MILLIS);
         gateway.accept(3, 0, 0, 8, 1, 100 * MILLIS);
-        assertNull(gateway.lastOf(2));
-        assertEquals(3, gateway.last().query());
+        assertNull(gateway.lastAttemptOf(2));
+        assertEquals(3, gateway.lastAttempt().query());
         gateway.advance(50 * MILLIS);
-        gateway.end(gateway.lastOf(1), AttemptOutcome.RESET);
-        assertEquals(List.of(1L), gateway.failed);
+        gateway.endAttempt(gateway.lastAttemptOf(1), AttemptOutcome.RESET);
+        assertEquals(List.of(1L), gateway.failedQueries);
         gateway.advance(250 * MILLIS);
-        assertNull(gateway.lastOf(2));
+        assertNull(gateway.lastAttemptOf(2));
         gateway.advance(200 * MILLIS);
-        assertEquals(2, gateway.last().query());
+        assertEquals(2, gateway.lastAttempt().query());
     }
 
     @Test
-    void keyWaitsForTheAttemptOfAnEndedQuery() {
-        QueryClass ordered =
+    void orderedKeyWaitsForAttemptOfAbandonedQuery() {
+        QueryClass queryClass =
                 queryClass(Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL, true, 1, false);
-        RecordingActions gateway = RecordingActions.with(3, ordered);
-        gateway.advance(300 * MILLIS); // Keys stay quiet after a start.
+        RecordingActions gateway = RecordingActions.withEngines(3, queryClass);
+        // Ordered keys have a quiet period after startup.
+        gateway.advance(300 * MILLIS);
         gateway.accept(1, 0, 0, 7, 1, 100 * MILLIS);
         gateway.router.queryAbandoned(gateway.now, 1);
         gateway.accept(2, 0, 0, 7, 1, 100 * MILLIS);
         gateway.advance(500 * MILLIS);
-        assertNull(gateway.lastOf(2));
-        gateway.end(gateway.lastOf(1), AttemptOutcome.CANCELLED);
+        assertNull(gateway.lastAttemptOf(2));
+        gateway.endAttempt(gateway.lastAttemptOf(1), AttemptOutcome.CANCELLED);
         gateway.advance(250 * MILLIS);
-        assertNull(gateway.lastOf(2));
+        assertNull(gateway.lastAttemptOf(2));
         gateway.advance(150 * MILLIS);
-        assertEquals(2, gateway.last().query());
+        assertEquals(2, gateway.lastAttempt().query());
     }
 
     @Test
-    void placedClassStaysInItsZoneOnEveryAttempt() {
+    void attemptsStayInZonesAndKindsOfTheirClass() {
         RecordingActions gateway =
-                RecordingActions.with(4, RecordingActions.placedClass(List.of(1), List.of()));
+                RecordingActions.withEngines(
+                        4, RecordingActions.placedClass(List.of(1), List.of()));
         gateway.accept(1, 0);
-        gateway.end(gateway.last(), AttemptOutcome.CONNECT_FAILED);
-        gateway.end(gateway.last(), AttemptOutcome.CONNECT_FAILED);
+        gateway.endAttempt(gateway.lastAttempt(), AttemptOutcome.CONNECT_FAILED);
+        gateway.endAttempt(gateway.lastAttempt(), AttemptOutcome.CONNECT_FAILED);
         gateway.advance(11 * SECONDS);
         assertTrue(gateway.attempts.size() >= 2);
-        assertTrue(gateway.attempts.stream().allMatch(s -> s.engine() % 2 == 1));
-        RecordingActions none =
-                RecordingActions.with(4, RecordingActions.placedClass(List.of(), List.of(5)));
-        none.accept(1, 0);
-        none.advance(11 * SECONDS);
-        assertTrue(none.attempts.isEmpty());
-        assertEquals(1, none.answers(1));
+        assertTrue(gateway.attempts.stream().allMatch(attempt -> attempt.engine() % 2 == 1));
+        RecordingActions withoutMatch =
+                RecordingActions.withEngines(
+                        4, RecordingActions.placedClass(List.of(), List.of(5)));
+        withoutMatch.accept(1, 0);
+        withoutMatch.advance(11 * SECONDS);
+        assertTrue(withoutMatch.attempts.isEmpty());
+        assertEquals(1, withoutMatch.finalAnswerCount(1));
     }
 
     @Test
-    void retriesStayWithinTheBudget() {
+    void retriesStayWithinBudget() {
         RecordingActions gateway =
-                RecordingActions.with(
+                RecordingActions.withEngines(
                         RecordingActions.settings(1, 3, 0.1, false, List.of(), LOOKUP), 6);
         for (int i = 0; i < 20; i++) {
             gateway.accept(i, 0, 0, 0, i, 100 * MILLIS);
         }
-        for (RecordingActions.Attempt s : List.copyOf(gateway.attempts)) {
-            gateway.end(s, AttemptOutcome.RESET);
+        for (RecordingActions.Attempt attempt : List.copyOf(gateway.attempts)) {
+            gateway.endAttempt(attempt, AttemptOutcome.RESET);
         }
         assertEquals(20 + 5, gateway.attempts.size());
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 300})
-    void fleetThatVanishesAndReturnsLeavesNoQueryUnanswered(int gateways) {
+    void queriesAreAnsweredWhenFleetVanishesAndReturns(int gateways) {
         RecordingActions gateway =
-                RecordingActions.with(RecordingActions.settings(gateways, LOOKUP), 3);
-        gateway.endpoints(EndpointUpdate.COMPLETE);
+                RecordingActions.withEngines(RecordingActions.settings(gateways, LOOKUP), 3);
+        gateway.updateEndpoints(EndpointUpdate.COMPLETE);
         gateway.accept(1, 0);
-        assertTrue(gateway.attempts.isEmpty(), "no engine is left");
-        gateway.now += 30 * SECONDS; // The clock may jump; timers then come late, and once each.
+        assertTrue(gateway.attempts.isEmpty(), "the fleet has no engines");
+        // After a clock jump, each timer fires late and only once.
+        gateway.now += 30 * SECONDS;
         gateway.advance(0);
-        assertEquals(1, gateway.answers(1));
-        gateway.endpoints(EndpointUpdate.COMPLETE, engine(1, 0, EngineLifecycle.READY));
+        assertEquals(1, gateway.finalAnswerCount(1));
+        gateway.updateEndpoints(EndpointUpdate.COMPLETE, engine(1, 0, EngineLifecycle.READY));
         gateway.accept(2, 0);
-        assertTrue(gateway.last(2));
+        assertTrue(gateway.isLastAttemptOf(2));
     }
 
     @Test
-    void oneAttemptAtATimeAndNoMoreThanAllowed() {
-        RecordingActions gateway = RecordingActions.with(5, LOOKUP);
+    void attemptsAreSequentialAndLimited() {
+        RecordingActions gateway = RecordingActions.withEngines(5, LOOKUP);
         gateway.accept(1, 0);
         for (int i = 0; i < 5; i++) {
             gateway.advance(10 * MILLIS);
-            if (gateway.last().attempt() == i) {
+            if (gateway.lastAttempt().number() == i) {
                 assertEquals(i + 1, gateway.attempts.size());
-                gateway.end(gateway.last(), AttemptOutcome.CONNECTION_BROKEN);
+                gateway.endAttempt(gateway.lastAttempt(), AttemptOutcome.CONNECTION_BROKEN);
             }
         }
         assertEquals(3, gateway.attempts.size());
-        assertEquals(1, gateway.answers(1));
+        assertEquals(1, gateway.finalAnswerCount(1));
     }
 }
--- a/src/test/java/calicostream/routing/SlowStartTest.java
+++ b/src/test/java/calicostream/routing/SlowStartTest.java
@@ -13,11 +13,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What engines that are warming up are sent by one gateway and by all together. */
+/** Tests the work that one gateway, and all gateways together, send to warming-up engines. */
 class SlowStartTest {
     private static final QueryClass LOOKUP = lookupClass(Idempotency.IDEMPOTENT);
 
-    /** Returns the same deployment's settings for another gateway. */
+    /** Returns the settings of another gateway in the same deployment. */
     private static RouterSettings gatewaySettings(RouterSettings settings, int index) {
         return new RouterSettings(
                 settings.gateways(),
@@ -37,33 +37,33 @@
     }
 
     @Test
-    void warmingUpEngineGetsOnlyThisGatewaysPartWithinTheWindow() {
+    void gatewayKeepsToItsShareOfSlowStartAllowance() {
         double[] work = new double[2];
         for (int gateways = 1; gateways <= 2; gateways++) {
             RecordingActions gateway =
                     new RecordingActions(RecordingActions.settings(gateways, LOOKUP));
-            gateway.endpoints(
+            gateway.updateEndpoints(
                     EndpointUpdate.COMPLETE, engine(1, gateway.now, EngineLifecycle.READY));
             for (int i = 0; i < 400; i++) {
                 gateway.accept(i, 0);
-                if (!gateway.attempts.isEmpty() && gateway.lastOf(i) != null) {
-                    gateway.end(gateway.last(), AttemptOutcome.OK, 100, 50);
+                if (!gateway.attempts.isEmpty() && gateway.lastAttemptOf(i) != null) {
+                    gateway.endAttempt(gateway.lastAttempt(), AttemptOutcome.OK, 100, 50);
                 }
                 gateway.advance(4 * MILLIS);
             }
             work[gateways - 1] = gateway.attempts.size() * 0.1;
-            double mayTake = 2.5 * 0.3 * 8 * 2 / gateways;
+            double maxSeconds = 2.5 * 0.3 * 8 * 2 / gateways;
             assertTrue(
-                    work[gateways - 1] > 0 && work[gateways - 1] < mayTake,
+                    work[gateways - 1] > 0 && work[gateways - 1] < maxSeconds,
                     work[gateways - 1] + " s of work");
         }
         assertTrue(work[0] > 1.5 * work[1]);
     }
 
     @Test
-    void restartedGatewayAssumesItsPartOfAWarmingUpEngineIsSpent() {
+    void restartedGatewayAssumesItsAllowanceIsUsedUp() {
         RecordingActions gateway = new RecordingActions(RecordingActions.settings(1, LOOKUP));
-        gateway.endpoints(
+        gateway.updateEndpoints(
                 EndpointUpdate.CACHED, engine(1, gateway.now - SECONDS, EngineLifecycle.READY));
         gateway.accept(1, 0);
         assertTrue(gateway.attempts.isEmpty());
@@ -76,110 +76,123 @@
     }
 
     /**
-     * Many gateways together, of one process or two: in no window is a warming-up engine sent more
-     * than the rule allows.
+     * All gateways together, with one or two processes each, must not send a warming-up engine more
+     * than the allowed work in any window.
      */
     @ParameterizedTest
     @CsvSource({"1, 1", "2, 1", "7, 1", "40, 1", "300, 1", "1, 2", "3, 2", "40, 2"})
-    void allGatewaysTogetherKeepAWarmingUpEngineWithinItsCapacity(int gateways, int processes) {
-        RouterSettings s = RecordingActions.settings(gateways, LOOKUP);
+    void allGatewaysTogetherStayWithinSlowStartLimit(int gateways, int processes) {
+        RouterSettings settings = RecordingActions.settings(gateways, LOOKUP);
         double limit =
-                s.protectionRules().slowStartMultiple()
-                        * s.protectionRules().slowStartShare()
+                settings.protectionRules().slowStartMultiple()
+                        * settings.protectionRules().slowStartShare()
                         * 8
-                        * s.protectionRules().slowStartWindowUs();
+                        * settings.protectionRules().slowStartWindowUs();
         TreeMap<Long, Double> sent = new TreeMap<>();
         for (int i = 0; i < gateways * processes; i++) {
-            int g = i / processes;
-            RecordingActions gateway = new RecordingActions(gatewaySettings(s, g));
+            int gatewayIndex = i / processes;
+            RecordingActions gateway =
+                    new RecordingActions(gatewaySettings(settings, gatewayIndex));
             gateway.router.processesChanged(gateway.now, processes, i % processes);
-            gateway.endpoints(
+            gateway.updateEndpoints(
                     EndpointUpdate.COMPLETE,
-                    engine(1, RecordingActions.START, EngineLifecycle.READY));
-            int ended = 0;
-            for (int q = 0; q < 90; q++) {
-                gateway.accept(q, 0, 0, 0, 1, 2 * SECONDS);
+                    engine(1, RecordingActions.START_MICROS, EngineLifecycle.READY));
+            int endedAttempts = 0;
+            for (int id = 0; id < 90; id++) {
+                gateway.accept(id, 0, 0, 0, 1, 2 * SECONDS);
                 gateway.advance(100 * MILLIS);
-                for (;
-                        ended < gateway.attempts.size();
-                        ended++) { // Queued ones, too, which go in the gateway's turn.
-                    sent.merge(gateway.attempts.get(ended).at(), 2.0 * SECONDS, Double::sum);
-                    gateway.end(gateway.attempts.get(ended), AttemptOutcome.OK, 2000, 50);
+                for (; endedAttempts < gateway.attempts.size(); endedAttempts++) {
+                    // Includes queued queries, which are sent in the turn of the gateway.
+                    sent.merge(
+                            gateway.attempts.get(endedAttempts).startedAt(),
+                            2.0 * SECONDS,
+                            Double::sum);
+                    gateway.endAttempt(
+                            gateway.attempts.get(endedAttempts), AttemptOutcome.OK, 2000, 50);
                 }
             }
         }
-        double most = 0;
-        for (long from : sent.keySet()) {
-            most =
+        double maxWork = 0;
+        for (long windowStart : sent.keySet()) {
+            maxWork =
                     Math.max(
-                            most,
+                            maxWork,
                             sent
-                                    .subMap(from, from + s.protectionRules().slowStartWindowUs())
+                                    .subMap(
+                                            windowStart,
+                                            windowStart
+                                                    + settings.protectionRules()
+                                                            .slowStartWindowUs())
                                     .values()
                                     .stream()
                                     .mapToDouble(Double::doubleValue)
                                     .sum());
         }
         assertTrue(
-                most > 0 && most <= limit,
-                most / SECONDS + " of " + limit / SECONDS + " core-seconds");
-        double all = sent.values().stream().mapToDouble(Double::doubleValue).sum();
-        double budget =
-                SlowStartLimiter.USED_SHARE
-                        * SlowStartLimiter.CORE_YIELD
+                maxWork > 0 && maxWork <= limit,
+                maxWork / SECONDS + " of " + limit / SECONDS + " core-seconds");
+        double totalWork = sent.values().stream().mapToDouble(Double::doubleValue).sum();
+        double allowedWork =
+                SlowStartLimiter.ALLOWANCE_SHARE
+                        * SlowStartLimiter.CORE_EFFICIENCY
                         * limit
                         * 9
                         * SECONDS
-                        / s.protectionRules().slowStartWindowUs();
-        double least = gateways * processes > 2 ? 0.7 : 0.6; // Two have a query and a half each.
+                        / settings.protectionRules().slowStartWindowUs();
+        // Two gateways may send 1.5 queries each, so that rounding wastes more of the limit.
+        double minShare = gateways * processes > 2 ? 0.7 : 0.6;
         assertTrue(
-                all > least * budget, all / SECONDS + " of " + budget / SECONDS + " core-seconds");
+                totalWork > minShare * allowedWork,
+                totalWork / SECONDS + " of " + allowedWork / SECONDS + " core-seconds");
     }
 
     /**
-     * Front ends that have just started know nothing of heavy queries: a warming-up engine takes
-     * them all the same, within the rule.
+     * Gateways that have just started do not know the work of heavy queries. They must still send
+     * such queries to a warming-up engine, within the limit.
      */
     @Test
-    void queriesOfUnknownWorkHaveTheirTurnsAtAWarmingUpEngine() {
-        RouterSettings s = RecordingActions.settings(40, LOOKUP, LOOKUP);
+    void warmingUpEngineRunsQueriesOfUnknownWork() {
+        RouterSettings settings = RecordingActions.settings(40, LOOKUP, LOOKUP);
         TreeMap<Long, Double> sent = new TreeMap<>();
-        int heavy = 0;
-        for (int g = 0; g < 40; g++) {
-            RecordingActions gateway = new RecordingActions(gatewaySettings(s, g));
-            gateway.endpoints(
+        int heavyQueries = 0;
+        for (int gatewayIndex = 0; gatewayIndex < 40; gatewayIndex++) {
+            RecordingActions gateway =
+                    new RecordingActions(gatewaySettings(settings, gatewayIndex));
+            gateway.updateEndpoints(
                     EndpointUpdate.COMPLETE,
-                    engine(1, RecordingActions.START, EngineLifecycle.READY));
-            int ended = 0;
-            for (int q = 0; q < 36; q++) {
-                boolean isHeavy = q % 4 == 3;
-                gateway.accept(q, isHeavy ? 1 : 0, 0, 0, 1, isHeavy ? 0 : 100 * MILLIS);
+                    engine(1, RecordingActions.START_MICROS, EngineLifecycle.READY));
+            int endedAttempts = 0;
+            for (int id = 0; id < 36; id++) {
+                boolean isHeavyQuery = id % 4 == 3;
+                gateway.accept(id, isHeavyQuery ? 1 : 0, 0, 0, 1, isHeavyQuery ? 0 : 100 * MILLIS);
                 gateway.advance(250 * MILLIS);
-                for (; ended < gateway.attempts.size(); ended++) {
-                    boolean wasHeavy = gateway.attempts.get(ended).query() % 4 == 3;
-                    heavy += wasHeavy ? 1 : 0;
+                for (; endedAttempts < gateway.attempts.size(); endedAttempts++) {
+                    boolean wasHeavyQuery = gateway.attempts.get(endedAttempts).query() % 4 == 3;
+                    heavyQueries += wasHeavyQuery ? 1 : 0;
                     sent.merge(
-                            gateway.attempts.get(ended).at(),
-                            wasHeavy ? 1.0 * SECONDS : 0.1 * SECONDS,
+                            gateway.attempts.get(endedAttempts).startedAt(),
+                            wasHeavyQuery ? 1.0 * SECONDS : 0.1 * SECONDS,
                             Double::sum);
-                    gateway.end(gateway.attempts.get(ended), AttemptOutcome.OK);
+                    gateway.endAttempt(gateway.attempts.get(endedAttempts), AttemptOutcome.OK);
                 }
             }
         }
-        assertTrue(heavy > 10, heavy + " heavy queries in 9 s of 40 front ends");
+        assertTrue(heavyQueries > 10, heavyQueries + " heavy queries in 9 s from 40 gateways");
         double limit =
-                s.protectionRules().slowStartMultiple()
-                        * s.protectionRules().slowStartShare()
+                settings.protectionRules().slowStartMultiple()
+                        * settings.protectionRules().slowStartShare()
                         * 8
-                        * s.protectionRules().slowStartWindowUs();
+                        * settings.protectionRules().slowStartWindowUs();
         sent.keySet()
                 .forEach(
-                        from -> {
+                        windowStart -> {
                             double work =
                                     sent
                                             .subMap(
-                                                    from,
-                                                    from + s.protectionRules().slowStartWindowUs())
+                                                    windowStart,
+                                                    windowStart
+                                                            + settings.protectionRules()
+                                                                    .slowStartWindowUs())
                                             .values()
                                             .stream()
                                             .mapToDouble(d -> d)
@@ -191,73 +204,87 @@
     }
 
     /**
-     * Light queries of one class that a warming-up engine takes in a row, after 20 s in which two
-     * light classes, and a heavy one with every twentieth query, ran in 100 ms each; the answers
-     * tell the work where {@code told}.
+     * Returns how many light queries of one class a warming-up engine gets in a row. Before,
+     * queries of two light classes, and of a heavy class every twentieth time, ran for 100 ms each
+     * over 40 s; answers report their work if {@code workReported} is set.
      */
-    private static int lightQueriesToWarmingUpEngine(boolean told, double light, double heavy) {
+    private static int lightQueriesToWarmingUpEngine(
+            boolean workReported, double lightWork, double heavyWork) {
         RecordingActions gateway =
-                RecordingActions.with(RecordingActions.settings(1, LOOKUP, LOOKUP, LOOKUP), 3);
-        for (int q = 0; q < 400; q++) {
-            double cost = q % 20 == 0 ? heavy : light;
-            gateway.accept(q, q % 20 == 0 ? 2 : q % 2, 0, 0, 1, cost);
+                RecordingActions.withEngines(
+                        RecordingActions.settings(1, LOOKUP, LOOKUP, LOOKUP), 3);
+        for (int id = 0; id < 400; id++) {
+            double workMicros = id % 20 == 0 ? heavyWork : lightWork;
+            gateway.accept(id, id % 20 == 0 ? 2 : id % 2, 0, 0, 1, workMicros);
             gateway.advance(100 * MILLIS);
-            gateway.end(gateway.lastOf(q), AttemptOutcome.OK, told ? cost / MILLIS : 0, 50);
+            gateway.endAttempt(
+                    gateway.lastAttemptOf(id),
+                    AttemptOutcome.OK,
+                    workReported ? workMicros / MILLIS : 0,
+                    50);
         }
-        gateway.endpoints(EndpointUpdate.COMPLETE, engine(9, gateway.now, EngineLifecycle.READY));
-        int taken = 0;
-        for (gateway.accept(1000, 1, 0, 0, 1, light);
-                gateway.last(1000 + taken) && taken < 100;
-                gateway.accept(1000 + taken, 1, 0, 0, 1, light)) {
-            RecordingActions.Attempt sent = gateway.last();
+        gateway.updateEndpoints(
+                EndpointUpdate.COMPLETE, engine(9, gateway.now, EngineLifecycle.READY));
+        int sentQueries = 0;
+        for (gateway.accept(1000, 1, 0, 0, 1, lightWork);
+                gateway.isLastAttemptOf(1000 + sentQueries) && sentQueries < 100;
+                gateway.accept(1000 + sentQueries, 1, 0, 0, 1, lightWork)) {
+            RecordingActions.Attempt sent = gateway.lastAttempt();
             gateway.router.attemptEnded(
                     gateway.now,
                     new AttemptResult(
                             sent.query(),
-                            sent.attempt(),
+                            sent.number(),
                             sent.engine(),
                             AttemptOutcome.OK,
                             true,
                             100 * MILLIS,
-                            told ? light / MILLIS : 0,
+                            workReported ? lightWork / MILLIS : 0,
                             50,
                             null));
-            taken++;
+            sentQueries++;
         }
-        return taken;
+        return sentQueries;
     }
 
     /**
-     * Two light classes have 5.7 of 13.7 s of the work: one of them alone may use up what is
-     * both's, and no more.
+     * Two light classes requested 5.7 s of 13.7 s of work. One of them alone may use the allowance
+     * of both, but no more.
      */
     @Test
-    void lightClassesShareTheirPartOfAWarmingUpEngine() {
-        double both =
-                SlowStartLimiter.USED_SHARE
-                        * SlowStartLimiter.CORE_YIELD
+    void lightClassesShareSlowStartAllowance() {
+        double allowedSeconds =
+                SlowStartLimiter.ALLOWANCE_SHARE
+                        * SlowStartLimiter.CORE_EFFICIENCY
                         * 2.5
                         * 0.3
                         * 8
                         * 2
                         * 5.7
                         / 13.7;
-        int taken = lightQueriesToWarmingUpEngine(true, 300 * MILLIS, 8 * SECONDS);
+        int sentQueries = lightQueriesToWarmingUpEngine(true, 300 * MILLIS, 8 * SECONDS);
         assertTrue(
-                taken * 0.3 > 0.8 * both && taken * 0.3 < 1.1 * both,
-                taken + " of 0.3 s, " + both + " s allowed");
+                sentQueries * 0.3 > 0.8 * allowedSeconds
+                        && sentQueries * 0.3 < 1.1 * allowedSeconds,
+                sentQueries + " queries of 0.3 s, " + allowedSeconds + " s allowed");
     }
 
     /**
-     * Estimates thirty times too high, which no answer sets right, do not keep a warming-up engine
-     * empty.
+     * Estimates that are thirty times too high, and not corrected by any answer, must not keep a
+     * warming-up engine empty.
      */
     @Test
-    void runTimesBoundRoughEstimatesAtAWarmingUpEngine() {
-        double most = SlowStartLimiter.USED_SHARE * SlowStartLimiter.CORE_YIELD * 2.5 * 0.3 * 8 * 2;
-        int taken = lightQueriesToWarmingUpEngine(false, 3 * SECONDS, 3 * SECONDS);
+    void runTimesBoundInflatedEstimates() {
+        double allowedSeconds =
+                SlowStartLimiter.ALLOWANCE_SHARE
+                        * SlowStartLimiter.CORE_EFFICIENCY
+                        * 2.5
+                        * 0.3
+                        * 8
+                        * 2;
+        int sentQueries = lightQueriesToWarmingUpEngine(false, 3 * SECONDS, 3 * SECONDS);
         assertTrue(
-                taken * 0.1 > 0.9 * most && taken * 0.1 <= most,
-                taken + " of 0.1 s, " + most + " s allowed");
+                sentQueries * 0.1 > 0.9 * allowedSeconds && sentQueries * 0.1 <= allowedSeconds,
+                sentQueries + " queries of 0.1 s, " + allowedSeconds + " s allowed");
     }
 }
