--- a/src/main/java/calicostream/routing/AffinityRouter.java
+++ b/src/main/java/calicostream/routing/AffinityRouter.java
@@ -139,7 +139,7 @@
     @Override
     public void queryAbandoned(long now, long queryId) {
         QueryState query = lifecycle.find(queryId);
-        if (query != null && !query.isDone()) {
+        if (query != null && !query.isClosed()) {
             lifecycle.close(query);
             dispatcher.dispatchQueued(now);
         }
@@ -152,7 +152,7 @@
             return;
         }
         QueryState query = lifecycle.find(RouterTimers.queryIdOf(token));
-        if (query != null && !query.isDone() && !query.isStreaming()) {
+        if (query != null && !query.isClosed() && !query.isStreaming()) {
             lifecycle.finish(query, false);
             dispatcher.dispatchQueued(now);
         }
--- a/src/main/java/calicostream/routing/AffinitySelector.java
+++ b/src/main/java/calicostream/routing/AffinitySelector.java
@@ -6,8 +6,8 @@
 import java.util.function.Predicate;
 
 /**
- * Selects the engine of a query among the eligible ones with the P-DACA algorithm: engines of the
- * table group's affinity set are preferred, other engines are used when those are busy.
+ * Selects the engine of a query among the eligible ones with the P-DACA algorithm: prefers engines
+ * of the table group's affinity set, and uses other engines when those are busy.
  */
 final class AffinitySelector {
     /**
--- a/src/main/java/calicostream/routing/AttemptResultHandler.java
+++ b/src/main/java/calicostream/routing/AttemptResultHandler.java
@@ -34,7 +34,7 @@
         keyQueues.attemptEnded(now, query, result.outcome());
         feedback.recordResult(now, query, engine, result);
         boolean answered = result.requestAnswered() || result.outcome() == AttemptOutcome.OK;
-        if (answered || query.isDone()) {
+        if (answered || query.isClosed()) {
             lifecycle.close(query);
         } else {
             retryOrFinish(now, query, engine, result.outcome());
--- a/src/main/java/calicostream/routing/CapacityEstimator.java
+++ b/src/main/java/calicostream/routing/CapacityEstimator.java
@@ -7,8 +7,8 @@
  */
 final class CapacityEstimator {
     /**
-     * Maximum threads per core on engines that report utilization; throughput drops above one to
-     * two.
+     * Maximum threads per core on engines that report utilization; throughput starts to drop
+     * between one and two threads per core.
      */
     static final double THREADS_PER_CORE = 1.9;
 
--- a/src/main/java/calicostream/routing/OrderedKeyQueue.java
+++ b/src/main/java/calicostream/routing/OrderedKeyQueue.java
@@ -9,7 +9,7 @@
  */
 final class OrderedKeyQueue {
     private final ArrayDeque<QueryState> queries = new ArrayDeque<>();
-    private int unsettledAttempts;
+    private int attemptsOfClosedQueries;
     private long quietUntil;
 
     void add(QueryState query) {
@@ -23,12 +23,12 @@
     /** Removes a closed query and keeps the key blocked while its last attempt is still running. */
     void queryClosed(QueryState query) {
         queries.remove(query);
-        unsettledAttempts += query.hasAttempt() ? 1 : 0;
+        attemptsOfClosedQueries += query.hasAttempt() ? 1 : 0;
     }
 
     /** Records the end of an attempt whose query was closed earlier. */
     void closedQueryAttemptEnded() {
-        unsettledAttempts--;
+        attemptsOfClosedQueries--;
     }
 
     /**
@@ -39,8 +39,9 @@
         quietUntil = Math.max(quietUntil, until);
     }
 
+    /** Returns whether no earlier attempt of the key is, or may still be, running. */
     boolean isSettled(long now) {
-        return unsettledAttempts == 0 && now >= quietUntil;
+        return attemptsOfClosedQueries == 0 && now >= quietUntil;
     }
 
     boolean isIdle(long now) {
--- a/src/main/java/calicostream/routing/OrderedKeyQueues.java
+++ b/src/main/java/calicostream/routing/OrderedKeyQueues.java
@@ -48,7 +48,7 @@
         if (mayStillRun(outcome)) {
             queue.startQuietPeriod(now + rules.keyQuietPeriodUs());
         }
-        if (query.isDone()) {
+        if (query.isClosed()) {
             queue.closedQueryAttemptEnded();
         }
     }
--- a/src/main/java/calicostream/routing/ProgressMonitor.java
+++ b/src/main/java/calicostream/routing/ProgressMonitor.java
@@ -77,7 +77,7 @@
     }
 
     private static boolean isMonitored(QueryState query) {
-        return !query.isDone() && !query.isCancelled() && !query.isStreaming();
+        return !query.isClosed() && !query.isCancelled() && !query.isStreaming();
     }
 
     /**
--- a/src/main/java/calicostream/routing/QueryDispatcher.java
+++ b/src/main/java/calicostream/routing/QueryDispatcher.java
@@ -42,7 +42,7 @@
 
     /** Starts an attempt and removes the query from the queue if an engine can run it now. */
     boolean tryDispatch(long now, QueryState query) {
-        if (query.hasAttempt() || query.isDone() || !mayStart(now, query)) {
+        if (query.hasAttempt() || query.isClosed() || !mayStart(now, query)) {
             return false;
         }
         List<EngineState> eligible = eligibility.eligible(now, query);
--- a/src/main/java/calicostream/routing/QueryLifecycle.java
+++ b/src/main/java/calicostream/routing/QueryLifecycle.java
@@ -67,8 +67,8 @@
 
     /** Closes the query. Its state is kept until a running attempt has ended. */
     void close(QueryState query) {
-        boolean wasOpen = !query.isDone();
-        query.setDone();
+        boolean wasOpen = !query.isClosed();
+        query.setClosed();
         queue.remove(query);
         cancelAttempt(query);
         if (!query.hasAttempt()) {
--- a/src/main/java/calicostream/routing/QueryState.java
+++ b/src/main/java/calicostream/routing/QueryState.java
@@ -31,7 +31,7 @@
     private boolean cancelled;
     private boolean mayHaveRun;
     private boolean streaming;
-    private boolean done;
+    private boolean closed;
     private boolean late;
     private boolean erroneous;
     private boolean migrated;
@@ -276,15 +276,15 @@
         return probedAt;
     }
 
-    // Answer
+    // Answer and latency objective
 
-    /** Returns whether the query has its final answer. */
-    boolean isDone() {
-        return done;
+    /** Returns whether the query has its final answer or was abandoned. */
+    boolean isClosed() {
+        return closed;
     }
 
-    void setDone() {
-        done = true;
+    void setClosed() {
+        closed = true;
     }
 
     /** Returns whether the query was marked as unable to meet its latency objective. */
