--- a/src/main/java/calicostream/routing/OrderedKeyQueue.java
+++ b/src/main/java/calicostream/routing/OrderedKeyQueue.java
@@ -4,11 +4,12 @@
 import java.util.ArrayDeque;
 
 /**
- * Holds the queries of one key in the order accepted, and what must settle before the next starts.
+ * Holds the queries of one ordered key in the order accepted, and the attempts and quiet period
+ * that block the next one.
  */
 final class OrderedKeyQueue {
     private final ArrayDeque<QueryState> queries = new ArrayDeque<>();
-    private int unsettledAttempts;
+    private int attemptsOfClosedQueries;
     private long quietUntil;
 
     void add(QueryState query) {
@@ -19,24 +20,28 @@
         return queries.peek() == query;
     }
 
-    /** Takes out a query that is answered, whose last attempt may still run. */
-    void answered(QueryState query) {
+    /** Removes a closed query and keeps the key blocked while its last attempt is still running. */
+    void queryClosed(QueryState query) {
         queries.remove(query);
-        unsettledAttempts += query.hasAttempt() ? 1 : 0;
+        attemptsOfClosedQueries += query.hasAttempt() ? 1 : 0;
     }
 
-    /** Takes in the end of an attempt whose query was answered before. */
-    void answeredAttemptEnded() {
-        unsettledAttempts--;
+    /** Records the end of an attempt whose query was closed earlier. */
+    void closedQueryAttemptEnded() {
+        attemptsOfClosedQueries--;
     }
 
-    /** Keeps the next query back, as an attempt may still run on its engine. */
-    void stayQuiet(long until) {
+    /**
+     * Blocks the next query until the given time, because an attempt may still be running on its
+     * engine.
+     */
+    void startQuietPeriod(long until) {
         quietUntil = Math.max(quietUntil, until);
     }
 
+    /** Returns whether no earlier attempt of the key is, or may still be, running. */
     boolean isSettled(long now) {
-        return unsettledAttempts == 0 && now >= quietUntil;
+        return attemptsOfClosedQueries == 0 && now >= quietUntil;
     }
 
     boolean isIdle(long now) {
