--- a/src/main/java/calicostream/budget/AddressRange.java
+++ b/src/main/java/calicostream/budget/AddressRange.java
@@ -23,7 +23,7 @@
     /**
      * Parses a range, or a single address.
      *
-     * @return null where the text is neither, or has bits beyond its prefix length
+     * @return null if the text is neither, or if the address has bits set after the prefix
      */
     public static AddressRange parse(String text) {
         Matcher form = FORM.matcher(text);
@@ -36,13 +36,13 @@
             return null;
         }
         try {
-            // The form has digits only, so no name is resolved.
+            // FORM accepts numeric addresses only, so this does no DNS lookup.
             byte[] address = InetAddress.getByName(host).getAddress();
             int addressBits = address.length * 8;
             int bits = form.group(3) == null ? addressBits : Integer.parseInt(form.group(3));
             AddressRange range = new AddressRange(address, bits);
             return bits > addressBits || !range.isAligned() ? null : range;
-        } catch (UnknownHostException none) {
+        } catch (UnknownHostException invalid) {
             return null;
         }
     }
@@ -56,7 +56,7 @@
         return true;
     }
 
-    /** Whether some address is in both ranges. */
+    /** Whether at least one address belongs to both ranges. */
     public boolean overlaps(AddressRange other) {
         return address.length == other.address.length
                 && hasSamePrefix(address, other.address, Math.min(prefixBits, other.prefixBits));
@@ -66,11 +66,11 @@
         return address.length == candidate.length && hasSamePrefix(address, candidate, prefixBits);
     }
 
-    private static boolean hasSamePrefix(byte[] one, byte[] other, int bits) {
+    private static boolean hasSamePrefix(byte[] first, byte[] second, int bits) {
         for (int i = 0; i < (bits + 7) / 8; i++) {
             int remaining = bits - 8 * i;
             int mask = remaining >= 8 ? 0xff : 0xff00 >> remaining & 0xff;
-            if (((one[i] ^ other[i]) & mask) != 0) {
+            if (((first[i] ^ second[i]) & mask) != 0) {
                 return false;
             }
         }
@@ -81,8 +81,8 @@
     public String toString() {
         try {
             return InetAddress.getByAddress(address).getHostAddress() + "/" + prefixBits;
-        } catch (UnknownHostException never) {
-            throw new IllegalStateException(never);
+        } catch (UnknownHostException impossible) {
+            throw new IllegalStateException(impossible);
         }
     }
 }
--- a/src/main/java/calicostream/budget/AllocationHandler.java
+++ b/src/main/java/calicostream/budget/AllocationHandler.java
@@ -8,11 +8,12 @@
 import java.util.TreeMap;
 
 /**
- * Applies the coordinator's grants to a {@link GrantLedger}, as a whole or not at all: no grant is
- * raised where more sessions than an engine's cap could be in use.
+ * Applies the coordinator's {@link BudgetCommand.Allocate} commands to a {@link GrantLedger},
+ * atomically. Rejects a command that raises a grant at an engine if more sessions than the engine's
+ * cap could then be in use.
  */
 final class AllocationHandler {
-    private static final int MAX_SUM = 1_000_000;
+    private static final int MAX_GRANTED_SUM = 1_000_000;
 
     private final BudgetSettings settings;
     private final Set<Safeguard> disabledSafeguards;
@@ -25,7 +26,7 @@
         this.ledger = ledger;
     }
 
-    /** New grants at one engine: sessions by tenant, by process. */
+    /** The requested grants at one engine, in sessions by process and tenant. */
     private static final class EngineRequest {
         private final SortedMap<String, SortedMap<String, Integer>> byProcess = new TreeMap<>();
         private final SortedMap<String, Integer> sums = new TreeMap<>();
@@ -43,7 +44,7 @@
         }
         SortedMap<String, EngineRequest> requests = new TreeMap<>();
         for (BudgetCommand.Grant grant : allocate.grants()) {
-            check(grant);
+            checkGrant(grant);
             requests.computeIfAbsent(grant.engine(), name -> new EngineRequest()).add(grant);
         }
         requests.forEach(this::checkCap);
@@ -52,7 +53,7 @@
         requests.forEach((engine, request) -> apply(engine, request, changed));
     }
 
-    private void check(BudgetCommand.Grant grant) {
+    private void checkGrant(BudgetCommand.Grant grant) {
         ledger.requirePresent(grant.engine(), grant.incarnation());
         settings.tenantIndex(grant.tenant());
         ProcessEntry process = ledger.processes().get(grant.process());
@@ -64,20 +65,21 @@
         }
     }
 
-    /** Computes the processes' new sums at the engine and checks them against its cap. */
+    /** Computes each process's new sum of grants at the engine and checks the cap with them. */
     private void checkCap(String name, EngineRequest request) {
         boolean isRaised = false;
-        for (Map.Entry<String, SortedMap<String, Integer>> each : request.byProcess.entrySet()) {
+        for (Map.Entry<String, SortedMap<String, Integer>> processGrants :
+                request.byProcess.entrySet()) {
             EngineAllocation allocation =
-                    ledger.processes().get(each.getKey()).allocations().get(name);
+                    ledger.processes().get(processGrants.getKey()).allocations().get(name);
             long before = allocation == null ? 0 : allocation.granted();
             long sum = before;
-            for (Map.Entry<String, Integer> tenant : each.getValue().entrySet()) {
-                int granted = allocation == null ? 0 : allocation.granted(tenant.getKey());
-                sum += tenant.getValue() - granted;
+            for (Map.Entry<String, Integer> tenantGrant : processGrants.getValue().entrySet()) {
+                int granted = allocation == null ? 0 : allocation.granted(tenantGrant.getKey());
+                sum += tenantGrant.getValue() - granted;
             }
             isRaised |= sum > before;
-            request.sums.put(each.getKey(), (int) Math.min(sum, MAX_SUM));
+            request.sums.put(processGrants.getKey(), (int) Math.min(sum, MAX_GRANTED_SUM));
         }
         if (!isRaised || disabledSafeguards.contains(Safeguard.CAP_CHECKED_AT_APPLY)) {
             return;
@@ -100,7 +102,7 @@
                 (name, sessionsByTenant) -> {
                     ProcessEntry process = ledger.processes().get(name);
                     if (changed.add(process)) {
-                        process.nextGrantVersion();
+                        process.incrementGrantVersion();
                     }
                     EngineAllocation allocation = process.allocation(engine);
                     sessionsByTenant.forEach(
--- a/src/main/java/calicostream/budget/AllocationProblem.java
+++ b/src/main/java/calicostream/budget/AllocationProblem.java
@@ -6,24 +6,26 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Derives the {@link MaxMinFairAllocator}'s problem from settings and ledger. Stateless. */
+/**
+ * Builds the input of the {@link MaxMinFairAllocator} from the settings and the ledger. Stateless.
+ */
 final class AllocationProblem {
     private AllocationProblem() {}
 
     /**
-     * The problem as of now.
+     * Builds the problem for the current state of the ledger.
      *
-     * @param engines the names of the ledger's engines, in the order of the problem's
+     * @param engines names of the ledger's engines, in the order of the problem's arrays
      */
-    static Problem of(BudgetSettings settings, GrantLedger ledger, List<String> engines) {
+    static Problem fromLedger(BudgetSettings settings, GrantLedger ledger, List<String> engines) {
         int[] caps = new int[engines.size()];
-        int[] poolOf = new int[engines.size()];
+        int[] poolByEngine = new int[engines.size()];
         int[][] demand = new int[settings.tenants().size()][engines.size()];
         for (int engine = 0; engine < caps.length; engine++) {
             String name = engines.get(engine);
             String pool = ledger.engines().get(name).pool();
-            poolOf[engine] = settings.pools().indexOf(settings.pool(pool));
-            caps[engine] = grantable(ledger, name);
+            poolByEngine[engine] = settings.pools().indexOf(settings.pool(pool));
+            caps[engine] = grantableSessions(ledger, name);
             addDemand(settings, ledger, name, demand, engine);
         }
         int[] poolCaps = settings.pools().stream().mapToInt(BudgetSettings.Pool::cap).toArray();
@@ -31,10 +33,10 @@
         for (int tenant = 0; tenant < demand.length; tenant++) {
             claims.add(claim(settings, tenant, demand[tenant]));
         }
-        return new Problem(caps, poolOf, poolCaps, claims);
+        return new Problem(caps, poolByEngine, poolCaps, claims);
     }
 
-    /** What the settings entitle a tenant to, with its demand by engine. */
+    /** A tenant's weight, guarantees and ceilings from the settings, with its demand by engine. */
     static TenantClaim claim(BudgetSettings settings, int tenantIndex, int[] demand) {
         BudgetSettings.Tenant tenant = settings.tenants().get(tenantIndex);
         int[] poolGuarantees = new int[settings.pools().size()];
@@ -55,10 +57,10 @@
     }
 
     /**
-     * What of the engine's cap can be granted at all: the rest is floors without demand, and what
-     * inactive processes may have in use.
+     * The part of the engine's cap that can be granted. The rest is reserved for floors that exceed
+     * the demand and for sessions that inactive processes may have in use.
      */
-    private static int grantable(GrantLedger ledger, String engineName) {
+    private static int grantableSessions(GrantLedger ledger, String engineName) {
         EngineEntry engine = ledger.engines().get(engineName);
         int grantable = Math.min(engine.cap(), engine.requestedCap());
         for (ProcessEntry process : ledger.processes().values()) {
@@ -69,13 +71,13 @@
             } else if (!process.isActive()) {
                 grantable -= allocation.committed(floor);
             } else {
-                grantable -= Math.max(floor - demandOf(allocation), allocation.orphaned());
+                grantable -= Math.max(floor - totalDemand(allocation), allocation.orphaned());
             }
         }
         return Math.max(0, grantable);
     }
 
-    private static int demandOf(EngineAllocation allocation) {
+    private static int totalDemand(EngineAllocation allocation) {
         return allocation.tenants().values().stream().mapToInt(TenantAllocation::demand).sum();
     }
 
@@ -91,9 +93,9 @@
                 allocation
                         .tenants()
                         .forEach(
-                                (tenant, each) ->
+                                (tenant, tenantAllocation) ->
                                         demand[settings.tenantIndex(tenant)][engine] +=
-                                                each.demand());
+                                                tenantAllocation.demand());
             }
         }
     }
--- a/src/main/java/calicostream/budget/BoundedFlowNetwork.java
+++ b/src/main/java/calicostream/budget/BoundedFlowNetwork.java
@@ -5,52 +5,53 @@
 import java.util.Arrays;
 
 /**
- * A flow network with integer capacities and lower bounds, in which the flow is augmented by single
- * units. Not thread-safe.
+ * A flow network with integer capacities and lower bounds, whose flow is augmented one unit at a
+ * time. Not thread-safe.
  *
- * <p>Each edge is two arcs side by side: the even one goes forward, the odd one is its reverse. An
- * edge is named by its forward arc.
+ * <p>Each edge is a pair of consecutive arcs: the even one is the forward arc, the odd one its
+ * reverse. An edge is identified by its forward arc.
  */
 final class BoundedFlowNetwork {
     private static final int INITIAL_ARCS = 64;
     private static final int NO_ARC = -1;
-    private static final int START = -2;
+    private static final int SOURCE_ENTRY = -2;
 
-    /** By node: the first of its outgoing arcs. */
+    /** By node: head of the linked list of its outgoing arcs. */
     private final int[] firstArc;
 
-    /** By node, during a search: the arc by which it was reached. */
-    private final int[] reachedBy;
+    /** By node, during a search: the arc on which the search entered the node. */
+    private final int[] entryArc;
 
-    /** By arc: the next outgoing arc of the same node, and the node that it goes to. */
+    /** By arc: the next outgoing arc of the same node. */
     private int[] nextArc = new int[INITIAL_ARCS];
 
+    /** By arc: the node that it leads to. */
     private int[] head = new int[INITIAL_ARCS];
 
-    /** By edge, at the number of its forward arc. */
+    /** By forward arc; the entries of reverse arcs are unused. */
     private int[] capacity = new int[INITIAL_ARCS];
 
     private int[] lowerBound = new int[INITIAL_ARCS];
     private int[] flow = new int[INITIAL_ARCS];
-    private int arcs;
+    private int arcCount;
 
     BoundedFlowNetwork(int nodes) {
         firstArc = new int[nodes];
         Arrays.fill(firstArc, NO_ARC);
-        reachedBy = new int[nodes];
+        entryArc = new int[nodes];
     }
 
     /**
-     * Adds an edge without flow and with lower bound 0.
+     * Adds an edge with flow 0 and lower bound 0.
      *
-     * @param edgeCapacity a negative one counts as 0
-     * @return the edge's number
+     * @param edgeCapacity treated as 0 if negative
+     * @return the edge
      */
     int addEdge(int from, int to, int edgeCapacity) {
-        if (arcs == head.length) {
+        if (arcCount == head.length) {
             grow();
         }
-        int edge = arcs;
+        int edge = arcCount;
         capacity[edge] = Math.max(0, edgeCapacity);
         addArc(from, to);
         addArc(to, from);
@@ -58,18 +59,18 @@
     }
 
     private void grow() {
-        nextArc = Arrays.copyOf(nextArc, arcs * 2);
-        head = Arrays.copyOf(head, arcs * 2);
-        capacity = Arrays.copyOf(capacity, arcs * 2);
-        lowerBound = Arrays.copyOf(lowerBound, arcs * 2);
-        flow = Arrays.copyOf(flow, arcs * 2);
+        nextArc = Arrays.copyOf(nextArc, arcCount * 2);
+        head = Arrays.copyOf(head, arcCount * 2);
+        capacity = Arrays.copyOf(capacity, arcCount * 2);
+        lowerBound = Arrays.copyOf(lowerBound, arcCount * 2);
+        flow = Arrays.copyOf(flow, arcCount * 2);
     }
 
     private void addArc(int from, int to) {
-        head[arcs] = to;
-        nextArc[arcs] = firstArc[from];
-        firstArc[from] = arcs;
-        arcs++;
+        head[arcCount] = to;
+        nextArc[arcCount] = firstArc[from];
+        firstArc[from] = arcCount;
+        arcCount++;
     }
 
     private static boolean isForward(int arc) {
@@ -85,7 +86,8 @@
     }
 
     /**
-     * What the arc can still take: forward up to the capacity, in reverse down to the lower bound.
+     * The residual capacity of the arc: a forward arc can gain flow up to the capacity, a reverse
+     * arc can cancel flow down to the lower bound.
      */
     int residual(int arc) {
         int edge = edgeOf(arc);
@@ -96,7 +98,7 @@
         return flow[edge];
     }
 
-    /** That much of the edge's flow, present or future, is not taken back. */
+    /** Sets the flow of the edge that an augmentation must not cancel. */
     void setLowerBound(int edge, int units) {
         lowerBound[edge] = units;
     }
@@ -106,36 +108,36 @@
     }
 
     /**
-     * Augments the flow by one unit along a shortest path of arcs that can take it.
+     * Augments the flow by one unit along a shortest path of arcs with residual capacity.
      *
      * @return false if there is no such path; the flow is unchanged then
      */
     boolean augment(int from, int to) {
-        Arrays.fill(reachedBy, NO_ARC);
-        ArrayDeque<Integer> reached = new ArrayDeque<>();
-        reached.add(from);
-        reachedBy[from] = START;
-        while (!reached.isEmpty()) {
-            int node = reached.poll();
+        Arrays.fill(entryArc, NO_ARC);
+        ArrayDeque<Integer> frontier = new ArrayDeque<>();
+        frontier.add(from);
+        entryArc[from] = SOURCE_ENTRY;
+        while (!frontier.isEmpty()) {
+            int node = frontier.poll();
             for (int arc = firstArc[node]; arc != NO_ARC; arc = nextArc[arc]) {
                 int next = head[arc];
-                if (reachedBy[next] == NO_ARC && residual(arc) > 0) {
-                    reachedBy[next] = arc;
+                if (entryArc[next] == NO_ARC && residual(arc) > 0) {
+                    entryArc[next] = arc;
                     if (next == to) {
-                        pushBackTo(from, to);
+                        pushAlongPath(from, to);
                         return true;
                     }
-                    reached.add(next);
+                    frontier.add(next);
                 }
             }
         }
         return false;
     }
 
-    /** Pushes one unit along the path by which the search reached {@code to}. */
-    private void pushBackTo(int from, int to) {
-        for (int node = to; node != from; node = head[reverse(reachedBy[node])]) {
-            push(reachedBy[node], 1);
+    /** Pushes one unit along the path that the search found. */
+    private void pushAlongPath(int from, int to) {
+        for (int node = to; node != from; node = head[reverse(entryArc[node])]) {
+            push(entryArc[node], 1);
         }
     }
 }
--- a/src/main/java/calicostream/budget/BudgetCommand.java
+++ b/src/main/java/calicostream/budget/BudgetCommand.java
@@ -4,37 +4,37 @@
 import java.util.List;
 
 /**
- * A command to the {@link GrantStateMachine}; immutable. The cluster says who sent it: a process is
- * the session that it joined under, and only the leader may expire grants. The encoding is in
- * {@link BudgetCommandCodec}.
+ * A command to the {@link GrantStateMachine}; immutable. The cluster identifies the sender: a
+ * process is identified by the cluster session under which it joined, and only the leader may
+ * expire grants. {@link BudgetCommandCodec} has the encoding.
  */
 public sealed interface BudgetCommand {
     /** The longest name of a process, tenant, engine or pool, in bytes. */
     int MAX_NAME_BYTES = 256;
 
-    /** The most sessions that any field of a command states. */
+    /** The largest number of sessions in any field of a command. */
     int MAX_SESSIONS = 1_000_000;
 
-    /** Stated where the number of sessions is not known: more than any engine has. */
+    /** Stands for an unknown number of sessions; larger than any engine's cap. */
     int UNKNOWN_SESSIONS = MAX_SESSIONS;
 
     /**
-     * A process starts under a new cluster session. Whatever an earlier incarnation of it holds
-     * becomes orphaned.
+     * A process starts under a new cluster session. Sessions of its earlier incarnations become
+     * orphaned.
      */
     record Join(String process) implements BudgetCommand {}
 
     /**
-     * A process shuts down gracefully: nothing of it runs at any engine, nor will before it joins
-     * again.
+     * A process shuts down gracefully: it has no session at any engine and starts none until it
+     * joins again.
      */
     record Leave() implements BudgetCommand {}
 
     /**
-     * A process reports its usage and demand, which renews the lease of its grants.
+     * A process reports its usage and demand; this renews the lease of its grants.
      *
-     * @param reportNumber grows with each report of a session
-     * @param grantVersion version of the grants that the process uses; 0 if it uses none
+     * @param reportNumber increases with each report under the same cluster session
+     * @param grantVersion version of the grants that the process uses; 0 if none are active
      */
     record Renew(
             long reportNumber,
@@ -52,18 +52,18 @@
     /**
      * Sessions of a process at an engine.
      *
-     * @param sessions of the process itself, those sent but not yet acknowledged included
-     * @param orphaned the most that its earlier incarnations may have left running; {@link
-     *     #UNKNOWN_SESSIONS} if it does not know
+     * @param sessions of the process's current incarnation, including unacknowledged ones
+     * @param orphaned upper bound on the sessions that its earlier incarnations left running;
+     *     {@link #UNKNOWN_SESSIONS} if unknown
      */
     record EngineUsage(String engine, long incarnation, int sessions, int orphaned) {}
 
-    /** Demand of a tenant for an engine, as the process estimates it. */
+    /** The process's estimate of a tenant's demand at an engine. */
     record TenantDemand(String engine, String tenant, int sessions) {}
 
     /**
-     * The coordinator sets grants; grants that are not listed stay. Applied as a whole or refused
-     * as a whole.
+     * The coordinator sets grants; grants that are not listed are unchanged. Applied or rejected as
+     * a whole.
      *
      * @param fencingToken of the coordinator's lease
      */
@@ -74,7 +74,10 @@
         }
     }
 
-    /** Sessions of a tenant at an engine for the process that joined under that session. */
+    /**
+     * Sessions that a tenant may use at an engine through the process that joined under the
+     * session.
+     */
     record Grant(
             String process,
             long session,
@@ -83,7 +86,7 @@
             String tenant,
             int sessions) {}
 
-    /** An engine was added, was replaced (a larger incarnation), or its cap has changed. */
+    /** An engine was added, was replaced by a newer incarnation, or has a new cap. */
     record UpdateEngine(String engine, long incarnation, String pool, int cap)
             implements BudgetCommand {}
 
@@ -93,35 +96,34 @@
     /**
      * An engine's own count of a process's sessions.
      *
-     * @param session that the process has joined under
-     * @param ofPredecessors the count is of all earlier incarnations of the process, not of the
-     *     present one
-     * @param knownIndex index up to which the sender knew this state machine before it asked the
-     *     engine
-     * @param allConnectionsClosed the engine had no connection left from those incarnations, so
-     *     nothing of theirs can still be in transit
+     * @param session cluster session under which the process joined
+     * @param forPredecessors whether the count covers all earlier incarnations of the process
+     *     instead of the current one
+     * @param appliedIndex last index that the sender's copy had applied when it requested the count
+     * @param allConnectionsClosed whether the engine has no open connection from the earlier
+     *     incarnations, so that none of their sessions can be in transit
      */
     record EngineCount(
             String engine,
             long incarnation,
             String process,
             long session,
-            boolean ofPredecessors,
-            long knownIndex,
+            boolean forPredecessors,
+            long appliedIndex,
             int running,
             boolean allConnectionsClosed)
             implements BudgetCommand {}
 
     /**
-     * The leader has counted a whole lease time since that report, or, for predecessors, since the
-     * process joined.
+     * Sent by the leader when a full lease time has passed since the report or, for predecessors,
+     * since the process joined.
      */
-    record Expire(String process, long session, boolean ofPredecessors, long reportNumber)
+    record Expire(String process, long session, boolean forPredecessors, long reportNumber)
             implements BudgetCommand {}
 
     /**
-     * Reply to {@link Renew}: everything that is granted to the process, and for each engine what
-     * its earlier incarnations may have left running.
+     * Reply to {@link Renew}: all grants of the process and, for each engine, the sessions that its
+     * earlier incarnations may have left running.
      */
     record RenewalReply(
             long reportNumber, long grantVersion, List<Grant> grants, List<EngineUsage> usages) {
@@ -131,30 +133,31 @@
             usages = List.copyOf(usages);
         }
 
-        /** The reply's bytes, which {@link #decode} reads. */
+        /** Encodes the reply for {@link #decode}. */
         public byte[] encode() {
             return BudgetCommandCodec.encodeReply(this);
         }
 
         /**
-         * Reads what {@link #encode} wrote.
+         * Decodes the result of {@link #encode}.
          *
-         * @throws calicostream.cluster.ClusterException.Malformed if the bytes are no reply
+         * @throws calicostream.cluster.ClusterException.Malformed if the bytes are not a valid
+         *     reply
          */
         public static RenewalReply decode(byte[] bytes) {
             return BudgetCommandCodec.decodeReply(bytes);
         }
     }
 
-    /** The command's bytes, which {@link #decode} reads. */
+    /** Encodes the command for {@link #decode}. */
     default byte[] encode() {
         return BudgetCommandCodec.encode(this);
     }
 
     /**
-     * Reads what {@link #encode} wrote.
+     * Decodes the result of {@link #encode}.
      *
-     * @throws calicostream.cluster.ClusterException.Malformed if the bytes are no command
+     * @throws calicostream.cluster.ClusterException.Malformed if the bytes are not a valid command
      */
     static BudgetCommand decode(byte[] bytes) {
         return BudgetCommandCodec.decode(bytes);
--- a/src/main/java/calicostream/budget/BudgetCommandCodec.java
+++ b/src/main/java/calicostream/budget/BudgetCommandCodec.java
@@ -22,11 +22,12 @@
 import java.util.function.Supplier;
 
 /**
- * The binary encoding of budget commands and replies: a format version, a kind, then the fields in
- * their order. Lists are bounded by the bytes that are there. Stateless.
+ * The binary encoding of budget commands and replies: format version, kind (commands only), then
+ * the fields in declaration order. The length of a list is checked against the remaining bytes
+ * before it is read. Stateless.
  */
 final class BudgetCommandCodec {
-    private static final int FORMAT = 1;
+    private static final int FORMAT_VERSION = 1;
 
     private static final int KIND_JOIN = 1;
     private static final int KIND_LEAVE = 2;
@@ -37,7 +38,7 @@
     private static final int KIND_ENGINE_COUNT = 7;
     private static final int KIND_EXPIRE = 8;
 
-    /** The least bytes that an element of each kind of list takes. */
+    /** The smallest encoded size of an element, by kind of list. */
     private static final int MIN_USAGE_BYTES = 20;
 
     private static final int MIN_DEMAND_BYTES = 12;
@@ -46,7 +47,7 @@
     private BudgetCommandCodec() {}
 
     static byte[] encode(BudgetCommand command) {
-        BinaryCodec.Writer out = new BinaryCodec.Writer().u8(FORMAT);
+        BinaryCodec.Writer out = new BinaryCodec.Writer().u8(FORMAT_VERSION);
         if (command instanceof Join join) {
             out.u8(KIND_JOIN).text(join.process());
         } else if (command instanceof Leave) {
@@ -68,7 +69,7 @@
             writeEngineCount(out, count);
         } else if (command instanceof Expire expire) {
             out.u8(KIND_EXPIRE).text(expire.process()).i64(expire.session());
-            writeFlag(out, expire.ofPredecessors());
+            writeFlag(out, expire.forPredecessors());
             out.i64(expire.reportNumber());
         }
         return out.toByteArray();
@@ -76,7 +77,7 @@
 
     static BudgetCommand decode(byte[] bytes) {
         BinaryCodec.Reader in = new BinaryCodec.Reader("budget command", bytes);
-        in.requireVersion(FORMAT);
+        in.requireVersion(FORMAT_VERSION);
         int kind = in.u8();
         BudgetCommand command =
                 switch (kind) {
@@ -100,7 +101,7 @@
     static byte[] encodeReply(RenewalReply reply) {
         BinaryCodec.Writer out =
                 new BinaryCodec.Writer()
-                        .u8(FORMAT)
+                        .u8(FORMAT_VERSION)
                         .i64(reply.reportNumber())
                         .i64(reply.grantVersion());
         writeGrants(out, reply.grants());
@@ -110,7 +111,7 @@
 
     static RenewalReply decodeReply(byte[] bytes) {
         BinaryCodec.Reader in = new BinaryCodec.Reader("grants", bytes);
-        in.requireVersion(FORMAT);
+        in.requireVersion(FORMAT_VERSION);
         RenewalReply reply = new RenewalReply(in.i64(), in.i64(), readGrants(in), readUsages(in));
         in.requireEnd();
         return reply;
@@ -131,8 +132,8 @@
                 .i64(count.incarnation())
                 .text(count.process())
                 .i64(count.session());
-        writeFlag(out, count.ofPredecessors());
-        out.i64(count.knownIndex()).i32(count.running());
+        writeFlag(out, count.forPredecessors());
+        out.i64(count.appliedIndex()).i32(count.running());
         writeFlag(out, count.allConnectionsClosed());
     }
 
--- a/src/main/java/calicostream/budget/BudgetException.java
+++ b/src/main/java/calicostream/budget/BudgetException.java
@@ -6,10 +6,11 @@
 import calicostream.errors.OperatorDocumentation;
 
 /**
- * The errors of session budgets, as one sealed family: each type has a stable code, the facts in
- * its message, and a remedy for the operator. The grant state machine responds with code and facts
- * where it refuses a command; only {@link NoCapacity} concerns a request, for which the front end
- * has its own wording. Instances are immutable and carry no stack trace.
+ * The errors of session budgets: each type has a stable code, the facts in its message, and a
+ * remedy for the operator. When the grant state machine rejects a command, the response holds the
+ * code and the facts; the cluster stores that response with the sender's session, so the facts are
+ * replicated data. Only {@link NoCapacity} concerns a client's request, which the front end answers
+ * with a message of its own. Instances are immutable and carry no stack trace.
  */
 @OperatorDocumentation(value = "budget.md", prefixes = "budget-")
 public abstract sealed class BudgetException extends OperationalException {
@@ -19,7 +20,7 @@
         super(new ErrorDetails(code, facts, remedy));
     }
 
-    /** A setting that is out of range or contradicts another one; nothing of the file is used. */
+    /** A setting is out of range or contradicts another one; the whole file is rejected. */
     public static final class InvalidSetting extends BudgetException {
         private static final long serialVersionUID = 1L;
 
@@ -29,17 +30,17 @@
         private final String key;
         private final String reason;
 
-        /** Names the setting by its dotted key. */
-        public InvalidSetting(String key, String why) {
+        /** The dotted key of the setting, and what is wrong with it. */
+        public InvalidSetting(String key, String reason) {
             super(
                     CODE,
-                    key + ": " + why,
-                    "Correct the key that is named; the fleet goes on with the settings it has.");
+                    key + ": " + reason,
+                    "Correct the named key; the fleet keeps its current settings until then.");
             this.key = key;
-            this.reason = why;
+            this.reason = reason;
         }
 
-        /** The dotted key, as in the file. */
+        /** The dotted key, as written in the file. */
         public String key() {
             return key;
         }
@@ -50,15 +51,16 @@
         }
     }
 
-    /** An allocation would let more sessions be in use at an engine than its cap. */
+    /** With the allocation, more sessions than the engine's cap could be in use. */
     public static final class OverCap extends BudgetException {
         private static final long serialVersionUID = 1L;
 
         /** The stable code. */
         public static final String CODE = "budget-over-cap";
 
-        /** Sessions that may be in use now, and with the allocation. */
-        public OverCap(String engine, long incarnation, long cap, long committed, long asked) {
+        /** The cap, and the sessions that may be in use without and with the allocation. */
+        public OverCap(
+                String engine, long incarnation, long cap, long committed, long committedAfter) {
             super(
                     CODE,
                     "engine "
@@ -70,15 +72,16 @@
                             + ", "
                             + committed
                             + " may be in use, "
-                            + asked
+                            + committedAfter
                             + " were asked",
-                    "Nothing if rare: the arbiter divides again; else report it.");
+                    "No action needed if rare: the grant coordinator allocates again; otherwise"
+                            + " report it.");
         }
     }
 
     /**
-     * A lowered cap is not in force yet: more sessions than it allows may still be in use, so no
-     * grant is raised there.
+     * A lowered cap is not in force yet, because more sessions than it allows may still be in use.
+     * No grant is raised at the engine until then.
      */
     public static final class CapLowered extends BudgetException {
         private static final long serialVersionUID = 1L;
@@ -86,8 +89,8 @@
         /** The stable code. */
         public static final String CODE = "budget-cap-lowered";
 
-        /** The caps in force and requested, and the sessions that may be in use. */
-        public CapLowered(String engine, long cap, long target, long committed) {
+        /** The cap in force, the requested cap, and the sessions that may be in use. */
+        public CapLowered(String engine, long cap, long requestedCap, long committed) {
             super(
                     CODE,
                     "engine "
@@ -95,12 +98,12 @@
                             + " goes from cap "
                             + cap
                             + " to "
-                            + target
+                            + requestedCap
                             + ", "
                             + committed
                             + " may still be in use",
-                    "Wait until what runs has ended; see which process does not answer the"
-                            + " call-back.");
+                    "Wait until the running sessions have ended; check which process does not"
+                            + " acknowledge its lowered grant.");
         }
     }
 
@@ -116,35 +119,35 @@
             super(
                     CODE,
                     "engine " + engine + " has cap " + cap + ", the floors take " + floors,
-                    "Raise the cap, lower the pool's floor, or take the engine out of the pool.");
+                    "Raise the cap, lower the pool's floor, or remove the engine from the pool.");
         }
     }
 
-    /** An allocation by a coordinator that has been replaced. */
+    /** The allocation is from a coordinator that has lost its lease to another one. */
     public static final class StaleToken extends BudgetException {
         private static final long serialVersionUID = 1L;
 
         /** The stable code. */
         public static final String CODE = "budget-old-token";
 
-        /** The token of the allocation, and the latest one. */
-        public StaleToken(long token, long present) {
+        /** The fencing token of the allocation, and the largest one seen. */
+        public StaleToken(long token, long current) {
             super(
                     CODE,
-                    "token " + token + " where " + present + " was seen",
-                    "Nothing: the present arbiter divides.");
+                    "token " + token + " where " + current + " was seen",
+                    "No action needed: the current grant coordinator allocates.");
         }
     }
 
-    /** The engine is not known, or another incarnation of it is. */
+    /** The engine is unknown, or its current incarnation is another one. */
     public static final class OtherIncarnation extends BudgetException {
         private static final long serialVersionUID = 1L;
 
         /** The stable code. */
         public static final String CODE = "budget-other-incarnation";
 
-        /** The incarnation that was named, and the present one; 0 if there is none. */
-        public OtherIncarnation(String engine, long incarnation, long present) {
+        /** The incarnation in the command, and the current one; 0 if the engine is unknown. */
+        public OtherIncarnation(String engine, long incarnation, long current) {
             super(
                     CODE,
                     "engine "
@@ -152,81 +155,81 @@
                             + " incarnation "
                             + incarnation
                             + " where "
-                            + (present == 0 ? "none" : String.valueOf(present))
+                            + (current == 0 ? "none" : String.valueOf(current))
                             + " is known",
-                    "Nothing if an engine was replaced; else see who"
-                            + " still has the older one.");
+                    "No action needed if the engine was replaced; otherwise find the process that"
+                            + " still uses the older incarnation.");
         }
     }
 
-    /** A process, tenant or pool that the settings or the members do not have. */
+    /** The name is not that of a configured tenant or pool, or of a joined process. */
     public static final class UnknownName extends BudgetException {
         private static final long serialVersionUID = 1L;
 
         /** The stable code. */
         public static final String CODE = "budget-unknown";
 
-        /** What kind of thing is not known, and its name. */
+        /** The kind of name (such as pool or tenant), and the name. */
         public UnknownName(String kind, String name) {
             super(
                     CODE,
                     kind + " " + name + " is not known",
-                    "Give all processes the same settings; a process joins anew by itself.");
+                    "Give all processes the same settings; a process joins again by itself.");
         }
     }
 
-    /** What was granted to the process has expired, or a newer incarnation of it has joined. */
+    /** The grants of the process have expired, or a newer incarnation of it has joined. */
     public static final class GrantExpired extends BudgetException {
         private static final long serialVersionUID = 1L;
 
         /** The stable code. */
         public static final String CODE = "budget-grant-over";
 
-        /** The process, and the session that it joined under. */
+        /** The process, and the cluster session under which it joined. */
         public GrantExpired(String process, long session) {
             super(
                     CODE,
                     "grants of " + process + " under session " + session + " are over",
-                    "See why the process was not heard for a lease: stopped, cut off, or no"
-                            + " quorum.");
+                    "Find out why no report of the process was applied for a lease time: process"
+                            + " stopped, network partition, or no quorum.");
         }
     }
 
-    /** A report that is older than one that was applied. */
+    /** A newer report of the process has already been applied. */
     public static final class StaleReport extends BudgetException {
         private static final long serialVersionUID = 1L;
 
         /** The stable code. */
         public static final String CODE = "budget-old-report";
 
-        /** The number of the report, and of the last one applied. */
-        public StaleReport(String process, long number, long present) {
+        /** The number of the report, and of the last report that was applied. */
+        public StaleReport(String process, long number, long current) {
             super(
                     CODE,
-                    process + " report " + number + " after " + present,
-                    "Nothing: the newer report counts.");
+                    process + " report " + number + " after " + current,
+                    "No action needed: the newer report is in effect.");
         }
     }
 
-    /** An expiry that is not, or no longer, due, or that was not counted by the leader. */
+    /** The expiry is not due, or is not from the leader. */
     public static final class ExpiryNotDue extends BudgetException {
         private static final long serialVersionUID = 1L;
 
         /** The stable code. */
         public static final String CODE = "budget-not-due";
 
-        /** The session and report that were to expire, and the reason why they did not. */
-        public ExpiryNotDue(long session, long number, String why) {
+        /** The session and report in the command, and why the grants do not expire. */
+        public ExpiryNotDue(long session, long number, String reason) {
             super(
                     CODE,
-                    "session " + session + " report " + number + ": " + why,
-                    "Nothing: the process has renewed in time.");
+                    "session " + session + " report " + number + ": " + reason,
+                    "No action needed: the process has renewed in time.");
         }
     }
 
     /**
-     * An engine's count of sessions that proves nothing, since it may be older than the expiry of
-     * the grants.
+     * An engine's session count cannot be used as a bound, because it may have been taken before
+     * the grants expired.
      */
     public static final class StaleEngineCount extends BudgetException {
         private static final long serialVersionUID = 1L;
@@ -234,16 +237,16 @@
         /** The stable code. */
         public static final String CODE = "budget-no-proof";
 
-        /** The engine, the session of the process, and the reason. */
-        public StaleEngineCount(String engine, long session, String why) {
+        /** The engine, the process's cluster session, and why the count is not usable. */
+        public StaleEngineCount(String engine, long session, String reason) {
             super(
                     CODE,
-                    "count at engine " + engine + " for session " + session + ": " + why,
-                    "Nothing: the engine is asked again after the end of the lease.");
+                    "count at engine " + engine + " for session " + session + ": " + reason,
+                    "No action needed: a new count is requested once the lease has expired.");
         }
     }
 
-    /** A request that is rejected: its tenant's queue is full or longer than its patience. */
+    /** A request is rejected: its tenant's queue is full, or the expected wait is too long. */
     public static final class NoCapacity extends BudgetException {
         private static final long serialVersionUID = 1L;
 
@@ -252,24 +255,24 @@
 
         private final long retryAfterNanos;
 
-        /** The requests that are queued, and when to retry. */
-        public NoCapacity(String tenant, int waiting, long returnAfterNanos) {
+        /** The number of queued requests of the tenant, and when to retry. */
+        public NoCapacity(String tenant, int queued, long retryAfterNanos) {
             super(
                     CODE,
                     "tenant "
                             + tenant
                             + " has "
-                            + waiting
-                            + " waiting, return after "
-                            + returnAfterNanos / 1_000_000
+                            + queued
+                            + " requests queued, retry after "
+                            + retryAfterNanos / 1_000_000
                             + " ms",
-                    "Raise the tenant's guarantee or weight if this lasts, or add engines to the"
-                            + " pool.");
-            this.retryAfterNanos = returnAfterNanos;
+                    "If this persists, raise the tenant's guarantee or weight, or add engines to"
+                            + " the pool.");
+            this.retryAfterNanos = retryAfterNanos;
         }
 
         /**
-         * After which capacity should be free, from the rate at which the tenant's sessions end.
+         * When capacity should be free, estimated from the rate at which the tenant's sessions end.
          */
         public long retryAfterNanos() {
             return retryAfterNanos;
--- a/src/main/java/calicostream/budget/BudgetSettings.java
+++ b/src/main/java/calicostream/budget/BudgetSettings.java
@@ -7,16 +7,17 @@
 import java.util.Set;
 
 /**
- * The settings that grants are decided by; immutable, the same at every process, validated when
- * constructed. Sessions are whole numbers.
+ * The settings of grant allocation. Immutable, validated when constructed, and the same at every
+ * process.
  *
- * @param pools the kinds or tiers of engines; each engine belongs to one
- * @param tenants who shares the engines
- * @param processes by name: those that have a floor at every engine, whether they run or not
- * @param ttlNanos for how long the leader counts a grant that is not renewed
- * @param driftPpm bound on how much any two clocks differ in a second, in millionths
- * @param maxUnacknowledged most sessions a process may have sent to one engine without the engine's
- *     acknowledgement
+ * @param pools groups of engines of the same kind or tier; each engine belongs to one
+ * @param tenants the tenants that share the engines
+ * @param processes names of the processes that have a floor at every engine, whether they run or
+ *     not
+ * @param ttlNanos lease time: the leader expires grants that are not renewed for this long
+ * @param driftPpm bound on the drift between any two clocks, in parts per million
+ * @param maxUnacknowledged maximum number of sessions that a process has sent to one engine and
+ *     that the engine has not acknowledged
  */
 public record BudgetSettings(
         List<Pool> pools,
@@ -25,27 +26,28 @@
         long ttlNanos,
         int driftPpm,
         int maxUnacknowledged) {
-    /** In place of a pool's name: all pools together. */
+    /** Stands for all pools together where a pool's name is expected. */
     public static final String ALL_POOLS = "*";
 
     private static final int MAX_VALUE = 1_000_000;
     private static final long MIN_TTL_NANOS = 1_000_000;
     private static final int DRIFT_PPM_LIMIT = 100_000;
-    private static final int PPM = 1_000_000;
+    private static final int PARTS_PER_MILLION = 1_000_000;
 
     /**
      * A pool of engines.
      *
-     * @param floor sessions that each named process may always use at each engine of the pool
-     * @param cap of the pool's sessions together; the sum of the engines' caps applies if it is
-     *     lower
+     * @param floor sessions that each configured process may always use at each engine of the pool,
+     *     even without grants
+     * @param cap maximum sessions in the whole pool; the sum of the engines' caps applies if lower
      */
     public record Pool(String name, int floor, int cap) {}
 
     /**
      * A tenant.
      *
-     * @param quotas by the pool's name or {@link #ALL_POOLS}; none is no guarantee and no ceiling
+     * @param quotas by pool name or {@link #ALL_POOLS}; without an entry there is no guarantee and
+     *     no ceiling
      */
     public record Tenant(String name, int weight, Map<String, Quota> quotas) {
         /** Copies the map. */
@@ -53,7 +55,7 @@
             quotas = Map.copyOf(quotas);
         }
 
-        /** The quota in one pool or, for {@link #ALL_POOLS}, in all together. */
+        /** The quota in one pool or, for {@link #ALL_POOLS}, in all pools together. */
         public Quota quota(String pool) {
             return quotas.getOrDefault(pool, Quota.UNLIMITED);
         }
@@ -62,8 +64,8 @@
     /**
      * The bounds of a tenant's sessions.
      *
-     * @param guarantee sessions that the tenant has whenever it demands them
-     * @param ceiling the most sessions it may have
+     * @param guarantee sessions that the tenant gets before others if it demands them
+     * @param ceiling maximum number of sessions
      */
     public record Quota(int guarantee, int ceiling) {
         static final Quota UNLIMITED = new Quota(0, MAX_VALUE);
@@ -72,7 +74,8 @@
     /**
      * Validates the settings.
      *
-     * @throws BudgetException.BadSetting if a setting is out of range or contradicts another one
+     * @throws BudgetException.InvalidSetting if a setting is out of range or contradicts another
+     *     one
      */
     public BudgetSettings {
         pools = List.copyOf(pools);
@@ -83,13 +86,13 @@
         require(
                 new HashSet<>(processes).size() == processes.size(),
                 "processes",
-                "a name comes twice");
-        require(ttlNanos >= MIN_TTL_NANOS, "ttl", "under 1 ms");
+                "a name is listed twice");
+        require(ttlNanos >= MIN_TTL_NANOS, "ttl", "must be at least 1 ms");
         require(
                 driftPpm >= 0 && driftPpm < DRIFT_PPM_LIMIT,
                 "drift_ppm",
                 "not in 0.." + DRIFT_PPM_LIMIT);
-        require(maxUnacknowledged > 0, "in_hand", "not over 0");
+        require(maxUnacknowledged > 0, "in_hand", "must be greater than 0");
     }
 
     private static void validatePools(List<Pool> pools, List<Tenant> tenants) {
@@ -109,8 +112,13 @@
                     key + ".cap",
                     "not in 0.." + MAX_VALUE);
             long guaranteed =
-                    tenants.stream().mapToLong(each -> each.quota(pool.name()).guarantee()).sum();
-            require(guaranteed <= pool.cap(), key + ".cap", "tenants are guaranteed " + guaranteed);
+                    tenants.stream()
+                            .mapToLong(tenant -> tenant.quota(pool.name()).guarantee())
+                            .sum();
+            require(
+                    guaranteed <= pool.cap(),
+                    key + ".cap",
+                    "less than the sum of the tenants' guarantees, " + guaranteed);
         }
     }
 
@@ -145,25 +153,26 @@
                         + quota.guarantee()
                         + " and ceiling "
                         + quota.ceiling()
-                        + " are not in order");
+                        + " must satisfy 0 <= guarantee <= ceiling");
         require(
                 quota.guarantee() <= tenant.quota(ALL_POOLS).ceiling(),
                 key + ".guarantee",
-                "over the ceiling of all pools");
+                "exceeds the tenant's ceiling for all pools");
     }
 
-    private static void require(boolean holds, String key, String reason) {
-        if (!holds) {
+    private static void require(boolean isValid, String key, String reason) {
+        if (!isValid) {
             throw new BudgetException.InvalidSetting(key, reason);
         }
     }
 
     /**
-     * For how long a process may use what it was granted, counted on its own clock from before it
-     * asked: shorter than the leader's time by what two clocks can differ.
+     * How long a process may use its grants after it has made the report that renewed them, on its
+     * own clock. Shorter than the lease time at the leader by the largest drift between two clocks,
+     * so that the process stops first.
      */
     public long usableNanos() {
-        return ttlNanos - ttlNanos / PPM * (2L * driftPpm + 1) - 2L * driftPpm - 2;
+        return ttlNanos - ttlNanos / PARTS_PER_MILLION * (2L * driftPpm + 1) - 2L * driftPpm - 2;
     }
 
     /** The floor of a process at an engine of that pool. */
@@ -174,11 +183,11 @@
     /**
      * The pool of that name.
      *
-     * @throws BudgetException.Unknown if there is none
+     * @throws BudgetException.UnknownName if there is none
      */
     Pool pool(String name) {
         return pools.stream()
-                .filter(each -> each.name().equals(name))
+                .filter(pool -> pool.name().equals(name))
                 .findFirst()
                 .orElseThrow(() -> new BudgetException.UnknownName("pool", name));
     }
@@ -186,7 +195,7 @@
     /**
      * The index of the tenant of that name.
      *
-     * @throws BudgetException.Unknown if there is none
+     * @throws BudgetException.UnknownName if there is none
      */
     int tenantIndex(String name) {
         for (int tenant = 0; tenant < tenants.size(); tenant++) {
--- a/src/main/java/calicostream/budget/DemandEstimator.java
+++ b/src/main/java/calicostream/budget/DemandEstimator.java
@@ -5,66 +5,66 @@
 import java.util.List;
 
 /**
- * Estimates the demand of this process's tenants at each engine from the sessions in use and those
- * queued. An estimate rises at once and falls only after the need has been lower by more than a
- * band for a whole hold time, so that small changes move no grant. Owned by one thread;
- * nanoseconds, sessions.
+ * Estimates the demand of this process's tenants at each engine from the sessions in use and the
+ * queued requests. An estimate rises at once, and falls only after the load has been lower by more
+ * than a hysteresis band for a whole hold time, so that small fluctuations change no grant. Owned
+ * by one thread; times are in nanoseconds, demand in sessions.
  */
 public final class DemandEstimator {
-    /** An estimate is above the recent need by one part in this, so that grants can grow ahead. */
+    /** An estimate exceeds the recent load by 1/8, so that grants grow ahead of the load. */
     private static final int SURPLUS_DIVISOR = 8;
 
-    /** An estimate falls once it is too high by more than one part in this. */
-    private static final int BAND_DIVISOR = 4;
+    /** An estimate falls only if it is too high by more than 1/4. */
+    private static final int HYSTERESIS_DIVISOR = 4;
 
     private final int tenants;
     private final long holdNanos;
     private final List<Estimate> estimates = new ArrayList<>();
 
     /**
-     * An estimator that has observed nothing.
+     * Creates an estimator without observations.
      *
-     * @param tenants how many there are
-     * @param holdNanos for how long a lower need must last
+     * @param tenants number of tenants
+     * @param holdNanos how long the load must stay lower before an estimate falls
      */
     public DemandEstimator(int tenants, long holdNanos) {
         this.tenants = tenants;
         this.holdNanos = holdNanos;
     }
 
-    /** The estimate of one tenant at one engine, and the peaks of need that it rests on. */
+    /** One tenant's estimate at one engine, from the peak loads of this hold time and the last. */
     private static final class Estimate {
         private int sessions;
         private int peak;
         private int previousPeak;
-        private long peakSince;
+        private long peakStartedAt;
 
-        private void observe(int need, long now, long holdNanos) {
-            long age = now - peakSince;
+        private void observe(int load, long now, long holdNanos) {
+            long age = now - peakStartedAt;
             if (age >= holdNanos) {
-                previousPeak = age >= 2 * holdNanos ? need : peak;
-                peak = need;
-                peakSince = now;
+                previousPeak = age >= 2 * holdNanos ? load : peak;
+                peak = load;
+                peakStartedAt = now;
             }
-            peak = Math.max(peak, need);
+            peak = Math.max(peak, load);
             update(withSurplus(Math.max(peak, previousPeak)));
         }
 
-        private static int withSurplus(int need) {
-            return need == 0 ? 0 : need + Math.max(1, need / SURPLUS_DIVISOR);
+        private static int withSurplus(int load) {
+            return load == 0 ? 0 : load + Math.max(1, load / SURPLUS_DIVISOR);
         }
 
         private void update(int demand) {
-            int lowest = sessions - Math.max(1, sessions / BAND_DIVISOR);
-            if (demand > sessions || demand < lowest || demand == 0) {
+            int hysteresisFloor = sessions - Math.max(1, sessions / HYSTERESIS_DIVISOR);
+            if (demand > sessions || demand < hysteresisFloor || demand == 0) {
                 sessions = demand;
             }
         }
     }
 
     /**
-     * What a tenant uses and has queued at an engine now; to be called at least as often as reports
-     * are sent.
+     * Observes a tenant's sessions in use and queued requests at an engine; call it at least as
+     * often as reports are sent.
      */
     public void observe(int tenant, int engine, int inUse, int queued, long now) {
         while (estimates.size() < (engine + 1) * tenants) {
--- a/src/main/java/calicostream/budget/EngineAllocation.java
+++ b/src/main/java/calicostream/budget/EngineAllocation.java
@@ -8,17 +8,17 @@
 import java.util.TreeMap;
 
 /**
- * What one process may have in use at one engine's present incarnation, in sessions. Owned by a
- * {@link GrantLedger}.
+ * The sessions that one process may have in use at the current incarnation of one engine. Owned by
+ * a {@link GrantLedger}.
  *
- * <p>A lowered grant counts at its old size until the process has acknowledged the new version, so
- * the sums of all versions that the process may still use are kept.
+ * <p>A lowered grant counts at its old size until the process has acknowledged the new version.
+ * Therefore the sum of grants is kept for each version that the process may still use.
  */
 final class EngineAllocation {
-    /** Versions that are kept apart; beyond that the oldest two are counted as one. */
+    /** Versions that are kept; when there are more, the two oldest are merged. */
     private static final int MAX_VERSIONS = 16;
 
-    /** The sum of all tenants' grants in one version. */
+    /** The sum of all tenants' grants in one version of the grants. */
     record GrantedSum(long version, long sessions) {}
 
     private int orphaned;
@@ -39,7 +39,7 @@
         return orphaned;
     }
 
-    /** Sessions at the last report, or the bound on them since the process fell silent. */
+    /** Sessions in the last report or, after the grants have expired, an upper bound on them. */
     int inUse() {
         return inUse;
     }
@@ -65,7 +65,7 @@
         return tenants.values().stream().mapToInt(TenantAllocation::granted).sum();
     }
 
-    /** The largest sum that any version allows which the process may still use. */
+    /** The largest sum of any version that the process may still use. */
     int maxUsableSum() {
         long max = 0;
         for (GrantedSum sum : usableSums) {
@@ -83,67 +83,69 @@
         usableSums.add(sum);
     }
 
-    /** Records the sum that was granted with a version. */
+    /** Records the sum of grants in a new version. */
     void recordSum(long version, int sessions) {
         usableSums.add(new GrantedSum(version, sessions));
         if (usableSums.size() > MAX_VERSIONS) {
-            // The larger of the two oldest stands for both: counts more, never less.
+            // The merged entry has the larger sum, so it never underestimates the usage.
             GrantedSum oldest = usableSums.remove(0);
-            GrantedSum next = usableSums.get(0);
+            GrantedSum secondOldest = usableSums.get(0);
             usableSums.set(
                     0,
-                    new GrantedSum(next.version(), Math.max(next.sessions(), oldest.sessions())));
+                    new GrantedSum(
+                            secondOldest.version(),
+                            Math.max(secondOldest.sessions(), oldest.sessions())));
         }
     }
 
-    /** The process uses that version: what it used before is over. */
+    /** The process uses this version, so the sums of older versions no longer count. */
     void acknowledge(long version) {
         while (usableSums.size() > 1 && usableSums.get(1).version() <= version) {
             usableSums.remove(0);
         }
     }
 
-    /** What may be in use by this incarnation of the process and those before. */
+    /** Upper bound on the sessions in use by all incarnations of the process. */
     int committed(int floor) {
         return Math.max(floor, orphaned + Math.max(maxUsableSum(), inUse));
     }
 
-    /** The most sessions that the present incarnation can truthfully report. */
+    /** The most sessions that the current incarnation of the process can have in use. */
     int maxReportable(int floor) {
         return Math.max(Math.max(floor - orphaned, maxUsableSum()), inUse);
     }
 
-    /** Forgets the last report's figures, before those of the next are recorded. */
+    /** Clears the figures of the last report before those of the next are recorded. */
     void clearReport(long acknowledgedVersion) {
         inUse = 0;
         acknowledge(acknowledgedVersion);
         tenants.values().forEach(tenant -> tenant.setDemand(0));
     }
 
-    /** Records a report's sessions; the number of orphaned ones only falls. */
-    void recordUsage(int sessions, int orphanedAtMost) {
+    /** Records the figures of a report; the bound on orphaned sessions never rises. */
+    void recordUsage(int sessions, int maxOrphaned) {
         inUse = sessions;
-        boundOrphaned(orphanedAtMost);
+        boundOrphaned(maxOrphaned);
     }
 
     void boundOrphaned(int sessions) {
         orphaned = Math.min(orphaned, sessions);
     }
 
-    /** The process has ended; it may have left that many sessions running. */
+    /** The current incarnation has ended and may have left this many sessions running. */
     void orphan(int sessions) {
         orphaned = sessions;
         release();
     }
 
-    /** The process has no sessions, grants or demand any more. */
+    /** Clears sessions, grants and demand of the current incarnation. */
     void release() {
         inUse = 0;
         revokeGrants();
         tenants.clear();
     }
 
-    /** The grants have expired; whatever they allowed may still be in use, up to the bound. */
+    /** Revokes expired grants; the sessions that they allowed may still run, up to the bound. */
     void revokeWithUsageAtMost(int bound) {
         inUse = Math.min(Math.max(inUse, maxUsableSum()), bound);
         revokeGrants();
--- a/src/main/java/calicostream/budget/EngineCommandHandler.java
+++ b/src/main/java/calicostream/budget/EngineCommandHandler.java
@@ -4,8 +4,9 @@
 import java.util.Set;
 
 /**
- * Applies the commands about engines to a {@link GrantLedger}: added, replaced, recapped or removed
- * ones, and their own counts of sessions. Each method checks everything before it changes anything.
+ * Applies the commands about engines to a {@link GrantLedger}: additions, replacements, changes of
+ * a cap, removals, and the engines' session counts. Each method makes all checks before its first
+ * change.
  */
 final class EngineCommandHandler {
     private final BudgetSettings settings;
@@ -23,13 +24,12 @@
         String name = update.engine();
         BudgetSettings.Pool pool = settings.pool(update.pool());
         EngineEntry engine = ledger.engines().get(name);
-        long leastIncarnation =
+        long minIncarnation =
                 engine != null
                         ? engine.incarnation()
                         : ledger.removedEngines().getOrDefault(name, 0L) + 1;
-        if (update.incarnation() < leastIncarnation) {
-            throw new BudgetException.OtherIncarnation(
-                    name, update.incarnation(), leastIncarnation);
+        if (update.incarnation() < minIncarnation) {
+            throw new BudgetException.OtherIncarnation(name, update.incarnation(), minIncarnation);
         }
         long floors = (long) pool.floor() * settings.processes().size();
         if (floors > update.cap()) {
@@ -57,37 +57,37 @@
         if (process == null || process.session() != count.session()) {
             throw new BudgetException.GrantExpired(count.process(), count.session());
         }
-        checkProof(process, count);
+        checkCountIsUsable(process, count);
         int bound = count.running() + maxInTransit(count);
-        if (count.ofPredecessors()) {
+        if (count.forPredecessors()) {
             process.boundOrphaned(count.engine(), bound);
         } else {
             process.allocation(count.engine()).revokeWithUsageAtMost(bound);
         }
     }
 
-    /** A count bounds what is in use only if it was asked for after the grants had expired. */
-    private void checkProof(ProcessEntry process, BudgetCommand.EngineCount count) {
+    /** A count bounds the sessions in use only if it was requested after the grants had expired. */
+    private void checkCountIsUsable(ProcessEntry process, BudgetCommand.EngineCount count) {
         long expiredAtIndex =
-                count.ofPredecessors()
+                count.forPredecessors()
                         ? process.predecessorsExpiredAtIndex()
                         : process.expiredAtIndex();
         if (expiredAtIndex == 0 && !disabledSafeguards.contains(Safeguard.GRANT_HELD_TO_EXPIRY)) {
             throw new BudgetException.StaleEngineCount(
                     count.engine(), count.session(), "its grants are not counted out");
         }
-        if (count.knownIndex() < expiredAtIndex
+        if (count.appliedIndex() < expiredAtIndex
                 && !disabledSafeguards.contains(Safeguard.PROOF_AFTER_EXPIRY)) {
             throw new BudgetException.StaleEngineCount(
                     count.engine(),
                     count.session(),
-                    "asked at index " + count.knownIndex() + ", over since " + expiredAtIndex);
+                    "asked at index " + count.appliedIndex() + ", over since " + expiredAtIndex);
         }
     }
 
-    /** Sessions that may have been sent to the engine and are not in its count yet. */
+    /** Upper bound on the sessions that were sent to the engine but are not in its count yet. */
     private int maxInTransit(BudgetCommand.EngineCount count) {
-        boolean isNoneInTransit = count.ofPredecessors() && count.allConnectionsClosed();
+        boolean isNoneInTransit = count.forPredecessors() && count.allConnectionsClosed();
         if (isNoneInTransit || disabledSafeguards.contains(Safeguard.UNACKNOWLEDGED_COUNTS)) {
             return 0;
         }
--- a/src/main/java/calicostream/budget/EngineEntry.java
+++ b/src/main/java/calicostream/budget/EngineEntry.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.budget;
 
-/** An engine's present incarnation with its session cap. Owned by a {@link GrantLedger}. */
+/** An engine's current incarnation and its session cap. Owned by a {@link GrantLedger}. */
 final class EngineEntry {
     private final long incarnation;
     private BudgetSettings.Pool pool;
@@ -23,17 +23,17 @@
         return pool.name();
     }
 
-    /** Sessions that each named process may always use here. */
+    /** Sessions that each configured process may always use at this engine. */
     int floor() {
         return pool.floor();
     }
 
-    /** The cap in force: no more sessions than this may be in use. */
+    /** The cap in force: the most sessions that may be in use. */
     int cap() {
         return cap;
     }
 
-    /** The cap that was set last; lower than {@link #cap} until it is in force. */
+    /** The cap that was configured last; lower than {@link #cap} while it is not in force yet. */
     int requestedCap() {
         return requestedCap;
     }
@@ -44,7 +44,8 @@
     }
 
     /**
-     * A raised cap is in force at once, a lowered one once {@link #enforceRequestedCap} is called.
+     * Sets pool and cap. A raised cap is in force at once, a lowered one only after {@link
+     * #enforceRequestedCap}.
      */
     void configure(BudgetSettings.Pool newPool, int newCap) {
         pool = newPool;
--- a/src/main/java/calicostream/budget/EngineGrantPlanner.java
+++ b/src/main/java/calicostream/budget/EngineGrantPlanner.java
@@ -5,28 +5,29 @@
 import java.util.List;
 
 /**
- * Distributes one engine's fair allocation among processes, and plans the changes of grants that
- * lead there from what is granted now. Used once; not thread-safe.
+ * Distributes one engine's fair allocation among processes, and plans the next changes from the
+ * current grants towards it. For a single use; not thread-safe.
  */
 final class EngineGrantPlanner {
     private final BudgetSettings settings;
     private final GrantLedger ledger;
     private final String engineName;
     private final EngineEntry engine;
-    private final int[] fair;
+    private final int[] fairSessions;
     private final List<ProcessPlan> plans = new ArrayList<>();
 
     /**
-     * A plan for an engine of the ledger.
+     * Creates a planner for an engine of the ledger.
      *
-     * @param fair sessions by tenant
+     * @param fairSessions the engine's fair allocation: sessions by tenant
      */
-    EngineGrantPlanner(BudgetSettings settings, GrantLedger ledger, String engineName, int[] fair) {
+    EngineGrantPlanner(
+            BudgetSettings settings, GrantLedger ledger, String engineName, int[] fairSessions) {
         this.settings = settings;
         this.ledger = ledger;
         this.engineName = engineName;
         this.engine = ledger.engines().get(engineName);
-        this.fair = fair.clone();
+        this.fairSessions = fairSessions.clone();
         for (ProcessEntry process : ledger.processes().values()) {
             EngineAllocation allocation = process.allocations().get(engineName);
             if (process.isActive() && allocation != null) {
@@ -35,7 +36,7 @@
         }
     }
 
-    /** One process's grants at the engine: as they are, as they shall be, and the next step. */
+    /** One process's grants at the engine: current, target, and after the next change. */
     private final class ProcessPlan {
         private final ProcessEntry process;
         private final EngineAllocation allocation;
@@ -44,13 +45,13 @@
         private final int maxInUse;
 
         // By tenant.
-        private final int[] demand = new int[fair.length];
-        private final int[] granted = new int[fair.length];
-        private final int[] target = new int[fair.length];
-        private final int[] next = new int[fair.length];
+        private final int[] demand = new int[fairSessions.length];
+        private final int[] granted = new int[fairSessions.length];
+        private final int[] target = new int[fairSessions.length];
+        private final int[] planned = new int[fairSessions.length];
 
         private int targetSum;
-        private int nextSum;
+        private int plannedSum;
 
         private ProcessPlan(ProcessEntry process, EngineAllocation allocation) {
             this.process = process;
@@ -68,8 +69,8 @@
                             });
         }
 
-        /** Whether the tenant's next session goes to this process rather than to the other one. */
-        private boolean isBefore(ProcessPlan other, int tenant) {
+        /** Whether the tenant's next session goes to this process and not to the other one. */
+        private boolean hasPriorityOver(ProcessPlan other, int tenant) {
             boolean isBelowFloor = targetSum < floor;
             if (isBelowFloor != other.targetSum < other.floor) {
                 return isBelowFloor;
@@ -79,18 +80,18 @@
         }
 
         /**
-         * What one session more costs of the cap: nothing below the floor or below what may be in
-         * use anyway.
+         * How much of the cap one more session uses: 0 if it is within the floor, or within the
+         * sessions that may be in use anyway.
          */
         private int costOfNextSession() {
             int orphaned = allocation.orphaned();
-            return Math.max(floor, orphaned + Math.max(maxInUse, nextSum + 1))
-                    - Math.max(floor, orphaned + Math.max(maxInUse, nextSum));
+            return Math.max(floor, orphaned + Math.max(maxInUse, plannedSum + 1))
+                    - Math.max(floor, orphaned + Math.max(maxInUse, plannedSum));
         }
 
         private void addChanges(List<BudgetCommand.Grant> changes) {
-            for (int tenant = 0; tenant < fair.length; tenant++) {
-                if (next[tenant] != granted[tenant]) {
+            for (int tenant = 0; tenant < fairSessions.length; tenant++) {
+                if (planned[tenant] != granted[tenant]) {
                     changes.add(
                             new BudgetCommand.Grant(
                                     process.name(),
@@ -98,41 +99,44 @@
                                     engineName,
                                     engine.incarnation(),
                                     settings.tenants().get(tenant).name(),
-                                    next[tenant]));
+                                    planned[tenant]));
                 }
             }
         }
     }
 
-    /** One session more for a tenant in a process. */
-    private record Raise(ProcessPlan plan, int tenant) {}
+    /** One more session for a tenant in a process. */
+    private record GrantIncrement(ProcessPlan plan, int tenant) {}
 
-    /** The grants to change now. */
+    /** Plans the grants to change now. */
     List<BudgetCommand.Grant> changes() {
-        distribute();
-        int[] nextByTenant = lowerGrants();
-        raiseGrants(nextByTenant);
+        computeTargets();
+        int[] plannedByTenant = lowerGrants();
+        raiseGrants(plannedByTenant);
         List<BudgetCommand.Grant> changes = new ArrayList<>();
         plans.forEach(plan -> plan.addChanges(changes));
         return changes;
     }
 
     /**
-     * Sets the targets, session by session with all tenants in step: first for processes below
-     * their floors, which are set aside anyway, then by demand.
+     * Sets the targets one session at a time, keeping the placed fraction of all tenants equal.
+     * Processes below their floors come first, since the floor is reserved for them in any case;
+     * the others follow in proportion to their demand.
      */
-    private void distribute() {
-        int[] placed = new int[fair.length];
-        for (int tenant = leastPlaced(placed); tenant >= 0; tenant = leastPlaced(placed)) {
+    private void computeTargets() {
+        int[] placed = new int[fairSessions.length];
+        for (int tenant = leastPlacedTenant(placed);
+                tenant >= 0;
+                tenant = leastPlacedTenant(placed)) {
             ProcessPlan best = null;
             for (ProcessPlan plan : plans) {
                 if (plan.target[tenant] < plan.demand[tenant]
-                        && (best == null || plan.isBefore(best, tenant))) {
+                        && (best == null || plan.hasPriorityOver(best, tenant))) {
                     best = plan;
                 }
             }
             if (best == null) {
-                fair[tenant] = placed[tenant];
+                fairSessions[tenant] = placed[tenant];
             } else {
                 best.target[tenant]++;
                 best.targetSum++;
@@ -141,71 +145,73 @@
         }
     }
 
-    /** The tenant with the smallest part of its sessions placed; -1 if all are. */
-    private int leastPlaced(int[] placed) {
-        int least = -1;
-        for (int tenant = 0; tenant < fair.length; tenant++) {
-            if (placed[tenant] < fair[tenant]
-                    && (least < 0
-                            || (long) placed[tenant] * fair[least]
-                                    < (long) placed[least] * fair[tenant])) {
-                least = tenant;
+    /** The tenant with the smallest placed fraction of its sessions; -1 if all are placed. */
+    private int leastPlacedTenant(int[] placed) {
+        int leastPlaced = -1;
+        for (int tenant = 0; tenant < fairSessions.length; tenant++) {
+            if (placed[tenant] < fairSessions[tenant]
+                    && (leastPlaced < 0
+                            || (long) placed[tenant] * fairSessions[leastPlaced]
+                                    < (long) placed[leastPlaced] * fairSessions[tenant])) {
+                leastPlaced = tenant;
             }
         }
-        return least;
+        return leastPlaced;
     }
 
     /**
-     * Plans the lowered grants, which take effect at once.
+     * Plans the lowered grants, which need no free capacity.
      *
-     * @return sessions that each tenant then has
+     * @return sessions by tenant after the lowered grants
      */
     private int[] lowerGrants() {
-        int[] nextByTenant = new int[fair.length];
+        int[] plannedByTenant = new int[fairSessions.length];
         for (ProcessPlan plan : plans) {
-            for (int tenant = 0; tenant < fair.length; tenant++) {
-                plan.next[tenant] = Math.min(plan.granted[tenant], plan.target[tenant]);
-                plan.nextSum += plan.next[tenant];
-                nextByTenant[tenant] += plan.next[tenant];
+            for (int tenant = 0; tenant < fairSessions.length; tenant++) {
+                plan.planned[tenant] = Math.min(plan.granted[tenant], plan.target[tenant]);
+                plan.plannedSum += plan.planned[tenant];
+                plannedByTenant[tenant] += plan.planned[tenant];
             }
         }
-        return nextByTenant;
+        return plannedByTenant;
     }
 
     /**
-     * Plans the raised grants as far as capacity is free; who has least for its weight is first.
+     * Plans the raised grants as far as there is free capacity, the tenant with the fewest sessions
+     * relative to its weight first.
      */
-    private void raiseGrants(int[] nextByTenant) {
-        int free = engine.isCapLowered() ? 0 : engine.cap() - ledger.committed(engineName);
-        for (Raise raise = nextRaise(nextByTenant, free);
-                raise != null;
-                raise = nextRaise(nextByTenant, free)) {
-            free -= raise.plan.costOfNextSession();
-            raise.plan.nextSum++;
-            raise.plan.next[raise.tenant]++;
-            nextByTenant[raise.tenant]++;
+    private void raiseGrants(int[] plannedByTenant) {
+        int freeCapacity = engine.isCapLowered() ? 0 : engine.cap() - ledger.committed(engineName);
+        for (GrantIncrement increment = nextIncrement(plannedByTenant, freeCapacity);
+                increment != null;
+                increment = nextIncrement(plannedByTenant, freeCapacity)) {
+            freeCapacity -= increment.plan.costOfNextSession();
+            increment.plan.plannedSum++;
+            increment.plan.planned[increment.tenant]++;
+            plannedByTenant[increment.tenant]++;
         }
     }
 
-    private Raise nextRaise(int[] nextByTenant, int free) {
-        Raise best = null;
+    private GrantIncrement nextIncrement(int[] plannedByTenant, int freeCapacity) {
+        GrantIncrement best = null;
         for (ProcessPlan plan : plans) {
-            boolean isRaised = plan.nextSum >= plan.grantedSum;
-            if (plan.costOfNextSession() > free || isRaised && engine.isCapLowered()) {
+            boolean isRaised = plan.plannedSum >= plan.grantedSum;
+            if (plan.costOfNextSession() > freeCapacity || isRaised && engine.isCapLowered()) {
                 continue;
             }
-            for (int tenant = 0; tenant < fair.length; tenant++) {
-                if (plan.next[tenant] < plan.target[tenant]
+            for (int tenant = 0; tenant < fairSessions.length; tenant++) {
+                if (plan.planned[tenant] < plan.target[tenant]
                         && (best == null
-                                || hasLessForItsWeight(nextByTenant, tenant, best.tenant))) {
-                    best = new Raise(plan, tenant);
+                                || hasFewerSessionsForWeight(
+                                        plannedByTenant, tenant, best.tenant))) {
+                    best = new GrantIncrement(plan, tenant);
                 }
             }
         }
         return best;
     }
 
-    private boolean hasLessForItsWeight(int[] sessions, int tenant, int other) {
+    private boolean hasFewerSessionsForWeight(int[] sessions, int tenant, int other) {
         return (long) sessions[tenant] * settings.tenants().get(other).weight()
                 < (long) sessions[other] * settings.tenants().get(tenant).weight();
     }
--- a/src/main/java/calicostream/budget/EngineSlot.java
+++ b/src/main/java/calicostream/budget/EngineSlot.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 
 /**
- * What this process may use and uses at one engine, in sessions; tenants are indexes. Owned by a
+ * The sessions that this process may use and has in use at one engine, by tenant index. Owned by a
  * {@link GrantedSessions}.
  */
 final class EngineSlot {
@@ -15,7 +15,7 @@
     /** By tenant: granted sessions. */
     private final int[] granted;
 
-    /** By tenant: started sessions that have not ended. */
+    /** By tenant: sessions that were started and have not ended. */
     private final int[] sessions;
 
     private long incarnation;
@@ -26,9 +26,10 @@
     private int unacknowledged;
 
     /**
-     * An engine of which no incarnation is known.
+     * Creates the slot of an engine whose incarnation is not known yet.
      *
-     * @param orphaned the most that earlier incarnations of this process may have left running
+     * @param orphaned upper bound on the sessions that earlier incarnations of this process left
+     *     running
      */
     EngineSlot(String name, String pool, int floor, int orphaned, int tenants) {
         this.name = name;
@@ -48,7 +49,7 @@
         return pool;
     }
 
-    /** The incarnation that new sessions go to; 0 if none is known. */
+    /** The engine's incarnation to which new sessions are sent; 0 if unknown. */
     long incarnation() {
         return incarnation;
     }
@@ -65,7 +66,7 @@
         return grantedSum;
     }
 
-    /** The most sessions of all tenants; negative if orphaned ones alone pass the floor. */
+    /** Limit on the sessions of all tenants; negative if orphaned ones exceed the floor. */
     int capacity() {
         return capacity;
     }
@@ -88,12 +89,12 @@
                 && (sessions[tenant] < granted[tenant] || totalSessions + orphaned < floor);
     }
 
-    /** How many sessions the tenant may start. */
+    /** How many more sessions the tenant may start. */
     int headroom(int tenant, int maxUnacknowledged) {
-        int ofTenant =
+        int tenantHeadroom =
                 Math.max(granted[tenant] - sessions[tenant], floor - orphaned - totalSessions);
-        int ofEngine = Math.min(capacity - totalSessions, maxUnacknowledged - unacknowledged);
-        return Math.max(0, Math.min(ofEngine, ofTenant));
+        int engineHeadroom = Math.min(capacity - totalSessions, maxUnacknowledged - unacknowledged);
+        return Math.max(0, Math.min(engineHeadroom, tenantHeadroom));
     }
 
     boolean isFloorReduced() {
@@ -119,16 +120,16 @@
         }
     }
 
-    /** Sessions that were sent before a change of the cluster session are still unacknowledged. */
+    /** Carries the unacknowledged sessions over from the previous cluster session. */
     void setUnacknowledged(int count) {
         unacknowledged = count;
     }
 
     /**
-     * A newer incarnation of the engine: nothing of what was known of the older one holds.
+     * Switches to a newer incarnation of the engine and clears the state of the older one.
      *
-     * @param orphanedAtReplacement what earlier incarnations of this process may have left at it,
-     *     if it replaces one that was known
+     * @param orphanedAtReplacement sessions that earlier incarnations of this process may have left
+     *     running at the new incarnation; ignored if the slot had no incarnation yet
      */
     void replaceIncarnation(long newIncarnation, int orphanedAtReplacement) {
         boolean isReplacement = incarnation != 0;
@@ -142,8 +143,8 @@
         revokeGrants();
     }
 
-    void boundOrphaned(int atMost) {
-        orphaned = Math.min(orphaned, atMost);
+    void boundOrphaned(int maxOrphaned) {
+        orphaned = Math.min(orphaned, maxOrphaned);
         updateCapacity();
     }
 
--- a/src/main/java/calicostream/budget/GrantExpiryMonitor.java
+++ b/src/main/java/calicostream/budget/GrantExpiryMonitor.java
@@ -10,10 +10,10 @@
 import java.util.Set;
 
 /**
- * Proposes the expiry of leases at the leader: of a process's grants when no report has followed
- * the last one for the whole lease time, and of its predecessors' grants once it has joined for as
- * long. It counts from when it sees a report applied, which is after the process sent it. Same
- * thread as its state machine.
+ * Proposes the expiry of leases at the leader: of a process's grants when its last report is a full
+ * lease time old, and of its predecessors' grants a full lease time after it joined. The time runs
+ * from when the monitor first sees the report applied, which is after the process created it, so
+ * the lease ends at the process first. Same thread as its state machine.
  */
 public final class GrantExpiryMonitor implements ExpiryMonitor {
     private final BudgetSettings settings;
@@ -21,9 +21,9 @@
     private final Map<BudgetCommand.Expire, Long> firstSeenNanos = new HashMap<>();
 
     /**
-     * A monitor that has seen no report yet.
+     * Creates a monitor that has seen no report.
      *
-     * @param machine the copy beside it
+     * @param machine the leader's own copy of the state
      */
     public GrantExpiryMonitor(BudgetSettings settings, GrantStateMachine machine) {
         this.settings = settings;
@@ -39,17 +39,17 @@
     public List<byte[]> expiredCommands(long nowNanos) {
         Set<BudgetCommand.Expire> pending = pendingExpiries();
         firstSeenNanos.keySet().retainAll(pending);
-        List<byte[]> due = new ArrayList<>();
+        List<byte[]> dueCommands = new ArrayList<>();
         for (BudgetCommand.Expire expire : pending) {
-            long since = firstSeenNanos.computeIfAbsent(expire, key -> nowNanos);
-            if (nowNanos - since >= settings.ttlNanos()) {
-                due.add(expire.encode());
+            long firstSeen = firstSeenNanos.computeIfAbsent(expire, key -> nowNanos);
+            if (nowNanos - firstSeen >= settings.ttlNanos()) {
+                dueCommands.add(expire.encode());
             }
         }
-        return due;
+        return dueCommands;
     }
 
-    /** The expiry of every lease that is valid now. */
+    /** The expiry command of every lease that is still valid. */
     private Set<BudgetCommand.Expire> pendingExpiries() {
         Set<BudgetCommand.Expire> pending = new LinkedHashSet<>();
         for (ProcessEntry process : machine.ledger().processes().values()) {
--- a/src/main/java/calicostream/budget/GrantLease.java
+++ b/src/main/java/calicostream/budget/GrantLease.java
@@ -5,28 +5,28 @@
 import java.util.TreeMap;
 
 /**
- * The lease of a process's grants, as the process sees it: reports and replies by number, and until
- * when the grants may be used. Not thread-safe; reads no clock: times are nanoseconds of the
- * process's monotonic clock.
+ * The lease of a process's grants on the process's side: matches replies to reports by number, and
+ * knows until when the grants may be used. Not thread-safe. The caller passes the time, in
+ * nanoseconds of the process's monotonic clock.
  *
- * <p>A renewal counts from when its report was made, which is before the leader starts to count, so
- * the lease ends here first.
+ * <p>A renewal counts from when its report was created, which is before the leader's lease time
+ * starts, so the lease expires at the process first.
  */
 final class GrantLease {
-    /** Reports whose replies are still expected; older ones are given up. */
+    /** Limit on reports without a reply; replies to older reports are ignored. */
     private static final int MAX_PENDING_REPORTS = 64;
 
     private final long usableNanos;
     private final Set<Safeguard> disabledSafeguards;
 
-    /** By report number: when it was made. */
+    /** By report number: when the report was created. */
     private final TreeMap<Long, Long> pendingReports = new TreeMap<>();
 
     private boolean isActive;
     private long expiresAt;
-    private long lastReport;
-    private long lastApplied;
-    private long oldestValid;
+    private long lastReportNumber;
+    private long lastAppliedReport;
+    private long oldestValidReport;
     private long grantVersion;
 
     GrantLease(BudgetSettings settings, Set<Safeguard> disabledSafeguards) {
@@ -34,70 +34,73 @@
         this.disabledSafeguards = disabledSafeguards;
     }
 
-    /** Whether the grants may be used, as of the last call with a time. */
+    /** Whether the grants may be used, as of the last call that passed the time. */
     boolean isActive() {
         return isActive;
     }
 
-    /**
-     * Whether the lease was active and its time is over; the owner is to {@link #expire} it then.
-     */
-    boolean isOver(long now) {
+    /** Whether an active lease has reached its end, so that the owner must call {@link #expire}. */
+    boolean isPastExpiry(long now) {
         return isActive && now >= expiresAt;
     }
 
-    /** The version of the grants that are used; 0 if none are. */
-    long usedVersion() {
+    /** The version of the active grants; 0 if none are active. */
+    long activeVersion() {
         return isActive ? grantVersion : 0;
     }
 
     /**
-     * Starts a report.
+     * Registers a new report.
      *
-     * @return its number
+     * @return the report's number
      */
     long beginReport(long now) {
-        lastReport++;
-        pendingReports.put(lastReport, now);
+        lastReportNumber++;
+        pendingReports.put(lastReportNumber, now);
         if (pendingReports.size() > MAX_PENDING_REPORTS) {
             pendingReports.pollFirstEntry();
         }
         if (!isActive && !disabledSafeguards.contains(Safeguard.NO_REPLY_FROM_BEFORE_EXPIRY)) {
-            // This report says that no grants are used: no earlier reply may make that untrue.
-            oldestValid = lastReport;
+            // This report states that no grants are in use; a reply to an earlier report must not
+            // activate any.
+            oldestValidReport = lastReportNumber;
         }
-        return lastReport;
+        return lastReportNumber;
     }
 
     /**
-     * Renews the lease by a reply.
+     * Renews the lease.
      *
-     * @return false if the reply is late or older than one before; nothing has changed then
+     * @return false, without any change, if the reply is too late or a newer one has been applied
      */
     boolean renew(BudgetCommand.RenewalReply reply, long now) {
-        long number = reply.reportNumber();
-        Long reportedAt = pendingReports.get(number);
-        if (reportedAt == null || number < oldestValid || number <= lastApplied) {
+        long reportNumber = reply.reportNumber();
+        Long reportCreatedAt = pendingReports.get(reportNumber);
+        if (reportCreatedAt == null
+                || reportNumber < oldestValidReport
+                || reportNumber <= lastAppliedReport) {
             return false;
         }
-        long from =
-                disabledSafeguards.contains(Safeguard.LEASE_TIMED_FROM_REQUEST) ? now : reportedAt;
-        if (now >= from + usableNanos) {
+        long leaseStartedAt =
+                disabledSafeguards.contains(Safeguard.LEASE_TIMED_FROM_REQUEST)
+                        ? now
+                        : reportCreatedAt;
+        if (now >= leaseStartedAt + usableNanos) {
             return false;
         }
         isActive = true;
-        expiresAt = from + usableNanos;
+        expiresAt = leaseStartedAt + usableNanos;
         grantVersion = reply.grantVersion();
-        lastApplied = number;
-        pendingReports.headMap(number, true).clear();
+        lastAppliedReport = reportNumber;
+        pendingReports.headMap(reportNumber, true).clear();
         return true;
     }
 
-    /** The grants must not be used any more, nor may any reply to a report from before now. */
+    /** Ends the lease; replies to reports created before now no longer renew it. */
     void expire() {
         isActive = false;
         if (!disabledSafeguards.contains(Safeguard.NO_REPLY_FROM_BEFORE_EXPIRY)) {
-            oldestValid = lastReport + 1;
+            oldestValidReport = lastReportNumber + 1;
         }
     }
 }
--- a/src/main/java/calicostream/budget/GrantLedger.java
+++ b/src/main/java/calicostream/budget/GrantLedger.java
@@ -10,10 +10,10 @@
 import java.util.TreeMap;
 
 /**
- * The replicated state of grants: engines with their caps, processes with what they may have in
- * use. It answers how many sessions may be in use at an engine and decides nothing; sorted maps
- * make equal states encode to equal bytes. Owned by one {@link GrantStateMachine}, which alone
- * changes it.
+ * The replicated state of grants: engines with their caps, and processes with the sessions that
+ * they may have in use. It computes how many sessions may be in use at an engine but makes no
+ * decisions. Its maps are sorted so that equal states have equal encodings. Owned and changed by
+ * one {@link GrantStateMachine}.
  */
 final class GrantLedger {
     private final Set<String> processesWithFloor;
@@ -38,12 +38,12 @@
         return Collections.unmodifiableSortedMap(processes);
     }
 
-    /** Last incarnations of engines that were removed: none of them may return; unmodifiable. */
+    /** Last incarnation of each removed engine; only a later one may be added. Unmodifiable. */
     SortedMap<String, Long> removedEngines() {
         return Collections.unmodifiableSortedMap(removedEngines);
     }
 
-    /** The largest fencing token of a coordinator that was seen. */
+    /** The largest fencing token of any coordinator so far. */
     long fencingToken() {
         return fencingToken;
     }
@@ -52,7 +52,7 @@
         fencingToken = token;
     }
 
-    /** Index of the last command that was applied or refused. */
+    /** Index of the last command, whether accepted or rejected. */
     long appliedIndex() {
         return appliedIndex;
     }
@@ -66,7 +66,7 @@
         removedEngines.remove(name);
     }
 
-    /** Removes an engine; what ran there ended with it. */
+    /** Removes an engine; its sessions have ended with it. */
     void removeEngine(String name) {
         removeAllocations(name);
         putRemovedEngine(name, engines.remove(name).incarnation());
@@ -76,19 +76,19 @@
         removedEngines.put(name, incarnation);
     }
 
-    /** Forgets what processes may have in use at an engine: it ended with the engine. */
+    /** Removes all processes' allocations at an engine whose incarnation has ended. */
     void removeAllocations(String engine) {
         processes.values().forEach(process -> process.removeAllocation(engine));
     }
 
-    /** Adds an entry for the process, in place of any that it had. */
+    /** Adds an empty entry for the process, replacing an existing one. */
     ProcessEntry addProcess(String name) {
         ProcessEntry process = new ProcessEntry(name);
         processes.put(name, process);
         return process;
     }
 
-    /** The process that joined under the session; null if there is none. */
+    /** The process that joined under the cluster session; null if there is none. */
     ProcessEntry processBySession(long session) {
         if (session == 0) {
             return null;
@@ -102,9 +102,9 @@
     }
 
     /**
-     * The process that joined under the session.
+     * The process that joined under the cluster session.
      *
-     * @throws BudgetException.GrantOver if there is none
+     * @throws BudgetException.GrantExpired if there is none
      */
     ProcessEntry requireProcess(long session) {
         ProcessEntry process = processBySession(session);
@@ -120,7 +120,7 @@
     }
 
     /**
-     * Checks that the engine is present in that incarnation.
+     * Checks that this is the current incarnation of the engine.
      *
      * @throws BudgetException.OtherIncarnation if it is not
      */
@@ -137,20 +137,18 @@
         return processesWithFloor.contains(process) ? engines.get(engine).floor() : 0;
     }
 
-    /**
-     * The most sessions that may be in use at the engine now or later, if nothing else is granted.
-     */
+    /** Upper bound on the sessions in use at the engine, now and later, unless more are granted. */
     int committed(String engine) {
         return committed(engine, Map.of());
     }
 
-    /** The same with further sums granted, by process. */
-    int committed(String engine, Map<String, Integer> furtherSums) {
+    /** The same upper bound if these sums, by process, were granted as well. */
+    int committed(String engine, Map<String, Integer> proposedSums) {
         long total = 0;
         for (ProcessEntry process : processes.values()) {
             int floor = floor(process.name(), engine);
             EngineAllocation allocation = process.allocations().get(engine);
-            int sum = furtherSums.getOrDefault(process.name(), 0);
+            int sum = proposedSums.getOrDefault(process.name(), 0);
             if (allocation == null) {
                 total += Math.max(floor, sum);
             } else {
@@ -164,9 +162,9 @@
     }
 
     /**
-     * Puts lowered caps in force where no more sessions than the new cap may be in use.
+     * Puts each lowered cap in force if no more sessions than the new cap may be in use.
      *
-     * @return the names of the engines whose cap was lowered by this
+     * @return the names of the engines whose lowered cap came into force
      */
     List<String> enforceLoweredCaps() {
         List<String> lowered = new ArrayList<>();
--- a/src/main/java/calicostream/budget/GrantLedgerCodec.java
+++ b/src/main/java/calicostream/budget/GrantLedgerCodec.java
@@ -8,9 +8,9 @@
 
 /** The snapshot format of a {@link GrantLedger}. Stateless. */
 final class GrantLedgerCodec {
-    private static final int FORMAT = 1;
+    private static final int FORMAT_VERSION = 1;
 
-    /** The least bytes that an element of each kind of list takes. */
+    /** The smallest encoded size of an element, by kind of list. */
     private static final int MIN_ENGINE_BYTES = 20;
 
     private static final int MIN_REMOVED_ENGINE_BYTES = 12;
@@ -24,7 +24,7 @@
     static byte[] encode(GrantLedger ledger) {
         BinaryCodec.Writer out =
                 new BinaryCodec.Writer()
-                        .u8(FORMAT)
+                        .u8(FORMAT_VERSION)
                         .i64(ledger.fencingToken())
                         .i64(ledger.appliedIndex());
         out.i32(ledger.engines().size());
@@ -37,14 +37,14 @@
     }
 
     /**
-     * Reads what {@link #encode} wrote.
+     * Decodes the result of {@link #encode}.
      *
-     * @throws calicostream.cluster.ClusterException.Malformed if the bytes are no snapshot, or name
-     *     a pool that the settings do not have
+     * @throws calicostream.cluster.ClusterException.Malformed if the bytes are not a valid
+     *     snapshot, or refer to a pool that is not configured
      */
     static GrantLedger decode(BudgetSettings settings, byte[] snapshot) {
         BinaryCodec.Reader in = new BinaryCodec.Reader("budget snapshot", snapshot);
-        in.requireVersion(FORMAT);
+        in.requireVersion(FORMAT_VERSION);
         GrantLedger ledger = new GrantLedger(settings);
         ledger.setFencingToken(in.i64());
         ledger.setAppliedIndex(in.i64());
--- a/src/main/java/calicostream/budget/GrantStateMachine.java
+++ b/src/main/java/calicostream/budget/GrantStateMachine.java
@@ -12,26 +12,26 @@
 
 /**
  * The replicated state machine that grants sessions at engines to processes. Every copy applies the
- * same commands; a command after which more sessions could be in use at an engine than its cap is
- * refused, whoever sent it. Not thread-safe; owned by its member's thread.
+ * same commands. A command that would allow more sessions at an engine than its cap is rejected,
+ * whoever sent it. Not thread-safe; owned by its member's thread.
  *
- * <p>What may be in use at an engine is, for each process, the largest of: its floor; what it
- * reported in use; the largest sum granted to it that it may still use; the last two together with
- * the sessions that its earlier incarnations may have left running. That falls only by the
- * process's own report, by the engine's own count taken after the leader has expired the grants, or
- * with the engine's incarnation.
+ * <p>The sessions that a process may have in use at an engine are the larger of its floor and the
+ * sum of two numbers: the sessions that its earlier incarnations may have left running, and the
+ * larger of its reported usage and the largest sum of grants that it may still use. This bound
+ * falls only through the process's own report, through the engine's own count requested after the
+ * leader has expired the grants, or when the engine is replaced.
  */
 public final class GrantStateMachine implements StateMachine {
-    /** The name under which the cluster composes this state machine. */
+    /** The name under which the cluster registers this state machine. */
     public static final String NAME = "budget";
 
-    private static final byte[] NO_ANSWER = {};
+    private static final byte[] NO_RESPONSE = {};
 
     private final BudgetSettings settings;
     private final Set<Safeguard> disabledSafeguards;
     private GrantLedger ledger;
 
-    /** A state machine without engines, in which the named processes have their floors. */
+    /** Creates a state machine without engines, in which the configured processes have floors. */
     public GrantStateMachine(BudgetSettings settings) {
         this(settings, EnumSet.noneOf(Safeguard.class));
     }
@@ -46,31 +46,31 @@
         return ledger;
     }
 
-    /** What this copy knows as of the call; not to be kept over the next command. */
+    /** A view of the current state; do not use it after the next command. */
     public GrantView view() {
         return new GrantView(ledger);
     }
 
-    /** The whole state, for a coordinator at a member that has no copy. */
+    /** Returns a snapshot, for a coordinator at a member without a copy. */
     @Override
-    public byte[] query(byte[] question) {
+    public byte[] query(byte[] request) {
         return snapshot();
     }
 
-    /** Every check of a command comes before its first change, so a refused one changes nothing. */
+    /** All checks of a command precede its first change, so a rejected one changes nothing else. */
     @Override
     public CommandEffects apply(long index, Command command) {
         ledger.setAppliedIndex(index);
         try {
             return apply(index, command, BudgetCommand.decode(command.body()));
-        } catch (BudgetException refused) {
-            return refuse(refused.code(), refused.getMessage());
+        } catch (BudgetException rejection) {
+            return reject(rejection.code(), rejection.getMessage());
         } catch (ClusterException.Malformed malformed) {
-            return refuse(malformed.code(), malformed.getMessage());
+            return reject(malformed.code(), malformed.getMessage());
         }
     }
 
-    private static CommandEffects refuse(String code, String facts) {
+    private static CommandEffects reject(String code, String facts) {
         return CommandEffects.rejected(code, new BinaryCodec.Writer().text(facts).toByteArray());
     }
 
@@ -84,9 +84,9 @@
             return CommandEffects.NONE;
         } else if (command instanceof BudgetCommand.Leave) {
             processes.leave(sender.session());
-            return withLoweredCaps(NO_ANSWER);
+            return respondAndEnforceCaps(NO_RESPONSE);
         } else if (command instanceof BudgetCommand.Renew renew) {
-            return withLoweredCaps(processes.renew(sender.session(), renew).encode());
+            return respondAndEnforceCaps(processes.renew(sender.session(), renew).encode());
         } else if (command instanceof BudgetCommand.Expire expire) {
             processes.expire(index, sender.isFromLeader(), expire);
             return CommandEffects.NONE;
@@ -95,24 +95,24 @@
             return CommandEffects.NONE;
         } else if (command instanceof BudgetCommand.UpdateEngine update) {
             engines.update(update);
-            return withLoweredCaps(NO_ANSWER);
+            return respondAndEnforceCaps(NO_RESPONSE);
         } else if (command instanceof BudgetCommand.RemoveEngine remove) {
             engines.remove(remove);
             return CommandEffects.NONE;
         }
         engines.count((BudgetCommand.EngineCount) command);
-        return withLoweredCaps(NO_ANSWER);
+        return respondAndEnforceCaps(NO_RESPONSE);
     }
 
-    /** Answers a command by which a lowered cap may have come in force; each one is an event. */
-    private CommandEffects withLoweredCaps(byte[] answer) {
+    /** Puts lowered caps in force where possible, and responds with an event for each of them. */
+    private CommandEffects respondAndEnforceCaps(byte[] response) {
         List<String> lowered = ledger.enforceLoweredCaps();
         return CommandEffects.response(
-                answer,
-                lowered.stream().map(this::capInForce).toArray(CommandEffects.Event[]::new));
+                response,
+                lowered.stream().map(this::capInForceEvent).toArray(CommandEffects.Event[]::new));
     }
 
-    private CommandEffects.Event capInForce(String name) {
+    private CommandEffects.Event capInForceEvent(String name) {
         EngineEntry engine = ledger.engines().get(name);
         return new CommandEffects.Event(
                 "budget-cap-in-force",
--- a/src/main/java/calicostream/budget/GrantView.java
+++ b/src/main/java/calicostream/budget/GrantView.java
@@ -5,15 +5,15 @@
 import java.util.List;
 
 /**
- * Read-only view of a {@link GrantStateMachine}'s copy, for coordinators and operators. Used on the
- * thread of its state machine.
+ * Read-only view of one copy of the {@link GrantStateMachine}, for coordinators and metrics. Must
+ * be used on the thread of its state machine.
  */
 public final class GrantView {
     /**
-     * An engine.
+     * An engine's caps and sums.
      *
      * @param requestedCap lower than {@code cap} while a lowered cap is not in force
-     * @param committed the most sessions that may be in use
+     * @param committed upper bound on the sessions in use
      * @param granted sessions granted to all processes
      */
     public record EngineTotals(
@@ -25,21 +25,21 @@
             int committed,
             int granted) {}
 
-    /** Sessions of a tenant in the whole fleet. */
+    /** Granted and demanded sessions of a tenant in the whole fleet. */
     public record TenantTotals(int granted, int demand) {}
 
     /**
-     * Sessions that may be in use until the engine's own count shows otherwise.
+     * Sessions that may be in use as long as no engine count proves a lower number.
      *
-     * @param session that the process's present incarnation joined under
-     * @param ofPredecessors whether they are of earlier incarnations of the process
-     * @param expiredAtIndex index from which a count is proof
+     * @param session cluster session under which the process's current incarnation joined
+     * @param forPredecessors whether the sessions are of earlier incarnations of the process
+     * @param expiredAtIndex smallest applied index at which a count must be requested to be usable
      */
     public record UnconfirmedUsage(
             String engine,
             String process,
             long session,
-            boolean ofPredecessors,
+            boolean forPredecessors,
             long expiredAtIndex,
             int sessions) {}
 
@@ -49,7 +49,7 @@
         this.ledger = ledger;
     }
 
-    /** Index of the last command that the copy has applied; 0 if none. */
+    /** Index of the last command that this copy has applied; 0 if none. */
     public long appliedIndex() {
         return ledger.appliedIndex();
     }
@@ -68,11 +68,11 @@
                                                 engine.cap(),
                                                 engine.requestedCap(),
                                                 ledger.committed(name),
-                                                grantedAt(name))));
+                                                totalGranted(name))));
         return totals;
     }
 
-    private int grantedAt(String engine) {
+    private int totalGranted(String engine) {
         int granted = 0;
         for (ProcessEntry process : ledger.processes().values()) {
             EngineAllocation allocation = process.allocations().get(engine);
@@ -81,33 +81,35 @@
         return granted;
     }
 
-    /** What the tenant is granted and demands at all engines. */
+    /** Sums of the tenant's grants and demand at all engines. */
     public TenantTotals tenantTotals(String tenant) {
         int granted = 0;
         int demand = 0;
         for (ProcessEntry process : ledger.processes().values()) {
             for (EngineAllocation allocation : process.allocations().values()) {
-                TenantAllocation each = allocation.tenants().get(tenant);
-                granted += each == null ? 0 : each.granted();
-                demand += each == null ? 0 : each.demand();
+                TenantAllocation tenantAllocation = allocation.tenants().get(tenant);
+                granted += tenantAllocation == null ? 0 : tenantAllocation.granted();
+                demand += tenantAllocation == null ? 0 : tenantAllocation.demand();
             }
         }
         return new TenantTotals(granted, demand);
     }
 
-    /** What silent processes, and earlier incarnations, may have in use and can no longer start. */
+    /** Sessions that processes with expired grants, and earlier incarnations, may have in use. */
     public List<UnconfirmedUsage> unconfirmedUsages() {
         List<UnconfirmedUsage> usages = new ArrayList<>();
         for (ProcessEntry process : ledger.processes().values()) {
             if (process.hasSession()) {
                 process.allocations()
-                        .forEach((engine, allocation) -> add(usages, process, engine, allocation));
+                        .forEach(
+                                (engine, allocation) ->
+                                        addUsages(usages, process, engine, allocation));
             }
         }
         return usages;
     }
 
-    private static void add(
+    private static void addUsages(
             List<UnconfirmedUsage> usages,
             ProcessEntry process,
             String engine,
--- a/src/main/java/calicostream/budget/GrantedSessions.java
+++ b/src/main/java/calicostream/budget/GrantedSessions.java
@@ -9,13 +9,13 @@
 import java.util.Set;
 
 /**
- * The sessions that this process may use and uses, in memory: the request path asks {@link
- * #mayStart} and never the cluster. Owned by one thread; reads no clock: times are nanoseconds of a
- * monotonic clock of this process, which goes on while the process is stopped.
+ * The sessions that this process may use and has in use. Everything is in memory: the request path
+ * calls {@link #mayStart} and never waits for the cluster. Owned by one thread. The caller passes
+ * the time, in nanoseconds of a monotonic clock that keeps running while the process is stopped.
  *
- * <p>Grants expire by themselves, counted from before they were asked for; what remains then, and
- * without a quorum, are the floors. Sessions are whole numbers; tenants are indexes of the
- * settings, engines are slots in order of their registration.
+ * <p>Grants expire without any message, a fixed time after the report that renewed them was
+ * created. After the expiry, and without a quorum, the process may only use its floors. Tenants are
+ * identified by their index in the settings, engines by a slot in order of registration.
  */
 public final class GrantedSessions {
     private final BudgetSettings settings;
@@ -24,12 +24,12 @@
     private final GrantLease lease;
     private final List<EngineSlot> engines = new ArrayList<>();
     private final Map<String, Integer> slotByName = new HashMap<>();
-    private boolean isReclaimed;
+    private boolean wasGrantLowered;
 
     /**
-     * The sessions of a process that has been granted nothing.
+     * Creates the state of a process without grants.
      *
-     * @param process this process's name, by which the settings may give it floors
+     * @param process this process's name; the settings define whether it has floors
      */
     public GrantedSessions(BudgetSettings settings, String process) {
         this(settings, process, EnumSet.noneOf(Safeguard.class));
@@ -42,11 +42,11 @@
         this.lease = new GrantLease(settings, disabledSafeguards);
     }
 
-    /** The slot of an engine; a new one if it was not registered before. */
+    /** Returns the slot of an engine and registers the engine if it is new. */
     public int registerEngine(String name, String pool) {
-        Integer known = slotByName.get(name);
-        if (known != null) {
-            return known;
+        Integer registeredSlot = slotByName.get(name);
+        if (registeredSlot != null) {
+            return registeredSlot;
         }
         int slot = engines.size();
         int orphaned =
@@ -65,17 +65,17 @@
     }
 
     /**
-     * Whether this tenant may start a session at this engine now. Sessions that the engine has not
-     * acknowledged are bounded too.
+     * Whether the tenant may start a session at the engine now. False also if too many sessions at
+     * the engine are unacknowledged.
      */
     public boolean mayStart(int tenant, int engine, long now) {
-        expireIfOver(now);
+        expireIfDue(now);
         return engines.get(engine).mayStart(tenant, settings.maxUnacknowledged());
     }
 
-    /** How many sessions the tenant may start now, at all engines together. */
+    /** How many more sessions the tenant may start now, summed over all engines. */
     public int headroom(int tenant, long now) {
-        expireIfOver(now);
+        expireIfDue(now);
         int headroom = 0;
         for (EngineSlot engine : engines) {
             headroom += engine.headroom(tenant, settings.maxUnacknowledged());
@@ -83,26 +83,26 @@
         return headroom;
     }
 
-    /** A session is sent, in the same turn in which {@link #mayStart} said yes. */
+    /** Records a session to be sent; {@link #mayStart} must have returned true in the same turn. */
     public void sessionStarted(int tenant, int engine) {
         engines.get(engine).sessionStarted(tenant);
     }
 
-    /** The engine has acknowledged a session, or the session has ended there. */
+    /** Records that the engine has acknowledged a session or that the session has ended. */
     public void sessionAcknowledged(int engine, long atIncarnation) {
         engines.get(engine).sessionAcknowledged(atIncarnation);
     }
 
     /**
-     * A session is known to have ended at that incarnation, or never to have started; a broken
-     * connection alone does not prove that.
+     * Records that a session has certainly ended at that incarnation of the engine, or never
+     * started there. A broken connection alone is no proof of that.
      */
     public void sessionEnded(int tenant, int engine, long atIncarnation) {
         engines.get(engine).sessionEnded(tenant, atIncarnation);
     }
 
     /**
-     * The incarnation of the engine that new sessions go to: what was known of an older one has
+     * Sets the engine's incarnation to which new sessions are sent; sessions at an older one have
      * ended.
      */
     public void engineConnected(int engine, long incarnation) {
@@ -110,22 +110,24 @@
     }
 
     /**
-     * The same, where an earlier incarnation of this process may have used this one of the engine.
+     * The same for an incarnation of the engine that an earlier incarnation of this process may
+     * have used.
      *
-     * @param wasLatestKnown whether the incarnation known until now was the latest that an earlier
-     *     process of this name can have used
+     * @param isUnusedByPredecessors whether no earlier incarnation of this process can have used
+     *     the new incarnation of the engine
      */
-    void engineConnected(int engine, long incarnation, boolean wasLatestKnown) {
+    void engineConnected(int engine, long incarnation, boolean isUnusedByPredecessors) {
         EngineSlot slot = engines.get(engine);
         if (incarnation > slot.incarnation()) {
             slot.replaceIncarnation(
-                    incarnation, wasLatestKnown ? 0 : BudgetCommand.UNKNOWN_SESSIONS);
+                    incarnation, isUnusedByPredecessors ? 0 : BudgetCommand.UNKNOWN_SESSIONS);
         }
     }
 
     /**
-     * The engine itself says how many sessions earlier incarnations of this process have at most,
-     * with nothing of theirs in transit: this opens floors without a quorum.
+     * Applies an upper bound, from the engine itself, on the sessions that earlier incarnations of
+     * this process have there; none of those may be in transit. This makes floors usable without a
+     * quorum.
      */
     public void boundOrphaned(int engine, long atIncarnation, int sessions) {
         EngineSlot slot = engines.get(engine);
@@ -135,10 +137,10 @@
     }
 
     /**
-     * What this process may use under a new cluster session: nothing granted, and what it started
-     * under the old one counts as orphaned, which it knows exactly. Ends of those sessions go to
-     * this object, from where {@link #updateOrphanedFrom} takes them; acknowledgements go to the
-     * new one.
+     * Creates the state for a new cluster session: no grants, and the sessions started under the
+     * old cluster session count as orphaned, with their exact number. Record the ends of the old
+     * sessions on this object and call {@link #updateOrphanedFrom} on the new one; record
+     * acknowledgements on the new one.
      */
     public GrantedSessions forNewClusterSession() {
         GrantedSessions next = new GrantedSessions(settings, process, disabledSafeguards);
@@ -152,30 +154,30 @@
         return next;
     }
 
-    /** Fewer sessions of this process's previous cluster session run at the engine. */
+    /** Lowers the orphaned sessions to those that still run under the previous cluster session. */
     public void updateOrphanedFrom(GrantedSessions previous, int engine) {
-        EngineSlot before = previous.engines.get(engine);
-        if (before.incarnation() == incarnation(engine)) {
-            int sessions = before.totalSessions() + before.orphaned();
+        EngineSlot previousSlot = previous.engines.get(engine);
+        if (previousSlot.incarnation() == incarnation(engine)) {
+            int sessions = previousSlot.totalSessions() + previousSlot.orphaned();
             boundOrphaned(
                     engine,
-                    before.incarnation(),
+                    previousSlot.incarnation(),
                     Math.min(BudgetCommand.UNKNOWN_SESSIONS, sessions));
         }
     }
 
     /**
-     * Whether sessions that earlier incarnations have left running at the engine, or may have for
-     * all that is known, reduce its floor.
+     * Whether the floor at the engine is reduced by sessions that earlier incarnations left running
+     * or may have left running.
      */
     public boolean isFloorReduced(int engine) {
         return engines.get(engine).isFloorReduced();
     }
 
-    /** The report to send now; its reply counts from this moment, whenever it is received. */
+    /** Creates the report to send now; its reply renews the lease from this moment. */
     public BudgetCommand.Renew nextReport(long now, DemandEstimator demand) {
-        expireIfOver(now);
-        isReclaimed = false;
+        expireIfDue(now);
+        wasGrantLowered = false;
         long number = lease.beginReport(now);
         List<BudgetCommand.EngineUsage> usages = new ArrayList<>();
         List<BudgetCommand.TenantDemand> demands = new ArrayList<>();
@@ -198,12 +200,12 @@
                 }
             }
         }
-        return new BudgetCommand.Renew(number, lease.usedVersion(), usages, demands);
+        return new BudgetCommand.Renew(number, lease.activeVersion(), usages, demands);
     }
 
-    /** The reply to a report; one that is late, or received after a newer one, changes nothing. */
+    /** Applies the reply to a report; one that is too late or older than the last has no effect. */
     public void applyReply(BudgetCommand.RenewalReply reply, long now) {
-        expireIfOver(now);
+        expireIfDue(now);
         if (!lease.renew(reply, now)) {
             return;
         }
@@ -220,7 +222,7 @@
             }
         }
         for (int engine = 0; engine < sumsBefore.length; engine++) {
-            isReclaimed |= engines.get(engine).grantedSum() < sumsBefore[engine];
+            wasGrantLowered |= engines.get(engine).grantedSum() < sumsBefore[engine];
         }
     }
 
@@ -229,7 +231,7 @@
         if (engine == null) {
             return;
         }
-        // The state machine may have known this incarnation before this process started.
+        // An earlier incarnation of this process may have used this incarnation of the engine.
         engineConnected(engine, usage.incarnation(), false);
         EngineSlot slot = engines.get(engine);
         if (slot.incarnation() == usage.incarnation()) {
@@ -238,44 +240,44 @@
     }
 
     /**
-     * Whether the last reply lowered a grant: the sooner the next report acknowledges that, the
-     * sooner another process may use it.
+     * Whether the last reply lowered a grant. The next report should then follow at once: only
+     * after it has acknowledged the lowered grant may another process use the capacity.
      */
-    public boolean isReclaimed() {
-        return isReclaimed;
+    public boolean wasGrantLowered() {
+        return wasGrantLowered;
     }
 
-    private void expireIfOver(long now) {
-        if (lease.isOver(now)) {
+    private void expireIfDue(long now) {
+        if (lease.isPastExpiry(now)) {
             expire();
         }
     }
 
     /**
-     * The grants are over, by time or because a report was refused: only floors from here on, and
-     * the next report says so.
+     * Ends the grants, because their lease is over or a report was rejected as expired. Only floors
+     * remain, and the next report states so.
      */
     public void expire() {
         lease.expire();
         engines.forEach(EngineSlot::revokeGrants);
     }
 
-    /** Whether grants are in force here; if not, floors are all there is. */
+    /** Whether grants are active; if not, only floors may be used. */
     public boolean hasActiveGrants() {
         return lease.isActive();
     }
 
-    /** The incarnation that new sessions at the engine go to; 0 if none is known. */
+    /** The engine's incarnation to which new sessions are sent; 0 if unknown. */
     public long incarnation(int engine) {
         return engines.get(engine).incarnation();
     }
 
-    /** Whether no session of this process is in use anywhere. */
+    /** Whether this process has no session in use at any engine. */
     public boolean isIdle() {
         return engines.stream().allMatch(engine -> engine.totalSessions() == 0);
     }
 
-    /** Sessions of the tenant at the engine, unacknowledged ones included. */
+    /** Sessions of the tenant at the engine, including unacknowledged ones. */
     public int sessions(int tenant, int engine) {
         return engines.get(engine).sessions(tenant);
     }
@@ -294,7 +296,7 @@
         return engines.get(engine).totalSessions();
     }
 
-    /** The most sessions of all tenants at the engine; negative if orphaned ones pass the floor. */
+    /** Limit on all tenants' sessions at the engine; negative if orphaned ones exceed the floor. */
     public int capacity(int engine) {
         return engines.get(engine).capacity();
     }
--- a/src/main/java/calicostream/budget/MaxMinFairAllocator.java
+++ b/src/main/java/calicostream/budget/MaxMinFairAllocator.java
@@ -4,23 +4,23 @@
 import java.util.List;
 
 /**
- * Weighted max-min fair allocation of sessions to tenants, with guarantees and ceilings, over
- * engines, pools and the fleet together: first every guarantee that can be met, then the tenant
- * with the least sessions for its weight gets the next one, as long as any placement of all
- * sessions leaves it capacity.
+ * Weighted max-min fair allocation of sessions to tenants, with guarantees and ceilings per pool
+ * and for the whole fleet. First it meets every guarantee that can be met. Then the tenant with the
+ * fewest sessions relative to its weight gets the next one, as long as some placement of all
+ * sessions has capacity for it.
  *
- * <p>What can be granted to sets of tenants is a polymatroid, so a tenant that can't have one more
- * session now never can later, and the greedy order is exact up to single sessions. A pure
- * function: the same problem and previous allocation give the same allocation.
+ * <p>The feasible allocations form a polymatroid, so a tenant that cannot have one more session now
+ * never can later, and the greedy order is exact up to single sessions. Deterministic: equal
+ * problems and previous allocations give equal results.
  */
 public final class MaxMinFairAllocator {
     private static final int ANY_POOL = -1;
-    private static final int NONE = -1;
+    private static final int NO_ENGINE = -1;
 
     /**
-     * What one tenant demands and is entitled to, in sessions.
+     * One tenant's demand and entitlement, in sessions.
      *
-     * @param weight its share relative to other tenants
+     * @param weight share relative to the other tenants
      * @param demand by engine
      * @param poolGuarantees by pool
      * @param poolCeilings by pool
@@ -36,14 +36,15 @@
             int ceiling) {}
 
     /**
-     * What is to be allocated, in sessions.
+     * The input of the allocation, in sessions.
      *
      * @param caps by engine
-     * @param poolOf by engine: the index of its pool
+     * @param poolByEngine index of each engine's pool
      * @param poolCaps by pool
-     * @param tenants who shares the engines
+     * @param tenants the tenants that share the engines
      */
-    public record Problem(int[] caps, int[] poolOf, int[] poolCaps, List<TenantClaim> tenants) {
+    public record Problem(
+            int[] caps, int[] poolByEngine, int[] poolCaps, List<TenantClaim> tenants) {
         /** Copies the list, not the arrays. */
         public Problem {
             tenants = List.copyOf(tenants);
@@ -70,19 +71,19 @@
     private final BoundedFlowNetwork network;
     private final int sink;
 
-    /** Edges by tenant and pool: sessions of the tenant in the pool. */
+    /** By tenant and pool: the edge whose flow is the tenant's sessions in the pool. */
     private final int[][] tenantPoolEdges;
 
-    /** Edges by tenant and engine: sessions of the tenant at the engine. */
+    /** By tenant and engine: the edge whose flow is the tenant's sessions at the engine. */
     private final int[][] tenantEngineEdges;
 
-    /** Edges by engine: sessions at the engine. */
+    /** By engine: the edge whose flow is the sessions at the engine. */
     private final int[] engineEdges;
 
-    /** Edges by pool: sessions in the pool. */
+    /** By pool: the edge whose flow is the sessions in the pool. */
     private final int[] poolEdges;
 
-    /** Sessions placed, by tenant. */
+    /** By tenant: the sessions placed so far. */
     private final int[] totals;
 
     private MaxMinFairAllocator(Problem problem) {
@@ -104,7 +105,7 @@
             engineEdges[engine] =
                     network.addEdge(
                             engineNode(engine),
-                            poolNode(problem.poolOf()[engine]),
+                            poolNode(problem.poolByEngine()[engine]),
                             problem.caps()[engine]);
         }
         for (int pool = 0; pool < pools; pool++) {
@@ -122,7 +123,7 @@
         for (int engine = 0; engine < problem.engineCount(); engine++) {
             tenantEngineEdges[tenant][engine] =
                     network.addEdge(
-                            tenantPoolNode(tenant, problem.poolOf()[engine]),
+                            tenantPoolNode(tenant, problem.poolByEngine()[engine]),
                             engineNode(engine),
                             claim.demand()[engine]);
         }
@@ -143,20 +144,19 @@
     /**
      * Allocates sessions to tenants at engines.
      *
-     * @param previous the last allocation, from which as little as possible is moved; null if there
-     *     was none
+     * @param previous the last allocation, to which the result stays close; null if there is none
      * @return sessions by tenant and engine
      */
     public static int[][] allocate(Problem problem, int[][] previous) {
-        MaxMinFairAllocator fair = new MaxMinFairAllocator(problem);
-        int[][] guaranteed = fair.meetGuarantees();
-        fair.fillByWeight(ceilings(problem));
+        MaxMinFairAllocator fairAllocator = new MaxMinFairAllocator(problem);
+        int[][] guaranteed = fairAllocator.meetGuarantees();
+        fairAllocator.fillByWeight(ceilings(problem));
         if (previous == null) {
-            return fair.placements();
+            return fairAllocator.placements();
         }
-        MaxMinFairAllocator near = new MaxMinFairAllocator(problem);
-        near.placeNear(previous, guaranteed, fair.totals);
-        return near.placements();
+        MaxMinFairAllocator stableAllocator = new MaxMinFairAllocator(problem);
+        stableAllocator.placeNearPrevious(previous, guaranteed, fairAllocator.totals);
+        return stableAllocator.placements();
     }
 
     private static int[] ceilings(Problem problem) {
@@ -174,10 +174,10 @@
     }
 
     /**
-     * Places the sessions that are guaranteed: in each pool first, where they must stay, then over
-     * all pools. Where not all can be met, each gets its proportion.
+     * Places the guaranteed sessions: first those per pool, which must stay in their pool, then
+     * those over all pools. If not all guarantees can be met, they are met in proportion.
      *
-     * @return what was placed for the pools' guarantees, by tenant and pool
+     * @return sessions placed for the pool guarantees, by tenant and pool
      */
     private int[][] meetGuarantees() {
         meetPoolGuarantees();
@@ -232,7 +232,7 @@
                 tenant -> placeDirectly(tenant, ANY_POOL) || network.augment(tenant, sink));
     }
 
-    /** Places one more session of the tenant within a pool; false if that can't be. */
+    /** Places one more session of the tenant in a pool; false if there is no capacity. */
     private boolean placeInPool(int tenant, int pool) {
         int edge = tenantPoolEdges[tenant][pool];
         if (network.residual(edge) <= 0) {
@@ -249,22 +249,22 @@
     }
 
     /**
-     * Places one session without moving any other, at the engine where the tenant has least of its
-     * demand; false if there is none.
+     * Places one session without moving any other, at the engine where the smallest fraction of the
+     * tenant's demand is placed; false if no engine has capacity.
      *
-     * @param pool in which to place it, or {@link #ANY_POOL}
+     * @param pool the pool in which to place the session, or {@link #ANY_POOL}
      */
     private boolean placeDirectly(int tenant, int pool) {
-        int best = NONE;
+        int best = NO_ENGINE;
         for (int engine = 0; engine < problem.engineCount(); engine++) {
-            boolean isInPool = pool == ANY_POOL || pool == problem.poolOf()[engine];
+            boolean isInPool = pool == ANY_POOL || pool == problem.poolByEngine()[engine];
             if (isInPool
                     && hasCapacity(tenant, engine)
-                    && (best == NONE || hasLessOfItsDemand(tenant, engine, best))) {
+                    && (best == NO_ENGINE || hasSmallerPlacedFraction(tenant, engine, best))) {
                 best = engine;
             }
         }
-        if (best == NONE) {
+        if (best == NO_ENGINE) {
             return false;
         }
         place(tenant, best, 1);
@@ -272,15 +272,17 @@
     }
 
     private boolean hasCapacity(int tenant, int engine) {
-        int pool = problem.poolOf()[engine];
+        int pool = problem.poolByEngine()[engine];
         return network.residual(tenantEngineEdges[tenant][engine]) > 0
                 && network.residual(engineEdges[engine]) > 0
                 && network.residual(poolEdges[pool]) > 0
                 && network.residual(tenantPoolEdges[tenant][pool]) > 0;
     }
 
-    /** Whether the tenant has a smaller part of its demand at the engine than at the other one. */
-    private boolean hasLessOfItsDemand(int tenant, int engine, int other) {
+    /**
+     * Whether a smaller fraction of the tenant's demand is placed at the engine than at the other.
+     */
+    private boolean hasSmallerPlacedFraction(int tenant, int engine, int other) {
         int[] demand = problem.tenant(tenant).demand();
         long placed = network.flow(tenantEngineEdges[tenant][engine]);
         long placedAtOther = network.flow(tenantEngineEdges[tenant][other]);
@@ -288,7 +290,7 @@
     }
 
     private void place(int tenant, int engine, int sessions) {
-        int pool = problem.poolOf()[engine];
+        int pool = problem.poolByEngine()[engine];
         network.push(tenantPoolEdges[tenant][pool], sessions);
         network.push(tenantEngineEdges[tenant][engine], sessions);
         network.push(engineEdges[engine], sessions);
@@ -296,12 +298,12 @@
     }
 
     /**
-     * Places the given totals and guarantees as near to the previous allocation as they allow.
+     * Places the fair totals with as few moves from the previous allocation as possible.
      *
-     * @param guaranteed by tenant and pool
-     * @param fairTotals by tenant
+     * @param guaranteed sessions placed for the pool guarantees, by tenant and pool
+     * @param fairTotals sessions to place, by tenant
      */
-    private void placeNear(int[][] previous, int[][] guaranteed, int[] fairTotals) {
+    private void placeNearPrevious(int[][] previous, int[][] guaranteed, int[] fairTotals) {
         for (int tenant = 0; tenant < problem.tenantCount(); tenant++) {
             for (int engine = 0; engine < problem.engineCount(); engine++) {
                 keepPrevious(tenant, engine, previous[tenant][engine], fairTotals[tenant]);
@@ -319,9 +321,9 @@
         fillByWeight(fairTotals);
     }
 
-    /** Places as many of the tenant's previous sessions at the engine as still have capacity. */
+    /** Places as many of the tenant's previous sessions at the engine as capacity allows. */
     private void keepPrevious(int tenant, int engine, int previous, int fairTotal) {
-        int pool = problem.poolOf()[engine];
+        int pool = problem.poolByEngine()[engine];
         int sessions = Math.min(previous, fairTotal - totals[tenant]);
         sessions = Math.min(sessions, network.residual(tenantEngineEdges[tenant][engine]));
         sessions = Math.min(sessions, network.residual(engineEdges[engine]));
@@ -333,14 +335,14 @@
         }
     }
 
-    /** Raises the tenant's sessions in the pool to what is guaranteed, as far as that can be. */
+    /** Raises the tenant's sessions in the pool towards the guaranteed number. */
     private void restoreGuarantee(int tenant, int pool, int guaranteed, int fairTotal) {
         int edge = tenantPoolEdges[tenant][pool];
         while (network.flow(edge) < guaranteed) {
             if (totals[tenant] < fairTotal && placeInPool(tenant, pool)) {
                 totals[tenant]++;
             } else if (network.augment(tenantPoolNode(tenant, pool), tenant)) {
-                // Moved here from another pool of the same tenant.
+                // A session of the same tenant was moved here from another pool.
                 network.push(edge, 1);
             } else {
                 break;
--- a/src/main/java/calicostream/budget/ProcessCommandHandler.java
+++ b/src/main/java/calicostream/budget/ProcessCommandHandler.java
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 
 /**
- * Applies the commands of a process's life cycle to a {@link GrantLedger}: join, leave, renewal of
- * the lease, and its expiry. Each method checks everything before it changes anything.
+ * Applies the commands of a process's life cycle to a {@link GrantLedger}: join, leave, renewal and
+ * expiry of the lease. Each method makes all checks before its first change.
  */
 final class ProcessCommandHandler {
     private final BudgetSettings settings;
@@ -28,9 +28,9 @@
         if (session == 0) {
             throw new BudgetException.UnknownName("session of process", name);
         }
-        ProcessEntry sameSession = ledger.processBySession(session);
-        if (sameSession != null) {
-            if (!sameSession.name().equals(name)) {
+        ProcessEntry joinedProcess = ledger.processBySession(session);
+        if (joinedProcess != null) {
+            if (!joinedProcess.name().equals(name)) {
                 throw new BudgetException.UnknownName(
                         "process", name + " under another's session " + session);
             }
@@ -50,7 +50,8 @@
     }
 
     /**
-     * The present incarnation has been succeeded by another; what it may have left running counts.
+     * A new incarnation replaces the current one, whose sessions may still run and are counted as
+     * orphaned.
      */
     private void orphanSessions(ProcessEntry process) {
         String name = process.name();
@@ -62,7 +63,7 @@
                                         isCounted
                                                 ? allocation.committed(ledger.floor(name, engine))
                                                 : 0));
-        // At engines that it never reported anything of, it may have used its floor.
+        // At an engine without an allocation the process may have used its floor.
         for (String engine : ledger.engines().keySet()) {
             if (!process.allocations().containsKey(engine)) {
                 process.allocation(engine).orphan(ledger.floor(name, engine));
@@ -95,7 +96,8 @@
             throw new BudgetException.StaleReport(
                     process.name(), renew.reportNumber(), process.reportNumber());
         }
-        // A process whose grants have expired must report first that it knows: version 0.
+        // After an expiry the process must first report version 0, which states that it uses no
+        // grants.
         boolean usesExpiredGrants = process.isExpired() && renew.grantVersion() != 0;
         if (renew.grantVersion() > process.grantVersion() || usesExpiredGrants) {
             throw new BudgetException.GrantExpired(process.name(), session);
@@ -119,10 +121,10 @@
         for (BudgetCommand.EngineUsage usage : renew.usages()) {
             String engine = usage.engine();
             if (ledger.isPresent(engine, usage.incarnation())) {
-                // A report that was delayed may be older than what has been learned since.
-                int max = maxReportable.getOrDefault(engine, Integer.MAX_VALUE);
+                // A delayed report may state more than the bound that has been established since.
+                int maxSessions = maxReportable.getOrDefault(engine, Integer.MAX_VALUE);
                 process.allocation(engine)
-                        .recordUsage(Math.min(usage.sessions(), max), usage.orphaned());
+                        .recordUsage(Math.min(usage.sessions(), maxSessions), usage.orphaned());
             }
         }
     }
@@ -177,12 +179,12 @@
 
     void expire(long index, boolean isByLeader, BudgetCommand.Expire expire) {
         ProcessEntry process = ledger.processes().get(expire.process());
-        String objection = objectionTo(expire, process, isByLeader);
-        if (objection != null) {
+        String rejectionReason = rejectionReason(expire, process, isByLeader);
+        if (rejectionReason != null) {
             throw new BudgetException.ExpiryNotDue(
-                    expire.session(), expire.reportNumber(), objection);
+                    expire.session(), expire.reportNumber(), rejectionReason);
         }
-        if (expire.ofPredecessors()) {
+        if (expire.forPredecessors()) {
             process.expirePredecessors(index);
             return;
         }
@@ -196,8 +198,8 @@
                 .forEach(allocation -> allocation.revokeWithUsageAtMost(bound));
     }
 
-    /** Why the grants do not expire by this command; null if they do. */
-    private String objectionTo(
+    /** Why the command must not expire the grants; null if it may. */
+    private String rejectionReason(
             BudgetCommand.Expire expire, ProcessEntry process, boolean isByLeader) {
         if (!isByLeader && !disabledSafeguards.contains(Safeguard.GRANT_HELD_TO_EXPIRY)) {
             return "not counted by the leader";
@@ -205,7 +207,7 @@
         if (process == null || process.session() != expire.session()) {
             return "another start of the process has joined";
         }
-        if (expire.ofPredecessors()) {
+        if (expire.forPredecessors()) {
             return process.predecessorsExpiredAtIndex() != 0 ? "already over" : null;
         }
         if (process.isExpired()) {
--- a/src/main/java/calicostream/budget/ProcessEntry.java
+++ b/src/main/java/calicostream/budget/ProcessEntry.java
@@ -6,8 +6,8 @@
 import java.util.TreeMap;
 
 /**
- * A process by its name: its present incarnation, the lease of its grants, and its allocation at
- * each engine. Owned by a {@link GrantLedger}.
+ * A process, identified by its name: its current incarnation, the lease of its grants, and its
+ * allocation at each engine. Owned by a {@link GrantLedger}.
  */
 final class ProcessEntry {
     private final String name;
@@ -24,13 +24,15 @@
     }
 
     /**
-     * The scalar state of a process, as a snapshot has it.
+     * The scalar state of a process, as stored in a snapshot.
      *
-     * @param session 0 if the process has left or never joined
-     * @param reportNumber of the last report that was applied
-     * @param grantVersion of the grants that are in force
-     * @param expiredAtIndex index at which the leader expired the grants; 0 while they may be used
-     * @param predecessorsExpiredAtIndex the same for the earlier incarnations together
+     * @param session cluster session of the current incarnation; 0 if the process has left or never
+     *     joined
+     * @param reportNumber number of the last report that was applied
+     * @param grantVersion version of the current grants
+     * @param expiredAtIndex index at which the grants expired; 0 while they may be used
+     * @param predecessorsExpiredAtIndex index at which the earlier incarnations' grants expired; 0
+     *     while they may be used
      * @param hasPredecessors whether earlier incarnations may have left sessions running
      */
     record LeaseState(
@@ -64,7 +66,7 @@
         return name;
     }
 
-    /** Cluster session that the present incarnation joined under; 0 if there is none. */
+    /** Cluster session under which the current incarnation joined; 0 if there is none. */
     long session() {
         return session;
     }
@@ -81,9 +83,7 @@
         return grantVersion;
     }
 
-    /**
-     * Index at which the leader expired the present incarnation's grants; 0 while they are valid.
-     */
+    /** Index at which the current incarnation's grants expired; 0 while they may be used. */
     long expiredAtIndex() {
         return expiredAtIndex;
     }
@@ -125,7 +125,7 @@
         allocations.remove(engine);
     }
 
-    /** A new incarnation joins; grants and reports of the one before are void. */
+    /** Starts a new incarnation; grants and reports of the previous one are void. */
     void beginSession(long newSession) {
         session = newSession;
         reportNumber = 0;
@@ -133,13 +133,13 @@
         expiredAtIndex = 0;
     }
 
-    /** The present incarnation has become one of the predecessors, whose grants must expire. */
+    /** Makes the current incarnation a predecessor, whose grants have yet to expire. */
     void becomePredecessor() {
         hasPredecessors = true;
         predecessorsExpiredAtIndex = 0;
     }
 
-    /** Graceful shutdown: nothing of the present incarnation runs. */
+    /** Ends the current incarnation after a graceful shutdown: it has no running sessions. */
     void endSession() {
         allocations.values().forEach(EngineAllocation::release);
         if (!hasPredecessors) {
@@ -153,14 +153,14 @@
         expiredAtIndex = 0;
     }
 
-    /** A new version of the grants: no reply from before counts as the present one. */
-    void nextGrantVersion() {
+    /** Starts a new version of the grants; the process acknowledges it in its next reports. */
+    void incrementGrantVersion() {
         grantVersion++;
     }
 
     void expire(long index) {
         expiredAtIndex = index;
-        nextGrantVersion();
+        incrementGrantVersion();
     }
 
     void expirePredecessors(long index) {
@@ -169,6 +169,7 @@
 
     void boundOrphaned(String engine, int sessions) {
         allocation(engine).boundOrphaned(sessions);
-        hasPredecessors = allocations.values().stream().anyMatch(each -> each.orphaned() > 0);
+        hasPredecessors =
+                allocations.values().stream().anyMatch(allocation -> allocation.orphaned() > 0);
     }
 }
--- a/src/main/java/calicostream/budget/QueuedDemand.java
+++ b/src/main/java/calicostream/budget/QueuedDemand.java
@@ -2,16 +2,18 @@
 package calicostream.budget;
 
 /**
- * Attributes requests that are queued for no particular engine to engines, as demand. Stateless.
+ * Distributes requests that are not queued for a specific engine among the engines, as demand.
+ * Stateless.
  */
 public final class QueuedDemand {
     private QueuedDemand() {}
 
     /**
-     * Distributes queued requests in proportion to the engines' caps, as whole numbers that sum up
-     * to just what is queued.
+     * Distributes queued requests in proportion to the engines' caps, in whole numbers whose sum is
+     * the number of queued requests.
      *
-     * @param caps by engine; one without a cap gets none, and if no engine has one, none does
+     * @param caps by engine; an engine with cap 0 gets no requests, and if all caps are 0, no
+     *     requests are distributed
      * @return requests by engine
      */
     public static int[] distribute(int queued, int[] caps) {
@@ -23,12 +25,13 @@
         if (capSum == 0) {
             return distributed;
         }
-        // Differences of rounded running sums leave no remainder to distribute.
-        long before = 0;
+        // Differences of rounded prefix sums add up exactly, so no remainder is left to distribute.
+        long capSumBefore = 0;
         for (int engine = 0; engine < caps.length; engine++) {
-            long until = before + caps[engine];
-            distributed[engine] = (int) (queued * until / capSum - queued * before / capSum);
-            before = until;
+            long capSumThrough = capSumBefore + caps[engine];
+            distributed[engine] =
+                    (int) (queued * capSumThrough / capSum - queued * capSumBefore / capSum);
+            capSumBefore = capSumThrough;
         }
         return distributed;
     }
--- a/src/main/java/calicostream/budget/Safeguard.java
+++ b/src/main/java/calicostream/budget/Safeguard.java
@@ -2,29 +2,30 @@
 package calicostream.budget;
 
 /**
- * The rules that keep engines within their caps, by name, so that simulations can disable one and
- * show that their checker finds what it guards against. Only this package's constructors for tests
- * disable any.
+ * The rules that keep engines within their caps. Simulations disable one of them to show that their
+ * checker then finds a violation. Only package-private constructors for tests can disable any.
  */
 enum Safeguard {
-    /** What may be in use counts until the leader has counted the grant's whole lease time. */
+    /** Sessions allowed by a grant count until the leader has expired the grant. */
     GRANT_HELD_TO_EXPIRY,
     /** A lowered grant counts at its old size until its process has acknowledged the new one. */
     LOWERED_GRANT_COUNTS_UNTIL_ACKNOWLEDGED,
-    /** Sessions that an expired or earlier process may have left running count. */
+    /** Sessions that an expired process or an earlier incarnation may have left running count. */
     ORPHANED_SESSIONS_COUNT,
-    /** An engine's count is proof only if it was asked for after the expiry was known. */
+    /** An engine's count is a bound only if it was requested after the expiry was applied. */
     PROOF_AFTER_EXPIRY,
-    /** Sessions that are sent and not yet at the engine count in addition to its own count. */
+    /** Sessions in transit to the engine count in addition to the engine's own count. */
     UNACKNOWLEDGED_COUNTS,
-    /** Sums are checked against the cap where an allocation is applied. */
+    /** The state machine checks an allocation against the cap when it applies it. */
     CAP_CHECKED_AT_APPLY,
-    /** A lowered cap is in force only once no more than it may be in use. */
+    /** A lowered cap comes into force only once no more sessions than it may be in use. */
     LOWERED_CAP_IS_DEFERRED,
-    /** A process counts the lease time from before it sent its report. */
+    /** At the process the lease time starts when the report is created, not at the reply. */
     LEASE_TIMED_FROM_REQUEST,
-    /** A process that has reported its grants as expired applies no reply to an older report. */
+    /** A process whose grants have expired applies no reply to an earlier report. */
     NO_REPLY_FROM_BEFORE_EXPIRY,
-    /** A started process uses no floor before it knows what its predecessor left running. */
+    /**
+     * A restarted process uses no floor before it knows how many sessions its predecessors left.
+     */
     FLOOR_AFTER_ORPHANS_KNOWN
 }
--- a/src/main/java/calicostream/budget/SessionLedger.java
+++ b/src/main/java/calicostream/budget/SessionLedger.java
@@ -7,21 +7,21 @@
 import java.util.Map;
 
 /**
- * Accounts for the sessions that this process has started: which have ended, are in transit or
- * unconfirmed, and what the engines' counts prove about them and about sessions that an earlier
- * process of the same name left running. Owned by one thread; reads no clock: times are nanoseconds
- * of this process's monotonic one.
+ * Accounts for the sessions that this process has started: whether they run, are in transit, have
+ * ended, or have an unconfirmed end. Uses the engines' counts to release unconfirmed sessions, and
+ * to bound the sessions that an earlier process of the same name left running. Owned by one thread.
+ * The caller passes the time, in nanoseconds of this process's monotonic clock.
  *
- * <p>An engine counts all sessions that it runs, of whatever process. Earlier processes of the name
- * are dead, so they start nothing any more; what they had sent is at the engine, or its connection
- * closed, once the transit time is over. A count asked for then bounds what they left. One asked
- * for before bounds nothing: each process that died within that time may have had as many sessions
- * in transit as one may have.
+ * <p>An engine's count covers the sessions of all processes. Earlier processes of this name are
+ * dead and start no more sessions; once the transit time is over, each session that they sent has
+ * reached the engine or has been lost with its connection. A count requested after that time is an
+ * upper bound on the sessions that they left. A count requested earlier is not: every process that
+ * died within that time may have had the maximum number of sessions in transit.
  */
 public final class SessionLedger {
     private static final int COUNTS_PER_TRANSIT_TIME = 5;
 
-    /** A session started by this process; it knows under which of the process's joins. */
+    /** A session that this process started, with the join under which it was started. */
     public static final class Session {
         private final int joinNumber;
         private final int tenant;
@@ -40,53 +40,53 @@
     private final long maxTransitNanos;
     private final UnconfirmedSessions unconfirmed;
 
-    /** By engine: when its count is to be asked for next. */
-    private final Map<Integer, Long> nextCountAt = new HashMap<>();
+    /** By engine: the earliest time of the next count request. */
+    private final Map<Integer, Long> nextCountRequestAt = new HashMap<>();
 
-    private GrantedSessions current;
+    private GrantedSessions currentSessions;
 
-    /** Of the join before the present one; null if there was none. */
-    private GrantedSessions previous;
+    /** The state of the previous join; null if there was none. */
+    private GrantedSessions previousSessions;
 
     private int joinNumber;
     private long startedAt;
 
     /**
-     * A ledger without sessions.
+     * Creates a ledger without sessions.
      *
-     * @param maxTransitNanos after which nothing that was sent, by a process that is dead or by a
-     *     connection that is closed, is in transit
-     * @param now since when no other process of this name runs, or later
+     * @param maxTransitNanos upper bound on how long a session sent by a dead process, or over a
+     *     closed connection, can be in transit
+     * @param now a time from which no other process of this name runs
      */
     public SessionLedger(BudgetSettings settings, String process, long maxTransitNanos, long now) {
         this(new GrantedSessions(settings, process), maxTransitNanos, now);
     }
 
     SessionLedger(GrantedSessions grantedSessions, long maxTransitNanos, long now) {
-        this.current = grantedSessions;
+        this.currentSessions = grantedSessions;
         this.maxTransitNanos = maxTransitNanos;
         this.startedAt = now;
         this.unconfirmed = new UnconfirmedSessions(maxTransitNanos);
     }
 
-    /** This process is known to be the only one of its name only from now on. */
-    public void exclusiveSince(long now) {
+    /** Sets the time from which this process is the only one of its name. */
+    public void setExclusiveSince(long now) {
         startedAt = now;
     }
 
-    /** What the process may use now; another object after {@link #joined}. */
+    /** The sessions that the process may use now; {@link #joined} replaces the object. */
     public GrantedSessions grantedSessions() {
-        return current;
+        return currentSessions;
     }
 
     /**
-     * The process has joined under a new cluster session: what runs counts as orphaned, and nothing
-     * is granted.
+     * Records a join under a new cluster session: running sessions now count as orphaned, and there
+     * are no grants.
      */
     public void joined() {
         if (joinNumber > 0) {
-            previous = current;
-            current = previous.forNewClusterSession();
+            previousSessions = currentSessions;
+            currentSessions = previousSessions.forNewClusterSession();
         }
         joinNumber++;
     }
@@ -97,40 +97,42 @@
     }
 
     /**
-     * The engine's incarnation by the endpoint list; an older one changes nothing. A list that was
-     * read at the start may have been behind, so that an earlier process has used this incarnation
-     * too: for a transit time nothing is known of what it left there.
+     * Applies the engine's incarnation from the endpoint list; an older one has no effect. A list
+     * read soon after the start may be outdated, and an earlier process of this name may already
+     * have used the new incarnation. Within the transit time after the start, the sessions that it
+     * left there are therefore unknown.
      */
     public void engineConnected(int engine, long incarnation, long now) {
-        if (incarnation > current.incarnation(engine)) {
+        if (incarnation > currentSessions.incarnation(engine)) {
             unconfirmed.engineReplaced(engine);
-            current.engineConnected(engine, incarnation, now - startedAt >= maxTransitNanos);
+            currentSessions.engineConnected(
+                    engine, incarnation, now - startedAt >= maxTransitNanos);
         }
     }
 
-    /** A session is sent, in the turn in which it was found to have capacity. */
+    /** Records a session to be sent, in the turn in which the check for capacity succeeded. */
     public Session sessionStarted(int tenant, int engine) {
-        current.sessionStarted(tenant, engine);
-        return new Session(joinNumber, tenant, engine, current.incarnation(engine));
+        currentSessions.sessionStarted(tenant, engine);
+        return new Session(joinNumber, tenant, engine, currentSessions.incarnation(engine));
     }
 
-    /** The engine has the session; may be called any number of times. */
+    /** Records that the engine has received the session; repeated calls have no effect. */
     public void sessionAcknowledged(Session session) {
         if (!session.isAcknowledged) {
             session.isAcknowledged = true;
-            // The present object has taken over what was unacknowledged before the last join.
-            current.sessionAcknowledged(session.engine, session.incarnation);
+            // A join carries the unacknowledged sessions over to the current object.
+            currentSessions.sessionAcknowledged(session.engine, session.incarnation);
         }
     }
 
     /**
-     * The session is over here.
+     * Records that the session has ended at this process.
      *
-     * @param isConfirmed whether it is known to be over at the engine too, or never arrived there
-     * @return whether its place is free; if not, the engine's counts will tell
+     * @param isConfirmed whether it has certainly ended at the engine too, or never arrived there
+     * @return whether its capacity is free; if not, it is released by a later count of the engine
      */
     public boolean sessionEnded(Session session, boolean isConfirmed, long now) {
-        sessionAcknowledged(session); // At the engine or nowhere: in transit no longer.
+        sessionAcknowledged(session); // An ended session is not in transit.
         if (isConfirmed) {
             release(session.joinNumber, session.tenant, session.engine, session.incarnation);
         } else {
@@ -146,57 +148,57 @@
     }
 
     /**
-     * An engine's count of the sessions of all processes together.
+     * Applies an engine's count of the sessions of all processes.
      *
-     * @param askedAt time at which the count was asked for, or earlier
-     * @return the tenants of the unconfirmed sessions that have ended by this, one for each
+     * @param requestedAt when the count was requested, or earlier
+     * @return the tenant of each unconfirmed session that the count proves to have ended
      */
-    public List<Integer> engineCounted(int engine, long askedAt, int running) {
+    public List<Integer> engineCounted(int engine, long requestedAt, int running) {
         List<Integer> tenants = new ArrayList<>();
         for (UnconfirmedSessions.UnconfirmedSession ended :
-                unconfirmed.engineCounted(engine, askedAt, running)) {
+                unconfirmed.engineCounted(engine, requestedAt, running)) {
             release(ended.joinNumber(), ended.tenant(), engine, ended.incarnation());
             tenants.add(ended.tenant());
         }
-        // Under a later join the orphaned sessions are this living process's own too, which may be
-        // in transit as well.
-        if (previous == null && askedAt - startedAt >= maxTransitNanos) {
-            current.boundOrphaned(engine, current.incarnation(engine), running);
+        // After a second join the orphaned sessions include this running process's own, which may
+        // still be in transit, so the count is no bound on them.
+        if (previousSessions == null && requestedAt - startedAt >= maxTransitNanos) {
+            currentSessions.boundOrphaned(engine, currentSessions.incarnation(engine), running);
         }
         return tenants;
     }
 
     /**
-     * Whether to ask the engine for its count now, since its floor is reduced and no grant says
-     * more. Returns true once for each time that it is due: at the moment from which a count is
-     * proof, and then five times in a transit time.
+     * Whether to request a count from the engine now, because its floor is reduced and there are no
+     * active grants. Returns true once per due time: first when a count becomes usable as a bound,
+     * then five times per transit time.
      */
     public boolean isCountDue(int engine, long now) {
-        if (previous != null
-                || current.hasActiveGrants()
-                || !current.isFloorReduced(engine)
-                || now < nextCountAt.getOrDefault(engine, startedAt + maxTransitNanos)) {
+        if (previousSessions != null
+                || currentSessions.hasActiveGrants()
+                || !currentSessions.isFloorReduced(engine)
+                || now < nextCountRequestAt.getOrDefault(engine, startedAt + maxTransitNanos)) {
             return false;
         }
-        nextCountAt.put(engine, now + maxTransitNanos / COUNTS_PER_TRANSIT_TIME);
+        nextCountRequestAt.put(engine, now + maxTransitNanos / COUNTS_PER_TRANSIT_TIME);
         return true;
     }
 
-    /** How many sessions were given up whose end no engine has confirmed. */
-    public int unconfirmed() {
+    /** The number of abandoned sessions whose end no engine has confirmed. */
+    public int unconfirmedCount() {
         return unconfirmed.size();
     }
 
     /**
-     * Releases the place of a session of the present join, or of the one before, whose sessions
-     * count as orphaned; those of older joins count until the engines tell.
+     * Releases the capacity of a session of the current join or of the previous one, whose sessions
+     * count as orphaned. Sessions of older joins count until an engine's count proves their end.
      */
-    private void release(int ofJoin, int tenant, int engine, long incarnation) {
-        if (ofJoin == joinNumber) {
-            current.sessionEnded(tenant, engine, incarnation);
-        } else if (ofJoin == joinNumber - 1 && previous != null) {
-            previous.sessionEnded(tenant, engine, incarnation);
-            current.updateOrphanedFrom(previous, engine);
+    private void release(int sessionJoinNumber, int tenant, int engine, long incarnation) {
+        if (sessionJoinNumber == joinNumber) {
+            currentSessions.sessionEnded(tenant, engine, incarnation);
+        } else if (sessionJoinNumber == joinNumber - 1 && previousSessions != null) {
+            previousSessions.sessionEnded(tenant, engine, incarnation);
+            currentSessions.updateOrphanedFrom(previousSessions, engine);
         }
     }
 }
--- a/src/main/java/calicostream/budget/TenantAllocation.java
+++ b/src/main/java/calicostream/budget/TenantAllocation.java
@@ -2,8 +2,8 @@
 package calicostream.budget;
 
 /**
- * What one tenant is granted and demands at one engine in one process, in sessions. Owned by a
- * {@link GrantLedger}.
+ * One tenant's grant and demand at one engine in one process, in sessions. Owned by a {@link
+ * GrantLedger}.
  */
 final class TenantAllocation {
     private int granted;
--- a/src/main/java/calicostream/budget/TenantQueues.java
+++ b/src/main/java/calicostream/budget/TenantQueues.java
@@ -9,15 +9,15 @@
 import java.util.function.IntUnaryOperator;
 
 /**
- * Queues of requests that wait for capacity, one for each tenant. Owned by one thread; nanoseconds
- * of the process's clock.
+ * Queues of requests that wait for capacity, one per tenant. Owned by one thread; times are in
+ * nanoseconds of the process's clock.
  *
- * <p>A request that waits longer than its patience is rejected, and one that would have to is
- * rejected at once, each with a retry-after time from the rate at which the tenant's sessions end
- * here.
+ * <p>A request is rejected when it has waited for its maximum wait, or at once if its expected wait
+ * is longer. The retry-after time is estimated from the rate at which the tenant's sessions end in
+ * this process.
  */
 public final class TenantQueues {
-    /** Returned where there is no request. */
+    /** Returned if no request can be dispatched. */
     private static final long NO_REQUEST = -1;
 
     private record QueuedRequest(long request, int engine, long deadline) {}
@@ -25,13 +25,13 @@
     private final BudgetSettings settings;
     private final int maxQueued;
     private final List<TenantQueue> queues = new ArrayList<>();
-    private int lastTenant;
+    private int lastPolledTenant;
 
     /**
-     * Empty queues.
+     * Creates empty queues.
      *
-     * @param maxQueued requests that may be queued for one tenant
-     * @param engines the number of engine slots
+     * @param maxQueued limit on the queued requests of one tenant
+     * @param engines number of engine slots
      */
     public TenantQueues(BudgetSettings settings, int maxQueued, int engines) {
         this.settings = settings;
@@ -41,9 +41,9 @@
         }
     }
 
-    /** One tenant's queue, and the rate at which its sessions end. */
+    /** One tenant's queue, with the average rate at which its sessions end. */
     private static final class TenantQueue {
-        /** Weight of the newest interval in the moving average is one part in this. */
+        /** The newest interval has weight 1/8 in the moving average. */
         private static final int AVERAGE_DIVISOR = 8;
 
         private final BudgetSettings.Tenant tenant;
@@ -51,8 +51,8 @@
         private final int[] queuedByEngine;
         private long lastEndAt;
 
-        /** Moving average of the time between two ends; 0 if there were not two. */
-        private long meanInterval;
+        /** Moving average of the time between two session ends; 0 before the second end. */
+        private long meanEndInterval;
 
         private TenantQueue(BudgetSettings.Tenant tenant, int engines) {
             this.tenant = tenant;
@@ -62,10 +62,10 @@
         private void sessionEnded(long now) {
             if (lastEndAt != 0) {
                 long interval = now - lastEndAt;
-                meanInterval =
-                        meanInterval == 0
+                meanEndInterval =
+                        meanEndInterval == 0
                                 ? interval
-                                : meanInterval + (interval - meanInterval) / AVERAGE_DIVISOR;
+                                : meanEndInterval + (interval - meanEndInterval) / AVERAGE_DIVISOR;
             }
             lastEndAt = now;
         }
@@ -76,12 +76,12 @@
         }
 
         private long pollFor(int engine) {
-            for (Iterator<QueuedRequest> each = requests.iterator(); each.hasNext(); ) {
-                QueuedRequest first = each.next();
-                if (first.engine() == engine) {
-                    each.remove();
+            for (Iterator<QueuedRequest> iterator = requests.iterator(); iterator.hasNext(); ) {
+                QueuedRequest queued = iterator.next();
+                if (queued.engine() == engine) {
+                    iterator.remove();
                     queuedByEngine[engine]--;
-                    return first.request();
+                    return queued.request();
                 }
             }
             return NO_REQUEST;
@@ -89,10 +89,10 @@
 
         private List<Long> removeTimedOut(long now) {
             List<Long> timedOut = new ArrayList<>();
-            for (Iterator<QueuedRequest> each = requests.iterator(); each.hasNext(); ) {
-                QueuedRequest queued = each.next();
+            for (Iterator<QueuedRequest> iterator = requests.iterator(); iterator.hasNext(); ) {
+                QueuedRequest queued = iterator.next();
                 if (queued.deadline() <= now) {
-                    each.remove();
+                    iterator.remove();
                     queuedByEngine[queued.engine()]--;
                     timedOut.add(queued.request());
                 }
@@ -101,45 +101,47 @@
         }
 
         /**
-         * Expected time until so many sessions have ended. Where that rate is not known it is the
-         * lease time, in which grants are allocated anew for sure.
+         * Expected time until the given number of sessions have ended. If the rate is unknown, it
+         * is the lease time, within which grants are always allocated again.
          */
         private long expectedWait(int sessions, long now, long leaseNanos) {
-            if (meanInterval == 0) {
+            if (meanEndInterval == 0) {
                 return leaseNanos;
             }
             long sinceLastEnd = Math.min(now - lastEndAt, leaseNanos);
-            return sessions * Math.max(meanInterval, sinceLastEnd / 4);
+            return sessions * Math.max(meanEndInterval, sinceLastEnd / 4);
         }
     }
 
-    /** A session of the tenant has ended, which frees capacity for another. */
+    /** Records the end of a session of the tenant, which frees capacity. */
     public void sessionEnded(int tenant, long now) {
         queues.get(tenant).sessionEnded(now);
     }
 
     /**
-     * Queues a request for capacity at that engine, until its patience is over.
+     * Queues a request for capacity at the engine.
      *
-     * @throws BudgetException.NoCapacity if it would wait longer, or too many are queued; it is not
-     *     queued then
+     * @param maxWaitNanos how long the request may be queued
+     * @throws BudgetException.NoCapacity if the expected wait is longer or the tenant's queue is
+     *     full; the request is then not queued
      */
-    public void offer(int tenant, int engine, long request, long now, long patienceNanos) {
+    public void offer(int tenant, int engine, long request, long now, long maxWaitNanos) {
         TenantQueue queue = queues.get(tenant);
-        int ahead = queue.requests.size();
-        long wait = expectedWait(queue, ahead + 1, now);
-        if (ahead >= maxQueued || queue.meanInterval != 0 && wait > patienceNanos) {
-            long retryAfter = Math.max(wait - patienceNanos, expectedWait(queue, 1, now));
-            throw new BudgetException.NoCapacity(queue.tenant.name(), ahead, retryAfter);
+        int queuedAhead = queue.requests.size();
+        long expectedWait = expectedWait(queue, queuedAhead + 1, now);
+        if (queuedAhead >= maxQueued || queue.meanEndInterval != 0 && expectedWait > maxWaitNanos) {
+            long retryAfter = Math.max(expectedWait - maxWaitNanos, expectedWait(queue, 1, now));
+            throw new BudgetException.NoCapacity(queue.tenant.name(), queuedAhead, retryAfter);
         }
-        queue.add(new QueuedRequest(request, engine, now + patienceNanos));
+        queue.add(new QueuedRequest(request, engine, now + maxWaitNanos));
     }
 
     /**
-     * Polls the longest queued request of the tenant that uses least for its weight, among those
-     * that have a request for the engine and may start a session there.
+     * Removes and returns the oldest request for the engine. Among the tenants that have one and
+     * may start a session there, takes it from the tenant with the fewest sessions relative to its
+     * weight.
      *
-     * @return the request, or -1
+     * @return the request, or -1 if there is none
      */
     public long poll(int engine, long now, GrantedSessions grantedSessions) {
         return poll(
@@ -149,49 +151,49 @@
     }
 
     /**
-     * The same where the slot stands for several engines together.
+     * The same for a slot that stands for several engines together.
      *
-     * @param mayStart whether the tenant may start a session there
-     * @param sessions how many the tenant uses there
+     * @param mayStart whether a tenant may start a session at the slot
+     * @param sessions how many sessions a tenant has in use at the slot
      */
     public long poll(int engine, IntPredicate mayStart, IntUnaryOperator sessions) {
         int best = -1;
         for (int tenant = 0; tenant < queues.size(); tenant++) {
             if (queued(tenant, engine) > 0
                     && mayStart.test(tenant)
-                    && (best < 0 || usesLessForItsWeight(tenant, best, sessions))) {
+                    && (best < 0 || hasFewerSessionsForWeight(tenant, best, sessions))) {
                 best = tenant;
             }
         }
         if (best < 0) {
             return NO_REQUEST;
         }
-        lastTenant = best;
+        lastPolledTenant = best;
         return queues.get(best).pollFor(engine);
     }
 
-    private boolean usesLessForItsWeight(int tenant, int other, IntUnaryOperator sessions) {
+    private boolean hasFewerSessionsForWeight(int tenant, int other, IntUnaryOperator sessions) {
         return (long) sessions.applyAsInt(tenant) * queues.get(other).tenant.weight()
                 < (long) sessions.applyAsInt(other) * queues.get(tenant).tenant.weight();
     }
 
-    /** The tenant whose request {@link #poll} returned last. */
-    public int lastTenant() {
-        return lastTenant;
+    /** The tenant of the request that {@link #poll} returned last. */
+    public int lastPolledTenant() {
+        return lastPolledTenant;
     }
 
-    /** Removes the requests of a tenant whose patience is over, and returns them. */
+    /** Removes and returns the tenant's requests that have waited for their maximum wait. */
     public List<Long> removeTimedOut(int tenant, long now) {
         return queues.get(tenant).removeTimedOut(now);
     }
 
-    /** The error for a request of the tenant whose patience is over. */
+    /** The error for a request of the tenant that was removed as timed out. */
     public BudgetException.NoCapacity rejection(int tenant, long now) {
         TenantQueue queue = queues.get(tenant);
-        int ahead = queue.requests.size();
+        int queuedAhead = queue.requests.size();
         long retryAfter =
-                Math.max(expectedWait(queue, ahead + 1, now), expectedWait(queue, 1, now));
-        return new BudgetException.NoCapacity(queue.tenant.name(), ahead, retryAfter);
+                Math.max(expectedWait(queue, queuedAhead + 1, now), expectedWait(queue, 1, now));
+        return new BudgetException.NoCapacity(queue.tenant.name(), queuedAhead, retryAfter);
     }
 
     /** Requests of the tenant that are queued for the engine. */
--- a/src/main/java/calicostream/budget/TenantRules.java
+++ b/src/main/java/calicostream/budget/TenantRules.java
@@ -9,25 +9,25 @@
 import java.util.Map;
 
 /**
- * Finds the tenant of a request from its attributes. Immutable, so any thread may use it; tenants
- * are indexes of the settings. The attribute that is closest to the request decides: the call's own
- * option, the login, the session's catalog, the local address, the range of the client's address,
- * then the default.
+ * Determines the tenant of a request from its attributes. Immutable, so any thread may use it.
+ * Tenants are identified by their index in the settings. The most specific attribute that matches
+ * decides: the option of the call, the login, the session's catalog, the local address, the range
+ * of the client's address, and finally the default tenant.
  */
 public final class TenantRules {
-    /** What is known of a request; null where its protocol has no such attribute. */
+    /** The attributes of a request; null for those that its protocol does not have. */
     public record RequestAttributes(
             String option,
             String login,
             String catalog,
             InetSocketAddress localAddress,
             InetAddress clientAddress) {
-        /** Nothing is known of the request. */
+        /** A request without attributes. */
         public static final RequestAttributes NONE =
                 new RequestAttributes(null, null, null, null, null);
     }
 
-    /** The attributes that belong to one tenant; each list may be empty. */
+    /** The attributes that identify one tenant; each list may be empty. */
     public record TenantMatchers(
             List<String> logins,
             List<String> catalogs,
@@ -45,20 +45,20 @@
     private record ClientRule(AddressRange range, int tenant) {}
 
     private final BudgetSettings settings;
-    private final Map<String, Integer> byName = new HashMap<>();
-    private final Map<String, Integer> byLogin = new HashMap<>();
-    private final Map<String, Integer> byCatalog = new HashMap<>();
-    private final Map<InetSocketAddress, Integer> byLocalAddress = new HashMap<>();
+    private final Map<String, Integer> tenantByName = new HashMap<>();
+    private final Map<String, Integer> tenantByLogin = new HashMap<>();
+    private final Map<String, Integer> tenantByCatalog = new HashMap<>();
+    private final Map<InetSocketAddress, Integer> tenantByLocalAddress = new HashMap<>();
     private final List<ClientRule> clientRules = new ArrayList<>();
     private final int defaultTenant;
 
     /**
-     * Rules for the tenants of the settings.
+     * Creates the rules for the configured tenants.
      *
-     * @param matchers by the tenant's name; no two tenants may share an attribute or a part of a
-     *     range
-     * @param defaultTenant the tenant of requests that no attribute matches
-     * @throws BudgetException.BadSetting if two tenants share an attribute
+     * @param matchers by tenant name; tenants must not share attributes or have overlapping ranges
+     * @param defaultTenant tenant of requests without a matching attribute
+     * @throws BudgetException.InvalidSetting if two tenants share an attribute or have overlapping
+     *     ranges
      */
     public TenantRules(
             BudgetSettings settings, Map<String, TenantMatchers> matchers, String defaultTenant) {
@@ -66,13 +66,13 @@
         this.defaultTenant = settings.tenantIndex(defaultTenant);
         for (int tenant = 0; tenant < settings.tenants().size(); tenant++) {
             String name = settings.tenants().get(tenant).name();
-            byName.put(name, tenant);
-            TenantMatchers own = matchers.get(name);
-            if (own != null) {
-                addAll("logins", byLogin, own.logins(), tenant);
-                addAll("catalogs", byCatalog, own.catalogs(), tenant);
-                addAll("listen", byLocalAddress, own.localAddresses(), tenant);
-                addClientRules(own.clientRanges(), tenant);
+            tenantByName.put(name, tenant);
+            TenantMatchers tenantMatchers = matchers.get(name);
+            if (tenantMatchers != null) {
+                addAll("logins", tenantByLogin, tenantMatchers.logins(), tenant);
+                addAll("catalogs", tenantByCatalog, tenantMatchers.catalogs(), tenant);
+                addAll("listen", tenantByLocalAddress, tenantMatchers.localAddresses(), tenant);
+                addClientRules(tenantMatchers.clientRanges(), tenant);
             }
         }
     }
@@ -81,7 +81,7 @@
         for (T attribute : attributes) {
             Integer other = index.putIfAbsent(attribute, tenant);
             if (other != null && other != tenant) {
-                throw shared(tenant, key, attribute, other);
+                throw sharedAttribute(tenant, key, attribute, other);
             }
         }
     }
@@ -90,42 +90,42 @@
         for (AddressRange range : ranges) {
             for (ClientRule rule : clientRules) {
                 if (rule.range().overlaps(range) && rule.tenant() != tenant) {
-                    throw shared(tenant, "clients", range, rule.tenant());
+                    throw sharedAttribute(tenant, "clients", range, rule.tenant());
                 }
             }
             clientRules.add(new ClientRule(range, tenant));
         }
     }
 
-    private BudgetException shared(int tenant, String key, Object attribute, int other) {
+    private BudgetException sharedAttribute(int tenant, String key, Object attribute, int other) {
         return new BudgetException.InvalidSetting(
                 "tenants." + settings.tenants().get(tenant).name() + "." + key,
                 "'" + attribute + "' is tenant " + settings.tenants().get(other).name() + "'s");
     }
 
     /**
-     * The index of the request's tenant. An option that names no tenant is ignored: it must not
-     * decide anything that the operators have not set.
+     * The index of the request's tenant. An option that names no configured tenant is ignored, so
+     * that clients cannot bypass the operators' rules.
      */
     public int tenantOf(RequestAttributes request) {
-        Integer tenant = lookUp(byName, request.option());
+        Integer tenant = lookUp(tenantByName, request.option());
         if (tenant == null) {
-            tenant = lookUp(byLogin, request.login());
+            tenant = lookUp(tenantByLogin, request.login());
         }
         if (tenant == null) {
-            tenant = lookUp(byCatalog, request.catalog());
+            tenant = lookUp(tenantByCatalog, request.catalog());
         }
         if (tenant == null) {
-            tenant = lookUp(byLocalAddress, request.localAddress());
+            tenant = lookUp(tenantByLocalAddress, request.localAddress());
         }
-        return tenant != null ? tenant : byClientAddress(request.clientAddress());
+        return tenant != null ? tenant : tenantByClientAddress(request.clientAddress());
     }
 
     private static <T> Integer lookUp(Map<T, Integer> index, T attribute) {
         return attribute == null ? null : index.get(attribute);
     }
 
-    private int byClientAddress(InetAddress client) {
+    private int tenantByClientAddress(InetAddress client) {
         if (client == null) {
             return defaultTenant;
         }
--- a/src/main/java/calicostream/budget/UnconfirmedSessions.java
+++ b/src/main/java/calicostream/budget/UnconfirmedSessions.java
@@ -8,65 +8,68 @@
 import java.util.Map;
 
 /**
- * Sessions that were given up without their engine's confirmation that they have ended: they count
- * until its counts prove it. Engines tell how many sessions they run in all, which is at least any
- * process's own. Owned by one thread; nanoseconds of the process's clock.
+ * Sessions that were abandoned without the engine's confirmation of their end. They count as in use
+ * until the engine's counts prove that they have ended. An engine's count covers the sessions of
+ * all processes, so it is an upper bound on this process's own. Owned by one thread; times are in
+ * nanoseconds of the process's clock.
  */
 public final class UnconfirmedSessions {
     /**
-     * A session that was given up.
+     * An abandoned session.
      *
-     * @param joinNumber under which of this process's joins it was started
-     * @param abandonedAt when it was given up
+     * @param joinNumber number of this process's join under which it was started
+     * @param abandonedAt when it was abandoned
      */
     public record UnconfirmedSession(
             int joinNumber, int tenant, int engine, long incarnation, long abandonedAt) {}
 
     private final long maxTransitNanos;
 
-    /** Oldest first, by engine. */
+    /** By engine, oldest first. */
     private final Map<Integer, ArrayDeque<UnconfirmedSession>> byEngine = new HashMap<>();
 
     /**
-     * No unconfirmed sessions.
+     * Creates an empty collection.
      *
-     * @param maxTransitNanos after which what was given up is no longer in transit: its connection
-     *     is closed or has delivered the session before then
+     * @param maxTransitNanos time after which an abandoned session is no longer in transit: by then
+     *     its connection has delivered it or is closed
      */
     public UnconfirmedSessions(long maxTransitNanos) {
         this.maxTransitNanos = maxTransitNanos;
     }
 
-    /** Adds a session; those of one engine are added in the order of their times. */
+    /** Adds a session; the sessions of one engine must be added in order of their times. */
     public void add(UnconfirmedSession session) {
         byEngine.computeIfAbsent(session.engine(), engine -> new ArrayDeque<>()).add(session);
     }
 
     /**
-     * The engine counted that many sessions of all processes, in answer to a question of that time.
+     * Applies an engine's count of the sessions of all processes.
      *
-     * @return the sessions that are known by this to have ended; each is returned once
+     * @param requestedAt when the count was requested
+     * @return the sessions that the count proves to have ended; they are removed
      */
-    public List<UnconfirmedSession> engineCounted(int engine, long askedAt, int running) {
+    public List<UnconfirmedSession> engineCounted(int engine, long requestedAt, int running) {
         ArrayDeque<UnconfirmedSession> sessions = byEngine.getOrDefault(engine, new ArrayDeque<>());
-        long notInTransit =
+        long notInTransitCount =
                 sessions.stream()
-                        .filter(each -> askedAt - each.abandonedAt() >= maxTransitNanos)
+                        .filter(session -> requestedAt - session.abandonedAt() >= maxTransitNanos)
                         .count();
         List<UnconfirmedSession> ended = new ArrayList<>();
-        // Which of them still run is not known and makes no difference: the oldest are returned.
-        for (long excess = notInTransit - running; excess > 0; excess--) {
+        // Which of the sessions still run is unknown and makes no difference, so the oldest are
+        // taken as ended.
+        for (long excess = notInTransitCount - running; excess > 0; excess--) {
             ended.add(sessions.poll());
         }
         return ended;
     }
 
-    /** The engine was replaced: none of its sessions run any more. */
+    /** Removes the sessions of a replaced engine, which have ended with it. */
     public void engineReplaced(int engine) {
         byEngine.remove(engine);
     }
 
-    /** How many sessions are unconfirmed, at all engines. */
+    /** The number of unconfirmed sessions at all engines. */
     public int size() {
         return byEngine.values().stream().mapToInt(ArrayDeque::size).sum();
     }
--- a/src/main/java/calicostream/budget/WaterFilling.java
+++ b/src/main/java/calicostream/budget/WaterFilling.java
@@ -10,40 +10,42 @@
     private WaterFilling() {}
 
     /**
-     * Gives one unit at a time to the claimant with the least for its weight; a claimant that can't
-     * have one more is not considered again.
+     * Allocates one unit at a time to the claimant with the smallest allocation relative to its
+     * weight. A claimant that cannot get one more unit is not considered again.
      *
-     * @param weights by claimant; one without weight gets nothing
+     * @param weights by claimant; a claimant with weight 0 gets nothing
      * @param limits by claimant
-     * @param given by claimant: what each has; updated
-     * @param takesOne gives the claimant one unit more; false if it can't have one
+     * @param allocated units by claimant; updated
+     * @param allocateUnit allocates one more unit to the claimant; returns false if that is not
+     *     possible
      */
-    static void fill(int[] weights, int[] limits, int[] given, IntPredicate takesOne) {
-        PriorityQueue<Integer> order = new PriorityQueue<>(leastForItsWeightFirst(weights, given));
+    static void fill(int[] weights, int[] limits, int[] allocated, IntPredicate allocateUnit) {
+        PriorityQueue<Integer> order =
+                new PriorityQueue<>(byAllocationPerWeight(weights, allocated));
         for (int claimant = 0; claimant < weights.length; claimant++) {
-            if (weights[claimant] > 0 && given[claimant] < limits[claimant]) {
+            if (weights[claimant] > 0 && allocated[claimant] < limits[claimant]) {
                 order.add(claimant);
             }
         }
         while (!order.isEmpty()) {
-            int least = order.poll();
-            if (takesOne.test(least)) {
-                given[least]++;
-                if (given[least] < limits[least]) {
-                    order.add(least);
+            int next = order.poll();
+            if (allocateUnit.test(next)) {
+                allocated[next]++;
+                if (allocated[next] < limits[next]) {
+                    order.add(next);
                 }
             }
         }
     }
 
-    /** By (given + 1/2) / weight, which rounds to the nearest of the real shares. */
-    private static Comparator<Integer> leastForItsWeightFirst(int[] weights, int[] given) {
-        return (one, other) -> {
+    /** Orders by (allocated + 1/2) / weight, which rounds to the nearest of the exact shares. */
+    private static Comparator<Integer> byAllocationPerWeight(int[] weights, int[] allocated) {
+        return (first, second) -> {
             int order =
                     Long.compare(
-                            (2L * given[one] + 1) * weights[other],
-                            (2L * given[other] + 1) * weights[one]);
-            return order != 0 ? order : Integer.compare(one, other);
+                            (2L * allocated[first] + 1) * weights[second],
+                            (2L * allocated[second] + 1) * weights[first]);
+            return order != 0 ? order : Integer.compare(first, second);
         };
     }
 }
