--- a/src/main/java/calicostream/budget/process/BudgetGate.java
+++ b/src/main/java/calicostream/budget/process/BudgetGate.java
@@ -16,31 +16,31 @@
 import java.util.Map;
 
 /**
- * Enforces session budgets in front of another engine client: admits requests by tenant, answers
+ * Enforces session budgets in front of another engine client: admits requests by tenant, checks
  * whether a tenant has capacity at an engine, accounts for the sessions that start and end, and
- * publishes reports. All calls are the loop's; it answers from memory. Sessions at engines of no
- * pool are not counted.
+ * publishes reports. All calls are on the front end's loop, and all answers come from memory.
+ * Sessions at engines without a pool are not counted.
  */
 public final class BudgetGate extends ForwardingEngineClient {
     private static final long NANOS_PER_MICRO = 1_000;
 
-    /** No longer than a queued request may notice. */
+    /** Queued requests are handled once per tick; a longer tick would delay them noticeably. */
     private static final long MAX_TICK_MICROS = 20_000;
 
     private final SelectorLoop loop;
     private final SessionLedger ledger;
     private final BudgetedEngines engines;
     private final TenantAdmission admission;
-    private final EngineCountTracker counts;
+    private final EngineCountTracker countTracker;
     private final BudgetReporter reporter;
     private final Map<Attempt, SessionLedger.Session> sessions = new HashMap<>();
     private Gateway gateway;
     private boolean isAdmissionScheduled;
 
     /**
-     * A gate that has no grants yet.
+     * Creates a gate without grants.
      *
-     * @param delegate the client that it stands in front of
+     * @param delegate the client to which the gate forwards calls
      * @param process the member's name
      */
     BudgetGate(
@@ -55,7 +55,7 @@
         ledger = new SessionLedger(config.settings(), process, maxTransitNanos, nowNanos());
         engines = new BudgetedEngines(config, ledger, mailbox);
         admission = new TenantAdmission(config, ledger, engines, this::nowNanos);
-        counts = new EngineCountTracker(mailbox);
+        countTracker = new EngineCountTracker(mailbox);
         reporter = new BudgetReporter(config.settings(), ledger, engines, admission, mailbox);
         mailbox.attachGate(
                 new BudgetMailbox.GateListener() {
@@ -80,7 +80,7 @@
         return loop.clock().now() * NANOS_PER_MICRO;
     }
 
-    /** Must be notified of endpoints before the client that this one forwards to. */
+    /** Must be notified of endpoint changes before the delegate is. */
     public RequestListener endpointListener() {
         return new RequestListener() {
             @Override
@@ -91,12 +91,12 @@
     }
 
     @Override
-    public void attach(Gateway to) {
-        gateway = to;
-        admission.attach(to);
-        super.attach(to);
-        // The member has locked its folder, and with it the name.
-        ledger.exclusiveSince(nowNanos());
+    public void attach(Gateway newGateway) {
+        gateway = newGateway;
+        admission.attach(newGateway);
+        super.attach(newGateway);
+        // The member has locked its folder by now, so no other process runs under its name.
+        ledger.setExclusiveSince(nowNanos());
         tick(loop.clock().now(), 0);
     }
 
@@ -107,15 +107,15 @@
         reporter.observeDemand(nowNanos());
         admission.admitQueued();
         probeReducedFloors();
-        boolean isIdle = sessions.isEmpty() && ledger.unconfirmed() == 0;
+        boolean isIdle = sessions.isEmpty() && ledger.unconfirmedCount() == 0;
         reporter.publishIfDue(nowMicros, nowNanos(), isIdle);
     }
 
-    /** Without a quorum only the engines can tell what an earlier incarnation left running. */
+    /** Without a quorum only the engines' counts show what earlier incarnations left running. */
     private void probeReducedFloors() {
-        for (int slot = 0; slot < engines.slots(); slot++) {
+        for (int slot = 0; slot < engines.slotCount(); slot++) {
             if (engines.isListed(slot) && ledger.isCountDue(slot, nowNanos())) {
-                probe(engines.id(slot));
+                probe(engines.engineId(slot));
             }
         }
     }
@@ -141,7 +141,7 @@
         return ledger.grantedSessions().mayStart(request.tenant(), slot, nowNanos());
     }
 
-    /** Checks the capacity again, so that no cap depends on whether the router has asked. */
+    /** Checks the capacity again, so that the cap holds even if the router did not check it. */
     @Override
     public void send(Attempt attempt) {
         Request request = attempt.request();
@@ -180,14 +180,16 @@
         scheduleAdmission();
     }
 
-    /** Whether the session is over at the engine too, or never arrived there. */
+    /** Whether the session has certainly ended at the engine, or never arrived there. */
     private static boolean isEndConfirmed(AttemptOutcome outcome) {
         return outcome != AttemptOutcome.TIMEOUT
                 && outcome != AttemptOutcome.CANCELLED
                 && outcome != AttemptOutcome.CONNECTION_BROKEN;
     }
 
-    /** Admits later in this turn: the router must not get a request while it handles an end. */
+    /**
+     * Admits at the end of this turn: the router must not get a request while it handles an end.
+     */
     private void scheduleAdmission() {
         if (!isAdmissionScheduled && admission.hasQueued()) {
             isAdmissionScheduled = true;
@@ -204,43 +206,44 @@
         long now = nowNanos();
         boolean isSent = super.probe(engine);
         if (isSent) {
-            counts.probeSent(engine, now);
+            countTracker.probeSent(engine, now);
         }
         return isSent;
     }
 
     @Override
     public void loadReported(long engine, LoadReport report) {
-        Long askedAt = counts.probeEnded(engine);
-        if (report != null && askedAt != null) {
-            engineCounted(engine, report, askedAt);
+        Long requestedAt = countTracker.probeEnded(engine);
+        if (report != null && requestedAt != null) {
+            engineCounted(engine, report, requestedAt);
         }
         super.loadReported(engine, report);
     }
 
-    /** The engine's number of sessions, of all processes together, as of that time or later. */
-    private void engineCounted(long engine, LoadReport report, long askedAt) {
+    /** Applies the engine's count of the sessions of all processes, taken at that time or later. */
+    private void engineCounted(long engine, LoadReport report, long requestedAt) {
         Integer slot = engines.slot(engine);
         if (slot == null || Double.isNaN(report.running())) {
             return;
         }
         int running = (int) Math.ceil(report.running());
-        ledger.engineCounted(slot, askedAt, running).forEach(admission::sessionEnded);
-        counts.counted(engine, ledger.grantedSessions().incarnation(slot), running, askedAt);
+        ledger.engineCounted(slot, requestedAt, running).forEach(admission::sessionEnded);
+        countTracker.countReceived(
+                engine, ledger.grantedSessions().incarnation(slot), running, requestedAt);
     }
 
     /** The process has joined under a new cluster session. */
     private void joined() {
         ledger.joined();
-        reporter.reportSoon();
+        reporter.scheduleImmediateReport();
     }
 
     private void reportCompleted(ReportOutcome outcome) {
         if (outcome instanceof ReportOutcome.Renewed renewed) {
             ledger.grantedSessions().applyReply(renewed.reply(), nowNanos());
-            if (ledger.grantedSessions().isReclaimed()) {
-                // The sooner this is acknowledged, the sooner another process may use it.
-                reporter.reportSoon();
+            if (ledger.grantedSessions().wasGrantLowered()) {
+                // Another process may use the capacity only once the lowered grant is acknowledged.
+                reporter.scheduleImmediateReport();
             }
         } else if (outcome instanceof ReportOutcome.Expired) {
             ledger.grantedSessions().expire();
@@ -249,12 +252,12 @@
     }
 
     /**
-     * The coordinator wants the engines' own counts: those that can be probed are, the others
-     * report with a response to what is sent from now on.
+     * The coordinator has requested the engines' counts. Probes each engine; one that cannot be
+     * probed reports its load with the response to a later attempt.
      */
     private void countsRequested(BudgetMailbox.CountRequest request) {
-        for (long engine : engines.idsOf(request.engines())) {
-            counts.countRequested(engine, request, nowNanos());
+        for (long engine : engines.engineIds(request.engines())) {
+            countTracker.countRequested(engine, request, nowNanos());
             probe(engine);
         }
     }
--- a/src/main/java/calicostream/budget/process/BudgetMailbox.java
+++ b/src/main/java/calicostream/budget/process/BudgetMailbox.java
@@ -8,41 +8,42 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * Passes the newest messages between a process's gate, on the front end's loop, and its service and
- * coordinator's task, on the member's thread. Thread-safe and never blocks; all that is passed is
+ * Passes the latest messages between a process's gate, on the front end's loop, and its service and
+ * coordinator task, on the member's thread. Thread-safe and non-blocking; all messages are
  * immutable.
  */
 final class BudgetMailbox {
-    /** An engine as this process's endpoint list has it. */
+    /** An engine in this process's endpoint list. */
     record ListedEngine(String name, long incarnation, String pool, int cap) {}
 
     /**
      * An engine's own count of all its sessions.
      *
-     * @param knownIndex index up to which the state machine was known when it was asked for
+     * @param appliedIndex last index that the coordinator's copy had applied when it requested the
+     *     count
      */
-    record EngineCount(long incarnation, int running, long knownIndex) {}
+    record EngineCount(long incarnation, int running, long appliedIndex) {}
 
     /**
-     * The coordinator wants engines to be counted.
+     * The coordinator's request for counts of engines.
      *
-     * @param knownIndex index up to which it knew the state machine when it asked
+     * @param appliedIndex last index that the coordinator's copy had applied at the request
      */
-    record CountRequest(List<String> engines, long knownIndex) {}
+    record CountRequest(List<String> engines, long appliedIndex) {}
 
-    /** What the gate is notified of; called on the member's thread. */
+    /** Notifies the gate; called on the member's thread. */
     interface GateListener {
         /** The process has joined under a new cluster session. */
         void joined();
 
-        /** A report was answered, or has failed. */
+        /** A report was accepted, was rejected or has failed. */
         void reportCompleted(ReportOutcome outcome);
 
-        /** The coordinator wants engines to be counted. */
+        /** The coordinator has requested counts of engines. */
         void countsRequested(CountRequest request);
     }
 
-    /** Stands in where the process has no gate. */
+    /** Used as long as no gate is attached. */
     private static final GateListener NO_GATE =
             new GateListener() {
                 @Override
@@ -57,7 +58,7 @@
 
                 @Override
                 public void countsRequested(CountRequest request) {
-                    // There are no engines to ask.
+                    // There are no engines to count.
                 }
             };
 
@@ -74,49 +75,49 @@
         gate = listener;
     }
 
-    /** From the gate: a report, in place of an earlier one that was not taken. */
-    void publishReport(BudgetCommand.Renew next) {
-        report.set(next);
+    /** From the gate: a report, which replaces an earlier one that was not taken. */
+    void publishReport(BudgetCommand.Renew newReport) {
+        report.set(newReport);
     }
 
     /**
      * From the gate: the endpoint list.
      *
-     * @param removed the last incarnations of engines that the list has removed, by name
+     * @param removed last incarnation of each engine removed from the list, by name
      */
     void publishEngines(List<ListedEngine> listed, Map<String, Long> removed) {
         listedEngines = List.copyOf(listed);
         removedEngines = Map.copyOf(removed);
     }
 
-    /** From the gate: an engine's count, in place of an earlier one that was not taken. */
+    /** From the gate: an engine's count, which replaces an earlier one that was not taken. */
     void publishCount(String engine, EngineCount count) {
         counts.put(engine, count);
     }
 
-    /** From the gate: its metrics, and whether no session of this process runs anywhere. */
+    /** From the gate: its metrics, and whether this process has no running session. */
     void publishMetrics(String json, boolean idle) {
         metricsJson = json;
         isIdle = idle;
     }
 
-    /** To the gate: a new cluster session; what was reported before is void. */
+    /** To the gate: a new cluster session; discards a report made under the old one. */
     void joined() {
         report.set(null);
         gate.joined();
     }
 
-    /** To the gate. */
+    /** To the gate: the outcome of a report. */
     void completeReport(ReportOutcome outcome) {
         gate.reportCompleted(outcome);
     }
 
-    /** To the gate. */
+    /** To the gate: a request for counts of engines. */
     void requestCounts(CountRequest request) {
         gate.countsRequested(request);
     }
 
-    /** The report to send, once; null if there is none. */
+    /** Removes and returns the report to send; null if there is none. */
     BudgetCommand.Renew takeReport() {
         return report.getAndSet(null);
     }
@@ -129,7 +130,7 @@
         return removedEngines;
     }
 
-    /** The engine's count, once; null if there is none. */
+    /** Removes and returns the engine's count; null if there is none. */
     EngineCount takeCount(String engine) {
         return counts.remove(engine);
     }
--- a/src/main/java/calicostream/budget/process/BudgetMetrics.java
+++ b/src/main/java/calicostream/budget/process/BudgetMetrics.java
@@ -9,12 +9,12 @@
 import com.eclipsesource.json.JsonObject;
 import java.util.List;
 
-/** Writes metrics as JSON, under the names that {@code docs/operate/budget.md} has. Stateless. */
+/** Writes metrics as JSON; {@code docs/operate/budget.md} lists the names. Stateless. */
 final class BudgetMetrics {
     private BudgetMetrics() {}
 
     /**
-     * What this process may use and uses.
+     * The sessions that this process may use and has in use.
      *
      * @param engineNames by slot
      */
@@ -39,19 +39,19 @@
                     settings.tenants().get(tenant).name(),
                     Json.object()
                             .add("in_use", sessions.sessions(tenant))
-                            .add("granted", granted(sessions, tenant, engineNames.size()))
+                            .add("granted", totalGranted(sessions, tenant, engineNames.size()))
                             .add("waiting", admission.queued(tenant)));
         }
         return Json.object()
                 .add("live", sessions.hasActiveGrants())
-                .add("in_doubt", ledger.unconfirmed())
+                .add("in_doubt", ledger.unconfirmedCount())
                 .add("refused", admission.rejected())
                 .add("engines", engines)
                 .add("tenants", tenants)
                 .toString();
     }
 
-    private static int granted(GrantedSessions sessions, int tenant, int engines) {
+    private static int totalGranted(GrantedSessions sessions, int tenant, int engines) {
         int granted = 0;
         for (int engine = 0; engine < engines; engine++) {
             granted += sessions.granted(tenant, engine);
@@ -59,7 +59,7 @@
         return granted;
     }
 
-    /** What may be in use in the fleet, by the copy at hand, and what tenants are granted. */
+    /** Committed sessions and tenants' grants in the whole fleet, from the local copy. */
     static JsonObject fleet(BudgetSettings settings, GrantView view) {
         JsonObject engines = Json.object();
         for (GrantView.EngineTotals engine : view.engines()) {
--- a/src/main/java/calicostream/budget/process/BudgetReporter.java
+++ b/src/main/java/calicostream/budget/process/BudgetReporter.java
@@ -7,8 +7,8 @@
 import calicostream.budget.SessionLedger;
 
 /**
- * Observes the tenants' demand, and publishes this process's reports and metrics, some times in a
- * lease time. Front end's loop only.
+ * Observes the tenants' demand, and publishes this process's reports and metrics several times per
+ * lease time. Must be used on the front end's loop.
  */
 final class BudgetReporter {
     private static final int REPORTS_PER_LEASE = 5;
@@ -46,9 +46,9 @@
         return intervalMicros;
     }
 
-    /** Estimates the demand anew from the sessions in use and the requests that wait. */
+    /** Updates the demand estimates from the sessions in use and the pending requests. */
     void observeDemand(long nowNanos) {
-        int[] caps = engines.caps();
+        int[] caps = engines.capsBySlot();
         for (int tenant = 0; tenant < settings.tenants().size(); tenant++) {
             int[] pending = QueuedDemand.distribute(admission.pending(tenant), caps);
             for (int engine = 0; engine < caps.length; engine++) {
@@ -58,15 +58,15 @@
         }
     }
 
-    /** The next report is due at once. */
-    void reportSoon() {
+    /** Makes the next report due at once. */
+    void scheduleImmediateReport() {
         nextReportAtMicros = 0;
     }
 
     /**
-     * Publishes a report and metrics, if they are due.
+     * Publishes a report and metrics if they are due.
      *
-     * @param isIdle whether no session of this process runs anywhere
+     * @param isIdle whether this process has no running session
      */
     void publishIfDue(long nowMicros, long nowNanos, boolean isIdle) {
         if (nowMicros < nextReportAtMicros) {
@@ -77,6 +77,6 @@
             mailbox.publishReport(ledger.grantedSessions().nextReport(nowNanos, demand));
         }
         mailbox.publishMetrics(
-                BudgetMetrics.process(settings, ledger, engines.names(), admission), isIdle);
+                BudgetMetrics.process(settings, ledger, engines.engineNames(), admission), isIdle);
     }
 }
--- a/src/main/java/calicostream/budget/process/BudgetService.java
+++ b/src/main/java/calicostream/budget/process/BudgetService.java
@@ -19,9 +19,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * Session budgets as a replicated service of a member: joins under each cluster session, submits
- * the gate's reports one at a time and passes it their outcomes. Member's thread only, except for
- * {@link #gate}.
+ * Session budgets as a replicated service of a member: joins under each new cluster session,
+ * submits the gate's reports one at a time, and passes their outcomes to the gate. Must be used on
+ * the member's thread, except for {@link #gate}.
  */
 public final class BudgetService implements ReplicatedService {
     private final BudgetConfig config;
@@ -32,18 +32,20 @@
     private final GrantCoordinatorTask coordinatorTask;
     private MemberSession session;
 
-    /** Ids of the cluster sessions that the process has joined, or is joining, under; 0 if none. */
+    /** Id of the cluster session under which the process has joined; 0 if none. */
     private long joinedSession;
 
+    /** Id of the cluster session under which the process is joining; 0 if none. */
     private long joiningSession;
+
     private boolean isReporting;
     private boolean isLeaving;
     private long failedReports;
 
     /**
-     * The budgets of a member that has not started.
+     * Creates the service of a member that has not started.
      *
-     * @param process this member's name, by which the settings may give it floors
+     * @param process this member's name; the settings define whether it has floors
      */
     public BudgetService(BudgetConfig config, String process) {
         this.config = config;
@@ -58,7 +60,7 @@
         return coordinatorTask;
     }
 
-    /** Creates the gate in front of the engine client; once, before the member starts. */
+    /** Creates the gate in front of the engine client. Called once, before the member starts. */
     public BudgetGate gate(SelectorLoop loop, EngineClient engines) {
         return new BudgetGate(loop, engines, config, process, mailbox);
     }
@@ -79,49 +81,50 @@
     }
 
     @Override
-    public void onStart(MemberSession own, LongSupplier clock) {
-        session = own;
-        coordinatorTask.attach(own);
+    public void onStart(MemberSession memberSession, LongSupplier clock) {
+        session = memberSession;
+        coordinatorTask.attach(memberSession);
     }
 
     @Override
     public void onTick() {
-        long current = session.sessionId();
-        if (current == 0 || isLeaving) {
+        long currentSession = session.sessionId();
+        if (currentSession == 0 || isLeaving) {
             return;
         }
-        if (current != joinedSession && current != joiningSession) {
-            joiningSession = current;
+        if (currentSession != joinedSession && currentSession != joiningSession) {
+            joiningSession = currentSession;
             isReporting = false;
             session.submit(
                     name(),
                     new BudgetCommand.Join(process).encode(),
-                    outcome -> joinCompleted(current, outcome));
+                    outcome -> joinCompleted(currentSession, outcome));
         }
-        if (current == joinedSession && !isReporting) {
-            submitReport(current);
+        if (currentSession == joinedSession && !isReporting) {
+            submitReport(currentSession);
         }
     }
 
-    private void submitReport(long current) {
+    private void submitReport(long currentSession) {
         BudgetCommand.Renew report = mailbox.takeReport();
         if (report != null) {
             isReporting = true;
-            session.submit(name(), report.encode(), outcome -> reportCompleted(current, outcome));
+            session.submit(
+                    name(), report.encode(), outcome -> reportCompleted(currentSession, outcome));
         }
     }
 
-    private void joinCompleted(long joining, CommandOutcome outcome) {
-        if (outcome.isAccepted() && session.sessionId() == joining) {
-            joinedSession = joining;
+    private void joinCompleted(long joinSession, CommandOutcome outcome) {
+        if (outcome.isAccepted() && session.sessionId() == joinSession) {
+            joinedSession = joinSession;
             mailbox.joined();
-        } else if (joiningSession == joining) {
+        } else if (joiningSession == joinSession) {
             joiningSession = 0; // Retried at the next tick.
         }
     }
 
-    private void reportCompleted(long reporting, CommandOutcome outcome) {
-        if (reporting != joinedSession) {
+    private void reportCompleted(long reportSession, CommandOutcome outcome) {
+        if (reportSession != joinedSession) {
             return;
         }
         isReporting = false;
@@ -138,7 +141,7 @@
                 : new ReportOutcome.Failed();
     }
 
-    /** Only a process that is idle may leave: otherwise its sessions go on and must count. */
+    /** Leaves only if the process is idle; otherwise its sessions still run and must count. */
     @Override
     public void onStopping() {
         if (hasJoined() && mailbox.isIdle()) {
--- a/src/main/java/calicostream/budget/process/BudgetedEngines.java
+++ b/src/main/java/calicostream/budget/process/BudgetedEngines.java
@@ -12,9 +12,9 @@
 import java.util.Optional;
 
 /**
- * The engines of the endpoint list, as budgets see them: names, incarnations, and the slots of
- * those that belong to a pool. Registers them with the {@link SessionLedger} and publishes them to
- * the coordinator's task. Front end's loop only.
+ * The engines of the endpoint list with their names, their incarnations, and the slots of those
+ * that belong to a pool. Registers them with the {@link SessionLedger} and publishes them to the
+ * coordinator task. Must be used on the front end's loop.
  */
 final class BudgetedEngines {
     private final BudgetConfig config;
@@ -28,10 +28,10 @@
     private final Map<Long, Long> startedAtMillis = new HashMap<>();
     private final Map<Long, EngineEndpoint> listed = new HashMap<>();
 
-    /** The last incarnations of engines that were removed from the list, by name. */
+    /** Last incarnation of each engine that was removed from the list, by name. */
     private final Map<String, Long> removed = new HashMap<>();
 
-    private boolean hasUnbudgeted;
+    private boolean hasUnbudgetedEngines;
 
     BudgetedEngines(BudgetConfig config, SessionLedger ledger, BudgetMailbox mailbox) {
         this.config = config;
@@ -39,12 +39,12 @@
         this.mailbox = mailbox;
     }
 
-    /** The name by which commands mean the engine. */
-    static String name(long engine) {
+    /** The engine's name in commands. */
+    static String engineName(long engine) {
         return Long.toHexString(engine);
     }
 
-    /** When the engine's process started by the endpoint list, which is the same at all members. */
+    /** Records the start of the engine's process from the endpoint list, equal at all members. */
     void engineStarted(long engine, long unixMillis) {
         startedAtMillis.put(engine, unixMillis);
     }
@@ -52,9 +52,9 @@
     void engineChanged(EngineEndpoint engine, long nowNanos) {
         if (engine.lifecycle() == EngineLifecycle.REMOVED) {
             listed.remove(engine.id());
-            removed.put(name(engine.id()), incarnation(engine.id()));
+            removed.put(engineName(engine.id()), incarnation(engine.id()));
         } else {
-            removed.remove(name(engine.id()));
+            removed.remove(engineName(engine.id()));
             listed.put(engine.id(), engine);
             Optional<String> pool = config.poolOfEngineKind(engine.kind());
             if (pool.isPresent()) {
@@ -62,18 +62,20 @@
                 ledger.engineConnected(slot, incarnation(engine.id()), nowNanos);
             }
         }
-        hasUnbudgeted =
+        hasUnbudgetedEngines =
                 listed.values().stream()
-                        .anyMatch(each -> config.poolOfEngineKind(each.kind()).isEmpty());
+                        .anyMatch(
+                                listedEngine ->
+                                        config.poolOfEngineKind(listedEngine.kind()).isEmpty());
         mailbox.publishEngines(listedEngines(), removed);
     }
 
     private int registerSlot(long engine, String pool) {
-        Integer known = slotById.get(engine);
-        if (known != null) {
-            return known;
+        Integer registeredSlot = slotById.get(engine);
+        if (registeredSlot != null) {
+            return registeredSlot;
         }
-        int slot = ledger.grantedSessions().registerEngine(name(engine), pool);
+        int slot = ledger.grantedSessions().registerEngine(engineName(engine), pool);
         slotById.put(engine, slot);
         idBySlot.add(engine);
         return slot;
@@ -91,7 +93,7 @@
                             pool ->
                                     engines.add(
                                             new BudgetMailbox.ListedEngine(
-                                                    name(engine.id()),
+                                                    engineName(engine.id()),
                                                     incarnation(engine.id()),
                                                     pool,
                                                     engineCap(pool))));
@@ -108,28 +110,28 @@
         return slotById.get(engine);
     }
 
-    int slots() {
+    int slotCount() {
         return idBySlot.size();
     }
 
-    long id(int slot) {
+    long engineId(int slot) {
         return idBySlot.get(slot);
     }
 
     boolean isListed(int slot) {
-        return listed.containsKey(id(slot));
+        return listed.containsKey(engineId(slot));
     }
 
-    /** Whether an engine is listed that belongs to no pool. */
-    boolean hasUnbudgeted() {
-        return hasUnbudgeted;
+    /** Whether the list has an engine that belongs to no pool. */
+    boolean hasUnbudgetedEngines() {
+        return hasUnbudgetedEngines;
     }
 
     /** The engines' caps by slot; 0 for one that is not listed. */
-    int[] caps() {
-        int[] caps = new int[slots()];
+    int[] capsBySlot() {
+        int[] caps = new int[slotCount()];
         for (int slot = 0; slot < caps.length; slot++) {
-            EngineEndpoint engine = listed.get(id(slot));
+            EngineEndpoint engine = listed.get(engineId(slot));
             if (engine != null) {
                 caps[slot] = engineCap(config.poolOfEngineKind(engine.kind()).orElseThrow());
             }
@@ -138,12 +140,12 @@
     }
 
     /** The engines' names by slot. */
-    List<String> names() {
-        return idBySlot.stream().map(BudgetedEngines::name).toList();
+    List<String> engineNames() {
+        return idBySlot.stream().map(BudgetedEngines::engineName).toList();
     }
 
-    /** The ids of those engines with a slot that have one of the names. */
-    List<Long> idsOf(List<String> names) {
-        return slotById.keySet().stream().filter(id -> names.contains(name(id))).toList();
+    /** The ids of the engines with a slot and one of the names. */
+    List<Long> engineIds(List<String> names) {
+        return slotById.keySet().stream().filter(id -> names.contains(engineName(id))).toList();
     }
 }
--- a/src/main/java/calicostream/budget/process/EngineCountTracker.java
+++ b/src/main/java/calicostream/budget/process/EngineCountTracker.java
@@ -6,18 +6,18 @@
 import java.util.Map;
 
 /**
- * Relates engines' counts of sessions to the questions that they answer: load probes that are open,
- * and the coordinator's requests for a count. Front end's loop only; nanoseconds of its clock.
+ * Matches engines' session counts to the load probes in flight and to the coordinator's count
+ * requests. Must be used on the front end's loop; times are in nanoseconds of its clock.
  */
 final class EngineCountTracker {
     private record PendingRequest(BudgetMailbox.CountRequest request, long receivedAt) {}
 
     private final BudgetMailbox mailbox;
 
-    /** By engine id: when each open probe was sent, oldest first. */
+    /** By engine id: when each probe in flight was sent, oldest first. */
     private final Map<Long, ArrayDeque<Long>> probesSentAt = new HashMap<>();
 
-    /** By engine id. */
+    /** By engine id: the coordinator's latest request. */
     private final Map<Long, PendingRequest> requests = new HashMap<>();
 
     EngineCountTracker(BudgetMailbox mailbox) {
@@ -29,39 +29,40 @@
     }
 
     /**
-     * A probe of the engine has ended; which one is not known, so it may have been the oldest.
+     * Records that a probe of the engine has ended. Which one is unknown, so the oldest time is
+     * assumed.
      *
-     * @return when the oldest open one was sent; null if none is open
+     * @return when the oldest probe in flight was sent; null if there is none
      */
     Long probeEnded(long engine) {
-        ArrayDeque<Long> open = probesSentAt.get(engine);
-        if (open == null) {
+        ArrayDeque<Long> probesInFlight = probesSentAt.get(engine);
+        if (probesInFlight == null) {
             return null;
         }
-        Long oldest = open.peekFirst();
-        open.pollLast();
-        return oldest;
+        Long oldestSentAt = probesInFlight.peekFirst();
+        probesInFlight.pollLast();
+        return oldestSentAt;
     }
 
-    /** The coordinator wants a count of the engine that is asked for from now on. */
+    /** Records a coordinator's request: a count of the engine requested at this time or later. */
     void countRequested(long engine, BudgetMailbox.CountRequest request, long now) {
         requests.put(engine, new PendingRequest(request, now));
     }
 
     /**
-     * The engine has counted its sessions.
+     * Publishes an engine's count if it satisfies the coordinator's request.
      *
-     * @param askedAt when the question was sent; one from before the coordinator's request proves
-     *     nothing of what started since
+     * @param requestedAt when the count was requested; a count requested before the coordinator's
+     *     request may miss sessions that started in between
      */
-    void counted(long engine, long incarnation, int running, long askedAt) {
+    void countReceived(long engine, long incarnation, int running, long requestedAt) {
         PendingRequest pending = requests.get(engine);
-        if (pending != null && askedAt >= pending.receivedAt()) {
+        if (pending != null && requestedAt >= pending.receivedAt()) {
             requests.remove(engine);
             mailbox.publishCount(
-                    BudgetedEngines.name(engine),
+                    BudgetedEngines.engineName(engine),
                     new BudgetMailbox.EngineCount(
-                            incarnation, running, pending.request().knownIndex()));
+                            incarnation, running, pending.request().appliedIndex()));
         }
     }
 }
--- a/src/main/java/calicostream/budget/process/ForwardingEngineClient.java
+++ b/src/main/java/calicostream/budget/process/ForwardingEngineClient.java
@@ -8,8 +8,8 @@
 import java.net.InetSocketAddress;
 
 /**
- * An {@link EngineClient} that forwards calls to another one; subclasses override what they add to.
- * Same thread as the client that it forwards to.
+ * An {@link EngineClient} that forwards calls to a delegate; subclasses override the methods that
+ * they extend. Must be used on the delegate's thread.
  */
 abstract class ForwardingEngineClient implements EngineClient {
     private final EngineClient delegate;
--- a/src/main/java/calicostream/budget/process/GrantCoordinatorTask.java
+++ b/src/main/java/calicostream/budget/process/GrantCoordinatorTask.java
@@ -15,18 +15,19 @@
 import java.util.List;
 
 /**
- * The grant coordinator's task, at whichever process holds its lease: some times in a lease time of
- * grants it submits changes of the endpoint list, allocates grants, and requests counts from
- * engines where usage is unconfirmed. It uses the state machine's copy at hand, or reads one from a
- * voter; the state machine checks all that it submits. Member's thread only.
+ * The grant coordinator's task, which runs at the process that holds its lease. Several times per
+ * lease time of grants it submits changes of the endpoint list, allocates grants, and requests
+ * counts from engines with unconfirmed usage. It works on a copy of the state machine, local if
+ * there is one and otherwise read from a voter; the state machine checks everything that it
+ * submits. Must be used on the member's thread.
  */
 final class GrantCoordinatorTask implements LeasedTask {
     private static final int ROUNDS_PER_LEASE = 10;
 
-    /** The fencing token is put in where a command is submitted. */
+    /** Placeholder: the fencing token is inserted when a command is submitted. */
     private static final long NO_TOKEN = 0;
 
-    private static final long DUE_AT_ONCE = Long.MIN_VALUE;
+    private static final long DUE_IMMEDIATELY = Long.MIN_VALUE;
 
     private final BudgetConfig config;
     private final GrantStateMachine machine;
@@ -37,8 +38,8 @@
     private long nextRoundAt;
     private long rounds;
     private long allocations;
-    private long refused;
-    private String lastRefusal = "";
+    private long rejected;
+    private String lastRejection = "";
 
     GrantCoordinatorTask(BudgetConfig config, GrantStateMachine machine, BudgetMailbox mailbox) {
         this.config = config;
@@ -47,9 +48,9 @@
         roundIntervalNanos = config.settings().ttlNanos() / ROUNDS_PER_LEASE;
     }
 
-    /** Called once, before the task runs: the session to submit commands by. */
-    void attach(MemberSession own) {
-        session = own;
+    /** Sets the session for submitting commands. Called once, before the task runs. */
+    void attach(MemberSession memberSession) {
+        session = memberSession;
     }
 
     @Override
@@ -60,12 +61,12 @@
     @Override
     public void onStarted(FencedActions actions) {
         coordinator = new GrantCoordinator(config.settings());
-        nextRoundAt = DUE_AT_ONCE;
+        nextRoundAt = DUE_IMMEDIATELY;
     }
 
     @Override
     public void step(FencedActions actions, long nowNanos) {
-        if (nextRoundAt != DUE_AT_ONCE && nowNanos - nextRoundAt < 0) {
+        if (nextRoundAt != DUE_IMMEDIATELY && nowNanos - nextRoundAt < 0) {
             return;
         }
         nextRoundAt = nowNanos + roundIntervalNanos;
@@ -100,20 +101,20 @@
             actions.submitTo(
                     GrantStateMachine.NAME,
                     token -> new BudgetCommand.Allocate(token, allocate.grants()).encode(),
-                    this::completed);
+                    this::commandCompleted);
         }
     }
 
     private void submitEngineChanges(GrantView view) {
-        List<GrantView.EngineTotals> known = view.engines();
+        List<GrantView.EngineTotals> engines = view.engines();
         for (BudgetMailbox.ListedEngine listed : mailbox.listedEngines()) {
-            if (known.stream().noneMatch(engine -> isUpToDate(engine, listed))) {
+            if (engines.stream().noneMatch(engine -> isUpToDate(engine, listed))) {
                 submit(
                         new BudgetCommand.UpdateEngine(
                                 listed.name(), listed.incarnation(), listed.pool(), listed.cap()));
             }
         }
-        for (GrantView.EngineTotals engine : known) {
+        for (GrantView.EngineTotals engine : engines) {
             long removed = mailbox.removedEngines().getOrDefault(engine.name(), 0L);
             if (removed == engine.incarnation()) {
                 submit(new BudgetCommand.RemoveEngine(engine.name(), engine.incarnation()));
@@ -121,7 +122,7 @@
         }
     }
 
-    /** Whether the state machine knows the listed engine as it is, or a later incarnation of it. */
+    /** Whether the state machine has the listed engine as it is, or a later incarnation. */
     private static boolean isUpToDate(
             GrantView.EngineTotals engine, BudgetMailbox.ListedEngine listed) {
         if (!engine.name().equals(listed.name()) || engine.incarnation() < listed.incarnation()) {
@@ -131,13 +132,13 @@
                 || engine.requestedCap() == listed.cap() && engine.pool().equals(listed.pool());
     }
 
-    /** An engine's count of all its sessions bounds those of each process. */
+    /** Submits the counts that lower the bound on some process's unconfirmed usage. */
     private void submitCounts(GrantView view) {
         for (GrantView.EngineTotals engine : view.engines()) {
             BudgetMailbox.EngineCount count = mailbox.takeCount(engine.name());
             if (count != null && count.incarnation() == engine.incarnation()) {
                 for (GrantView.UnconfirmedUsage usage : view.unconfirmedUsages()) {
-                    if (usage.engine().equals(engine.name()) && isLoweredBy(count, usage)) {
+                    if (usage.engine().equals(engine.name()) && lowersBound(count, usage)) {
                         submit(engineCount(usage, count));
                     }
                 }
@@ -145,8 +146,8 @@
         }
     }
 
-    private boolean isLoweredBy(BudgetMailbox.EngineCount count, GrantView.UnconfirmedUsage usage) {
-        return usage.expiredAtIndex() <= count.knownIndex()
+    private boolean lowersBound(BudgetMailbox.EngineCount count, GrantView.UnconfirmedUsage usage) {
+        return usage.expiredAtIndex() <= count.appliedIndex()
                 && usage.sessions() > count.running() + config.settings().maxUnacknowledged();
     }
 
@@ -157,8 +158,8 @@
                 count.incarnation(),
                 usage.process(),
                 usage.session(),
-                usage.ofPredecessors(),
-                count.knownIndex(),
+                usage.forPredecessors(),
+                count.appliedIndex(),
                 count.running(),
                 false);
     }
@@ -175,13 +176,13 @@
     }
 
     private void submit(BudgetCommand command) {
-        session.submit(GrantStateMachine.NAME, command.encode(), this::completed);
+        session.submit(GrantStateMachine.NAME, command.encode(), this::commandCompleted);
     }
 
-    private void completed(CommandOutcome outcome) {
+    private void commandCompleted(CommandOutcome outcome) {
         if (!outcome.isAccepted()) {
-            refused++;
-            lastRefusal = outcome.code();
+            rejected++;
+            lastRejection = outcome.code();
         }
     }
 
@@ -190,8 +191,8 @@
         return Json.object()
                 .add("rounds", rounds)
                 .add("divisions", allocations)
-                .add("refused", refused)
-                .add("last_refusal", lastRefusal)
+                .add("refused", rejected)
+                .add("last_refusal", lastRejection)
                 .toString();
     }
 }
--- a/src/main/java/calicostream/budget/process/ReportOutcome.java
+++ b/src/main/java/calicostream/budget/process/ReportOutcome.java
@@ -3,14 +3,14 @@
 
 import calicostream.budget.BudgetCommand;
 
-/** What became of a report. Immutable. */
+/** The outcome of a report. Immutable. */
 sealed interface ReportOutcome {
     /** The lease was renewed. */
     record Renewed(BudgetCommand.RenewalReply reply) implements ReportOutcome {}
 
-    /** The report was refused because the grants have expired. */
+    /** The report was rejected because the grants have expired. */
     record Expired() implements ReportOutcome {}
 
-    /** No response, or another refusal; the grants are as before. */
+    /** There was no response, or another rejection; the grants are unchanged. */
     record Failed() implements ReportOutcome {}
 }
--- a/src/main/java/calicostream/budget/process/TenantAdmission.java
+++ b/src/main/java/calicostream/budget/process/TenantAdmission.java
@@ -19,12 +19,13 @@
 import java.util.function.LongSupplier;
 
 /**
- * Admits requests to the router by tenant: no more of a tenant's requests are with the router than
- * could be sent, so that they can't crowd out another tenant's; the others are queued until there
- * is capacity, or rejected with a retry-after time. Front end's loop only.
+ * Admits requests to the router by tenant. The router gets no more of a tenant's requests than the
+ * tenant has capacity for, so that they cannot crowd out another tenant's. The others are queued
+ * until there is capacity, or rejected with a retry-after time. Must be used on the front end's
+ * loop.
  */
 final class TenantAdmission {
-    /** The queues' single slot: requests are queued for all engines together. */
+    /** The single slot of the queues: requests are queued for all engines together. */
     private static final int ALL_ENGINES = 0;
 
     private final BudgetConfig config;
@@ -33,12 +34,12 @@
     private final LongSupplier nowNanos;
     private final TenantQueues queues;
 
-    /** By tenant: requests that the router has and that were not sent yet. */
+    /** By tenant: requests that were admitted to the router and have not been sent yet. */
     private final List<Set<Request>> admitted = new ArrayList<>();
 
     private final Map<Long, Request> queued = new HashMap<>();
     private Gateway gateway;
-    private long nextNumber = 1;
+    private long nextRequestNumber = 1;
     private long rejected;
 
     TenantAdmission(
@@ -51,21 +52,21 @@
         this.engines = engines;
         this.nowNanos = nowNanos;
         queues = new TenantQueues(config.settings(), config.maxQueuedPerTenant(), 1);
-        for (int tenant = 0; tenant < tenants(); tenant++) {
+        for (int tenant = 0; tenant < tenantCount(); tenant++) {
             admitted.add(new HashSet<>());
         }
     }
 
-    private int tenants() {
+    private int tenantCount() {
         return config.settings().tenants().size();
     }
 
-    /** Called once, before anything else: where requests are admitted later, or rejected. */
-    void attach(Gateway to) {
-        gateway = to;
+    /** Sets where queued requests are admitted or rejected. Called once, before anything else. */
+    void attach(Gateway newGateway) {
+        gateway = newGateway;
     }
 
-    /** Whether the router gets the request now; if not, it is queued or rejected here. */
+    /** Whether the request is admitted now; if not, it has been queued or rejected. */
     boolean admit(Request request) {
         request.assignTenant(config.tenants().tenantOf(attributes(request)));
         int tenant = request.tenant();
@@ -74,14 +75,14 @@
             return true;
         }
         try {
-            long number = nextNumber++;
+            long requestNumber = nextRequestNumber++;
             queues.offer(
                     tenant,
                     ALL_ENGINES,
-                    number,
+                    requestNumber,
                     nowNanos.getAsLong(),
                     config.maxQueueDelay().toNanos());
-            queued.put(number, request);
+            queued.put(requestNumber, request);
         } catch (BudgetException.NoCapacity noCapacity) {
             reject(request, noCapacity);
         }
@@ -101,7 +102,7 @@
     private boolean hasHeadroom(int tenant) {
         Set<Request> requests = admitted.get(tenant);
         int headroom =
-                engines.hasUnbudgeted()
+                engines.hasUnbudgetedEngines()
                         ? Integer.MAX_VALUE
                         : ledger.grantedSessions().headroom(tenant, nowNanos.getAsLong());
         if (requests.size() >= headroom) {
@@ -110,12 +111,12 @@
         return requests.size() < headroom;
     }
 
-    /** An attempt of the request is sent to an engine: from here on its session counts instead. */
+    /** Records that an attempt of the request is sent; from now on its session counts instead. */
     void requestSent(Request request) {
         admitted.get(request.tenant()).remove(request);
     }
 
-    /** A session of the tenant has ended, which frees capacity for another. */
+    /** Records the end of a session of the tenant, which frees capacity. */
     void sessionEnded(int tenant) {
         queues.sessionEnded(tenant, nowNanos.getAsLong());
     }
@@ -126,8 +127,8 @@
 
     /** Admits queued requests as far as there is capacity. */
     void admitQueued() {
-        for (long number = pollQueued(); number >= 0; number = pollQueued()) {
-            Request request = queued.remove(number);
+        for (long requestNumber = pollQueued(); requestNumber >= 0; requestNumber = pollQueued()) {
+            Request request = queued.remove(requestNumber);
             if (!request.isAnswered()) {
                 admitted.get(request.tenant()).add(request);
                 gateway.admit(request);
@@ -142,11 +143,11 @@
                 tenant -> ledger.grantedSessions().sessions(tenant));
     }
 
-    /** Rejects the requests whose patience is over. */
+    /** Rejects the requests that have waited for the maximum queue delay. */
     void rejectTimedOut() {
-        for (int tenant = 0; tenant < tenants(); tenant++) {
-            for (long number : queues.removeTimedOut(tenant, nowNanos.getAsLong())) {
-                Request request = queued.remove(number);
+        for (int tenant = 0; tenant < tenantCount(); tenant++) {
+            for (long requestNumber : queues.removeTimedOut(tenant, nowNanos.getAsLong())) {
+                Request request = queued.remove(requestNumber);
                 reject(request, queues.rejection(tenant, nowNanos.getAsLong()));
             }
         }
@@ -157,7 +158,7 @@
         gateway.reject(request, TimeUnit.NANOSECONDS.toMicros(noCapacity.retryAfterNanos()));
     }
 
-    /** Requests of the tenant that wait for an engine, here or at the router. */
+    /** Requests of the tenant that have not been sent, queued here or at the router. */
     int pending(int tenant) {
         admitted.get(tenant).removeIf(Request::isAnswered);
         return queued(tenant) + admitted.get(tenant).size();
@@ -168,7 +169,7 @@
         return queues.queued(tenant, ALL_ENGINES);
     }
 
-    /** How many requests were rejected since the start. */
+    /** The number of requests rejected since the start. */
     long rejected() {
         return rejected;
     }
--- a/src/main/java/calicostream/budget/process/package-info.java
+++ b/src/main/java/calicostream/budget/process/package-info.java
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /**
- * Owns the enforcement of session budgets in a process: the gate in front of the engine client, on
- * the front end's loop, and the replicated service with the coordinator's task, on the member's
- * thread; they pass each other immutable messages and never wait. It makes no decision that {@link
- * calicostream.budget} does not make, and does not know how requests arrive. Read {@link
- * calicostream.budget.process.BudgetGate} first.
+ * Enforcement of session budgets in a process: the gate in front of the engine client runs on the
+ * front end's loop, the replicated service and the coordinator task run on the member's thread.
+ * They exchange immutable messages without blocking. All decisions are made by {@link
+ * calicostream.budget}; how requests arrive is unknown here. Start with {@link
+ * calicostream.budget.process.BudgetGate}.
  */
 package calicostream.budget.process;
--- a/src/measure/java/calicostream/budget/BudgetSimulations.java
+++ b/src/measure/java/calicostream/budget/BudgetSimulations.java
@@ -12,16 +12,18 @@
 import java.util.TreeMap;
 
 /**
- * Runs of the fleet in virtual time: with faults, whose only question is the caps; and steady ones,
- * whose question is fairness and use.
+ * Runs simulated fleets in virtual time: runs with faults, which check that no engine exceeds its
+ * cap, and steady runs without faults, which measure fairness and utilization.
  */
 public final class BudgetSimulations {
-    private static final long MS = FleetSimulation.MS;
-    private static final long SECOND = 1_000 * MS;
+    private static final long NANOS_PER_MILLI = FleetSimulation.NANOS_PER_MILLI;
+    private static final long NANOS_PER_SECOND = 1_000 * NANOS_PER_MILLI;
 
     private BudgetSimulations() {}
 
-    /** What a number of runs with faults came to. */
+    /**
+     * Totals over a number of runs with faults; {@code reclaims} and {@code releases} are sorted.
+     */
     public record FaultyRuns(
             int runs,
             long steps,
@@ -33,16 +35,21 @@
             List<Long> releases,
             Map<String, Integer> refusals) {}
 
-    /** What a steady run came to. */
+    /**
+     * The result of a steady run.
+     *
+     * @param unfairness largest relative deviation of a tenant from its exact allocation
+     * @param utilization used fraction of the usable session time
+     */
     public record SteadyRun(double unfairness, double utilization) {}
 
-    private static BudgetSettings settings(int floor, int inHand) {
-        return settings(7, floor, inHand);
+    private static BudgetSettings settings(int floor, int maxUnacknowledged) {
+        return settings(7, floor, maxUnacknowledged);
     }
 
-    private static BudgetSettings settings(int count, int floor, int inHand) {
+    private static BudgetSettings settings(int processCount, int floor, int maxUnacknowledged) {
         List<String> processes = new ArrayList<>();
-        for (int i = 1; i <= count; i++) {
+        for (int i = 1; i <= processCount; i++) {
             processes.add("p" + i);
         }
         return new BudgetSettings(
@@ -64,19 +71,19 @@
                                         BudgetSettings.ALL_POOLS,
                                         new BudgetSettings.Quota(30, 300)))),
                 processes,
-                SECOND,
+                NANOS_PER_SECOND,
                 500,
-                inHand);
+                maxUnacknowledged);
     }
 
-    /** One run of ten seconds; null or what broke. */
+    /** One run with all faults; {@link FleetSimulation#violation} has the result. */
     static FleetSimulation faulty(long seed, Set<Safeguard> disabled) {
         return faulty(seed, FaultPlan.ALL, disabled);
     }
 
     private static FleetSimulation faulty(long seed, FaultPlan faults, Set<Safeguard> disabled) {
         if (seed % 2 == 0) {
-            return small(seed, faults, disabled);
+            return smallFleet(seed, faults, disabled);
         }
         SplittableRandom random = new SplittableRandom(seed * 31 + 7);
         int[] caps = random.ints(3, 21, random.nextBoolean() ? 30 : 60).toArray();
@@ -89,22 +96,25 @@
                         disabled,
                         seed,
                         new SimulatedClients.Load(clients, random.nextInt(20, 200)));
-        sim.run(10 * SECOND);
+        sim.run(10 * NANOS_PER_SECOND);
         return sim;
     }
 
     /**
-     * One or two engines, two or three processes, little capacity and much demand, so that each
-     * fault concerns what is in use. Which faults there are, and how many messages are late,
-     * differs from run to run: one that is rare among many hides what two of a kind would show.
+     * A fleet of one or two engines and two or three processes, with little capacity and much
+     * demand, so that each fault affects sessions in use. The kinds of faults and the rate of
+     * delayed messages are drawn for each run: if every run had all kinds, two faults of the same
+     * kind would rarely follow each other, and violations that need both would not be found.
      */
-    private static FleetSimulation small(long seed, FaultPlan faults, Set<Safeguard> disabled) {
+    private static FleetSimulation smallFleet(
+            long seed, FaultPlan faults, Set<Safeguard> disabled) {
         SplittableRandom random = new SplittableRandom(seed * 31 + 11);
-        int count = random.nextInt(2, 4);
+        int processCount = random.nextInt(2, 4);
         int floor = random.nextInt(0, 2);
-        int[] caps = random.ints(random.nextInt(1, 3), count + 1, count + 9).toArray();
+        int[] caps =
+                random.ints(random.nextInt(1, 3), processCount + 1, processCount + 9).toArray();
         int[] clients = {random.nextInt(3, 12), random.nextInt(0, 6), 0, 0};
-        FaultPlan drawn =
+        FaultPlan randomFaults =
                 new FaultPlan(
                         faults.isEnabled(),
                         faults.isQuorumLost(),
@@ -115,19 +125,20 @@
                         random.nextInt(20, 150));
         FleetSimulation sim =
                 new FleetSimulation(
-                        settings(count, floor, random.nextInt(1, 4)),
+                        settings(processCount, floor, random.nextInt(1, 4)),
                         caps,
-                        drawn,
+                        randomFaults,
                         disabled,
                         seed,
                         new SimulatedClients.Load(clients, random.nextInt(20, 600)));
-        sim.run(20 * SECOND);
+        sim.run(20 * NANOS_PER_SECOND);
         return sim;
     }
 
     /**
-     * Runs with all faults, from that seed on; fewer if the time is over, which {@link
-     * System#nanoTime} tells.
+     * Runs with all faults, with consecutive seeds.
+     *
+     * @param deadline value of {@link System#nanoTime} after which no further run starts
      */
     public static FaultyRuns faulty(long seed, boolean isQuorumLost, int maxRuns, long deadline) {
         int runs = 0;
@@ -148,7 +159,7 @@
                             EnumSet.noneOf(Safeguard.class));
             steps += sim.steps;
             commands += sim.commands;
-            faults += sim.injected.values().stream().mapToInt(Integer::intValue).sum();
+            faults += sim.faultCounts.values().stream().mapToInt(Integer::intValue).sum();
             if (sim.violation != null) {
                 violations++;
                 if (firstViolation == null) {
@@ -157,7 +168,7 @@
             }
             reclaims.addAll(sim.reclaims);
             releases.addAll(sim.releases);
-            sim.refusals.forEach((code, count) -> refusals.merge(code, count, Integer::sum));
+            sim.rejections.forEach((code, count) -> refusals.merge(code, count, Integer::sum));
         }
         Collections.sort(reclaims);
         Collections.sort(releases);
@@ -174,12 +185,12 @@
     }
 
     /**
-     * The first seed of a small fleet at which the checker finds a violation with this safeguard
-     * disabled, or -1.
+     * The first seed with which a small fleet violates a cap while the safeguard is disabled; -1 if
+     * there is none.
      */
     static long firstSeedViolating(Safeguard safeguard, long seed, int runs) {
         for (int i = 0; i < runs; i++) {
-            if (small(seed + i, FaultPlan.ALL, EnumSet.of(safeguard)).violation != null) {
+            if (smallFleet(seed + i, FaultPlan.ALL, EnumSet.of(safeguard)).violation != null) {
                 return seed + i;
             }
         }
@@ -191,14 +202,14 @@
         return Arrays.stream(Safeguard.values()).map(Enum::name).toList();
     }
 
-    /** The same by name. */
+    /** The same by the safeguard's name. */
     public static long firstSeedViolating(String safeguard, long seed, int runs) {
         return firstSeedViolating(Safeguard.valueOf(safeguard), seed, runs);
     }
 
     /**
-     * Ten seconds without faults and with enough demand, judged from the fourth on against the
-     * exact allocation of the whole caps.
+     * Runs ten seconds without faults and with demand above capacity. Compares the last six seconds
+     * with the exact allocation of the full caps; the first four are warm-up.
      */
     public static SteadyRun steady(long seed) {
         SplittableRandom random = new SplittableRandom(seed * 17 + 3);
@@ -215,27 +226,30 @@
                         EnumSet.noneOf(Safeguard.class),
                         seed,
                         new SimulatedClients.Load(clients, 100));
-        sim.run(4 * SECOND);
-        long[] before = sessionNanosByTenant(sim, clients.length);
+        sim.run(4 * NANOS_PER_SECOND);
+        long[] tenantNanosBefore = sessionNanosByTenant(sim, clients.length);
         long[] engineNanosBefore = sessionNanosByEngine(sim);
-        sim.run(10 * SECOND);
-        long[] after = sessionNanosByTenant(sim, clients.length);
+        sim.run(10 * NANOS_PER_SECOND);
+        long[] tenantNanosAfter = sessionNanosByTenant(sim, clients.length);
         long[] engineNanosAfter = sessionNanosByEngine(sim);
-        double[] fair = MaxMinOracle.totals(problem(settings, caps, clients));
+        double[] exactTotals = MaxMinOracle.totals(problem(settings, caps, clients));
         double unfairness = 0;
         for (int t = 0; t < clients.length; t++) {
-            double used = (after[t] - before[t]) / (6.0 * SECOND);
-            unfairness = Math.max(unfairness, Math.abs(used - fair[t]) / fair[t]);
+            double usedSessions =
+                    (tenantNanosAfter[t] - tenantNanosBefore[t]) / (6.0 * NANOS_PER_SECOND);
+            unfairness =
+                    Math.max(unfairness, Math.abs(usedSessions - exactTotals[t]) / exactTotals[t]);
         }
-        double used = 0;
-        double usable = Math.min(Arrays.stream(caps).sum(), Arrays.stream(fair).sum());
+        double usedSessions = 0;
+        double usableSessions =
+                Math.min(Arrays.stream(caps).sum(), Arrays.stream(exactTotals).sum());
         for (int e = 0; e < caps.length; e++) {
-            used += (engineNanosAfter[e] - engineNanosBefore[e]) / (6.0 * SECOND);
+            usedSessions += (engineNanosAfter[e] - engineNanosBefore[e]) / (6.0 * NANOS_PER_SECOND);
         }
         if (sim.violation != null) {
             throw new IllegalStateException("seed " + seed + ": " + sim.violation);
         }
-        return new SteadyRun(unfairness, used / usable);
+        return new SteadyRun(unfairness, usedSessions / usableSessions);
     }
 
     private static long[] sessionNanosByTenant(FleetSimulation sim, int tenants) {
@@ -249,15 +263,16 @@
     }
 
     private static long[] sessionNanosByEngine(FleetSimulation sim) {
-        sim.engines.forEach(engine -> engine.add(sim.now, new SimulatedEngine.Owner("", 0), 0));
+        sim.engines.forEach(
+                engine -> engine.addSessions(sim.now, new SimulatedEngine.Owner("", 0), 0));
         return sim.engines.stream().mapToLong(engine -> engine.sessionNanos).toArray();
     }
 
     private static MaxMinFairAllocator.Problem problem(
             BudgetSettings settings, int[] caps, int[] clients) {
-        int[] poolOf = new int[caps.length];
+        int[] poolByEngine = new int[caps.length];
         for (int engine = 0; engine < caps.length; engine++) {
-            poolOf[engine] = engine % settings.pools().size();
+            poolByEngine[engine] = engine % settings.pools().size();
         }
         List<MaxMinFairAllocator.TenantClaim> claims = new ArrayList<>();
         for (int tenant = 0; tenant < clients.length; tenant++) {
@@ -267,7 +282,7 @@
         }
         return new MaxMinFairAllocator.Problem(
                 caps,
-                poolOf,
+                poolByEngine,
                 settings.pools().stream().mapToInt(BudgetSettings.Pool::cap).toArray(),
                 claims);
     }
--- a/src/measure/java/calicostream/budget/FaultInjector.java
+++ b/src/measure/java/calicostream/budget/FaultInjector.java
@@ -7,7 +7,7 @@
 final class FaultInjector {
     static final int FAULT_KINDS = 11;
 
-    private static final long MS = FleetSimulation.MS;
+    private static final long NANOS_PER_MILLI = FleetSimulation.NANOS_PER_MILLI;
 
     private final FleetSimulation sim;
     private final SplittableRandom random;
@@ -28,81 +28,89 @@
             case 2 -> replaceEngine();
             case 3 -> changeCap();
             case 4 -> {
-                sim.injected("coordinator moved");
-                sim.coordinator.move();
+                sim.recordFault("coordinator moved");
+                sim.coordinator.transferLease();
             }
             case 5 -> {
                 if (sim.faults.isQuorumLost()) {
-                    sim.injected("leader moved");
-                    sim.loseQuorum(random.nextLong(1_000 * MS));
+                    sim.recordFault("leader moved");
+                    sim.loseQuorum(random.nextLong(1_000 * NANOS_PER_MILLI));
                 }
             }
             case 6 -> {
                 if (sim.faults.isQuorumLost() && random.nextInt(6) == 0) {
-                    sim.injected("no quorum");
-                    sim.loseQuorum(random.nextLong(4_000 * MS));
+                    sim.recordFault("no quorum");
+                    sim.loseQuorum(random.nextLong(4_000 * NANOS_PER_MILLI));
                 }
             }
             case 7 -> {
                 if (random.nextInt(6) == 0) {
-                    sim.injected("graceful shutdown");
-                    process().leave();
+                    sim.recordFault("graceful shutdown");
+                    randomProcess().leave();
                 }
             }
             case 8 -> cutLink();
             default -> {
-                // A copy that starts from a snapshot continues alike.
+                // A copy restored from a snapshot must behave like the original.
                 byte[] snapshot = sim.machine.snapshot();
                 sim.machine.restore(snapshot);
-                sim.injected("snapshot restored");
+                sim.recordFault("snapshot restored");
             }
         }
     }
 
-    private SimulatedProcess process() {
+    private SimulatedProcess randomProcess() {
         return sim.processes.get(random.nextInt(sim.processes.size()));
     }
 
-    private SimulatedEngine engine() {
+    private SimulatedEngine randomEngine() {
         return sim.engines.get(random.nextInt(sim.engines.size()));
     }
 
     private void stopProcess() {
-        sim.injected("process stopped");
-        process()
+        sim.recordFault("process stopped");
+        randomProcess()
                 .stop(
-                        random.nextLong(50 * MS, random.nextBoolean() ? 4_000 * MS : 900 * MS),
+                        random.nextLong(
+                                50 * NANOS_PER_MILLI,
+                                random.nextBoolean()
+                                        ? 4_000 * NANOS_PER_MILLI
+                                        : 900 * NANOS_PER_MILLI),
                         random.nextBoolean());
     }
 
     private void killProcess() {
         if (random.nextInt(3) == 0) {
-            sim.injected("process killed");
-            process().crash();
+            sim.recordFault("process killed");
+            randomProcess().crash();
         }
     }
 
     private void replaceEngine() {
         if (random.nextInt(3) == 0) {
-            SimulatedEngine engine = engine();
-            sim.injected("engine replaced");
+            SimulatedEngine engine = randomEngine();
+            sim.recordFault("engine replaced");
             engine.replace(sim.now);
-            sim.processes.forEach(process -> process.reset(engine));
-            sim.announce(engine);
+            sim.processes.forEach(process -> process.engineReplaced(engine));
+            sim.submitEngineUpdate(engine);
         }
     }
 
     private void changeCap() {
-        SimulatedEngine engine = engine();
-        sim.injected("cap changed");
-        int floors = sim.settings.processes().size() * sim.settings.pool(engine.pool).floor();
-        engine.cap = floors + random.nextInt(30);
-        sim.announce(engine);
+        SimulatedEngine engine = randomEngine();
+        sim.recordFault("cap changed");
+        int floorSum = sim.settings.processes().size() * sim.settings.pool(engine.pool).floor();
+        engine.cap = floorSum + random.nextInt(30);
+        sim.submitEngineUpdate(engine);
     }
 
     private void cutLink() {
         int directions = random.nextInt(1, 4);
-        sim.injected(directions == 3 ? "link cut" : "link cut one way");
-        process().cut((directions & 1) != 0, (directions & 2) != 0, random.nextLong(3_000 * MS));
+        sim.recordFault(directions == 3 ? "link cut" : "link cut one way");
+        randomProcess()
+                .cutLink(
+                        (directions & 1) != 0,
+                        (directions & 2) != 0,
+                        random.nextLong(3_000 * NANOS_PER_MILLI));
     }
 }
--- a/src/measure/java/calicostream/budget/FleetSimulation.java
+++ b/src/measure/java/calicostream/budget/FleetSimulation.java
@@ -12,14 +12,15 @@
 import java.util.function.Consumer;
 
 /**
- * A fleet in virtual time from one seed: processes, engines, connections, the replicated log, its
- * leader's clock and the coordinator. The checker looks at the engines' own counts after each event
- * and knows nothing of grants except which cap is in force.
+ * A simulated fleet in virtual time: processes, engines, connections, the replicated log, its
+ * leader's clock and the coordinator. The seed determines the whole run. After each event, the
+ * checker compares each engine's running sessions with the cap in force; it uses no other part of
+ * the grants.
  */
 final class FleetSimulation {
-    static final long MS = 1_000_000;
+    static final long NANOS_PER_MILLI = 1_000_000;
 
-    private record Event(long at, long order, Runnable run) {}
+    private record Event(long time, long sequence, Runnable action) {}
 
     final BudgetSettings settings;
     final FaultPlan faults;
@@ -28,13 +29,13 @@
     final List<SimulatedEngine> engines = new ArrayList<>();
     final List<SimulatedProcess> processes = new ArrayList<>();
     final GrantStateMachine machine;
-    final TreeMap<String, Integer> refusals = new TreeMap<>();
-    final TreeMap<String, Integer> injected = new TreeMap<>();
+    final TreeMap<String, Integer> rejections = new TreeMap<>();
+    final TreeMap<String, Integer> faultCounts = new TreeMap<>();
 
-    /** Times from a lowered grant until the process could start nothing more by the old one. */
+    /** Nanoseconds from a lowered grant until the process can no longer use the old grant. */
     final List<Long> reclaims = new ArrayList<>();
 
-    /** Times from a lowered grant until the sessions of the old one had ended too. */
+    /** Nanoseconds from a lowered grant until the old grant's sessions have ended as well. */
     final List<Long> releases = new ArrayList<>();
 
     final SimulatedCoordinator coordinator;
@@ -42,15 +43,15 @@
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(
                     (a, b) ->
-                            a.at != b.at
-                                    ? Long.compare(a.at, b.at)
-                                    : Long.compare(a.order, b.order));
-    private long order;
+                            a.time != b.time
+                                    ? Long.compare(a.time, b.time)
+                                    : Long.compare(a.sequence, b.sequence));
+    private long nextEventSequence;
     long now;
     long index;
     long nextSession = 1;
     private long epoch;
-    private GrantExpiryMonitor leader;
+    private GrantExpiryMonitor expiryMonitor;
     private double leaderClockRate;
     private boolean hasQuorum = true;
     long commands;
@@ -81,29 +82,30 @@
         for (String name : settings.processes()) {
             processes.add(new SimulatedProcess(this, name, load));
         }
-        elect();
-        coordinator.move();
-        engines.forEach(this::announce);
+        electLeader();
+        coordinator.transferLease();
+        engines.forEach(this::submitEngineUpdate);
         processes.forEach(SimulatedProcess::start);
-        every(50 * MS, this::expireGrants);
-        every(100 * MS, coordinator::runRound);
+        scheduleEvery(50 * NANOS_PER_MILLI, this::expireGrants);
+        scheduleEvery(100 * NANOS_PER_MILLI, coordinator::runRound);
         if (faults.isEnabled()) {
-            every(faults.intervalMillis() * MS, new FaultInjector(this)::inject);
+            scheduleEvery(
+                    faults.intervalMillis() * NANOS_PER_MILLI, new FaultInjector(this)::inject);
         }
     }
 
     void run(long until) {
-        while (violation == null && !events.isEmpty() && events.peek().at <= until) {
+        while (violation == null && !events.isEmpty() && events.peek().time <= until) {
             Event event = events.poll();
-            now = event.at;
+            now = event.time;
             steps++;
-            event.run.run();
-            engines.forEach(this::check);
+            event.action.run();
+            engines.forEach(this::checkCap);
         }
         now = until;
     }
 
-    private void check(SimulatedEngine engine) {
+    private void checkCap(SimulatedEngine engine) {
         EngineEntry entry = machine.ledger().engines().get(engine.name);
         if (entry != null && entry.incarnation() == engine.incarnation) {
             engine.capInForce = entry.cap();
@@ -116,82 +118,83 @@
                             + " with cap "
                             + engine.capInForce
                             + " in force at "
-                            + now / MS
+                            + now / NANOS_PER_MILLI
                             + " ms";
         }
     }
 
-    void schedule(long when, Runnable run) {
-        events.add(new Event(Math.max(when, now), order++, run));
+    void schedule(long time, Runnable action) {
+        events.add(new Event(Math.max(time, now), nextEventSequence++, action));
     }
 
-    private void every(long period, Runnable run) {
+    private void scheduleEvery(long period, Runnable action) {
         schedule(
                 now + period,
                 () -> {
-                    run.run();
-                    every(period, run);
+                    action.run();
+                    scheduleEvery(period, action);
                 });
     }
 
-    long delay() {
+    long randomDelay() {
         if (!faults.isEnabled()) {
-            return random.nextLong(100_000, MS);
+            return random.nextLong(100_000, NANOS_PER_MILLI);
         }
         return random.nextDouble() < faults.stallProbability()
-                ? random.nextLong(4_000 * MS)
-                : random.nextLong(100_000, 20 * MS);
+                ? random.nextLong(4_000 * NANOS_PER_MILLI)
+                : random.nextLong(100_000, 20 * NANOS_PER_MILLI);
     }
 
-    void injected(String kind) {
-        injected.merge(kind, 1, Integer::sum);
+    void recordFault(String kind) {
+        faultCounts.merge(kind, 1, Integer::sum);
     }
 
-    /** Sends a command to the log; it and its answer may be lost, late or duplicated. */
-    void submit(long session, byte[] body, Consumer<CommandEffects> answer) {
-        submit(session, body, answer, 0, 0);
+    /** Sends a command to the log; command and response may be lost, delayed or duplicated. */
+    void submit(long session, byte[] body, Consumer<CommandEffects> responseHandler) {
+        submit(session, body, responseHandler, 0, 0);
     }
 
     /**
      * The same over a link that may be cut.
      *
-     * @param cannotSendUntil until when commands are lost
-     * @param cannotReceiveUntil until when answers are lost, or delayed until after then
+     * @param cannotSendUntil time until which commands are lost
+     * @param cannotReceiveUntil time until which responses are lost, or are delayed beyond that
+     *     time
      */
     void submit(
             long session,
             byte[] body,
-            Consumer<CommandEffects> answer,
+            Consumer<CommandEffects> responseHandler,
             long cannotSendUntil,
             long cannotReceiveUntil) {
         if (now < cannotSendUntil) {
             return;
         }
-        Submission submission = new Submission(session, body, answer, cannotReceiveUntil);
+        Submission submission = new Submission(session, body, responseHandler, cannotReceiveUntil);
         int copies = random.nextDouble() < faults.duplicateProbability() ? 2 : 1;
         for (int i = 0; i < copies; i++) {
             if (random.nextDouble() >= faults.lossProbability()) {
-                schedule(now + delay(), submission::arrive);
+                schedule(now + randomDelay(), submission::arrive);
             }
         }
     }
 
-    /** A command that was sent to the log; the cluster's sessions apply each once. */
+    /** A command sent to the log; like the cluster's sessions, it is applied at most once. */
     private final class Submission {
         private final long session;
         private final byte[] body;
-        private final Consumer<CommandEffects> answer;
+        private final Consumer<CommandEffects> responseHandler;
         private final long cannotReceiveUntil;
         private boolean isApplied;
 
         Submission(
                 long session,
                 byte[] body,
-                Consumer<CommandEffects> answer,
+                Consumer<CommandEffects> responseHandler,
                 long cannotReceiveUntil) {
             this.session = session;
             this.body = body;
-            this.answer = answer;
+            this.responseHandler = responseHandler;
             this.cannotReceiveUntil = cannotReceiveUntil;
         }
 
@@ -212,10 +215,11 @@
                 return;
             }
             if (now >= cannotReceiveUntil) {
-                schedule(now + delay(), () -> answer.accept(effects));
+                schedule(now + randomDelay(), () -> responseHandler.accept(effects));
             } else if (random.nextBoolean()) {
-                long received = cannotReceiveUntil + random.nextLong(500 * MS) + delay();
-                schedule(received, () -> answer.accept(effects));
+                long receivedAt =
+                        cannotReceiveUntil + random.nextLong(500 * NANOS_PER_MILLI) + randomDelay();
+                schedule(receivedAt, () -> responseHandler.accept(effects));
             }
         }
     }
@@ -224,7 +228,7 @@
         commands++;
         CommandEffects effects = machine.apply(++index, command);
         if (!effects.isAccepted()) {
-            refusals.merge(effects.rejectionCode(), 1, Integer::sum);
+            rejections.merge(effects.rejectionCode(), 1, Integer::sum);
         }
         for (String name : machine.ledger().engines().keySet()) {
             int committed = machine.ledger().committed(name);
@@ -244,32 +248,33 @@
         return effects;
     }
 
-    /** The log has no quorum for that time; then a leader is elected. */
+    /** Removes the quorum of the log for a time; then a new leader is elected. */
     void loseQuorum(long nanos) {
         hasQuorum = false;
         schedule(
                 now + nanos,
                 () -> {
                     hasQuorum = true;
-                    elect();
+                    electLeader();
                 });
     }
 
-    private void elect() {
-        leader = new GrantExpiryMonitor(settings, machine);
+    private void electLeader() {
+        expiryMonitor = new GrantExpiryMonitor(settings, machine);
         leaderClockRate = 1 + (random.nextDouble() * 2 - 1) * settings.driftPpm() / 1e6;
-        leader.epochStarted(++epoch, (long) (now * leaderClockRate));
+        expiryMonitor.epochStarted(++epoch, (long) (now * leaderClockRate));
     }
 
     private void expireGrants() {
         if (hasQuorum) {
-            leader.expiredCommands((long) (now * leaderClockRate))
+            expiryMonitor
+                    .expiredCommands((long) (now * leaderClockRate))
                     .forEach(body -> apply(new Command(0, 0, epoch, body)));
         }
     }
 
-    /** Submits the engine as it is now, until the state machine has it. */
-    void announce(SimulatedEngine engine) {
+    /** Submits the engine's current state and retries until the state machine has it. */
+    void submitEngineUpdate(SimulatedEngine engine) {
         long incarnation = engine.incarnation;
         int cap = engine.cap;
         submit(
@@ -277,7 +282,7 @@
                 new BudgetCommand.UpdateEngine(engine.name, incarnation, engine.pool, cap).encode(),
                 effects -> {});
         schedule(
-                now + 500 * MS,
+                now + 500 * NANOS_PER_MILLI,
                 () -> {
                     EngineEntry entry = machine.ledger().engines().get(engine.name);
                     if (engine.incarnation == incarnation
@@ -285,7 +290,7 @@
                             && (entry == null
                                     || entry.incarnation() != incarnation
                                     || entry.requestedCap() != cap)) {
-                        announce(engine);
+                        submitEngineUpdate(engine);
                     }
                 });
     }
--- a/src/measure/java/calicostream/budget/MaxMinOracle.java
+++ b/src/measure/java/calicostream/budget/MaxMinOracle.java
@@ -5,13 +5,17 @@
 import java.util.function.IntToDoubleFunction;
 
 /**
- * The fair division as real numbers, by another way than {@link MaxMinFairAllocator}: what any set
- * of tenants can have together is the least cut round it, over all sets; the level is raised by
- * bisection until a set is full, whose tenants then stay. Slow: for up to some eight tenants.
+ * Computes the exact max-min fair allocation in real numbers, independently of {@link
+ * MaxMinFairAllocator}. The most that a set of tenants can get together is a minimum cut, computed
+ * for every set. The water level is raised by bisection until some set is saturated; its tenants
+ * are then fixed. Exponential in the number of tenants; usable for up to about eight.
  */
 final class MaxMinOracle {
-    /** What is given too much in one phase must be nothing to the next. */
-    private static final double[] EXACT = {1e-9, 1e-7, 1e-5};
+    /**
+     * Tolerances of the three phases, increasing so that a phase's excess is negligible in the
+     * next.
+     */
+    private static final double[] TOLERANCES = {1e-9, 1e-7, 1e-5};
 
     private final MaxMinFairAllocator.Problem problem;
     private final int tenants;
@@ -21,17 +25,17 @@
         this.tenants = problem.tenantCount();
     }
 
-    /** What each tenant has in all. */
+    /** The exact total of each tenant. */
     static double[] totals(MaxMinFairAllocator.Problem problem) {
         return new MaxMinOracle(problem).totals();
     }
 
     private double[] totals() {
-        double[][] kept = new double[tenants][problem.poolCount()];
+        double[][] guaranteedInPool = new double[tenants][problem.poolCount()];
         double[] lower = new double[tenants];
         for (int k = 0; k < problem.poolCount(); k++) {
             int pool = k;
-            double[] promised =
+            double[] poolAllocation =
                     fill(
                             i -> problem.tenant(i).poolGuarantees()[pool],
                             new double[tenants],
@@ -39,27 +43,27 @@
                                     Math.min(
                                             problem.tenant(i).poolGuarantees()[pool],
                                             problem.tenant(i).poolCeilings()[pool]),
-                            ranks(set -> within(pool, set)),
-                            EXACT[0]);
+                            ranks(set -> poolCapacity(pool, set)),
+                            TOLERANCES[0]);
             for (int t = 0; t < tenants; t++) {
-                kept[t][k] = promised[t];
-                lower[t] += promised[t];
+                guaranteedInPool[t][k] = poolAllocation[t];
+                lower[t] += poolAllocation[t];
             }
         }
-        double[] ranks = ranks(set -> rank(set, kept));
+        double[] ranks = ranks(set -> rank(set, guaranteedInPool));
         double[] guaranteed =
                 fill(
                         t -> problem.tenant(t).guarantee(),
                         lower,
                         t -> Math.min(problem.tenant(t).guarantee(), problem.tenant(t).ceiling()),
                         ranks,
-                        EXACT[1]);
+                        TOLERANCES[1]);
         return fill(
                 t -> problem.tenant(t).weight(),
                 guaranteed,
                 t -> problem.tenant(t).ceiling(),
                 ranks,
-                EXACT[2]);
+                TOLERANCES[2]);
     }
 
     private double[] ranks(IntToDoubleFunction rank) {
@@ -70,42 +74,42 @@
         return ranks;
     }
 
-    /** What the engines of a pool have for these tenants. */
-    private double within(int pool, int set) {
-        double engines = 0;
+    /** The most that a set of tenants can get in a pool, without regard to ceilings. */
+    private double poolCapacity(int pool, int set) {
+        double engineCapacity = 0;
         for (int e = 0; e < problem.engineCount(); e++) {
-            if (problem.poolOf()[e] == pool) {
-                double wanted = 0;
+            if (problem.poolByEngine()[e] == pool) {
+                double demand = 0;
                 for (int t = 0; t < tenants; t++) {
-                    wanted += (set >> t & 1) == 1 ? problem.tenant(t).demand()[e] : 0;
+                    demand += (set >> t & 1) == 1 ? problem.tenant(t).demand()[e] : 0;
                 }
-                engines += Math.min(problem.caps()[e], wanted);
+                engineCapacity += Math.min(problem.caps()[e], demand);
             }
         }
-        return Math.min(engines, problem.poolCaps()[pool]);
+        return Math.min(engineCapacity, problem.poolCaps()[pool]);
     }
 
     /**
-     * The most that these tenants can have together while each tenant keeps what it was guaranteed
-     * in each pool.
+     * The most that a set of tenants can get together while every tenant keeps its guaranteed
+     * sessions in each pool: the minimum cut over all sets of tenants on the source side.
      */
-    private double rank(int set, double[][] kept) {
+    private double rank(int set, double[][] guaranteedInPool) {
         double rank = 0;
         for (int k = 0; k < problem.poolCount(); k++) {
-            double least = Double.MAX_VALUE;
-            for (int reached = 0; reached < 1 << tenants; reached++) {
-                double cut = within(k, reached);
+            double minCut = Double.MAX_VALUE;
+            for (int sourceSide = 0; sourceSide < 1 << tenants; sourceSide++) {
+                double cut = poolCapacity(k, sourceSide);
                 for (int t = 0; t < tenants; t++) {
-                    boolean in = (set >> t & 1) == 1;
-                    boolean reaches = (reached >> t & 1) == 1;
+                    boolean isInSet = (set >> t & 1) == 1;
+                    boolean isOnSourceSide = (sourceSide >> t & 1) == 1;
                     cut +=
-                            in && !reaches
+                            isInSet && !isOnSourceSide
                                     ? problem.tenant(t).poolCeilings()[k]
-                                    : !in && reaches ? -kept[t][k] : 0;
+                                    : !isInSet && isOnSourceSide ? -guaranteedInPool[t][k] : 0;
                 }
-                least = Math.min(least, cut);
+                minCut = Math.min(minCut, cut);
             }
-            rank += least;
+            rank += minCut;
         }
         return rank;
     }
@@ -115,76 +119,79 @@
             double[] lower,
             IntToDoubleFunction upper,
             double[] ranks,
-            double exact) {
-        double[] given = lower.clone();
-        boolean[] still = new boolean[tenants];
+            double tolerance) {
+        double[] allocated = lower.clone();
+        boolean[] isUnsaturated = new boolean[tenants];
         for (int t = 0; t < tenants; t++) {
-            still[t] = weight.applyAsDouble(t) > 0 && upper.applyAsDouble(t) > given[t];
+            isUnsaturated[t] = weight.applyAsDouble(t) > 0 && upper.applyAsDouble(t) > allocated[t];
         }
         double level = 0;
-        while (any(still)) {
+        while (containsTrue(isUnsaturated)) {
             double low = level;
             double high = 1e7;
             for (int i = 0; i < 100; i++) {
                 double middle = (low + high) / 2;
-                if (fits(at(middle, weight, given, upper, still), ranks, exact)) {
+                if (isFeasible(
+                        allocationAtLevel(middle, weight, allocated, upper, isUnsaturated),
+                        ranks,
+                        tolerance)) {
                     low = middle;
                 } else {
                     high = middle;
                 }
             }
             level = low;
-            given = at(level, weight, given, upper, still);
-            boolean[] next = still.clone();
+            allocated = allocationAtLevel(level, weight, allocated, upper, isUnsaturated);
+            boolean[] stillUnsaturated = isUnsaturated.clone();
             for (int t = 0; t < tenants; t++) {
-                double[] more = given.clone();
-                more[t] += 100 * exact;
-                if (still[t]
-                        && (given[t] >= upper.applyAsDouble(t) - exact
-                                || !fits(more, ranks, exact))) {
-                    next[t] = false;
+                double[] increased = allocated.clone();
+                increased[t] += 100 * tolerance;
+                if (isUnsaturated[t]
+                        && (allocated[t] >= upper.applyAsDouble(t) - tolerance
+                                || !isFeasible(increased, ranks, tolerance))) {
+                    stillUnsaturated[t] = false;
                 }
             }
-            if (Arrays.equals(next, still)) {
-                throw new IllegalStateException("nobody is full at level " + level);
+            if (Arrays.equals(stillUnsaturated, isUnsaturated)) {
+                throw new IllegalStateException("no tenant is saturated at level " + level);
             }
-            still = next;
+            isUnsaturated = stillUnsaturated;
         }
-        return given;
+        return allocated;
     }
 
-    private double[] at(
+    private double[] allocationAtLevel(
             double level,
             IntToDoubleFunction weight,
-            double[] given,
+            double[] allocated,
             IntToDoubleFunction upper,
-            boolean[] still) {
-        double[] then = given.clone();
+            boolean[] isUnsaturated) {
+        double[] raised = allocated.clone();
         for (int t = 0; t < tenants; t++) {
-            if (still[t]) {
-                then[t] =
+            if (isUnsaturated[t]) {
+                raised[t] =
                         Math.max(
-                                given[t],
+                                allocated[t],
                                 Math.min(upper.applyAsDouble(t), level * weight.applyAsDouble(t)));
             }
         }
-        return then;
+        return raised;
     }
 
-    private boolean fits(double[] totals, double[] ranks, double exact) {
+    private boolean isFeasible(double[] totals, double[] ranks, double tolerance) {
         for (int set = 1; set < ranks.length; set++) {
             double sum = 0;
             for (int t = 0; t < tenants; t++) {
                 sum += (set >> t & 1) == 1 ? totals[t] : 0;
             }
-            if (sum > ranks[set] + exact) {
+            if (sum > ranks[set] + tolerance) {
                 return false;
             }
         }
         return true;
     }
 
-    private static boolean any(boolean[] flags) {
+    private static boolean containsTrue(boolean[] flags) {
         for (boolean flag : flags) {
             if (flag) {
                 return true;
--- a/src/measure/java/calicostream/budget/ReclaimRecorder.java
+++ b/src/measure/java/calicostream/budget/ReclaimRecorder.java
@@ -4,17 +4,15 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** Measures in virtual time how long a lowered grant takes to be reclaimed. */
+/** Measures in virtual time how long it takes to reclaim a lowered grant. */
 final class ReclaimRecorder {
     private final TreeMap<String, Long> loweredAt = new TreeMap<>();
 
     /**
-     * Looks at the ledger after a command.
+     * Observes the ledger after a command and adds the times that have ended.
      *
-     * @param reclaims to which the times are added until the process could start nothing more by
-     *     the old grant
-     * @param releases to which the times are added until the sessions of the old grant had ended
-     *     too
+     * @param reclaims receives the times until the process could no longer use the old grant
+     * @param releases receives the times until the old grant's sessions had ended as well
      */
     void observe(GrantLedger ledger, long now, List<Long> reclaims, List<Long> releases) {
         for (ProcessEntry process : ledger.processes().values()) {
--- a/src/measure/java/calicostream/budget/SimulatedClients.java
+++ b/src/measure/java/calicostream/budget/SimulatedClients.java
@@ -8,30 +8,30 @@
 
 /**
  * The clients of a {@link SimulatedProcess}: their requests start sessions as the process's grants
- * allow, are queued, or are rejected and retried. A decision and its act are apart, so that a stop
- * may come between them.
+ * allow, are queued, or are rejected and retried. The decision to start a session and its sending
+ * are separate events, so that the process may be stopped in between.
  */
 final class SimulatedClients {
-    private static final long MS = FleetSimulation.MS;
+    private static final long NANOS_PER_MILLI = FleetSimulation.NANOS_PER_MILLI;
     private static final int MAX_QUEUED = 1_000;
-    private static final long PATIENCE_NANOS = 300 * MS;
+    private static final long MAX_WAIT_NANOS = 300 * NANOS_PER_MILLI;
 
     /**
      * The load of one process.
      *
-     * @param clients by tenant: requests that are always there at each engine, or wait
-     * @param millis a session's length, about
+     * @param clients by tenant: concurrent clients per engine, each with one request at a time
+     * @param meanSessionMillis mean duration of most sessions
      */
-    record Load(int[] clients, int millis) {}
+    record Load(int[] clients, int meanSessionMillis) {}
 
     private final FleetSimulation sim;
     private final SimulatedProcess process;
     private final Load load;
 
-    /** By tenant: until when its clients send nothing. */
-    private final long[] quietUntil;
+    /** By tenant: time until which its clients send no requests. */
+    private final long[] pausedUntil;
 
-    /** By tenant: session time so far. */
+    /** By tenant: accumulated session time. */
     private final long[] sessionNanos;
 
     private long sessionNanosAt;
@@ -40,7 +40,7 @@
     /** By request number: the slot of its engine. */
     private final Map<Long, Integer> queued = new HashMap<>();
 
-    private long requests;
+    private long lastRequestNumber;
     private GrantedSessions sessions;
     private TenantQueues queues;
 
@@ -51,19 +51,19 @@
         this.sim = sim;
         this.process = process;
         this.load = load;
-        this.quietUntil = new long[tenants()];
-        this.sessionNanos = new long[tenants()];
+        this.pausedUntil = new long[tenantCount()];
+        this.sessionNanos = new long[tenantCount()];
     }
 
-    int tenants() {
+    int tenantCount() {
         return load.clients().length;
     }
 
-    /** The process has started anew. */
+    /** Resets the state after a restart of the process. */
     void restart(GrantedSessions newSessions) {
         sessions = newSessions;
         queues = new TenantQueues(sim.settings, MAX_QUEUED, sim.engines.size());
-        waitingToRetry = new int[sim.engines.size()][tenants()];
+        waitingToRetry = new int[sim.engines.size()][tenantCount()];
         queued.clear();
         unsent.clear();
         sessionNanosAt = sim.now;
@@ -71,7 +71,7 @@
 
     /** All clients of an engine send their first request. */
     void connected(int slot) {
-        for (int tenant = 0; tenant < tenants(); tenant++) {
+        for (int tenant = 0; tenant < tenantCount(); tenant++) {
             for (int client = 0; client < load.clients()[tenant]; client++) {
                 request(tenant, slot, process.session());
             }
@@ -83,31 +83,31 @@
             return;
         }
         if (sim.faults.isEnabled() && sim.random.nextInt(200) == 0) {
-            // A tenant's clients come and go together.
-            quietUntil[tenant] = sim.now + sim.random.nextLong(1_000 * MS);
+            // All clients of a tenant pause together.
+            pausedUntil[tenant] = sim.now + sim.random.nextLong(1_000 * NANOS_PER_MILLI);
         }
-        if (sim.now < quietUntil[tenant]) {
-            process.schedule(quietUntil[tenant], session, () -> request(tenant, slot, session));
+        if (sim.now < pausedUntil[tenant]) {
+            process.schedule(pausedUntil[tenant], session, () -> request(tenant, slot, session));
             return;
         }
-        if (sessions.mayStart(tenant, slot, process.clock())) {
+        if (sessions.mayStart(tenant, slot, process.clockNanos())) {
             startSession(tenant, slot);
             return;
         }
-        requests++;
+        lastRequestNumber++;
         try {
-            queues.offer(tenant, slot, requests, process.clock(), PATIENCE_NANOS);
-            queued.put(requests, slot);
+            queues.offer(tenant, slot, lastRequestNumber, process.clockNanos(), MAX_WAIT_NANOS);
+            queued.put(lastRequestNumber, slot);
         } catch (BudgetException.NoCapacity noCapacity) {
             retryLater(tenant, slot, noCapacity.retryAfterNanos());
         }
     }
 
-    private void retryLater(int tenant, int slot, long after) {
+    private void retryLater(int tenant, int slot, long delayNanos) {
         long session = process.session();
         waitingToRetry[slot][tenant]++;
         process.schedule(
-                sim.now + after,
+                sim.now + delayNanos,
                 session,
                 () -> {
                     waitingToRetry[slot][tenant]--;
@@ -117,19 +117,19 @@
 
     /** Starts sessions for queued requests as far as the grants allow. */
     void serveQueued(int slot) {
-        for (long request = queues.poll(slot, process.clock(), sessions);
+        for (long request = queues.poll(slot, process.clockNanos(), sessions);
                 request >= 0;
-                request = queues.poll(slot, process.clock(), sessions)) {
-            startSession(queues.lastTenant(), slot);
+                request = queues.poll(slot, process.clockNanos(), sessions)) {
+            startSession(queues.lastPolledTenant(), slot);
             queued.remove(request);
         }
     }
 
-    /** Starts all sessions that the grants allow, whether clients want them or not. */
-    void startAll() {
-        for (int tenant = 0; tenant < tenants(); tenant++) {
+    /** Starts all sessions that the grants allow, regardless of the clients' requests. */
+    void startAllAllowed() {
+        for (int tenant = 0; tenant < tenantCount(); tenant++) {
             for (int slot = 0; slot < sim.engines.size(); slot++) {
-                while (sessions.mayStart(tenant, slot, process.clock())) {
+                while (sessions.mayStart(tenant, slot, process.clockNanos())) {
                     startSession(tenant, slot);
                 }
             }
@@ -138,15 +138,19 @@
 
     /** Rejects requests that have waited too long, and observes the demand. */
     void observe(DemandEstimator demand) {
-        for (int tenant = 0; tenant < tenants(); tenant++) {
-            for (long request : queues.removeTimedOut(tenant, process.clock())) {
-                long retryAfter = queues.rejection(tenant, process.clock()).retryAfterNanos();
+        for (int tenant = 0; tenant < tenantCount(); tenant++) {
+            for (long request : queues.removeTimedOut(tenant, process.clockNanos())) {
+                long retryAfter = queues.rejection(tenant, process.clockNanos()).retryAfterNanos();
                 retryLater(tenant, queued.remove(request), retryAfter);
             }
             for (int slot = 0; slot < sim.engines.size(); slot++) {
                 int pending = queues.queued(tenant, slot) + waitingToRetry[slot][tenant];
                 demand.observe(
-                        tenant, slot, sessions.sessions(tenant, slot), pending, process.clock());
+                        tenant,
+                        slot,
+                        sessions.sessions(tenant, slot),
+                        pending,
+                        process.clockNanos());
             }
         }
     }
@@ -158,7 +162,7 @@
         long incarnation = sessions.incarnation(slot);
         long session = process.session();
         unsent.add(() -> send(engine, tenant, slot, incarnation, session));
-        // A stop may come between the decision and this.
+        // The process may be stopped between the decision and the sending.
         process.schedule(sim.now, session, this::sendAll);
     }
 
@@ -171,14 +175,16 @@
     private void send(
             SimulatedEngine engine, int tenant, int slot, long incarnation, long session) {
         if (engine.incarnation != incarnation) {
-            return; // The connection has broken with its engine.
+            return; // The connection broke when the engine was replaced.
         }
         SimulatedEngine.Owner owner = process.owner();
-        long arrives =
-                Math.max(engine.connections.getOrDefault(owner, sim.now), sim.now + sim.delay());
-        engine.connections.put(owner, arrives);
+        long arrivesAt =
+                Math.max(
+                        engine.connections.getOrDefault(owner, sim.now),
+                        sim.now + sim.randomDelay());
+        engine.connections.put(owner, arrivesAt);
         sim.schedule(
-                arrives,
+                arrivesAt,
                 () -> {
                     if (engine.incarnation == incarnation) {
                         runSession(engine, owner, tenant, slot);
@@ -189,13 +195,15 @@
     private void runSession(
             SimulatedEngine engine, SimulatedEngine.Owner owner, int tenant, int slot) {
         long incarnation = engine.incarnation;
-        engine.add(sim.now, owner, 1);
-        long nanos = load.millis() * MS / 2 + sim.random.nextLong(load.millis() * MS);
+        engine.addSessions(sim.now, owner, 1);
+        long nanos =
+                load.meanSessionMillis() * NANOS_PER_MILLI / 2
+                        + sim.random.nextLong(load.meanSessionMillis() * NANOS_PER_MILLI);
         if (sim.faults.isEnabled() && sim.random.nextInt(12) == 0) {
             nanos *= 20;
         }
         process.schedule(
-                sim.now + sim.delay(),
+                sim.now + sim.randomDelay(),
                 owner.session(),
                 () -> {
                     sessions.sessionAcknowledged(slot, incarnation);
@@ -205,9 +213,9 @@
                 sim.now + Math.max(nanos, 1),
                 () -> {
                     if (engine.incarnation == incarnation) {
-                        engine.add(sim.now, owner, -1);
+                        engine.addSessions(sim.now, owner, -1);
                         process.schedule(
-                                sim.now + sim.delay(),
+                                sim.now + sim.randomDelay(),
                                 owner.session(),
                                 () -> sessionEnded(tenant, slot, incarnation));
                     }
@@ -217,13 +225,13 @@
     private void sessionEnded(int tenant, int slot, long incarnation) {
         addSessionNanos();
         sessions.sessionEnded(tenant, slot, incarnation);
-        queues.sessionEnded(tenant, process.clock());
+        queues.sessionEnded(tenant, process.clockNanos());
         serveQueued(slot);
         request(tenant, slot, process.session());
     }
 
     private void addSessionNanos() {
-        for (int tenant = 0; tenant < tenants(); tenant++) {
+        for (int tenant = 0; tenant < tenantCount(); tenant++) {
             for (int slot = 0; slot < sim.engines.size(); slot++) {
                 sessionNanos[tenant] +=
                         (sim.now - sessionNanosAt) * sessions.sessions(tenant, slot);
--- a/src/measure/java/calicostream/budget/SimulatedCoordinator.java
+++ b/src/measure/java/calicostream/budget/SimulatedCoordinator.java
@@ -8,11 +8,12 @@
 import java.util.SplittableRandom;
 
 /**
- * The grant coordinator of a {@link FleetSimulation}, at one process at a time: it works on a copy
- * of the state machine, asks engines for their counts, and now and then allocates at random.
+ * The grant coordinator of a {@link FleetSimulation}, which runs at one process at a time. It works
+ * on a copy of the state machine and requests counts from engines; with faults it sometimes
+ * allocates at random.
  */
 final class SimulatedCoordinator {
-    private static final long MS = FleetSimulation.MS;
+    private static final long NANOS_PER_MILLI = FleetSimulation.NANOS_PER_MILLI;
 
     private final FleetSimulation sim;
     private final SplittableRandom random;
@@ -26,8 +27,8 @@
         this.random = sim.random;
     }
 
-    /** Another process takes the lease. */
-    void move() {
+    /** Transfers the coordinator's lease to a random process. */
+    void transferLease() {
         fencingToken++;
         host = sim.processes.get(random.nextInt(sim.processes.size()));
         coordinator = new GrantCoordinator(sim.settings);
@@ -60,7 +61,7 @@
     }
 
     private void allocateAtRandom(GrantStateMachine copy, SimulatedProcess sender) {
-        sim.injected("random allocation");
+        sim.recordFault("random allocation");
         List<BudgetCommand.Grant> grants = new ArrayList<>();
         for (ProcessEntry process : copy.ledger().processes().values()) {
             SimulatedEngine engine = sim.engines.get(random.nextInt(sim.engines.size()));
@@ -78,47 +79,51 @@
     }
 
     /**
-     * Asks the engine what it runs of a process that is silent or was restarted, now and then of
-     * one that is neither.
+     * Requests an engine's count of a process whose grants have expired or whose predecessors'
+     * have, and sometimes one that cannot be used as a bound because the grants are still valid.
      */
     private void requestCount(
             GrantStateMachine copy,
             SimulatedProcess sender,
             ProcessEntry process,
             SimulatedEngine engine) {
-        boolean ofPredecessors = process.hasPredecessors() && random.nextBoolean();
+        boolean forPredecessors = process.hasPredecessors() && random.nextBoolean();
         long expiredAtIndex =
-                ofPredecessors ? process.predecessorsExpiredAtIndex() : process.expiredAtIndex();
+                forPredecessors ? process.predecessorsExpiredAtIndex() : process.expiredAtIndex();
         boolean isSilent =
                 lastSeenReport.getOrDefault(process.name(), -1L) == process.reportNumber();
         if (!process.hasSession()
                 || expiredAtIndex == 0 && random.nextInt(isSilent ? 2 : 20) != 0) {
-            return; // Now and then a count is requested before it can be proof.
+            return; // Before the expiry a count is requested only at random; it must be rejected.
         }
-        long knownIndex = copy.ledger().appliedIndex();
+        long appliedIndex = copy.ledger().appliedIndex();
         if (random.nextInt(isSilent ? 3 : 60) == 0) {
-            // A member that is not the leader must not expire anything.
+            // The state machine must reject an expiry that is not from the leader.
             submit(
                     sender,
                     new BudgetCommand.Expire(
                             process.name(),
                             process.session(),
-                            ofPredecessors,
+                            forPredecessors,
                             process.reportNumber()));
         }
         sim.schedule(
-                sim.now + sim.delay(),
+                sim.now + sim.randomDelay(),
                 () -> {
                     BudgetCommand.EngineCount count =
-                            count(process, engine, ofPredecessors, knownIndex);
-                    // The one who asked may be stopped meanwhile.
-                    long stopped = random.nextInt(4) == 0 ? random.nextLong(2_000 * MS) : 0;
-                    sim.schedule(sim.now + stopped, () -> submit(sender, count));
+                            count(process, engine, forPredecessors, appliedIndex);
+                    // The requester may be stopped before it submits the count.
+                    long stoppedNanos =
+                            random.nextInt(4) == 0 ? random.nextLong(2_000 * NANOS_PER_MILLI) : 0;
+                    sim.schedule(sim.now + stoppedNanos, () -> submit(sender, count));
                 });
     }
 
     private static BudgetCommand.EngineCount count(
-            ProcessEntry process, SimulatedEngine engine, boolean ofPredecessors, long knownIndex) {
+            ProcessEntry process,
+            SimulatedEngine engine,
+            boolean forPredecessors,
+            long appliedIndex) {
         String name = process.name();
         long session = process.session();
         return new BudgetCommand.EngineCount(
@@ -126,9 +131,9 @@
                 engine.incarnation,
                 name,
                 session,
-                ofPredecessors,
-                knownIndex,
-                engine.count(name, session, ofPredecessors),
-                ofPredecessors && engine.allConnectionsClosed(name, session));
+                forPredecessors,
+                appliedIndex,
+                engine.countSessions(name, session, forPredecessors),
+                forPredecessors && engine.allConnectionsClosed(name, session));
     }
 }
--- a/src/measure/java/calicostream/budget/SimulatedEngine.java
+++ b/src/measure/java/calicostream/budget/SimulatedEngine.java
@@ -5,19 +5,19 @@
 import java.util.Map;
 
 /**
- * A simulated engine, which runs what it is sent and counts it; it knows no grants and refuses
- * nothing.
+ * A simulated engine, which runs and counts all sessions that it is sent. It has no information
+ * about grants and rejects nothing.
  */
 final class SimulatedEngine {
-    /** One incarnation of a process, as the engine distinguishes them. */
+    /** One incarnation of a process, identified by its cluster session. */
     record Owner(String process, long session) {}
 
     final String name;
     final String pool;
 
     /**
-     * Whether it reports to a process what its earlier incarnations have here, or only how many
-     * sessions it runs in all.
+     * Whether the engine can count the sessions of a process's earlier incarnations; otherwise it
+     * only reports the number of all its sessions.
      */
     final boolean countsByProcess;
 
@@ -33,8 +33,8 @@
     final Map<Owner, Integer> sessionsByOwner = new HashMap<>();
 
     /**
-     * Connections that processes have to this incarnation: until when each is busy; removed once
-     * the engine saw it closed.
+     * Open connections of processes to this incarnation, with the arrival time of the last message
+     * on each. Removed once the engine has seen the connection closed.
      */
     final Map<Owner, Long> connections = new HashMap<>();
 
@@ -46,7 +46,7 @@
         this.capInForce = cap;
     }
 
-    void add(long now, Owner owner, int sessions) {
+    void addSessions(long now, Owner owner, int sessions) {
         sessionNanos += (now - sessionNanosAt) * running;
         sessionNanosAt = now;
         running += sessions;
@@ -54,7 +54,7 @@
     }
 
     void replace(long now) {
-        add(now, new Owner("", 0), 0);
+        addSessions(now, new Owner("", 0), 0);
         incarnation++;
         running = 0;
         sessionsByOwner.clear();
@@ -62,14 +62,14 @@
         capInForce = cap;
     }
 
-    int count(String process, long session, boolean former) {
+    int countSessions(String process, long session, boolean forPredecessors) {
         return sessionsByOwner.entrySet().stream()
                 .filter(
-                        each ->
-                                each.getKey().process.equals(process)
-                                        && (former
-                                                ? each.getKey().session < session
-                                                : each.getKey().session == session))
+                        entry ->
+                                entry.getKey().process.equals(process)
+                                        && (forPredecessors
+                                                ? entry.getKey().session < session
+                                                : entry.getKey().session == session))
                 .mapToInt(Map.Entry::getValue)
                 .sum();
     }
--- a/src/measure/java/calicostream/budget/SimulatedProcess.java
+++ b/src/measure/java/calicostream/budget/SimulatedProcess.java
@@ -5,18 +5,18 @@
 
 /**
  * A process of a {@link FleetSimulation}: joins, connects to engines and reports, and may be
- * stopped, killed, or cut off. Its connections keep their order; a stopped process reads nothing
- * until it continues. What its clients do is in {@link SimulatedClients}.
+ * stopped, killed, or cut off from the log. Its connections deliver messages in order; a stopped
+ * process handles no event until it continues. {@link SimulatedClients} simulates its clients.
  */
 final class SimulatedProcess {
-    private static final long MS = FleetSimulation.MS;
+    private static final long NANOS_PER_MILLI = FleetSimulation.NANOS_PER_MILLI;
 
-    /** Longer than any connection delays, on the fastest clock. */
-    private static final long MAX_TRANSIT_NANOS = 4_020 * MS;
+    /** Exceeds the largest delay of a connection, measured on the fastest clock. */
+    private static final long MAX_TRANSIT_NANOS = 4_020 * NANOS_PER_MILLI;
 
-    private static final long JOIN_RETRY_NANOS = 300 * MS;
-    private static final long REPORT_INTERVAL_NANOS = 200 * MS;
-    private static final long PROMPT_REPORT_NANOS = MS;
+    private static final long JOIN_RETRY_NANOS = 300 * NANOS_PER_MILLI;
+    private static final long REPORT_INTERVAL_NANOS = 200 * NANOS_PER_MILLI;
+    private static final long PROMPT_REPORT_NANOS = NANOS_PER_MILLI;
 
     private final FleetSimulation sim;
     private final String name;
@@ -29,7 +29,7 @@
     private SessionLedger ledger;
     private GrantedSessions sessions;
     private DemandEstimator demand;
-    private long reports;
+    private long lastReportNumber;
     private long stopAtNextReportNanos;
     private long cannotSendUntil;
     private long cannotReceiveUntil;
@@ -42,7 +42,7 @@
         this.clients = new SimulatedClients(sim, this, load);
     }
 
-    long clock() {
+    long clockNanos() {
         return clockOffset + (long) (sim.now * clockRate);
     }
 
@@ -54,9 +54,9 @@
         return isUp;
     }
 
-    /** Whether the incarnation that has that session runs, though it may be stopped. */
-    boolean isRunning(long ofSession) {
-        return isUp && session == ofSession;
+    /** Whether the incarnation with this cluster session runs; it may be stopped. */
+    boolean isRunning(long expectedSession) {
+        return isUp && session == expectedSession;
     }
 
     long session() {
@@ -71,8 +71,8 @@
         isUp = true;
         session = sim.nextSession++;
         sessions = new GrantedSessions(sim.settings, name, sim.disabledSafeguards);
-        ledger = new SessionLedger(sessions, MAX_TRANSIT_NANOS, clock());
-        demand = new DemandEstimator(clients.tenants(), 500 * MS);
+        ledger = new SessionLedger(sessions, MAX_TRANSIT_NANOS, clockNanos());
+        demand = new DemandEstimator(clients.tenantCount(), 500 * NANOS_PER_MILLI);
         clients.restart(sessions);
         for (SimulatedEngine engine : sim.engines) {
             sessions.registerEngine(engine.name, engine.pool);
@@ -81,66 +81,69 @@
         join(session);
     }
 
-    /** Schedules an action of the incarnation that has that session, once it is not stopped. */
-    void schedule(long at, long ofSession, Runnable action) {
-        sim.schedule(at, () -> run(ofSession, action));
+    /** Schedules an action of the incarnation with this session; it is delayed during a stop. */
+    void schedule(long at, long expectedSession, Runnable action) {
+        sim.schedule(at, () -> run(expectedSession, action));
     }
 
-    private void run(long ofSession, Runnable action) {
-        if (!isRunning(ofSession)) {
+    private void run(long expectedSession, Runnable action) {
+        if (!isRunning(expectedSession)) {
             return;
         }
         if (isStopped()) {
-            schedule(stoppedUntil, ofSession, action);
+            schedule(stoppedUntil, expectedSession, action);
         } else {
             action.run();
         }
     }
 
-    /** One exchange with the log, which may be answered more than once or never. */
-    private static final class Exchange {
+    /** A command sent to the log, which may get several responses or none. */
+    private static final class SentCommand {
         private boolean isAnswered;
     }
 
-    private void join(long own) {
-        Exchange exchange = new Exchange();
+    private void join(long ownSession) {
+        SentCommand command = new SentCommand();
         sim.submit(
-                own,
+                ownSession,
                 new BudgetCommand.Join(name).encode(),
                 effects ->
                         run(
-                                own,
+                                ownSession,
                                 () -> {
-                                    if (effects.isAccepted() && !exchange.isAnswered) {
-                                        exchange.isAnswered = true;
-                                        report(own);
+                                    if (effects.isAccepted() && !command.isAnswered) {
+                                        command.isAnswered = true;
+                                        report(ownSession);
                                     }
                                 }));
         schedule(
                 sim.now + JOIN_RETRY_NANOS,
-                own,
+                ownSession,
                 () -> {
-                    if (!exchange.isAnswered) {
-                        join(own);
+                    if (!command.isAnswered) {
+                        join(ownSession);
                     }
                 });
     }
 
-    private void report(long own) {
-        if (!isRunning(own)) {
+    private void report(long ownSession) {
+        if (!isRunning(ownSession)) {
             return;
         }
         clients.observe(demand);
         sim.engines.stream()
                 .filter(engine -> !engine.countsByProcess)
-                .forEach(engine -> requestCount(engine, own));
-        reports++;
-        long number = reports;
-        Exchange exchange = new Exchange();
+                .forEach(engine -> requestCount(engine, ownSession));
+        lastReportNumber++;
+        long reportNumber = lastReportNumber;
+        SentCommand command = new SentCommand();
         sim.submit(
-                own,
-                sessions.nextReport(clock(), demand).encode(),
-                effects -> run(own, () -> reportAnswered(own, effects, exchange, number)),
+                ownSession,
+                sessions.nextReport(clockNanos(), demand).encode(),
+                effects ->
+                        run(
+                                ownSession,
+                                () -> reportAnswered(ownSession, effects, command, reportNumber)),
                 cannotSendUntil,
                 cannotReceiveUntil);
         if (stopAtNextReportNanos > 0) {
@@ -150,59 +153,61 @@
         }
         schedule(
                 sim.now + REPORT_INTERVAL_NANOS,
-                own,
+                ownSession,
                 () -> {
-                    if (!exchange.isAnswered && number == reports) {
-                        report(own);
+                    if (!command.isAnswered && reportNumber == lastReportNumber) {
+                        report(ownSession);
                     }
                 });
     }
 
-    /** One report leads to one next, however late its answer. */
-    private void reportAnswered(long own, CommandEffects effects, Exchange exchange, long number) {
+    /** Each report is followed by exactly one other, however late its response is. */
+    private void reportAnswered(
+            long ownSession, CommandEffects effects, SentCommand command, long reportNumber) {
         if (effects.isAccepted()) {
-            sessions.applyReply(BudgetCommand.RenewalReply.decode(effects.response()), clock());
+            sessions.applyReply(
+                    BudgetCommand.RenewalReply.decode(effects.response()), clockNanos());
         } else if (effects.rejectionCode().equals("budget-grant-over")) {
             sessions.expire();
         }
         for (int slot = 0; slot < sim.engines.size(); slot++) {
             clients.serveQueued(slot);
         }
-        if (!exchange.isAnswered) {
-            exchange.isAnswered = true;
-            long pause = sessions.isReclaimed() ? PROMPT_REPORT_NANOS : REPORT_INTERVAL_NANOS;
+        if (!command.isAnswered) {
+            command.isAnswered = true;
+            long delay = sessions.wasGrantLowered() ? PROMPT_REPORT_NANOS : REPORT_INTERVAL_NANOS;
             schedule(
-                    sim.now + pause,
-                    own,
+                    sim.now + delay,
+                    ownSession,
                     () -> {
-                        if (number == reports) {
-                            report(own);
+                        if (reportNumber == lastReportNumber) {
+                            report(ownSession);
                         }
                     });
         }
     }
 
     /**
-     * Connects to an engine, which first tells its incarnation and what earlier incarnations of
-     * this process have there.
+     * Connects to an engine, which first reports its incarnation and the number of sessions of this
+     * process's earlier incarnations.
      */
-    private void connect(SimulatedEngine engine, long own) {
-        if (!isRunning(own)) {
+    private void connect(SimulatedEngine engine, long ownSession) {
+        if (!isRunning(ownSession)) {
             return;
         }
         long incarnation = engine.incarnation;
         boolean isFirst = engine.connections.putIfAbsent(owner(), sim.now) == null;
         sim.schedule(
-                sim.now + sim.delay(),
+                sim.now + sim.randomDelay(),
                 () -> {
                     if (engine.incarnation != incarnation) {
                         return;
                     }
-                    int orphaned = engine.count(name, own, true);
-                    boolean areOthersClosed = engine.allConnectionsClosed(name, own);
+                    int orphaned = engine.countSessions(name, ownSession, true);
+                    boolean areOthersClosed = engine.allConnectionsClosed(name, ownSession);
                     schedule(
-                            sim.now + sim.delay(),
-                            own,
+                            sim.now + sim.randomDelay(),
+                            ownSession,
                             () -> {
                                 int slot = sim.engines.indexOf(engine);
                                 sessions.engineConnected(slot, incarnation);
@@ -217,72 +222,72 @@
                                 if (!areOthersClosed || orphaned > 0) {
                                     schedule(
                                             sim.now + REPORT_INTERVAL_NANOS,
-                                            own,
-                                            () -> connect(engine, own));
+                                            ownSession,
+                                            () -> connect(engine, ownSession));
                                 }
                             });
                 });
     }
 
-    /** Asks an engine for its count of the sessions of all processes, if it is due. */
-    private void requestCount(SimulatedEngine engine, long own) {
+    /** Requests an engine's count of the sessions of all processes if it is due. */
+    private void requestCount(SimulatedEngine engine, long ownSession) {
         int slot = sim.engines.indexOf(engine);
         long incarnation = sessions.incarnation(slot);
-        long askedAt = clock();
-        if (incarnation == 0 || !ledger.isCountDue(slot, askedAt)) {
+        long requestedAt = clockNanos();
+        if (incarnation == 0 || !ledger.isCountDue(slot, requestedAt)) {
             return;
         }
         sim.schedule(
-                sim.now + sim.delay(),
+                sim.now + sim.randomDelay(),
                 () -> {
                     int running = engine.running;
                     schedule(
-                            sim.now + sim.delay(),
-                            own,
+                            sim.now + sim.randomDelay(),
+                            ownSession,
                             () -> {
                                 if (sessions.incarnation(slot) == incarnation) {
-                                    ledger.engineCounted(slot, askedAt, running);
+                                    ledger.engineCounted(slot, requestedAt, running);
                                     clients.serveQueued(slot);
                                 }
                             });
                 });
     }
 
-    /** The engine was replaced: its connections break. */
-    void reset(SimulatedEngine engine) {
-        long own = session;
+    /** Reconnects to a replaced engine, whose connections have broken. */
+    void engineReplaced(SimulatedEngine engine) {
+        long ownSession = session;
         if (isUp) {
-            schedule(sim.now + sim.delay(), own, () -> connect(engine, own));
+            schedule(sim.now + sim.randomDelay(), ownSession, () -> connect(engine, ownSession));
         }
     }
 
     /**
-     * Stops the process as by SIGSTOP; its clock goes on. What it decided last may not have been
-     * acted on.
+     * Stops the process like SIGSTOP does; its clock keeps running. Sessions that it has decided to
+     * start may not have been sent yet.
      *
-     * @param atNextReport whether it stops after its next report, or at once
+     * @param atNextReport whether it stops right after its next report instead of at once
      */
     void stop(long nanos, boolean atNextReport) {
         if (atNextReport) {
             stopAtNextReportNanos = nanos;
         } else if (isUp && !isStopped()) {
-            clients.startAll();
+            clients.startAllAllowed();
             stoppedUntil = sim.now + nanos;
         }
     }
 
     /**
-     * Cuts the link to the log: what the process sends is lost for a while; what it receives is
-     * lost or comes after the cut.
+     * Cuts the link to the log for a time: commands are lost, responses are lost or arrive after
+     * the cut.
      */
-    void cut(boolean sending, boolean receiving, long nanos) {
+    void cutLink(boolean sending, boolean receiving, long nanos) {
         cannotSendUntil = sending ? sim.now + nanos : cannotSendUntil;
         cannotReceiveUntil = receiving ? sim.now + nanos : cannotReceiveUntil;
     }
 
     /**
-     * Kills the process as by SIGKILL: connections close behind what is on them, its sessions
-     * continue; a while later it is restarted.
+     * Kills the process like SIGKILL does: its connections close after delivering what is in
+     * transit, and its sessions keep running. It is restarted later.
      */
     void crash() {
         if (!isUp) {
@@ -293,18 +298,19 @@
         SimulatedEngine.Owner owner = owner();
         for (SimulatedEngine engine : sim.engines) {
             long incarnation = engine.incarnation;
-            long closes =
+            long closesAt =
                     Math.max(
-                            engine.connections.getOrDefault(owner, sim.now), sim.now + sim.delay());
+                            engine.connections.getOrDefault(owner, sim.now),
+                            sim.now + sim.randomDelay());
             sim.schedule(
-                    closes,
+                    closesAt,
                     () -> {
                         if (engine.incarnation == incarnation) {
                             engine.connections.remove(owner);
                         }
                     });
         }
-        sim.schedule(sim.now + sim.random.nextLong(1, 2_000 * MS), this::start);
+        sim.schedule(sim.now + sim.random.nextLong(1, 2_000 * NANOS_PER_MILLI), this::start);
     }
 
     /** Shuts the process down gracefully if it is idle, and restarts it later. */
@@ -314,7 +320,7 @@
             isUp = false;
             sim.submit(session, new BudgetCommand.Leave().encode(), effects -> {});
             sim.engines.forEach(engine -> engine.connections.remove(owner));
-            sim.schedule(sim.now + sim.random.nextLong(1, 1_000 * MS), this::start);
+            sim.schedule(sim.now + sim.random.nextLong(1, 1_000 * NANOS_PER_MILLI), this::start);
         }
     }
 
--- a/src/test/java/calicostream/budget/BudgetSimulationTest.java
+++ b/src/test/java/calicostream/budget/BudgetSimulationTest.java
@@ -13,7 +13,7 @@
     private static final long SEED = 1;
 
     @Test
-    void noEngineExceedsItsCapUnderAnyFaults() {
+    void faultsNeverPushEngineOverCap() {
         BudgetSimulations.FaultyRuns runs =
                 BudgetSimulations.faulty(SEED, true, 24, Long.MAX_VALUE);
         System.out.println(
@@ -27,7 +27,7 @@
                         + runs.commands()
                         + " commands, "
                         + runs.faults()
-                        + " faults, refused "
+                        + " faults, rejected "
                         + runs.refusals());
         assertNull(runs.firstViolation());
         assertTrue(
@@ -42,33 +42,35 @@
                                         "budget-old-report",
                                         "budget-cap-lowered",
                                         "budget-other-incarnation")),
-                "every refusal has occurred");
+                "each of these rejection codes occurs");
     }
 
     @Test
-    void theSameSeedGivesTheSameRun() {
-        FleetSimulation one = BudgetSimulations.faulty(SEED, Set.of());
-        FleetSimulation other = BudgetSimulations.faulty(SEED, Set.of());
-        assertEquals(one.steps, other.steps);
-        assertArrayEquals(one.machine.snapshot(), other.machine.snapshot());
+    void sameSeedReproducesRun() {
+        FleetSimulation first = BudgetSimulations.faulty(SEED, Set.of());
+        FleetSimulation second = BudgetSimulations.faulty(SEED, Set.of());
+        assertEquals(first.steps, second.steps);
+        assertArrayEquals(first.machine.snapshot(), second.machine.snapshot());
     }
 
     @Test
-    void theCheckerFindsADisabledSafeguard() {
+    void checkerDetectsDisabledSafeguard() {
         for (Safeguard safeguard :
                 Set.of(
                         Safeguard.CAP_CHECKED_AT_APPLY,
                         Safeguard.LOWERED_CAP_IS_DEFERRED,
                         Safeguard.LOWERED_GRANT_COUNTS_UNTIL_ACKNOWLEDGED,
                         Safeguard.ORPHANED_SESSIONS_COUNT)) {
-            long found = BudgetSimulations.firstSeedViolating(safeguard, SEED, 60);
-            System.out.println(safeguard + " disabled: found at seed " + found);
-            assertTrue(found >= 0, safeguard + " is not found from seed " + SEED);
+            long violatingSeed = BudgetSimulations.firstSeedViolating(safeguard, SEED, 60);
+            System.out.println(safeguard + " disabled: violation at seed " + violatingSeed);
+            assertTrue(
+                    violatingSeed >= 0,
+                    safeguard + " disabled: no violation found from seed " + SEED);
         }
     }
 
     @Test
-    void allocationsAreFairAndCapsAreUsed() {
+    void steadyAllocationIsFairAndUsesCaps() {
         for (long seed = SEED; seed < SEED + 2; seed++) {
             BudgetSimulations.SteadyRun steady = BudgetSimulations.steady(seed);
             System.out.println(
--- a/src/test/java/calicostream/budget/GrantStateMachineTest.java
+++ b/src/test/java/calicostream/budget/GrantStateMachineTest.java
@@ -30,69 +30,72 @@
         return machine.apply(++index, new Command(session, 1, 0, command.encode()));
     }
 
-    private String refusal(long session, BudgetCommand command) {
+    private String applyRejected(long session, BudgetCommand command) {
         byte[] before = machine.snapshot();
-        String refusal = apply(session, command).rejectionCode();
+        String rejectionCode = apply(session, command).rejectionCode();
         byte[] after = machine.snapshot();
-        Arrays.fill(before, 9, 17, (byte) 0); // the index alone may move on
+        Arrays.fill(before, 9, 17, (byte) 0); // applied index, which advances even on a rejection
         Arrays.fill(after, 9, 17, (byte) 0);
-        assertArrayEquals(before, after, "what is refused changes nothing");
-        return refusal;
+        assertArrayEquals(
+                before, after, "a rejected command changes nothing but the applied index");
+        return rejectionCode;
     }
 
     private static BudgetCommand.Allocate allocate(
-            long token, String process, long session, long incarnation, int sessions) {
+            long fencingToken, String process, long session, long incarnation, int sessions) {
         return new BudgetCommand.Allocate(
-                token,
+                fencingToken,
                 List.of(
                         new BudgetCommand.Grant(
                                 process, session, "e", incarnation, "t", sessions)));
     }
 
-    private void start() {
+    private void addEngineAndProcesses() {
         apply(9, new BudgetCommand.UpdateEngine("e", 1, "pool", 10));
         apply(1, new BudgetCommand.Join("a"));
         apply(2, new BudgetCommand.Join("b"));
     }
 
     @Test
-    void eachRefusalHasItsCode() {
-        assertEquals("budget-other-incarnation", refusal(1, allocate(1, "a", 1, 1, 1)));
-        start();
+    void rejectedCommandHasCodeAndChangesNothing() {
+        assertEquals("budget-other-incarnation", applyRejected(1, allocate(1, "a", 1, 1, 1)));
+        addEngineAndProcesses();
         assertTrue(apply(1, allocate(5, "a", 1, 1, 8)).isAccepted());
-        assertEquals("budget-old-token", refusal(1, allocate(4, "a", 1, 1, 1)));
-        assertEquals("budget-over-cap", refusal(1, allocate(5, "b", 2, 1, 3)));
-        assertEquals("budget-grant-over", refusal(1, allocate(5, "b", 7, 1, 1)));
+        assertEquals("budget-old-token", applyRejected(1, allocate(4, "a", 1, 1, 1)));
+        assertEquals("budget-over-cap", applyRejected(1, allocate(5, "b", 2, 1, 3)));
+        assertEquals("budget-grant-over", applyRejected(1, allocate(5, "b", 7, 1, 1)));
         assertEquals(
                 "budget-unknown",
-                refusal(
+                applyRejected(
                         1,
                         new BudgetCommand.Allocate(
                                 5, List.of(new BudgetCommand.Grant("a", 1, "e", 1, "x", 1)))));
         assertEquals(
                 "budget-floors-over-cap",
-                refusal(1, new BudgetCommand.UpdateEngine("e", 1, "pool", 3)));
+                applyRejected(1, new BudgetCommand.UpdateEngine("e", 1, "pool", 3)));
         assertEquals(
                 "budget-other-incarnation",
-                refusal(1, new BudgetCommand.UpdateEngine("e", 0, "pool", 10)));
+                applyRejected(1, new BudgetCommand.UpdateEngine("e", 0, "pool", 10)));
         assertEquals(
                 "budget-no-proof",
-                refusal(2, new BudgetCommand.EngineCount("e", 1, "a", 1, false, index, 0, false)));
-        assertEquals("budget-not-due", refusal(2, new BudgetCommand.Expire("a", 1, false, 0)));
+                applyRejected(
+                        2, new BudgetCommand.EngineCount("e", 1, "a", 1, false, index, 0, false)));
+        assertEquals(
+                "budget-not-due", applyRejected(2, new BudgetCommand.Expire("a", 1, false, 0)));
         assertTrue(apply(1, new BudgetCommand.Renew(1, 1, List.of(), List.of())).isAccepted());
         assertEquals(
                 "budget-old-report",
-                refusal(1, new BudgetCommand.Renew(1, 1, List.of(), List.of())));
+                applyRejected(1, new BudgetCommand.Renew(1, 1, List.of(), List.of())));
         apply(9, new BudgetCommand.UpdateEngine("e", 1, "pool", 6));
-        assertEquals("budget-cap-lowered", refusal(1, allocate(5, "b", 2, 1, 1)));
+        assertEquals("budget-cap-lowered", applyRejected(1, allocate(5, "b", 2, 1, 1)));
         assertEquals(
                 "cluster-malformed",
                 machine.apply(++index, new Command(1, 1, 0, new byte[] {1, 99})).rejectionCode());
     }
 
     @Test
-    void aLoweredCapIsRecordedUntilItIsInForce() {
-        start();
+    void loweredCapComesIntoForceOnceUsageFits() {
+        addEngineAndProcesses();
         apply(1, allocate(1, "a", 1, 1, 8));
         assertTrue(apply(9, new BudgetCommand.UpdateEngine("e", 1, "pool", 5)).events().isEmpty());
         apply(1, allocate(1, "a", 1, 1, 3));
@@ -110,22 +113,22 @@
     }
 
     @Test
-    void nothingCountsOfAReplacedEnginesFormerIncarnation() {
-        start();
+    void replacedEngineStartsWithoutAllocations() {
+        addEngineAndProcesses();
         apply(1, allocate(1, "a", 1, 1, 8));
         apply(9, new BudgetCommand.UpdateEngine("e", 2, "pool", 10));
         assertEquals(4, machine.ledger().committed("e"));
-        assertEquals("budget-other-incarnation", refusal(1, allocate(1, "a", 1, 1, 1)));
+        assertEquals("budget-other-incarnation", applyRejected(1, allocate(1, "a", 1, 1, 1)));
         apply(9, new BudgetCommand.RemoveEngine("e", 2));
         assertEquals(
                 "budget-other-incarnation",
-                refusal(9, new BudgetCommand.UpdateEngine("e", 2, "pool", 10)),
-                "no removed incarnation returns");
+                applyRejected(9, new BudgetCommand.UpdateEngine("e", 2, "pool", 10)),
+                "a removed incarnation cannot be added again");
     }
 
     @Test
-    void snapshotsAreCompleteOrRefused() {
-        start();
+    void truncatedSnapshotIsRejectedAndChangesNothing() {
+        addEngineAndProcesses();
         apply(1, allocate(1, "a", 1, 1, 5));
         byte[] snapshot = machine.snapshot();
         GrantStateMachine copy = new GrantStateMachine(SETTINGS);
@@ -135,11 +138,11 @@
             byte[] truncated = Arrays.copyOf(snapshot, length);
             assertThrows(ClusterException.Malformed.class, () -> copy.restore(truncated));
         }
-        assertArrayEquals(snapshot, copy.snapshot(), "as before");
+        assertArrayEquals(snapshot, copy.snapshot(), "a rejected snapshot changes nothing");
     }
 
     @Test
-    void invalidSettingsNameTheirKey() {
+    void invalidSettingErrorNamesKey() {
         assertTrue(
                 assertThrows(
                                 BudgetException.InvalidSetting.class,
--- a/src/test/java/calicostream/budget/GrantedSessionsTest.java
+++ b/src/test/java/calicostream/budget/GrantedSessionsTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 class GrantedSessionsTest {
-    private static final long MS = 1_000_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
     private static final BudgetSettings SETTINGS =
             new BudgetSettings(
                     List.of(new BudgetSettings.Pool("pool", 2, 100)),
@@ -23,7 +23,7 @@
                             new BudgetSettings.Tenant("s", 1, Map.of()),
                             new BudgetSettings.Tenant("t", 3, Map.of())),
                     List.of("a"),
-                    1_000 * MS,
+                    1_000 * NANOS_PER_MILLI,
                     500,
                     4);
     private final GrantedSessions sessions = new GrantedSessions(SETTINGS, "a");
@@ -39,60 +39,61 @@
         return started;
     }
 
-    private void grant(long now, int s, int t) {
-        long number = sessions.nextReport(now, new DemandEstimator(2, MS)).reportNumber();
+    private void grant(long now, int sessionsOfS, int sessionsOfT) {
+        long number =
+                sessions.nextReport(now, new DemandEstimator(2, NANOS_PER_MILLI)).reportNumber();
         sessions.applyReply(
                 new BudgetCommand.RenewalReply(
                         number,
                         number,
                         List.of(
-                                new BudgetCommand.Grant("", 1, "e", 1, "s", s),
-                                new BudgetCommand.Grant("", 1, "e", 1, "t", t)),
+                                new BudgetCommand.Grant("", 1, "e", 1, "s", sessionsOfS),
+                                new BudgetCommand.Grant("", 1, "e", 1, "t", sessionsOfT)),
                         List.of(new BudgetCommand.EngineUsage("e", 1, 0, 0))),
                 now);
     }
 
     @Test
-    void floorsRemainWhenGrantsHaveExpired() {
+    void floorsRemainUsableAfterGrantsExpire() {
         sessions.engineConnected(engine, 1);
-        assertEquals(0, startAll(0, 0), "what earlier incarnations left is not known");
+        assertEquals(0, startAll(0, 0), "no floor while orphaned sessions are unknown");
         grant(0, 3, 5);
         assertEquals(3, startAll(0, 0));
         assertFalse(
                 sessions.mayStart(1, engine, SETTINGS.usableNanos()),
-                "three run over the floor of two");
+                "three sessions exceed the floor of two");
         assertFalse(sessions.hasActiveGrants());
         sessions.sessionEnded(0, engine, 1);
         sessions.sessionEnded(0, engine, 1);
-        assertEquals(1, startAll(1, 2_000 * MS));
+        assertEquals(1, startAll(1, 2_000 * NANOS_PER_MILLI));
     }
 
     @Test
-    void grantsExpireBeforeTheLeaderExpiresThem() {
+    void grantsExpireAtProcessBeforeLeader() {
         assertTrue(
                 SETTINGS.usableNanos() * (1 + 500e-6) / (1 - 500e-6) < SETTINGS.ttlNanos(),
-                "the slowest clock here, the fastest there");
+                "slowest clock at the process, fastest at the leader");
         assertTrue(SETTINGS.usableNanos() > SETTINGS.ttlNanos() * 0.998);
     }
 
     @Test
-    void aDecisionAllocatesNothing() {
+    void mayStartAllocatesNoMemory() {
         sessions.engineConnected(engine, 1);
         grant(0, 3, 5);
         ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
         threads.getCurrentThreadAllocatedBytes();
         long before = threads.getCurrentThreadAllocatedBytes();
-        int allowed = 0;
+        int allowedCount = 0;
         for (int i = 0; i < 100_000; i++) {
-            allowed += sessions.mayStart(i & 1, engine, i) ? 1 : 0;
+            allowedCount += sessions.mayStart(i & 1, engine, i) ? 1 : 0;
         }
-        long allocated = threads.getCurrentThreadAllocatedBytes() - before;
-        assertEquals(100_000, allowed);
-        assertTrue(allocated < 10_000, allocated + " bytes");
+        long allocatedBytes = threads.getCurrentThreadAllocatedBytes() - before;
+        assertEquals(100_000, allowedCount);
+        assertTrue(allocatedBytes < 10_000, allocatedBytes + " bytes");
     }
 
     @Test
-    void aReplacedEngineStartsFromFloors() {
+    void replacedEngineHasFloorOnly() {
         sessions.engineConnected(engine, 1);
         grant(0, 3, 5);
         startAll(0, 0);
@@ -100,7 +101,7 @@
         assertEquals(0, sessions.sessions(0, engine));
         sessions.sessionEnded(0, engine, 1);
         assertEquals(
-                0, sessions.sessions(0, engine), "a late message about the former incarnation");
+                0, sessions.sessions(0, engine), "end of a session at the previous incarnation");
         assertTrue(sessions.mayStart(0, engine, 0));
         sessions.sessionStarted(0, engine);
         sessions.sessionStarted(0, engine);
@@ -108,38 +109,46 @@
     }
 
     @Test
-    void theTenantWithLeastForItsWeightIsNextAndRejectionsHaveARetryAfterTime() {
+    void pollPicksLeastServedTenantAndRejectionHasRetryAfter() {
         TenantQueues queues = new TenantQueues(SETTINGS, 10, 1);
         sessions.engineConnected(engine, 1);
         grant(0, 4, 4);
         for (long request = 0; request < 4; request++) {
-            queues.offer((int) request % 2, engine, request, 0, 100 * MS);
+            queues.offer((int) request % 2, engine, request, 0, 100 * NANOS_PER_MILLI);
         }
         assertEquals(0, queues.poll(engine, 0, sessions));
         sessions.sessionStarted(0, engine);
         assertEquals(1, queues.poll(engine, 0, sessions));
         sessions.sessionStarted(1, engine);
-        assertEquals(3, queues.poll(engine, 0, sessions), "a third of the load for its weight");
-        assertEquals(List.of(2L), queues.removeTimedOut(0, 100 * MS));
-        queues.sessionEnded(0, 100 * MS);
-        queues.sessionEnded(0, 150 * MS);
+        assertEquals(3, queues.poll(engine, 0, sessions), "tenant 1 has three times the weight");
+        assertEquals(List.of(2L), queues.removeTimedOut(0, 100 * NANOS_PER_MILLI));
+        queues.sessionEnded(0, 100 * NANOS_PER_MILLI);
+        queues.sessionEnded(0, 150 * NANOS_PER_MILLI);
         BudgetException.NoCapacity rejection =
                 assertThrows(
                         BudgetException.NoCapacity.class,
-                        () -> queues.offer(0, engine, 9, 150 * MS, 20 * MS));
-        assertEquals(50 * MS, rejection.retryAfterNanos(), "a session ends each 50 ms");
+                        () ->
+                                queues.offer(
+                                        0, engine, 9, 150 * NANOS_PER_MILLI, 20 * NANOS_PER_MILLI));
+        assertEquals(
+                50 * NANOS_PER_MILLI, rejection.retryAfterNanos(), "a session ends every 50 ms");
     }
 
     @Test
-    void underANewClusterSessionRunningSessionsAreOrphanedAndTheFloorOpensAsTheyEnd() {
+    void newClusterSessionOrphansRunningSessions() {
         sessions.engineConnected(engine, 1);
         grant(0, 3, 5);
-        assertEquals(4, sessions.headroom(1, 0), "no more may be unacknowledged");
+        assertEquals(4, sessions.headroom(1, 0), "limited by unacknowledged sessions");
         assertEquals(3, startAll(0, 0));
         assertEquals(0, sessions.headroom(0, 0));
         GrantedSessions next = sessions.forNewClusterSession();
-        assertEquals(0, next.headroom(0, 0), "three run over the floor of two");
-        assertEquals(3, next.nextReport(0, new DemandEstimator(2, MS)).usages().get(0).orphaned());
+        assertEquals(0, next.headroom(0, 0), "three sessions exceed the floor of two");
+        assertEquals(
+                3,
+                next.nextReport(0, new DemandEstimator(2, NANOS_PER_MILLI))
+                        .usages()
+                        .get(0)
+                        .orphaned());
         sessions.sessionEnded(0, engine, 1);
         next.updateOrphanedFrom(sessions, engine);
         assertEquals(0, next.headroom(0, 0));
@@ -149,39 +158,40 @@
         assertTrue(next.mayStart(0, engine, 0));
         next.engineConnected(engine, 2);
         next.updateOrphanedFrom(sessions, engine);
-        assertEquals(2, next.headroom(0, 0), "the other incarnation's have ended with it");
+        assertEquals(2, next.headroom(0, 0), "sessions of the replaced incarnation have ended");
     }
 
     @Test
-    void anUnconfirmedSessionEndsOnceItsEngineRunsFewerInAll() {
-        UnconfirmedSessions unconfirmed = new UnconfirmedSessions(100 * MS);
+    void engineCountReleasesUnconfirmedSessions() {
+        UnconfirmedSessions unconfirmed = new UnconfirmedSessions(100 * NANOS_PER_MILLI);
         for (int i = 0; i < 3; i++) {
             unconfirmed.add(
-                    new UnconfirmedSessions.UnconfirmedSession(1, i, engine, 1, i * 10 * MS));
+                    new UnconfirmedSessions.UnconfirmedSession(
+                            1, i, engine, 1, i * 10 * NANOS_PER_MILLI));
         }
         assertEquals(
                 List.of(),
-                unconfirmed.engineCounted(engine, 90 * MS, 0),
-                "may still be in transit");
+                unconfirmed.engineCounted(engine, 90 * NANOS_PER_MILLI, 0),
+                "sessions may still be in transit");
         assertEquals(
                 List.of(),
-                unconfirmed.engineCounted(engine, 115 * MS, 2),
-                "two are old enough, and two may run");
+                unconfirmed.engineCounted(engine, 115 * NANOS_PER_MILLI, 2),
+                "two are no longer in transit, and two may still run");
         assertEquals(
                 List.of(0),
-                unconfirmed.engineCounted(engine, 115 * MS, 1).stream()
+                unconfirmed.engineCounted(engine, 115 * NANOS_PER_MILLI, 1).stream()
                         .map(UnconfirmedSessions.UnconfirmedSession::tenant)
                         .toList());
         assertEquals(
                 List.of(1, 2),
-                unconfirmed.engineCounted(engine, 500 * MS, 0).stream()
+                unconfirmed.engineCounted(engine, 500 * NANOS_PER_MILLI, 0).stream()
                         .map(UnconfirmedSessions.UnconfirmedSession::tenant)
                         .toList());
         assertEquals(0, unconfirmed.size());
     }
 
     @Test
-    void queuedRequestsAreDistributedByCapsAndNoneIsLost() {
+    void queuedRequestsAreDistributedInProportionToCaps() {
         SplittableRandom random = new SplittableRandom(7);
         for (int run = 0; run < 2_000; run++) {
             int[] caps = random.ints(random.nextInt(1, 9), 0, 40).toArray();
@@ -198,19 +208,19 @@
     }
 
     @Test
-    void demandRisesAtOnceAndFallsLateAndOnlyByMuch() {
-        DemandEstimator demand = new DemandEstimator(2, 100 * MS);
-        demand.observe(1, 0, 8, 8, 1_000 * MS);
-        int high = demand.estimate(1, 0);
-        assertEquals(18, high);
+    void demandRisesAtOnceAndFallsWithHysteresis() {
+        DemandEstimator demand = new DemandEstimator(2, 100 * NANOS_PER_MILLI);
+        demand.observe(1, 0, 8, 8, 1_000 * NANOS_PER_MILLI);
+        int peakEstimate = demand.estimate(1, 0);
+        assertEquals(18, peakEstimate);
         for (long now = 1_010; now < 2_000; now += 10) {
-            demand.observe(1, 0, 8, (int) (now / 10 % 4) + 4, now * MS);
-            assertEquals(high, demand.estimate(1, 0), "at " + now);
+            demand.observe(1, 0, 8, (int) (now / 10 % 4) + 4, now * NANOS_PER_MILLI);
+            assertEquals(peakEstimate, demand.estimate(1, 0), "at " + now);
         }
-        demand.observe(1, 0, 1, 0, 2_000 * MS);
-        assertEquals(high, demand.estimate(1, 0));
+        demand.observe(1, 0, 1, 0, 2_000 * NANOS_PER_MILLI);
+        assertEquals(peakEstimate, demand.estimate(1, 0));
         for (long now = 2_010; now < 2_300; now += 10) {
-            demand.observe(1, 0, 1, 0, now * MS);
+            demand.observe(1, 0, 1, 0, now * NANOS_PER_MILLI);
         }
         assertEquals(2, demand.estimate(1, 0));
     }
--- a/src/test/java/calicostream/budget/MaxMinFairAllocatorTest.java
+++ b/src/test/java/calicostream/budget/MaxMinFairAllocatorTest.java
@@ -18,20 +18,21 @@
     private static final int CASES = 4_000;
 
     /**
-     * Up to 6 tenants, 10 engines and 3 pools, guarantees under ceilings, caps that bind or do not.
+     * A random problem of up to 6 tenants, 10 engines and 3 pools. Guarantees never exceed
+     * ceilings; caps may or may not limit the allocation.
      */
     static Problem problem(SplittableRandom random) {
         int tenants = random.nextInt(1, 7);
         int engines = random.nextInt(1, 11);
         int pools = random.nextInt(1, 4);
         int[] caps = random.ints(engines, 0, 41).toArray();
-        int[] poolOf = random.ints(engines, 0, pools).toArray();
+        int[] poolByEngine = random.ints(engines, 0, pools).toArray();
         int[] poolCaps = new int[pools];
         for (int i = 0; i < pools; i++) {
             int pool = i;
             int sum =
                     IntStream.range(0, engines)
-                            .filter(engine -> poolOf[engine] == pool)
+                            .filter(engine -> poolByEngine[engine] == pool)
                             .map(engine -> caps[engine])
                             .sum();
             poolCaps[pool] = random.nextInt(3) == 0 ? sum / 2 : sum + 10;
@@ -41,7 +42,7 @@
         for (int weight : weights) {
             claims.add(claim(random, weight, engines, pools));
         }
-        return new Problem(caps, poolOf, poolCaps, claims);
+        return new Problem(caps, poolByEngine, poolCaps, claims);
     }
 
     private static TenantClaim claim(SplittableRandom random, int weight, int engines, int pools) {
@@ -72,83 +73,89 @@
                         claim.poolCeilings(),
                         claim.guarantee(),
                         claim.ceiling()));
-        return new Problem(problem.caps(), problem.poolOf(), problem.poolCaps(), claims);
+        return new Problem(problem.caps(), problem.poolByEngine(), problem.poolCaps(), claims);
     }
 
-    static int[] totals(int[][] placed) {
-        return Arrays.stream(placed).mapToInt(row -> Arrays.stream(row).sum()).toArray();
+    static int[] totals(int[][] placements) {
+        return Arrays.stream(placements).mapToInt(row -> Arrays.stream(row).sum()).toArray();
     }
 
-    private static void assertWithinBounds(Problem problem, int[][] placed, String run) {
-        int[] inPool = new int[problem.poolCount()];
-        int[][] byTenant = new int[problem.tenantCount()][problem.poolCount()];
+    private static void assertWithinBounds(Problem problem, int[][] placements, String run) {
+        int[] sessionsInPool = new int[problem.poolCount()];
+        int[][] sessionsByTenant = new int[problem.tenantCount()][problem.poolCount()];
         for (int engine = 0; engine < problem.engineCount(); engine++) {
-            int pool = problem.poolOf()[engine];
+            int pool = problem.poolByEngine()[engine];
             int sum = 0;
             for (int tenant = 0; tenant < problem.tenantCount(); tenant++) {
-                int sessions = placed[tenant][engine];
+                int sessions = placements[tenant][engine];
                 assertTrue(
                         sessions >= 0 && sessions <= problem.tenant(tenant).demand()[engine],
                         run + ": over the demand");
                 sum += sessions;
-                byTenant[tenant][pool] += sessions;
+                sessionsByTenant[tenant][pool] += sessions;
             }
-            inPool[pool] += sum;
+            sessionsInPool[pool] += sum;
             assertTrue(sum <= problem.caps()[engine], run + ": over the cap of engine " + engine);
         }
-        for (int pool = 0; pool < inPool.length; pool++) {
-            assertTrue(inPool[pool] <= problem.poolCaps()[pool], run + ": over pool " + pool);
+        for (int pool = 0; pool < sessionsInPool.length; pool++) {
+            assertTrue(
+                    sessionsInPool[pool] <= problem.poolCaps()[pool], run + ": over pool " + pool);
             for (int tenant = 0; tenant < problem.tenantCount(); tenant++) {
                 assertTrue(
-                        byTenant[tenant][pool] <= problem.tenant(tenant).poolCeilings()[pool],
+                        sessionsByTenant[tenant][pool]
+                                <= problem.tenant(tenant).poolCeilings()[pool],
                         run + ": over a tenant's ceiling in pool " + pool);
             }
         }
         for (int tenant = 0; tenant < problem.tenantCount(); tenant++) {
             assertTrue(
-                    Arrays.stream(byTenant[tenant]).sum() <= problem.tenant(tenant).ceiling(),
+                    Arrays.stream(sessionsByTenant[tenant]).sum()
+                            <= problem.tenant(tenant).ceiling(),
                     run + ": over a tenant's ceiling");
         }
     }
 
     @Test
-    void isAsNearToTheExactAllocationAsWholeSessionsAllow() {
-        double largest = 0;
-        double relative = 0;
+    void allocationIsWithinRoundingOfExactSolution() {
+        double maxDeviation = 0;
+        double maxRelativeDeviation = 0;
         for (int i = 0; i < CASES; i++) {
             String run = "seed " + (SEED + i);
             Problem problem = problem(new SplittableRandom(SEED + i));
-            int[][] placed = MaxMinFairAllocator.allocate(problem, null);
-            assertWithinBounds(problem, placed, run);
-            int[] totals = totals(placed);
-            double[] fair = MaxMinOracle.totals(problem);
+            int[][] placements = MaxMinFairAllocator.allocate(problem, null);
+            assertWithinBounds(problem, placements, run);
+            int[] totals = totals(placements);
+            double[] exactTotals = MaxMinOracle.totals(problem);
             for (int tenant = 0; tenant < totals.length; tenant++) {
-                double distance = Math.abs(totals[tenant] - fair[tenant]);
+                double deviation = Math.abs(totals[tenant] - exactTotals[tenant]);
                 assertTrue(
-                        distance < 1.5,
+                        deviation < 1.5,
                         run
                                 + ": tenant "
                                 + tenant
                                 + " has "
                                 + totals[tenant]
-                                + ", fair are "
-                                + fair[tenant]);
-                largest = Math.max(largest, distance);
-                relative = Math.max(relative, distance / Math.max(fair[tenant], 20));
+                                + ", exact share is "
+                                + exactTotals[tenant]);
+                maxDeviation = Math.max(maxDeviation, deviation);
+                maxRelativeDeviation =
+                        Math.max(
+                                maxRelativeDeviation,
+                                deviation / Math.max(exactTotals[tenant], 20));
             }
         }
         System.out.println(
                 "seed "
                         + SEED
-                        + ": largest distance "
-                        + largest
+                        + ": largest deviation "
+                        + maxDeviation
                         + " sessions, "
-                        + relative
-                        + " of a share of 20 or more");
+                        + maxRelativeDeviation
+                        + " relative to a share of at least 20 sessions");
     }
 
     @Test
-    void guaranteesThatCanBeMetAreMetBeforeWeightsCount() {
+    void guaranteesAreMetBeforeWeightsApply() {
         Problem problem =
                 new Problem(
                         new int[] {20, 20},
@@ -173,7 +180,7 @@
     }
 
     @Test
-    void moreDemandOrWeightGivesNoLess() {
+    void moreDemandOrWeightNeverReducesAllocation() {
         for (int i = 0; i < CASES / 4; i++) {
             String run = "seed " + (SEED + i);
             SplittableRandom random = new SplittableRandom(SEED + i);
@@ -182,22 +189,30 @@
             int tenant = random.nextInt(problem.tenantCount());
             int engine = random.nextInt(problem.engineCount());
             problem.tenant(tenant).demand()[engine] += random.nextInt(1, 10);
-            int[] more = totals(MaxMinFairAllocator.allocate(problem, null));
+            int[] withMoreDemand = totals(MaxMinFairAllocator.allocate(problem, null));
             assertTrue(
-                    more[tenant] >= before[tenant],
-                    run + ": demands more, has " + more[tenant] + " after " + before[tenant]);
+                    withMoreDemand[tenant] >= before[tenant],
+                    run
+                            + ": more demand gives "
+                            + withMoreDemand[tenant]
+                            + " instead of "
+                            + before[tenant]);
             Problem weighted = withWeight(problem, tenant, problem.tenant(tenant).weight() * 3);
-            int[] heavier = totals(MaxMinFairAllocator.allocate(weighted, null));
+            int[] withMoreWeight = totals(MaxMinFairAllocator.allocate(weighted, null));
             assertTrue(
-                    heavier[tenant] >= more[tenant],
-                    run + ": weighs more, has " + heavier[tenant] + " after " + more[tenant]);
+                    withMoreWeight[tenant] >= withMoreDemand[tenant],
+                    run
+                            + ": more weight gives "
+                            + withMoreWeight[tenant]
+                            + " instead of "
+                            + withMoreDemand[tenant]);
         }
     }
 
     @Test
-    void aSmallChangeMovesFewSessions() {
-        int worst = 0;
-        int worstAfresh = 0;
+    void smallDemandChangeMovesFewSessions() {
+        int maxMoved = 0;
+        int maxMovedFromScratch = 0;
         for (int i = 0; i < CASES / 4; i++) {
             String run = "seed " + (SEED + i);
             SplittableRandom random = new SplittableRandom(SEED + i);
@@ -206,30 +221,30 @@
             assertArrayEquals(
                     before,
                     MaxMinFairAllocator.allocate(problem, before),
-                    run + ": nothing changed");
+                    run + ": same problem, same allocation");
             int tenant = random.nextInt(problem.tenantCount());
             problem.tenant(tenant).demand()[random.nextInt(problem.engineCount())]++;
             int[][] after = MaxMinFairAllocator.allocate(problem, before);
-            int[][] afresh = MaxMinFairAllocator.allocate(problem, null);
+            int[][] fromScratch = MaxMinFairAllocator.allocate(problem, null);
             assertWithinBounds(problem, after, run);
             assertArrayEquals(
-                    totals(afresh),
+                    totals(fromScratch),
                     totals(after),
-                    run + ": the same totals, wherever they are placed");
-            worst = Math.max(worst, moved(before, after));
-            worstAfresh = Math.max(worstAfresh, moved(before, afresh));
+                    run + ": totals do not depend on the previous allocation");
+            maxMoved = Math.max(maxMoved, movedSessions(before, after));
+            maxMovedFromScratch = Math.max(maxMovedFromScratch, movedSessions(before, fromScratch));
         }
         System.out.println(
                 "seed "
                         + SEED
                         + ": one more session of demand moves at most "
-                        + worst
-                        + " sessions, allocated afresh "
-                        + worstAfresh);
-        assertTrue(worst <= 12, "moves " + worst);
+                        + maxMoved
+                        + " sessions, allocated from scratch "
+                        + maxMovedFromScratch);
+        assertTrue(maxMoved <= 12, "moved sessions: " + maxMoved);
     }
 
-    private static int moved(int[][] before, int[][] after) {
+    private static int movedSessions(int[][] before, int[][] after) {
         int moved = 0;
         for (int tenant = 0; tenant < before.length; tenant++) {
             for (int engine = 0; engine < before[tenant].length; engine++) {
--- a/src/test/java/calicostream/budget/SafeguardsTest.java
+++ b/src/test/java/calicostream/budget/SafeguardsTest.java
@@ -13,40 +13,42 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * For each safeguard the shortest history in which the engine exceeds its cap without it, and does
- * not with it.
+ * Runs, for each safeguard, a minimal sequence of events in which the engine exceeds its cap if the
+ * safeguard is disabled, and stays within the cap if it is enabled.
  */
 class SafeguardsTest {
-    private static final long MS = 1_000_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
     private static final int CAP = 10;
     private static final BudgetSettings SETTINGS =
             new BudgetSettings(
                     List.of(new BudgetSettings.Pool("pool", 1, 100)),
                     List.of(new BudgetSettings.Tenant("tenant", 1, Map.of())),
                     List.of("a", "b"),
-                    1_000 * MS,
+                    1_000 * NANOS_PER_MILLI,
                     500,
                     2);
 
-    /** One engine, which runs what it is sent, and two processes. */
+    /** One engine, which runs all sessions that it is sent, and two processes. */
     private static final class Fleet {
         private final Set<Safeguard> disabledSafeguards;
         private final GrantStateMachine machine;
         private long index;
         private int running;
         private boolean isOverCap;
-        private final Process a;
-        private final Process b;
+        private final Process processA;
+        private final Process processB;
 
-        Fleet(Safeguard without) {
+        Fleet(Safeguard disabledSafeguard) {
             disabledSafeguards =
-                    without == null ? EnumSet.noneOf(Safeguard.class) : EnumSet.of(without);
+                    disabledSafeguard == null
+                            ? EnumSet.noneOf(Safeguard.class)
+                            : EnumSet.of(disabledSafeguard);
             machine = new GrantStateMachine(SETTINGS, disabledSafeguards);
             apply(9, new BudgetCommand.UpdateEngine("e", 1, "pool", CAP));
-            a = new Process("a", 1);
-            b = new Process("b", 2);
-            a.open();
-            b.open();
+            processA = new Process("a", 1);
+            processB = new Process("b", 2);
+            processA.makeFloorUsable();
+            processB.makeFloorUsable();
         }
 
         CommandEffects apply(long session, BudgetCommand command) {
@@ -57,8 +59,8 @@
             isOverCap |= running > machine.ledger().engines().get("e").cap();
         }
 
-        /** As many as the state machine lets the process have. */
-        void grantMost(Process process) {
+        /** Grants the process as many sessions as the state machine allows. */
+        void grantAsManyAsAllowed(Process process) {
             int sessions = CAP;
             while (sessions > 0 && !grant(process, sessions)) {
                 sessions--;
@@ -81,11 +83,18 @@
                     .isAccepted();
         }
 
-        void count(Process process, boolean former, long seen, int sessions) {
+        void count(Process process, boolean forPredecessors, long appliedIndex, int sessions) {
             apply(
                     2,
                     new BudgetCommand.EngineCount(
-                            "e", 1, process.name, process.session, former, seen, sessions, false));
+                            "e",
+                            1,
+                            process.name,
+                            process.session,
+                            forPredecessors,
+                            appliedIndex,
+                            sessions,
+                            false));
         }
 
         void expire(Process process) {
@@ -102,7 +111,7 @@
             final String name;
             final long session;
             final GrantedSessions sessions;
-            private final DemandEstimator demand = new DemandEstimator(1, MS);
+            private final DemandEstimator demand = new DemandEstimator(1, NANOS_PER_MILLI);
 
             Process(String name, long session) {
                 this.name = name;
@@ -113,20 +122,20 @@
                 apply(session, new BudgetCommand.Join(name));
             }
 
-            void open() {
+            void makeFloorUsable() {
                 sessions.boundOrphaned(0, 1, 0);
             }
 
-            CommandEffects reports(long now) {
+            CommandEffects report(long now) {
                 return apply(session, sessions.nextReport(now, demand));
             }
 
-            void receives(CommandEffects effects, long now) {
+            void receive(CommandEffects effects, long now) {
                 sessions.applyReply(BudgetCommand.RenewalReply.decode(effects.response()), now);
             }
 
-            /** Starts all sessions that it may; the engine acknowledges each at once. */
-            void startsAll(long now) {
+            /** Starts all sessions that are allowed; the engine acknowledges each at once. */
+            void startAllAllowed(long now) {
                 while (sessions.mayStart(0, 0, now)) {
                     sessions.sessionStarted(0, 0);
                     sessions.sessionAcknowledged(0, 1);
@@ -137,166 +146,169 @@
         }
     }
 
-    private interface History {
+    private interface Scenario {
         void run(Fleet fleet);
     }
 
-    private static void assertGuards(Safeguard safeguard, History history) {
-        Fleet with = new Fleet(null);
-        history.run(with);
+    private static void assertViolatesCapOnlyWithout(Safeguard safeguard, Scenario scenario) {
+        Fleet protectedFleet = new Fleet(null);
+        scenario.run(protectedFleet);
         assertTrue(
-                !with.isOverCap, safeguard + ": over the cap with all safeguards, " + with.running);
-        Fleet without = new Fleet(safeguard);
-        history.run(without);
-        assertTrue(without.isOverCap, safeguard + ": disabled, and not found");
+                !protectedFleet.isOverCap,
+                safeguard
+                        + ": over the cap with all safeguards, running "
+                        + protectedFleet.running);
+        Fleet unprotectedFleet = new Fleet(safeguard);
+        scenario.run(unprotectedFleet);
+        assertTrue(unprotectedFleet.isOverCap, safeguard + ": no violation while it is disabled");
     }
 
-    /** The process is granted eight sessions and has acknowledged them. */
-    private static void grantEight(Fleet fleet, Fleet.Process process) {
+    /** Grants the process eight sessions, which it receives with its next report. */
+    private static void grantEightSessions(Fleet fleet, Fleet.Process process) {
         assertTrue(fleet.grant(process, 8));
-        process.receives(process.reports(0), 0);
+        process.receive(process.report(0), 0);
     }
 
-    private static void otherProcessUsesTheRest(Fleet fleet, long now) {
-        fleet.grantMost(fleet.b);
-        fleet.b.receives(fleet.b.reports(now), now);
-        fleet.b.startsAll(now);
+    private static void otherProcessUsesRemainingCapacity(Fleet fleet, long now) {
+        fleet.grantAsManyAsAllowed(fleet.processB);
+        fleet.processB.receive(fleet.processB.report(now), now);
+        fleet.processB.startAllAllowed(now);
     }
 
     @Test
-    void grantsCountUntilTheirExpiry() {
-        assertGuards(
+    void countBeforeExpiryDoesNotReleaseGrant() {
+        assertViolatesCapOnlyWithout(
                 Safeguard.GRANT_HELD_TO_EXPIRY,
                 fleet -> {
-                    grantEight(fleet, fleet.a);
-                    fleet.count(fleet.a, false, fleet.index, 0);
-                    otherProcessUsesTheRest(fleet, 0);
-                    fleet.a.startsAll(0);
+                    grantEightSessions(fleet, fleet.processA);
+                    fleet.count(fleet.processA, false, fleet.index, 0);
+                    otherProcessUsesRemainingCapacity(fleet, 0);
+                    fleet.processA.startAllAllowed(0);
                 });
     }
 
     @Test
-    void loweredGrantsCountUntilTheyAreAcknowledged() {
-        assertGuards(
+    void loweredGrantCountsUntilAcknowledged() {
+        assertViolatesCapOnlyWithout(
                 Safeguard.LOWERED_GRANT_COUNTS_UNTIL_ACKNOWLEDGED,
                 fleet -> {
-                    grantEight(fleet, fleet.a);
-                    assertTrue(fleet.grant(fleet.a, 1));
-                    otherProcessUsesTheRest(fleet, 0);
-                    fleet.a.startsAll(0);
+                    grantEightSessions(fleet, fleet.processA);
+                    assertTrue(fleet.grant(fleet.processA, 1));
+                    otherProcessUsesRemainingCapacity(fleet, 0);
+                    fleet.processA.startAllAllowed(0);
                 });
     }
 
     @Test
-    void sessionsThatASilentProcessLeftRunningCount() {
-        assertGuards(
+    void sessionsOfExpiredProcessStillCount() {
+        assertViolatesCapOnlyWithout(
                 Safeguard.ORPHANED_SESSIONS_COUNT,
                 fleet -> {
-                    grantEight(fleet, fleet.a);
-                    fleet.a.startsAll(0);
-                    fleet.expire(fleet.a);
-                    otherProcessUsesTheRest(fleet, 1_100 * MS);
+                    grantEightSessions(fleet, fleet.processA);
+                    fleet.processA.startAllAllowed(0);
+                    fleet.expire(fleet.processA);
+                    otherProcessUsesRemainingCapacity(fleet, 1_100 * NANOS_PER_MILLI);
                 });
     }
 
     @Test
-    void aCountFromBeforeTheExpiryProvesNothing() {
-        assertGuards(
+    void countRequestedBeforeExpiryIsRejected() {
+        assertViolatesCapOnlyWithout(
                 Safeguard.PROOF_AFTER_EXPIRY,
                 fleet -> {
-                    grantEight(fleet, fleet.a);
-                    long seen = fleet.index;
-                    fleet.a.startsAll(0);
-                    fleet.expire(fleet.a);
-                    fleet.count(fleet.a, false, seen, 0);
-                    otherProcessUsesTheRest(fleet, 1_100 * MS);
+                    grantEightSessions(fleet, fleet.processA);
+                    long indexBeforeExpiry = fleet.index;
+                    fleet.processA.startAllAllowed(0);
+                    fleet.expire(fleet.processA);
+                    fleet.count(fleet.processA, false, indexBeforeExpiry, 0);
+                    otherProcessUsesRemainingCapacity(fleet, 1_100 * NANOS_PER_MILLI);
                 });
     }
 
     @Test
-    void whatWasDecidedBeforeAStopIsSentAfterIt() {
-        assertGuards(
+    void sessionsSentAfterProcessStopStillCount() {
+        assertViolatesCapOnlyWithout(
                 Safeguard.UNACKNOWLEDGED_COUNTS,
                 fleet -> {
-                    grantEight(fleet, fleet.a);
-                    int decided = 0;
-                    while (fleet.a.sessions.mayStart(0, 0, 0)) {
-                        fleet.a.sessions.sessionStarted(0, 0);
-                        decided++;
+                    grantEightSessions(fleet, fleet.processA);
+                    int unsentSessions = 0;
+                    while (fleet.processA.sessions.mayStart(0, 0, 0)) {
+                        fleet.processA.sessions.sessionStarted(0, 0);
+                        unsentSessions++;
                     }
-                    assertEquals(SETTINGS.maxUnacknowledged(), decided);
-                    fleet.expire(fleet.a);
-                    fleet.count(fleet.a, false, fleet.index, 0);
-                    otherProcessUsesTheRest(fleet, 1_100 * MS);
-                    fleet.running += decided;
+                    assertEquals(SETTINGS.maxUnacknowledged(), unsentSessions);
+                    fleet.expire(fleet.processA);
+                    fleet.count(fleet.processA, false, fleet.index, 0);
+                    otherProcessUsesRemainingCapacity(fleet, 1_100 * NANOS_PER_MILLI);
+                    fleet.running += unsentSessions;
                     fleet.checkCap();
                 });
     }
 
     @Test
-    void anAllocationOverTheCapIsRefused() {
-        assertGuards(
+    void allocationOverCapIsRejected() {
+        assertViolatesCapOnlyWithout(
                 Safeguard.CAP_CHECKED_AT_APPLY,
                 fleet -> {
-                    grantEight(fleet, fleet.a);
-                    fleet.a.startsAll(0);
-                    otherProcessUsesTheRest(fleet, 0);
+                    grantEightSessions(fleet, fleet.processA);
+                    fleet.processA.startAllAllowed(0);
+                    otherProcessUsesRemainingCapacity(fleet, 0);
                 });
     }
 
     @Test
-    void aLoweredCapIsInForceOnceNoMoreIsInUse() {
-        assertGuards(
+    void loweredCapWaitsForRunningSessions() {
+        assertViolatesCapOnlyWithout(
                 Safeguard.LOWERED_CAP_IS_DEFERRED,
                 fleet -> {
-                    grantEight(fleet, fleet.a);
-                    fleet.a.startsAll(0);
+                    grantEightSessions(fleet, fleet.processA);
+                    fleet.processA.startAllAllowed(0);
                     fleet.apply(9, new BudgetCommand.UpdateEngine("e", 1, "pool", 4));
                     fleet.checkCap();
                 });
     }
 
     @Test
-    void theLeaseCountsFromBeforeTheReportWasSent() {
-        assertGuards(
+    void leaseStartsWhenReportIsCreated() {
+        assertViolatesCapOnlyWithout(
                 Safeguard.LEASE_TIMED_FROM_REQUEST,
                 fleet -> {
-                    assertTrue(fleet.grant(fleet.a, 8));
-                    CommandEffects late = fleet.a.reports(0);
-                    fleet.expire(fleet.a);
-                    fleet.count(fleet.a, false, fleet.index, 0);
-                    otherProcessUsesTheRest(fleet, 1_100 * MS);
-                    fleet.a.receives(late, 1_500 * MS);
-                    fleet.a.startsAll(1_500 * MS);
+                    assertTrue(fleet.grant(fleet.processA, 8));
+                    CommandEffects delayedReply = fleet.processA.report(0);
+                    fleet.expire(fleet.processA);
+                    fleet.count(fleet.processA, false, fleet.index, 0);
+                    otherProcessUsesRemainingCapacity(fleet, 1_100 * NANOS_PER_MILLI);
+                    fleet.processA.receive(delayedReply, 1_500 * NANOS_PER_MILLI);
+                    fleet.processA.startAllAllowed(1_500 * NANOS_PER_MILLI);
                 });
     }
 
     @Test
-    void aProcessThatReportedItsExpiryAppliesNoOlderReply() {
-        assertGuards(
+    void replyFromBeforeReportedExpiryIsIgnored() {
+        assertViolatesCapOnlyWithout(
                 Safeguard.NO_REPLY_FROM_BEFORE_EXPIRY,
                 fleet -> {
-                    grantEight(fleet, fleet.a);
-                    CommandEffects late = fleet.a.reports(900 * MS);
-                    assertTrue(fleet.grant(fleet.a, 1));
-                    fleet.a.reports(1_000 * MS);
-                    otherProcessUsesTheRest(fleet, 1_010 * MS);
-                    fleet.a.receives(late, 1_020 * MS);
-                    fleet.a.startsAll(1_020 * MS);
+                    grantEightSessions(fleet, fleet.processA);
+                    CommandEffects delayedReply = fleet.processA.report(900 * NANOS_PER_MILLI);
+                    assertTrue(fleet.grant(fleet.processA, 1));
+                    fleet.processA.report(1_000 * NANOS_PER_MILLI);
+                    otherProcessUsesRemainingCapacity(fleet, 1_010 * NANOS_PER_MILLI);
+                    fleet.processA.receive(delayedReply, 1_020 * NANOS_PER_MILLI);
+                    fleet.processA.startAllAllowed(1_020 * NANOS_PER_MILLI);
                 });
     }
 
     @Test
-    void aRestartedProcessUsesNoFloorBeforeItKnowsWhatItLeftRunning() {
-        assertGuards(
+    void restartedProcessHasNoFloorUntilOrphansKnown() {
+        assertViolatesCapOnlyWithout(
                 Safeguard.FLOOR_AFTER_ORPHANS_KNOWN,
                 fleet -> {
-                    fleet.grantMost(fleet.a);
-                    fleet.a.receives(fleet.a.reports(0), 0);
-                    fleet.a.startsAll(0);
-                    fleet.b.startsAll(0);
-                    Fleet.Process again = fleet.new Process("a", 3);
-                    again.startsAll(10 * MS);
+                    fleet.grantAsManyAsAllowed(fleet.processA);
+                    fleet.processA.receive(fleet.processA.report(0), 0);
+                    fleet.processA.startAllAllowed(0);
+                    fleet.processB.startAllAllowed(0);
+                    Fleet.Process restarted = fleet.new Process("a", 3);
+                    restarted.startAllAllowed(10 * NANOS_PER_MILLI);
                 });
     }
 }
