--- a/src/main/java/calicostream/budget/GrantLedger.java
+++ b/src/main/java/calicostream/budget/GrantLedger.java
@@ -142,7 +142,7 @@
         return committed(engine, Map.of());
     }
 
-    /** The same upper bound if these sums, by process, were granted as well. */
+    /** Upper bound on the sessions in use at the engine if these sums, by process, were granted. */
     int committed(String engine, Map<String, Integer> proposedSums) {
         long total = 0;
         for (ProcessEntry process : processes.values()) {
--- a/src/main/java/calicostream/budget/GrantedSessions.java
+++ b/src/main/java/calicostream/budget/GrantedSessions.java
@@ -110,8 +110,8 @@
     }
 
     /**
-     * The same for an incarnation of the engine that an earlier incarnation of this process may
-     * have used.
+     * Like {@link #engineConnected(int, long)}, for an incarnation of the engine that an earlier
+     * incarnation of this process may have used.
      *
      * @param isUnusedByPredecessors whether no earlier incarnation of this process can have used
      *     the new incarnation of the engine
--- a/src/main/java/calicostream/budget/TenantQueues.java
+++ b/src/main/java/calicostream/budget/TenantQueues.java
@@ -151,7 +151,7 @@
     }
 
     /**
-     * The same for a slot that stands for several engines together.
+     * Like {@link #poll(int, long, GrantedSessions)}, for a slot that stands for several engines.
      *
      * @param mayStart whether a tenant may start a session at the slot
      * @param sessions how many sessions a tenant has in use at the slot
--- a/src/measure/java/calicostream/budget/BudgetSimulations.java
+++ b/src/measure/java/calicostream/budget/BudgetSimulations.java
@@ -202,7 +202,9 @@
         return Arrays.stream(Safeguard.values()).map(Enum::name).toList();
     }
 
-    /** The same by the safeguard's name. */
+    /**
+     * The first seed with which a small fleet violates a cap without the named safeguard, or -1.
+     */
     public static long firstSeedViolating(String safeguard, long seed, int runs) {
         return firstSeedViolating(Safeguard.valueOf(safeguard), seed, runs);
     }
--- a/src/measure/java/calicostream/budget/FleetSimulation.java
+++ b/src/measure/java/calicostream/budget/FleetSimulation.java
@@ -155,7 +155,7 @@
     }
 
     /**
-     * The same over a link that may be cut.
+     * Sends a command to the log over a link that may be cut.
      *
      * @param cannotSendUntil time until which commands are lost
      * @param cannotReceiveUntil time until which responses are lost, or are delayed beyond that
