--- a/src/main/java/calicostream/lease/ClockDriftBound.java
+++ b/src/main/java/calicostream/lease/ClockDriftBound.java
@@ -2,11 +2,11 @@
 package calicostream.lease;
 
 /**
- * The greatest rate by which a process's monotonic clock may differ from real time, either way.
- * Immutable. The holder and the leader each apply it to their own clock, so that the holder's span
- * is over in real time before the leader's is.
+ * The maximum rate by which a process's monotonic clock may run slower or faster than real time.
+ * Immutable. The holder and the leader each apply it to their own clock, so that in real time a
+ * lease expires at the holder before it expires at the leader.
  *
- * @param partsPerMillion the bound; clock discipline (NTP) itself keeps to 500
+ * @param partsPerMillion the bound; NTP limits its own frequency correction to 500 ppm
  */
 public record ClockDriftBound(int partsPerMillion) {
     private static final long MILLION = 1_000_000;
@@ -19,30 +19,34 @@
      */
     public ClockDriftBound {
         if (partsPerMillion < 0 || partsPerMillion >= MILLION) {
-            throw new IllegalArgumentException("drift of " + partsPerMillion + " ppm");
+            throw new IllegalArgumentException(
+                    "clock drift bound of " + partsPerMillion + " ppm is out of range");
         }
     }
 
     /**
-     * The span to measure on a local clock so that it ends no later than {@code nanos} of real time
-     * do, however slow the clock runs. Rounded down.
+     * The duration on a local clock that ends no later than {@code nanos} of real time, even if the
+     * clock runs as slow as the bound allows. Rounded down.
      */
-    public long shortestSpan(long nanos) {
-        return nanos - drift(nanos);
+    public long minLocalNanos(long nanos) {
+        return nanos - driftNanos(nanos);
     }
 
     /**
-     * The span to measure on a local clock so that it ends no earlier than {@code nanos} of real
-     * time do, however fast the clock runs. Rounded up.
+     * The duration on a local clock that ends no earlier than {@code nanos} of real time, even if
+     * the clock runs as fast as the bound allows. Rounded up.
      */
-    public long longestSpan(long nanos) {
-        return nanos + drift(nanos);
+    public long maxLocalNanos(long nanos) {
+        return nanos + driftNanos(nanos);
     }
 
-    /** Split in two products, as {@code nanos * partsPerMillion} may overflow. */
-    private long drift(long nanos) {
-        long ofWholeMillions = nanos / MILLION * partsPerMillion;
-        long ofRemainder = (nanos % MILLION * partsPerMillion + MILLION - 1) / MILLION;
-        return ofWholeMillions + ofRemainder;
+    /**
+     * The drift over a duration, rounded up. Computed in two parts, as {@code nanos *
+     * partsPerMillion} may overflow.
+     */
+    private long driftNanos(long nanos) {
+        long wholeMillionsNanos = nanos / MILLION * partsPerMillion;
+        long remainderNanos = (nanos % MILLION * partsPerMillion + MILLION - 1) / MILLION;
+        return wholeMillionsNanos + remainderNanos;
     }
 }
--- a/src/main/java/calicostream/lease/EjectionHintMessage.java
+++ b/src/main/java/calicostream/lease/EjectionHintMessage.java
@@ -6,28 +6,28 @@
 import java.util.List;
 
 /**
- * The payload in which the holder of {@link EjectionHints#LEASE} publishes its view of the engines.
- * Immutable.
+ * The payload with which the holder of {@link EjectionHints#LEASE} publishes the state of its
+ * ejected and reinstated engines. Immutable.
  *
- * @param number counts the holder's messages from 1 up
+ * @param sequenceNumber number of the message among those of the same holder, from 1 up
  * @param entries at most {@link EjectionHints#MAX_ENGINES}
  */
-record EjectionHintMessage(long number, List<Entry> entries) {
+record EjectionHintMessage(long sequenceNumber, List<Entry> entries) {
     private static final int VERSION = 1;
     private static final int ENTRY_BYTES = 13;
 
     /**
-     * One engine.
+     * The state of one engine.
      *
      * @param engine the engine's identifier
      * @param served true: the engine has served a query since its ejection; false: it is ejected
-     * @param ageMillis milliseconds since then by the sender's clock
+     * @param ageMillis milliseconds since the ejection or the reinstatement, by the sender's clock
      */
     record Entry(long engine, boolean served, int ageMillis) {}
 
     byte[] encode() {
         BinaryCodec.Writer out =
-                new BinaryCodec.Writer().u8(VERSION).i64(number).i32(entries.size());
+                new BinaryCodec.Writer().u8(VERSION).i64(sequenceNumber).i32(entries.size());
         for (Entry entry : entries) {
             out.i64(entry.engine).u8(entry.served ? 1 : 0).i32(entry.ageMillis);
         }
@@ -40,12 +40,12 @@
     static EjectionHintMessage decode(byte[] payload) {
         BinaryCodec.Reader in = new BinaryCodec.Reader("trials", payload);
         in.requireVersion(VERSION);
-        long number = in.i64();
+        long sequenceNumber = in.i64();
         List<Entry> entries = new ArrayList<>();
-        for (int left = in.count(ENTRY_BYTES); left > 0; left--) {
+        for (int remaining = in.count(ENTRY_BYTES); remaining > 0; remaining--) {
             entries.add(new Entry(in.i64(), in.u8() != 0, in.i32()));
         }
         in.requireEnd();
-        return new EjectionHintMessage(number, entries);
+        return new EjectionHintMessage(sequenceNumber, entries);
     }
 }
--- a/src/main/java/calicostream/lease/EjectionHintPublisher.java
+++ b/src/main/java/calicostream/lease/EjectionHintPublisher.java
@@ -11,107 +11,114 @@
 import java.util.TreeSet;
 
 /**
- * The holder's side of {@link EjectionHints}: follows the local front end's view and decides what
- * to publish when. Confined to one thread; times in nanoseconds.
+ * The sending side of {@link EjectionHints}: tracks which engines the local front end has ejected
+ * and reinstated, and decides when to publish them. Confined to one thread; times in nanoseconds.
  */
 final class EjectionHintPublisher {
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long MIN_INTERVAL_NANOS = 250 * NANOS_PER_MILLI;
     private static final long REPEAT_INTERVAL_NANOS = 1_000 * NANOS_PER_MILLI;
 
-    /** An engine that served again, and how often that was published. */
+    /** An engine that has served a query since its ejection, and how often that was published. */
     private static final class Reinstatement {
-        private final long since;
+        private final long reinstatedAt;
         private int publications;
 
-        Reinstatement(long since) {
-            this.since = since;
+        Reinstatement(long reinstatedAt) {
+            this.reinstatedAt = reinstatedAt;
         }
     }
 
-    private final Map<Long, Long> ejectedSince = new TreeMap<>();
-    private final Map<Long, Reinstatement> reinstatements = new TreeMap<>();
-    private Set<Long> publishedEjected = Set.of();
-    private boolean published;
-    private long publishedAt;
-    private long messageNumber;
+    private final Map<Long, Long> ejectedAtByEngine = new TreeMap<>();
+    private final Map<Long, Reinstatement> reinstatementsByEngine = new TreeMap<>();
+    private Set<Long> lastPublishedEjected = Set.of();
+    private boolean hasPublished;
+    private long lastPublishedAt;
+    private long lastSequenceNumber;
 
-    /** The lease was granted: nothing is published yet under its token. */
+    /** Called when the lease is granted: nothing has been published under the new token yet. */
     void reset() {
-        published = false;
-        messageNumber = 0;
-        ejectedSince.clear();
-        reinstatements.clear();
-        publishedEjected = Set.of();
+        hasPublished = false;
+        lastSequenceNumber = 0;
+        ejectedAtByEngine.clear();
+        reinstatementsByEngine.clear();
+        lastPublishedEjected = Set.of();
     }
 
-    /** Number of messages published under the last token. */
+    /** Number of messages published under the most recent token. */
     long messageCount() {
-        return messageNumber;
+        return lastSequenceNumber;
     }
 
-    /** Whether the last message is too recent for another one. */
+    /** Whether the minimum interval since the last message has not elapsed yet. */
     boolean isThrottled(long now) {
-        return published && now - publishedAt < MIN_INTERVAL_NANOS;
+        return hasPublished && now - lastPublishedAt < MIN_INTERVAL_NANOS;
     }
 
     /**
-     * Takes the front end's present view.
+     * Updates the tracked engines from the front end's current view.
      *
-     * @return the message to publish, which is counted as published; empty if none is due
+     * @return the message to publish now, which is recorded as published; empty if none is due
      */
     Optional<EjectionHintMessage> update(long now, EjectionHints.EngineView view) {
-        follow(now, view);
-        if (ejectedSince.isEmpty() && reinstatements.isEmpty()) {
+        updateEngines(now, view);
+        if (ejectedAtByEngine.isEmpty() && reinstatementsByEngine.isEmpty()) {
             return Optional.empty();
         }
-        if (!hasChanged() && now - publishedAt < REPEAT_INTERVAL_NANOS) {
+        if (!hasChanged() && now - lastPublishedAt < REPEAT_INTERVAL_NANOS) {
             return Optional.empty();
         }
-        published = true;
-        publishedAt = now;
-        publishedEjected = Set.copyOf(ejectedSince.keySet());
+        hasPublished = true;
+        lastPublishedAt = now;
+        lastPublishedEjected = Set.copyOf(ejectedAtByEngine.keySet());
         return Optional.of(createMessage(now));
     }
 
     private boolean hasChanged() {
-        return !ejectedSince.keySet().equals(publishedEjected)
-                || reinstatements.values().stream().anyMatch(each -> each.publications == 0);
+        return !ejectedAtByEngine.keySet().equals(lastPublishedEjected)
+                || reinstatementsByEngine.values().stream()
+                        .anyMatch(reinstatement -> reinstatement.publications == 0);
     }
 
-    private void follow(long now, EjectionHints.EngineView view) {
+    private void updateEngines(long now, EjectionHints.EngineView view) {
         Set<Long> ejected = new TreeSet<>();
         Arrays.stream(view.ejected()).limit(EjectionHints.MAX_ENGINES / 2).forEach(ejected::add);
         for (long engine : view.inUse()) {
-            if (ejectedSince.remove(engine) != null) {
-                reinstatements.put(engine, new Reinstatement(now));
+            if (ejectedAtByEngine.remove(engine) != null) {
+                reinstatementsByEngine.put(engine, new Reinstatement(now));
             }
         }
-        // What is neither ejected nor in use was removed from the endpoint list, which all have.
-        ejectedSince.keySet().retainAll(ejected);
+        // An engine that is neither ejected nor in use was removed from the endpoint list, which
+        // every front end receives.
+        ejectedAtByEngine.keySet().retainAll(ejected);
         for (long engine : ejected) {
-            ejectedSince.putIfAbsent(engine, now);
-            reinstatements.remove(engine);
+            ejectedAtByEngine.putIfAbsent(engine, now);
+            reinstatementsByEngine.remove(engine);
         }
-        reinstatements
+        reinstatementsByEngine
                 .values()
-                .removeIf(each -> each.publications >= EjectionHints.REINSTATEMENT_PUBLICATIONS);
+                .removeIf(
+                        reinstatement ->
+                                reinstatement.publications
+                                        >= EjectionHints.REINSTATEMENT_PUBLICATIONS);
     }
 
     private EjectionHintMessage createMessage(long now) {
         List<EjectionHintMessage.Entry> entries = new ArrayList<>();
-        ejectedSince.forEach((engine, since) -> entries.add(entry(engine, false, now - since)));
-        reinstatements.forEach(
+        ejectedAtByEngine.forEach(
+                (engine, ejectedAt) -> entries.add(createEntry(engine, false, now - ejectedAt)));
+        reinstatementsByEngine.forEach(
                 (engine, reinstatement) -> {
                     reinstatement.publications++;
-                    entries.add(entry(engine, true, now - reinstatement.since));
+                    entries.add(createEntry(engine, true, now - reinstatement.reinstatedAt));
                 });
-        messageNumber++;
+        lastSequenceNumber++;
         return new EjectionHintMessage(
-                messageNumber, entries.stream().limit(EjectionHints.MAX_ENGINES).toList());
+                lastSequenceNumber, entries.stream().limit(EjectionHints.MAX_ENGINES).toList());
     }
 
-    private static EjectionHintMessage.Entry entry(long engine, boolean served, long ageNanos) {
+    private static EjectionHintMessage.Entry createEntry(
+            long engine, boolean served, long ageNanos) {
         long ageMillis = ageNanos / NANOS_PER_MILLI;
         return new EjectionHintMessage.Entry(
                 engine, served, (int) Math.max(0, Math.min(Integer.MAX_VALUE, ageMillis)));
--- a/src/main/java/calicostream/lease/EjectionHintReceiver.java
+++ b/src/main/java/calicostream/lease/EjectionHintReceiver.java
@@ -17,34 +17,39 @@
 
     private final EjectionHints.FrontEnd frontEnd;
     private final Set<Long> reinstated = new HashSet<>();
-    private final Map<Long, ReceivedHint> hints = new LinkedHashMap<>(); // oldest first
+
+    /** The last hint for each engine, in order of receipt. */
+    private final Map<Long, ReceivedHint> hintsByEngine = new LinkedHashMap<>();
+
     private long lastToken;
-    private long lastNumber;
+    private long lastSequenceNumber;
 
     EjectionHintReceiver(EjectionHints.FrontEnd frontEnd) {
         this.frontEnd = frontEnd;
     }
 
     /**
-     * Records that a message was received.
+     * Checks that a message is newer than the last one, and records it as received.
      *
-     * @return false if it is outdated or a duplicate
+     * @return false if the message is outdated or a duplicate
      */
     boolean accept(long token, EjectionHintMessage message) {
-        if (token < lastToken || token == lastToken && message.number() <= lastNumber) {
+        if (token < lastToken
+                || token == lastToken && message.sequenceNumber() <= lastSequenceNumber) {
             return false;
         }
         if (token > lastToken) {
             reinstated.clear();
         }
         lastToken = token;
-        lastNumber = message.number();
+        lastSequenceNumber = message.sequenceNumber();
         return true;
     }
 
     /**
-     * Passes an entry on to the front end. That an engine has served is passed on once, however
-     * often it is published: the engine may have failed here since.
+     * Passes an entry to the front end. A reinstatement is passed on only once, although it is
+     * published several times: the local front end may have ejected the engine again in the
+     * meantime.
      */
     void apply(EjectionHintMessage.Entry entry, long now) {
         long engine = entry.engine();
@@ -60,19 +65,23 @@
     }
 
     private void store(long engine, EjectionHintMessage.Entry entry, long now) {
-        if (hints.size() >= EjectionHints.MAX_ENGINES && !hints.containsKey(engine)) {
-            Long oldest = hints.keySet().iterator().next();
-            hints.remove(oldest);
+        if (hintsByEngine.size() >= EjectionHints.MAX_ENGINES
+                && !hintsByEngine.containsKey(engine)) {
+            Long oldest = hintsByEngine.keySet().iterator().next();
+            hintsByEngine.remove(oldest);
         }
-        hints.remove(engine); // So that it is inserted as the newest.
+        hintsByEngine.remove(engine); // Inserts the engine at the end, as the newest.
         long ageNanos = entry.ageMillis() * NANOS_PER_MILLI;
-        hints.put(engine, new ReceivedHint(new EjectionHints.Hint(entry.served(), ageNanos), now));
+        hintsByEngine.put(
+                engine, new ReceivedHint(new EjectionHints.Hint(entry.served(), ageNanos), now));
     }
 
-    /** The last hint for each engine with its present age, newest last. */
+    /** The last hint for each engine with its current age, newest last. */
     Map<Long, EjectionHints.Hint> hints(long now) {
         Map<Long, EjectionHints.Hint> aged = new LinkedHashMap<>();
-        hints.forEach((engine, each) -> aged.put(engine, each.hint.older(now - each.receivedAt)));
+        hintsByEngine.forEach(
+                (engine, received) ->
+                        aged.put(engine, received.hint.agedBy(now - received.receivedAt)));
         return aged;
     }
 }
--- a/src/main/java/calicostream/lease/EjectionHints.java
+++ b/src/main/java/calicostream/lease/EjectionHints.java
@@ -4,61 +4,66 @@
 import java.util.Map;
 
 /**
- * Shares hints on ejected engines among the front ends of the fleet, so that one process probes an
- * ejected engine and the others learn the result. The lease's holder publishes which engines its
- * front end has ejected and probes, and which of them have served since; the others take that as a
- * hint with an age, which moves their own next probe. A hint never makes a front end use or eject
- * an engine, and a process that receives none probes by itself, as without a cluster.
+ * Shares ejection hints among the front ends of the fleet, so that one process probes an ejected
+ * engine and the others use the result. The holder of the lease publishes which engines its front
+ * end has ejected and probes, and which of them have served a query since; the other processes
+ * treat this as an ejection hint with an age, which reschedules their own next probe. A hint never
+ * makes a front end use or eject an engine, and a process that receives no hints probes on its own
+ * schedule, as it does without a cluster.
  *
- * <p>The holder publishes its present view and not changes, so a lost message costs one repeat
- * interval. Confined to the session's thread; no I/O.
+ * <p>The holder publishes its complete current view instead of changes, so a lost message delays a
+ * hint by at most one repeat interval. Confined to the session's thread; no I/O.
  */
 public final class EjectionHints implements LeasedTask {
-    /** The lease under which one process probes. */
+    /** Name of the lease whose holder publishes the hints. */
     public static final String LEASE = "trials";
 
-    /** How often it is published that an engine has served again. */
+    /**
+     * Number of messages that carry the same reinstatement; repeated because messages may be lost.
+     */
     static final int REINSTATEMENT_PUBLICATIONS = 3;
 
-    /** Most engines in one message, and most hints kept. */
+    /** Maximum number of engines in one message, and of hints stored by a receiver. */
     static final int MAX_ENGINES = 1024;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     /**
-     * The last that was heard of an engine elsewhere.
+     * The most recent information about an engine from the holder of the lease.
      *
-     * @param served true: it has served a query since its ejection; false: it is ejected
-     * @param ageNanos least age of that information, in nanoseconds
+     * @param served true: the engine has served a query since its ejection; false: it is ejected
+     * @param ageNanos minimum age of the information, in nanoseconds; the transit time of the
+     *     message is not included
      */
     public record Hint(boolean served, long ageNanos) {
-        Hint older(long nanos) {
+        Hint agedBy(long nanos) {
             return new Hint(served, ageNanos + nanos);
         }
     }
 
     /**
-     * A front end's view of the engines that may be used. Both arrays in ascending order; not
-     * copied.
+     * A front end's view of the ready engines in its endpoint list. Both arrays in ascending order;
+     * not copied.
      *
-     * @param ejected identifiers of engines that receive nothing but probes
-     * @param inUse identifiers of all others
+     * @param ejected identifiers of the engines that receive only probes
+     * @param inUse identifiers of all other engines
      */
     public record EngineView(long[] ejected, long[] inUse) {}
 
     /**
-     * The local front end. Both methods are called on the session's thread and must return at once,
-     * from state in memory.
+     * The local front end. Both methods are called on the session's thread and must return
+     * immediately, using only state in memory.
      */
     public interface FrontEnd {
-        /** The engines as of some moments ago. */
+        /** The current view of the engines; may be slightly stale. */
         EngineView view();
 
         /**
-         * Another process probes the engine, or has had an answer from it. Without effect if the
-         * engine is not ejected here.
+         * Called when the holder of the lease has ejected the engine and probes it, or when the
+         * engine has served a query there. Has no effect if the engine is not ejected at the local
+         * front end.
          *
-         * @param served whether the engine has answered
+         * @param served whether the engine has served a query since its ejection
          */
         void onHint(long engine, boolean served);
     }
@@ -66,7 +71,7 @@
     private final FrontEnd frontEnd;
     private final EjectionHintPublisher publisher = new EjectionHintPublisher();
     private final EjectionHintReceiver receiver;
-    private boolean holding;
+    private boolean holdsLease;
     private long lastUpdateAt;
 
     /**
@@ -84,13 +89,13 @@
 
     @Override
     public void onStarted(FencedActions actions) {
-        holding = true;
+        holdsLease = true;
         publisher.reset();
     }
 
     @Override
     public void onStopped() {
-        holding = false;
+        holdsLease = false;
     }
 
     @Override
@@ -106,7 +111,7 @@
 
     /**
      * @throws calicostream.cluster.ClusterException.Malformed if the payload is not an {@link
-     *     EjectionHintMessage}; the state is unchanged then
+     *     EjectionHintMessage}; the state is then unchanged
      */
     @Override
     public void onAction(long token, byte[] payload, long nowNanos) {
@@ -115,7 +120,7 @@
             return;
         }
         lastUpdateAt = nowNanos;
-        if (!holding) {
+        if (!holdsLease) {
             message.entries().forEach(entry -> receiver.apply(entry, nowNanos));
         }
     }
@@ -130,14 +135,14 @@
         StringBuilder out = new StringBuilder("{\"words\":");
         out.append(publisher.messageCount()).append(",\"hints\":{");
         String separator = "";
-        for (Map.Entry<Long, Hint> each : hints(lastUpdateAt).entrySet()) {
+        for (Map.Entry<Long, Hint> hint : hints(lastUpdateAt).entrySet()) {
             out.append(separator)
                     .append('"')
-                    .append(Long.toHexString(each.getKey()))
+                    .append(Long.toHexString(hint.getKey()))
                     .append("\":{\"served\":")
-                    .append(each.getValue().served())
+                    .append(hint.getValue().served())
                     .append(",\"age_ms\":")
-                    .append(each.getValue().ageNanos() / NANOS_PER_MILLI)
+                    .append(hint.getValue().ageNanos() / NANOS_PER_MILLI)
                     .append('}');
             separator = ",";
         }
--- a/src/main/java/calicostream/lease/FencedActions.java
+++ b/src/main/java/calicostream/lease/FencedActions.java
@@ -10,9 +10,9 @@
 
 /**
  * The actions that a task may take under its lease. There are two kinds: a command in the log,
- * which is rejected where it is applied if its token is outdated, and an action at a {@link
- * FencedResource}, which checks the token itself. The token is not exposed, so that no action can
- * be taken on the strength of a check alone.
+ * which is rejected when it is applied if its token is outdated, and an action at a {@link
+ * FencedResource}, which checks the token itself. The token is not exposed, so that every action
+ * passes through this class and carries the token.
  *
  * <p>Confined to the thread of its {@link LeaseHolder}. The clock is read at each action.
  */
@@ -39,8 +39,8 @@
     }
 
     /**
-     * Creates the command of an action in the log, for a caller that submits it itself. The
-     * command's answer says whether the action was applied.
+     * Creates the log command for an action, for a caller that submits the command itself. The
+     * answer to the command reports whether the action was applied.
      *
      * @return the command, or {@link LeaseRejection.NotHeldLocally}
      */
@@ -55,7 +55,7 @@
      * Submits an action in the log, which all members observe.
      *
      * @param onOutcome called with the command's outcome if it was submitted
-     * @return empty if the command was submitted, else why not
+     * @return empty if the command was submitted; otherwise the reason why it was not
      */
     public Optional<LeaseRejection> submit(byte[] payload, Consumer<CommandOutcome> onOutcome) {
         FencedResult<LeaseCommand.FencedAction> action = createLogCommand(payload);
@@ -70,9 +70,10 @@
      * carries an outdated token.
      *
      * @param targetMachine name of that state machine in the log
-     * @param command makes the command's body with the token, which must not be used elsewhere
+     * @param command creates the command's body from the token, which must not be used for anything
+     *     else
      * @param onOutcome called with the command's outcome if it was submitted
-     * @return empty if the command was submitted, else why not
+     * @return empty if the command was submitted; otherwise the reason why it was not
      */
     public Optional<LeaseRejection> submitTo(
             String targetMachine,
@@ -93,8 +94,8 @@
     }
 
     /**
-     * Whether the lease is held at this moment. Only a hint, useful to skip work that would be
-     * rejected: the lease may have expired before the caller reads the result.
+     * Whether the lease is held now. Use it only to skip work that would be rejected: the lease may
+     * expire before the caller uses the result.
      */
     public boolean isHeld() {
         return holder.mayAct(clock.getAsLong());
@@ -102,7 +103,7 @@
 
     private LeaseRejection notHeld() {
         long token = holder.token();
-        long sinceExpiry = token == 0 ? 0 : holder.nanosSinceExpiry(clock.getAsLong());
-        return new LeaseRejection.NotHeldLocally(holder.name(), token, sinceExpiry);
+        long nanosSinceExpiry = token == 0 ? 0 : holder.nanosSinceExpiry(clock.getAsLong());
+        return new LeaseRejection.NotHeldLocally(holder.name(), token, nanosSinceExpiry);
     }
 }
--- a/src/main/java/calicostream/lease/FencedResource.java
+++ b/src/main/java/calicostream/lease/FencedResource.java
@@ -3,9 +3,9 @@
 
 /**
  * A resource outside of the log that checks fencing tokens. An implementation rejects a token that
- * is lower than the highest it has seen for the lease, and stores the token in the same atomic step
- * as the action. {@link FencingTokenGuard} implements the rule; the implementation adds its lock,
- * its transaction or its single thread.
+ * is lower than the highest token it has accepted for the lease, and stores the token in the same
+ * atomic step as the action. {@link FencingTokenGuard} implements this rule; the implementation
+ * makes the step atomic by a lock, a transaction or a single thread.
  *
  * @param <A> the action
  * @param <R> the action's result
@@ -14,12 +14,13 @@
     /**
      * Executes an action.
      *
-     * @return the action's result, or {@link LeaseRejection.TokenOutdated} if nothing was done
+     * @return the action's result, or {@link LeaseRejection.TokenOutdated} if the action was not
+     *     executed
      */
     FencedResult<R> execute(String lease, long token, A action);
 
     /**
-     * The result of an action, or why nothing was done.
+     * The result of an action, or the reason why it was rejected.
      *
      * @param result null if the action was rejected; may be null if it was completed
      * @param rejection null if the action was completed
--- a/src/main/java/calicostream/lease/FencingTokenGuard.java
+++ b/src/main/java/calicostream/lease/FencingTokenGuard.java
@@ -6,9 +6,10 @@
 import java.util.Optional;
 
 /**
- * Keeps the highest fencing token that a resource has seen for each lease and rejects lower ones.
- * Confined to one thread. The owner must make the check, the stored token and the action one atomic
- * step for every observer; a resource whose actions survive a restart must store its tokens too.
+ * Stores the highest fencing token that a resource has accepted for each lease and rejects lower
+ * tokens. Confined to one thread. To every observer, checking the token, storing it and executing
+ * the action must be one atomic step, which the owner ensures; a resource whose actions survive a
+ * restart must persist its tokens too.
  */
 public class FencingTokenGuard {
     private final Map<String, Long> highestTokens = new HashMap<>();
@@ -27,12 +28,15 @@
         return Optional.empty();
     }
 
-    /** Overridden only to take this safeguard out. */
+    /** Overridden only by model checks and simulations that remove this safeguard. */
     boolean isOutdated(long token, long highest) {
         return token < highest;
     }
 
-    /** The highest token seen; 0 if none. A stored token is restored by {@link #admit}. */
+    /**
+     * The highest token accepted; 0 if none. After a restart, {@link #admit} restores a persisted
+     * token.
+     */
     public long highestToken(String name) {
         return highestTokens.getOrDefault(name, 0L);
     }
--- a/src/main/java/calicostream/lease/Lease.java
+++ b/src/main/java/calicostream/lease/Lease.java
@@ -39,7 +39,7 @@
         sessionEnded = grant.sessionEnded();
     }
 
-    /** Makes {@code next} the holder under a new token. */
+    /** Makes a queued session the holder under a new token. */
     void grantTo(Waiter next, long newToken) {
         session = next.session();
         ttlNanos = next.ttlNanos();
@@ -70,15 +70,15 @@
         return sessionEnded;
     }
 
-    boolean isHeldBy(long candidate) {
-        return session == candidate;
+    boolean isHeldBy(long candidateSession) {
+        return session == candidateSession;
     }
 
-    boolean isHeldBy(long candidate, long candidateToken) {
-        return session == candidate && token == candidateToken;
+    boolean isHeldBy(long candidateSession, long candidateToken) {
+        return session == candidateSession && token == candidateToken;
     }
 
-    /** The queue, first come first served. */
+    /** The queued sessions in the order in which they are granted the lease. */
     List<Waiter> waiters() {
         return waiters;
     }
@@ -88,27 +88,29 @@
         waiters.add(waiter);
     }
 
-    /** Removes a session from the queue; does nothing if it is not in it. */
-    void dequeue(long waiting) {
-        waiters.removeIf(waiter -> waiter.session() == waiting);
+    /** Removes a session from the queue; does nothing if it is not queued. */
+    void dequeue(long queuedSession) {
+        waiters.removeIf(waiter -> waiter.session() == queuedSession);
     }
 
-    /** Removes and returns the first of the queue, which must not be empty. */
+    /** Removes and returns the first session of the queue, which must not be empty. */
     Waiter removeFirst() {
         return waiters.remove(0);
     }
 
     /**
-     * @param position from 1 up, moved to the first position
+     * Moves a queued session to the front of the queue.
+     *
+     * @param position its current position, from 1 up
      */
     void moveToFront(int position) {
         waiters.add(0, waiters.remove(position - 1));
     }
 
     /** Position in the queue from 1 up; 0 if the session is not queued. */
-    int queuePosition(long waiting) {
+    int queuePosition(long queuedSession) {
         for (int i = 0; i < waiters.size(); i++) {
-            if (waiters.get(i).session() == waiting) {
+            if (waiters.get(i).session() == queuedSession) {
                 return i + 1;
             }
         }
--- a/src/main/java/calicostream/lease/LeaseAnswer.java
+++ b/src/main/java/calicostream/lease/LeaseAnswer.java
@@ -8,10 +8,13 @@
  * by a {@link LeaseRejection} instead.
  */
 public sealed interface LeaseAnswer {
-    /** The encoding: a byte with the answer's kind, then its fields. */
+    /** Encodes the answer: one byte for its kind, then its fields. */
     byte[] encode();
 
-    /** The sender holds the lease under this token, for a time to live from its request. */
+    /**
+     * The sender holds the lease under this token, for one time to live from the time of its
+     * request.
+     */
     record Held(long token) implements LeaseAnswer {
         private static final int KIND = 1;
 
@@ -22,9 +25,10 @@
     }
 
     /**
-     * The sender is queued. Its grant will come as an event and must be renewed before it is used.
+     * The sender is queued. Its grant will be announced by an event and must be renewed before it
+     * is used.
      *
-     * @param position 1 for the next
+     * @param position position in the queue; 1 is the next to be granted the lease
      */
     record Queued(int position) implements LeaseAnswer {
         private static final int KIND = 2;
--- a/src/main/java/calicostream/lease/LeaseClient.java
+++ b/src/main/java/calicostream/lease/LeaseClient.java
@@ -10,7 +10,7 @@
 /**
  * Connects the {@link LeaseHolder}s of one process to its session: submits their commands and
  * reports the outcomes. Confined to the session's thread; no I/O of its own. When the session is
- * replaced, all grants of the former session end here.
+ * replaced, the holders drop all grants of the former session.
  */
 public final class LeaseClient {
     private final MemberSession member;
@@ -22,7 +22,7 @@
     /**
      * @param member the process's session
      * @param machine name of the lease state machine in the log
-     * @param clock monotonic time in nanoseconds, the same that the session is given
+     * @param clock monotonic time in nanoseconds; must be the clock that the session uses
      */
     public LeaseClient(MemberSession member, String machine, LongSupplier clock) {
         this.member = member;
@@ -30,7 +30,10 @@
         this.clock = clock;
     }
 
-    /** Adds a lease that this process may want. To be called at most once for each name. */
+    /**
+     * Creates a holder for a lease that this process may acquire. Must be called at most once for
+     * each name.
+     */
     public LeaseHolder add(String name, long ttlNanos) {
         return add(new LeaseHolder(name, ttlNanos, clock.getAsLong()));
     }
@@ -40,12 +43,12 @@
         return holder;
     }
 
-    /** The actions that are possible under the holder's lease. */
+    /** Creates the fenced actions that a task may take under the holder's lease. */
     public FencedActions fencedActions(LeaseHolder holder) {
         return new FencedActions(holder, clock, machine, member::submit);
     }
 
-    /** Submits the commands that are due. To be called as often as the session's own tick. */
+    /** Submits the commands that are due. Must be called as often as the session's own tick. */
     public void tick() {
         long now = clock.getAsLong();
         if (member.sessionId() != session) {
@@ -82,12 +85,12 @@
             default -> throw new IllegalStateException("unknown outcome " + outcome.kind());
         }
         if (outcome.kind() != CommandOutcome.Kind.FAILED) {
-            // The next command must not wait for a tick: in a planned stop there may be none.
+            // The next command is sent now, as no further tick may follow in a planned stop.
             submitNext(holder, now);
         }
     }
 
-    /** Reports an event of the state machine, from a replica or found by a query. */
+    /** Handles an event of the state machine, received from a replica or derived from a query. */
     public void onEvent(LeaseEvent event) {
         boolean concernsSession =
                 event instanceof LeaseEvent.Granted granted
--- a/src/main/java/calicostream/lease/LeaseCommand.java
+++ b/src/main/java/calicostream/lease/LeaseCommand.java
@@ -4,22 +4,23 @@
 import calicostream.cluster.BinaryCodec;
 
 /**
- * Commands of members and of the leader to {@link LeaseStateMachine}, with their encoding as the
- * body of a log command. Immutable. Tokens come from the machine's answers and events alone.
+ * A command of a member or of the leader to {@link LeaseStateMachine}, with its encoding as the
+ * body of a log command. Immutable. Tokens are only ever taken from the state machine's answers and
+ * events.
  */
 public sealed interface LeaseCommand {
     /** The lease that the command concerns; empty for {@link RaiseTokenFloor}. */
     String name();
 
-    /** The encoding: a byte with the command's kind, then its fields. */
+    /** Encodes the command: one byte for its kind, then its fields. */
     byte[] encode();
 
     /**
      * Requests the lease.
      *
      * @param ttlNanos time to live of the grant, in nanoseconds
-     * @param queueIfHeld whether the session queues while another holds the lease; else the command
-     *     is rejected
+     * @param queueIfHeld whether the session is queued if another session holds the lease;
+     *     otherwise the command is rejected
      */
     record Acquire(String name, long ttlNanos, boolean queueIfHeld) implements LeaseCommand {
         private static final int KIND = 1;
@@ -31,8 +32,8 @@
     }
 
     /**
-     * Extends the grant by another time to live; also confirms a grant from the queue, which may be
-     * used only after that.
+     * Extends the grant by another time to live. Also confirms a grant to a queued session, which
+     * must not use the grant before.
      */
     record Renew(String name, long token) implements LeaseCommand {
         private static final int KIND = 2;
@@ -43,7 +44,7 @@
         }
     }
 
-    /** Ends the grant; the sender has stopped acting. */
+    /** Ends the grant. The sender has already stopped acting under it. */
     record Release(String name, long token) implements LeaseCommand {
         private static final int KIND = 3;
 
@@ -53,7 +54,7 @@
         }
     }
 
-    /** Leaves the queue. */
+    /** Removes the sender from the queue. */
     record Withdraw(String name) implements LeaseCommand {
         private static final int KIND = 4;
 
@@ -64,7 +65,7 @@
     }
 
     /**
-     * Ends the grant in favour of a queued session; the sender has stopped acting.
+     * Ends the grant in favour of a queued session. The sender has already stopped acting under it.
      *
      * @param successor the session that is granted the lease next, or {@link #FIRST_WAITER}
      */
@@ -81,8 +82,8 @@
     }
 
     /**
-     * An action of the holder in the log, which all members observe; it is rejected where it is
-     * applied if the token is outdated.
+     * An action that the holder takes in the log and that all members observe. It is rejected when
+     * it is applied if its token is outdated.
      *
      * @param payload defined by the task; not copied
      */
@@ -96,9 +97,10 @@
     }
 
     /**
-     * By the leader alone: ends a grant that has expired, unless it was renewed since.
+     * Ends a grant that has expired, unless it was renewed in the meantime. Sent by the leader
+     * only.
      *
-     * @param renewals how often the grant had been renewed when the leader found it expired
+     * @param renewals number of renewals of the grant when the leader found it expired
      */
     record Expire(String name, long token, long renewals) implements LeaseCommand {
         private static final int KIND = 7;
@@ -110,9 +112,10 @@
     }
 
     /**
-     * By the leader alone, after a state was restored by hand from an older copy.
+     * Raises the lower bound of future tokens after an operator has restored an older copy of the
+     * state. Sent by the leader only.
      *
-     * @param floor all later tokens are greater
+     * @param floor all tokens granted later are greater than this
      */
     record RaiseTokenFloor(long floor) implements LeaseCommand {
         private static final int KIND = 8;
@@ -152,7 +155,7 @@
                                     name(in), in.i64(), in.blob(LeaseLimits.MAX_PAYLOAD_BYTES));
                     case Expire.KIND -> new Expire(name(in), in.i64(), in.i64());
                     case RaiseTokenFloor.KIND -> new RaiseTokenFloor(in.i64());
-                    default -> throw in.malformed("no command has the kind " + kind);
+                    default -> throw in.malformed("unknown command kind " + kind);
                 };
         in.requireEnd();
         return command;
--- a/src/main/java/calicostream/lease/LeaseEvent.java
+++ b/src/main/java/calicostream/lease/LeaseEvent.java
@@ -5,22 +5,25 @@
 import calicostream.cluster.CommandEffects;
 
 /**
- * A change of a lease, published at every replica. Delivery is best effort: an event may be late,
- * lost or duplicated, so it is a notification and never an instruction. Immutable.
+ * A change of a lease, published by every replica. Delivery is best effort: an event may be late,
+ * lost or duplicated, so receivers must not rely on it for correctness. Immutable.
  */
 public sealed interface LeaseEvent {
-    /** The lease. */
+    /** The lease's name. */
     String name();
 
-    /** The fencing token that the event is about. */
+    /** The fencing token of the grant that the event concerns. */
     long token();
 
-    /** The event as the state machine emits it, with the sessions that it is addressed to. */
+    /**
+     * Encodes the event as the state machine emits it, including the sessions that it is addressed
+     * to.
+     */
     CommandEffects.Event encode();
 
     /**
-     * A session was granted the lease. Addressed to that session, which confirms a grant from the
-     * queue by {@link LeaseCommand.Renew}.
+     * A session was granted the lease. Addressed to that session, which confirms the grant with
+     * {@link LeaseCommand.Renew} if it was queued.
      */
     record Granted(String name, long token, long session) implements LeaseEvent {
         private static final String KIND = "lease-granted";
@@ -32,7 +35,7 @@
         }
     }
 
-    /** A grant ended. Addressed to no session; local observers of a replica see it. */
+    /** A grant ended. Not sent to any session; only local observers of a replica receive it. */
     record Ended(String name, long token, EndReason reason) implements LeaseEvent {
         private static final String KIND = "lease-freed";
 
@@ -43,7 +46,7 @@
     }
 
     /**
-     * The holder's action was applied. Addressed to all sessions.
+     * An action of the holder was applied. Addressed to all sessions.
      *
      * @param payload defined by the task; not copied
      */
@@ -57,7 +60,9 @@
         }
     }
 
-    /** Why a grant ended. Encoded by ordinal: the order is part of the format. */
+    /**
+     * Why a grant ended. Encoded by ordinal, so the order of the constants is part of the format.
+     */
     enum EndReason {
         /** The holder released it. */
         RELEASED,
@@ -87,7 +92,7 @@
                     case ActionPerformed.KIND ->
                             new ActionPerformed(
                                     name, token, in.blob(LeaseLimits.MAX_PAYLOAD_BYTES));
-                    default -> throw in.malformed("not a lease event");
+                    default -> throw in.malformed("unknown kind of lease event");
                 };
         in.requireEnd();
         return decoded;
--- a/src/main/java/calicostream/lease/LeaseExpiryMonitor.java
+++ b/src/main/java/calicostream/lease/LeaseExpiryMonitor.java
@@ -8,52 +8,59 @@
 import java.util.Map;
 
 /**
- * Finds expired leases on the leader. Confined to one thread; uses the leader's monotonic time
- * alone. A grant or renewal is measured from when this leader first observed it in its own replica,
- * which is after its holder requested it. What was there when the leader's term began is measured
- * from then, as the former leader may have granted it a moment before. A lease expires after its
- * time to live plus the clock drift bound.
+ * Finds expired leases on the leader. Confined to one thread; uses only the leader's monotonic
+ * clock. A grant or renewal is timed from the moment at which this leader first observed it in its
+ * own replica, which is after the holder requested it. A grant that exists when the leader's term
+ * begins is timed from the beginning of the term, as it may have been made or renewed just before
+ * under the former leader. A lease expires after its time to live plus the clock drift bound.
  *
- * <p>A clock that jumps ahead must not expire anything early: between two checks at most two check
- * periods count as elapsed, and two periods are added to each lease's span. A leader that was
- * paused therefore expires leases late, never early.
+ * <p>A clock that jumps forward must not expire a lease early: at most two check periods are
+ * counted as elapsed between two checks, and two check periods are added to the duration of each
+ * lease. A leader that was paused therefore expires leases late, never early.
  */
 public class LeaseExpiryMonitor implements ExpiryMonitor {
     /**
      * A grant as this leader first observed it.
      *
      * @param token the grant's token
-     * @param renewals how often it was renewed
-     * @param since when it was first observed, later by what the clock has jumped since
+     * @param renewals how often the grant was renewed
+     * @param observedAt time of the first observation, moved forward by all clock jumps since then
      */
-    record ObservedGrant(long token, long renewals, long since) {
+    record ObservedGrant(long token, long renewals, long observedAt) {
         boolean matches(LeaseStateMachine.HeldLease lease) {
             return token == lease.token() && renewals == lease.renewals();
         }
 
-        ObservedGrant shifted(long nanos) {
-            return new ObservedGrant(token, renewals, since + nanos);
+        ObservedGrant shiftedBy(long nanos) {
+            return new ObservedGrant(token, renewals, observedAt + nanos);
         }
     }
 
-    private static final int COUNTED_PERIODS = 2;
+    private static final int MAX_COUNTED_PERIODS = 2;
+
     private final LeaseStateMachine machine;
     private final ClockDriftBound drift;
     private final Map<String, ObservedGrant> observedGrants;
-    private final long maxCountedNanos; // between two checks; 0: unlimited
-    private boolean checked;
+
+    /** Maximum elapsed time that is counted between two checks; 0 is unlimited. */
+    private final long maxCountedNanos;
+
+    private boolean hasChecked;
     private long lastCheckAt;
 
     /**
-     * @param machine this replica's leases
-     * @param periodNanos interval at which {@link #due} is called while this process is not paused
+     * @param machine the lease state machine of this replica
+     * @param periodNanos interval at which {@link #expiredCommands} is called while this process is
+     *     not paused
      */
     public LeaseExpiryMonitor(LeaseStateMachine machine, long periodNanos) {
         this(machine, ClockDriftBound.STANDARD, Map.of(), periodNanos);
     }
 
     /**
-     * @param periodNanos 0: checks are not periodic, and all time that the clock shows counts
+     * @param observedGrants grants observed so far, by lease name
+     * @param periodNanos 0: checks are not periodic, and all time that passes on the clock is
+     *     counted
      */
     LeaseExpiryMonitor(
             LeaseStateMachine machine,
@@ -63,29 +70,30 @@
         this.machine = machine;
         this.drift = drift;
         this.observedGrants = new HashMap<>(observedGrants);
-        maxCountedNanos = COUNTED_PERIODS * periodNanos;
+        maxCountedNanos = MAX_COUNTED_PERIODS * periodNanos;
     }
 
-    /** A copy of what was observed, for model checks. */
+    /** A copy of the observed grants by lease name, for model checks. */
     Map<String, ObservedGrant> observedGrants() {
         return Map.copyOf(observedGrants);
     }
 
     @Override
-    public void epochStarted(long era, long nowNanos) {
+    public void epochStarted(long epoch, long nowNanos) {
         observedGrants.clear();
-        checked = false;
+        hasChecked = false;
         for (LeaseStateMachine.HeldLease lease : machine.heldLeases()) {
-            long since = inheritedSince(nowNanos, lease.ttlNanos());
+            long observedAt = inheritedObservedAt(nowNanos, lease.ttlNanos());
             observedGrants.put(
-                    lease.name(), new ObservedGrant(lease.token(), lease.renewals(), since));
+                    lease.name(), new ObservedGrant(lease.token(), lease.renewals(), observedAt));
         }
     }
 
     /**
-     * From when a grant of a former leader is measured. Overridden only to take this safeguard out.
+     * The time from which a grant that precedes the leader's term is timed. Overridden only by
+     * model checks and simulations that remove this safeguard.
      */
-    long inheritedSince(long nowNanos, long ttlNanos) {
+    long inheritedObservedAt(long nowNanos, long ttlNanos) {
         return nowNanos;
     }
 
@@ -94,14 +102,14 @@
         Map<String, ObservedGrant> previous = new HashMap<>(observedGrants);
         observedGrants.clear();
         long jumpNanos = jumpSinceLastCheck(nowNanos);
-        checked = true;
+        hasChecked = true;
         lastCheckAt = nowNanos;
         List<byte[]> expirations = new ArrayList<>();
         for (LeaseStateMachine.HeldLease lease : machine.heldLeases()) {
             ObservedGrant grant = observe(lease, previous.get(lease.name()), nowNanos, jumpNanos);
             observedGrants.put(lease.name(), grant);
-            long span = drift.longestSpan(lease.ttlNanos()) + maxCountedNanos;
-            if (nowNanos - grant.since >= span) {
+            long durationNanos = drift.maxLocalNanos(lease.ttlNanos()) + maxCountedNanos;
+            if (nowNanos - grant.observedAt >= durationNanos) {
                 expirations.add(
                         new LeaseCommand.Expire(lease.name(), lease.token(), lease.renewals())
                                 .encode());
@@ -111,7 +119,7 @@
     }
 
     private long jumpSinceLastCheck(long nowNanos) {
-        if (!checked || maxCountedNanos <= 0) {
+        if (!hasChecked || maxCountedNanos <= 0) {
             return 0;
         }
         return Math.max(0, nowNanos - lastCheckAt - maxCountedNanos);
@@ -125,6 +133,6 @@
         if (previous == null || !previous.matches(lease)) {
             return new ObservedGrant(lease.token(), lease.renewals(), nowNanos);
         }
-        return jumpNanos > 0 ? previous.shifted(jumpNanos) : previous;
+        return jumpNanos > 0 ? previous.shiftedBy(jumpNanos) : previous;
     }
 }
--- a/src/main/java/calicostream/lease/LeaseHolder.java
+++ b/src/main/java/calicostream/lease/LeaseHolder.java
@@ -2,37 +2,38 @@
 package calicostream.lease;
 
 /**
- * The state machine of one process as candidate for, and holder of, one lease. Confined to one
- * thread; no I/O. Times are the process's own monotonic time in nanoseconds, of which only
- * differences are used.
+ * The local state machine with which one process acquires, renews and releases one lease. Confined
+ * to one thread; no I/O. Times are readings of the process's own monotonic clock in nanoseconds, of
+ * which only differences are used.
  *
  * <p>At most one command is outstanding: {@link #nextRequest} returns it, and exactly one of {@link
  * #onAnswer}, {@link #onRejected} and {@link #onUnknownOutcome} completes it. A grant is valid from
- * the time at which it was requested, for its time to live less the clock drift bound; {@link
- * #mayAct} checks that before each action, so a process that was paused notices it before it acts
- * again. An action that was checked in time and arrives too late is rejected by its fencing token.
+ * the time at which it was requested, for its time to live minus the clock drift bound. {@link
+ * #mayAct} checks this before each action, so a process that was paused detects the expiry before
+ * it acts again. An action that passed the check in time but arrives too late is rejected because
+ * of its fencing token.
  *
- * <p>A grant from the queue was made at a time that this process cannot know: it is confirmed by a
- * renewal first, and is valid from there.
+ * <p>The time of a grant to a queued session is unknown to this process. Such a grant is first
+ * confirmed by a renewal, and is valid from the time of that renewal's request.
  */
 public class LeaseHolder {
     /**
-     * The phases and their transitions.
+     * The phases of a holder and their transitions.
      *
      * <pre>
-     * IDLE        to ACQUIRING   the lease is wanted and the pause after a rejection is over
+     * IDLE        to ACQUIRING   the lease is wanted and the pause after a rejection has elapsed
      * ACQUIRING   to HELD        granted
      *             to WAITING     queued
-     *             to CONFIRMING  granted from the queue, or held already by this session
+     *             to CONFIRMING  granted while queued, or already held by this session
      *             to IDLE        rejected, or the outcome is unknown
      * WAITING     to ACQUIRING   polls its queue position
-     *             to CONFIRMING  granted from the queue
-     *             to IDLE        has withdrawn
+     *             to CONFIRMING  granted while queued
+     *             to IDLE        withdrew from the queue
      * CONFIRMING  to HELD        the renewal was accepted
      * HELD        to RELEASING   expired by the local clock, or the lease is no longer wanted
      * RELEASING   to IDLE        released or transferred
      * any         to IDLE        the session ended, or a command was rejected
-     * any         to RELEASING   granted when it is no longer wanted
+     * any         to RELEASING   granted although it is no longer wanted
      * </pre>
      */
     public enum Phase {
@@ -40,13 +41,13 @@
         IDLE,
         /** A request to acquire the lease is outstanding. */
         ACQUIRING,
-        /** Queued. */
+        /** Queued for the lease. */
         WAITING,
-        /** Granted while it was queued; may act once a renewal is accepted. */
+        /** Granted, but not confirmed; may act once a renewal is accepted. */
         CONFIRMING,
         /** Holds the lease and may act. */
         HELD,
-        /** Has stopped acting and gives the lease back. */
+        /** Has stopped acting and releases the lease. */
         RELEASING
     }
 
@@ -54,20 +55,20 @@
      * A command to send.
      *
      * @param number identifies the command when its outcome is reported
-     * @param command what to send
+     * @param command the command to send
      */
     public record Request(long number, LeaseCommand command) {}
 
-    /** The lease is released rather than transferred. */
+    /** Value of the successor if the lease is released instead of transferred. */
     static final long NO_SUCCESSOR = -1;
 
-    /** Renewals in one time to live, so that two may be lost. */
+    /** Renewals per time to live; with 3, two successive renewals may be lost. */
     private static final int RENEWALS_PER_TTL = 3;
 
-    /** Longest interval between two polls of the queue position, in times to live. */
+    /** Maximum interval between two polls of the queue position, in times to live. */
     private static final int MAX_POLL_INTERVAL_TTLS = 8;
 
-    /** The pause after a rejection is one time to live divided by this. */
+    /** The pause after a rejection is one time to live divided by this number. */
     private static final int REJECTION_PAUSES_PER_TTL = 4;
 
     private final String name;
@@ -85,7 +86,7 @@
     private long successor;
 
     /**
-     * An idle holder that does not want the lease yet.
+     * Creates an idle holder that does not want the lease yet.
      *
      * @param name the lease's name
      * @param ttlNanos time to live, in nanoseconds
@@ -141,28 +142,27 @@
         return phase;
     }
 
-    // ---- What the process wants
-
-    /** The process wants the lease from now on, and queues for it if another holds it. */
+    /** Starts to acquire the lease, and queues for it if another session holds it. */
     public void acquire() {
         wanted = true;
     }
 
-    /** The process stops acting at once and releases what it holds. */
+    /** Stops acting immediately and releases the lease if it is held. */
     public void release() {
-        giveUp(NO_SUCCESSOR);
+        releaseTo(NO_SUCCESSOR);
     }
 
     /**
-     * Planned stop: as {@link #release}, and the given session is granted the lease next.
+     * Like {@link #release}, but the given session is granted the lease next. Used for planned
+     * stops.
      *
      * @param successorSession a queued session, or {@link LeaseCommand.Transfer#FIRST_WAITER}
      */
     public void transfer(long successorSession) {
-        giveUp(successorSession);
+        releaseTo(successorSession);
     }
 
-    private void giveUp(long successorSession) {
+    private void releaseTo(long successorSession) {
         wanted = false;
         successor = successorSession;
         if (phase == Phase.HELD || phase == Phase.CONFIRMING) {
@@ -170,12 +170,10 @@
         }
     }
 
-    // ---- Actions
-
     /**
-     * Whether the process holds the lease now. To be called right before each action. Once it has
-     * returned false for a token it never returns true for it again, also if a renewal is
-     * outstanding: a caller that has stopped must not resume under that token.
+     * Whether the process holds the lease now. Must be called immediately before each action. Once
+     * this method has returned false for a token, it never returns true for that token again, even
+     * if a renewal is outstanding: a caller that has stopped must not resume under the same token.
      */
     public boolean mayAct(long now) {
         if (phase == Phase.HELD && !isValidAt(now)) {
@@ -184,12 +182,12 @@
         return phase == Phase.HELD;
     }
 
-    /** What {@link #mayAct} would return, without a change of state. */
+    /** Returns the same value as {@link #mayAct}, without changing the state. */
     boolean isValidAt(long now) {
         return phase == Phase.HELD && now - validUntil < 0;
     }
 
-    /** The token held, being confirmed or being released; 0 if none. */
+    /** The token that is held, being confirmed or being released; 0 if there is none. */
     long token() {
         return token;
     }
@@ -199,11 +197,9 @@
         return now - validUntil;
     }
 
-    // ---- Commands
-
     /**
-     * Returns the command to send now. Its sender repeats it under the same number until it has an
-     * outcome; repeats are not requested here.
+     * Returns the command to send now. The caller repeats the command under the same number until
+     * its outcome is known; this method does not return it again.
      *
      * @return null if there is nothing to send
      */
@@ -252,15 +248,13 @@
         return new Request(requestNumber, command);
     }
 
-    // ---- Outcomes and events
-
     /**
-     * The command was accepted.
+     * Called when the command was accepted.
      *
-     * @param number of the {@link Request}; an outcome of an earlier one is ignored
+     * @param number number of the {@link Request}; outcomes of earlier requests are ignored
      */
     public void onAnswer(long now, long number, LeaseAnswer answer) {
-        if (!completes(number)) {
+        if (!completesPendingRequest(number)) {
             return;
         }
         if (answer instanceof LeaseAnswer.Held held) {
@@ -274,7 +268,7 @@
 
     private void onHeld(long now, long grantedToken) {
         if (phase == Phase.RELEASING) {
-            return; // The answer to a renewal; the process has stopped acting since.
+            return; // Answers a renewal that was sent before the process stopped acting.
         }
         token = grantedToken;
         if (!wanted || grantedToken <= lastEndedToken) {
@@ -282,7 +276,7 @@
             return;
         }
         long validFrom = validityStart(requestedAt, now);
-        long validFor = drift.shortestSpan(ttlNanos);
+        long validFor = drift.minLocalNanos(ttlNanos);
         phase = Phase.HELD;
         validUntil = validFrom + validFor;
         nextRequestAt = validFrom + validFor / RENEWALS_PER_TTL;
@@ -290,24 +284,25 @@
     }
 
     /**
-     * From when a grant or renewal is valid: from its request, as the answer may be as old as the
-     * lease. Overridden only to take this safeguard out.
+     * The time from which a grant or renewal is valid: its request, as the answer may arrive a
+     * whole time to live later. Overridden only by model checks and simulations that remove this
+     * safeguard.
      */
-    long validityStart(long requested, long answered) {
-        return requested;
+    long validityStart(long requestedTime, long answeredTime) {
+        return requestedTime;
     }
 
     /**
-     * The command was rejected.
+     * Called when the command was rejected.
      *
-     * @param number of the {@link Request}; an outcome of an earlier one is ignored
+     * @param number number of the {@link Request}; outcomes of earlier requests are ignored
      */
     public void onRejected(long now, long number, LeaseRejection rejection) {
-        if (!completes(number)) {
+        if (!completesPendingRequest(number)) {
             return;
         }
         if (rejection instanceof LeaseRejection.AlreadyHeld held && phase != Phase.RELEASING) {
-            confirm(held.token());
+            startConfirming(held.token());
         } else if (rejection instanceof LeaseRejection.AlreadyQueued queued
                 && phase == Phase.ACQUIRING) {
             waitInQueue(now, queued.position());
@@ -319,24 +314,27 @@
     }
 
     /**
-     * It is unknown whether the command was applied, and its sender will not repeat it.
+     * Called when it is unknown whether the command was applied and the caller will not repeat it.
      *
-     * @param number of the {@link Request}; an outcome of an earlier one is ignored
+     * @param number number of the {@link Request}; outcomes of earlier requests are ignored
      */
     public void onUnknownOutcome(long now, long number) {
-        if (completes(number) && phase == Phase.ACQUIRING) {
+        if (completesPendingRequest(number) && phase == Phase.ACQUIRING) {
             phase = Phase.IDLE;
         }
     }
 
-    /** The member's session ended: no command is outstanding, and no grant can be renewed. */
+    /**
+     * Called when the member's session has ended: no command is outstanding any more, and no grant
+     * can be renewed.
+     */
     public void onSessionEnded(long now) {
         becomeIdle(now, 0);
         requestPending = false;
     }
 
     /**
-     * An event says that this process's session was granted the lease.
+     * Called on an event that reports a grant of the lease to this process's session.
      *
      * @param grantedToken the grant's token; ignored if it is outdated
      */
@@ -348,30 +346,30 @@
     }
 
     /**
-     * A pending command asks what the event has answered; its outcome must not be mistaken for the
-     * confirmation, so it is ignored from here on.
+     * Starts to confirm a grant that an event reported. The event supersedes the pending command,
+     * whose outcome must not be mistaken for the confirmation and is ignored from now on.
      */
     void onQueuedGrant(long now, long grantedToken) {
         requestPending = false;
-        confirm(grantedToken);
+        startConfirming(grantedToken);
     }
 
     /**
-     * An event may be lost, and a grant that is not confirmed expires: the queue position is
-     * polled. A candidate with others before it polls less often, or many candidates would fill the
-     * log.
+     * Enters the queue. The queue position is polled, because the event of a grant may be lost and
+     * an unconfirmed grant expires. A session further back in the queue polls less often; otherwise
+     * many queued sessions would fill the log.
      */
     private void waitInQueue(long now, long position) {
         phase = Phase.WAITING;
         nextRequestAt = now + ttlNanos * Math.max(1, Math.min(position, MAX_POLL_INTERVAL_TTLS));
     }
 
-    private void confirm(long grantedToken) {
+    private void startConfirming(long grantedToken) {
         token = grantedToken;
         phase = wanted ? Phase.CONFIRMING : Phase.RELEASING;
     }
 
-    private boolean completes(long number) {
+    private boolean completesPendingRequest(long number) {
         if (!requestPending || number != requestNumber) {
             return false;
         }
--- a/src/main/java/calicostream/lease/LeaseHolderState.java
+++ b/src/main/java/calicostream/lease/LeaseHolderState.java
@@ -4,15 +4,17 @@
 /**
  * The complete state of a {@link LeaseHolder}, for model checks that store and restore it.
  *
- * @param phase current phase
+ * @param phase the current phase
  * @param wanted whether the process wants to hold the lease
- * @param token held, being confirmed or being released; 0 if none
- * @param lastEndedToken greatest token that has ended here: events up to it are outdated
- * @param requestNumber number of the last command
- * @param requestPending whether the last command's outcome is outstanding
- * @param requestedAt when the last command was first sent
- * @param validUntil end of the grant; in {@code IDLE} the end of the pause before the next request
- * @param nextRequestAt when to renew, or to poll the queue position
+ * @param token token that is held, being confirmed or being released; 0 if there is none
+ * @param lastEndedToken greatest token that this process no longer holds; events with this or a
+ *     lower token are outdated
+ * @param requestNumber number of the most recent command
+ * @param requestPending whether the outcome of the most recent command is outstanding
+ * @param requestedAt time at which the most recent command was first sent
+ * @param validUntil time at which the grant expires; in {@code IDLE}, the end of the pause before
+ *     the next request
+ * @param nextRequestAt time of the next renewal, or of the next poll of the queue position
  * @param successor session to transfer the lease to, {@link LeaseCommand.Transfer#FIRST_WAITER}, or
  *     {@link LeaseHolder#NO_SUCCESSOR}
  */
--- a/src/main/java/calicostream/lease/LeaseRejection.java
+++ b/src/main/java/calicostream/lease/LeaseRejection.java
@@ -8,16 +8,16 @@
 import calicostream.errors.OperatorDocumentation;
 
 /**
- * Why {@link LeaseStateMachine}, a {@link LeaseHolder} or a {@link FencedResource} did not do what
- * was requested. Immutable; a value that is returned and never thrown.
+ * Why {@link LeaseStateMachine}, {@link FencedActions} or a {@link FencedResource} rejected a
+ * command or an action. Immutable; a value that is returned and never thrown.
  */
 @OperatorDocumentation(value = "lease.md", prefixes = "lease-")
 public sealed interface LeaseRejection extends OperationalError {
-    /** The lease. */
+    /** The lease's name. */
     String name();
 
-    /** Writes all fields but the name, in the order of the record's components. */
-    void writeNumbers(BinaryCodec.Writer out);
+    /** Writes all fields except the name, in the order of the record's components. */
+    void writeNumericFields(BinaryCodec.Writer out);
 
     @Override
     default ErrorDetails details() {
@@ -38,9 +38,10 @@
     }
 
     /**
-     * The token is not the current holder's: the grant has ended, or was never the sender's.
+     * The sender is not the holder under this token: the grant has ended, or belongs to another
+     * session.
      *
-     * @param holderToken token of the current holder; 0 if nobody holds the lease
+     * @param holderToken token of the current holder; 0 if the lease is not held
      */
     record NotHolder(String name, long token, long holderToken) implements LeaseRejection {
         /** The error code. */
@@ -49,36 +50,43 @@
         @Override
         public String facts() {
             String holder =
-                    holderToken == 0 ? "nobody holds it" : "token " + holderToken + " holds it";
-            return "token " + token + " of lease " + name + " has ended, " + holder;
+                    holderToken == 0
+                            ? "the lease is not held"
+                            : "token " + holderToken + " is the current token";
+            return "token "
+                    + token
+                    + " of lease "
+                    + name
+                    + " is not the sender's current token, "
+                    + holder;
         }
 
         @Override
-        public void writeNumbers(BinaryCodec.Writer out) {
+        public void writeNumericFields(BinaryCodec.Writer out) {
             out.i64(token).i64(holderToken);
         }
     }
 
-    /** The sender's session holds the lease already, under this token. */
+    /** The sender's session already holds the lease under this token. */
     record AlreadyHeld(String name, long token) implements LeaseRejection {
         /** The error code. */
         public static final String CODE = "lease-already-holds";
 
         @Override
         public String facts() {
-            return "the session holds lease " + name + " already, token " + token;
+            return "the session already holds lease " + name + " under token " + token;
         }
 
         @Override
-        public void writeNumbers(BinaryCodec.Writer out) {
+        public void writeNumericFields(BinaryCodec.Writer out) {
             out.i64(token);
         }
     }
 
     /**
-     * The sender's session is queued already.
+     * The sender's session is already queued for the lease.
      *
-     * @param position 1 for the next
+     * @param position position in the queue; 1 is the next to be granted the lease
      */
     record AlreadyQueued(String name, long position) implements LeaseRejection {
         /** The error code. */
@@ -86,27 +94,27 @@
 
         @Override
         public String facts() {
-            return "the session is queued for lease " + name + " already, position " + position;
+            return "the session is already queued for lease " + name + " at position " + position;
         }
 
         @Override
-        public void writeNumbers(BinaryCodec.Writer out) {
+        public void writeNumericFields(BinaryCodec.Writer out) {
             out.i64(position);
         }
     }
 
-    /** Another session holds the lease, and the sender did not ask to be queued. */
+    /** Another session holds the lease, and the sender did not request to be queued. */
     record HeldByOther(String name, long holderToken) implements LeaseRejection {
         /** The error code. */
         public static final String CODE = "lease-is-held";
 
         @Override
         public String facts() {
-            return "lease " + name + " is held under token " + holderToken;
+            return "lease " + name + " is held by another session under token " + holderToken;
         }
 
         @Override
-        public void writeNumbers(BinaryCodec.Writer out) {
+        public void writeNumericFields(BinaryCodec.Writer out) {
             out.i64(holderToken);
         }
     }
@@ -114,7 +122,7 @@
     /**
      * The lease's queue is full.
      *
-     * @param waiterCount number of queued sessions, which is the bound
+     * @param waiterCount number of queued sessions, which is the limit
      */
     record QueueFull(String name, long waiterCount) implements LeaseRejection {
         /** The error code. */
@@ -122,32 +130,32 @@
 
         @Override
         public String facts() {
-            return waiterCount + " sessions are queued for lease " + name + ", the most allowed";
+            return waiterCount + " sessions are queued for lease " + name + ", which is the limit";
         }
 
         @Override
-        public void writeNumbers(BinaryCodec.Writer out) {
+        public void writeNumericFields(BinaryCodec.Writer out) {
             out.i64(waiterCount);
         }
     }
 
-    /** The lease would be one more than are allowed. */
+    /** The maximum number of leases is held already. */
     record TooManyLeases(String name, long maxLeases) implements LeaseRejection {
         /** The error code. */
         public static final String CODE = "lease-too-many";
 
         @Override
         public String facts() {
-            return "lease " + name + " would be one more than the " + maxLeases + " allowed";
+            return "lease " + name + " would exceed the limit of " + maxLeases + " leases";
         }
 
         @Override
-        public void writeNumbers(BinaryCodec.Writer out) {
+        public void writeNumericFields(BinaryCodec.Writer out) {
             out.i64(maxLeases);
         }
     }
 
-    /** The name is empty, or the time to live is out of its bounds (nanoseconds). */
+    /** The name is empty, or the time to live is out of bounds. */
     record InvalidTerms(String name, long ttlNanos, long minTtlNanos, long maxTtlNanos)
             implements LeaseRejection {
         /** The error code. */
@@ -156,21 +164,21 @@
         @Override
         public String facts() {
             return String.format(
-                    "lease '%s' with a time to live of %d ns: the name must not be empty, and the"
-                            + " time to live must be %d to %d ns",
+                    "lease '%s' with a time to live of %d ns is invalid: the name must not be"
+                            + " empty, and the time to live must be from %d to %d ns",
                     name, ttlNanos, minTtlNanos, maxTtlNanos);
         }
 
         @Override
-        public void writeNumbers(BinaryCodec.Writer out) {
+        public void writeNumericFields(BinaryCodec.Writer out) {
             out.i64(ttlNanos).i64(minTtlNanos).i64(maxTtlNanos);
         }
     }
 
     /**
-     * The grant was renewed after the leader had found it expired.
+     * The leader found the grant expired, but it was renewed before the expiry was applied.
      *
-     * @param renewals how often it was renewed in all
+     * @param renewals total number of renewals of the grant
      */
     record RenewedConcurrently(String name, long token, long renewals) implements LeaseRejection {
         /** The error code. */
@@ -179,17 +187,18 @@
         @Override
         public String facts() {
             return String.format(
-                    "lease %s, token %d, was renewed before it could expire, %d times in all",
+                    "lease %s, token %d, was renewed before its expiry was applied; %d renewals in"
+                            + " total",
                     name, token, renewals);
         }
 
         @Override
-        public void writeNumbers(BinaryCodec.Writer out) {
+        public void writeNumericFields(BinaryCodec.Writer out) {
             out.i64(token).i64(renewals);
         }
     }
 
-    /** Nobody is queued, or not the session that was named as successor. */
+    /** No session is queued, or the session named as successor is not. */
     record NoSuccessor(String name, long successor) implements LeaseRejection {
         /** The error code. */
         public static final String CODE = "lease-no-successor";
@@ -197,12 +206,12 @@
         @Override
         public String facts() {
             return successor == LeaseCommand.Transfer.FIRST_WAITER
-                    ? "nobody is queued for lease " + name
+                    ? "no session is queued for lease " + name
                     : "session " + successor + " is not queued for lease " + name;
         }
 
         @Override
-        public void writeNumbers(BinaryCodec.Writer out) {
+        public void writeNumericFields(BinaryCodec.Writer out) {
             out.i64(successor);
         }
     }
@@ -214,16 +223,16 @@
 
         @Override
         public String facts() {
-            return "the session that holds lease " + name + ", token " + token + ", has ended";
+            return "the session that holds lease " + name + " under token " + token + " has ended";
         }
 
         @Override
-        public void writeNumbers(BinaryCodec.Writer out) {
+        public void writeNumericFields(BinaryCodec.Writer out) {
             out.i64(token);
         }
     }
 
-    /** The command is reserved for the leader, or for members' sessions. */
+    /** The command may be sent only by the leader, or only by a member's session. */
     record SenderNotPermitted(String name, long session) implements LeaseRejection {
         /** The error code. */
         public static final String CODE = "lease-not-its-to-say";
@@ -234,12 +243,12 @@
         }
 
         @Override
-        public void writeNumbers(BinaryCodec.Writer out) {
+        public void writeNumericFields(BinaryCodec.Writer out) {
             out.i64(session);
         }
     }
 
-    /** The resource has seen a higher token. */
+    /** The resource has accepted a higher token. */
     record TokenOutdated(String name, long token, long highestToken) implements LeaseRejection {
         /** The error code. */
         public static final String CODE = "lease-token-outdated";
@@ -247,22 +256,23 @@
         @Override
         public String facts() {
             return String.format(
-                    "an action under token %d of lease %s came after one under token %d",
+                    "an action under token %d of lease %s arrived after an action under token %d",
                     token, name, highestToken);
         }
 
         @Override
-        public void writeNumbers(BinaryCodec.Writer out) {
+        public void writeNumericFields(BinaryCodec.Writer out) {
             out.i64(token).i64(highestToken);
         }
     }
 
     /**
-     * By its own clock, or by the answers it had, this process does not hold the lease; nothing was
-     * done.
+     * According to its own clock, or to the answers it received, this process does not hold the
+     * lease. The action was not executed.
      *
-     * @param token that was held; 0 if none
-     * @param nanosSinceExpiry since the grant expired by the local clock; 0 without a token
+     * @param token the token that was held; 0 if there was none
+     * @param nanosSinceExpiry nanoseconds since the grant expired by the local clock; 0 if there
+     *     was no token
      */
     record NotHeldLocally(String name, long token, long nanosSinceExpiry)
             implements LeaseRejection {
@@ -272,22 +282,25 @@
         @Override
         public String facts() {
             return token == 0
-                    ? "lease " + name + " is not held here"
+                    ? "lease " + name + " is not held by this process"
                     : String.format(
-                            "lease %s, token %d, ended here %d ns ago",
+                            "lease %s, token %d, expired by the local clock %d ns ago",
                             name, token, nanosSinceExpiry);
         }
 
         @Override
-        public void writeNumbers(BinaryCodec.Writer out) {
+        public void writeNumericFields(BinaryCodec.Writer out) {
             out.i64(token).i64(nanosSinceExpiry);
         }
     }
 
-    /** The rejection as the state machine answers it: the code, then name and numbers. */
+    /**
+     * Encodes the rejection as the state machine's answer: the code, then the name and the numeric
+     * fields.
+     */
     default CommandEffects toEffects() {
         BinaryCodec.Writer out = new BinaryCodec.Writer().text(name());
-        writeNumbers(out);
+        writeNumericFields(out);
         return CommandEffects.rejected(code(), out.toByteArray());
     }
 
@@ -295,12 +308,12 @@
      * Decodes a rejection.
      *
      * @param code the rejection's {@code CODE}
-     * @param facts the answer that came with it
-     * @throws calicostream.cluster.ClusterException.Malformed if it is not a rejection of a lease
-     *     command
+     * @param response the body of the answer
+     * @throws calicostream.cluster.ClusterException.Malformed if the code or the body is not that
+     *     of a lease rejection
      */
-    static LeaseRejection decode(String code, byte[] facts) {
-        BinaryCodec.Reader in = new BinaryCodec.Reader("refusal " + code, facts);
+    static LeaseRejection decode(String code, byte[] response) {
+        BinaryCodec.Reader in = new BinaryCodec.Reader("refusal " + code, response);
         String name = in.text(LeaseLimits.MAX_NAME_BYTES);
         LeaseRejection decoded =
                 switch (code) {
@@ -318,7 +331,7 @@
                     case SenderNotPermitted.CODE -> new SenderNotPermitted(name, in.i64());
                     case TokenOutdated.CODE -> new TokenOutdated(name, in.i64(), in.i64());
                     case NotHeldLocally.CODE -> new NotHeldLocally(name, in.i64(), in.i64());
-                    default -> throw in.malformed("not a lease rejection");
+                    default -> throw in.malformed("unknown code of a lease rejection");
                 };
         in.requireEnd();
         return decoded;
--- a/src/main/java/calicostream/lease/LeaseRejectionKind.java
+++ b/src/main/java/calicostream/lease/LeaseRejectionKind.java
@@ -5,30 +5,30 @@
 enum LeaseRejectionKind {
     NOT_HOLDER(
             LeaseRejection.NotHolder.CODE,
-            "Nothing, if it is rare: the fence held. Often: the holder stops or is cut off; see"
-                    + " its pauses and links.",
+            "None if rare: a former holder was rejected as intended. If frequent, check the holder"
+                    + " process for long pauses and its network links for failures.",
             LeaseRejection.NotHolder.class),
     ALREADY_HELD(
             LeaseRejection.AlreadyHeld.CODE,
-            "Nothing: the process renews under that token.",
+            "None: the process renews its grant under that token.",
             LeaseRejection.AlreadyHeld.class),
     ALREADY_QUEUED(
             LeaseRejection.AlreadyQueued.CODE,
-            "Nothing: the process keeps its place.",
+            "None: the process keeps its position in the queue.",
             LeaseRejection.AlreadyQueued.class),
     HELD_BY_OTHER(
             LeaseRejection.HeldByOther.CODE,
-            "Nothing: another process does the task.",
+            "None: another process executes the task.",
             LeaseRejection.HeldByOther.class),
     QUEUE_FULL(
             LeaseRejection.QueueFull.CODE,
-            "See whether processes start again and again: each takes a new session and a new"
-                    + " place.",
+            "Check whether processes restart repeatedly: each restart opens a new session and takes"
+                    + " a new queue position.",
             LeaseRejection.QueueFull.class),
     TOO_MANY_LEASES(
             LeaseRejection.TooManyLeases.CODE,
-            "See the names in the figures; a task makes a lease for each of something that is"
-                    + " unbounded.",
+            "Check the names of the leases in the metrics for a task that creates an unbounded"
+                    + " number of leases.",
             LeaseRejection.TooManyLeases.class),
     INVALID_TERMS(
             LeaseRejection.InvalidTerms.CODE,
@@ -36,29 +36,32 @@
             LeaseRejection.InvalidTerms.class),
     RENEWED_CONCURRENTLY(
             LeaseRejection.RenewedConcurrently.CODE,
-            "Nothing: the renewal came before the end, as it should.",
+            "None: the lease was renewed before its expiry was applied.",
             LeaseRejection.RenewedConcurrently.class),
     NO_SUCCESSOR(
             LeaseRejection.NoSuccessor.CODE,
-            "Nothing: the holder releases instead, and the next to ask gets it.",
+            "None: the holder releases the lease instead, and it is granted to the next session"
+                    + " that requests it.",
             LeaseRejection.NoSuccessor.class),
     SESSION_ENDED(
             LeaseRejection.SessionEnded.CODE,
-            "See why the holder was not heard for a session's time: stopped, cut off, or its"
-                    + " clock ran fast.",
+            "Find out why the holder did not renew its session in time: it was stopped or paused, a"
+                    + " link failed, or its clock ran fast.",
             LeaseRejection.SessionEnded.class),
     SENDER_NOT_PERMITTED(
             LeaseRejection.SenderNotPermitted.CODE,
-            "Report it: a process sends what only a leader or only a member may.",
+            "Report a bug: a process sent a command that only the leader, or only a member, may"
+                    + " send.",
             LeaseRejection.SenderNotPermitted.class),
     TOKEN_OUTDATED(
             LeaseRejection.TokenOutdated.CODE,
-            "Nothing: the fence held. Find out why the former holder stopped between its check"
-                    + " and its act.",
+            "None: the resource rejected an outdated token as intended. Find out why the former"
+                    + " holder was paused between its check and its action.",
             LeaseRejection.TokenOutdated.class),
     NOT_HELD_LOCALLY(
             LeaseRejection.NotHeldLocally.CODE,
-            "See why it could not renew: no quorum, a cut link, or a pause of this process.",
+            "Find out why the process could not renew the lease: no quorum, a failed link, or a"
+                    + " pause of this process.",
             LeaseRejection.NotHeldLocally.class);
 
     private final String code;
@@ -92,6 +95,6 @@
                 return kind;
             }
         }
-        throw new IllegalStateException(rejection + " has no code");
+        throw new IllegalStateException(rejection + " has no rejection kind");
     }
 }
--- a/src/main/java/calicostream/lease/LeaseSnapshot.java
+++ b/src/main/java/calicostream/lease/LeaseSnapshot.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 
 /**
- * The binary state-machine snapshot of {@link LeaseStateMachine}, format version 1, which {@code
- * docs/design/lease.md} specifies. Every later version must read it.
+ * The binary snapshot of {@link LeaseStateMachine} in format version 1, specified in {@code
+ * docs/design/lease.md}. Every later version must be able to read it.
  *
  * @param lastToken the greatest token ever granted
  * @param leases the held leases by name
@@ -16,10 +16,10 @@
 record LeaseSnapshot(long lastToken, TreeMap<String, Lease> leases) {
     private static final int VERSION = 1;
 
-    /** Encoded bytes of a waiter. */
+    /** Encoded size of a waiter, in bytes. */
     private static final int WAITER_BYTES = 16;
 
-    /** Encoded bytes of a lease with an empty name and an empty queue. */
+    /** Encoded size of a lease with an empty name and an empty queue, in bytes. */
     private static final int MIN_LEASE_BYTES = 41;
 
     byte[] encode() {
@@ -42,20 +42,22 @@
     }
 
     /**
-     * @throws calicostream.cluster.ClusterException.Malformed if the bytes are no snapshot of
-     *     leases, a name is there twice, or a token is above the last one
+     * @throws calicostream.cluster.ClusterException.Malformed if the bytes are not a lease
+     *     snapshot, a name occurs twice, or a token is greater than the last token
      */
     static LeaseSnapshot decode(byte[] snapshot) {
         BinaryCodec.Reader in = new BinaryCodec.Reader("lease snapshot", snapshot);
         in.requireVersion(VERSION);
         long lastToken = in.i64();
         TreeMap<String, Lease> leases = new TreeMap<>();
-        for (int left = in.count(MIN_LEASE_BYTES); left > 0; left--) {
+        for (int remaining = in.count(MIN_LEASE_BYTES); remaining > 0; remaining--) {
             String name = in.text(LeaseLimits.MAX_NAME_BYTES);
             Lease lease = read(in, name);
             if (lease.token() > lastToken || leases.put(name, lease) != null) {
                 throw in.malformed(
-                        "lease " + name + " is there twice, or its token is above the last one");
+                        "lease "
+                                + name
+                                + " occurs twice, or its token is greater than the last token");
             }
         }
         in.requireEnd();
@@ -69,7 +71,7 @@
         long ttlNanos = in.i64();
         boolean sessionEnded = in.u8() != 0;
         List<Lease.Waiter> waiters = new ArrayList<>();
-        for (int left = in.count(WAITER_BYTES); left > 0; left--) {
+        for (int remaining = in.count(WAITER_BYTES); remaining > 0; remaining--) {
             waiters.add(new Lease.Waiter(in.i64(), in.i64()));
         }
         return new Lease(
--- a/src/main/java/calicostream/lease/LeaseStateMachine.java
+++ b/src/main/java/calicostream/lease/LeaseStateMachine.java
@@ -12,25 +12,25 @@
 
 /**
  * The replicated state machine of all leases: one holder for each name, a first-come-first-served
- * queue of sessions, and one fencing token counter for the whole machine. The counter grows with
- * each grant and never repeats a value, also across snapshots and for leases that were removed in
- * between.
+ * queue of sessions for each name, and one fencing token counter for all names. The counter grows
+ * with each grant and never repeats a value, even across snapshots and for leases that were removed
+ * and granted again.
  *
- * <p>Deterministic: the state depends on the applied commands alone, and no clock is read. A grant
- * ends when its holder releases or transfers it, or by the leader's {@link LeaseCommand.Expire}.
- * The end of a session removes it from all queues, but its grants stay until they expire, because
- * the member may not have learned of the end and may still act.
+ * <p>Deterministic: the state depends only on the applied commands, and no clock is read. A grant
+ * ends when its holder releases or transfers it, or when the leader expires it with {@link
+ * LeaseCommand.Expire}. When a session ends, it is removed from all queues, but its grants remain
+ * until they expire, because the member may not know that its session has ended and may still act.
  *
  * <p>Confined to one thread.
  */
 public class LeaseStateMachine implements StateMachine {
     /**
-     * A lease as it is held now.
+     * The current state of a held lease.
      *
      * @param name the lease's name
      * @param session the holder's session
      * @param token the fencing token of the grant
-     * @param renewals how often the grant was renewed
+     * @param renewals number of renewals of the grant
      * @param ttlNanos time to live in nanoseconds
      * @param sessionEnded whether the holder's session has ended
      * @param waiterCount number of queued sessions
@@ -48,14 +48,14 @@
     private TreeMap<String, Lease> leases = new TreeMap<>();
     private long lastToken;
 
-    /** A machine without leases whose first token is 1. */
+    /** Creates a state machine without leases, whose first token is 1. */
     public LeaseStateMachine() {
         this(0);
     }
 
     /**
-     * @param tokenFloor greatest token that an earlier, lost log may have granted: all tokens of
-     *     this machine are above it. Every replica must be created with the same value
+     * @param tokenFloor greatest token that a former, lost log may have granted; all tokens of this
+     *     state machine are greater. Must be the same at every replica
      */
     public LeaseStateMachine(long tokenFloor) {
         this(LeaseLimits.STANDARD);
@@ -66,8 +66,6 @@
         this.limits = limits;
     }
 
-    // ---- Commands
-
     @Override
     public CommandEffects apply(long index, Command command) {
         LeaseCommand decoded;
@@ -159,7 +157,7 @@
     private CommandEffects withdraw(long session, String name) {
         Lease lease = leases.get(name);
         if (lease != null && lease.isHeldBy(session)) {
-            // The grant was logged before the withdrawal: the sender has a lease to release.
+            // The grant precedes the withdrawal in the log, so the sender must release the lease.
             return new LeaseRejection.AlreadyHeld(name, lease.token()).toEffects();
         }
         if (lease != null) {
@@ -168,7 +166,7 @@
         return done();
     }
 
-    /** The token alone decides: a fenced action may be submitted by any session. */
+    /** Only the token is checked: a fenced action may be submitted by any session. */
     private CommandEffects perform(LeaseCommand.FencedAction command) {
         if (!isHolder(command.name(), command.token())) {
             return notHolder(command.name(), command.token());
@@ -183,7 +181,7 @@
         if (!isCurrentToken(lease, command.token())) {
             return notHolder(command.name(), command.token());
         }
-        if (renewedSince(lease.renewals(), command.renewals())) {
+        if (isRenewedSince(lease.renewals(), command.renewals())) {
             return new LeaseRejection.RenewedConcurrently(
                             command.name(), command.token(), lease.renewals())
                     .toEffects();
@@ -236,26 +234,25 @@
     }
 
     /**
-     * Whether the grant was renewed after the leader found it expired. Overridden only to take this
-     * safeguard out.
+     * Whether the grant was renewed after the leader found it expired. Overridden only by model
+     * checks and simulations that remove this safeguard.
      *
-     * @param renewals of the grant now
-     * @param observed renewals that the leader had seen
+     * @param renewals current number of renewals of the grant
+     * @param observedRenewals number of renewals that the leader had observed
      */
-    boolean renewedSince(long renewals, long observed) {
-        return renewals != observed;
+    boolean isRenewedSince(long renewals, long observedRenewals) {
+        return renewals != observedRenewals;
     }
 
     /**
-     * Whether the end of a session ends its grants at once. It does not, because its member may
-     * still act until they expire. Overridden only to take this safeguard out.
+     * Whether the end of a session ends its grants immediately. False, because the member may act
+     * under them until they expire. Overridden only by model checks and simulations that remove
+     * this safeguard.
      */
     boolean endsGrantsWithSession() {
         return false;
     }
 
-    // ---- Grants
-
     private CommandEffects.Event grant(String name, Lease lease, Lease.Waiter next) {
         lastToken++;
         lease.grantTo(next, lastToken);
@@ -268,7 +265,10 @@
                 grantNext(name, lease, reason).toArray(CommandEffects.Event[]::new));
     }
 
-    /** Ends the current grant and grants the lease to the first of the queue, if there is one. */
+    /**
+     * Ends the current grant and grants the lease to the first session of the queue, if there is
+     * one.
+     */
     private List<CommandEffects.Event> grantNext(
             String name, Lease lease, LeaseEvent.EndReason reason) {
         CommandEffects.Event ended = new LeaseEvent.Ended(name, lease.token(), reason).encode();
@@ -295,11 +295,9 @@
         return new CommandEffects(null, new byte[0], events);
     }
 
-    // ---- Queries
-
     /**
-     * Whether the token is the current holder's. Another state machine of the same log calls it
-     * when it applies a command that carries a token.
+     * Whether the token is that of the current holder. Called by other state machines of the same
+     * log when they apply a command that carries a token.
      */
     public boolean isHolder(String name, long token) {
         return isCurrentToken(leases.get(name), token);
@@ -318,15 +316,16 @@
     }
 
     /**
-     * Answers who holds a lease.
+     * Returns the current grant of a lease.
      *
-     * @param question a lease's name
-     * @return token, session, renewals and number of waiters; all 0 if nobody holds the lease
+     * @param encodedName the lease's name, encoded as text
+     * @return token, session, renewals and number of waiters; all 0 if the lease is not held
      */
     @Override
-    public byte[] query(byte[] question) {
+    public byte[] query(byte[] encodedName) {
         String name =
-                new BinaryCodec.Reader("lease question", question).text(LeaseLimits.MAX_NAME_BYTES);
+                new BinaryCodec.Reader("lease question", encodedName)
+                        .text(LeaseLimits.MAX_NAME_BYTES);
         Lease lease = leases.get(name);
         BinaryCodec.Writer out = new BinaryCodec.Writer();
         if (lease == null) {
@@ -350,8 +349,6 @@
         return CommandEffects.response(new LeaseAnswer.Done().encode());
     }
 
-    // ---- Snapshots
-
     @Override
     public byte[] snapshot() {
         return new LeaseSnapshot(lastToken, leases).encode();
--- a/src/main/java/calicostream/lease/LeasedTaskRunner.java
+++ b/src/main/java/calicostream/lease/LeasedTaskRunner.java
@@ -9,19 +9,19 @@
 import java.util.function.LongSupplier;
 
 /**
- * Runs a process's {@link LeasedTask}s, each while its lease is held here. Confined to the
- * session's thread; no I/O. Calls of {@link LeasedTask#onStarted} and {@link LeasedTask#onStopped}
- * alternate, however often the lease was lost and granted in between.
+ * Runs the {@link LeasedTask}s of one process, each while the process holds its lease. Confined to
+ * the session's thread; no I/O. For each task, calls of {@link LeasedTask#onStarted} and {@link
+ * LeasedTask#onStopped} alternate, even if the lease was lost and granted several times in between.
  */
 public final class LeasedTaskRunner {
     /**
-     * A change of a task's state, for the log.
+     * A change of a task's state, to be logged.
      *
      * @param code {@code lease-held}, {@code lease-lost}, {@code lease-given-back} or {@code
      *     lease-task-failed}
      * @param lease the task's lease
      * @param token the grant's token
-     * @param failure what the task threw; null for all other codes
+     * @param failure exception that the task threw; null for all other codes
      */
     public record TaskEvent(String code, String lease, long token, RuntimeException failure) {}
 
@@ -30,11 +30,12 @@
      *
      * @param task the task
      * @param phase the phase of its lease
-     * @param token held here; 0 if none
-     * @param remainingNanos until the grant expires unless it is renewed; 0 if it is not held
-     * @param heldCount how often this process began to hold the lease
-     * @param lostCount how often it lost the lease, other than by release
-     * @param failureCount how often the task threw
+     * @param token token of the grant that this process holds; 0 if there is none
+     * @param remainingNanos nanoseconds until the grant expires unless it is renewed; 0 if the
+     *     lease is not held
+     * @param heldCount number of times this process started to hold the lease
+     * @param lostCount number of times it lost the lease other than by releasing it
+     * @param failureCount number of exceptions that the task threw
      */
     public record TaskStatus(
             LeasedTask task,
@@ -87,7 +88,7 @@
     /**
      * @param member the process's session
      * @param machine name of the lease state machine in the log
-     * @param clock monotonic time in nanoseconds, the same that the session is given
+     * @param clock monotonic time in nanoseconds; must be the clock that the session uses
      * @param listener called on the session's thread at each change of a task's state
      */
     public LeasedTaskRunner(
@@ -101,20 +102,20 @@
     }
 
     /**
-     * Adds a task, whose lease is requested from now on.
+     * Adds a task and starts to acquire its lease.
      *
-     * @throws IllegalArgumentException if there is a task with the same lease
+     * @throws IllegalArgumentException if another task uses the same lease
      */
     public void add(LeasedTask task, long ttlNanos) {
         if (tasks.stream().anyMatch(state -> state.task.lease().equals(task.lease()))) {
-            throw new IllegalArgumentException("two tasks of lease " + task.lease());
+            throw new IllegalArgumentException("another task already uses lease " + task.lease());
         }
         LeaseHolder holder = client.add(task.lease(), ttlNanos);
         tasks.add(new TaskState(task, ttlNanos, holder, client.fencedActions(holder)));
         holder.acquire();
     }
 
-    /** Starts, steps and stops the tasks. To be called as often as the session's own tick. */
+    /** Starts, steps and stops the tasks. Must be called as often as the session's own tick. */
     public void tick() {
         client.tick();
         for (TaskState state : tasks) {
@@ -133,50 +134,55 @@
         boolean held = state.actions.isHeld();
         if (state.running && (!held || state.runningToken != state.holder.token())) {
             state.lostCount++;
-            stop(state, "lease-lost");
+            stopTask(state, "lease-lost");
         }
         if (held && !state.running) {
             state.running = true;
             state.runningToken = state.holder.token();
             state.heldCount++;
-            publish("lease-held", state, null);
+            notifyListener("lease-held", state, null);
             callTask(state, () -> state.task.onStarted(state.actions));
         }
     }
 
-    private void stop(TaskState state, String code) {
+    private void stopTask(TaskState state, String code) {
         state.running = false;
-        publish(code, state, null);
+        notifyListener(code, state, null);
         callTask(state, state.task::onStopped);
     }
 
-    private void callTask(TaskState state, Runnable call) {
+    private void callTask(TaskState state, Runnable taskCall) {
         try {
-            call.run();
+            taskCall.run();
         } catch (RuntimeException e) {
             state.failureCount++;
-            publish("lease-task-failed", state, e);
+            notifyListener("lease-task-failed", state, e);
             if (state.running) {
-                giveBack(state);
+                stopAndRelease(state);
                 state.pausedAfterFailure = true;
                 state.resumeAt = clock.getAsLong() + state.ttlNanos;
             }
         }
     }
 
-    /** The lease is granted to the first waiter by the same log entry that releases it. */
-    private void giveBack(TaskState state) {
+    /**
+     * Stops the task and releases its lease. The log entry that releases the lease also grants it
+     * to the first waiter.
+     */
+    private void stopAndRelease(TaskState state) {
         if (state.running) {
-            stop(state, "lease-given-back");
+            stopTask(state, "lease-given-back");
         }
         state.holder.release();
     }
 
-    private void publish(String code, TaskState state, RuntimeException failure) {
+    private void notifyListener(String code, TaskState state, RuntimeException failure) {
         listener.accept(new TaskEvent(code, state.task.lease(), state.runningToken, failure));
     }
 
-    /** Reports an event of the lease state machine, from the local replica or the leader. */
+    /**
+     * Handles an event of the lease state machine, received from the local replica or the leader.
+     */
     public void onEvent(CommandEffects.Event event) {
         LeaseEvent decoded = LeaseEvent.decode(event);
         client.onEvent(decoded);
@@ -192,12 +198,12 @@
     }
 
     /**
-     * Planned stop: the tasks stop, and each lease that is held goes to its first waiter. The next
-     * {@link #tick} submits the commands.
+     * Stops all tasks and releases their leases, each of which is granted to its first waiter. Used
+     * for planned stops. The next {@link #tick} submits the commands.
      */
     public void stop() {
         stopping = true;
-        tasks.forEach(this::giveBack);
+        tasks.forEach(this::stopAndRelease);
     }
 
     /** The state of all tasks, in the order in which they were added. */
--- a/src/main/java/calicostream/lease/package-info.java
+++ b/src/main/java/calicostream/lease/package-info.java
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 /**
- * Owns leases for fleet-wide tasks: which process of the fleet may execute a task now, with a
- * monotonic fencing token, decided in one replicated state machine; holder and leader each measure
- * a lease's time beside it. It knows no clock, I/O or transport, and nothing of what the tasks do.
- * Read {@link calicostream.lease.LeaseStateMachine} first, then {@link
- * calicostream.lease.LeaseHolder}.
+ * Leases for fleet-wide tasks: decides which process of the fleet may execute a task, and issues
+ * monotonic fencing tokens. Grants are decided in one replicated state machine; the holder and the
+ * leader each measure the duration of a lease outside of it. The package reads no clock, does no
+ * I/O, and does not depend on what the tasks do. Read {@link calicostream.lease.LeaseStateMachine}
+ * first, then {@link calicostream.lease.LeaseHolder}.
  */
 package calicostream.lease;
--- a/src/main/java/calicostream/lease/process/LeaseService.java
+++ b/src/main/java/calicostream/lease/process/LeaseService.java
@@ -21,8 +21,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leases as a replicated service of a member process, with the tasks that this process runs
- * under them. Confined to the member's thread, except for {@link #add}.
+ * Integrates the lease state machine, and the tasks that this process runs under leases, into a
+ * member process as a replicated service. Confined to the member's thread, except for {@link #add}.
  */
 public final class LeaseService implements ReplicatedService {
     private static final Logger LOG = LoggerFactory.getLogger(LeaseService.class);
@@ -36,9 +36,9 @@
 
     /**
      * @param ttl time to live of all leases
-     * @param heartbeat interval at which a leader checks leases for expiry
-     * @param tokenFloor all tokens are greater: what an earlier cluster may have granted whose log
-     *     is lost
+     * @param heartbeat interval at which the leader checks the leases for expiry
+     * @param tokenFloor greatest token that a former cluster, whose log is lost, may have granted;
+     *     all tokens are greater
      */
     public LeaseService(Duration ttl, Duration heartbeat, long tokenFloor) {
         this.ttl = ttl;
@@ -46,14 +46,12 @@
         expiryMonitor = new LeaseExpiryMonitor(machine, heartbeat.toNanos());
     }
 
-    /** Adds a task. To be called before the member starts. */
+    /** Adds a task. Must be called before the member starts. */
     public void add(LeasedTask task) {
         tasks.add(task);
     }
 
-    /**
-     * The state machine; another machine of the same log asks it whether a token is the holder's.
-     */
+    /** The lease state machine, which other state machines of the same log use to check tokens. */
     @Override
     public LeaseStateMachine stateMachine() {
         return machine;
@@ -105,8 +103,8 @@
     }
 
     /**
-     * JSON with this process's tasks, and all leases as the local replica has them; a member
-     * without a replica reports no leases.
+     * The metrics as JSON: the tasks of this process, and all leases in the state of the local
+     * replica. A member without a replica reports no leases.
      */
     @Override
     public String metricsJson() {
@@ -137,7 +135,7 @@
         return json;
     }
 
-    /** The phase's name in JSON, which operators' tools read: it must not change. */
+    /** The phase's name in JSON. Operators' tools read these names, so they must not change. */
     private static String stateName(LeaseHolder.Phase phase) {
         return switch (phase) {
             case IDLE -> "idle";
--- a/src/main/java/calicostream/lease/process/LeasedTaskProvider.java
+++ b/src/main/java/calicostream/lease/process/LeasedTaskProvider.java
@@ -6,22 +6,22 @@
 import java.util.ServiceLoader;
 
 /**
- * Brings further tasks into a process, so that a test can have a real process act where the test
- * observes it. There are none unless the system property {@link #PROPERTY} names a class that the
- * class path provides as a service of this type. Any thread.
+ * Adds tasks to a process, so that a test can observe the actions of a real process. No tasks are
+ * added unless the system property {@link #PROPERTY} names a class that the class path provides as
+ * a service of this type. May be called from any thread.
  */
 public interface LeasedTaskProvider {
-    /** System property with the fully qualified name of the provider to use. */
+    /** System property that holds the fully qualified class name of the provider to use. */
     String PROPERTY = "calicostream.lease.tasks";
 
-    /** The tasks to run. */
+    /** The tasks to add. */
     List<LeasedTask> tasks();
 
     /**
-     * The tasks of the provider that {@link #PROPERTY} names; empty if it is not set, and then no
-     * service is loaded.
+     * The tasks of the provider that {@link #PROPERTY} names. If the property is not set, the list
+     * is empty and no service is loaded.
      *
-     * @throws IllegalStateException if the class path does not provide that service
+     * @throws IllegalStateException if the class path does not provide the named service
      */
     static List<LeasedTask> configured() {
         String className = System.getProperty(PROPERTY);
--- a/src/measure/java/calicostream/lease/EjectionHintsFleet.java
+++ b/src/measure/java/calicostream/lease/EjectionHintsFleet.java
@@ -13,18 +13,18 @@
 import java.util.stream.IntStream;
 
 /**
- * A simulated fleet of twenty front ends with the product's router, an engine that fails for a
- * minute, and ejection hints or none; in virtual time (microseconds). The fields are read once
- * {@link #of} has returned.
+ * Simulates a fleet of twenty front ends that run the production router, with an engine that fails
+ * for a minute, and with or without ejection hints. Times are virtual, in microseconds. The result
+ * fields are valid once {@link #simulate} has returned.
  */
 final class EjectionHintsFleet {
     static final long SEED = 25;
-    static final int SIZE = 20;
+    static final int FRONT_END_COUNT = 20;
     private static final long HOLDER_TOKEN = 4;
     static final long MICROS_PER_MILLI = 1_000;
     static final long END_MICROS = 75_000 * MICROS_PER_MILLI;
     private static final long FAILED_ENGINE = 3;
-    private static final long RECOVERY_MICROS = 60_000 * MICROS_PER_MILLI;
+    private static final long RECOVERED_AT_MICROS = 60_000 * MICROS_PER_MILLI;
     private static final long MESSAGE_DELAY_MICROS = 30 * MICROS_PER_MILLI;
     private static final String SETTINGS =
             "lanes.count=1\n"
@@ -46,30 +46,31 @@
                     + "rules.warm_up_us=14000000\n";
 
     private final class Process implements EjectionHints.FrontEnd {
-        final GatewayHarness sides = new GatewayHarness(SETTINGS);
+        final GatewayHarness harness = new GatewayHarness(SETTINGS);
         final EjectionHints ejectionHints = new EjectionHints(this);
-        boolean usedAgain;
+        boolean hasUsedEngineAgain;
 
         Process() {
-            sides.start(1, 2, 3, 4, 5, 6);
+            harness.start(1, 2, 3, 4, 5, 6);
         }
 
-        void turn() {
-            sides.time = time;
-            sides.deadlines.run(time);
-            sides.gateway.accept(
+        void runTick() {
+            harness.time = nowMicros;
+            harness.deadlines.run(nowMicros);
+            harness.gateway.accept(
                     IncomingRequest.of(
-                            sides, time, "q", 0, random.nextInt(8), 1_000_000, new byte[0]));
-            while (!sides.sent.isEmpty()) {
-                Attempt each = sides.sent.remove(0);
-                boolean fails = each.engine() == FAILED_ENGINE && time < RECOVERY_MICROS;
+                            harness, nowMicros, "q", 0, random.nextInt(8), 1_000_000, new byte[0]));
+            while (!harness.sent.isEmpty()) {
+                Attempt attempt = harness.sent.remove(0);
+                boolean fails =
+                        attempt.engine() == FAILED_ENGINE && nowMicros < RECOVERED_AT_MICROS;
                 failedQueries += fails ? 1 : 0;
-                if (each.engine() == FAILED_ENGINE && !fails && !usedAgain) {
-                    usedAgain = true;
-                    usedAgainAfterMicros.add(time - RECOVERY_MICROS);
+                if (attempt.engine() == FAILED_ENGINE && !fails && !hasUsedEngineAgain) {
+                    hasUsedEngineAgain = true;
+                    recoveryDelaysMicros.add(nowMicros - RECOVERED_AT_MICROS);
                 }
-                sides.gateway.attemptEnded(
-                        each,
+                harness.gateway.attemptEnded(
+                        attempt,
                         fails ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK,
                         null,
                         new TextResult(new byte[0]));
@@ -79,24 +80,27 @@
         @Override
         public EjectionHints.EngineView view() {
             return new EjectionHints.EngineView(
-                    sides.gateway.readyEngines(true), sides.gateway.readyEngines(false));
+                    harness.gateway.readyEngines(true), harness.gateway.readyEngines(false));
         }
 
         @Override
         public void onHint(long engine, boolean served) {
-            sides.gateway.applyEjectionHint(engine, served);
+            harness.gateway.applyEjectionHint(engine, served);
         }
     }
 
-    private record DelayedMessage(long sentAt, byte[] payload) {}
+    private record DelayedMessage(long sentAtMicros, byte[] payload) {}
 
     private final Random random = new Random(SEED);
-    private long time = 1_000_000;
+    private long nowMicros = 1_000_000;
 
-    /** For each front end that used the engine again: microseconds since its recovery. */
-    final List<Long> usedAgainAfterMicros = new ArrayList<>();
+    /**
+     * For each front end that used the engine again, the time from the engine's recovery to that
+     * use, in microseconds.
+     */
+    final List<Long> recoveryDelaysMicros = new ArrayList<>();
 
-    /** Queries that were sent to the engine while it failed. */
+    /** Number of queries that were sent to the engine while it failed. */
     int failedQueries;
 
     private EjectionHintsFleet() {}
@@ -104,17 +108,18 @@
     /**
      * Runs the simulation.
      *
-     * @param holder index of the front end that holds the lease; -1: a fleet without a cluster
-     * @param diesAt when the holder stops publishing, in microseconds
+     * @param holder index of the front end that holds the lease; -1 for a fleet without a cluster
+     * @param holderStopsAtMicros time at which the holder stops publishing, in microseconds
      */
-    static EjectionHintsFleet of(int holder, long diesAt) {
+    static EjectionHintsFleet simulate(int holder, long holderStopsAtMicros) {
         EjectionHintsFleet fleet = new EjectionHintsFleet();
-        fleet.run(holder, diesAt);
+        fleet.run(holder, holderStopsAtMicros);
         return fleet;
     }
 
-    private void run(int holder, long diesAt) {
-        List<Process> fleet = IntStream.range(0, SIZE).mapToObj(i -> new Process()).toList();
+    private void run(int holder, long holderStopsAtMicros) {
+        List<Process> fleet =
+                IntStream.range(0, FRONT_END_COUNT).mapToObj(i -> new Process()).toList();
         ArrayDeque<DelayedMessage> messages = new ArrayDeque<>();
         LeaseHolder leaseHolder = new LeaseHolder(EjectionHints.LEASE, 3_600_000_000_000L, 0);
         leaseHolder.acquire();
@@ -128,22 +133,25 @@
                         (machine, body, onOutcome) ->
                                 messages.add(
                                         new DelayedMessage(
-                                                time,
+                                                nowMicros,
                                                 ((LeaseCommand.FencedAction)
                                                                 LeaseCommand.decode(body))
                                                         .payload())));
         if (holder >= 0) {
             fleet.get(holder).ejectionHints.onStarted(actions);
         }
-        for (; time < END_MICROS; time += 20 * MICROS_PER_MILLI) {
-            fleet.forEach(Process::turn);
-            if (holder >= 0 && time < diesAt) {
-                fleet.get(holder).ejectionHints.step(actions, time * 1000);
+        for (; nowMicros < END_MICROS; nowMicros += 20 * MICROS_PER_MILLI) {
+            fleet.forEach(Process::runTick);
+            if (holder >= 0 && nowMicros < holderStopsAtMicros) {
+                fleet.get(holder).ejectionHints.step(actions, nowMicros * 1000);
             }
-            while (!messages.isEmpty() && time - messages.peek().sentAt >= MESSAGE_DELAY_MICROS) {
+            while (!messages.isEmpty()
+                    && nowMicros - messages.peek().sentAtMicros >= MESSAGE_DELAY_MICROS) {
                 byte[] message = messages.poll().payload;
                 fleet.forEach(
-                        each -> each.ejectionHints.onAction(HOLDER_TOKEN, message, time * 1000));
+                        process ->
+                                process.ejectionHints.onAction(
+                                        HOLDER_TOKEN, message, nowMicros * 1000));
             }
         }
     }
--- a/src/measure/java/calicostream/lease/EjectionHintsPair.java
+++ b/src/measure/java/calicostream/lease/EjectionHintsPair.java
@@ -6,26 +6,27 @@
 import java.util.TreeSet;
 
 /**
- * Two processes with {@link EjectionHints} in virtual time (nanoseconds): one holds the lease, the
- * other receives each message twice, or not at all. Confined to one thread.
+ * Simulates two processes with {@link EjectionHints} in virtual time (nanoseconds): one holds the
+ * lease, the other receives each message either twice or not at all. Confined to one thread.
  */
 final class EjectionHintsPair {
     static final long NANOS_PER_MILLI = 1_000_000;
     private static final long HOLDER_TOKEN = 4;
     private static final long TICK_NANOS = 50 * NANOS_PER_MILLI;
 
-    /** A front end with the engines 1 to 9, of which some are ejected. */
+    /** A front end with the engines 1 to 9, some of which may be ejected. */
     static final class Process implements EjectionHints.FrontEnd {
         final TreeSet<Long> ejected = new TreeSet<>();
-        final TreeSet<Long> listed = new TreeSet<>(List.of(1L, 2L, 3L, 4L, 5L, 6L, 7L, 8L, 9L));
+        final TreeSet<Long> listedEngines =
+                new TreeSet<>(List.of(1L, 2L, 3L, 4L, 5L, 6L, 7L, 8L, 9L));
         final List<String> receivedHints = new ArrayList<>();
         final EjectionHints ejectionHints = new EjectionHints(this);
 
         @Override
         public EjectionHints.EngineView view() {
             return new EjectionHints.EngineView(
-                    listed.stream().filter(ejected::contains).mapToLong(id -> id).toArray(),
-                    listed.stream()
+                    listedEngines.stream().filter(ejected::contains).mapToLong(id -> id).toArray(),
+                    listedEngines.stream()
                             .filter(id -> !ejected.contains(id))
                             .mapToLong(id -> id)
                             .toArray());
@@ -37,10 +38,10 @@
         }
     }
 
-    long now;
+    long nowNanos;
 
-    /** Whether messages are lost on their way to the receiver. */
-    boolean losesMessages;
+    /** Whether messages to the receiver are lost. */
+    boolean dropsMessages;
 
     final Process holder = new Process();
     final Process receiver = new Process();
@@ -53,7 +54,7 @@
     private final FencedActions actions =
             new FencedActions(
                     leaseHolder,
-                    () -> now,
+                    () -> nowNanos,
                     "lease",
                     (machine, body, onOutcome) ->
                             messages.add(
@@ -64,19 +65,25 @@
     void grantToHolder() {
         leaseHolder.acquire();
         leaseHolder.onAnswer(
-                now, leaseHolder.nextRequest(now).number(), new LeaseAnswer.Held(HOLDER_TOKEN));
+                nowNanos,
+                leaseHolder.nextRequest(nowNanos).number(),
+                new LeaseAnswer.Held(HOLDER_TOKEN));
         holder.ejectionHints.onStarted(actions);
     }
 
-    void pass(long millis) {
-        for (long until = now + millis * NANOS_PER_MILLI; now < until; now += TICK_NANOS) {
-            int before = messages.size();
-            holder.ejectionHints.step(actions, now);
-            for (byte[] message : messages.subList(before, messages.size())) {
-                holder.ejectionHints.onAction(HOLDER_TOKEN, message, now);
-                if (!losesMessages) {
-                    receiver.ejectionHints.onAction(HOLDER_TOKEN, message, now);
-                    receiver.ejectionHints.onAction(HOLDER_TOKEN, message, now); // Duplicated.
+    /** Advances the time, and runs the holder's task and delivers its messages at each tick. */
+    void advance(long millis) {
+        for (long endNanos = nowNanos + millis * NANOS_PER_MILLI;
+                nowNanos < endNanos;
+                nowNanos += TICK_NANOS) {
+            int previousCount = messages.size();
+            holder.ejectionHints.step(actions, nowNanos);
+            for (byte[] message : messages.subList(previousCount, messages.size())) {
+                holder.ejectionHints.onAction(HOLDER_TOKEN, message, nowNanos);
+                if (!dropsMessages) {
+                    // The message is delivered twice, as a duplicate.
+                    receiver.ejectionHints.onAction(HOLDER_TOKEN, message, nowNanos);
+                    receiver.ejectionHints.onAction(HOLDER_TOKEN, message, nowNanos);
                 }
             }
         }
--- a/src/measure/java/calicostream/lease/LeaseComponents.java
+++ b/src/measure/java/calicostream/lease/LeaseComponents.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Creates the product's classes for model checks and simulations, complete or with one safeguard
- * removed. Safeguards of the log are removed by the models themselves.
+ * Creates the production lease classes for model checks and simulations, either complete or with
+ * one safeguard removed. The safeguards of the replicated log are removed by the models themselves.
  */
 final class LeaseComponents {
     private final Mutant removed;
@@ -14,7 +14,7 @@
     private final ClockDriftBound drift;
 
     /**
-     * @param removed the safeguard removed; null: none
+     * @param removed the safeguard to remove; null for none
      */
     LeaseComponents(Mutant removed, LeaseLimits limits, ClockDriftBound drift) {
         this.removed = removed;
@@ -40,9 +40,9 @@
                     }
 
                     @Override
-                    boolean renewedSince(long renewals, long observed) {
+                    boolean isRenewedSince(long renewals, long observedRenewals) {
                         return !isRemoved(Mutant.EXPIRY_WITHOUT_RENEWALS)
-                                && super.renewedSince(renewals, observed);
+                                && super.isRenewedSince(renewals, observedRenewals);
                     }
 
                     @Override
@@ -66,17 +66,17 @@
     LeaseHolder createHolder(String name, long ttl, LeaseHolderState state) {
         return new LeaseHolder(name, ttl, drift, state) {
             @Override
-            long validityStart(long requested, long answered) {
+            long validityStart(long requestedTime, long answeredTime) {
                 return isRemoved(Mutant.EXPIRY_FROM_ANSWER_TIME)
-                        ? answered
-                        : super.validityStart(requested, answered);
+                        ? answeredTime
+                        : super.validityStart(requestedTime, answeredTime);
             }
 
             @Override
             void onQueuedGrant(long now, long token) {
                 super.onQueuedGrant(now, token);
                 if (isRemoved(Mutant.QUEUE_GRANT_NOT_CONFIRMED) && phase() == Phase.CONFIRMING) {
-                    // As if the event were the answer to the renewal.
+                    // Handles the event as if it were the answer to the renewal.
                     Request request = nextRequest(now);
                     onAnswer(now, request.number(), new LeaseAnswer.Held(token));
                 }
@@ -85,19 +85,23 @@
     }
 
     /**
-     * @param period between two checks; 0: checks are not periodic, and the clock does not jump
+     * @param periodNanos interval between two checks; 0 if checks are not periodic and the clock
+     *     does not jump
      */
     LeaseExpiryMonitor createExpiryMonitor(
             LeaseStateMachine machine,
-            Map<String, LeaseExpiryMonitor.ObservedGrant> seen,
-            long period) {
+            Map<String, LeaseExpiryMonitor.ObservedGrant> observedGrants,
+            long periodNanos) {
         return new LeaseExpiryMonitor(
-                machine, drift, seen, isRemoved(Mutant.CLOCK_STEP_COUNTED) ? 0 : period) {
+                machine,
+                drift,
+                observedGrants,
+                isRemoved(Mutant.CLOCK_STEP_COUNTED) ? 0 : periodNanos) {
             @Override
-            long inheritedSince(long now, long ttl) {
+            long inheritedObservedAt(long now, long ttl) {
                 return isRemoved(Mutant.NEW_LEADER_DOES_NOT_WAIT)
-                        ? now - drift.longestSpan(ttl)
-                        : super.inheritedSince(now, ttl);
+                        ? now - drift.maxLocalNanos(ttl)
+                        : super.inheritedObservedAt(now, ttl);
             }
         };
     }
--- a/src/measure/java/calicostream/lease/LeaseHistoryChecker.java
+++ b/src/measure/java/calicostream/lease/LeaseHistoryChecker.java
@@ -12,8 +12,9 @@
 import java.util.Set;
 
 /**
- * Checks the history of the leases in the log, entry by entry as the first replica applies it,
- * against queues of its own and the rules of {@code docs/design/lease.md}.
+ * Checks the history of the leases in the log against the rules of {@code docs/design/lease.md}.
+ * Each entry is checked once, when the first replica applies it, against separately maintained
+ * queues.
  */
 final class LeaseHistoryChecker {
     private final Map<String, List<Long>> queues = new HashMap<>();
@@ -35,7 +36,10 @@
         return grantCount;
     }
 
-    /** Number of grants to the session that had waited longest, or was named as successor. */
+    /**
+     * Number of grants to a queued session: the one that had been queued longest, or the named
+     * successor.
+     */
     int queuedGrantCount() {
         return queuedGrantCount;
     }
@@ -45,9 +49,9 @@
     }
 
     /**
-     * A replica has applied a command.
+     * Called when a replica has applied a command.
      *
-     * @return whether it is the first to apply that entry
+     * @return whether this replica is the first to apply the entry
      */
     boolean onApplied(long index, Command command, CommandEffects effects) {
         if (index <= lastIndex) {
@@ -55,24 +59,26 @@
         }
         lastIndex = index;
         LeaseCommand decoded = LeaseCommand.decode(command.body());
-        if (decoded instanceof LeaseCommand.Transfer t
+        if (decoded instanceof LeaseCommand.Transfer transfer
                 && effects.isAccepted()
-                && t.successor() != 0) {
-            List<Long> queue = queues.get(t.name());
-            queue.remove(t.successor());
-            queue.add(0, t.successor());
+                && transfer.successor() != 0) {
+            List<Long> queue = queues.get(transfer.name());
+            queue.remove(transfer.successor());
+            queue.add(0, transfer.successor());
         }
-        events(command.session(), effects);
+        checkEvents(command.session(), effects);
         if (!effects.isAccepted()) {
             return true;
         }
         if (decoded instanceof LeaseCommand.Withdraw) {
             queues.getOrDefault(decoded.name(), List.of()).remove(command.session());
         } else if (decoded instanceof LeaseCommand.Acquire
-                && LeaseAnswer.decode(effects.response()) instanceof LeaseAnswer.Queued waits) {
-            List<Long> queue = queues.computeIfAbsent(decoded.name(), any -> new ArrayList<>());
+                && LeaseAnswer.decode(effects.response()) instanceof LeaseAnswer.Queued queued) {
+            List<Long> queue = queues.computeIfAbsent(decoded.name(), name -> new ArrayList<>());
             queue.add(command.session());
-            check(waits.position() == queue.size(), "place " + waits.position() + " of " + queue);
+            check(
+                    queued.position() == queue.size(),
+                    "a session was queued at position " + queued.position() + " of " + queue);
         }
         return true;
     }
@@ -83,60 +89,68 @@
         }
         lastIndex = index;
         queues.values().forEach(queue -> queue.remove(session));
-        events(0, effects);
+        checkEvents(0, effects);
         return true;
     }
 
-    private void events(long by, CommandEffects effects) {
-        for (CommandEffects.Event each : effects.events()) {
-            LeaseEvent event = LeaseEvent.decode(each);
+    private void checkEvents(long senderSession, CommandEffects effects) {
+        for (CommandEffects.Event encoded : effects.events()) {
+            LeaseEvent event = LeaseEvent.decode(encoded);
             String name = event.name();
-            if (event instanceof LeaseEvent.Granted g) {
+            if (event instanceof LeaseEvent.Granted granted) {
                 grantCount++;
                 check(
-                        g.token() > lastToken,
-                        "token " + g.token() + " is granted after " + lastToken);
+                        granted.token() > lastToken,
+                        "token " + granted.token() + " is granted after " + lastToken);
                 check(
                         !currentTokens.containsKey(name),
-                        "lease " + name + " is granted under " + g.token() + " and was not free");
+                        "lease "
+                                + name
+                                + " is granted under "
+                                + granted.token()
+                                + " while it is held");
                 List<Long> queue = queues.getOrDefault(name, List.of());
                 if (queue.isEmpty()) {
                     check(
-                            g.session() == by,
+                            granted.session() == senderSession,
                             "lease "
                                     + name
                                     + " is granted to "
-                                    + g.session()
-                                    + ", which did not ask");
+                                    + granted.session()
+                                    + ", which did not request it");
                 } else {
                     queuedGrantCount++;
                     check(
-                            queue.remove(0) == g.session(),
-                            "lease " + name + " is granted to " + g.session() + " before its turn");
+                            queue.remove(0) == granted.session(),
+                            "lease "
+                                    + name
+                                    + " is granted to "
+                                    + granted.session()
+                                    + " before its turn");
                 }
-                lastToken = g.token();
-                currentTokens.put(name, g.token());
-            } else if (event instanceof LeaseEvent.Ended f) {
+                lastToken = granted.token();
+                currentTokens.put(name, granted.token());
+            } else if (event instanceof LeaseEvent.Ended ended) {
                 check(
-                        currentTokens.remove(name, f.token()),
+                        currentTokens.remove(name, ended.token()),
                         "lease "
                                 + name
                                 + " ended under token "
-                                + f.token()
-                                + ", which does not hold it");
-            } else if (event instanceof LeaseEvent.ActionPerformed a) {
+                                + ended.token()
+                                + ", which is not the current token");
+            } else if (event instanceof LeaseEvent.ActionPerformed action) {
                 check(
-                        appliedActions.add(new BinaryCodec.Reader("act", a.payload()).i64()),
+                        appliedActions.add(new BinaryCodec.Reader("act", action.payload()).i64()),
                         "an action is applied twice");
                 check(
-                        a.token() >= lastActionTokens.getOrDefault(name, 0L),
+                        action.token() >= lastActionTokens.getOrDefault(name, 0L),
                         "the log accepts an action of "
                                 + name
                                 + " under token "
-                                + a.token()
-                                + " after one under "
+                                + action.token()
+                                + " after an action under token "
                                 + lastActionTokens.get(name));
-                lastActionTokens.put(name, a.token());
+                lastActionTokens.put(name, action.token());
             }
         }
     }
--- a/src/measure/java/calicostream/lease/LeaseModel.java
+++ b/src/measure/java/calicostream/lease/LeaseModel.java
@@ -9,14 +9,15 @@
 import java.util.List;
 
 /**
- * The model of members that want one lease, a log whose leader changes, and a resource, with every
- * order of messages: commands, answers and events are delayed, duplicated or repeated, and lost if
- * they never arrive or a later one replaces them; a member is paused between its check and its
- * action, clocks run slow or fast, leaders change, sessions end. {@link LeaseStateMachine}, {@link
- * LeaseHolder}, {@link LeaseExpiryMonitor} and {@link FencingTokenGuard} are the product's own.
+ * A model of members that acquire one lease, a log whose leader changes, and a resource, with every
+ * order of messages. Commands, answers and events are delayed, duplicated, repeated, or lost: a
+ * lost message never arrives or is replaced by a later one. A member may be paused between its
+ * check and its action, clocks run slow or fast, leaders change, and sessions end. {@link
+ * LeaseStateMachine}, {@link LeaseHolder}, {@link LeaseExpiryMonitor} and {@link FencingTokenGuard}
+ * are the production classes.
  *
- * <p>{@link LeaseModelInvariants} names what must hold. That no two members hold the lease is
- * checked only where clocks keep to their bound.
+ * <p>{@link LeaseModelInvariants} defines the invariants. That no two members hold the lease at the
+ * same time is checked only if all clocks stay within the clock drift bound.
  */
 public final class LeaseModel implements Model {
     private static final ClockDriftBound DRIFT = new ClockDriftBound(250_000);
@@ -28,7 +29,7 @@
     private final LeaseTransitions log;
 
     /**
-     * @param removed the safeguard removed; null: none
+     * @param removed the safeguard to remove; null for none
      */
     public LeaseModel(LeaseModelBounds bounds, Mutant removed) {
         this.bounds = bounds;
@@ -44,8 +45,8 @@
     @Override
     public List<byte[]> initial() {
         List<byte[]> states = new ArrayList<>();
-        for (int clocks = 0; clocks < bounds.clocks().size(); clocks++) {
-            states.add(LeaseModelState.initial(bounds, clocks).bytes());
+        for (int index = 0; index < bounds.clocks().size(); index++) {
+            states.add(LeaseModelState.initial(bounds, index).bytes());
         }
         return states;
     }
@@ -60,24 +61,24 @@
         LeaseModelState state = new LeaseModelState(bytes);
         LeaseModelInvariants invariants = new LeaseModelInvariants(bounds, components, transitions);
         tick(state, invariants);
-        checkExpiry(state, invariants);
-        completeExpiry(state, invariants);
+        checkForExpiry(state, invariants);
+        loseOrApplyExpiry(state, invariants);
         changeLeader(state, invariants);
         for (int member = 0; member < bounds.members(); member++) {
             new LeaseModelMemberTransitions(bounds, components, log, invariants, state, member)
-                    .report();
+                    .reportAll();
         }
     }
 
     private void tick(LeaseModelState state, LeaseModelInvariants invariants) {
         LeaseModelState next = state.copy();
-        String clocks = bounds.clocks().get(state.clocks());
+        String clocks = bounds.clocks().get(state.clocksIndex());
         for (int member = 0; member < bounds.members(); member++) {
             next.member(member)
                     .advanceClock(unitsPerTick(clocks.charAt(member + 1)), bounds.ttlUnits());
         }
         next.advanceLeaderClock(unitsPerTick(clocks.charAt(0)), expiryUnits());
-        invariants.transition(LeaseModelAction.TICK, 0, 0, next);
+        invariants.reportTransition(LeaseModelAction.TICK, 0, 0, next);
     }
 
     private static int unitsPerTick(char clock) {
@@ -89,38 +90,37 @@
         };
     }
 
-    // ---- Leader
-
-    private void checkExpiry(LeaseModelState state, LeaseModelInvariants invariants) {
+    private void checkForExpiry(LeaseModelState state, LeaseModelInvariants invariants) {
         LeaseModelState next = state.copy();
         LeaseExpiryMonitor monitor = expiryMonitor(state);
         List<byte[]> expirations = monitor.expiredCommands(NOW);
-        store(next, monitor);
+        storeObservedGrant(next, monitor);
         if (!expirations.isEmpty() && !state.hasExpiry()) {
             LeaseCommand.Expire expire =
                     (LeaseCommand.Expire) LeaseCommand.decode(expirations.get(0));
             next.setExpiry(expire.token(), expire.renewals());
         }
-        invariants.transition(LeaseModelAction.CHECK_EXPIRY, 0, 0, next);
+        invariants.reportTransition(LeaseModelAction.CHECK_EXPIRY, 0, 0, next);
     }
 
-    private void completeExpiry(LeaseModelState state, LeaseModelInvariants invariants) {
+    private void loseOrApplyExpiry(LeaseModelState state, LeaseModelInvariants invariants) {
         if (!state.hasExpiry()) {
             return;
         }
-        LeaseModelState lost = state.copy();
-        lost.setExpiry(0, 0);
-        invariants.transition(LeaseModelAction.LOSE_EXPIRY, 0, 0, lost);
-        LeaseModelState applied = lost.copy();
+        LeaseModelState stateAfterLoss = state.copy();
+        stateAfterLoss.setExpiry(0, 0);
+        invariants.reportTransition(LeaseModelAction.LOSE_EXPIRY, 0, 0, stateAfterLoss);
+        LeaseModelState stateAfterExpiry = stateAfterLoss.copy();
         LeaseTransitions.Transition transition =
                 log.apply(
-                        state.machine(),
+                        state.snapshotId(),
                         LEADER_SESSION,
                         LeaseTransitions.EXPIRE,
                         state.expiryToken(),
                         state.expiryRenewals());
-        if (invariants.applied(LeaseModelAction.APPLY_EXPIRY, 0, 0, applied, transition)) {
-            invariants.transition(LeaseModelAction.APPLY_EXPIRY, 0, 0, applied);
+        if (invariants.recordTransition(
+                LeaseModelAction.APPLY_EXPIRY, 0, 0, stateAfterExpiry, transition)) {
+            invariants.reportTransition(LeaseModelAction.APPLY_EXPIRY, 0, 0, stateAfterExpiry);
         }
     }
 
@@ -132,20 +132,20 @@
         next.changeLeader();
         LeaseExpiryMonitor monitor = expiryMonitor(state);
         monitor.epochStarted(1, NOW);
-        store(next, monitor);
-        invariants.transition(LeaseModelAction.CHANGE_LEADER, 0, 0, next);
+        storeObservedGrant(next, monitor);
+        invariants.reportTransition(LeaseModelAction.CHANGE_LEADER, 0, 0, next);
     }
 
     private LeaseExpiryMonitor expiryMonitor(LeaseModelState state) {
         return components.createExpiryMonitor(
-                log.machine(state.machine()), state.observedGrants(), 0);
+                log.machine(state.snapshotId()), state.observedGrants(), 0);
     }
 
-    private void store(LeaseModelState next, LeaseExpiryMonitor monitor) {
+    private void storeObservedGrant(LeaseModelState next, LeaseExpiryMonitor monitor) {
         next.setObservedGrant(monitor.observedGrants().get(LeaseTransitions.LEASE), expiryUnits());
     }
 
     private long expiryUnits() {
-        return components.drift().longestSpan(bounds.ttlUnits());
+        return components.drift().maxLocalNanos(bounds.ttlUnits());
     }
 }
--- a/src/measure/java/calicostream/lease/LeaseModelAction.java
+++ b/src/measure/java/calicostream/lease/LeaseModelAction.java
@@ -2,8 +2,9 @@
 package calicostream.lease;
 
 /**
- * The actions of {@link LeaseModel}, with their numbers for the explorer and their descriptions. An
- * action's number holds its ordinal, the member that it concerns, and one of the member's messages.
+ * The actions of {@link LeaseModel} with their descriptions. The number of an action, by which the
+ * explorer identifies it, is composed of its ordinal, the member that it concerns, and the index of
+ * one of the member's messages.
  */
 enum LeaseModelAction {
     TICK(false, "the clocks tick"),
@@ -18,7 +19,7 @@
     SUBMIT_ACTION(true, " submits an action in the log"),
     RELEASE(true, " stops and releases"),
     TRANSFER(true, " stops and transfers"),
-    ACQUIRE(true, " wants the lease again"),
+    ACQUIRE(true, " starts to acquire the lease again"),
     CHECK_EXPIRY(false, "the leader checks for expired leases"),
     APPLY_EXPIRY(false, "the leader's expiry is applied"),
     LOSE_EXPIRY(false, "the leader's expiry is lost"),
@@ -39,8 +40,8 @@
     }
 
     /**
-     * @param member from 0 up; 0 if the action concerns none
-     * @param message index of the member's message; 0 if the action concerns none
+     * @param member index of the member; 0 if the action concerns no member
+     * @param message index of the member's message; 0 if the action concerns no message
      */
     int number(int member, int message) {
         return ordinal() << ACTION_SHIFT | member << MEMBER_SHIFT | message;
--- a/src/measure/java/calicostream/lease/LeaseModelBounds.java
+++ b/src/measure/java/calicostream/lease/LeaseModelBounds.java
@@ -4,22 +4,22 @@
 import java.util.List;
 
 /**
- * Bounds of {@link LeaseModel}. Immutable; the methods return a copy with one bound changed. A tick
- * is four units of time, of which a slow clock shows three and a fast one five.
+ * Bounds of {@link LeaseModel}. Immutable; each method that sets a bound returns a copy. A tick is
+ * four units of time, during which a slow clock advances by three units and a fast clock by five.
  *
- * @param name name in reports
- * @param members number of members that want the lease
+ * @param name name of the model in reports
+ * @param members number of members that acquire the lease
  * @param ttlUnits time to live, in units of time
- * @param tokens requests are rejected once this token was granted
- * @param renewals most renewals of a grant
- * @param duplicates most commands that are duplicated
- * @param leaderChanges most changes of the leader
- * @param sessionEnds most sessions that end
- * @param resourceActions most actions of each member at the resource
- * @param logActions most actions of each member in the log
- * @param stops most planned stops of each member
- * @param clocks for each initial state, the leaders' clock and then each member's: s slow, f fast,
- *     e exact, 0 standing still
+ * @param tokens once this token is granted, no further commands that acquire the lease are applied
+ * @param renewals maximum number of renewals of a grant
+ * @param duplicates maximum number of duplicated commands
+ * @param leaderChanges maximum number of leader changes
+ * @param sessionEnds maximum number of sessions that end
+ * @param resourceActions maximum number of actions of each member at the resource
+ * @param logActions maximum number of actions of each member in the log
+ * @param stops maximum number of planned stops of each member
+ * @param clocks for each initial state, one letter for the leaders' clock and one for each member's
+ *     clock: s slow, f fast, e exact, 0 stopped
  */
 public record LeaseModelBounds(
         String name,
@@ -35,19 +35,19 @@
         int stops,
         List<String> clocks) {
     /**
-     * A time to live of two ticks, two grants and one more for each waiter, no renewals, and no
-     * faults but clock drift.
+     * Bounds with a time to live of two ticks, no renewals and no faults except clock drift. The
+     * lease can be acquired until token 2 is granted, and is then only granted to queued members.
      */
-    public static LeaseModelBounds of(String name, int members) {
+    public static LeaseModelBounds withoutFaults(String name, int members) {
         return new LeaseModelBounds(name, members, 8, 2, 0, 0, 0, 0, 0, 0, 0, List.of());
     }
 
-    public LeaseModelBounds tokens(int most) {
+    public LeaseModelBounds tokens(int max) {
         return new LeaseModelBounds(
                 name,
                 members,
                 ttlUnits,
-                most,
+                max,
                 renewals,
                 duplicates,
                 leaderChanges,
@@ -58,13 +58,13 @@
                 clocks);
     }
 
-    public LeaseModelBounds renewals(int ofGrant) {
+    public LeaseModelBounds renewals(int maxPerGrant) {
         return new LeaseModelBounds(
                 name,
                 members,
                 ttlUnits,
                 tokens,
-                ofGrant,
+                maxPerGrant,
                 duplicates,
                 leaderChanges,
                 sessionEnds,
@@ -74,14 +74,14 @@
                 clocks);
     }
 
-    public LeaseModelBounds duplicates(int most) {
+    public LeaseModelBounds duplicates(int max) {
         return new LeaseModelBounds(
                 name,
                 members,
                 ttlUnits,
                 tokens,
                 renewals,
-                most,
+                max,
                 leaderChanges,
                 sessionEnds,
                 resourceActions,
@@ -90,7 +90,7 @@
                 clocks);
     }
 
-    public LeaseModelBounds leaderChanges(int most) {
+    public LeaseModelBounds leaderChanges(int max) {
         return new LeaseModelBounds(
                 name,
                 members,
@@ -98,7 +98,7 @@
                 tokens,
                 renewals,
                 duplicates,
-                most,
+                max,
                 sessionEnds,
                 resourceActions,
                 logActions,
@@ -106,7 +106,7 @@
                 clocks);
     }
 
-    public LeaseModelBounds sessionEnds(int most) {
+    public LeaseModelBounds sessionEnds(int max) {
         return new LeaseModelBounds(
                 name,
                 members,
@@ -115,14 +115,14 @@
                 renewals,
                 duplicates,
                 leaderChanges,
-                most,
+                max,
                 resourceActions,
                 logActions,
                 stops,
                 clocks);
     }
 
-    public LeaseModelBounds resourceActions(int ofMember) {
+    public LeaseModelBounds resourceActions(int maxPerMember) {
         return new LeaseModelBounds(
                 name,
                 members,
@@ -132,13 +132,13 @@
                 duplicates,
                 leaderChanges,
                 sessionEnds,
-                ofMember,
+                maxPerMember,
                 logActions,
                 stops,
                 clocks);
     }
 
-    public LeaseModelBounds logActions(int ofMember) {
+    public LeaseModelBounds logActions(int maxPerMember) {
         return new LeaseModelBounds(
                 name,
                 members,
@@ -149,12 +149,12 @@
                 leaderChanges,
                 sessionEnds,
                 resourceActions,
-                ofMember,
+                maxPerMember,
                 stops,
                 clocks);
     }
 
-    public LeaseModelBounds stops(int ofMember) {
+    public LeaseModelBounds stops(int maxPerMember) {
         return new LeaseModelBounds(
                 name,
                 members,
@@ -166,11 +166,11 @@
                 sessionEnds,
                 resourceActions,
                 logActions,
-                ofMember,
+                maxPerMember,
                 clocks);
     }
 
-    public LeaseModelBounds clocks(String... each) {
+    public LeaseModelBounds clocks(String... perInitialState) {
         return new LeaseModelBounds(
                 name,
                 members,
@@ -183,10 +183,10 @@
                 resourceActions,
                 logActions,
                 stops,
-                List.of(each));
+                List.of(perInitialState));
     }
 
-    boolean clocksKeepTheirBound() {
-        return clocks.stream().allMatch(each -> each.indexOf('0') < 0);
+    boolean areClocksWithinDriftBound() {
+        return clocks.stream().allMatch(clocksOfState -> clocksOfState.indexOf('0') < 0);
     }
 }
--- a/src/measure/java/calicostream/lease/LeaseModelInvariants.java
+++ b/src/measure/java/calicostream/lease/LeaseModelInvariants.java
@@ -5,8 +5,9 @@
 
 /**
  * Reports the transitions from one state of {@link LeaseModel} and checks the invariants on them:
- * tokens grow, the log and the resource accept actions in the order of tokens, the log accepts none
- * twice, and by their own clocks no two members hold the lease.
+ * each granted token is greater than the last, the log and the resource accept actions in the order
+ * of their tokens, the log accepts no action twice, and no two members hold the lease at the same
+ * time according to their own clocks.
  */
 final class LeaseModelInvariants {
     private final LeaseModelBounds bounds;
@@ -20,37 +21,38 @@
         this.transitions = transitions;
     }
 
-    /** Reports a transition, and the violation if it leads to two holders. */
-    void transition(LeaseModelAction action, int member, int message, LeaseModelState next) {
+    /** Reports a transition, and a violation if it leads to a state with several holders. */
+    void reportTransition(LeaseModelAction action, int member, int message, LeaseModelState next) {
         int number = action.number(member, message);
         transitions.to(number, next.bytes());
         int holders = 0;
-        for (int each = 0; each < bounds.members(); each++) {
-            LeaseModelMember candidate = next.member(each);
+        for (int candidateIndex = 0; candidateIndex < bounds.members(); candidateIndex++) {
+            LeaseModelMember candidate = next.member(candidateIndex);
             if (candidate.isHeld()
                     && candidate
-                            .holder(components, bounds.ttlUnits())
+                            .createHolder(components, bounds.ttlUnits())
                             .isValidAt(LeaseModelMember.NOW)) {
                 holders++;
             }
         }
-        if (holders > 1 && bounds.clocksKeepTheirBound()) {
-            transitions.violation(number, holders + " members hold the lease by their clocks");
+        if (holders > 1 && bounds.areClocksWithinDriftBound()) {
+            transitions.violation(
+                    number, holders + " members hold the lease according to their clocks");
         }
     }
 
     /**
-     * Takes over what a command did to the lease.
+     * Records the effect of a command on the lease in the next state.
      *
-     * @return false if it violates an invariant
+     * @return false if an invariant is violated
      */
-    boolean applied(
+    boolean recordTransition(
             LeaseModelAction action,
             int member,
             int message,
             LeaseModelState next,
             LeaseTransitions.Transition transition) {
-        next.setMachine(transition.next());
+        next.setSnapshotId(transition.next());
         byte token = transition.grantedToken();
         if (token == 0) {
             return true;
@@ -69,12 +71,13 @@
     /**
      * Records an action that the log accepted.
      *
-     * @param bit identifies the action
-     * @return false if it violates an invariant
+     * @param actionBit bit that identifies the action
+     * @return false if an invariant is violated
      */
-    boolean actionApplied(int member, int message, LeaseModelState next, byte bit, byte token) {
+    boolean recordLogAction(
+            int member, int message, LeaseModelState next, byte actionBit, byte token) {
         int number = LeaseModelAction.APPLY.number(member, message);
-        if (next.isActionApplied(bit)) {
+        if (next.isActionApplied(actionBit)) {
             transitions.violation(
                     number, "an action of member " + (member + 1) + " is applied twice");
             return false;
@@ -84,22 +87,25 @@
                     number,
                     "the log accepts an action under token "
                             + token
-                            + " after one under "
+                            + " after an action under token "
                             + next.logToken());
             return false;
         }
-        next.setActionApplied(bit, token);
+        next.setActionApplied(actionBit, token);
         return true;
     }
 
-    /** The resource accepted an action under that token. */
-    void actionExecuted(int member, byte token, byte highestToken) {
+    /**
+     * Checks an action that the resource accepted, and reports a violation if its token is
+     * outdated.
+     */
+    void checkResourceAction(int member, byte token, byte highestToken) {
         if (token < highestToken) {
             transitions.violation(
                     LeaseModelAction.EXECUTE.number(member, 0),
                     "the resource accepts an action under token "
                             + token
-                            + " after one under "
+                            + " after an action under token "
                             + highestToken);
         }
     }
--- a/src/measure/java/calicostream/lease/LeaseModelMember.java
+++ b/src/measure/java/calicostream/lease/LeaseModelMember.java
@@ -5,54 +5,55 @@
 
 /**
  * Typed access to one member's bytes in a {@link LeaseModelState}: its holder, its session, and its
- * messages under way. A view; writes change the state that it was taken from. Times are stored as
- * distances from the present by the member's own clock, so that states recur and are finitely many.
+ * messages in transit. This is a view; writes change the underlying state. Times are stored as
+ * distances from the current time of the member's own clock, so that equivalent situations are
+ * equal states and the number of states is finite.
  */
 final class LeaseModelMember {
-    /** Commands of one member that may be under way at a time. */
-    static final int COPIES = 2;
+    /** Maximum number of copies of a member's commands that are in transit at the same time. */
+    static final int MAX_COPIES = 2;
 
     /** The session is alive. */
     static final int SESSION_ALIVE = 0;
 
-    /** The session has ended, and the member has not learned of it. */
+    /** The session has ended, and the member does not know it yet. */
     static final int SESSION_ENDED = 1;
 
-    /** The session has ended, and the member knows. */
+    /** The session has ended, and the member knows it. */
     static final int SESSION_END_KNOWN = 2;
 
-    /** What every clock shows when a class of the product is called. */
+    /** The time on every clock when a production class is called. */
     static final long NOW = 1_000_000;
 
-    /** The number of a member's last command. */
+    /** The request number of each member's most recent command. */
     static final int REQUEST_NUMBER = 10;
 
-    // Offsets of the holder's state.
+    // Offsets of the holder's fields.
     private static final int PHASE = 0;
     private static final int WANTED = 1;
     private static final int TOKEN = 2;
     private static final int LAST_ENDED_TOKEN = 3;
-    private static final int REQUESTED_AGO = 4;
-    private static final int VALID_FOR = 5;
-    private static final int NEXT_REQUEST_IN = 6;
+    private static final int SINCE_REQUEST = 4;
+    private static final int UNTIL_EXPIRY = 5;
+    private static final int UNTIL_NEXT_REQUEST = 6;
     private static final int SUCCESSOR = 7;
 
-    // Offsets of messages.
-    private static final int COMMAND = 8; // without outcome: kind, token
-    private static final int COPIES_AT = 10; // of commands under way: kind, token, outdated
+    // Offsets of the messages. The comments list the bytes of multi-byte fields.
+    private static final int COMMAND = 8; // outstanding command: kind, token
+    private static final int COPIES = 10; // commands in transit, each: kind, token, outdated
     private static final int COPY_BYTES = 3;
-    private static final int APPLIED = 16; // 1 if the command was; its answer: kind, token
-    private static final int ANSWER = 19; // under way: kind, token
-    private static final int GRANT_EVENT = 21; // under way: token
+    private static final int APPLIED_ANSWER = 16; // outstanding command: 1 if applied, kind, token
+    private static final int ANSWER = 19; // answer in transit: kind, token
+    private static final int GRANT_EVENT = 21; // token of the grant event in transit
 
-    // Offsets of the rest.
+    // Offsets of the session and of the remaining actions.
     private static final int SESSION = 22;
-    private static final int CHECKED_TOKEN = 23; // of an action that is under way to the resource
+    private static final int CHECKED_TOKEN = 23; // token of an action in transit to the resource
     private static final int RESOURCE_ACTIONS_LEFT = 24;
     private static final int LOG_ACTIONS_LEFT = 25;
     private static final int STOPS_LEFT = 26;
 
-    /** Bytes of one member. */
+    /** Number of bytes of one member. */
     static final int BYTES = 27;
 
     private final byte[] bytes;
@@ -79,8 +80,6 @@
         set(STOPS_LEFT, bounds.stops());
     }
 
-    // ---- Holder
-
     Phase phase() {
         return Phase.values()[get(PHASE)];
     }
@@ -101,8 +100,8 @@
         return get(TOKEN);
     }
 
-    /** The product's holder in this state. */
-    LeaseHolder holder(LeaseComponents components, long ttlUnits) {
+    /** Creates the production holder in this state. */
+    LeaseHolder createHolder(LeaseComponents components, long ttlUnits) {
         return components.createHolder(
                 LeaseTransitions.LEASE,
                 ttlUnits,
@@ -113,14 +112,17 @@
                         get(LAST_ENDED_TOKEN),
                         REQUEST_NUMBER,
                         isHolderCommandPending(),
-                        NOW - get(REQUESTED_AGO),
-                        NOW + get(VALID_FOR),
-                        NOW + get(NEXT_REQUEST_IN),
+                        NOW - get(SINCE_REQUEST),
+                        NOW + get(UNTIL_EXPIRY),
+                        NOW + get(UNTIL_NEXT_REQUEST),
                         get(SUCCESSOR)));
     }
 
-    /** Stores a holder's state, and of its times only those that can still matter. */
-    void store(LeaseHolder holder, long ttlUnits) {
+    /**
+     * Stores a holder's state. Times that its phase does not use are stored as 0, which reduces the
+     * number of states.
+     */
+    void storeHolder(LeaseHolder holder, long ttlUnits) {
         LeaseHolderState state = holder.state();
         Phase phase = state.phase();
         boolean pending = state.requestPending();
@@ -130,9 +132,9 @@
         set(WANTED, state.wanted() ? 1 : 0);
         set(TOKEN, state.token());
         set(LAST_ENDED_TOKEN, state.lastEndedToken());
-        set(REQUESTED_AGO, pending ? Math.min(ttlUnits, NOW - state.requestedAt()) : 0);
-        set(VALID_FOR, usesValidity ? Math.max(0, state.validUntil() - NOW) : 0);
-        set(NEXT_REQUEST_IN, usesNextRequest ? Math.max(0, state.nextRequestAt() - NOW) : 0);
+        set(SINCE_REQUEST, pending ? Math.min(ttlUnits, NOW - state.requestedAt()) : 0);
+        set(UNTIL_EXPIRY, usesValidity ? Math.max(0, state.validUntil() - NOW) : 0);
+        set(UNTIL_NEXT_REQUEST, usesNextRequest ? Math.max(0, state.nextRequestAt() - NOW) : 0);
         set(SUCCESSOR, state.successor());
         if (!pending && isHolderCommandPending()) {
             clearCommand();
@@ -142,14 +144,12 @@
     /** Advances the member's clock. */
     void advanceClock(int units, long ttlUnits) {
         if (isHolderCommandPending()) {
-            set(REQUESTED_AGO, Math.min(ttlUnits, get(REQUESTED_AGO) + units));
+            set(SINCE_REQUEST, Math.min(ttlUnits, get(SINCE_REQUEST) + units));
         }
-        set(VALID_FOR, Math.max(0, get(VALID_FOR) - units));
-        set(NEXT_REQUEST_IN, Math.max(0, get(NEXT_REQUEST_IN) - units));
+        set(UNTIL_EXPIRY, Math.max(0, get(UNTIL_EXPIRY) - units));
+        set(UNTIL_NEXT_REQUEST, Math.max(0, get(UNTIL_NEXT_REQUEST) - units));
     }
 
-    // ---- Commands and answers
-
     /** Kind of the command whose outcome is outstanding; 0 if there is none. */
     byte commandKind() {
         return get(COMMAND);
@@ -174,59 +174,59 @@
 
     /** Whether the outstanding command is the holder's own, and not an action in the log. */
     private boolean isHolderCommandPending() {
-        return hasCommand() && commandKind() != LeaseTransitions.ACT;
+        return hasCommand() && commandKind() != LeaseTransitions.FENCED_ACTION;
     }
 
-    /** Kind of a command under way; 0 if there is none at that index. */
+    /** Kind of a command in transit; 0 if there is none at the index. */
     byte copyKind(int index) {
-        return get(COPIES_AT + index * COPY_BYTES);
+        return get(COPIES + index * COPY_BYTES);
     }
 
     byte copyToken(int index) {
-        return get(COPIES_AT + index * COPY_BYTES + 1);
+        return get(COPIES + index * COPY_BYTES + 1);
     }
 
-    /** Whether a command under way has the number of an earlier command. */
+    /** Whether a command in transit is a copy of an earlier command. */
     boolean isCopyOutdated(int index) {
-        return get(COPIES_AT + index * COPY_BYTES + 2) != 0;
+        return get(COPIES + index * COPY_BYTES + 2) != 0;
     }
 
     void setCopy(int index, byte kind, byte token, boolean outdated) {
-        set(COPIES_AT + index * COPY_BYTES, kind);
-        set(COPIES_AT + index * COPY_BYTES + 1, token);
-        set(COPIES_AT + index * COPY_BYTES + 2, outdated ? 1 : 0);
+        set(COPIES + index * COPY_BYTES, kind);
+        set(COPIES + index * COPY_BYTES + 1, token);
+        set(COPIES + index * COPY_BYTES + 2, outdated ? 1 : 0);
     }
 
     void clearCopy(int index) {
         setCopy(index, (byte) 0, (byte) 0, false);
     }
 
-    /** Whether the outstanding command was applied, and its answer is stored in the session. */
-    boolean isApplied() {
-        return get(APPLIED) != 0;
+    /** Whether the outstanding command was applied, and the session has stored its answer. */
+    boolean isCommandApplied() {
+        return get(APPLIED_ANSWER) != 0;
     }
 
     byte appliedAnswer() {
-        return get(APPLIED + 1);
+        return get(APPLIED_ANSWER + 1);
     }
 
     byte appliedAnswerToken() {
-        return get(APPLIED + 2);
+        return get(APPLIED_ANSWER + 2);
     }
 
     void setApplied(byte answer, byte answerToken) {
-        set(APPLIED, 1);
-        set(APPLIED + 1, answer);
-        set(APPLIED + 2, answerToken);
+        set(APPLIED_ANSWER, 1);
+        set(APPLIED_ANSWER + 1, answer);
+        set(APPLIED_ANSWER + 2, answerToken);
     }
 
     void clearApplied() {
-        set(APPLIED, 0);
-        set(APPLIED + 1, 0);
-        set(APPLIED + 2, 0);
+        set(APPLIED_ANSWER, 0);
+        set(APPLIED_ANSWER + 1, 0);
+        set(APPLIED_ANSWER + 2, 0);
     }
 
-    /** Kind of the answer under way; 0 if there is none. */
+    /** Kind of the answer in transit; 0 if there is none. */
     byte answer() {
         return get(ANSWER);
     }
@@ -244,7 +244,7 @@
         setAnswer((byte) 0, (byte) 0);
     }
 
-    /** Token of the grant event under way; 0 if there is none. */
+    /** Token of the grant event in transit; 0 if there is none. */
     byte grantEvent() {
         return get(GRANT_EVENT);
     }
@@ -253,8 +253,6 @@
         set(GRANT_EVENT, token);
     }
 
-    // ---- Session and actions
-
     int session() {
         return get(SESSION);
     }
@@ -263,7 +261,10 @@
         set(SESSION, session);
     }
 
-    /** Token of the action that was checked and has not reached the resource; 0 if none. */
+    /**
+     * Token of the action that passed the holder's check and is in transit to the resource; 0 if
+     * there is none.
+     */
     byte checkedToken() {
         return get(CHECKED_TOKEN);
     }
@@ -276,7 +277,7 @@
         return get(RESOURCE_ACTIONS_LEFT);
     }
 
-    void useResourceAction() {
+    void consumeResourceAction() {
         set(RESOURCE_ACTIONS_LEFT, get(RESOURCE_ACTIONS_LEFT) - 1);
     }
 
@@ -284,7 +285,7 @@
         return get(LOG_ACTIONS_LEFT);
     }
 
-    void useLogAction() {
+    void consumeLogAction() {
         set(LOG_ACTIONS_LEFT, get(LOG_ACTIONS_LEFT) - 1);
     }
 
@@ -292,7 +293,7 @@
         return get(STOPS_LEFT);
     }
 
-    void useStop() {
+    void consumeStop() {
         set(STOPS_LEFT, get(STOPS_LEFT) - 1);
     }
 }
--- a/src/measure/java/calicostream/lease/LeaseModelMemberTransitions.java
+++ b/src/measure/java/calicostream/lease/LeaseModelMemberTransitions.java
@@ -5,7 +5,7 @@
 
 import calicostream.prove.Mutant;
 
-/** The transitions of one member from one state of {@link LeaseModel}. */
+/** Reports the transitions of one member from one state of {@link LeaseModel}. */
 final class LeaseModelMemberTransitions {
     private static final byte NONE = 0;
 
@@ -14,7 +14,7 @@
     private final LeaseTransitions log;
     private final LeaseModelInvariants invariants;
     private final LeaseModelState state;
-    private final int index;
+    private final int memberIndex;
     private final LeaseModelMember member;
 
     LeaseModelMemberTransitions(
@@ -23,18 +23,18 @@
             LeaseTransitions log,
             LeaseModelInvariants invariants,
             LeaseModelState state,
-            int index) {
+            int memberIndex) {
         this.bounds = bounds;
         this.components = components;
         this.log = log;
         this.invariants = invariants;
         this.state = state;
-        this.index = index;
-        member = state.member(index);
+        this.memberIndex = memberIndex;
+        member = state.member(memberIndex);
     }
 
-    /** Reports all of them. */
-    void report() {
+    /** Reports all transitions of the member. */
+    void reportAll() {
         send();
         deliverCommands();
         receiveAnswer();
@@ -45,53 +45,53 @@
         endSession();
     }
 
-    private LeaseHolder holder() {
-        return member.holder(components, bounds.ttlUnits());
+    private LeaseHolder createHolder() {
+        return member.createHolder(components, bounds.ttlUnits());
     }
 
-    private void to(LeaseModelAction action, LeaseModelState next) {
-        invariants.transition(action, index, 0, next);
+    private void report(LeaseModelAction action, LeaseModelState next) {
+        invariants.reportTransition(action, memberIndex, 0, next);
     }
 
-    /** Reports the transition after which the member's holder is the one given. */
-    private void to(LeaseModelAction action, LeaseModelState next, LeaseHolder holder) {
-        next.member(index).store(holder, bounds.ttlUnits());
-        to(action, next);
+    /**
+     * Reports a transition to a state in which the member's holder has the given holder's state.
+     */
+    private void report(LeaseModelAction action, LeaseModelState next, LeaseHolder holder) {
+        next.member(memberIndex).storeHolder(holder, bounds.ttlUnits());
+        report(action, next);
     }
 
-    // ---- Commands
-
     private void send() {
         if (member.hasCommand() || member.session() == LeaseModelMember.SESSION_END_KNOWN) {
             return;
         }
-        LeaseHolder holder = holder();
+        LeaseHolder holder = createHolder();
         LeaseHolder.Request request = holder.nextRequest(NOW);
         if (request == null) {
             return;
         }
         LeaseModelState next = state.copy();
-        LeaseModelMember sender = next.member(index);
-        sender.store(holder, bounds.ttlUnits());
+        LeaseModelMember sender = next.member(memberIndex);
+        sender.storeHolder(holder, bounds.ttlUnits());
         LeaseCommand command = request.command();
         sendCommand(sender, LeaseTransitions.kind(command), LeaseTransitions.token(command));
-        to(LeaseModelAction.SEND, next);
+        report(LeaseModelAction.SEND, next);
     }
 
     /**
      * Sends a command under a new number. Copies of earlier commands are rejected by the session,
-     * and matter only if that safeguard is removed.
+     * so they are dropped unless that safeguard is removed.
      */
     private void sendCommand(LeaseModelMember sender, byte kind, byte token) {
-        boolean kept = false;
-        for (int copy = 0; copy < LeaseModelMember.COPIES; copy++) {
-            boolean keeps =
+        boolean hasKeptCopy = false;
+        for (int copy = 0; copy < LeaseModelMember.MAX_COPIES; copy++) {
+            boolean keepsCopy =
                     sender.copyKind(copy) != 0
                             && components.isRemoved(Mutant.SESSION_RETRIED_WITHOUT_NUMBER)
-                            && !kept;
-            if (keeps) {
+                            && !hasKeptCopy;
+            if (keepsCopy) {
                 sender.setCopy(copy, sender.copyKind(copy), sender.copyToken(copy), true);
-                kept = true;
+                hasKeptCopy = true;
             } else {
                 sender.clearCopy(copy);
             }
@@ -103,103 +103,104 @@
     }
 
     private void deliverCommands() {
-        boolean underWay = false;
-        int free = -1;
-        for (int copy = 0; copy < LeaseModelMember.COPIES; copy++) {
-            underWay |= member.copyKind(copy) != 0 && !member.isCopyOutdated(copy);
-            free = member.copyKind(copy) == 0 ? copy : free;
+        boolean isInTransit = false;
+        int freeIndex = -1;
+        for (int copy = 0; copy < LeaseModelMember.MAX_COPIES; copy++) {
+            isInTransit |= member.copyKind(copy) != 0 && !member.isCopyOutdated(copy);
+            freeIndex = member.copyKind(copy) == 0 ? copy : freeIndex;
         }
-        for (int copy = 0; copy < LeaseModelMember.COPIES; copy++) {
+        for (int copy = 0; copy < LeaseModelMember.MAX_COPIES; copy++) {
             if (member.copyKind(copy) != 0) {
                 deliver(copy);
-                if (free >= 0 && state.duplicatesLeft() > 0) {
-                    duplicate(copy, free);
+                if (freeIndex >= 0 && state.duplicatesLeft() > 0) {
+                    duplicate(copy, freeIndex);
                 }
             }
         }
-        if (member.hasCommand() && !underWay && free >= 0) {
+        if (member.hasCommand() && !isInTransit && freeIndex >= 0) {
             LeaseModelState next = state.copy();
-            next.member(index).setCopy(free, member.commandKind(), member.commandToken(), false);
-            to(LeaseModelAction.REPEAT, next);
+            next.member(memberIndex)
+                    .setCopy(freeIndex, member.commandKind(), member.commandToken(), false);
+            report(LeaseModelAction.REPEAT, next);
         }
     }
 
-    private void duplicate(int copy, int free) {
+    private void duplicate(int copy, int freeIndex) {
         LeaseModelState next = state.copy();
-        next.useDuplicate();
-        next.member(index)
+        next.consumeDuplicate();
+        next.member(memberIndex)
                 .setCopy(
-                        free,
+                        freeIndex,
                         member.copyKind(copy),
                         member.copyToken(copy),
                         member.isCopyOutdated(copy));
-        invariants.transition(LeaseModelAction.DUPLICATE, index, copy, next);
+        invariants.reportTransition(LeaseModelAction.DUPLICATE, memberIndex, copy, next);
     }
 
     private void deliver(int copy) {
         if (member.session() != LeaseModelMember.SESSION_ALIVE) {
-            return; // As if lost: the member learns of the session's end by another transition.
+            return; // Treated as lost; another transition notifies the member of the session's end.
         }
         LeaseModelState next = state.copy();
-        LeaseModelMember sender = next.member(index);
+        LeaseModelMember sender = next.member(memberIndex);
         sender.clearCopy(copy);
-        if (member.isApplied() && !components.isRemoved(Mutant.SESSION_RETRIED_WITHOUT_NUMBER)) {
+        if (member.isCommandApplied()
+                && !components.isRemoved(Mutant.SESSION_RETRIED_WITHOUT_NUMBER)) {
             sender.setAnswer(member.appliedAnswer(), member.appliedAnswerToken());
-            invariants.transition(LeaseModelAction.APPLY, index, copy, next);
+            invariants.reportTransition(LeaseModelAction.APPLY, memberIndex, copy, next);
             return;
         }
         if (!exceedsBounds(member.copyKind(copy)) && apply(copy, next)) {
-            invariants.transition(LeaseModelAction.APPLY, index, copy, next);
+            invariants.reportTransition(LeaseModelAction.APPLY, memberIndex, copy, next);
         }
     }
 
     private boolean exceedsBounds(byte kind) {
-        int machine = state.machine();
+        int snapshotId = state.snapshotId();
         if (kind == LeaseTransitions.ACQUIRE) {
-            return log.machine(machine).lastToken() >= bounds.tokens();
+            return log.machine(snapshotId).lastToken() >= bounds.tokens();
         }
-        return kind == LeaseTransitions.RENEW && log.renewals(machine) >= bounds.renewals();
+        return kind == LeaseTransitions.RENEW && log.renewals(snapshotId) >= bounds.renewals();
     }
 
     private boolean apply(int copy, LeaseModelState next) {
         byte kind = member.copyKind(copy);
         byte token = member.copyToken(copy);
-        boolean isAction = kind == LeaseTransitions.ACT;
-        byte actionBit = isAction ? (byte) (1 << index * 2 + member.logActionsLeft()) : NONE;
+        boolean isAction = kind == LeaseTransitions.FENCED_ACTION;
+        byte actionBit = isAction ? (byte) (1 << memberIndex * 2 + member.logActionsLeft()) : NONE;
         LeaseTransitions.Transition transition =
-                log.apply(next.machine(), index + 1, kind, token, actionBit);
-        if (!invariants.applied(LeaseModelAction.APPLY, index, copy, next, transition)) {
+                log.apply(next.snapshotId(), memberIndex + 1, kind, token, actionBit);
+        if (!invariants.recordTransition(
+                LeaseModelAction.APPLY, memberIndex, copy, next, transition)) {
             return false;
         }
         if (transition.actionToken() != 0
-                && !invariants.actionApplied(index, copy, next, actionBit, token)) {
+                && !invariants.recordLogAction(memberIndex, copy, next, actionBit, token)) {
             return false;
         }
         if (!member.isCopyOutdated(copy)) {
-            LeaseModelMember sender = next.member(index);
+            LeaseModelMember sender = next.member(memberIndex);
             sender.setApplied(transition.answer(), transition.answerToken());
             sender.setAnswer(transition.answer(), transition.answerToken());
         }
         return true;
     }
 
-    // ---- Answers and events
-
     private void receiveAnswer() {
         if (member.answer() == 0) {
             return;
         }
         LeaseModelState next = state.copy();
-        LeaseModelMember receiver = next.member(index);
+        LeaseModelMember receiver = next.member(memberIndex);
         receiver.clearAnswer();
-        if (member.commandKind() == LeaseTransitions.ACT) {
+        if (member.commandKind() == LeaseTransitions.FENCED_ACTION) {
             receiver.clearCommand();
         } else if (member.hasCommand()) {
-            LeaseHolder holder = holder();
+            LeaseHolder holder = createHolder();
             LeaseTransitions.deliverAnswer(holder, member.answer(), member.answerToken());
-            receiver.store(holder, bounds.ttlUnits());
+            receiver.storeHolder(holder, bounds.ttlUnits());
         }
-        to(LeaseModelAction.RECEIVE_ANSWER, next);
+        report(LeaseModelAction.RECEIVE_ANSWER, next);
     }
 
     private void receiveGrant() {
@@ -207,95 +208,96 @@
             return;
         }
         LeaseModelState next = state.copy();
-        next.member(index).setGrantEvent(NONE);
-        LeaseHolder holder = holder();
+        next.member(memberIndex).setGrantEvent(NONE);
+        LeaseHolder holder = createHolder();
         holder.onGranted(NOW, member.grantEvent());
-        to(LeaseModelAction.RECEIVE_GRANT, next, holder);
+        report(LeaseModelAction.RECEIVE_GRANT, next, holder);
     }
 
-    // ---- Actions
-
     private void execute() {
         byte token = member.checkedToken();
         if (token == 0) {
             return;
         }
         LeaseModelState next = state.copy();
-        next.member(index).setCheckedToken(NONE);
+        next.member(memberIndex).setCheckedToken(NONE);
         FencingTokenGuard guard =
                 components.createTokenGuard(LeaseTransitions.LEASE, state.resourceToken());
         if (guard.admit(LeaseTransitions.LEASE, token).isEmpty()) {
-            invariants.actionExecuted(index, token, state.resourceToken());
+            invariants.checkResourceAction(memberIndex, token, state.resourceToken());
         }
         next.setResourceToken(guard.highestToken(LeaseTransitions.LEASE));
-        to(LeaseModelAction.EXECUTE, next);
+        report(LeaseModelAction.EXECUTE, next);
     }
 
     private void beginActions() {
-        if (!holder().mayAct(NOW)) {
+        if (!createHolder().mayAct(NOW)) {
             return;
         }
         if (member.checkedToken() == 0 && member.resourceActionsLeft() > 0) {
             LeaseModelState next = state.copy();
-            LeaseModelMember actor = next.member(index);
-            actor.useResourceAction();
+            LeaseModelMember actor = next.member(memberIndex);
+            actor.consumeResourceAction();
             actor.setCheckedToken(member.token());
-            to(LeaseModelAction.CHECK, next);
+            report(LeaseModelAction.CHECK, next);
         }
         if (!member.hasCommand() && member.logActionsLeft() > 0) {
             LeaseModelState next = state.copy();
-            LeaseModelMember actor = next.member(index);
-            actor.useLogAction();
-            sendCommand(actor, LeaseTransitions.ACT, member.token());
-            to(LeaseModelAction.SUBMIT_ACTION, next);
+            LeaseModelMember actor = next.member(memberIndex);
+            actor.consumeLogAction();
+            sendCommand(actor, LeaseTransitions.FENCED_ACTION, member.token());
+            report(LeaseModelAction.SUBMIT_ACTION, next);
         }
     }
 
-    // ---- Intent and session
-
     private void changeIntent() {
-        boolean isInQueueOrLater = member.phase().compareTo(LeaseHolder.Phase.WAITING) >= 0;
-        if (member.isWanted() && member.stopsLeft() > 0 && isInQueueOrLater) {
-            LeaseHolder releasing = holder();
+        boolean isQueuedOrGranted = member.phase().compareTo(LeaseHolder.Phase.WAITING) >= 0;
+        if (member.isWanted() && member.stopsLeft() > 0 && isQueuedOrGranted) {
+            LeaseHolder releasing = createHolder();
             releasing.release();
             stop(LeaseModelAction.RELEASE, releasing);
-            LeaseHolder transferring = holder();
+            LeaseHolder transferring = createHolder();
             transferring.transfer(LeaseCommand.Transfer.FIRST_WAITER);
             stop(LeaseModelAction.TRANSFER, transferring);
         } else if (!member.isWanted() && member.session() == LeaseModelMember.SESSION_ALIVE) {
             LeaseModelState next = state.copy();
-            next.member(index).setWanted();
-            to(LeaseModelAction.ACQUIRE, next);
+            next.member(memberIndex).setWanted();
+            report(LeaseModelAction.ACQUIRE, next);
         }
     }
 
     private void stop(LeaseModelAction action, LeaseHolder stopped) {
         LeaseModelState next = state.copy();
-        next.member(index).useStop();
-        to(action, next, stopped);
+        next.member(memberIndex).consumeStop();
+        report(action, next, stopped);
     }
 
     private void endSession() {
         if (member.session() == LeaseModelMember.SESSION_ALIVE && state.sessionEndsLeft() > 0) {
             LeaseModelState next = state.copy();
-            next.useSessionEnd();
-            next.member(index).setSession(LeaseModelMember.SESSION_ENDED);
+            next.consumeSessionEnd();
+            next.member(memberIndex).setSession(LeaseModelMember.SESSION_ENDED);
             LeaseTransitions.Transition transition =
                     log.apply(
-                            next.machine(), index + 1, LeaseTransitions.SESSION_ENDED, NONE, NONE);
-            if (invariants.applied(LeaseModelAction.END_SESSION, index, 0, next, transition)) {
-                to(LeaseModelAction.END_SESSION, next);
+                            next.snapshotId(),
+                            memberIndex + 1,
+                            LeaseTransitions.SESSION_ENDED,
+                            NONE,
+                            NONE);
+            if (invariants.recordTransition(
+                    LeaseModelAction.END_SESSION, memberIndex, 0, next, transition)) {
+                report(LeaseModelAction.END_SESSION, next);
             }
         } else if (member.session() == LeaseModelMember.SESSION_ENDED) {
             LeaseModelState next = state.copy();
-            LeaseHolder holder = holder();
+            LeaseHolder holder = createHolder();
             holder.onSessionEnded(NOW);
             holder.release();
-            LeaseModelMember former = next.member(index);
-            former.store(holder, bounds.ttlUnits());
-            former.setSession(LeaseModelMember.SESSION_END_KNOWN);
-            former.clearCommand();
-            to(LeaseModelAction.LEARN_SESSION_END, next);
+            LeaseModelMember memberAfter = next.member(memberIndex);
+            memberAfter.storeHolder(holder, bounds.ttlUnits());
+            memberAfter.setSession(LeaseModelMember.SESSION_END_KNOWN);
+            memberAfter.clearCommand();
+            report(LeaseModelAction.LEARN_SESSION_END, next);
         }
     }
 }
--- a/src/measure/java/calicostream/lease/LeaseModelState.java
+++ b/src/measure/java/calicostream/lease/LeaseModelState.java
@@ -5,39 +5,39 @@
 
 /**
  * Typed access to a state of {@link LeaseModel}, which the explorer stores as bytes: the log, the
- * leader, the resource, what the invariants need of the past, and the members. Every time is stored
- * as a distance from the present by its owner's clock.
+ * leader, the resource, the history that the invariants need, and the members. Times are stored as
+ * distances from the current time of the owner's clock.
  */
 final class LeaseModelState {
-    private static final int MACHINE = 0; // three bytes: which snapshot
+    private static final int SNAPSHOT_ID = 0; // three bytes
     private static final int LEADER = 3;
     private static final int LEADER_CHANGES_LEFT = 4;
     private static final int DUPLICATES_LEFT = 5;
     private static final int SESSION_ENDS_LEFT = 6;
-    private static final int EXPIRY_TOKEN = 7; // of the leader's expiry under way
+    private static final int EXPIRY_TOKEN = 7; // of the expiry command in transit
     private static final int EXPIRY_RENEWALS = 8;
     private static final int OBSERVED_TOKEN = 9;
     private static final int OBSERVED_RENEWALS = 10;
-    private static final int OBSERVED_AGO = 11;
+    private static final int SINCE_OBSERVATION = 11;
     private static final int RESOURCE_TOKEN = 12;
     private static final int LOG_TOKEN = 13;
-    private static final int LOG_ACTIONS = 14; // a bit for each action that was applied
+    private static final int LOG_ACTIONS = 14; // one bit for each applied action
     private static final int GRANTED_TOKEN = 15;
-    private static final int CLOCKS = 16;
+    private static final int CLOCKS_INDEX = 16;
     private static final int HEADER_BYTES = 17;
 
     private final byte[] bytes;
 
-    /** A view of the bytes, which are not copied. */
+    /** Creates a view of the bytes, which are not copied. */
     LeaseModelState(byte[] bytes) {
         this.bytes = bytes;
     }
 
-    static LeaseModelState initial(LeaseModelBounds bounds, int clocks) {
+    static LeaseModelState initial(LeaseModelBounds bounds, int clocksIndex) {
         LeaseModelState state =
                 new LeaseModelState(
                         new byte[HEADER_BYTES + bounds.members() * LeaseModelMember.BYTES]);
-        state.bytes[CLOCKS] = (byte) clocks;
+        state.bytes[CLOCKS_INDEX] = (byte) clocksIndex;
         state.bytes[LEADER_CHANGES_LEFT] = (byte) bounds.leaderChanges();
         state.bytes[DUPLICATES_LEFT] = (byte) bounds.duplicates();
         state.bytes[SESSION_ENDS_LEFT] = (byte) bounds.sessionEnds();
@@ -59,27 +59,25 @@
         return new LeaseModelMember(bytes, HEADER_BYTES + index * LeaseModelMember.BYTES);
     }
 
-    /** Which of the bounds' clocks the state has. */
-    int clocks() {
-        return bytes[CLOCKS];
+    /** Index into {@link LeaseModelBounds#clocks}. */
+    int clocksIndex() {
+        return bytes[CLOCKS_INDEX];
     }
 
-    // ---- Log
-
     /** Identifier of the state machine's snapshot. */
-    int machine() {
-        return (bytes[MACHINE] & 0xff) << 16
-                | (bytes[MACHINE + 1] & 0xff) << 8
-                | bytes[MACHINE + 2] & 0xff;
+    int snapshotId() {
+        return (bytes[SNAPSHOT_ID] & 0xff) << 16
+                | (bytes[SNAPSHOT_ID + 1] & 0xff) << 8
+                | bytes[SNAPSHOT_ID + 2] & 0xff;
     }
 
-    void setMachine(int snapshotId) {
-        bytes[MACHINE] = (byte) (snapshotId >> 16);
-        bytes[MACHINE + 1] = (byte) (snapshotId >> 8);
-        bytes[MACHINE + 2] = (byte) snapshotId;
+    void setSnapshotId(int snapshotId) {
+        bytes[SNAPSHOT_ID] = (byte) (snapshotId >> 16);
+        bytes[SNAPSHOT_ID + 1] = (byte) (snapshotId >> 8);
+        bytes[SNAPSHOT_ID + 2] = (byte) snapshotId;
     }
 
-    /** The last token granted. */
+    /** The most recently granted token. */
     byte grantedToken() {
         return bytes[GRANTED_TOKEN];
     }
@@ -88,7 +86,7 @@
         bytes[GRANTED_TOKEN] = token;
     }
 
-    /** The token of the last action applied. */
+    /** The token of the most recent action that the log accepted. */
     byte logToken() {
         return bytes[LOG_TOKEN];
     }
@@ -102,8 +100,6 @@
         bytes[LOG_TOKEN] = token;
     }
 
-    // ---- Leader
-
     int leaderChangesLeft() {
         return bytes[LEADER_CHANGES_LEFT];
     }
@@ -125,13 +121,13 @@
         return bytes[EXPIRY_RENEWALS];
     }
 
-    /** Puts an expiry under way; token 0 removes it. */
+    /** Sets the expiry command in transit; token 0 removes it. */
     void setExpiry(long token, long renewals) {
         bytes[EXPIRY_TOKEN] = (byte) token;
         bytes[EXPIRY_RENEWALS] = (byte) renewals;
     }
 
-    /** What the leader has observed, for its expiry monitor. */
+    /** The grants that the leader has observed, for its expiry monitor. */
     Map<String, LeaseExpiryMonitor.ObservedGrant> observedGrants() {
         if (bytes[OBSERVED_TOKEN] == 0) {
             return Map.of();
@@ -141,39 +137,39 @@
                 new LeaseExpiryMonitor.ObservedGrant(
                         bytes[OBSERVED_TOKEN],
                         bytes[OBSERVED_RENEWALS],
-                        LeaseModelMember.NOW - bytes[OBSERVED_AGO]));
+                        LeaseModelMember.NOW - bytes[SINCE_OBSERVATION]));
     }
 
     /**
-     * @param grant null if the leader has observed none
-     * @param maxAgo time since the observation beyond which a longer one makes no difference
+     * @param grant the observed grant; null if the leader has observed none
+     * @param maxElapsed limit of the time since the observation; longer times are equivalent to it
      */
-    void setObservedGrant(LeaseExpiryMonitor.ObservedGrant grant, long maxAgo) {
+    void setObservedGrant(LeaseExpiryMonitor.ObservedGrant grant, long maxElapsed) {
         if (grant == null) {
             bytes[OBSERVED_TOKEN] = 0;
             bytes[OBSERVED_RENEWALS] = 0;
-            bytes[OBSERVED_AGO] = 0;
+            bytes[SINCE_OBSERVATION] = 0;
             return;
         }
         bytes[OBSERVED_TOKEN] = (byte) grant.token();
         bytes[OBSERVED_RENEWALS] = (byte) grant.renewals();
-        bytes[OBSERVED_AGO] = (byte) Math.min(maxAgo, LeaseModelMember.NOW - grant.since());
+        bytes[SINCE_OBSERVATION] =
+                (byte) Math.min(maxElapsed, LeaseModelMember.NOW - grant.observedAt());
     }
 
     /** Advances the leader's clock. */
-    void advanceLeaderClock(int units, long maxAgo) {
+    void advanceLeaderClock(int units, long maxElapsed) {
         if (bytes[OBSERVED_TOKEN] != 0) {
-            bytes[OBSERVED_AGO] = (byte) Math.min(maxAgo, bytes[OBSERVED_AGO] + units);
+            bytes[SINCE_OBSERVATION] =
+                    (byte) Math.min(maxElapsed, bytes[SINCE_OBSERVATION] + units);
         }
     }
 
-    // ---- Faults and resource
-
     int duplicatesLeft() {
         return bytes[DUPLICATES_LEFT];
     }
 
-    void useDuplicate() {
+    void consumeDuplicate() {
         bytes[DUPLICATES_LEFT]--;
     }
 
@@ -181,11 +177,11 @@
         return bytes[SESSION_ENDS_LEFT];
     }
 
-    void useSessionEnd() {
+    void consumeSessionEnd() {
         bytes[SESSION_ENDS_LEFT]--;
     }
 
-    /** The highest token that the resource has seen. */
+    /** The highest token that the resource has accepted. */
     byte resourceToken() {
         return bytes[RESOURCE_TOKEN];
     }
