--- a/src/measure/java/calicostream/lease/LeaseProofs.java
+++ b/src/measure/java/calicostream/lease/LeaseProofs.java
@@ -10,49 +10,56 @@
 import java.util.function.Supplier;
 
 /**
- * The bounded models that check the leases, the models in which the lack of each safeguard shows,
+ * The bounded models that check the leases, the models that detect the removal of each safeguard,
  * and the randomized runs.
  */
 public final class LeaseProofs {
-    /** Leaders that change while a lease expires and is renewed. */
+    /** Leader changes while a lease expires and is renewed. */
     private static final LeaseModelBounds LEADERS =
-            LeaseModelBounds.of("leaders", 2)
+            LeaseModelBounds.withoutFaults("leaders", 2)
                     .leaderChanges(2)
                     .renewals(1)
                     .clocks("fss", "sff", "eee");
 
     /** Renewals that race with the leader's expiry. */
     private static final LeaseModelBounds RENEWALS =
-            LeaseModelBounds.of("renewals", 2).renewals(2).clocks("fss");
+            LeaseModelBounds.withoutFaults("renewals", 2).renewals(2).clocks("fss");
 
     /** A member that is paused between its check and its action. */
     private static final LeaseModelBounds RESOURCE =
-            LeaseModelBounds.of("resource", 2).resourceActions(2).renewals(1).clocks("fss");
+            LeaseModelBounds.withoutFaults("resource", 2)
+                    .resourceActions(2)
+                    .renewals(1)
+                    .clocks("fss");
 
-    /** Commands that are duplicated and repeated, and actions in the log. */
+    /** Duplicated and repeated commands, and actions in the log. */
     private static final LeaseModelBounds LOG =
-            LeaseModelBounds.of("log", 2).duplicates(1).logActions(1).clocks("fss");
+            LeaseModelBounds.withoutFaults("log", 2).duplicates(1).logActions(1).clocks("fss");
 
-    /** Likewise, as small as suffices to show the lack of a check. */
-    private static final LeaseModelBounds FEW_ACTS =
-            LeaseModelBounds.of("few acts", 2).resourceActions(1).clocks("eee");
+    /** Small bounds that suffice to detect an unchecked token at the resource. */
+    private static final LeaseModelBounds FEW_RESOURCE_ACTIONS =
+            LeaseModelBounds.withoutFaults("few resource actions", 2)
+                    .resourceActions(1)
+                    .clocks("eee");
 
-    private static final LeaseModelBounds FEW_LOG_ACTS =
-            LeaseModelBounds.of("few acts by the log", 2).logActions(1).clocks("eee");
+    /** Small bounds that suffice to detect an unchecked token in the log. */
+    private static final LeaseModelBounds FEW_LOG_ACTIONS =
+            LeaseModelBounds.withoutFaults("few log actions", 2).logActions(1).clocks("eee");
 
-    /** Planned stops, transfers, sessions that end. */
+    /** Planned stops, transfers, and sessions that end. */
     private static final LeaseModelBounds STOPS =
-            LeaseModelBounds.of("stops", 2).stops(1).sessionEnds(1).clocks("fss");
+            LeaseModelBounds.withoutFaults("stops", 2).stops(1).sessionEnds(1).clocks("fss");
 
-    /** Three members in the queue. */
-    private static final LeaseModelBounds QUEUE = LeaseModelBounds.of("queue", 3).clocks("fsss");
+    /** Three members that queue for the lease. */
+    private static final LeaseModelBounds QUEUE =
+            LeaseModelBounds.withoutFaults("queue", 3).clocks("fsss");
 
     /**
-     * A member's clock stands still and the leader's runs fast: only the fencing tokens are left as
-     * protection.
+     * One member's clock is stopped and the leader's clock runs fast, so that only the fencing
+     * tokens protect the resource and the log.
      */
-    private static final LeaseModelBounds CLOCKS =
-            LeaseModelBounds.of("clocks out of bound", 2)
+    private static final LeaseModelBounds CLOCKS_OUT_OF_BOUND =
+            LeaseModelBounds.withoutFaults("clocks out of bound", 2)
                     .resourceActions(2)
                     .logActions(1)
                     .clocks("f0s");
@@ -61,14 +68,16 @@
     private static final VoterModel.Bounds FEW_VOTERS = new VoterModel.Bounds(2, 2, 1, 2);
 
     /**
-     * Sums over randomized runs.
+     * The combined results of randomized runs.
      *
      * @param violations one line for each run that violated an invariant
      * @param faults number of injected faults
      * @param actions number of accepted actions
      * @param tokens number of grants
-     * @param handoverP99 in times to live, where holders are killed as the only fault
-     * @param handoverInFaultsP99 in times to live, under all faults
+     * @param handoverP99 99th percentile of the handover time, in times to live, in runs whose only
+     *     fault is killing holders
+     * @param handoverInFaultsP99 99th percentile of the handover time, in times to live, in runs
+     *     with all faults
      */
     public record RunSummary(
             List<String> violations,
@@ -80,37 +89,53 @@
 
     private LeaseProofs() {}
 
-    /** Runs with all faults, and a tenth as many in which kills of holders are the only fault. */
+    /**
+     * Runs one simulation with all faults per seed, and for every tenth seed one whose only fault
+     * is killing holders.
+     */
     public static RunSummary randomRuns(long firstSeed, int runs) {
-        List<String> broken = new ArrayList<>();
-        List<Double> inFaults = new ArrayList<>();
-        List<Double> alone = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
+        List<Double> handoversUnderFaults = new ArrayList<>();
+        List<Double> handoversAfterKills = new ArrayList<>();
         long faults = 0;
-        long acts = 0;
+        long actions = 0;
         long tokens = 0;
         for (long seed = firstSeed; seed < firstSeed + runs; seed++) {
             RandomLeaseRun.Result result = RandomLeaseRun.randomFaults(seed, null);
             if (!result.violation().isEmpty()) {
-                broken.add("seed " + seed + " " + result.violation());
+                violations.add("seed " + seed + " " + result.violation());
             }
             faults += result.faults();
-            acts += result.actions();
+            actions += result.actions();
             tokens += result.tokens();
-            inFaults.addAll(result.handoverTimes());
+            handoversUnderFaults.addAll(result.handoverTimes());
             if (seed % 10 == 0) {
-                alone.addAll(RandomLeaseRun.killsOnly(seed).handoverTimes());
+                handoversAfterKills.addAll(RandomLeaseRun.killsOnly(seed).handoverTimes());
             }
         }
-        return new RunSummary(broken, faults, acts, tokens, p99(alone), p99(inFaults));
+        return new RunSummary(
+                violations,
+                faults,
+                actions,
+                tokens,
+                p99(handoversAfterKills),
+                p99(handoversUnderFaults));
     }
 
-    private static double p99(List<Double> of) {
-        return of.isEmpty()
+    private static double p99(List<Double> values) {
+        return values.isEmpty()
                 ? Double.NaN
-                : of.stream().sorted().skip(of.size() * 99L / 100).findFirst().orElseThrow();
+                : values.stream()
+                        .sorted()
+                        .skip(values.size() * 99L / 100)
+                        .findFirst()
+                        .orElseThrow();
     }
 
-    /** All models with all safeguards; created one at a time, as each takes much memory. */
+    /**
+     * All models with all safeguards. Suppliers, because each model takes much memory and is
+     * created only when it is explored.
+     */
     public static List<Supplier<Model>> completeModels() {
         return List.of(
                 () -> new LeaseModel(LEADERS, null),
@@ -119,33 +144,42 @@
                 () -> new LeaseModel(LOG, null),
                 () -> new LeaseModel(STOPS, null),
                 () -> new LeaseModel(QUEUE, null),
-                () -> new LeaseModel(CLOCKS, null),
+                () -> new LeaseModel(CLOCKS_OUT_OF_BOUND, null),
                 () -> new VoterModel(FEW_VOTERS, null),
                 () -> new VoterModel(VOTERS, null));
     }
 
-    /** For each safeguard of the leases, a model without it, which must find a violation. */
+    /**
+     * For each safeguard of the leases, a model without it, in which the exploration must find a
+     * violation.
+     */
     public static Map<Mutant, Model> modelsWithoutSafeguard() {
-        Map<Mutant, Model> all = new EnumMap<>(Mutant.class);
-        for (Mutant each : Mutant.values()) {
-            switch (each) {
-                case NEW_LEADER_DOES_NOT_WAIT -> all.put(each, new LeaseModel(LEADERS, each));
-                case TOKEN_NOT_CHECKED -> all.put(each, new LeaseModel(FEW_ACTS, each));
-                case LOG_TOKEN_NOT_CHECKED -> all.put(each, new LeaseModel(FEW_LOG_ACTS, each));
+        Map<Mutant, Model> models = new EnumMap<>(Mutant.class);
+        for (Mutant safeguard : Mutant.values()) {
+            switch (safeguard) {
+                case NEW_LEADER_DOES_NOT_WAIT ->
+                        models.put(safeguard, new LeaseModel(LEADERS, safeguard));
+                case TOKEN_NOT_CHECKED ->
+                        models.put(safeguard, new LeaseModel(FEW_RESOURCE_ACTIONS, safeguard));
+                case LOG_TOKEN_NOT_CHECKED ->
+                        models.put(safeguard, new LeaseModel(FEW_LOG_ACTIONS, safeguard));
                 case EXPIRY_FROM_ANSWER_TIME, DRIFT_NOT_COUNTED ->
-                        all.put(each, new LeaseModel(RESOURCE, each));
+                        models.put(safeguard, new LeaseModel(RESOURCE, safeguard));
                 case SESSION_RETRIED_WITHOUT_NUMBER, TOKEN_LOST_IN_SNAPSHOT ->
-                        all.put(each, new LeaseModel(LOG, each));
+                        models.put(safeguard, new LeaseModel(LOG, safeguard));
                 case QUEUE_GRANT_NOT_CONFIRMED, LEASE_FREED_WITH_SESSION ->
-                        all.put(each, new LeaseModel(STOPS, each));
-                case EXPIRY_WITHOUT_RENEWALS -> all.put(each, new LeaseModel(RENEWALS, each));
+                        models.put(safeguard, new LeaseModel(STOPS, safeguard));
+                case EXPIRY_WITHOUT_RENEWALS ->
+                        models.put(safeguard, new LeaseModel(RENEWALS, safeguard));
                 case VOTE_AFTER_AMNESIA ->
-                        all.put(each, new VoterModel(new VoterModel.Bounds(2, 2, 1, 1), each));
+                        models.put(
+                                safeguard,
+                                new VoterModel(new VoterModel.Bounds(2, 2, 1, 1), safeguard));
                 case GRANT_FREED_BEFORE_EXPIRY, CLOCK_STEP_COUNTED -> {
-                    // Checked by the models of budgets and by cluster simulations.
+                    // Detected by the budget models and by cluster simulations.
                 }
             }
         }
-        return all;
+        return models;
     }
 }
--- a/src/measure/java/calicostream/lease/LeaseSimulation.java
+++ b/src/measure/java/calicostream/lease/LeaseSimulation.java
@@ -17,17 +17,21 @@
 import java.util.stream.IntStream;
 
 /**
- * Leases on a simulated cluster: each member wants two, acts in the log and at a resource whose
- * messages may take three times to live, as if the member had been paused between its check and its
- * action, and changes its mind. Invariants are checked after each event: no two members hold the
- * same lease by their clocks, nobody does whose lease was granted to another, and the resource
- * accepted no action after one under a higher token.
+ * Leases on a simulated cluster. Each member acquires two leases, executes actions in the log and
+ * at a resource, and releases and acquires the leases again at random. A message to the resource
+ * may take up to three times to live, as if the member had been paused between its check and its
+ * action. Invariants are checked after each event: no two members hold the same lease according to
+ * their clocks, no member still holds a lease that was granted to another member, and the resource
+ * accepts no action after one under a higher token.
  */
 public final class LeaseSimulation implements SimulationExtension {
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long SHORT_TTL_NANOS = 1000 * NANOS_PER_MILLI;
 
-    /** Twice a session's, so that a partitioned member may hold when its session has ended. */
+    /**
+     * Twice the time to live of a session, so that a partitioned member may still hold the lease
+     * when its session has ended.
+     */
     private static final long LONG_TTL_NANOS = 3000 * NANOS_PER_MILLI;
 
     private static final long FAULTS_END_NANOS = 6_000 * NANOS_PER_MILLI;
@@ -36,15 +40,18 @@
     private static final int NON_VOTING_MEMBERS = 4;
     private static final String MACHINE = "lease";
 
-    /** The faults beside those of the cluster simulation itself. */
+    /** The lease faults to inject, in addition to the faults of the cluster simulation. */
     public enum Plan {
-        /** Holders are killed, paused past their expiry, and stopped; members change their mind. */
+        /**
+         * Holders are killed, paused beyond the expiry of their grants, and made to release or
+         * transfer their leases.
+         */
         ALL,
         /**
-         * Holders are killed one after the other, and leaders with them where they are the same.
+         * Holders are killed one after the other; a leader is killed if its process is the holder.
          */
         KILLS,
-        /** As {@link #KILLS}, and only members that run no voter want the leases. */
+        /** As {@link #KILLS}, but only members that run no voter acquire the leases. */
         KILLS_OUTSIDE
     }
 
@@ -61,28 +68,32 @@
             this.session = session;
             client = new LeaseClient(session, MACHINE, process::nanoTime);
             for (String name : LEASES) {
-                long ttl = ttl(name);
+                long ttlNanos = ttlNanos(name);
                 LeaseHolder holder =
                         client.add(
                                 components.createHolder(
                                         name,
-                                        ttl,
-                                        new LeaseHolder(name, ttl, process.nanoTime()).state()));
+                                        ttlNanos,
+                                        new LeaseHolder(name, ttlNanos, process.nanoTime())
+                                                .state()));
                 holders.add(holder);
                 if (!settling
                         && (plan != Plan.KILLS_OUTSIDE
-                                || id > world.members() - NON_VOTING_MEMBERS)) {
+                                || id > control.members() - NON_VOTING_MEMBERS)) {
                     holder.acquire();
                 }
             }
-            act();
+            executeAction();
         }
 
-        /** Checks and acts; a message to the resource is not stopped once it was sent. */
-        void act() {
-            LeaseHolder holder = holders.get(world.random().nextInt(LEASES.length));
+        /**
+         * Executes an action if the lease is held, and schedules the next one. A message to the
+         * resource is delivered even if the lease expires in transit.
+         */
+        void executeAction() {
+            LeaseHolder holder = holders.get(control.random().nextInt(LEASES.length));
             FencedActions actions = client.fencedActions(holder);
-            if (world.random().nextInt(4) == 0) {
+            if (control.random().nextInt(4) == 0) {
                 FencedResource.FencedResult<LeaseCommand.FencedAction> command =
                         actions.createLogCommand(
                                 new BinaryCodec.Writer().i64(++actionNumber).toByteArray());
@@ -92,25 +103,26 @@
             } else {
                 actions.executeAt(
                         (lease, token, payload) -> {
-                            world.schedule(
-                                    world.nowNanos() + NANOS_PER_MILLI + delayNanos(lease),
+                            control.schedule(
+                                    control.nowNanos() + NANOS_PER_MILLI + delayNanos(lease),
                                     () -> executeAtResource(lease, token));
                             return FencedResource.FencedResult.completed(null);
                         },
                         null);
             }
-            process.schedule(this::act, (10 + world.random().nextInt(50)) * NANOS_PER_MILLI);
+            process.schedule(
+                    this::executeAction, (10 + control.random().nextInt(50)) * NANOS_PER_MILLI);
         }
 
-        /** Now and then a message to the resource takes up to three times to live. */
+        /** One in forty messages to the resource is delayed by up to three times to live. */
         private long delayNanos(String lease) {
-            boolean delayed = world.random().nextInt(40) == 0;
-            int maxMillis = (int) (3 * ttl(lease) / NANOS_PER_MILLI);
-            return delayed ? world.random().nextInt(maxMillis) * NANOS_PER_MILLI : 0;
+            boolean delayed = control.random().nextInt(40) == 0;
+            int maxMillis = (int) (3 * ttlNanos(lease) / NANOS_PER_MILLI);
+            return delayed ? control.random().nextInt(maxMillis) * NANOS_PER_MILLI : 0;
         }
 
-        boolean holds(int which) {
-            LeaseHolder holder = holders.get(which);
+        boolean holds(int leaseIndex) {
+            LeaseHolder holder = holders.get(leaseIndex);
             return holder.isValidAt(process.nanoTime());
         }
     }
@@ -125,15 +137,15 @@
     private final Map<Integer, Long> killedAt = new HashMap<>();
     private final Map<Integer, Long> killedTokens = new HashMap<>();
     private final List<Double> handoverTimes = new ArrayList<>();
-    private SimulationControl world;
+    private SimulationControl control;
     private boolean settling;
     private long actionNumber;
     private int acceptedActions;
     private int rejectedActions;
-    private String fault = "";
+    private String firstViolation = "";
 
     /**
-     * @param removed the safeguard removed; null: none
+     * @param removed the safeguard to remove; null for none
      * @param notifiesNonReplicas whether members without a replica are notified of grants
      */
     public LeaseSimulation(Plan plan, Mutant removed, boolean notifiesNonReplicas) {
@@ -143,14 +155,16 @@
         tokenGuard = components.createTokenGuard(LEASES[0], 0);
     }
 
-    /** From the kill of a holder to the next holder's first action, in times to live. */
+    /**
+     * The times from the kill of a holder to the first action of the next holder, in times to live.
+     */
     public List<Double> handoverTimes() {
         return handoverTimes;
     }
 
     /**
-     * Numbers of actions that the resource accepted and rejected, of grants, and of grants from the
-     * queue.
+     * The number of actions that the resource accepted, of actions that it rejected, of all grants,
+     * and of grants to queued sessions, in this order.
      */
     public List<Integer> counts() {
         return List.of(
@@ -160,13 +174,13 @@
                 historyChecker.queuedGrantCount());
     }
 
-    private long ttl(String name) {
+    private long ttlNanos(String name) {
         return plan == Plan.ALL && name.equals(LEASES[1]) ? LONG_TTL_NANOS : SHORT_TTL_NANOS;
     }
 
     @Override
-    public void started(SimulationControl powers) {
-        world = powers;
+    public void started(SimulationControl simulationControl) {
+        control = simulationControl;
         scheduleNextFault(plan == Plan.ALL ? 500 : 2_500);
     }
 
@@ -202,86 +216,91 @@
     }
 
     @Override
-    public void stateChanged(int member, ReplicatedState.StateChange news) {
-        if (news.machine().equals(MACHINE) && members.containsKey(member)) {
-            members.get(member).client.onEvent(LeaseEvent.decode(news.event()));
+    public void stateChanged(int member, ReplicatedState.StateChange change) {
+        if (change.machine().equals(MACHINE) && members.containsKey(member)) {
+            members.get(member).client.onEvent(LeaseEvent.decode(change.event()));
         }
     }
 
     @Override
     public void stopLoad() {
         settling = true;
-        members.values().forEach(each -> each.holders.forEach(LeaseHolder::release));
+        members.values().forEach(member -> member.holders.forEach(LeaseHolder::release));
     }
 
-    // ---- Faults
     private void scheduleNextFault(long millis) {
-        world.schedule(
-                world.nowNanos() + millis * NANOS_PER_MILLI,
+        control.schedule(
+                control.nowNanos() + millis * NANOS_PER_MILLI,
                 () -> {
-                    if (world.nowNanos() > FAULTS_END_NANOS || settling) {
+                    if (control.nowNanos() > FAULTS_END_NANOS || settling) {
                         return;
                     }
-                    int which = world.random().nextInt(LEASES.length);
+                    int leaseIndex = control.random().nextInt(LEASES.length);
                     members.values().stream()
-                            .filter(each -> each.holds(which))
+                            .filter(member -> member.holds(leaseIndex))
                             .findFirst()
-                            .ifPresent(holding -> injectFault(holding, which));
+                            .ifPresent(holdingMember -> injectFault(holdingMember, leaseIndex));
                     scheduleNextFault(
-                            plan == Plan.ALL ? 100 + world.random().nextInt(1_500) : 2_200);
+                            plan == Plan.ALL ? 100 + control.random().nextInt(1_500) : 2_200);
                 });
     }
 
-    private void injectFault(Member holding, int which) {
-        LeaseHolder holder = holding.holders.get(which);
-        switch (plan == Plan.ALL ? world.random().nextInt(6) : 0) {
+    private void injectFault(Member holdingMember, int leaseIndex) {
+        LeaseHolder holder = holdingMember.holders.get(leaseIndex);
+        switch (plan == Plan.ALL ? control.random().nextInt(6) : 0) {
             case 0 -> {
                 List<Integer> held =
-                        IntStream.range(0, LEASES.length).filter(holding::holds).boxed().toList();
-                if (world.crash(holding.id, 500 + world.random().nextInt(1_000))) {
+                        IntStream.range(0, LEASES.length)
+                                .filter(holdingMember::holds)
+                                .boxed()
+                                .toList();
+                if (control.crash(holdingMember.id, 500 + control.random().nextInt(1_000))) {
                     held.forEach(
-                            each -> {
-                                killedAt.put(each, world.nowNanos());
-                                killedTokens.put(each, holding.holders.get(each).token());
+                            heldIndex -> {
+                                killedAt.put(heldIndex, control.nowNanos());
+                                killedTokens.put(
+                                        heldIndex, holdingMember.holders.get(heldIndex).token());
                             });
                 }
             }
-            case 1 -> world.pause(holding.id, (int) (3 * SHORT_TTL_NANOS / NANOS_PER_MILLI));
+            case 1 ->
+                    control.pause(holdingMember.id, (int) (3 * SHORT_TTL_NANOS / NANOS_PER_MILLI));
             case 2 ->
-                    world.pause(
-                            holding.id,
-                            world.random().nextInt((int) (2 * SHORT_TTL_NANOS / NANOS_PER_MILLI)));
+                    control.pause(
+                            holdingMember.id,
+                            control.random()
+                                    .nextInt((int) (2 * SHORT_TTL_NANOS / NANOS_PER_MILLI)));
             case 3 -> {
                 holder.transfer(0);
-                acquireLater(holding, holder);
+                acquireLater(holdingMember, holder);
             }
             case 4 -> {
-                // Waiters are paused when their turn comes, and learn of it when the grant has
-                // expired.
+                // All waiters are paused when the lease is granted to the first of them, which
+                // receives the event after its grant has expired.
                 members.values().stream()
                         .filter(
-                                each ->
-                                        each.holders.get(which).phase()
+                                waiter ->
+                                        waiter.holders.get(leaseIndex).phase()
                                                 == LeaseHolder.Phase.WAITING)
                         .forEach(
-                                each ->
-                                        world.pause(
-                                                each.id,
+                                waiter ->
+                                        control.pause(
+                                                waiter.id,
                                                 (int) (2 * SHORT_TTL_NANOS / NANOS_PER_MILLI)
-                                                        + world.random().nextInt(500)));
+                                                        + control.random().nextInt(500)));
                 holder.transfer(0);
-                acquireLater(holding, holder);
+                acquireLater(holdingMember, holder);
             }
             default -> {
                 holder.release();
-                acquireLater(holding, holder);
+                acquireLater(holdingMember, holder);
             }
         }
     }
 
     private void acquireLater(Member member, LeaseHolder holder) {
-        world.schedule(
-                world.nowNanos() + world.random().nextInt(500) * NANOS_PER_MILLI,
+        control.schedule(
+                control.nowNanos() + control.random().nextInt(500) * NANOS_PER_MILLI,
                 () -> {
                     if (!settling && members.get(member.id) == member) {
                         holder.acquire();
@@ -289,14 +308,13 @@
                 });
     }
 
-    // ---- Invariants
-    /** When a lease is granted in the log, the former holder's grant must have expired. */
+    /** Checks that the former holder's grant has expired when the log grants the lease. */
     private void onEffects(CommandEffects effects) {
-        for (CommandEffects.Event each : effects.events()) {
-            if (LeaseEvent.decode(each) instanceof LeaseEvent.Granted granted) {
-                int which = granted.name().equals(LEASES[0]) ? 0 : 1;
+        for (CommandEffects.Event event : effects.events()) {
+            if (LeaseEvent.decode(event) instanceof LeaseEvent.Granted granted) {
+                int leaseIndex = granted.name().equals(LEASES[0]) ? 0 : 1;
                 members.values().stream()
-                        .filter(member -> member.holds(which))
+                        .filter(member -> member.holds(leaseIndex))
                         .forEach(
                                 member ->
                                         check(
@@ -305,9 +323,9 @@
                                                         + member.id
                                                         + " holds "
                                                         + granted.name()
-                                                        + " when it is granted under token "
+                                                        + " while it is granted under token "
                                                         + granted.token()));
-            } else if (LeaseEvent.decode(each) instanceof LeaseEvent.ActionPerformed action) {
+            } else if (LeaseEvent.decode(event) instanceof LeaseEvent.ActionPerformed action) {
                 onAction(action.name(), action.token());
             }
         }
@@ -325,49 +343,52 @@
                         + lease
                         + " under token "
                         + token
-                        + " after one under "
+                        + " after an action under token "
                         + lastResourceTokens.get(lease));
         lastResourceTokens.put(lease, token);
         onAction(lease, token);
     }
 
     private void onAction(String lease, long token) {
-        int which = lease.equals(LEASES[0]) ? 0 : 1;
-        if (killedAt.containsKey(which) && token > killedTokens.get(which)) {
-            handoverTimes.add((double) (world.nowNanos() - killedAt.remove(which)) / ttl(lease));
+        int leaseIndex = lease.equals(LEASES[0]) ? 0 : 1;
+        if (killedAt.containsKey(leaseIndex) && token > killedTokens.get(leaseIndex)) {
+            handoverTimes.add(
+                    (double) (control.nowNanos() - killedAt.remove(leaseIndex)) / ttlNanos(lease));
         }
     }
 
     private void check(boolean holds, String message) {
-        if (!holds && fault.isEmpty()) {
-            fault = message;
+        if (!holds && firstViolation.isEmpty()) {
+            firstViolation = message;
         }
     }
 
     @Override
     public String violation() {
         check(historyChecker.violation().isEmpty(), historyChecker.violation());
-        for (int which = 0; which < LEASES.length && fault.isEmpty(); which++) {
-            Member holding = null;
-            for (Member each : members.values()) {
-                if (each.holds(which)) {
+        for (int leaseIndex = 0;
+                leaseIndex < LEASES.length && firstViolation.isEmpty();
+                leaseIndex++) {
+            Member holdingMember = null;
+            for (Member member : members.values()) {
+                if (member.holds(leaseIndex)) {
                     check(
-                            holding == null,
+                            holdingMember == null,
                             "members "
-                                    + (holding == null ? 0 : holding.id)
+                                    + (holdingMember == null ? 0 : holdingMember.id)
                                     + " and "
-                                    + each.id
+                                    + member.id
                                     + " hold "
-                                    + LEASES[which]);
-                    holding = each;
+                                    + LEASES[leaseIndex]);
+                    holdingMember = member;
                 }
             }
         }
-        return fault;
+        return firstViolation;
     }
 
     @Override
     public String finalViolation() {
-        return acceptedActions == 0 ? "nobody acted" : "";
+        return acceptedActions == 0 ? "no action was accepted" : "";
     }
 }
--- a/src/measure/java/calicostream/lease/LeaseTransitions.java
+++ b/src/measure/java/calicostream/lease/LeaseTransitions.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 
 /**
- * The transitions of the replicated {@link LeaseStateMachine} for {@link LeaseModel}: each of its
- * states has an identifier, and the effect of a command on a state is computed once by the
- * product's class and cached. Every transition goes through a snapshot and a restore.
+ * The transitions of the replicated {@link LeaseStateMachine} for {@link LeaseModel}. Each state of
+ * the state machine has an identifier. The effect of a command on a state is computed once by the
+ * production class and cached. Every transition includes a snapshot and a restore.
  */
 final class LeaseTransitions {
     static final String LEASE = "task";
@@ -24,7 +24,7 @@
     static final byte RELEASE = 3;
     static final byte WITHDRAW = 4;
     static final byte TRANSFER = 5;
-    static final byte ACT = 6;
+    static final byte FENCED_ACTION = 6;
     static final byte EXPIRE = 7;
     static final byte SESSION_ENDED = 8;
 
@@ -41,7 +41,7 @@
     /**
      * The effect of a command.
      *
-     * @param next identifier of the state that it leads to
+     * @param next identifier of the resulting state
      * @param answer kind of the answer
      * @param answerToken token in the answer; 0 if none
      * @param grantedToken token that was granted; 0 if none
@@ -69,13 +69,13 @@
         snapshotId(components.createMachine(null));
     }
 
-    /** The machine in that state, which must not be changed. */
-    LeaseStateMachine machine(int id) {
-        return machines.get(id);
+    /** The state machine in the given state, which must not be changed. */
+    LeaseStateMachine machine(int snapshotId) {
+        return machines.get(snapshotId);
     }
 
-    int renewals(int id) {
-        List<LeaseStateMachine.HeldLease> held = machines.get(id).heldLeases();
+    int renewals(int snapshotId) {
+        List<LeaseStateMachine.HeldLease> held = machines.get(snapshotId).heldLeases();
         return held.isEmpty() ? 0 : (int) held.get(0).renewals();
     }
 
@@ -101,12 +101,12 @@
                                         kind == EXPIRE ? 0 : session,
                                         0,
                                         0,
-                                        command(kind, token, argument).encode()));
+                                        createCommand(kind, token, argument).encode()));
         byte grantedToken = 0;
         byte grantedSession = 0;
         byte actionToken = 0;
-        for (CommandEffects.Event each : effects.events()) {
-            LeaseEvent event = LeaseEvent.decode(each);
+        for (CommandEffects.Event encoded : effects.events()) {
+            LeaseEvent event = LeaseEvent.decode(encoded);
             if (event instanceof LeaseEvent.Granted granted) {
                 grantedToken = (byte) granted.token();
                 grantedSession = (byte) granted.session();
@@ -156,16 +156,17 @@
         return rejection instanceof LeaseRejection.NoSuccessor ? NO_SUCCESSOR : REJECTED;
     }
 
-    LeaseCommand command(byte kind, byte token, byte argument) {
+    LeaseCommand createCommand(byte kind, byte token, byte argument) {
         return switch (kind) {
             case ACQUIRE -> new LeaseCommand.Acquire(LEASE, ttlNanos, true);
             case RENEW -> new LeaseCommand.Renew(LEASE, token);
             case RELEASE -> new LeaseCommand.Release(LEASE, token);
             case WITHDRAW -> new LeaseCommand.Withdraw(LEASE);
             case TRANSFER -> new LeaseCommand.Transfer(LEASE, token, 0);
-            case ACT -> new LeaseCommand.FencedAction(LEASE, token, new byte[] {argument});
+            case FENCED_ACTION ->
+                    new LeaseCommand.FencedAction(LEASE, token, new byte[] {argument});
             case EXPIRE -> new LeaseCommand.Expire(LEASE, token, argument);
-            default -> throw new IllegalArgumentException("no command has the kind " + kind);
+            default -> throw new IllegalArgumentException("unknown command kind " + kind);
         };
     }
 
@@ -192,7 +193,7 @@
         return command instanceof LeaseCommand.Transfer transfer ? (byte) transfer.token() : 0;
     }
 
-    /** Reports an answer to a holder. */
+    /** Delivers an answer to a holder. */
     static void deliverAnswer(LeaseHolder holder, byte answer, byte token) {
         long now = LeaseModelMember.NOW;
         int number = LeaseModelMember.REQUEST_NUMBER;
--- a/src/measure/java/calicostream/lease/LeasedTaskProcesses.java
+++ b/src/measure/java/calicostream/lease/LeasedTaskProcesses.java
@@ -10,8 +10,9 @@
 import java.util.Map;
 
 /**
- * Processes with one task and a {@link LeasedTaskRunner} each, on one log that answers at once, or
- * not at all; in virtual time (nanoseconds). Confined to one thread.
+ * Simulates processes that each run one task in a {@link LeasedTaskRunner}, on one log that answers
+ * immediately, or not at all if the process is partitioned. Times are virtual, in nanoseconds.
+ * Confined to one thread.
  */
 final class LeasedTaskProcesses {
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -19,13 +20,13 @@
     private static final long TICK_MILLIS = 50;
     private static final String LEASE = "divide";
 
-    /** One process, with the calls of its task and the events of its runner. */
+    /** One process, which records the calls of its task and the events of its runner. */
     final class Process {
         final MemberSession session;
         final List<String> calls = new ArrayList<>();
         final List<String> events = new ArrayList<>();
         final LeasedTaskRunner runner;
-        boolean throwsNext;
+        boolean throwsInNextStep;
         boolean partitioned;
         long appliedActions;
 
@@ -56,8 +57,8 @@
                         @Override
                         public void step(FencedActions actions, long nowNanos) {
                             calls.add("step");
-                            if (throwsNext) {
-                                throwsNext = false;
+                            if (throwsInNextStep) {
+                                throwsInNextStep = false;
                                 throw new IllegalStateException("injected failure");
                             }
                             actions.submit(
@@ -90,24 +91,24 @@
             return calls.stream().filter(call::equals).count();
         }
 
-        /** Delivers the session's messages and the resulting events until none are left. */
+        /** Delivers the session's messages and the resulting events until there are no more. */
         void exchangeMessages() {
-            for (List<MemberSession.OutgoingFrame> sends = session.tick(now);
-                    !sends.isEmpty() && !partitioned;
-                    sends = session.tick(now)) {
-                for (MemberSession.OutgoingFrame send : sends) {
+            for (List<MemberSession.OutgoingFrame> frames = session.tick(now);
+                    !frames.isEmpty() && !partitioned;
+                    frames = session.tick(now)) {
+                for (MemberSession.OutgoingFrame frame : frames) {
                     MemberMessage.Request request =
-                            (MemberMessage.Request) MemberMessage.decode(send.frame());
+                            (MemberMessage.Request) MemberMessage.decode(frame.frame());
                     session.received(
                             1,
                             new MemberMessage.Reply(
-                                    request.id(), 0, state.apply(++index, request.body())),
+                                    request.id(), 0, state.apply(++logIndex, request.body())),
                             now);
-                    for (ReplicatedState.StateChange news : state.drainStateChanges()) {
-                        if (news.machine().equals("lease")) {
+                    for (ReplicatedState.StateChange change : state.drainStateChanges()) {
+                        if (change.machine().equals("lease")) {
                             processes.stream()
-                                    .filter(each -> !each.partitioned)
-                                    .forEach(each -> each.runner.onEvent(news.event()));
+                                    .filter(process -> !process.partitioned)
+                                    .forEach(process -> process.runner.onEvent(change.event()));
                         }
                     }
                 }
@@ -121,10 +122,10 @@
     private final ReplicatedState state = new ReplicatedState(Map.of("lease", machine));
     private final List<Process> processes = new ArrayList<>();
     private long now = 1_000 * NANOS_PER_MILLI;
-    private long index;
+    private long logIndex;
 
     LeasedTaskProcesses(int size) {
-        state.apply(++index, new ReplicatedEntry.EpochStart(1, 5).encode());
+        state.apply(++logIndex, new ReplicatedEntry.EpochStart(1, 5).encode());
         for (int member = 1; member <= size; member++) {
             processes.add(new Process(member));
         }
@@ -133,25 +134,25 @@
 
     private void tick() {
         processes.forEach(
-                each -> {
-                    each.runner.tick();
-                    each.exchangeMessages();
+                process -> {
+                    process.runner.tick();
+                    process.exchangeMessages();
                 });
         for (byte[] body : expiryMonitor.expiredCommands(now)) {
             state.apply(
-                    ++index,
+                    ++logIndex,
                     new ReplicatedEntry.LeaderCommand(state.epoch(), "lease", body).encode());
         }
     }
 
-    void pass(long millis) {
-        for (long left = millis; left > 0; left -= TICK_MILLIS) {
+    void advance(long millis) {
+        for (long remainingMillis = millis; remainingMillis > 0; remainingMillis -= TICK_MILLIS) {
             now += TICK_MILLIS * NANOS_PER_MILLI;
             tick();
         }
     }
 
-    Process get(int place) {
-        return processes.get(place);
+    Process get(int position) {
+        return processes.get(position);
     }
 }
--- a/src/measure/java/calicostream/lease/ObservedMachine.java
+++ b/src/measure/java/calicostream/lease/ObservedMachine.java
@@ -7,8 +7,8 @@
 import java.util.function.Consumer;
 
 /**
- * A replica's lease state machine that reports the effects of each entry to a {@link
- * LeaseHistoryChecker}, and to a listener if this replica is the first to apply the entry.
+ * A replica's lease state machine that reports the effects of each log entry to a {@link
+ * LeaseHistoryChecker}, and also to a listener if this replica is the first to apply the entry.
  */
 final class ObservedMachine implements StateMachine {
     private final LeaseStateMachine machine;
@@ -43,8 +43,8 @@
     }
 
     @Override
-    public byte[] query(byte[] question) {
-        return machine.query(question);
+    public byte[] query(byte[] encodedName) {
+        return machine.query(encodedName);
     }
 
     @Override
--- a/src/measure/java/calicostream/lease/RandomLeaseRun.java
+++ b/src/measure/java/calicostream/lease/RandomLeaseRun.java
@@ -15,10 +15,10 @@
 import java.util.stream.IntStream;
 
 /**
- * A randomized run of members with their sessions, holders and actions, a {@link SimulatedLog} and
- * a resource in virtual time, determined by its seed. Links lose, duplicate and delay messages;
- * processes are paused for up to three times to live, or restart; clocks drift by 500 ppm; leaders
- * change; quorums are lost. Invariants are checked after each event.
+ * A randomized run, determined by its seed, of members with their sessions, holders and actions, a
+ * {@link SimulatedLog} and a resource in virtual time. Links lose, duplicate and delay messages;
+ * processes restart or are paused for up to three times to live; clocks drift by up to 500 ppm; the
+ * leader changes; the quorum is lost. Invariants are checked after each event.
  */
 final class RandomLeaseRun {
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -35,8 +35,9 @@
      * @param violation the first violated invariant; empty if there is none
      * @param faults number of injected faults
      * @param actions number of actions that the log or the resource accepted
-     * @param tokens the last token granted
-     * @param handoverTimes in times to live, from a holder's loss to the next holder's first action
+     * @param tokens the most recently granted token
+     * @param handoverTimes times from the loss of a holder to the first action of the next holder,
+     *     in times to live
      */
     record Result(
             String violation, int faults, int actions, int tokens, List<Double> handoverTimes) {}
@@ -61,23 +62,24 @@
                             new MemberSession.Settings(id, sessionMillis, 150, 8),
                             List.of(1, 2, 3),
                             (long) id << 40 | incarnation << 32);
-            client = new LeaseClient(session, "lease", process::nanos);
+            client = new LeaseClient(session, "lease", process::monotonicNanos);
             holder =
                     client.add(
                             components.createHolder(
                                     LEASE,
                                     TTL_NANOS,
-                                    new LeaseHolder(LEASE, TTL_NANOS, process.nanos()).state()));
+                                    new LeaseHolder(LEASE, TTL_NANOS, process.monotonicNanos())
+                                            .state()));
             actions = client.fencedActions(holder);
             holder.acquire();
             tick();
-            act();
+            executeAction();
         }
 
         void tick() {
             client.tick();
-            session.tick(process.nanos()).forEach(this::send);
-            process.after(TICK_NANOS, this::tick);
+            session.tick(process.monotonicNanos()).forEach(this::send);
+            process.scheduleAfter(TICK_NANOS, this::tick);
         }
 
         private void send(MemberSession.OutgoingFrame frame) {
@@ -88,19 +90,22 @@
         }
 
         private void receive(int voter, byte[] reply, int incarnation) {
-            process.after(
+            process.scheduleAfter(
                     1,
                     () -> {
                         if (process.incarnation() == incarnation) {
                             MemberMessage.Reply decoded =
                                     (MemberMessage.Reply) MemberMessage.decode(reply);
-                            session.received(voter, decoded, process.nanos());
+                            session.received(voter, decoded, process.monotonicNanos());
                         }
                     });
         }
 
-        /** Checks and acts; the action may reach the resource much later. */
-        void act() {
+        /**
+         * Executes an action if the lease is held, and schedules the next one. The action may reach
+         * the resource much later.
+         */
+        void executeAction() {
             if (random.nextInt(3) == 0) {
                 actionNumber++;
                 byte[] number = new BinaryCodec.Writer().i64(actionNumber).toByteArray();
@@ -117,7 +122,7 @@
                         },
                         null);
             }
-            process.after((10 + random.nextInt(50)) * NANOS_PER_MILLI, this::act);
+            process.scheduleAfter((10 + random.nextInt(50)) * NANOS_PER_MILLI, this::executeAction);
         }
     }
 
@@ -145,12 +150,12 @@
     private long lostToken;
     private String violation = "";
 
-    private RandomLeaseRun(long seed, Mutant without, boolean killsOnly) {
+    private RandomLeaseRun(long seed, Mutant removed, boolean killsOnly) {
         random = new Random(seed);
         time = new SimulatedTime(random);
         this.killsOnly = killsOnly;
         sessionMillis = killsOnly ? 1500 : 400 + random.nextInt(1400);
-        components = new LeaseComponents(without, LeaseLimits.STANDARD, ClockDriftBound.STANDARD);
+        components = new LeaseComponents(removed, LeaseLimits.STANDARD, ClockDriftBound.STANDARD);
         tokenGuard = components.createTokenGuard(LEASE, 0);
         IntStream.range(0, SimulatedLog.VOTERS).forEach(i -> voters.add(time.createProcess()));
         log = new SimulatedLog(random, time, voters, components, this::onStateChange);
@@ -159,31 +164,34 @@
     }
 
     /**
-     * Runs with all faults.
+     * Runs a simulation with all faults.
      *
-     * @param without the safeguard removed; null: none
+     * @param removed the safeguard to remove; null for none
      */
-    static Result randomFaults(long seed, Mutant without) {
-        return new RandomLeaseRun(seed, without, false).run();
+    static Result randomFaults(long seed, Mutant removed) {
+        return new RandomLeaseRun(seed, removed, false).run();
     }
 
-    /** Runs with holders that are killed as the only fault, to measure handovers. */
+    /** Runs a simulation whose only fault is killing holders, to measure handover times. */
     static Result killsOnly(long seed) {
         return new RandomLeaseRun(seed, null, true).run();
     }
 
     private Result run() {
-        time.after(FIRST_FAULT_NANOS, this::injectFault);
-        long settled = 0;
+        time.scheduleAfter(FIRST_FAULT_NANOS, this::injectFault);
+        long actionsBeforeFinalPeriod = 0;
         Runnable task = time.nextTask(END_NANOS);
         while (task != null && violation.isEmpty()) {
             task.run();
             checkSingleHolder();
-            settled = time.now() < END_NANOS - 3 * TTL_NANOS ? acceptedActions : settled;
+            actionsBeforeFinalPeriod =
+                    time.now() < END_NANOS - 3 * TTL_NANOS
+                            ? acceptedActions
+                            : actionsBeforeFinalPeriod;
             task = violation.isEmpty() ? time.nextTask(END_NANOS) : null;
         }
-        if (violation.isEmpty() && acceptedActions == settled) {
-            violation = "nobody acts three times to live after the last fault";
+        if (violation.isEmpty() && acceptedActions == actionsBeforeFinalPeriod) {
+            violation = "no action is accepted in the last three times to live of the run";
         }
         return new Result(
                 violation.isEmpty()
@@ -195,20 +203,18 @@
                 handoverTimes);
     }
 
-    // ---- Links and faults
-
-    private void sendOverLink(int member, Runnable arrives) {
-        boolean cut = member != 0 && member == partitionedMember;
-        if (cut || random.nextDouble() < lossProbability) {
+    private void sendOverLink(int member, Runnable onArrival) {
+        boolean partitioned = member != 0 && member == partitionedMember;
+        if (partitioned || random.nextDouble() < lossProbability) {
             return;
         }
         int copies = random.nextInt(20) == 0 ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            time.after(
+            time.scheduleAfter(
                     100_000
                             + random.nextInt(maxDelayMillis) * NANOS_PER_MILLI
                             + random.nextInt(1_000_000),
-                    arrives);
+                    onArrival);
         }
     }
 
@@ -222,43 +228,43 @@
         }
         faultCount++;
         Member member = members.get(random.nextInt(members.size()));
-        Member holding = members.stream().filter(this::mayAct).findFirst().orElse(member);
+        Member holdingMember = members.stream().filter(this::mayAct).findFirst().orElse(member);
         SimulatedTime.Process voter = voters.get(random.nextInt(SimulatedLog.VOTERS));
-        long lasts = random.nextInt(3000) * NANOS_PER_MILLI;
+        long durationNanos = random.nextInt(3000) * NANOS_PER_MILLI;
         switch (killsOnly ? 2 : random.nextInt(11)) {
-            case 0 -> pause(holding, lasts);
-            case 1 -> pause(member, lasts);
+            case 0 -> pause(holdingMember, durationNanos);
+            case 1 -> pause(member, durationNanos);
             case 2 -> {
-                recordLoss(holding);
-                holding.start();
+                recordLoss(holdingMember);
+                holdingMember.start();
             }
             case 3 -> {
                 member.holder.release();
-                time.after(lasts, member.holder::acquire);
+                time.scheduleAfter(durationNanos, member.holder::acquire);
             }
             case 4 -> {
-                holding.holder.transfer(0);
-                time.after(lasts, holding.holder::acquire);
+                holdingMember.holder.transfer(0);
+                time.scheduleAfter(durationNanos, holdingMember.holder::acquire);
             }
             case 5 -> log.changeLeader(1 + random.nextInt(SimulatedLog.VOTERS));
             case 6 -> {
-                voter.pauseUntil(time.now() + lasts);
+                voter.pauseUntil(time.now() + durationNanos);
                 if (voters.get(log.leader() - 1) == voter) {
-                    time.after(
+                    time.scheduleAfter(
                             300 * NANOS_PER_MILLI,
                             () -> log.changeLeader(1 + log.leader() % SimulatedLog.VOTERS));
                 }
             }
             case 7 -> {
-                partitionedMember = holding.id;
-                recordLoss(holding);
-                time.after(lasts, () -> partitionedMember = 0);
+                partitionedMember = holdingMember.id;
+                recordLoss(holdingMember);
+                time.scheduleAfter(durationNanos, () -> partitionedMember = 0);
             }
             case 8 -> {
                 lossProbability = random.nextDouble() / 2;
                 maxDelayMillis = 1 + random.nextInt(600);
-                time.after(
-                        lasts,
+                time.scheduleAfter(
+                        durationNanos,
                         () -> {
                             lossProbability = 0;
                             maxDelayMillis = 5;
@@ -266,21 +272,23 @@
             }
             case 9 -> {
                 log.setQuorum(false);
-                time.after(lasts / 2, () -> log.setQuorum(true));
+                time.scheduleAfter(durationNanos / 2, () -> log.setQuorum(true));
             }
             default -> {
-                members.forEach(each -> each.process.setDrift(random.nextInt(1001) - 500));
-                voters.forEach(each -> each.setDrift(random.nextInt(1001) - 500));
+                members.forEach(
+                        driftingMember ->
+                                driftingMember.process.setDrift(random.nextInt(1001) - 500));
+                voters.forEach(driftingVoter -> driftingVoter.setDrift(random.nextInt(1001) - 500));
             }
         }
-        time.after(
+        time.scheduleAfter(
                 (killsOnly ? 2500 : 100) * NANOS_PER_MILLI + random.nextInt(1200) * NANOS_PER_MILLI,
                 this::injectFault);
     }
 
-    private void pause(Member member, long lasts) {
-        member.process.pauseUntil(time.now() + lasts);
-        if (lasts > TTL_NANOS) {
+    private void pause(Member member, long durationNanos) {
+        member.process.pauseUntil(time.now() + durationNanos);
+        if (durationNanos > TTL_NANOS) {
             recordLoss(member);
         }
     }
@@ -292,75 +300,75 @@
         }
     }
 
-    // ---- Invariants
-
     private boolean mayAct(Member member) {
-        return member.holder.isValidAt(member.process.nanos());
+        return member.holder.isValidAt(member.process.monotonicNanos());
     }
 
     private void checkSingleHolder() {
-        Member holding = null;
-        for (Member each : members) {
-            if (mayAct(each)) {
-                if (holding != null) {
+        Member holdingMember = null;
+        for (Member member : members) {
+            if (mayAct(member)) {
+                if (holdingMember != null) {
                     violation =
                             "members "
-                                    + holding.id
+                                    + holdingMember.id
                                     + " and "
-                                    + each.id
-                                    + " both hold the lease by their clocks";
+                                    + member.id
+                                    + " both hold the lease according to their clocks";
                 }
-                holding = each;
+                holdingMember = member;
             }
         }
     }
 
-    private void executeAtResource(Member by, long token) {
+    private void executeAtResource(Member sender, long token) {
         if (tokenGuard.admit(LEASE, token).isPresent()) {
             return;
         }
         if (token < lastResourceToken) {
             violation =
                     "the resource accepts an action of member "
-                            + by.id
+                            + sender.id
                             + " under token "
                             + token
-                            + " after one under "
+                            + " after an action under token "
                             + lastResourceToken;
         }
         lastResourceToken = token;
         onAction(token);
     }
 
-    private void onStateChange(ReplicatedState.StateChange news) {
-        if (!news.machine().equals("lease")) {
+    private void onStateChange(ReplicatedState.StateChange change) {
+        if (!change.machine().equals("lease")) {
             return;
         }
-        LeaseEvent event = LeaseEvent.decode(news.event());
+        LeaseEvent event = LeaseEvent.decode(change.event());
         if (event instanceof LeaseEvent.Granted granted) {
             if (granted.token() <= lastGrantedToken) {
                 violation = "token " + granted.token() + " is granted after " + lastGrantedToken;
             }
             lastGrantedToken = granted.token();
             members.forEach(
-                    each ->
+                    member ->
                             sendOverLink(
-                                    each.id,
-                                    () -> each.process.after(1, () -> each.client.onEvent(event))));
-        } else if (event instanceof LeaseEvent.ActionPerformed act) {
-            long number = new BinaryCodec.Reader("act", act.payload()).i64();
+                                    member.id,
+                                    () ->
+                                            member.process.scheduleAfter(
+                                                    1, () -> member.client.onEvent(event))));
+        } else if (event instanceof LeaseEvent.ActionPerformed action) {
+            long number = new BinaryCodec.Reader("act", action.payload()).i64();
             if (!appliedActions.add(number)) {
                 violation = "action " + number + " is applied twice";
             }
-            if (act.token() < lastLogToken) {
+            if (action.token() < lastLogToken) {
                 violation =
                         "the log accepts an action under token "
-                                + act.token()
-                                + " after one under "
+                                + action.token()
+                                + " after an action under token "
                                 + lastLogToken;
             }
-            lastLogToken = act.token();
-            onAction(act.token());
+            lastLogToken = action.token();
+            onAction(action.token());
         }
     }
 
--- a/src/measure/java/calicostream/lease/SimulatedLog.java
+++ b/src/measure/java/calicostream/lease/SimulatedLog.java
@@ -14,31 +14,32 @@
 import java.util.function.Consumer;
 
 /**
- * A replicated log as members see it: three voters of which one leads, entries that are committed
- * after a delay, in order, or lost when the leader changes, and no quorum at times. It replaces the
- * consensus alone; sessions, epochs, the lease state machine and the expiry monitors are the
- * product's own. Before each new epoch the replica goes through a snapshot.
+ * A simulated replicated log as members observe it: three voters, one of which is the leader;
+ * entries that are committed in order after a delay, or lost when the leader changes; and periods
+ * without quorum. Only the consensus algorithm is simulated; sessions, epochs, the lease state
+ * machine and the expiry monitors are the production classes. Before each new epoch the replica is
+ * restored from a snapshot.
  */
 final class SimulatedLog {
     static final int VOTERS = 3;
     static final String MACHINE = "lease";
     private static final long CHECK_INTERVAL_NANOS = 20_000_000;
 
-    private record Proposal(byte[] entry, Consumer<CommandOutcome> done) {}
+    private record Proposal(byte[] entry, Consumer<CommandOutcome> onOutcome) {}
 
     private final Random random;
     private final SimulatedTime time;
     private final List<SimulatedTime.Process> voters;
     private final LeaseComponents components;
     private final Consumer<ReplicatedState.StateChange> listener;
-    private final List<Proposal> proposed = new ArrayList<>();
+    private final List<Proposal> proposals = new ArrayList<>();
     private LeaseStateMachine machine;
     private ReplicatedState state;
     private LeaseExpiryMonitor leaseExpiryMonitor;
     private SessionExpiryMonitor sessionExpiryMonitor;
     private int leader;
     private long index;
-    private boolean quorum = true;
+    private boolean hasQuorum = true;
     private int leaderChanges;
 
     SimulatedLog(
@@ -66,28 +67,28 @@
         return machine;
     }
 
-    /** Nothing is committed while there is no quorum. */
+    /** Sets whether there is a quorum. Nothing is committed without one. */
     void setQuorum(boolean available) {
-        quorum = available;
+        hasQuorum = available;
         commit();
     }
 
     /**
-     * Makes another voter the leader. Of the proposed entries its log has the first ones, as many
-     * as chance has it; the others are lost.
+     * Makes another voter the leader. Its log contains a random number of the first proposed
+     * entries; the other entries are lost.
      */
-    void changeLeader(int to) {
-        int kept = random.nextInt(proposed.size() + 1);
-        proposed.subList(kept, proposed.size()).clear();
-        while (!proposed.isEmpty()) {
+    void changeLeader(int newLeader) {
+        int kept = random.nextInt(proposals.size() + 1);
+        proposals.subList(kept, proposals.size()).clear();
+        while (!proposals.isEmpty()) {
             // The answer is lost with the former leader.
-            apply(new Proposal(proposed.remove(0).entry, outcome -> {}));
+            apply(new Proposal(proposals.remove(0).entry, outcome -> {}));
         }
         byte[] snapshot = state.snapshot();
         machine = components.createMachine(null);
         state = new ReplicatedState(Map.of(MACHINE, machine));
         state.restore(snapshot);
-        becomeLeader(to);
+        becomeLeader(newLeader);
         checkExpiry(leaderChanges);
     }
 
@@ -100,15 +101,18 @@
                         outcome -> {}));
         leaseExpiryMonitor = components.createExpiryMonitor(machine, Map.of(), 0);
         sessionExpiryMonitor = new SessionExpiryMonitor(state, CHECK_INTERVAL_NANOS);
-        leaseExpiryMonitor.epochStarted(state.epoch(), voters.get(voter - 1).nanos());
+        leaseExpiryMonitor.epochStarted(state.epoch(), voters.get(voter - 1).monotonicNanos());
     }
 
-    /** Proposes what has expired by the leader's clock, periodically while it leads. */
-    private void checkExpiry(int leadership) {
-        if (leadership != leaderChanges) {
+    /**
+     * Periodically proposes the expiry of leases and sessions that have expired by the leader's
+     * clock, until the leader changes.
+     */
+    private void checkExpiry(int expectedLeaderChanges) {
+        if (expectedLeaderChanges != leaderChanges) {
             return;
         }
-        long now = voters.get(leader - 1).nanos();
+        long now = voters.get(leader - 1).monotonicNanos();
         for (byte[] body : leaseExpiryMonitor.expiredCommands(now)) {
             propose(
                     new ReplicatedEntry.LeaderCommand(state.epoch(), MACHINE, body).encode(),
@@ -117,38 +121,39 @@
         for (ReplicatedEntry.ExpireSession expire : sessionExpiryMonitor.expiredSessions(now)) {
             propose(expire.encode(), outcome -> {});
         }
-        voters.get(leader - 1).after(CHECK_INTERVAL_NANOS, () -> checkExpiry(leadership));
+        voters.get(leader - 1)
+                .scheduleAfter(CHECK_INTERVAL_NANOS, () -> checkExpiry(expectedLeaderChanges));
     }
 
-    void received(int voter, byte[] frame, Consumer<byte[]> answer) {
+    void received(int voter, byte[] frame, Consumer<byte[]> onReply) {
         MemberMessage.Request request = (MemberMessage.Request) MemberMessage.decode(frame);
-        Consumer<CommandOutcome> done =
+        Consumer<CommandOutcome> onOutcome =
                 outcome ->
-                        answer.accept(new MemberMessage.Reply(request.id(), 0, outcome).encode());
+                        onReply.accept(new MemberMessage.Reply(request.id(), 0, outcome).encode());
         if (voter == leader) {
-            propose(request.body(), done);
+            propose(request.body(), onOutcome);
         } else {
-            done.accept(
+            onOutcome.accept(
                     CommandOutcome.failed(
                             0, ClusterException.NotLeader.CODE, voter, leader, state.epoch()));
         }
     }
 
-    private void propose(byte[] entry, Consumer<CommandOutcome> done) {
-        Proposal proposal = new Proposal(entry, done);
-        proposed.add(proposal);
-        time.after(1_000_000 + random.nextInt(5_000_000), this::commit);
+    private void propose(byte[] entry, Consumer<CommandOutcome> onOutcome) {
+        Proposal proposal = new Proposal(entry, onOutcome);
+        proposals.add(proposal);
+        time.scheduleAfter(1_000_000 + random.nextInt(5_000_000), this::commit);
     }
 
     private void commit() {
-        while (quorum && !proposed.isEmpty()) {
-            apply(proposed.remove(0));
+        while (hasQuorum && !proposals.isEmpty()) {
+            apply(proposals.remove(0));
         }
     }
 
     private void apply(Proposal proposal) {
         index++;
-        proposal.done.accept(state.apply(index, proposal.entry));
+        proposal.onOutcome.accept(state.apply(index, proposal.entry));
         state.drainStateChanges().forEach(listener);
     }
 }
--- a/src/measure/java/calicostream/lease/SimulatedTime.java
+++ b/src/measure/java/calicostream/lease/SimulatedTime.java
@@ -5,19 +5,22 @@
 import java.util.Random;
 
 /**
- * The virtual time of a {@link RandomLeaseRun}: tasks in the order of their times, and processes
- * with clocks of their own. Confined to one thread; times in nanoseconds.
+ * The virtual time of a {@link RandomLeaseRun}: scheduled tasks in the order of their times, and
+ * processes that each have their own clock. Confined to one thread; times in nanoseconds.
  */
 final class SimulatedTime {
     private static final int MAX_CLOCK_START_MILLIS = 1_000_000;
     private static final long NANOS_PER_MILLI = 1_000_000;
-    private static final long MILLION = 1_000_000;
+    private static final long PARTS_PER_MILLION = 1_000_000;
 
-    private record Event(long at, long order, Process process, int incarnation, Runnable task)
+    private record Event(
+            long dueAt, long sequenceNumber, Process process, int incarnation, Runnable task)
             implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+            return dueAt != other.dueAt
+                    ? Long.compare(dueAt, other.dueAt)
+                    : Long.compare(sequenceNumber, other.sequenceNumber);
         }
 
         boolean isOfFormerIncarnation() {
@@ -25,35 +28,37 @@
         }
 
         boolean isPaused() {
-            return process != null && process.pausedUntil > at;
+            return process != null && process.pausedUntil > dueAt;
         }
 
         Event resumed() {
-            return new Event(process.pausedUntil, order, process, incarnation, task);
+            return new Event(process.pausedUntil, sequenceNumber, process, incarnation, task);
         }
     }
 
     /**
-     * A process with a drifting clock. While it is paused its tasks are delayed and its clock goes
-     * on; a restart drops the tasks of the former incarnation.
+     * A process with a drifting clock. While the process is paused, its tasks are delayed but its
+     * clock advances. A restart drops the tasks of the former incarnation.
      */
     final class Process {
         private long driftPpm;
-        private long base = random.nextInt(MAX_CLOCK_START_MILLIS) * NANOS_PER_MILLI;
-        private long baseAt;
+        private long clockBase = random.nextInt(MAX_CLOCK_START_MILLIS) * NANOS_PER_MILLI;
+        private long clockBaseSetAt;
         private long pausedUntil;
         private int incarnation;
 
         private Process() {}
 
-        /** The process's monotonic time. */
-        long nanos() {
-            return base + (now - baseAt) + (now - baseAt) * driftPpm / MILLION;
+        /** The time on the process's monotonic clock. */
+        long monotonicNanos() {
+            return clockBase
+                    + (now - clockBaseSetAt)
+                    + (now - clockBaseSetAt) * driftPpm / PARTS_PER_MILLION;
         }
 
         void setDrift(long ppm) {
-            base = nanos();
-            baseAt = now;
+            clockBase = monotonicNanos();
+            clockBaseSetAt = now;
             driftPpm = ppm;
         }
 
@@ -73,16 +78,18 @@
             return incarnation;
         }
 
-        /** Runs a task in this incarnation of the process, at least a nanosecond from now. */
-        void after(long delay, Runnable task) {
-            schedule(Math.max(1, delay), this, incarnation, task);
+        /**
+         * Schedules a task in this incarnation of the process, at least one nanosecond from now.
+         */
+        void scheduleAfter(long delayNanos, Runnable task) {
+            schedule(Math.max(1, delayNanos), this, incarnation, task);
         }
     }
 
     private final Random random;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private long now;
-    private long order;
+    private long sequenceNumber;
 
     SimulatedTime(Random random) {
         this.random = random;
@@ -96,23 +103,23 @@
         return new Process();
     }
 
-    /** Runs a task that belongs to no process. */
-    void after(long delay, Runnable task) {
-        schedule(delay, null, 0, task);
+    /** Schedules a task that belongs to no process. */
+    void scheduleAfter(long delayNanos, Runnable task) {
+        schedule(delayNanos, null, 0, task);
     }
 
-    private void schedule(long delay, Process process, int incarnation, Runnable task) {
-        events.add(new Event(now + delay, order, process, incarnation, task));
-        order++;
+    private void schedule(long delayNanos, Process process, int incarnation, Runnable task) {
+        events.add(new Event(now + delayNanos, sequenceNumber, process, incarnation, task));
+        sequenceNumber++;
     }
 
     /**
-     * Advances to the next task.
+     * Advances the time to the next task.
      *
-     * @return the task to run now; null if there is none by that time
+     * @return the task to run now; null if no task is scheduled until then
      */
-    Runnable nextTask(long until) {
-        while (!events.isEmpty() && events.peek().at <= until) {
+    Runnable nextTask(long endNanos) {
+        while (!events.isEmpty() && events.peek().dueAt <= endNanos) {
             Event event = events.poll();
             if (event.isOfFormerIncarnation()) {
                 continue;
@@ -121,7 +128,7 @@
                 events.add(event.resumed());
                 continue;
             }
-            now = event.at;
+            now = event.dueAt;
             return event.task;
         }
         return null;
--- a/src/measure/java/calicostream/lease/VoterModel.java
+++ b/src/measure/java/calicostream/lease/VoterModel.java
@@ -10,51 +10,54 @@
 import java.util.Map;
 
 /**
- * The model of three voters and their logs, as far as the loss of a voter's state needs them: a
- * vote and a copy of the log are one transition each, any voter becomes a candidate at any time,
- * outdated leaders go on until they learn of a newer term, and a voter may lose all of its state.
- * What a majority has stored is applied by the product's {@link LeaseStateMachine}. With the
- * safeguard, a voter that lost its state is a learner until a leader has every other voter's log at
- * its own term, as a change of voters would need.
+ * A model of three voters and their logs, in the detail that the loss of a voter's state requires.
+ * A vote and a copy of the log are one transition each, any voter becomes a candidate at any time,
+ * an outdated leader remains leader until it learns of a newer term, and a voter may lose all of
+ * its state. Entries that a majority has stored are applied by the production {@link
+ * LeaseStateMachine}. With the safeguard, a voter that lost its state is a learner until all voters
+ * have the leader's term and log, as a change of voters would require.
  *
  * <p>Invariant: no token is granted to two sessions, and no grant is lost. Assumption: no second
- * voter loses its state before the first may vote again.
+ * voter loses its state while the first is still a learner.
  */
 public final class VoterModel implements Model {
     /**
      * Bounds of the model.
      *
-     * @param terms most terms
-     * @param entries most entries of a log
-     * @param amnesias how often a voter loses its state
-     * @param commands how many of the six commands are proposed
+     * @param terms maximum number of terms
+     * @param entries maximum number of entries in a log
+     * @param stateLosses maximum number of losses of a voter's state
+     * @param commands number of different commands that are proposed, at most six
      */
-    public record Bounds(int terms, int entries, int amnesias, int commands) {}
+    public record Bounds(int terms, int entries, int stateLosses, int commands) {}
 
     private static final int VOTERS = 3;
     private static final int TOKENS = 3;
 
-    // Offsets in a state: what the invariant needs, then each voter.
-    private static final int GRANTED_SESSIONS = 0; // to which session each token was granted
-    private static final int AMNESIA_LEFT = 3;
-    private static final int MAJORITY_LENGTH = 4; // longest log known to be stored by a majority
+    // Offsets in a state: the history that the invariant needs, then the voters.
+    private static final int GRANTED_SESSIONS = 0; // for each token, the session it was granted to
+    private static final int STATE_LOSSES_LEFT = 3;
+    private static final int MAJORITY_LENGTH = 4; // length of the longest log stored by a majority
     private static final int HEADER_BYTES = 5;
 
-    // Offsets in a voter.
+    // Offsets in the bytes of a voter.
     private static final int TERM = 0;
-    private static final int VOTED_FOR = 1; // voter's number from 1 up; 0: nobody
+    private static final int VOTED_FOR = 1; // number of the candidate, from 1 up; 0 if none
     private static final int ROLE = 2;
-    private static final int VOTES = 3; // of a candidate, as bits
-    private static final int ACKNOWLEDGED = 4; // of a leader: length of each voter's log
-    private static final int LENGTH = 7; // of the log
-    private static final int LOG = 8; // entries: term << 4 | command
+    private static final int VOTES = 3; // votes received by a candidate, as bits
+    private static final int ACKNOWLEDGED = 4; // of a leader: acknowledged length of each log
+    private static final int LENGTH = 7; // number of log entries
+    private static final int LOG = 8; // log entries, each term << 4 | command
 
     private static final int FOLLOWER = 0;
     private static final int CANDIDATE = 1;
     private static final int LEADER = 2;
     private static final int LEARNER = 3;
 
-    /** Commands 1 and 2: a session acquires; 3 to 6: a session releases token 1 or 2. */
+    /**
+     * Command number of an entry without a command. With the numbers 1 and 2, session 1 or 2
+     * acquires the lease; with 3 to 6, session 1 or 2 releases it under token 1 or 2.
+     */
     private static final int NO_COMMAND = 0;
 
     private static final int BECOME_CANDIDATE = 0;
@@ -82,7 +85,7 @@
     private final Map<String, byte[]> grantedSessions = new HashMap<>();
 
     /**
-     * @param removed the safeguard removed; null: none
+     * @param removed the safeguard to remove; null for none
      */
     public VoterModel(Bounds bounds, Mutant removed) {
         this.bounds = bounds;
@@ -92,14 +95,14 @@
 
     @Override
     public String name() {
-        return "voters that forget";
+        return "voters that lose their state";
     }
 
     @Override
     public List<byte[]> initial() {
-        byte[] s = new byte[HEADER_BYTES + VOTERS * voterBytes];
-        s[AMNESIA_LEFT] = (byte) bounds.amnesias;
-        return List.of(s);
+        byte[] state = new byte[HEADER_BYTES + VOTERS * voterBytes];
+        state[STATE_LOSSES_LEFT] = (byte) bounds.stateLosses;
+        return List.of(state);
     }
 
     @Override
@@ -126,205 +129,227 @@
     }
 
     @Override
-    public void transitions(byte[] s, Transitions to) {
-        for (int v = 0; v < VOTERS; v++) {
-            int at = HEADER_BYTES + v * voterBytes;
-            if (s[at + ROLE] != LEARNER && s[at + ROLE] != LEADER && s[at + TERM] < bounds.terms) {
-                byte[] n = s.clone();
-                n[at + TERM]++;
-                n[at + VOTED_FOR] = (byte) (v + 1);
-                n[at + ROLE] = CANDIDATE;
-                n[at + VOTES] = (byte) (1 << v);
-                to.to(action(BECOME_CANDIDATE, v, 0), n);
+    public void transitions(byte[] state, Transitions transitions) {
+        for (int voter = 0; voter < VOTERS; voter++) {
+            int offset = HEADER_BYTES + voter * voterBytes;
+            if (state[offset + ROLE] != LEARNER
+                    && state[offset + ROLE] != LEADER
+                    && state[offset + TERM] < bounds.terms) {
+                byte[] next = state.clone();
+                next[offset + TERM]++;
+                next[offset + VOTED_FOR] = (byte) (voter + 1);
+                next[offset + ROLE] = CANDIDATE;
+                next[offset + VOTES] = (byte) (1 << voter);
+                transitions.to(action(BECOME_CANDIDATE, voter, 0), next);
             }
-            if (s[at + ROLE] == LEADER) {
-                leaderTransitions(v, at, s, to);
+            if (state[offset + ROLE] == LEADER) {
+                leaderTransitions(voter, offset, state, transitions);
             }
             for (int other = 0; other < VOTERS; other++) {
-                if (other != v && s[HEADER_BYTES + other * voterBytes + ROLE] == CANDIDATE) {
-                    voteTransition(v, at, other, s, to);
+                if (other != voter
+                        && state[HEADER_BYTES + other * voterBytes + ROLE] == CANDIDATE) {
+                    voteTransition(voter, offset, other, state, transitions);
                 }
             }
-            faultTransitions(v, at, s, to);
+            faultTransitions(voter, offset, state, transitions);
         }
     }
 
-    private void voteTransition(int v, int at, int other, byte[] s, Transitions to) {
-        int of = HEADER_BYTES + other * voterBytes;
-        boolean free =
-                s[at + TERM] < s[of + TERM]
-                        || s[at + TERM] == s[of + TERM] && s[at + VOTED_FOR] == 0;
-        if (s[at + ROLE] == LEARNER
-                || !free
-                || lastTerm(s, at) > lastTerm(s, of)
-                || lastTerm(s, at) == lastTerm(s, of) && s[at + LENGTH] > s[of + LENGTH]) {
+    private void voteTransition(
+            int voter, int offset, int candidate, byte[] state, Transitions transitions) {
+        int candidateOffset = HEADER_BYTES + candidate * voterBytes;
+        boolean canVote =
+                state[offset + TERM] < state[candidateOffset + TERM]
+                        || state[offset + TERM] == state[candidateOffset + TERM]
+                                && state[offset + VOTED_FOR] == 0;
+        if (state[offset + ROLE] == LEARNER
+                || !canVote
+                || lastTerm(state, offset) > lastTerm(state, candidateOffset)
+                || lastTerm(state, offset) == lastTerm(state, candidateOffset)
+                        && state[offset + LENGTH] > state[candidateOffset + LENGTH]) {
             return;
         }
-        byte[] n = s.clone();
-        becomeFollower(n, at, s[of + TERM]);
-        n[at + VOTED_FOR] = (byte) (other + 1);
-        n[of + VOTES] |= (byte) (1 << v);
-        n[of + ROLE] = LEADER; // With its own vote it has two of three.
-        n[of + VOTES] = 0;
-        n[of + ACKNOWLEDGED] = n[of + ACKNOWLEDGED + 1] = n[of + ACKNOWLEDGED + 2] = 0;
-        to.to(action(VOTE, v, other), n);
+        byte[] next = state.clone();
+        becomeFollower(next, offset, state[candidateOffset + TERM]);
+        next[offset + VOTED_FOR] = (byte) (candidate + 1);
+        next[candidateOffset + VOTES] |= (byte) (1 << voter);
+        next[candidateOffset + ROLE] = LEADER; // Including its own vote, it has two of three votes.
+        next[candidateOffset + VOTES] = 0;
+        next[candidateOffset + ACKNOWLEDGED] =
+                next[candidateOffset + ACKNOWLEDGED + 1] =
+                        next[candidateOffset + ACKNOWLEDGED + 2] = 0;
+        transitions.to(action(VOTE, voter, candidate), next);
     }
 
-    private int lastTerm(byte[] s, int at) {
-        return s[at + LENGTH] == 0 ? 0 : s[at + LOG + s[at + LENGTH] - 1] >> 4;
+    private int lastTerm(byte[] state, int offset) {
+        return state[offset + LENGTH] == 0
+                ? 0
+                : state[offset + LOG + state[offset + LENGTH] - 1] >> 4;
     }
 
-    private void becomeFollower(byte[] n, int at, int term) {
-        if (n[at + TERM] < term) {
-            n[at + TERM] = (byte) term;
-            n[at + VOTED_FOR] = 0;
+    private void becomeFollower(byte[] next, int offset, int term) {
+        if (next[offset + TERM] < term) {
+            next[offset + TERM] = (byte) term;
+            next[offset + VOTED_FOR] = 0;
         }
-        if (n[at + ROLE] != LEARNER) {
-            n[at + ROLE] = FOLLOWER;
+        if (next[offset + ROLE] != LEARNER) {
+            next[offset + ROLE] = FOLLOWER;
         }
-        n[at + VOTES] =
-                n[at + ACKNOWLEDGED] = n[at + ACKNOWLEDGED + 1] = n[at + ACKNOWLEDGED + 2] = 0;
+        next[offset + VOTES] =
+                next[offset + ACKNOWLEDGED] =
+                        next[offset + ACKNOWLEDGED + 1] = next[offset + ACKNOWLEDGED + 2] = 0;
     }
 
-    private void leaderTransitions(int v, int at, byte[] s, Transitions to) {
-        if (s[at + LENGTH] < bounds.entries) {
+    private void leaderTransitions(int voter, int offset, byte[] state, Transitions transitions) {
+        if (state[offset + LENGTH] < bounds.entries) {
             for (int command = NO_COMMAND; command <= bounds.commands; command++) {
-                byte[] n = s.clone();
-                n[at + LOG + n[at + LENGTH]++] = (byte) (s[at + TERM] << 4 | command);
-                to.to(action(APPEND, v, command), n);
+                byte[] next = state.clone();
+                next[offset + LOG + next[offset + LENGTH]++] =
+                        (byte) (state[offset + TERM] << 4 | command);
+                transitions.to(action(APPEND, voter, command), next);
             }
         }
-        int holders = 1;
+        int replicaCount = 1;
         for (int other = 0; other < VOTERS; other++) {
-            int of = HEADER_BYTES + other * voterBytes;
-            if (other == v) {
+            int otherOffset = HEADER_BYTES + other * voterBytes;
+            if (other == voter) {
                 continue;
             }
-            if (s[of + TERM] <= s[at + TERM]) {
-                byte[] n = s.clone();
-                becomeFollower(n, of, s[at + TERM]);
-                System.arraycopy(s, at + LENGTH, n, of + LENGTH, voterBytes - LENGTH);
-                n[at + ACKNOWLEDGED + other] =
-                        s[of + ROLE] == LEARNER ? s[at + ACKNOWLEDGED + other] : s[at + LENGTH];
-                to.to(action(COPY_LOG, other, v), n);
+            if (state[otherOffset + TERM] <= state[offset + TERM]) {
+                byte[] next = state.clone();
+                becomeFollower(next, otherOffset, state[offset + TERM]);
+                System.arraycopy(
+                        state, offset + LENGTH, next, otherOffset + LENGTH, voterBytes - LENGTH);
+                next[offset + ACKNOWLEDGED + other] =
+                        state[otherOffset + ROLE] == LEARNER
+                                ? state[offset + ACKNOWLEDGED + other]
+                                : state[offset + LENGTH];
+                transitions.to(action(COPY_LOG, other, voter), next);
             }
-            holders += s[at + ACKNOWLEDGED + other] == s[at + LENGTH] ? 1 : 0;
+            replicaCount += state[offset + ACKNOWLEDGED + other] == state[offset + LENGTH] ? 1 : 0;
         }
-        if (holders >= 2 && lastTerm(s, at) == s[at + TERM]) {
-            commitTransition(v, at, s, to);
+        if (replicaCount >= 2 && lastTerm(state, offset) == state[offset + TERM]) {
+            commitTransition(voter, offset, state, transitions);
         }
     }
 
-    private void commitTransition(int v, int at, byte[] s, Transitions to) {
-        byte[] tokens = sessionsByToken(s, at);
-        byte[] n = s.clone();
+    private void commitTransition(int voter, int offset, byte[] state, Transitions transitions) {
+        byte[] sessionsByToken = sessionsByToken(state, offset);
+        byte[] next = state.clone();
         for (int i = 0; i < TOKENS; i++) {
-            // An outdated leader has fewer entries, which is no loss.
-            boolean lost =
-                    tokens[i] == 0
-                            && s[at + LENGTH]
-                                    >= s[MAJORITY_LENGTH]; // A leader out of date knows less,
-            // and says
-            // nothing wrong.
-            if (s[GRANTED_SESSIONS + i] != 0
-                    && tokens[i] != s[GRANTED_SESSIONS + i]
-                    && (lost || tokens[i] != 0)) {
-                to.violation(
-                        action(COMMIT, v, 0),
+            // A leader whose log is shorter than the longest majority log is outdated, so a missing
+            // grant is not a loss.
+            boolean isLost =
+                    sessionsByToken[i] == 0 && state[offset + LENGTH] >= state[MAJORITY_LENGTH];
+            if (state[GRANTED_SESSIONS + i] != 0
+                    && sessionsByToken[i] != state[GRANTED_SESSIONS + i]
+                    && (isLost || sessionsByToken[i] != 0)) {
+                transitions.violation(
+                        action(COMMIT, voter, 0),
                         "token "
                                 + (i + 1)
                                 + " was granted to session "
-                                + s[GRANTED_SESSIONS + i]
-                                + (tokens[i] == 0
+                                + state[GRANTED_SESSIONS + i]
+                                + (sessionsByToken[i] == 0
                                         ? " and is lost"
-                                        : " and is granted to session " + tokens[i]));
+                                        : " and is granted to session " + sessionsByToken[i]));
                 return;
             }
-            n[GRANTED_SESSIONS + i] = (byte) Math.max(s[GRANTED_SESSIONS + i], tokens[i]);
+            next[GRANTED_SESSIONS + i] =
+                    (byte) Math.max(state[GRANTED_SESSIONS + i], sessionsByToken[i]);
         }
-        n[MAJORITY_LENGTH] = (byte) Math.max(s[MAJORITY_LENGTH], s[at + LENGTH]);
-        to.to(action(COMMIT, v, 0), n);
+        next[MAJORITY_LENGTH] = (byte) Math.max(state[MAJORITY_LENGTH], state[offset + LENGTH]);
+        transitions.to(action(COMMIT, voter, 0), next);
     }
 
-    /** To which session the state machine grants each token when it applies that voter's log. */
-    private byte[] sessionsByToken(byte[] s, int at) {
+    /**
+     * For each token, the session to which the state machine grants it when it applies the voter's
+     * log; 0 if none.
+     */
+    private byte[] sessionsByToken(byte[] state, int offset) {
         StringBuilder key = new StringBuilder();
-        for (int i = 0; i < s[at + LENGTH]; i++) {
-            key.append((char) (s[at + LOG + i] & 15));
+        for (int i = 0; i < state[offset + LENGTH]; i++) {
+            key.append((char) (state[offset + LOG + i] & 15));
         }
         return grantedSessions.computeIfAbsent(
                 key.toString(),
                 commands -> {
                     LeaseStateMachine machine = components.createMachine(null);
-                    byte[] tokens = new byte[TOKENS];
+                    byte[] sessionsByToken = new byte[TOKENS];
                     for (int i = 0; i < commands.length(); i++) {
                         int command = commands.charAt(i);
                         if (command != NO_COMMAND) {
-                            LeaseCommand said =
+                            LeaseCommand leaseCommand =
                                     command <= 2
                                             ? new LeaseCommand.Acquire("task", 2_000_000_000L, true)
                                             : new LeaseCommand.Release("task", (command - 1) / 2);
                             CommandEffects effects =
                                     machine.apply(
                                             i + 1,
-                                            new Command(2 - command % 2, i, 0, said.encode()));
+                                            new Command(
+                                                    2 - command % 2, i, 0, leaseCommand.encode()));
                             for (CommandEffects.Event event : effects.events()) {
-                                if (LeaseEvent.decode(event) instanceof LeaseEvent.Granted g
-                                        && g.token() <= TOKENS) {
-                                    tokens[(int) g.token() - 1] = (byte) g.session();
+                                if (LeaseEvent.decode(event) instanceof LeaseEvent.Granted granted
+                                        && granted.token() <= TOKENS) {
+                                    sessionsByToken[(int) granted.token() - 1] =
+                                            (byte) granted.session();
                                 }
                             }
                         }
                     }
-                    return tokens;
+                    return sessionsByToken;
                 });
     }
 
-    private void faultTransitions(int v, int at, byte[] s, Transitions to) {
-        if (s[at + ROLE] != FOLLOWER && s[at + ROLE] != LEARNER) {
-            byte[] n = s.clone();
-            becomeFollower(n, at, s[at + TERM]);
-            to.to(action(RESTART, v, 0), n);
+    private void faultTransitions(int voter, int offset, byte[] state, Transitions transitions) {
+        if (state[offset + ROLE] != FOLLOWER && state[offset + ROLE] != LEARNER) {
+            byte[] next = state.clone();
+            becomeFollower(next, offset, state[offset + TERM]);
+            transitions.to(action(RESTART, voter, 0), next);
         }
-        boolean learner = false;
+        boolean hasLearner = false;
         for (int other = 0; other < VOTERS; other++) {
-            learner |= s[HEADER_BYTES + other * voterBytes + ROLE] == LEARNER;
+            hasLearner |= state[HEADER_BYTES + other * voterBytes + ROLE] == LEARNER;
         }
-        if (s[AMNESIA_LEFT] > 0 && !learner) {
-            byte[] n = s.clone();
-            n[AMNESIA_LEFT]--;
+        if (state[STATE_LOSSES_LEFT] > 0 && !hasLearner) {
+            byte[] next = state.clone();
+            next[STATE_LOSSES_LEFT]--;
             for (int i = 0; i < voterBytes; i++) {
-                n[at + i] = 0;
+                next[offset + i] = 0;
             }
-            n[at + ROLE] =
+            next[offset + ROLE] =
                     (byte) (components.isRemoved(Mutant.VOTE_AFTER_AMNESIA) ? FOLLOWER : LEARNER);
-            to.to(action(LOSE_STATE, v, 0), n);
+            transitions.to(action(LOSE_STATE, voter, 0), next);
         }
-        if (s[at + ROLE] == LEARNER) {
+        if (state[offset + ROLE] == LEARNER) {
             for (int leader = 0; leader < VOTERS; leader++) {
-                if (mayBecomeVoter(s, leader)) {
-                    byte[] n = s.clone();
-                    n[at + ROLE] = FOLLOWER;
-                    n[HEADER_BYTES + leader * voterBytes + ACKNOWLEDGED + v] = s[at + LENGTH];
-                    to.to(action(BECOME_VOTER, v, leader), n);
+                if (mayBecomeVoter(state, leader)) {
+                    byte[] next = state.clone();
+                    next[offset + ROLE] = FOLLOWER;
+                    next[HEADER_BYTES + leader * voterBytes + ACKNOWLEDGED + voter] =
+                            state[offset + LENGTH];
+                    transitions.to(action(BECOME_VOTER, voter, leader), next);
                 }
             }
         }
     }
 
-    /** Whether all voters have the leader's term and its log, which ends in that term. */
-    private boolean mayBecomeVoter(byte[] s, int leader) {
-        int of = HEADER_BYTES + leader * voterBytes;
-        if (s[of + ROLE] != LEADER || lastTerm(s, of) != s[of + TERM]) {
+    /**
+     * Whether all voters have the leader's term and log, and the log's last entry is of that term.
+     */
+    private boolean mayBecomeVoter(byte[] state, int leader) {
+        int leaderOffset = HEADER_BYTES + leader * voterBytes;
+        if (state[leaderOffset + ROLE] != LEADER
+                || lastTerm(state, leaderOffset) != state[leaderOffset + TERM]) {
             return false;
         }
-        for (int v = 0; v < VOTERS; v++) {
-            int at = HEADER_BYTES + v * voterBytes;
-            if (s[at + TERM] != s[of + TERM]) {
+        for (int voter = 0; voter < VOTERS; voter++) {
+            int offset = HEADER_BYTES + voter * voterBytes;
+            if (state[offset + TERM] != state[leaderOffset + TERM]) {
                 return false;
             }
             for (int i = LENGTH; i < voterBytes; i++) {
-                if (s[at + i] != s[of + i]) {
+                if (state[offset + i] != state[leaderOffset + i]) {
                     return false;
                 }
             }
@@ -332,7 +357,7 @@
         return true;
     }
 
-    private static int action(int kind, int v, int more) {
-        return kind << 6 | v << 4 | more;
+    private static int action(int kind, int voter, int argument) {
+        return kind << 6 | voter << 4 | argument;
     }
 }
--- a/src/test/java/calicostream/lease/EjectionHintsTest.java
+++ b/src/test/java/calicostream/lease/EjectionHintsTest.java
@@ -14,7 +14,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** {@link EjectionHints} of a holder and of a receiver; a reinstatement is passed on once. */
+/** {@link EjectionHints} of a holder and of a receiver. */
 class EjectionHintsTest {
     private static final long SEED = 25;
 
@@ -24,27 +24,27 @@
     private final List<byte[]> messages = pair.messages;
 
     @Test
-    void ejectionIsRepeatedAndReinstatementPassedOnOnce() {
+    void ejectionIsRepeatedAndReinstatementIsPassedOnOnce() {
         pair.grantToHolder();
-        pair.pass(5_000);
+        pair.advance(5_000);
         assertEquals(0, messages.size(), "nothing is published while nothing is ejected");
         holder.ejected.add(3L);
-        pair.pass(2_500);
+        pair.advance(2_500);
         assertEquals(List.of("3 ejected", "3 ejected", "3 ejected"), receiver.receivedHints);
         assertEquals(List.of(), holder.receivedHints);
         holder.ejected.remove(3L);
-        pair.pass(10_000);
+        pair.advance(10_000);
         assertEquals("3 served", receiver.receivedHints.get(receiver.receivedHints.size() - 1));
         assertEquals(1, receiver.receivedHints.stream().filter("3 served"::equals).count());
         assertEquals(3 + EjectionHints.REINSTATEMENT_PUBLICATIONS, messages.size());
-        Hint hint = receiver.ejectionHints.hints(pair.now).get(3L);
+        Hint hint = receiver.ejectionHints.hints(pair.nowNanos).get(3L);
         assertTrue(
                 hint.served() && hint.ageNanos() >= 9_000 * EjectionHintsPair.NANOS_PER_MILLI,
                 hint.toString());
         holder.ejected.add(3L);
-        pair.pass(200);
+        pair.advance(200);
         holder.ejected.remove(3L);
-        pair.pass(2_000);
+        pair.advance(2_000);
         assertEquals(2, receiver.receivedHints.stream().filter("3 served"::equals).count());
         assertTrue(
                 receiver.ejectionHints.statusJson().contains("\"3\":{\"served\":true"),
@@ -52,46 +52,46 @@
     }
 
     @Test
-    void engineRemovedFromTheListIsNotReinstated() {
+    void engineRemovedFromListIsNotReinstated() {
         pair.grantToHolder();
         holder.ejected.add(3L);
-        pair.pass(500);
-        holder.listed.remove(3L);
-        pair.pass(3_000);
+        pair.advance(500);
+        holder.listedEngines.remove(3L);
+        pair.advance(3_000);
         assertEquals(List.of("3 ejected"), receiver.receivedHints);
     }
 
     @Test
-    void lostMessageCostsOneIntervalAndOutdatedOnesAreIgnored() {
+    void lostMessageIsRepeatedAndOutdatedMessageIsIgnored() {
         pair.grantToHolder();
         holder.ejected.add(3L);
-        pair.losesMessages = true;
-        pair.pass(900);
-        pair.losesMessages = false;
-        pair.pass(1_000);
+        pair.dropsMessages = true;
+        pair.advance(900);
+        pair.dropsMessages = false;
+        pair.advance(1_000);
         assertEquals(List.of("3 ejected"), receiver.receivedHints);
         holder.ejected.remove(3L);
-        pair.pass(300);
+        pair.advance(300);
         assertEquals(List.of("3 ejected", "3 served"), receiver.receivedHints);
-        receiver.ejectionHints.onAction(4, messages.get(0), pair.now);
-        receiver.ejectionHints.onAction(3, messages.get(messages.size() - 1), pair.now);
+        receiver.ejectionHints.onAction(4, messages.get(0), pair.nowNanos);
+        receiver.ejectionHints.onAction(3, messages.get(messages.size() - 1), pair.nowNanos);
         assertEquals(List.of("3 ejected", "3 served"), receiver.receivedHints);
-        // The next holder's numbers begin again under its greater token.
-        receiver.ejectionHints.onAction(5, messages.get(0), pair.now);
+        // The next holder numbers its messages from 1 again, under a greater token.
+        receiver.ejectionHints.onAction(5, messages.get(0), pair.nowNanos);
         assertEquals(List.of("3 ejected", "3 served", "3 ejected"), receiver.receivedHints);
     }
 
     @Test
-    void messagesAreBoundedAndMalformedOnesChangeNothing() {
+    void messageSizeIsBoundedAndMalformedMessageChangesNothing() {
         Random random = new Random(SEED);
         pair.grantToHolder();
         for (long id = 10; id < 3 * EjectionHints.MAX_ENGINES; id++) {
-            holder.listed.add(id);
+            holder.listedEngines.add(id);
             holder.ejected.add(id);
         }
-        pair.pass(1_200);
+        pair.advance(1_200);
         holder.ejected.clear();
-        pair.pass(300);
+        pair.advance(300);
         assertTrue(
                 messages.stream()
                         .allMatch(
@@ -99,18 +99,18 @@
                                         message.length <= LeaseLimits.MAX_PAYLOAD_BYTES
                                                 && new BinaryCodec.Reader("message", message).u8()
                                                         == 1));
-        assertTrue(receiver.ejectionHints.hints(pair.now).size() <= EjectionHints.MAX_ENGINES);
-        Map<Long, Hint> before = receiver.ejectionHints.hints(pair.now);
+        assertTrue(receiver.ejectionHints.hints(pair.nowNanos).size() <= EjectionHints.MAX_ENGINES);
+        Map<Long, Hint> before = receiver.ejectionHints.hints(pair.nowNanos);
         int hintCount = receiver.receivedHints.size();
         byte[] valid = messages.get(0);
         for (int i = 0; i < 200; i++) {
-            byte[] cut = Arrays.copyOf(valid, random.nextInt(valid.length));
+            byte[] truncated = Arrays.copyOf(valid, random.nextInt(valid.length));
             assertThrows(
                     ClusterException.Malformed.class,
-                    () -> receiver.ejectionHints.onAction(9, cut, pair.now),
+                    () -> receiver.ejectionHints.onAction(9, truncated, pair.nowNanos),
                     "seed " + SEED);
         }
-        assertEquals(before, receiver.ejectionHints.hints(pair.now));
+        assertEquals(before, receiver.ejectionHints.hints(pair.nowNanos));
         assertEquals(hintCount, receiver.receivedHints.size());
     }
 }
--- a/src/test/java/calicostream/lease/LeaseHolderTest.java
+++ b/src/test/java/calicostream/lease/LeaseHolderTest.java
@@ -14,20 +14,20 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** {@link LeaseHolder}, its fenced actions and a resource that checks their tokens. */
+/** {@link LeaseHolder}, its fenced actions, and a resource that checks their tokens. */
 class LeaseHolderTest {
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long TTL_NANOS = 1000 * NANOS_PER_MILLI;
-    private static final long VALID_NANOS = ClockDriftBound.STANDARD.shortestSpan(TTL_NANOS);
+    private static final long VALID_NANOS = ClockDriftBound.STANDARD.minLocalNanos(TTL_NANOS);
     private final LeaseHolder holder = new LeaseHolder("task", TTL_NANOS, 0);
     private long now;
     private final FencedActions actions =
             new FencedActions(holder, () -> now, "lease", (machine, body, executed) -> {});
 
-    private Request expectRequest(Class<? extends LeaseCommand> kind) {
+    private Request expectRequest(Class<? extends LeaseCommand> type) {
         Request request = holder.nextRequest(now);
-        assertInstanceOf(kind, request.command());
-        assertNull(holder.nextRequest(now), "one command at a time");
+        assertInstanceOf(type, request.command());
+        assertNull(holder.nextRequest(now), "only one command may be outstanding");
         return request;
     }
 
@@ -41,11 +41,11 @@
     }
 
     @Test
-    void driftIsRoundedToTheSafeSide() {
+    void clockDriftIsRoundedToTheSafeSide() {
         assertEquals(999_500_000, VALID_NANOS);
-        assertEquals(1_000_500_000, ClockDriftBound.STANDARD.longestSpan(TTL_NANOS));
-        assertEquals(0, ClockDriftBound.STANDARD.shortestSpan(1));
-        assertEquals(2, ClockDriftBound.STANDARD.longestSpan(1));
+        assertEquals(1_000_500_000, ClockDriftBound.STANDARD.maxLocalNanos(TTL_NANOS));
+        assertEquals(0, ClockDriftBound.STANDARD.minLocalNanos(1));
+        assertEquals(2, ClockDriftBound.STANDARD.maxLocalNanos(1));
     }
 
     @Test
@@ -62,7 +62,8 @@
     }
 
     /**
-     * Paused for three times to live: the answer to the renewal before does not restore the grant.
+     * A holder that was paused for three times to live must not act: the late answer to a renewal
+     * from before the pause does not restore its grant.
      */
     @Test
     void pausedHolderReleasesAndAcquiresAgain() {
@@ -96,7 +97,7 @@
         now = 50 * TTL_NANOS + VALID_NANOS;
         assertFalse(actions.isHeld());
         holder.onGranted(now, 9);
-        assertEquals(Phase.RELEASING, holder.phase(), "an outdated event");
+        assertEquals(Phase.RELEASING, holder.phase(), "an outdated grant event must be ignored");
     }
 
     @Test
@@ -121,7 +122,7 @@
         holder.onUnknownOutcome(now, first.number());
         Request second = expectRequest(LeaseCommand.Acquire.class);
         holder.onAnswer(now, first.number(), new LeaseAnswer.Held(4));
-        assertFalse(actions.isHeld(), "an answer to an abandoned command");
+        assertFalse(actions.isHeld(), "the answer to an earlier command must be ignored");
         holder.onRejected(now, second.number(), new LeaseRejection.AlreadyHeld("task", 4));
         holder.onAnswer(
                 now, expectRequest(LeaseCommand.Renew.class).number(), new LeaseAnswer.Held(4));
@@ -131,8 +132,8 @@
     }
 
     /**
-     * The process is paused after its check: the resource rejects an action that arrives after the
-     * next holder's.
+     * A process that is paused after its check sends its action late: the resource rejects the
+     * action if it arrives after an action of the next holder.
      */
     @Test
     void resourceRejectsLateAction() {
@@ -148,16 +149,16 @@
                     return FencedResult.completed(executed.size());
                 };
         becomeHolder(4);
-        FencedResource<String, Integer> afterThePause =
+        FencedResource<String, Integer> resourceAfterPause =
                 (lease, token, action) -> {
-                    resource.execute(lease, 5, "the next holder's");
+                    resource.execute(lease, 5, "action of the next holder");
                     return resource.execute(lease, token, action);
                 };
-        assertEquals(1, actions.executeAt(resource, "in time").result());
+        assertEquals(1, actions.executeAt(resource, "action in time").result());
         assertEquals(
                 new LeaseRejection.TokenOutdated("task", 4, 5),
-                actions.executeAt(afterThePause, "too late").rejection());
-        assertEquals(List.of("in time", "the next holder's"), executed);
+                actions.executeAt(resourceAfterPause, "late action").rejection());
+        assertEquals(List.of("action in time", "action of the next holder"), executed);
         assertEquals(5, guard.highestToken("task"));
     }
 }
--- a/src/test/java/calicostream/lease/LeaseProofsTest.java
+++ b/src/test/java/calicostream/lease/LeaseProofsTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** A bounded part of {@code make prove-lease}. */
+/** A bounded subset of {@code make prove-lease}. */
 class LeaseProofsTest {
     private static final long BOUNDED_STATES = 40_000;
     private static final long MAX_STATES = 1_000_000;
@@ -26,9 +26,9 @@
     }
 
     @Test
-    void noInvariantIsViolatedInTheFirstStatesOfAnyModel() {
-        for (Supplier<Model> each : LeaseProofs.completeModels()) {
-            Explorer.Result result = Explorer.explore(each.get(), BOUNDED_STATES);
+    void noModelViolatesAnInvariantInItsFirstStates() {
+        for (Supplier<Model> model : LeaseProofs.completeModels()) {
+            Explorer.Result result = Explorer.explore(model.get(), BOUNDED_STATES);
             assertNull(result.violation(), result::toString);
             assertTrue(result.states() >= BOUNDED_STATES || result.complete(), result::toString);
         }
@@ -36,9 +36,9 @@
 
     @ParameterizedTest
     @MethodSource("safeguards")
-    void removalOfEachSafeguardIsDetected(Mutant each) {
+    void removalOfEachSafeguardIsDetected(Mutant safeguard) {
         Explorer.Result result =
-                Explorer.explore(LeaseProofs.modelsWithoutSafeguard().get(each), MAX_STATES);
+                Explorer.explore(LeaseProofs.modelsWithoutSafeguard().get(safeguard), MAX_STATES);
         assertNotNull(result.violation(), result::toString);
         assertEquals(
                 result.depth(),
@@ -46,19 +46,22 @@
                 "the trace leads from an initial state to the violation");
     }
 
-    /** The explorer itself: every state once, and the shortest trace to a violation. */
+    /** The explorer visits every state once and reports the shortest trace to a violation. */
     @Test
     void explorerVisitsAllStatesAndFindsTheShortestTrace() {
-        Explorer.Result all = Explorer.explore(new Counters(100), MAX_STATES);
-        assertEquals(100 * 100, all.states());
-        assertTrue(all.complete());
-        Explorer.Result broken = Explorer.explore(new Counters(6), MAX_STATES);
+        Explorer.Result completeExploration = Explorer.explore(new Counters(100), MAX_STATES);
+        assertEquals(100 * 100, completeExploration.states());
+        assertTrue(completeExploration.complete());
+        Explorer.Result violatedExploration = Explorer.explore(new Counters(6), MAX_STATES);
         assertEquals(
                 List.of("0", "0", "0", "0", "0", "1", "1", "1", "1", "1"),
-                broken.trace().stream().sorted().toList());
+                violatedExploration.trace().stream().sorted().toList());
     }
 
-    /** Two counters; if they are small, both at the maximum is a violation. */
+    /**
+     * Two counters modulo {@code size}. If the size is 6, the state with both counters at the
+     * maximum is a violation.
+     */
     private record Counters(int size) implements Model {
         @Override
         public String name() {
@@ -71,13 +74,13 @@
         }
 
         @Override
-        public void transitions(byte[] state, Transitions steps) {
+        public void transitions(byte[] state, Transitions successors) {
             for (int i = 0; i < 2; i++) {
                 byte[] next = state.clone();
                 next[i] = (byte) ((next[i] + 1) % size);
-                steps.to(i, next);
+                successors.to(i, next);
                 if (size == 6 && next[0] == 5 && next[1] == 5) {
-                    steps.violation(i, "both at the maximum");
+                    successors.violation(i, "both at the maximum");
                 }
             }
         }
--- a/src/test/java/calicostream/lease/LeaseStateMachineTest.java
+++ b/src/test/java/calicostream/lease/LeaseStateMachineTest.java
@@ -22,8 +22,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The rules of {@link LeaseStateMachine} one by one. {@link RandomLeaseRunTest} and {@link
- * LeaseProofsTest} have randomized runs and model checks.
+ * The rules of {@link LeaseStateMachine}. {@link RandomLeaseRunTest} and {@link LeaseProofsTest}
+ * check them in randomized runs and models.
  */
 class LeaseStateMachineTest {
     private static final long NANOS_PER_SECOND = 1_000_000_000;
@@ -81,31 +81,31 @@
     }
 
     @Test
-    void onlyTheHoldersTokenIsAccepted() {
+    void onlyTheTokenOfTheHolderIsAccepted() {
         acquire(7);
         acquire(8);
         applyAccepted(7, new LeaseCommand.Release(TASK, 1));
-        for (LeaseCommand each :
+        for (LeaseCommand command :
                 List.of(
                         new LeaseCommand.Renew(TASK, 1),
                         new LeaseCommand.Release(TASK, 1),
                         new LeaseCommand.Transfer(TASK, 1, 0),
                         new LeaseCommand.FencedAction(TASK, 1, new byte[3]))) {
-            assertEquals(new LeaseRejection.NotHolder(TASK, 1, 2), rejection(apply(7, each)));
+            assertEquals(new LeaseRejection.NotHolder(TASK, 1, 2), rejection(apply(7, command)));
         }
         assertEquals(
                 new LeaseRejection.NotHolder(TASK, 2, 2),
                 rejection(apply(7, new LeaseCommand.Renew(TASK, 2))),
-                "the token of another session");
+                "the token of another session must be rejected");
         byte[] payload = {5, 6};
-        LeaseEvent.ActionPerformed acted =
+        LeaseEvent.ActionPerformed performed =
                 (LeaseEvent.ActionPerformed)
                         events(apply(8, new LeaseCommand.FencedAction(TASK, 2, payload))).get(0);
-        assertArrayEquals(payload, acted.payload());
+        assertArrayEquals(payload, performed.payload());
     }
 
     @Test
-    void expiryOfARenewedGrantIsRejected() {
+    void expiryOfRenewedGrantIsRejected() {
         acquire(7);
         applyAccepted(7, new LeaseCommand.Renew(TASK, 1));
         assertEquals(
@@ -122,11 +122,11 @@
         assertEquals(
                 new LeaseAnswer.Held(2),
                 acquire(7),
-                "the token of a removed lease is not granted again");
+                "the token of a removed lease must not be granted again");
     }
 
     @Test
-    void endOfSessionEndsItsQueueingButNotItsGrants() {
+    void endedSessionLeavesQueuesButKeepsGrants() {
         acquire(7);
         acquire(8);
         acquire(9);
@@ -156,7 +156,7 @@
         assertEquals(
                 new LeaseRejection.AlreadyHeld(TASK, 2),
                 rejection(apply(9, new LeaseCommand.Withdraw(TASK))),
-                "the grant was logged before the withdrawal");
+                "the grant precedes the withdrawal in the log");
         applyAccepted(8, new LeaseCommand.Withdraw(TASK));
         assertEquals(0, machine.heldLeases().get(0).waiterCount());
     }
@@ -199,21 +199,21 @@
                                         9, 3, 0, new LeaseCommand.Acquire("", 5, true).encode()))));
     }
 
-    /** Malformed bytes are answered and change nothing. */
+    /** A truncated command is rejected and does not change the state. */
     @Test
     void malformedCommandChangesNothing() {
         acquire(7);
         byte[] before = machine.snapshot();
         byte[] valid = new LeaseCommand.FencedAction(TASK, 1, new byte[4]).encode();
-        for (int cut = 0; cut < valid.length; cut++) {
+        for (int length = 0; length < valid.length; length++) {
             CommandEffects effects =
-                    machine.apply(++index, new Command(7, index, 0, Arrays.copyOf(valid, cut)));
+                    machine.apply(++index, new Command(7, index, 0, Arrays.copyOf(valid, length)));
             assertEquals("cluster-malformed", effects.rejectionCode());
         }
         assertArrayEquals(before, machine.snapshot());
     }
 
-    /** Format version 1, which all later versions must read. */
+    /** Format version 1 must remain readable by all later versions. */
     @Test
     void snapshotFormatVersion1IsReadable() throws IOException {
         acquire(7);
@@ -231,12 +231,14 @@
         assertEquals(machine.heldLeases(), restored.heldLeases());
         assertArrayEquals(machine.snapshot(), restored.snapshot());
         byte[] malformed = machine.snapshot();
-        malformed[8] = 1; // The last token, now below a token that is held.
+        malformed[8] = 1; // Makes the last token lower than a held token.
         assertThrows(ClusterException.Malformed.class, () -> restored.restore(malformed));
-        assertEquals(41, restored.lastToken() + 1, "unchanged");
+        assertEquals(41, restored.lastToken() + 1, "a rejected snapshot must not change the state");
     }
 
-    /** The documentation's rows are checked for all operational errors together, elsewhere. */
+    /**
+     * {@code OperationalErrorTest} checks that the codes of all operational errors are documented.
+     */
     @ParameterizedTest
     @EnumSource(LeaseRejectionKind.class)
     void everyRejectionHasItsCode(LeaseRejectionKind kind) throws ReflectiveOperationException {
--- a/src/test/java/calicostream/lease/LeasedTaskRunnerTest.java
+++ b/src/test/java/calicostream/lease/LeasedTaskRunnerTest.java
@@ -17,11 +17,11 @@
 
     @BeforeEach
     void start() {
-        processes.pass(300);
+        processes.advance(300);
     }
 
     @Test
-    void plannedStopHandsOverAtOnce() {
+    void plannedStopTransfersLeaseImmediately() {
         assertTrue(first.count("step") > 3 && first.appliedActions == first.count("step"));
         assertEquals("started", first.calls.get(0));
         assertEquals(0, second.count("step"));
@@ -30,42 +30,42 @@
         assertEquals("stopped", first.calls.get(first.calls.size() - 1));
         first.runner.tick();
         first.exchangeMessages();
-        second.exchangeMessages(); // Confirms its grant without waiting for a tick of its own.
+        second.exchangeMessages(); // Confirms the grant without waiting for its own tick.
         second.runner.tick();
         assertEquals(List.of("lease-held 2"), second.events);
         long steps = first.count("step");
-        processes.pass(5_000);
+        processes.advance(5_000);
         assertEquals(steps, first.count("step"));
         assertEquals(1, second.count("started"));
         assertEquals(List.of("lease-held 1", "lease-given-back 1"), first.events);
     }
 
     @Test
-    void failedTaskReleasesItsLeaseAndRequestsItAgain() {
-        first.throwsNext = true;
-        processes.pass(300);
+    void failedTaskReleasesLeaseAndRequestsItAgain() {
+        first.throwsInNextStep = true;
+        processes.advance(300);
         assertEquals(
                 List.of("lease-held 1", "lease-task-failed 1", "lease-given-back 1"), first.events);
         assertEquals(1, second.count("started"));
         assertEquals(LeaseHolder.Phase.IDLE, first.runner.statuses().get(0).phase());
-        processes.pass(2_500);
+        processes.advance(2_500);
         assertEquals(LeaseHolder.Phase.WAITING, first.runner.statuses().get(0).phase());
         assertEquals(1, first.runner.statuses().get(0).failureCount());
     }
 
     @Test
-    void partitionedHolderStopsBeforeTheNextStarts() {
+    void partitionedHolderStopsBeforeNextHolderStarts() {
         first.partitioned = true;
         while (second.count("started") == 0) {
-            processes.pass(50);
+            processes.advance(50);
             assertFalse(second.count("started") > 0 && first.count("stopped") == 0);
         }
         assertEquals(List.of("lease-held 1", "lease-lost 1"), first.events);
         assertEquals(1, first.runner.statuses().get(0).lostCount());
-        processes.pass(5_000);
+        processes.advance(5_000);
         assertEquals(1, first.count("stopped"));
         first.partitioned = false;
-        processes.pass(5_000);
+        processes.advance(5_000);
         assertEquals(1, first.count("started"));
         assertEquals(1, second.count("started"));
     }
--- a/src/test/java/calicostream/lease/RandomLeaseRunTest.java
+++ b/src/test/java/calicostream/lease/RandomLeaseRunTest.java
@@ -12,13 +12,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Some {@link RandomLeaseRun}s, and that they too detect removed safeguards. */
+/**
+ * {@link RandomLeaseRun}s violate no invariant with all safeguards, and detect the removal of a
+ * safeguard.
+ */
 class RandomLeaseRunTest {
     private static final long FIRST_SEED = 20261202;
     private static final int RUNS = 40;
 
     @Test
-    void noInvariantIsViolatedAndTheTaskMakesProgress() {
+    void noInvariantIsViolatedAndTaskMakesProgress() {
         System.out.println("seeds " + FIRST_SEED + " to " + (FIRST_SEED + RUNS - 1));
         List<Double> handoverTimes = new ArrayList<>();
         for (long seed = FIRST_SEED; seed < FIRST_SEED + RUNS; seed++) {
@@ -31,7 +34,7 @@
     }
 
     @Test
-    void nextHolderActsAboutOneTimeToLiveAfterAKill() {
+    void nextHolderActsWithinTwoTimesToLiveAfterKill() {
         List<Double> handoverTimes =
                 LongStream.range(FIRST_SEED, FIRST_SEED + 12)
                         .boxed()
