--- a/src/test/java/calicostream/platform/RosterTest.java
+++ b/src/test/java/calicostream/platform/EndpointListDecoderTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class RosterTest {
+class EndpointListDecoderTest {
     private static final String GOOD =
             """
             {"seq":2,"fleet":{"snapshot":%s,"endpoints":[{"name":"e1","address":"127.0.0.1:7001","zone":"a","type":"k","group":0,
