--- a/src/main/java/calicostream/platform/ClientIdlePolicy.java
+++ b/src/main/java/calicostream/platform/ClientIdlePolicy.java
@@ -9,28 +9,28 @@
     /** How long a client that was never served may take to send its first request. */
     private static final long FIRST_REQUEST_TIMEOUT_MICROS = 2_000_000;
 
-    /** How long a line may take to complete: some clients need two seconds. */
+    /** The time within which a line must be complete; some clients take two seconds. */
     private static final long LINE_TIMEOUT_MICROS = 2_600_000;
 
-    /** The longest pause within a line that is still being sent. */
+    /** The longest pause between two fragments of a line that is still being sent. */
     private static final long LINE_FRAGMENT_TIMEOUT_MICROS = 1_100_000;
 
-    /** The idle timeout of a served client; most clients close after half of it. */
+    /** The idle timeout of a served client; most clients close after half of this time. */
     private static final long IDLE_TIMEOUT_MICROS = 8_000_000;
 
-    /** A new client has usually sent its request by then. */
+    /** A new client usually sends its first request within this time. */
     private static final long NEW_CLIENT_GRACE_MICROS = 250_000;
 
-    /** What a client has sent is certainly read by then. */
+    /** Input that a client has sent is read within this time. */
     private static final long INPUT_GRACE_MICROS = 20_000;
 
-    /** How much a client needs its connection; the lowest is evicted first. */
+    /** How much a client needs its connection; the lowest priority is evicted first. */
     enum RetentionPriority {
-        /** Never served, and nothing was received for a while. */
+        /** Never served, and nothing was received recently. */
         SILENT,
-        /** Served before, and no request since. */
+        /** Served before, without an open request. */
         IDLE,
-        /** Connected a moment ago, or sending a line. */
+        /** Connected recently, or sending a line. */
         NEW_OR_SENDING,
         /** Has open requests or unsent responses; never evicted. */
         BUSY
@@ -39,10 +39,10 @@
     /** What to do with a client that has neither open requests nor queued responses. */
     enum IdleAction {
         KEEP,
-        /** Report that the line was not completed in time, and close. */
+        /** Report that the line was not completed in time, then close. */
         REJECT_INCOMPLETE_LINE,
         CLOSE,
-        /** Close unless input has arrived meanwhile. */
+        /** Close unless unread input has arrived. */
         CLOSE_IF_IDLE
     }
 
@@ -50,8 +50,8 @@
 
     /**
      * @param busy whether the client has open requests or unsent responses
-     * @param hasInput whether received bytes are not processed
-     * @param sinceInput time since bytes were received last
+     * @param hasInput whether received bytes are unprocessed
+     * @param sinceInput time since the last bytes were received
      * @param idle time since the client became idle
      */
     static RetentionPriority retentionPriority(
@@ -71,15 +71,15 @@
     }
 
     /**
-     * Whether a client has sent no valid request for so long that none is expected any more. Some
-     * clients only ever send invalid ones.
+     * Whether a client has sent no valid request for so long that none is expected. Some clients
+     * send nothing but invalid requests.
      */
     static boolean sendsNoValidRequest(boolean served, boolean hasOpenRequests, long idle) {
         return !served && !hasOpenRequests && idle > 2 * FIRST_REQUEST_TIMEOUT_MICROS;
     }
 
     /**
-     * @param hasIncompleteLine whether all input is the start of one line
+     * @param hasIncompleteLine whether the unprocessed input is the start of one line
      * @param lineAge time since the first byte of that line was received
      * @param idle time since the client became idle
      */
--- a/src/main/java/calicostream/platform/ConfigFileWatcher.java
+++ b/src/main/java/calicostream/platform/ConfigFileWatcher.java
@@ -7,19 +7,19 @@
 import java.nio.file.attribute.BasicFileAttributes;
 
 /**
- * Whether the configuration file is still the one that was read, for processes that can't hear
- * SIGHUP. One look is one question to the file system; nothing is opened. Not thread-safe: it is
- * made by one thread and asked by one.
+ * Detects changes of the configuration file by polling, for processes that can't handle SIGHUP.
+ * Each poll reads the attributes of the file and does not open it. Not thread-safe, but it may be
+ * created on another thread than the one that polls.
  */
 public final class ConfigFileWatcher {
-    private static final String ABSENT = "";
+    private static final String FILE_ABSENT = "";
     private final Path file;
-    private String seen;
+    private String lastFingerprint;
 
-    /** Takes the file as it is now for the one that is known. */
+    /** Records the current state of the file; later changes are relative to it. */
     public ConfigFileWatcher(Path file) {
         this.file = file;
-        seen = look();
+        lastFingerprint = readFingerprint();
     }
 
     /** The watched file. */
@@ -28,25 +28,30 @@
     }
 
     /**
-     * Whether it has changed since the last look. One that is absent has not: it is about to be
-     * moved into place.
+     * Whether the file has changed since the last call. An absent file counts as unchanged, because
+     * a new version is about to be moved into place.
      */
     public boolean hasChanged() {
-        String now = look();
-        boolean changed = !now.equals(ABSENT) && !now.equals(seen);
-        seen = changed ? now : seen;
+        String fingerprint = readFingerprint();
+        boolean changed = !fingerprint.equals(FILE_ABSENT) && !fingerprint.equals(lastFingerprint);
+        lastFingerprint = changed ? fingerprint : lastFingerprint;
         return changed;
     }
 
     /**
-     * Two files written in one tick of the file system's clock are told apart by size or by file.
+     * The attributes that identify a version of the file. Two versions with the same modification
+     * time differ in size or in file key.
      */
-    private String look() {
+    private String readFingerprint() {
         try {
-            BasicFileAttributes is = Files.readAttributes(file, BasicFileAttributes.class);
-            return is.lastModifiedTime() + " " + is.size() + " " + is.fileKey();
+            BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
+            return attributes.lastModifiedTime()
+                    + " "
+                    + attributes.size()
+                    + " "
+                    + attributes.fileKey();
         } catch (IOException e) {
-            return ABSENT;
+            return FILE_ABSENT;
         }
     }
 }
--- a/src/main/java/calicostream/platform/EndpointListDecoder.java
+++ b/src/main/java/calicostream/platform/EndpointListDecoder.java
@@ -17,150 +17,172 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the change log's events into what the core knows of engines. */
+/**
+ * Decodes events of the endpoint list into engines, addresses and start times. Remembers the start
+ * time of each engine from event to event. Used by one thread.
+ */
 public final class EndpointListDecoder {
     /**
-     * An event: the engines it names, where each listens, and when each process began by the list's
-     * own word, in Unix milliseconds.
+     * A decoded event.
+     *
+     * @param sequence the event's sequence number
+     * @param updateKind whether the event holds the complete list or changes of it
+     * @param engines the engines that the event names
+     * @param addresses where each of these engines listens, by engine id
+     * @param startedAtUnixMillis when each engine's process started according to the list, by
+     *     engine id
      */
     public record Change(
-            long seq,
-            EndpointUpdate kind,
+            long sequence,
+            EndpointUpdate updateKind,
             List<EngineEndpoint> engines,
             Map<Long, InetSocketAddress> addresses,
-            Map<Long, Long> began) {}
+            Map<Long, Long> startedAtUnixMillis) {}
 
-    private record Start(long millis, long born) {}
+    /** The start of an engine's process, as listed and converted to the router's clock. */
+    private record ProcessStart(long unixMillis, long startedAtMicros) {}
 
     private final Clock clock;
-    private final List<String> zones;
-    private final List<String> kinds;
-    private final Map<Long, Start> starts = new LinkedHashMap<>();
+    private final List<String> zoneNames;
+    private final List<String> kindNames;
+    private final Map<Long, ProcessStart> processStarts = new LinkedHashMap<>();
 
     /**
-     * Creates a decoder that knows no engine.
+     * Creates a decoder that has decoded no event.
      *
-     * @param zones the names of zones, whose indexes the router uses
-     * @param kinds the names of engine kinds, likewise
+     * @param zoneNames the names of the zones; the router uses their indexes
+     * @param kindNames the names of the engine kinds; the router uses their indexes
      */
-    public EndpointListDecoder(Clock clock, List<String> zones, List<String> kinds) {
+    public EndpointListDecoder(Clock clock, List<String> zoneNames, List<String> kindNames) {
         this.clock = clock;
-        this.zones = zones;
-        this.kinds = kinds;
+        this.zoneNames = zoneNames;
+        this.kindNames = kindNames;
     }
 
-    /** The events of the start, put together to one whole list. */
-    public Change known(JsonObject known) {
+    /** Merges the events that the configuration holds into one complete list. */
+    public Change decodeInitial(JsonObject known) {
         try {
             Map<Long, EngineEndpoint> engines = new LinkedHashMap<>();
             Map<Long, InetSocketAddress> addresses = new LinkedHashMap<>();
-            Map<Long, Long> began = new LinkedHashMap<>();
-            long last = known.getLong("seq", 0);
-            for (JsonValue each : known.get("results").asArray()) {
-                Change change = change(each.asObject());
-                if (change.kind == EndpointUpdate.COMPLETE) {
+            Map<Long, Long> startedAtUnixMillis = new LinkedHashMap<>();
+            long lastSequence = known.getLong("seq", 0);
+            for (JsonValue element : known.get("results").asArray()) {
+                Change change = decodeEvent(element.asObject());
+                if (change.updateKind == EndpointUpdate.COMPLETE) {
                     engines.clear();
                 }
                 change.engines.forEach(e -> engines.put(e.id(), e));
                 addresses.putAll(change.addresses);
-                began.putAll(change.began);
-                last = Math.max(last, change.seq);
+                startedAtUnixMillis.putAll(change.startedAtUnixMillis);
+                lastSequence = Math.max(lastSequence, change.sequence);
             }
             engines.values().removeIf(e -> e.lifecycle() == EngineLifecycle.REMOVED);
             return new Change(
-                    last, EndpointUpdate.CACHED, List.copyOf(engines.values()), addresses, began);
+                    lastSequence,
+                    EndpointUpdate.CACHED,
+                    List.copyOf(engines.values()),
+                    addresses,
+                    startedAtUnixMillis);
         } catch (InvalidInputException | RuntimeException e) {
             throw new SettingsException(
-                    "bad configuration: 'known' can't be read: " + e.getMessage());
+                    "bad configuration: 'known' can't be decoded: " + e.getMessage());
         }
     }
 
     /**
-     * An event that can't be read changes nothing of what is known: its stream is asked for anew.
+     * Decodes one event. An invalid event leaves the recorded start times unchanged, as the events
+     * are then requested again.
      */
-    public Change parse(String event) throws InvalidInputException {
-        Map<Long, Start> before = Map.copyOf(starts);
+    public Change decode(String event) throws InvalidInputException {
+        Map<Long, ProcessStart> previousStarts = Map.copyOf(processStarts);
         try {
-            return change(Json.parse(event).asObject());
-        } catch (InvalidInputException
-                | RuntimeException
-                        e) { // RuntimeException: no JSON, or a member missing or of another kind
-            starts.clear();
-            starts.putAll(before);
-            throw e instanceof InvalidInputException known
-                    ? known
-                    : new InvalidInputException("an event of the change log can't be read: " + e);
+            return decodeEvent(Json.parse(event).asObject());
+        } catch (InvalidInputException | RuntimeException e) {
+            // RuntimeException: not JSON, or a member is missing or of the wrong type.
+            processStarts.clear();
+            processStarts.putAll(previousStarts);
+            throw e instanceof InvalidInputException invalidInput
+                    ? invalidInput
+                    : new InvalidInputException("invalid event: " + e);
         }
     }
 
-    private Change change(JsonObject event) throws InvalidInputException {
-        JsonObject fleet = event.get("fleet").asObject();
-        boolean whole = fleet.getBoolean("snapshot", false);
-        Map<Long, Start> before = Map.copyOf(starts);
-        if (whole) {
-            starts.clear();
+    private Change decodeEvent(JsonObject event) throws InvalidInputException {
+        JsonObject endpointList = event.get("fleet").asObject();
+        boolean isSnapshot = endpointList.getBoolean("snapshot", false);
+        Map<Long, ProcessStart> previousStarts = Map.copyOf(processStarts);
+        if (isSnapshot) {
+            processStarts.clear();
         }
         List<EngineEndpoint> engines = new ArrayList<>();
         Map<Long, InetSocketAddress> addresses = new LinkedHashMap<>();
-        Map<Long, Long> began = new LinkedHashMap<>();
-        for (JsonValue each : fleet.get("endpoints").asArray()) {
-            JsonObject entry = each.asObject();
+        Map<Long, Long> startedAtUnixMillis = new LinkedHashMap<>();
+        for (JsonValue element : endpointList.get("endpoints").asArray()) {
+            JsonObject entry = element.asObject();
             String name = entry.getString("name", "");
-            long id = id(name);
-            EngineLifecycle state = state(entry.getString("status", ""));
+            long engineId = engineId(name);
+            EngineLifecycle lifecycle = lifecycle(entry.getString("status", ""));
             engines.add(
                     new EngineEndpoint(
-                            id,
-                            index(kinds, entry.getString("type", "")),
+                            engineId,
+                            indexOrSize(kindNames, entry.getString("type", "")),
                             entry.getInt("group", 0),
-                            index(zones, entry.getString("zone", "")),
-                            born(before.get(id), id, entry.getLong("since_ms", 0)),
-                            state));
-            began.put(id, entry.getLong("since_ms", 0));
-            if (state == EngineLifecycle.REMOVED) {
-                starts.remove(id);
+                            indexOrSize(zoneNames, entry.getString("zone", "")),
+                            startedAtMicros(
+                                    previousStarts.get(engineId),
+                                    engineId,
+                                    entry.getLong("since_ms", 0)),
+                            lifecycle));
+            startedAtUnixMillis.put(engineId, entry.getLong("since_ms", 0));
+            if (lifecycle == EngineLifecycle.REMOVED) {
+                processStarts.remove(engineId);
             }
             String address = entry.getString("address", "");
             if (!address.isEmpty()) {
-                addresses.put(id, NumericSocketAddress.parse(address));
-            } else if (state == EngineLifecycle.READY) {
-                throw new InvalidInputException("an engine without an address");
+                addresses.put(engineId, NumericSocketAddress.parse(address));
+            } else if (lifecycle == EngineLifecycle.READY) {
+                throw new InvalidInputException("a ready engine without an address");
             }
         }
         return new Change(
                 event.getLong("seq", 0),
-                whole ? EndpointUpdate.COMPLETE : EndpointUpdate.INCREMENTAL,
+                isSnapshot ? EndpointUpdate.COMPLETE : EndpointUpdate.INCREMENTAL,
                 engines,
                 addresses,
-                began);
+                startedAtUnixMillis);
     }
 
     /**
-     * A start keeps the module's time it was first given: converted anew it would look like a
-     * restart.
+     * Converts a listed start time to the router's clock. An unchanged start time keeps its first
+     * conversion: a second one may give another value, which would look like a restart.
      */
-    private long born(Start before, long id, long millis) {
-        boolean same = before != null && before.millis == millis;
-        Start start = same ? before : new Start(millis, clock.ofUnixMillis(millis));
-        starts.put(id, start);
-        return start.born;
+    private long startedAtMicros(ProcessStart previous, long engineId, long unixMillis) {
+        boolean same = previous != null && previous.unixMillis == unixMillis;
+        ProcessStart start =
+                same ? previous : new ProcessStart(unixMillis, clock.ofUnixMillis(unixMillis));
+        processStarts.put(engineId, start);
+        return start.startedAtMicros;
     }
 
-    /** The same number for a name at every front end, as the module compares hashes of it. */
-    static long id(String name) {
+    /**
+     * The id of an engine: the FNV-1a hash of its name. Every front end must compute the same id,
+     * because the router compares hashes of it.
+     */
+    static long engineId(String name) {
         long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < name.length(); i++) {
             hash = (hash ^ name.charAt(i)) * 0x100000001b3L;
         }
-        return hash >>> 16; // as wide as an engine's id on the simulator's wire
+        return hash >>> 16; // 48 bits, the width of an engine id in the simulator's protocol.
     }
 
-    private static int index(List<String> names, String name) {
-        int at = names.indexOf(name);
-        return at < 0 ? names.size() : at;
+    /** The index of a name; the size of the list where it is unknown. */
+    private static int indexOrSize(List<String> names, String name) {
+        int position = names.indexOf(name);
+        return position < 0 ? names.size() : position;
     }
 
-    private static EngineLifecycle state(String status) throws InvalidInputException {
+    private static EngineLifecycle lifecycle(String status) throws InvalidInputException {
         switch (status) {
             case "Ready":
                 return EngineLifecycle.READY;
@@ -169,7 +191,7 @@
             case "Gone":
                 return EngineLifecycle.REMOVED;
             default:
-                throw new InvalidInputException("an unknown state of an engine");
+                throw new InvalidInputException("unknown engine status");
         }
     }
 }
--- a/src/main/java/calicostream/platform/EndpointWatch.java
+++ b/src/main/java/calicostream/platform/EndpointWatch.java
@@ -13,171 +13,176 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the change log's server-sent events, and asks again from the last one seen as soon as
- * they stop: what the log holds counts as told some seconds later, whether it has arrived or not.
+ * Watches the endpoint list, which the change log sends as server-sent events. When the stream
+ * ends, a new request resumes it after the last event received. The delay is short, because the
+ * platform considers a change delivered some seconds after it was logged, whether it was received
+ * or not.
  */
 final class EndpointWatch {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointWatch.class);
-    private static final int BOUND = 64 * 1024;
-    private static final long SETTLED =
-            25_000; // us without a byte after which what it held has come
-    private static final long LOOK = 100_000; // us between looks for silence
+    private static final int INPUT_BUFFER_BYTES = 64 * 1024;
+
+    /** After this time without a byte, all events logged before the request have been received. */
+    private static final long QUIESCENCE_MICROS = 25_000;
+
+    private static final long SILENCE_CHECK_INTERVAL_MICROS = 100_000;
     private final SelectorLoop loop;
-    private final EndpointListDecoder roster;
-    private final Consumer<EndpointListDecoder.Change> changed;
-    private final WatchBackoff asking;
+    private final EndpointListDecoder decoder;
+    private final Consumer<EndpointListDecoder.Change> changeListener;
+    private final WatchBackoff backoff;
     private InetSocketAddress address;
-    private Follower follower;
-    private long seq;
+    private WatchConnection watchConnection;
+    private long lastSequence;
 
     EndpointWatch(
             SelectorLoop loop,
             InetSocketAddress address,
-            EndpointListDecoder roster,
-            long seq,
+            EndpointListDecoder decoder,
+            long lastSequence,
             long seed,
-            Consumer<EndpointListDecoder.Change> changed) {
+            Consumer<EndpointListDecoder.Change> changeListener) {
         this.loop = loop;
         this.address = address;
-        this.roster = roster;
-        this.seq = seq;
-        this.changed = changed;
-        asking = new WatchBackoff(seed);
+        this.decoder = decoder;
+        this.lastSequence = lastSequence;
+        this.changeListener = changeListener;
+        backoff = new WatchBackoff(seed);
     }
 
-    /** The last event seen. */
-    long seq() {
-        return seq;
+    /** The sequence number of the last event applied. */
+    long lastSequence() {
+        return lastSequence;
     }
 
     /**
-     * Whether all that the log held when it was asked has been read: it writes that behind its
-     * answer's head, in one go.
+     * Whether all events that the log held at the time of the request have been received. The log
+     * sends them directly after the head of the response, without a pause.
      */
-    boolean hasToldAll(long now) {
-        return follower != null
-                && follower.events.hasBegun()
-                && follower.events.isBetweenEvents()
-                && follower.connection.input().size() == 0
-                && now - follower.heardAt >= SETTLED;
+    boolean isCaughtUp(long now) {
+        return watchConnection != null
+                && watchConnection.events.hasStarted()
+                && watchConnection.events.isBetweenEvents()
+                && watchConnection.connection.input().size() == 0
+                && now - watchConnection.lastReceivedAt >= QUIESCENCE_MICROS;
     }
 
     void start() {
         connect();
-        watch(loop.clock().now(), 0);
+        checkSilence(loop.clock().now(), 0);
     }
 
-    /** Goes on at another address, from the same event. */
-    void move(InetSocketAddress to) {
-        if (to.equals(address)) {
+    /** Resumes the watch at another address, after the last event applied. */
+    void moveTo(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        address = to;
-        asking.responseStarted();
-        Follower old = follower;
+        address = newAddress;
+        backoff.responseStarted();
+        WatchConnection previous = watchConnection;
         connect();
-        if (old != null) {
-            old.connection.close();
+        if (previous != null) {
+            previous.connection.close();
         }
     }
 
     private void connect() {
-        follower = null;
-        asking.requestStarted(loop.clock().now());
+        watchConnection = null;
+        backoff.requestStarted(loop.clock().now());
         try {
-            follower = new Follower();
+            watchConnection = new WatchConnection();
         } catch (IOException e) {
             LOG.warn("change log: {}", e.toString());
-            loop.deadlines().add(asking.nextRequestAt(loop.clock().now()), this::connectAgain, 0);
+            loop.deadlines().add(backoff.nextRequestAt(loop.clock().now()), this::reconnect, 0);
         }
     }
 
-    private void connectAgain(long now, long ref) {
-        if (follower == null) {
+    private void reconnect(long now, long reference) {
+        if (watchConnection == null) {
             connect();
         }
     }
 
     /**
-     * A log that falls silent without closing would leave this front end with an old list for good.
+     * Closes a connection that has received nothing for too long, so that the watch is resumed. An
+     * open but dead connection would leave this front end with an outdated list.
      */
-    private void watch(long now, long ref) {
-        if (follower != null
-                && asking.isStalled(now, follower.heardAt, follower.events.hasBegun())) {
+    private void checkSilence(long now, long reference) {
+        if (watchConnection != null
+                && backoff.isStalled(
+                        now, watchConnection.lastReceivedAt, watchConnection.events.hasStarted())) {
             LOG.info("change log: silent");
-            follower.connection.close();
+            watchConnection.connection.close();
         }
-        loop.deadlines().add(now + LOOK, this::watch, 0);
+        loop.deadlines().add(now + SILENCE_CHECK_INTERVAL_MICROS, this::checkSilence, 0);
     }
 
-    private void event(String text) {
+    private void applyEvent(String event) {
         try {
-            EndpointListDecoder.Change change = roster.parse(text);
-            if (change.seq()
-                    > seq) { // One seen already, told twice or after a reconnect, may be out of
-                // date.
-                seq = change.seq();
-                changed.accept(change);
+            EndpointListDecoder.Change change = decoder.decode(event);
+            // An event that is repeated, also after a reconnect, may be outdated.
+            if (change.sequence() > lastSequence) {
+                lastSequence = change.sequence();
+                changeListener.accept(change);
             }
-        } catch (
-                InvalidInputException e) { // The rest of the stream may be as bad: ask for it anew.
+        } catch (InvalidInputException e) {
+            // The rest of the stream may be invalid, too: it is requested again.
             LOG.warn("change log: {}", e.getMessage());
-            follower.connection.close();
+            watchConnection.connection.close();
         }
     }
 
-    /** One connection to the log. */
-    private final class Follower implements Connection.Handler {
+    /** One connection to the change log. */
+    private final class WatchConnection implements Connection.Handler {
         final Connection connection;
-        final EventStream events = new EventStream(this::event);
-        long heardAt = loop.clock().now();
+        final EventStream events = new EventStream(this::eventReceived);
+        long lastReceivedAt = loop.clock().now();
 
-        Follower() throws IOException {
-            connection = Connection.connectUrgent(loop, address, this, BOUND, 4096);
+        WatchConnection() throws IOException {
+            connection = Connection.connectUrgent(loop, address, this, INPUT_BUFFER_BYTES, 4096);
             connection.write(
                     ("GET /changes HTTP/1.1\r\nHost: "
                                     + address.getHostString()
                                     + ":"
                                     + address.getPort()
                                     + "\r\nAccept: text/event-stream\r\nLast-Event-ID: "
-                                    + seq
+                                    + lastSequence
                                     + "\r\n\r\n")
                             .getBytes(StandardCharsets.US_ASCII));
         }
 
-        private void event(String text) {
+        private void eventReceived(String event) {
             if (!connection.isClosed()) {
-                EndpointWatch.this.event(text);
+                EndpointWatch.this.applyEvent(event);
             }
         }
 
         @Override
-        public void connected(Connection c) {
-            heardAt = loop.clock().now();
+        public void connected(Connection source) {
+            lastReceivedAt = loop.clock().now();
         }
 
         @Override
-        public void received(Connection c) {
-            heardAt = loop.clock().now();
+        public void received(Connection source) {
+            lastReceivedAt = loop.clock().now();
             try {
-                events.take(c.input());
-                if (events.hasBegun()) {
-                    asking.responseStarted();
+                events.consume(source.input());
+                if (events.hasStarted()) {
+                    backoff.responseStarted();
                 }
             } catch (InvalidInputException e) {
                 LOG.warn("change log: {}", e.getMessage());
-                c.close();
+                source.close();
             }
         }
 
         @Override
-        public void closed(Connection c) {
-            if (follower == this) {
-                follower = null;
+        public void closed(Connection source) {
+            if (watchConnection == this) {
+                watchConnection = null;
                 loop.deadlines()
                         .add(
-                                asking.nextRequestAt(loop.clock().now()),
-                                EndpointWatch.this::connectAgain,
+                                backoff.nextRequestAt(loop.clock().now()),
+                                EndpointWatch.this::reconnect,
                                 0);
             }
         }
--- a/src/main/java/calicostream/platform/EventStream.java
+++ b/src/main/java/calicostream/platform/EventStream.java
@@ -8,110 +8,116 @@
 import java.util.function.Consumer;
 
 /**
- * One HTTP answer that holds server-sent events, chunked or not, as its bytes come. An event is
- * passed on with the empty line that ends it; half an event goes with the stream that was cut.
+ * Incremental parser of one HTTP response that holds server-sent events, with or without chunked
+ * encoding. An event is passed on when the empty line that ends it is received; an incomplete event
+ * is dropped when the connection closes.
  */
 final class EventStream {
-    private static final int LONGEST = 1024 * 1024; // a whole list of thousands of engines
-    private final Consumer<String> event;
+    /** Enough for a complete list of thousands of engines. */
+    private static final int MAX_EVENT_CHARS = 1024 * 1024;
+
+    private final Consumer<String> eventListener;
     private final StringBuilder line = new StringBuilder();
     private final StringBuilder data = new StringBuilder();
-    private String status;
+    private String statusLine;
     private boolean chunked;
     private boolean inBody;
-    private boolean skipsChunkEnd;
-    private long chunkLeft;
+    private boolean expectsChunkEnd;
+    private long chunkBytesLeft;
 
-    EventStream(Consumer<String> event) {
-        this.event = event;
+    EventStream(Consumer<String> eventListener) {
+        this.eventListener = eventListener;
     }
 
-    /** Whether the other side has said that events will come. */
-    boolean hasBegun() {
+    /** Whether the head of the response was received: its status is 200 and events follow. */
+    boolean hasStarted() {
         return inBody;
     }
 
-    /** Whether nothing has come of an event that has not come whole. */
+    /** Whether no event or chunk is partially received. */
     boolean isBetweenEvents() {
-        return line.length() == 0 && data.length() == 0 && chunkLeft == 0;
+        return line.length() == 0 && data.length() == 0 && chunkBytesLeft == 0;
     }
 
-    /** Takes all that can be used. */
-    void take(RingBuffer in) throws InvalidInputException {
-        while (step(in)) {
-            if (line.length() > LONGEST || data.length() > LONGEST) {
+    /** Consumes and parses the input as far as it is complete. */
+    void consume(RingBuffer input) throws InvalidInputException {
+        while (consumeNext(input)) {
+            if (line.length() > MAX_EVENT_CHARS || data.length() > MAX_EVENT_CHARS) {
                 throw new InvalidInputException("an event is too long");
             }
         }
-        if (in.remainingCapacity() == 0) {
-            throw new InvalidInputException("a line of the head is too long");
+        if (input.remainingCapacity() == 0) {
+            throw new InvalidInputException("a response header is too long");
         }
     }
 
     /**
-     * Takes what it can use next, one line or one chunk's edge; false where more bytes are needed.
+     * Consumes the next line, part of a line or chunk header; returns false where more bytes are
+     * needed.
      */
-    private boolean step(RingBuffer in) throws InvalidInputException {
-        if (inBody && chunked && chunkLeft == 0) {
-            return chunkHead(in);
+    private boolean consumeNext(RingBuffer input) throws InvalidInputException {
+        if (inBody && chunked && chunkBytesLeft == 0) {
+            return consumeChunkHeader(input);
         }
-        int end = in.indexOf((byte) '\n', 0);
-        int most = inBody && chunked ? (int) Math.min(in.size(), chunkLeft) : in.size();
-        int take = end >= 0 && end < most ? end + 1 : inBody ? most : 0;
-        if (take == 0) {
+        int end = input.indexOf((byte) '\n', 0);
+        int available =
+                inBody && chunked ? (int) Math.min(input.size(), chunkBytesLeft) : input.size();
+        int length = end >= 0 && end < available ? end + 1 : inBody ? available : 0;
+        if (length == 0) {
             return false;
         }
-        // Any byte is a letter here, so that no letter is cut in two; what is read out is ASCII but
-        // for names.
-        String text = new String(in.copy(0, take), StandardCharsets.ISO_8859_1);
-        in.skip(take);
+        // Every byte is one character in ISO 8859-1, so no UTF-8 sequence is split between reads. A
+        // complete line is decoded as UTF-8 below.
+        String text = new String(input.copy(0, length), StandardCharsets.ISO_8859_1);
+        input.skip(length);
         if (inBody && chunked) {
-            chunkLeft -= take;
-            skipsChunkEnd = chunkLeft == 0;
+            chunkBytesLeft -= length;
+            expectsChunkEnd = chunkBytesLeft == 0;
         }
         line.append(text);
         if (text.endsWith("\n")) {
-            String whole = line.toString().stripTrailing();
+            String completeLine = line.toString().stripTrailing();
             line.setLength(0);
             if (inBody) {
-                field(
+                parseField(
                         new String(
-                                whole.getBytes(StandardCharsets.ISO_8859_1),
+                                completeLine.getBytes(StandardCharsets.ISO_8859_1),
                                 StandardCharsets.UTF_8));
             } else {
-                head(whole);
+                parseHeader(completeLine);
             }
         }
         return true;
     }
 
-    private boolean chunkHead(RingBuffer in) throws InvalidInputException {
-        int end = in.indexOf((byte) '\n', 0);
+    private boolean consumeChunkHeader(RingBuffer input) throws InvalidInputException {
+        int end = input.indexOf((byte) '\n', 0);
         if (end < 0) {
             return false;
         }
-        String text = new String(in.copy(0, end), StandardCharsets.US_ASCII).split(";")[0].trim();
-        in.skip(end + 1);
-        if (skipsChunkEnd && text.isEmpty()) {
-            skipsChunkEnd = false;
+        String text =
+                new String(input.copy(0, end), StandardCharsets.US_ASCII).split(";")[0].trim();
+        input.skip(end + 1);
+        if (expectsChunkEnd && text.isEmpty()) {
+            expectsChunkEnd = false;
             return true;
         }
         try {
-            chunkLeft = Long.parseLong(text, 16);
+            chunkBytesLeft = Long.parseLong(text, 16);
         } catch (NumberFormatException e) {
-            throw new InvalidInputException("a chunk's length can't be read");
+            throw new InvalidInputException("invalid chunk size");
         }
-        if (chunkLeft <= 0) {
+        if (chunkBytesLeft <= 0) {
             throw new InvalidInputException("the stream ended");
         }
         return true;
     }
 
-    private void head(String header) throws InvalidInputException {
-        if (status == null) {
-            status = header;
+    private void parseHeader(String header) throws InvalidInputException {
+        if (statusLine == null) {
+            statusLine = header;
             if (!header.startsWith("HTTP/1.") || !header.contains(" 200")) {
-                throw new InvalidInputException("answered '" + header + "'");
+                throw new InvalidInputException("unexpected response '" + header + "'");
             }
         } else if (header.isEmpty()) {
             inBody = true;
@@ -121,14 +127,14 @@
         }
     }
 
-    private void field(String text) {
+    private void parseField(String text) {
         if (text.startsWith("data:")) {
             data.append(data.length() > 0 ? "\n" : "")
                     .append(text.substring(text.startsWith("data: ") ? 6 : 5));
         } else if (text.isEmpty() && data.length() > 0) {
-            String whole = data.toString();
+            String event = data.toString();
             data.setLength(0);
-            event.accept(whole);
+            eventListener.accept(event);
         }
     }
 }
--- a/src/main/java/calicostream/platform/FrontEndConfig.java
+++ b/src/main/java/calicostream/platform/FrontEndConfig.java
@@ -15,8 +15,16 @@
 import java.nio.file.Path;
 
 /**
- * What the platform tells a front end in its configuration file; {@code seed} differs between front
- * ends and starts.
+ * The configuration of a front end, read from the file that the platform writes.
+ *
+ * @param name the front end's name
+ * @param listen the address for the platform's clients
+ * @param admin the address of the administration API, or null
+ * @param changelog the address of the change log, which the endpoint list comes from
+ * @param sockets the limit on file descriptors
+ * @param seed the seed of random delays; differs between front ends and between starts
+ * @param known the endpoint list at the time when the file was written
+ * @param settings the settings of the router
  */
 public record FrontEndConfig(
         String name,
@@ -27,7 +35,7 @@
         long seed,
         JsonObject known,
         SettingsParser settings) {
-    private static final int FEWEST_SOCKETS = 64;
+    private static final int MIN_SOCKETS = 64;
 
     /**
      * Reads a configuration file.
@@ -53,35 +61,35 @@
                     address(root, "listen"),
                     admin(root),
                     address(root, "changelog"),
-                    Math.max(FEWEST_SOCKETS, sockets),
-                    EndpointListDecoder.id(name + root.getString("seed", "")),
+                    Math.max(MIN_SOCKETS, sockets),
+                    EndpointListDecoder.engineId(name + root.getString("seed", "")),
                     member(root, "known"),
                     SettingsParser.ofJson(member(root, "settings")));
         } catch (ParseException e) {
             throw new SettingsException("bad configuration: not JSON: " + e.getMessage());
         } catch (UnsupportedOperationException | NumberFormatException e) {
             throw new SettingsException(
-                    "bad configuration: a value is of the wrong kind: " + e.getMessage());
+                    "bad configuration: a value has the wrong type: " + e.getMessage());
         }
     }
 
     private static JsonObject member(JsonObject root, String name) {
         JsonValue value = root.get(name);
         if (value == null || !value.isObject()) {
-            throw new SettingsException("bad configuration: no object '" + name + "'");
+            throw new SettingsException("bad configuration: missing object '" + name + "'");
         }
         return value.asObject();
     }
 
-    /** The operators' address, where there is one: the environment names it, or the file. */
+    /** The address of the administration API, from the environment or else the file; or null. */
     private static InetSocketAddress admin(JsonObject root) {
-        String named = System.getenv("NODE_ADMIN");
-        if (named == null || named.isEmpty()) {
+        String environmentValue = System.getenv("NODE_ADMIN");
+        if (environmentValue == null || environmentValue.isEmpty()) {
             return root.get("admin") == null || root.get("admin").isNull()
                     ? null
                     : address(root, "admin");
         }
-        return address(new JsonObject().add("admin", named), "admin");
+        return address(new JsonObject().add("admin", environmentValue), "admin");
     }
 
     private static InetSocketAddress address(JsonObject root, String name) {
--- a/src/main/java/calicostream/platform/FrontEndServer.java
+++ b/src/main/java/calicostream/platform/FrontEndServer.java
@@ -23,101 +23,100 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One front end on the platform: its parts, its start and its end. */
+/** One front end of the platform: start-up, hot restart and shutdown of its components. */
 public final class FrontEndServer implements AdminOperations {
     private static final Logger LOG = LoggerFactory.getLogger(FrontEndServer.class);
-    private static final long SERVE_ON =
-            800_000; // us after SIGTERM in which clients may still come: 0.7 s at most
-    private static final long MARGIN =
-            500_000; // us before SIGKILL, which may come 0.1 s before SERVE_ON's end
-    private static final long LAST_WORDS = 150_000; // us for the last answers to go out
-    private static final long LOOK_AGAIN = 20_000;
-    private static final long LOOK_AT_FILE =
-            250_000; // us between looks at the configuration where SIGHUP is not heard
-    private static final long LOOK = 100_000; // us between looks at the other process's word
-    private static final long CATCH_UP =
-            1_500_000; // us at most to hear of the engines what the other process knows
-    private static final long LIST_AWAITED =
-            7_000_000; // us from the start at most: after that its word counts anyway
-    private static final long CATCH_UP_LOOK = 5_000;
-    private static final long LONGEST_STAY =
-            3_000_000; // us after SIGTERM that a request may be waited for
-    private static final long LONGEST_HAND_OVER =
-            5_000_000; // us, the same where another process takes the clients
-    private static final long REST_ON =
-            700_000; // us in which most who rest ask once more, the other process beside
-    private static final long LONGEST_END_S = 30;
+    // Clients may connect until 0.7 s after SIGTERM.
+    private static final long DRAIN_DELAY_MICROS = 800_000;
+    // Subtracted from the drain time, because SIGKILL may come 0.1 s before its end.
+    private static final long KILL_MARGIN_MICROS = 500_000;
+    private static final long FINAL_FLUSH_MICROS = 150_000;
+    private static final long DRAIN_POLL_MICROS = 20_000;
+    private static final long CONFIG_POLL_MICROS = 250_000;
+    private static final long PEER_POLL_MICROS = 100_000;
+    // Time to receive the endpoint events that another process has applied.
+    private static final long PEER_LIST_TIMEOUT_MICROS = 1_500_000;
+    // Counts from the start of the process; the platform considers the list delivered by then.
+    private static final long LIST_TIMEOUT_MICROS = 7_000_000;
+    private static final long LIST_POLL_MICROS = 5_000;
+    // The longest time after SIGTERM to wait for the requests in flight.
+    private static final long MAX_DRAIN_MICROS = 3_000_000;
+    // The same while a successor process accepts new clients.
+    private static final long MAX_SUCCESSOR_DRAIN_MICROS = 5_000_000;
+    // Most idle clients send one more request in this time while a successor process runs.
+    private static final long IDLE_CLIENT_GRACE_MICROS = 700_000;
+    private static final long TERMINATION_TIMEOUT_SECONDS = 30;
     private final SelectorLoop loop;
-    private final JsonRpcServer front;
+    private final JsonRpcServer rpcServer;
     private final Gateway gateway;
     private final List<Service> services;
     private final FrontEndConfig config;
-    private final EndpointWatch log;
+    private final EndpointWatch endpointWatch;
     private final Descriptors descriptors;
     private final EngineClient engines;
-    private final HotRestart handover;
+    private final HotRestart hotRestart;
     private final AdminServer admin;
-    private boolean started;
+    private boolean gatewayStarted;
     private boolean listening;
-    private boolean ending;
-    private IOException failed;
+    private boolean terminating;
+    private IOException startupFailure;
     private final long startedAt;
-    private final CountDownLatch done = new CountDownLatch(1);
+    private final CountDownLatch terminated = new CountDownLatch(1);
 
-    /** {@code shared} is the folder that this front end's processes have in common, or null. */
-    public FrontEndServer(FrontEndConfig config, ServerComponents parts, Path shared)
+    /** The processes of this front end share {@code sharedFolder} in a hot restart; or null. */
+    public FrontEndServer(FrontEndConfig config, ServerComponents components, Path sharedFolder)
             throws IOException {
         this.config = config;
-        descriptors = parts.descriptors();
-        loop = parts.loop();
+        descriptors = components.descriptors();
+        loop = components.loop();
         startedAt = loop.clock().now();
-        engines = parts.engines();
-        gateway = parts.gateway();
-        services = parts.services();
+        engines = components.engines();
+        gateway = components.gateway();
+        services = components.services();
         SettingsParser settings = config.settings();
-        front =
+        rpcServer =
                 new JsonRpcServer(
-                        loop, gateway, settings.classNames(), longestDeadline(), parts.text());
-        EndpointListDecoder roster =
+                        loop, gateway, settings.classNames(), maxDeadline(), components.encoder());
+        EndpointListDecoder decoder =
                 new EndpointListDecoder(loop.clock(), settings.zoneNames(), settings.kindNames());
-        EndpointListDecoder.Change known = roster.known(config.known());
-        known.addresses().forEach(engines::setAddress);
-        known.began().forEach(engines::engineStarted);
-        List<Runnable> early = new ArrayList<>();
-        handover =
+        EndpointListDecoder.Change initialEndpoints = decoder.decodeInitial(config.known());
+        initialEndpoints.addresses().forEach(engines::setAddress);
+        initialEndpoints.startedAtUnixMillis().forEach(engines::engineStarted);
+        List<Runnable> earlyOverrides = new ArrayList<>();
+        hotRestart =
                 new HotRestart(
-                        shared,
+                        sharedFolder,
                         config.name(),
-                        (engine, word) -> {
-                            if (started) {
-                                heard(engine, word);
+                        (engineName, override) -> {
+                            if (gatewayStarted) {
+                                applyOverride(engineName, override);
                             } else {
-                                early.add(() -> heard(engine, word));
+                                earlyOverrides.add(() -> applyOverride(engineName, override));
                             }
                         });
-        handover.join();
-        gateway.attachKeyOwnership(handover.keyOwnership());
-        share();
-        gateway.start(engines, known.engines());
-        started = true;
-        early.forEach(Runnable::run);
-        log =
+        hotRestart.join();
+        gateway.attachKeyOwnership(hotRestart.keyOwnership());
+        shareLimits();
+        gateway.start(engines, initialEndpoints.engines());
+        gatewayStarted = true;
+        earlyOverrides.forEach(Runnable::run);
+        endpointWatch =
                 new EndpointWatch(
                         loop,
                         config.changelog(),
-                        roster,
-                        known.seq(),
+                        decoder,
+                        initialEndpoints.sequence(),
                         config.seed(),
                         change -> {
                             change.addresses().forEach(engines::setAddress);
-                            change.began().forEach(engines::engineStarted);
-                            gateway.endpointsChanged(change.kind(), change.engines());
+                            change.startedAtUnixMillis().forEach(engines::engineStarted);
+                            gateway.endpointsChanged(change.updateKind(), change.engines());
                         });
-        log.start();
+        endpointWatch.start();
         admin = config.admin() == null ? null : new AdminServer(loop, this);
     }
 
-    private long longestDeadline() {
+    private long maxDeadline() {
         return config.settings().settings().classes().stream()
                 .mapToLong(QueryClass::deadlineUs)
                 .max()
@@ -125,17 +124,16 @@
     }
 
     /**
-     * On SIGHUP, off the loop's thread: reads the file anew and follows the change log at its new
-     * address, from the last event seen on. Requests, connections and all else stay as they are,
-     * and so does everything where the new file can't be used.
+     * Reloads the configuration; called on SIGHUP, from any thread. Only the address of the change
+     * log is applied: the watch resumes there. An invalid file changes nothing.
      */
     public void reload(Path path) {
         loop.post(
                 () -> {
                     try {
-                        InetSocketAddress to = FrontEndConfig.read(path).changelog();
-                        LOG.info("configuration reloaded, discovery endpoint {}", to);
-                        log.move(to);
+                        InetSocketAddress changelogAddress = FrontEndConfig.read(path).changelog();
+                        LOG.info("configuration reloaded, discovery endpoint {}", changelogAddress);
+                        endpointWatch.moveTo(changelogAddress);
                     } catch (SettingsException e) {
                         LOG.warn("configuration not reloaded: {}", e.getMessage());
                     }
@@ -143,125 +141,136 @@
     }
 
     /**
-     * Off the loop's thread, where SIGHUP can't be heard: reads the configuration anew whenever its
-     * file has changed. One that is read half written can't be used, and is read again once it has
-     * changed further.
+     * Reloads the configuration whenever its file changes, if SIGHUP can't be handled; called from
+     * any thread. A partially written file is invalid and read again after its next change.
      */
-    public void follow(ConfigFileWatcher watch) {
+    public void follow(ConfigFileWatcher watcher) {
         LOG.info(
                 "SIGHUP is ignored by this process: the configuration is reloaded when its file"
                         + " changes");
-        loop.post(() -> look(watch));
+        loop.post(() -> pollConfigFile(watcher));
     }
 
-    private void look(ConfigFileWatcher watch) {
-        if (watch.hasChanged()) {
-            reload(watch.file());
+    private void pollConfigFile(ConfigFileWatcher watcher) {
+        if (watcher.hasChanged()) {
+            reload(watcher.file());
         }
-        loop.deadlines().add(loop.clock().now() + LOOK_AT_FILE, (now, ref) -> look(watch), 0);
+        loop.deadlines()
+                .add(
+                        loop.clock().now() + CONFIG_POLL_MICROS,
+                        (now, reference) -> pollConfigFile(watcher),
+                        0);
     }
 
-    /** Serves until SIGTERM and what was taken by then is answered. */
+    /** Runs until SIGTERM was received and the accepted requests have their responses. */
     public void run() throws IOException {
         Runtime.getRuntime().addShutdownHook(new Thread(this::terminate, "terminate"));
-        look(loop.clock().now(), 0);
+        pollPeers(loop.clock().now(), 0);
         WarmUp warmUp = new WarmUp(config.settings().settings(), config.settings().classNames());
-        loop.runNextIteration(() -> warm(warmUp));
+        loop.runNextIteration(() -> continueWarmUp(warmUp));
         try {
             loop.run();
         } finally {
-            handover.leave();
-            done.countDown();
+            hotRestart.leave();
+            terminated.countDown();
         }
-        if (failed != null) {
-            throw failed;
+        if (startupFailure != null) {
+            throw startupFailure;
         }
     }
 
-    /** In pieces between the loop's turns: meanwhile the change log tells what it holds. */
-    private void warm(WarmUp warmUp) {
-        if (warmUp.goesOn()) {
-            loop.runNextIteration(() -> warm(warmUp));
+    /** Runs the warm-up in slices, so that endpoint events are received between them. */
+    private void continueWarmUp(WarmUp warmUp) {
+        if (warmUp.runSlice()) {
+            loop.runNextIteration(() -> continueWarmUp(warmUp));
             return;
         }
-        LOG.info("{}: warm-up completed with {} requests", config.name(), warmUp.answers());
+        LOG.info("{}: warm-up completed with {} requests", config.name(), warmUp.responseCount());
         try {
             if (admin != null) {
                 admin.listen(config.admin());
                 LOG.info("admin API on port {}", admin.port());
             }
         } catch (IOException e) {
-            failed = e;
+            startupFailure = e;
             loop.stop();
             return;
         }
         long now = loop.clock().now();
-        catchUp(now, handover.hasPredecessor() ? now + CATCH_UP : startedAt + LIST_AWAITED);
+        awaitEndpointList(
+                now,
+                hotRestart.hasPredecessor()
+                        ? now + PEER_LIST_TIMEOUT_MICROS
+                        : startedAt + LIST_TIMEOUT_MICROS);
     }
 
     /**
-     * The configuration may be older than this process, and what the change log holds counts as
-     * told whether it was read or not: clients come once the log has told it all.
+     * Accepts clients only when the endpoint list is up to date, or after a timeout. The list in
+     * the configuration may be outdated, and the platform considers all logged changes delivered.
      */
-    private void catchUp(long now, long until) {
-        if (ending) {
+    private void awaitEndpointList(long now, long timeoutAt) {
+        if (terminating) {
             return;
         }
-        boolean current = log.hasToldAll(now) && log.seq() >= handover.newestPeerEventSequence();
-        if (now < until && !current) {
-            loop.deadlines().add(now + CATCH_UP_LOOK, this::catchUp, until);
+        boolean isCaughtUp =
+                endpointWatch.isCaughtUp(now)
+                        && endpointWatch.lastSequence() >= hotRestart.newestPeerEventSequence();
+        if (now < timeoutAt && !isCaughtUp) {
+            loop.deadlines().add(now + LIST_POLL_MICROS, this::awaitEndpointList, timeoutAt);
             return;
         }
-        if (!current) {
+        if (!isCaughtUp) {
             LOG.warn("endpoint list may be incomplete: the discovery stream is not up to date");
         }
         try {
             listen();
         } catch (IOException e) {
-            failed = e;
+            startupFailure = e;
             loop.stop();
         }
     }
 
     private void listen() throws IOException {
-        gateway.learnedRunTimes(handover.predecessorRunTimes());
-        front.listen(config.listen());
-        LOG.info("listening on port {}", front.port());
-        for (Service each : services) {
-            each.start();
-            LOG.info("{} listening on port {}", each.name(), each.port());
+        gateway.learnedRunTimes(hotRestart.predecessorRunTimes());
+        rpcServer.listen(config.listen());
+        LOG.info("listening on port {}", rpcServer.port());
+        for (Service service : services) {
+            service.start();
+            LOG.info("{} listening on port {}", service.name(), service.port());
         }
         listening = true;
-        handover.publishListening(true);
+        hotRestart.publishListening(true);
     }
 
-    /** On SIGTERM, off the loop's thread: the process ends when this returns. */
+    /** Runs on SIGTERM in the shutdown hook's thread; the process ends when this returns. */
     private void terminate() {
         loop.post(
                 () -> {
-                    ending = true;
+                    terminating = true;
                     LOG.info("SIGTERM received: {} requests in flight", gateway.openRequests());
                     if (!listening) {
                         loop.stop();
                         return;
                     }
-                    handover.poll();
+                    hotRestart.poll();
                     long now = loop.clock().now();
-                    if (handover.hasSuccessor()) {
+                    if (hotRestart.hasSuccessor()) {
                         LOG.info("draining: a successor process accepts new clients");
-                        retire(now + REST_ON, lastMoment(now, LONGEST_HAND_OVER));
+                        drain(
+                                now + IDLE_CLIENT_GRACE_MICROS,
+                                shutdownDeadline(now, MAX_SUCCESSOR_DRAIN_MICROS));
                     } else {
                         loop.deadlines()
                                 .add(
-                                        now + SERVE_ON,
-                                        (at, last) -> retire(at, last),
-                                        lastMoment(now, LONGEST_STAY));
+                                        now + DRAIN_DELAY_MICROS,
+                                        (drainAt, shutdownAt) -> drain(drainAt, shutdownAt),
+                                        shutdownDeadline(now, MAX_DRAIN_MICROS));
                     }
                 });
         try {
-            done.await(LONGEST_END_S, TimeUnit.SECONDS);
-            for (Service each : services) {
-                each.awaitTermination();
+            terminated.await(TERMINATION_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            for (Service service : services) {
+                service.awaitTermination();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -270,65 +279,63 @@
 
     @Override
     public boolean isReady() {
-        return listening && !ending;
+        return listening && !terminating;
     }
 
-    /** The other process may have been told a moment ago: that is heard first. */
+    /** Polls first, as another process may have accepted a command for the same engine. */
     @Override
-    public boolean disableEngine(String engine) {
-        handover.poll();
-        long id = EndpointListDecoder.id(engine);
-        if (gateway.isKnownEngine(id) && !gateway.isDisabled(id)) {
-            gateway.disable(id);
-            handover.publishEngineOverride(engine, true);
+    public boolean disableEngine(String engineName) {
+        hotRestart.poll();
+        long engineId = EndpointListDecoder.engineId(engineName);
+        if (gateway.isKnownEngine(engineId) && !gateway.isDisabled(engineId)) {
+            gateway.disable(engineId);
+            hotRestart.publishEngineOverride(engineName, true);
         }
-        return gateway.isKnownEngine(id);
+        return gateway.isKnownEngine(engineId);
     }
 
     @Override
-    public boolean enableEngine(String engine) {
-        handover.poll();
-        long id = EndpointListDecoder.id(engine);
-        boolean known = gateway.isKnownEngine(id);
-        if (gateway.isDisabled(id)) {
-            gateway.enable(id, loop.clock().now());
-            handover.publishEngineOverride(engine, false);
+    public boolean enableEngine(String engineName) {
+        hotRestart.poll();
+        long engineId = EndpointListDecoder.engineId(engineName);
+        boolean isKnown = gateway.isKnownEngine(engineId);
+        if (gateway.isDisabled(engineId)) {
+            gateway.enable(engineId, loop.clock().now());
+            hotRestart.publishEngineOverride(engineName, false);
         }
-        return known;
+        return isKnown;
     }
 
-    /** What an operator said to the other process of this front end. */
-    private void heard(String engine, EngineOverride word) {
-        if (word.disabled()) {
-            gateway.disable(EndpointListDecoder.id(engine));
+    /** Applies an operator's command that another process of this front end has accepted. */
+    private void applyOverride(String engineName, EngineOverride override) {
+        if (override.disabled()) {
+            gateway.disable(EndpointListDecoder.engineId(engineName));
         } else {
             gateway.enable(
-                    EndpointListDecoder.id(engine),
-                    loop.clock().ofUnixMillis(word.changedAtUnixMillis()));
+                    EndpointListDecoder.engineId(engineName),
+                    loop.clock().ofUnixMillis(override.changedAtUnixMillis()));
         }
     }
 
-    private void look(long now, long ref) {
-        int before = handover.processCount();
-        handover.poll();
-        handover.publishEventSequence(log.seq());
-        if (handover.processCount() != before) {
-            share();
-            handover.publishLearnedRunTimes(gateway.learnedRunTimes());
+    private void pollPeers(long now, long reference) {
+        int previousCount = hotRestart.processCount();
+        hotRestart.poll();
+        hotRestart.publishEventSequence(endpointWatch.lastSequence());
+        if (hotRestart.processCount() != previousCount) {
+            shareLimits();
+            hotRestart.publishLearnedRunTimes(gateway.learnedRunTimes());
         }
-        loop.deadlines().add(now + LOOK, this::look, 0);
+        loop.deadlines().add(now + PEER_POLL_MICROS, this::pollPeers, 0);
     }
 
-    /**
-     * Of all that the limits and the rules allow this front end, its processes have equal parts.
-     */
-    private void share() {
-        LOG.info("processes of this front end: {}", handover.processCount());
-        gateway.processesChanged(handover.processCount(), handover.rankByAge());
-        Descriptors part =
-                Descriptors.of(config.sockets() / handover.processCount(), descriptors.own());
-        front.setMaxClients(part.clients());
-        engines.setMaxConnections(part.engines());
+    /** Divides the limits of this front end equally among its processes. */
+    private void shareLimits() {
+        LOG.info("processes of this front end: {}", hotRestart.processCount());
+        gateway.processesChanged(hotRestart.processCount(), hotRestart.rankByAge());
+        Descriptors share =
+                Descriptors.of(config.sockets() / hotRestart.processCount(), descriptors.process());
+        rpcServer.setMaxClients(share.clients());
+        engines.setMaxConnections(share.engines());
     }
 
     @Override
@@ -336,51 +343,57 @@
         return MetricsJson.of(gateway, config.settings().classNames());
     }
 
-    private Service part(String name) {
-        return services.stream().filter(each -> each.name().equals(name)).findFirst().orElse(null);
+    private Service service(String name) {
+        return services.stream().filter(s -> s.name().equals(name)).findFirst().orElse(null);
     }
 
     @Override
     public String statusJson(String name) {
-        Service part = part(name);
-        return part == null ? null : part.statusJson();
+        Service service = service(name);
+        return service == null ? null : service.statusJson();
     }
 
     @Override
-    public String executeCommand(String name, String words) {
-        Service part = part(name);
-        return part == null ? null : part.administer(words);
+    public String executeCommand(String name, String command) {
+        Service service = service(name);
+        return service == null ? null : service.administer(command);
     }
 
-    /** By when all that was taken must be answered: SIGKILL may come soon after. */
-    private long lastMoment(long terminatedAt, long longestStay) {
-        return terminatedAt + Math.min(longestStay, longestDeadline()) + SERVE_ON - MARGIN;
+    /** When every accepted request must have its response; SIGKILL may follow soon. */
+    private long shutdownDeadline(long sigtermAt, long maxDrain) {
+        return sigtermAt
+                + Math.min(maxDrain, maxDeadline())
+                + DRAIN_DELAY_MICROS
+                - KILL_MARGIN_MICROS;
     }
 
-    /** No new clients from now on; those that are here are served, and let go at rest. */
-    private void retire(long restsUntil, long last) {
-        handover.publishListening(false);
+    /** Accepts no more clients; connected ones are served, and closed when they are idle. */
+    private void drain(long closeIdleAt, long shutdownAt) {
+        hotRestart.publishListening(false);
         services.forEach(Service::stopListening);
         try {
-            front.drain(restsUntil, last);
+            rpcServer.drain(closeIdleAt, shutdownAt);
         } catch (IOException e) {
             LOG.warn("listener not closed: {}", e.toString());
         }
-        loop.deadlines().add(loop.clock().now() + LOOK_AGAIN, this::retired, last + LAST_WORDS);
-        // Deadlines may lie beyond SIGKILL, and a request that this process ends without an answer
-        // is lost.
-        loop.deadlines().add(last, (at, ref) -> gateway.terminateAll(), 0);
+        loop.deadlines()
+                .add(
+                        loop.clock().now() + DRAIN_POLL_MICROS,
+                        this::checkDrained,
+                        shutdownAt + FINAL_FLUSH_MICROS);
+        // Some deadlines are later than SIGKILL, and a request without a response by then is lost.
+        loop.deadlines().add(shutdownAt, (now, reference) -> gateway.terminateAll(), 0);
     }
 
-    private void retired(long now, long last) {
-        if (gateway.openRequests() == 0 && front.isEmpty() || now >= last) {
+    private void checkDrained(long now, long exitAt) {
+        if (gateway.openRequests() == 0 && rpcServer.isEmpty() || now >= exitAt) {
             LOG.info(
                     "drained: {} requests in flight, clients {}",
                     gateway.openRequests(),
-                    front.describeClients());
+                    rpcServer.describeClients());
             loop.stop();
         } else {
-            loop.deadlines().add(now + LOOK_AGAIN, this::retired, last);
+            loop.deadlines().add(now + DRAIN_POLL_MICROS, this::checkDrained, exitAt);
         }
     }
 }
--- a/src/main/java/calicostream/platform/InactivityTimer.java
+++ b/src/main/java/calicostream/platform/InactivityTimer.java
@@ -3,7 +3,9 @@
 
 import java.util.function.BooleanSupplier;
 
-/** Runs an action once nothing was recorded for some time. Used by the event loop's thread only. */
+/**
+ * Runs an action when no activity was recorded for some time. Used by the event loop's thread only.
+ */
 final class InactivityTimer {
     private final RespContext context;
     private final long timeoutMicros;
@@ -13,7 +15,7 @@
     private boolean running;
 
     /**
-     * @param isNeeded whether the action is still wanted when the time has passed
+     * @param isNeeded evaluated when the timeout expires; the action runs only if it is true
      */
     InactivityTimer(
             RespContext context, long timeoutMicros, BooleanSupplier isNeeded, Runnable action) {
@@ -23,7 +25,7 @@
         this.action = action;
     }
 
-    /** When activity was recorded last, in microseconds. */
+    /** The time of the last recorded activity, in microseconds. */
     long lastActivityAt() {
         return lastActivityAt;
     }
@@ -36,7 +38,7 @@
         return running;
     }
 
-    /** Starts to count from the last activity. */
+    /** Starts the timer; the timeout counts from the last activity. */
     void start() {
         running = true;
         context.loop()
--- a/src/main/java/calicostream/platform/JsonRpc.java
+++ b/src/main/java/calicostream/platform/JsonRpc.java
@@ -7,146 +7,154 @@
 import java.util.regex.Pattern;
 
 /**
- * One JSON-RPC line: a reader of JSON that keeps the few members the platform's protocol has, so
- * that the common request costs no tree of objects.
+ * A JSON-RPC message, and the encoding of responses. The parser stores only the members that the
+ * platform's protocol defines, so that a request needs no tree of JSON objects.
  */
 final class JsonRpc {
     static final int PARSE_ERROR = -32700;
     static final int INVALID_REQUEST = -32600;
     static final int METHOD_NOT_FOUND = -32601;
     static final int INVALID_PARAMS = -32602;
-    static final int REFUSED = -32000;
+    static final int REJECTED = -32000;
     static final int FAILED = -32001;
-    private static final int DEEPEST = 32;
-    private static final String ELSEWHERE =
-            "elsewhere"; // path of what is of no interest, as in a batch
+    private static final int MAX_DEPTH = 32;
 
-    /** Text that is not JSON. */
-    static final class NotJson extends Exception {
+    /** The path of values that are not stored, such as elements of a batch. */
+    private static final String IGNORED_PATH = "elsewhere";
+
+    /** The line is not valid JSON. */
+    static final class MalformedJsonException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        NotJson() {
+        MalformedJsonException() {
             super("not JSON", null, false, false);
         }
     }
 
-    private static final Set<String> MARKS =
+    private static final Set<String> OPTIONAL_PARAM_PATHS =
             Set.of("/params/o", "/params/h", "/params/ram", "/params/r", "/params/k");
-    private static final long FNV_START = 0xcbf29ce484222325L; // FNV-1a, 64 bits
+
+    // Parameters of the 64-bit FNV-1a hash.
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
-    private static final int LONGEST_KEY = 64;
-    private static final Pattern REPEAT_KEY =
-            Pattern.compile("[!-~&&[^,=]]{1,64}"); // fits into engines' lists of fields
-    private static final double MOST = 1e12; // of an estimate: beyond any work or memory there is
+    private static final int MAX_ORDER_KEY_CHARS = 64;
+
+    /** Excludes comma and equals sign, which separate the fields of a request to an engine. */
+    private static final Pattern IDEMPOTENCY_KEY_PATTERN = Pattern.compile("[!-~&&[^,=]]{1,64}");
+
+    /** More work in milliseconds, or memory in megabytes, than any request can need. */
+    private static final double MAX_ESTIMATE = 1e12;
 
     String version;
     String method;
     String requestId;
     String content;
     String paramsId;
-    String order;
+    String orderKey;
 
-    /** By which engines know a repeat, or null; it passes on unchanged. */
-    String repeatKey;
+    /** Identifies repeats of a request at the engines, to which it is sent unchanged; or null. */
+    String idempotencyKey;
 
     double id = Double.NaN;
-    double wait = Double.NaN;
-    double paramsNumber = Double.NaN;
-    double work;
-    double memory;
-    double retry;
+    double timeoutMillis = Double.NaN;
+    double paramsIdNumber = Double.NaN;
+    double workEstimateMillis;
+    double memoryEstimateMb;
+    double clientRetry;
     boolean isObject;
     boolean hasParams;
-    private boolean mistyped;
-    private final byte[] text;
-    private int at;
+    private boolean hasMistypedParam;
+    private final byte[] input;
+    private int position;
 
-    private JsonRpc(byte[] text) {
-        this.text = text;
+    private JsonRpc(byte[] input) {
+        this.input = input;
     }
 
-    static JsonRpc read(byte[] line) throws NotJson {
-        JsonRpc out = new JsonRpc(line);
-        out.space();
-        out.isObject = out.peek() == '{';
-        out.value("", 0);
-        out.space();
-        if (out.at < line.length) {
-            throw new NotJson();
+    /** Parses a line without its line feed. */
+    static JsonRpc read(byte[] line) throws MalformedJsonException {
+        JsonRpc message = new JsonRpc(line);
+        message.skipWhitespace();
+        message.isObject = message.peek() == '{';
+        message.readValue("", 0);
+        message.skipWhitespace();
+        if (message.position < line.length) {
+            throw new MalformedJsonException();
         }
-        return out;
+        return message;
     }
 
     private int peek() {
-        return at < text.length ? text[at] & 0xff : -1;
+        return position < input.length ? input[position] & 0xff : -1;
     }
 
-    private void space() {
+    private void skipWhitespace() {
         while (peek() == ' ' || peek() == '\t' || peek() == '\r' || peek() == '\n') {
-            at++;
+            position++;
         }
     }
 
-    private void expect(int c) throws NotJson {
+    private void expect(int c) throws MalformedJsonException {
         if (peek() != c) {
-            throw new NotJson();
+            throw new MalformedJsonException();
         }
-        at++;
+        position++;
     }
 
-    /** Reads a value; scalars found at a path of interest are kept. */
-    private void value(String path, int depth) throws NotJson {
-        space();
+    /** Reads a value; stores scalars at the paths that the protocol defines. */
+    private void readValue(String path, int depth) throws MalformedJsonException {
+        skipWhitespace();
         int c = peek();
-        if (depth > DEEPEST) {
-            throw new NotJson();
+        if (depth > MAX_DEPTH) {
+            throw new MalformedJsonException();
         }
-        mistyped |= c != '"' && c != '-' && (c < '0' || c > '9') && MARKS.contains(path);
+        hasMistypedParam |=
+                c != '"' && c != '-' && (c < '0' || c > '9') && OPTIONAL_PARAM_PATHS.contains(path);
         if (c == '{') {
             hasParams |= path.equals("/params");
-            object(path, depth);
+            readObject(path, depth);
         } else if (c == '[') {
-            array(depth);
+            readArray(depth);
         } else if (c == '"') {
-            keep(path, string());
+            store(path, readString());
         } else if (c == '-' || c >= '0' && c <= '9') {
-            keep(path, number());
+            store(path, readNumber());
         } else {
-            word(c == 't' ? "true" : c == 'f' ? "false" : "null");
+            readLiteral(c == 't' ? "true" : c == 'f' ? "false" : "null");
         }
     }
 
-    private void object(String path, int depth) throws NotJson {
+    private void readObject(String path, int depth) throws MalformedJsonException {
         expect('{');
-        space();
+        skipWhitespace();
         for (boolean first = true; peek() != '}'; first = false) {
             if (!first) {
                 expect(',');
-                space();
+                skipWhitespace();
             }
-            String name = string();
-            space();
+            String name = readString();
+            skipWhitespace();
             expect(':');
-            value(depth > 1 ? ELSEWHERE : path + "/" + name, depth + 1);
-            space();
+            readValue(depth > 1 ? IGNORED_PATH : path + "/" + name, depth + 1);
+            skipWhitespace();
         }
-        at++;
+        position++;
     }
 
-    private void array(int depth) throws NotJson {
+    private void readArray(int depth) throws MalformedJsonException {
         expect('[');
-        space();
+        skipWhitespace();
         for (boolean first = true; peek() != ']'; first = false) {
             if (!first) {
                 expect(',');
             }
-            value(ELSEWHERE, depth + 1);
-            space();
+            readValue(IGNORED_PATH, depth + 1);
+            skipWhitespace();
         }
-        at++;
+        position++;
     }
 
-    private void keep(String path, String value) {
+    private void store(String path, String value) {
         switch (path) {
             case "/jsonrpc":
                 version = value;
@@ -164,175 +172,184 @@
                 paramsId = value;
                 break;
             case "/params/o":
-                order = value;
+                orderKey = value;
                 break;
             case "/params/k":
-                repeatKey = value;
+                idempotencyKey = value;
                 break;
             default:
-                mistyped |= MARKS.contains(path);
+                hasMistypedParam |= OPTIONAL_PARAM_PATHS.contains(path);
                 break;
         }
     }
 
-    private void keep(String path, double value) {
+    private void store(String path, double value) {
         switch (path) {
             case "/id":
                 id = value;
                 break;
             case "/params/d":
-                wait = value;
+                timeoutMillis = value;
                 break;
             case "/params/id":
-                paramsNumber = value;
+                paramsIdNumber = value;
                 break;
             case "/params/h":
-                work = value;
+                workEstimateMillis = value;
                 break;
             case "/params/ram":
-                memory = value;
+                memoryEstimateMb = value;
                 break;
             case "/params/r":
-                retry = value;
+                clientRetry = value;
                 break;
             default:
-                mistyped |= MARKS.contains(path);
+                hasMistypedParam |= OPTIONAL_PARAM_PATHS.contains(path);
                 break;
         }
     }
 
     /**
-     * Whether the marks that a request may carry, keys, estimates and retry, are of their type and
-     * range.
+     * Whether the optional parameters (keys, estimates, retry flag) have valid types and values.
      */
-    boolean hasUsableMarks() {
-        boolean named = order == null || !order.isEmpty() && order.length() <= LONGEST_KEY;
-        boolean repeats = repeatKey == null || REPEAT_KEY.matcher(repeatKey).matches();
-        return !mistyped
-                && named
-                && repeats
-                && work >= 0
-                && work <= MOST
-                && memory >= 0
-                && memory <= MOST
-                && (retry == 0 || retry == 1);
+    boolean hasValidOptionalParams() {
+        boolean hasValidOrderKey =
+                orderKey == null || !orderKey.isEmpty() && orderKey.length() <= MAX_ORDER_KEY_CHARS;
+        boolean hasValidIdempotencyKey =
+                idempotencyKey == null || IDEMPOTENCY_KEY_PATTERN.matcher(idempotencyKey).matches();
+        return !hasMistypedParam
+                && hasValidOrderKey
+                && hasValidIdempotencyKey
+                && workEstimateMillis >= 0
+                && workEstimateMillis <= MAX_ESTIMATE
+                && memoryEstimateMb >= 0
+                && memoryEstimateMb <= MAX_ESTIMATE
+                && (clientRetry == 0 || clientRetry == 1);
     }
 
     /**
-     * The key as a number, 0 where there is none: two keys that fall together would only wait for
-     * each other.
+     * The hash of the order key, 0 where there is none. Requests of two keys with the same hash
+     * only wait for each other.
      */
-    long key() {
-        long hash = FNV_START;
-        for (int i = 0; order != null && i < order.length(); i++) {
-            hash = (hash ^ order.charAt(i)) * FNV_PRIME;
+    long orderKeyHash() {
+        long hash = FNV_OFFSET_BASIS;
+        for (int i = 0; orderKey != null && i < orderKey.length(); i++) {
+            hash = (hash ^ orderKey.charAt(i)) * FNV_PRIME;
         }
-        return order == null ? 0 : Math.max(1, hash >>> 1);
+        return orderKey == null ? 0 : Math.max(1, hash >>> 1);
     }
 
-    private void word(String word) throws NotJson {
-        for (int i = 0; i < word.length(); i++) {
-            expect(word.charAt(i));
+    private void readLiteral(String literal) throws MalformedJsonException {
+        for (int i = 0; i < literal.length(); i++) {
+            expect(literal.charAt(i));
         }
     }
 
-    private double number() throws NotJson {
-        int start = at;
+    private double readNumber() throws MalformedJsonException {
+        int start = position;
         while (peek() == '-'
                 || peek() == '+'
                 || peek() == '.'
                 || (peek() | 0x20) == 'e'
                 || peek() >= '0' && peek() <= '9') {
-            at++;
+            position++;
         }
         try {
             return Double.parseDouble(
-                    new String(text, start, at - start, StandardCharsets.US_ASCII));
+                    new String(input, start, position - start, StandardCharsets.US_ASCII));
         } catch (NumberFormatException e) {
-            throw new NotJson();
+            throw new MalformedJsonException();
         }
     }
 
-    private String string() throws NotJson {
+    private String readString() throws MalformedJsonException {
         expect('"');
-        int start = at;
+        int start = position;
         while (peek() != '"' && peek() != '\\') {
             if (peek() < ' ') {
-                throw new NotJson();
+                throw new MalformedJsonException();
             }
-            at++;
+            position++;
         }
-        String plain = new String(text, start, at - start, StandardCharsets.UTF_8);
-        return text[at] == '"' ? ended(plain) : escaped(new StringBuilder(plain));
+        String unescaped = new String(input, start, position - start, StandardCharsets.UTF_8);
+        return input[position] == '"'
+                ? endString(unescaped)
+                : readEscapedString(new StringBuilder(unescaped));
     }
 
-    private String ended(String value) {
-        at++;
+    private String endString(String value) {
+        position++;
         return value;
     }
 
-    private String escaped(StringBuilder out) throws NotJson {
+    private String readEscapedString(StringBuilder out) throws MalformedJsonException {
         while (peek() != '"') {
             if (peek() < ' ') {
-                throw new NotJson();
+                throw new MalformedJsonException();
             }
             if (peek() != '\\') {
-                int start = at;
+                int start = position;
                 while (peek() >= ' ' && peek() != '"' && peek() != '\\') {
-                    at++;
+                    position++;
                 }
-                out.append(new String(text, start, at - start, StandardCharsets.UTF_8));
+                out.append(new String(input, start, position - start, StandardCharsets.UTF_8));
                 continue;
             }
-            at++;
+            position++;
             int c = peek();
-            int plain = "\"\\/bfnrt".indexOf(c);
-            if (plain >= 0) {
-                out.append("\"\\/\b\f\n\r\t".charAt(plain));
-                at++;
-            } else if (c == 'u' && at + 4 < text.length) {
+            int escapeIndex = "\"\\/bfnrt".indexOf(c);
+            if (escapeIndex >= 0) {
+                out.append("\"\\/\b\f\n\r\t".charAt(escapeIndex));
+                position++;
+            } else if (c == 'u' && position + 4 < input.length) {
                 try {
                     out.append(
                             (char)
                                     Integer.parseInt(
-                                            new String(text, at + 1, 4, StandardCharsets.US_ASCII),
+                                            new String(
+                                                    input,
+                                                    position + 1,
+                                                    4,
+                                                    StandardCharsets.US_ASCII),
                                             16));
                 } catch (NumberFormatException e) {
-                    throw new NotJson();
+                    throw new MalformedJsonException();
                 }
-                at += 5;
+                position += 5;
             } else {
-                throw new NotJson();
+                throw new MalformedJsonException();
             }
         }
-        return ended(out.toString());
+        return endString(out.toString());
     }
 
-    // ---- Answers
-    // ---------------------------------------------------------------------------------------
+    // Responses
+
     private static final byte[] RESULT_HEAD = Resp.ascii("{\"jsonrpc\":\"2.0\",\"id\":");
     private static final byte[] RESULT_MIDDLE = Resp.ascii(",\"result\":{\"content\":\"");
     private static final byte[] RESULT_END = Resp.ascii("\"}}\n");
 
     static byte[] result(long id, byte[] rows) {
-        byte[] number = Resp.ascii(Long.toString(id));
-        byte[] body = Base64.getEncoder().encode(rows);
+        byte[] idBytes = Resp.ascii(Long.toString(id));
+        byte[] encodedRows = Base64.getEncoder().encode(rows);
         byte[] out =
                 new byte
                         [RESULT_HEAD.length
-                                + number.length
+                                + idBytes.length
                                 + RESULT_MIDDLE.length
-                                + body.length
+                                + encodedRows.length
                                 + RESULT_END.length];
-        int to = 0;
-        for (byte[] part : new byte[][] {RESULT_HEAD, number, RESULT_MIDDLE, body, RESULT_END}) {
-            System.arraycopy(part, 0, out, to, part.length);
-            to += part.length;
+        int offset = 0;
+        for (byte[] part :
+                new byte[][] {RESULT_HEAD, idBytes, RESULT_MIDDLE, encodedRows, RESULT_END}) {
+            System.arraycopy(part, 0, out, offset, part.length);
+            offset += part.length;
         }
         return out;
     }
 
-    static byte[] pass(String id) {
+    /** The response to a check message. */
+    static byte[] checkPassed(String id) {
         return Resp.ascii("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"result\":{\"pass\":true}}\n");
     }
 
@@ -347,14 +364,15 @@
                         + "\"}}\n");
     }
 
-    static byte[] refused(long id, long waitMs) {
+    /** The response to a request that is rejected and may be sent again after a time. */
+    static byte[] rejected(long id, long retryAfterMillis) {
         return Resp.ascii(
                 "{\"jsonrpc\":\"2.0\",\"id\":"
                         + id
                         + ",\"error\":{\"code\":"
-                        + REFUSED
+                        + REJECTED
                         + ",\"message\":\"refused\",\"data\":{\"w\":"
-                        + waitMs
+                        + retryAfterMillis
                         + "}}}\n");
     }
 }
--- a/src/main/java/calicostream/platform/JsonRpcClientConnection.java
+++ b/src/main/java/calicostream/platform/JsonRpcClientConnection.java
@@ -14,25 +14,28 @@
 import java.util.Map;
 
 /**
- * One client's connection: splits its input into lines, and keeps its open requests and the
- * responses that it has not read. Used by the event loop's thread only.
+ * One client's connection: splits its input into lines, and tracks its open requests and queued
+ * responses. Used by the event loop's thread only.
  */
 final class JsonRpcClientConnection implements Connection.Handler {
     private static final int MAX_INPUT_BYTES = 128 * 1024;
     private static final int MAX_OUTPUT_BYTES = 128 * 1024;
 
-    /** Lines processed before other connections have their turn. */
-    private static final int MAX_LINES_PER_TURN = 8;
+    /** The most lines processed before other connections are served. */
+    private static final int MAX_LINES_PER_ITERATION = 8;
 
     /** The input that one client may hold under memory pressure. */
     private static final int MAX_INPUT_BYTES_UNDER_PRESSURE = 8 * 1024;
 
     private final SelectorLoop loop;
     private final JsonRpcServer server;
-    private final JsonRpcMessageHandler messages;
+    private final JsonRpcMessageHandler messageHandler;
     private final Connection connection;
     private final PendingCancellations cancellations;
-    private final Map<Long, Long> openRequests = new HashMap<>(); // JSON-RPC id to tag
+
+    /** The tags of the open requests, by their JSON-RPC ids. */
+    private final Map<Long, Long> openRequests = new HashMap<>();
+
     private final ArrayDeque<byte[]> queuedResponses = new ArrayDeque<>();
     private long lastId;
     private long idleSince;
@@ -43,23 +46,23 @@
     private boolean discardsInput;
 
     /**
-     * @throws IOException where the channel can't be registered; it stays the caller's
+     * @throws IOException where the channel can't be registered; the caller then still owns it
      */
     JsonRpcClientConnection(
             SelectorLoop loop,
             JsonRpcServer server,
-            JsonRpcMessageHandler messages,
+            JsonRpcMessageHandler messageHandler,
             SocketChannel channel)
             throws IOException {
         this.loop = loop;
         this.server = server;
-        this.messages = messages;
+        this.messageHandler = messageHandler;
         idleSince = loop.clock().now();
         connection = Connection.ofAccepted(loop, channel, this, MAX_INPUT_BYTES, MAX_OUTPUT_BYTES);
         cancellations = new PendingCancellations(connection.input());
     }
 
-    // ---- Requests
+    // Requests
 
     /** Whether an open request has this JSON-RPC id. */
     boolean isOpen(long id) {
@@ -84,7 +87,7 @@
         openRequests.put(id, tag);
     }
 
-    /** The client has cancelled a request, which gets no response. */
+    /** The client has cancelled a request; no response is sent. */
     void requestCancelled(long id) {
         openRequests.remove(id);
     }
@@ -113,20 +116,21 @@
 
     /** A cancellation received from this client was processed. */
     void cancellationHandled(JsonRpc message) {
-        cancellations.handled(message);
+        cancellations.remove(message);
     }
 
     /**
-     * Whether the client has closed the connection or cancelled the request, also by input that was
-     * not processed: it may be queued behind other requests.
+     * Whether the client has closed the connection or cancelled the request. Includes a
+     * cancellation that was received but not processed, as it may be queued behind other requests.
      */
     boolean isNoLongerWaiting(PendingRequest request) {
-        return connection.hasPeerClosed() || cancellations.name(request.id(), request.requestId());
+        return connection.hasPeerClosed()
+                || cancellations.contains(request.id(), request.requestId());
     }
 
-    // ---- Output
+    // Output
 
-    /** Sends a response; while the client does not read, nothing more is read from it. */
+    /** Sends or queues a response; reading from the client is paused while any is queued. */
     void write(byte[] response) {
         if (connection.isClosed()) {
             return;
@@ -138,7 +142,7 @@
         loop.bufferMemory().add(response.length);
         connection.setReadPaused(true);
         if (loop.isUnderMemoryPressure()) {
-            // The client does not read, and others need the memory.
+            // The client does not read its responses, and other connections need the memory.
             loop.runBeforeSelect(connection::close);
         }
     }
@@ -153,9 +157,9 @@
         }
     }
 
-    // ---- Input
+    // Input
 
-    /** Processes a few complete lines; the rest waits for other connections' turn. */
+    /** Processes a few complete lines; the rest waits until other connections were served. */
     @Override
     public void received(Connection source) {
         RingBuffer input = source.input();
@@ -172,14 +176,14 @@
                 || input.size() > MAX_INPUT_BYTES_UNDER_PRESSURE && loop.isUnderMemoryPressure()) {
             rejectInput("the line is too long");
         }
-        if (served) { // A client that never sent a valid request is idle since it connected.
+        if (served) { // Without a valid request, a client is idle from its connect on.
             markIdle();
         }
     }
 
     private void processLines(Connection source, RingBuffer input) {
         int lines = 0;
-        while (lines < MAX_LINES_PER_TURN
+        while (lines < MAX_LINES_PER_ITERATION
                 && queuedResponses.isEmpty()
                 && !source.isClosed()
                 && !source.isClosing()) {
@@ -191,17 +195,17 @@
             byte[] line = input.copy(0, end);
             skip(input, end + 1);
             lineStartedAt = loop.clock().now();
-            messages.handle(this, line);
+            messageHandler.handle(this, line);
             lines++;
         }
     }
 
     private void skip(RingBuffer input, int count) {
         input.skip(count);
-        cancellations.taken(count);
+        cancellations.bytesConsumed(count);
     }
 
-    /** Processes no more input; open requests still get their responses. */
+    /** Discards all input from now on; open requests still get their responses. */
     private void rejectInput(String reason) {
         write(JsonRpc.error("null", JsonRpc.INVALID_REQUEST, reason));
         discardsInput = true;
@@ -210,14 +214,14 @@
         closeIfInputDiscarded();
     }
 
-    /** Closes the connection where no more input is processed and the last request has ended. */
+    /** Closes the connection if its input is discarded and no request is open. */
     void closeIfInputDiscarded() {
         if (discardsInput && openRequests.isEmpty()) {
             connection.closeGracefully();
         }
     }
 
-    // ---- Idle clients
+    // Idle clients
 
     private void markIdle() {
         if (openRequests.isEmpty()) {
@@ -240,8 +244,8 @@
     }
 
     /**
-     * Whether the connection may be closed at once: closing it over unread input would reset it.
-     * Reads what has arrived.
+     * Whether the connection may be closed at once. Closing with unread input would reset it, so
+     * this reads the input that has arrived.
      */
     boolean isEvictable(long now) {
         int sizeBefore = connection.input().size();
@@ -268,9 +272,7 @@
         }
     }
 
-    /**
-     * Closes the connection where the client is idle, or has not completed a line, for too long.
-     */
+    /** Closes the connection if the client is idle for too long, or has not completed a line. */
     void checkIdle(long now) {
         if (connection.isClosing() || !openRequests.isEmpty() || !queuedResponses.isEmpty()) {
             return;
@@ -293,7 +295,7 @@
         }
     }
 
-    // ---- Connection
+    // Connection
 
     @Override
     public void closed(Connection source) {
@@ -303,18 +305,18 @@
         openRequests.clear();
     }
 
-    /** This end's address; null once the connection is closed. */
+    /** The local address; null if the connection is closed. */
     InetSocketAddress localAddress() {
         return connection.localAddress();
     }
 
-    /** The client's address; null once the connection is closed. */
+    /** The client's address; null if the connection is closed. */
     InetAddress clientAddress() {
         InetSocketAddress remote = connection.remoteAddress();
         return remote == null ? null : remote.getAddress();
     }
 
-    /** The state in one line, for the log. */
+    /** The state of the connection in one line, for the log. */
     String describe(long now) {
         return String.format(
                 "%s open=%d queued=%d input=%d unsent=%d idleMillis=%d",
--- a/src/main/java/calicostream/platform/JsonRpcMessageHandler.java
+++ b/src/main/java/calicostream/platform/JsonRpcMessageHandler.java
@@ -7,25 +7,25 @@
 import java.util.List;
 
 /**
- * Validates the messages of clients: requests and cancellations go to the server, everything else
- * is answered here. Used by the event loop's thread only.
+ * Validates the messages of clients. Passes requests and cancellations to the server and responds
+ * to everything else. Used by the event loop's thread only.
  */
 final class JsonRpcMessageHandler {
     private static final int MAX_OPEN_REQUESTS = 32;
 
-    /** How far an id may lie behind the highest one. */
+    /** How far an unused id may be below the highest one received. */
     private static final long MAX_ID_LAG = 4 * MAX_OPEN_REQUESTS;
 
     private static final long MAX_ID = 1L << 53;
     private static final long RETRY_AFTER_MILLIS = 100;
 
-    /** The part of a client's timeout that passes on sockets, outside of this process. */
+    /** The part of a client's timeout that is spent in the network, outside of this process. */
     private static final long NETWORK_ALLOWANCE_MICROS = 50_000;
 
     /** The allowance is at most this fraction of a short timeout. */
     private static final long NETWORK_ALLOWANCE_FRACTION = 10;
 
-    /** A client's timeout may be this many times the longest deadline. */
+    /** The longest timeout of a client, as a multiple of the longest deadline. */
     private static final long MAX_TIMEOUT_FACTOR = 10;
 
     private static final long MIN_LONGEST_DEADLINE_MILLIS = 1000;
@@ -50,7 +50,7 @@
         }
         try {
             handle(client, JsonRpc.read(line));
-        } catch (JsonRpc.NotJson e) {
+        } catch (JsonRpc.MalformedJsonException e) {
             client.write(JsonRpc.error("null", JsonRpc.PARSE_ERROR, "not JSON"));
         }
     }
@@ -62,16 +62,16 @@
         if (!message.isObject || !"2.0".equals(message.version) || message.method == null) {
             reject(client, id, JsonRpc.INVALID_REQUEST, "not a request of JSON-RPC 2.0");
         } else if (message.method.equals("interrupt")) {
-            cancel(client, message);
+            handleCancellation(client, message);
         } else if (!hasId) {
             reject(client, id, JsonRpc.INVALID_REQUEST, "the id is not a number from 1 up");
         } else if (message.method.equals("check")) {
             client.markServed();
-            client.write(JsonRpc.pass(id));
+            client.write(JsonRpc.checkPassed(id));
         } else if (!classNames.contains(message.method)) {
             reject(client, id, JsonRpc.METHOD_NOT_FOUND, "no such method");
         } else {
-            request(client, message, (long) message.id);
+            handleRequest(client, message, (long) message.id);
         }
     }
 
@@ -79,35 +79,35 @@
         client.write(JsonRpc.error(id, code, reason));
     }
 
-    private void request(JsonRpcClientConnection client, JsonRpc message, long id) {
+    private void handleRequest(JsonRpcClientConnection client, JsonRpc message, long id) {
         byte[] body = decodeBody(message.content);
         boolean idReused = id <= client.lastId() && client.lastId() - id > MAX_ID_LAG;
         if (client.isOpen(id) || idReused) {
-            // With this id the response would be taken for that of the open request.
+            // The client would take a response with this id for that of the earlier request.
             reject(client, "null", JsonRpc.INVALID_REQUEST, "the id was used before");
             return;
         }
         client.recordId(id);
         if (!isValid(message, body) || server.isOpen(message.requestId)) {
-            String text = Long.toString(id);
-            reject(client, text, JsonRpc.INVALID_PARAMS, "the params can't be used");
+            String idText = Long.toString(id);
+            reject(client, idText, JsonRpc.INVALID_PARAMS, "the params can't be used");
             return;
         }
         int queryClass = classNames.indexOf(message.method);
-        long untilShutdown = server.microsUntilShutdown();
+        long microsUntilShutdown = server.microsUntilShutdown();
         if (client.openRequestCount() >= MAX_OPEN_REQUESTS
-                || untilShutdown < NETWORK_ALLOWANCE_MICROS) {
-            // No engine would respond before this process ends, or the client has too many.
+                || microsUntilShutdown < NETWORK_ALLOWANCE_MICROS) {
+            // The client has too many open requests, or none could complete before the shutdown.
             server.recordRejection(queryClass);
-            client.write(JsonRpc.refused(id, RETRY_AFTER_MILLIS));
+            client.write(JsonRpc.rejected(id, RETRY_AFTER_MILLIS));
             return;
         }
-        long timeout = Math.min(timeoutMicros(message), untilShutdown);
+        long timeout = Math.min(timeoutMicros(message), microsUntilShutdown);
         IdempotencyKey key =
-                message.repeatKey == null ? null : new IdempotencyKey(message.repeatKey);
+                message.idempotencyKey == null ? null : new IdempotencyKey(message.idempotencyKey);
         server.accept(
                 new PendingRequest(client, id, message.requestId),
-                query(message, queryClass, timeout, body),
+                toQuery(message, queryClass, timeout, body),
                 body,
                 key);
     }
@@ -115,34 +115,37 @@
     private boolean isValid(JsonRpc message, byte[] body) {
         return message.requestId != null
                 && message.requestId.matches("[0-9a-fA-F]{16}")
-                && message.wait > 0
-                && message.wait <= maxTimeoutMillis
+                && message.timeoutMillis > 0
+                && message.timeoutMillis <= maxTimeoutMillis
                 && body != null
-                && message.hasUsableMarks();
+                && message.hasValidOptionalParams();
     }
 
-    private static Query query(JsonRpc message, int queryClass, long timeoutMicros, byte[] body) {
+    private static Query toQuery(JsonRpc message, int queryClass, long timeoutMicros, byte[] body) {
         return new Query(
                 0,
                 queryClass,
                 0,
-                message.key(),
+                message.orderKeyHash(),
                 timeoutMicros,
-                message.work * 1000,
-                message.memory,
+                message.workEstimateMillis * 1000,
+                message.memoryEstimateMb,
                 Math.max(0, TableGroupScanner.tableGroup(body)),
-                message.retry == 1,
+                message.clientRetry == 1,
                 0);
     }
 
-    /** The client's timeout began when it wrote, and it must have read the response by its end. */
+    /**
+     * The time for the request in this process. The client's timeout starts when it sends and ends
+     * when it must have read the response.
+     */
     private static long timeoutMicros(JsonRpc message) {
-        long timeout = (long) (message.wait * 1000);
+        long timeout = (long) (message.timeoutMillis * 1000);
         long allowance = Math.min(NETWORK_ALLOWANCE_MICROS, timeout / NETWORK_ALLOWANCE_FRACTION);
         return Math.max(1, timeout - allowance);
     }
 
-    /** The decoded body, or null where there is no valid one. */
+    /** Decodes the request's body; null where it is missing or not Base64. */
     private static byte[] decodeBody(String content) {
         try {
             return content == null ? null : Base64.getDecoder().decode(content);
@@ -151,10 +154,10 @@
         }
     }
 
-    /** The message names a request by its JSON-RPC id, or by the platform's request id. */
-    private void cancel(JsonRpcClientConnection client, JsonRpc message) {
+    /** Cancels the request that the message names by its JSON-RPC id or its request id. */
+    private void handleCancellation(JsonRpcClientConnection client, JsonRpc message) {
         client.cancellationHandled(message);
-        Long tag = client.openTag(PendingCancellations.number(message));
+        Long tag = client.openTag(PendingCancellations.cancelledId(message));
         for (long candidate : client.openTags()) {
             if (server.hasRequestId(candidate, message.requestId)) {
                 tag = candidate;
--- a/src/main/java/calicostream/platform/JsonRpcServer.java
+++ b/src/main/java/calicostream/platform/JsonRpcServer.java
@@ -22,8 +22,8 @@
 import java.util.function.Function;
 
 /**
- * Serves the platform's clients with JSON-RPC 2.0, one message a line: accepts their connections,
- * passes their requests to the gateway and its responses back. Used by the event loop's thread
+ * Serves the platform's clients with JSON-RPC 2.0, one message per line. Accepts connections,
+ * passes requests to the gateway and sends its responses back. Used by the event loop's thread
  * only.
  */
 final class JsonRpcServer implements ResponseHandler, Listener.Acceptor {
@@ -34,8 +34,8 @@
     private final SelectorLoop loop;
     private final Gateway gateway;
     private final Function<RequestResult, byte[]> resultEncoder;
-    private final JsonRpcMessageHandler messages;
-    private final SlotTable<PendingRequest> pending = new SlotTable<>();
+    private final JsonRpcMessageHandler messageHandler;
+    private final SlotTable<PendingRequest> pendingRequests = new SlotTable<>();
     private final Set<JsonRpcClientConnection> clients = new HashSet<>();
     private final Set<String> openRequestIds = new HashSet<>();
     private Listener listener;
@@ -45,7 +45,7 @@
     /**
      * @param classNames the query classes, which are the methods that clients call
      * @param longestDeadlineMicros the longest deadline of a query class
-     * @param resultEncoder turns a result, as the engine client gives it, into rows of text
+     * @param resultEncoder encodes a result of the engine client as rows of text
      */
     JsonRpcServer(
             SelectorLoop loop,
@@ -56,7 +56,7 @@
         this.loop = loop;
         this.gateway = gateway;
         this.resultEncoder = resultEncoder;
-        messages = new JsonRpcMessageHandler(this, classNames, longestDeadlineMicros);
+        messageHandler = new JsonRpcMessageHandler(this, classNames, longestDeadlineMicros);
     }
 
     /**
@@ -73,7 +73,7 @@
         return listener.port();
     }
 
-    /** Limits the number of connected clients from now on. */
+    /** Sets the largest number of connected clients. */
     void setMaxClients(int newMaxClients) {
         maxClients = newMaxClients;
         if (listener != null) {
@@ -82,14 +82,14 @@
     }
 
     /**
-     * Stops to accept clients. Those that are connected are served and closed with their last
-     * response; idle ones are closed from {@code closeIdleAt} on.
+     * Stops accepting clients. Connected clients are served and closed with their last response;
+     * idle clients are closed from {@code closeIdleAt} on.
      *
      * @param newShutdownAt when every request must have its response
      */
     void drain(long closeIdleAt, long newShutdownAt) throws IOException {
         shutdownAt = newShutdownAt;
-        // Scheduled first: accepting the pending connections fails where descriptors are short.
+        // Scheduled first, as accepting the pending connections fails without free descriptors.
         loop.deadlines().add(closeIdleAt, this::closeIdleClients, 0);
         listener.acceptPendingAndClose();
     }
@@ -111,23 +111,23 @@
         return clients.isEmpty();
     }
 
-    /** The connected clients, for the log. */
+    /** Describes the connected clients, for the log. */
     String describeClients() {
         long now = loop.clock().now();
         return clients.stream().map(client -> client.describe(now)).toList().toString();
     }
 
-    // ---- Connections
+    // Connections
 
     @Override
     public void accepted(SocketChannel channel) throws IOException {
-        clients.add(new JsonRpcClientConnection(loop, this, messages, channel));
+        clients.add(new JsonRpcClientConnection(loop, this, messageHandler, channel));
     }
 
     /**
-     * Some clients stay connected after one request, others connect and send nothing: neither may
-     * keep the rest out. A client whose input was not read is kept: closing would reset its
-     * connection.
+     * Evicts the client with the lowest priority, since some clients stay connected after one
+     * request or connect and send nothing. A client with unread input is kept, because closing
+     * would reset its connection.
      */
     @Override
     public boolean evictOne() {
@@ -152,42 +152,42 @@
         return false;
     }
 
-    /** A client's connection was closed: its open requests are abandoned. */
+    /** A client's connection was closed; abandons its open requests. */
     void connectionClosed(JsonRpcClientConnection client) {
         clients.remove(client);
         listener.connectionClosed();
         for (long tag : client.openTags()) {
-            abandon(pending.remove(tag));
+            abandon(pendingRequests.remove(tag));
         }
     }
 
-    // ---- Requests
+    // Requests
 
-    /** Whether a request with this id is open at any client. */
+    /** Whether any client has an open request with this request id. */
     boolean isOpen(String requestId) {
         return openRequestIds.contains(requestId);
     }
 
     /** Whether the open request with this tag has the request id. */
     boolean hasRequestId(long tag, String requestId) {
-        PendingRequest request = pending.get(tag);
+        PendingRequest request = pendingRequests.get(tag);
         return request != null && request.requestId().equals(requestId);
     }
 
-    /** Time until every request must have its response; very long unless draining. */
+    /** The time until every request must have its response; very long unless draining. */
     long microsUntilShutdown() {
         return shutdownAt - loop.clock().now();
     }
 
-    /** Counts a request that was refused here. */
+    /** Counts a request that was rejected before it reached the gateway. */
     void recordRejection(int queryClass) {
         gateway.recordRejection(queryClass);
     }
 
-    /** Passes a valid request to the gateway; the response may come within this call. */
+    /** Passes a valid request to the gateway, which may respond within this call. */
     void accept(PendingRequest request, Query query, byte[] body, IdempotencyKey key) {
         openRequestIds.add(request.requestId());
-        long tag = pending.add(request);
+        long tag = pendingRequests.add(request);
         request.client().requestOpened(request.id(), tag);
         request.setHandle(
                 gateway.accept(
@@ -196,7 +196,7 @@
 
     /** The client no longer waits for the request with this tag. */
     void cancel(long tag) {
-        PendingRequest request = pending.remove(tag);
+        PendingRequest request = pendingRequests.remove(tag);
         if (request != null) {
             request.client().requestCancelled(request.id());
             abandon(request);
@@ -209,11 +209,11 @@
         gateway.abandon(request.handle());
     }
 
-    // ---- Responses of the gateway
+    // Responses of the gateway
 
     @Override
     public void served(long tag, RequestResult result) {
-        PendingRequest request = pending.get(tag);
+        PendingRequest request = pendingRequests.get(tag);
         if (request != null) {
             request.client().markServed();
         }
@@ -222,7 +222,7 @@
 
     @Override
     public void rejected(long tag, long retryAfterMillis) {
-        respond(tag, id -> JsonRpc.refused(id, retryAfterMillis));
+        respond(tag, id -> JsonRpc.rejected(id, retryAfterMillis));
     }
 
     @Override
@@ -240,7 +240,7 @@
     }
 
     private void respond(long tag, ResponseEncoder encoder) {
-        PendingRequest request = pending.remove(tag);
+        PendingRequest request = pendingRequests.remove(tag);
         if (request == null) {
             return;
         }
@@ -248,26 +248,26 @@
         JsonRpcClientConnection client = request.client();
         client.respond(request.id(), encoder.encode(request.id()));
         if (shutdownAt < NOT_DRAINING) {
-            // Closed along with a response, as the client has no reason to send before it.
+            // Closed with the response: the client does not send before it has received that.
             loop.runBeforeSelect(client::closeIfIdle);
         }
     }
 
     @Override
     public InetSocketAddress localAddress(long tag) {
-        PendingRequest request = pending.get(tag);
+        PendingRequest request = pendingRequests.get(tag);
         return request == null ? null : request.client().localAddress();
     }
 
     @Override
     public InetAddress clientAddress(long tag) {
-        PendingRequest request = pending.get(tag);
+        PendingRequest request = pendingRequests.get(tag);
         return request == null ? null : request.client().clientAddress();
     }
 
     @Override
     public boolean isClientGone(long tag) {
-        PendingRequest request = pending.get(tag);
+        PendingRequest request = pendingRequests.get(tag);
         return request == null || request.client().isNoLongerWaiting(request);
     }
 }
--- a/src/main/java/calicostream/platform/PagedResult.java
+++ b/src/main/java/calicostream/platform/PagedResult.java
@@ -3,7 +3,7 @@
 
 import calicostream.net.InvalidInputException;
 
-/** A result that an engine sends in pages, each fetched by its number. */
+/** A result that is fetched from an engine in numbered pages. */
 final class PagedResult {
     /** The most pages that a result may have. */
     static final int MAX_PAGES = 64;
@@ -14,14 +14,14 @@
     private final byte[][] pages;
     private int missing;
 
-    /** A result of so many pages, of which the first is here. */
+    /** Creates a result of {@code count} pages from its first page. */
     PagedResult(int count, byte[] first) throws InvalidInputException {
         pages = new byte[count][];
         pages[0] = checkedPage(first);
         missing = count - 1;
     }
 
-    /** Pages that have not come yet. */
+    /** The number of pages that were not received yet. */
     int missing() {
         return missing;
     }
@@ -61,16 +61,19 @@
         return joined;
     }
 
-    /** A page of complete rows; a truncated one would look complete to the client. */
+    /**
+     * Returns the page if it is valid. A page must end with a complete row, since the client could
+     * not detect a truncated one.
+     */
     static byte[] checkedPage(byte[] page) throws InvalidInputException {
         boolean endsInRow = page.length == 0 || page[page.length - 1] == '\n';
         if (page.length > MAX_PAGE_BYTES || !endsInRow) {
-            throw new InvalidInputException("a page that does not hold whole rows");
+            throw new InvalidInputException("a page is too long or ends within a row");
         }
         return page;
     }
 
     static InvalidInputException unexpectedPage() {
-        return new InvalidInputException("a page that was not asked for");
+        return new InvalidInputException("a page that was not requested");
     }
 }
--- a/src/main/java/calicostream/platform/PendingCancellations.java
+++ b/src/main/java/calicostream/platform/PendingCancellations.java
@@ -7,59 +7,64 @@
 import java.util.Set;
 
 /**
- * Which requests a client has cancelled by words that lie in its ring and were not handled yet:
- * they may wait behind many requests, and what they cancel must not be sent meanwhile. No I/O; each
- * byte is looked through once.
+ * Finds the requests that a client has cancelled by messages which are still in its input buffer. A
+ * cancellation may be queued behind many requests, and a cancelled request must not be sent to an
+ * engine. Each byte is scanned once. No I/O.
  */
 final class PendingCancellations {
-    private final RingBuffer in;
-    private final Set<Object> ahead = new HashSet<>(); // numbers and ids
-    private int searched; // bytes from the ring's head on
+    private final RingBuffer input;
 
-    PendingCancellations(RingBuffer in) {
-        this.in = in;
+    /** The JSON-RPC ids and the request ids of cancelled requests. */
+    private final Set<Object> cancelled = new HashSet<>();
+
+    /** The number of bytes that were scanned, from the start of the buffer. */
+    private int scannedBytes;
+
+    PendingCancellations(RingBuffer input) {
+        this.input = input;
     }
 
-    /** What a word names: a request's number on its connection, which may stand in either place. */
-    static long number(JsonRpc word) {
-        return (long) (Double.isNaN(word.paramsNumber) ? word.id : word.paramsNumber);
+    /** The JSON-RPC id of the request to cancel, from the params or else the message's own id. */
+    static long cancelledId(JsonRpc message) {
+        return (long) (Double.isNaN(message.paramsIdNumber) ? message.id : message.paramsIdNumber);
     }
 
-    /** So many bytes have left the ring. */
-    void taken(int count) {
-        searched = Math.max(0, searched - count);
+    /** Bytes were removed from the start of the buffer. */
+    void bytesConsumed(int byteCount) {
+        scannedBytes = Math.max(0, scannedBytes - byteCount);
     }
 
-    /** A word has been handled. */
-    void handled(JsonRpc word) {
-        ahead.remove(number(word));
-        ahead.remove(word.requestId);
+    /** Removes a cancellation that was processed. */
+    void remove(JsonRpc message) {
+        cancelled.remove(cancelledId(message));
+        cancelled.remove(message.requestId);
     }
 
-    boolean name(long number, String requestId) {
-        for (int end = in.indexOf((byte) '\n', searched);
+    /** Whether the buffer holds a cancellation of this request. */
+    boolean contains(long id, String requestId) {
+        for (int end = input.indexOf((byte) '\n', scannedBytes);
                 end >= 0;
-                end = in.indexOf((byte) '\n', searched)) {
-            look(in.copy(searched, end - searched));
-            searched = end + 1;
+                end = input.indexOf((byte) '\n', scannedBytes)) {
+            scanLine(input.copy(scannedBytes, end - scannedBytes));
+            scannedBytes = end + 1;
         }
-        return ahead.contains(number) || ahead.contains(requestId);
+        return cancelled.contains(id) || cancelled.contains(requestId);
     }
 
-    private void look(byte[] line) {
-        String text = new String(line, StandardCharsets.ISO_8859_1);
-        if (!text.contains("interrupt")
-                && text.indexOf('\\') < 0) { // Escaped, the word reads otherwise.
+    private void scanLine(byte[] line) {
+        String lineText = new String(line, StandardCharsets.ISO_8859_1);
+        // A backslash may escape letters of the method's name.
+        if (!lineText.contains("interrupt") && lineText.indexOf('\\') < 0) {
             return;
         }
         try {
-            JsonRpc word = JsonRpc.read(line);
-            if (word.isObject && "interrupt".equals(word.method)) {
-                ahead.add(number(word));
-                ahead.add(word.requestId);
+            JsonRpc message = JsonRpc.read(line);
+            if (message.isObject && "interrupt".equals(message.method)) {
+                cancelled.add(cancelledId(message));
+                cancelled.add(message.requestId);
             }
-        } catch (JsonRpc.NotJson e) {
-            // It is answered when its turn comes.
+        } catch (JsonRpc.MalformedJsonException e) {
+            // The client gets an error response when the line is processed.
         }
     }
 }
--- a/src/main/java/calicostream/platform/PendingProbes.java
+++ b/src/main/java/calicostream/platform/PendingProbes.java
@@ -7,18 +7,18 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The load probes on one connection, by their tags. */
+/** The load probes on one connection that have no response yet, by their tags. */
 final class PendingProbes {
     private final Map<String, RespLoadProbe> probes = new HashMap<>();
 
-    /** Adds a probe and drops those that timed out. */
+    /** Adds a probe and removes those that have timed out. */
     void add(RespLoadProbe probe) {
         probes.values().removeIf(RespLoadProbe::hasEnded);
         probes.put(probe.tag(), probe);
     }
 
-    /** Removes the probe of this tag; null where there is none. */
-    RespLoadProbe take(String tag) {
+    /** Removes and returns the probe with this tag; null where there is none. */
+    RespLoadProbe remove(String tag) {
         return probes.remove(tag);
     }
 
--- a/src/main/java/calicostream/platform/PendingRequest.java
+++ b/src/main/java/calicostream/platform/PendingRequest.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.platform;
 
-/** A request that was accepted and has no response yet, with the client that waits for it. */
+/** An accepted request without a response yet, with the connection of its client. */
 final class PendingRequest {
     private final JsonRpcClientConnection client;
     private final long id;
@@ -10,7 +10,7 @@
 
     /**
      * @param id the JSON-RPC id, unique among the open requests of the connection
-     * @param requestId the platform's id, unique among the open requests of all clients
+     * @param requestId the platform's request id, unique among the open requests of all clients
      */
     PendingRequest(JsonRpcClientConnection client, long id, String requestId) {
         this.client = client;
@@ -30,7 +30,7 @@
         return requestId;
     }
 
-    /** The gateway's handle, by which the request is abandoned. */
+    /** The gateway's handle, which is used to abandon the request. */
     long handle() {
         return handle;
     }
--- a/src/main/java/calicostream/platform/Resp.java
+++ b/src/main/java/calicostream/platform/Resp.java
@@ -6,69 +6,71 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** RESP arrays of bulk strings. */
+/** Reads and writes RESP arrays of bulk strings. */
 final class Resp {
-    private static final int MOST_ITEMS = 8;
-    private static final int LONGEST_ITEM = 128 * 1024;
-    private static final int LONGEST_COUNT = 12;
-    private final RingBuffer ring;
-    private int at;
+    private static final int MAX_ITEMS = 8;
+    private static final int MAX_ITEM_BYTES = 128 * 1024;
+    private static final int MAX_COUNT_LINE_BYTES = 12;
+    private final RingBuffer input;
+    private int position;
 
-    private Resp(RingBuffer ring) {
-        this.ring = ring;
+    private Resp(RingBuffer input) {
+        this.input = input;
     }
 
-    /** Takes the next whole array out of the ring, or null where more bytes are needed. */
-    static byte[][] take(RingBuffer ring) throws InvalidInputException {
-        Resp reader = new Resp(ring);
-        int count = reader.count('*', MOST_ITEMS);
+    /** Removes the next complete array from the buffer; null where more bytes are needed. */
+    static byte[][] readArray(RingBuffer input) throws InvalidInputException {
+        Resp reader = new Resp(input);
+        int count = reader.readCount('*', MAX_ITEMS);
         if (count < 0) {
             return null;
         }
         byte[][] items = new byte[count][];
         for (int i = 0; i < count; i++) {
-            int length = reader.count('$', LONGEST_ITEM);
-            if (length < 0 || ring.size() < reader.at + length + 2) {
+            int length = reader.readCount('$', MAX_ITEM_BYTES);
+            if (length < 0 || input.size() < reader.position + length + 2) {
                 return null;
             }
-            items[i] = ring.copy(reader.at, length);
-            reader.at += length;
-            if (ring.get(reader.at) != '\r' || ring.get(reader.at + 1) != '\n') {
-                throw new InvalidInputException("a bulk string runs past its length");
+            items[i] = input.copy(reader.position, length);
+            reader.position += length;
+            if (input.get(reader.position) != '\r' || input.get(reader.position + 1) != '\n') {
+                throw new InvalidInputException("a bulk string is longer than its length");
             }
-            reader.at += 2;
+            reader.position += 2;
         }
-        ring.skip(reader.at);
+        input.skip(reader.position);
         return items;
     }
 
-    /** A type byte, a count and CR LF; -1 where more bytes are needed. */
-    private int count(char type, int most) throws InvalidInputException {
-        int end = ring.indexOf((byte) '\n', at);
-        if (end < 0 ? ring.size() - at > LONGEST_COUNT : end - at > LONGEST_COUNT) {
+    /** Reads a type byte, a count and CR LF; returns -1 where more bytes are needed. */
+    private int readCount(char type, int max) throws InvalidInputException {
+        int end = input.indexOf((byte) '\n', position);
+        if (end < 0
+                ? input.size() - position > MAX_COUNT_LINE_BYTES
+                : end - position > MAX_COUNT_LINE_BYTES) {
             throw new InvalidInputException("a count is too long");
         }
-        if (ring.size() > at && ring.get(at) != type) {
+        if (input.size() > position && input.get(position) != type) {
             throw new InvalidInputException("not an array of bulk strings");
         }
         if (end < 0) {
             return -1;
         }
         int value = 0;
-        for (int i = at + 1; i < end - 1; i++) {
-            int digit = ring.get(i) - '0';
+        for (int i = position + 1; i < end - 1; i++) {
+            int digit = input.get(i) - '0';
             if (digit < 0 || digit > 9) {
                 throw new InvalidInputException("a count is not a number");
             }
             value = value * 10 + digit;
-            if (value > most) {
+            if (value > max) {
                 throw new InvalidInputException("a count is too large");
             }
         }
-        if (end - at < 3 || ring.get(end - 1) != '\r') {
-            throw new InvalidInputException("a count is cut");
+        if (end - position < 3 || input.get(end - 1) != '\r') {
+            throw new InvalidInputException("a count does not end in CR LF");
         }
-        at = end + 1;
+        position = end + 1;
         return value;
     }
 
@@ -78,13 +80,13 @@
             size += item.length + 16;
         }
         byte[] out = new byte[size];
-        int at = text(out, 0, "*" + items.length + "\r\n");
+        int position = putAscii(out, 0, "*" + items.length + "\r\n");
         for (byte[] item : items) {
-            at = text(out, at, "$" + item.length + "\r\n");
-            System.arraycopy(item, 0, out, at, item.length);
-            at = text(out, at + item.length, "\r\n");
+            position = putAscii(out, position, "$" + item.length + "\r\n");
+            System.arraycopy(item, 0, out, position, item.length);
+            position = putAscii(out, position + item.length, "\r\n");
         }
-        return Arrays.copyOf(out, at);
+        return Arrays.copyOf(out, position);
     }
 
     static byte[] command(String... words) {
@@ -99,10 +101,10 @@
         return text.getBytes(StandardCharsets.US_ASCII);
     }
 
-    private static int text(byte[] out, int at, String text) {
+    private static int putAscii(byte[] out, int position, String text) {
         for (int i = 0; i < text.length(); i++) {
-            out[at + i] = (byte) text.charAt(i);
+            out[position + i] = (byte) text.charAt(i);
         }
-        return at + text.length();
+        return position + text.length();
     }
 }
--- a/src/main/java/calicostream/platform/RespCall.java
+++ b/src/main/java/calicostream/platform/RespCall.java
@@ -5,7 +5,7 @@
 import calicostream.core.AttemptContext;
 import calicostream.routing.LoadReport;
 
-/** One attempt and the connection that carries it. */
+/** One attempt over RESP: its connection, the pages received and the state of its cancellation. */
 final class RespCall implements AttemptContext {
     private static final int MAX_CONNECTIONS_TRIED = 2;
 
@@ -15,7 +15,7 @@
     private long writtenAt;
     private PagedResult pages;
     private LoadReport loadReport;
-    private long cancelEnd;
+    private long cancellationEnd;
 
     RespCall(Attempt attempt) {
         this.attempt = attempt;
@@ -33,18 +33,18 @@
         return connection;
     }
 
-    /** A connection will carry this call. */
+    /** Records the connection that carries this call. */
     void assign(RespConnection newConnection) {
         connection = newConnection;
         connectionsTried++;
     }
 
-    /** Whether a connection that was reset before anything was sent may be replaced once more. */
+    /** Whether another connection may be tried after one was reset before anything was sent. */
     boolean mayTryAnotherConnection() {
         return connectionsTried < MAX_CONNECTIONS_TRIED;
     }
 
-    /** When the request was written, in microseconds; 0 before that. */
+    /** When the request was written, in microseconds; 0 if it was not. */
     long writtenAt() {
         return writtenAt;
     }
@@ -62,7 +62,7 @@
         pages = newPages;
     }
 
-    /** The last load report that came with a response to this call, or null. */
+    /** The last load report in a response to this call, or null. */
     LoadReport loadReport() {
         return loadReport;
     }
@@ -72,19 +72,21 @@
     }
 
     /**
-     * The cancellation is queued.
+     * Records that the cancellation was queued.
      *
-     * @param queuedBytes bytes queued on the connection from its start up to the cancellation's end
+     * @param queuedBytes all bytes queued on the connection so far, the cancellation included
      */
     void setCancelled(long queuedBytes) {
-        cancelEnd = queuedBytes;
+        cancellationEnd = queuedBytes;
     }
 
     /**
-     * Whether the engine was told to give up all that was sent of this call, by a cancellation that
-     * is written or by the connection's end.
+     * Whether no cancellation of this call is still to be written: none was queued, or it was
+     * written, or the connection was closed, which cancels the call as well.
      */
-    boolean isOver() {
-        return cancelEnd == 0 || connection.isClosed() || connection.writtenBytes() >= cancelEnd;
+    boolean isCancellationDelivered() {
+        return cancellationEnd == 0
+                || connection.isClosed()
+                || connection.writtenBytes() >= cancellationEnd;
     }
 }
--- a/src/main/java/calicostream/platform/RespConnection.java
+++ b/src/main/java/calicostream/platform/RespConnection.java
@@ -15,20 +15,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One connection to an engine and the calls and probes on it. {@link RespResponseHandler} reads
- * what the engine sends. Used by the event loop's thread only.
+ * One connection to an engine with its calls and probes. {@link RespRequestWriter} sends requests,
+ * {@link RespResponseHandler} handles responses. Used by the event loop's thread only.
  */
 final class RespConnection implements Connection.Handler {
     private static final Logger LOG = LoggerFactory.getLogger(RespConnection.class);
     private static final int BUFFER_BYTES = 128 * 1024;
 
-    /** A response comes in one piece, but for the network's hops. */
+    /** Engines send a response in one write, so only the network can delay its parts. */
     private static final long PARTIAL_RESPONSE_TIMEOUT_MICROS = 500_000;
 
-    /** Progress periods without a byte after which the connection accepts no other call. */
+    /** Progress periods without received bytes after which no further call is accepted. */
     private static final double SILENT_PROGRESS_PERIODS = 1.25;
 
-    /** Closed before the engine does, so that no request crosses its close. */
+    /** Tenths of the engine's idle timeout; closing first avoids a request during its close. */
     private static final long IDLE_TIMEOUT_TENTHS = 7;
 
     private final RespContext context;
@@ -45,15 +45,15 @@
     private final PendingProbes probes = new PendingProbes();
     private final StaleRequestIds staleIds = new StaleRequestIds();
 
-    /** Broken connections; whether the engine died with them shows when this one comes up. */
+    /** Broken connections to the engine, whose calls end when this one connects or closes. */
     private final List<RespConnection> brokenConnections = new ArrayList<>();
 
     private long lastReceivedAt;
     private long busySince;
-    private boolean acceptsNoMore;
+    private boolean acceptsNoCalls;
     private boolean closedForInvalidInput;
 
-    /** Opens a connection; it is closed if it does not come up within the dial timeout. */
+    /** Opens a connection, which is closed if it is not established within the dial timeout. */
     RespConnection(RespContext context, RespConnectionPool pool, RespEndpoint endpoint)
             throws IOException {
         this.context = context;
@@ -70,7 +70,7 @@
                         context,
                         PARTIAL_RESPONSE_TIMEOUT_MICROS,
                         this::hasPartialResponse,
-                        () -> closeForInvalidInput("an answer stopped half-way"));
+                        () -> closeForInvalidInput("a response was not completed in time"));
         responses = new RespResponseHandler(context, this);
         connection =
                 Connection.connect(
@@ -109,12 +109,12 @@
         return connection.unsentBytes() > 0;
     }
 
-    /** An engine closes idle connections: a request written there might or might not have run. */
+    /** Whether the engine closed it while idle; a request sent now could have any outcome. */
     boolean isIdleAndClosedByPeer() {
         return calls.isEmpty() && connection.hasPeerClosed();
     }
 
-    /** Whether a call of this request may go on it. */
+    /** Whether this connection may carry a call of this request. */
     boolean accepts(long now, String requestId) {
         return acceptsProbe(now)
                 && calls.size() < context.settings().maxStreamsPerConnection()
@@ -123,17 +123,17 @@
     }
 
     boolean acceptsProbe(long now) {
-        return !connection.isClosing() && !acceptsNoMore && !isSilent(now);
+        return !connection.isClosing() && !acceptsNoCalls && !isSilent(now);
     }
 
-    /** Fewer calls, or as many and idle for a shorter time. */
+    /** Whether this connection has fewer calls, or as many and was active more recently. */
     boolean isBetterThan(RespConnection other) {
         return calls.size() < other.calls.size()
                 || calls.size() == other.calls.size()
                         && idleTimer.lastActivityAt() > other.idleTimer.lastActivityAt();
     }
 
-    /** A host that is cut off sends nothing: whether it is shows on another connection. */
+    /** Whether the host may be unreachable; the use of another connection shows whether it is. */
     private boolean isSilent(long now) {
         long period = context.settings().progressPeriodUs();
         return period > 0
@@ -141,7 +141,7 @@
                 && now - Math.max(lastReceivedAt, busySince) > SILENT_PROGRESS_PERIODS * period;
     }
 
-    /** Sends a call, now or when the connection is up. */
+    /** Sends a call, now or when the connection is established. */
     void add(RespCall call) {
         if (calls.isEmpty()) {
             busySince = context.now();
@@ -155,10 +155,10 @@
         }
     }
 
-    /** Sends a probe, now or when the connection is up. */
+    /** Sends a probe, now or when the connection is established. */
     void send(RespLoadProbe probe) {
         probes.add(probe);
-        idleTimer.recordActivity(context.now()); // Not idle while the engine is about to answer.
+        idleTimer.recordActivity(context.now()); // Not idle while the engine may respond.
         if (connection.isConnected()) {
             sendCommand("STAT", probe.tag());
         }
@@ -171,7 +171,7 @@
         }
     }
 
-    /** Returns false where the send buffer has no room; then nothing is sent. */
+    /** Returns false if the send buffer has no space; nothing is sent then. */
     boolean sendCommand(String... words) {
         return writer.sendCommand(words);
     }
@@ -188,8 +188,8 @@
     }
 
     /**
-     * Gives a call up. A connection that has received nothing since the call was written may be
-     * dead: it accepts no other.
+     * Cancels a call. A connection that has received nothing since the call was written may be dead
+     * and accepts no further calls.
      */
     void cancel(RespCall call) {
         if (!calls.remove(call.requestId(), call)) {
@@ -201,14 +201,14 @@
                 call.attempt().number(),
                 number);
         if (!unsentCalls.remove(call)) {
-            acceptsNoMore |= lastReceivedAt < call.writtenAt();
+            acceptsNoCalls |= lastReceivedAt < call.writtenAt();
             writer.sendCancellation(call);
             staleIds.add(call.requestId());
         }
         updateIdle();
     }
 
-    /** Withdraws what still waits for the connection to come up. */
+    /** Ends the calls that wait for the connection to be established. */
     void withdrawUnsent() {
         for (RespCall call : List.copyOf(unsentCalls)) {
             unsentCalls.remove(call);
@@ -216,7 +216,7 @@
         }
     }
 
-    /** Ends a call that is still on this connection. */
+    /** Ends a call, unless it has ended on this connection before. */
     void end(RespCall call, AttemptOutcome outcome, byte[] result) {
         if (!calls.remove(call.requestId(), call)) {
             return;
@@ -246,19 +246,19 @@
 
     private void updateIdle() {
         idleTimer.recordActivity(context.now());
-        if (calls.isEmpty() && (acceptsNoMore || endpoint.isDraining())) {
+        if (calls.isEmpty() && (acceptsNoCalls || endpoint.isDraining())) {
             connection.closeGracefully();
         } else if (calls.isEmpty() && !idleTimer.isRunning() && !connection.isClosed()) {
             idleTimer.start();
         }
     }
 
-    /** Calls on it may end, but it accepts no other. */
-    void acceptNoMore() {
-        acceptsNoMore = true;
+    /** Accepts no further calls; those in flight continue. */
+    void stopAcceptingCalls() {
+        acceptsNoCalls = true;
     }
 
-    /** Closes it by our own choice, which says nothing of its engine. */
+    /** Closes the connection for a local reason, which is no failure of the engine. */
     void closeUnused() {
         probes.endAll(AttemptOutcome.NOT_STARTED);
         connection.close();
@@ -304,14 +304,14 @@
     public void received(Connection receiving) {
         lastReceivedAt = context.now();
         try {
-            byte[][] response = Resp.take(receiving.input());
+            byte[][] response = Resp.readArray(receiving.input());
             while (response != null) {
                 partialResponseTimer.recordActivity(lastReceivedAt);
                 responses.handle(response);
-                response = Resp.take(receiving.input());
+                response = Resp.readArray(receiving.input());
             }
             if (receiving.input().remainingCapacity() == 0) {
-                throw new InvalidInputException("an answer is too long");
+                throw new InvalidInputException("a response is too long");
             }
             if (receiving.input().size() > 0 && !partialResponseTimer.isRunning()) {
                 partialResponseTimer.recordActivity(lastReceivedAt);
@@ -322,12 +322,12 @@
         }
     }
 
-    /** A response that stopped half-way blocks all behind it for good. */
+    /** Whether a response is incomplete; it blocks all responses behind it. */
     private boolean hasPartialResponse() {
         return !connection.isClosed() && connection.input().size() > 0;
     }
 
-    /** Closes it for input that can't be used: every call on it may have run. */
+    /** Closes the connection because of invalid input; every call on it may have run. */
     void closeForInvalidInput(String reason) {
         LOG.warn("invalid response from engine at {}: {}", endpoint.address(), reason);
         closedForInvalidInput = true;
@@ -335,9 +335,9 @@
     }
 
     /**
-     * What was not sent never ran, and may try one more connection: new ones are reset at times.
-     * What was sent may have run; whether the engine's process has ended or only this connection
-     * shows on another one.
+     * Calls that were not sent have not run and may try one more connection, since new connections
+     * are reset occasionally. Calls that were sent may have run; another connection shows whether
+     * the engine's process has ended or only this connection is broken.
      */
     @Override
     public void closed(Connection closing) {
@@ -348,13 +348,13 @@
                         ? AttemptOutcome.CONNECTION_BROKEN
                         : AttemptOutcome.CONNECT_FAILED);
         replaceUnsent(closing.wasReset());
-        AttemptOutcome ofBroken =
-                closing.wasReset() // Somebody was there to reset it.
+        AttemptOutcome brokenOutcome =
+                closing.wasReset() // A reset shows that the engine's host responds.
                         ? AttemptOutcome.CONNECTION_BROKEN
                         : AttemptOutcome.RESET;
-        brokenConnections.forEach(broken -> broken.endAll(ofBroken));
+        brokenConnections.forEach(broken -> broken.endAll(brokenOutcome));
         brokenConnections.clear();
-        if (closedForInvalidInput) { // The close cancels all calls on it, and has to arrive first.
+        if (closedForInvalidInput) { // The close cancels the calls; it must reach the engine first.
             context.schedule(
                     Gateway.CANCEL_DELIVERY_MICROS, () -> endAll(AttemptOutcome.CONNECTION_BROKEN));
         } else if (!calls.isEmpty()) {
@@ -379,11 +379,11 @@
         }
     }
 
-    /** Another connection to the engine tells whether its process has ended. */
+    /** Waits until another connection shows whether the engine's process has ended. */
     private void awaitAnotherConnection() {
         RespConnection other =
                 endpoint.connections().stream()
-                        .filter(each -> !each.isConnected())
+                        .filter(candidate -> !candidate.isConnected())
                         .findFirst()
                         .orElse(null);
         if (other == null && !endpoint.isDraining()) {
--- a/src/main/java/calicostream/platform/RespConnectionPool.java
+++ b/src/main/java/calicostream/platform/RespConnectionPool.java
@@ -10,16 +10,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The engines and the connections to them: which connection carries an attempt or a probe, and how
- * many there may be. Used by the event loop's thread only.
+ * The connections to all engines. Chooses the connection for an attempt or a probe, and limits the
+ * number of connections. Used by the event loop's thread only.
  */
 final class RespConnectionPool {
     private static final Logger LOG = LoggerFactory.getLogger(RespConnectionPool.class);
 
-    /** Connections to one engine: more than the attempts that one engine gets. */
+    /** The most connections to one engine; larger than the number of attempts that it gets. */
     private static final int MAX_CONNECTIONS_PER_ENGINE = 32;
 
-    /** Attempts on a connection before another is opened, where opening one is paid for. */
+    /** Calls on a connection before another is opened, where opening a connection is costly. */
     private static final int SHARED_CALLS_PER_CONNECTION = 4;
 
     private final RespContext context;
@@ -35,7 +35,7 @@
         sharedCalls = context.settings().connectionsAreCostly() ? SHARED_CALLS_PER_CONNECTION : 1;
     }
 
-    /** At most so many connections to all engines together. */
+    /** Sets the largest number of connections to all engines together. */
     void setMaxConnections(int connections) {
         maxConnections = connections;
     }
@@ -44,7 +44,7 @@
         return openConnections >= maxConnections;
     }
 
-    /** The engine of this id, or null. */
+    /** The engine with this id, or null. */
     RespEndpoint find(long engine) {
         return endpoints.get(engine);
     }
@@ -53,12 +53,12 @@
         return endpoints.computeIfAbsent(engine, id -> new RespEndpoint());
     }
 
-    /** Forgets an engine; null where it is not known. */
+    /** Removes and returns an engine; null where it is unknown. */
     RespEndpoint remove(long engine) {
         return endpoints.remove(engine);
     }
 
-    /** Counts a connection that was opened; returns its number. */
+    /** Adds a connection and returns its number. */
     long opened(RespEndpoint endpoint, RespConnection connection) {
         endpoint.connections().add(connection);
         openConnections++;
@@ -70,12 +70,11 @@
         openConnections--;
     }
 
-    /** Opens a connection. */
     RespConnection open(RespEndpoint endpoint) throws IOException {
         return new RespConnection(context, this, endpoint);
     }
 
-    /** Opens a connection, or logs why not and returns null. */
+    /** Opens a connection; logs a failure and returns null. */
     RespConnection tryOpen(RespEndpoint endpoint) {
         try {
             return open(endpoint);
@@ -86,9 +85,9 @@
     }
 
     /**
-     * The connection for a call: an idle one, the last used first, else a new one, as whatever
-     * breaks a connection breaks all calls on it; where opening one is paid for, a few calls share
-     * one. Where no more may be opened, the one with the fewest calls; null where all are full.
+     * Chooses the connection for a call: the idle one that was used last, else a new one, because a
+     * broken connection breaks all calls on it. Where opening a connection is costly, a few calls
+     * share one. At the limit it is the connection with the fewest calls; null where all are full.
      */
     private RespConnection choose(RespEndpoint endpoint, String requestId) {
         RespConnection best = leastUsed(endpoint, requestId);
@@ -103,7 +102,7 @@
         return opened == null ? best : opened;
     }
 
-    /** Gives a call to the connection that suits it best; without one the attempt has ended. */
+    /** Sends a call on the best connection; without any, the attempt ends as overloaded. */
     void place(RespEndpoint endpoint, RespCall call) {
         RespConnection connection = choose(endpoint, call.requestId());
         if (connection == null) {
@@ -124,16 +123,18 @@
     private RespConnection leastUsed(RespEndpoint endpoint, String requestId) {
         long now = context.now();
         RespConnection best = null;
-        for (RespConnection each : endpoint.connections()) {
-            if (each.accepts(now, requestId) && (best == null || each.isBetterThan(best))) {
-                best = each;
+        for (RespConnection connection : endpoint.connections()) {
+            if (connection.accepts(now, requestId)
+                    && (best == null || connection.isBetterThan(best))) {
+                best = connection;
             }
         }
         return best;
     }
 
     /**
-     * The connection for a probe: one that is up and heard from, with the fewest calls; or null.
+     * Chooses the connection for a probe: a responsive one, preferably established, with the fewest
+     * calls; or null.
      */
     RespConnection chooseForProbe(RespEndpoint endpoint) {
         long now = context.now();
@@ -146,9 +147,10 @@
 
     private static RespConnection leastUsedForProbe(RespEndpoint endpoint, long now) {
         return endpoint.connections().stream()
-                .filter(each -> each.acceptsProbe(now))
+                .filter(connection -> connection.acceptsProbe(now))
                 .min(
-                        Comparator.comparing((RespConnection each) -> !each.isConnected())
+                        Comparator.comparing(
+                                        (RespConnection connection) -> !connection.isConnected())
                                 .thenComparingInt(RespConnection::callCount))
                 .orElse(null);
     }
--- a/src/main/java/calicostream/platform/RespContext.java
+++ b/src/main/java/calicostream/platform/RespContext.java
@@ -6,7 +6,7 @@
 import calicostream.routing.SettingsParser.ConnectionSettings;
 import java.util.List;
 
-/** What all connections to engines share. Used by the event loop's thread only. */
+/** State shared by all connections to engines. Used by the event loop's thread only. */
 final class RespContext {
     private final SelectorLoop loop;
     private final List<String> classNames;
@@ -40,7 +40,7 @@
         return classNames.get(queryClass);
     }
 
-    /** The router's time in microseconds. */
+    /** The current time of the router's clock, in microseconds. */
     long now() {
         return loop.clock().now();
     }
--- a/src/main/java/calicostream/platform/RespEndpoint.java
+++ b/src/main/java/calicostream/platform/RespEndpoint.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One engine of the endpoint list: its address and the connections that are open to it. */
+/** One engine of the endpoint list, with its address and open connections. */
 final class RespEndpoint {
     private final List<RespConnection> connections = new ArrayList<>();
     private InetSocketAddress address;
@@ -19,7 +19,7 @@
         address = newAddress;
     }
 
-    /** Whether nothing new may be sent to it. */
+    /** Whether the engine drains, so that no new attempt may be sent to it. */
     boolean isDraining() {
         return draining;
     }
@@ -28,12 +28,12 @@
         draining = isDraining;
     }
 
-    /** The open connections, in the order in which they were opened; changes with them. */
+    /** The open connections in the order of opening; a live view. */
     List<RespConnection> connections() {
         return connections;
     }
 
-    /** Closes the connections that carry no attempt. */
+    /** Closes the connections without attempts. */
     void closeIdleConnections() {
         List.copyOf(connections).stream()
                 .filter(RespConnection::isIdle)
--- a/src/main/java/calicostream/platform/RespEngineClient.java
+++ b/src/main/java/calicostream/platform/RespEngineClient.java
@@ -14,14 +14,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends attempts and load probes to engines by RESP over reused connections. Used by the event
- * loop's thread only. {@link RespConnectionPool} chooses the connection, {@link RespConnection}
- * carries calls.
+ * Sends attempts and load probes to engines over reused RESP connections. {@link
+ * RespConnectionPool} chooses the connection, {@link RespConnection} carries the calls. Used by the
+ * event loop's thread only.
  */
 public final class RespEngineClient implements EngineClient {
     private static final Logger LOG = LoggerFactory.getLogger(RespEngineClient.class);
 
-    /** Time after a drain in which what is queued may still be written. */
+    /** Time after the start of a drain in which queued bytes may still be written. */
     private static final long UNSENT_GRACE_MICROS = 250_000;
 
     private final RespContext context;
@@ -29,10 +29,10 @@
     private long probesSent;
 
     /**
-     * @param loop owns all connections
-     * @param classNames the classes' names on the wire, by index
-     * @param settings limits of connections
-     * @param maxConnections at most so many connections to all engines together
+     * @param loop the event loop of all connections
+     * @param classNames the names of the query classes on the wire, by index
+     * @param settings the limits of connections
+     * @param maxConnections the largest number of connections to all engines together
      */
     public RespEngineClient(
             SelectorLoop loop,
@@ -53,7 +53,7 @@
         context.attach(gateway);
     }
 
-    /** Sets where an engine listens; another address for a known id is a new process there. */
+    /** Sets where an engine listens; a new address for a known id means a new process. */
     @Override
     public void setAddress(long id, InetSocketAddress address) {
         RespEndpoint endpoint = pool.findOrAdd(id);
@@ -62,7 +62,7 @@
         }
         endpoint.setAddress(address);
         endpoint.closeIdleConnections();
-        // What waits for a connection to the old address must not reach whoever listens there now.
+        // Calls that wait for a connection must not reach a different server at the old address.
         List.copyOf(endpoint.connections()).stream()
                 .filter(connection -> !connection.isConnected())
                 .forEach(RespConnection::closeUnused);
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Probes on a connection that is open and heard from; one is opened only where none is. */
+    /** Sends the probe on an open, responsive connection; opens one only where there is none. */
     @Override
     public boolean probe(long id) {
         RespEndpoint endpoint = pool.find(id);
@@ -118,8 +118,8 @@
     }
 
     /**
-     * Nothing new may be sent to an engine that drains, and that includes what still waits for its
-     * connection to come up: a slow connect must not delay a send past the grace.
+     * No new request may be sent to a draining engine. This includes calls that wait for their
+     * connection: a slow connect must not delay a send beyond the grace time.
      */
     @Override
     public void engineDraining(long engine) {
@@ -132,7 +132,7 @@
         }
     }
 
-    /** What still waits in a send buffer would be written after the grace. */
+    /** Closes connections with unsent bytes, which would be written after the grace time. */
     private static void closeBlocked(RespEndpoint endpoint) {
         if (endpoint.isDraining()) {
             List.copyOf(endpoint.connections()).stream()
@@ -146,13 +146,13 @@
         RespEndpoint endpoint = pool.find(engine);
         if (endpoint != null) {
             endpoint.closeIdleConnections();
-            endpoint.connections().forEach(RespConnection::acceptNoMore);
+            endpoint.connections().forEach(RespConnection::stopAcceptingCalls);
         }
     }
 
     /**
-     * Its process has ended, so calls on open connections get no response; a host that is cut off
-     * would never close them.
+     * Closes the connections to an engine whose process has ended. Their calls get no response, and
+     * an unreachable host never closes them.
      */
     @Override
     public void engineRemoved(long engine) {
--- a/src/main/java/calicostream/platform/RespFields.java
+++ b/src/main/java/calicostream/platform/RespFields.java
@@ -6,9 +6,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The field lists of engines' answers: {@code name=value,name=value}, or {@code -} for none. */
+/** Parses the field lists of responses: {@code name=value,name=value}, or {@code -} for none. */
 final class RespFields {
-    private static final double MOST = 1e6; // queries, or times full: no engine tells more
+    /** Larger than any query count or utilization that an engine can report. */
+    private static final double MAX_REPORT_VALUE = 1e6;
 
     private RespFields() {}
 
@@ -16,35 +17,38 @@
         if (text.equals("-") || text.isEmpty()) {
             return Map.of();
         }
-        Map<String, String> out = new HashMap<>();
+        Map<String, String> result = new HashMap<>();
         for (String field : text.split(",")) {
-            int at = field.indexOf('=');
-            if (at < 1) {
+            int separator = field.indexOf('=');
+            if (separator < 1) {
                 throw new InvalidInputException("a field without a name");
             }
-            out.put(field.substring(0, at), field.substring(at + 1));
+            result.put(field.substring(0, separator), field.substring(separator + 1));
         }
-        return out;
+        return result;
     }
 
     /**
-     * A load report, {@code name:value;name:value}; null where there is none. A value that can't be
-     * is passed over.
+     * Parses a load report, {@code name:value;name:value}; returns null for null. Invalid values
+     * are skipped.
      */
-    static LoadReport report(String text) {
+    static LoadReport parseLoadReport(String text) {
         if (text == null) {
             return null;
         }
-        LoadReport out = LoadReport.EMPTY;
+        LoadReport report = LoadReport.EMPTY;
         for (String pair : text.split(";")) {
-            int at = pair.indexOf(':');
-            double value = number(at < 0 ? null : pair.substring(at + 1));
-            out = value >= 0 && value <= MOST ? out.withColumn(pair.substring(0, at), value) : out;
+            int separator = pair.indexOf(':');
+            double value = number(separator < 0 ? null : pair.substring(separator + 1));
+            report =
+                    value >= 0 && value <= MAX_REPORT_VALUE
+                            ? report.withColumn(pair.substring(0, separator), value)
+                            : report;
         }
-        return out;
+        return report;
     }
 
-    /** A number, or NaN. */
+    /** Parses a number; NaN where it is missing or invalid. */
     static double number(String text) {
         try {
             return text == null ? Double.NaN : Double.parseDouble(text);
@@ -53,12 +57,13 @@
         }
     }
 
-    static int whole(Map<String, String> fields, String name, int without, int most)
+    /** Parses an integer field of at most {@code max}; the default where it is missing. */
+    static int integer(Map<String, String> fields, String name, int defaultValue, int max)
             throws InvalidInputException {
         String text = fields.get(name);
-        double value = text == null ? without : number(text);
-        if (!(value <= most) || value != Math.rint(value)) {
-            throw new InvalidInputException("the field " + name + " can't be used");
+        double value = text == null ? defaultValue : number(text);
+        if (!(value <= max) || value != Math.rint(value)) {
+            throw new InvalidInputException("the field " + name + " is not a valid integer");
         }
         return (int) value;
     }
--- a/src/main/java/calicostream/platform/RespLoadProbe.java
+++ b/src/main/java/calicostream/platform/RespLoadProbe.java
@@ -5,7 +5,7 @@
 import calicostream.routing.AttemptOutcome;
 import calicostream.routing.LoadReport;
 
-/** One load probe of an engine; its end is reported once. */
+/** One load probe of an engine, which reports its outcome to the gateway once. */
 final class RespLoadProbe {
     private final Gateway gateway;
     private final long engine;
@@ -29,7 +29,7 @@
         return ended;
     }
 
-    /** Reports the outcome unless one was reported; the report is null where none came. */
+    /** Reports the outcome unless one was reported before; the load report may be null. */
     void end(AttemptOutcome outcome, LoadReport report) {
         if (!ended) {
             ended = true;
--- a/src/main/java/calicostream/platform/RespRequestWriter.java
+++ b/src/main/java/calicostream/platform/RespRequestWriter.java
@@ -16,7 +16,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(RespRequestWriter.class);
     private static final long MICROS_PER_MILLI = 1000;
 
-    /** An attempt in the send buffer, and the count of bytes at which it is written. */
+    /** An attempt in the send buffer; it is sent when {@code end} bytes were written in all. */
     private record PendingWrite(long end, Attempt attempt) {}
 
     private final RespContext context;
@@ -33,20 +33,22 @@
         connectionNumber = number;
     }
 
-    /** Returns false where the send buffer has no room; then nothing is sent. */
+    /** Returns false if the send buffer has no space; nothing is sent then. */
     boolean sendCommand(String... words) {
         return connection.write(Resp.command(words));
     }
 
     /**
-     * Writes a call's request. Returns false where nothing was sent: the send buffer is full, or
-     * the cancellation of the request's previous attempt is not written, so that the engine would
-     * see a duplicate.
+     * Writes a call's request. Returns false if nothing is sent: the send buffer is full, or the
+     * cancellation of the previous attempt is still unwritten, so that the engine would receive a
+     * duplicate.
      */
     boolean write(RespCall call) {
         Attempt attempt = call.attempt();
         Attempt previous = attempt.request().previousAttempt();
-        if (previous != null && previous.context() instanceof RespCall last && !last.isOver()) {
+        if (previous != null
+                && previous.context() instanceof RespCall previousCall
+                && !previousCall.isCancellationDelivered()) {
             LOG.error(
                     "request {}: attempt {} on connection {} not sent, as the cancellation of"
                             + " attempt {} is not written: {} us, connection {}",
@@ -55,7 +57,7 @@
                     connectionNumber,
                     previous.number(),
                     context.now() - previous.sentAt(),
-                    last.connection().number());
+                    previousCall.connection().number());
             return false;
         }
         call.setWrittenAt(context.now());
@@ -91,7 +93,7 @@
                 attempt.request().body());
     }
 
-    /** Bytes were written: reports the attempts of which the last byte was among them. */
+    /** Reports the attempts whose last byte was written since the previous call. */
     void drained() {
         while (!pendingWrites.isEmpty() && pendingWrites.peek().end <= connection.writtenBytes()) {
             context.gateway().attemptWritten(pendingWrites.poll().attempt);
@@ -99,8 +101,8 @@
     }
 
     /**
-     * Sends a call's cancellation, which has to be written before the next attempt. Where the
-     * engine reads so little that it can't be, the end of the connection tells it.
+     * Sends a call's cancellation, which must be written before the next attempt. If the engine
+     * reads too slowly for that, closing the connection cancels the call.
      */
     void sendCancellation(RespCall call) {
         boolean isQueued = sendCommand("STOP", call.requestId());
@@ -108,13 +110,13 @@
         connection.flushNow();
         if (!isQueued) {
             connection.close();
-        } else if (!call.isOver()) {
+        } else if (!call.isCancellationDelivered()) {
             context.schedule(Gateway.CANCEL_DELIVERY_MICROS / 2, () -> closeUnlessCancelled(call));
         }
     }
 
     private void closeUnlessCancelled(RespCall call) {
-        if (!call.isOver()) {
+        if (!call.isCancellationDelivered()) {
             LOG.warn(
                     "engine at {} does not read: connection {} closed",
                     endpoint.address(),
--- a/src/main/java/calicostream/platform/RespResponseHandler.java
+++ b/src/main/java/calicostream/platform/RespResponseHandler.java
@@ -10,9 +10,9 @@
 
 /** Handles the responses that an engine sends on one connection. */
 final class RespResponseHandler {
-    private static final int PARTS = 4;
+    private static final int RESPONSE_PARTS = 4;
 
-    /** The engine has the result ready: a page waits for nothing but the network. */
+    /** The engine has the result ready, so a page is delayed only by the network. */
     private static final long PAGE_TIMEOUT_MICROS = 1_000_000;
 
     private static final int WAITING_FOR_LOAD_LEVEL = 2;
@@ -26,22 +26,22 @@
     }
 
     /**
-     * Handles one response: id, kind, fields, rows.
+     * Handles one response, which has the parts id, kind, fields and rows.
      *
-     * @throws InvalidInputException if it can't be understood; the connection is of no more use
+     * @throws InvalidInputException if the response is invalid; the connection must be closed then
      */
     void handle(byte[][] response) throws InvalidInputException {
-        if (response.length != PARTS) {
-            throw new InvalidInputException("an answer of " + response.length + " parts");
+        if (response.length != RESPONSE_PARTS) {
+            throw new InvalidInputException("a response of " + response.length + " parts");
         }
         String id = text(response[0]);
-        RespLoadProbe probe = connection.probes().take(id);
+        RespLoadProbe probe = connection.probes().remove(id);
         if (probe != null) {
             probeAnswered(probe, response);
             return;
         }
         RespCall call = connection.call(id);
-        if (call != null) { // Else late, a duplicate, or to no request: of no use.
+        if (call != null) { // Otherwise it is late, a duplicate or unexpected, and is ignored.
             callAnswered(call, response);
         }
     }
@@ -49,17 +49,17 @@
     private void callAnswered(RespCall call, byte[][] response) throws InvalidInputException {
         String kind = text(response[1]);
         Map<String, String> fields = RespFields.parse(text(response[2]));
-        LoadReport report = RespFields.report(fields.get("stats"));
+        LoadReport report = RespFields.parseLoadReport(fields.get("stats"));
         if (report != null) {
             call.setLoadReport(report);
         }
         switch (kind) {
             case "DONE":
-                int pages = RespFields.whole(fields, "sheets", 1, PagedResult.MAX_PAGES);
+                int pages = RespFields.integer(fields, "sheets", 1, PagedResult.MAX_PAGES);
                 firstPage(call, pages, response[3]);
                 break;
             case "MORE":
-                int page = RespFields.whole(fields, "sheet", -1, PagedResult.MAX_PAGES);
+                int page = RespFields.integer(fields, "sheet", -1, PagedResult.MAX_PAGES);
                 furtherPage(call, page, response[3]);
                 break;
             case "WAIT":
@@ -75,30 +75,30 @@
                 progress(call, fields);
                 break;
             default:
-                throw new InvalidInputException("an answer of an unknown kind");
+                throw new InvalidInputException("a response of an unknown kind");
         }
     }
 
-    /** An engine that is unfit says so, and its load report may still tell why. */
+    /** Handles a probe's response; that of an unfit engine may include a load report, too. */
     private void probeAnswered(RespLoadProbe probe, byte[][] response)
             throws InvalidInputException {
         String kind = text(response[1]);
         if (!kind.equals("FIT") && !kind.equals("UNFIT")) {
-            throw new InvalidInputException("an answer to a probe of an unknown kind");
+            throw new InvalidInputException("a probe response of an unknown kind");
         }
         Map<String, String> fields = RespFields.parse(text(response[2]));
         probe.end(
                 kind.equals("FIT") ? AttemptOutcome.OK : AttemptOutcome.ERROR,
-                RespFields.report(fields.get("stats")));
+                RespFields.parseLoadReport(fields.get("stats")));
     }
 
-    /** The rest is fetched before anything is forwarded: a result is complete or not given. */
+    /** Fetches the other pages; the client receives a complete result or none. */
     private void firstPage(RespCall call, int pages, byte[] first) throws InvalidInputException {
-        if (call.pages() != null) { // A duplicate, while the other pages are being fetched.
+        if (call.pages() != null) { // A duplicate that arrived while pages are being fetched.
             return;
         }
         if (pages < 1) {
-            throw new InvalidInputException("a result that can't be");
+            throw new InvalidInputException("a result without pages");
         }
         if (pages == 1) {
             connection.end(call, AttemptOutcome.OK, PagedResult.checkedPage(first));
@@ -111,7 +111,7 @@
         awaitPage(call, call.pages().missing());
     }
 
-    /** Pages come one after another; where none does, the connection is of no more use. */
+    /** Closes the connection if no further page arrives in time. */
     private void awaitPage(RespCall call, int missing) {
         context.schedule(PAGE_TIMEOUT_MICROS, () -> pageTimerFired(call, missing));
     }
@@ -123,7 +123,7 @@
         if (call.pages().missing() < missing) {
             awaitPage(call, call.pages().missing());
         } else {
-            connection.closeForInvalidInput("a page did not come");
+            connection.closeForInvalidInput("a page was not received in time");
         }
     }
 
--- a/src/main/java/calicostream/platform/ServerComponents.java
+++ b/src/main/java/calicostream/platform/ServerComponents.java
@@ -10,16 +10,22 @@
 import java.util.function.Function;
 
 /**
- * What a {@link FrontEndServer} is put together from. Whoever composes the program makes these
- * parts on one thread and hands them over; from then on they are the loop's, and end with it.
- * {@code text} turns a result, as {@code engines} give it, into rows of text.
+ * The components of a {@link FrontEndServer}. They are created on one thread before the server;
+ * from then on only the event loop's thread uses them, and they end with the loop.
+ *
+ * @param descriptors the division of file descriptors
+ * @param loop the event loop
+ * @param gateway the gateway
+ * @param engines the client for all engines
+ * @param encoder encodes a result of {@code engines} as rows of text
+ * @param services further servers that run on the loop
  */
 public record ServerComponents(
         Descriptors descriptors,
         SelectorLoop loop,
         Gateway gateway,
         EngineClient engines,
-        Function<RequestResult, byte[]> text,
+        Function<RequestResult, byte[]> encoder,
         List<Service> services) {
     /** Copies the list of services. */
     public ServerComponents {
--- a/src/main/java/calicostream/platform/StaleRequestIds.java
+++ b/src/main/java/calicostream/platform/StaleRequestIds.java
@@ -5,9 +5,9 @@
 import java.util.Set;
 
 /**
- * Ids of requests that were given up on a connection: a late response to one must not be taken for
- * a response to another attempt of the same request. Bounded; all are dropped when there are too
- * many.
+ * Ids of requests whose attempts on a connection ended without a result. A late response to such an
+ * attempt must not be taken for the response to a later attempt of the same request. Bounded: all
+ * ids are dropped when the limit is reached.
  */
 final class StaleRequestIds {
     private static final int MAX_IDS = 256;
--- a/src/main/java/calicostream/platform/WarmUp.java
+++ b/src/main/java/calicostream/platform/WarmUp.java
@@ -26,66 +26,72 @@
 import java.util.List;
 
 /**
- * Takes requests through parsers, core and module before the program listens, so that a front end
- * which starts again in the middle of a day does not load its classes at its first clients' cost.
- * It works on a core of its own, whose engine answers at once, and touches no socket.
+ * Runs requests through the parsers, the gateway and the router before the process listens, so that
+ * classes are loaded before the first clients of a front end that restarts under load. Uses a
+ * gateway of its own with a simulated engine that responds at once, and no sockets.
  */
 final class WarmUp implements EngineClient, ResponseHandler {
-    private static final long LONGEST = 400_000; // us: a front end that is not up yet serves nobody
-    private static final long PIECE = 10_000; // us of work in one go
-    private static final int REQUESTS = 1500;
-    private static final long ENGINE = 1;
+    /** Limited because the front end serves no clients until the warm-up ends. */
+    private static final long MAX_DURATION_MICROS = 400_000;
+
+    /** The time of one slice, after which the event loop continues. */
+    private static final long SLICE_MICROS = 10_000;
+
+    private static final int MAX_REQUESTS = 1500;
+    private static final long ENGINE_ID = 1;
     private static final String STATEMENT =
             "select a.name, count(*) from sales_17.orders a where a.note = 'x_1.y'";
-    private final RingBuffer ring = new RingBuffer(1 << 16);
+    private final RingBuffer responseBuffer = new RingBuffer(1 << 16);
     private final Deadlines deadlines = new Deadlines();
     private final Clock clock = new Clock();
     private final Gateway gateway;
     private final List<String> classNames;
-    private final ArrayDeque<Attempt> out = new ArrayDeque<>();
+    private final ArrayDeque<Attempt> sentAttempts = new ArrayDeque<>();
     private final String content =
             Base64.getEncoder().encodeToString(STATEMENT.getBytes(StandardCharsets.UTF_8));
-    private long end;
-    private int made;
-    private int answers;
+    private long deadline;
+    private int requestCount;
+    private int responseCount;
 
     WarmUp(RouterSettings settings, List<String> classNames) {
         this.classNames = classNames;
         gateway = new Gateway(clock, deadlines, settings, RequestListener.NONE);
-        gateway.start(this, List.of(new EngineEndpoint(ENGINE, 0, 0, 0, 0, EngineLifecycle.READY)));
+        gateway.start(
+                this, List.of(new EngineEndpoint(ENGINE_ID, 0, 0, 0, 0, EngineLifecycle.READY)));
     }
 
-    /** Works for a moment; whether there is more to do. */
-    boolean goesOn() {
+    /** Runs requests for one slice of time; returns whether another slice is needed. */
+    boolean runSlice() {
         long now = clock.now();
-        end = end == 0 ? now + LONGEST : end;
+        deadline = deadline == 0 ? now + MAX_DURATION_MICROS : deadline;
         try {
             do {
-                made++;
-                byte[] line =
+                requestCount++;
+                byte[] requestLine =
                         ("{\"jsonrpc\":\"2.0\",\"id\":"
-                                        + made
+                                        + requestCount
                                         + ",\"method\":\"m\",\"params\":{\"i\":\""
-                                        + String.format("%016x", made)
+                                        + String.format("%016x", requestCount)
                                         + "\",\"d\":1500,\"content\":\""
                                         + content
                                         + "\"}}")
                                 .getBytes(StandardCharsets.UTF_8);
-                request(JsonRpc.read(line), made % classNames.size());
+                sendRequest(JsonRpc.read(requestLine), requestCount % classNames.size());
                 deadlines.run(clock.now());
-            } while (made < REQUESTS && clock.now() < Math.min(end, now + PIECE));
-        } catch (JsonRpc.NotJson | InvalidInputException e) {
+            } while (requestCount < MAX_REQUESTS
+                    && clock.now() < Math.min(deadline, now + SLICE_MICROS));
+        } catch (JsonRpc.MalformedJsonException | InvalidInputException e) {
             throw new IllegalStateException(e);
         }
-        return made < REQUESTS && clock.now() < end;
+        return requestCount < MAX_REQUESTS && clock.now() < deadline;
     }
 
-    /** The number of requests answered. */
-    int answers() {
-        return answers;
+    /** The number of responses received. */
+    int responseCount() {
+        return responseCount;
     }
 
-    private void request(JsonRpc message, int queryClass) throws InvalidInputException {
+    private void sendRequest(JsonRpc message, int queryClass) throws InvalidInputException {
         byte[] body = Base64.getDecoder().decode(message.content);
         gateway.accept(
                 IncomingRequest.of(
@@ -94,35 +100,37 @@
                         message.requestId,
                         queryClass,
                         TableGroupScanner.tableGroup(body),
-                        (long) (message.wait * 1000),
+                        (long) (message.timeoutMillis * 1000),
                         body));
-        for (Attempt attempt = out.poll(); attempt != null; attempt = out.poll()) {
-            ring.put(
+        for (Attempt attempt = sentAttempts.poll();
+                attempt != null;
+                attempt = sentAttempts.poll()) {
+            responseBuffer.put(
                     Resp.array(
                             Resp.ascii(attempt.request().id()),
                             Resp.ascii("DONE"),
                             Resp.ascii("sheets=1,stats=util:0.2;inflight:1"),
                             attempt.request().body()));
-            byte[][] answer = Resp.take(ring);
+            byte[][] response = Resp.readArray(responseBuffer);
             gateway.attemptEnded(
                     attempt,
                     AttemptOutcome.OK,
-                    RespFields.report(
-                            RespFields.parse(new String(answer[2], StandardCharsets.ISO_8859_1))
+                    RespFields.parseLoadReport(
+                            RespFields.parse(new String(response[2], StandardCharsets.ISO_8859_1))
                                     .get("stats")),
-                    new TextResult(answer[3]));
+                    new TextResult(response[3]));
         }
     }
 
     @Override
-    public void attach(Gateway to) {}
+    public void attach(Gateway newGateway) {}
 
     @Override
     public void setAddress(long engine, InetSocketAddress address) {}
 
     @Override
     public void send(Attempt attempt) {
-        out.add(attempt);
+        sentAttempts.add(attempt);
     }
 
     @Override
@@ -142,16 +150,16 @@
 
     @Override
     public void served(long tag, RequestResult result) {
-        answers += JsonRpc.result(tag, ((TextResult) result).text()).length > 0 ? 1 : 0;
+        responseCount += JsonRpc.result(tag, ((TextResult) result).text()).length > 0 ? 1 : 0;
     }
 
     @Override
-    public void rejected(long tag, long retryAfterMs) {
-        answers++;
+    public void rejected(long tag, long retryAfterMillis) {
+        responseCount++;
     }
 
     @Override
-    public void failed(long tag, FailureReason why) {
-        answers++;
+    public void failed(long tag, FailureReason reason) {
+        responseCount++;
     }
 }
--- a/src/test/java/calicostream/platform/DescriptorsTest.java
+++ b/src/test/java/calicostream/platform/DescriptorsTest.java
@@ -8,22 +8,23 @@
 
 class DescriptorsTest {
     /**
-     * Whatever another part takes is neither the clients' nor the engines', and all together stay
-     * under the limit.
+     * Descriptors of an additional component must reduce those of clients and engines, and the sum
+     * of all must stay below the limit.
      */
     @Test
-    void whatAnotherPartTakesIsSetAside() {
+    void subtractsDescriptorsOfAdditionalComponent() {
         for (int limit = 150; limit <= 4096; limit += 61) {
-            Descriptors alone = Descriptors.of(limit, 20);
-            Descriptors beside = alone.beside(limit, 54);
-            assertEquals(74, beside.own());
+            Descriptors initial = Descriptors.of(limit, 20);
+            Descriptors reduced = initial.beside(limit, 54);
+            assertEquals(74, reduced.process());
             assertTrue(
-                    beside.clients() + beside.engines() + beside.own() < limit,
-                    limit + ": " + beside);
+                    reduced.clients() + reduced.engines() + reduced.process() < limit,
+                    limit + ": " + reduced);
             assertTrue(
-                    beside.clients() + beside.engines() <= alone.clients() + alone.engines() - 54,
-                    limit + ": " + beside);
-            assertEquals(beside, Descriptors.of(limit, beside.own()));
+                    reduced.clients() + reduced.engines()
+                            <= initial.clients() + initial.engines() - 54,
+                    limit + ": " + reduced);
+            assertEquals(reduced, Descriptors.of(limit, reduced.process()));
         }
     }
 }
--- a/src/test/java/calicostream/platform/EndpointListDecoderTest.java
+++ b/src/test/java/calicostream/platform/EndpointListDecoderTest.java
@@ -12,27 +12,28 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class EndpointListDecoderTest {
-    private static final String GOOD =
+    private static final String VALID_EVENT =
             """
             {"seq":2,"fleet":{"snapshot":%s,"endpoints":[{"name":"e1","address":"127.0.0.1:7001","zone":"a","type":"k","group":0,
             "status":"Ready","weight":4,"since_ms":1700000000000}]}}\
             """;
 
-    /** Converts the same time anew to another one each time, as a clock that is stepped does. */
-    private static final class Stepped extends Clock {
-        private long step;
+    /** Converts the same time to a later one at each call, as after a step of the system clock. */
+    private static final class SteppedClock extends Clock {
+        private long stepMillis;
 
         @Override
         public long ofUnixMillis(long millis) {
-            return millis <= 0 ? 0 : millis + ++step;
+            return millis <= 0 ? 0 : millis + ++stepMillis;
         }
     }
 
-    private final EndpointListDecoder roster =
-            new EndpointListDecoder(new Stepped(), List.of("a"), List.of("k"));
+    private final EndpointListDecoder decoder =
+            new EndpointListDecoder(new SteppedClock(), List.of("a"), List.of("k"));
 
     /**
-     * Forgotten starts would be converted anew, and each engine would look as if it had restarted.
+     * If an invalid event dropped the recorded start times, they would be converted again with a
+     * different result, and every engine would appear to have restarted.
      */
     @ParameterizedTest
     @ValueSource(
@@ -42,15 +43,21 @@
                 "{\"seq\":3,\"fleet\":{\"snapshot\":true,\"endpoints\":[{\"name\":\"e1\",\"status\":\"Gone\"},7]}}",
                 "{\"seq\":3,\"fleet\":{\"snapshot\":true}}"
             })
-    void aWholeListThatCantBeReadForgetsNothing(String bad) throws InvalidInputException {
-        long born = roster.parse(GOOD.formatted("false")).engines().get(0).startedAtUs();
-        assertThrows(InvalidInputException.class, () -> roster.parse(bad));
-        assertEquals(born, roster.parse(GOOD.formatted("false")).engines().get(0).startedAtUs());
+    void invalidSnapshotKeepsRecordedStartTimes(String invalidEvent) throws InvalidInputException {
+        long startedAtBefore =
+                decoder.decode(VALID_EVENT.formatted("false")).engines().get(0).startedAtUs();
+        assertThrows(InvalidInputException.class, () -> decoder.decode(invalidEvent));
+        assertEquals(
+                startedAtBefore,
+                decoder.decode(VALID_EVENT.formatted("false")).engines().get(0).startedAtUs());
     }
 
     @Test
-    void aWholeListKeepsTheStartsItNames() throws InvalidInputException {
-        long born = roster.parse(GOOD.formatted("false")).engines().get(0).startedAtUs();
-        assertEquals(born, roster.parse(GOOD.formatted("true")).engines().get(0).startedAtUs());
+    void snapshotKeepsUnchangedStartTimes() throws InvalidInputException {
+        long startedAtBefore =
+                decoder.decode(VALID_EVENT.formatted("false")).engines().get(0).startedAtUs();
+        assertEquals(
+                startedAtBefore,
+                decoder.decode(VALID_EVENT.formatted("true")).engines().get(0).startedAtUs());
     }
 }
