--- a/src/test/java/calicostream/platform/JsonRpcServerHarness.java
+++ b/src/test/java/calicostream/platform/JsonRpcServerHarness.java
@@ -34,18 +34,31 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A front end's parts on real sockets, in this process. What a test does {@link #on} the loop's
- * thread happens in one turn: what arrives at a socket meanwhile is there and unread, whatever the
- * test does next, so that two events cross in a known order.
+ * The components of a front end in this process, on real sockets. A test can run a task in a single
+ * iteration of the event loop, with {@link #runOnLoop}: bytes that arrive at a socket meanwhile
+ * stay unread until the task ends. So a test determines the order of two events that cross.
  */
 final class JsonRpcServerHarness implements AutoCloseable {
-    static final int WIDE = 0;
-    static final int NARROW = 1; // a kind of engine that takes two requests at once
-    static final int LOOK = 0;
-    static final int LOAD = 1;
-    static final int KEYED = 2;
-    static final int IN_TURN = 3;
-    static final long WINDOW_MS = 300;
+    static final int LARGE_ENGINE_KIND = 0;
+
+    /** Engines of this kind get at most two concurrent requests. */
+    static final int SMALL_ENGINE_KIND = 1;
+
+    /** The query class "lookup". */
+    static final int IDEMPOTENT_CLASS = 0;
+
+    /** The query class "load". */
+    static final int NON_IDEMPOTENT_CLASS = 1;
+
+    /** The query class "keyed", whose requests may be repeated within a time window. */
+    static final int KEYED_CLASS = 2;
+
+    /** The query class "ordered", whose requests of one key run one after another. */
+    static final int ORDERED_CLASS = 3;
+
+    /** The time in which a request of the keyed class may be repeated. */
+    static final long KEY_WINDOW_MILLIS = 300;
+
     private static final String SETTINGS =
             "lanes.count=4\n"
                     + "family_info.kind_cores=12,1\n"
@@ -56,67 +69,67 @@
                     + "rules.warm_up_us=14000000\n"
                     + "rules.fall_us=2000000\n"
                     + "rules.overload_factor=4\n"
-                    + lane(LOOK, "look", "repeatable")
-                    + lane(LOAD, "load", "once")
-                    + lane(KEYED, "keyed", "by_key")
-                    + lane(IN_TURN, "in-turn", "once")
+                    + classSettings(IDEMPOTENT_CLASS, "lookup", "repeatable")
+                    + classSettings(NON_IDEMPOTENT_CLASS, "load", "once")
+                    + classSettings(KEYED_CLASS, "keyed", "by_key")
+                    + classSettings(ORDERED_CLASS, "ordered", "once")
                     + "lanes.3.one_at_a_time=true\n"
                     + "lanes.2.key_scope=all\nlanes.2.window_us="
-                    + WINDOW_MS * 1000
+                    + KEY_WINDOW_MILLIS * 1000
                     + "\n";
     final SettingsParser settings = SettingsParser.ofLines(SETTINGS);
-    final SetClock clock = new SetClock();
+    final AdjustableClock clock = new AdjustableClock();
     final SelectorLoop loop;
     private final SelectorLoopThread thread;
-    final RespEngineClient side;
+    final RespEngineClient engineClient;
     final Gateway gateway;
-    final JsonRpcServer front;
-    final List<Client> clients = new ArrayList<>();
-    private boolean retired;
+    final JsonRpcServer server;
+    final List<TestClient> clients = new ArrayList<>();
+    private boolean drainStarted;
 
-    private static String lane(int number, String name, String effect) {
-        String at = "lanes." + number + ".";
-        return at
+    private static String classSettings(int number, String name, String effect) {
+        String prefix = "lanes." + number + ".";
+        return prefix
                 + "name="
                 + name
                 + "\n"
-                + at
+                + prefix
                 + "effect="
                 + effect
                 + "\n"
-                + at
+                + prefix
                 + "aim_us=8000000\n"
-                + at
+                + prefix
                 + "deadline_us=9000000\n";
     }
 
-    /**
-     * Real time, and what a test adds to it, or one moment that passes only where a test says so.
-     */
-    static final class SetClock extends Clock {
-        private final AtomicLong ahead = new AtomicLong();
-        private volatile long stoppedAt;
+    /** The real time plus an offset set by the test; once frozen, only the test advances it. */
+    static final class AdjustableClock extends Clock {
+        private final AtomicLong offsetMicros = new AtomicLong();
+        private volatile long frozenAt;
 
-        void advance(long us) {
-            ahead.addAndGet(us);
-            stoppedAt += stoppedAt > 0 ? us : 0;
+        void advance(long micros) {
+            offsetMicros.addAndGet(micros);
+            frozenAt += frozenAt > 0 ? micros : 0;
         }
 
-        void stop() {
-            stoppedAt = now();
+        void freeze() {
+            frozenAt = now();
         }
 
         @Override
         public long now() {
-            return stoppedAt > 0 ? stoppedAt : super.now() + ahead.get();
+            return frozenAt > 0 ? frozenAt : super.now() + offsetMicros.get();
         }
     }
 
     JsonRpcServerHarness() throws Exception {
         loop = new SelectorLoop(clock, new Deadlines());
-        side = new RespEngineClient(loop, settings.classNames(), settings.connectionSettings(), 16);
+        engineClient =
+                new RespEngineClient(
+                        loop, settings.classNames(), settings.connectionSettings(), 16);
         gateway = new Gateway(clock, loop.deadlines(), settings.settings(), RequestListener.NONE);
-        front =
+        server =
                 new JsonRpcServer(
                         loop,
                         gateway,
@@ -124,124 +137,130 @@
                         9_000_000,
                         rows -> ((TextResult) rows).text());
         thread = new SelectorLoopThread(loop);
-        on(
+        runOnLoop(
                 () -> {
-                    gateway.start(side, List.of());
-                    front.setMaxClients(100);
-                    front.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+                    gateway.start(engineClient, List.of());
+                    server.setMaxClients(100);
+                    server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
                     return null;
                 });
     }
 
-    /** Does the work in one turn of the loop. */
-    <T> T on(Callable<T> work) throws Exception {
-        return thread.call(work);
+    /** Runs a task on the loop's thread, in one iteration. */
+    <T> T runOnLoop(Callable<T> task) throws Exception {
+        return thread.call(task);
     }
 
-    /** Waits until all that is due has been done, and what it wrote has gone out. */
-    void awaitDue() throws Exception {
+    /** Waits until all due tasks have run and their output is written. */
+    void awaitDueTasks() throws Exception {
         thread.awaitDue();
-        on(() -> null); // In the turn after that.
+        runOnLoop(() -> null); // Output is written before the next iteration.
     }
 
-    /** From the loop's thread: an engine in this state. */
-    void list(long id, int kind, InetSocketAddress address, EngineLifecycle state) {
-        side.setAddress(id, address);
+    /** Adds or updates an engine; called on the loop's thread. */
+    void updateEndpoint(
+            long engineId, int kind, InetSocketAddress address, EngineLifecycle lifecycle) {
+        engineClient.setAddress(engineId, address);
         gateway.endpointsChanged(
-                EndpointUpdate.INCREMENTAL, List.of(new EngineEndpoint(id, kind, 0, 0, 0, state)));
+                EndpointUpdate.INCREMENTAL,
+                List.of(new EngineEndpoint(engineId, kind, 0, 0, 0, lifecycle)));
     }
 
-    void listed(long id, InetSocketAddress address) throws Exception {
-        listed(id, WIDE, address);
+    /** Adds a ready engine of the large kind. */
+    void addEngine(long engineId, InetSocketAddress address) throws Exception {
+        addEngine(engineId, LARGE_ENGINE_KIND, address);
     }
 
-    void listed(long id, int kind, InetSocketAddress address) throws Exception {
-        on(
+    void addEngine(long engineId, int kind, InetSocketAddress address) throws Exception {
+        runOnLoop(
                 () -> {
-                    list(id, kind, address, EngineLifecycle.READY);
+                    updateEndpoint(engineId, kind, address, EngineLifecycle.READY);
                     return null;
                 });
     }
 
-    Client client() throws Exception {
-        return clientOf(on(front::port));
+    TestClient connect() throws Exception {
+        return connectTo(runOnLoop(server::port));
     }
 
-    /** From any thread. */
-    Client clientOf(int port) throws IOException {
-        Client client = new Client(port);
+    /** Connects a client to a port; may be called on any thread. */
+    TestClient connectTo(int port) throws IOException {
+        TestClient client = new TestClient(port);
         clients.add(client);
         return client;
     }
 
-    /** Waits until so many requests are in hand. */
-    void awaitOpen(int count) throws Exception {
-        for (long end = System.nanoTime() + ServerProgram.PATIENCE_MS * 1_000_000;
-                on(gateway::openRequests) != count; ) {
-            if (System.nanoTime() > end) {
+    /** Waits until the gateway has this number of open requests. */
+    void awaitOpenRequests(int count) throws Exception {
+        for (long timeoutAt = System.nanoTime() + ServerProgram.PATIENCE_MS * 1_000_000;
+                runOnLoop(gateway::openRequests) != count; ) {
+            if (System.nanoTime() > timeoutAt) {
                 throw new AssertionError(
-                        on(gateway::openRequests) + " requests in hand, not " + count);
+                        runOnLoop(gateway::openRequests) + " open requests, expected " + count);
             }
         }
     }
 
-    /** From the loop's thread: no new clients, and who rests is let go in this turn. */
-    void retire() throws IOException {
-        retire(3_000_000);
+    /**
+     * Starts to drain: accepts no more clients, and closes idle ones in this iteration. Called on
+     * the loop's thread.
+     */
+    void drain() throws IOException {
+        drain(3_000_000);
     }
 
-    /** The same where the process ends so soon. */
-    void retire(long lastIn) throws IOException {
-        retired = true;
-        front.drain(clock.now(), clock.now() + lastIn);
+    /** As {@link #drain()}, with the given time until the shutdown. */
+    void drain(long shutdownAfterMicros) throws IOException {
+        drainStarted = true;
+        server.drain(clock.now(), clock.now() + shutdownAfterMicros);
     }
 
     @Override
     public void close() throws Exception {
-        on(
+        runOnLoop(
                 () -> {
-                    if (!retired) {
-                        retire();
+                    if (!drainStarted) {
+                        drain();
                     }
                     loop.stop();
                     return null;
                 });
-        for (Client each : clients) {
-            each.socket.close();
+        for (TestClient client : clients) {
+            client.socket.close();
         }
     }
 
-    /** A line that asks for the request with this number as its id. */
+    /** A request line with this number as JSON-RPC id and as request id. */
     static String request(String queryClass, int number) {
         return "{\"jsonrpc\":\"2.0\",\"id\":"
                 + number
                 + ",\"method\":\""
                 + queryClass
                 + "\",\"params\":{\"i\":\""
-                + id(number)
+                + requestId(number)
                 + "\",\"d\":8000,\"content\":\"c2VsZWN0IDE=\"}}\n";
     }
 
-    static String interrupt(int number) {
+    static String cancellation(int number) {
         return "{\"jsonrpc\":\"2.0\",\"method\":\"interrupt\",\"params\":{\"id\":"
                 + number
                 + "}}\n";
     }
 
-    static String id(int number) {
+    static String requestId(int number) {
         return String.format("%016x", number);
     }
 
     /**
-     * A client of the front; all of its calls may also be made on the loop's thread, but for {@link
-     * #line}.
+     * A client of the server. All methods except {@link #readLine} may also be called on the loop's
+     * thread.
      */
-    static final class Client {
+    static final class TestClient {
         final Socket socket;
         private final int port;
         private final BufferedReader in;
 
-        Client(int port) throws IOException {
+        TestClient(int port) throws IOException {
             this.port = port;
             socket = new Socket(InetAddress.getLoopbackAddress(), port);
             socket.setTcpNoDelay(true);
@@ -260,73 +279,84 @@
             socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
         }
 
-        /** Sends, and waits until it lies unread at the front: on the loop's thread. */
-        void sendUnread(String text) throws IOException {
+        /**
+         * Sends a text and waits until it is unread in the server's socket. Called on the loop's
+         * thread, so that the server can't read it meanwhile.
+         */
+        void sendAndAwaitArrival(String text) throws IOException {
             send(text);
             SocketTable.awaitUnread(port, socket.getLocalPort(), text.length());
         }
 
-        /** Closes, and waits until the front's socket has heard of it: on the loop's thread. */
-        void closeUnread() throws IOException {
-            int local = socket.getLocalPort();
+        /**
+         * Closes the connection and waits until the close has reached the server's socket. Called
+         * on the loop's thread.
+         */
+        void closeAndAwaitArrival() throws IOException {
+            int localPort = socket.getLocalPort();
             socket.close();
-            SocketTable.awaitEnd(port, local);
+            SocketTable.awaitEnd(port, localPort);
         }
 
-        /** The same with a reset. */
-        void resetUnread() throws IOException {
-            int local = socket.getLocalPort();
+        /** As {@link #closeAndAwaitArrival}, with a reset. */
+        void resetAndAwaitArrival() throws IOException {
+            int localPort = socket.getLocalPort();
             socket.setSoLinger(true, 0);
             socket.close();
-            SocketTable.awaitReset(port, local);
+            SocketTable.awaitReset(port, localPort);
         }
 
-        /** The next line, or null at the end; a connection that is reset is an exception. */
-        String line() throws IOException {
+        /**
+         * Reads the next line; null at the end of the stream. Throws if the connection is reset.
+         */
+        String readLine() throws IOException {
             return in.readLine();
         }
     }
 
-    /** A front whose client leaves when a test says so, which nothing but a question tells. */
-    static final class Asker implements ResponseHandler {
-        final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
-        volatile boolean left;
+    /**
+     * Records the outcomes of requests. Its client leaves when the test sets {@link #clientGone},
+     * which the gateway can only find out with {@link #isClientGone}.
+     */
+    static final class RecordingResponseHandler implements ResponseHandler {
+        final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
+        volatile boolean clientGone;
 
         @Override
         public boolean isClientGone(long tag) {
-            return left;
+            return clientGone;
         }
 
         @Override
         public void served(long tag, RequestResult result) {
-            answers.add(
+            outcomes.add(
                     "served "
                             + new String(((TextResult) result).text(), StandardCharsets.UTF_8)
                                     .trim());
         }
 
         @Override
-        public void rejected(long tag, long retryAfterMs) {
-            answers.add("refused");
+        public void rejected(long tag, long retryAfterMillis) {
+            outcomes.add("rejected");
         }
 
         @Override
-        public void failed(long tag, FailureReason why) {
-            answers.add("failed");
+        public void failed(long tag, FailureReason reason) {
+            outcomes.add("failed");
         }
 
-        String answer() throws InterruptedException {
-            return answers.poll(ServerProgram.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        String awaitOutcome() throws InterruptedException {
+            return outcomes.poll(ServerProgram.PATIENCE_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** From the loop's thread: a request of the asker; its handle. */
-    long ask(Asker asker, int queryClass, int number) {
+    /** Passes a request to the gateway and returns its handle. Called on the loop's thread. */
+    long acceptRequest(RecordingResponseHandler handler, int queryClass, int number) {
         return gateway.accept(
                 IncomingRequest.of(
-                        asker,
+                        handler,
                         number,
-                        id(number),
+                        requestId(number),
                         queryClass,
                         1,
                         8_000_000,
--- a/src/test/java/calicostream/platform/LoadProbeTest.java
+++ b/src/test/java/calicostream/platform/LoadProbeTest.java
@@ -23,15 +23,12 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/**
- * What becomes of the module's questions how an engine fares, against an engine that answers as a
- * test says.
- */
+/** Load probes over RESP, with a fake engine whose responses each test chooses. */
 class LoadProbeTest {
-    private static final long IDLE_US = 10_000_000;
+    private static final long IDLE_TIMEOUT_MICROS = 10_000_000;
     private static final String SETTINGS =
             "lanes.count=1\n"
-                    + "lanes.0.name=look\n"
+                    + "lanes.0.name=lookup\n"
                     + "lanes.0.effect=repeatable\n"
                     + "lanes.0.aim_us=800000\n"
                     + "lanes.0.deadline_us=4000000\n"
@@ -39,170 +36,178 @@
                     + "ceilings.may_probe=true\n"
                     + "ceilings.dial_timeout_us=60000000\n"
                     + "ceilings.conn_idle_us="
-                    + IDLE_US
+                    + IDLE_TIMEOUT_MICROS
                     + "\nstats.how=on_probe\nstats.columns=inflight,queue,x0\n";
-    private static final long ID = 1;
-    private final JsonRpcServerHarness.SetClock clock = new JsonRpcServerHarness.SetClock();
+    private static final long ENGINE_ID = 1;
+    private final JsonRpcServerHarness.AdjustableClock clock =
+            new JsonRpcServerHarness.AdjustableClock();
     private final SettingsParser settings = SettingsParser.ofLines(SETTINGS);
-    private FakeRespEngine stand;
+    private FakeRespEngine engine;
     private SelectorLoop loop;
     private SelectorLoopThread thread;
-    private RespEngineClient side;
+    private RespEngineClient engineClient;
     private Gateway gateway;
 
     @BeforeEach
     void start() throws Exception {
-        stand = new FakeRespEngine();
+        engine = new FakeRespEngine();
         loop = new SelectorLoop(clock, new Deadlines());
-        side = new RespEngineClient(loop, settings.classNames(), settings.connectionSettings(), 16);
+        engineClient =
+                new RespEngineClient(
+                        loop, settings.classNames(), settings.connectionSettings(), 16);
         gateway = new Gateway(clock, loop.deadlines(), settings.settings(), RequestListener.NONE);
         thread = new SelectorLoopThread(loop);
-        on(
+        runOnLoop(
                 () -> {
-                    side.setAddress(ID, stand.address());
+                    engineClient.setAddress(ENGINE_ID, engine.address());
                     gateway.start(
-                            side,
-                            List.of(new EngineEndpoint(ID, 0, 0, 0, 0, EngineLifecycle.READY)));
+                            engineClient,
+                            List.of(
+                                    new EngineEndpoint(
+                                            ENGINE_ID, 0, 0, 0, 0, EngineLifecycle.READY)));
                     return null;
                 });
     }
 
     @AfterEach
-    void end() throws IOException {
+    void stop() throws IOException {
         loop.post(loop::stop);
-        stand.close();
+        engine.close();
     }
 
-    private <T> T on(Callable<T> work) throws Exception {
-        return thread.call(work);
+    private <T> T runOnLoop(Callable<T> task) throws Exception {
+        return thread.call(task);
     }
 
     private String probe() throws Exception {
-        on(
+        runOnLoop(
                 () -> {
-                    gateway.probeLoad(ID);
+                    gateway.probeLoad(ENGINE_ID);
                     return null;
                 });
-        return stand.command();
+        return engine.command();
     }
 
     /**
-     * An unfit engine, a late, second or uncalled-for answer and none at all: the connection stays,
-     * and so does the engine.
+     * Unfit, late, duplicate, unexpected and missing probe responses must neither close the
+     * connection nor exclude the engine.
      */
     @Test
-    void oneConnectionCarriesThemAll() throws Exception {
+    void unusualProbeResponsesKeepConnectionAndEngine() throws Exception {
         assertEquals("STAT|probe1", probe());
-        stand.answer("probe1|FIT|stats=inflight:3;queue:0;x0:0.4|");
-        stand.answer("probe1|FIT|stats=inflight:3|");
-        stand.answer("probe7|FIT|-|");
+        engine.answer("probe1|FIT|stats=inflight:3;queue:0;x0:0.4|");
+        engine.answer("probe1|FIT|stats=inflight:3|");
+        engine.answer("probe7|FIT|-|");
         assertEquals("STAT|probe2", probe());
-        stand.answer("probe2|UNFIT|-|");
+        engine.answer("probe2|UNFIT|-|");
         assertEquals("STAT|probe3", probe());
-        assertEquals("STAT|probe4", probe(), "the one before was never answered");
-        stand.answer("probe4|FIT|stats=inflight:-3;queue:1e99;x0:no;what:1;|");
-        stand.answer("probe3|FIT|-|");
+        assertEquals("STAT|probe4", probe(), "the previous probe got no response");
+        engine.answer("probe4|FIT|stats=inflight:-3;queue:1e99;x0:no;what:1;|");
+        engine.answer("probe3|FIT|-|");
         assertEquals("STAT|probe5", probe());
-        stand.raw("*4\r\n$6\r\nprobe5\r\n$3\r\nFIT\r\n$1\r\n-\r\n$0\r\n\r\n");
+        engine.raw("*4\r\n$6\r\nprobe5\r\n$3\r\nFIT\r\n$1\r\n-\r\n$0\r\n\r\n");
         assertEquals("STAT|probe6", probe());
-        assertEquals(
-                0, on(gateway::excludedEngines), "nothing of this is a reason to leave it out");
+        assertEquals(0, runOnLoop(gateway::excludedEngines), "the engine must not be excluded");
     }
 
     @Test
-    void anAnswerOfAnUnknownKindCostsTheConnection() throws Exception {
+    void unknownKindOfProbeResponseClosesConnection() throws Exception {
         assertEquals("STAT|probe1", probe());
-        stand.answer("probe1|FINE|-|");
-        assertTrue(stand.ended());
-        assertEquals("STAT|probe2", probe(), "on another one");
+        engine.answer("probe1|FINE|-|");
+        assertTrue(engine.ended());
+        assertEquals("STAT|probe2", probe(), "on a new connection");
     }
 
     @Test
-    void whoCanNotBeReachedIsLeftOut() throws Exception {
-        stand.die();
-        for (long end = System.nanoTime() + ServerProgram.PATIENCE_MS * 1_000_000;
-                on(gateway::excludedEngines) == 0; ) {
-            assertTrue(System.nanoTime() < end, "the engine is still used");
-            on(
-                    () -> { // A socket that closes may still take one connection, and break it.
-                        gateway.probeLoad(ID);
+    void unreachableEngineIsExcluded() throws Exception {
+        engine.die();
+        for (long timeoutAt = System.nanoTime() + ServerProgram.PATIENCE_MS * 1_000_000;
+                runOnLoop(gateway::excludedEngines) == 0; ) {
+            assertTrue(System.nanoTime() < timeoutAt, "the engine was not excluded");
+            runOnLoop(
+                    () -> { // A closing listener may still accept one connection and reset it.
+                        gateway.probeLoad(ENGINE_ID);
                         return null;
                     });
         }
     }
 
     /**
-     * The engine's close of a resting connection lies unread when it is asked: the question goes by
-     * another one.
+     * The engine closes an idle connection, and the probe is sent before the close is processed: it
+     * must use another connection.
      */
     @Test
-    void aQuestionDoesNotGoByAConnectionThatItsEngineHasClosed() throws Exception {
+    void probeAvoidsConnectionClosedByEngine() throws Exception {
         assertEquals("STAT|probe1", probe());
-        stand.answer("probe1|FIT|stats=inflight:3|");
-        on(
+        engine.answer("probe1|FIT|stats=inflight:3|");
+        runOnLoop(
                 () -> {
-                    stand.leave();
-                    gateway.probeLoad(ID);
+                    engine.leave();
+                    gateway.probeLoad(ENGINE_ID);
                     return null;
                 });
-        assertEquals("STAT|probe2", stand.command());
+        assertEquals("STAT|probe2", engine.command());
     }
 
-    /** The connection has rested for nearly as long as it may when the engine is asked by it. */
+    /** A probe is sent shortly before the idle timeout: the timer must not close the connection. */
     @Test
-    void aConnectionIsNotClosedAsIdleUnderAQuestion() throws Exception {
+    void pendingProbeKeepsIdleConnectionOpen() throws Exception {
         assertEquals("STAT|probe1", probe());
-        stand.answer("probe1|FIT|stats=inflight:3|");
-        on(
+        engine.answer("probe1|FIT|stats=inflight:3|");
+        runOnLoop(
                 () -> {
-                    clock.advance(IDLE_US * 6 / 10);
-                    gateway.probeLoad(ID);
+                    clock.advance(IDLE_TIMEOUT_MICROS * 6 / 10);
+                    gateway.probeLoad(ENGINE_ID);
                     return null;
                 });
-        assertEquals("STAT|probe2", stand.command());
-        on(
+        assertEquals("STAT|probe2", engine.command());
+        runOnLoop(
                 () -> {
-                    clock.advance(IDLE_US * 2 / 10);
+                    clock.advance(IDLE_TIMEOUT_MICROS * 2 / 10);
                     return null;
                 });
         thread.awaitDue();
-        stand.answer("probe2|FIT|stats=inflight:3|");
+        engine.answer("probe2|FIT|stats=inflight:3|");
         assertEquals("STAT|probe3", probe());
-        assertEquals(1, stand.connections());
+        assertEquals(1, engine.connections());
     }
 
     /**
-     * The list gives an engine another address while a question waits for its connection to the old
-     * one: our own close is no failure of it.
+     * The engine's address changes while a probe waits for a connection to the old address. Closing
+     * that connection must not count as a failure of the engine.
      */
     @Test
-    void anEngineThatMovesUnderAQuestionIsNotLeftOut() throws Exception {
-        try (UnacceptingServer late = new UnacceptingServer()) {
-            on(
+    void addressChangeDuringProbeDoesNotExcludeEngine() throws Exception {
+        try (UnacceptingServer unacceptingServer = new UnacceptingServer()) {
+            runOnLoop(
                     () -> {
-                        side.setAddress(ID, late.address());
-                        gateway.probeLoad(ID);
-                        side.setAddress(ID, stand.address());
+                        engineClient.setAddress(ENGINE_ID, unacceptingServer.address());
+                        gateway.probeLoad(ENGINE_ID);
+                        engineClient.setAddress(ENGINE_ID, engine.address());
                         return null;
                     });
-            assertEquals(0, on(gateway::excludedEngines), "it was benched for what we did");
+            assertEquals(0, runOnLoop(gateway::excludedEngines), "the engine must not be excluded");
             assertEquals("STAT|probe2", probe());
         }
     }
 
     @Test
-    void anEngineThatDrainsIsNotAsked() throws Exception {
-        on(
+    void drainingEngineIsNotProbed() throws Exception {
+        runOnLoop(
                 () -> {
                     gateway.endpointsChanged(
                             EndpointUpdate.INCREMENTAL,
-                            List.of(new EngineEndpoint(ID, 0, 0, 0, 0, EngineLifecycle.DRAINING)));
-                    gateway.probeLoad(ID);
+                            List.of(
+                                    new EngineEndpoint(
+                                            ENGINE_ID, 0, 0, 0, 0, EngineLifecycle.DRAINING)));
+                    gateway.probeLoad(ENGINE_ID);
                     gateway.endpointsChanged(
                             EndpointUpdate.INCREMENTAL,
-                            List.of(new EngineEndpoint(ID, 0, 0, 0, 0, EngineLifecycle.READY)));
+                            List.of(
+                                    new EngineEndpoint(
+                                            ENGINE_ID, 0, 0, 0, 0, EngineLifecycle.READY)));
                     return null;
                 });
-        assertEquals("STAT|probe1", probe(), "the first that goes out");
+        assertEquals("STAT|probe1", probe(), "the first probe sent");
     }
 }
--- a/src/test/java/calicostream/platform/RaceConditionTest.java
+++ b/src/test/java/calicostream/platform/RaceConditionTest.java
@@ -1,20 +1,20 @@
 // SPDX-License-Identifier: Apache-2.0
 package calicostream.platform;
 
-import static calicostream.platform.JsonRpcServerHarness.KEYED;
-import static calicostream.platform.JsonRpcServerHarness.LOAD;
-import static calicostream.platform.JsonRpcServerHarness.LOOK;
-import static calicostream.platform.JsonRpcServerHarness.id;
-import static calicostream.platform.JsonRpcServerHarness.interrupt;
+import static calicostream.platform.JsonRpcServerHarness.IDEMPOTENT_CLASS;
+import static calicostream.platform.JsonRpcServerHarness.KEYED_CLASS;
+import static calicostream.platform.JsonRpcServerHarness.NON_IDEMPOTENT_CLASS;
+import static calicostream.platform.JsonRpcServerHarness.cancellation;
 import static calicostream.platform.JsonRpcServerHarness.request;
+import static calicostream.platform.JsonRpcServerHarness.requestId;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicostream.platform.JsonRpcServerHarness.Asker;
-import calicostream.platform.JsonRpcServerHarness.Client;
+import calicostream.platform.JsonRpcServerHarness.RecordingResponseHandler;
+import calicostream.platform.JsonRpcServerHarness.TestClient;
 import calicostream.routing.EngineLifecycle;
 import calicostream.wire.FakeRespEngine;
 import calicostream.wire.SocketTable;
@@ -32,608 +32,617 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Two events on real connections, in the order that does harm, every time: {@code
- * docs/design/race-conditions.md} has the table.
+ * Race conditions on real connections: each test produces two events in the harmful order, on every
+ * run. {@code docs/design/race-conditions.md} lists them.
  */
 class RaceConditionTest {
-    private static final long ENGINE = 1;
-    private static final long OTHER = 2;
-    private JsonRpcServerHarness rig;
-    private FakeRespEngine stand;
+    private static final long ENGINE_ID = 1;
+    private static final long OTHER_ENGINE_ID = 2;
+    private JsonRpcServerHarness harness;
+    private FakeRespEngine engine;
 
     @BeforeEach
     void start() throws Exception {
-        rig = new JsonRpcServerHarness();
-        stand = new FakeRespEngine();
+        harness = new JsonRpcServerHarness();
+        engine = new FakeRespEngine();
     }
 
     @AfterEach
-    void end() throws Exception {
-        rig.close();
-        stand.close();
+    void stop() throws Exception {
+        harness.close();
+        engine.close();
     }
 
     /**
-     * An engine with a connection that rests, so that a request goes out in the turn in which it is
-     * sent.
+     * Adds an engine and opens a connection to it, so that a request is sent in the iteration in
+     * which it is accepted.
      */
-    private void warm(Client by) throws Exception {
-        warm(by, JsonRpcServerHarness.WIDE);
+    private void addEngineWithIdleConnection(TestClient client) throws Exception {
+        addEngineWithIdleConnection(client, JsonRpcServerHarness.LARGE_ENGINE_KIND);
     }
 
-    private void warm(Client by, int kind) throws Exception {
-        rig.listed(ENGINE, kind, stand.address());
-        serve(by, 900);
+    private void addEngineWithIdleConnection(TestClient client, int kind) throws Exception {
+        harness.addEngine(ENGINE_ID, kind, engine.address());
+        assertRequestServed(client, 900);
     }
 
-    /** An engine with no room for more; the handle of one of the two requests that take it. */
-    private long full(Client by) throws Exception {
-        warm(by, JsonRpcServerHarness.NARROW);
-        Asker asker = new Asker();
-        long first =
-                rig.on(
+    /** Adds an engine and fills it with two requests; returns the handle of one of them. */
+    private long fillEngine(TestClient client) throws Exception {
+        addEngineWithIdleConnection(client, JsonRpcServerHarness.SMALL_ENGINE_KIND);
+        RecordingResponseHandler handler = new RecordingResponseHandler();
+        long handle =
+                harness.runOnLoop(
                         () -> {
-                            rig.ask(asker, LOOK, 802);
-                            return rig.ask(asker, LOOK, 801);
+                            harness.acceptRequest(handler, IDEMPOTENT_CLASS, 802);
+                            return harness.acceptRequest(handler, IDEMPOTENT_CLASS, 801);
                         });
-        twoAreHeardOf();
-        return first;
+        acknowledgeTwoRequests();
+        return handle;
     }
 
     /**
-     * Takes two requests and sends a sign of each, without which their connections would be in
-     * doubt, and left, once they are called off.
+     * Receives two requests and sends progress for each. A connection that has received nothing
+     * since a request would not be reused after the request's cancellation.
      */
-    private void twoAreHeardOf() throws Exception {
+    private void acknowledgeTwoRequests() throws Exception {
         for (int i = 0; i < 2; i++) {
-            String[] asked = stand.command().split("\\|");
-            assertEquals("REQ", asked[0]);
-            stand.answer(asked[1] + "|TELL|-|");
-            stand.awaitRead(asked[1]);
+            String[] commandParts = engine.command().split("\\|");
+            assertEquals("REQ", commandParts[0]);
+            engine.answer(commandParts[1] + "|TELL|-|");
+            engine.awaitRead(commandParts[1]);
         }
-        rig.on(() -> null);
+        harness.runOnLoop(() -> null);
     }
 
-    private void serve(Client client, int number) throws Exception {
-        client.send(request("look", number));
+    private void assertRequestServed(TestClient client, int number) throws Exception {
+        client.send(request("lookup", number));
         assertServed(client, number);
     }
 
-    private void assertServed(Client client, int number) throws Exception {
+    private void assertServed(TestClient client, int number) throws Exception {
         assertTrue(
-                stand.command().startsWith("REQ|" + id(number)),
-                "the first that goes out is " + number);
-        stand.answer(id(number) + "|DONE|sheets=1|row\n");
+                engine.command().startsWith("REQ|" + requestId(number)),
+                "the first request sent must be " + number);
+        engine.answer(requestId(number) + "|DONE|sheets=1|row\n");
         assertTrue(
-                client.line().startsWith("{\"jsonrpc\":\"2.0\",\"id\":" + number + ",\"result\""));
+                client.readLine()
+                        .startsWith("{\"jsonrpc\":\"2.0\",\"id\":" + number + ",\"result\""));
     }
 
-    // ---- A client that has gone
-    // ------------------------------------------------------------------------
+    // Clients that close or cancel
+
     /**
-     * The engine has room again in the turn in which the client's close, or its reset, lies unread.
+     * A slot of the engine becomes free in the iteration in which the client's close or reset is
+     * still unread.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void whatWaitedForRoomIsNotSentOnceItsClientHasClosed(boolean reset) throws Exception {
-        Client leaves = rig.client();
-        Client stays = rig.client();
-        long before = full(stays);
-        leaves.send(request("look", 1));
-        rig.awaitOpen(3);
-        rig.on(
+    void queuedRequestIsNotSentAfterClientClosed(boolean reset) throws Exception {
+        TestClient leavingClient = harness.connect();
+        TestClient otherClient = harness.connect();
+        long firstHandle = fillEngine(otherClient);
+        leavingClient.send(request("lookup", 1));
+        harness.awaitOpenRequests(3);
+        harness.runOnLoop(
                 () -> {
                     if (reset) {
-                        leaves.resetUnread();
+                        leavingClient.resetAndAwaitArrival();
                     } else {
-                        leaves.closeUnread();
+                        leavingClient.closeAndAwaitArrival();
                     }
-                    rig.gateway.abandon(before);
+                    harness.gateway.abandon(firstHandle);
                     return null;
                 });
-        assertEquals("STOP|" + id(801), stand.command());
-        rig.awaitOpen(1);
-        serve(stays, 901);
+        assertEquals("STOP|" + requestId(801), engine.command());
+        harness.awaitOpenRequests(1);
+        assertRequestServed(otherClient, 901);
     }
 
-    /** The same with a word instead of a close: the connection stays and is served on. */
+    /** As above with a cancellation; the connection stays open and is served. */
     @Test
-    void whatWaitedForRoomIsNotSentOnceItsClientHasCancelled() throws Exception {
-        Client client = rig.client();
-        long before = full(client);
-        client.send(request("look", 901));
-        client.send(request("look", 902));
-        rig.awaitOpen(4);
-        rig.on(
+    void queuedRequestIsNotSentAfterCancellation() throws Exception {
+        TestClient client = harness.connect();
+        long firstHandle = fillEngine(client);
+        client.send(request("lookup", 901));
+        client.send(request("lookup", 902));
+        harness.awaitOpenRequests(4);
+        harness.runOnLoop(
                 () -> {
-                    client.sendUnread(interrupt(901));
-                    rig.gateway.abandon(before);
+                    client.sendAndAwaitArrival(cancellation(901));
+                    harness.gateway.abandon(firstHandle);
                     return null;
                 });
-        assertEquals("STOP|" + id(801), stand.command());
+        assertEquals("STOP|" + requestId(801), engine.command());
         assertServed(client, 902);
-        rig.awaitOpen(1);
-        serve(client, 903);
+        harness.awaitOpenRequests(1);
+        assertRequestServed(client, 903);
     }
 
-    /** The word on a request is in the same write, behind it: the request is handled first. */
+    /**
+     * The cancellation follows its request in the same write, so the request is processed first.
+     */
     @Test
-    void aRequestWhoseCancelCameWithItIsNotSent() throws Exception {
-        Client client = rig.client();
-        warm(client);
-        client.send(request("look", 901) + interrupt(901) + request("look", 902));
+    void requestIsNotSentIfCancelledInSameWrite() throws Exception {
+        TestClient client = harness.connect();
+        addEngineWithIdleConnection(client);
+        client.send(request("lookup", 901) + cancellation(901) + request("lookup", 902));
         assertServed(client, 902);
     }
 
-    /** Many requests at once and gone: the close has come before the first is handled. */
+    /** The client sends many requests and closes before the first of them is processed. */
     @Test
-    void noneOfManyIsSentOnceTheirClientHasClosed() throws Exception {
-        Client leaves = rig.client();
-        Client stays = rig.client();
-        warm(stays);
-        rig.on(
+    void pipelinedRequestsAreNotSentAfterClientClosed() throws Exception {
+        TestClient leavingClient = harness.connect();
+        TestClient otherClient = harness.connect();
+        addEngineWithIdleConnection(otherClient);
+        harness.runOnLoop(
                 () -> {
                     StringBuilder lines = new StringBuilder();
                     for (int i = 1; i <= 30; i++) {
-                        lines.append(request("look", i));
+                        lines.append(request("lookup", i));
                     }
-                    leaves.sendUnread(lines.toString());
-                    leaves.closeUnread();
+                    leavingClient.sendAndAwaitArrival(lines.toString());
+                    leavingClient.closeAndAwaitArrival();
                     return null;
                 });
-        serve(stays, 901);
-        rig.awaitOpen(0);
+        assertRequestServed(otherClient, 901);
+        harness.awaitOpenRequests(0);
     }
 
-    /** What it had out is called off one by one, and each makes room for what it had waiting. */
+    /** Each cancelled request frees a slot that a queued request of the same client could take. */
     @Test
-    void noneThatWaitsIsSentAsItsClientsOthersAreCalledOff() throws Exception {
-        Client leaves = rig.client();
-        Client stays = rig.client();
-        warm(stays, JsonRpcServerHarness.NARROW);
-        leaves.send(
-                request("look", 1) + request("look", 2) + request("look", 3) + request("look", 4));
-        twoAreHeardOf();
-        rig.awaitOpen(4);
-        leaves.socket.close();
-        rig.awaitOpen(0);
-        assertTrue(stand.command().startsWith("STOP|"));
-        assertTrue(stand.command().startsWith("STOP|"));
-        serve(stays, 901);
+    void queuedRequestsOfClosedClientAreNotSent() throws Exception {
+        TestClient leavingClient = harness.connect();
+        TestClient otherClient = harness.connect();
+        addEngineWithIdleConnection(otherClient, JsonRpcServerHarness.SMALL_ENGINE_KIND);
+        leavingClient.send(
+                request("lookup", 1)
+                        + request("lookup", 2)
+                        + request("lookup", 3)
+                        + request("lookup", 4));
+        acknowledgeTwoRequests();
+        harness.awaitOpenRequests(4);
+        leavingClient.socket.close();
+        harness.awaitOpenRequests(0);
+        assertTrue(engine.command().startsWith("STOP|"));
+        assertTrue(engine.command().startsWith("STOP|"));
+        assertRequestServed(otherClient, 901);
     }
 
     @Test
-    void aFurtherAttemptIsNotSentOnceTheClientHasGone() throws Exception {
-        try (FakeRespEngine other = new FakeRespEngine()) {
-            Asker asker = new Asker();
-            rig.listed(ENGINE, stand.address());
-            rig.on(
+    void retryIsNotSentAfterClientIsGone() throws Exception {
+        try (FakeRespEngine otherEngine = new FakeRespEngine()) {
+            RecordingResponseHandler handler = new RecordingResponseHandler();
+            harness.addEngine(ENGINE_ID, engine.address());
+            harness.runOnLoop(
                     () -> {
-                        rig.ask(asker, LOOK, 1);
+                        harness.acceptRequest(handler, IDEMPOTENT_CLASS, 1);
                         return null;
                     });
-            assertTrue(stand.command().startsWith("REQ|" + id(1)));
-            rig.listed(OTHER, other.address());
-            asker.left = true;
-            stand.answer(id(1) + "|WAIT|-|");
-            rig.awaitOpen(0);
-            asker.left = false;
-            rig.on(
+            assertTrue(engine.command().startsWith("REQ|" + requestId(1)));
+            harness.addEngine(OTHER_ENGINE_ID, otherEngine.address());
+            handler.clientGone = true;
+            engine.answer(requestId(1) + "|WAIT|-|");
+            harness.awaitOpenRequests(0);
+            handler.clientGone = false;
+            harness.runOnLoop(
                     () -> {
-                        rig.list(
-                                ENGINE,
-                                JsonRpcServerHarness.WIDE,
-                                stand.address(),
+                        harness.updateEndpoint(
+                                ENGINE_ID,
+                                JsonRpcServerHarness.LARGE_ENGINE_KIND,
+                                engine.address(),
                                 EngineLifecycle.DRAINING);
-                        rig.ask(asker, LOOK, 2);
+                        harness.acceptRequest(handler, IDEMPOTENT_CLASS, 2);
                         return null;
                     });
-            assertTrue(other.command().startsWith("REQ|" + id(2)), "the first that goes there");
+            assertTrue(
+                    otherEngine.command().startsWith("REQ|" + requestId(2)),
+                    "the first request sent to the other engine");
         }
     }
 
-    /** The connection comes up a second late, and the client has gone meanwhile. */
+    /** The client leaves while its request waits for a slow connect to the engine. */
     @Test
-    void whatWaitedForItsConnectionIsNotSentOnceItsClientHasGone() throws Exception {
-        try (UnacceptingServer late = new UnacceptingServer()) {
-            Asker asker = new Asker();
-            rig.listed(ENGINE, late.address());
-            rig.on(
+    void connectDoesNotSendRequestOfGoneClient() throws Exception {
+        try (UnacceptingServer unacceptingServer = new UnacceptingServer()) {
+            RecordingResponseHandler handler = new RecordingResponseHandler();
+            harness.addEngine(ENGINE_ID, unacceptingServer.address());
+            harness.runOnLoop(
                     () -> {
-                        rig.ask(asker, LOOK, 1);
+                        harness.acceptRequest(handler, IDEMPOTENT_CLASS, 1);
                         return null;
                     });
-            SocketTable.awaitAsked(late.address().getPort());
-            asker.left = true;
-            Socket opened = late.open();
-            rig.awaitOpen(0);
-            assertNothingArrived(opened);
+            SocketTable.awaitAsked(unacceptingServer.address().getPort());
+            handler.clientGone = true;
+            Socket accepted = unacceptingServer.open();
+            harness.awaitOpenRequests(0);
+            assertNothingReceived(accepted);
         }
     }
 
-    private void assertNothingArrived(Socket at) throws Exception {
-        rig.awaitDue();
-        assertEquals(0, at.getInputStream().available(), "bytes of a request");
+    private void assertNothingReceived(Socket socket) throws Exception {
+        harness.awaitDueTasks();
+        assertEquals(0, socket.getInputStream().available(), "bytes received of a request");
     }
 
     /**
-     * The engine never answers. The client's time began before its request was read, and ends while
-     * an answer is on its way: what is written in its last moment comes too late.
+     * The engine never responds. The client's timeout starts before its request is read, so an
+     * error that is written at the end of the timeout would arrive too late.
      */
     @ParameterizedTest
     @ValueSource(ints = {300, 8000})
-    void theLastWordIsOnItsWayBeforeTheClientsTimeIsUp(int waitMs) throws Exception {
-        Client client = rig.client();
-        warm(client);
-        rig.clock.stop();
-        client.send(request("look", 901).replace("\"d\":8000", "\"d\":" + waitMs));
-        assertTrue(stand.command().startsWith("REQ|" + id(901)));
-        rig.on(
+    void timeoutErrorIsSentBeforeClientTimeout(int timeoutMillis) throws Exception {
+        TestClient client = harness.connect();
+        addEngineWithIdleConnection(client);
+        harness.clock.freeze();
+        client.send(request("lookup", 901).replace("\"d\":8000", "\"d\":" + timeoutMillis));
+        assertTrue(engine.command().startsWith("REQ|" + requestId(901)));
+        harness.runOnLoop(
                 () -> {
-                    rig.clock.advance(waitMs * 1000L - Math.min(50_000, waitMs * 100L));
+                    harness.clock.advance(
+                            timeoutMillis * 1000L - Math.min(50_000, timeoutMillis * 100L));
                     return null;
                 });
-        assertTrue(client.line().contains("\"id\":901,\"error\""));
+        assertTrue(client.readLine().contains("\"id\":901,\"error\""));
     }
 
-    // ---- Engines
-    // ---------------------------------------------------------------------------------------
-    /** A repeat is allowed for as long as its window says; its connection comes up after that. */
+    // Engines and their connections
+
+    /** A retry is allowed within a time window, and its connection is established after that. */
     @Test
-    void aRepeatWhoseWindowHasPassedIsNotSentWhenItsConnectionComesUp() throws Exception {
-        try (UnacceptingServer late = new UnacceptingServer()) {
-            Asker asker = new Asker();
-            rig.listed(ENGINE, stand.address());
-            rig.on(
+    void connectDoesNotSendRetryAfterKeyWindow() throws Exception {
+        try (UnacceptingServer unacceptingServer = new UnacceptingServer()) {
+            RecordingResponseHandler handler = new RecordingResponseHandler();
+            harness.addEngine(ENGINE_ID, engine.address());
+            harness.runOnLoop(
                     () -> {
-                        rig.ask(asker, KEYED, 1);
+                        harness.acceptRequest(handler, KEYED_CLASS, 1);
                         return null;
                     });
-            assertTrue(stand.command().startsWith("REQ|" + id(1)));
-            rig.listed(OTHER, late.address());
-            stand.hangUp();
-            SocketTable.awaitAsked(late.address().getPort());
-            rig.on(
+            assertTrue(engine.command().startsWith("REQ|" + requestId(1)));
+            harness.addEngine(OTHER_ENGINE_ID, unacceptingServer.address());
+            engine.hangUp();
+            SocketTable.awaitAsked(unacceptingServer.address().getPort());
+            harness.runOnLoop(
                     () -> {
-                        rig.clock.advance(JsonRpcServerHarness.WINDOW_MS * 1000);
+                        harness.clock.advance(JsonRpcServerHarness.KEY_WINDOW_MILLIS * 1000);
                         return null;
                     });
-            Socket opened = late.open();
-            String answer = asker.answer();
-            assertTrue(answer != null && !answer.startsWith("served"), "" + answer);
-            assertNothingArrived(opened);
+            Socket accepted = unacceptingServer.open();
+            String outcome = handler.awaitOutcome();
+            assertTrue(outcome != null && !outcome.startsWith("served"), "" + outcome);
+            assertNothingReceived(accepted);
         }
     }
 
     /**
-     * An engine closes what rests, and nobody could tell whether a load written there has run: it
-     * goes by another connection.
+     * The engine has closed its idle connection. A non-idempotent request written to it would have
+     * an unknown outcome, so it must use another connection.
      */
     @Test
-    void aLoadIsNotSentOnAConnectionThatItsEngineHasClosed() throws Exception {
-        Client client = rig.client();
-        warm(client);
-        Asker asker = new Asker();
-        rig.on(
+    void requestAvoidsConnectionClosedByEngine() throws Exception {
+        TestClient client = harness.connect();
+        addEngineWithIdleConnection(client);
+        RecordingResponseHandler handler = new RecordingResponseHandler();
+        harness.runOnLoop(
                 () -> {
-                    stand.leave();
-                    rig.ask(asker, LOAD, 1);
+                    engine.leave();
+                    harness.acceptRequest(handler, NON_IDEMPOTENT_CLASS, 1);
                     return null;
                 });
-        assertTrue(stand.command().startsWith("REQ|" + id(1)));
-        stand.answer(id(1) + "|DONE|sheets=1|row\n");
-        assertEquals("served row", asker.answer());
+        assertTrue(engine.command().startsWith("REQ|" + requestId(1)));
+        engine.answer(requestId(1) + "|DONE|sheets=1|row\n");
+        assertEquals("served row", handler.awaitOutcome());
     }
 
-    /**
-     * The list gives an engine another address while a request waits for its connection to the old
-     * one.
-     */
+    /** The engine's address changes while a request waits for a connection to the old address. */
     @Test
-    void aRequestDoesNotReachWhoHasItsEnginesOldAddress() throws Exception {
-        try (UnacceptingServer old = new UnacceptingServer()) {
-            Asker asker = new Asker();
-            rig.listed(ENGINE, old.address());
-            rig.on(
+    void requestIsNotSentToOldEngineAddress() throws Exception {
+        try (UnacceptingServer oldServer = new UnacceptingServer()) {
+            RecordingResponseHandler handler = new RecordingResponseHandler();
+            harness.addEngine(ENGINE_ID, oldServer.address());
+            harness.runOnLoop(
                     () -> {
-                        rig.ask(asker, LOAD, 1);
+                        harness.acceptRequest(handler, NON_IDEMPOTENT_CLASS, 1);
                         return null;
                     });
-            SocketTable.awaitAsked(old.address().getPort());
-            rig.listed(ENGINE, stand.address());
-            SocketTable.awaitNobodyAsks(old.address().getPort());
-            assertTrue(stand.command().startsWith("REQ|" + id(1)));
-            stand.answer(id(1) + "|DONE|sheets=1|row\n");
-            assertEquals("served row", asker.answer());
+            SocketTable.awaitAsked(oldServer.address().getPort());
+            harness.addEngine(ENGINE_ID, engine.address());
+            SocketTable.awaitNobodyAsks(oldServer.address().getPort());
+            assertTrue(engine.command().startsWith("REQ|" + requestId(1)));
+            engine.answer(requestId(1) + "|DONE|sheets=1|row\n");
+            assertEquals("served row", handler.awaitOutcome());
         }
     }
 
-    /** The engine drains in the turn in which a request waits for its connection. */
+    /** The engine starts to drain while a request waits for its connection. */
     @Test
-    void whatWaitedForItsConnectionIsNotSentOnceItsEngineDrains() throws Exception {
-        try (UnacceptingServer late = new UnacceptingServer()) {
-            Asker asker = new Asker();
-            rig.listed(ENGINE, late.address());
-            rig.on(
+    void waitingRequestIsNotSentToDrainingEngine() throws Exception {
+        try (UnacceptingServer unacceptingServer = new UnacceptingServer()) {
+            RecordingResponseHandler handler = new RecordingResponseHandler();
+            harness.addEngine(ENGINE_ID, unacceptingServer.address());
+            harness.runOnLoop(
                     () -> {
-                        rig.ask(asker, LOAD, 1);
+                        harness.acceptRequest(handler, NON_IDEMPOTENT_CLASS, 1);
                         return null;
                     });
-            SocketTable.awaitAsked(late.address().getPort());
-            rig.on(
+            SocketTable.awaitAsked(unacceptingServer.address().getPort());
+            harness.runOnLoop(
                     () -> {
-                        rig.list(
-                                ENGINE,
-                                JsonRpcServerHarness.WIDE,
-                                late.address(),
+                        harness.updateEndpoint(
+                                ENGINE_ID,
+                                JsonRpcServerHarness.LARGE_ENGINE_KIND,
+                                unacceptingServer.address(),
                                 EngineLifecycle.DRAINING);
-                        rig.list(
-                                OTHER,
-                                JsonRpcServerHarness.WIDE,
-                                stand.address(),
+                        harness.updateEndpoint(
+                                OTHER_ENGINE_ID,
+                                JsonRpcServerHarness.LARGE_ENGINE_KIND,
+                                engine.address(),
                                 EngineLifecycle.READY);
                         return null;
                     });
-            SocketTable.awaitNobodyAsks(late.address().getPort());
+            SocketTable.awaitNobodyAsks(unacceptingServer.address().getPort());
             assertTrue(
-                    stand.command().startsWith("REQ|" + id(1)),
-                    "it never ran, so another may have it");
+                    engine.command().startsWith("REQ|" + requestId(1)),
+                    "an unsent request may run on another engine");
         }
     }
 
     /**
-     * Requests of one key come in one turn, each on a connection of its own: they run in the order
-     * in which they came.
+     * Requests of one ordered key arrive in one iteration, each on its own connection. The selector
+     * may report the connections in any order, but the requests must run in the order of arrival.
      */
     @Test
-    void requestsOfOneKeyRunInTheOrderInWhichTheyCame() throws Exception {
+    void requestsOfOneKeyRunInArrivalOrder() throws Exception {
         long seed = System.nanoTime();
-        List<Client> askers = new ArrayList<>();
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-            Client asker = rig.client();
-            asker.send("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n");
-            assertTrue(asker.line().contains("true"), "it has been taken");
-            askers.add(asker);
+            TestClient client = harness.connect();
+            client.send("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n");
+            assertTrue(client.readLine().contains("true"), "the connection must be accepted");
+            clients.add(client);
         }
-        warm(askers.get(0));
-        rig.on(() -> null); // The system has been asked since, and holds none of them for ready
-        // any more.
-        Collections.shuffle(askers, new Random(seed));
-        rig.on(
+        addEngineWithIdleConnection(clients.get(0));
+        // Another iteration, so that the selector considers none of the clients' sockets ready.
+        harness.runOnLoop(() -> null);
+        Collections.shuffle(clients, new Random(seed));
+        harness.runOnLoop(
                 () -> {
-                    for (int i = 0; i < askers.size(); i++) {
-                        askers.get(i)
-                                .sendUnread(
-                                        request("in-turn", 901 + i)
+                    for (int i = 0; i < clients.size(); i++) {
+                        clients.get(i)
+                                .sendAndAwaitArrival(
+                                        request("ordered", 901 + i)
                                                 .replace(
                                                         "\"d\"",
                                                         "\"o\":\"7f3a9c21e0b4d655\",\"d\""));
                     }
                     return null;
                 });
-        for (int i = 901; i < 901 + askers.size(); i++) {
+        for (int i = 901; i < 901 + clients.size(); i++) {
             assertTrue(
-                    stand.command().startsWith("REQ|" + id(i)), "number " + i + ", seed " + seed);
-            stand.answer(id(i) + "|DONE|sheets=1|row\n");
+                    engine.command().startsWith("REQ|" + requestId(i)),
+                    "request " + i + ", seed " + seed);
+            engine.answer(requestId(i) + "|DONE|sheets=1|row\n");
         }
     }
 
-    // ---- Pieces
-    // ------------------------------------------------------------------------------------------
-    /** Each byte is read by itself, on both sides. */
+    // Fragmented input
+
+    /** Client and engine send each byte separately, and each is read before the next is sent. */
     @Test
-    void aRequestAndItsAnswerMayComeInPiecesOfOneByte() throws Exception {
-        Client client = rig.client();
-        warm(client);
-        rig.clock.stop(); // An answer that takes long would be given up.
-        for (char each : request("look", 901).toCharArray()) {
-            client.send(String.valueOf(each));
+    void requestAndResponseMayArriveByteByByte() throws Exception {
+        TestClient client = harness.connect();
+        addEngineWithIdleConnection(client);
+        harness.clock.freeze(); // Else the slow response would time out.
+        for (char character : request("lookup", 901).toCharArray()) {
+            client.send(String.valueOf(character));
             SocketTable.awaitRead(client.port(), client.socket.getLocalPort());
         }
-        assertTrue(stand.command().startsWith("REQ|" + id(901)));
-        for (char each :
-                ("*4\r\n$16\r\n" + id(901) + "\r\n$4\r\nDONE\r\n$8\r\nsheets=1\r\n$4\r\nrow\n\r\n")
+        assertTrue(engine.command().startsWith("REQ|" + requestId(901)));
+        for (char character :
+                ("*4\r\n$16\r\n"
+                                + requestId(901)
+                                + "\r\n$4\r\nDONE\r\n$8\r\nsheets=1\r\n$4\r\nrow\n\r\n")
                         .toCharArray()) {
-            stand.raw(String.valueOf(each));
-            stand.awaitRead(id(901));
+            engine.raw(String.valueOf(character));
+            engine.awaitRead(requestId(901));
         }
-        assertTrue(client.line().contains("\"id\":901,\"result\""));
+        assertTrue(client.readLine().contains("\"id\":901,\"result\""));
     }
 
-    // ---- Closes of this side
-    // ---------------------------------------------------------------------------
-    /** A request lies unread at the moment in which its connection has rested for too long. */
+    // Closes by the server
+
+    /** The idle timeout of a client expires while its request is unread. */
     @Test
-    void aRequestThatCrossesAnIdleCloseIsServed() throws Exception {
-        Client client = rig.client();
-        warm(client);
-        rig.on(
+    void requestCrossingIdleCloseIsServed() throws Exception {
+        TestClient client = harness.connect();
+        addEngineWithIdleConnection(client);
+        harness.runOnLoop(
                 () -> {
-                    client.sendUnread(request("look", 901));
-                    rig.clock.advance(
-                            9_000_000); // The look for those that rest comes in this turn, before
-                    // anything is read.
+                    client.sendAndAwaitArrival(request("lookup", 901));
+                    // The idle check runs in this iteration, before any input is read.
+                    harness.clock.advance(9_000_000);
                     return null;
                 });
         assertServed(client, 901);
     }
 
     @Test
-    void whoRestsIsToldGoodbyeWithoutAReset() throws Exception {
-        Client client = rig.client();
-        warm(client);
-        rig.on(
+    void idleClientIsClosedWithoutReset() throws Exception {
+        TestClient client = harness.connect();
+        addEngineWithIdleConnection(client);
+        harness.runOnLoop(
                 () -> {
-                    rig.clock.advance(9_000_000);
+                    harness.clock.advance(9_000_000);
                     return null;
                 });
-        assertNull(client.line());
-        client.send(request("look", 901)); // It crosses the close: read, dropped, not sent on.
-        Client other = rig.client();
-        serve(other, 1);
+        assertNull(client.readLine());
+        client.send(request("lookup", 901)); // Crosses the close: read and discarded.
+        TestClient otherClient = harness.connect();
+        assertRequestServed(otherClient, 1);
     }
 
-    /** Empty lines are nothing to wait for, though each comes in the moment of the look. */
+    /** Empty lines that arrive just before the idle check must not keep a connection open. */
     @Test
-    void whoSendsNothingOfUseIsToldGoodbyeWhateverComes() throws Exception {
-        Client client = rig.client();
-        Client other = rig.client();
-        warm(other);
-        rig.on(
+    void clientSendingOnlyEmptyLinesIsClosed() throws Exception {
+        TestClient client = harness.connect();
+        TestClient otherClient = harness.connect();
+        addEngineWithIdleConnection(otherClient);
+        harness.runOnLoop(
                 () -> {
-                    client.sendUnread("\n\n");
-                    rig.clock.advance(5_000_000);
-                    assertTrue(rig.front.evictOne(), "it keeps nobody out");
+                    client.sendAndAwaitArrival("\n\n");
+                    harness.clock.advance(5_000_000);
+                    assertTrue(harness.server.evictOne(), "the client must be evicted");
                     return null;
                 });
-        assertNull(client.line());
-        Client again = rig.client();
-        rig.on(() -> null);
-        rig.on(
+        assertNull(client.readLine());
+        TestClient thirdClient = harness.connect();
+        harness.runOnLoop(() -> null);
+        harness.runOnLoop(
                 () -> {
-                    again.sendUnread("\n\n");
-                    rig.clock.advance(5_000_000); // The look comes in this turn.
+                    thirdClient.sendAndAwaitArrival("\n\n");
+                    harness.clock.advance(5_000_000); // The idle check runs in this iteration.
                     return null;
                 });
-        assertNull(again.line());
-        serve(rig.client(), 1);
+        assertNull(thirdClient.readLine());
+        assertRequestServed(harness.connect(), 1);
     }
 
-    /** All descriptors for clients are taken, and another client comes. */
+    /** A client connects at the limit while the connected clients have unread requests. */
     @Test
-    void whoHasJustAskedIsNotSparedForAnother() throws Exception {
-        Client first = rig.client();
-        Client second = rig.client();
-        warm(first);
-        serve(second, 1);
-        rig.on(
+    void clientWithUnreadRequestIsNotEvicted() throws Exception {
+        TestClient firstClient = harness.connect();
+        TestClient secondClient = harness.connect();
+        addEngineWithIdleConnection(firstClient);
+        assertRequestServed(secondClient, 1);
+        harness.runOnLoop(
                 () -> {
-                    rig.clock.advance(1_000_000);
-                    first.sendUnread(request("look", 901));
-                    second.sendUnread(request("look", 902));
-                    assertFalse(rig.front.evictOne(), "both have asked");
+                    harness.clock.advance(1_000_000);
+                    firstClient.sendAndAwaitArrival(request("lookup", 901));
+                    secondClient.sendAndAwaitArrival(request("lookup", 902));
+                    assertFalse(harness.server.evictOne(), "both clients have sent a request");
                     return null;
                 });
         for (int i = 0; i < 2; i++) {
-            String[] asked = stand.command().split("\\|");
-            stand.answer(asked[1] + "|DONE|sheets=1|row\n");
+            String[] commandParts = engine.command().split("\\|");
+            engine.answer(commandParts[1] + "|DONE|sheets=1|row\n");
         }
-        assertTrue(first.line().contains("\"id\":901,\"result\""));
-        assertTrue(second.line().contains("\"id\":902,\"result\""));
-        rig.on(
+        assertTrue(firstClient.readLine().contains("\"id\":901,\"result\""));
+        assertTrue(secondClient.readLine().contains("\"id\":902,\"result\""));
+        harness.runOnLoop(
                 () -> {
-                    rig.clock.advance(1_000_000);
-                    assertTrue(rig.front.evictOne(), "one that rests");
+                    harness.clock.advance(1_000_000);
+                    assertTrue(harness.server.evictOne(), "an idle client must be evicted");
                     return null;
                 });
     }
 
     /**
-     * The front ends who rests in the turn in which a request of one lies unread: it is answered,
-     * and ended with the answer.
+     * The drain closes idle clients in the iteration in which a request of one is unread. That
+     * client must be served, then closed.
      */
     @Test
-    void aRequestThatCrossesTheShutdownIsServed() throws Exception {
-        Client rests = rig.client();
-        Client asks = rig.client();
-        warm(asks);
-        rig.on(
+    void requestCrossingDrainIsServed() throws Exception {
+        TestClient idleClient = harness.connect();
+        TestClient activeClient = harness.connect();
+        addEngineWithIdleConnection(activeClient);
+        harness.runOnLoop(
                 () -> {
-                    asks.sendUnread(request("look", 901));
-                    rig.retire();
+                    activeClient.sendAndAwaitArrival(request("lookup", 901));
+                    harness.drain();
                     return null;
                 });
-        assertServed(asks, 901);
-        assertNull(asks.line());
-        assertNull(rests.line());
+        assertServed(activeClient, 901);
+        assertNull(activeClient.readLine());
+        assertNull(idleClient.readLine());
     }
 
     /**
-     * It has connected and asked, and nobody has taken its connection yet when the front takes no
-     * more: closing would reset it.
+     * A client has connected and sent a request, and its connection is not accepted when the drain
+     * starts. Closing the listener then would reset the connection.
      */
     @Test
-    void whoWaitsToBeTakenAtTheShutdownIsServed() throws Exception {
-        Client client = rig.client();
-        warm(client);
-        Client late =
-                rig.on(
+    void unacceptedConnectionIsServedDuringDrain() throws Exception {
+        TestClient client = harness.connect();
+        addEngineWithIdleConnection(client);
+        TestClient lateClient =
+                harness.runOnLoop(
                         () -> {
-                            Client connects = rig.clientOf(client.port());
-                            connects.send(request("look", 901));
+                            TestClient connecting = harness.connectTo(client.port());
+                            connecting.send(request("lookup", 901));
                             SocketTable.awaitUnread(
                                     client.port(),
-                                    connects.socket.getLocalPort(),
-                                    request("look", 901).length());
-                            rig.retire();
-                            return connects;
+                                    connecting.socket.getLocalPort(),
+                                    request("lookup", 901).length());
+                            harness.drain();
+                            return connecting;
                         });
-        assertServed(late, 901);
-        assertNull(late.line());
+        assertServed(lateClient, 901);
+        assertNull(lateClient.readLine());
     }
 
     /**
-     * It connects in the turn in which the front has taken the last one: it must be refused, not
-     * let in and reset.
+     * A client connects in the iteration in which the drain starts. It must be refused rather than
+     * connected and reset.
      */
     @Test
-    void whoConnectsBehindTheShutdownIsRefused() throws Exception {
-        Client client = rig.client();
-        warm(client);
-        rig.on(
+    void connectionAfterDrainIsRefused() throws Exception {
+        TestClient client = harness.connect();
+        addEngineWithIdleConnection(client);
+        harness.runOnLoop(
                 () -> {
-                    rig.retire();
-                    assertThrows(ConnectException.class, () -> rig.clientOf(client.port()));
+                    harness.drain();
+                    assertThrows(ConnectException.class, () -> harness.connectTo(client.port()));
                     return null;
                 });
-        assertNull(client.line());
+        assertNull(client.readLine());
     }
 
     /**
-     * A load lies unread in the last moment before the process ends: nobody could answer it any
-     * more, so it must not run.
+     * A non-idempotent request is unread just before the process ends. It would get no response, so
+     * it must not run.
      */
     @Test
-    void aRequestReadInTheLastMomentIsRefusedUnsent() throws Exception {
-        Client client = rig.client();
-        warm(client);
-        Asker asker = new Asker();
-        rig.on(
+    void requestBeforeShutdownIsRejectedUnsent() throws Exception {
+        TestClient client = harness.connect();
+        addEngineWithIdleConnection(client);
+        RecordingResponseHandler handler = new RecordingResponseHandler();
+        harness.runOnLoop(
                 () -> {
-                    client.sendUnread(request("load", 901));
-                    rig.retire(1);
+                    client.sendAndAwaitArrival(request("load", 901));
+                    harness.drain(1);
                     return null;
                 });
-        assertTrue(client.line().contains("\"id\":901,\"error\":{\"code\":-32000,"));
-        rig.on(
+        assertTrue(client.readLine().contains("\"id\":901,\"error\":{\"code\":-32000,"));
+        harness.runOnLoop(
                 () -> {
-                    rig.ask(asker, LOOK, 1);
+                    harness.acceptRequest(handler, IDEMPOTENT_CLASS, 1);
                     return null;
                 });
-        assertTrue(stand.command().startsWith("REQ|" + id(1)), "the first that goes out");
+        assertTrue(engine.command().startsWith("REQ|" + requestId(1)), "the first request sent");
     }
 
-    /** A request read once its connection is being ended can't be answered: it must not run. */
+    /** A request read after its connection was closed can't be answered, so it must not run. */
     @Test
-    void aRequestBehindTheLastWordIsNotSent() throws Exception {
-        Client rests = rig.client();
-        Client asks = rig.client();
-        warm(asks);
-        rig.on(
+    void requestAfterCloseIsNotSent() throws Exception {
+        TestClient idleClient = harness.connect();
+        TestClient activeClient = harness.connect();
+        addEngineWithIdleConnection(activeClient);
+        harness.runOnLoop(
                 () -> {
-                    rig.retire();
+                    harness.drain();
                     return null;
                 });
-        assertNull(rests.line());
-        assertNull(asks.line());
-        asks.send(request("load", 901));
-        SocketTable.awaitRead(asks.port(), asks.socket.getLocalPort());
-        Asker asker = new Asker();
-        rig.on(
+        assertNull(idleClient.readLine());
+        assertNull(activeClient.readLine());
+        activeClient.send(request("load", 901));
+        SocketTable.awaitRead(activeClient.port(), activeClient.socket.getLocalPort());
+        RecordingResponseHandler handler = new RecordingResponseHandler();
+        harness.runOnLoop(
                 () -> {
-                    rig.ask(asker, LOOK, 1);
+                    harness.acceptRequest(handler, IDEMPOTENT_CLASS, 1);
                     return null;
                 });
-        assertTrue(stand.command().startsWith("REQ|" + id(1)), "the first that goes out");
+        assertTrue(engine.command().startsWith("REQ|" + requestId(1)), "the first request sent");
     }
 }
--- a/src/test/java/calicostream/platform/RespTest.java
+++ b/src/test/java/calicostream/platform/RespTest.java
@@ -15,62 +15,62 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** RESP out of a ring, however the bytes arrive and wherever the ring's end lies. */
+/** RESP arrays must be read correctly wherever the input is split or the ring buffer wraps. */
 class RespTest {
     private static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
     @Test
-    void arraysComeOutWholeWhereverTheyAreCut() throws InvalidInputException {
-        RingBuffer ring = new RingBuffer(1 << 14);
+    void readsArraysSplitAtAnyByte() throws InvalidInputException {
+        RingBuffer buffer = new RingBuffer(1 << 14);
         Random random = new Random(5);
-        for (int round = 0; round < 300; round++) {
+        for (int iteration = 0; iteration < 300; iteration++) {
             byte[] body = new byte[random.nextInt(3000)];
             random.nextBytes(body);
-            byte[] whole = Resp.array(bytes("id" + round), bytes("DONE"), bytes("-"), body);
-            int cut = random.nextInt(whole.length);
-            assertTrue(ring.put(java.util.Arrays.copyOf(whole, cut)));
-            assertNull(Resp.take(ring));
-            assertTrue(ring.put(java.util.Arrays.copyOfRange(whole, cut, whole.length)));
-            byte[][] items = Resp.take(ring);
-            assertEquals("id" + round, new String(items[0], StandardCharsets.ISO_8859_1));
+            byte[] encoded = Resp.array(bytes("id" + iteration), bytes("DONE"), bytes("-"), body);
+            int splitAt = random.nextInt(encoded.length);
+            assertTrue(buffer.put(java.util.Arrays.copyOf(encoded, splitAt)));
+            assertNull(Resp.readArray(buffer));
+            assertTrue(buffer.put(java.util.Arrays.copyOfRange(encoded, splitAt, encoded.length)));
+            byte[][] items = Resp.readArray(buffer);
+            assertEquals("id" + iteration, new String(items[0], StandardCharsets.ISO_8859_1));
             assertEquals(
                     new String(body, StandardCharsets.ISO_8859_1),
                     new String(items[3], StandardCharsets.ISO_8859_1));
-            assertEquals(0, ring.size());
+            assertEquals(0, buffer.size());
         }
     }
 
     @Test
-    void aRingTakesAllOfSomethingOrNothing() {
-        RingBuffer ring = new RingBuffer(4096);
-        assertTrue(ring.put(new byte[4000]));
-        assertFalse(ring.put(new byte[97]));
-        assertEquals(4000, ring.size());
-        ring.skip(3990);
-        assertTrue(ring.put(bytes("x".repeat(4000))));
-        assertEquals(10, ring.indexOf((byte) 'x', 0));
+    void ringBufferPutAcceptsAllBytesOrNone() {
+        RingBuffer buffer = new RingBuffer(4096);
+        assertTrue(buffer.put(new byte[4000]));
+        assertFalse(buffer.put(new byte[97]));
+        assertEquals(4000, buffer.size());
+        buffer.skip(3990);
+        assertTrue(buffer.put(bytes("x".repeat(4000))));
+        assertEquals(10, buffer.indexOf((byte) 'x', 0));
         assertEquals(
-                "x".repeat(4000), new String(ring.copy(10, 4000), StandardCharsets.ISO_8859_1));
+                "x".repeat(4000), new String(buffer.copy(10, 4000), StandardCharsets.ISO_8859_1));
     }
 
     @Test
-    void aRingTakesMemoryOnlyWhileItHoldsBytes() {
-        RingBuffer ring = new RingBuffer(1 << 17);
-        assertEquals(0, ring.allocatedBytes());
-        assertTrue(ring.put(new byte[70_000]));
-        assertTrue(ring.allocatedBytes() >= 70_000 && ring.allocatedBytes() <= 1 << 17);
-        ring.skip(70_000);
-        assertEquals(0, ring.allocatedBytes());
-        RingBuffer.MemoryUsage all = new RingBuffer.MemoryUsage();
-        RingBuffer one = new RingBuffer(4096, all);
-        RingBuffer other = new RingBuffer(4096, all);
-        assertTrue(one.put(new byte[600]) && other.put(new byte[3000]));
-        assertEquals(one.allocatedBytes() + other.allocatedBytes(), all.bytes());
-        one.skip(600);
-        other.skip(3000);
-        assertEquals(0, all.bytes());
+    void ringBufferAllocatesMemoryOnlyWhileNotEmpty() {
+        RingBuffer buffer = new RingBuffer(1 << 17);
+        assertEquals(0, buffer.allocatedBytes());
+        assertTrue(buffer.put(new byte[70_000]));
+        assertTrue(buffer.allocatedBytes() >= 70_000 && buffer.allocatedBytes() <= 1 << 17);
+        buffer.skip(70_000);
+        assertEquals(0, buffer.allocatedBytes());
+        RingBuffer.MemoryUsage sharedUsage = new RingBuffer.MemoryUsage();
+        RingBuffer first = new RingBuffer(4096, sharedUsage);
+        RingBuffer second = new RingBuffer(4096, sharedUsage);
+        assertTrue(first.put(new byte[600]) && second.put(new byte[3000]));
+        assertEquals(first.allocatedBytes() + second.allocatedBytes(), sharedUsage.bytes());
+        first.skip(600);
+        second.skip(3000);
+        assertEquals(0, sharedUsage.bytes());
     }
 
     @ParameterizedTest
@@ -87,9 +87,9 @@
                 "*0000000000000001",
                 "*1\r\n$\r\n"
             })
-    void whatIsNotAnArrayOfBulkStringsIsBad(String text) {
-        RingBuffer ring = new RingBuffer(4096);
-        ring.put(bytes(text));
-        assertThrows(InvalidInputException.class, () -> Resp.take(ring));
+    void rejectsMalformedArrays(String input) {
+        RingBuffer buffer = new RingBuffer(4096);
+        buffer.put(bytes(input));
+        assertThrows(InvalidInputException.class, () -> Resp.readArray(buffer));
     }
 }
