--- a/src/main/java/calicostream/adapter/RouterInstance.java
+++ b/src/main/java/calicostream/adapter/RouterInstance.java
@@ -55,8 +55,8 @@
     }
 
     @Override
-    public void startAttempt(long query, long engine, long giveUpAt) {
-        reply.record(ActionCode.START_ATTEMPT, number).u32(query).engine(engine).u64(giveUpAt);
+    public void startAttempt(long query, long engine, long timeoutAt) {
+        reply.record(ActionCode.START_ATTEMPT, number).u32(query).engine(engine).u64(timeoutAt);
     }
 
     @Override
--- a/src/main/java/calicostream/budget/process/ForwardingEngineClient.java
+++ b/src/main/java/calicostream/budget/process/ForwardingEngineClient.java
@@ -44,8 +44,8 @@
     }
 
     @Override
-    public void stop(Attempt attempt) {
-        delegate.stop(attempt);
+    public void cancel(Attempt attempt) {
+        delegate.cancel(attempt);
     }
 
     @Override
--- a/src/main/java/calicostream/core/Attempt.java
+++ b/src/main/java/calicostream/core/Attempt.java
@@ -76,7 +76,7 @@
     }
 
     /** Returns the time at which the attempt times out unless its result stream has started. */
-    public long giveUpAt() {
+    public long timeoutAt() {
         return timeoutAt;
     }
 
--- a/src/main/java/calicostream/core/AttemptLifecycle.java
+++ b/src/main/java/calicostream/core/AttemptLifecycle.java
@@ -105,7 +105,7 @@
     private void send(Attempt attempt) {
         attempt.transitionTo(AttemptState.IN_FLIGHT);
         attempt.request().setActiveAttempt(attempt);
-        deadlines.add(attempt.giveUpAt(), timeoutCallback, attempt.handle());
+        deadlines.add(attempt.timeoutAt(), timeoutCallback, attempt.handle());
         engines.send(attempt);
     }
 
@@ -161,7 +161,7 @@
         Request request = requests.find(handle);
         Attempt attempt = request == null ? null : request.activeAttempt();
         if (attempt != null && attempt.number() == number && attempt.isInFlight()) {
-            engines.stop(attempt);
+            engines.cancel(attempt);
             attempt.transitionTo(AttemptState.CANCELLING);
             deadlines.add(
                     clock.now() + Gateway.CANCEL_DELIVERY_MICROS,
@@ -187,7 +187,7 @@
     /** Ends an attempt immediately and ignores later reports from its engine. */
     void abort(Attempt attempt, AttemptOutcome outcome) {
         if (!attempt.isEnded()) {
-            engines.stop(attempt);
+            engines.cancel(attempt);
             end(attempt, outcome);
         }
     }
--- a/src/main/java/calicostream/core/Clock.java
+++ b/src/main/java/calicostream/core/Clock.java
@@ -24,7 +24,7 @@
      *
      * @return a time that is not in the future, or 0 if {@code millis} is 0 or negative
      */
-    public long ofUnixMillis(long millis) {
+    public long fromUnixMillis(long millis) {
         if (millis <= 0) {
             return 0;
         }
--- a/src/main/java/calicostream/core/EngineClient.java
+++ b/src/main/java/calicostream/core/EngineClient.java
@@ -8,7 +8,7 @@
 /**
  * Sends attempts to engines. All calls are made by the gateway's thread and may take effect
  * asynchronously. The client reports the end of each attempt once, by {@link Gateway#attemptEnded},
- * unless {@link #stop} was called for it before.
+ * unless {@link #cancel} was called for it before.
  */
 public interface EngineClient {
     /** Sets the gateway to which attempts are reported; called once, before any other method. */
@@ -64,7 +64,7 @@
     void send(Attempt attempt);
 
     /** Cancels an attempt; the client need not report on it any more. */
-    void stop(Attempt attempt);
+    void cancel(Attempt attempt);
 
     /**
      * Starts a load probe of an engine; the client later calls {@link Gateway#probeCompleted} once.
--- a/src/main/java/calicostream/core/Gateway.java
+++ b/src/main/java/calicostream/core/Gateway.java
@@ -159,7 +159,7 @@
      * problem of the engine: for example, no engine can run the statement, or the result is larger
      * than the front end forwards.
      */
-    public void attemptConcluded(Attempt attempt, LoadReport report, FinalStatus status) {
+    public void attemptEndedWithStatus(Attempt attempt, LoadReport report, FinalStatus status) {
         attempts.reportEnd(new AttemptEnd(attempt, AttemptOutcome.CANCELLED, report, null, status));
     }
 
@@ -287,7 +287,7 @@
     }
 
     /** Restores the run times that another process has learned. */
-    public void learnedRunTimes(double[] byQueryClass) {
+    public void restoreLearnedRunTimes(double[] byQueryClass) {
         router.deliver(r -> r.restoreLearnedRunTimes(byQueryClass));
     }
 
--- a/src/main/java/calicostream/core/RequestLifecycle.java
+++ b/src/main/java/calicostream/core/RequestLifecycle.java
@@ -184,7 +184,7 @@
         }
         if (end.status() != null) {
             close(request, RequestOutcome.FAILED);
-            request.responseHandler().concluded(request.tag(), end.status());
+            request.responseHandler().answeredWithStatus(request.tag(), end.status());
         } else if (end.outcome() == AttemptOutcome.OK) {
             close(request, RequestOutcome.SERVED);
             request.responseHandler().served(request.tag(), end.result());
--- a/src/main/java/calicostream/core/ResponseHandler.java
+++ b/src/main/java/calicostream/core/ResponseHandler.java
@@ -6,8 +6,8 @@
 
 /**
  * The protocol server that a request came from. For each accepted request, exactly one of {@link
- * #served}, {@link #concluded}, {@link #rejected} and {@link #failed} is called, unless the request
- * is abandoned. All calls are made by the gateway's thread.
+ * #served}, {@link #answeredWithStatus}, {@link #rejected} and {@link #failed} is called, unless
+ * the request is abandoned. All calls are made by the gateway's thread.
  */
 public interface ResponseHandler {
     /**
@@ -27,7 +27,7 @@
     }
 
     /** Answers the request with a final status; fails it if the protocol has no such status. */
-    default void concluded(long tag, FinalStatus status) {
+    default void answeredWithStatus(long tag, FinalStatus status) {
         failed(tag, FailureReason.ENGINE);
     }
 
--- a/src/main/java/calicostream/core/Service.java
+++ b/src/main/java/calicostream/core/Service.java
@@ -38,7 +38,7 @@
      * @return null if the command is unknown, an empty string if it succeeded, otherwise one line
      *     with the reason of the failure
      */
-    default String administer(String command) {
+    default String runAdminCommand(String command) {
         return null;
     }
 
--- a/src/main/java/calicostream/daemon/ClusterComponent.java
+++ b/src/main/java/calicostream/daemon/ClusterComponent.java
@@ -137,7 +137,7 @@
     }
 
     @Override
-    public String administer(String command) {
+    public String runAdminCommand(String command) {
         return member.execute(command);
     }
 }
--- a/src/main/java/calicostream/daemon/ServerAssembly.java
+++ b/src/main/java/calicostream/daemon/ServerAssembly.java
@@ -110,7 +110,7 @@
     /** Engines that speak Flight SQL send no progress notifications. */
     private static RouterSettings routerSettings(SettingsParser settings, boolean flightEngines) {
         RouterSettings all = settings.settings();
-        return flightEngines ? all.withoutProgressNotes() : all;
+        return flightEngines ? all.withoutProgressReports() : all;
     }
 
     private static List<RequestListener> listeners(
--- a/src/main/java/calicostream/flight/engine/EngineCall.java
+++ b/src/main/java/calicostream/flight/engine/EngineCall.java
@@ -87,12 +87,12 @@
 
     /** Options of a call that ends with the attempt's time. */
     final CallOptions timed() {
-        long left = Math.max(1, attempt.giveUpAt() - engines.loop.clock().now());
+        long left = Math.max(1, attempt.timeoutAt() - engines.loop.clock().now());
         return CallOptions.DEFAULT.withDeadlineAfter(left, TimeUnit.MICROSECONDS);
     }
 
     final FlightServiceGrpc.FlightServiceStub stub() {
-        long left = Math.max(1, attempt.giveUpAt() - engines.loop.clock().now());
+        long left = Math.max(1, attempt.timeoutAt() - engines.loop.clock().now());
         return FlightServiceGrpc.newStub(channel).withDeadlineAfter(left, TimeUnit.MICROSECONDS);
     }
 
@@ -138,7 +138,8 @@
                     () -> {
                         ended(AttemptOutcome.CANCELLED);
                         engines.gateway()
-                                .attemptConcluded(attempt, report, new EngineResult.Word(word));
+                                .attemptEndedWithStatus(
+                                        attempt, report, new EngineResult.Word(word));
                     });
         }
     }
--- a/src/main/java/calicostream/flight/front/RequestDispatcher.java
+++ b/src/main/java/calicostream/flight/front/RequestDispatcher.java
@@ -277,7 +277,7 @@
     }
 
     @Override
-    public void concluded(long tag, FinalStatus status) {
+    public void answeredWithStatus(long tag, FinalStatus status) {
         answer(tag, reply -> reply.word(((EngineResult.Word) status).status()));
     }
 
--- a/src/main/java/calicostream/grpc/BalancedCall.java
+++ b/src/main/java/calicostream/grpc/BalancedCall.java
@@ -138,7 +138,7 @@
         AttemptResponse<R> attemptResponse =
                 new AttemptResponse<>(context.loop(), context.gateway(), attempt);
         Metadata attemptHeaders = attemptHeaders(attempt);
-        long timeLeftMicros = Math.max(1, attempt.giveUpAt() - context.loop().clock().now());
+        long timeLeftMicros = Math.max(1, attempt.timeoutAt() - context.loop().clock().now());
         ClientCall<Q, R> outbound =
                 channel.newCall(
                         method,
--- a/src/main/java/calicostream/grpc/BalancingChannel.java
+++ b/src/main/java/calicostream/grpc/BalancingChannel.java
@@ -68,7 +68,7 @@
                 new Gateway(
                         clock,
                         loop.deadlines(),
-                        settings.settings().withoutProgressNotes(),
+                        settings.settings().withoutProgressReports(),
                         listener);
         context =
                 new ChannelContext(
--- a/src/main/java/calicostream/grpc/GrpcEngineClient.java
+++ b/src/main/java/calicostream/grpc/GrpcEngineClient.java
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public void stop(Attempt attempt) {
+    public void cancel(Attempt attempt) {
         if (!channels.cancelUnsent(attempt)) {
             cancelSent(attempt);
         }
--- a/src/main/java/calicostream/lease/LeaseCommand.java
+++ b/src/main/java/calicostream/lease/LeaseCommand.java
@@ -155,7 +155,8 @@
                                     name(in), in.i64(), in.blob(LeaseLimits.MAX_PAYLOAD_BYTES));
                     case Expire.KIND -> new Expire(name(in), in.i64(), in.i64());
                     case RaiseTokenFloor.KIND -> new RaiseTokenFloor(in.i64());
-                    default -> throw in.malformed("unknown command kind " + kind);
+                    // Stored in replicated state: all versions must write the same text.
+                    default -> throw in.malformed("no command has the kind " + kind);
                 };
         in.requireEnd();
         return command;
--- a/src/main/java/calicostream/platform/EndpointListDecoder.java
+++ b/src/main/java/calicostream/platform/EndpointListDecoder.java
@@ -159,7 +159,7 @@
     private long startedAtMicros(ProcessStart previous, long engineId, long unixMillis) {
         boolean same = previous != null && previous.unixMillis == unixMillis;
         ProcessStart start =
-                same ? previous : new ProcessStart(unixMillis, clock.ofUnixMillis(unixMillis));
+                same ? previous : new ProcessStart(unixMillis, clock.fromUnixMillis(unixMillis));
         processStarts.put(engineId, start);
         return start.startedAtMicros;
     }
--- a/src/main/java/calicostream/platform/FrontEndServer.java
+++ b/src/main/java/calicostream/platform/FrontEndServer.java
@@ -32,6 +32,7 @@
     private static final long KILL_MARGIN_MICROS = 500_000;
     private static final long FINAL_FLUSH_MICROS = 150_000;
     private static final long DRAIN_POLL_MICROS = 20_000;
+    // Used only where the process was started with SIGHUP ignored.
     private static final long CONFIG_POLL_MICROS = 250_000;
     private static final long PEER_POLL_MICROS = 100_000;
     // Time to receive the endpoint events that another process has applied.
@@ -231,7 +232,7 @@
     }
 
     private void listen() throws IOException {
-        gateway.learnedRunTimes(hotRestart.predecessorRunTimes());
+        gateway.restoreLearnedRunTimes(hotRestart.predecessorRunTimes());
         rpcServer.listen(config.listen());
         LOG.info("listening on port {}", rpcServer.port());
         for (Service service : services) {
@@ -313,7 +314,7 @@
         } else {
             gateway.enable(
                     EndpointListDecoder.engineId(engineName),
-                    loop.clock().ofUnixMillis(override.changedAtUnixMillis()));
+                    loop.clock().fromUnixMillis(override.changedAtUnixMillis()));
         }
     }
 
@@ -356,7 +357,7 @@
     @Override
     public String executeCommand(String name, String command) {
         Service service = service(name);
-        return service == null ? null : service.administer(command);
+        return service == null ? null : service.runAdminCommand(command);
     }
 
     /** When every accepted request must have its response; SIGKILL may follow soon. */
--- a/src/main/java/calicostream/platform/RespEngineClient.java
+++ b/src/main/java/calicostream/platform/RespEngineClient.java
@@ -82,7 +82,7 @@
     }
 
     @Override
-    public void stop(Attempt attempt) {
+    public void cancel(Attempt attempt) {
         if (attempt.context() instanceof RespCall call) {
             call.connection().cancel(call);
         }
--- a/src/main/java/calicostream/platform/RespRequestWriter.java
+++ b/src/main/java/calicostream/platform/RespRequestWriter.java
@@ -75,7 +75,7 @@
     }
 
     private byte[] encode(Attempt attempt) {
-        long waitMillis = Math.max(1, (attempt.giveUpAt() - context.now()) / MICROS_PER_MILLI);
+        long waitMillis = Math.max(1, (attempt.timeoutAt() - context.now()) / MICROS_PER_MILLI);
         String fields =
                 "class="
                         + context.className(attempt.request().queryClass())
--- a/src/main/java/calicostream/platform/WarmUp.java
+++ b/src/main/java/calicostream/platform/WarmUp.java
@@ -134,7 +134,7 @@
     }
 
     @Override
-    public void stop(Attempt attempt) {}
+    public void cancel(Attempt attempt) {}
 
     @Override
     public void priorityChanged(Attempt attempt) {}
--- a/src/main/java/calicostream/routing/ProtectionRules.java
+++ b/src/main/java/calicostream/routing/ProtectionRules.java
@@ -11,7 +11,7 @@
  * @param warmUpUs time from the start of an engine until it is warm, in microseconds
  * @param keyQuietPeriodUs quiet period in microseconds: time for which an ordered key is blocked
  *     after the end of an attempt that may still be running on its engine
- * @param retryBudgetFree retries allowed in a window regardless of the traffic
+ * @param retryBudgetMinimum retries allowed in a window regardless of the traffic
  * @param retryBudgetRatio additional retries, relative to the queries accepted in the window
  * @param retryBudgetWindowUs length of the retry budget's window in microseconds, 0 for no budget
  */
@@ -21,6 +21,6 @@
         long slowStartWindowUs,
         long warmUpUs,
         long keyQuietPeriodUs,
-        double retryBudgetFree,
+        double retryBudgetMinimum,
         double retryBudgetRatio,
         long retryBudgetWindowUs) {}
--- a/src/main/java/calicostream/routing/RetryBudget.java
+++ b/src/main/java/calicostream/routing/RetryBudget.java
@@ -30,7 +30,7 @@
     }
 
     private double limit() {
-        return rules.retryBudgetFree() / processes.count()
+        return rules.retryBudgetMinimum() / processes.count()
                 + rules.retryBudgetRatio() * queryTimes.size();
     }
 
--- a/src/main/java/calicostream/routing/RouterSettings.java
+++ b/src/main/java/calicostream/routing/RouterSettings.java
@@ -37,7 +37,7 @@
         boolean watchEndpointsOnRequest,
         long tickUs) {
     /** Returns a copy for engines that send no progress reports. */
-    public RouterSettings withoutProgressNotes() {
+    public RouterSettings withoutProgressReports() {
         EngineCapabilities capabilitiesWithoutProgress =
                 new EngineCapabilities(
                         engineCapabilities.memoryGrants(),
--- a/src/measure/java/calicostream/budget/BudgetSimulations.java
+++ b/src/measure/java/calicostream/budget/BudgetSimulations.java
@@ -33,7 +33,7 @@
             String firstViolation,
             List<Long> reclaims,
             List<Long> releases,
-            Map<String, Integer> refusals) {}
+            Map<String, Integer> rejections) {}
 
     /**
      * The result of a steady run.
@@ -77,11 +77,12 @@
     }
 
     /** One run with all faults; {@link FleetSimulation#violation} has the result. */
-    static FleetSimulation faulty(long seed, Set<Safeguard> disabled) {
-        return faulty(seed, FaultPlan.ALL, disabled);
+    static FleetSimulation runWithFaults(long seed, Set<Safeguard> disabled) {
+        return runWithFaults(seed, FaultPlan.ALL, disabled);
     }
 
-    private static FleetSimulation faulty(long seed, FaultPlan faults, Set<Safeguard> disabled) {
+    private static FleetSimulation runWithFaults(
+            long seed, FaultPlan faults, Set<Safeguard> disabled) {
         if (seed % 2 == 0) {
             return smallFleet(seed, faults, disabled);
         }
@@ -140,7 +141,8 @@
      *
      * @param deadline value of {@link System#nanoTime} after which no further run starts
      */
-    public static FaultyRuns faulty(long seed, boolean isQuorumLost, int maxRuns, long deadline) {
+    public static FaultyRuns runWithFaults(
+            long seed, boolean isQuorumLost, int maxRuns, long deadline) {
         int runs = 0;
         long steps = 0;
         long commands = 0;
@@ -149,11 +151,11 @@
         String firstViolation = null;
         List<Long> reclaims = new ArrayList<>();
         List<Long> releases = new ArrayList<>();
-        Map<String, Integer> refusals = new TreeMap<>();
+        Map<String, Integer> rejections = new TreeMap<>();
         for (int i = 0; i < maxRuns && System.nanoTime() < deadline; i++) {
             runs++;
             FleetSimulation sim =
-                    faulty(
+                    runWithFaults(
                             seed + i,
                             isQuorumLost ? FaultPlan.ALL : FaultPlan.WITH_QUORUM,
                             EnumSet.noneOf(Safeguard.class));
@@ -168,7 +170,7 @@
             }
             reclaims.addAll(sim.reclaims);
             releases.addAll(sim.releases);
-            sim.rejections.forEach((code, count) -> refusals.merge(code, count, Integer::sum));
+            sim.rejections.forEach((code, count) -> rejections.merge(code, count, Integer::sum));
         }
         Collections.sort(reclaims);
         Collections.sort(releases);
@@ -181,7 +183,7 @@
                 firstViolation,
                 reclaims,
                 releases,
-                refusals);
+                rejections);
     }
 
     /**
@@ -213,7 +215,7 @@
      * Runs ten seconds without faults and with demand above capacity. Compares the last six seconds
      * with the exact allocation of the full caps; the first four are warm-up.
      */
-    public static SteadyRun steady(long seed) {
+    public static SteadyRun runSteadyState(long seed) {
         SplittableRandom random = new SplittableRandom(seed * 17 + 3);
         int[] caps = random.ints(4, 24, 49).toArray();
         int[] clients = {
--- a/src/measure/java/calicostream/core/GatewayHarness.java
+++ b/src/measure/java/calicostream/core/GatewayHarness.java
@@ -120,7 +120,7 @@
     }
 
     @Override
-    public void stop(Attempt attempt) {
+    public void cancel(Attempt attempt) {
         recordedCalls.add("stop " + attempt.number());
     }
 
@@ -179,7 +179,7 @@
     }
 
     @Override
-    public void concluded(long tag, FinalStatus status) {
+    public void answeredWithStatus(long tag, FinalStatus status) {
         recordedCalls.add("concluded " + tag + " " + status);
     }
 
--- a/src/measure/java/calicostream/deployments/FrontEndRun.java
+++ b/src/measure/java/calicostream/deployments/FrontEndRun.java
@@ -207,7 +207,7 @@
     }
 
     @Override
-    public void startAttempt(long id, long engine, long giveUpAt) {
+    public void startAttempt(long id, long engine, long timeoutAt) {
         checker.send(now(), id, engine);
         Open o = queries.get(id);
         SimulatedMachine m = play.machines.get(engine);
@@ -222,8 +222,8 @@
             return;
         }
         o.out = a;
-        if (giveUpAt > 0 && giveUpAt < o.ask.deadline) {
-            later(giveUpAt - now(), () -> end(a, AttemptOutcome.TIMEOUT, 0));
+        if (timeoutAt > 0 && timeoutAt < o.ask.deadline) {
+            later(timeoutAt - now(), () -> end(a, AttemptOutcome.TIMEOUT, 0));
         }
         boolean isNew = linked.add(engine);
         if (play.cutOff(zone, m.zone)) {
--- a/src/measure/java/calicostream/mass/SimulatedFrontEnd.java
+++ b/src/measure/java/calicostream/mass/SimulatedFrontEnd.java
@@ -101,7 +101,7 @@
     }
 
     @Override
-    public void startAttempt(long id, long engine, long giveUpAt) {
+    public void startAttempt(long id, long engine, long timeoutAt) {
         Open o = open.get(id);
         FleetEngineModel e = fleet.engine(engine);
         int attempt = o.attempts++;
--- a/src/measure/java/calicostream/measure/BudgetMeasure.java
+++ b/src/measure/java/calicostream/measure/BudgetMeasure.java
@@ -65,7 +65,7 @@
         double distance = 0;
         double use = 1;
         for (int i = 0; i < STEADY; i++) {
-            BudgetSimulations.SteadyRun steady = BudgetSimulations.steady(seed + i);
+            BudgetSimulations.SteadyRun steady = BudgetSimulations.runSteadyState(seed + i);
             System.out.println("steady, seed " + (seed + i) + ": " + steady);
             distance = Math.max(distance, steady.unfairness());
             use = Math.min(use, steady.utilization());
@@ -73,14 +73,14 @@
         boolean timed = runs == Long.MAX_VALUE;
         int most = (int) Math.min(runs, 100_000);
         BudgetSimulations.FaultyRuns faulty =
-                BudgetSimulations.faulty(
+                BudgetSimulations.runWithFaults(
                         seed,
                         true,
                         most,
                         timed ? System.nanoTime() + FAULTY_NANOS : Long.MAX_VALUE);
         tell("faulty", faulty);
         BudgetSimulations.FaultyRuns quorum =
-                BudgetSimulations.faulty(
+                BudgetSimulations.runWithFaults(
                         seed,
                         false,
                         most,
@@ -113,7 +113,7 @@
                 runs.steps(),
                 runs.commands(),
                 runs.faults(),
-                runs.refusals(),
+                runs.rejections(),
                 runs.reclaims().size(),
                 at(runs.reclaims(), 0.5),
                 at(runs.reclaims(), 0.99),
--- a/src/measure/java/calicostream/measure/ClusterProveMeasure.java
+++ b/src/measure/java/calicostream/measure/ClusterProveMeasure.java
@@ -85,7 +85,7 @@
                 pieces(budgets)
                         .mapToObj(
                                 at ->
-                                        BudgetSimulations.faulty(
+                                        BudgetSimulations.runWithFaults(
                                                 seed + at,
                                                 at / PIECE % 2 == 0,
                                                 Math.min(PIECE, budgets - at),
--- a/src/test/java/calicostream/budget/BudgetSimulationTest.java
+++ b/src/test/java/calicostream/budget/BudgetSimulationTest.java
@@ -15,7 +15,7 @@
     @Test
     void faultsNeverPushEngineOverCap() {
         BudgetSimulations.FaultyRuns runs =
-                BudgetSimulations.faulty(SEED, true, 24, Long.MAX_VALUE);
+                BudgetSimulations.runWithFaults(SEED, true, 24, Long.MAX_VALUE);
         System.out.println(
                 "seed "
                         + SEED
@@ -28,10 +28,10 @@
                         + " commands, "
                         + runs.faults()
                         + " faults, rejected "
-                        + runs.refusals());
+                        + runs.rejections());
         assertNull(runs.firstViolation());
         assertTrue(
-                runs.refusals()
+                runs.rejections()
                         .keySet()
                         .containsAll(
                                 Set.of(
@@ -47,8 +47,8 @@
 
     @Test
     void sameSeedReproducesRun() {
-        FleetSimulation first = BudgetSimulations.faulty(SEED, Set.of());
-        FleetSimulation second = BudgetSimulations.faulty(SEED, Set.of());
+        FleetSimulation first = BudgetSimulations.runWithFaults(SEED, Set.of());
+        FleetSimulation second = BudgetSimulations.runWithFaults(SEED, Set.of());
         assertEquals(first.steps, second.steps);
         assertArrayEquals(first.machine.snapshot(), second.machine.snapshot());
     }
@@ -72,7 +72,7 @@
     @Test
     void steadyAllocationIsFairAndUsesCaps() {
         for (long seed = SEED; seed < SEED + 2; seed++) {
-            BudgetSimulations.SteadyRun steady = BudgetSimulations.steady(seed);
+            BudgetSimulations.SteadyRun steady = BudgetSimulations.runSteadyState(seed);
             System.out.println(
                     "seed "
                             + seed
--- a/src/test/java/calicostream/cluster/sim/LeaseSimulationTest.java
+++ b/src/test/java/calicostream/cluster/sim/LeaseSimulationTest.java
@@ -15,7 +15,7 @@
 
 /**
  * Leases on whole clusters in virtual time, under the cluster's faults and their own. {@code
- * LeaseSimMain} replays a seed.
+ * LeaseSimulationMain} replays a seed.
  */
 class LeaseSimulationTest {
     private static final long FIRST_SEED = 20_000;
--- a/src/test/java/calicostream/core/GatewayTest.java
+++ b/src/test/java/calicostream/core/GatewayTest.java
@@ -145,7 +145,7 @@
     void finalStatusDoesNotEjectTheEngine() {
         for (int i = 0; i < 20; i++) {
             gateway.accept(IncomingRequest.of(harness, i, "a", 0, 1, 4_000_000, new byte[0]));
-            gateway.attemptConcluded(sent.get(i), null, new Status("too long"));
+            gateway.attemptEndedWithStatus(sent.get(i), null, new Status("too long"));
             assertEquals("concluded " + i + " too long", recordedCalls.get(i));
             assertEquals(sent.get(0).engine(), sent.get(i).engine());
         }
--- a/src/test/java/calicostream/deployments/DeploymentsTest.java
+++ b/src/test/java/calicostream/deployments/DeploymentsTest.java
@@ -183,7 +183,7 @@
                                         r.slowStartWindowUs(),
                                         r.warmUpUs(),
                                         r.keyQuietPeriodUs(),
-                                        r.retryBudgetFree(),
+                                        r.retryBudgetMinimum(),
                                         r.retryBudgetRatio(),
                                         r.retryBudgetWindowUs()),
                                 s.loadReporting()),
--- a/src/test/java/calicostream/flight/suite/FlightHarness.java
+++ b/src/test/java/calicostream/flight/suite/FlightHarness.java
@@ -105,7 +105,7 @@
                 new Gateway(
                         clock,
                         loop.deadlines(),
-                        settings.settings().withoutProgressNotes(),
+                        settings.settings().withoutProgressReports(),
                         new RequestListener() {
                             @Override
                             public void engineChanged(EngineEndpoint engine) {
--- a/src/test/java/calicostream/platform/EndpointListDecoderTest.java
+++ b/src/test/java/calicostream/platform/EndpointListDecoderTest.java
@@ -23,7 +23,7 @@
         private long stepMillis;
 
         @Override
-        public long ofUnixMillis(long millis) {
+        public long fromUnixMillis(long millis) {
             return millis <= 0 ? 0 : millis + ++stepMillis;
         }
     }
--- a/src/test/java/calicostream/routing/RecordingActions.java
+++ b/src/test/java/calicostream/routing/RecordingActions.java
@@ -229,7 +229,7 @@
     }
 
     @Override
-    public void startAttempt(long query, long engine, long giveUpAt) {
+    public void startAttempt(long query, long engine, long timeoutAt) {
         int number = (int) attempts.stream().filter(attempt -> attempt.query == query).count();
         attempts.add(new Attempt(now, query, engine, number));
     }
