--- a/src/main/java/calicostream/platform/EndpointListDecoder.java
+++ b/src/main/java/calicostream/platform/EndpointListDecoder.java
@@ -19,7 +19,7 @@
 
 /**
  * Decodes events of the endpoint list into engines, addresses and start times. Remembers the start
- * time of each engine from event to event. Used by one thread.
+ * time of each engine from event to event. Not thread-safe.
  */
 public final class EndpointListDecoder {
     /**
