--- a/src/main/java/calicostream/routing/SettingsParser.java
+++ b/src/main/java/calicostream/routing/SettingsParser.java
@@ -41,8 +41,7 @@
                 values.put(
                         line.substring(0, separator).trim(), line.substring(separator + 1).trim());
             } else if (!line.isBlank()) {
-                throw new SettingsException(
-                        "invalid setting: missing '=' in '" + line.trim() + "'");
+                throw new SettingsException("bad setting: no '=' in '" + line.trim() + "'");
             }
         }
         return new SettingsParser(values);
@@ -342,6 +341,6 @@
     }
 
     private SettingsException invalid(String key) {
-        return new SettingsException("invalid setting: " + key + "=" + values.get(key));
+        return new SettingsException("bad setting: " + key + "=" + values.get(key));
     }
 }
